--- a/internal/msgpackrpc/crossings_test.go
+++ b/internal/msgpackrpc/crossings_test.go
@@ -142,7 +142,6 @@
 // before waits in the socket: it is read. The limit went first, and the connection with it.
 func TestLimitAgainstWhatHasCome(t *testing.T) {
 	t.Parallel()
-	b := make([]byte, 10)
 	for name, ends := range map[string]struct {
 		by  func(c *conn)
 		err error
@@ -152,6 +151,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
+			b := make([]byte, 10)
 			c, far := pipe(t)
 			require.NoError(t, c.limit(true))
 			_, err := far.Write([]byte("abc"))
@@ -180,10 +180,10 @@
 // They were thrown away with the request that they were, and for as long as the loop took to come to the close.
 func TestRequestAgainstTheClose(t *testing.T) {
 	t.Parallel()
-	b := make([]byte, 10)
 	for _, first := range []string{"request", "close"} {
 		t.Run(first, func(t *testing.T) {
 			t.Parallel()
+			b := make([]byte, 10)
 			c, far := pipe(t)
 			c.Finish()
 			_, err := c.Read(b)
