--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,311 @@
+package fleet
+
+import (
+	"bytes"
+	hexdigits "encoding/hex" // the package has a function hex
+	"encoding/json"
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"google.golang.org/protobuf/encoding/protowire"
+)
+
+var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
+
+const (
+	goldenWords   = "testdata/words.hex"
+	goldenReport  = "testdata/report.json"
+	goldenChanges = "testdata/changes.txt"
+	goldenNames   = "testdata/names.txt"
+)
+
+// requireGolden compares what the code produces now with a golden file.
+func requireGolden(t *testing.T, path, got string) {
+	t.Helper()
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got)
+}
+
+// readFrames reads a golden file of frames: a line for each, with its name and its bytes in hex digits.
+func readFrames(t *testing.T, path string) map[string][]byte {
+	t.Helper()
+	file, err := os.ReadFile(path)
+	require.NoError(t, err)
+	frames := map[string][]byte{}
+	for line := range strings.Lines(string(file)) {
+		name, digits, found := strings.Cut(strings.TrimSpace(line), ": 0x")
+		require.True(t, found, line)
+		require.NotContains(t, frames, name)
+		frames[name], err = hexdigits.DecodeString(digits)
+		require.NoError(t, err, name)
+	}
+	return frames
+}
+
+// wordCase is a record as it is sent. Read is what the receiver makes of it, where that differs.
+type wordCase struct {
+	name   string
+	record Record
+	age    time.Duration
+	read   func(r *Record)
+}
+
+// minimalRecord is the least that is a record, changed as the case wants it.
+func minimalRecord(change func(r *Record)) Record {
+	r := Record{Name: "n1", Run: 7, Load: Load{Busy: -1}}
+	change(&r)
+	return r
+}
+
+func goldenLoad() Load {
+	return Load{Capacity: 7.5, Busy: 0.625, InHand: 17, Share: 3.25, Shed: 0.125, Calls: 2.5,
+		Pace: 6.75, Offer: "\x0a\x3c\x00\x46", Tries: 40.5, Again: 0.2, Cut: 23.5,
+		Store: 2, StoreID: 0x89abcdef, Round: 77, Sum: "\x01\x02\xff"}
+}
+
+func goldenRecord() Record {
+	return Record{Name: "n1", Run: 0x0102030405060708, Incarnation: 1796147027278, Over: 0x1112131415161718, Seq: 300,
+		Up: 90*time.Second + 5*time.Millisecond, Stalled: 4 * time.Second, Addr: "10.0.0.1:7946", Region: "eu", Zone: "eu-a",
+		Version: "1.2.3", Config: 0x2122232425262728, State: Serving, Load: goldenLoad()}
+}
+
+// fieldAdded is a field of a version that is newer than this one.
+var fieldAdded = string(protowire.AppendString(protowire.AppendTag(nil, 99, protowire.BytesType), "added"))
+
+// goldenWordCases has every field by itself, all of them together, and the bounds of what is sent.
+func goldenWordCases() []wordCase {
+	field := func(name string, change func(r *Record)) wordCase {
+		return wordCase{name: name, record: minimalRecord(change)}
+	}
+	cases := []wordCase{
+		{name: "all fields", record: goldenRecord(), age: 1500 * time.Millisecond},
+		field("least", func(*Record) {}),
+		field("incarnation", func(r *Record) { r.Incarnation = 1796147027278 }),
+		field("over", func(r *Record) { r.Over = 0x1112131415161718 }),
+		field("seq", func(r *Record) { r.Seq = 300 }),
+		field("up", func(r *Record) { r.Up = 90*time.Second + 5*time.Millisecond }),
+		field("stalled", func(r *Record) { r.Stalled = 4 * time.Second }),
+		field("addr", func(r *Record) { r.Addr = "10.0.0.1:7946" }),
+		field("region", func(r *Record) { r.Region = "eu" }),
+		field("zone", func(r *Record) { r.Zone = "eu-a" }),
+		field("version", func(r *Record) { r.Version = "1.2.3" }),
+		field("config", func(r *Record) { r.Config = 0x2122232425262728 }),
+		field("state starting", func(r *Record) { r.State = Starting }),
+		field("state warming", func(r *Record) { r.State = Warming }),
+		field("state serving", func(r *Record) { r.State = Serving }),
+		field("state draining", func(r *Record) { r.State = Draining }),
+		field("state gone", func(r *Record) { r.State = Gone }),
+		field("state of a newer version", func(r *Record) { r.State = 200 }),
+		field("load capacity", func(r *Record) { r.Load.Capacity = 7.5 }),
+		field("load busy none", func(r *Record) { r.Load.Busy = 0 }),
+		field("load busy", func(r *Record) { r.Load.Busy = 0.625 }),
+		field("load in hand", func(r *Record) { r.Load.InHand = 17 }),
+		field("load share", func(r *Record) { r.Load.Share = 3.25 }),
+		field("load shed", func(r *Record) { r.Load.Shed = 0.125 }),
+		field("load calls", func(r *Record) { r.Load.Calls = 2.5 }),
+		field("load pace", func(r *Record) { r.Load.Pace = 6.75 }),
+		field("load offer", func(r *Record) { r.Load.Offer = "\x0a\x3c\x00\x46" }),
+		field("load tries", func(r *Record) { r.Load.Tries = 40.5 }),
+		field("load again", func(r *Record) { r.Load.Again = 0.2 }),
+		field("load cut", func(r *Record) { r.Load.Cut = 23.5 }),
+		field("load store", func(r *Record) { r.Load.Store = 2 }),
+		field("load store id", func(r *Record) { r.Load.StoreID = 0x89abcdef }),
+		field("load round", func(r *Record) { r.Load.Round = 77 }),
+		field("load sum", func(r *Record) { r.Load.Sum = "\x01\x02\xff" }),
+		field("field of a newer version", func(r *Record) { r.unknown = fieldAdded }),
+	}
+	return append(cases, goldenBoundCases()...)
+}
+
+// goldenBoundCases are the records that are not read as they were written, and the longest texts.
+func goldenBoundCases() []wordCase {
+	return []wordCase{
+		{name: "greatest age", record: minimalRecord(func(*Record) {}), age: math.MaxInt64},
+		{name: "negative times and counts", record: minimalRecord(func(r *Record) {
+			r.Up, r.Stalled, r.Load.InHand, r.Load.Capacity = -1, -1, -1, -1
+		}), read: func(r *Record) { *r = minimalRecord(func(*Record) {}) }},
+		{name: "less than a thousandth", record: minimalRecord(func(r *Record) {
+			r.Up, r.Load.Capacity, r.Load.Pace = 1999*time.Microsecond, 0.0004, 0.0006
+		}), read: func(r *Record) { r.Up, r.Load.Capacity, r.Load.Pace = time.Millisecond, 0, 0.001 }},
+		{name: "more than 32 bits of thousandths", record: minimalRecord(func(r *Record) {
+			r.Load.Capacity, r.Load.Cut = 1e12, math.Inf(1)
+		}), read: func(r *Record) { r.Load.Capacity, r.Load.Cut = 4294967.295, 4294967.295 }},
+		{name: "parts above one", record: minimalRecord(func(r *Record) {
+			r.Load.Shed, r.Load.Again = 1.5, 2
+		}), read: func(r *Record) { r.Load.Shed, r.Load.Again = 1, 1 }},
+		{name: "longest texts", record: minimalRecord(func(r *Record) {
+			long := strings.Repeat("x", MaxText)
+			r.Name, r.Addr, r.Region, r.Zone, r.Version = long, long, long, long, long
+			r.Load.Offer, r.Load.Sum = strings.Repeat("\xff", MaxOffer), strings.Repeat("\xff", MaxSum)
+		})},
+	}
+}
+
+// The words of members must stay as they are, field by field: members of several versions live in one fleet.
+func TestGoldenWordsWritten(t *testing.T) {
+	var got strings.Builder
+	for _, c := range goldenWordCases() {
+		fmt.Fprintf(&got, "%s: 0x%x\n", c.name, AppendWord(nil, &c.record, c.age))
+	}
+	requireGolden(t, goldenWords, got.String())
+}
+
+// Words that were written before must still be read, each as the record and the age that it was.
+func TestGoldenWordsRead(t *testing.T) {
+	frames, cases := readFrames(t, goldenWords), goldenWordCases()
+	require.Len(t, frames, len(cases))
+	for _, c := range cases {
+		require.Contains(t, frames, c.name)
+		got, age, err := ParseWord(frames[c.name])
+		require.NoError(t, err, c.name)
+		want := c.record
+		if c.read != nil {
+			c.read(&want)
+		}
+		require.Equal(t, want, got, c.name)
+		require.Equal(t, min(c.age, mostAge), age, c.name)
+	}
+}
+
+// The first byte tells the kinds of messages apart, of which the other one is read by another package.
+func TestGoldenKinds(t *testing.T) {
+	require.Equal(t, 1, kindWord)
+	require.Equal(t, 2, KindDirect)
+}
+
+// goldenSnapshot has members of every standing and state, two zones and one without a name.
+func goldenSnapshot() *Snapshot {
+	v := NewView("n1", Limits{Members: 20, Forget: time.Hour})
+	join := func(at time.Duration, r Record, reach Reach, found Evidence) {
+		v.Joined(at, 0, r)
+		if reach != NeverMet {
+			v.Sighted(at, r.Name, r.Run, reach)
+		}
+		v.Tried(r.Name, r.Run, found)
+	}
+	record := func(name string, state State) Record {
+		return Record{Name: name, Run: 7, Incarnation: 3, Seq: 1, Region: "eu", Zone: "eu-b", Version: "1.2.3", State: state, Load: Load{Busy: -1}}
+	}
+	own := goldenRecord()
+	own.Stalled = 0
+	join(99*time.Second, own, Reached, NoEvidence)
+	join(98*time.Second, record("starting", Starting), Reached, NoEvidence)
+	warming := record("warming", Warming)
+	warming.Load = Load{Capacity: 4, Busy: 0.5, InHand: 3, Pace: 2, Tries: 8, Again: 0.25, Cut: 3.5, Share: 1.5, Calls: 0.5}
+	join(97*time.Second, warming, Reached, NoEvidence)
+	join(97*time.Second, record("draining", Draining), Reached, NoEvidence)
+	join(96*time.Second, record("newer-state", 200), Reached, NoEvidence)
+	join(96*time.Second, record("gone", Gone), Lost, NoEvidence)
+	join(96*time.Second, record("heard-of", Serving), NeverMet, NoEvidence)
+	join(50*time.Second, record("suspect", Serving), Reached, NoEvidence)
+	join(95*time.Second, record("silent", Serving), Lost, Unanswered)
+	join(95*time.Second, record("dead", Serving), Lost, Refused)
+	join(95*time.Second, record("wedged", Serving), Lost, Accepted)
+	stalled := record("stalled", Serving)
+	stalled.Stalled = 4 * time.Second
+	join(95*time.Second, stalled, Reached, NoEvidence)
+	v.Sighted(94*time.Second, "no-word", 9, Reached)
+	return v.Snapshot(100 * time.Second)
+}
+
+// The view that the console gives is read by scripts and by falldeal-fleet of other versions.
+func TestGoldenReportWritten(t *testing.T) {
+	report := goldenSnapshot().Report(100*time.Second + 250*time.Millisecond)
+	report.Counters = map[string]int64{"calls": 3, "words": 12}
+	got, err := json.MarshalIndent(report, "", "  ")
+	require.NoError(t, err)
+	requireGolden(t, goldenReport, string(got)+"\n")
+}
+
+// A view that was written before must be read without a field that is left over, and as what it was.
+func TestGoldenReportRead(t *testing.T) {
+	file, err := os.ReadFile(goldenReport)
+	require.NoError(t, err)
+	var got Report
+	in := json.NewDecoder(bytes.NewReader(file))
+	in.DisallowUnknownFields()
+	require.NoError(t, in.Decode(&got))
+	want := goldenSnapshot().Report(100*time.Second + 250*time.Millisecond)
+	want.Counters = map[string]int64{"calls": 3, "words": 12}
+	require.Equal(t, want, got)
+}
+
+// A process that knows nobody else reports no word of others, and a list of itself alone.
+func TestGoldenReportAlone(t *testing.T) {
+	v := NewView("n1", Limits{Members: 20, Forget: time.Hour})
+	v.Joined(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Busy: -1}})
+	got, err := json.MarshalIndent(v.Snapshot(0).Report(time.Second), "", "  ")
+	require.NoError(t, err)
+	requireGolden(t, "testdata/report_alone.json", string(got)+"\n")
+}
+
+// The changes between two snapshots go to the log in these words.
+func TestGoldenChanges(t *testing.T) {
+	v := NewView("n1", Limits{Members: 20, Forget: time.Hour})
+	record := func(name string, run uint64) Record {
+		zone := "a"
+		if name == "n4" || name == "n5" {
+			zone = "b"
+		}
+		return Record{Name: name, Run: run, Seq: 1, Zone: zone, Version: "1", Config: 0xab, State: Serving}
+	}
+	join := func(at time.Duration, r Record) {
+		v.Joined(at, 0, r)
+		v.Sighted(at, r.Name, r.Run, Reached)
+	}
+	for _, name := range []string{"n1", "n2", "n3", "n4"} {
+		join(time.Second, record(name, 1))
+	}
+	before := v.Snapshot(2 * time.Second)
+	join(2*time.Second, record("n5", 1))
+	join(2*time.Second, record("n2", 2))
+	reconfigured := record("n3", 1)
+	reconfigured.Seq, reconfigured.Version, reconfigured.Config, reconfigured.State = 2, "2", 0xcd, Draining
+	join(2*time.Second, reconfigured)
+	for _, name := range []string{"n4", "n5"} {
+		v.Sighted(2*time.Second, name, 1, Lost)
+	}
+	v.Sighted(2*time.Second, "n2", 2, Lost)
+	after := v.Snapshot(3 * time.Second)
+	var got strings.Builder
+	for _, changes := range [][]Change{after.Changes(before), before.Changes(after)} {
+		for _, c := range changes {
+			fmt.Fprintf(&got, "member=%q what=%q from=%q to=%q age=%s\n", c.Member, c.What, c.From, c.To, c.Age)
+		}
+		got.WriteString("---\n")
+	}
+	requireGolden(t, goldenChanges, got.String())
+}
+
+// The numbers travel or are published as figures, the names stand in reports, logs and spans.
+func TestGoldenNames(t *testing.T) {
+	var got strings.Builder
+	for s := Starting; s <= Gone; s++ {
+		fmt.Fprintf(&got, "state %d: %s\n", s, s)
+	}
+	fmt.Fprintf(&got, "state %d: %s\nstate %d: %s\n", 0, State(0), 200, State(200))
+	for s := HeardOf; s <= Left; s++ {
+		fmt.Fprintf(&got, "standing %d: %s\n", s, s)
+	}
+	for p := Alone; p <= CutOff; p++ {
+		fmt.Fprintf(&got, "position %d: %s\n", p, p)
+	}
+	fmt.Fprintf(&got, "zone reached: %s\nzone dark: %s\n", light(false), light(true))
+	fmt.Fprintf(&got, "process: %s\n", Process("n1", 0x1a2b))
+	fmt.Fprintf(&got, "agreement: %016x\n", goldenSnapshot().Agreement())
+	requireGolden(t, goldenNames, got.String())
+	name, run, err := ParseProcess("n1/0000000000001a2b")
+	require.NoError(t, err)
+	require.Equal(t, "n1", name)
+	require.Equal(t, uint64(0x1a2b), run)
+}
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,90 @@
+package handover
+
+import (
+	"bytes"
+	"flag"
+	"math"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
+
+const goldenMessages = "testdata/messages.jsonl"
+
+// goldenCases has every kind of message and every field, one message for each line of the golden file.
+var goldenCases = []struct {
+	name    string
+	message Message
+}{
+	{"known", Message{Kind: Known, Once: "ab12", Digest: 0xfedcba9876543210, At: 1796147027278 * time.Millisecond}},
+	{"known, digest without leading zeros", Message{Kind: Known, Once: "00ff", Digest: 0x1a, At: 1}},
+	{"known, greatest numbers", Message{Kind: Known, Once: "ab12", Digest: math.MaxUint64, At: math.MaxInt64}},
+	{"over, success with a result", Message{Kind: Over, Once: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"result")}},
+	{"over, success with an empty result", Message{Kind: Over, Once: "ab12", OK: true}},
+	{"over, failure", Message{Kind: Over, Once: "ab12"}},
+	{"free", Message{Kind: Free, Once: "ab12"}},
+	{"claim", Message{Kind: Claim, Once: "ab12", Digest: 7, At: 1796147027278 * time.Millisecond}},
+	{"claim, negative time", Message{Kind: Claim, Once: "ab12", Digest: 7, At: -1}},
+	{"grant", Message{Kind: Grant, Once: "ab12"}},
+	{"synced", Message{Kind: Synced}},
+}
+
+// The lines that a process writes must stay as they are: the process at the other end may be of another version.
+func TestGoldenMessagesWritten(t *testing.T) {
+	var got []byte
+	for _, c := range goldenCases {
+		got = appendMessage(got, c.message)
+	}
+	if *update {
+		require.NoError(t, os.WriteFile(goldenMessages, got, 0o644))
+	}
+	want, err := os.ReadFile(goldenMessages)
+	require.NoError(t, err)
+	require.Equal(t, string(want), string(got))
+}
+
+// Lines that were written before must still be read, each as the message that it was.
+func TestGoldenMessagesRead(t *testing.T) {
+	file, err := os.ReadFile(goldenMessages)
+	require.NoError(t, err)
+	lines := bytes.SplitAfter(file, []byte("\n"))
+	require.Len(t, lines, len(goldenCases)+1, "a line for each case, and nothing after the last")
+	require.Empty(t, lines[len(goldenCases)])
+	var p parser
+	for i, c := range goldenCases {
+		got, err := p.parse(lines[i])
+		require.NoError(t, err, c.name)
+		require.Equal(t, c.message, got, c.name)
+	}
+}
+
+// A field that a newer process has added must be passed over.
+func TestGoldenMessageWithAddedField(t *testing.T) {
+	var p parser
+	got, err := p.parse([]byte(`{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"))
+	require.NoError(t, err)
+	require.Equal(t, Message{Kind: Claim, Once: "ab12", Digest: 7, At: -1}, got)
+}
+
+// Two processes find each other by the names of the socket and of the lock beside it, and nothing else may be left there.
+func TestGoldenSocketNames(t *testing.T) {
+	dir, err := os.MkdirTemp("", "handover") // short: the path of a socket is limited
+	require.NoError(t, err)
+	defer os.RemoveAll(dir)
+	older, listener, err := join(filepath.Join(dir, "socket"))
+	require.NoError(t, err)
+	require.Nil(t, older)
+	defer listener.Close()
+	entries, err := os.ReadDir(dir)
+	require.NoError(t, err)
+	var names []string
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	require.Equal(t, []string{"socket", "socket.lock"}, names)
+}
--- /dev/null
+++ b/internal/tracing/golden_test.go
@@ -0,0 +1,77 @@
+package tracing
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"regexp"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "rewrite the golden file from what the code produces")
+
+const goldenSpans = "testdata/spans.jsonl"
+
+// drawn matches what differs from run to run: identifiers, but for those that say that there is none, and times.
+var drawn = regexp.MustCompile(`"(TraceID|SpanID|StartTime|EndTime)":"([0-9a-f]*[1-9a-f][0-9a-f]*|\d{4}-\d\d-\d\dT[^"]+)"`)
+
+// writeSpans plays episodes with every type of attribute, one for each as their order is not fixed, and returns the file.
+func writeSpans(t *testing.T) []byte {
+	t.Helper()
+	t.Setenv("OTEL_RESOURCE_ATTRIBUTES", "")
+	t.Setenv("OTEL_SERVICE_NAME", "")
+	path := filepath.Join(t.TempDir(), "spans.jsonl")
+	tracer, err := New(Config{File: path, Sample: 1, Bytes: 1 << 20}, "n1", "1.2.3")
+	require.NoError(t, err)
+	tracer.Change("cutoff", "", "full", map[string]any{"place": 7.5})
+	tracer.Change("cutoff", "full", "sinking", nil)
+	tracer.Change("cutoff", "sinking", "", map[string]any{"known": true})
+	for _, field := range []struct {
+		name  string
+		value any
+	}{
+		{"int", 12}, {"int64", int64(1) << 40}, {"float", 0.25}, {"text", "a \"word\""}, {"other", 1500 * time.Millisecond},
+	} {
+		tracer.Change("store", "", "trouble", map[string]any{field.name: field.value})
+		tracer.Change("store", "trouble", "", nil)
+	}
+	tracer.Change("fleet", "", "torn", nil)
+	require.NoError(t, tracer.Close(context.Background())) // in the middle of an episode
+	file, err := os.ReadFile(path)
+	require.NoError(t, err)
+	return file
+}
+
+// The file of spans is read by the operators' tools: a span for each line, with these names, attributes and resource.
+func TestGoldenSpans(t *testing.T) {
+	file := writeSpans(t)
+	got := drawn.ReplaceAll(file, []byte(`"$1":"drawn"`))
+	if *update {
+		require.NoError(t, os.WriteFile(goldenSpans, got, 0o644))
+	}
+	want, err := os.ReadFile(goldenSpans)
+	require.NoError(t, err)
+	wantLines, gotLines := bytes.Split(want, []byte("\n")), bytes.Split(got, []byte("\n"))
+	require.Len(t, gotLines, len(wantLines))
+	for i, line := range gotLines {
+		require.Equal(t, indent(t, wantLines[i]), indent(t, line), "line %d", i+1)
+	}
+	require.Equal(t, string(want), string(got))
+}
+
+// indent makes the difference of two spans readable.
+func indent(t *testing.T, line []byte) string {
+	t.Helper()
+	if len(line) == 0 {
+		return ""
+	}
+	var b bytes.Buffer
+	require.NoError(t, json.Indent(&b, line, "", "  "))
+	return b.String()
+}
