--- /dev/null
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -0,0 +1,181 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"falldeal/internal/fleet"
+
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
+func requireGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got)
+}
+
+// asProgram has this program be the command instead of its tests.
+const asProgram = "FALLDEAL_TEST_AS_PROGRAM"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(asProgram) != "" {
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// invoke runs this program in the folder dir, with the variables of env set and no others of its own, and returns what it
+// wrote and its exit code.
+func invoke(t *testing.T, dir string, env []string, input string, args ...string) string {
+	t.Helper()
+	self, err := os.Executable()
+	require.NoError(t, err)
+	cmd := exec.Command(self, args...)
+	cmd.Dir = dir
+	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
+	cmd.Env = append(cmd.Env, env...)
+	cmd.Stdin = strings.NewReader(input)
+	var out, errors bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &out, &errors
+	if err := cmd.Run(); err != nil {
+		require.IsType(t, &exec.ExitError{}, err)
+	}
+	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errors)
+}
+
+const (
+	sample    = "../../internal/config/testdata/config.json"
+	leastFile = "[fleet]\nlisten = \"127.0.0.1:7946\"\nregion = \"belgium\"\nzone = \"mechelen\"\n"
+)
+
+var timeOfLine = regexp.MustCompile(`time="[^"]*"`)
+
+// Help, flags, exit codes and messages of what falldeal becomes for a fleet.
+func TestGoldenCommands(t *testing.T) {
+	dir := t.TempDir()
+	text, err := os.ReadFile(sample)
+	require.NoError(t, err)
+	for name, content := range map[string]string{"good.json": string(text), "bad.json": strings.Replace(string(text), `"Cpus": 6`, `"Cpus": -6`, 1),
+		"none.toml": "", "good.toml": leastFile + "seeds = [\"127.0.0.2:7946\"]\n", "bad.toml": leastFile + "size = 0\n",
+		"drill.toml": leastFile + "[drill]\nclock = \"-2s\"\nwedge = \"1s\"\n",
+		"trace.toml": leastFile + "[trace]\nfile = \"absent/spans\"\n"} {
+		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
+	}
+	var got strings.Builder
+	for _, args := range []string{
+		"",
+		"--help",
+		"check --help",
+		"serve --help",
+		"fetch",
+		"fetch --config good.json --operators none.toml",
+		"check --port 5",
+		"check --log-level loud",
+		"check",
+		"check --config",
+		"check --config absent.json --operators good.toml",
+		"check --config bad.json --operators good.toml",
+		"check --config good.json",
+		"check --config good.json --operators absent.toml",
+		"check --config good.json --operators bad.toml",
+		"check --config good.json --operators none.toml",
+		"check --config good.json --operators good.toml",
+		"check --config good.json --operators drill.toml",
+		"check --config good.json --operators trace.toml",
+		"serve --config absent.json --operators good.toml",
+		"serve --config good.json --operators bad.toml",
+		"serve --config good.json --operators trace.toml",
+		"fleet",
+		"fleet --help",
+		"fleet members --help",
+		"fleet shares",
+		"fleet members status",
+		"fleet members --port 5",
+		"fleet members --console",
+		"fleet members",
+		"fleet status",
+		"fleet members --console 127.0.0.1:1",
+		"fleet members --console a\x7fb",
+	} {
+		output := timeOfLine.ReplaceAllString(invoke(t, dir, nil, "", strings.Fields(args)...), `time="(time)"`)
+		output = strings.ReplaceAll(output, dir, "(folder)")
+		fmt.Fprintf(&got, "== falldeal-fleet %q\n%s\n", args, output)
+	}
+	requireGolden(t, "commands", got.String())
+}
+
+// reports are what instances answer, by what their consoles' addresses are called in the golden file.
+func reports() map[string]fleet.Report {
+	whole := fleet.Report{Self: "n3", Position: "whole", HeardMs: 250, PeriodMs: 1000, FreshMs: 5000,
+		Members: []fleet.MemberReport{
+			{Name: "n3", Process: "n3/0000000000000007", Zone: "mechelen", Region: "belgium", Condition: "serving", Told: "serving", SinceMs: 61500,
+				Version: "1.2.3", Config: "0123456789abcdef", Cores: 6, Busy: 0.5, InHand: 12, Shed: 0.25, Self: true},
+			{Name: "n4", Zone: "zaventem", Region: "belgium", Condition: "cut off", Told: "warming", AgeMs: 3120, SinceMs: 900, Version: "dev",
+				Config: "01", Cores: 2.5, Busy: -1, Store: 1},
+			{Name: "n5", Zone: "zaventem", Region: "belgium", Condition: "serving", Told: "serving", AgeMs: 40, Store: 2, Round: 7},
+			{Name: "n6", Zone: "zaventem", Region: "belgium", Condition: "serving", Told: "serving", AgeMs: 50, Store: 3}},
+		Zones: []fleet.ZoneReport{{Region: "belgium", Zone: "mechelen", Known: 1, Alive: 1},
+			{Region: "belgium", Zone: "zaventem", Known: 21, Alive: 1, Suspect: 2, Wedged: 3, CutOff: 4, Dead: 5, Left: 6, HeardOf: 7, Dark: true}},
+		Total: fleet.ZoneReport{Known: 22, Alive: 2, Suspect: 2, Wedged: 3, CutOff: 4, Dead: 5, Left: 6, HeardOf: 7},
+		Fresh: fleet.SumReport{Members: 2, Stale: 1, Cores: 8.5, Busy: 3, InHand: 12, OldestMs: 1100}}
+	full := whole
+	full.Position = "torn"
+	full.Fresh.Pace, full.Fresh.Tries, full.Fresh.Again, full.Fresh.CutLeast, full.Fresh.CutMost = 7.5, 120, 0.125, 11.5, 12.5
+	full.Fresh.Share, full.Fresh.Calls = 11.8, 4.25
+	room := whole
+	room.Fresh.Pace, room.Fresh.Tries = 7.5, 12
+	alone := fleet.Report{Self: "n3", Position: "alone", HeardMs: -1}
+	return map[string]fleet.Report{"whole": whole, "full": full, "room": room, "alone": alone}
+}
+
+// What is printed of what an instance answers.
+func TestGoldenAnswers(t *testing.T) {
+	consoles := map[string]http.HandlerFunc{
+		"in no fleet": http.NotFound,
+		"busy":        func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"no JSON":     func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("word")) },
+	}
+	for name, report := range reports() {
+		body, err := json.Marshal(report)
+		require.NoError(t, err)
+		consoles[name] = func(w http.ResponseWriter, r *http.Request) {
+			if r.Method+" "+r.URL.Path != "GET /fleet" {
+				w.WriteHeader(http.StatusBadRequest)
+			}
+			_, _ = w.Write(append(body, '\n'))
+		}
+	}
+	var got strings.Builder
+	for _, console := range []string{"whole", "full", "room", "alone", "in no fleet", "busy", "no JSON"} {
+		server := httptest.NewServer(consoles[console])
+		t.Cleanup(server.Close)
+		addr := server.Listener.Addr().String()
+		for _, args := range []string{"fleet members", "fleet status", "fleet members --json", "fleet status --check"} {
+			var out bytes.Buffer
+			err := command(append(strings.Fields(args), "--console", addr), &out)
+			output := fmt.Sprintf("%s-- error\n%v\n", &out, err)
+			fmt.Fprintf(&got, "== %s: %s\n%s\n", console, args, strings.ReplaceAll(output, addr, "(address)"))
+		}
+	}
+	requireGolden(t, "answers", got.String())
+}
--- /dev/null
+++ b/cmd/falldeal-lab/golden_test.go
@@ -0,0 +1,163 @@
+package main
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"falldeal/lab/history"
+
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
+func requireGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got)
+}
+
+// asProgram has this program be the command instead of its tests.
+const asProgram = "FALLDEAL_TEST_AS_PROGRAM"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(asProgram) != "" {
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// invoke runs this program in the folder dir, with the variables of env set and no others of its own, and returns what it
+// wrote and its exit code.
+func invoke(t *testing.T, dir string, env []string, input string, args ...string) string {
+	t.Helper()
+	self, err := os.Executable()
+	require.NoError(t, err)
+	cmd := exec.Command(self, args...)
+	cmd.Dir = dir
+	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
+	cmd.Env = append(cmd.Env, env...)
+	cmd.Stdin = strings.NewReader(input)
+	var out, errors bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &out, &errors
+	if err := cmd.Run(); err != nil {
+		require.IsType(t, &exec.ExitError{}, err)
+	}
+	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errors)
+}
+
+// day is a history in which one request is served and one refused, and a fault comes and goes.
+func day() []history.Event {
+	return []history.Event{
+		{At: 0, Kind: history.Process, Server: "n1", Word: "started"},
+		{At: time.Second, Kind: history.Ask, Server: "n1", Try: "a1", Class: "preview", Caller: 1, Due: 5 * time.Second},
+		{At: 1100 * time.Millisecond, Kind: history.Run, Server: "n1", Try: "a1", Class: "preview"},
+		{At: 1200 * time.Millisecond, Kind: history.RunEnd, Server: "n1", Try: "a1", Word: "ok"},
+		{At: 1300 * time.Millisecond, Kind: history.Answer, Server: "n1", Try: "a1", Word: "served", Caller: 1},
+		{At: 1300 * time.Millisecond, Kind: history.Request, Class: "preview", Caller: 1, Word: "served", N: 1, Took: 300 * time.Millisecond, Worth: 1, Got: 1},
+		{At: 2 * time.Second, Kind: history.Fault, Word: "cut zone:mechelen *", N: 1},
+		{At: 3 * time.Second, Kind: history.View, Server: "n1", Member: "n2", Word: "suspect"},
+		{At: 4 * time.Second, Kind: history.View, Server: "n3", Member: "n2", Word: "suspect"},
+		{At: 5 * time.Second, Kind: history.Fault, Word: "cut zone:mechelen *"},
+		{At: 6 * time.Second, Kind: history.Process, Server: "n2", Word: "failed"},
+		{At: 7 * time.Second, Kind: history.Request, Class: "licence-order", Caller: 1, Word: "refused", N: 3, Took: 700 * time.Millisecond, Worth: 3},
+	}
+}
+
+// brokenDay breaks every rule that the program checks: an answer too many, one too late, one lost, an order that runs twice,
+// and a member called dead that lives.
+func brokenDay() []history.Event {
+	return []history.Event{
+		{At: 8 * time.Second, Kind: history.Answer, Server: "n1", Try: "a1", Word: "served", Caller: 1},
+		{At: 8 * time.Second, Kind: history.Ask, Server: "n1", Try: "a2", Once: "o1", Class: "licence-order", Caller: 1, Due: 9 * time.Second},
+		{At: 8 * time.Second, Kind: history.Ask, Server: "n1", Try: "a3", Once: "o1", Class: "licence-order", Caller: 1, Due: 9 * time.Second},
+		{At: 8100 * time.Millisecond, Kind: history.Run, Server: "n1", Try: "a2"},
+		{At: 8200 * time.Millisecond, Kind: history.Run, Server: "n1", Try: "a3"},
+		{At: 8300 * time.Millisecond, Kind: history.Answer, Server: "n1", Try: "a2", Word: "lost", Caller: 1},
+		{At: 10 * time.Second, Kind: history.Answer, Server: "n1", Try: "a3", Word: "served", Caller: 1},
+		{At: 11 * time.Second, Kind: history.View, Server: "n3", Member: "n1", Word: "dead"},
+	}
+}
+
+// Help, flags, exit codes and messages of every command that starts no fleet.
+func TestGoldenCommands(t *testing.T) {
+	dir := t.TempDir()
+	require.NoError(t, history.Write(filepath.Join(dir, "day.jsonl"), day()))
+	require.NoError(t, history.Write(filepath.Join(dir, "broken.jsonl"), append(day(), brokenDay()...)))
+	for name, content := range map[string]string{"word.jsonl": "word\n", "empty.jsonl": "", "script.toml": "[[fault]]\nkind = \"cut\"\nwho = \"n99\"\n",
+		"key.toml": "speed = 5\n"} {
+		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
+	}
+	fleet := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		http.Error(w, "who: nobody is \"n99\"", http.StatusBadRequest)
+	}))
+	t.Cleanup(fleet.Close)
+	addr := fleet.Listener.Addr().String()
+	varying := strings.NewReplacer(addr, "(address)", dir, "(folder)")
+	var got strings.Builder
+	for _, args := range []string{
+		"",
+		"--help",
+		"fleet --help",
+		"model --help",
+		"fetch",
+		"check",
+		"check day.jsonl broken.jsonl",
+		"fleet --speed 5",
+		"fleet --members many",
+		"fleet --members 0",
+		"fleet --members 601",
+		"fleet --members 601 --detect 1",
+		"fleet --members 601 --compare 1",
+		"fleet --compare 1 --with luck",
+		"fleet --for long",
+		"fleet --heed some",
+		"fleet --script absent.toml",
+		"fleet --script script.toml",
+		"fleet --script key.toml",
+		"model --members 0",
+		"model --members 10001",
+		"model --kind cut",
+		"fault",
+		"fault --lab 127.0.0.1:1 --kind cut --who n1",
+		"fault --lab " + addr + " --kind cut --who n99",
+		"check absent.jsonl",
+		"check word.jsonl",
+		"check empty.jsonl",
+		"check day.jsonl",
+		"check broken.jsonl",
+	} {
+		fmt.Fprintf(&got, "== falldeal-lab %s\n%s\n", args, invoke(t, dir, nil, "", strings.Fields(args)...))
+	}
+	requireGolden(t, "commands", varying.Replace(got.String()))
+}
+
+// What a fault command sends to a fleet that runs.
+func TestGoldenFaultRequest(t *testing.T) {
+	var got bytes.Buffer
+	fleet := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		fmt.Fprintf(&got, "%s %s\n%s\n", r.Method, r.URL.Path, r.Header.Get("Content-Type"))
+		_, _ = got.ReadFrom(r.Body)
+	}))
+	defer fleet.Close()
+	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 --for 5s --lab " +
+		fleet.Listener.Addr().String()
+	require.NoError(t, command(strings.Fields(args), &bytes.Buffer{}))
+	requireGolden(t, "fault", got.String()+"\n")
+}
--- /dev/null
+++ b/decide/golden_test.go
@@ -0,0 +1,115 @@
+package decide
+
+import (
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
+func requireGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got)
+}
+
+// The full message for every field of the settings that can be at fault.
+func TestGoldenSettingsErrors(t *testing.T) {
+	var got strings.Builder
+	for _, c := range []struct {
+		name   string
+		change func(*Settings)
+	}{
+		{"as it is", func(*Settings) {}},
+		{"Cores 0", func(s *Settings) { s.Cores = 0 }},
+		{"Cores -1", func(s *Settings) { s.Cores = -1 }},
+		{"no Classes", func(s *Settings) { s.Classes = nil }},
+		{"MemoryKB 0", func(s *Settings) { s.MemoryKB = 0 }},
+		{"MemoryKB NaN", func(s *Settings) { s.MemoryKB = math.NaN() }},
+		{"RunBlow -1", func(s *Settings) { s.RunBlow = -1 }},
+		{"RunBlow NaN", func(s *Settings) { s.RunBlow = math.NaN() }},
+		{"KeyKB -1", func(s *Settings) { s.KeyKB = -1 }},
+		{"CallsOut -1", func(s *Settings) { s.CallsOut = -1 }},
+		{"CallsOver -1ms", func(s *Settings) { s.CallsOver = -ms }},
+		{"CallLingers -1ms", func(s *Settings) { s.CallLingers = -ms }},
+		{"ColdFor -1ms", func(s *Settings) { s.ColdFor = -ms }},
+		{"CrowdOver -1ms", func(s *Settings) { s.CrowdOver = -ms }},
+		{"AnswerGrace -1ms", func(s *Settings) { s.AnswerGrace = -ms }},
+		{"DrainGrace -1ms", func(s *Settings) { s.DrainGrace = -ms }},
+		{"FreshFor -1ms", func(s *Settings) { s.FreshFor = -ms }},
+		{"MaxRetryAfter -1ms", func(s *Settings) { s.MaxRetryAfter = -ms }},
+		{"IdleAfter -1ms", func(s *Settings) { s.IdleAfter = -ms }},
+		{"Tick -1ms", func(s *Settings) { s.Tick = -ms }},
+		{"Aim 0", func(s *Settings) { s.Classes[0].Aim = 0 }},
+		{"Deadline 0", func(s *Settings) { s.Classes[1].Deadline = 0 }},
+		{"KeyWindow -1ms", func(s *Settings) { s.Classes[2].KeyWindow = -ms }},
+	} {
+		s := settings()
+		c.change(&s)
+		_, err := New(s, 7, 0)
+		fmt.Fprintf(&got, "%s\n\tNew: %v\n", c.name, err)
+		fmt.Fprintf(&got, "\tRetune: %v\n", start(t, settings()).Retune(s))
+	}
+	requireGolden(t, "settings", got.String())
+}
+
+// The lines for the operators' log: every state that begins and ends, and the notice.
+func TestGoldenReports(t *testing.T) {
+	var got strings.Builder
+	for _, c := range []struct {
+		name  string
+		enter func(*Controller)
+		leave func(*Controller)
+	}{
+		{"calls dropped", func(c *Controller) { c.protect = -1 }, func(c *Controller) { c.protect = BreakerProtect }},
+		{"calls bounded", func(c *Controller) { c.callShare = callsLeast }, func(c *Controller) { c.callShare = callsRaise }},
+		{"share lowered", func(c *Controller) { c.share = shareDown }, func(c *Controller) { c.share = 1 }},
+		{"memory full", func(c *Controller) { c.memory = c.memoryLimit() + 1 }, func(c *Controller) { c.memory = 0 }},
+		{"unwell", func(c *Controller) { c.unwell = true }, func(c *Controller) { c.unwell = false }},
+	} {
+		controller := start(t, settings())
+		fmt.Fprintf(&got, "%s\n", c.name)
+		for _, change := range []func(*Controller){c.enter, c.leave} {
+			controller.now += 2 * logEvery
+			controller.out = nil
+			change(controller)
+			controller.reports()
+			logged(&got, controller.out)
+		}
+	}
+	for _, replaced := range []bool{false, true} {
+		fmt.Fprintf(&got, "notice, replaced %t\n", replaced)
+		logged(&got, start(t, settings()).Step(ms, []Event{{Kind: Notice, At: 3000 * ms, Replaced: replaced}}, nil))
+	}
+	requireGolden(t, "reports", got.String())
+}
+
+func logged(got *strings.Builder, actions []Action) {
+	for _, a := range actions {
+		if a.Kind == Log {
+			fmt.Fprintf(got, "\t%s\n", a.Text)
+		}
+	}
+}
+
+// The words for why a request was refused, which stand in the trail of a request.
+func TestGoldenReasons(t *testing.T) {
+	var got strings.Builder
+	for why := CoresBehind; why <= BelowCut; why++ {
+		fmt.Fprintf(&got, "%d %s\n", why, why)
+	}
+	requireGolden(t, "reasons", got.String())
+}
--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,273 @@
+package config
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
+func requireGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got)
+}
+
+// absent in place of a value removes the key.
+const absent = ""
+
+// fullSample is the sample with a value for every key that is read.
+func fullSample(t *testing.T) map[string]any {
+	var root map[string]any
+	require.NoError(t, json.Unmarshal([]byte(read(t)), &root))
+	root["console"] = "127.0.0.1:15000"
+	root["settings"].(map[string]any)["Tenants"] = []any{map[string]any{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}}
+	return root
+}
+
+// replaced returns the full sample with the value at path, such as settings.Lanes[0].Name, given as JSON text.
+func replaced(t *testing.T, path, value string) []byte {
+	const placeholder = "@value@"
+	root := fullSample(t)
+	steps := strings.Split(strings.NewReplacer("[", ".", "]", "").Replace(path), ".")
+	var parent any = root
+	for _, step := range steps[:len(steps)-1] {
+		parent = child(t, parent, step)
+	}
+	last := steps[len(steps)-1]
+	switch p := parent.(type) {
+	case map[string]any:
+		p[last] = placeholder
+		if value == absent {
+			delete(p, last)
+		}
+	case []any:
+		i, err := strconv.Atoi(last)
+		require.NoError(t, err)
+		p[i] = placeholder
+	}
+	text, err := json.Marshal(root)
+	require.NoError(t, err)
+	return []byte(strings.Replace(string(text), strconv.Quote(placeholder), value, 1))
+}
+
+func child(t *testing.T, parent any, step string) any {
+	if object, ok := parent.(map[string]any); ok {
+		require.Contains(t, object, step)
+		return object[step]
+	}
+	i, err := strconv.Atoi(step)
+	require.NoError(t, err)
+	return parent.([]any)[i]
+}
+
+// leaves returns the path of every value in v, objects and lists among them, in the order of their names.
+func leaves(path string, v any) (paths []string) {
+	if path != "" {
+		paths = append(paths, path)
+	}
+	switch v := v.(type) {
+	case map[string]any:
+		for name, member := range v {
+			paths = append(paths, leaves(strings.TrimPrefix(path+"."+name, "."), member)...)
+		}
+	case []any:
+		for i, item := range v {
+			paths = append(paths, leaves(fmt.Sprintf("%s[%d]", path, i), item)...)
+		}
+	}
+	slices.Sort(paths)
+	return paths
+}
+
+// outcome is the message of an error, or what stands for none.
+func outcome(err error) string {
+	if err == nil {
+		return "accepted"
+	}
+	return err.Error()
+}
+
+// Every key is read: with a value of the wrong type the message names it. Without the key it has a default or is missed.
+func TestGoldenWrongTypeOfEveryKey(t *testing.T) {
+	var got strings.Builder
+	for _, path := range leaves("", fullSample(t)) {
+		for _, value := range []string{"{}", "[]", `"word"`, "true", "7.5", "null"} {
+			_, err := Parse(replaced(t, path, value), none)
+			fmt.Fprintf(&got, "%s = %s\n\t%s\n", path, value, outcome(err))
+		}
+		if !strings.HasSuffix(path, "]") {
+			_, err := Parse(replaced(t, path, absent), none)
+			fmt.Fprintf(&got, "%s is absent\n\t%s\n", path, outcome(err))
+		}
+	}
+	requireGolden(t, "types", got.String())
+}
+
+// A value of the right type that makes no sense.
+func TestGoldenWrongValues(t *testing.T) {
+	var got strings.Builder
+	for _, c := range []struct{ path, value string }{
+		{"name", `""`},
+		{"listen", `""`},
+		{"listen", `"localhost:5050"`},
+		{"listen", `"127.0.0.1:0"`},
+		{"agent", `""`},
+		{"agent", `"127.0.0.1"`},
+		{"store", `""`},
+		{"store", `"127.0.0.1:0"`},
+		{"announce", `""`},
+		{"announce", `"127.0.0.1:99999"`},
+		{"console", `"here"`},
+		{"console", `"127.0.0.1:0"`},
+		{"console", `"127.0.0.1:http"`},
+		{"seed", `"seed"`},
+		{"seed", `"0123456789abcdef0"`},
+		{"seed", `"a word that is so long that a message should not repeat the whole of it"`},
+		{"stop_ms", `0`},
+		{"stop_ms", `-1`},
+		{"stop_ms", `3600001`},
+		{"stop_ms", `3600000`},
+		{"limits.cores", `0`},
+		{"limits.cores", `-1`},
+		{"limits.cores", `nan`},
+		{"limits.cores", `inf`},
+		{"limits.memory_mb", `31`},
+		{"limits.memory_mb", `32`},
+		{"limits.memory_mb", `1e300`},
+		{"limits.sockets", `63`},
+		{"limits.sockets", `64`},
+		{"settings.FamilyInfo.Cpus", `0`},
+		{"settings.FamilyInfo.MemoryKb", `0`},
+		{"settings.FamilyInfo.MemoryKb", `-1.5`},
+		{"settings.FamilyInfo.Blowup", `-1`},
+		{"settings.FamilyInfo.KbPerKey", `-1`},
+		{"settings.FamilyInfo.CallsOut", `-1`},
+		{"settings.FamilyInfo.CallsOverUs", `-1`},
+		{"settings.FamilyInfo.StaysForUs", `-1`},
+		{"settings.FamilyInfo.FreshForUs", `-1`},
+		{"settings.FamilyInfo.IdleUs", `-1`},
+		{"settings.FamilyInfo.IdleUs", `9007199254740992`},
+		{"settings.FamilyInfo.IdleUs", `9007199254740994`},
+		{"settings.FamilyInfo.Halt", `"maybe"`},
+		{"settings.FamilyInfo.Halt", `"drop"`},
+		{"settings.FamilyInfo.Halt", `"pause"`},
+		{"settings.FamilyInfo.Advert", `"loud"`},
+		{"settings.FamilyInfo.Advert", `"level"`},
+		{"settings.FamilyInfo.Advert", `"credit"`},
+		{"settings.FamilyInfo.Advert", `"weight"`},
+		{"settings.FamilyInfo.Below", `"beside"`},
+		{"settings.FamilyInfo.Below", `"tier"`},
+		{"settings.FamilyInfo.CallsByClass", `[true]`},
+		{"settings.FamilyInfo.CallsByClass[1]", `1`},
+		{"settings.FamilyInfo.ClassSkipWorth", `[0.5]`},
+		{"settings.FamilyInfo.ClassSkipWorth[1]", `""`},
+		{"settings.FamilyInfo.Gauges[1]", `5`},
+		{"settings.Invariants.ColdUs", `-1`},
+		{"settings.Invariants.FallUs", `-1`},
+		{"settings.Invariants.GraceToAnswerUs", `-1`},
+		{"settings.Invariants.StopSendingWithinUs", `-1`},
+		{"settings.Limits.MaxRetryAfterUs", `-1`},
+		{"settings.TickUs", `-1`},
+		{"settings.TickUs", `1.5`},
+		{"settings.Lanes", `[]`},
+		{"settings.Lanes", `[3]`},
+		{"settings.Lanes[0].Name", `""`},
+		{"settings.Lanes[1].Name", `"preview"`},
+		{"settings.Lanes[0].AimUs", `0`},
+		{"settings.Lanes[1].DeadlineUs", `0`},
+		{"settings.Lanes[2].KeyTtlUs", `-1`},
+		{"settings.Lanes[2].Idempotency", `"once"`},
+		{"settings.Lanes[2].Idempotency", `"unsafe"`},
+		{"settings.Tenants", `[3]`},
+	} {
+		_, err := Parse(replaced(t, c.path, c.value), none)
+		fmt.Fprintf(&got, "%s = %s\n\t%s\n", c.path, c.value, outcome(err))
+	}
+	requireGolden(t, "values", got.String())
+}
+
+// What is wrong with the whole, or with what the environment sets.
+func TestGoldenLoad(t *testing.T) {
+	dir := t.TempDir()
+	in := func(name string) string {
+		if strings.HasSuffix(name, ".json") {
+			return filepath.Join(dir, name)
+		}
+		return name
+	}
+	for name, text := range map[string]string{"good.json": string(replaced(t, "name", `"n3"`)), "word.json": "word",
+		"list.json": "[]", "cut.json": `{"name": "n3",`, "empty.json": "", "none.json": "{}", "bad.json": string(replaced(t, "stop_ms", "0"))} {
+		require.NoError(t, os.WriteFile(in(name), []byte(text), 0o600))
+	}
+	for _, name := range []string{envPath, envName, envListen, envConsole, envInherited} {
+		t.Setenv(name, "")
+	}
+	var got strings.Builder
+	for _, c := range []struct{ path, variable, value string }{
+		{"", envName, ""},
+		{"", envPath, "absent.json"},
+		{"absent.json", envName, ""},
+		{"word.json", envName, ""},
+		{"list.json", envName, ""},
+		{"cut.json", envName, ""},
+		{"empty.json", envName, ""},
+		{"none.json", envName, ""},
+		{"bad.json", envName, ""},
+		{"", envPath, "bad.json"},
+		{"good.json", envName, "n9"},
+		{"good.json", envListen, "localhost:1"},
+		{"good.json", envConsole, "here"},
+		{"good.json", envInherited, "stdin"},
+		{"good.json", envInherited, "0"},
+		{"good.json", envInherited, "70000"},
+		{"good.json", envInherited, "3"},
+	} {
+		t.Setenv(c.variable, in(c.value))
+		_, err := Load(in(c.path))
+		fmt.Fprintf(&got, "Load %q with %s=%q\n\t%s\n", c.path, c.variable, c.value, outcome(err))
+		t.Setenv(c.variable, "")
+	}
+	for _, path := range []string{"", "absent.json", "word.json", "list.json", "none.json", "good.json"} {
+		digest, err := Digest(in(path))
+		fmt.Fprintf(&got, "Digest %q\n\t%016x, %s\n", path, digest, outcome(err))
+	}
+	for _, text := range []string{"word", "7", "{}", `{"Lanes": [{"AimUs": "soon"}]}`, `{"Lanes": [{}]}`} {
+		_, err := Settings([]byte(text))
+		fmt.Fprintf(&got, "Settings %s\n\t%s\n", text, outcome(err))
+	}
+	requireGolden(t, "load", strings.ReplaceAll(got.String(), dir, "(folder)"))
+}
+
+// A key that was given and is missing from the file that is to be taken over.
+func TestGoldenSuccessor(t *testing.T) {
+	inForce, err := Parse(replaced(t, "name", `"n3"`), none)
+	require.NoError(t, err)
+	dir := t.TempDir()
+	path := filepath.Join(dir, "next.json")
+	var got strings.Builder
+	for _, key := range leaves("", fullSample(t)) {
+		if strings.HasSuffix(key, "]") {
+			continue
+		}
+		require.NoError(t, os.WriteFile(path, replaced(t, key, absent), 0o600))
+		_, err := inForce.Successor(path)
+		fmt.Fprintf(&got, "%s is absent\n\t%s\n", key, outcome(err))
+	}
+	requireGolden(t, "successor", strings.ReplaceAll(got.String(), dir, "(folder)"))
+}
--- /dev/null
+++ b/internal/stats/golden_test.go
@@ -0,0 +1,44 @@
+package stats
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
+func requireGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got)
+}
+
+// The line that SIGUSR1 and the end of a process print: all names of counters, each with its own value.
+func TestGoldenPrint(t *testing.T) {
+	c := Counters{Connections: 1, ConnectionsClosed: 2, Silent: 3, Unreadable: 4,
+		Requests: 5, Repeats: 6, Invalid: 7, Cancelled: 8, Probes: 9,
+		Runs: 10, Calls: 11, CallsDropped: 12, Skips: 13, Exercises: 14,
+		Answers: map[string]*Answers{"preview": {Served: 100, Refused: 200, Failed: 300}, "hires-crop": {Served: 15, Refused: 16, Failed: 17}},
+		Reused:  18, RunsFailed: 19, RunsInterrupted: 20, RunsMoot: 21, CommandsRefused: 22,
+		CallsOK: 23, CallsBusy: 24, CallsFailed: 25, CallsLate: 26, CallsUnreachable: 27, CallsBroken: 28,
+		AgentLinks: 29, StoreLinks: 30, Reloads: 31, ReloadsFailed: 32, Claims: 33, ClaimsLate: 34, Turns: 35}
+	var got bytes.Buffer
+	log := logrus.New()
+	log.SetOutput(&got)
+	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true})
+	c.Print(log, 36, 37, 38, 39)
+	new(Counters).Print(log, 0, 0, 0, 0)
+	requireGolden(t, "print", got.String())
+}
