--- /dev/null
+++ b/internal/agent/golden_test.go
@@ -0,0 +1,174 @@
+package agent
+
+import (
+	"flag"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"falldeal/internal/logging"
+	"falldeal/internal/outbox"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "record the golden files anew")
+
+// goldenCase is one line of a golden file: the name of a form, and the form as text.
+type goldenCase struct{ name, form string }
+
+// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
+func requireGolden(t *testing.T, file string, cases []goldenCase) {
+	t.Helper()
+	var got strings.Builder
+	for _, c := range cases {
+		got.WriteString(c.name + ": " + c.form + "\n")
+	}
+	path := filepath.Join("testdata", file)
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got.String())
+}
+
+// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
+func readGolden(t *testing.T, file string, count int) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", file))
+	require.NoError(t, err)
+	forms := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
+		require.True(t, found, line)
+		require.NotContains(t, forms, name)
+		forms[name] = form
+	}
+	require.Len(t, forms, count)
+	return forms
+}
+
+const (
+	goldenAddr    = "agent:1"
+	goldenRequest = "9b1f03aa5c7e2d41"
+)
+
+func newGoldenLink() *Link {
+	log, _ := test.NewNullLogger()
+	return New(goldenAddr, 1, func(do func()) { do() }, func(Notice) {}, logging.NewLimiter(log))
+}
+
+// linesOn returns what is written to a connection of l while use makes use of it.
+func linesOn(t *testing.T, l *Link, use func(w *outbox.Outbox)) []string {
+	t.Helper()
+	near, far := net.Pipe()
+	w := outbox.New(near, outRoom)
+	l.opened(goldenAddr, w)
+	use(w)
+	w.Close()
+	over := make(chan error, 1)
+	go func() { over <- w.Run() }()
+	text, err := io.ReadAll(far)
+	require.NoError(t, err)
+	require.NoError(t, <-over)
+	require.True(t, strings.HasSuffix(string(text), "\n"))
+	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+}
+
+func nameLines(t *testing.T, names, lines []string) []goldenCase {
+	t.Helper()
+	require.Len(t, lines, len(names), "%q", lines)
+	var cases []goldenCase
+	for i, name := range names {
+		cases = append(cases, goldenCase{name, lines[i]})
+	}
+	return cases
+}
+
+// Every command, as a link writes it, on a first connection and on one that follows it.
+func TestGoldenCommands(t *testing.T) {
+	l := newGoldenLink()
+	first := linesOn(t, l, func(w *outbox.Outbox) {
+		l.handle(w, Notice{Kind: Greeting, Result: Steady, Elapsed: time.Hour})
+		l.handle(w, Notice{Kind: Sampled, Token: "1"})
+		l.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
+		l.Launch("00000000000000aa", "né\"<\\>\n", nil)
+		l.Deliver(goldenRequest, []byte("reply\r\n"))
+		l.handle(w, Notice{Kind: Aside, Offset: 7})
+		l.Forgo("00000000000000aa", 7)
+		l.Sample()
+		require.NoError(t, l.Exercise("x1"))
+	})
+	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch", "launch of an odd class without a payload",
+		"deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
+	second := linesOn(t, l, func(w *outbox.Outbox) {
+		l.handle(w, Notice{Kind: Greeting, Result: Steady, Elapsed: time.Hour})
+		l.handle(w, Notice{Kind: Sampled, Token: "8"})
+	})
+	cases = append(cases, nameLines(t, []string{"subscribe after a break", "sample after a break", "launch sent again",
+		"second launch sent again", "deliver sent again", "forgo sent again"}, second)...)
+	requireGolden(t, "commands.golden", cases)
+}
+
+// Every kind of message from the agent, with each of its results.
+func TestGoldenNotices(t *testing.T) {
+	cases := []struct {
+		name string
+		want Notice
+	}{
+		{"greeting of one that boots", Notice{Kind: Greeting, Result: Booting}},
+		{"greeting of one that runs", Notice{Kind: Greeting, Result: Steady, Elapsed: 3600000500 * time.Microsecond}},
+		{"outcome success", Notice{Kind: Outcome, Offset: 7, Req: goldenRequest, Result: Success, Elapsed: 40250 * time.Microsecond,
+			Payload: []byte{0, 255, '\r', '\n'}}},
+		{"outcome failure", Notice{Kind: Outcome, Offset: 8, Req: goldenRequest, Result: Failure, Elapsed: 5 * time.Millisecond}},
+		{"outcome interrupted", Notice{Kind: Outcome, Offset: 9, Req: goldenRequest, Result: Interrupted}},
+		{"outcome nothing", Notice{Kind: Outcome, Offset: 10, Req: goldenRequest, Result: Nothing}},
+		{"request", Notice{Kind: Request, Offset: 4294967296, Req: goldenRequest, Payload: []byte("call\r\n")}},
+		{"sampled", Notice{Kind: Sampled, Token: "12", Load: []float64{0.625, 3, 0.41, 120}}},
+		{"sampled with gauges that are not known", Notice{Kind: Sampled, Token: "13", Load: []float64{-1, -1, 0.5}}},
+		{"exercised success", Notice{Kind: Exercised, Token: "x1", Result: Success, Elapsed: 2 * time.Millisecond}},
+		{"exercised failure", Notice{Kind: Exercised, Token: "x2", Result: Failure}},
+		{"refusal of a launch", Notice{Kind: Refusal, Req: goldenRequest, Result: "launch"}},
+		{"refusal of an exercise", Notice{Kind: Refusal, Token: "x3", Result: "exercise"}},
+		{"aside", Notice{Kind: Aside, Offset: 11, Result: "so it goes"}},
+	}
+	lines := readGolden(t, "notices.golden", len(cases))
+	var p parser
+	for _, c := range cases {
+		require.Contains(t, lines, c.name)
+		got, err := p.parse([]byte(lines[c.name] + "\n"))
+		require.NoError(t, err, c.name)
+		if len(got.Payload) == 0 {
+			got.Payload = nil
+		}
+		require.Equal(t, c.want, got, c.name)
+	}
+}
+
+// What is logged of lines that are no messages.
+func TestGoldenErrors(t *testing.T) {
+	var cases []goldenCase
+	for _, c := range []struct{ name, line string }{
+		{"unknown kind", `{"cmd":"news"}`},
+		{"no kind", `{}`},
+		{"negative time", `{"cmd":"greeting","result":"steady","elapsed_ms":-1}`},
+		{"outcome without an offset", `{"cmd":"outcome","req":"ab","result":"success"}`},
+		{"request without a req", `{"cmd":"request","offset":1}`},
+		{"unknown result", `{"cmd":"outcome","offset":1,"req":"ab","result":"odd"}`},
+		{"payload that is no base64", `{"cmd":"outcome","offset":1,"req":"ab","result":"success","payload":"%%"}`},
+		{"unknown state", `{"cmd":"greeting","result":"asleep"}`},
+		{"aside with a negative offset", `{"cmd":"aside","offset":-1}`},
+	} {
+		var p parser
+		_, err := p.parse([]byte(c.line))
+		require.Error(t, err, c.name)
+		cases = append(cases, goldenCase{c.name, err.Error()})
+	}
+	requireGolden(t, "errors.golden", cases)
+}
--- /dev/null
+++ b/internal/msgpackrpc/golden_test.go
@@ -0,0 +1,317 @@
+package msgpackrpc
+
+import (
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"io"
+	"maps"
+	"net"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"falldeal/internal/server"
+
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "record the golden files anew")
+
+// goldenCase is one line of a golden file: the name of a form, and the form as text.
+type goldenCase struct{ name, form string }
+
+// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
+func requireGolden(t *testing.T, file string, cases []goldenCase) {
+	t.Helper()
+	var got strings.Builder
+	for _, c := range cases {
+		got.WriteString(c.name + ": " + c.form + "\n")
+	}
+	path := filepath.Join("testdata", file)
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got.String())
+}
+
+// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
+func readGolden(t *testing.T, file string, count int) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", file))
+	require.NoError(t, err)
+	forms := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
+		require.True(t, found, line)
+		require.NotContains(t, forms, name)
+		forms[name] = form
+	}
+	require.Len(t, forms, count)
+	return forms
+}
+
+// Every answer and notification to a front end, one frame a line, in hex digits.
+func TestGoldenAnswers(t *testing.T) {
+	body := func(n int) []byte { return bytes.Repeat([]byte{0xab}, n) }
+	reason := func(n int) string { return strings.Repeat("r", n) }
+	var cases []goldenCase
+	for _, c := range []struct {
+		name   string
+		call   uint32
+		answer server.Answer
+	}{
+		{"served without a body", 0, server.Answer{Kind: server.Served}},
+		{"served", 1, server.Answer{Kind: server.Served, Body: []byte("\x00\xffbody\r\n")}},
+		{"served, 255 bytes", 1, server.Answer{Kind: server.Served, Body: body(255)}},
+		{"served, 256 bytes", 1, server.Answer{Kind: server.Served, Body: body(256)}},
+		{"call 127", 127, server.Answer{Kind: server.Served}},
+		{"call 128", 128, server.Answer{Kind: server.Served}},
+		{"call 255", 255, server.Answer{Kind: server.Served}},
+		{"call 256", 256, server.Answer{Kind: server.Served}},
+		{"call 65535", 65535, server.Answer{Kind: server.Served}},
+		{"call 65536", 65536, server.Answer{Kind: server.Served}},
+		{"call 4294967295", 4294967295, server.Answer{Kind: server.Served}},
+		{"healthy", 2, server.Answer{Kind: server.Healthy}},
+		{"unhealthy", 2, server.Answer{Kind: server.Unhealthy}},
+		{"failed", 3, server.Answer{Kind: server.Failed}},
+		{"refused without advice", 4, server.Answer{Kind: server.Refused}},
+		{"refused, stay away for less than a millisecond", 4, server.Answer{Kind: server.Refused, After: 999 * time.Microsecond}},
+		{"refused, stay away", 4, server.Answer{Kind: server.Refused, After: 1250999 * time.Microsecond}},
+		{"refused for good", 4, server.Answer{Kind: server.Refused, Last: true}},
+		{"refused for good, stay away", 4, server.Answer{Kind: server.Refused, After: 250 * time.Millisecond, Last: true}},
+		{"invalid without a reason", 5, server.Answer{Kind: server.Invalid}},
+		{"invalid", 5, server.Answer{Kind: server.Invalid, Reason: "field id"}},
+		{"invalid, 31 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(31)}},
+		{"invalid, 32 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(32)}},
+		{"invalid, 255 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(255)}},
+		{"invalid, 256 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(256)}},
+	} {
+		cases = append(cases, goldenCase{c.name, hex.EncodeToString(appendAnswer(nil, c.call, c.answer))})
+	}
+	const head = 10 // bytes of a frame before its body
+	long := appendAnswer(nil, 1, server.Answer{Kind: server.Served, Body: body(65536)})
+	cases = append(cases, goldenCase{"served, 65536 bytes, what comes before them", hex.EncodeToString(long[:head])},
+		goldenCase{"closing", hex.EncodeToString(appendClosing(nil))})
+	requireGolden(t, "answers.golden", cases)
+}
+
+// What a front end reads to the end of its connection while the server drains.
+func TestGoldenClose(t *testing.T) {
+	var cases []goldenCase
+	for _, c := range []struct {
+		name string
+		use  func(c *conn)
+	}{
+		{"drain with a request in hand", func(c *conn) {
+			c.Closing()
+			c.Answer(1, server.Answer{Kind: server.Served, Body: []byte("x")})
+			c.Answer(2, server.Answer{Kind: server.Refused, After: time.Second})
+			c.Close()
+		}},
+		{"drain of an idle connection", func(c *conn) {
+			c.Closing()
+			require.True(t, c.End())
+		}},
+		{"close", func(c *conn) { c.Close() }},
+	} {
+		near, far := net.Pipe()
+		connection := newConn(near)
+		over := make(chan error, 1)
+		c.use(connection)
+		go func() { over <- connection.Run() }()
+		written, err := io.ReadAll(far)
+		require.NoError(t, err, c.name)
+		require.NoError(t, <-over, c.name)
+		cases = append(cases, goldenCase{c.name, strconv.Quote(hex.EncodeToString(written))})
+	}
+	requireGolden(t, "close.golden", cases)
+}
+
+// cancelled is what was read of a cancelRequest; no number is told where it has none.
+type cancelled struct {
+	call  uint32
+	found bool
+}
+
+// deepCheck is what was read of a health check.
+type deepCheck bool
+
+// readFront reads a message as a connection does.
+func readFront(m message) (any, error) {
+	switch {
+	case m.kind == kindNotification:
+		call, found := parseCancel(m)
+		return cancelled{call, found}, nil
+	case string(m.method) == methodHealth:
+		deep, err := parseProbe(m)
+		return deepCheck(deep), err
+	}
+	return parseTry(m, &names{})
+}
+
+// Every message from a front end, one frame a line, in hex digits.
+func TestGoldenRequests(t *testing.T) {
+	least := server.Try{ID: "9B1F03AA5C7E2D41", Class: "preview", Caller: 2147483647, KB: 0.5, Body: []byte("x")}
+	crop, twice := least, least
+	crop.Class, crop.Body = "hires-crop", []byte{}
+	twice.KB = 7
+	cases := []struct {
+		name   string
+		kind   int64
+		call   uint32
+		method string
+		want   any
+	}{
+		{"request with all fields", 0, 7, "preview", server.Try{ID: "9b1f03aa5c7e2d41", Once: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+			Key: "7f3a", Class: "preview", Tenant: "north", Repeat: true, At: 1764576000123 * time.Millisecond,
+			Wait: 480 * time.Millisecond, Caller: 4, Cost: 12500 * time.Microsecond, KB: 24.5, Rank: 0.625, Body: []byte("\x00\xffbody\r\n")}},
+		{"request with the least fields", 0, 255, "hires-crop", crop},
+		{"request with a field twice and one unknown", 0, 256, "preview", twice},
+		{"request in the widest heads", 0, 4294967295, "preview", least},
+		{"health check", 0, 1, "alive", deepCheck(false)},
+		{"health check, deep", 0, 2, "alive", deepCheck(true)},
+		{"health check, not deep", 0, 3, "alive", deepCheck(false)},
+		{"cancel", 2, 0, "cancelRequest", cancelled{7, true}},
+		{"cancel of the largest number", 2, 0, "cancelRequest", cancelled{4294967295, true}},
+		{"cancel without a number", 2, 0, "cancelRequest", cancelled{}},
+		{"cancel of a text", 2, 0, "cancelRequest", cancelled{}},
+		{"unknown notification", 2, 0, "hello", cancelled{}},
+	}
+	frames := readGolden(t, "requests.golden", len(cases))
+	for _, c := range cases {
+		require.Contains(t, frames, c.name)
+		sent, err := hex.DecodeString(frames[c.name])
+		require.NoError(t, err, c.name)
+		m := parse(t, sent)
+		require.Equal(t, c.kind, m.kind, c.name)
+		require.Equal(t, c.call, m.id, c.name)
+		require.Equal(t, c.method, string(m.method), c.name)
+		got, err := readFront(m)
+		require.NoError(t, err, c.name)
+		require.Equal(t, c.want, got, c.name)
+	}
+}
+
+// What is logged of a frame that ends its connection.
+func TestGoldenBrokenFrames(t *testing.T) {
+	var cases []goldenCase
+	for _, c := range []struct{ name, sent string }{
+		{"byte that starts no value", "\xc1"},
+		{"too long", "\xc6\xff\xff\xff\xff"},
+		{"too deep", strings.Repeat("\x91", maxDepth+2)},
+		{"too many values", "\xdc\x00\x80"},
+		{"no array", "\xc0"},
+		{"array too short", "\x92\x00\x01"},
+		{"answer", "\x94\x01\x02\xc0\xc0"},
+		{"kind that is no number", "\x94\xa10\x01\xa1x\x90"},
+		{"negative call", "\x94\x00\xff\xa1x\x90"},
+		{"call past 32 bits", "\x94\x00\xcf\x00\x00\x00\x01\x00\x00\x00\x00\xa1x\x90"},
+		{"request of 3 parts", "\x93\x00\x01\xa1x"},
+		{"request of 5 parts", "\x95\x00\x01\xa1x\x90\xc0"},
+		{"notification of 4 parts", "\x94\x02\xa1x\x90\xc0"},
+	} {
+		frame, err := frameOf([]byte(c.sent), len(c.sent))
+		if err == nil {
+			_, err = parseMessage(frame)
+		}
+		require.Error(t, err, c.name)
+		cases = append(cases, goldenCase{c.name, err.Error()})
+	}
+	requireGolden(t, "broken.golden", cases)
+}
+
+// The reason that a front end is given for each wrong field of a request or health check.
+func TestGoldenWrongFields(t *testing.T) {
+	long := strings.Repeat("k", maxText+1)
+	requests := []struct{ name, frame string }{
+		{"no method", "\x94\x00\x07\xc0\x92\x80\xc4\x00"},
+		{"no parameters", "\x94\x00\x07\xa1x\xc0"},
+		{"parameters without a body", "\x94\x00\x07\xa1x\x91\x80"},
+		{"fields that are no map", "\x94\x00\x07\xa1x\x92\x01\xc4\x00"},
+		{"field that is no text", "\x94\x00\x07\xa1x\x92\x81\xa2id\x01\xc4\x00"},
+		{"name that is no text", "\x94\x00\x07\xa1x\x92\x81\x01\xa2id\xc4\x00"},
+		{"body past the limit", string(appendRequest(7, "preview", sampleFields(), make([]byte, maxBody+1)))},
+		{"body that is a text", "\x94\x00\x07\xa1x\x92" + string(appendFields(nil, sampleFields())) + "\xa1b"},
+		{"health check without parameters", "\x94\x00\x07\xa5alive\x90"},
+		{"health check, fields that are no map", "\x94\x00\x07\xa5alive\x91\x01"},
+		{"health check, field that is no text", "\x94\x00\x07\xa5alive\x91\x81\xa4deep\xc3"},
+	}
+	for _, c := range []struct{ field, what, value string }{
+		{"id", "absent", absent}, {"id", "short", "9b1f"}, {"id", "no hex digits", "9b1f03aa5c7e2d4g"}, {"id", "long", long},
+		{"at", "absent", absent}, {"at", "negative", "-1"}, {"at", "too late", "4398046511105"},
+		{"wait", "empty", ""}, {"wait", "too long", "3600001"},
+		{"from", "absent", absent}, {"from", "too large", "2147483648"},
+		{"cost", "no number", "x"}, {"cost", "too large", "1000000"},
+		{"kb", "absent", absent}, {"kb", "nothing", "0"}, {"kb", "too large", "2000"},
+		{"rank", "too large", "1"}, {"rank", "negative", "-0.1"},
+		{"once", "empty", ""}, {"once", "no hex digits", "x"},
+		{"tenant", "long", long}, {"key", "long", long},
+	} {
+		fields := maps.Clone(sampleFields())
+		if fields[c.field] = c.value; c.value == absent {
+			delete(fields, c.field)
+		}
+		requests = append(requests, struct{ name, frame string }{c.field + ", " + c.what, string(appendRequest(7, "preview", fields, nil))})
+	}
+	var cases []goldenCase
+	for _, c := range requests {
+		_, err := readFront(parse(t, []byte(c.frame)))
+		require.Error(t, err, c.name)
+		cases = append(cases, goldenCase{c.name, err.Error()})
+	}
+	requireGolden(t, "fields.golden", cases)
+}
+
+// reason reads an answer to a request that was wrong, and returns why.
+func (f *front) reason() string {
+	f.Helper()
+	v, err := f.in.next()
+	require.NoError(f, err)
+	answer := v.(arrayValue)
+	require.Equal(f, arrayValue{int64(1), int64(f.next)}, answer[:2])
+	require.Nil(f, answer[3])
+	fault := answer[2].(arrayValue)
+	require.Equal(f, "Invalid", fault[0])
+	reasons := fault[1].(mapValue)
+	require.Len(f, reasons, 1)
+	require.Equal(f, "reason", reasons[0].key)
+	return reasons[0].value.(string)
+}
+
+// The reason that a front end is given for a request that can be read and that the server does not take.
+func TestGoldenReasons(t *testing.T) {
+	p := start(t, append([]string{`"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 1, "QuotaPerS": 9}]`}, never...)...)
+	f := p.dial()
+	var cases []goldenCase
+	wrong := func(name, class, body string, change ...string) {
+		t.Helper()
+		f.send(class, body, change...)
+		cases = append(cases, goldenCase{name, f.reason()})
+	}
+	wrong("unknown class", "poster", "x")
+	wrong("unknown class of a long name", strings.Repeat("poster", 10), "x")
+	wrong("unknown tenant", "preview", "x", "tenant", "nobody")
+	wrong("no once", "licence-order", "x")
+	wrong("time long ago", "preview", "x", "at", "0")
+	wrong("wait of an hour", "preview", "x", "wait", "3600000")
+	run := f.send("licence-order", "x", "once", "ab12")
+	p.expect("launch", run)
+	wrong("other body", "licence-order", "y", "once", "ab12")
+	wrong("id in hand", "preview", "x", "id", run)
+	p.tell("outcome", run, "success", []byte("x"))
+	f.expectAnswer(7, "x")
+	wrong("id answered before", "preview", "x", "id", run)
+	open := f.next
+	for range maxOpen {
+		f.send("hires-crop", "x")
+	}
+	wrong("too many open", "preview", "x")
+	require.Equal(t, open+maxOpen+1, f.next)
+	requireGolden(t, "reasons.golden", cases)
+}
--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,151 @@
+package store
+
+import (
+	"bufio"
+	"flag"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"falldeal/internal/deadline"
+	"falldeal/internal/logging"
+	"falldeal/internal/outbox"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "record the golden files anew")
+
+// goldenCase is one line of a golden file: the name of a form, and the form as text.
+type goldenCase struct{ name, form string }
+
+// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
+func requireGolden(t *testing.T, file string, cases []goldenCase) {
+	t.Helper()
+	var got strings.Builder
+	for _, c := range cases {
+		got.WriteString(c.name + ": " + c.form + "\n")
+	}
+	path := filepath.Join("testdata", file)
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got.String())
+}
+
+// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
+func readGolden(t *testing.T, file string, count int) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", file))
+	require.NoError(t, err)
+	forms := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
+		require.True(t, found, line)
+		require.NotContains(t, forms, name)
+		forms[name] = form
+	}
+	require.Len(t, forms, count)
+	return forms
+}
+
+const (
+	goldenRequest = "9b1f03aa5c7e2d41"
+	goldenOther   = "00000000000000aa"
+)
+
+// Calls and the end of one, as a link writes them on one connection. The text is quoted as in Go.
+func TestGoldenCalls(t *testing.T) {
+	log, _ := test.NewNullLogger()
+	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return time.Second }, Deadlines: deadline.New()}
+	l := New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
+	near, far := net.Pipe()
+	w := outbox.New(near, outRoom)
+	var cases []goldenCase
+	written := func(name string) {
+		t.Helper()
+		text := make([]byte, 1<<10)
+		n, err := far.Read(text)
+		require.NoError(t, err)
+		cases = append(cases, goldenCase{name, strconv.Quote(string(text[:n]))})
+	}
+	over := make(chan error, 1)
+	go func() { over <- w.Run() }()
+
+	l.Call(goldenRequest, 1250*time.Millisecond, []byte("\x00\xffbody\r\n"))
+	l.opened(<-l.dials, w)
+	written("call")
+	l.replied(w, goldenRequest, OK, nil)
+	l.Call(goldenOther, time.Second+999*time.Microsecond, nil)
+	written("call of less than a millisecond without a body")
+	l.replied(w, goldenOther, Busy, nil)
+	l.Call(goldenRequest, time.Hour+time.Second, []byte(strings.Repeat("x", 100)))
+	written("call of an hour")
+	require.True(t, l.Drop(goldenRequest))
+	written("drop")
+	rest, err := io.ReadAll(far)
+	require.NoError(t, err)
+	require.Empty(t, rest)
+	require.NoError(t, <-over)
+	requireGolden(t, "calls.golden", cases)
+}
+
+// Every kind of reply.
+func TestGoldenReplies(t *testing.T) {
+	cases := []struct {
+		name  string
+		reply Reply
+		body  string
+	}{
+		{"OK", OK, "\x00\xff\r\nbody"},
+		{"OK without a body", OK, ""},
+		{"BUSY", Busy, ""},
+		{"ERR", Err, ""},
+		{"LATE", Late, ""},
+		{"VOID", Void, ""},
+	}
+	replies := readGolden(t, "replies.golden", len(cases))
+	for _, c := range cases {
+		require.Contains(t, replies, c.name)
+		text, err := strconv.Unquote(replies[c.name])
+		require.NoError(t, err, c.name)
+		in := bufio.NewReader(strings.NewReader(text))
+		id, reply, body, err := readReply(in)
+		require.NoError(t, err, c.name)
+		require.Equal(t, goldenRequest, id, c.name)
+		require.Equal(t, c.reply, reply, c.name)
+		require.Equal(t, c.body, string(body), c.name)
+		_, err = in.ReadByte()
+		require.ErrorIs(t, err, io.EOF, c.name)
+	}
+}
+
+// What is logged of lines that are no replies.
+func TestGoldenErrors(t *testing.T) {
+	var cases []goldenCase
+	for _, c := range []struct{ name, text string }{
+		{"line without a carriage return", "ab OK 4\nhi"},
+		{"line of one word", "ab\r\n"},
+		{"line without an id", " BUSY\r\n"},
+		{"unknown word", "ab WELL\r\n"},
+		{"OK without a length", "ab OK\r\n"},
+		{"BUSY with a length", "ab BUSY 4\r\n"},
+		{"length that is no number", "ab OK x\r\n"},
+		{"length past the limit", "ab OK 65537\r\n"},
+		{"line past the limit", strings.Repeat("a", maxLine) + " BUSY\r\n"},
+		{"body without its end", "ab OK 2\r\nabcd"},
+	} {
+		_, _, _, err := readReply(bufio.NewReader(strings.NewReader(c.text)))
+		require.ErrorIs(t, err, errLine, c.name)
+		cases = append(cases, goldenCase{c.name, err.Error()})
+	}
+	requireGolden(t, "errors.golden", cases)
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,182 @@
+package wire
+
+import (
+	"errors"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"falldeal/decide"
+
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "record the golden files anew")
+
+// goldenCase is one line of a golden file: the name of a form, and the form as text.
+type goldenCase struct{ name, form string }
+
+// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
+func requireGolden(t *testing.T, file string, cases []goldenCase) {
+	t.Helper()
+	var got strings.Builder
+	for _, c := range cases {
+		got.WriteString(c.name + ": " + c.form + "\n")
+	}
+	path := filepath.Join("testdata", file)
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got.String())
+}
+
+// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
+func readGolden(t *testing.T, file string, count int) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", file))
+	require.NoError(t, err)
+	forms := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
+		require.True(t, found, line)
+		require.NotContains(t, forms, name)
+		forms[name] = form
+	}
+	require.Len(t, forms, count)
+	return forms
+}
+
+// Every action in both states of its flags, and the figures that are rounded.
+func TestGoldenActions(t *testing.T) {
+	const largest = decide.RequestID(1<<64 - 1)
+	var cases []goldenCase
+	for _, c := range []struct {
+		name   string
+		action decide.Action
+	}{
+		{"run", decide.Action{Kind: decide.Run, ID: largest}},
+		{"stop", decide.Action{Kind: decide.Stop, ID: largest}},
+		{"refuse without advice", decide.Action{Kind: decide.Refuse, ID: 7}},
+		{"refuse with a time to stay away", decide.Action{Kind: decide.Refuse, ID: 7, StayAway: 1234567890 * time.Nanosecond}},
+		{"refuse for good", decide.Action{Kind: decide.Refuse, ID: 7, DontRetry: true}},
+		{"fail", decide.Action{Kind: decide.Fail, ID: largest}},
+		{"call", decide.Action{Kind: decide.Call, ID: 7, Cap: 1234567890 * time.Nanosecond}},
+		{"skip", decide.Action{Kind: decide.Skip, ID: largest}},
+		{"keep", decide.Action{Kind: decide.Keep, ID: 7, For: 1234567890 * time.Nanosecond}},
+		{"forget", decide.Action{Kind: decide.Forget, ID: largest}},
+		{"reuse", decide.Action{Kind: decide.Reuse, ID: largest}},
+		{"health good", decide.Action{Kind: decide.Health, Good: true}},
+		{"health bad", decide.Action{Kind: decide.Health}},
+		{"health good, for stored answers", decide.Action{Kind: decide.Health, Good: true, Stored: true}},
+		{"advertise nothing", decide.Action{Kind: decide.Advertise}},
+		{"advertise a fraction", decide.Action{Kind: decide.Advertise, Value: 1.0 / 3}},
+		{"advertise little", decide.Action{Kind: decide.Advertise, Value: 0.0000123456789}},
+		{"advertise much", decide.Action{Kind: decide.Advertise, Value: 12345678}},
+		{"idle limit", decide.Action{Kind: decide.IdleLimit, For: 1234567890 * time.Nanosecond}},
+		{"wake at a microsecond", decide.Action{Kind: decide.Wake, At: 1234567 * time.Microsecond}},
+		{"wake within a microsecond", decide.Action{Kind: decide.Wake, At: 1234567*time.Microsecond + 1}},
+		{"log", decide.Action{Kind: decide.Log, Text: "one\r\ntwo\nthree"}},
+	} {
+		cases = append(cases, goldenCase{c.name, oneLineOf(t, AppendAction(nil, 12, c.action))})
+	}
+	cases = append(cases, goldenCase{"broken", oneLineOf(t, AppendBroken(nil, 12, errors.New("one\r\ntwo")))})
+	requireGolden(t, "actions.golden", cases)
+}
+
+// oneLineOf returns a line without its end.
+func oneLineOf(t *testing.T, line []byte) string {
+	t.Helper()
+	text, found := strings.CutSuffix(string(line), "\n")
+	require.True(t, found)
+	require.NotContains(t, text, "\n")
+	return text
+}
+
+// Every message of the simulator, with each outcome.
+func TestGoldenEvents(t *testing.T) {
+	type eventCase struct {
+		name string
+		want Message
+	}
+	happens := func(name string, e decide.Event) eventCase {
+		return eventCase{name, Message{Kind: Happen, Node: 3, Line: 2, Event: e}}
+	}
+	cases := []eventCase{
+		{"create", Message{Kind: Create, Node: 3, Line: 2, Seed: 1<<64 - 1, Conf: []byte(`{"FleetSize": 11, "Name": "a b"}`)}},
+		{"create with a negative seed", Message{Kind: Create, Node: 3, Line: 2, Seed: 1<<64 - 5, Conf: []byte("{}")}},
+		{"retire", Message{Kind: Retire, Node: 3, Line: 2}},
+		happens("order", decide.Event{Kind: decide.Request, ID: 3233622311735748, Caller: 17, MemoryKB: 24.5, Tenant: 1,
+			Hint: 12 * time.Millisecond, HasKey: true, Repeat: true, Earlier: 1422162698119961, Rank: 0.625,
+			Due: 8652250 * us1, Waited: 1850 * us1, Class: 2}),
+		happens("order that mutates", decide.Event{Kind: decide.Request, ID: 8, Caller: 1, MemoryKB: 2, Class: 1}),
+		happens("order that tells little", decide.Event{Kind: decide.Request, ID: 1<<64 - 1}),
+		happens("dropped", decide.Event{Kind: decide.Gone, ID: 7}),
+		happens("wants call", decide.Event{Kind: decide.WantsCall, ID: 7}),
+		happens("notice", decide.Event{Kind: decide.Notice, At: 11912250 * us1}),
+		happens("elapsed", decide.Event{Kind: decide.Timer, Gauges: decide.Gauges{CoreUse: 0.62, OnCores: 3, Heap: 0.41, Links: 120}}),
+		happens("elapsed with some gauges", decide.Event{Kind: decide.Timer, Gauges: decide.Gauges{CoreUse: -1, OnCores: 0, Heap: -1, Links: 5}}),
+		happens("elapsed without gauges", decide.Event{Kind: decide.Timer, Gauges: decide.Gauges{CoreUse: -1, OnCores: -1, Heap: -1, Links: -1}}),
+	}
+	for _, o := range []struct {
+		name    string
+		outcome decide.Outcome
+	}{{"ok", decide.OK}, {"failed", decide.Failed}, {"rejected", decide.Rejected}, {"timed out", decide.TimedOut},
+		{"unreachable", decide.Unreachable}, {"aborted", decide.Aborted}, {"cancelled", decide.Cancelled}, {"moot", decide.Moot}} {
+		cases = append(cases, happens("done, "+o.name, decide.Event{Kind: decide.Done, ID: 5, Outcome: o.outcome, Took: 9 * us1}),
+			happens("call result, "+o.name, decide.Event{Kind: decide.CallResult, ID: 5, Outcome: o.outcome, Took: 9 * us1}))
+	}
+	lines := readGolden(t, "events.golden", len(cases))
+	for _, c := range cases {
+		require.Contains(t, lines, c.name)
+		var b Batch
+		require.NoError(t, NewReader(strings.NewReader("SYNC 1234567\n"+lines[c.name]+"\nOVER_TO_YOU\n")).Read(&b), c.name)
+		require.Equal(t, 1234567*us1, b.Now, c.name)
+		require.Equal(t, []Message{c.want}, b.Messages, c.name)
+	}
+}
+
+// What is said of input that can't be read.
+func TestGoldenErrors(t *testing.T) {
+	var cases []goldenCase
+	for _, c := range []struct{ name, input string }{
+		{"no batch", "HELLO\n"},
+		{"time that is no number", "SYNC x\n"},
+		{"time with more", "SYNC 1 2\n"},
+		{"end within a batch", "SYNC 1\nDROPPED 3 4\n"},
+		{"end within a line", "SYNC 1\nDROPPED 3"},
+		{"unknown event", "SYNC 1\nJUMP 3\n"},
+		{"more fields than expected", "SYNC 1\nDROPPED 3 4 5 6\n"},
+		{"node", "SYNC 1\nRETIRE x\n"},
+		{"seed", "SYNC 1\nCREATE 3 x {}\n"},
+		{"order, id", "SYNC 1\nORDER 3 x 1 2 1 4 k 1 0 6 0.5 8 9 2\n"},
+		{"order, caller", "SYNC 1\nORDER 3 5 x 2 1 4 k 1 0 6 0.5 8 9 2\n"},
+		{"order, memory", "SYNC 1\nORDER 3 5 1 x 1 4 k 1 0 6 0.5 8 9 2\n"},
+		{"order, tenant", "SYNC 1\nORDER 3 5 1 2 x 4 k 1 0 6 0.5 8 9 2\n"},
+		{"order, hint", "SYNC 1\nORDER 3 5 1 2 1 x k 1 0 6 0.5 8 9 2\n"},
+		{"order, repeat", "SYNC 1\nORDER 3 5 1 2 1 4 k x 0 6 0.5 8 9 2\n"},
+		{"order, mutates", "SYNC 1\nORDER 3 5 1 2 1 4 k 1 x 6 0.5 8 9 2\n"},
+		{"order, earlier", "SYNC 1\nORDER 3 5 1 2 1 4 k 1 0 x 0.5 8 9 2\n"},
+		{"order, rank", "SYNC 1\nORDER 3 5 1 2 1 4 k 1 0 6 nan 8 9 2\n"},
+		{"order, due", "SYNC 1\nORDER 3 5 1 2 1 4 k 1 0 6 0.5 x 9 2\n"},
+		{"order, waited", "SYNC 1\nORDER 3 5 1 2 1 4 k 1 0 6 0.5 8 x 2\n"},
+		{"order, class", "SYNC 1\nORDER 3 5 1 2 1 4 k 1 0 6 0.5 8 9 x\n"},
+		{"order, cut", "SYNC 1\nORDER 3 5 1 2 1 4 k 1 0 6 0.5 8 9\n"},
+		{"done, outcome", "SYNC 1\nDONE 3 4 FINE 5\n"},
+		{"done, time", "SYNC 1\nDONE 3 4 OK x\n"},
+		{"call result, time", "SYNC 1\nCALL_RESULT 3 4 x OK\n"},
+		{"notice", "SYNC 1\nNOTICE 3 x\n"},
+		{"elapsed, gauge without a value", "SYNC 1\nELAPSED 3 w core_use\n"},
+		{"elapsed, cut", "SYNC 1\nELAPSED 3 w\n"},
+	} {
+		var b Batch
+		err := NewReader(strings.NewReader(c.input)).Read(&b)
+		require.Error(t, err, c.name)
+		cases = append(cases, goldenCase{c.name, err.Error()})
+	}
+	requireGolden(t, "errors.golden", cases)
+}
