--- a/cmd/falldeal-fleet/ask.go
+++ b/cmd/falldeal-fleet/ask.go
@@ -64,7 +64,7 @@
 	default:
 		err = printStatus(out, &r)
 	}
-	if err == nil && *check && r.Position != fleet.Whole.String() {
+	if err == nil && *check && r.Position != fleet.FullyConnected.String() {
 		return fmt.Errorf("the fleet as seen by %s: %s", r.Self, r.Position)
 	}
 	return err
@@ -107,40 +107,40 @@
 		if m.Busy >= 0 {
 			busy = fmt.Sprintf("%.0f%%", 100*m.Busy)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%d\t%.0f%%\t%s\t%.8s\n", name, m.Zone, m.Condition, seconds(m.SinceMs), m.Told,
-			seconds(m.AgeMs), m.Cores, busy, m.InHand, 100*m.Shed, m.Version, m.Config)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%d\t%.0f%%\t%s\t%.8s\n", name, m.Zone, m.Condition, seconds(m.SinceMs), m.ReportedState,
+			seconds(m.AgeMs), m.Cores, busy, m.InFlight, 100*m.ShedRatio, m.Version, m.Config)
 	}
 	return w.Flush()
 }
 
 func printStatus(out io.Writer, r *fleet.Report) error {
 	heard := "never"
-	if r.HeardMs >= 0 {
-		heard = seconds(r.HeardMs) + " ago"
+	if r.LastReceivedMs >= 0 {
+		heard = seconds(r.LastReceivedMs) + " ago"
 	}
 	fmt.Fprintf(out, "%s sees its fleet: %s; last word of another member: %s; words are due each %s, overdue after %s\n",
 		r.Self, r.Position, heard, seconds(r.PeriodMs), seconds(r.FreshMs))
 	fmt.Fprintf(out, "serving by fresh words: %d members, %g cores, %.1f of them in use, %d requests in hand; oldest word %s; %d left out as too old\n",
-		r.Fresh.Members, r.Fresh.Cores, r.Fresh.Busy, r.Fresh.InHand, seconds(r.Fresh.OldestMs), r.Fresh.Stale)
-	if f := &r.Fresh; f.Pace > 0 {
+		r.Fresh.Members, r.Fresh.Cores, r.Fresh.Busy, r.Fresh.InFlight, seconds(r.Fresh.OldestMs), r.Fresh.Stale)
+	if f := &r.Fresh; f.ServiceRate > 0 {
 		where := "nothing is cut: the fleet has room"
-		if f.CutMost > 0 {
-			where = fmt.Sprintf("the fleet is full: cut below place %.1f to %.1f (%.3g to %.3g earned for a second of work)", f.CutLeast, f.CutMost,
-				overload.Worth(f.CutLeast), overload.Worth(f.CutMost))
+		if f.MaxThreshold > 0 {
+			where = fmt.Sprintf("the fleet is full: cut below place %.1f to %.1f (%.3g to %.3g earned for a second of work)", f.MinThreshold, f.MaxThreshold,
+				overload.WeightAt(f.MinThreshold), overload.WeightAt(f.MaxThreshold))
 		}
 		fmt.Fprintf(out, "overload: %s; %.0f tries a second, %.2f repeats for each first one (budget %.2f); %.1f s of work can be done in a second\n",
-			where, f.Tries, f.Again, overload.Budget, f.Pace)
+			where, f.Attempts, f.RetryRatio, overload.RetryBudget, f.ServiceRate)
 	}
-	if f := &r.Fresh; f.Share > 0 {
-		fmt.Fprintf(out, "calls: %.1f may be in hand in the mean, %.1f are, as far as it is told\n", f.Share, f.Calls)
+	if f := &r.Fresh; f.CallQuota > 0 {
+		fmt.Fprintf(out, "calls: %.1f may be in hand in the mean, %.1f are, as far as it is told\n", f.CallQuota, f.MeanCalls)
 	}
 	stores := map[string][]string{}
 	for _, m := range r.Members {
-		if m.Store != 0 {
-			is := m.Zone + " " + overload.StoreState(m.Store).String()
+		if m.StoreState != 0 {
+			is := m.Zone + " " + overload.StoreState(m.StoreState).String()
 			turn := ""
-			if overload.StoreState(m.Store) == overload.StoreTrying {
-				turn = fmt.Sprintf(", turn %d", m.Round)
+			if overload.StoreState(m.StoreState) == overload.StoreProbing {
+				turn = fmt.Sprintf(", turn %d", m.ProbeRound)
 			}
 			stores[is] = append(stores[is], fmt.Sprintf("%s (%s ago%s)", m.Name, seconds(m.AgeMs), turn))
 		}
@@ -152,13 +152,13 @@
 	fmt.Fprintln(w, "REGION\tZONE\tKNOWN\tALIVE\tSUSPECT\tWEDGED\tCUT OFF\tDEAD\tLEFT\t")
 	for _, z := range append(r.Zones, r.Total) {
 		mark := ""
-		if z.Dark {
+		if z.Unreachable {
 			mark = "half or more silent"
 		}
 		if z.Zone == "" {
 			z.Region, z.Zone = "all", ""
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", z.Region, z.Zone, z.Known, z.Alive, z.Suspect, z.Wedged, z.CutOff,
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", z.Region, z.Zone, z.Known, z.Alive, z.Suspect, z.Wedged, z.Silent,
 			z.Dead, z.Left, mark)
 	}
 	return w.Flush()
--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -126,25 +126,25 @@
 
 // reports are what instances answer, by what their consoles' addresses are called in the golden file.
 func reports() map[string]fleet.Report {
-	whole := fleet.Report{Self: "n3", Position: "whole", HeardMs: 250, PeriodMs: 1000, FreshMs: 5000,
+	whole := fleet.Report{Self: "n3", Position: "whole", LastReceivedMs: 250, PeriodMs: 1000, FreshMs: 5000,
 		Members: []fleet.MemberReport{
-			{Name: "n3", Process: "n3/0000000000000007", Zone: "mechelen", Region: "belgium", Condition: "serving", Told: "serving", SinceMs: 61500,
-				Version: "1.2.3", Config: "0123456789abcdef", Cores: 6, Busy: 0.5, InHand: 12, Shed: 0.25, Self: true},
-			{Name: "n4", Zone: "zaventem", Region: "belgium", Condition: "cut off", Told: "warming", AgeMs: 3120, SinceMs: 900, Version: "dev",
-				Config: "01", Cores: 2.5, Busy: -1, Store: 1},
-			{Name: "n5", Zone: "zaventem", Region: "belgium", Condition: "serving", Told: "serving", AgeMs: 40, Store: 2, Round: 7},
-			{Name: "n6", Zone: "zaventem", Region: "belgium", Condition: "serving", Told: "serving", AgeMs: 50, Store: 3}},
+			{Name: "n3", Process: "n3/0000000000000007", Zone: "mechelen", Region: "belgium", Condition: "serving", ReportedState: "serving", SinceMs: 61500,
+				Version: "1.2.3", Config: "0123456789abcdef", Cores: 6, Busy: 0.5, InFlight: 12, ShedRatio: 0.25, Self: true},
+			{Name: "n4", Zone: "zaventem", Region: "belgium", Condition: "cut off", ReportedState: "warming", AgeMs: 3120, SinceMs: 900, Version: "dev",
+				Config: "01", Cores: 2.5, Busy: -1, StoreState: 1},
+			{Name: "n5", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 40, StoreState: 2, ProbeRound: 7},
+			{Name: "n6", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 50, StoreState: 3}},
 		Zones: []fleet.ZoneReport{{Region: "belgium", Zone: "mechelen", Known: 1, Alive: 1},
-			{Region: "belgium", Zone: "zaventem", Known: 21, Alive: 1, Suspect: 2, Wedged: 3, CutOff: 4, Dead: 5, Left: 6, HeardOf: 7, Dark: true}},
-		Total: fleet.ZoneReport{Known: 22, Alive: 2, Suspect: 2, Wedged: 3, CutOff: 4, Dead: 5, Left: 6, HeardOf: 7},
-		Fresh: fleet.SumReport{Members: 2, Stale: 1, Cores: 8.5, Busy: 3, InHand: 12, OldestMs: 1100}}
+			{Region: "belgium", Zone: "zaventem", Known: 21, Alive: 1, Suspect: 2, Wedged: 3, Silent: 4, Dead: 5, Left: 6, Unmet: 7, Unreachable: true}},
+		Total: fleet.ZoneReport{Known: 22, Alive: 2, Suspect: 2, Wedged: 3, Silent: 4, Dead: 5, Left: 6, Unmet: 7},
+		Fresh: fleet.AggregateReport{Members: 2, Stale: 1, Cores: 8.5, Busy: 3, InFlight: 12, OldestMs: 1100}}
 	full := whole
 	full.Position = "torn"
-	full.Fresh.Pace, full.Fresh.Tries, full.Fresh.Again, full.Fresh.CutLeast, full.Fresh.CutMost = 7.5, 120, 0.125, 11.5, 12.5
-	full.Fresh.Share, full.Fresh.Calls = 11.8, 4.25
+	full.Fresh.ServiceRate, full.Fresh.Attempts, full.Fresh.RetryRatio, full.Fresh.MinThreshold, full.Fresh.MaxThreshold = 7.5, 120, 0.125, 11.5, 12.5
+	full.Fresh.CallQuota, full.Fresh.MeanCalls = 11.8, 4.25
 	room := whole
-	room.Fresh.Pace, room.Fresh.Tries = 7.5, 12
-	alone := fleet.Report{Self: "n3", Position: "alone", HeardMs: -1}
+	room.Fresh.ServiceRate, room.Fresh.Attempts = 7.5, 12
+	alone := fleet.Report{Self: "n3", Position: "alone", LastReceivedMs: -1}
 	return map[string]fleet.Report{"whole": whole, "full": full, "room": room, "alone": alone}
 }
 
--- a/cmd/falldeal-fleet/main.go
+++ b/cmd/falldeal-fleet/main.go
@@ -65,7 +65,7 @@
 		load = caught.Load
 	}
 	c, err := load(*path)
-	if errors.Is(err, process.ErrLeft) {
+	if errors.Is(err, process.ErrStopped) {
 		return nil
 	}
 	if err != nil {
@@ -117,22 +117,22 @@
 }
 
 // part returns what the process adds to the server; nothing where the file has no fleet.
-func (m *membership) part(c *config.Config, o *operators.File) (process.Part, error) {
+func (m *membership) part(c *config.Config, o *operators.File) (process.Extension, error) {
 	f := o.Fleet
 	if f == nil {
-		return process.Part{}, nil
+		return process.Extension{}, nil
 	}
 	digest, err := config.Digest(m.config)
 	if err != nil {
-		return process.Part{}, err
+		return process.Extension{}, err
 	}
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return process.Part{}, err
+		return process.Extension{}, err
 	}
-	var drill operators.Drill
-	if o.Drill != nil {
-		drill = *o.Drill
+	var drill operators.FaultInjection
+	if o.FaultInjection != nil {
+		drill = *o.FaultInjection
 		m.log.WithFields(logrus.Fields{"clock_ms": drill.Clock.Milliseconds(), "wedge_ms": drill.Wedge.Milliseconds()}).Warn("a drill is set up")
 	}
 	now := uint64(time.Now().Add(drill.Clock).UnixMilli())
@@ -140,16 +140,16 @@
 	m.fleet, err = gossip.New(gossip.Config{
 		Place: fleet.Place{Name: c.Name, Addr: f.Advertise, Region: f.Region, Zone: f.Zone, Version: version,
 			Run: run},
-		Listen: f.Listen, Seeds: f.Seeds, Keys: f.Keys, Digest: digest, Size: f.Size, Limits: f.Limits, Probe: f.Probe,
+		Listen: f.Listen, Seeds: f.Seeds, Keys: f.Keys, Digest: digest, Size: f.Size, Limits: f.Limits, ProbeInterval: f.ProbeInterval,
 		Seed: c.Seed, Incarnation: now}, m.log)
 	if err != nil {
-		return process.Part{}, err
+		return process.Extension{}, err
 	}
-	part := process.Part{Fleet: m.fleet, Run: m.run, Reload: m.reload, Figures: m.fleet.Figures, Pages: []console.Page{m.fleet.Page()}}
+	part := process.Extension{Fleet: m.fleet, Run: m.run, Reload: m.reload, AppendMetrics: m.fleet.AppendMetrics, Pages: []console.Page{m.fleet.Page()}}
 	var served *server.Server
 	if drill.Wedge > 0 {
 		part.Pages = append(part.Pages, console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Do: func() []byte {
-			if !served.StandStill(drill.Wedge) {
+			if !served.StallLoop(drill.Wedge) {
 				return []byte("the loop is behind already\n")
 			}
 			return []byte("the loop stands still for " + drill.Wedge.String() + "\n")
@@ -158,7 +158,7 @@
 	var tracer *tracing.Tracer
 	if x := o.Trace; x != nil {
 		if tracer, err = tracing.New(tracing.Config{File: x.File, Sample: x.Sample, Bytes: x.Bytes}, c.Name, version); err != nil {
-			return process.Part{}, fmt.Errorf("trace.file: %w", err)
+			return process.Extension{}, fmt.Errorf("trace.file: %w", err)
 		}
 		m.tracer = tracer
 	}
@@ -169,18 +169,18 @@
 		if served = s; drill.Clock != 0 {
 			s.SkewClock(drill.Clock)
 		}
-		x, self := o.Overload, overload.Party{Name: c.Name, Run: run}
+		x, self := o.Overload, overload.ProcessID{Name: c.Name, Run: run}
 		if x == nil {
 			return
 		}
-		if x.Cutoff {
-			s.Cutoff(self)
+		if x.Shedding {
+			s.EnableShedding(self)
 		}
-		if x.Probes {
-			s.ProbeInCommon(run, f.Zone)
+		if x.CoordinatedProbes {
+			s.EnableCoordinatedProbes(run, f.Zone)
 		}
-		if x.Shares {
-			s.Share(self, x.Lease, x.Keep)
+		if x.QuotaLeasing {
+			s.EnableQuotaLeasing(self, x.Lease, x.ReservedRatio)
 		}
 	}
 	return part, nil
--- a/cmd/falldeal/main.go
+++ b/cmd/falldeal/main.go
@@ -99,7 +99,7 @@
 		}
 		caught := process.Catch()
 		c, err := caught.Load(*path)
-		if errors.Is(err, process.ErrLeft) {
+		if errors.Is(err, process.ErrStopped) {
 			return nil
 		}
 		if err != nil {
@@ -107,7 +107,7 @@
 		}
 		log := logrus.New()
 		log.SetLevel(lvl)
-		return process.Serve(caught, c, *path, log, process.Part{})
+		return process.Serve(caught, c, *path, log, process.Extension{})
 	default:
 		flags.Usage()
 		return fmt.Errorf("unknown command %q", name)
--- a/cmd/falldeal/main_test.go
+++ b/cmd/falldeal/main_test.go
@@ -82,7 +82,7 @@
 	failed := make(chan string, 1)
 	log.AddHook(onError(failed))
 	over := make(chan error, 1)
-	go func() { over <- process.Serve(process.Catch(), c, "", log, process.Part{}) }()
+	go func() { over <- process.Serve(process.Catch(), c, "", log, process.Extension{}) }()
 	accept := func(i int) {
 		nc, err := agents[i].Accept()
 		require.NoError(t, err)
@@ -126,7 +126,7 @@
 	require.NoError(t, err)
 	log, _ := test.NewNullLogger()
 	over := make(chan error, 1)
-	go func() { over <- process.Serve(process.Catch(), c, "", log, process.Part{}) }()
+	go func() { over <- process.Serve(process.Catch(), c, "", log, process.Extension{}) }()
 	nc, err := agent.Accept() // signals are taken by then
 	require.NoError(t, err)
 	defer nc.Close()
--- a/decide/behind_test.go
+++ b/decide/behind_test.go
@@ -10,15 +10,15 @@
 func TestAdviceOutlastsTheGapBetweenACallersRequests(t *testing.T) {
 	refusal := func(callers int, waited, work time.Duration) *Action {
 		s := settings()
-		s.Callers = callers
+		s.Clients = callers
 		c := start(t, s)
 		now := time.Duration(0)
 		var last *Action
 		for id := RequestID(1); id <= 400; id++ {
 			now += 50 * ms // 20 requests a second
 			e := req(id, 1)
-			e.Waited, e.Hint = waited, work
-			if a := find(c.Step(now, []Event{e, {Kind: Timer, Gauges: calm}}, nil), Refuse, id); a != nil {
+			e.Waited, e.CostHint = waited, work
+			if a := find(c.Step(now, []Event{e, {Kind: EventTimer, Gauges: calm}}, nil), ActionReject, id); a != nil {
 				last = a
 			}
 		}
@@ -30,19 +30,19 @@
 	// 150 callers with 20 requests a second come every 7.5 s, so they are sent off for as long as they heed, and
 	// those whose time is over hear so too, beside the wish to try nowhere else.
 	late := refusal(150, 900*ms, time.Second)
-	if late.Why != TooLate || !late.DontRetry || late.StayAway != time.Second {
+	if late.Reason != ReasonTooLate || !late.NoRetryElsewhere || late.RetryAfter != time.Second {
 		t.Errorf("%+v", *late)
 	}
 	// Ten come every half second.
-	if a := refusal(10, 900*ms, time.Second); a.StayAway < 400*ms || a.StayAway > 600*ms {
+	if a := refusal(10, 900*ms, time.Second); a.RetryAfter < 400*ms || a.RetryAfter > 600*ms {
 		t.Errorf("%+v", *a)
 	}
 	// One caller that sends all of them would leave the server idle: the advice is as it was.
-	if a := refusal(1, 900*ms, time.Second); a.StayAway != 0 {
+	if a := refusal(1, 900*ms, time.Second); a.RetryAfter != 0 {
 		t.Errorf("%+v", *a)
 	}
 	// Where reading is in time it is as it was as well.
-	if a := refusal(150, 0, 3*time.Second); a.StayAway >= time.Second {
+	if a := refusal(150, 0, 3*time.Second); a.RetryAfter >= time.Second {
 		t.Errorf("%+v", *a)
 	}
 }
@@ -58,21 +58,21 @@
 		}
 		c.Step(10*ms, events, nil)
 		e := req(99, 0)
-		e.Age, e.Spread = age, spread
+		e.SinceFirstAttempt, e.RetryJitter = age, spread
 		as := c.Step(20*ms, []Event{e}, nil)
-		return find(as, Refuse, 99) == nil, find(as, Refuse, 99)
+		return find(as, ActionReject, 99) == nil, find(as, ActionReject, 99)
 	}
 	if ran, _ := first(0, 0); !ran {
 		t.Error("a first try that can be in time is not taken")
 	}
-	if ran, a := first(1900*ms, 0); ran || !a.DontRetry {
+	if ran, a := first(1900*ms, 0); ran || !a.NoRetryElsewhere {
 		t.Errorf("a try that can't be in time any more: %v %+v", ran, a)
 	}
 	c := start(t, settings())
 	for id := RequestID(1); id <= 400; id++ {
 		e := req(id, 0)
-		e.Spread = time.Duration(id) * 10 * ms
-		if a := find(c.Step(10*ms, []Event{e}, nil), Refuse, id); a != nil && !a.DontRetry && (a.StayAway < min(e.Spread, time.Second) || a.StayAway > time.Second) {
+		e.RetryJitter = time.Duration(id) * 10 * ms
+		if a := find(c.Step(10*ms, []Event{e}, nil), ActionReject, id); a != nil && !a.NoRetryElsewhere && (a.RetryAfter < min(e.RetryJitter, time.Second) || a.RetryAfter > time.Second) {
 			t.Fatalf("%+v", *a)
 		}
 	}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -14,10 +14,10 @@
 
 const (
 	// Breaker (paper, "googleBreaker": k 1.5, protection 5, 10 s in 40 buckets).
-	breakerK       = 1.5             // accepts that one failure needs to be outweighed; source
-	BreakerProtect = 5.0             // calls a window that are never dropped; source
-	breakerWindow  = 5 * time.Second // half the source's: troubles last 5 to 20 s; ours
-	breakerBuckets = 20              // 250 ms each, as in the source
+	breakerK              = 1.5             // accepts that one failure needs to be outweighed; source
+	BreakerProtectedCalls = 5.0             // calls a window that are never dropped; source
+	breakerWindow         = 5 * time.Second // half the source's: troubles last 5 to 20 s; ours
+	breakerBuckets        = 20              // 250 ms each, as in the source
 
 	// Intake.
 	pressedUse   = 0.9  // gauge of the cores above which the server is pressed; design
@@ -98,10 +98,10 @@
 	return dropRatio(total, accepts, c.protect)
 }
 
-// Protect sets how many calls a window are never dropped: BreakerProtect unless the fleet tries in common.
+// SetProtectedCalls sets how many calls a window are never dropped: BreakerProtectedCalls unless the fleet tries in common.
 // Below 0 none is made while none is accepted.
 // Whoever is to try goes by what calls took at best.
-func (c *Controller) Protect(calls float64) {
+func (c *Controller) SetProtectedCalls(calls float64) {
 	if c.protect = calls; calls > 0 && c.callTime.set {
 		c.callTime.v = c.callBest
 	}
@@ -109,7 +109,7 @@
 
 func (c *Controller) feed(o Outcome) {
 	accept := 0.0
-	if o == OK {
+	if o == OutcomeOK {
 		accept = 1
 	}
 	c.outcomes.add(c.now, 1, accept)
@@ -121,36 +121,36 @@
 	if c.jobs[e.ID] != nil {
 		return
 	}
-	j := &job{id: e.ID, class: e.Class, tenant: e.Tenant, kb: max(e.MemoryKB, 0), repeat: e.Repeat,
-		standing: e.Standing, spread: e.Spread}
+	j := &job{id: e.ID, class: e.Class, tenant: e.Tenant, kb: max(e.MemoryKB, 0), repeat: e.Retry,
+		standing: e.FleetRank, spread: e.RetryJitter}
 	j.arrived = c.now - max(e.Waited, 0)
-	j.first = j.arrived - e.Age
+	j.first = j.arrived - e.SinceFirstAttempt
 	if e.Class < 0 || e.Class >= len(c.classes) {
-		c.emit(Action{Kind: Refuse, ID: e.ID})
+		c.emit(Action{Kind: ActionReject, ID: e.ID})
 		return
 	}
 	if j.tenant < 0 || j.tenant >= len(c.tenants) {
 		j.tenant = 0
 	}
 	k, cs := &c.s.Classes[j.class], &c.classes[j.class]
-	j.work = e.Hint.Seconds()
+	j.work = e.CostHint.Seconds()
 	if j.work > 0 {
 		cs.work.add(j.work, estGain)
 	} else {
-		j.work = cs.work.or(workUnknown * k.Aim.Seconds())
+		j.work = cs.work.or(workUnknown * k.LatencyObjective.Seconds())
 	}
 	j.due = j.arrived + k.Deadline
-	if e.Due > 0 {
-		j.due = e.Due
+	if e.Deadline > 0 {
+		j.due = e.Deadline
 	}
 	// The aim counts from the first try; how old a further try is, is seldom told.
-	aim := k.Aim
+	aim := k.LatencyObjective
 	if j.repeat {
 		aim = scale(aim, repeatAim)
 	}
 	j.aim = min(j.first+aim, j.due)
 	j.useful = j.aim
-	if k.LateWorth > 0 {
+	if k.LateValueRatio > 0 {
 		j.useful = j.due
 	}
 	c.jobs[j.id] = j
@@ -164,7 +164,7 @@
 		c.arrivals.add(c.now, 0, 1)
 	}
 	c.readWait.add(max(e.Waited, 0).Seconds(), readGain)
-	if e.Earlier != 0 && c.repeats(j, e.Earlier) {
+	if e.RetryOf != 0 && c.repeats(j, e.RetryOf) {
 		return
 	}
 	c.admit(j)
@@ -182,27 +182,27 @@
 func (c *Controller) turnAway(j *job) (Reason, bool) {
 	k := &c.s.Classes[j.class]
 	if c.draining && (j.arrived > c.noticeAt+c.s.DrainGrace || c.finish(j) > c.stopAt-stopMargin) {
-		return Leaving, true
+		return ReasonDraining, true
 	}
-	if c.memory > c.memoryLimit() || k.Safety == Keyed && !c.keep(j) {
-		return MemoryFull, true
+	if c.memory > c.memoryLimit() || k.Idempotency == IdempotentByKey && !c.keep(j) {
+		return ReasonMemory, true
 	}
-	if c.onCores >= c.s.Cores && j.standing == Outranked {
-		return BelowCut, true
+	if c.onCores >= c.s.Cores && j.standing == RankBelowThreshold {
+		return ReasonBelowThreshold, true
 	}
 	if c.onCores >= c.s.Cores && c.rng.Float64() >= c.share {
-		return CoresBehind, true
+		return ReasonCPU, true
 	}
-	if c.protect < 0 && k.Calls && k.SkipWorth <= 0 {
-		return CallsBehind, true // its call would not be made
+	if c.protect < 0 && k.CallsDependency && k.DegradedValueRatio <= 0 {
+		return ReasonDependency, true // its call would not be made
 	}
 	for c.finish(j) > j.aim {
 		// Cores that idle beside a hold show that calls are short, whatever the forecast says.
-		calls := k.Calls && !c.skips(j) &&
+		calls := k.CallsDependency && !c.skips(j) &&
 			(float64(c.onCores) < c.runLimit && c.heldN > 0 || c.callWait() > c.coreWait(j))
-		why := CoresBehind
+		why := ReasonCPU
 		if calls {
-			why = CallsBehind
+			why = ReasonDependency
 		}
 		v := c.victim(j, calls)
 		if v == nil { // one that waits for its call tells of its recovery; more would run in vain
@@ -218,10 +218,10 @@
 
 // adjustShare is the design's control loop, once a sweep.
 func (c *Controller) adjustShare() {
-	pressed := c.gauges.CoreUse > pressedUse || c.gauges.OnCores > pressedQueue*float64(c.s.Cores)
+	pressed := c.gauges.CPUUtilization > pressedUse || c.gauges.CPUDemand > pressedQueue*float64(c.s.Cores)
 	late := false
 	for i := range c.classes {
-		late = late || !c.s.Classes[i].Gone && c.classes[i].latency.or(0) > c.s.Classes[i].Aim.Seconds()
+		late = late || !c.s.Classes[i].Removed && c.classes[i].latency.or(0) > c.s.Classes[i].LatencyObjective.Seconds()
 	}
 	if pressed && late {
 		c.share = max(c.share*shareDown, shareFloor)
@@ -232,21 +232,21 @@
 
 // ---- Hold and runs ----------------------------------------------------------------------------
 
-// Pace is the work that this server gets done a second, in seconds on a standard core.
-func (c *Controller) Pace() float64 { return c.pace() }
+// ServiceRate is the work that this server gets done a second, in seconds on a standard core.
+func (c *Controller) ServiceRate() float64 { return c.serviceRate() }
 
-func (c *Controller) pace() float64 {
+func (c *Controller) serviceRate() float64 {
 	return max(c.speed.a/max(c.speed.b, 1e-3), 0.01) * float64(c.s.Cores)
 }
 
 // service is how long j takes once it runs, calls included.
 func (c *Controller) service(j *job) time.Duration {
 	cs := &c.classes[j.class]
-	t := j.work * runsPerCore * float64(c.s.Cores) / c.pace()
+	t := j.work * runsPerCore * float64(c.s.Cores) / c.serviceRate()
 	if cs.onCore.x.set {
 		t = cs.onCore.at(j.work)
 	}
-	if c.s.Classes[j.class].Calls && !c.skips(j) {
+	if c.s.Classes[j.class].CallsDependency && !c.skips(j) {
 		t += cs.perRun.or(1) * c.callTime.or(0.05)
 	}
 	return seconds(t)
@@ -258,22 +258,22 @@
 	if float64(c.onCores) < c.runLimit && c.heldN == 0 {
 		return 0
 	}
-	aim := c.s.Classes[j.class].Aim.Seconds()
+	aim := c.s.Classes[j.class].LatencyObjective.Seconds()
 	for i := range c.classes {
-		ahead += c.classes[i].heldWork * min(1, aim/c.s.Classes[i].Aim.Seconds())
+		ahead += c.classes[i].heldWork * min(1, aim/c.s.Classes[i].LatencyObjective.Seconds())
 	}
-	return seconds(ahead / c.pace())
+	return seconds(ahead / c.serviceRate())
 }
 
 // callWait is how long a new request waits for calls that others will make first. Those that may do
 // without theirs yield.
 func (c *Controller) callWait() time.Duration {
-	if c.s.CallsOut <= 0 || !c.callTime.set {
+	if c.s.MaxCallsInFlight <= 0 || !c.callTime.set {
 		return 0
 	}
 	ahead := float64(c.waitN)
 	for i := range c.classes {
-		if c.s.Classes[i].Calls && c.s.Classes[i].SkipWorth <= 0 {
+		if c.s.Classes[i].CallsDependency && c.s.Classes[i].DegradedValueRatio <= 0 {
 			ahead += float64(c.classes[i].heldN) * c.classes[i].perRun.or(1)
 		}
 	}
@@ -286,13 +286,13 @@
 
 // skips: j may do without its call, and would wait for it so long that those who may not should have it.
 func (c *Controller) skips(j *job) bool {
-	return c.s.Classes[j.class].SkipWorth > 0 && c.callWait() > scale(j.aim-c.now, skipWait)
+	return c.s.Classes[j.class].DegradedValueRatio > 0 && c.callWait() > scale(j.aim-c.now, skipWait)
 }
 
 // finish is when j would be answered if it were taken now.
 func (c *Controller) finish(j *job) time.Duration {
 	w := c.coreWait(j)
-	if c.s.Classes[j.class].Calls && !c.skips(j) {
+	if c.s.Classes[j.class].CallsDependency && !c.skips(j) {
 		w = max(w, c.callWait())
 	}
 	return c.now + w + c.service(j)
@@ -300,7 +300,7 @@
 
 // worth is what j brings for each unit of what is short: calls below, or core time.
 func (c *Controller) worth(j *job, calls bool) float64 {
-	w := c.s.Classes[j.class].Value * c.tenants[j.tenant].factor * c.unit(j)
+	w := c.s.Classes[j.class].PriorityWeight * c.tenants[j.tenant].factor * c.unit(j)
 	if calls {
 		return w / max(c.classes[j.class].perRun.or(1), callsFew)
 	}
@@ -309,7 +309,7 @@
 
 // unit is the measure by which worth is counted.
 func (c *Controller) unit(j *job) float64 {
-	if c.s.ByWork {
+	if c.s.WeightPerWork {
 		return j.work
 	}
 	return 1
@@ -320,7 +320,7 @@
 	var found *job
 	least := c.worth(j, calls) * victimMargin
 	for i := range c.classes {
-		if calls && !c.s.Classes[i].Calls {
+		if calls && !c.s.Classes[i].CallsDependency {
 			continue
 		}
 		list := c.classes[i].hold
@@ -343,7 +343,7 @@
 				if !c.tooLate(j) {
 					break
 				}
-				c.refuse(j, TooLate)
+				c.refuse(j, ReasonTooLate)
 				refused = true
 			}
 			cs.hold[0] = nil
@@ -363,7 +363,7 @@
 			continue
 		}
 		j := cs.hold[0]
-		if jammed && c.s.Classes[i].Calls && cs.perRun.or(1) > 0 && !c.skips(j) {
+		if jammed && c.s.Classes[i].CallsDependency && cs.perRun.or(1) > 0 && !c.skips(j) {
 			continue
 		}
 		if at := j.aim - c.service(j); best == nil || at < by {
@@ -390,15 +390,15 @@
 		if j == nil {
 			return
 		}
-		if c.memory+(c.s.RunBlow-1)*j.kb > c.memoryLimit() {
+		if c.memory+(c.s.RunningMemoryFactor-1)*j.kb > c.memoryLimit() {
 			if c.runs == 0 {
-				c.refuse(j, MemoryFull)
+				c.refuse(j, ReasonMemory)
 				continue
 			}
 			return
 		}
 		if c.draining && c.now+c.service(j) > c.stopAt-stopMargin {
-			c.refuse(j, Leaving)
+			c.refuse(j, ReasonDraining)
 			continue
 		}
 		c.run(j)
@@ -408,16 +408,16 @@
 func (c *Controller) run(j *job) {
 	c.unhold(j)
 	j.state, j.ran, j.began = running, true, c.now
-	c.memory += (c.s.RunBlow - 1) * j.kb
+	c.memory += (c.s.RunningMemoryFactor - 1) * j.kb
 	c.runs++
 	c.onCores++
 	c.runWork += j.work
 	if e := c.entries[j.id]; e != nil {
 		e.ran = true
 	}
-	c.emit(Action{Kind: Run, ID: j.id})
-	if c.s.FreshFor > 0 && c.s.Classes[j.class].Safety == Safe && c.memory < reuseRoom*c.memoryLimit() {
-		c.enter(j, c.s.FreshFor)
+	c.emit(Action{Kind: ActionRun, ID: j.id})
+	if c.s.CacheTTL > 0 && c.s.Classes[j.class].Idempotency == Safe && c.memory < reuseRoom*c.memoryLimit() {
+		c.enter(j, c.s.CacheTTL)
 	}
 	for _, f := range j.followers {
 		c.join(f)
@@ -431,17 +431,17 @@
 		return
 	}
 	k, cs := &c.s.Classes[j.class], &c.classes[j.class]
-	if e.Outcome == OK && j.state == running {
+	if e.Outcome == OutcomeOK && j.state == running {
 		core := (e.Took - j.calls).Seconds()
 		cs.onCore.add(j.work, core, estGain)
 		cs.perRun.add(float64(j.tries), estGain)
 		cs.latency.add((c.now - j.arrived - j.calls).Seconds(), latencyGain)
 		c.speed.add(c.busy, j.work, 0)
 	}
-	if e.Outcome == Cancelled && !j.answered {
-		c.emit(Action{Kind: Fail, ID: j.id})
+	if e.Outcome == OutcomeCancelled && !j.answered {
+		c.emit(Action{Kind: ActionFail, ID: j.id})
 	}
-	if (e.Outcome == Cancelled || e.Outcome == Failed) && k.Safety == Safe && j.kept {
+	if (e.Outcome == OutcomeCancelled || e.Outcome == OutcomeFailed) && k.Idempotency == Safe && j.kept {
 		c.forget(j)
 	}
 	c.leave(j)
@@ -450,25 +450,25 @@
 // refuse turns away a request that never ran.
 func (c *Controller) refuse(j *job, why Reason) {
 	if c.now-j.first > scale(j.aim-j.first, lateRefusal) {
-		why = TooLate // too little is left for a try elsewhere
+		why = ReasonTooLate // too little is left for a try elsewhere
 	}
 	// A storm: others are as full, and each try elsewhere costs reading and mostly a new connection. Where
 	// further tries are not marked, the part that is refused here stands for them.
-	if why == CoresBehind && !c.s.MarksRepeat {
+	if why == ReasonCPU && !c.s.MarksRetries {
 		c.arrivals.add(c.now, 0, 1)
 	}
-	storm := why == CoresBehind && c.arrivals.b > stormPart*c.arrivals.a
-	if j.standing != Unranked {
-		storm = why == BelowCut || why == CoresBehind && j.standing != Elsewhere
+	storm := why == ReasonCPU && c.arrivals.b > stormPart*c.arrivals.a
+	if j.standing != RankUnknown {
+		storm = why == ReasonBelowThreshold || why == ReasonCPU && j.standing != RankElsewhere
 	}
-	a := Action{Kind: Refuse, ID: j.id, Why: why, DontRetry: why == CallsBehind || why == TooLate || storm}
-	if !a.DontRetry {
-		a.StayAway = min(c.stayAway(why)+j.spread, c.s.MaxRetryAfter)
+	a := Action{Kind: ActionReject, ID: j.id, Reason: why, NoRetryElsewhere: why == ReasonDependency || why == ReasonTooLate || storm}
+	if !a.NoRetryElsewhere {
+		a.RetryAfter = min(c.stayAway(why)+j.spread, c.s.MaxRetryAfter)
 	}
 	// Reads that are behind take the cores from all else. Advice that ends before a caller would have come
 	// again is none: in a large fleet each comes seldom.
 	if gap := c.callerGap(); c.readWait.v > readLate*c.shortest().Seconds() && gap > stayLeast {
-		a.StayAway = max(a.StayAway, min(gap, c.s.MaxRetryAfter))
+		a.RetryAfter = max(a.RetryAfter, min(gap, c.s.MaxRetryAfter))
 	}
 	c.emit(a)
 	c.leave(j)
@@ -479,7 +479,7 @@
 	if j.answered {
 		return
 	}
-	c.emit(Action{Kind: Fail, ID: j.id})
+	c.emit(Action{Kind: ActionFail, ID: j.id})
 	c.abandon(j)
 }
 
@@ -491,14 +491,14 @@
 		return
 	}
 	// A keyed run goes on: its result answers the tries that follow.
-	if j.state == running && c.s.Halt != HaltOff && c.s.Classes[j.class].Safety != Keyed {
-		c.emit(Action{Kind: Stop, ID: j.id})
+	if j.state == running && c.s.Halt != HaltOff && c.s.Classes[j.class].Idempotency != IdempotentByKey {
+		c.emit(Action{Kind: ActionStop, ID: j.id})
 	}
 }
 
 // ---- Calls ------------------------------------------------------------------------------------
 
-func (c *Controller) callLimit() float64 { return c.callShare * c.s.CallsOut }
+func (c *Controller) callLimit() float64 { return c.callShare * c.s.MaxCallsInFlight }
 
 // adjustCalls lowers the bound on calls in hand while they take far longer than they did at best: what
 // lies below is crowded, and more at once only makes it slower. It also answers a dependency that is slow
@@ -540,18 +540,18 @@
 // callsPace only, since many nodes would spend it at once; what was overdrawn is paid back.
 // A call that passes the share which the dependency survives is cut so short that the mean stays below it.
 func (c *Controller) mayCall(left time.Duration) time.Duration {
-	if c.s.CallsOut <= 0 {
+	if c.s.MaxCallsInFlight <= 0 {
 		return left
 	}
-	n, over := float64(c.inHand+c.lingers+1), c.s.CallsOver.Seconds()
+	n, over := float64(c.inHand+c.lingers+1), c.s.CallsWindow.Seconds()
 	if limit := c.callLimit(); n > limit && (n >= limit+1 || c.callCredit <= 0) {
 		return 0
 	}
 	spent, _ := c.inCalls.totals(c.now)
-	if n <= callsSafe*c.s.CallsOut {
+	if n <= callsSafe*c.s.MaxCallsInFlight {
 		return left
 	}
-	room := seconds((callsSafe*c.s.CallsOut*over-spent)/n) - c.s.CallLingers
+	room := seconds((callsSafe*c.s.MaxCallsInFlight*over-spent)/n) - c.s.AbandonedCallTime
 	if room < seconds(callsRoom*c.callTime.or(0)) {
 		return 0
 	}
@@ -588,16 +588,16 @@
 		j.calls += c.now - j.asked
 		j.state, j.asked = calling, c.now
 		j.tries++
-		c.emit(Action{Kind: Call, ID: j.id, Cap: left})
+		c.emit(Action{Kind: ActionCall, ID: j.id, Timeout: left})
 	}
 }
 
 // dropped goes on without the call where the class allows it; else the request fails, since it has run.
 func (c *Controller) dropped(j *job) {
-	if c.s.Classes[j.class].SkipWorth > 0 {
+	if c.s.Classes[j.class].DegradedValueRatio > 0 {
 		c.waitN--
 		c.resume(j)
-		c.emit(Action{Kind: Skip, ID: j.id})
+		c.emit(Action{Kind: ActionSkipCall, ID: j.id})
 		return
 	}
 	c.fail(j)
@@ -610,23 +610,23 @@
 	}
 	c.feed(e.Outcome)
 	c.inHand--
-	if e.Outcome == TimedOut || e.Outcome == Aborted {
+	if e.Outcome == OutcomeTimedOut || e.Outcome == OutcomeAborted {
 		c.linger()
 	}
 	c.callTime.add(e.Took.Seconds(), callGain)
-	if e.Outcome == OK {
+	if e.Outcome == OutcomeOK {
 		c.resume(j)
 		return
 	}
 	j.calls += c.now - j.asked
 	j.state, j.asked = waiting, c.now
 	c.waitN++
-	again := e.Outcome.NeverRan() || c.s.Classes[j.class].Safety == Safe && e.Outcome != TimedOut
+	again := e.Outcome.NeverRan() || c.s.Classes[j.class].Idempotency == Safe && e.Outcome != OutcomeTimedOut
 	switch {
 	case j.answered:
 	case again && j.tries < callsMost && c.now+callBackoff < j.useful:
 		c.dues.push(c.now+callBackoff, due{dueRetry, j, j.id})
-	case c.s.Classes[j.class].SkipWorth > 0:
+	case c.s.Classes[j.class].DegradedValueRatio > 0:
 		c.dropped(j)
 	default:
 		c.fail(j)
@@ -637,7 +637,7 @@
 func (c *Controller) hangUp(j *job) {
 	c.inHand--
 	if c.now-j.asked > seconds(hangUpSlow*c.callTime.or(0)) {
-		c.feed(TimedOut)
+		c.feed(OutcomeTimedOut)
 	}
 	c.linger()
 }
@@ -646,17 +646,17 @@
 
 // keep enters a keyed request before it may run; false means that there is no room, hence no run.
 func (c *Controller) keep(j *job) bool {
-	if c.memory+c.s.KeyKB > c.memoryLimit() {
+	if c.memory+c.s.KeyMemoryKB > c.memoryLimit() {
 		return false
 	}
-	c.enter(j, max(j.arrived+c.s.Classes[j.class].KeyWindow-c.now, c.s.Tick))
+	c.enter(j, max(j.arrived+c.s.Classes[j.class].IdempotencyWindow-c.now, c.s.Tick))
 	return true
 }
 
 // repeats deals with a try of a request whose earlier try is known here; false means that it is like a
 // first one. Without a record the earlier try may have run, and only its result may answer.
 func (c *Controller) repeats(j *job, earlier RequestID) bool {
-	if k := &c.s.Classes[j.class]; k.Safety == Unsafe || k.Safety == Safe && c.s.FreshFor <= 0 {
+	if k := &c.s.Classes[j.class]; k.Idempotency == Unsafe || k.Idempotency == Safe && c.s.CacheTTL <= 0 {
 		return false
 	}
 	lead := c.jobs[earlier]
@@ -665,7 +665,7 @@
 	}
 	switch full := c.memory > c.memoryLimit(); {
 	case lead != nil && lead.state == held && full:
-		c.refuse(j, MemoryFull)
+		c.refuse(j, ReasonMemory)
 	case lead != nil && lead.state == held:
 		c.follow(j, lead)
 	case full:
@@ -679,7 +679,7 @@
 func (c *Controller) join(j *job) {
 	if !j.gone {
 		j.state = joined
-		c.emit(Action{Kind: Reuse, ID: j.id})
+		c.emit(Action{Kind: ActionReuse, ID: j.id})
 	}
 }
 
@@ -709,19 +709,19 @@
 // crowdLimit bounds all runs, those at calls included: they may all come back to the cores at once.
 func (c *Controller) crowdLimit() float64 {
 	speed := 1.0
-	if age := c.now - c.started; c.s.Cold && age < c.s.ColdFor {
-		speed = c.s.ColdShare + (1-c.s.ColdShare)*float64(age)/float64(c.s.ColdFor)
+	if age := c.now - c.started; c.s.WarmingUp && age < c.s.SlowStartTime {
+		speed = c.s.SlowStartSpeedRatio + (1-c.s.SlowStartSpeedRatio)*float64(age)/float64(c.s.SlowStartTime)
 	}
-	return max(1, crowdSafe*float64(c.s.Cores)*(1+(c.s.CrowdPerCore-1)*speed))
+	return max(1, crowdSafe*float64(c.s.Cores)*(1+(c.s.MaxConcurrencyPerCore-1)*speed))
 }
 
 // adjustRuns lets more run while cores idle though work is held, and fewer while they crowd.
 func (c *Controller) adjustRuns() {
 	cores := float64(c.s.Cores)
 	switch {
-	case c.gauges.OnCores > demandWanted*cores:
+	case c.gauges.CPUDemand > demandWanted*cores:
 		c.runLimit -= runStep
-	case c.heldN > 0 && c.gauges.OnCores >= 0 && c.gauges.OnCores < demandWanted*cores:
+	case c.heldN > 0 && c.gauges.CPUDemand >= 0 && c.gauges.CPUDemand < demandWanted*cores:
 		c.runLimit += runStep
 	}
 	c.runLimit = min(max(c.runLimit, cores), runsMost*cores)
@@ -733,7 +733,7 @@
 	if c.draining {
 		return
 	}
-	c.draining, c.noticeAt, c.stopAt = true, c.now-e.Waited, e.At
+	c.draining, c.noticeAt, c.stopAt = true, c.now-e.Waited, e.StopAt
 	ids := make([]RequestID, 0, len(c.jobs))
 	for id := range c.jobs {
 		ids = append(ids, id)
@@ -743,16 +743,16 @@
 		j := c.jobs[id]
 		c.dues.push(c.answerBy(j), due{dueAnswer, j, id})
 	}
-	c.emit(Action{Kind: Log, Text: "drain begins"})
+	c.emit(Action{Kind: ActionLog, Text: "drain begins"})
 	if e.Replaced {
 		return
 	}
-	c.emit(Action{Kind: Health, Good: false, Stored: true})
+	c.emit(Action{Kind: ActionHealth, Healthy: false, Cached: true})
 	switch c.s.Advert {
 	case AdvertLevel:
-		c.emit(Action{Kind: Advertise, Value: 1}) // no request ranks above it
+		c.emit(Action{Kind: ActionAdvertise, Value: 1}) // no request ranks above it
 	case AdvertCredit, AdvertWeight:
-		c.emit(Action{Kind: Advertise, Value: 0})
+		c.emit(Action{Kind: ActionAdvertise, Value: 0})
 	}
 }
 
@@ -778,7 +778,7 @@
 		switch d.kind {
 		case dueAnswer:
 			if d.job.state <= following {
-				c.refuse(d.job, TooLate)
+				c.refuse(d.job, ReasonTooLate)
 			} else {
 				c.fail(d.job)
 			}
@@ -790,7 +790,7 @@
 			c.lingers--
 		case dueEntry:
 			if e := c.entries[d.id]; e != nil {
-				c.memory -= c.s.KeyKB
+				c.memory -= c.s.KeyMemoryKB
 				delete(c.entries, d.id)
 			}
 		}
@@ -808,18 +808,18 @@
 // ---- Health and advice ------------------------------------------------------------------------
 
 func (c *Controller) stayAway(why Reason) time.Duration {
-	if !c.s.RetryAfter && c.s.MaxRetryAfter <= 0 {
+	if !c.s.SendsRetryAfter && c.s.MaxRetryAfter <= 0 {
 		return 0
 	}
-	if why == Leaving {
+	if why == ReasonDraining {
 		return c.s.MaxRetryAfter
 	}
-	return min(max(seconds(c.heldWork/c.pace()/2), stayLeast), c.s.MaxRetryAfter)
+	return min(max(seconds(c.heldWork/c.serviceRate()/2), stayLeast), c.s.MaxRetryAfter)
 }
 
 // callerGap is the mean time between two requests of one caller here.
 func (c *Controller) callerGap() time.Duration {
-	return scale(offeredMemory, float64(c.s.Callers)/max(c.arrivals.a, 1))
+	return scale(offeredMemory, float64(c.s.Clients)/max(c.arrivals.a, 1))
 }
 
 // reports tells the operators of changes of state; nothing is decided by it.
@@ -835,8 +835,8 @@
 func (c *Controller) shortest() time.Duration {
 	aim := time.Duration(math.MaxInt64)
 	for _, k := range c.s.Classes {
-		if !k.Gone {
-			aim = min(aim, k.Aim)
+		if !k.Removed {
+			aim = min(aim, k.LatencyObjective)
 		}
 	}
 	return aim
@@ -852,7 +852,7 @@
 		return
 	}
 	c.unwell, c.healthAt = bad, c.now
-	c.emit(Action{Kind: Health, Good: !bad, Stored: true})
+	c.emit(Action{Kind: ActionHealth, Healthy: !bad, Cached: true})
 }
 
 // withdraw answers checks badly for as long as operators want front ends elsewhere. What still comes is
@@ -861,7 +861,7 @@
 	c.withdrawn = on
 	if !c.draining {
 		c.unwell, c.healthAt = false, c.now
-		c.emit(Action{Kind: Health, Good: !on, Stored: true})
+		c.emit(Action{Kind: ActionHealth, Healthy: !on, Cached: true})
 	}
 }
 
@@ -870,14 +870,14 @@
 // as callers like; where it seldom does, they go soon, before hundreds of rare callers fill the table.
 func (c *Controller) adjustLinks() {
 	c.arrivals.fade(c.now)
-	callers := max(float64(c.s.Callers), c.gauges.Links)
-	limit := c.s.IdleAfter
+	callers := max(float64(c.s.Clients), c.gauges.Connections)
+	limit := c.s.IdleTimeout
 	if callers*offeredMemory.Seconds() > linkPays*limit.Seconds()*c.arrivals.a {
 		limit = min(limit, linkShort)
 	}
 	if limit != c.idleSaid {
 		c.idleSaid = limit
-		c.emit(Action{Kind: IdleLimit, For: limit})
+		c.emit(Action{Kind: ActionIdleTimeout, Duration: limit})
 	}
 }
 
@@ -888,9 +888,9 @@
 		t.offered.fade(c.now)
 		rate := t.offered.a / offeredMemory.Seconds()
 		t.factor = 1
-		if i < len(c.s.Tenants) && c.s.Tenants[i].QuotaPerS > 0 {
-			quota := c.s.Tenants[i].QuotaPerS / float64(max(c.s.FleetSize, 1))
-			t.factor = min(1, max(quota/max(rate, 1e-9), c.s.OverShare))
+		if i < len(c.s.Tenants) && c.s.Tenants[i].QuotaPerSecond > 0 {
+			quota := c.s.Tenants[i].QuotaPerSecond / float64(max(c.s.FleetSize, 1))
+			t.factor = min(1, max(quota/max(rate, 1e-9), c.s.OverQuotaValueRatio))
 		}
 	}
 }
@@ -906,34 +906,34 @@
 	c := &Controller{s: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), now: now, started: now,
 		jobs: map[RequestID]*job{}, entries: map[RequestID]*entry{}, share: 1,
 		outcomes: newRing(breakerWindow, breakerBuckets),
-		inCalls:  newRing(max(s.CallsOver, time.Second), callsBuckets),
+		inCalls:  newRing(max(s.CallsWindow, time.Second), callsBuckets),
 		runLimit: runsPerCore * float64(s.Cores), gauges: Gauges{-1, -1, -1, -1}, sweepAt: now,
-		callShare: callsStart, callBest: 1e9, protect: BreakerProtect}
+		callShare: callsStart, callBest: 1e9, protect: BreakerProtectedCalls}
 	c.callCredit = c.callLimit() * callsPace.Seconds()
 	c.outcomes.advance(now)
 	c.inCalls.advance(now)
 	c.speed = decay{tau: speedMemory, a: float64(s.Cores) / 2, b: float64(s.Cores) / 2}
-	if s.Cold {
-		c.speed.a *= max(s.ColdShare, coldLeast)
+	if s.WarmingUp {
+		c.speed.a *= max(s.SlowStartSpeedRatio, coldLeast)
 	}
-	c.arrivals.tau, c.idleSaid = offeredMemory, s.IdleAfter
+	c.arrivals.tau, c.idleSaid = offeredMemory, s.IdleTimeout
 	c.makeRoom()
 	c.weigh()
 	return c, nil
 }
 
-// Retune takes over new settings while requests are in hand. Classes are known by their places: those
+// Reconfigure takes over new settings while requests are in hand. Classes are known by their places: those
 // that there were stay where they are, and new ones follow. A server is cold once, at its start.
-func (c *Controller) Retune(s Settings) error {
+func (c *Controller) Reconfigure(s Settings) error {
 	if err := s.check(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(s.Classes) < len(c.classes) {
 		return fmt.Errorf("settings: Classes: %d of %d left", len(s.Classes), len(c.classes))
 	}
-	s.Cold = c.s.Cold
-	if s.CallsOver != c.s.CallsOver {
-		c.inCalls = newRing(max(s.CallsOver, time.Second), callsBuckets)
+	s.WarmingUp = c.s.WarmingUp
+	if s.CallsWindow != c.s.CallsWindow {
+		c.inCalls = newRing(max(s.CallsWindow, time.Second), callsBuckets)
 		c.inCalls.advance(c.now)
 	}
 	c.s = s
@@ -959,7 +959,7 @@
 // are made up for when something happens, or when restMost have come together.
 func (c *Controller) atRest() bool {
 	return len(c.jobs) == 0 && !c.draining && c.lingers == 0 && c.share == 1 && !c.unwell &&
-		(c.callShare >= callsRaise || !c.callTime.set) && c.gauges.OnCores >= 0 && c.gauges.OnCores < 1
+		(c.callShare >= callsRaise || !c.callTime.set) && c.gauges.CPUDemand >= 0 && c.gauges.CPUDemand < 1
 }
 
 // Step takes the events of one batch, all at now, and appends the actions that answer them. A batch
@@ -969,10 +969,10 @@
 	c.pass(now)
 	if !c.booted {
 		c.booted = true
-		c.emit(Action{Kind: Health, Good: true, Stored: true})
+		c.emit(Action{Kind: ActionHealth, Healthy: true, Cached: true})
 		if c.s.Advert == AdvertCredit {
 			all := creditPerCore * float64(c.s.Cores)
-			c.emit(Action{Kind: Advertise, Value: all / float64(max(c.s.Callers, 1))})
+			c.emit(Action{Kind: ActionAdvertise, Value: all / float64(max(c.s.Clients, 1))})
 		}
 	}
 	c.makeUp()
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -15,19 +15,19 @@
 const ms = time.Millisecond
 
 func settings() Settings {
-	return Settings{Cores: 4, FleetSize: 10, Callers: 3, MemoryKB: 4000, RunBlow: 4, KeyKB: 10,
+	return Settings{Cores: 4, FleetSize: 10, Clients: 3, MemoryKB: 4000, RunningMemoryFactor: 4, KeyMemoryKB: 10,
 		Classes: []Class{
-			{Aim: 2 * time.Second, Deadline: 6 * time.Second, Value: 1, Calls: true},
-			{Aim: time.Second, Deadline: 4 * time.Second, Value: 3, Safety: Keyed, KeyWindow: 8 * time.Second, Calls: true},
-			{Aim: time.Second, Deadline: 3 * time.Second, Value: 2, Safety: Unsafe, LateWorth: 0.2, Calls: true},
-			{Aim: time.Second, Deadline: 3 * time.Second, Value: 2, SkipWorth: 0.5, Calls: true},
+			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, CallsDependency: true},
+			{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3, Idempotency: IdempotentByKey, IdempotencyWindow: 8 * time.Second, CallsDependency: true},
+			{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 2, Idempotency: Unsafe, LateValueRatio: 0.2, CallsDependency: true},
+			{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 2, DegradedValueRatio: 0.5, CallsDependency: true},
 		},
-		Tenants: []Tenant{{Portion: 0.6, QuotaPerS: 300}, {Portion: 0.4, QuotaPerS: 200}},
-		Halt:    HaltDrop, Below: BelowShared, CallsOut: 6, CallsOver: 5 * time.Second, CallLingers: 200 * ms,
-		ColdShare: 0.2, ColdFor: 10 * time.Second, CrowdPerCore: 5, CrowdOver: 1500 * ms, AnswerGrace: 60 * ms,
-		DrainGrace: time.Second, MaxRetryAfter: time.Second, RetryAfter: true, TellsGone: true,
-		IdleAfter: 30 * time.Second, Tick: 5 * ms,
-		Weights: Weights{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}, OverShare: 0.05}
+		Tenants: []Tenant{{ServiceRatio: 0.6, QuotaPerSecond: 300}, {ServiceRatio: 0.4, QuotaPerSecond: 200}},
+		Halt:    HaltDrop, Dependency: DependencyShared, MaxCallsInFlight: 6, CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * ms,
+		SlowStartSpeedRatio: 0.2, SlowStartTime: 10 * time.Second, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 1500 * ms, AnswerGrace: 60 * ms,
+		DrainGrace: time.Second, MaxRetryAfter: time.Second, SendsRetryAfter: true, SendsCancellations: true,
+		IdleTimeout: 30 * time.Second, Tick: 5 * ms,
+		Weights: Weights{WholeRun: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}, OverQuotaValueRatio: 0.05}
 }
 
 func start(t testing.TB, s Settings) *Controller {
@@ -41,7 +41,7 @@
 }
 
 func req(id RequestID, class int) Event {
-	return Event{Kind: Request, ID: id, Class: class, MemoryKB: 10, Hint: 100 * ms}
+	return Event{Kind: EventRequest, ID: id, Class: class, MemoryKB: 10, CostHint: 100 * ms}
 }
 
 func find(as []Action, kind ActionKind, id RequestID) *Action {
@@ -73,7 +73,7 @@
 	for _, x := range []struct{ total, accepts, want float64 }{
 		{0, 0, 0}, {5, 0, 0}, {6, 0, 1.0 / 7}, {100, 100, 0}, {100, 60, 5.0 / 101}, {100, 0, 95.0 / 101}, {35, 10, 15.0 / 36},
 	} {
-		if got := dropRatio(x.total, x.accepts, BreakerProtect); math.Abs(got-x.want) > 1e-12 {
+		if got := dropRatio(x.total, x.accepts, BreakerProtectedCalls); math.Abs(got-x.want) > 1e-12 {
 			t.Errorf("dropRatio(%v, %v) = %v, want %v", x.total, x.accepts, got, x.want)
 		}
 	}
@@ -82,19 +82,19 @@
 func TestBreakerRecoversAndIdleWindowForgets(t *testing.T) {
 	c := start(t, settings())
 	for range 100 {
-		c.feed(Failed)
+		c.feed(OutcomeFailed)
 	}
 	if d := c.dropChance(); math.Abs(d-95.0/101) > 1e-9 {
 		t.Fatalf("drop chance %v after 100 failures", d)
 	}
 	for range 200 {
-		c.feed(OK)
+		c.feed(OutcomeOK)
 	}
 	if d := c.dropChance(); d != 0 {
 		t.Fatalf("drop chance %v after recovery", d)
 	}
 	for range 500 {
-		c.feed(Failed)
+		c.feed(OutcomeFailed)
 	}
 	c.pass(breakerWindow + time.Second)
 	if d := c.dropChance(); d != 0 {
@@ -105,21 +105,21 @@
 // atCall brings request id of class to its call at time now.
 func atCall(t *testing.T, c *Controller, now time.Duration, id RequestID, class int) []Action {
 	t.Helper()
-	want(t, c.Step(now, []Event{req(id, class)}, nil), Run, id)
-	return c.Step(now+ms, []Event{{Kind: WantsCall, ID: id}}, nil)
+	want(t, c.Step(now, []Event{req(id, class)}, nil), ActionRun, id)
+	return c.Step(now+ms, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
 }
 
 func TestDroppedCallIsSkippedOrFails(t *testing.T) {
-	for class, kind := range map[int]ActionKind{1: Fail, 3: Skip} {
+	for class, kind := range map[int]ActionKind{1: ActionFail, 3: ActionSkipCall} {
 		s := settings()
 		c := start(t, s)
-		want(t, c.Step(0, []Event{req(1, class)}, nil), Run, 1)
+		want(t, c.Step(0, []Event{req(1, class)}, nil), ActionRun, 1)
 		for range 100000 {
-			c.feed(Failed)
+			c.feed(OutcomeFailed)
 		}
-		as := c.Step(ms, []Event{{Kind: WantsCall, ID: 1}}, nil)
+		as := c.Step(ms, []Event{{Kind: EventCallNeeded, ID: 1}}, nil)
 		want(t, as, kind, 1)
-		wantNone(t, as, Refuse, 1)
+		wantNone(t, as, ActionReject, 1)
 	}
 }
 
@@ -128,44 +128,44 @@
 		class   int
 		outcome Outcome
 		again   bool
-	}{{0, Failed, true}, {1, Failed, false}, {1, Aborted, false}, {1, TimedOut, false}, {1, Unreachable, true},
-		{2, Rejected, true}, {2, Failed, false}} {
+	}{{0, OutcomeFailed, true}, {1, OutcomeFailed, false}, {1, OutcomeAborted, false}, {1, OutcomeTimedOut, false}, {1, OutcomeUnreachable, true},
+		{2, OutcomeRejected, true}, {2, OutcomeFailed, false}} {
 		c := start(t, settings())
-		want(t, atCall(t, c, 0, 1, x.class), Call, 1)
-		as := c.Step(10*ms, []Event{{Kind: CallResult, ID: 1, Outcome: x.outcome, Took: 9 * ms}}, nil)
+		want(t, atCall(t, c, 0, 1, x.class), ActionCall, 1)
+		as := c.Step(10*ms, []Event{{Kind: EventCallDone, ID: 1, Outcome: x.outcome, Took: 9 * ms}}, nil)
 		as = c.Step(300*ms, nil, as)
-		if got := find(as, Call, 1) != nil; got != x.again {
+		if got := find(as, ActionCall, 1) != nil; got != x.again {
 			t.Errorf("class %d, outcome %d: repeated %v, want %v", x.class, x.outcome, got, x.again)
 		}
 		if !x.again {
-			want(t, as, Fail, 1)
+			want(t, as, ActionFail, 1)
 		}
 	}
 }
 
 func TestCallsInHandStayBelowTheShare(t *testing.T) {
 	s := settings()
-	s.CallsOut = 3
+	s.MaxCallsInFlight = 3
 	c := start(t, s)
 	out := 0
 	for id := RequestID(1); id <= 6; id++ {
 		c.Step(0, []Event{req(id, 0)}, nil)
-		as := c.Step(0, []Event{{Kind: WantsCall, ID: id}}, nil)
+		as := c.Step(0, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
 		for _, a := range as {
-			if a.Kind == Call {
+			if a.Kind == ActionCall {
 				out++
 			}
 		}
 	}
-	if out == 0 || float64(out) > callsSafe*s.CallsOut {
-		t.Fatalf("%d calls in hand of a share of %v", out, s.CallsOut)
+	if out == 0 || float64(out) > callsSafe*s.MaxCallsInFlight {
+		t.Fatalf("%d calls in hand of a share of %v", out, s.MaxCallsInFlight)
 	}
 }
 
 func TestShareFallsOnlyWhenPressedAndLate(t *testing.T) {
 	c := start(t, settings())
 	step := func(use, lat float64) float64 {
-		c.gauges.CoreUse = use
+		c.gauges.CPUUtilization = use
 		c.classes[0].latency = mean{lat, true}
 		c.adjustShare()
 		return c.share
@@ -191,7 +191,7 @@
 		as = c.Step(now, nil, as)
 	}
 	for id := RequestID(1); id <= 40; id++ {
-		if find(as, Refuse, id) == nil && find(as, Fail, id) == nil {
+		if find(as, ActionReject, id) == nil && find(as, ActionFail, id) == nil {
 			t.Errorf("request %d has no answer though the work hangs", id)
 		}
 	}
@@ -199,63 +199,63 @@
 
 func TestDrainRunsNothingLateAndAnswersAll(t *testing.T) {
 	c := start(t, settings())
-	as := c.Step(0, []Event{req(1, 0), {Kind: Notice, At: 3 * time.Second}}, nil)
-	want(t, as, Run, 1)
+	as := c.Step(0, []Event{req(1, 0), {Kind: EventDrain, StopAt: 3 * time.Second}}, nil)
+	want(t, as, ActionRun, 1)
 	as = c.Step(1200*ms, []Event{req(2, 0)}, nil)
-	want(t, as, Refuse, 2)
-	wantNone(t, as, Run, 2)
+	want(t, as, ActionReject, 2)
+	wantNone(t, as, ActionRun, 2)
 	as = nil
 	for now := 1200 * ms; now < 3*time.Second; now += 5 * ms {
 		as = c.Step(now, nil, as)
 	}
-	want(t, as, Fail, 1)
+	want(t, as, ActionFail, 1)
 }
 
 func TestKeyedRunsOnce(t *testing.T) {
 	c := start(t, settings())
 	as := c.Step(0, []Event{req(1, 1)}, nil)
-	want(t, as, Keep, 1)
-	want(t, as, Run, 1)
+	want(t, as, ActionRemember, 1)
+	want(t, as, ActionRun, 1)
 	again := req(2, 1)
-	again.Earlier = 1
+	again.RetryOf = 1
 	as = c.Step(ms, []Event{again}, nil)
-	want(t, as, Reuse, 2)
-	wantNone(t, as, Run, 2)
-	c.Step(200*ms, []Event{{Kind: Done, ID: 1, Took: 200 * ms}, {Kind: Done, ID: 2, Took: 200 * ms}}, nil)
+	want(t, as, ActionReuse, 2)
+	wantNone(t, as, ActionRun, 2)
+	c.Step(200*ms, []Event{{Kind: EventDone, ID: 1, Took: 200 * ms}, {Kind: EventDone, ID: 2, Took: 200 * ms}}, nil)
 	again.ID = 3
-	want(t, c.Step(time.Second, []Event{again}, nil), Reuse, 3)
+	want(t, c.Step(time.Second, []Event{again}, nil), ActionReuse, 3)
 }
 
 func TestFollowerTakesOverWhenTheFirstTryGoes(t *testing.T) {
 	s := settings()
 	s.Cores = 1
 	c := start(t, s)
-	want(t, c.Step(0, []Event{req(9, 0)}, nil), Run, 9)
+	want(t, c.Step(0, []Event{req(9, 0)}, nil), ActionRun, 9)
 	c.Step(0, []Event{req(1, 1)}, nil)
 	if c.jobs[1] == nil || c.jobs[1].state != held {
 		t.Skip("request 1 is not held under these settings")
 	}
 	again := req(2, 1)
-	again.Earlier = 1
-	wantNone(t, c.Step(ms, []Event{again}, nil), Reuse, 2)
-	as := c.Step(2*ms, []Event{{Kind: Gone, ID: 1}}, nil)
-	as = c.Step(100*ms, []Event{{Kind: Done, ID: 9, Took: 100 * ms}}, as)
-	want(t, as, Keep, 2)
-	want(t, as, Run, 2)
+	again.RetryOf = 1
+	wantNone(t, c.Step(ms, []Event{again}, nil), ActionReuse, 2)
+	as := c.Step(2*ms, []Event{{Kind: EventCancelled, ID: 1}}, nil)
+	as = c.Step(100*ms, []Event{{Kind: EventDone, ID: 9, Took: 100 * ms}}, as)
+	want(t, as, ActionRemember, 2)
+	want(t, as, ActionRun, 2)
 }
 
 func TestNoRoomForAKeyMeansNoRun(t *testing.T) {
 	s := settings()
-	s.KeyKB = s.MemoryKB
+	s.KeyMemoryKB = s.MemoryKB
 	c := start(t, s)
 	as := c.Step(0, []Event{req(1, 1)}, nil)
-	want(t, as, Refuse, 1)
-	wantNone(t, as, Run, 1)
+	want(t, as, ActionReject, 1)
+	wantNone(t, as, ActionRun, 1)
 }
 
 func TestMemoryAndCrowdAreNeverPassed(t *testing.T) {
 	s := settings()
-	s.Cold, s.MemoryKB = true, 300
+	s.WarmingUp, s.MemoryKB = true, 300
 	c := start(t, s)
 	for id := RequestID(1); id <= 300; id++ {
 		c.Step(0, []Event{req(id, 0)}, nil)
@@ -263,20 +263,20 @@
 			t.Fatalf("%v kB in use of %v", c.memory, s.MemoryKB)
 		}
 	}
-	if limit := float64(s.Cores) * (1 + (s.CrowdPerCore-1)*s.ColdShare); float64(c.runs) > limit {
+	if limit := float64(s.Cores) * (1 + (s.MaxConcurrencyPerCore-1)*s.SlowStartSpeedRatio); float64(c.runs) > limit {
 		t.Fatalf("%d runs, a cold server survives %v", c.runs, limit)
 	}
 }
 
 func TestStrangeEventsChangeNothing(t *testing.T) {
 	c := start(t, settings())
-	for _, k := range []EventKind{Done, Gone, WantsCall, CallResult} {
+	for _, k := range []EventKind{EventDone, EventCancelled, EventCallNeeded, EventCallDone} {
 		c.Step(0, []Event{{Kind: k, ID: 99}}, nil)
 	}
-	want(t, atCall(t, c, 0, 1, 0), Call, 1)
-	ev := Event{Kind: CallResult, ID: 1, Took: ms}
-	c.Step(2*ms, []Event{ev, ev, {Kind: WantsCall, ID: 5}}, nil)
-	c.Step(3*ms, []Event{{Kind: Done, ID: 1}, {Kind: Done, ID: 1}, req(2, 77)}, nil)
+	want(t, atCall(t, c, 0, 1, 0), ActionCall, 1)
+	ev := Event{Kind: EventCallDone, ID: 1, Took: ms}
+	c.Step(2*ms, []Event{ev, ev, {Kind: EventCallNeeded, ID: 5}}, nil)
+	c.Step(3*ms, []Event{{Kind: EventDone, ID: 1}, {Kind: EventDone, ID: 1}, req(2, 77)}, nil)
 	if len(c.jobs) != 0 || c.runs != 0 || c.onCores != 0 || c.memory != 0 || c.inHand != 0 {
 		t.Fatalf("left over: %d jobs, %d runs, %d on cores, %v kB", len(c.jobs), c.runs, c.onCores, c.memory)
 	}
@@ -285,8 +285,8 @@
 func TestSettingsThatCannotBeServed(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"Cores": func(s *Settings) { s.Cores = 0 }, "Classes": func(s *Settings) { s.Classes = nil },
-		"MemoryKB": func(s *Settings) { s.MemoryKB = 0 }, "ColdFor": func(s *Settings) { s.ColdFor = -1 },
-		"Classes[1]": func(s *Settings) { s.Classes[1].Aim = 0 }, "Tick": func(s *Settings) { s.Tick = -1 },
+		"MemoryKB": func(s *Settings) { s.MemoryKB = 0 }, "ColdFor": func(s *Settings) { s.SlowStartTime = -1 },
+		"Classes[1]": func(s *Settings) { s.Classes[1].LatencyObjective = 0 }, "Tick": func(s *Settings) { s.Tick = -1 },
 	} {
 		s := settings()
 		change(&s)
@@ -363,21 +363,21 @@
 func (w *world) order() Event {
 	w.next++
 	class := w.rng.IntN(len(w.s.Classes))
-	e := Event{Kind: Request, ID: w.next, Class: class, Tenant: w.rng.IntN(2), MemoryKB: 5 + 20*w.rng.Float64(),
-		Hint: time.Duration(w.rng.IntN(300)) * ms, Repeat: w.rng.IntN(4) == 0, Waited: time.Duration(w.rng.IntN(50)) * ms}
+	e := Event{Kind: EventRequest, ID: w.next, Class: class, Tenant: w.rng.IntN(2), MemoryKB: 5 + 20*w.rng.Float64(),
+		CostHint: time.Duration(w.rng.IntN(300)) * ms, Retry: w.rng.IntN(4) == 0, Waited: time.Duration(w.rng.IntN(50)) * ms}
 	origin := int(w.next)
-	if w.s.Classes[class].Safety == Keyed && w.rng.IntN(2) == 0 {
+	if w.s.Classes[class].Idempotency == IdempotentByKey && w.rng.IntN(2) == 0 {
 		if lead, ok := w.lastKey[class]; ok && w.keys[lead] > w.now {
-			e.Earlier, origin = lead, w.tries[lead].origin
+			e.RetryOf, origin = lead, w.tries[lead].origin
 		}
 	}
-	if w.s.Classes[class].Safety == Keyed && e.Earlier == 0 {
+	if w.s.Classes[class].Idempotency == IdempotentByKey && e.RetryOf == 0 {
 		w.lastKey[class] = e.ID
 	}
 	due := w.now - e.Waited + w.s.Classes[class].Deadline
-	if w.s.TellsDeadline {
+	if w.s.SendsDeadlines {
 		due = w.now + time.Duration(w.rng.IntN(3000))*ms
-		e.Due = due
+		e.Deadline = due
 	}
 	w.tries[e.ID] = &tryState{class: class, arrived: w.now - e.Waited, due: max(due, w.now), origin: origin, kb: e.MemoryKB}
 	w.live = append(w.live, e.ID)
@@ -395,33 +395,33 @@
 		live = append(live, id)
 		switch roll := w.rng.IntN(40); {
 		case x.joined && roll < 4:
-			es = append(es, Event{Kind: Done, ID: id, Outcome: Outcome(w.rng.IntN(2)), Took: 5 * ms})
+			es = append(es, Event{Kind: EventDone, ID: id, Outcome: Outcome(w.rng.IntN(2)), Took: 5 * ms})
 			x.over, x.answered = true, true
 		case x.calling && roll < 6:
-			o := []Outcome{OK, OK, OK, Failed, Rejected, TimedOut, Unreachable, Aborted}[w.rng.IntN(8)]
-			es = append(es, Event{Kind: CallResult, ID: id, Outcome: o, Took: 20 * ms})
-			x.calling, x.atCall = false, o != OK
+			o := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeAborted}[w.rng.IntN(8)]
+			es = append(es, Event{Kind: EventCallDone, ID: id, Outcome: o, Took: 20 * ms})
+			x.calling, x.atCall = false, o != OutcomeOK
 			if !o.NeverRan() {
 				x.callsRan++
 			}
-			x.running = o == OK
+			x.running = o == OutcomeOK
 		case x.running && roll < 2 && !x.answered:
-			es = append(es, Event{Kind: WantsCall, ID: id})
+			es = append(es, Event{Kind: EventCallNeeded, ID: id})
 			x.running, x.atCall, x.callsRan = false, true, 0
 		case x.running && roll < 6:
-			es = append(es, Event{Kind: Done, ID: id, Outcome: Outcome(w.rng.IntN(2)), Took: 100 * ms})
+			es = append(es, Event{Kind: EventDone, ID: id, Outcome: Outcome(w.rng.IntN(2)), Took: 100 * ms})
 			x.running, x.over, x.answered = false, true, true
 		case roll == 39 && !x.answered:
-			es = append(es, Event{Kind: Gone, ID: id})
+			es = append(es, Event{Kind: EventCancelled, ID: id})
 			x.gone, x.answered = true, true
 			if !x.running && !x.atCall && !x.calling {
 				x.over = true
 			} else if !x.running {
-				es = append(es, Event{Kind: Done, ID: id, Outcome: Cancelled})
+				es = append(es, Event{Kind: EventDone, ID: id, Outcome: OutcomeCancelled})
 				x.over = true
 			}
 		case (x.atCall || x.calling) && x.answered:
-			es = append(es, Event{Kind: Done, ID: id, Outcome: Cancelled})
+			es = append(es, Event{Kind: EventDone, ID: id, Outcome: OutcomeCancelled})
 			x.over = true
 		}
 		if w.rng.IntN(50) == 0 && len(es) > 0 {
@@ -444,25 +444,25 @@
 			k = w.s.Classes[x.class]
 		}
 		switch a.Kind {
-		case Run:
+		case ActionRun:
 			if x.answered || x.ran {
 				t.Fatalf("%d run again or after its answer", a.ID)
 			}
 			if w.noticed > 0 && x.arrived > w.noticed+w.s.DrainGrace {
 				t.Fatalf("%d run though it came too late in a drain", a.ID)
 			}
-			if w.effects[x.origin]++; k.Safety == Keyed && (w.effects[x.origin] > 1 || w.keys[a.ID] <= w.now && w.keys[a.ID] == 0) {
+			if w.effects[x.origin]++; k.Idempotency == IdempotentByKey && (w.effects[x.origin] > 1 || w.keys[a.ID] <= w.now && w.keys[a.ID] == 0) {
 				t.Fatalf("keyed %d: run %d, entry until %v at %v", a.ID, w.effects[x.origin], w.keys[a.ID], w.now)
 			}
 			x.ran, x.running = true, true
-		case Refuse, Fail:
+		case ActionReject, ActionFail:
 			if x.gone { // told later in the batch that this answers
 				continue
 			}
 			if x.answered {
 				t.Fatalf("%d answered twice", a.ID)
 			}
-			if a.Kind == Refuse && k.Safety != Safe && w.effects[x.origin] > 0 {
+			if a.Kind == ActionReject && k.Idempotency != Safe && w.effects[x.origin] > 0 {
 				t.Fatalf("%d turned away after a run", a.ID)
 			}
 			if w.now > x.due+w.s.AnswerGrace {
@@ -472,36 +472,36 @@
 			if !x.running && !x.atCall && !x.calling {
 				x.over = true
 			}
-		case Call:
-			if !x.atCall || k.Safety != Safe && x.callsRan > 0 {
+		case ActionCall:
+			if !x.atCall || k.Idempotency != Safe && x.callsRan > 0 {
 				t.Fatalf("call of %d out of place or repeated", a.ID)
 			}
 			x.atCall, x.calling = false, true
-		case Skip:
-			if k.SkipWorth == 0 || !x.atCall {
+		case ActionSkipCall:
+			if k.DegradedValueRatio == 0 || !x.atCall {
 				t.Fatalf("skip of %d out of place", a.ID)
 			}
 			x.atCall, x.running = false, true
-		case Keep:
-			w.keys[a.ID] = w.now + a.For
-			if k.Safety == Keyed && w.keys[a.ID] < x.arrived+k.KeyWindow {
+		case ActionRemember:
+			w.keys[a.ID] = w.now + a.Duration
+			if k.Idempotency == IdempotentByKey && w.keys[a.ID] < x.arrived+k.IdempotencyWindow {
 				t.Fatalf("entry of %d too short", a.ID)
 			}
-		case Forget:
-			if x.ran && k.Safety == Keyed {
+		case ActionForget:
+			if x.ran && k.Idempotency == IdempotentByKey {
 				t.Fatalf("entry of %d forgotten after its run", a.ID)
 			}
 			delete(w.keys, a.ID)
-		case Reuse:
+		case ActionReuse:
 			if x.answered || x.ran {
 				t.Fatalf("reuse for %d out of place", a.ID)
 			}
 			x.joined = true
-		case Stop:
+		case ActionStop:
 			if w.s.Halt == HaltOff {
 				t.Fatal("stop where nothing can be stopped")
 			}
-		case Advertise:
+		case ActionAdvertise:
 			if w.s.Advert == AdvertOff {
 				t.Fatal("free value where there is none")
 			}
@@ -519,7 +519,7 @@
 			w.t.Fatalf("a request is lost: due %v, now %v", x.due, w.now)
 		}
 		if memory += x.kb; x.running || x.atCall || x.calling {
-			memory += x.kb * (w.s.RunBlow - 1)
+			memory += x.kb * (w.s.RunningMemoryFactor - 1)
 		}
 		if x.calling && !x.answered {
 			out++
@@ -527,14 +527,14 @@
 	}
 	for _, until := range w.keys {
 		if until > w.now {
-			memory += w.s.KeyKB
+			memory += w.s.KeyMemoryKB
 		}
 	}
 	if memory > w.s.MemoryKB {
 		w.t.Fatalf("%v kB of %v in use", memory, w.s.MemoryKB)
 	}
-	if w.s.CallsOut >= 1 && float64(out) > w.s.CallsOut {
-		w.t.Fatalf("%d calls in hand of a share of %v", out, w.s.CallsOut)
+	if w.s.MaxCallsInFlight >= 1 && float64(out) > w.s.MaxCallsInFlight {
+		w.t.Fatalf("%d calls in hand of a share of %v", out, w.s.MaxCallsInFlight)
 	}
 }
 
@@ -551,10 +551,10 @@
 		es := w.events()
 		if i == 1200 {
 			w.noticed, stop = w.now, w.now+2500*ms
-			es = append(es, Event{Kind: Notice, At: stop})
+			es = append(es, Event{Kind: EventDrain, StopAt: stop})
 		}
 		if i%12 == 0 {
-			es = append(es, Event{Kind: Timer, Gauges: Gauges{CoreUse: w.rng.Float64(), OnCores: 12 * w.rng.Float64()}})
+			es = append(es, Event{Kind: EventTimer, Gauges: Gauges{CPUUtilization: w.rng.Float64(), CPUDemand: 12 * w.rng.Float64()}})
 		}
 		as := c.Step(w.now, es, nil)
 		w.act(as)
@@ -573,26 +573,26 @@
 	var list []Settings
 	for i := range 12 {
 		s := settings()
-		s.Halt, s.Advert, s.Below = Halt(i%3), Advert(i%4), Below(i%3)
-		s.Cold, s.TellsDeadline = i%2 == 0, i%5 < 2
-		if s.Below != BelowShared {
-			s.CallsOut = 0
+		s.Halt, s.Advert, s.Dependency = Halt(i%3), Advert(i%4), Dependency(i%3)
+		s.WarmingUp, s.SendsDeadlines = i%2 == 0, i%5 < 2
+		if s.Dependency != DependencyShared {
+			s.MaxCallsInFlight = 0
 		}
 		if i%4 == 1 {
-			s.FreshFor = time.Second
+			s.CacheTTL = time.Second
 		}
 		if i%6 == 2 {
 			s.Tenants, s.MemoryKB = nil, 600
 		}
 		if i == 7 {
-			s.CallsOut = 0.4
+			s.MaxCallsInFlight = 0.4
 		}
 		list = append(list, s)
 	}
 	for i, share := range []float64{0.05, 0.4, 0.9} { // small servers of large fleets
 		s := settings()
-		s.Cores, s.CallsOut, s.Callers, s.FleetSize = 1+i%2, share, 1000, 300
-		s.MarksRepeat, s.Advert, s.MemoryKB = i == 1, Advert(i+1), 1500
+		s.Cores, s.MaxCallsInFlight, s.Clients, s.FleetSize = 1+i%2, share, 1000, 300
+		s.MarksRetries, s.Advert, s.MemoryKB = i == 1, Advert(i+1), 1500
 		list = append(list, s)
 	}
 	return list
@@ -617,20 +617,20 @@
 // Operators' word on health stands until they take it back, whatever the load; requests are run meanwhile.
 func TestWithdraw(t *testing.T) {
 	c := start(t, settings())
-	if want(t, c.Step(time.Second, []Event{{Kind: Withdraw}}, nil), Health, 0).Good {
+	if want(t, c.Step(time.Second, []Event{{Kind: EventDeregister}}, nil), ActionHealth, 0).Healthy {
 		t.Error("health is not bad after Withdraw")
 	}
 	for now := 1100 * ms; now < 5*time.Second; now += 100 * ms {
-		if find(c.Step(now, []Event{{Kind: Timer}}, nil), Health, 0) != nil {
+		if find(c.Step(now, []Event{{Kind: EventTimer}}, nil), ActionHealth, 0) != nil {
 			t.Error("health changed by itself")
 		}
 	}
-	want(t, c.Step(5*time.Second, []Event{req(1, 0)}, nil), Run, 1)
-	if !want(t, c.Step(6*time.Second, []Event{{Kind: Restore}}, nil), Health, 0).Good {
+	want(t, c.Step(5*time.Second, []Event{req(1, 0)}, nil), ActionRun, 1)
+	if !want(t, c.Step(6*time.Second, []Event{{Kind: EventReregister}}, nil), ActionHealth, 0).Healthy {
 		t.Error("health is not good after Restore")
 	}
-	c.Step(7*time.Second, []Event{{Kind: Notice, At: 9 * time.Second}}, nil)
-	if find(c.Step(7*time.Second, []Event{{Kind: Restore}}, nil), Health, 0) != nil {
+	c.Step(7*time.Second, []Event{{Kind: EventDrain, StopAt: 9 * time.Second}}, nil)
+	if find(c.Step(7*time.Second, []Event{{Kind: EventReregister}}, nil), ActionHealth, 0) != nil {
 		t.Error("a server that leaves came back")
 	}
 }
@@ -638,42 +638,42 @@
 // A process that another one replaces ends what it has, but the server stays: nobody is to be sent elsewhere.
 func TestReplaced(t *testing.T) {
 	c := start(t, settings())
-	as := c.Step(0, []Event{req(1, 0), {Kind: Notice, At: 3 * time.Second, Replaced: true}}, nil)
-	want(t, as, Run, 1)
-	if find(as, Health, 0) != nil {
+	as := c.Step(0, []Event{req(1, 0), {Kind: EventDrain, StopAt: 3 * time.Second, Replaced: true}}, nil)
+	want(t, as, ActionRun, 1)
+	if find(as, ActionHealth, 0) != nil {
 		t.Error("health changed though the server stays")
 	}
 	as = nil
 	for now := time.Duration(0); now < 3*time.Second; now += 5 * ms {
 		as = c.Step(now, nil, as)
 	}
-	want(t, as, Fail, 1)
+	want(t, as, ActionFail, 1)
 }
 
 // New settings must not touch what runs, and the sums that they enter must fit again.
 func TestRetune(t *testing.T) {
 	c := start(t, settings())
-	want(t, c.Step(0, []Event{req(1, 1)}, nil), Run, 1)
+	want(t, c.Step(0, []Event{req(1, 1)}, nil), ActionRun, 1)
 	s := settings()
-	s.Classes[1].Gone = true
-	s.Classes = append(s.Classes, Class{Aim: time.Second, Deadline: 2 * time.Second, Value: 1})
-	s.RunBlow, s.KeyKB, s.CallsOver = 8, 20, time.Second
-	if err := c.Retune(s); err != nil {
+	s.Classes[1].Removed = true
+	s.Classes = append(s.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1})
+	s.RunningMemoryFactor, s.KeyMemoryKB, s.CallsWindow = 8, 20, time.Second
+	if err := c.Reconfigure(s); err != nil {
 		t.Fatal(err)
 	}
 	if c.memory != 8*10+20 {
 		t.Errorf("memory %v after new settings", c.memory)
 	}
-	want(t, c.Step(100*ms, []Event{req(2, 4)}, nil), Run, 2)
-	c.Step(200*ms, []Event{{Kind: Done, ID: 1, Took: 200 * ms}, {Kind: Done, ID: 2, Took: 100 * ms}}, nil)
+	want(t, c.Step(100*ms, []Event{req(2, 4)}, nil), ActionRun, 2)
+	c.Step(200*ms, []Event{{Kind: EventDone, ID: 1, Took: 200 * ms}, {Kind: EventDone, ID: 2, Took: 100 * ms}}, nil)
 	if c.runs != 0 || c.memory != 20 {
 		t.Errorf("%d runs and memory %v after all ended", c.runs, c.memory)
 	}
-	if c.Retune(settings()) == nil {
+	if c.Reconfigure(settings()) == nil {
 		t.Error("a class of requests that may be in hand was left out")
 	}
 	s.Cores = 0
-	if c.Retune(s) == nil || c.s.Cores == 0 {
+	if c.Reconfigure(s) == nil || c.s.Cores == 0 {
 		t.Error("settings that make no sense were taken over")
 	}
 }
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -39,29 +39,29 @@
 		{"no Classes", func(s *Settings) { s.Classes = nil }},
 		{"MemoryKB 0", func(s *Settings) { s.MemoryKB = 0 }},
 		{"MemoryKB NaN", func(s *Settings) { s.MemoryKB = math.NaN() }},
-		{"RunBlow -1", func(s *Settings) { s.RunBlow = -1 }},
-		{"RunBlow NaN", func(s *Settings) { s.RunBlow = math.NaN() }},
-		{"KeyKB -1", func(s *Settings) { s.KeyKB = -1 }},
-		{"CallsOut -1", func(s *Settings) { s.CallsOut = -1 }},
-		{"CallsOver -1ms", func(s *Settings) { s.CallsOver = -ms }},
-		{"CallLingers -1ms", func(s *Settings) { s.CallLingers = -ms }},
-		{"ColdFor -1ms", func(s *Settings) { s.ColdFor = -ms }},
-		{"CrowdOver -1ms", func(s *Settings) { s.CrowdOver = -ms }},
+		{"RunBlow -1", func(s *Settings) { s.RunningMemoryFactor = -1 }},
+		{"RunBlow NaN", func(s *Settings) { s.RunningMemoryFactor = math.NaN() }},
+		{"KeyKB -1", func(s *Settings) { s.KeyMemoryKB = -1 }},
+		{"CallsOut -1", func(s *Settings) { s.MaxCallsInFlight = -1 }},
+		{"CallsOver -1ms", func(s *Settings) { s.CallsWindow = -ms }},
+		{"CallLingers -1ms", func(s *Settings) { s.AbandonedCallTime = -ms }},
+		{"ColdFor -1ms", func(s *Settings) { s.SlowStartTime = -ms }},
+		{"CrowdOver -1ms", func(s *Settings) { s.ConcurrencyWindow = -ms }},
 		{"AnswerGrace -1ms", func(s *Settings) { s.AnswerGrace = -ms }},
 		{"DrainGrace -1ms", func(s *Settings) { s.DrainGrace = -ms }},
-		{"FreshFor -1ms", func(s *Settings) { s.FreshFor = -ms }},
+		{"FreshFor -1ms", func(s *Settings) { s.CacheTTL = -ms }},
 		{"MaxRetryAfter -1ms", func(s *Settings) { s.MaxRetryAfter = -ms }},
-		{"IdleAfter -1ms", func(s *Settings) { s.IdleAfter = -ms }},
+		{"IdleAfter -1ms", func(s *Settings) { s.IdleTimeout = -ms }},
 		{"Tick -1ms", func(s *Settings) { s.Tick = -ms }},
-		{"Aim 0", func(s *Settings) { s.Classes[0].Aim = 0 }},
+		{"Aim 0", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }},
 		{"Deadline 0", func(s *Settings) { s.Classes[1].Deadline = 0 }},
-		{"KeyWindow -1ms", func(s *Settings) { s.Classes[2].KeyWindow = -ms }},
+		{"KeyWindow -1ms", func(s *Settings) { s.Classes[2].IdempotencyWindow = -ms }},
 	} {
 		s := settings()
 		c.change(&s)
 		_, err := New(s, 7, 0)
 		fmt.Fprintf(&got, "%s\n\tNew: %v\n", c.name, err)
-		fmt.Fprintf(&got, "\tRetune: %v\n", start(t, settings()).Retune(s))
+		fmt.Fprintf(&got, "\tRetune: %v\n", start(t, settings()).Reconfigure(s))
 	}
 	requireGolden(t, "settings", got.String())
 }
@@ -74,7 +74,7 @@
 		enter func(*Controller)
 		leave func(*Controller)
 	}{
-		{"calls dropped", func(c *Controller) { c.protect = -1 }, func(c *Controller) { c.protect = BreakerProtect }},
+		{"calls dropped", func(c *Controller) { c.protect = -1 }, func(c *Controller) { c.protect = BreakerProtectedCalls }},
 		{"calls bounded", func(c *Controller) { c.callShare = callsLeast }, func(c *Controller) { c.callShare = callsRaise }},
 		{"share lowered", func(c *Controller) { c.share = shareDown }, func(c *Controller) { c.share = 1 }},
 		{"memory full", func(c *Controller) { c.memory = c.memoryLimit() + 1 }, func(c *Controller) { c.memory = 0 }},
@@ -92,14 +92,14 @@
 	}
 	for _, replaced := range []bool{false, true} {
 		fmt.Fprintf(&got, "notice, replaced %t\n", replaced)
-		logged(&got, start(t, settings()).Step(ms, []Event{{Kind: Notice, At: 3000 * ms, Replaced: replaced}}, nil))
+		logged(&got, start(t, settings()).Step(ms, []Event{{Kind: EventDrain, StopAt: 3000 * ms, Replaced: replaced}}, nil))
 	}
 	requireGolden(t, "reports", got.String())
 }
 
 func logged(got *strings.Builder, actions []Action) {
 	for _, a := range actions {
-		if a.Kind == Log {
+		if a.Kind == ActionLog {
 			fmt.Fprintf(got, "\t%s\n", a.Text)
 		}
 	}
@@ -108,7 +108,7 @@
 // The words for why a request was refused, which stand in the trail of a request.
 func TestGoldenReasons(t *testing.T) {
 	var got strings.Builder
-	for why := CoresBehind; why <= BelowCut; why++ {
+	for why := ReasonCPU; why <= ReasonBelowThreshold; why++ {
 		fmt.Fprintf(&got, "%d %s\n", why, why)
 	}
 	requireGolden(t, "reasons", got.String())
--- a/decide/large_test.go
+++ b/decide/large_test.go
@@ -14,15 +14,15 @@
 		"no fleet":          func(s *Settings) { s.FleetSize = 0 },
 		"negative fleet":    func(s *Settings) { s.FleetSize = -5 },
 		"huge fleet":        func(s *Settings) { s.FleetSize = math.MaxInt },
-		"no callers":        func(s *Settings) { s.Callers, s.Advert = 0, AdvertCredit },
-		"huge callers":      func(s *Settings) { s.Callers, s.Advert = math.MaxInt, AdvertCredit },
-		"share far below 1": func(s *Settings) { s.CallsOut = 1e-9 },
-		"no share":          func(s *Settings) { s.CallsOut = 0 },
+		"no callers":        func(s *Settings) { s.Clients, s.Advert = 0, AdvertCredit },
+		"huge callers":      func(s *Settings) { s.Clients, s.Advert = math.MaxInt, AdvertCredit },
+		"share far below 1": func(s *Settings) { s.MaxCallsInFlight = 1e-9 },
+		"no share":          func(s *Settings) { s.MaxCallsInFlight = 0 },
 		"one core":          func(s *Settings) { s.Cores = 1 },
 		"no tenants":        func(s *Settings) { s.Tenants = nil },
-		"no idle time":      func(s *Settings) { s.IdleAfter = 0 },
-		"no mean time":      func(s *Settings) { s.CallsOver = 0 },
-		"cold without time": func(s *Settings) { s.Cold, s.ColdFor, s.ColdShare = true, 0, 0 },
+		"no idle time":      func(s *Settings) { s.IdleTimeout = 0 },
+		"no mean time":      func(s *Settings) { s.CallsWindow = 0 },
+		"cold without time": func(s *Settings) { s.WarmingUp, s.SlowStartTime, s.SlowStartSpeedRatio = true, 0, 0 },
 	} {
 		s := settings()
 		change(&s)
@@ -35,28 +35,28 @@
 		for id := RequestID(1); id <= 400; id++ {
 			now := time.Duration(id) * 50 * ms
 			e := req(id, int(id)%4)
-			e.Caller = int(id)
-			events := []Event{e, {Kind: Timer, Gauges: Gauges{-1, -1, -1, -1}}}
+			e.Client = int(id)
+			events := []Event{e, {Kind: EventTimer, Gauges: Gauges{-1, -1, -1, -1}}}
 			for r := RequestID(1); r < id; r++ { // in order, so that a failure repeats
 				if at, ok := running[r]; ok && now > at+100*ms {
-					events = append(events, Event{Kind: Done, ID: r, Took: now - at})
+					events = append(events, Event{Kind: EventDone, ID: r, Took: now - at})
 					delete(running, r)
 				}
 			}
 			n := len(as)
 			as = c.Step(now, events, as)
 			for _, a := range as[n:] {
-				if a.Kind == Run {
+				if a.Kind == ActionRun {
 					running[a.ID] = now
 				}
 			}
 		}
 		runs := 0
 		for _, a := range as {
-			if math.IsNaN(a.Value) || math.IsInf(a.Value, 0) || a.Value < 0 || a.For < 0 || a.Cap < 0 || a.StayAway < 0 {
+			if math.IsNaN(a.Value) || math.IsInf(a.Value, 0) || a.Value < 0 || a.Duration < 0 || a.Timeout < 0 || a.RetryAfter < 0 {
 				t.Errorf("%s: action %+v", name, a)
 			}
-			if a.Kind == Run {
+			if a.Kind == ActionRun {
 				runs++
 			}
 		}
@@ -69,7 +69,7 @@
 func TestSharesThatAreNoNumbersAreNamed(t *testing.T) {
 	for _, v := range []float64{math.NaN(), -1} {
 		s := settings()
-		s.CallsOut = v
+		s.MaxCallsInFlight = v
 		if _, err := New(s, 1, 0); err == nil || !strings.Contains(err.Error(), "CallsOut") {
 			t.Errorf("CallsOut %v: error %v", v, err)
 		}
@@ -79,18 +79,18 @@
 // What a server keeps must not grow with the callers, subjects and keys that it meets over weeks.
 func TestStateStaysBoundedOverManyCallersAndKeys(t *testing.T) {
 	s := settings()
-	s.Cores, s.CallsOut = 2, 0.5
+	s.Cores, s.MaxCallsInFlight = 2, 0.5
 	c := start(t, s)
 	largest := 0
 	var as []Action
 	for id := RequestID(1); id <= 100000; id++ {
 		now := time.Duration(id) * 100 * ms
 		e := req(id, int(id)%4)
-		e.Caller, e.HasKey, e.Tenant, e.Repeat = int(id), true, int(id)%9, id%7 == 0
+		e.Client, e.HasSubject, e.Tenant, e.Retry = int(id), true, int(id)%9, id%7 == 0
 		events := []Event{e}
 		for _, a := range as { // what ran in the last batch is done in this one
-			if a.Kind == Run {
-				events = append(events, Event{Kind: Done, ID: a.ID, Took: 100 * ms})
+			if a.Kind == ActionRun {
+				events = append(events, Event{Kind: EventDone, ID: a.ID, Took: 100 * ms})
 			}
 		}
 		as = c.Step(now, events, as[:0])
--- a/decide/rest_test.go
+++ b/decide/rest_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-var calm = Gauges{CoreUse: 0.02, OnCores: 0, Heap: 0.1, Links: 20}
+var calm = Gauges{CPUUtilization: 0.02, CPUDemand: 0, MemoryUtilization: 0.1, Connections: 20}
 
 // wakes steps c at the times that it asks for, up to until, and returns how often that was.
 func wakes(c *Controller, until time.Duration, g Gauges) (n int) {
 	for ; c.wakeAt <= until; n++ {
-		c.Step(c.wakeAt, []Event{{Kind: Timer, Gauges: g}}, nil)
+		c.Step(c.wakeAt, []Event{{Kind: EventTimer, Gauges: g}}, nil)
 	}
 	return n
 }
@@ -21,14 +21,14 @@
 // that, with two more turns for the gauges each time.
 func TestAServerAtRestSleeps(t *testing.T) {
 	c := start(t, settings())
-	c.Step(1, []Event{{Kind: Timer, Gauges: calm}}, nil)
+	c.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
 	n := wakes(c, 10*time.Second, calm)
 	if n < 9 || n > 12 {
 		t.Errorf("%d wakes in ten seconds at rest", n)
 	}
 	// While the share recovers it is awake.
 	c.share = 0.3 // of which the sweeps left out so far make up for some
-	c.Step(c.wakeAt, []Event{{Kind: Timer, Gauges: calm}}, nil)
+	c.Step(c.wakeAt, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
 	if n = wakes(c, c.now+2*time.Second, calm); n < 19 {
 		t.Errorf("%d wakes in two seconds of recovery", n)
 	}
@@ -46,20 +46,20 @@
 		sleeps, sweeps := start(t, settings()), start(t, settings())
 		rng := rand.New(rand.NewPCG(seed, 5))
 		now, id := time.Duration(0), RequestID(0)
-		sleeps.Step(1, []Event{{Kind: Timer, Gauges: calm}}, nil)
-		sweeps.Step(1, []Event{{Kind: Timer, Gauges: calm}}, nil)
+		sleeps.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
+		sweeps.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
 		for round := range 20 {
 			now += time.Duration(rng.IntN(60)+1) * 100 * ms
 			wakes(sleeps, now, calm)
 			for sweeps.sweepAt <= now {
-				sweeps.Step(sweeps.sweepAt, []Event{{Kind: Timer, Gauges: calm}}, nil)
+				sweeps.Step(sweeps.sweepAt, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
 			}
 			now = max(sweeps.now, sleeps.now) + 50*ms // within a sweep
 			id++
 			class := 1 + rng.IntN(3)
-			script := [][]Event{{req(id, class)}, {{Kind: WantsCall, ID: id}},
-				{{Kind: CallResult, ID: id, Outcome: OK, Took: time.Duration(rng.IntN(40)) * ms}},
-				{{Kind: Done, ID: id, Outcome: OK, Took: 30 * ms}}}
+			script := [][]Event{{req(id, class)}, {{Kind: EventCallNeeded, ID: id}},
+				{{Kind: EventCallDone, ID: id, Outcome: OutcomeOK, Took: time.Duration(rng.IntN(40)) * ms}},
+				{{Kind: EventDone, ID: id, Outcome: OutcomeOK, Took: 30 * ms}}}
 			for _, events := range script {
 				a := sleeps.Step(now, events, nil)
 				b := sweeps.Step(now, events, nil)
@@ -71,8 +71,8 @@
 			// Both see the end of the recovery awake.
 			for range 40 {
 				now += 100 * ms
-				sleeps.Step(now, []Event{{Kind: Timer, Gauges: calm}}, nil)
-				sweeps.Step(now, []Event{{Kind: Timer, Gauges: calm}}, nil)
+				sleeps.Step(now, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
+				sweeps.Step(now, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
 			}
 			if got, want := state6(sleeps), state6(sweeps); got != want {
 				t.Fatalf("seed %d, round %d: %s, and without rest %s", seed, round, got, want)
@@ -84,7 +84,7 @@
 // deeds are the actions but for wakes.
 func deeds(as []Action) (s string) {
 	for _, a := range as {
-		if a.Kind != Wake {
+		if a.Kind != ActionWake {
 			s += fmt.Sprintf("%+v; ", a)
 		}
 	}
@@ -104,21 +104,21 @@
 			s := settings()
 			s.MemoryKB, s.Cores = 1e9, 64
 			for i := range s.Classes {
-				s.Classes[i].Aim, s.Classes[i].Deadline = time.Hour, time.Hour
+				s.Classes[i].LatencyObjective, s.Classes[i].Deadline = time.Hour, time.Hour
 			}
 			c := start(b, s)
 			now, id := time.Duration(1), RequestID(0)
 			for range inHand {
 				id++
-				c.Step(now, []Event{{Kind: Request, ID: id, Class: 0, MemoryKB: 1, Hint: time.Microsecond}}, nil)
+				c.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 0, MemoryKB: 1, CostHint: time.Microsecond}}, nil)
 			}
 			var actions []Action
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
 				now += 100 * time.Microsecond
-				actions = c.Step(now, []Event{{Kind: Request, ID: id, Class: 3, MemoryKB: 1, Hint: time.Microsecond},
-					{Kind: Gone, ID: id}}, actions[:0])
+				actions = c.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 3, MemoryKB: 1, CostHint: time.Microsecond},
+					{Kind: EventCancelled, ID: id}}, actions[:0])
 			}
 		})
 	}
--- a/decide/state.go
+++ b/decide/state.go
@@ -24,7 +24,7 @@
 	id                    RequestID
 	class, tenant         int
 	state                 state
-	standing              Standing
+	standing              FleetRank
 	answered, ran, repeat bool
 	kept, gone            bool
 	kb                    float64
@@ -153,7 +153,7 @@
 		c.callCredit += dt.Seconds() * (limit - float64(c.inHand+c.lingers))
 		next := math.Floor(limit) + 1
 		most := limit * callsPace.Seconds() * (next - limit) / next // lasts for callsPace at next calls in hand
-		c.callCredit = max(min(c.callCredit, most), -limit*c.s.CallsOver.Seconds())
+		c.callCredit = max(min(c.callCredit, most), -limit*c.s.CallsWindow.Seconds())
 		c.inCalls.add(now, dt.Seconds()*float64(c.inHand+c.lingers), 0)
 		c.now = now
 	}
@@ -169,11 +169,11 @@
 
 // recount sums up the memory anew, which depends on the settings.
 func (c *Controller) recount() {
-	c.memory = float64(len(c.entries)) * c.s.KeyKB
+	c.memory = float64(len(c.entries)) * c.s.KeyMemoryKB
 	for _, j := range c.jobs {
 		c.memory += j.kb
 		if j.state >= running {
-			c.memory += (c.s.RunBlow - 1) * j.kb
+			c.memory += (c.s.RunningMemoryFactor - 1) * j.kb
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	}
 	c.memory -= j.kb
 	if j.state >= running {
-		c.memory -= (c.s.RunBlow - 1) * j.kb
+		c.memory -= (c.s.RunningMemoryFactor - 1) * j.kb
 		c.runs--
 		c.runWork = max(c.runWork-j.work, 0)
 	}
@@ -214,38 +214,38 @@
 
 func (c *Controller) event(e *Event) {
 	switch e.Kind {
-	case Request:
+	case EventRequest:
 		c.request(e)
-	case Done:
+	case EventDone:
 		c.done(e)
-	case Gone:
+	case EventCancelled:
 		c.goneEvent(e)
-	case WantsCall:
+	case EventCallNeeded:
 		c.wantsCall(e)
-	case CallResult:
+	case EventCallDone:
 		c.callResult(e)
-	case Notice:
+	case EventDrain:
 		c.notice(e)
-	case Withdraw, Restore:
-		c.withdraw(e.Kind == Withdraw)
-	case Timer:
+	case EventDeregister, EventReregister:
+		c.withdraw(e.Kind == EventDeregister)
+	case EventTimer:
 		c.gauges = e.Gauges
 	}
 }
 
 func (c *Controller) enter(j *job, keepFor time.Duration) {
 	j.kept = true
-	c.memory += c.s.KeyKB
+	c.memory += c.s.KeyMemoryKB
 	c.entries[j.id] = &entry{expires: c.now + keepFor}
 	c.dues.push(c.now+keepFor, due{kind: dueEntry, id: j.id})
-	c.emit(Action{Kind: Keep, ID: j.id, For: keepFor})
+	c.emit(Action{Kind: ActionRemember, ID: j.id, Duration: keepFor})
 }
 
 func (c *Controller) forget(j *job) {
 	j.kept = false
 	if e := c.entries[j.id]; e != nil && e.expires > c.now {
-		c.memory -= c.s.KeyKB
-		c.emit(Action{Kind: Forget, ID: j.id})
+		c.memory -= c.s.KeyMemoryKB
+		c.emit(Action{Kind: ActionForget, ID: j.id})
 		delete(c.entries, j.id)
 	}
 }
@@ -263,9 +263,9 @@
 }
 
 func (c *Controller) linger() {
-	if c.s.CallLingers > 0 {
+	if c.s.AbandonedCallTime > 0 {
 		c.lingers++
-		c.dues.push(c.now+c.s.CallLingers, due{kind: dueLinger})
+		c.dues.push(c.now+c.s.AbandonedCallTime, due{kind: dueLinger})
 	}
 }
 
@@ -301,7 +301,7 @@
 	}
 	if c.wakeAt <= c.now || next < c.wakeAt {
 		c.wakeAt = max(next, c.now+1)
-		c.emit(Action{Kind: Wake, At: c.wakeAt})
+		c.emit(Action{Kind: ActionWake, At: c.wakeAt})
 	}
 }
 
@@ -318,8 +318,8 @@
 	}
 	k.on, k.told = on, max(c.now, 1)
 	if on {
-		c.emit(Action{Kind: Log, Text: what + ": begins"})
+		c.emit(Action{Kind: ActionLog, Text: what + ": begins"})
 	} else {
-		c.emit(Action{Kind: Log, Text: what + ": ends"})
+		c.emit(Action{Kind: ActionLog, Text: what + ": ends"})
 	}
 }
--- a/decide/symptoms_test.go
+++ b/decide/symptoms_test.go
@@ -11,7 +11,7 @@
 func TestFurtherTriesHaveLessOfTheirAimLeft(t *testing.T) {
 	c := start(t, settings())
 	again := req(1, 0)
-	again.Repeat = true
+	again.Retry = true
 	c.Step(0, []Event{again}, nil)
 	if got := c.jobs[1].aim; got >= 2*time.Second {
 		t.Errorf("a further try has its whole aim of %v left", got)
@@ -21,25 +21,25 @@
 func TestRefusalsSayWhetherToTryElsewhere(t *testing.T) {
 	refusal := func(prepare func(*Controller, *Event)) *Action {
 		c := start(t, settings())
-		c.s.MarksRepeat = true
+		c.s.MarksRetries = true
 		c.speed.a = 1e-6 // so slow that nothing is in time
 		for id := RequestID(100); id < 110; id++ {
 			c.Step(0, []Event{req(id, 0)}, nil)
 		}
 		e := req(1, 0)
 		prepare(c, &e)
-		return want(t, c.Step(0, []Event{e}, nil), Refuse, 1)
+		return want(t, c.Step(0, []Event{e}, nil), ActionReject, 1)
 	}
-	if a := refusal(func(*Controller, *Event) {}); a.DontRetry || a.StayAway <= 0 {
+	if a := refusal(func(*Controller, *Event) {}); a.NoRetryElsewhere || a.RetryAfter <= 0 {
 		t.Errorf("trouble of this server alone: %+v", *a)
 	}
 	for _, marks := range []bool{true, false} {
-		storm := func(c *Controller, _ *Event) { c.s.MarksRepeat, c.arrivals.a, c.arrivals.b = marks, 10, 9 }
-		if a := refusal(storm); !a.DontRetry {
+		storm := func(c *Controller, _ *Event) { c.s.MarksRetries, c.arrivals.a, c.arrivals.b = marks, 10, 9 }
+		if a := refusal(storm); !a.NoRetryElsewhere {
 			t.Errorf("in a storm the caller is sent on (tries marked: %v)", marks)
 		}
 	}
-	if a := refusal(func(_ *Controller, e *Event) { e.Waited = 1500 * ms }); !a.DontRetry {
+	if a := refusal(func(_ *Controller, e *Event) { e.Waited = 1500 * ms }); !a.NoRetryElsewhere {
 		t.Error("a request whose aim is nearly over is sent on")
 	}
 }
@@ -48,15 +48,15 @@
 // whatever comes, and one that can hand its caller on does not end the request.
 func TestWhatTheFleetMakesOfARequest(t *testing.T) {
 	for _, x := range []struct {
-		standing   Standing
+		standing   FleetRank
 		storm, end bool
 		why        Reason
-	}{{Unranked, false, false, CoresBehind}, {Unranked, true, true, CoresBehind}, {Elsewhere, true, false, CoresBehind},
-		{Full, false, true, CoresBehind}, {Outranked, false, true, BelowCut}} {
+	}{{RankUnknown, false, false, ReasonCPU}, {RankUnknown, true, true, ReasonCPU}, {RankElsewhere, true, false, ReasonCPU},
+		{RankFull, false, true, ReasonCPU}, {RankBelowThreshold, false, true, ReasonBelowThreshold}} {
 		c := start(t, settings())
 		e := req(1, 0)
-		e.Standing = x.standing
-		want(t, c.Step(0, []Event{e}, nil), Run, 1)
+		e.FleetRank = x.standing
+		want(t, c.Step(0, []Event{e}, nil), ActionRun, 1)
 		for id := RequestID(100); id < 110; id++ {
 			c.Step(0, []Event{req(id, 0)}, nil)
 		}
@@ -65,7 +65,7 @@
 			c.arrivals.a, c.arrivals.b = 10, 9
 		}
 		e.ID = 2
-		if a := want(t, c.Step(0, []Event{e}, nil), Refuse, 2); a.DontRetry != x.end || a.Why != x.why || x.end == (a.StayAway > 0) {
+		if a := want(t, c.Step(0, []Event{e}, nil), ActionReject, 2); a.NoRetryElsewhere != x.end || a.Reason != x.why || x.end == (a.RetryAfter > 0) {
 			t.Errorf("%+v: %+v", x, *a)
 		}
 	}
@@ -81,29 +81,29 @@
 			c.callTime.v = 1.9
 		}
 		for range 4 {
-			c.feed(TimedOut)
+			c.feed(OutcomeTimedOut)
 		}
-		c.Protect(protect)
+		c.SetProtectedCalls(protect)
 		for id := RequestID(1); id < 4; id++ {
 			c.Step(c.now+1, []Event{req(id, 3)}, nil)
-			as := c.Step(c.now+1, []Event{{Kind: WantsCall, ID: id}}, nil)
-			if find(as, Call, id) != nil {
+			as := c.Step(c.now+1, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+			if find(as, ActionCall, id) != nil {
 				n++
-			} else if find(as, Skip, id) == nil {
+			} else if find(as, ActionSkipCall, id) == nil {
 				t.Errorf("request %d neither calls nor goes on", id)
 			}
 		}
 		return n
 	}
 	c := start(t, settings())
-	c.Protect(-1)
-	if a := want(t, c.Step(0, []Event{req(1, 1)}, nil), Refuse, 1); a.Why != CallsBehind {
+	c.SetProtectedCalls(-1)
+	if a := want(t, c.Step(0, []Event{req(1, 1)}, nil), ActionReject, 1); a.Reason != ReasonDependency {
 		t.Errorf("a request that would fail at its call: %+v", *a)
 	}
 	if n := calls(-1); n != 0 {
 		t.Errorf("%d calls by one whose turn it is not", n)
 	}
-	if n := calls(BreakerProtect); n != 3 {
+	if n := calls(BreakerProtectedCalls); n != 3 {
 		t.Errorf("%d calls of 3 within what is protected", n)
 	}
 }
@@ -142,21 +142,21 @@
 	for range 100 {
 		c.adjustCalls()
 	}
-	if low >= high/1.5 || c.callLimit() < high*0.99 || low < callsLeast*c.s.CallsOut*0.99 {
+	if low >= high/1.5 || c.callLimit() < high*0.99 || low < callsLeast*c.s.MaxCallsInFlight*0.99 {
 		t.Errorf("bound %v, then %v while slow, then %v", high, low, c.callLimit())
 	}
 }
 
 func TestASmallShareOfCallsIsKeptInTheMean(t *testing.T) {
 	s := settings()
-	s.CallsOut, s.Below = 1.95, BelowShared
+	s.MaxCallsInFlight, s.Dependency = 1.95, DependencyShared
 	c := start(t, s)
 	c.callTime, c.callShare = mean{0.05, true}, 0.7
 	c.inHand = 1
 	if c.mayCall(time.Second) <= 0 {
 		t.Error("no second call though the mean is far under the bound")
 	}
-	c.inCalls.add(c.now, c.callLimit()*s.CallsOver.Seconds()+0.1, 0)
+	c.inCalls.add(c.now, c.callLimit()*s.CallsWindow.Seconds()+0.1, 0)
 	c.callCredit = -0.1
 	if c.mayCall(time.Second) > 0 {
 		t.Error("a second call though the mean is over the bound")
@@ -165,7 +165,7 @@
 	if c.mayCall(time.Second) <= 0 {
 		t.Error("no call at all")
 	}
-	c.s.CallsOut = 0.3
+	c.s.MaxCallsInFlight = 0.3
 	if got := c.mayCall(3 * time.Second); got > 0 {
 		t.Errorf("a call of %v though the share is used up", got)
 	}
@@ -176,7 +176,7 @@
 // be forgotten after 1.5 s, and the fleet had three times as many calls in hand as it had agreed on.
 func TestATenthOfACallIsKeptThoughCallsAreLong(t *testing.T) {
 	s := settings()
-	s.CallsOut = 0.2
+	s.MaxCallsInFlight = 0.2
 	c := start(t, s)
 	c.callShare = callsLeast
 	const step = 10 * ms
@@ -203,7 +203,7 @@
 // order that fails at its call has run, and no other try of it may.
 func TestWhatIsOverdrawnCountsAsWaiting(t *testing.T) {
 	s := settings()
-	s.CallsOut = 0.2
+	s.MaxCallsInFlight = 0.2
 	c := start(t, s)
 	c.callShare, c.callTime = callsLeast, mean{0.3, true}
 	c.callCredit = 0.01
@@ -215,13 +215,13 @@
 		t.Errorf("a wait of %v s, want %v", w, want)
 	}
 	// One runs all the same, so that a recovery is noticed. It waits for its call, and no further one runs in vain.
-	want(t, c.Step(c.now+1, []Event{req(1, 1)}, nil), Run, 1)
-	c.Step(c.now+1, []Event{{Kind: WantsCall, ID: 1}}, nil)
+	want(t, c.Step(c.now+1, []Event{req(1, 1)}, nil), ActionRun, 1)
+	c.Step(c.now+1, []Event{{Kind: EventCallNeeded, ID: 1}}, nil)
 	as := c.Step(c.now+1, []Event{req(2, 1)}, nil)
-	if a := want(t, as, Refuse, 2); a.Why != CallsBehind {
-		t.Errorf("refused since %v", a.Why)
+	if a := want(t, as, ActionReject, 2); a.Reason != ReasonDependency {
+		t.Errorf("refused since %v", a.Reason)
 	}
-	s.CallsOut = 20 // with whole calls the bound itself admits the next one
+	s.MaxCallsInFlight = 20 // with whole calls the bound itself admits the next one
 	c = start(t, s)
 	c.callTime, c.callCredit = mean{0.3, true}, -1
 	if w := c.callWait(); w != 0 {
@@ -235,7 +235,7 @@
 	for i := range 400 { // 4 s of arrivals, no run ends
 		as = c.Step(time.Duration(i)*10*ms, []Event{req(RequestID(i+1), 0)}, nil)
 	}
-	want(t, as, Refuse, 400)
+	want(t, as, ActionReject, 400)
 	c.Step(4100*ms, nil, nil)
 	if c.heldN > 2*c.s.Cores {
 		t.Errorf("%d requests held by a hung server", c.heldN)
@@ -244,9 +244,9 @@
 
 func TestWorthyArrivalsPushOutTheLeast(t *testing.T) {
 	s := settings()
-	s.CallsOut, s.Below = 0, BelowOff
+	s.MaxCallsInFlight, s.Dependency = 0, DependencyNone
 	for i := range s.Classes {
-		s.Classes[i].Calls = false
+		s.Classes[i].CallsDependency = false
 	}
 	c := start(t, s)
 	id := RequestID(0)
@@ -254,10 +254,10 @@
 		id++
 		c.Step(0, []Event{req(id, 0)}, nil)
 	}
-	c.s.Classes[0].Value, c.s.Classes[1].Value = 1, 3
+	c.s.Classes[0].PriorityWeight, c.s.Classes[1].PriorityWeight = 1, 3
 	id++
 	as := c.Step(0, []Event{req(id, 1)}, nil)
-	wantNone(t, as, Refuse, id)
+	wantNone(t, as, ActionReject, id)
 	if c.jobs[id] == nil {
 		t.Error("a keyed request worth more was turned away for held ones worth less")
 	}
@@ -269,21 +269,21 @@
 		s.Cores = cores
 		c := start(t, s)
 		c.speed.a, c.callTime = 1e-6, mean{9, true}
-		want(t, c.Step(0, []Event{req(1, 0)}, nil), Run, 1)
+		want(t, c.Step(0, []Event{req(1, 0)}, nil), ActionRun, 1)
 	}
 }
 
 func TestRunsAtCallsCountForTheCrowd(t *testing.T) {
 	s := settings()
-	s.Cold, s.MemoryKB, s.CallsOut, s.Below = true, 1e6, 0, BelowTier
+	s.WarmingUp, s.MemoryKB, s.MaxCallsInFlight, s.Dependency = true, 1e6, 0, DependencyTier
 	c := start(t, s)
 	for id := RequestID(1); id <= 60; id++ {
 		as := c.Step(0, []Event{req(id, 0)}, nil)
-		if find(as, Run, id) != nil {
-			c.Step(0, []Event{{Kind: WantsCall, ID: id}}, nil)
+		if find(as, ActionRun, id) != nil {
+			c.Step(0, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
 		}
 	}
-	if limit := float64(s.Cores) * (1 + (s.CrowdPerCore-1)*s.ColdShare); c.runs == 0 || float64(c.runs) > limit {
+	if limit := float64(s.Cores) * (1 + (s.MaxConcurrencyPerCore-1)*s.SlowStartSpeedRatio); c.runs == 0 || float64(c.runs) > limit {
 		t.Errorf("%d runs might come back to the cores at once, a cold server survives %v", c.runs, limit)
 	}
 }
@@ -292,8 +292,8 @@
 	c := start(t, settings())
 	c.callShare, c.callTime = 5, mean{0.5, true}
 	for c.inHand = 0; c.mayCall(10*time.Second) == 10*time.Second; c.inHand++ {
-		if float64(c.inHand) > c.s.CallsOut {
-			t.Fatalf("an uncut call beside %d of a share of %v", c.inHand, c.s.CallsOut)
+		if float64(c.inHand) > c.s.MaxCallsInFlight {
+			t.Fatalf("an uncut call beside %d of a share of %v", c.inHand, c.s.MaxCallsInFlight)
 		}
 	}
 }
@@ -303,11 +303,11 @@
 		s := settings()
 		s.Advert = advert
 		c := start(t, s)
-		as := c.Step(200*ms, []Event{{Kind: Notice, At: 5 * time.Second}}, nil)
-		if a := want(t, as, Advertise, 0); a.Value != value {
+		as := c.Step(200*ms, []Event{{Kind: EventDrain, StopAt: 5 * time.Second}}, nil)
+		if a := want(t, as, ActionAdvertise, 0); a.Value != value {
 			t.Errorf("advert %d: value %v, want %v", advert, a.Value, value)
 		}
-		if a := want(t, as, Health, 0); a.Good || !a.Stored {
+		if a := want(t, as, ActionHealth, 0); a.Healthy || !a.Cached {
 			t.Errorf("health %+v", *a)
 		}
 	}
@@ -344,13 +344,13 @@
 func TestIdleConnectionsAreClosedSoonWhereCallersSeldomComeBack(t *testing.T) {
 	for callers, closed := range map[int]bool{5: false, 1000: true} {
 		s := settings()
-		s.Callers = callers
+		s.Clients = callers
 		c := start(t, s)
 		for i := range 1000 { // 10 requests a second
 			c.Step(time.Duration(i)*100*ms, []Event{req(RequestID(i+1), 0)}, nil)
-			c.Step(time.Duration(i)*100*ms+50*ms, []Event{{Kind: Done, ID: RequestID(i + 1)}}, nil)
+			c.Step(time.Duration(i)*100*ms+50*ms, []Event{{Kind: EventDone, ID: RequestID(i + 1)}}, nil)
 		}
-		if got := c.idleSaid < s.IdleAfter; got != closed {
+		if got := c.idleSaid < s.IdleTimeout; got != closed {
 			t.Errorf("%d callers: idle limit %v", callers, c.idleSaid)
 		}
 	}
@@ -363,7 +363,7 @@
 		e := req(RequestID(now+1), 0)
 		e.Waited = 900 * ms
 		for _, a := range c.Step(now, []Event{e}, nil) {
-			if a.Kind == Health {
+			if a.Kind == ActionHealth {
 				answers++
 			}
 		}
@@ -380,33 +380,33 @@
 	if c.unwell || c.readWait.v > 0.2 {
 		t.Errorf("unwell %v, wait %v s, though nothing comes any more", c.unwell, c.readWait.v)
 	}
-	c.Step(20*time.Second, []Event{{Kind: Notice, At: 25 * time.Second}}, nil)
+	c.Step(20*time.Second, []Event{{Kind: EventDrain, StopAt: 25 * time.Second}}, nil)
 	e := req(1, 0)
 	e.Waited = 5 * time.Second
 	as := c.Step(21*time.Second, []Event{e}, nil)
 	as = c.Step(23*time.Second, nil, as)
-	wantNone(t, as, Health, 0)
+	wantNone(t, as, ActionHealth, 0)
 }
 
 func TestCreditIsSharedByAllCallers(t *testing.T) {
 	s := settings()
-	s.Advert, s.Callers = AdvertCredit, 1000
+	s.Advert, s.Clients = AdvertCredit, 1000
 	c, _ := New(s, 1, 0)
-	if a := want(t, c.Step(0, nil, nil), Advertise, 0); a.Value <= 0 || a.Value*1000 > runsMost*2*float64(s.Cores) {
+	if a := want(t, c.Step(0, nil, nil), ActionAdvertise, 0); a.Value <= 0 || a.Value*1000 > runsMost*2*float64(s.Cores) {
 		t.Errorf("credit %v", a.Value)
 	}
 }
 
 func TestAShareOfCallsBelowOneIsNotSpentInOneBurst(t *testing.T) {
 	s := settings()
-	s.CallsOut, s.CallLingers = 0.5, 0
+	s.MaxCallsInFlight, s.AbandonedCallTime = 0.5, 0
 	c := start(t, s)
 	c.pass(20 * time.Second) // a long time without a call saves nothing up
 	c.inHand = 1
 	c.pass(21 * time.Second)
 	c.inHand = 0
 	if got := c.mayCall(time.Second); got > 0 {
-		t.Errorf("a call of %v right after one of 1 s on a share of %v", got, s.CallsOut)
+		t.Errorf("a call of %v right after one of 1 s on a share of %v", got, s.MaxCallsInFlight)
 	}
 	c.pass(23 * time.Second)
 	if got := c.mayCall(time.Second); got > 0 {
@@ -421,18 +421,18 @@
 func TestAStormIsKnownByMarksOrByRefusals(t *testing.T) {
 	for _, marks := range []bool{true, false} {
 		s := settings()
-		s.MarksRepeat = marks
+		s.MarksRetries = marks
 		c := start(t, s)
 		c.speed.a = 1e-6
 		var last *Action
 		for id := RequestID(1); id <= 60; id++ {
 			e := req(id, 0)
-			e.Repeat = marks
-			if a := find(c.Step(0, []Event{e}, nil), Refuse, id); a != nil {
+			e.Retry = marks
+			if a := find(c.Step(0, []Event{e}, nil), ActionReject, id); a != nil {
 				last = a
 			}
 		}
-		if last == nil || !last.DontRetry {
+		if last == nil || !last.NoRetryElsewhere {
 			t.Errorf("marks %v: %+v after 60 arrivals that are nearly all refused", marks, last)
 		}
 	}
@@ -445,7 +445,7 @@
 		now := time.Duration(i+1) * sweepEvery
 		c.callShare = []float64{callsLeast, callsRaise}[i%2]
 		for _, a := range c.Step(now, nil, nil) {
-			if a.Kind == Log {
+			if a.Kind == ActionLog {
 				lines[a.Text]++
 			}
 		}
@@ -453,8 +453,8 @@
 	if n := lines["bound on calls at its least: begins"]; n == 0 || n > 4 {
 		t.Errorf("log lines %v", lines)
 	}
-	as := c.Step(21*time.Second, []Event{{Kind: Notice, At: 25 * time.Second}}, nil)
-	if a := want(t, as, Log, 0); a.Text != "drain begins" {
+	as := c.Step(21*time.Second, []Event{{Kind: EventDrain, StopAt: 25 * time.Second}}, nil)
+	if a := want(t, as, ActionLog, 0); a.Text != "drain begins" {
 		t.Errorf("log line %q", a.Text)
 	}
 }
@@ -477,12 +477,12 @@
 		}
 		ctl.callTime = mean{c.took, true}
 		as := atCall(t, ctl, 0, 7, 3)
-		if got := find(as, Skip, 7) != nil; got != c.skips {
+		if got := find(as, ActionSkipCall, 7) != nil; got != c.skips {
 			t.Errorf("calls take %v s: skipped is %v", c.took, got)
 		}
 		for id := RequestID(1); id <= 5; id++ {
-			wantNone(t, as, Skip, id)
-			wantNone(t, as, Fail, id)
+			wantNone(t, as, ActionSkipCall, id)
+			wantNone(t, as, ActionFail, id)
 		}
 	}
 }
--- a/internal/agent/codec.go
+++ b/internal/agent/codec.go
@@ -17,13 +17,13 @@
 
 // The kinds of Notice.
 const (
-	Greeting  Kind = "greeting"
-	Outcome   Kind = "outcome"   // a run is over
-	Request   Kind = "request"   // a run waits for a call
-	Sampled   Kind = "sampled"   // the gauges
-	Exercised Kind = "exercised" // a deep health check's work is done
-	Refusal   Kind = "refusal"   // a command was not carried out
-	Aside     Kind = "aside"
+	Handshake       Kind = "greeting"
+	Outcome         Kind = "outcome"   // a run is over
+	CallRequest     Kind = "request"   // a run waits for a call
+	Gauges          Kind = "sampled"   // the gauges
+	DeepCheckDone   Kind = "exercised" // a deep health check's work is done
+	CommandRejected Kind = "refusal"   // a command was not carried out
+	Aside           Kind = "aside"
 )
 
 // The results of an Outcome or Exercised, and the states of a Greeting.
@@ -36,29 +36,29 @@
 	Steady      = "steady"
 )
 
-// Notice is one line from the agent; only the members of its kind are set.
-type Notice struct {
-	Kind    Kind
-	Offset  int64
-	Req     string
-	Result  string
-	Elapsed time.Duration
-	Payload []byte
-	Token   string
-	Load    []float64
+// Notification is one line from the agent; only the members of its kind are set.
+type Notification struct {
+	Kind      Kind
+	Offset    int64
+	RequestID string
+	Result    string
+	Elapsed   time.Duration
+	Payload   []byte
+	Token     string
+	Load      []float64
 }
 
 // parser reads lines; it is used again for each.
 type parser struct{ json fastjson.Parser }
 
 // parse reads a line. Nothing of the Notice refers to the line.
-func (p *parser) parse(line []byte) (Notice, error) {
+func (p *parser) parse(line []byte) (Notification, error) {
 	v, err := p.json.ParseBytes(line)
 	if err != nil {
-		return Notice{}, err
+		return Notification{}, err
 	}
 	text := func(name string) string { return string(v.GetStringBytes(name)) }
-	n := Notice{Kind: Kind(text("cmd")), Offset: v.GetInt64("offset"), Req: text("req"), Result: text("result"),
+	n := Notification{Kind: Kind(text("cmd")), Offset: v.GetInt64("offset"), RequestID: text("req"), Result: text("result"),
 		Token: text("token")}
 	ms := v.GetFloat64("elapsed_ms")
 	if math.IsNaN(ms) || ms < 0 || ms > 1e11 {
@@ -66,8 +66,8 @@
 	}
 	n.Elapsed = time.Duration(ms * float64(time.Millisecond))
 	switch n.Kind {
-	case Outcome, Request:
-		if n.Offset <= 0 || n.Req == "" {
+	case Outcome, CallRequest:
+		if n.Offset <= 0 || n.RequestID == "" {
 			return n, fmt.Errorf("%s: want an offset and a req", n.Kind)
 		}
 		if n.Kind == Outcome && !slices.Contains([]string{Success, Failure, Interrupted, Nothing}, n.Result) {
@@ -77,11 +77,11 @@
 		if err != nil {
 			return n, fmt.Errorf("payload: %w", err)
 		}
-	case Greeting:
+	case Handshake:
 		if n.Result != Booting && n.Result != Steady {
 			return n, fmt.Errorf("greeting: unknown state %.40q", n.Result)
 		}
-	case Sampled:
+	case Gauges:
 		for _, g := range v.GetArray("load") {
 			f, err := g.Float64()
 			if err != nil || math.IsNaN(f) {
@@ -89,7 +89,7 @@
 			}
 			n.Load = append(n.Load, f)
 		}
-	case Exercised, Refusal:
+	case DeepCheckDone, CommandRejected:
 	case Aside:
 		if n.Offset < 0 {
 			return n, errors.New("aside: negative offset")
--- a/internal/agent/codec_test.go
+++ b/internal/agent/codec_test.go
@@ -10,16 +10,16 @@
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		line string
-		want Notice
+		want Notification
 	}{
-		{`{"cmd":"greeting","result":"steady","elapsed_ms":12.5}`, Notice{Kind: Greeting, Result: Steady, Elapsed: 12500 * time.Microsecond}},
+		{`{"cmd":"greeting","result":"steady","elapsed_ms":12.5}`, Notification{Kind: Handshake, Result: Steady, Elapsed: 12500 * time.Microsecond}},
 		{`{"cmd":"outcome","offset":7,"req":"ab","result":"success","elapsed_ms":40,"payload":"AP8="}`,
-			Notice{Kind: Outcome, Offset: 7, Req: "ab", Result: Success, Elapsed: 40 * time.Millisecond, Payload: []byte{0, 255}}},
-		{`{"cmd":"request","offset":8,"req":"ab","payload":"aGk="}`, Notice{Kind: Request, Offset: 8, Req: "ab", Payload: []byte("hi")}},
-		{`{"cmd":"sampled","token":"4","load":[0.5,null,nan,2]}`, Notice{Kind: Sampled, Token: "4", Load: []float64{0.5, -1, -1, 2}}},
-		{`{"cmd":"exercised","token":"x1","result":"failure"}`, Notice{Kind: Exercised, Token: "x1", Result: Failure}},
-		{`{"cmd":"refusal","result":"launch","req":"ab"}`, Notice{Kind: Refusal, Req: "ab", Result: "launch"}},
-		{`{"cmd":"aside","offset":9,"result":"so it goes","new":{}}`, Notice{Kind: Aside, Offset: 9, Result: "so it goes"}},
+			Notification{Kind: Outcome, Offset: 7, RequestID: "ab", Result: Success, Elapsed: 40 * time.Millisecond, Payload: []byte{0, 255}}},
+		{`{"cmd":"request","offset":8,"req":"ab","payload":"aGk="}`, Notification{Kind: CallRequest, Offset: 8, RequestID: "ab", Payload: []byte("hi")}},
+		{`{"cmd":"sampled","token":"4","load":[0.5,null,nan,2]}`, Notification{Kind: Gauges, Token: "4", Load: []float64{0.5, -1, -1, 2}}},
+		{`{"cmd":"exercised","token":"x1","result":"failure"}`, Notification{Kind: DeepCheckDone, Token: "x1", Result: Failure}},
+		{`{"cmd":"refusal","result":"launch","req":"ab"}`, Notification{Kind: CommandRejected, RequestID: "ab", Result: "launch"}},
+		{`{"cmd":"aside","offset":9,"result":"so it goes","new":{}}`, Notification{Kind: Aside, Offset: 9, Result: "so it goes"}},
 	} {
 		var p parser
 		n, err := p.parse([]byte(c.line))
@@ -58,7 +58,7 @@
 	f.Add([]byte(`{"cmd":"sampled","token":"4","load":[0.5,null,nan,2]}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		var p parser
-		if n, err := p.parse(line); err == nil && (n.Elapsed < 0 || n.Offset < 0 && n.Kind != Sampled && n.Kind != Greeting && n.Kind != Exercised && n.Kind != Refusal) {
+		if n, err := p.parse(line); err == nil && (n.Elapsed < 0 || n.Offset < 0 && n.Kind != Gauges && n.Kind != Handshake && n.Kind != DeepCheckDone && n.Kind != CommandRejected) {
 			t.Errorf("read %+v", n)
 		}
 	})
--- a/internal/agent/crossings_test.go
+++ b/internal/agent/crossings_test.go
@@ -33,7 +33,7 @@
 	f := &far{T: t, ln: ln, in: make(chan func(), 100)}
 	log, _ := test.NewNullLogger()
 	f.Link = New(ln.Addr().String(), 1, func(do func()) { f.in <- do },
-		func(n Notice) { f.seen = append(f.seen, string(n.Kind)+n.Req) }, logging.NewLimiter(log))
+		func(n Notification) { f.seen = append(f.seen, string(n.Kind)+n.RequestID) }, logging.NewLimiter(log))
 	f.Watch(func() time.Duration { return f.at }, func() { f.lost++ })
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); ln.Close() })
@@ -49,7 +49,7 @@
 	f.Cleanup(func() { nc.Close() })
 	require.NoError(f, nc.SetDeadline(time.Now().Add(30*time.Second)))
 	f.nc, f.lines = nc, bufio.NewScanner(nc)
-	for opens := f.Opens(); f.Opens() == opens; {
+	for opens := f.ConnectionsOpened(); f.ConnectionsOpened() == opens; {
 		(<-f.in)() // the end of the link before may come between
 	}
 	f.expect(fmt.Sprintf(`{"cmd":"subscribe","offset":%d}`, offset))
@@ -97,14 +97,14 @@
 			f.expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`)
 			for range silentAsked {
 				f.at += silentMost
-				if f.Sample(); speaks {
+				if f.SampleGauges(); speaks {
 					f.sampled(f.expectSample())
 				}
 			}
 			if speaks {
 				require.NotNil(t, f.cur)
 				f.at += 100 * silentMost // the process stands still; the answer to its one sample waits
-				f.Sample()
+				f.SampleGauges()
 				require.NotNil(t, f.cur)
 				return
 			}
@@ -152,9 +152,9 @@
 		f.accept(0)
 		f.greetNow(1)
 		f.sampled(f.expectSample())
-		f.Sample()
+		f.SampleGauges()
 		earlier := f.expectSample() // says nothing of what follows it
-		f.Deliver("a", []byte("x"))
+		f.Reply("a", []byte("x"))
 		f.expect(reply)
 		f.sampled(earlier)
 		token := f.expectSample()
@@ -175,7 +175,7 @@
 	f.accept(0)
 	f.greetNow(1)
 	f.sampled(f.expectSample())
-	f.Deliver("a", []byte("x"))
+	f.Reply("a", []byte("x"))
 	f.expect(reply)
 	f.sampled(f.expectSample())
 	require.Empty(t, f.unread)
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -61,11 +61,11 @@
 
 func newGoldenLink() *Link {
 	log, _ := test.NewNullLogger()
-	return New(goldenAddr, 1, func(do func()) { do() }, func(Notice) {}, logging.NewLimiter(log))
+	return New(goldenAddr, 1, func(do func()) { do() }, func(Notification) {}, logging.NewLimiter(log))
 }
 
 // linesOn returns what is written to a connection of l while use makes use of it.
-func linesOn(t *testing.T, l *Link, use func(w *outbox.Outbox)) []string {
+func linesOn(t *testing.T, l *Link, use func(w *outbox.Queue)) []string {
 	t.Helper()
 	near, far := net.Pipe()
 	w := outbox.New(near, outRoom)
@@ -94,22 +94,22 @@
 // Every command, as a link writes it, on a first connection and on one that follows it.
 func TestGoldenCommands(t *testing.T) {
 	l := newGoldenLink()
-	first := linesOn(t, l, func(w *outbox.Outbox) {
-		l.handle(w, Notice{Kind: Greeting, Result: Steady, Elapsed: time.Hour})
-		l.handle(w, Notice{Kind: Sampled, Token: "1"})
+	first := linesOn(t, l, func(w *outbox.Queue) {
+		l.handle(w, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
+		l.handle(w, Notification{Kind: Gauges, Token: "1"})
 		l.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
 		l.Launch("00000000000000aa", "né\"<\\>\n", nil)
-		l.Deliver(goldenRequest, []byte("reply\r\n"))
-		l.handle(w, Notice{Kind: Aside, Offset: 7})
-		l.Forgo("00000000000000aa", 7)
-		l.Sample()
-		require.NoError(t, l.Exercise("x1"))
+		l.Reply(goldenRequest, []byte("reply\r\n"))
+		l.handle(w, Notification{Kind: Aside, Offset: 7})
+		l.SkipCall("00000000000000aa", 7)
+		l.SampleGauges()
+		require.NoError(t, l.DeepCheck("x1"))
 	})
 	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch", "launch of an odd class without a payload",
 		"deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
-	second := linesOn(t, l, func(w *outbox.Outbox) {
-		l.handle(w, Notice{Kind: Greeting, Result: Steady, Elapsed: time.Hour})
-		l.handle(w, Notice{Kind: Sampled, Token: "8"})
+	second := linesOn(t, l, func(w *outbox.Queue) {
+		l.handle(w, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
+		l.handle(w, Notification{Kind: Gauges, Token: "8"})
 	})
 	cases = append(cases, nameLines(t, []string{"subscribe after a break", "sample after a break", "launch sent again",
 		"second launch sent again", "deliver sent again", "forgo sent again"}, second)...)
@@ -120,23 +120,23 @@
 func TestGoldenNotices(t *testing.T) {
 	cases := []struct {
 		name string
-		want Notice
+		want Notification
 	}{
-		{"greeting of one that boots", Notice{Kind: Greeting, Result: Booting}},
-		{"greeting of one that runs", Notice{Kind: Greeting, Result: Steady, Elapsed: 3600000500 * time.Microsecond}},
-		{"outcome success", Notice{Kind: Outcome, Offset: 7, Req: goldenRequest, Result: Success, Elapsed: 40250 * time.Microsecond,
+		{"greeting of one that boots", Notification{Kind: Handshake, Result: Booting}},
+		{"greeting of one that runs", Notification{Kind: Handshake, Result: Steady, Elapsed: 3600000500 * time.Microsecond}},
+		{"outcome success", Notification{Kind: Outcome, Offset: 7, RequestID: goldenRequest, Result: Success, Elapsed: 40250 * time.Microsecond,
 			Payload: []byte{0, 255, '\r', '\n'}}},
-		{"outcome failure", Notice{Kind: Outcome, Offset: 8, Req: goldenRequest, Result: Failure, Elapsed: 5 * time.Millisecond}},
-		{"outcome interrupted", Notice{Kind: Outcome, Offset: 9, Req: goldenRequest, Result: Interrupted}},
-		{"outcome nothing", Notice{Kind: Outcome, Offset: 10, Req: goldenRequest, Result: Nothing}},
-		{"request", Notice{Kind: Request, Offset: 4294967296, Req: goldenRequest, Payload: []byte("call\r\n")}},
-		{"sampled", Notice{Kind: Sampled, Token: "12", Load: []float64{0.625, 3, 0.41, 120}}},
-		{"sampled with gauges that are not known", Notice{Kind: Sampled, Token: "13", Load: []float64{-1, -1, 0.5}}},
-		{"exercised success", Notice{Kind: Exercised, Token: "x1", Result: Success, Elapsed: 2 * time.Millisecond}},
-		{"exercised failure", Notice{Kind: Exercised, Token: "x2", Result: Failure}},
-		{"refusal of a launch", Notice{Kind: Refusal, Req: goldenRequest, Result: "launch"}},
-		{"refusal of an exercise", Notice{Kind: Refusal, Token: "x3", Result: "exercise"}},
-		{"aside", Notice{Kind: Aside, Offset: 11, Result: "so it goes"}},
+		{"outcome failure", Notification{Kind: Outcome, Offset: 8, RequestID: goldenRequest, Result: Failure, Elapsed: 5 * time.Millisecond}},
+		{"outcome interrupted", Notification{Kind: Outcome, Offset: 9, RequestID: goldenRequest, Result: Interrupted}},
+		{"outcome nothing", Notification{Kind: Outcome, Offset: 10, RequestID: goldenRequest, Result: Nothing}},
+		{"request", Notification{Kind: CallRequest, Offset: 4294967296, RequestID: goldenRequest, Payload: []byte("call\r\n")}},
+		{"sampled", Notification{Kind: Gauges, Token: "12", Load: []float64{0.625, 3, 0.41, 120}}},
+		{"sampled with gauges that are not known", Notification{Kind: Gauges, Token: "13", Load: []float64{-1, -1, 0.5}}},
+		{"exercised success", Notification{Kind: DeepCheckDone, Token: "x1", Result: Success, Elapsed: 2 * time.Millisecond}},
+		{"exercised failure", Notification{Kind: DeepCheckDone, Token: "x2", Result: Failure}},
+		{"refusal of a launch", Notification{Kind: CommandRejected, RequestID: goldenRequest, Result: "launch"}},
+		{"refusal of an exercise", Notification{Kind: CommandRejected, Token: "x3", Result: "exercise"}},
+		{"aside", Notification{Kind: Aside, Offset: 11, Result: "so it goes"}},
 	}
 	lines := readGolden(t, "notices.golden", len(cases))
 	var p parser
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -53,14 +53,14 @@
 	moves  chan string  // the address in force, for Run
 	seed   uint64       // of the spread of what is tried again
 	post   func(func()) // hands a function to the loop
-	notice func(Notice)
+	notice func(Notification)
 	log    *logging.Limiter
 
 	addr   string               // in force
 	opens  uint64               // links opened so far
 	now    func() time.Duration // the loop's clock
 	lost   func()               // tells that notices have been lost for good
-	cur    *outbox.Outbox
+	cur    *outbox.Queue
 	synced bool          // commands may be written
 	last   int64         // offset of the last notice read
 	seq    int64         // counts commands and samples; a sample's number is its token
@@ -78,9 +78,9 @@
 
 // New returns a Link that hands each new notice to the function notice, within the loop. What it tries again is
 // spread by seed.
-func New(addr string, seed uint64, post func(func()), notice func(Notice), log *logging.Limiter) *Link {
+func New(addr string, seed uint64, post func(func()), notice func(Notification), log *logging.Limiter) *Link {
 	l := &Link{moves: make(chan string, 1), seed: seed, post: post, notice: notice, log: log}
-	l.Move(addr)
+	l.SetAddress(addr)
 	return l
 }
 
@@ -89,8 +89,8 @@
 // runs in hand is then told by nobody.
 func (l *Link) Watch(now func() time.Duration, lost func()) { l.now, l.lost = now, lost }
 
-// Move has the link opened at another address. The present one is used until that has been done.
-func (l *Link) Move(addr string) {
+// SetAddress has the link opened at another address. The present one is used until that has been done.
+func (l *Link) SetAddress(addr string) {
 	if addr == l.addr {
 		return
 	}
@@ -102,8 +102,8 @@
 	l.moves <- addr
 }
 
-// Opens is how many links have been opened.
-func (l *Link) Opens() uint64 { return l.opens }
+// ConnectionsOpened is how many links have been opened.
+func (l *Link) ConnectionsOpened() uint64 { return l.opens }
 
 // Run keeps a link open at the address in force until ctx ends.
 func (l *Link) Run(ctx context.Context) error {
@@ -160,7 +160,7 @@
 	return err
 }
 
-func (l *Link) read(nc net.Conn, w *outbox.Outbox) error {
+func (l *Link) read(nc net.Conn, w *outbox.Queue) error {
 	in := bufio.NewReaderSize(nc, maxLine)
 	var p parser
 	for {
@@ -176,7 +176,7 @@
 	}
 }
 
-func (l *Link) opened(addr string, w *outbox.Outbox) {
+func (l *Link) opened(addr string, w *outbox.Queue) {
 	if addr != l.addr {
 		w.Close() // the agent has moved meanwhile
 		return
@@ -228,19 +228,19 @@
 	return true
 }
 
-func (l *Link) closed(w *outbox.Outbox) {
+func (l *Link) closed(w *outbox.Queue) {
 	if l.cur == w {
 		l.cur, l.synced = nil, false
 	}
 }
 
 // handle takes a notice in the loop: what was seen on an earlier link is dropped.
-func (l *Link) handle(w *outbox.Outbox, n Notice) {
+func (l *Link) handle(w *outbox.Queue, n Notification) {
 	if w != l.cur {
 		return
 	}
 	l.hears()
-	if n.Offset > 0 && (n.Kind == Outcome || n.Kind == Request || n.Kind == Aside) {
+	if n.Offset > 0 && (n.Kind == Outcome || n.Kind == CallRequest || n.Kind == Aside) {
 		if n.Offset <= l.last {
 			return
 		}
@@ -248,7 +248,7 @@
 		l.first, l.last = false, n.Offset
 	}
 	switch n.Kind {
-	case Greeting:
+	case Handshake:
 		if !l.greeted(n.Elapsed) {
 			l.log.Warn("agent restarted", "the agent was started anew; its runs are lost", nil)
 			l.giveUp() // the next link asks for its notices from the first
@@ -258,10 +258,10 @@
 		// All notices that were missed come before the answer to this sample. Only then is it
 		// known which of the unread commands still make sense.
 		l.sample()
-	case Sampled:
+	case Gauges:
 		l.sampled(n.Token)
-	case Outcome, Request:
-		l.Forget(n.Req)
+	case Outcome, CallRequest:
+		l.Forget(n.RequestID)
 	}
 	l.notice(n)
 }
@@ -321,23 +321,23 @@
 	l.send(req, launch(req, class, payload), false)
 }
 
-// Deliver hands a run the reply to the call that it waits for. The protocol gives it no number: sent again after a break, it
+// Reply hands a run the reply to the call that it waits for. The protocol gives it no number: sent again after a break, it
 // would answer the run's next call if that had come by then. So a sample asks at once whether it was read, not at the
 // next sweep, and what a break may still leave in doubt is what the agent reads within a round trip.
-func (l *Link) Deliver(req string, payload []byte) {
+func (l *Link) Reply(req string, payload []byte) {
 	l.send(req, deliver(req, payload), true)
 	if l.synced && l.asked == 0 {
 		l.sample()
 	}
 }
 
-// Forgo lets a run go on without the call that the notice at offset asked for.
-func (l *Link) Forgo(req string, offset int64) {
+// SkipCall lets a run go on without the call that the notice at offset asked for.
+func (l *Link) SkipCall(req string, offset int64) {
 	l.send(req, forgo(req, offset), false)
 }
 
-// Sample asks for the gauges.
-func (l *Link) Sample() {
+// SampleGauges asks for the gauges.
+func (l *Link) SampleGauges() {
 	if l.synced {
 		l.sample()
 	}
@@ -353,8 +353,8 @@
 // ErrDown says that there is no link.
 var ErrDown = errors.New("no link to the agent")
 
-// Exercise asks for the work of a deep health check; its end names the token.
-func (l *Link) Exercise(token string) error {
+// DeepCheck asks for the work of a deep health check; its end names the token.
+func (l *Link) DeepCheck(token string) error {
 	if !l.synced {
 		return ErrDown
 	}
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -26,7 +26,7 @@
 		defer ln.Close()
 		lns[i] = ln
 	}
-	l := New(lns[0].Addr().String(), 1, func(f func()) { in <- f }, func(n Notice) { seen = append(seen, string(n.Kind)+n.Req) },
+	l := New(lns[0].Addr().String(), 1, func(f func()) { in <- f }, func(n Notification) { seen = append(seen, string(n.Kind)+n.RequestID) },
 		logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -55,7 +55,7 @@
 	expect(0, `{"cmd":"sample","token":"1"}`)
 	tell(0, `{"cmd":"sampled","token":"1","load":[]}`)
 	tell(0, `{"cmd":"aside","offset":1}`)
-	l.Move(lns[1].Addr().String())
+	l.SetAddress(lns[1].Addr().String())
 	l.Launch("a", "preview", nil)
 	expect(0, `{"cmd":"launch","req":"a","method":"preview","payload":""}`) // the old link serves until the new one is open
 	accept(1)
@@ -69,7 +69,7 @@
 	expect(1, `{"cmd":"launch","req":"a","method":"preview","payload":""}`)
 	tell(1, `{"cmd":"outcome","offset":2,"req":"a","result":"success"}`)
 	require.Equal(t, []string{"greeting", "sampled", "aside", "greeting", "sampled", "outcomea"}, seen)
-	require.EqualValues(t, 2, l.Opens())
+	require.EqualValues(t, 2, l.ConnectionsOpened())
 }
 
 // A broken link loses neither commands nor notices: what the agent has not been seen to read is sent
@@ -81,7 +81,7 @@
 	in := make(chan func(), 10)
 	var seen []string
 	log, _ := test.NewNullLogger()
-	l := New(ln.Addr().String(), 1, func(f func()) { in <- f }, func(n Notice) { seen = append(seen, string(n.Kind)+n.Req) },
+	l := New(ln.Addr().String(), 1, func(f func()) { in <- f }, func(n Notification) { seen = append(seen, string(n.Kind)+n.RequestID) },
 		logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -103,12 +103,12 @@
 	}
 	turn() // opened
 	expect(`{"cmd":"subscribe","offset":0}`)
-	require.ErrorIs(t, l.Exercise("x"), ErrDown)
+	require.ErrorIs(t, l.DeepCheck("x"), ErrDown)
 	tell(`{"cmd":"greeting","result":"booting","elapsed_ms":1}`)
 	expect(`{"cmd":"sample","token":"2"}`)
 	tell(`{"cmd":"sampled","token":"2","load":[]}`)
 	expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`)
-	l.Sample()
+	l.SampleGauges()
 	expect(`{"cmd":"sample","token":"3"}`)
 	tell(`{"cmd":"sampled","token":"3","load":[]}`) // so the launch was read
 	require.Empty(t, l.unread)
@@ -116,7 +116,7 @@
 	l.Launch("c", "preview", nil)
 	tell(`{"cmd":"request","offset":1,"req":"b"}`)
 	tell(`not a notice`) // the link is opened again
-	l.Deliver("b", nil)
+	l.Reply("b", nil)
 
 	nc, err = ln.Accept()
 	require.NoError(t, err)
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -41,8 +41,8 @@
 	a.tell()
 }
 
-// Move changes where that is reported.
-func (a *Announcer) Move(addr string) {
+// SetAddress changes where that is reported.
+func (a *Announcer) SetAddress(addr string) {
 	a.now.addr = addr
 	if a.known {
 		a.tell()
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -38,7 +38,7 @@
 	service, err = net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer service.Close()
-	a.Move(service.LocalAddr().String()) // what was said holds there too
+	a.SetAddress(service.LocalAddr().String()) // what was said holds there too
 	require.NoError(t, old.Close())
 	require.Equal(t, "announce n3 false", next())
 	require.Equal(t, "announce n3 false", next())
@@ -52,7 +52,7 @@
 	a.Set(true)
 	a.Silence()
 	a.Set(false)
-	a.Move("127.0.0.1:10")
+	a.SetAddress("127.0.0.1:10")
 	require.Empty(t, (<-a.reports).addr)
 	require.Empty(t, a.reports)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -63,23 +63,23 @@
 
 // Config is what an image server is told at its start.
 type Config struct {
-	Name         string // under which the announce service lists it
-	Listen       string
-	Agent        string
-	Store        string
-	Announce     string
-	Console      string  // where operators call; "" = nowhere
-	Inherited    uintptr // descriptor of a socket that listens for front ends already; 0 = none
-	Handover     string  // path at which the processes of one image server meet; "" = there is only one
-	Seed         uint64
-	Stop         time.Duration // from SIGTERM to the end of the process
-	StopReplaced time.Duration // the same where a newer process has taken its place
-	Limits       Limits
-	Settings     decide.Settings
-	Classes      []string // names, in the order of Settings.Classes
-	Tenants      []string // names, in the order of Settings.Tenants
-	Gauges       []string // names, in the order in which the agent reports them
-	Unused       []string // keys of the settings that allow what the sockets have no message for
+	Name                string // under which the announce service lists it
+	Listen              string
+	Agent               string
+	Store               string
+	Announce            string
+	Console             string  // where operators call; "" = nowhere
+	InheritedFD         uintptr // descriptor of a socket that listens for front ends already; 0 = none
+	Handover            string  // path at which the processes of one image server meet; "" = there is only one
+	Seed                uint64
+	StopTimeout         time.Duration // from SIGTERM to the end of the process
+	ReplacedStopTimeout time.Duration // the same where a newer process has taken its place
+	Limits              Limits
+	Settings            decide.Settings
+	Classes             []string // names, in the order of Settings.Classes
+	Tenants             []string // names, in the order of Settings.Tenants
+	Gauges              []string // names, in the order in which the agent reports them
+	Unused              []string // keys of the settings that allow what the sockets have no message for
 
 	keys map[string]bool // that were given, by their paths
 }
@@ -120,7 +120,7 @@
 	c := &Config{
 		Name: o.text("name"), Listen: o.text("listen"), Agent: o.text("agent"), Store: o.text("store"),
 		Announce: o.text("announce"), Console: o.text("console"),
-		Stop: time.Duration(o.whole("stop_ms")) * time.Millisecond,
+		StopTimeout: time.Duration(o.whole("stop_ms")) * time.Millisecond,
 		Limits: Limits{Cores: limits.number("cores"), MemoryMB: int(limits.whole("memory_mb")),
 			Sockets: int(limits.whole("sockets"))},
 		Settings: settings(set),
@@ -146,7 +146,7 @@
 		if err != nil || fd == 0 {
 			return nil, fmt.Errorf("%s: %q is no descriptor", envInherited, text)
 		}
-		c.Inherited, c.Handover = uintptr(fd), filepath.Join(os.TempDir(), "falldeal.sock")
+		c.InheritedFD, c.Handover = uintptr(fd), filepath.Join(os.TempDir(), "falldeal.sock")
 	}
 	c.setAside()
 	c.defaults(o)
@@ -154,7 +154,7 @@
 	c.checkSettings(set)
 	c.Seed = o.hex("seed")
 	for _, k := range c.Settings.Classes {
-		c.StopReplaced = max(c.StopReplaced, min(k.Deadline, replacedWait)+replacedSpare)
+		c.ReplacedStopTimeout = max(c.ReplacedStopTimeout, min(k.Deadline, replacedWait)+replacedSpare)
 	}
 	c.keys = map[string]bool{}
 	o.eachKey(func(key string) { c.keys[key] = true })
@@ -183,7 +183,7 @@
 func (c *Config) defaults(o object) {
 	limits := o.object("limits")
 	if !o.value.Exists("stop_ms") {
-		c.Stop = defaultStop
+		c.StopTimeout = defaultStop
 	}
 	if !o.value.Exists("limits", "cores") {
 		c.Limits.Cores = defaultCores
@@ -195,8 +195,8 @@
 		c.Limits.Sockets = defaultSockets
 	}
 	switch {
-	case c.Stop <= 0 || c.Stop > time.Hour:
-		o.fail("stop_ms", "%v is not between 1 ms and an hour", c.Stop)
+	case c.StopTimeout <= 0 || c.StopTimeout > time.Hour:
+		o.fail("stop_ms", "%v is not between 1 ms and an hour", c.StopTimeout)
 	case !(c.Limits.Cores > 0):
 		limits.fail("cores", "%v, want more than 0", c.Limits.Cores)
 	case c.Limits.MemoryMB < leastMemoryMB:
@@ -213,7 +213,7 @@
 	for _, a := range []struct{ key, addr string }{
 		{"listen", c.Listen}, {"agent", c.Agent}, {"store", c.Store}, {"announce", c.Announce}, {"console", c.Console}} {
 		if a.addr == "" {
-			if a.key != "console" && (a.key != "store" || c.Settings.Below != decide.BelowOff) {
+			if a.key != "console" && (a.key != "store" || c.Settings.Dependency != decide.DependencyNone) {
 				o.fail(a.key, "missing")
 			}
 		} else if err := checkAddr(a.addr, a.key == "listen" || a.key == "console"); err != nil {
@@ -230,12 +230,12 @@
 	for _, u := range []struct {
 		key  string
 		used bool
-	}{{"Halt", s.Halt != decide.HaltOff}, {"Advert", s.Advert != decide.AdvertOff}, {"FreshForUs", s.FreshFor > 0}} {
+	}{{"Halt", s.Halt != decide.HaltOff}, {"Advert", s.Advert != decide.AdvertOff}, {"FreshForUs", s.CacheTTL > 0}} {
 		if u.used {
 			c.Unused = append(c.Unused, "settings.FamilyInfo."+u.key)
 		}
 	}
-	s.Halt, s.Advert, s.FreshFor = decide.HaltOff, decide.AdvertOff, min(s.FreshFor, 0)
+	s.Halt, s.Advert, s.CacheTTL = decide.HaltOff, decide.AdvertOff, min(s.CacheTTL, 0)
 }
 
 // checkAddr accepts a numeric address with a port: there is no name service to ask. Port 0, any that
@@ -262,19 +262,19 @@
 		f.fail("Cpus", "%d, want at least 1", s.Cores)
 	case !(s.MemoryKB > 0):
 		f.fail("MemoryKb", "%v, want more than 0", s.MemoryKB)
-	case s.RunBlow < 0:
+	case s.RunningMemoryFactor < 0:
 		f.fail("Blowup", "negative")
-	case s.KeyKB < 0:
+	case s.KeyMemoryKB < 0:
 		f.fail("KbPerKey", "negative")
-	case s.CallsOut < 0:
+	case s.MaxCallsInFlight < 0:
 		f.fail("CallsOut", "negative")
 	}
 	for _, t := range []struct {
 		o    object
 		key  string
 		time time.Duration
-	}{{f, "CallsOverUs", s.CallsOver}, {f, "StaysForUs", s.CallLingers}, {f, "FreshForUs", s.FreshFor},
-		{f, "IdleUs", s.IdleAfter}, {inv, "ColdUs", s.ColdFor}, {inv, "FallUs", s.CrowdOver},
+	}{{f, "CallsOverUs", s.CallsWindow}, {f, "StaysForUs", s.AbandonedCallTime}, {f, "FreshForUs", s.CacheTTL},
+		{f, "IdleUs", s.IdleTimeout}, {inv, "ColdUs", s.SlowStartTime}, {inv, "FallUs", s.ConcurrencyWindow},
 		{inv, "GraceToAnswerUs", s.AnswerGrace}, {inv, "StopSendingWithinUs", s.DrainGrace},
 		{set.object("Limits"), "MaxRetryAfterUs", s.MaxRetryAfter}, {set, "TickUs", s.Tick}} {
 		if t.time < 0 {
@@ -292,12 +292,12 @@
 			l.fail("Name", "missing")
 		case seen[c.Classes[i]]:
 			l.fail("Name", "%q is used twice", c.Classes[i])
-		case k.Aim <= 0:
+		case k.LatencyObjective <= 0:
 			l.fail("AimUs", "want more than 0")
 		case k.Deadline <= 0:
 			l.fail("DeadlineUs", "want more than 0")
-		case k.KeyWindow < 0:
-			l.fail("KeyTtlUs", "negative time %v", k.KeyWindow)
+		case k.IdempotencyWindow < 0:
+			l.fail("KeyTtlUs", "negative time %v", k.IdempotencyWindow)
 		}
 		seen[c.Classes[i]] = true
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,13 +28,13 @@
 	require.Equal(t, "n3", c.Name)
 	require.Equal(t, "127.0.0.1:8900", c.Store)
 	require.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
-	require.Equal(t, 3200*time.Millisecond, c.Stop)
+	require.Equal(t, 3200*time.Millisecond, c.StopTimeout)
 	require.Equal(t, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, c.Limits)
 	require.Equal(t, []string{"preview", "hires-crop", "licence-order"}, c.Classes)
 	require.Equal(t, []string{"core_use", "on_cores", "heap_share", "links"}, c.Gauges)
-	require.Equal(t, decide.Keyed, c.Settings.Classes[2].Safety)
-	require.Equal(t, 17457*time.Millisecond, c.Settings.Classes[2].KeyWindow)
-	require.Equal(t, []bool{true, false, true}, []bool{c.Settings.Classes[0].Calls, c.Settings.Classes[1].Calls, c.Settings.Classes[2].Calls})
+	require.Equal(t, decide.IdempotentByKey, c.Settings.Classes[2].Idempotency)
+	require.Equal(t, 17457*time.Millisecond, c.Settings.Classes[2].IdempotencyWindow)
+	require.Equal(t, []bool{true, false, true}, []bool{c.Settings.Classes[0].CallsDependency, c.Settings.Classes[1].CallsDependency, c.Settings.Classes[2].CallsDependency})
 	_, err = decide.New(c.Settings, c.Seed, 0)
 	require.NoError(t, err, "what passes the check must start a controller")
 }
@@ -44,7 +44,7 @@
 	text = strings.Replace(text, `"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},`, "", 1)
 	c, err := Parse([]byte(text), none)
 	require.NoError(t, err)
-	require.Equal(t, defaultStop, c.Stop)
+	require.Equal(t, defaultStop, c.StopTimeout)
 	require.Equal(t, Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}, c.Limits)
 }
 
@@ -68,9 +68,9 @@
 	t.Setenv("TMPDIR", dir)
 	c, err = Load("")
 	require.NoError(t, err)
-	require.EqualValues(t, 3, c.Inherited)
+	require.EqualValues(t, 3, c.InheritedFD)
 	require.Equal(t, filepath.Join(dir, "falldeal.sock"), c.Handover)
-	require.Equal(t, replacedWait+replacedSpare, c.StopReplaced)
+	require.Equal(t, replacedWait+replacedSpare, c.ReplacedStopTimeout)
 	t.Setenv(envInherited, "stdin")
 	_, err = Load("")
 	require.ErrorContains(t, err, envInherited)
@@ -178,26 +178,26 @@
 	for _, c := range []struct {
 		name, old, new string
 		unused         []string
-		safety         decide.Safety
+		safety         decide.Idempotency
 	}{
-		{"as it is", "", "", nil, decide.Keyed},
-		{"halt drop", `"Halt": "off"`, `"Halt": "drop"`, []string{"settings.FamilyInfo.Halt"}, decide.Keyed},
-		{"halt pause", `"Halt": "off"`, `"Halt": "pause"`, []string{"settings.FamilyInfo.Halt"}, decide.Keyed},
-		{"halt absent", `"Halt": "off",`, ``, nil, decide.Keyed},
-		{"level", `"Advert": "off"`, `"Advert": "level"`, []string{"settings.FamilyInfo.Advert"}, decide.Keyed},
-		{"credit", `"Advert": "off"`, `"Advert": "credit"`, []string{"settings.FamilyInfo.Advert"}, decide.Keyed},
-		{"weight", `"Advert": "off"`, `"Advert": "weight"`, []string{"settings.FamilyInfo.Advert"}, decide.Keyed},
-		{"shared reads", `"FreshForUs": 0`, `"FreshForUs": 500000`, []string{"settings.FamilyInfo.FreshForUs"}, decide.Keyed},
-		{"tier", `"Below": "shared"`, `"Below": "tier"`, nil, decide.Keyed},
-		{"no share", `"CallsOut": 5.9, `, ``, nil, decide.Keyed},
+		{"as it is", "", "", nil, decide.IdempotentByKey},
+		{"halt drop", `"Halt": "off"`, `"Halt": "drop"`, []string{"settings.FamilyInfo.Halt"}, decide.IdempotentByKey},
+		{"halt pause", `"Halt": "off"`, `"Halt": "pause"`, []string{"settings.FamilyInfo.Halt"}, decide.IdempotentByKey},
+		{"halt absent", `"Halt": "off",`, ``, nil, decide.IdempotentByKey},
+		{"level", `"Advert": "off"`, `"Advert": "level"`, []string{"settings.FamilyInfo.Advert"}, decide.IdempotentByKey},
+		{"credit", `"Advert": "off"`, `"Advert": "credit"`, []string{"settings.FamilyInfo.Advert"}, decide.IdempotentByKey},
+		{"weight", `"Advert": "off"`, `"Advert": "weight"`, []string{"settings.FamilyInfo.Advert"}, decide.IdempotentByKey},
+		{"shared reads", `"FreshForUs": 0`, `"FreshForUs": 500000`, []string{"settings.FamilyInfo.FreshForUs"}, decide.IdempotentByKey},
+		{"tier", `"Below": "shared"`, `"Below": "tier"`, nil, decide.IdempotentByKey},
+		{"no share", `"CallsOut": 5.9, `, ``, nil, decide.IdempotentByKey},
 		{"unsafe", `"Idempotency": "keyed"`, `"Idempotency": "unsafe"`, nil, decide.Unsafe},
-		{"window absent", `"KeyTtlUs": 17457000, `, ``, nil, decide.Keyed},
-		{"short deadline", `"DeadlineUs": 7000000`, `"DeadlineUs": 1`, nil, decide.Keyed},
-		{"no deadline told", `"PassesDeadline": true,`, ``, nil, decide.Keyed},
-		{"no limits", `"Limits": {`, `"Old": {`, nil, decide.Keyed},
-		{"no rules", `"Invariants": {`, `"Old": {`, nil, decide.Keyed},
-		{"tenants", `"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}]`, nil, decide.Keyed},
-		{"unknown keys", `"FleetSize"`, `"Later": [{"x": null}], "FleetSize"`, nil, decide.Keyed},
+		{"window absent", `"KeyTtlUs": 17457000, `, ``, nil, decide.IdempotentByKey},
+		{"short deadline", `"DeadlineUs": 7000000`, `"DeadlineUs": 1`, nil, decide.IdempotentByKey},
+		{"no deadline told", `"PassesDeadline": true,`, ``, nil, decide.IdempotentByKey},
+		{"no limits", `"Limits": {`, `"Old": {`, nil, decide.IdempotentByKey},
+		{"no rules", `"Invariants": {`, `"Old": {`, nil, decide.IdempotentByKey},
+		{"tenants", `"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}]`, nil, decide.IdempotentByKey},
+		{"unknown keys", `"FleetSize"`, `"Later": [{"x": null}], "FleetSize"`, nil, decide.IdempotentByKey},
 	} {
 		text := strings.Replace(read(t), c.old, c.new, 1)
 		require.True(t, c.old == "" || text != read(t), c.name)
@@ -206,12 +206,12 @@
 		require.Equal(t, c.unused, cfg.Unused, c.name)
 		require.Equal(t, decide.HaltOff, cfg.Settings.Halt, c.name)
 		require.Equal(t, decide.AdvertOff, cfg.Settings.Advert, c.name)
-		require.Zero(t, cfg.Settings.FreshFor, c.name)
-		require.Equal(t, c.safety, cfg.Settings.Classes[2].Safety, c.name)
+		require.Zero(t, cfg.Settings.CacheTTL, c.name)
+		require.Equal(t, c.safety, cfg.Settings.Classes[2].Idempotency, c.name)
 		_, err = decide.New(cfg.Settings, cfg.Seed, 0)
 		require.NoError(t, err, c.name)
 	}
 	cfg, err := Parse([]byte(off.Replace(read(t))), none) // nothing is called, so there is no store to name
 	require.NoError(t, err)
-	require.False(t, cfg.Settings.Classes[0].Calls)
+	require.False(t, cfg.Settings.Classes[0].CallsDependency)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,8 +10,8 @@
 
 var (
 	halts    = map[string]decide.Halt{"": decide.HaltOff, "off": decide.HaltOff, "drop": decide.HaltDrop, "pause": decide.HaltPause}
-	belows   = map[string]decide.Below{"": decide.BelowOff, "off": decide.BelowOff, "shared": decide.BelowShared, "tier": decide.BelowTier}
-	safeties = map[string]decide.Safety{"": decide.Safe, "safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}
+	belows   = map[string]decide.Dependency{"": decide.DependencyNone, "off": decide.DependencyNone, "shared": decide.DependencyShared, "tier": decide.DependencyTier}
+	safeties = map[string]decide.Idempotency{"": decide.Safe, "safe": decide.Safe, "keyed": decide.IdempotentByKey, "unsafe": decide.Unsafe}
 	adverts  = map[string]decide.Advert{"": decide.AdvertOff, "off": decide.AdvertOff, "level": decide.AdvertLevel,
 		"credit": decide.AdvertCredit, "weight": decide.AdvertWeight}
 )
@@ -33,18 +33,18 @@
 func settings(o object) decide.Settings {
 	f, inv, limits, mix := o.object("FamilyInfo"), o.object("Invariants"), o.object("Limits"), o.object("ResultMix")
 	s := decide.Settings{
-		Cores: int(f.whole("Cpus")), FleetSize: int(o.whole("FleetSize")), Callers: int(f.whole("ClientsTotal")),
-		MemoryKB: f.number("MemoryKb"), RunBlow: f.number("Blowup"), KeyKB: f.number("KbPerKey"),
-		Halt: named(f, "Halt", halts), Advert: named(f, "Advert", adverts), Below: named(f, "Below", belows),
-		CallsOut: f.number("CallsOut"), CallsOver: f.us("CallsOverUs"), CallLingers: f.us("StaysForUs"),
-		Cold: f.flag("Cold"), ColdShare: inv.number("ColdShare"), ColdFor: inv.us("ColdUs"),
-		CrowdPerCore: inv.number("FallMultiple"), CrowdOver: inv.us("FallUs"),
+		Cores: int(f.whole("Cpus")), FleetSize: int(o.whole("FleetSize")), Clients: int(f.whole("ClientsTotal")),
+		MemoryKB: f.number("MemoryKb"), RunningMemoryFactor: f.number("Blowup"), KeyMemoryKB: f.number("KbPerKey"),
+		Halt: named(f, "Halt", halts), Advert: named(f, "Advert", adverts), Dependency: named(f, "Below", belows),
+		MaxCallsInFlight: f.number("CallsOut"), CallsWindow: f.us("CallsOverUs"), AbandonedCallTime: f.us("StaysForUs"),
+		WarmingUp: f.flag("Cold"), SlowStartSpeedRatio: inv.number("ColdShare"), SlowStartTime: inv.us("ColdUs"),
+		MaxConcurrencyPerCore: inv.number("FallMultiple"), ConcurrencyWindow: inv.us("FallUs"),
 		AnswerGrace: inv.us("GraceToAnswerUs"), DrainGrace: inv.us("StopSendingWithinUs"),
-		FreshFor: f.us("FreshForUs"), MaxRetryAfter: limits.us("MaxRetryAfterUs"), RetryAfter: limits.flag("RetryAfter"),
-		TellsGone: f.flag("TellsGone"), TellsDeadline: f.flag("PassesDeadline"),
-		MarksRepeat: o.object("ClientHabits").flag("MarksRetry"), ListFollows: f.flag("ListFollows"),
-		IdleAfter: f.us("IdleUs"), Tick: o.us("TickUs"), OverShare: o.number("OverShareWorth"), ByWork: o.text("ValueBy") == "work",
-		Weights: decide.Weights{Whole: mix.number("Whole"), WorstWindow: mix.number("WorstWindow"),
+		CacheTTL: f.us("FreshForUs"), MaxRetryAfter: limits.us("MaxRetryAfterUs"), SendsRetryAfter: limits.flag("RetryAfter"),
+		SendsCancellations: f.flag("TellsGone"), SendsDeadlines: f.flag("PassesDeadline"),
+		MarksRetries: o.object("ClientHabits").flag("MarksRetry"), RegistryFollowsHealth: f.flag("ListFollows"),
+		IdleTimeout: f.us("IdleUs"), Tick: o.us("TickUs"), OverQuotaValueRatio: o.number("OverShareWorth"), WeightPerWork: o.text("ValueBy") == "work",
+		Weights: decide.Weights{WholeRun: mix.number("Whole"), WorstWindow: mix.number("WorstWindow"),
 			WorstClass: mix.number("WorstClass"), WorstTenant: mix.number("WorstTenant")},
 	}
 	lanes, calls, skips := o.objects("Lanes"), f.flags("CallsByClass"), f.numbers("ClassSkipWorth")
@@ -61,19 +61,19 @@
 		return s
 	}
 	for i, l := range lanes {
-		k := decide.Class{Aim: l.us("AimUs"), Deadline: l.us("DeadlineUs"), KeyWindow: l.us("KeyTtlUs"),
-			Safety: named(l, "Idempotency", safeties),
-			Value:  l.number("Value"), LateWorth: l.number("LateWorth"), Calls: s.Below != decide.BelowOff}
+		k := decide.Class{LatencyObjective: l.us("AimUs"), Deadline: l.us("DeadlineUs"), IdempotencyWindow: l.us("KeyTtlUs"),
+			Idempotency:    named(l, "Idempotency", safeties),
+			PriorityWeight: l.number("Value"), LateValueRatio: l.number("LateWorth"), CallsDependency: s.Dependency != decide.DependencyNone}
 		if len(calls) > 0 {
-			k.Calls = k.Calls && calls[i]
+			k.CallsDependency = k.CallsDependency && calls[i]
 		}
 		if len(skips) > 0 {
-			k.SkipWorth = skips[i]
+			k.DegradedValueRatio = skips[i]
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range o.objects("Tenants") {
-		s.Tenants = append(s.Tenants, decide.Tenant{Portion: t.number("Portion"), QuotaPerS: t.number("QuotaPerS")})
+		s.Tenants = append(s.Tenants, decide.Tenant{ServiceRatio: t.number("Portion"), QuotaPerSecond: t.number("QuotaPerS")})
 	}
 	return s
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -29,15 +29,15 @@
 // Callers are owed an answer within 1 s.
 var inService = limits{call: time.Second, answer: 700 * time.Millisecond, write: 2 * time.Second}
 
-// Operated is the server that the calls are about.
-type Operated interface {
+// Instance is the server that the calls are about.
+type Instance interface {
 	// Ready reports whether this process serves.
 	Ready(ctx context.Context) (bool, error)
-	// AppendFigures appends the figures, a line each.
-	AppendFigures(ctx context.Context, b []byte) ([]byte, error)
-	// Withdraw has health checks answered badly, and Restore well again.
-	Withdraw(ctx context.Context) error
-	Restore(ctx context.Context) error
+	// AppendMetrics appends the figures, a line each.
+	AppendMetrics(ctx context.Context, b []byte) ([]byte, error)
+	// Deregister has health checks answered badly, and Restore well again.
+	Deregister(ctx context.Context) error
+	Reregister(ctx context.Context) error
 }
 
 // Page is one call more that a subsystem answers. Do must not block.
@@ -48,11 +48,11 @@
 }
 
 // Serve answers calls that come to ln until ctx ends. It closes ln.
-func Serve(ctx context.Context, ln net.Listener, s Operated, warn *logging.Limiter, pages ...Page) error {
+func Serve(ctx context.Context, ln net.Listener, s Instance, warn *logging.Limiter, pages ...Page) error {
 	return inService.serve(ctx, ln, s, warn, pages...)
 }
 
-func (l limits) serve(ctx context.Context, ln net.Listener, s Operated, warn *logging.Limiter, pages ...Page) error {
+func (l limits) serve(ctx context.Context, ln net.Listener, s Instance, warn *logging.Limiter, pages ...Page) error {
 	srv := &http.Server{Handler: l.handler(s, pages), ReadTimeout: l.call, WriteTimeout: l.call + l.answer + l.write,
 		MaxHeaderBytes: maxHeader, ErrorLog: log.New(lines{warn}, "", 0)}
 	srv.SetKeepAlivesEnabled(false)
@@ -71,7 +71,7 @@
 	return len(b), nil
 }
 
-func (l limits) handler(s Operated, pages []Page) http.Handler {
+func (l limits) handler(s Instance, pages []Page) http.Handler {
 	mux := http.NewServeMux()
 	answer := func(pattern string, do func(context.Context) (int, []byte, error)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
@@ -94,14 +94,14 @@
 		return http.StatusOK, []byte("ready\n"), err
 	})
 	answer("GET /metrics", func(ctx context.Context) (int, []byte, error) {
-		b, err := s.AppendFigures(ctx, nil)
+		b, err := s.AppendMetrics(ctx, nil)
 		return http.StatusOK, b, err
 	})
 	answer("POST /drain", func(ctx context.Context) (int, []byte, error) {
-		return http.StatusOK, []byte("front ends are sent away\n"), s.Withdraw(ctx)
+		return http.StatusOK, []byte("front ends are sent away\n"), s.Deregister(ctx)
 	})
 	answer("POST /undrain", func(ctx context.Context) (int, []byte, error) {
-		return http.StatusOK, []byte("front ends are welcome\n"), s.Restore(ctx)
+		return http.StatusOK, []byte("front ends are welcome\n"), s.Reregister(ctx)
 	})
 	for _, p := range pages {
 		mux.HandleFunc(p.Pattern, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -31,12 +31,12 @@
 
 func (o *operated) Ready(ctx context.Context) (bool, error) { return !o.withdrawn, o.do(ctx) }
 
-func (o *operated) AppendFigures(ctx context.Context, b []byte) ([]byte, error) {
+func (o *operated) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
 	return append(b, "app.inflight:3|g\n"...), o.do(ctx)
 }
 
-func (o *operated) Withdraw(ctx context.Context) error { o.withdrawn = true; return o.do(ctx) }
-func (o *operated) Restore(ctx context.Context) error  { o.withdrawn = false; return o.do(ctx) }
+func (o *operated) Deregister(ctx context.Context) error { o.withdrawn = true; return o.do(ctx) }
+func (o *operated) Reregister(ctx context.Context) error { o.withdrawn = false; return o.do(ctx) }
 
 const patience = 30 * time.Second // after which a test that hangs is given up
 
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -42,12 +42,12 @@
 var errLeaving = errors.New("the server is leaving")
 
 func (leaving) Ready(context.Context) (bool, error)                       { return false, errLeaving }
-func (leaving) AppendFigures(_ context.Context, b []byte) ([]byte, error) { return b, errLeaving }
-func (leaving) Withdraw(context.Context) error                            { return errLeaving }
-func (leaving) Restore(context.Context) error                             { return errLeaving }
+func (leaving) AppendMetrics(_ context.Context, b []byte) ([]byte, error) { return b, errLeaving }
+func (leaving) Deregister(context.Context) error                          { return errLeaving }
+func (leaving) Reregister(context.Context) error                          { return errLeaving }
 
 // serving answers calls about o until the test is over.
-func serving(t *testing.T, o Operated, l limits, pages ...Page) (addr string) {
+func serving(t *testing.T, o Instance, l limits, pages ...Page) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -117,20 +117,20 @@
 
 // snapshot is one with a member in every standing and in every state.
 func snapshot() *fleet.Snapshot {
-	s := &fleet.Snapshot{At: 9 * time.Second, Heard: 8 * time.Second, Self: "n00", Position: fleet.Torn,
+	s := &fleet.Snapshot{At: 9 * time.Second, LastReceived: 8 * time.Second, Self: "n00", Position: fleet.PartiallyConnected,
 		Zones: []fleet.Zone{{Region: "belgium", Zone: "mechelen", Known: 4, Count: [fleet.Left + 1]int{1, 2, 3, 4, 5, 6, 7}}},
 		Total: fleet.Zone{Known: 11, Count: [fleet.Left + 1]int{1, 2, 3, 4, 5, 6, 7}}}
-	for standing := fleet.HeardOf; standing <= fleet.Left; standing++ {
-		for state := fleet.Starting; state <= fleet.Gone+1; state++ {
+	for standing := fleet.Unmet; standing <= fleet.Left; standing++ {
+		for state := fleet.Starting; state <= fleet.Stopped+1; state++ {
 			n := len(s.Members)
-			s.Members = append(s.Members, fleet.Member{Standing: standing, Self: n == 0, Made: time.Duration(n) * 10 * time.Millisecond,
+			s.Members = append(s.Members, fleet.Member{Liveness: standing, Self: n == 0, RecordedAt: time.Duration(n) * 10 * time.Millisecond,
 				Since: time.Second, Record: &fleet.Record{Name: fmt.Sprintf("n%02d", n), Run: uint64(n + 1), Incarnation: uint64(n + 2),
 					Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Config: 0xabc, State: state}})
 		}
 	}
-	s.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InHand: 6, Share: 5.9, Shed: 0.25, Calls: 1.5, Pace: 3.5, Offer: "o", Tries: 40,
-		Again: 0.125, Cut: 12.5, Store: 2, StoreID: 3, Round: 4, Sum: "s"}
-	s.Members[8].Load = fleet.Load{Capacity: 4, Busy: 0.5, InHand: 6, Share: 5.9, Calls: 1.5, Pace: 3.5, Tries: 40, Again: 0.125, Cut: 12.5}
+	s.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, ShedRatio: 0.25, MeanCalls: 1.5, ServiceRate: 3.5, Demand: "o", Attempts: 40,
+		RetryRatio: 0.125, Threshold: 12.5, StoreState: 2, StoreID: 3, ProbeRound: 4, Aggregate: "s"}
+	s.Members[8].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, MeanCalls: 1.5, ServiceRate: 3.5, Attempts: 40, RetryRatio: 0.125, Threshold: 12.5}
 	return s
 }
 
@@ -142,7 +142,7 @@
 	full := snapshot().Report(10 * time.Second)
 	full.Counters = map[string]int64{"words": 3}
 	reports := []fleet.Report{full, alone.Report(10 * time.Second), {}}
-	for position := fleet.Alone; position <= fleet.CutOff; position++ {
+	for position := fleet.Alone; position <= fleet.Partitioned; position++ {
 		reports = append(reports, fleet.Report{Position: position.String()})
 	}
 	for _, r := range reports {
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -45,8 +45,8 @@
 	}
 	for k := range s.Zones {
 		z := &s.Zones[k]
-		if was := old.find(z.Region, z.Zone); was != nil && was.Dark() != z.Dark() {
-			all = append(all, Change{z.Zone, "zone", light(was.Dark()), light(z.Dark()), 0})
+		if was := old.find(z.Region, z.Zone); was != nil && was.Unreachable() != z.Unreachable() {
+			all = append(all, Change{z.Zone, "zone", light(was.Unreachable()), light(z.Unreachable()), 0})
 		}
 	}
 	if old.Position != s.Position {
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -50,11 +50,11 @@
 		}
 		add("wait", func(w *world) { w.now += yieldAfter })
 		for i := range from.live {
-			if !from.live[i].Yielded() {
-				add(fmt.Sprintf("%d tells", i), func(w *world) { w.said = append(w.said, w.live[i].Tell(w.now)) })
+			if !from.live[i].NameReleased() {
+				add(fmt.Sprintf("%d tells", i), func(w *world) { w.said = append(w.said, w.live[i].NextRecord(w.now)) })
 			}
 			for j := range from.said {
-				add(fmt.Sprintf("%d hears %d", i, j), func(w *world) { r := plant(w.live[i], w.said[j]); w.live[i].Heard(w.now, &r) })
+				add(fmt.Sprintf("%d hears %d", i, j), func(w *world) { r := plant(w.live[i], w.said[j]); w.live[i].Receive(w.now, &r) })
 			}
 		}
 		return all
@@ -66,14 +66,14 @@
 func TestNamesExplored(t *testing.T) {
 	self := func(run, inc uint64) *Self { return NewSelf(0, Place{Name: "n1", Run: run}, 0, inc) }
 	predecessor := self(1, 9)
-	old := []Record{predecessor.Tell(0), predecessor.Tell(time.Second), predecessor.Leaving(2 * time.Second)}
+	old := []Record{predecessor.NextRecord(0), predecessor.NextRecord(time.Second), predecessor.LeaveRecord(2 * time.Second)}
 	lone := func() *world { return &world{live: []*Self{self(2, 5)}, said: slices.Clone(old)} }
 	twins := func() *world { return &world{live: []*Self{self(2, 9), self(3, 9)}, said: old[:1]} }
 	leaves := func(w *world) string {
-		if len(w.live) == 1 && w.live[0].Yielded() {
+		if len(w.live) == 1 && w.live[0].NameReleased() {
 			return "a process yields to one that is dead"
 		}
-		if len(w.live) == 2 && w.live[0].Yielded() {
+		if len(w.live) == 2 && w.live[0].NameReleased() {
 			return "the earlier of two yields"
 		}
 		return ""
@@ -88,7 +88,7 @@
 	}
 
 	// Planted: a protocol without proof of life, in which any word of another process counts as one.
-	found := explore.Visit(lone(), 9, steps(func(to *Self, r Record) Record { r.Over = to.rec.Run; return r }), (*world).key, leaves)
+	found := explore.Visit(lone(), 9, steps(func(to *Self, r Record) Record { r.Supersedes = to.rec.Run; return r }), (*world).key, leaves)
 	require.NotEmpty(t, found.Why)
 	t.Logf("planted fault found: %s, by %v", found.Why, found.Steps)
 
@@ -97,17 +97,17 @@
 		c := w.clone()
 		for range 8 {
 			for i, s := range c.live {
-				if !s.Yielded() {
-					c.said = append(c.said, s.Tell(c.now))
+				if !s.NameReleased() {
+					c.said = append(c.said, s.NextRecord(c.now))
 				}
 				for _, r := range c.said[max(len(c.said)-3, 0):] {
-					c.live[1-i].Heard(c.now, &r)
+					c.live[1-i].Receive(c.now, &r)
 				}
 			}
 			c.now += time.Second
 		}
-		require.True(t, !c.live[0].Yielded() && c.live[1].Yielded())
-		last := c.live[0].Tell(c.now)
+		require.True(t, !c.live[0].NameReleased() && c.live[1].NameReleased())
+		last := c.live[0].NextRecord(c.now)
 		for _, r := range c.said {
 			require.True(t, r.Less(&last))
 		}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -68,13 +68,13 @@
 }
 
 func goldenLoad() Load {
-	return Load{Capacity: 7.5, Busy: 0.625, InHand: 17, Share: 3.25, Shed: 0.125, Calls: 2.5,
-		Pace: 6.75, Offer: "\x0a\x3c\x00\x46", Tries: 40.5, Again: 0.2, Cut: 23.5,
-		Store: 2, StoreID: 0x89abcdef, Round: 77, Sum: "\x01\x02\xff"}
+	return Load{Capacity: 7.5, Busy: 0.625, InFlight: 17, CallQuota: 3.25, ShedRatio: 0.125, MeanCalls: 2.5,
+		ServiceRate: 6.75, Demand: "\x0a\x3c\x00\x46", Attempts: 40.5, RetryRatio: 0.2, Threshold: 23.5,
+		StoreState: 2, StoreID: 0x89abcdef, ProbeRound: 77, Aggregate: "\x01\x02\xff"}
 }
 
 func goldenRecord() Record {
-	return Record{Name: "n1", Run: 0x0102030405060708, Incarnation: 1796147027278, Over: 0x1112131415161718, Seq: 300,
+	return Record{Name: "n1", Run: 0x0102030405060708, Incarnation: 1796147027278, Supersedes: 0x1112131415161718, Seq: 300,
 		Up: 90*time.Second + 5*time.Millisecond, Stalled: 4 * time.Second, Addr: "10.0.0.1:7946", Region: "eu", Zone: "eu-a",
 		Version: "1.2.3", Config: 0x2122232425262728, State: Serving, Load: goldenLoad()}
 }
@@ -91,7 +91,7 @@
 		{name: "all fields", record: goldenRecord(), age: 1500 * time.Millisecond},
 		field("least", func(*Record) {}),
 		field("incarnation", func(r *Record) { r.Incarnation = 1796147027278 }),
-		field("over", func(r *Record) { r.Over = 0x1112131415161718 }),
+		field("over", func(r *Record) { r.Supersedes = 0x1112131415161718 }),
 		field("seq", func(r *Record) { r.Seq = 300 }),
 		field("up", func(r *Record) { r.Up = 90*time.Second + 5*time.Millisecond }),
 		field("stalled", func(r *Record) { r.Stalled = 4 * time.Second }),
@@ -104,24 +104,24 @@
 		field("state warming", func(r *Record) { r.State = Warming }),
 		field("state serving", func(r *Record) { r.State = Serving }),
 		field("state draining", func(r *Record) { r.State = Draining }),
-		field("state gone", func(r *Record) { r.State = Gone }),
+		field("state gone", func(r *Record) { r.State = Stopped }),
 		field("state of a newer version", func(r *Record) { r.State = 200 }),
 		field("load capacity", func(r *Record) { r.Load.Capacity = 7.5 }),
 		field("load busy none", func(r *Record) { r.Load.Busy = 0 }),
 		field("load busy", func(r *Record) { r.Load.Busy = 0.625 }),
-		field("load in hand", func(r *Record) { r.Load.InHand = 17 }),
-		field("load share", func(r *Record) { r.Load.Share = 3.25 }),
-		field("load shed", func(r *Record) { r.Load.Shed = 0.125 }),
-		field("load calls", func(r *Record) { r.Load.Calls = 2.5 }),
-		field("load pace", func(r *Record) { r.Load.Pace = 6.75 }),
-		field("load offer", func(r *Record) { r.Load.Offer = "\x0a\x3c\x00\x46" }),
-		field("load tries", func(r *Record) { r.Load.Tries = 40.5 }),
-		field("load again", func(r *Record) { r.Load.Again = 0.2 }),
-		field("load cut", func(r *Record) { r.Load.Cut = 23.5 }),
-		field("load store", func(r *Record) { r.Load.Store = 2 }),
+		field("load in hand", func(r *Record) { r.Load.InFlight = 17 }),
+		field("load share", func(r *Record) { r.Load.CallQuota = 3.25 }),
+		field("load shed", func(r *Record) { r.Load.ShedRatio = 0.125 }),
+		field("load calls", func(r *Record) { r.Load.MeanCalls = 2.5 }),
+		field("load pace", func(r *Record) { r.Load.ServiceRate = 6.75 }),
+		field("load offer", func(r *Record) { r.Load.Demand = "\x0a\x3c\x00\x46" }),
+		field("load tries", func(r *Record) { r.Load.Attempts = 40.5 }),
+		field("load again", func(r *Record) { r.Load.RetryRatio = 0.2 }),
+		field("load cut", func(r *Record) { r.Load.Threshold = 23.5 }),
+		field("load store", func(r *Record) { r.Load.StoreState = 2 }),
 		field("load store id", func(r *Record) { r.Load.StoreID = 0x89abcdef }),
-		field("load round", func(r *Record) { r.Load.Round = 77 }),
-		field("load sum", func(r *Record) { r.Load.Sum = "\x01\x02\xff" }),
+		field("load round", func(r *Record) { r.Load.ProbeRound = 77 }),
+		field("load sum", func(r *Record) { r.Load.Aggregate = "\x01\x02\xff" }),
 		field("field of a newer version", func(r *Record) { r.unknown = fieldAdded }),
 	}
 	return append(cases, goldenBoundCases()...)
@@ -132,21 +132,21 @@
 	return []wordCase{
 		{name: "greatest age", record: minimalRecord(func(*Record) {}), age: math.MaxInt64},
 		{name: "negative times and counts", record: minimalRecord(func(r *Record) {
-			r.Up, r.Stalled, r.Load.InHand, r.Load.Capacity = -1, -1, -1, -1
+			r.Up, r.Stalled, r.Load.InFlight, r.Load.Capacity = -1, -1, -1, -1
 		}), read: func(r *Record) { *r = minimalRecord(func(*Record) {}) }},
 		{name: "less than a thousandth", record: minimalRecord(func(r *Record) {
-			r.Up, r.Load.Capacity, r.Load.Pace = 1999*time.Microsecond, 0.0004, 0.0006
-		}), read: func(r *Record) { r.Up, r.Load.Capacity, r.Load.Pace = time.Millisecond, 0, 0.001 }},
+			r.Up, r.Load.Capacity, r.Load.ServiceRate = 1999*time.Microsecond, 0.0004, 0.0006
+		}), read: func(r *Record) { r.Up, r.Load.Capacity, r.Load.ServiceRate = time.Millisecond, 0, 0.001 }},
 		{name: "more than 32 bits of thousandths", record: minimalRecord(func(r *Record) {
-			r.Load.Capacity, r.Load.Cut = 1e12, math.Inf(1)
-		}), read: func(r *Record) { r.Load.Capacity, r.Load.Cut = 4294967.295, 4294967.295 }},
+			r.Load.Capacity, r.Load.Threshold = 1e12, math.Inf(1)
+		}), read: func(r *Record) { r.Load.Capacity, r.Load.Threshold = 4294967.295, 4294967.295 }},
 		{name: "parts above one", record: minimalRecord(func(r *Record) {
-			r.Load.Shed, r.Load.Again = 1.5, 2
-		}), read: func(r *Record) { r.Load.Shed, r.Load.Again = 1, 1 }},
+			r.Load.ShedRatio, r.Load.RetryRatio = 1.5, 2
+		}), read: func(r *Record) { r.Load.ShedRatio, r.Load.RetryRatio = 1, 1 }},
 		{name: "longest texts", record: minimalRecord(func(r *Record) {
 			long := strings.Repeat("x", MaxText)
 			r.Name, r.Addr, r.Region, r.Zone, r.Version = long, long, long, long, long
-			r.Load.Offer, r.Load.Sum = strings.Repeat("\xff", MaxOffer), strings.Repeat("\xff", MaxSum)
+			r.Load.Demand, r.Load.Aggregate = strings.Repeat("\xff", MaxDemand), strings.Repeat("\xff", MaxAggregate)
 		})},
 	}
 }
@@ -155,7 +155,7 @@
 func TestGoldenWordsWritten(t *testing.T) {
 	var got strings.Builder
 	for _, c := range goldenWordCases() {
-		fmt.Fprintf(&got, "%s: 0x%x\n", c.name, AppendWord(nil, &c.record, c.age))
+		fmt.Fprintf(&got, "%s: 0x%x\n", c.name, AppendUpdate(nil, &c.record, c.age))
 	}
 	requireGolden(t, goldenWords, got.String())
 }
@@ -166,7 +166,7 @@
 	require.Len(t, frames, len(cases))
 	for _, c := range cases {
 		require.Contains(t, frames, c.name)
-		got, age, err := ParseWord(frames[c.name])
+		got, age, err := ParseUpdate(frames[c.name])
 		require.NoError(t, err, c.name)
 		want := c.record
 		if c.read != nil {
@@ -185,13 +185,13 @@
 
 // goldenSnapshot has members of every standing and state, two zones and one without a name.
 func goldenSnapshot() *Snapshot {
-	v := NewView("n1", Limits{Members: 20, Forget: time.Hour})
+	v := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
 	join := func(at time.Duration, r Record, reach Reach, found Evidence) {
-		v.Joined(at, 0, r)
+		v.Merge(at, 0, r)
 		if reach != NeverMet {
-			v.Sighted(at, r.Name, r.Run, reach)
+			v.ObserveReach(at, r.Name, r.Run, reach)
 		}
-		v.Tried(r.Name, r.Run, found)
+		v.RecordEvidence(r.Name, r.Run, found)
 	}
 	record := func(name string, state State) Record {
 		return Record{Name: name, Run: 7, Incarnation: 3, Seq: 1, Region: "eu", Zone: "eu-b", Version: "1.2.3", State: state, Load: Load{Busy: -1}}
@@ -201,20 +201,20 @@
 	join(99*time.Second, own, Reached, NoEvidence)
 	join(98*time.Second, record("starting", Starting), Reached, NoEvidence)
 	warming := record("warming", Warming)
-	warming.Load = Load{Capacity: 4, Busy: 0.5, InHand: 3, Pace: 2, Tries: 8, Again: 0.25, Cut: 3.5, Share: 1.5, Calls: 0.5}
+	warming.Load = Load{Capacity: 4, Busy: 0.5, InFlight: 3, ServiceRate: 2, Attempts: 8, RetryRatio: 0.25, Threshold: 3.5, CallQuota: 1.5, MeanCalls: 0.5}
 	join(97*time.Second, warming, Reached, NoEvidence)
 	join(97*time.Second, record("draining", Draining), Reached, NoEvidence)
 	join(96*time.Second, record("newer-state", 200), Reached, NoEvidence)
-	join(96*time.Second, record("gone", Gone), Lost, NoEvidence)
+	join(96*time.Second, record("gone", Stopped), Lost, NoEvidence)
 	join(96*time.Second, record("heard-of", Serving), NeverMet, NoEvidence)
 	join(50*time.Second, record("suspect", Serving), Reached, NoEvidence)
 	join(95*time.Second, record("silent", Serving), Lost, Unanswered)
-	join(95*time.Second, record("dead", Serving), Lost, Refused)
-	join(95*time.Second, record("wedged", Serving), Lost, Accepted)
+	join(95*time.Second, record("dead", Serving), Lost, ConnectionRefused)
+	join(95*time.Second, record("wedged", Serving), Lost, ConnectionAccepted)
 	stalled := record("stalled", Serving)
 	stalled.Stalled = 4 * time.Second
 	join(95*time.Second, stalled, Reached, NoEvidence)
-	v.Sighted(94*time.Second, "no-word", 9, Reached)
+	v.ObserveReach(94*time.Second, "no-word", 9, Reached)
 	return v.Snapshot(100 * time.Second)
 }
 
@@ -242,8 +242,8 @@
 
 // A process that knows nobody else reports no word of others, and a list of itself alone.
 func TestGoldenReportAlone(t *testing.T) {
-	v := NewView("n1", Limits{Members: 20, Forget: time.Hour})
-	v.Joined(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Busy: -1}})
+	v := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
+	v.Merge(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Busy: -1}})
 	got, err := json.MarshalIndent(v.Snapshot(0).Report(time.Second), "", "  ")
 	require.NoError(t, err)
 	requireGolden(t, "testdata/report_alone.json", string(got)+"\n")
@@ -251,7 +251,7 @@
 
 // The changes between two snapshots go to the log in these words.
 func TestGoldenChanges(t *testing.T) {
-	v := NewView("n1", Limits{Members: 20, Forget: time.Hour})
+	v := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
 	record := func(name string, run uint64) Record {
 		zone := "a"
 		if name == "n4" || name == "n5" {
@@ -260,8 +260,8 @@
 		return Record{Name: name, Run: run, Seq: 1, Zone: zone, Version: "1", Config: 0xab, State: Serving}
 	}
 	join := func(at time.Duration, r Record) {
-		v.Joined(at, 0, r)
-		v.Sighted(at, r.Name, r.Run, Reached)
+		v.Merge(at, 0, r)
+		v.ObserveReach(at, r.Name, r.Run, Reached)
 	}
 	for _, name := range []string{"n1", "n2", "n3", "n4"} {
 		join(time.Second, record(name, 1))
@@ -273,9 +273,9 @@
 	reconfigured.Seq, reconfigured.Version, reconfigured.Config, reconfigured.State = 2, "2", 0xcd, Draining
 	join(2*time.Second, reconfigured)
 	for _, name := range []string{"n4", "n5"} {
-		v.Sighted(2*time.Second, name, 1, Lost)
+		v.ObserveReach(2*time.Second, name, 1, Lost)
 	}
-	v.Sighted(2*time.Second, "n2", 2, Lost)
+	v.ObserveReach(2*time.Second, "n2", 2, Lost)
 	after := v.Snapshot(3 * time.Second)
 	var got strings.Builder
 	for _, changes := range [][]Change{after.Changes(before), before.Changes(after)} {
@@ -290,14 +290,14 @@
 // The numbers travel or are published as figures, the names stand in reports, logs and spans.
 func TestGoldenNames(t *testing.T) {
 	var got strings.Builder
-	for s := Starting; s <= Gone; s++ {
+	for s := Starting; s <= Stopped; s++ {
 		fmt.Fprintf(&got, "state %d: %s\n", s, s)
 	}
 	fmt.Fprintf(&got, "state %d: %s\nstate %d: %s\n", 0, State(0), 200, State(200))
-	for s := HeardOf; s <= Left; s++ {
+	for s := Unmet; s <= Left; s++ {
 		fmt.Fprintf(&got, "standing %d: %s\n", s, s)
 	}
-	for p := Alone; p <= CutOff; p++ {
+	for p := Alone; p <= Partitioned; p++ {
 		fmt.Fprintf(&got, "position %d: %s\n", p, p)
 	}
 	fmt.Fprintf(&got, "zone reached: %s\nzone dark: %s\n", light(false), light(true))
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -16,11 +16,11 @@
 
 // Bounds of one record. Whatever is longer is no record of ours.
 const (
-	MaxText    = 64  // bytes of a name, an address, a place or a version
-	MaxUnknown = 192 // bytes of fields that this version does not know
-	MaxOffer   = 52  // bytes of what it tells of the work that it is asked for
-	MaxSum     = 96  // bytes of the sum of its zone
-	MaxRecord  = 820 // bytes of a whole record as it is sent
+	MaxText      = 64  // bytes of a name, an address, a place or a version
+	MaxUnknown   = 192 // bytes of fields that this version does not know
+	MaxDemand    = 52  // bytes of what it tells of the work that it is asked for
+	MaxAggregate = 96  // bytes of the sum of its zone
+	MaxRecord    = 820 // bytes of a whole record as it is sent
 )
 
 // State is what a member says of itself.
@@ -32,10 +32,10 @@
 	Warming                   // it serves, and is cold
 	Serving
 	Draining // it sends front ends away
-	Gone     // it has ended, or has yielded its name to a newer process
+	Stopped  // it has ended, or has yielded its name to a newer process
 )
 
-var stateNames = [...]string{Starting: "starting", Warming: "warming", Serving: "serving", Draining: "draining", Gone: "gone"}
+var stateNames = [...]string{Starting: "starting", Warming: "warming", Serving: "serving", Draining: "draining", Stopped: "gone"}
 
 func (s State) String() string {
 	if s >= Starting && int(s) < len(stateNames) {
@@ -46,24 +46,24 @@
 
 // Load is the small record of how much a member has to do.
 type Load struct {
-	Capacity float64 // cores of its agent; 0 = not told
-	Busy     float64 // share of these in use, as the gauge says; below 0 = unknown
-	InHand   int     // requests without an answer
-	Share    float64 // mean calls in hand at the store that it may have; 0 = no bound
-	Shed     float64 // share of the requests since its last word that it turned away or failed
-	Calls    float64 // mean calls in hand at the store, of late
-
-	Pace  float64 // seconds of work that it gets done in a second; 0 = not told, and so are the others then
-	Offer string  // the work that it is asked for, as package overload writes it
-	Tries float64 // requests that it reads a second
-	Again float64 // part of the tries counted at it that are repeats
-	Cut   float64 // where it cuts; 0 = nowhere
-
-	Store   uint8  // how it stands to its store, as package overload numbers it
-	StoreID uint32 // which store that is; 0 = not told
-	Round   uint64 // the turn to try a store that does not answer, as far as it knows
-
-	Sum string // of its zone, as package overload writes it; empty: others tell it, or nobody
+	Capacity  float64 // cores of its agent; 0 = not told
+	Busy      float64 // share of these in use, as the gauge says; below 0 = unknown
+	InFlight  int     // requests without an answer
+	CallQuota float64 // mean calls in hand at the store that it may have; 0 = no bound
+	ShedRatio float64 // share of the requests since its last word that it turned away or failed
+	MeanCalls float64 // mean calls in hand at the store, of late
+
+	ServiceRate float64 // seconds of work that it gets done in a second; 0 = not told, and so are the others then
+	Demand      string  // the work that it is asked for, as package overload writes it
+	Attempts    float64 // requests that it reads a second
+	RetryRatio  float64 // part of the tries counted at it that are repeats
+	Threshold   float64 // where it cuts; 0 = nowhere
+
+	StoreState uint8  // how it stands to its store, as package overload numbers it
+	StoreID    uint32 // which store that is; 0 = not told
+	ProbeRound uint64 // the turn to try a store that does not answer, as far as it knows
+
+	Aggregate string // of its zone, as package overload writes it; empty: others tell it, or nobody
 }
 
 // Status is what the loop of a member tells.
@@ -78,7 +78,7 @@
 	Name        string // of the image server; the same after a restart
 	Run         uint64 // of this process; another after a restart, and a later start has a larger one
 	Incarnation uint64 // raised by the process itself above whatever else goes by its name
-	Over        uint64 // the Run that the last such raise was above; 0 = none
+	Supersedes  uint64 // the Run that the last such raise was above; 0 = none
 	Seq         uint64 // of this word among those of the process
 
 	Up      time.Duration // from the start of the process to this word, on its own clock
@@ -116,6 +116,6 @@
 // Urgent reports whether r says something else than o, its predecessor, apart from how much there is to do.
 func (r *Record) Urgent(o *Record) bool {
 	return r.Run != o.Run || r.Incarnation != o.Incarnation || r.State != o.State || (r.Stalled > 0) != (o.Stalled > 0) ||
-		r.Load.Store != o.Load.Store ||
+		r.Load.StoreState != o.Load.StoreState ||
 		r.Version != o.Version || r.Config != o.Config || r.Addr != o.Addr || r.Zone != o.Zone || r.Region != o.Region
 }
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -66,12 +66,12 @@
 		switch m := &s.Members[i]; {
 		case m.Self:
 			r.near(m.Addr)
-		case m.Standing == Alive || m.Standing == Suspect:
+		case m.Liveness == Alive || m.Liveness == Suspect:
 			r.near(m.Addr)
 			reached++
-		case m.Standing == HeardOf && m.Seq > 0 && m.Age(now) <= fresh && m.Addr != "":
+		case m.Liveness == Unmet && m.Seq > 0 && m.Age(now) <= fresh && m.Addr != "":
 			wanted[m.Addr] = false // it speaks, and the failure detection here does not know of it
-		case m.Standing == Silent || m.Standing == Dead || m.Standing == Wedged && m.Stalled == 0:
+		case m.Liveness == Silent || m.Liveness == Dead || m.Liveness == Wedged && m.Stalled == 0:
 			if m.Addr != "" {
 				wanted[m.Addr] = true
 			}
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -66,16 +66,16 @@
 // Record is the last word.
 func (s *Self) Record() Record { return s.rec }
 
-// Yielded reports whether the name is another process's now. Then nothing more is told.
-func (s *Self) Yielded() bool { return s.yielded }
+// NameReleased reports whether the name is another process's now. Then nothing more is told.
+func (s *Self) NameReleased() bool { return s.yielded }
 
-// Loop takes in what the loop said, and reports whether that is to be told at once.
-func (s *Self) Loop(now time.Duration, st Status) bool {
+// LoopStatus takes in what the loop said, and reports whether that is to be told at once.
+func (s *Self) LoopStatus(now time.Duration, st Status) bool {
 	s.heard, s.replaced = now, st.Replaced
 	if st.Replaced {
-		st.State = Gone // as far as the fleet is concerned the newer process is the member
+		st.State = Stopped // as far as the fleet is concerned the newer process is the member
 	}
-	urgent := st.State != s.rec.State || s.silenced || st.Load.Store != s.rec.Load.Store
+	urgent := st.State != s.rec.State || s.silenced || st.Load.StoreState != s.rec.Load.StoreState
 	s.rec.State, s.rec.Load = st.State, st.Load
 	return urgent
 }
@@ -90,18 +90,18 @@
 // Stalled reports whether the loop has been silent for too long, and its process has not said so yet.
 func (s *Self) Stalled(now time.Duration) bool { return now-s.heard > stallAfter && !s.silenced }
 
-// Due reports whether it is time to tell again, in a fleet of that size. A loop that stands still tells nothing; its
+// PublishDue reports whether it is time to tell again, in a fleet of that size. A loop that stands still tells nothing; its
 // process says so as often as the loop would have spoken, as any one word may miss a member.
-func (s *Self) Due(now time.Duration, members int) bool {
+func (s *Self) PublishDue(now time.Duration, members int) bool {
 	period := Period(members)
-	if s.rec.Load.Sum != "" {
+	if s.rec.Load.Aggregate != "" {
 		period = leastPeriod // it speaks for its zone
 	}
 	return !s.yielded && (s.Stalled(now) || now-s.told >= period)
 }
 
-// Tell makes the next word.
-func (s *Self) Tell(now time.Duration) Record {
+// NextRecord makes the next word.
+func (s *Self) NextRecord(now time.Duration) Record {
 	s.rec.Seq++
 	s.silenced = now-s.heard > stallAfter
 	s.rec.Up, s.rec.Stalled = s.heard-s.start, 0
@@ -112,19 +112,19 @@
 	return s.rec
 }
 
-// Leaving makes the last word.
-func (s *Self) Leaving(now time.Duration) Record {
-	s.rec.State, s.heard = Gone, now
-	return s.Tell(now)
+// LeaveRecord makes the last word.
+func (s *Self) LeaveRecord(now time.Duration) Record {
+	s.rec.State, s.heard = Stopped, now
+	return s.NextRecord(now)
 }
 
-// Heard takes in the word of another process that goes by this name, and reports whether this one has something new
+// Receive takes in the word of another process that goes by this name, and reports whether this one has something new
 // to tell of itself: a higher incarnation, or that it has yielded.
-func (s *Self) Heard(now time.Duration, r *Record) (urgent bool) {
+func (s *Self) Receive(now time.Duration, r *Record) (urgent bool) {
 	if r.Name != s.rec.Name || r.Run == s.rec.Run || s.yielded || s.replaced {
 		return false
 	}
-	if r.Over == s.rec.Run && r.State != Gone {
+	if r.Supersedes == s.rec.Run && r.State != Stopped {
 		known, ok := s.rivals[r.Run]
 		if !ok && len(s.rivals) >= mostRivals || r.Seq <= known.seq {
 			return false
@@ -136,13 +136,13 @@
 		s.rivals[r.Run] = known
 		if r.Run < s.rec.Run && now-known.since >= yieldAfter {
 			s.yielded = true
-			s.rec.State = Gone
+			s.rec.State = Stopped
 			return true
 		}
 	}
 	if r.Incarnation < s.rec.Incarnation || r.Incarnation == s.rec.Incarnation && r.Run < s.rec.Run {
 		return false
 	}
-	s.rec.Incarnation, s.rec.Over = r.Incarnation+1, r.Run
+	s.rec.Incarnation, s.rec.Supersedes = r.Incarnation+1, r.Run
 	return true
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -18,17 +18,17 @@
 type Evidence uint8
 
 const (
-	NoEvidence Evidence = iota // not tried, or not over
-	Refused                    // its machine answers, and nothing listens there
-	Accepted                   // something takes the call and does not speak
-	Unanswered                 // nothing comes back, not even a refusal
+	NoEvidence         Evidence = iota // not tried, or not over
+	ConnectionRefused                  // its machine answers, and nothing listens there
+	ConnectionAccepted                 // something takes the call and does not speak
+	Unanswered                         // nothing comes back, not even a refusal
 )
 
-// Standing is what an observer makes of a member.
-type Standing uint8
+// Liveness is what an observer makes of a member.
+type Liveness uint8
 
 const (
-	HeardOf Standing = iota // others spoke of it, and it was not met
+	Unmet Liveness = iota // others spoke of it, and it was not met
 	Alive
 	Suspect // it is reached, but its word or that of its next process is overdue
 	Wedged  // its process is there and says nothing of use: stopped, or its loop stands still
@@ -39,7 +39,7 @@
 
 var standingNames = [...]string{"heard of", "alive", "suspect", "wedged", "cut off", "dead", "left"}
 
-func (s Standing) String() string { return standingNames[s] }
+func (s Liveness) String() string { return standingNames[s] }
 
 // Bounds of a view.
 const (
@@ -53,8 +53,8 @@
 
 // Limits bound a view.
 type Limits struct {
-	Members int           // names that it holds
-	Forget  time.Duration // a member that was not reached for that long is dropped
+	Members     int           // names that it holds
+	ForgetAfter time.Duration // a member that was not reached for that long is dropped
 }
 
 // entry is what a view holds of one name.
@@ -97,11 +97,11 @@
 // Size is how many names are known.
 func (v *View) Size() int { return len(v.names) }
 
-// Joined joins a word that is said to be that old, and reports whether it is news: newer than what is known of its
+// Merge joins a word that is said to be that old, and reports whether it is news: newer than what is known of its
 // name. Joining is commutative and idempotent: what is known of a name at last is the greatest word by Less,
 // whatever the order in which words came. Only its age is an estimate. It is the least that is possible: time on the
 // way that nobody has counted is told from the member's own clock, as far as an earlier word came faster.
-func (v *View) Joined(now, age time.Duration, r Record) bool {
+func (v *View) Merge(now, age time.Duration, r Record) bool {
 	e := v.entry(now, r.Name)
 	if e == nil {
 		return false
@@ -137,17 +137,17 @@
 	return nil
 }
 
-// Overtaken returns the word that r falls short of, if that is another process's, and when it was made. Whoever told r
+// SupersededBy returns the word that r falls short of, if that is another process's, and when it was made. Whoever told r
 // has to hear it: a process that has just started under a name, with a clock that was set back, raises itself then.
-func (v *View) Overtaken(r *Record) (by *Record, made time.Duration) {
+func (v *View) SupersededBy(r *Record) (by *Record, made time.Duration) {
 	if e := v.entries[r.Name]; e != nil && e.rec != nil && e.rec.Run != r.Run && r.Less(e.rec) {
 		return e.rec, e.made
 	}
 	return nil, 0
 }
 
-// Sighted notes what the failure detection says of a process.
-func (v *View) Sighted(now time.Duration, name string, run uint64, reach Reach) {
+// ObserveReach notes what the failure detection says of a process.
+func (v *View) ObserveReach(now time.Duration, name string, run uint64, reach Reach) {
 	e := v.entry(now, name)
 	if e == nil {
 		return
@@ -168,8 +168,8 @@
 	}
 }
 
-// Tried notes what a call to a lost process showed. It counts for as long as the process is lost.
-func (v *View) Tried(name string, run uint64, found Evidence) {
+// RecordEvidence notes what a call to a lost process showed. It counts for as long as the process is lost.
+func (v *View) RecordEvidence(name string, run uint64, found Evidence) {
 	if e := v.entries[name]; e != nil {
 		if s := e.sight(run); s != nil && s.reach == Lost {
 			s.evidence = found
@@ -185,11 +185,11 @@
 		if name == v.self {
 			continue
 		}
-		keep := v.limits.Forget
+		keep := v.limits.ForgetAfter
 		switch e.standing(now, fresh) {
 		case Left:
 			keep = min(keep, leftKept)
-		case HeardOf:
+		case Unmet:
 			keep = min(keep, metKept)
 		case Alive, Suspect, Wedged:
 			continue
@@ -264,13 +264,13 @@
 // fresh is how old the word of a member may be before it is overdue.
 func (v *View) fresh() time.Duration { return Fresh(len(v.names)) }
 
-func (e *entry) standing(now, fresh time.Duration) Standing {
+func (e *entry) standing(now, fresh time.Duration) Liveness {
 	s := e.current()
 	switch {
-	case e.rec != nil && e.rec.State == Gone:
+	case e.rec != nil && e.rec.State == Stopped:
 		return Left
 	case s == nil:
-		return HeardOf
+		return Unmet
 	case s.reach == Reached && e.rec != nil && e.rec.Stalled > 0:
 		return Wedged
 	case s.reach == Reached && now-s.since > fresh && (e.rec == nil || now-e.made > fresh):
@@ -278,7 +278,7 @@
 	case s.reach == Reached:
 		return Alive
 	case s.reach != Lost:
-		return HeardOf
+		return Unmet
 	}
 	for i := range e.runs {
 		if e.runs[i].reach == Reached {
@@ -286,9 +286,9 @@
 		}
 	}
 	switch s.evidence {
-	case Refused:
+	case ConnectionRefused:
 		return Dead
-	case Accepted:
+	case ConnectionAccepted:
 		return Wedged
 	}
 	return Silent
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -59,8 +59,8 @@
 	errLong = errors.New("longer than a word of a member can be")
 )
 
-// AppendWord appends the word of r, which is that old.
-func AppendWord(b []byte, r *Record, age time.Duration) []byte {
+// AppendUpdate appends the word of r, which is that old.
+func AppendUpdate(b []byte, r *Record, age time.Duration) []byte {
 	b = append(b, kindWord)
 	b = binary.BigEndian.AppendUint32(b, uint32(min(max(age, 0), mostAge)/time.Millisecond))
 	text := func(n protowire.Number, s string) {
@@ -81,7 +81,7 @@
 	text(fName, r.Name)
 	fixed(fRun, r.Run)
 	whole(fIncarnation, r.Incarnation)
-	fixed(fOver, r.Over)
+	fixed(fOver, r.Supersedes)
 	whole(fSeq, r.Seq)
 	whole(fUp, uint64(max(r.Up, 0)/time.Millisecond))
 	whole(fStalled, uint64(max(r.Stalled, 0)/time.Millisecond))
@@ -93,19 +93,19 @@
 	whole(fState, uint64(r.State))
 	whole(fCapacity, thousandths(r.Load.Capacity))
 	whole(fBusy, thousandths(r.Load.Busy+1)) // so that unknown, -1, is 0
-	whole(fInHand, uint64(max(r.Load.InHand, 0)))
-	whole(fShare, thousandths(r.Load.Share))
-	whole(fShed, thousandths(r.Load.Shed))
-	whole(fCalls, thousandths(r.Load.Calls))
-	whole(fPace, thousandths(r.Load.Pace))
-	text(fOffer, r.Load.Offer)
-	whole(fTries, thousandths(r.Load.Tries))
-	whole(fAgain, thousandths(r.Load.Again))
-	whole(fCut, thousandths(r.Load.Cut))
-	whole(fStore, uint64(r.Load.Store))
+	whole(fInHand, uint64(max(r.Load.InFlight, 0)))
+	whole(fShare, thousandths(r.Load.CallQuota))
+	whole(fShed, thousandths(r.Load.ShedRatio))
+	whole(fCalls, thousandths(r.Load.MeanCalls))
+	whole(fPace, thousandths(r.Load.ServiceRate))
+	text(fOffer, r.Load.Demand)
+	whole(fTries, thousandths(r.Load.Attempts))
+	whole(fAgain, thousandths(r.Load.RetryRatio))
+	whole(fCut, thousandths(r.Load.Threshold))
+	whole(fStore, uint64(r.Load.StoreState))
 	whole(fStoreID, uint64(r.Load.StoreID))
-	whole(fRound, r.Load.Round)
-	text(fSum, r.Load.Sum)
+	whole(fRound, r.Load.ProbeRound)
+	text(fSum, r.Load.Aggregate)
 	return append(b, r.unknown...)
 }
 
@@ -117,9 +117,9 @@
 	return uint64(min(math.Round(v*1000), math.MaxUint32))
 }
 
-// ParseWord reads one word. It keeps nothing of b. Whatever is not a whole word of a member is an error; nothing
+// ParseUpdate reads one word. It keeps nothing of b. Whatever is not a whole word of a member is an error; nothing
 // that b holds makes it use more memory than MaxRecord.
-func ParseWord(b []byte) (r Record, age time.Duration, err error) {
+func ParseUpdate(b []byte) (r Record, age time.Duration, err error) {
 	switch {
 	case len(b) < headWord || b[0] != kindWord:
 		return r, 0, errKind
@@ -164,13 +164,13 @@
 		return nil
 	case fOffer, fSum:
 		s, _ := protowire.ConsumeBytes(value)
-		if typ != protowire.BytesType || len(s) > MaxSum || num == fOffer && len(s) > MaxOffer {
+		if typ != protowire.BytesType || len(s) > MaxAggregate || num == fOffer && len(s) > MaxDemand {
 			return wrong()
 		}
 		if num == fOffer {
-			r.Load.Offer = string(s)
+			r.Load.Demand = string(s)
 		} else {
-			r.Load.Sum = string(s)
+			r.Load.Aggregate = string(s)
 		}
 		return nil
 	case fRun, fOver, fConfig:
@@ -205,27 +205,27 @@
 	case fBusy:
 		r.Load.Busy = part() - 1
 	case fInHand:
-		r.Load.InHand = int(min(v, math.MaxInt32))
+		r.Load.InFlight = int(min(v, math.MaxInt32))
 	case fShare:
-		r.Load.Share = part()
+		r.Load.CallQuota = part()
 	case fShed:
-		r.Load.Shed = min(part(), 1)
+		r.Load.ShedRatio = min(part(), 1)
 	case fCalls:
-		r.Load.Calls = part()
+		r.Load.MeanCalls = part()
 	case fPace:
-		r.Load.Pace = part()
+		r.Load.ServiceRate = part()
 	case fTries:
-		r.Load.Tries = part()
+		r.Load.Attempts = part()
 	case fAgain:
-		r.Load.Again = min(part(), 1)
+		r.Load.RetryRatio = min(part(), 1)
 	case fCut:
-		r.Load.Cut = part()
+		r.Load.Threshold = part()
 	case fStore:
-		r.Load.Store = uint8(min(v, math.MaxUint8))
+		r.Load.StoreState = uint8(min(v, math.MaxUint8))
 	case fStoreID:
 		r.Load.StoreID = uint32(min(v, math.MaxUint32))
 	case fRound:
-		r.Load.Round = v
+		r.Load.ProbeRound = v
 	}
 	return nil
 }
@@ -249,7 +249,7 @@
 	case fRun:
 		return &r.Run
 	case fOver:
-		return &r.Over
+		return &r.Supersedes
 	}
 	return &r.Config
 }
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -18,7 +18,6 @@
 	"github.com/stretchr/testify/require"
 )
 
-
 // requireGoldenText compares got, all cases of a table, byte for byte with the golden file of that name.
 func requireGoldenText(t *testing.T, name, got string) {
 	t.Helper()
@@ -42,10 +41,10 @@
 	c.BytesOut.Store(2)
 	c.Streams.Store(3)
 	c.StreamBytes.Store(4)
-	c.Words.Store(5)
-	c.News.Store(6)
-	c.Spoilt.Store(7)
-	c.Strangers.Store(8)
+	c.Updates.Store(5)
+	c.NewUpdates.Store(6)
+	c.Malformed.Store(7)
+	c.ForeignPackets.Store(8)
 	c.Overflow.Store(9)
 	c.Calls.Store(10)
 	c.CallsFailed.Store(11)
@@ -62,7 +61,7 @@
 
 // Lines that this instance's part in a fleet adds to /metrics, in their order.
 func TestGoldenFiguresOfAQuietFleet(t *testing.T) {
-	got := passingLine.ReplaceAllString(string(quiet(t).Figures(nil)), "$1:(time)")
+	got := passingLine.ReplaceAllString(string(quiet(t).AppendMetrics(nil)), "$1:(time)")
 	requireGoldenText(t, "figures", got)
 }
 
@@ -86,11 +85,11 @@
 	f.log = log
 	other := fleet.Record{Name: "n4", Run: 5, Seq: 1, Zone: "mechelen", Region: "belgium", Version: "1.2.3", Config: 0xabc, State: fleet.Serving}
 	heard := func(at time.Duration, rec fleet.Record) {
-		f.view.Joined(at, at, rec)
+		f.view.Merge(at, at, rec)
 		f.publish(at)
 	}
 	heard(time.Second, other)
-	f.view.Sighted(2*time.Second, "n4", 5, fleet.Reached)
+	f.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
 	f.publish(2 * time.Second)
 	other.Seq, other.State, other.Version, other.Config = 2, fleet.Draining, "1.2.4", 0xdef
 	heard(3*time.Second, other)
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -54,8 +54,8 @@
 func goldenRecords() []fleet.Record {
 	return []fleet.Record{
 		{Name: "n2", Run: 8, Incarnation: 3, Seq: 4, Up: time.Minute, Addr: "10.0.0.2:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3",
-			Config: 9, State: fleet.Serving, Load: fleet.Load{Capacity: 4, Busy: 0.5, InHand: 3}},
-		{Name: "n3", Run: 9, Seq: 1, State: fleet.Gone, Load: fleet.Load{Busy: -1}},
+			Config: 9, State: fleet.Serving, Load: fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 3}},
+		{Name: "n3", Run: 9, Seq: 1, State: fleet.Stopped, Load: fleet.Load{Busy: -1}},
 	}
 }
 
@@ -65,16 +65,16 @@
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
 	f, err := New(Config{Place: fleet.Place{Name: "n1", Addr: "10.0.0.1:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3", Run: 0x1a2b},
-		Listen: "10.0.0.1:7946", Limits: fleet.Limits{Members: 10, Forget: time.Hour}, Probe: time.Second, Size: 1}, log)
+		Listen: "10.0.0.1:7946", Limits: fleet.Limits{Members: 10, ForgetAfter: time.Hour}, ProbeInterval: time.Second, Size: 1}, log)
 	require.NoError(t, err)
 	return f
 }
 
 // snapshotOf has the records as members that are alive, told so long ago that their age is the greatest.
-func snapshotOf(records []fleet.Record, standing fleet.Standing) *fleet.Snapshot {
+func snapshotOf(records []fleet.Record, standing fleet.Liveness) *fleet.Snapshot {
 	s := &fleet.Snapshot{Self: "n1"}
 	for i := range records {
-		s.Members = append(s.Members, fleet.Member{Record: &records[i], Standing: standing, Made: longAgo})
+		s.Members = append(s.Members, fleet.Member{Record: &records[i], Liveness: standing, RecordedAt: longAgo})
 	}
 	return s
 }
@@ -95,7 +95,7 @@
 	frames["state for a newcomer"] = delegate{f}.LocalState(true)
 	f.snapshot.Store(snapshotOf(records[:1], fleet.Alive))
 	frames["state in a later exchange"] = delegate{f}.LocalState(false)
-	f.snapshot.Store(snapshotOf(records, fleet.HeardOf))
+	f.snapshot.Store(snapshotOf(records, fleet.Unmet))
 	frames["state without members that were met"] = delegate{f}.LocalState(true)
 	frames["metadata of a node"] = delegate{f}.NodeMeta(memberlist.MetaMaxSize)
 	return frames
@@ -131,11 +131,11 @@
 	requireWords(t, f, nil)
 
 	var heard []string
-	f.Hear(func(b []byte) { heard = append(heard, string(b)) })
+	f.OnMessage(func(b []byte) { heard = append(heard, string(b)) })
 	delegate{f}.NotifyMsg(frames["message to one member"])
 	require.Equal(t, []string{"payload"}, heard)
 	requireWords(t, f, nil)
-	require.Zero(t, f.Counters.Spoilt.Load())
+	require.Zero(t, f.Counters.Malformed.Load())
 }
 
 // requireWords takes the words that wait for the keeper, and compares their records.
@@ -163,7 +163,7 @@
 // setCounters gives each counter another value.
 func setCounters(c *Counters) {
 	for i, counter := range []*atomic.Int64{
-		&c.PacketsOut, &c.BytesOut, &c.Streams, &c.StreamBytes, &c.Words, &c.News, &c.Spoilt, &c.Strangers, &c.Overflow,
+		&c.PacketsOut, &c.BytesOut, &c.Streams, &c.StreamBytes, &c.Updates, &c.NewUpdates, &c.Malformed, &c.ForeignPackets, &c.Overflow,
 		&c.Calls, &c.CallsFailed, &c.Direct, &c.Suspicions, &c.Objections,
 	} {
 		counter.Store(int64(i + 1))
@@ -176,12 +176,12 @@
 	f, records := newGoldenFleet(t), goldenRecords()
 	setCounters(&f.Counters)
 	s := snapshotOf(records, fleet.Alive)
-	s.Members[0].Made, s.Members[0].Since = time.Hour, time.Hour
-	s.Members[1].Made, s.Members[1].Since, s.Members[1].Standing = time.Hour, time.Hour, fleet.Left
+	s.Members[0].RecordedAt, s.Members[0].Since = time.Hour, time.Hour
+	s.Members[1].RecordedAt, s.Members[1].Since, s.Members[1].Liveness = time.Hour, time.Hour, fleet.Left
 	s.Zones = []fleet.Zone{{Region: "eu", Zone: "eu-a", Known: 1}}
 	s.Zones[0].Count[fleet.Alive] = 1
 	s.Total.Known = 28
-	for standing := fleet.HeardOf; standing <= fleet.Left; standing++ {
+	for standing := fleet.Unmet; standing <= fleet.Left; standing++ {
 		s.Total.Count[standing] = int(standing) + 1
 	}
 	f.snapshot.Store(s)
@@ -199,9 +199,9 @@
 // The figures go to the operators' statistics by these names.
 func TestGoldenFigures(t *testing.T) {
 	f := goldenPublished(t)
-	got := string(f.Figures([]byte("before:1|g\n")))
+	got := string(f.AppendMetrics([]byte("before:1|g\n")))
 	stale := snapshotOf(goldenRecords()[:1], fleet.Alive)
 	f.snapshot.Store(stale)
-	got += "---\n" + string(f.Figures(nil))
+	got += "---\n" + string(f.AppendMetrics(nil))
 	requireGolden(t, "testdata/figures.txt", got)
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -52,15 +52,15 @@
 
 // Config is what a process needs to take part.
 type Config struct {
-	Place  fleet.Place // Addr: where others reach it
-	Listen string      // where it listens, TCP and UDP; IP and port
-	Seeds  []string
-	Keys   [][]byte // the first one encrypts; none: no encryption
-	Digest uint64   // of the configuration
-	Size   int      // members that are expected, for pacing
-	Limits fleet.Limits
-	Probe  time.Duration // between two probes
-	Seed   uint64
+	Place         fleet.Place // Addr: where others reach it
+	Listen        string      // where it listens, TCP and UDP; IP and port
+	Seeds         []string
+	Keys          [][]byte // the first one encrypts; none: no encryption
+	Digest        uint64   // of the configuration
+	Size          int      // members that are expected, for pacing
+	Limits        fleet.Limits
+	ProbeInterval time.Duration // between two probes
+	Seed          uint64
 
 	Incarnation uint64                        // of the start: goes by the system's clock
 	Transport   memberlist.NodeAwareTransport // nil: sockets at Listen
@@ -69,8 +69,8 @@
 // Counters count since the start. They may be read at any time.
 type Counters struct {
 	PacketsOut, BytesOut, Streams, StreamBytes atomic.Int64 // sent by this process
-	Words, News                                atomic.Int64 // read from others, and those of them that were news
-	Spoilt, Strangers, Overflow                atomic.Int64 // dropped: unreadable; not of this fleet; too many at once
+	Updates, NewUpdates                        atomic.Int64 // read from others, and those of them that were news
+	Malformed, ForeignPackets, Overflow        atomic.Int64 // dropped: unreadable; not of this fleet; too many at once
 	Calls, CallsFailed                         atomic.Int64 // to members and seeds that were not reached
 	Direct                                     atomic.Int64 // messages to single members that were sent
 	Suspicions, Objections                     atomic.Int64 // raised by this process; against this process
@@ -136,7 +136,7 @@
 	other, ok := o.(*word)
 	return ok && other.rec.Name == w.rec.Name
 }
-func (w *word) Message() []byte { return fleet.AppendWord(nil, &w.rec, w.now()-w.made) }
+func (w *word) Message() []byte { return fleet.AppendUpdate(nil, &w.rec, w.now()-w.made) }
 func (w *word) Finished()       {}
 
 type target struct {
@@ -175,7 +175,7 @@
 		}
 		f.keyring = ring
 	}
-	f.view.Joined(0, 0, f.self.Record())
+	f.view.Merge(0, 0, f.self.Record())
 	f.snapshot.Store(f.view.Snapshot(0))
 	return f, nil
 }
@@ -200,9 +200,9 @@
 // Snapshot is what is known; it is never nil and never changes.
 func (f *Fleet) Snapshot() *fleet.Snapshot { return f.snapshot.Load() }
 
-// Tell has the fleet told what the loop says. It never blocks: what was not taken yet is replaced. One goroutine
+// Publish has the fleet told what the loop says. It never blocks: what was not taken yet is replaced. One goroutine
 // may call it.
-func (f *Fleet) Tell(s fleet.Status) {
+func (f *Fleet) Publish(s fleet.Status) {
 	select {
 	case <-f.statuses:
 	default:
@@ -220,8 +220,8 @@
 	}
 }
 
-// Hear has messages to this member handed to hear, which must not block and must not keep b.
-func (f *Fleet) Hear(hear func(b []byte)) { f.hear.Store(&hear) }
+// OnMessage has messages to this member handed to hear, which must not block and must not keep b.
+func (f *Fleet) OnMessage(hear func(b []byte)) { f.hear.Store(&hear) }
 
 // sendDirect writes messages to single members, beside the keeper.
 func (f *Fleet) sendDirect(ctx context.Context) error {
@@ -279,7 +279,7 @@
 	c.AdvertiseAddr = host
 	c.AdvertisePort, _ = strconv.Atoi(port)
 	c.BindAddr, c.BindPort = host, c.AdvertisePort
-	c.ProbeInterval, c.ProbeTimeout = f.cfg.Probe, f.cfg.Probe*2/5
+	c.ProbeInterval, c.ProbeTimeout = f.cfg.ProbeInterval, f.cfg.ProbeInterval*2/5
 	c.GossipInterval, c.GossipToTheDeadTime = 200*time.Millisecond, deadKept
 	c.PushPullInterval = max(syncAtLeast, time.Duration(f.cfg.Size)*syncPerName)
 	c.TCPTimeout = streamLimit
@@ -301,7 +301,7 @@
 			f.leave()
 			return
 		case s := <-f.statuses:
-			if f.self.Loop(f.Now(), s) {
+			if f.self.LoopStatus(f.Now(), s) {
 				f.tell()
 			}
 			if s.Replaced && !f.left {
@@ -316,7 +316,7 @@
 			if x.name == "" && x.addr == "" {
 				f.calling = false
 			} else {
-				f.view.Tried(x.name, x.run, x.found)
+				f.view.RecordEvidence(x.name, x.run, x.found)
 				f.changed = true
 			}
 		case <-timer.C:
@@ -338,7 +338,7 @@
 			if here {
 				reach = fleet.Reached
 			}
-			f.view.Sighted(now, name, run, reach)
+			f.view.ObserveReach(now, name, run, reach)
 			f.changed = true
 		}
 	}
@@ -348,7 +348,7 @@
 		f.dropAt = now + forgetEvery
 		f.view.Forget(now)
 	}
-	if f.self.Due(now, f.view.Size()) {
+	if f.self.PublishDue(now, f.view.Size()) {
 		f.tell()
 	}
 	wait := tick * time.Duration(1+f.view.Size()/loadTicks)
@@ -370,21 +370,21 @@
 		return
 	}
 	now := f.Now()
-	r := f.self.Tell(now)
+	r := f.self.NextRecord(now)
 	f.join(now, word{r, now - r.Stalled, f.Now})
 }
 
 // join joins a word and, if it is news, passes it on.
 func (f *Fleet) join(now time.Duration, w word) bool {
 	was := f.view.Known(w.rec.Name)
-	if !f.view.Joined(now, now-w.made, w.rec) {
+	if !f.view.Merge(now, now-w.made, w.rec) {
 		return false
 	}
 	if was == nil || w.rec.Urgent(was) {
 		f.news.QueueBroadcast(&w)
 		f.changed = true
 	} else {
-		f.summed = f.summed || w.rec.Load.Sum != ""
+		f.summed = f.summed || w.rec.Load.Aggregate != ""
 		f.loads.QueueBroadcast(&w)
 	}
 	return true
@@ -396,10 +396,10 @@
 		return
 	}
 	now := f.Now()
-	f.Counters.Words.Add(1)
-	if f.self.Heard(now, &w.rec) {
+	f.Counters.Updates.Add(1)
+	if f.self.Receive(now, &w.rec) {
 		f.tell()
-		if f.self.Yielded() {
+		if f.self.NameReleased() {
 			f.log.WithFields(logrus.Fields{"name": w.rec.Name, "by": w.rec.Addr}).
 				Error("another process goes by this name and was started before; this one leaves the fleet and serves alone")
 			f.publish(now)
@@ -408,8 +408,8 @@
 		}
 	}
 	if f.join(now, w) {
-		f.Counters.News.Add(1)
-	} else if by, made := f.view.Overtaken(&w.rec); by != nil {
+		f.Counters.NewUpdates.Add(1)
+	} else if by, made := f.view.SupersededBy(&w.rec); by != nil {
 		f.news.QueueBroadcast(&word{*by, made, f.Now})
 	}
 }
@@ -480,7 +480,7 @@
 	if f.left {
 		return
 	}
-	if !f.self.Yielded() {
+	if !f.self.NameReleased() {
 		f.goodBye()
 	}
 	f.left = true
@@ -496,14 +496,14 @@
 // the ordinary kind goes out.
 func (f *Fleet) goodBye() {
 	now := f.Now()
-	r := f.self.Leaving(now)
+	r := f.self.LeaveRecord(now)
 	w := word{r, now, f.Now}
 	f.join(now, w)
 	s := f.Snapshot()
 	sent := 0
 	for _, i := range rand.Perm(len(s.Members)) {
 		m := &s.Members[i]
-		if m.Self || m.Standing != fleet.Alive || sent == leaveTold {
+		if m.Self || m.Liveness != fleet.Alive || sent == leaveTold {
 			continue
 		}
 		sent++
@@ -520,7 +520,7 @@
 	for _, addr := range f.rejoin.Next(now, s) {
 		t := target{addr: addr}
 		for i := range s.Members {
-			if m := &s.Members[i]; m.Addr == addr && m.Standing != fleet.Left {
+			if m := &s.Members[i]; m.Addr == addr && m.Liveness != fleet.Left {
 				t.name, t.run = m.Name, m.Run
 			}
 		}
@@ -570,9 +570,9 @@
 		}
 		return
 	}
-	r, age, err := fleet.ParseWord(b)
+	r, age, err := fleet.ParseUpdate(b)
 	if err != nil {
-		d.f.Counters.Spoilt.Add(1)
+		d.f.Counters.Malformed.Add(1)
 		d.f.warn.Warn("fleet word", "a message of another member can't be read", err)
 		return
 	}
@@ -604,11 +604,11 @@
 			i = rand.IntN(n)
 		}
 		m := &s.Members[i]
-		if m.Seq == 0 || m.Standing == fleet.HeardOf {
+		if m.Seq == 0 || m.Liveness == fleet.Unmet {
 			continue // never told, or nothing that this process can vouch for
 		}
 		at := len(b)
-		b = fleet.AppendWord(append(b, 0, 0), m.Record, m.Age(now))
+		b = fleet.AppendUpdate(append(b, 0, 0), m.Record, m.Age(now))
 		binary.BigEndian.PutUint16(b[at:], uint16(len(b)-at-2))
 		if len(b) > joinState {
 			break
@@ -621,7 +621,7 @@
 	for len(b) >= 2 {
 		n := int(binary.BigEndian.Uint16(b))
 		if len(b) < 2+n {
-			d.f.Counters.Spoilt.Add(1)
+			d.f.Counters.Malformed.Add(1)
 			return
 		}
 		d.NotifyMsg(b[2 : 2+n])
--- a/internal/gossip/report.go
+++ b/internal/gossip/report.go
@@ -15,7 +15,7 @@
 func (c *Counters) all() map[string]int64 {
 	m := map[string]int64{}
 	for name, v := range map[string]*atomic.Int64{"packets_out": &c.PacketsOut, "bytes_out": &c.BytesOut, "streams": &c.Streams,
-		"stream_bytes_out": &c.StreamBytes, "words": &c.Words, "news": &c.News, "spoilt": &c.Spoilt, "strangers": &c.Strangers,
+		"stream_bytes_out": &c.StreamBytes, "words": &c.Updates, "news": &c.NewUpdates, "spoilt": &c.Malformed, "strangers": &c.ForeignPackets,
 		"overflow": &c.Overflow, "calls": &c.Calls, "calls_failed": &c.CallsFailed, "direct": &c.Direct, "suspicions": &c.Suspicions,
 		"objections": &c.Objections} {
 		m[name] = v.Load()
@@ -36,14 +36,14 @@
 	}}
 }
 
-// Figures appends the figures of the fleet to those of the server, in the same form.
-func (f *Fleet) Figures(b []byte) []byte {
+// AppendMetrics appends the figures of the fleet to those of the server, in the same form.
+func (f *Fleet) AppendMetrics(b []byte) []byte {
 	line := func(name string, v int64, kind string) {
 		b = append(append(append(b, "app.fleet."...), name...), ':')
 		b = append(append(append(strconv.AppendInt(b, v, 10), '|'), kind...), '\n')
 	}
 	s, now := f.Snapshot(), f.Now()
-	sum, count := s.Sum(now, fleet.Fresh(len(s.Members))), &s.Total.Count
+	sum, count := s.Aggregate(now, fleet.Fresh(len(s.Members))), &s.Total.Count
 	for _, x := range []struct {
 		name string
 		v    int
@@ -52,7 +52,7 @@
 		{"position", int(s.Position)}} {
 		line(x.name, int64(x.v), "g")
 	}
-	line("heard_ms", s.HeardMs(now), "g")
+	line("heard_ms", s.LastReceivedMs(now), "g")
 	line("oldest_ms", sum.Oldest.Milliseconds(), "g")
 	counters := f.Counters.all()
 	for _, name := range slices.Sorted(maps.Keys(counters)) {
