--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -110,9 +110,9 @@
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED),
 		!w.seen[addr] && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)):
-		return fleet.Refused
+		return fleet.ConnectionRefused
 	case errors.Is(err, errConnected):
-		return fleet.Accepted
+		return fleet.ConnectionAccepted
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return fleet.Unanswered
 	}
@@ -168,7 +168,7 @@
 	c := &l.f.Counters
 	switch {
 	case strings.Contains(rest, "ecrypt"), strings.Contains(rest, "label"):
-		c.Strangers.Add(1)
+		c.ForeignPackets.Add(1)
 		l.f.warn.Warn("fleet stranger", rest, nil)
 		return len(b), nil
 	case strings.HasPrefix(rest, "Suspect "):
@@ -179,7 +179,7 @@
 	switch level {
 	case "ERR":
 		if strings.Contains(rest, "ecode") || strings.Contains(rest, "type") || strings.Contains(rest, "too short") {
-			c.Spoilt.Add(1)
+			c.Malformed.Add(1)
 		}
 		l.f.warn.Warn("fleet "+key(rest), rest, nil)
 	case "WARN":
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -14,27 +14,27 @@
 
 // The kinds of Message.
 const (
-	Known  Kind = "known"  // a try under this key is in hand here, or was run
-	Over   Kind = "over"   // the run under it has ended, for all that this process knows
-	Free   Kind = "free"   // nothing was run under it, and nothing will be
-	Claim  Kind = "claim"  // newer to older: a try under this key is to be run, unless the key is known
-	Grant  Kind = "grant"  // older to newer: it may be
-	Synced Kind = "synced" // older to newer: all keys so far have been told
+	Known     Kind = "known"  // a try under this key is in hand here, or was run
+	Completed Kind = "over"   // the run under it has ended, for all that this process knows
+	Released  Kind = "free"   // nothing was run under it, and nothing will be
+	Claim     Kind = "claim"  // newer to older: a try under this key is to be run, unless the key is known
+	Grant     Kind = "grant"  // older to newer: it may be
+	Synced    Kind = "synced" // older to newer: all keys so far have been told
 )
 
 // Message is one line between the processes.
 type Message struct {
-	Kind   Kind
-	Once   string        // the key, in hex digits
-	Digest uint64        // Known, Claim: of what all its tries ask for
-	At     time.Duration // Known: end of the window; Claim: arrival of the try; on the Unix clock
-	OK     bool          // Over: it was a success, with Body
-	Body   []byte
+	Kind           Kind
+	IdempotencyKey string        // the key, in hex digits
+	Digest         uint64        // Known, Claim: of what all its tries ask for
+	At             time.Duration // Known: end of the window; Claim: arrival of the try; on the Unix clock
+	OK             bool          // Over: it was a success, with Body
+	Body           []byte
 }
 
 func appendMessage(b []byte, m Message) []byte {
 	b = append(append(b, `{"cmd":"`...), m.Kind...)
-	b = append(append(b, `","once":"`...), m.Once...)
+	b = append(append(b, `","once":"`...), m.IdempotencyKey...)
 	b = strconv.AppendUint(append(b, `","digest":"`...), m.Digest, 16)
 	b = strconv.AppendInt(append(b, `","at":"`...), int64(m.At), 10)
 	b = strconv.AppendBool(append(b, `","ok":`...), m.OK)
@@ -52,15 +52,15 @@
 		return m, err
 	}
 	text := func(name string) string { return string(v.GetStringBytes(name)) }
-	m = Message{Kind: Kind(text("cmd")), Once: text("once"), OK: v.GetBool("ok")}
+	m = Message{Kind: Kind(text("cmd")), IdempotencyKey: text("once"), OK: v.GetBool("ok")}
 	switch m.Kind {
 	case Synced:
 		return m, nil
-	case Known, Over, Free, Claim, Grant:
+	case Known, Completed, Released, Claim, Grant:
 	default:
 		return m, fmt.Errorf("unknown message %.40q", string(m.Kind))
 	}
-	if m.Once == "" {
+	if m.IdempotencyKey == "" {
 		return m, fmt.Errorf("%s: once is missing", m.Kind)
 	}
 	if m.Digest, err = strconv.ParseUint(text("digest"), 16, 64); err != nil {
--- a/internal/handover/codec_test.go
+++ b/internal/handover/codec_test.go
@@ -11,11 +11,11 @@
 	var p parser
 	for _, m := range []Message{
 		{Kind: Synced},
-		{Kind: Known, Once: "ab12", Digest: 1<<64 - 1, At: 1796147027278 * time.Millisecond},
-		{Kind: Over, Once: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"")},
-		{Kind: Free, Once: "ab12"},
-		{Kind: Claim, Once: "ab12", Digest: 7, At: -1},
-		{Kind: Grant, Once: "ab12"},
+		{Kind: Known, IdempotencyKey: "ab12", Digest: 1<<64 - 1, At: 1796147027278 * time.Millisecond},
+		{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"")},
+		{Kind: Released, IdempotencyKey: "ab12"},
+		{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1},
+		{Kind: Grant, IdempotencyKey: "ab12"},
 	} {
 		got, err := p.parse(appendMessage(nil, m))
 		require.NoError(t, err)
@@ -30,16 +30,16 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(appendMessage(nil, Message{Kind: Over, Once: "ab12", OK: true, Body: []byte("x")}))
+	f.Add(appendMessage(nil, Message{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("x")}))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		var p parser
 		m, err := p.parse(line)
 		if err != nil || m.Kind == Synced {
 			return
 		}
-		again, err := p.parse(appendMessage(nil, Message{Kind: m.Kind, Once: "ab", Digest: m.Digest, At: m.At, OK: m.OK, Body: m.Body}))
+		again, err := p.parse(appendMessage(nil, Message{Kind: m.Kind, IdempotencyKey: "ab", Digest: m.Digest, At: m.At, OK: m.OK, Body: m.Body}))
 		require.NoError(t, err)
-		m.Once = "ab"
+		m.IdempotencyKey = "ab"
 		require.Equal(t, m, again)
 	})
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -21,16 +21,16 @@
 	name    string
 	message Message
 }{
-	{"known", Message{Kind: Known, Once: "ab12", Digest: 0xfedcba9876543210, At: 1796147027278 * time.Millisecond}},
-	{"known, digest without leading zeros", Message{Kind: Known, Once: "00ff", Digest: 0x1a, At: 1}},
-	{"known, greatest numbers", Message{Kind: Known, Once: "ab12", Digest: math.MaxUint64, At: math.MaxInt64}},
-	{"over, success with a result", Message{Kind: Over, Once: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"result")}},
-	{"over, success with an empty result", Message{Kind: Over, Once: "ab12", OK: true}},
-	{"over, failure", Message{Kind: Over, Once: "ab12"}},
-	{"free", Message{Kind: Free, Once: "ab12"}},
-	{"claim", Message{Kind: Claim, Once: "ab12", Digest: 7, At: 1796147027278 * time.Millisecond}},
-	{"claim, negative time", Message{Kind: Claim, Once: "ab12", Digest: 7, At: -1}},
-	{"grant", Message{Kind: Grant, Once: "ab12"}},
+	{"known", Message{Kind: Known, IdempotencyKey: "ab12", Digest: 0xfedcba9876543210, At: 1796147027278 * time.Millisecond}},
+	{"known, digest without leading zeros", Message{Kind: Known, IdempotencyKey: "00ff", Digest: 0x1a, At: 1}},
+	{"known, greatest numbers", Message{Kind: Known, IdempotencyKey: "ab12", Digest: math.MaxUint64, At: math.MaxInt64}},
+	{"over, success with a result", Message{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"result")}},
+	{"over, success with an empty result", Message{Kind: Completed, IdempotencyKey: "ab12", OK: true}},
+	{"over, failure", Message{Kind: Completed, IdempotencyKey: "ab12"}},
+	{"free", Message{Kind: Released, IdempotencyKey: "ab12"}},
+	{"claim", Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: 1796147027278 * time.Millisecond}},
+	{"claim, negative time", Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1}},
+	{"grant", Message{Kind: Grant, IdempotencyKey: "ab12"}},
 	{"synced", Message{Kind: Synced}},
 }
 
@@ -68,7 +68,7 @@
 	var p parser
 	got, err := p.parse([]byte(`{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"))
 	require.NoError(t, err)
-	require.Equal(t, Message{Kind: Claim, Once: "ab12", Digest: 7, At: -1}, got)
+	require.Equal(t, Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1}, got)
 }
 
 // Two processes find each other by the names of the socket and of the lock beside it, and nothing else may be left there.
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -29,10 +29,10 @@
 )
 
 // Link leads to the other process.
-type Link struct{ *outbox.Outbox }
+type Link struct{ *outbox.Queue }
 
-// Tell sends messages, many of them in pieces: one buffer for thousands of results would grow by being copied.
-func (l *Link) Tell(ms ...Message) {
+// Publish sends messages, many of them in pieces: one buffer for thousands of results would grow by being copied.
+func (l *Link) Publish(ms ...Message) {
 	var b []byte
 	for _, m := range ms {
 		if b = appendMessage(b, m); len(b) >= batch {
@@ -48,11 +48,11 @@
 // Loop is what Run needs of the loop that deals with messages. Post hands it a function, and the others are
 // called within it.
 type Loop struct {
-	Post  func(func())
-	Older func(*Link) // the process before this one was joined; nil: there is none
-	Newer func(*Link) // a process that is to follow this one has joined
-	Got   func(*Link, Message)
-	Ended func(*Link)
+	Post          func(func())
+	OnPredecessor func(*Link) // the process before this one was joined; nil: there is none
+	OnSuccessor   func(*Link) // a process that is to follow this one has joined
+	OnMessage     func(*Link, Message)
+	OnEnd         func(*Link)
 }
 
 // Run joins the older process, if one listens at path, and from the moment at which serves is closed lets a
@@ -64,9 +64,9 @@
 		log.Warn("handover", "no older process to be reached, or none can join this one", err)
 	}
 	if older != nil {
-		g.Go(func() error { serve(ctx, older, loop, loop.Older, log); return nil })
+		g.Go(func() error { serve(ctx, older, loop, loop.OnPredecessor, log); return nil })
 	} else {
-		loop.Post(func() { loop.Older(nil) })
+		loop.Post(func() { loop.OnPredecessor(nil) })
 	}
 	g.Go(func() error {
 		if ln == nil {
@@ -95,7 +95,7 @@
 				}
 				continue
 			}
-			g.Go(func() error { serve(ctx, nc, loop, loop.Newer, log); return nil })
+			g.Go(func() error { serve(ctx, nc, loop, loop.OnSuccessor, log); return nil })
 		}
 	})
 	return g.Wait()
@@ -178,11 +178,11 @@
 			if err != nil {
 				return err
 			}
-			loop.Post(func() { loop.Got(l, m) })
+			loop.Post(func() { loop.OnMessage(l, m) })
 		}
 	})
 	if err := g.Wait(); err != nil {
 		log.Warn("handover", "link to the other process broke", err)
 	}
-	loop.Post(func() { loop.Ended(l) })
+	loop.Post(func() { loop.OnEnd(l) })
 }
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -34,8 +34,8 @@
 	}
 	in := make(chan func())
 	ctx, cancel := context.WithCancel(context.Background())
-	loop := Loop{Post: func(f func()) { in <- f }, Older: joined("older"), Newer: joined("newer"),
-		Got: func(_ *Link, m Message) { p.told <- m }, Ended: func(*Link) { p.told <- "ended" }}
+	loop := Loop{Post: func(f func()) { in <- f }, OnPredecessor: joined("older"), OnSuccessor: joined("newer"),
+		OnMessage: func(_ *Link, m Message) { p.told <- m }, OnEnd: func(*Link) { p.told <- "ended" }}
 	serves, over := make(chan struct{}), make(chan error, 1)
 	close(serves)
 	log, _ := test.NewNullLogger()
@@ -161,15 +161,15 @@
 	second := start(t, path)
 	second.expect("older")
 	first.expect("newer")
-	(<-second.links).Tell(Message{Kind: Claim, Once: "a"})
-	first.expect(Message{Kind: Claim, Once: "a"})
+	(<-second.links).Publish(Message{Kind: Claim, IdempotencyKey: "a"})
+	first.expect(Message{Kind: Claim, IdempotencyKey: "a"})
 	link := <-first.links
 	for range 3 {
-		link.Tell(Message{Kind: Grant, Once: "a"}, Message{Kind: Synced})
+		link.Publish(Message{Kind: Grant, IdempotencyKey: "a"}, Message{Kind: Synced})
 	}
 	first.stop()
 	for range 3 {
-		second.expect(Message{Kind: Grant, Once: "a"})
+		second.expect(Message{Kind: Grant, IdempotencyKey: "a"})
 		second.expect(Message{Kind: Synced})
 	}
 	second.expect("ended")
@@ -193,15 +193,15 @@
 	first.busy.Lock()
 	second.busy.Lock()
 	link := <-first.links
-	last := Message{Kind: Over, Once: "a", OK: true, Body: make([]byte, 2<<10)} // more than is read ahead
+	last := Message{Kind: Completed, IdempotencyKey: "a", OK: true, Body: make([]byte, 2<<10)} // more than is read ahead
 	for range 20 {
-		link.Tell(last)
+		link.Publish(last)
 	}
 	first.busy.Unlock()
 	first.stop()
 	to := <-second.links
 	for range outRoom { // so many that some fail before the next line
-		to.Tell(Message{Kind: Claim, Once: "b"})
+		to.Publish(Message{Kind: Claim, IdempotencyKey: "b"})
 	}
 	second.busy.Unlock()
 	for range 20 {
--- a/internal/msgpackrpc/codec_test.go
+++ b/internal/msgpackrpc/codec_test.go
@@ -116,9 +116,9 @@
 func TestParseTry(t *testing.T) {
 	got, err := parseTry(parse(t, appendRequest(7, "preview", sampleFields(), []byte{0, 255})), &names{})
 	require.NoError(t, err)
-	require.Equal(t, server.Try{ID: "9b1f03aa5c7e2d41", Once: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Key: "7f3a",
-		Class: "preview", At: 1764576000123 * time.Millisecond, Wait: 480 * time.Millisecond, Caller: 4,
-		Cost: 12500 * time.Microsecond, KB: 24.5, Rank: 0.625, Body: []byte{0, 255}}, got)
+	require.Equal(t, server.Attempt{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Subject: "7f3a",
+		Class: "preview", ArrivedAt: 1764576000123 * time.Millisecond, Timeout: 480 * time.Millisecond, Client: 4,
+		CostHint: 12500 * time.Microsecond, MemoryKB: 24.5, Rank: 0.625, Body: []byte{0, 255}}, got)
 }
 
 // A wrong request gets an answer that names the field, so that whoever sent it can find the fault.
@@ -212,10 +212,10 @@
 		{server.Answer{Kind: server.Healthy}, arrayValue{nil, arrayValue{true, mapValue{}}}},
 		{server.Answer{Kind: server.Unhealthy}, arrayValue{nil, arrayValue{false, mapValue{}}}},
 		{server.Answer{Kind: server.Failed}, arrayValue{arrayValue{errFailed, mapValue{}}, nil}},
-		{server.Answer{Kind: server.Refused}, arrayValue{arrayValue{errRefused, mapValue{}}, nil}},
-		{server.Answer{Kind: server.Refused, After: 250 * time.Millisecond},
+		{server.Answer{Kind: server.Rejected}, arrayValue{arrayValue{errRefused, mapValue{}}, nil}},
+		{server.Answer{Kind: server.Rejected, RetryAfter: 250 * time.Millisecond},
 			arrayValue{arrayValue{errRefused, mapValue{{"after", "250"}}}, nil}},
-		{server.Answer{Kind: server.Refused, Last: true}, arrayValue{arrayValue{errRefused, mapValue{{"last", "1"}}}, nil}},
+		{server.Answer{Kind: server.Rejected, NoRetryElsewhere: true}, arrayValue{arrayValue{errRefused, mapValue{{"last", "1"}}}, nil}},
 		{server.Answer{Kind: server.Invalid, Reason: "field id"},
 			arrayValue{arrayValue{errInvalid, mapValue{{"reason", "field id"}}}, nil}},
 	} {
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -37,7 +37,7 @@
 // conn is one connection of a front end. Its reader and its outbox run in goroutines of their own;
 // the server's loop calls Answer, Closing, Finish, Resume, End and Close, none of which blocks.
 type conn struct {
-	*outbox.Outbox
+	*outbox.Queue
 	net      net.Conn
 	in       frames // the reader's, like the next three
 	known    names
@@ -51,7 +51,7 @@
 }
 
 func newConn(nc net.Conn) *conn {
-	c := &conn{Outbox: outbox.NewHalf(nc, outRoom), net: nc, again: make(chan struct{}, 1), shut: make(chan struct{}),
+	c := &conn{Queue: outbox.NewHalf(nc, outRoom), net: nc, again: make(chan struct{}, 1), shut: make(chan struct{}),
 		readDone: make(chan struct{})}
 	c.left = finishBytes
 	c.in = frames{from: c, begun: c.limit, late: true} // the first message has a limit from the start
@@ -70,11 +70,11 @@
 		ended(err)
 		c.left = finishBytes
 		end := endOf(err)
-		if end == server.Left {
+		if end == server.Disconnected {
 			c.Close()
 		}
-		s.Closed(c, end)
-		if end != server.Finished && end != server.Silent {
+		s.ReadEnded(c, end)
+		if end != server.ReadPaused && end != server.ReadTimeout {
 			return
 		}
 		select {
@@ -108,15 +108,15 @@
 		if string(m.method) == methodHealth {
 			deep, err := parseProbe(m)
 			if err != nil {
-				s.Wrong(c, m.id, err)
+				s.RejectInvalid(c, m.id, err)
 			} else {
-				s.Probe(c, m.id, deep)
+				s.HealthCheck(c, m.id, deep)
 			}
 			continue
 		}
 		t, err := parseTry(m, &c.known)
 		if err != nil {
-			s.Wrong(c, m.id, err)
+			s.RejectInvalid(c, m.id, err)
 			continue
 		}
 		s.Submit(c, m.id, t)
@@ -140,14 +140,14 @@
 // passed is a time that is over.
 var passed = time.Unix(1, 0)
 
-// Finish implements server.Peer.
-func (c *conn) Finish() {
+// PauseReading implements server.Peer.
+func (c *conn) PauseReading() {
 	c.finish.Store(true)
 	_ = c.net.SetReadDeadline(passed) // a connection that is closed has no reader any more
 }
 
-// Resume implements server.Peer.
-func (c *conn) Resume() {
+// ResumeReading implements server.Peer.
+func (c *conn) ResumeReading() {
 	c.finish.Store(false)
 	c.goOn()
 }
@@ -159,9 +159,9 @@
 	}
 }
 
-// End implements server.Peer. Between its look at what has come and the end of the connection lies nothing but two calls
+// TryClose implements server.Peer. Between its look at what has come and the end of the connection lies nothing but two calls
 // of the system, where all answers are written.
-func (c *conn) End() bool {
+func (c *conn) TryClose() bool {
 	if c.waits() {
 		c.finish.Store(true)
 		c.goOn()
@@ -174,7 +174,7 @@
 
 // Close implements server.Peer.
 func (c *conn) Close() {
-	c.Outbox.Close()
+	c.Queue.Close()
 	c.once.Do(func() { close(c.shut) })
 }
 
@@ -267,8 +267,8 @@
 // Answer implements server.Peer.
 func (c *conn) Answer(call uint32, a server.Answer) { c.Send(appendAnswer(nil, call, a)) }
 
-// Closing implements server.Peer.
-func (c *conn) Closing() { c.Send(appendClosing(nil)) }
+// NotifyClosing implements server.Peer.
+func (c *conn) NotifyClosing() { c.Send(appendClosing(nil)) }
 
-// MostOpen implements server.Peer.
-func (c *conn) MostOpen() int { return maxOpen }
+// MaxOpenCalls implements server.Peer.
+func (c *conn) MaxOpenCalls() int { return maxOpen }
--- a/internal/msgpackrpc/conn_test.go
+++ b/internal/msgpackrpc/conn_test.go
@@ -102,14 +102,14 @@
 func TestEnds(t *testing.T) {
 	for _, c := range []struct {
 		err  error
-		want server.End
+		want server.EndReason
 	}{
-		{io.EOF, server.Left},
-		{&net.OpError{Op: "read", Err: syscall.ECONNRESET}, server.Left},
-		{&net.OpError{Op: "read", Err: net.ErrClosed}, server.Left},
-		{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}, server.Silent},
-		{errTooLong, server.Unreadable},
-		{fmt.Errorf("%w: kind 7", errBroken), server.Unreadable},
+		{io.EOF, server.Disconnected},
+		{&net.OpError{Op: "read", Err: syscall.ECONNRESET}, server.Disconnected},
+		{&net.OpError{Op: "read", Err: net.ErrClosed}, server.Disconnected},
+		{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}, server.ReadTimeout},
+		{errTooLong, server.MalformedInput},
+		{fmt.Errorf("%w: kind 7", errBroken), server.MalformedInput},
 	} {
 		require.Equal(t, c.want, endOf(c.err), "%v", c.err)
 	}
--- a/internal/msgpackrpc/crossings_test.go
+++ b/internal/msgpackrpc/crossings_test.go
@@ -146,7 +146,7 @@
 		by  func(c *conn)
 		err error
 	}{
-		"idle close": {func(c *conn) { c.Finish() }, errFinished},
+		"idle close": {func(c *conn) { c.PauseReading() }, errFinished},
 		"pause":      {func(c *conn) { require.NoError(t, c.net.SetReadDeadline(passed)) }, os.ErrDeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -185,14 +185,14 @@
 			t.Parallel()
 			b := make([]byte, 10)
 			c, far := pipe(t)
-			c.Finish()
+			c.PauseReading()
 			_, err := c.Read(b)
 			require.ErrorIs(t, err, errFinished)
 			if first == "request" {
 				_, err := far.Write([]byte("abc"))
 				require.NoError(t, err)
 				arrived(t, c, 3)
-				require.False(t, c.End())
+				require.False(t, c.TryClose())
 				<-c.again
 				require.NoError(t, c.limit(false))
 				n, err := c.Read(b)
@@ -202,7 +202,7 @@
 				require.ErrorIs(t, err, errFinished)
 			}
 			c.Send([]byte("answer"))
-			require.True(t, c.End())
+			require.True(t, c.TryClose())
 			over := make(chan error, 1)
 			go func() { over <- c.Run() }()
 			all, err := io.ReadAll(far)
@@ -211,7 +211,7 @@
 			require.NoError(t, <-over)
 
 			c, far = pipe(t) // with nothing to write it is closed when End returns
-			require.True(t, c.End())
+			require.True(t, c.TryClose())
 			require.NoError(t, far.SetReadDeadline(time.Now().Add(patience)))
 			_, err = far.Read(b)
 			require.ErrorIs(t, err, io.EOF)
@@ -232,12 +232,12 @@
 		<-h.release
 	}
 }
-func (h *holder) Closing()      {}
-func (h *holder) Finish()       {}
-func (h *holder) Resume()       {}
-func (h *holder) End() bool     { return true }
-func (h *holder) Close()        {}
-func (h *holder) MostOpen() int { return maxOpen }
+func (h *holder) NotifyClosing()    {}
+func (h *holder) PauseReading()     {}
+func (h *holder) ResumeReading()    {}
+func (h *holder) TryClose() bool    { return true }
+func (h *holder) Close()            {}
+func (h *holder) MaxOpenCalls() int { return maxOpen }
 
 // quietPeer is one that says nothing.
 type quietPeer struct{ holder }
@@ -254,15 +254,15 @@
 	f.expectAnswer(1, "%!s(bool=true)")
 	f.next = 1
 	h := &holder{make(chan struct{}), make(chan struct{})}
-	p.server.Opened(h)
-	p.server.Probe(h, holds, false)
+	p.server.ConnectionOpened(h)
+	p.server.HealthCheck(h, holds, false)
 	<-h.held
 	for range 64/2 - 8 - 2 { // as many as there may be, all used later than f
 		q := &quietPeer{}
-		p.server.Opened(q)
-		p.server.Probe(q, 1, false)
+		p.server.ConnectionOpened(q)
+		p.server.HealthCheck(q, 1, false)
 	}
-	p.server.Opened(&quietPeer{}) // takes the place of f
+	p.server.ConnectionOpened(&quietPeer{}) // takes the place of f
 	run := f.send("preview", "x")
 	h.release <- struct{}{}
 	p.expect("launch", run)
@@ -283,15 +283,15 @@
 	p := start(t, append([]string{`"sockets": 1024`, `"sockets": 64`}, never...)...)
 	const places = 64/2 - 8
 	h := &holder{make(chan struct{}), make(chan struct{})}
-	p.server.Opened(h)
-	p.server.Submit(h, holds+1, server.Try{ID: "feed", Class: "preview", At: time.Duration(time.Now().UnixNano()), Wait: 10 * time.Minute, KB: 1})
+	p.server.ConnectionOpened(h)
+	p.server.Submit(h, holds+1, server.Attempt{ID: "feed", Class: "preview", ArrivedAt: time.Duration(time.Now().UnixNano()), Timeout: 10 * time.Minute, MemoryKB: 1})
 	for range places - 1 {
 		g := p.dial()
 		g.send("preview", "x")
 		g.write(appendProbe(2, nil))
 		g.expectAnswer(2, "%!s(bool=true)") // the request has been taken in
 	}
-	p.server.Probe(h, holds, false)
+	p.server.HealthCheck(h, holds, false)
 	<-h.held // so that the request is there when a place is looked for
 	f := p.dial()
 	f.send("preview", "x")
--- a/internal/msgpackrpc/front.go
+++ b/internal/msgpackrpc/front.go
@@ -126,7 +126,7 @@
 }
 
 func (f *Front) start(ctx context.Context, g *errgroup.Group, c *conn, s *server.Server) {
-	s.Opened(c) // before Serve returns: then no connection is left that the server does not know
+	s.ConnectionOpened(c) // before Serve returns: then no connection is left that the server does not know
 	g.Go(func() error {
 		defer context.AfterFunc(ctx, c.Close)()
 		if c.Run() == nil { // the reader tells of a connection that broke
@@ -151,15 +151,15 @@
 }
 
 // endOf tells why reading a connection ended.
-func endOf(err error) server.End {
+func endOf(err error) server.EndReason {
 	var broken net.Error
 	switch {
 	case errors.Is(err, errFinished):
-		return server.Finished
+		return server.ReadPaused
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return server.Silent
+		return server.ReadTimeout
 	case errors.Is(err, io.EOF), errors.As(err, &broken):
-		return server.Left
+		return server.Disconnected
 	}
-	return server.Unreadable
+	return server.MalformedInput
 }
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -80,11 +80,11 @@
 		{"healthy", 2, server.Answer{Kind: server.Healthy}},
 		{"unhealthy", 2, server.Answer{Kind: server.Unhealthy}},
 		{"failed", 3, server.Answer{Kind: server.Failed}},
-		{"refused without advice", 4, server.Answer{Kind: server.Refused}},
-		{"refused, stay away for less than a millisecond", 4, server.Answer{Kind: server.Refused, After: 999 * time.Microsecond}},
-		{"refused, stay away", 4, server.Answer{Kind: server.Refused, After: 1250999 * time.Microsecond}},
-		{"refused for good", 4, server.Answer{Kind: server.Refused, Last: true}},
-		{"refused for good, stay away", 4, server.Answer{Kind: server.Refused, After: 250 * time.Millisecond, Last: true}},
+		{"refused without advice", 4, server.Answer{Kind: server.Rejected}},
+		{"refused, stay away for less than a millisecond", 4, server.Answer{Kind: server.Rejected, RetryAfter: 999 * time.Microsecond}},
+		{"refused, stay away", 4, server.Answer{Kind: server.Rejected, RetryAfter: 1250999 * time.Microsecond}},
+		{"refused for good", 4, server.Answer{Kind: server.Rejected, NoRetryElsewhere: true}},
+		{"refused for good, stay away", 4, server.Answer{Kind: server.Rejected, RetryAfter: 250 * time.Millisecond, NoRetryElsewhere: true}},
 		{"invalid without a reason", 5, server.Answer{Kind: server.Invalid}},
 		{"invalid", 5, server.Answer{Kind: server.Invalid, Reason: "field id"}},
 		{"invalid, 31 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(31)}},
@@ -109,14 +109,14 @@
 		use  func(c *conn)
 	}{
 		{"drain with a request in hand", func(c *conn) {
-			c.Closing()
+			c.NotifyClosing()
 			c.Answer(1, server.Answer{Kind: server.Served, Body: []byte("x")})
-			c.Answer(2, server.Answer{Kind: server.Refused, After: time.Second})
+			c.Answer(2, server.Answer{Kind: server.Rejected, RetryAfter: time.Second})
 			c.Close()
 		}},
 		{"drain of an idle connection", func(c *conn) {
-			c.Closing()
-			require.True(t, c.End())
+			c.NotifyClosing()
+			require.True(t, c.TryClose())
 		}},
 		{"close", func(c *conn) { c.Close() }},
 	} {
@@ -157,10 +157,10 @@
 
 // Every message from a front end, one frame a line, in hex digits.
 func TestGoldenRequests(t *testing.T) {
-	least := server.Try{ID: "9B1F03AA5C7E2D41", Class: "preview", Caller: 2147483647, KB: 0.5, Body: []byte("x")}
+	least := server.Attempt{ID: "9B1F03AA5C7E2D41", Class: "preview", Client: 2147483647, MemoryKB: 0.5, Body: []byte("x")}
 	crop, twice := least, least
 	crop.Class, crop.Body = "hires-crop", []byte{}
-	twice.KB = 7
+	twice.MemoryKB = 7
 	cases := []struct {
 		name   string
 		kind   int64
@@ -168,9 +168,9 @@
 		method string
 		want   any
 	}{
-		{"request with all fields", 0, 7, "preview", server.Try{ID: "9b1f03aa5c7e2d41", Once: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-			Key: "7f3a", Class: "preview", Tenant: "north", Repeat: true, At: 1764576000123 * time.Millisecond,
-			Wait: 480 * time.Millisecond, Caller: 4, Cost: 12500 * time.Microsecond, KB: 24.5, Rank: 0.625, Body: []byte("\x00\xffbody\r\n")}},
+		{"request with all fields", 0, 7, "preview", server.Attempt{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+			Subject: "7f3a", Class: "preview", Tenant: "north", Retry: true, ArrivedAt: 1764576000123 * time.Millisecond,
+			Timeout: 480 * time.Millisecond, Client: 4, CostHint: 12500 * time.Microsecond, MemoryKB: 24.5, Rank: 0.625, Body: []byte("\x00\xffbody\r\n")}},
 		{"request with the least fields", 0, 255, "hires-crop", crop},
 		{"request with a field twice and one unknown", 0, 256, "preview", twice},
 		{"request in the widest heads", 0, 4294967295, "preview", least},
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -234,8 +234,8 @@
 
 // parseTry reads the parameters of a request; an error names the field at fault. Nothing of the Try refers to
 // the frame.
-func parseTry(m message, known *names) (server.Try, error) {
-	t := server.Try{Class: known.of(m.method)}
+func parseTry(m message, known *names) (server.Attempt, error) {
+	t := server.Attempt{Class: known.of(m.method)}
 	switch {
 	case t.Class == "":
 		return t, errors.New("method: want a string")
@@ -247,24 +247,24 @@
 		return t, f.err
 	}
 	t.ID = f.hex(fieldID, idDigits, idDigits)
-	t.At = time.Duration(f.whole(fieldAt, 0, maxAt)) * time.Millisecond
+	t.ArrivedAt = time.Duration(f.whole(fieldAt, 0, maxAt)) * time.Millisecond
 	if f.values[fieldWait] != nil {
-		t.Wait = time.Duration(f.whole(fieldWait, 0, maxWait.Milliseconds())) * time.Millisecond
+		t.Timeout = time.Duration(f.whole(fieldWait, 0, maxWait.Milliseconds())) * time.Millisecond
 	}
-	t.Caller = int(f.whole(fieldFrom, 0, maxCaller))
-	t.Cost = time.Duration(f.number(fieldCost, maxCost) * float64(time.Millisecond))
-	if t.KB = f.number(fieldKB, maxKB); t.KB == 0 {
+	t.Client = int(f.whole(fieldFrom, 0, maxCaller))
+	t.CostHint = time.Duration(f.number(fieldCost, maxCost) * float64(time.Millisecond))
+	if t.MemoryKB = f.number(fieldKB, maxKB); t.MemoryKB == 0 {
 		f.fail(fieldKB, "a number above 0")
 	}
 	t.Rank = f.number(fieldRank, 1)
 	if f.values[fieldOnce] != nil {
-		t.Once = f.hex(fieldOnce, 1, onceMost)
+		t.IdempotencyKey = f.hex(fieldOnce, 1, onceMost)
 	}
 	if t.Tenant = string(f.values[fieldTenant]); len(t.Tenant) > maxText {
 		f.fail(fieldTenant, fmt.Sprintf("up to %d bytes", maxText))
 	}
-	t.Repeat = string(f.values[fieldRetry]) == "1"
-	if t.Key = string(f.values[fieldKey]); len(t.Key) > maxText {
+	t.Retry = string(f.values[fieldRetry]) == "1"
+	if t.Subject = string(f.values[fieldKey]); len(t.Subject) > maxText {
 		f.fail(fieldKey, fmt.Sprintf("up to %d bytes", maxText))
 	}
 	if f.err != nil {
@@ -314,7 +314,7 @@
 	case server.Healthy, server.Unhealthy:
 		b = appendBool(appendArray(appendNil(b), 2), a.Kind == server.Healthy)
 		return appendMap(b, 0)
-	case server.Refused:
+	case server.Rejected:
 		return appendNil(appendRefusal(b, a))
 	case server.Invalid:
 		b = appendText(appendMap(appendText(appendArray(b, 2), errInvalid), 1), "reason")
@@ -326,19 +326,19 @@
 }
 
 func appendRefusal(b []byte, a server.Answer) []byte {
-	after := a.After.Milliseconds()
+	after := a.RetryAfter.Milliseconds()
 	n := 0
 	if after > 0 {
 		n++
 	}
-	if a.Last {
+	if a.NoRetryElsewhere {
 		n++
 	}
 	b = appendMap(appendText(appendArray(b, 2), errRefused), n)
 	if after > 0 {
 		b = appendText(appendText(b, "after"), strconv.FormatInt(after, 10))
 	}
-	if a.Last {
+	if a.NoRetryElsewhere {
 		b = appendText(appendText(b, "last"), "1")
 	}
 	return b
--- a/internal/msgpackrpc/peers_test.go
+++ b/internal/msgpackrpc/peers_test.go
@@ -95,7 +95,7 @@
 	store, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	cfg.Agent, cfg.Store = agent.Addr().String(), store.Addr().String()
-	cfg.Handover, cfg.StopReplaced = path, time.Hour
+	cfg.Handover, cfg.ReplacedStopTimeout = path, time.Hour
 	log, _ := test.NewNullLogger()
 	file, err := ln.(*net.TCPListener).File()
 	require.NoError(t, err)
--- a/internal/msgpackrpc/reference_test.go
+++ b/internal/msgpackrpc/reference_test.go
@@ -293,8 +293,8 @@
 }
 
 // plainParseTry reads the parameters of a request; an error names the field at fault.
-func plainParseTry(m plainMessage) (server.Try, error) {
-	t := server.Try{Class: m.method}
+func plainParseTry(m plainMessage) (server.Attempt, error) {
+	t := server.Attempt{Class: m.method}
 	switch {
 	case m.method == "":
 		return t, errors.New("method: want a string")
@@ -306,18 +306,18 @@
 		return t, f.err
 	}
 	t.ID = f.hex("id", idDigits, idDigits)
-	t.At = time.Duration(f.whole("at", 0, maxAt)) * time.Millisecond
-	t.Wait = time.Duration(f.whole("wait", 0, maxWait.Milliseconds())) * time.Millisecond
-	t.Caller = int(f.whole("from", 0, maxCaller))
-	t.Cost = time.Duration(f.number("cost", maxCost) * float64(time.Millisecond))
-	if t.KB = f.number("kb", maxKB); t.KB == 0 {
+	t.ArrivedAt = time.Duration(f.whole("at", 0, maxAt)) * time.Millisecond
+	t.Timeout = time.Duration(f.whole("wait", 0, maxWait.Milliseconds())) * time.Millisecond
+	t.Client = int(f.whole("from", 0, maxCaller))
+	t.CostHint = time.Duration(f.number("cost", maxCost) * float64(time.Millisecond))
+	if t.MemoryKB = f.number("kb", maxKB); t.MemoryKB == 0 {
 		f.fail("kb", "a number above 0")
 	}
 	t.Rank = f.number("rank", 1)
 	if _, ok := f.values["once"]; ok {
-		t.Once = f.hex("once", 1, onceMost)
+		t.IdempotencyKey = f.hex("once", 1, onceMost)
 	}
-	if t.Key = f.values["key"]; len(t.Key) > maxText {
+	if t.Subject = f.values["key"]; len(t.Subject) > maxText {
 		f.fail("key", fmt.Sprintf("up to %d bytes", maxText))
 	}
 	if f.err != nil {
--- a/internal/msgpackrpc/settings_test.go
+++ b/internal/msgpackrpc/settings_test.go
@@ -46,7 +46,7 @@
 	g := plain.dial()
 	plain.expect("launch", g.send("preview", "x", "tenant", "nobody"))
 
-	var tries []server.Try
+	var tries []server.Attempt
 	for _, fields := range []map[string]string{{"tenant": "a", "retry": "1"}, {"retry": "0"}, {"tenant": strings.Repeat("x", maxText+1)}} {
 		all := sampleFields()
 		for name, value := range fields {
@@ -59,6 +59,6 @@
 		tries = append(tries, try)
 	}
 	require.Equal(t, "a", tries[0].Tenant)
-	require.True(t, tries[0].Repeat)
-	require.False(t, tries[1].Repeat)
+	require.True(t, tries[0].Retry)
+	require.False(t, tries[1].Retry)
 }
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -46,10 +46,10 @@
 
 // File is what operators set.
 type File struct {
-	Fleet    *Fleet    // nil: the file has no table [fleet]
-	Overload *Overload // nil: the file has no table [overload], which needs [fleet]
-	Trace    *Trace    // nil: the file has no table [trace], which needs [fleet]
-	Drill    *Drill    // nil: the file has no table [drill], which needs [fleet]
+	Fleet          *Fleet          // nil: the file has no table [fleet]
+	Overload       *Overload       // nil: the file has no table [overload], which needs [fleet]
+	Trace          *Trace          // nil: the file has no table [trace], which needs [fleet]
+	FaultInjection *FaultInjection // nil: the file has no table [drill], which needs [fleet]
 }
 
 // Trace is the table [trace]: spans of what changes in this instance's part of the fleet.
@@ -92,8 +92,8 @@
 	return filepath.Join(dir, path)
 }
 
-// Drill is the table [drill]: what this process does to itself, for operators to see how the others take it.
-type Drill struct {
+// FaultInjection is the table [drill]: what this process does to itself, for operators to see how the others take it.
+type FaultInjection struct {
 	Clock time.Duration // that its clock is set off by, from the start
 	Wedge time.Duration // for which its loop stands still at a call to the console; 0: there is no such call
 }
@@ -106,11 +106,11 @@
 
 // Overload is the table [overload].
 type Overload struct {
-	Shares bool          // shares of the store move between members
-	Lease  time.Duration // for which they are lent
-	Keep   float64       // part of the own share that is never lent
-	Cutoff bool          // what the fleet has no room for is refused by all alike
-	Probes bool          // a store that does not answer is tried by turns
+	QuotaLeasing      bool          // shares of the store move between members
+	Lease             time.Duration // for which they are lent
+	ReservedRatio     float64       // part of the own share that is never lent
+	Shedding          bool          // what the fleet has no room for is refused by all alike
+	CoordinatedProbes bool          // a store that does not answer is tried by turns
 }
 
 // overload is [overload] as it is written.
@@ -124,15 +124,15 @@
 
 // Fleet is the table [fleet].
 type Fleet struct {
-	Listen    string   // where this instance hears others; IP and port, TCP and UDP
-	Advertise string   // where others reach it, if that is elsewhere
-	Seeds     []string // where to look for others at first; its own address among them does no harm
-	Region    string
-	Zone      string
-	Keys      [][]byte      // of the key file, newest first; none: words travel in clear
-	Size      int           // members that are expected, for pacing
-	Limits    fleet.Limits  // of the view
-	Probe     time.Duration // between two probes of others
+	Listen        string   // where this instance hears others; IP and port, TCP and UDP
+	Advertise     string   // where others reach it, if that is elsewhere
+	Seeds         []string // where to look for others at first; its own address among them does no harm
+	Region        string
+	Zone          string
+	Keys          [][]byte      // of the key file, newest first; none: words travel in clear
+	Size          int           // members that are expected, for pacing
+	Limits        fleet.Limits  // of the view
+	ProbeInterval time.Duration // between two probes of others
 }
 
 // table is [fleet] as it is written.
@@ -210,14 +210,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("trace.%w", err)
 	}
-	return &File{Fleet: f, Overload: o, Trace: x, Drill: d}, nil
+	return &File{Fleet: f, Overload: o, Trace: x, FaultInjection: d}, nil
 }
 
-func (t *drill) checked() (*Drill, error) {
+func (t *drill) checked() (*FaultInjection, error) {
 	if t == nil {
 		return nil, nil
 	}
-	d := &Drill{}
+	d := &FaultInjection{}
 	if err := span("clock", t.Clock, -mostClock, mostClock, &d.Clock); err != nil {
 		return nil, err
 	}
@@ -228,13 +228,13 @@
 	if t == nil {
 		return nil, nil
 	}
-	o := &Overload{Shares: t.Shares, Cutoff: t.Cutoff, Probes: t.Probes, Lease: defaultLease, Keep: defaultKeep}
+	o := &Overload{QuotaLeasing: t.Shares, Shedding: t.Cutoff, CoordinatedProbes: t.Probes, Lease: defaultLease, ReservedRatio: defaultKeep}
 	if err := span("lease", t.Lease, leastLease, mostLease, &o.Lease); err != nil {
 		return nil, err
 	}
 	if t.Keep != nil {
-		if o.Keep = *t.Keep; !(o.Keep >= 0 && o.Keep <= 1) {
-			return nil, fmt.Errorf("keep: %v is not between 0 and 1", o.Keep)
+		if o.ReservedRatio = *t.Keep; !(o.ReservedRatio >= 0 && o.ReservedRatio <= 1) {
+			return nil, fmt.Errorf("keep: %v is not between 0 and 1", o.ReservedRatio)
 		}
 	}
 	return o, nil
@@ -261,7 +261,7 @@
 
 func (t *table) checked(dir string) (*Fleet, error) {
 	f := &Fleet{Listen: t.Listen, Advertise: t.Advertise, Seeds: t.Seeds, Region: t.Region, Zone: t.Zone, Size: defaultSize,
-		Probe: defaultProbe, Limits: fleet.Limits{Members: mostMembers / 4, Forget: defaultForget}}
+		ProbeInterval: defaultProbe, Limits: fleet.Limits{Members: mostMembers / 4, ForgetAfter: defaultForget}}
 	if f.Advertise == "" {
 		f.Advertise = f.Listen
 	}
@@ -294,10 +294,10 @@
 	if f.Size > f.Limits.Members {
 		return nil, fmt.Errorf("size: %d, and members_max is %d", f.Size, f.Limits.Members)
 	}
-	if err := span("forget_after", t.Forget, leastForget, mostForget, &f.Limits.Forget); err != nil {
+	if err := span("forget_after", t.Forget, leastForget, mostForget, &f.Limits.ForgetAfter); err != nil {
 		return nil, err
 	}
-	if err := span("probe_every", t.Probe, leastProbe, mostProbe, &f.Probe); err != nil {
+	if err := span("probe_every", t.Probe, leastProbe, mostProbe, &f.ProbeInterval); err != nil {
 		return nil, err
 	}
 	if t.KeyFile != "" {
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -13,8 +13,8 @@
 	batch        = 8 << 10          // bytes from which on no further message joins a write
 )
 
-// Outbox is the writing side of a connection.
-type Outbox struct {
+// Queue is the writing side of a connection.
+type Queue struct {
 	conn  net.Conn
 	half  bool // only this side is closed at the end
 	queue chan []byte
@@ -25,21 +25,21 @@
 }
 
 // New returns an Outbox for conn in which up to room messages may wait.
-func New(conn net.Conn, room int) *Outbox {
-	return &Outbox{conn: conn, queue: make(chan []byte, room), stop: make(chan struct{})}
+func New(conn net.Conn, room int) *Queue {
+	return &Queue{conn: conn, queue: make(chan []byte, room), stop: make(chan struct{})}
 }
 
 // NewHalf returns one that closes the writing side alone, when all is written or that fails. Its owner closes the
 // connection once it has read what the peer sent meanwhile: one that is closed over unread bytes takes with it what
 // was written last.
-func NewHalf(conn net.Conn, room int) *Outbox {
+func NewHalf(conn net.Conn, room int) *Queue {
 	o := New(conn, room)
 	o.half = true
 	return o
 }
 
 // Send queues b, which must not be changed any more. A peer that does not read loses the connection.
-func (o *Outbox) Send(b []byte) {
+func (o *Queue) Send(b []byte) {
 	o.owed.Add(1)
 	select {
 	case o.queue <- b:
@@ -49,9 +49,9 @@
 }
 
 // Abort closes the connection whatever waits, and whatever hangs on it.
-func (o *Outbox) Abort() { o.conn.Close() }
+func (o *Queue) Abort() { o.conn.Close() }
 
-func (o *Outbox) end() {
+func (o *Queue) end() {
 	o.shut.Do(func() {
 		if side, ok := o.conn.(interface{ CloseWrite() error }); !o.half || !ok || side.CloseWrite() != nil {
 			o.conn.Close()
@@ -60,7 +60,7 @@
 }
 
 // CloseNow is Close for whoever calls Send: where nothing is left to be written, the connection is closed when it returns.
-func (o *Outbox) CloseNow() {
+func (o *Queue) CloseNow() {
 	if o.owed.Load() == 0 {
 		o.end()
 	}
@@ -68,11 +68,11 @@
 }
 
 // Close has Run write what waits and then close the connection. It may be called more than once.
-func (o *Outbox) Close() { o.once.Do(func() { close(o.stop) }) }
+func (o *Queue) Close() { o.once.Do(func() { close(o.stop) }) }
 
 // Run writes, several messages at a time where they wait, until Close is called or the peer fails. The
 // connection is closed when it returns, or that side of it.
-func (o *Outbox) Run() error {
+func (o *Queue) Run() error {
 	defer o.end()
 	for {
 		select {
@@ -93,7 +93,7 @@
 
 // write writes b and what waits behind it. Most connections write little and seldom, so none has a
 // buffer of its own.
-func (o *Outbox) write(b []byte) error {
+func (o *Queue) write(b []byte) error {
 	n := int64(1)
 	for ; len(o.queue) > 0 && len(b) < batch; n++ {
 		b = append(b[:len(b):len(b)], <-o.queue...)
--- a/internal/overload/cutoff.go
+++ b/internal/overload/cutoff.go
@@ -26,7 +26,7 @@
 	cutGain     = 0.5             // weight of a new cutoff
 	readsMost   = 4.0             // nobody reads more work than that many times what it can do: reading costs a quarter of a run
 	paceMost    = 4.0             // nor gets more done than that, a core
-	Budget      = 0.1             // repeats, of the first tries of the fleet, that it bears while it is full
+	RetryBudget = 0.1             // repeats, of the first tries of the fleet, that it bears while it is full
 	repeatCosts = 1.0             // bins that a known repeat stands behind a first try that earns the same
 	mostWork    = 1e4             // seconds of one request; what is said to be more is not believed
 	sinkStep    = 1.5             // bins by which the cut sinks at a look once the fleet has room again
@@ -41,15 +41,15 @@
 type Verdict uint8
 
 const (
-	Alone     Verdict = iota // nothing is known of others: this server goes by what it sees
-	Elsewhere                // the fleet has room: if not here, somebody else runs it
-	Full                     // the fleet is full, and this is worth its place; if not here, it should not go round
-	Outranked                // while cores are short nobody runs it
+	VerdictUnknown        Verdict = iota // nothing is known of others: this server goes by what it sees
+	VerdictElsewhere                     // the fleet has room: if not here, somebody else runs it
+	VerdictFull                          // the fleet is full, and this is worth its place; if not here, it should not go round
+	VerdictBelowThreshold                // while cores are short nobody runs it
 )
 
-// Place is where a request stands in the order, from 0 to under bins: by its worth for a second of work, and among
+// Priority is where a request stands in the order, from 0 to under bins: by its worth for a second of work, and among
 // equals by rank, so that all servers cut the same ones.
-func Place(value, work, rank float64) float64 {
+func Priority(value, work, rank float64) float64 {
 	x := perOctave * (math.Log2(value/work) - lowest)
 	if !(x > 0) { // also what is no number
 		x = 0
@@ -60,14 +60,14 @@
 	return min(x, bins-1e-6)
 }
 
-// Worth is what a request at a place earns for a second of work, at most.
-func Worth(place float64) float64 { return math.Exp2(place/perOctave + lowest) }
+// WeightAt is what a request at a place earns for a second of work, at most.
+func WeightAt(place float64) float64 { return math.Exp2(place/perOctave + lowest) }
 
-// Offers is the work that is asked of one server, by bin, in seconds a second.
-type Offers [bins]float64
+// Demand is the work that is asked of one server, by bin, in seconds a second.
+type Demand [bins]float64
 
 // Total is all of it.
-func (o *Offers) Total() (t float64) {
+func (o *Demand) Total() (t float64) {
 	for _, v := range o {
 		t += v
 	}
@@ -75,7 +75,7 @@
 }
 
 // Append appends the offers as they are told: the first bin, and a byte for each one up to the last that has any.
-func (o *Offers) Append(b []byte) []byte {
+func (o *Demand) Append(b []byte) []byte {
 	first, last := bins, -1
 	for i, v := range o {
 		if v >= leastOffer {
@@ -96,7 +96,7 @@
 	return b
 }
 
-func (o *Offers) scale(f float64) {
+func (o *Demand) scale(f float64) {
 	for i := range o {
 		o[i] *= f
 	}
@@ -111,7 +111,7 @@
 }()
 
 // add adds what a member has told, times a factor. What is no offer adds what of it can be one.
-func (o *Offers) add(text string, factor float64) {
+func (o *Demand) add(text string, factor float64) {
 	if text == "" {
 		return
 	}
@@ -132,28 +132,28 @@
 	return t
 }
 
-// Sum is what the members that serve have told of work, as far as it is fresh.
-type Sum struct {
-	Members, Stale int
-	Offers         Offers
-	Pace           float64       // seconds of work that all get done in a second
-	Cores, InUse   float64       // of the members that know, and how many of these are in use
-	Tries, Again   float64       // a second, and those of them that are repeats
-	Oldest         time.Duration // age of the oldest word that counts
+// Aggregate is what the members that serve have told of work, as far as it is fresh.
+type Aggregate struct {
+	Members, Stale    int
+	Demand            Demand
+	ServiceRate       float64       // seconds of work that all get done in a second
+	Cores, InUse      float64       // of the members that know, and how many of these are in use
+	Attempts, Retries float64       // a second, and those of them that are repeats
+	Oldest            time.Duration // age of the oldest word that counts
 }
 
 // Busy is the share of the cores in use; -1 = nobody knows.
-func (s *Sum) Busy() float64 {
+func (s *Aggregate) Busy() float64 {
 	if s.Cores <= 0 {
 		return -1
 	}
 	return s.InUse / s.Cores
 }
 
-// SumOf adds up the words in a view. Self is left out of a small fleet's: the caller knows better. In a large one it is
+// AggregateView adds up the words in a view. Self is left out of a small fleet's: the caller knows better. In a large one it is
 // in the sum of its zone, and whole is true. One member's word is bounded by what a server can do, so that one that is
 // wrong does not decide for all.
-func SumOf(view *fleet.Snapshot, at time.Duration) (s Sum, whole bool) {
+func AggregateView(view *fleet.Snapshot, at time.Duration) (s Aggregate, whole bool) {
 	if len(view.Members) >= sumsFrom {
 		return sumOfZones(view, at), true
 	}
@@ -164,12 +164,12 @@
 			continue
 		}
 		if !m.Serves(at, fresh) {
-			if m.Standing == fleet.Alive && m.Age(at) > fresh {
+			if m.Liveness == fleet.Alive && m.Age(at) > fresh {
 				s.Stale++
 			}
 			continue
 		}
-		part := PartOf(&m.Load)
+		part := AggregateOf(&m.Load)
 		part.Oldest = m.Age(at)
 		s.join(&part)
 	}
@@ -184,46 +184,46 @@
 	return min(pace, paceMost*cores)
 }
 
-// Cut is where the fleet stands, as one member has it.
-type Cut struct {
-	Known   bool // others were heard of lately, and this member is not cut off from most of them
-	Full    bool
-	Place   float64       // what stands lower is outranked; 0 = nothing is
-	Offered float64       // seconds of work a second that all are asked for, repeats included
-	Pace    float64       // that all can do
-	Again   float64       // repeats for each first try of all
-	Over    bool          // and these are more than the budget
-	Window  time.Duration // over which those that were refused should come back: their work takes it of what is free
-	Members int           // whose words count, this one included
-	Stale   int           // whose words were too old
-	Oldest  time.Duration // age of the oldest word that counts
+// Threshold is where the fleet stands, as one member has it.
+type Threshold struct {
+	Known           bool // others were heard of lately, and this member is not cut off from most of them
+	Full            bool
+	Priority        float64       // what stands lower is outranked; 0 = nothing is
+	Offered         float64       // seconds of work a second that all are asked for, repeats included
+	ServiceRate     float64       // that all can do
+	RetryRatio      float64       // repeats for each first try of all
+	OverRetryBudget bool          // and these are more than the budget
+	Window          time.Duration // over which those that were refused should come back: their work takes it of what is free
+	Members         int           // whose words count, this one included
+	Stale           int           // whose words were too old
+	Oldest          time.Duration // age of the oldest word that counts
 }
 
-// Cutoff finds where the fleet cuts, and judges requests by it. It belongs to one goroutine.
-type Cutoff struct {
-	offers Offers  // seconds of work of what is not known to be a repeat, faded
+// Shedder finds where the fleet cuts, and judges requests by it. It belongs to one goroutine.
+type Shedder struct {
+	offers Demand  // seconds of work of what is not known to be a repeat, faded
 	tries  float64 // faded, and those of them that are known to be repeats
 	known  float64
 	last   time.Duration
 	begun  bool
-	cut    Cut
+	cut    Threshold
 }
 
-// Back is by how much longer a caller should stay away than the server would have it: requests with different
+// RetryJitter is by how much longer a caller should stay away than the server would have it: requests with different
 // fingerprints come back at different times.
-func (c *Cutoff) Back(fingerprint uint64) time.Duration {
+func (c *Shedder) RetryJitter(fingerprint uint64) time.Duration {
 	return time.Duration(float64(c.cut.Window) * float64(fingerprint>>11) / (1 << 53))
 }
 
-// Cut is what was found last.
-func (c *Cutoff) Cut() Cut { return c.cut }
+// Threshold is what was found last.
+func (c *Shedder) Threshold() Threshold { return c.cut }
 
-// Judge takes in a request that came to this server, and says what the fleet makes of it.
-func (c *Cutoff) Judge(value, work, rank float64, repeat bool) Verdict {
+// Classify takes in a request that came to this server, and says what the fleet makes of it.
+func (c *Shedder) Classify(value, work, rank float64, repeat bool) Verdict {
 	if !(work > 0 && work < mostWork && value > 0) {
-		return Alone
+		return VerdictUnknown
 	}
-	place := Place(value, work, rank)
+	place := Priority(value, work, rank)
 	if c.tries++; repeat {
 		c.known++
 		place -= repeatCosts // and its work was counted with its first try
@@ -232,33 +232,33 @@
 	}
 	switch {
 	case !c.cut.Known:
-		return Alone
-	case place < c.cut.Place:
-		return Outranked
+		return VerdictUnknown
+	case place < c.cut.Priority:
+		return VerdictBelowThreshold
 	case !c.cut.Full:
-		return Elsewhere
-	case c.cut.Over:
-		return Full
+		return VerdictElsewhere
+	case c.cut.OverRetryBudget:
+		return VerdictFull
 	}
-	return Elsewhere
+	return VerdictElsewhere
 }
 
-// Offered is what is asked of this server.
-func (c *Cutoff) Offered() (o Offers) {
+// Demand is what is asked of this server.
+func (c *Shedder) Demand() (o Demand) {
 	for i, v := range c.offers {
 		o[i] = v / offersFade.Seconds()
 	}
 	return o
 }
 
-// Own is what this server knows of itself.
-type Own struct {
-	Pace, Cores, Busy float64 // Busy: -1 = unknown
-	Tries, Again      float64 // a second, and the part of them that are repeats
+// LocalLoad is what this server knows of itself.
+type LocalLoad struct {
+	ServiceRate, Cores, Busy float64 // Busy: -1 = unknown
+	Attempts, Retries        float64 // a second, and the part of them that are repeats
 }
 
-// Turn is taken a few times a second: what was offered fades, and the cutoff is found anew from what others told.
-func (c *Cutoff) Turn(now time.Duration, own Own, view *fleet.Snapshot, at time.Duration) Cut {
+// Tick is taken a few times a second: what was offered fades, and the cutoff is found anew from what others told.
+func (c *Shedder) Tick(now time.Duration, own LocalLoad, view *fleet.Snapshot, at time.Duration) Threshold {
 	if c.begun {
 		f := math.Exp(-float64(now-c.last) / float64(offersFade))
 		for i := range c.offers {
@@ -267,61 +267,61 @@
 		c.tries, c.known = c.tries*f, c.known*f
 	}
 	c.begun, c.last = true, now
-	s, whole := SumOf(view, at)
-	if s.Members == 0 || view.Position == fleet.CutOff || view.Position == fleet.Alone {
-		c.cut = Cut{Stale: s.Stale}
+	s, whole := AggregateView(view, at)
+	if s.Members == 0 || view.Position == fleet.Partitioned || view.Position == fleet.Alone {
+		c.cut = Threshold{Stale: s.Stale}
 		return c.cut
 	}
 	if !whole {
-		mine := Sum{Members: 1, Offers: c.Offered(), Pace: paceOf(own.Pace, own.Cores), Tries: own.Tries, Again: own.Tries * own.Again}
+		mine := Aggregate{Members: 1, Demand: c.Demand(), ServiceRate: paceOf(own.ServiceRate, own.Cores), Attempts: own.Attempts, Retries: own.Attempts * own.Retries}
 		if own.Busy >= 0 {
 			mine.Cores, mine.InUse = own.Cores, own.Cores*own.Busy
 		}
 		s.join(&mine)
 	}
 	was := c.cut
-	if first := s.Tries - s.Again; first > 0 {
-		s.Offers.scale(c.firsts(s.Again / s.Tries))
+	if first := s.Attempts - s.Retries; first > 0 {
+		s.Demand.scale(c.firsts(s.Retries / s.Attempts))
 	}
-	c.cut = Cut{Known: true, Offered: s.Offers.Total(), Pace: s.Pace, Members: s.Members, Stale: s.Stale, Oldest: s.Oldest}
-	if first := s.Tries - s.Again; first > 0 {
-		c.cut.Again = s.Again / first
+	c.cut = Threshold{Known: true, Offered: s.Demand.Total(), ServiceRate: s.ServiceRate, Members: s.Members, Stale: s.Stale, Oldest: s.Oldest}
+	if first := s.Attempts - s.Retries; first > 0 {
+		c.cut.RetryRatio = s.Retries / first
 	}
 	least := fullFrom
 	if was.Full {
 		least = fullUntil
 	}
 	c.cut.Window = c.cut.window()
-	if c.cut.Full = c.cut.Offered > least*s.Pace; !c.cut.Full {
-		c.cut.Place = max(was.Place-sinkStep, 0) // by steps: what was refused comes back now
+	if c.cut.Full = c.cut.Offered > least*s.ServiceRate; !c.cut.Full {
+		c.cut.Priority = max(was.Priority-sinkStep, 0) // by steps: what was refused comes back now
 		return c.cut
 	}
-	c.cut.Over = c.cut.Again > Budget
-	place := s.Offers.cut(s.Pace * s.room())
+	c.cut.OverRetryBudget = c.cut.RetryRatio > RetryBudget
+	place := s.Demand.cut(s.ServiceRate * s.room())
 	if was.Full {
-		place = was.Place + cutGain*(place-was.Place)
+		place = was.Priority + cutGain*(place-was.Priority)
 	}
-	c.cut.Place = place
+	c.cut.Priority = place
 	return c.cut
 }
 
 // firsts is the part of what is offered that is asked for the first time, where so much of all tries are repeats: most of
 // these are known and not among the offers, but one that comes at once after its refusal looks like a first try.
-func (c *Cutoff) firsts(again float64) float64 {
+func (c *Shedder) firsts(again float64) float64 {
 	known := c.known / max(c.tries, 1)
 	return min(max((1-again)/max(1-known, 1e-3), firstsLeast), 1)
 }
 
 // window is how long the work of those that come again takes of what first tries leave free.
-func (c *Cut) window() time.Duration {
-	again := c.Offered * c.Again * offersFade.Seconds()
-	free := max(c.Pace-c.Offered, roomPart*c.Pace)
+func (c *Threshold) window() time.Duration {
+	again := c.Offered * c.RetryRatio * offersFade.Seconds()
+	free := max(c.ServiceRate-c.Offered, roomPart*c.ServiceRate)
 	return time.Duration(min(again/max(free, 1e-3), spreadMost.Seconds()) * float64(time.Second))
 }
 
 // room is by how much more than what all can do is let in: more while cores idle though the fleet is full, which the
 // sums can't tell apart from requests that come again.
-func (s *Sum) room() float64 {
+func (s *Aggregate) room() float64 {
 	busy := s.Busy()
 	if busy < 0 {
 		return 1
@@ -330,7 +330,7 @@
 }
 
 // cut fills so much capacity from the top, and returns the place down to which it reaches.
-func (o *Offers) cut(capacity float64) float64 {
+func (o *Demand) cut(capacity float64) float64 {
 	for i := bins - 1; i >= 0; i-- {
 		if o[i] > capacity {
 			return float64(i+1) - capacity/o[i]
--- a/internal/overload/cutoff_test.go
+++ b/internal/overload/cutoff_test.go
@@ -19,19 +19,19 @@
 	v := fleet.NewView("n0", fleet.Limits{Members: n})
 	for i := range n {
 		name := fmt.Sprint("n", i)
-		v.Joined(now, 0, fleet.Record{Name: name, Run: uint64(i + 1), Seq: uint64(now) + 1, State: fleet.Serving, Load: load(i)})
-		v.Sighted(now, name, uint64(i+1), fleet.Reached)
+		v.Merge(now, 0, fleet.Record{Name: name, Run: uint64(i + 1), Seq: uint64(now) + 1, State: fleet.Serving, Load: load(i)})
+		v.ObserveReach(now, name, uint64(i+1), fleet.Reached)
 	}
 	return v.Snapshot(now)
 }
 
 // play has n servers judge requests that come at random ones, rate a second in all, for so long. A server can do 4
 // seconds of work a second. It returns what was let in of each server's work, by whether it was outranked.
-func play(n int, rate, seconds float64, lie func(i int, l *fleet.Load)) (all []*Cutoff, in, out []float64) {
+func play(n int, rate, seconds float64, lie func(i int, l *fleet.Load)) (all []*Shedder, in, out []float64) {
 	r := rand.New(rand.NewPCG(3, uint64(n)))
 	loads := make([]fleet.Load, n)
 	for range n {
-		all = append(all, &Cutoff{})
+		all = append(all, &Shedder{})
 	}
 	const step = 500 * time.Millisecond
 	for now := step; now < time.Duration(seconds*float64(time.Second)); now += step {
@@ -44,19 +44,19 @@
 			for k := range mine.Members {
 				mine.Members[k].Self = mine.Members[k].Name == fmt.Sprint("n", i)
 			}
-			c.Turn(now, Own{Pace: 4, Cores: 4, Busy: loads[i].Busy}, &mine, now)
+			c.Tick(now, LocalLoad{ServiceRate: 4, Cores: 4, Busy: loads[i].Busy}, &mine, now)
 		}
 		for range int(rate * step.Seconds()) {
 			i, work := r.IntN(n), 0.02+0.1*r.ExpFloat64()
-			if all[i].Judge(1+2*r.Float64(), work, r.Float64(), false) == Outranked {
+			if all[i].Classify(1+2*r.Float64(), work, r.Float64(), false) == VerdictBelowThreshold {
 				out[i] += work / step.Seconds()
 			} else {
 				in[i] += work / step.Seconds()
 			}
 		}
 		for i, c := range all {
-			offers := c.Offered()
-			loads[i] = fleet.Load{Capacity: 4, Pace: 4, Busy: min(in[i]/4, 1), Offer: string(offers.Append(nil))}
+			offers := c.Demand()
+			loads[i] = fleet.Load{Capacity: 4, ServiceRate: 4, Busy: min(in[i]/4, 1), Demand: string(offers.Append(nil))}
 			if lie != nil {
 				lie(i, &loads[i])
 			}
@@ -88,22 +88,22 @@
 		{"at 300%", 3, nil, 0.85, 1.15},
 		{"a load ten times too high at 80%", 0.8, func(i int, l *fleet.Load) {
 			if i == 3 {
-				l.Offer = ten(l.Offer)
+				l.Demand = ten(l.Demand)
 			}
 		}, 0.7, 0.9},
 		{"a load ten times too high at 150%", 1.5, func(i int, l *fleet.Load) {
 			if i == 3 {
-				l.Offer = ten(l.Offer)
+				l.Demand = ten(l.Demand)
 			}
 		}, 0.75, 1.15},
 		{"a load too low", 1.5, func(i int, l *fleet.Load) {
 			if i == 3 {
-				l.Offer = ""
+				l.Demand = ""
 			}
 		}, 0.85, 1.25},
 		{"a pace a thousand times too high", 1.5, func(i int, l *fleet.Load) {
 			if i == 3 {
-				l.Pace *= 1000
+				l.ServiceRate *= 1000
 			}
 		}, 0.85, 1.5},
 	} {
@@ -114,8 +114,8 @@
 			require.Zero(t, sum(out), c.what)
 		}
 		for _, x := range all {
-			require.True(t, x.Cut().Known, c.what)
-			require.InDelta(t, all[0].Cut().Place, x.Cut().Place, 4, c.what)
+			require.True(t, x.Threshold().Known, c.what)
+			require.InDelta(t, all[0].Threshold().Priority, x.Threshold().Priority, 4, c.what)
 		}
 	}
 }
@@ -134,24 +134,24 @@
 // Without word from others, with old words only, or cut off from most, nothing may be judged by them.
 func TestNothingIsJudgedWithoutTheOthers(t *testing.T) {
 	full := func(int) fleet.Load {
-		return fleet.Load{Capacity: 4, Pace: 4, Offer: string([]byte{10, 120, 120, 120})}
+		return fleet.Load{Capacity: 4, ServiceRate: 4, Demand: string([]byte{10, 120, 120, 120})}
 	}
 	view := fellows(4, time.Second, full)
-	var c Cutoff
+	var c Shedder
 	turn := func(s *fleet.Snapshot, at time.Duration) Verdict {
-		c.Turn(at, Own{Pace: 4, Cores: 4, Busy: 1}, s, at)
-		return c.Judge(1, 5, 0, false)
+		c.Tick(at, LocalLoad{ServiceRate: 4, Cores: 4, Busy: 1}, s, at)
+		return c.Classify(1, 5, 0, false)
 	}
-	require.Equal(t, Outranked, turn(view, time.Second))
-	require.Equal(t, Alone, turn(view, time.Second+fleet.Fresh(4)+1), "words are old")
-	require.Equal(t, 3, c.Cut().Stale)
-	require.Equal(t, Outranked, turn(view, time.Second))
+	require.Equal(t, VerdictBelowThreshold, turn(view, time.Second))
+	require.Equal(t, VerdictUnknown, turn(view, time.Second+fleet.Fresh(4)+1), "words are old")
+	require.Equal(t, 3, c.Threshold().Stale)
+	require.Equal(t, VerdictBelowThreshold, turn(view, time.Second))
 	cut := *view
-	cut.Position = fleet.CutOff
-	require.Equal(t, Alone, turn(&cut, time.Second))
-	require.Equal(t, Alone, turn(fellows(1, time.Second, full), time.Second))
+	cut.Position = fleet.Partitioned
+	require.Equal(t, VerdictUnknown, turn(&cut, time.Second))
+	require.Equal(t, VerdictUnknown, turn(fellows(1, time.Second, full), time.Second))
 	for _, bad := range [][3]float64{{0, 1, 0}, {1, 0, 0}, {math.NaN(), 1, 0}, {1, math.Inf(1), 2}, {1, 1, math.NaN()}, {1e300, 1e-300, 1}} {
-		c.Judge(bad[0], bad[1], bad[2], true) // must not fall
+		c.Classify(bad[0], bad[1], bad[2], true) // must not fall
 	}
 }
 
@@ -159,13 +159,13 @@
 // No word of a stranger may break the reading.
 func TestOffersAreToldAndCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var o Offers
+		var o Demand
 		for range rapid.IntRange(0, 30).Draw(t, "bins") {
 			o[rapid.IntRange(0, bins-1).Draw(t, "bin")] = rapid.Float64Range(2*leastOffer, 1e4).Draw(t, "work")
 		}
 		b := o.Append(nil)
-		require.LessOrEqual(t, len(b), fleet.MaxOffer)
-		var back Offers
+		require.LessOrEqual(t, len(b), fleet.MaxDemand)
+		var back Demand
 		back.add(string(b), 1)
 		for i := range o {
 			require.InEpsilon(t, o[i]+1e-12, back[i]+1e-12, 0.05)
@@ -190,15 +190,15 @@
 		off         float64 // that the count may be off
 	}{{5, 0, 0, 0.01}, {5, 0.5, 0, 0.05}, {12, 0.3, 0, 0.05}, {12, 0.6, 0.05, 0.08}, {100, 0.4, 0, 0.05}} {
 		r := rand.New(rand.NewPCG(5, uint64(c.n)))
-		var all []*Repeats
+		var all []*RetryCounter
 		for range c.n {
-			all = append(all, NewRepeats())
+			all = append(all, NewRetryCounter())
 		}
 		tries, firsts, gone := 0.0, 0.0, -1
 		for now := time.Second; now < 20*time.Second; now += time.Second {
 			if now == 10*time.Second {
 				gone = 2 // what it has counted is lost, and what it would have counted goes to others
-				all[gone] = NewRepeats()
+				all[gone] = NewRetryCounter()
 			}
 			for range 60 * c.n {
 				fp := Fingerprint("preview", "k", "", r.IntN(6), r.Float64(), r.Float64())
@@ -225,63 +225,63 @@
 					m := &view.Members[k]
 					m.Self = m.Name == fmt.Sprint("n", i)
 					if m.Name == fmt.Sprint("n", gone) {
-						m.Standing = fleet.Dead
+						m.Liveness = fleet.Dead
 					}
 				}
-				sent := x.Turn(now, view)
+				sent := x.Tick(now, view)
 				require.LessOrEqual(t, len(sent), 4*reportsWanted)
 				for _, rep := range sent {
 					back, ok := ParseReport(AppendReport(nil, rep))
 					require.True(t, ok)
-					require.Equal(t, rep.Tries, back)
+					require.Equal(t, rep.Attempts, back)
 					if r.Float64() >= c.lost {
-						all[rep.To.Run-1].Heard(now, back)
+						all[rep.To.Run-1].HandleReport(now, back)
 					}
 				}
 			}
 		}
 		var sum, again float64
 		for _, x := range all {
-			sum += x.Rate()
-			again += x.Rate() * x.Share()
+			sum += x.AttemptRate()
+			again += x.AttemptRate() * x.RetryRatio()
 			require.LessOrEqual(t, len(x.counts), mostCounted)
 		}
 		exact := 1 - firsts/tries
 		require.InDelta(t, exact, again/sum, c.off, "%d members, %.0f%% again", c.n, 100*c.again)
 	}
-	x := NewRepeats()
+	x := NewRetryCounter()
 	require.False(t, x.Arrived(0, 7))
-	x.Refused(0, 7)
+	x.Rejected(0, 7)
 	require.True(t, x.Arrived(refusedFor-1, 7))
 	require.False(t, x.Arrived(refusedFor, 7))
 	for fp := range uint64(3 * mostRefused) {
-		x.Refused(0, fp)
+		x.Rejected(0, fp)
 	}
 	require.Len(t, x.refused, mostRefused)
 }
 
 func BenchmarkJudge(b *testing.B) {
 	view := fellows(300, time.Second, func(int) fleet.Load {
-		return fleet.Load{Capacity: 4, Pace: 4, Offer: string([]byte{10, 120, 120, 120})}
+		return fleet.Load{Capacity: 4, ServiceRate: 4, Demand: string([]byte{10, 120, 120, 120})}
 	})
-	c, r, p := &Cutoff{}, NewRepeats(), NewPatience()
-	c.Turn(time.Second, Own{Pace: 4, Cores: 4}, view, time.Second)
+	c, r, p := &Shedder{}, NewRetryCounter(), NewAgeEstimator()
+	c.Tick(time.Second, LocalLoad{ServiceRate: 4, Cores: 4}, view, time.Second)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		fp := Fingerprint("hires-crop", "0011223344556677", "", i&7, float64(i&1023)/1024, 0.09)
 		age := p.Age(time.Second, "hires-crop", time.Duration(4000-(i&3)*(i&1023))*time.Millisecond)
-		c.Judge(2, 0.09, 0.5, r.Arrived(time.Second, fp) || age > 0)
+		c.Classify(2, 0.09, 0.5, r.Arrived(time.Second, fp) || age > 0)
 	}
 }
 
 func BenchmarkTurn(b *testing.B) {
 	for _, n := range []int{10, 100, 300, 3000} {
-		view := fellows(n, time.Second, func(int) fleet.Load { return fleet.Load{Capacity: 4, Pace: 4, Offer: string(make([]byte, 30))} })
+		view := fellows(n, time.Second, func(int) fleet.Load { return fleet.Load{Capacity: 4, ServiceRate: 4, Demand: string(make([]byte, 30))} })
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := &Cutoff{}
+			c := &Shedder{}
 			b.ReportAllocs()
 			for b.Loop() {
-				c.Turn(time.Second, Own{Pace: 4, Cores: 4}, view, time.Second)
+				c.Tick(time.Second, LocalLoad{ServiceRate: 4, Cores: 4}, view, time.Second)
 			}
 		})
 	}
--- a/internal/overload/escrow_test.go
+++ b/internal/overload/escrow_test.go
@@ -20,7 +20,7 @@
 // world is two members that share a store, what is on its way between them, and the calls that the store works at.
 type world struct {
 	now   time.Duration
-	all   [2]*Escrow
+	all   [2]*QuotaLedger
 	sent  []Message
 	calls []call
 }
@@ -30,12 +30,12 @@
 	from time.Duration
 }
 
-var terms = Terms{Base: 2000, Keep: 1000, Lease: 2 * s, Call: 2 * s, Linger: s}
+var terms = Terms{Base: 2000, Reserved: 1000, Lease: 2 * s, CallTime: 2 * s, AbandonedCallTime: s}
 
 func newWorld() world {
 	w := world{now: 100 * s}
 	for i := range w.all {
-		w.all[i] = NewEscrow(0, Party{fmt.Sprint("n", i), 1}, terms)
+		w.all[i] = NewQuotaLedger(0, ProcessID{fmt.Sprint("n", i), 1}, terms)
 	}
 	return w
 }
@@ -51,7 +51,7 @@
 }
 
 // inHand is what a member knows to have in hand: a process that was started again knows nothing of its predecessor's.
-func (w *world) inHand(i int) (n Share) {
+func (w *world) inHand(i int) (n Quota) {
 	for _, c := range w.calls {
 		if c.by == i {
 			n += 1000
@@ -70,12 +70,12 @@
 		}
 		add("wait", func(w *world) {
 			w.now += s
-			w.calls = slices.DeleteFunc(w.calls, func(c call) bool { return w.now-c.from >= terms.Call })
+			w.calls = slices.DeleteFunc(w.calls, func(c call) bool { return w.now-c.from >= terms.CallTime })
 		})
 		for i, e := range from.all {
 			if len(from.sent) < 2 && i == 0 { // the other lends; both call
 				add(fmt.Sprintf("%d asks", i), func(w *world) {
-					if m, ok := w.all[i].Ask(w.now, w.all[1-i].self, 1000); ok {
+					if m, ok := w.all[i].RequestLease(w.now, w.all[1-i].self, 1000); ok {
 						w.sent = append(w.sent, m)
 					}
 				})
@@ -88,10 +88,10 @@
 			}
 			if e.self.Run == 1 && i == 1 {
 				add(fmt.Sprintf("%d restarts", i), func(w *world) {
-					w.all[i] = NewEscrow(w.now, Party{e.self.Name, 2}, terms)
+					w.all[i] = NewQuotaLedger(w.now, ProcessID{e.self.Name, 2}, terms)
 					for j := range w.calls {
 						if w.calls[j].by == i {
-							w.calls[j] = call{-1, min(w.calls[j].from, w.now+terms.Linger-terms.Call)}
+							w.calls[j] = call{-1, min(w.calls[j].from, w.now+terms.AbandonedCallTime-terms.CallTime)}
 						}
 					}
 					fault(w, i)
@@ -106,7 +106,7 @@
 					}
 					for i, e := range w.all {
 						if e.self == m.To {
-							if answer, ok := e.Hear(w.now, m, w.inHand(i), 0); ok && len(w.sent) < 3 {
+							if answer, ok := e.HandleMessage(w.now, m, w.inHand(i), 0); ok && len(w.sent) < 3 {
 								w.sent = append(w.sent, answer)
 							}
 							fault(w, i)
@@ -178,29 +178,29 @@
 
 // What is lent must be what is neither in hand nor needed nor kept, and nothing is lent twice for one question.
 func TestLending(t *testing.T) {
-	for name, c := range map[string]struct{ asked, inHand, need, want Share }{
+	for name, c := range map[string]struct{ asked, inHand, need, want Quota }{
 		"all that may be": {5000, 0, 0, 1000}, "less": {300, 0, 0, 300}, "in hand": {5000, 1500, 0, 500}, "needed": {5000, 0, 1800, 200},
 		"nothing left": {5000, 2000, 0, 0},
 	} {
 		w := newWorld()
-		m, _ := w.all[0].Ask(w.now, w.all[1].self, c.asked)
-		answer, ok := w.all[1].Hear(w.now, m, c.inHand, c.need)
+		m, _ := w.all[0].RequestLease(w.now, w.all[1].self, c.asked)
+		answer, ok := w.all[1].HandleMessage(w.now, m, c.inHand, c.need)
 		require.True(t, ok, name)
 		require.Equal(t, c.want, answer.Amount, name)
 		if c.want > 0 {
-			_, again := w.all[1].Hear(w.now, m, 0, 0)
+			_, again := w.all[1].HandleMessage(w.now, m, 0, 0)
 			require.False(t, again, name)
 		}
-		w.all[0].Hear(w.now, answer, 0, 0)
+		w.all[0].HandleMessage(w.now, answer, 0, 0)
 		require.Equal(t, 2000+c.want, w.all[0].Limit(w.now), name)
 		require.Equal(t, 2000-c.want, w.all[1].Limit(w.now), name)
 		require.EqualValues(t, 2000, w.all[0].Limit(w.now+terms.Lease), "over")
-		require.EqualValues(t, 2000-c.want, w.all[1].Limit(w.now+terms.Lease+terms.Call), "its calls may not be")
-		require.EqualValues(t, 2000, w.all[1].Limit(w.now+terms.Lease+terms.Call+s))
+		require.EqualValues(t, 2000-c.want, w.all[1].Limit(w.now+terms.Lease+terms.CallTime), "its calls may not be")
+		require.EqualValues(t, 2000, w.all[1].Limit(w.now+terms.Lease+terms.CallTime+s))
 	}
-	e := NewEscrow(0, Party{"n0", 1}, terms)
+	e := NewQuotaLedger(0, ProcessID{"n0", 1}, terms)
 	require.Zero(t, e.Limit(0), "a predecessor's calls may be at work")
-	require.Equal(t, terms.Keep, e.Limit(2*s), "and what it lent is out")
+	require.Equal(t, terms.Reserved, e.Limit(2*s), "and what it lent is out")
 	require.Equal(t, terms.Base, e.Limit(time.Minute), "alone, a member has what its settings give")
 }
 
@@ -208,16 +208,16 @@
 // stays within the sum of the shares at every instant, and shares do move to who is busy. A borrower that counts from
 // the answer, which takes more steps than can be explored, must be found out.
 func TestEscrowAtRandom(t *testing.T) {
-	moved := Share(0)
+	moved := Quota(0)
 	for seed := range uint64(1000) {
-		m, over := playEscrow(seed, func(*Escrow, time.Duration) {})
+		m, over := playEscrow(seed, func(*QuotaLedger, time.Duration) {})
 		require.Zero(t, over, "seed %d", seed)
 		moved += m
 	}
 	require.NotZero(t, moved)
 	found := 0
 	for seed := range uint64(300) {
-		_, over := playEscrow(seed, func(e *Escrow, now time.Duration) {
+		_, over := playEscrow(seed, func(e *QuotaLedger, now time.Duration) {
 			if n := len(e.borrowed); n > 0 {
 				e.borrowed[n-1].until = now + terms.Lease
 			}
@@ -232,9 +232,9 @@
 
 // playEscrow plays a minute, and returns by how many calls the store was crowded at the worst instant. Plant is called
 // with whatever has heard something.
-func playEscrow(seed uint64, plant func(*Escrow, time.Duration)) (moved Share, over int) {
+func playEscrow(seed uint64, plant func(*QuotaLedger, time.Duration)) (moved Quota, over int) {
 	type node struct {
-		*Escrow
+		*QuotaLedger
 		drift float64
 		calls []time.Duration // ends, on the true clock
 	}
@@ -246,7 +246,7 @@
 	n := 3 + r.IntN(10)
 	nodes := make([]*node, n)
 	for i := range nodes {
-		nodes[i] = &node{NewEscrow(0, Party{fmt.Sprint(i), 1}, terms), 1 + (r.Float64()-0.5)/driftPart, nil}
+		nodes[i] = &node{NewQuotaLedger(0, ProcessID{fmt.Sprint(i), 1}, terms), 1 + (r.Float64()-0.5)/driftPart, nil}
 	}
 	var ghosts []time.Duration // calls of processes that were killed
 	var sent []flight
@@ -259,27 +259,27 @@
 		for i, x := range nodes {
 			x.calls = still(x.calls)
 			own := time.Duration(float64(now) * x.drift)
-			have := Share(1000 * len(x.calls))
-			need := Share(0)
+			have := Quota(1000 * len(x.calls))
+			need := Quota(0)
 			if i%3 == 0 { // a busy one
 				need = 4000
-				if m, ok := x.Ask(own, nodes[r.IntN(n)].self, 1000); ok {
+				if m, ok := x.RequestLease(own, nodes[r.IntN(n)].self, 1000); ok {
 					sent = append(sent, flight{m, now + time.Duration(r.IntN(3000))*time.Millisecond})
 				}
 			}
 			for have+1000 <= x.Limit(own) && (i%3 == 0 || r.IntN(20) == 0) {
-				x.calls = append(x.calls, now+time.Duration(1+r.IntN(int(terms.Call/time.Millisecond)))*time.Millisecond)
+				x.calls = append(x.calls, now+time.Duration(1+r.IntN(int(terms.CallTime/time.Millisecond)))*time.Millisecond)
 				have += 1000
 			}
-			moved += x.Borrowed(own)
+			moved += x.Leased(own)
 			for _, m := range x.Return(own, have, need) {
 				sent = append(sent, flight{m, now + time.Duration(r.IntN(3000))*time.Millisecond})
 			}
 			if r.IntN(500) == 0 { // killed, and started again
 				for _, at := range x.calls {
-					ghosts = append(ghosts, min(at, now+terms.Linger))
+					ghosts = append(ghosts, min(at, now+terms.AbandonedCallTime))
 				}
-				x.Escrow, x.calls = NewEscrow(own, Party{x.self.Name, x.self.Run + 1}, terms), nil
+				x.QuotaLedger, x.calls = NewQuotaLedger(own, ProcessID{x.self.Name, x.self.Run + 1}, terms), nil
 			}
 			inHand += len(x.calls)
 		}
@@ -300,11 +300,11 @@
 			for _, x := range nodes {
 				if x.self == f.m.To {
 					own := time.Duration(float64(now) * x.drift)
-					if answer, ok := x.Hear(own, f.m, Share(1000*len(x.calls)), 0); ok {
+					if answer, ok := x.HandleMessage(own, f.m, Quota(1000*len(x.calls)), 0); ok {
 						left = append(left, flight{answer, now + time.Duration(r.IntN(3000))*time.Millisecond})
 					}
-					if f.m.Kind == Lend {
-						plant(x.Escrow, own)
+					if f.m.Kind == LeaseGrant {
+						plant(x.QuotaLedger, own)
 					}
 				}
 			}
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -85,26 +85,26 @@
 }
 
 var (
-	goldenBorrower = Party{Name: "n1", Run: 0x0102030405060708}
-	goldenLender   = Party{Name: "n2", Run: math.MaxUint64}
+	goldenBorrower = ProcessID{Name: "n1", Run: 0x0102030405060708}
+	goldenLender   = ProcessID{Name: "n2", Run: math.MaxUint64}
 	longName       = strings.Repeat("x", fleet.MaxText)
 )
 
 func goldenLeaseCases() []frameCase[Message] {
-	withoutAmount := Message{Kind: Lend, From: goldenLender, To: goldenBorrower, Number: 300}
-	mostAmount := Message{Kind: Ask, From: goldenBorrower, To: goldenLender, Number: 1, Amount: math.MaxInt32}
+	withoutAmount := Message{Kind: LeaseGrant, From: goldenLender, To: goldenBorrower, Number: 300}
+	mostAmount := Message{Kind: LeaseRequest, From: goldenBorrower, To: goldenLender, Number: 1, Amount: math.MaxInt32}
 	negative, more := withoutAmount, mostAmount
 	negative.Amount, more.Amount = -1, math.MaxInt64
 	return []frameCase[Message]{
-		{name: "ask", value: Message{Kind: Ask, From: goldenBorrower, To: goldenLender, Number: 300, Amount: 1500}},
-		{name: "lend", value: Message{Kind: Lend, From: goldenLender, To: goldenBorrower, Number: 300, Amount: 1000}},
+		{name: "ask", value: Message{Kind: LeaseRequest, From: goldenBorrower, To: goldenLender, Number: 300, Amount: 1500}},
+		{name: "lend", value: Message{Kind: LeaseGrant, From: goldenLender, To: goldenBorrower, Number: 300, Amount: 1000}},
 		{name: "lend nothing", value: withoutAmount},
 		{name: "lend a negative amount", value: negative, read: &withoutAmount},
-		{name: "back", value: Message{Kind: Back, From: goldenBorrower, To: goldenLender, Number: 300, Amount: 1000}},
+		{name: "back", value: Message{Kind: LeaseReturn, From: goldenBorrower, To: goldenLender, Number: 300, Amount: 1000}},
 		{name: "ask for the most", value: mostAmount},
 		{name: "ask for more than the most", value: more, read: &mostAmount},
-		{name: "zero runs and number", value: Message{Kind: Ask, From: Party{Name: "n1"}, To: Party{Name: "n2"}, Amount: 1}},
-		{name: "longest", value: Message{Kind: Back, From: Party{longName, math.MaxUint64}, To: Party{longName, math.MaxUint64},
+		{name: "zero runs and number", value: Message{Kind: LeaseRequest, From: ProcessID{Name: "n1"}, To: ProcessID{Name: "n2"}, Amount: 1}},
+		{name: "longest", value: Message{Kind: LeaseReturn, From: ProcessID{longName, math.MaxUint64}, To: ProcessID{longName, math.MaxUint64},
 			Number: math.MaxUint64, Amount: math.MaxInt32}},
 	}
 }
@@ -117,7 +117,7 @@
 // Messages that were written before must still be read, also with a field that a newer version has added.
 func TestGoldenLeasesRead(t *testing.T) {
 	parse := func(b []byte) Message {
-		require.False(t, OfCutoff(b))
+		require.False(t, IsSheddingMessage(b))
 		m, err := ParseMessage(b)
 		require.NoError(t, err)
 		return m
@@ -145,14 +145,14 @@
 // Reports of tries must stay as they are: the member that counts them may be of another version.
 func TestGoldenReportsWritten(t *testing.T) {
 	requireGolden(t, goldenReports, writeFrames(goldenReportCases(), func(b []byte, tries []uint64) []byte {
-		return AppendReport(b, Report{To: goldenLender, Tries: tries})
+		return AppendReport(b, Report{To: goldenLender, Attempts: tries})
 	}))
 }
 
 func TestGoldenReportsRead(t *testing.T) {
 	requireRead(t, goldenReports, goldenReportCases(), func(b []byte) []uint64 {
-		require.True(t, OfCutoff(b))
-		_, isPart := ParsePart(b)
+		require.True(t, IsSheddingMessage(b))
+		_, isPart := ParsePartial(b)
 		require.False(t, isPart)
 		tries, ok := ParseReport(b)
 		require.True(t, ok)
@@ -161,24 +161,24 @@
 }
 
 // offersOf are the offers that are told with these steps, from the bin first on.
-func offersOf(first int, steps ...byte) (o Offers) {
+func offersOf(first int, steps ...byte) (o Demand) {
 	for i, step := range steps {
 		o[first+i] = told[step]
 	}
 	return o
 }
 
-func goldenOfferCases() []frameCase[Offers] {
-	var tooLittle, tooMuch, all Offers
+func goldenOfferCases() []frameCase[Demand] {
+	var tooLittle, tooMuch, all Demand
 	tooLittle[3] = leastOffer / 2
 	tooMuch[3] = 1e12
 	most := offersOf(3, math.MaxUint8)
-	none := Offers{}
+	none := Demand{}
 	for i := range all {
 		all[i] = told[i+1]
 	}
-	return []frameCase[Offers]{
-		{name: "none", value: Offers{}},
+	return []frameCase[Demand]{
+		{name: "none", value: Demand{}},
 		{name: "first bin", value: offersOf(0, 1)},
 		{name: "last bin", value: offersOf(bins-1, 60)},
 		{name: "two bins and an empty one between", value: offersOf(10, 60, 0, 70)},
@@ -190,38 +190,38 @@
 
 // Offers must stay as they are: they stand in the words of members, and in the sums of zones.
 func TestGoldenOffersWritten(t *testing.T) {
-	requireGolden(t, goldenOffers, writeFrames(goldenOfferCases(), func(b []byte, o Offers) []byte { return o.Append(b) }))
+	requireGolden(t, goldenOffers, writeFrames(goldenOfferCases(), func(b []byte, o Demand) []byte { return o.Append(b) }))
 }
 
 func TestGoldenOffersRead(t *testing.T) {
-	requireRead(t, goldenOffers, goldenOfferCases(), func(b []byte) (o Offers) {
+	requireRead(t, goldenOffers, goldenOfferCases(), func(b []byte) (o Demand) {
 		o.add(string(b), 1)
 		return o
 	})
 }
 
-func goldenSumCases() []frameCase[Sum] {
-	one := func(change func(s *Sum)) Sum {
-		s := Sum{Members: 1}
+func goldenSumCases() []frameCase[Aggregate] {
+	one := func(change func(s *Aggregate)) Aggregate {
+		s := Aggregate{Members: 1}
 		change(&s)
 		return s
 	}
-	fraction := one(func(s *Sum) { s.Oldest, s.Pace = 1999*time.Microsecond, 0.1 })
-	fractionRead := one(func(s *Sum) { s.Oldest, s.Pace = time.Millisecond, float64(float32(0.1)) })
-	stale := one(func(s *Sum) { s.Stale, s.Oldest = 9, -1 })
-	staleRead := one(func(*Sum) {})
-	return []frameCase[Sum]{
-		{name: "empty", value: Sum{}},
-		{name: "members", value: Sum{Members: 300}},
-		{name: "oldest", value: one(func(s *Sum) { s.Oldest = 1500 * time.Millisecond })},
-		{name: "pace", value: one(func(s *Sum) { s.Pace = 6.75 })},
-		{name: "cores", value: one(func(s *Sum) { s.Cores = 7.5 })},
-		{name: "in use", value: one(func(s *Sum) { s.InUse = 4.25 })},
-		{name: "tries", value: one(func(s *Sum) { s.Tries = 40.5 })},
-		{name: "again", value: one(func(s *Sum) { s.Again = 8.125 })},
-		{name: "offers", value: one(func(s *Sum) { s.Offers = offersOf(10, 60, 0, 70) })},
-		{name: "all figures", value: Sum{Members: mostParts, Oldest: time.Hour, Offers: offersOf(0, 1, 2, 3), Pace: 1024,
-			Cores: 2048, InUse: 512, Tries: 4096.5, Again: 256.25}},
+	fraction := one(func(s *Aggregate) { s.Oldest, s.ServiceRate = 1999*time.Microsecond, 0.1 })
+	fractionRead := one(func(s *Aggregate) { s.Oldest, s.ServiceRate = time.Millisecond, float64(float32(0.1)) })
+	stale := one(func(s *Aggregate) { s.Stale, s.Oldest = 9, -1 })
+	staleRead := one(func(*Aggregate) {})
+	return []frameCase[Aggregate]{
+		{name: "empty", value: Aggregate{}},
+		{name: "members", value: Aggregate{Members: 300}},
+		{name: "oldest", value: one(func(s *Aggregate) { s.Oldest = 1500 * time.Millisecond })},
+		{name: "pace", value: one(func(s *Aggregate) { s.ServiceRate = 6.75 })},
+		{name: "cores", value: one(func(s *Aggregate) { s.Cores = 7.5 })},
+		{name: "in use", value: one(func(s *Aggregate) { s.InUse = 4.25 })},
+		{name: "tries", value: one(func(s *Aggregate) { s.Attempts = 40.5 })},
+		{name: "again", value: one(func(s *Aggregate) { s.Retries = 8.125 })},
+		{name: "offers", value: one(func(s *Aggregate) { s.Demand = offersOf(10, 60, 0, 70) })},
+		{name: "all figures", value: Aggregate{Members: mostParts, Oldest: time.Hour, Demand: offersOf(0, 1, 2, 3), ServiceRate: 1024,
+			Cores: 2048, InUse: 512, Attempts: 4096.5, Retries: 256.25}},
 		{name: "fraction of a millisecond and of a float", value: fraction, read: &fractionRead},
 		{name: "stale members and a negative age are not told", value: stale, read: &staleRead},
 	}
@@ -229,37 +229,37 @@
 
 // Sums of zones must stay as they are: the words that hold them go through a fleet of several versions.
 func TestGoldenSumsWritten(t *testing.T) {
-	requireGolden(t, goldenSums, writeFrames(goldenSumCases(), func(b []byte, s Sum) []byte { return AppendSum(b, &s) }))
+	requireGolden(t, goldenSums, writeFrames(goldenSumCases(), func(b []byte, s Aggregate) []byte { return AppendAggregate(b, &s) }))
 }
 
 func TestGoldenSumsRead(t *testing.T) {
-	requireRead(t, goldenSums, goldenSumCases(), func(b []byte) Sum {
-		s, err := ParseSum(b)
+	requireRead(t, goldenSums, goldenSumCases(), func(b []byte) Aggregate {
+		s, err := ParseAggregate(b)
 		require.NoError(t, err)
 		return s
 	})
 }
 
-func goldenPartCases() []frameCase[Part] {
-	return []frameCase[Part]{
-		{name: "nothing told", value: Part{From: Party{Name: "n1"}}},
-		{name: "all figures", value: Part{From: goldenBorrower, Sum: Sum{Members: 1, Oldest: 20 * time.Millisecond,
-			Offers: offersOf(10, 60, 0, 70), Pace: 6.75, Cores: 7.5, InUse: 4.25, Tries: 40.5, Again: 8.125}}},
-		{name: "longest name", value: Part{From: Party{longName, math.MaxUint64}, Sum: Sum{Members: 1}}},
+func goldenPartCases() []frameCase[PartialAggregate] {
+	return []frameCase[PartialAggregate]{
+		{name: "nothing told", value: PartialAggregate{From: ProcessID{Name: "n1"}}},
+		{name: "all figures", value: PartialAggregate{From: goldenBorrower, Aggregate: Aggregate{Members: 1, Oldest: 20 * time.Millisecond,
+			Demand: offersOf(10, 60, 0, 70), ServiceRate: 6.75, Cores: 7.5, InUse: 4.25, Attempts: 40.5, Retries: 8.125}}},
+		{name: "longest name", value: PartialAggregate{From: ProcessID{longName, math.MaxUint64}, Aggregate: Aggregate{Members: 1}}},
 	}
 }
 
 // Parts must stay as they are: the collector that they go to may be of another version.
 func TestGoldenPartsWritten(t *testing.T) {
-	requireGolden(t, goldenParts, writeFrames(goldenPartCases(), AppendPart))
+	requireGolden(t, goldenParts, writeFrames(goldenPartCases(), AppendPartial))
 }
 
 func TestGoldenPartsRead(t *testing.T) {
-	requireRead(t, goldenParts, goldenPartCases(), func(b []byte) Part {
-		require.True(t, OfCutoff(b))
+	requireRead(t, goldenParts, goldenPartCases(), func(b []byte) PartialAggregate {
+		require.True(t, IsSheddingMessage(b))
 		_, isReport := ParseReport(b)
 		require.False(t, isReport)
-		p, ok := ParsePart(b)
+		p, ok := ParsePartial(b)
 		require.True(t, ok)
 		return p
 	})
@@ -267,12 +267,12 @@
 
 // goldenView is a fleet of so many members that serve, in two zones, as the first of them has it.
 func goldenView(members int) *fleet.Snapshot {
-	v := fleet.NewView("n000", fleet.Limits{Members: members, Forget: time.Hour})
+	v := fleet.NewView("n000", fleet.Limits{Members: members, ForgetAfter: time.Hour})
 	for i := range members {
 		name, run := fmt.Sprintf("n%03d", i), uint64(1000+i)
-		v.Joined(time.Second, 0, fleet.Record{Name: name, Run: run, Seq: 1, Region: "eu", Zone: fmt.Sprint("z", i%2), State: fleet.Serving,
-			Load: fleet.Load{Busy: -1, Store: uint8(StoreTrouble), StoreID: 5}})
-		v.Sighted(time.Second, name, run, fleet.Reached)
+		v.Merge(time.Second, 0, fleet.Record{Name: name, Run: run, Seq: 1, Region: "eu", Zone: fmt.Sprint("z", i%2), State: fleet.Serving,
+			Load: fleet.Load{Busy: -1, StoreState: uint8(StoreFailing), StoreID: 5}})
+		v.ObserveReach(time.Second, name, run, fleet.Reached)
 	}
 	return v.Snapshot(time.Second)
 }
@@ -286,7 +286,7 @@
 	writeCollectors(&got)
 	writeProbers(&got)
 	writePlaces(&got)
-	for s := StoreFine; s <= StoreBack; s++ {
+	for s := StoreHealthy; s <= StoreRecovering; s++ {
 		fmt.Fprintf(&got, "store state %d: %s\n", s, s)
 	}
 	requireGolden(t, goldenAgreement, got.String())
@@ -323,8 +323,8 @@
 	view := goldenView(60)
 	for _, i := range []int{0, 1} {
 		m := &view.Members[i]
-		collector := NewCollector(Party{m.Name, m.Run})
-		fmt.Fprintf(out, "parts of zone %s go to: %v\n", m.Zone, collector.Turn(time.Second, Sum{Members: 1}, view))
+		collector := NewCollector(ProcessID{m.Name, m.Run})
+		fmt.Fprintf(out, "parts of zone %s go to: %v\n", m.Zone, collector.Tick(time.Second, Aggregate{Members: 1}, view))
 	}
 }
 
@@ -336,18 +336,18 @@
 			view := goldenView(members)
 			m := &view.Members[i]
 			view.Members[0].Self, m.Self = false, true
-			p := NewProbes(m.Run, m.Zone)
-			p.Turn(time.Second, store, view, time.Second)
+			p := NewProbeCoordinator(m.Run, m.Zone)
+			p.Tick(time.Second, store, view, time.Second)
 			for range failures {
-				p.Ended(false)
+				p.CallEnded(false)
 			}
-			p.Turn(time.Second, store, view, time.Second)
+			p.Tick(time.Second, store, view, time.Second)
 			p.round = round
 			var load fleet.Load
-			if leak := p.Turn(time.Second, store, view, time.Second); leak == LeakOne {
-				p.Tell(&load)
+			if leak := p.Tick(time.Second, store, view, time.Second); leak == ProbeSingle {
+				p.AddToLoad(&load)
 				fmt.Fprintf(out, "turn %d in zone %s: %s tells store=%d store_id=%d round=%d\n", round, m.Zone, m.Name,
-					load.Store, load.StoreID, load.Round)
+					load.StoreState, load.StoreID, load.ProbeRound)
 			}
 		}
 	}
@@ -357,7 +357,7 @@
 	for _, c := range []struct{ value, work, rank float64 }{
 		{1, 1, 0}, {1, 1, 0.5}, {1, 1, 2}, {8, 0.125, 0}, {1e9, 1e-3, 1}, {1e-9, 1, 0.25}, {0, 1, 0},
 	} {
-		place := Place(c.value, c.work, c.rank)
-		fmt.Fprintf(out, "place value=%v work=%v rank=%v: %.6f, worth at most %.6f\n", c.value, c.work, c.rank, place, Worth(place))
+		place := Priority(c.value, c.work, c.rank)
+		fmt.Fprintf(out, "place value=%v work=%v rank=%v: %.6f, worth at most %.6f\n", c.value, c.work, c.rank, place, WeightAt(place))
 	}
 }
--- a/internal/overload/patience.go
+++ b/internal/overload/patience.go
@@ -30,15 +30,15 @@
 	usual []int         // buckets of first tries, in order
 }
 
-// Patience knows how long callers wait for requests, by class. It belongs to one goroutine.
-type Patience struct{ classes map[string]*waits }
+// AgeEstimator knows how long callers wait for requests, by class. It belongs to one goroutine.
+type AgeEstimator struct{ classes map[string]*waits }
 
-// NewPatience knows nothing.
-func NewPatience() *Patience { return &Patience{map[string]*waits{}} }
+// NewAgeEstimator knows nothing.
+func NewAgeEstimator() *AgeEstimator { return &AgeEstimator{map[string]*waits{}} }
 
 // Age takes in how long a caller still waits, and returns how long ago it sent the first try of that request, at least;
 // 0 for a first try, and where nothing shows.
-func (p *Patience) Age(now time.Duration, class string, wait time.Duration) time.Duration {
+func (p *AgeEstimator) Age(now time.Duration, class string, wait time.Duration) time.Duration {
 	w := p.classes[class]
 	if w == nil {
 		if len(p.classes) >= mostPatience {
--- a/internal/overload/patience_test.go
+++ b/internal/overload/patience_test.go
@@ -22,7 +22,7 @@
 		"a little off":        {func(r *rand.Rand) time.Duration { return 4000*ms - time.Duration(r.IntN(9))*ms }, 0.95, false},
 		"waits all different": {func(r *rand.Rand) time.Duration { return time.Duration(100+r.IntN(60000)) * ms }, 0, false},
 	} {
-		r, p := rand.New(rand.NewPCG(1, 9)), NewPatience()
+		r, p := rand.New(rand.NewPCG(1, 9)), NewAgeEstimator()
 		later, known, wrong, firsts := 0, 0, 0, 0
 		for i := range 4000 {
 			now := time.Duration(i) * 20 * ms
@@ -58,7 +58,7 @@
 			require.LessOrEqual(t, len(w.count), mostWaits)
 		}
 	}
-	p := NewPatience()
+	p := NewAgeEstimator()
 	for i := range 3 * mostPatience {
 		p.Age(0, string(rune('a'+i)), time.Second)
 	}
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -24,32 +24,32 @@
 type StoreState uint8
 
 const (
-	StoreFine    StoreState = iota // as far as it knows
-	StoreTrouble                   // its calls fail
-	StoreTrying                    // they do, and it has the turn to try
-	StoreBack                      // they did, and succeed again
+	StoreHealthy    StoreState = iota // as far as it knows
+	StoreFailing                      // its calls fail
+	StoreProbing                      // they do, and it has the turn to try
+	StoreRecovering                   // they did, and succeed again
 )
 
 var storeStates = [...]string{"fine", "trouble", "trying", "back"}
 
 func (s StoreState) String() string { return storeStates[min(int(s), len(storeStates)-1)] }
 
-// Leak is what a member may try of its store.
-type Leak uint8
+// ProbeAllowance is what a member may try of its store.
+type ProbeAllowance uint8
 
 const (
-	LeakUsual   Leak = iota // what it does alone
-	LeakCareful             // the first failure counts: others have warned
-	LeakOne                 // one call at a time
-	LeakNone
+	ProbeUnlimited ProbeAllowance = iota // what it does alone
+	ProbeCautious                        // the first failure counts: others have warned
+	ProbeSingle                          // one call at a time
+	ProbeNone
 )
 
-// Probes decides who tries a store that does not answer: one member at a time in each zone, by turns that go on when
+// ProbeCoordinator decides who tries a store that does not answer: one member at a time in each zone, by turns that go on when
 // whoever has one is lost, instead of each as often as its own breaker lets through. Whoever finds that the store answers
 // says so; then some others check, each for itself, and more for each that finds the same. So nobody can open or close
 // it for all. Members of one zone with one store are a group: a store that is slow from one zone only is tried, and
 // found, by that zone. It belongs to one goroutine.
-type Probes struct {
+type ProbeCoordinator struct {
 	run     uint64
 	zone    string
 	store   uint32
@@ -62,18 +62,22 @@
 	agreed  int           // members of the group in trouble, this one included
 }
 
-// NewProbes begins with a store that is taken to be well.
-func NewProbes(run uint64, zone string) *Probes { return &Probes{run: run, zone: zone} }
+// NewProbeCoordinator begins with a store that is taken to be well.
+func NewProbeCoordinator(run uint64, zone string) *ProbeCoordinator {
+	return &ProbeCoordinator{run: run, zone: zone}
+}
 
 // State is how this member stands to its store, and Agreed how many members of its group are in trouble.
-func (p *Probes) State() StoreState { return p.state }
-func (p *Probes) Agreed() int       { return p.agreed }
+func (p *ProbeCoordinator) State() StoreState     { return p.state }
+func (p *ProbeCoordinator) UnhealthyMembers() int { return p.agreed }
 
-// Tell adds to a word what others go by.
-func (p *Probes) Tell(l *fleet.Load) { l.Store, l.StoreID, l.Round = uint8(p.state), p.store, p.round }
+// AddToLoad adds to a word what others go by.
+func (p *ProbeCoordinator) AddToLoad(l *fleet.Load) {
+	l.StoreState, l.StoreID, l.ProbeRound = uint8(p.state), p.store, p.round
+}
 
-// Ended notes that a call has ended; ok: with an answer in time.
-func (p *Probes) Ended(ok bool) {
+// CallEnded notes that a call has ended; ok: with an answer in time.
+func (p *ProbeCoordinator) CallEnded(ok bool) {
 	if ok {
 		p.fails = 0
 		p.oks++
@@ -82,10 +86,10 @@
 	}
 }
 
-// Turn is taken a few times a second. It returns what this member may try now.
-func (p *Probes) Turn(now time.Duration, store uint32, view *fleet.Snapshot, at time.Duration) Leak {
+// Tick is taken a few times a second. It returns what this member may try now.
+func (p *ProbeCoordinator) Tick(now time.Duration, store uint32, view *fleet.Snapshot, at time.Duration) ProbeAllowance {
 	if store != p.store { // the configuration names another one
-		*p = Probes{run: p.run, zone: p.zone, store: store}
+		*p = ProbeCoordinator{run: p.run, zone: p.zone, store: store}
 	}
 	fresh := fleet.Fresh(len(view.Members))
 	all, back := 1, 0
@@ -96,61 +100,61 @@
 			continue
 		}
 		all++
-		switch StoreState(m.Load.Store) {
-		case StoreTrouble, StoreTrying:
+		switch StoreState(m.Load.StoreState) {
+		case StoreFailing, StoreProbing:
 			ill = append(ill, m)
-		case StoreBack:
+		case StoreRecovering:
 			back++
 		}
 	}
 	quorum := max(fewestAgree, all/agreePart)
-	if p.state == StoreFine || p.state == StoreBack {
+	if p.state == StoreHealthy || p.state == StoreRecovering {
 		return p.well(now, quorum, ill)
 	}
 	p.agreed = len(ill) + 1
 	switch {
 	case p.oks > 0:
-		p.become(now, StoreBack)
-		return LeakUsual
+		p.become(now, StoreRecovering)
+		return ProbeUnlimited
 	case p.agreed < quorum: // it may be this member's own
-		p.state = StoreTrouble
-		return LeakUsual
+		p.state = StoreFailing
+		return ProbeUnlimited
 	}
 	if p.hasTurn(now, ill) || back > 0 && p.rank(ill) < stepWidth*back {
-		return LeakOne
+		return ProbeSingle
 	}
-	return LeakNone
+	return ProbeNone
 }
 
 // well is the turn of a member whose calls succeed, or that makes none.
-func (p *Probes) well(now time.Duration, quorum int, ill []*fleet.Member) Leak {
+func (p *ProbeCoordinator) well(now time.Duration, quorum int, ill []*fleet.Member) ProbeAllowance {
 	p.agreed = len(ill)
-	leak, most := LeakUsual, failsAlone
-	if p.state == StoreFine && len(ill) >= quorum {
-		leak, most = LeakCareful, failsWarned
+	leak, most := ProbeUnlimited, failsAlone
+	if p.state == StoreHealthy && len(ill) >= quorum {
+		leak, most = ProbeCautious, failsWarned
 	}
 	switch {
 	case p.fails >= most:
-		p.become(now, StoreTrouble)
+		p.become(now, StoreFailing)
 		p.roundAt = now
 		for _, m := range ill {
-			p.round = max(p.round, m.Load.Round)
+			p.round = max(p.round, m.Load.ProbeRound)
 		}
-	case p.state == StoreBack && now-p.since > backFor:
-		p.become(now, StoreFine)
+	case p.state == StoreRecovering && now-p.since > backFor:
+		p.become(now, StoreHealthy)
 	}
 	return leak
 }
 
-func (p *Probes) become(now time.Duration, s StoreState) {
+func (p *ProbeCoordinator) become(now time.Duration, s StoreState) {
 	p.state, p.since, p.fails, p.oks = s, now, 0, 0
 }
 
 // hasTurn reports whether the turn is this member's. Turns are numbered; the number names one of those in trouble.
-func (p *Probes) hasTurn(now time.Duration, ill []*fleet.Member) bool {
+func (p *ProbeCoordinator) hasTurn(now time.Duration, ill []*fleet.Member) bool {
 	for _, m := range ill {
-		if m.Load.Round > p.round && m.Load.Round < mostTurns {
-			p.round, p.roundAt = m.Load.Round, now
+		if m.Load.ProbeRound > p.round && m.Load.ProbeRound < mostTurns {
+			p.round, p.roundAt = m.Load.ProbeRound, now
 		}
 	}
 	if now-p.roundAt > turnLost {
@@ -165,18 +169,18 @@
 	}
 	switch {
 	case !holder:
-		p.state = StoreTrouble
-	case p.state != StoreTrying:
-		p.state, p.since, p.oks = StoreTrying, now, 0
+		p.state = StoreFailing
+	case p.state != StoreProbing:
+		p.state, p.since, p.oks = StoreProbing, now, 0
 	case now-p.since > turnFor:
-		p.state, p.round, p.roundAt = StoreTrouble, p.round+1, now
+		p.state, p.round, p.roundAt = StoreFailing, p.round+1, now
 		holder = false
 	}
 	return holder
 }
 
 // rank is how many of those in trouble check before this member does.
-func (p *Probes) rank(ill []*fleet.Member) (n int) {
+func (p *ProbeCoordinator) rank(ill []*fleet.Member) (n int) {
 	mine := mix(p.run)
 	for _, m := range ill {
 		if mix(m.Run) < mine {
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -14,8 +14,8 @@
 // storm is a group of members with one store that dies and comes back, whose words are late and sometimes lost.
 type storm struct {
 	n      int
-	all    []*Probes
-	leaks  []Leak
+	all    []*ProbeCoordinator
+	leaks  []ProbeAllowance
 	told   [][]fleet.Load // last words that each has heard of each
 	onWay  []late
 	alive  []bool
@@ -39,9 +39,9 @@
 }
 
 func newStorm(n int, seed uint64) *storm {
-	x := &storm{n: n, r: rand.New(rand.NewPCG(seed, 7)), leaks: make([]Leak, n), calls: make([][]oneCall, n)}
+	x := &storm{n: n, r: rand.New(rand.NewPCG(seed, 7)), leaks: make([]ProbeAllowance, n), calls: make([][]oneCall, n)}
 	for i := range n {
-		x.all = append(x.all, NewProbes(uint64(i+1), "z"))
+		x.all = append(x.all, NewProbeCoordinator(uint64(i+1), "z"))
 		x.told = append(x.told, make([]fleet.Load, n))
 		x.alive = append(x.alive, true)
 	}
@@ -56,7 +56,7 @@
 		for len(x.onWay) > 0 && x.onWay[0].at <= x.now {
 			w := x.onWay[0]
 			x.onWay = x.onWay[1:]
-			if w.load.Round >= x.told[w.to][w.from].Round || w.load.Store != x.told[w.to][w.from].Store {
+			if w.load.ProbeRound >= x.told[w.to][w.from].ProbeRound || w.load.StoreState != x.told[w.to][w.from].StoreState {
 				x.told[w.to][w.from] = w.load
 			}
 		}
@@ -71,11 +71,11 @@
 					continue
 				}
 				x.inHand--
-				p.Ended(c.ok)
+				p.CallEnded(c.ok)
 			}
 			x.calls[i] = kept
 			was := p.State()
-			x.leaks[i] = p.Turn(x.now, 9, x.view(i), x.now)
+			x.leaks[i] = p.Tick(x.now, 9, x.view(i), x.now)
 			if p.State() != was || x.r.IntN(8) == 0 {
 				x.tell(i)
 			}
@@ -88,8 +88,8 @@
 
 // call makes the calls that a member with much to do makes.
 func (x *storm) call(i int, up bool) {
-	limit := map[Leak]int{LeakUsual: 4, LeakCareful: 4, LeakOne: 1}[x.leaks[i]]
-	if x.leaks[i] == LeakUsual && x.all[i].State() == StoreTrouble {
+	limit := map[ProbeAllowance]int{ProbeUnlimited: 4, ProbeCautious: 4, ProbeSingle: 1}[x.leaks[i]]
+	if x.leaks[i] == ProbeUnlimited && x.all[i].State() == StoreFailing {
 		limit = 1 // what its own breaker leaves, about
 	}
 	for len(x.calls[i]) < limit {
@@ -106,7 +106,7 @@
 // tell sends a member's word to all others, late by up to 1.5 s, and one in twenty not at all.
 func (x *storm) tell(i int) {
 	var l fleet.Load
-	x.all[i].Tell(&l)
+	x.all[i].AddToLoad(&l)
 	if x.lie != nil {
 		x.lie(i, &l)
 	}
@@ -128,9 +128,9 @@
 	s := &fleet.Snapshot{At: x.now}
 	for j := range x.n {
 		m := fleet.Member{Record: &fleet.Record{Name: fmt.Sprint("n", j), Run: uint64(j + 1), Zone: "z", State: fleet.Serving, Load: x.told[i][j]},
-			Standing: fleet.Alive, Self: i == j, Made: x.now}
+			Liveness: fleet.Alive, Self: i == j, RecordedAt: x.now}
 		if !x.alive[j] {
-			m.Standing = fleet.Silent
+			m.Liveness = fleet.Silent
 		}
 		s.Members = append(s.Members, m)
 	}
@@ -152,14 +152,14 @@
 	for _, n := range []int{3, 10, 50, 150} {
 		x := newStorm(n, uint64(n))
 		x.play(5*time.Second, true)
-		require.Equal(t, n, x.count(StoreFine))
+		require.Equal(t, n, x.count(StoreHealthy))
 		x.play(15*time.Second, false)
-		require.Equal(t, n, x.count(StoreTrouble)+x.count(StoreTrying), "%d members", n)
+		require.Equal(t, n, x.count(StoreFailing)+x.count(StoreProbing), "%d members", n)
 		most, made := x.play(20*time.Second, false)
 		require.LessOrEqual(t, most, 4, "%d members", n)
 		require.Greater(t, made, 3, "%d members: it is tried", n)
 		for i, p := range x.all {
-			if p.State() == StoreTrying && n > 3 {
+			if p.State() == StoreProbing && n > 3 {
 				x.alive[i] = false // in the middle of its turn
 				x.inHand -= len(x.calls[i])
 			}
@@ -170,9 +170,9 @@
 		before, _ := x.play(time.Second, true)
 		require.LessOrEqual(t, before, 8, "%d members: not all at once", n)
 		x.play(25*time.Second, true)
-		require.Zero(t, x.count(StoreTrouble)+x.count(StoreTrying), "%d members", n)
+		require.Zero(t, x.count(StoreFailing)+x.count(StoreProbing), "%d members", n)
 		x.play(backFor+2*time.Second, true)
-		require.Zero(t, x.count(StoreBack))
+		require.Zero(t, x.count(StoreRecovering))
 	}
 }
 
@@ -180,10 +180,10 @@
 // others; nor one whose turns never end, or whose turns are numbered beyond all measure.
 func TestAWrongFinderDecidesNothing(t *testing.T) {
 	for what, lie := range map[string]func(i int, l *fleet.Load){
-		"back":    func(i int, l *fleet.Load) { l.Store = uint8(StoreBack) },
-		"trying":  func(i int, l *fleet.Load) { l.Store = uint8(StoreTrying) },
-		"turns":   func(i int, l *fleet.Load) { l.Store, l.Round = uint8(StoreTrouble), 1<<63 },
-		"trouble": func(i int, l *fleet.Load) { l.Store = uint8(StoreTrouble) },
+		"back":    func(i int, l *fleet.Load) { l.StoreState = uint8(StoreRecovering) },
+		"trying":  func(i int, l *fleet.Load) { l.StoreState = uint8(StoreProbing) },
+		"turns":   func(i int, l *fleet.Load) { l.StoreState, l.ProbeRound = uint8(StoreFailing), 1<<63 },
+		"trouble": func(i int, l *fleet.Load) { l.StoreState = uint8(StoreFailing) },
 	} {
 		x := newStorm(30, 4)
 		x.lie = func(i int, l *fleet.Load) {
@@ -192,15 +192,15 @@
 			}
 		}
 		x.play(10*time.Second, true)
-		require.Equal(t, 30, x.count(StoreFine), what)
+		require.Equal(t, 30, x.count(StoreHealthy), what)
 		for i := range x.all {
-			require.Equal(t, LeakUsual, x.leaks[i], what)
+			require.Equal(t, ProbeUnlimited, x.leaks[i], what)
 		}
 		x.play(15*time.Second, false)
 		most, made := x.play(30*time.Second, false)
 		require.LessOrEqual(t, most, 4+stepWidth, what)
 		require.Positive(t, made, what)
 		x.play(40*time.Second, true)
-		require.Zero(t, x.count(StoreTrouble)+x.count(StoreTrying), what)
+		require.Zero(t, x.count(StoreFailing)+x.count(StoreProbing), what)
 	}
 }
--- a/internal/overload/repeats.go
+++ b/internal/overload/repeats.go
@@ -52,8 +52,8 @@
 
 // Report tells of tries, to the member that counts them.
 type Report struct {
-	To    Party
-	Tries []uint64 // fingerprints; twice for two tries
+	To       ProcessID
+	Attempts []uint64 // fingerprints; twice for two tries
 }
 
 // counted is a request whose tries are counted.
@@ -62,9 +62,9 @@
 	tries int
 }
 
-// Repeats counts how many tries there are for each request, and remembers what was refused here. It belongs to one
+// RetryCounter counts how many tries there are for each request, and remembers what was refused here. It belongs to one
 // goroutine.
-type Repeats struct {
+type RetryCounter struct {
 	sample  uint64 // of so many fingerprints one is followed here
 	pending []uint64
 	arrived float64 // tries since the last turn
@@ -80,13 +80,13 @@
 	refusals []uint64 // in order
 }
 
-// NewRepeats returns an empty count.
-func NewRepeats() *Repeats {
-	return &Repeats{sample: leastSample, counts: map[uint64]counted{}, refused: map[uint64]time.Duration{}}
+// NewRetryCounter returns an empty count.
+func NewRetryCounter() *RetryCounter {
+	return &RetryCounter{sample: leastSample, counts: map[uint64]counted{}, refused: map[uint64]time.Duration{}}
 }
 
 // Arrived takes in a try, and reports whether it is known to be one of a request that was refused here.
-func (r *Repeats) Arrived(now time.Duration, fp uint64) (known bool) {
+func (r *RetryCounter) Arrived(now time.Duration, fp uint64) (known bool) {
 	r.arrived++
 	if fp%r.sample == 0 && len(r.pending) < 4*reportsWanted {
 		r.pending = append(r.pending, fp)
@@ -95,8 +95,8 @@
 	return ok && now < until
 }
 
-// Refused notes that a try was refused in a way that has its caller try again.
-func (r *Repeats) Refused(now time.Duration, fp uint64) {
+// Rejected notes that a try was refused in a way that has its caller try again.
+func (r *RetryCounter) Rejected(now time.Duration, fp uint64) {
 	if _, ok := r.refused[fp]; !ok {
 		if len(r.refusals) >= mostRefused {
 			delete(r.refused, r.refusals[0])
@@ -107,8 +107,8 @@
 	r.refused[fp] = now + refusedFor
 }
 
-// Turn is taken once a second or so. It returns what to report to whom.
-func (r *Repeats) Turn(now time.Duration, view *fleet.Snapshot) (out []Report) {
+// Tick is taken once a second or so. It returns what to report to whom.
+func (r *RetryCounter) Tick(now time.Duration, view *fleet.Snapshot) (out []Report) {
 	d := now - r.last
 	if r.begun && d > 0 {
 		f := math.Exp(-float64(d) / float64(againFades))
@@ -134,13 +134,13 @@
 			r.count(now, fp)
 			continue
 		}
-		to := Party{m.Name, m.Run}
-		k := slices.IndexFunc(out, func(x Report) bool { return x.To == to && len(x.Tries) < mostReport })
+		to := ProcessID{m.Name, m.Run}
+		k := slices.IndexFunc(out, func(x Report) bool { return x.To == to && len(x.Attempts) < mostReport })
 		if k < 0 {
 			k = len(out)
 			out = append(out, Report{To: to})
 		}
-		out[k].Tries = append(out[k].Tries, fp)
+		out[k].Attempts = append(out[k].Attempts, fp)
 	}
 	r.pending = r.pending[:0]
 	// The sample follows the load in powers of two, so that two servers with about the same load follow the same
@@ -156,14 +156,14 @@
 	return out
 }
 
-// Heard takes in a report.
-func (r *Repeats) Heard(now time.Duration, tries []uint64) {
+// HandleReport takes in a report.
+func (r *RetryCounter) HandleReport(now time.Duration, tries []uint64) {
 	for _, fp := range tries[:min(len(tries), mostReport)] {
 		r.count(now, fp)
 	}
 }
 
-func (r *Repeats) count(now time.Duration, fp uint64) {
+func (r *RetryCounter) count(now time.Duration, fp uint64) {
 	c, ok := r.counts[fp]
 	if !ok {
 		if len(r.order) >= mostCounted {
@@ -178,23 +178,23 @@
 	r.counts[fp] = c
 }
 
-// Share is the part of all tries that are repeats, as counted here; 0 where too little was.
-func (r *Repeats) Share() float64 {
+// RetryRatio is the part of all tries that are repeats, as counted here; 0 where too little was.
+func (r *RetryCounter) RetryRatio() float64 {
 	if r.firsts < againNeeds {
 		return 0
 	}
 	return max(1-r.firsts/r.all, 0)
 }
 
-// Rate is how many tries come here in a second.
-func (r *Repeats) Rate() float64 { return r.rate }
+// AttemptRate is how many tries come here in a second.
+func (r *RetryCounter) AttemptRate() float64 { return r.rate }
 
 // named is the member that counts the tries of a request: the highest of all that serve by a hash of both; -1 = none.
 func named(fp uint64, view *fleet.Snapshot) int {
 	best, of := uint64(0), -1
 	for i := range view.Members {
 		m := &view.Members[i]
-		if m.Standing != fleet.Alive || m.State != fleet.Serving && m.State != fleet.Warming {
+		if m.Liveness != fleet.Alive || m.State != fleet.Serving && m.State != fleet.Warming {
 			continue
 		}
 		if h := mix(fp ^ m.Run); of < 0 || cmp.Less(best, h) {
@@ -210,7 +210,7 @@
 // AppendReport appends the tries of a report, eight bytes each.
 func AppendReport(b []byte, r Report) []byte {
 	b = append(b, kindTries)
-	for _, fp := range r.Tries {
+	for _, fp := range r.Attempts {
 		b = binary.BigEndian.AppendUint64(b, fp)
 	}
 	return b
--- a/internal/overload/sharing.go
+++ b/internal/overload/sharing.go
@@ -24,42 +24,44 @@
 	candidates = 3
 )
 
-// Sharing decides when a member asks whom for how much, and when it gives back: by what it uses and misses here, and by
+// QuotaManager decides when a member asks whom for how much, and when it gives back: by what it uses and misses here, and by
 // what others have told of themselves. It belongs to one goroutine, the loop of the server.
-type Sharing struct {
-	*Escrow
+type QuotaManager struct {
+	*QuotaLedger
 	pick   func(n int) int // draws a number below n
 	use    float64         // mean calls in hand
 	last   time.Duration   // when use was last brought up to date
 	missed int             // calls that could not be made since then
 	asked  time.Duration
-	wanted Share         // what would have been enough when calls were missed last
+	wanted Quota         // what would have been enough when calls were missed last
 	until  time.Duration // and until when that counts
 	begun  bool
 }
 
-// NewSharing begins with an escrow; pick draws numbers below its argument.
-func NewSharing(e *Escrow, pick func(n int) int) *Sharing { return &Sharing{Escrow: e, pick: pick} }
+// NewQuotaManager begins with an escrow; pick draws numbers below its argument.
+func NewQuotaManager(e *QuotaLedger, pick func(n int) int) *QuotaManager {
+	return &QuotaManager{QuotaLedger: e, pick: pick}
+}
 
-// Missed notes that a call was left out, or a request refused, since no more calls may be in hand.
-func (s *Sharing) Missed() { s.missed++ }
+// CallMissed notes that a call was left out, or a request refused, since no more calls may be in hand.
+func (s *QuotaManager) CallMissed() { s.missed++ }
 
-// Use is the mean of the calls in hand, of late.
-func (s *Sharing) Use() float64 { return s.use }
+// MeanInFlight is the mean of the calls in hand, of late.
+func (s *QuotaManager) MeanInFlight() float64 { return s.use }
 
 // need is what this member means to use: its use and a quarter, and for the length of a lease after it missed calls
 // more than it had then. A loan that was given back as soon as it helped would have to be asked for again at once.
-func (s *Sharing) need(now time.Duration) Share {
-	n := ShareOf(s.use * (spare + 1) / spare)
+func (s *QuotaManager) need(now time.Duration) Quota {
+	n := QuotaOf(s.use * (spare + 1) / spare)
 	if now < s.until {
 		n = max(n, s.wanted)
 	}
 	return n
 }
 
-// Turn is taken a few times a second. InHand are the calls in hand now; view is what is known of the others, and at its
+// Tick is taken a few times a second. InFlight are the calls in hand now; view is what is known of the others, and at its
 // time. It returns what to say to others.
-func (s *Sharing) Turn(now time.Duration, inHand int, view *fleet.Snapshot, at time.Duration) (out []Message) {
+func (s *QuotaManager) Tick(now time.Duration, inHand int, view *fleet.Snapshot, at time.Duration) (out []Message) {
 	if d := now - s.last; s.begun && d > 0 {
 		f := min(float64(d)/float64(useFades), 1)
 		s.use += f * (float64(inHand) - s.use)
@@ -70,10 +72,10 @@
 		s.until, s.missed = now+s.terms.Lease, 0
 	}
 	need := s.need(now)
-	out = s.Return(now, Share(1000*inHand), need)
+	out = s.Return(now, Quota(1000*inHand), need)
 	if lacks := need - s.LimitUntil(now, now+askAhead); lacks > 0 && now < s.until && now-s.asked >= askAgain {
 		if of, ok := s.richest(view, at); ok {
-			if m, ok := s.Ask(now, of, max(lacks, s.terms.Base/leastAsk)); ok {
+			if m, ok := s.RequestLease(now, of, max(lacks, s.terms.Base/leastAsk)); ok {
 				s.asked = now
 				out = append(out, m)
 			}
@@ -82,14 +84,14 @@
 	return out
 }
 
-// Heard takes in a message and returns the answer, if there is one.
-func (s *Sharing) Heard(now time.Duration, m Message, inHand int) (Message, bool) {
-	return s.Hear(now, m, Share(1000*inHand), s.need(now))
+// Receive takes in a message and returns the answer, if there is one.
+func (s *QuotaManager) Receive(now time.Duration, m Message, inHand int) (Message, bool) {
+	return s.HandleMessage(now, m, Quota(1000*inHand), s.need(now))
 }
 
 // richest is who has told of the most calls to spare, of some that are drawn: if all asked the richest of all, it would
 // be asked by everybody at once.
-func (s *Sharing) richest(view *fleet.Snapshot, at time.Duration) (p Party, ok bool) {
+func (s *QuotaManager) richest(view *fleet.Snapshot, at time.Duration) (p ProcessID, ok bool) {
 	if len(view.Members) == 0 {
 		return p, false
 	}
@@ -100,8 +102,8 @@
 		if m.Self || !m.Serves(at, fresh) {
 			continue
 		}
-		if left := m.Load.Share - m.Load.Calls; left > most {
-			most, p, ok = left, Party{m.Name, m.Run}, true
+		if left := m.Load.CallQuota - m.Load.MeanCalls; left > most {
+			most, p, ok = left, ProcessID{m.Name, m.Run}, true
 		}
 	}
 	return p, ok
--- a/internal/overload/sharing_test.go
+++ b/internal/overload/sharing_test.go
@@ -15,22 +15,22 @@
 // back soon after, and idle members must not ask at all.
 func TestSharesMoveToWhoIsBusy(t *testing.T) {
 	const n, look = 9, 250 * time.Millisecond
-	tm := Terms{Base: 4000, Keep: 2000, Lease: 3 * s, Call: 4 * s, Linger: s / 5}
-	var all []*Sharing
+	tm := Terms{Base: 4000, Reserved: 2000, Lease: 3 * s, CallTime: 4 * s, AbandonedCallTime: s / 5}
+	var all []*QuotaManager
 	view := fleet.NewView("n0", fleet.Limits{Members: n})
 	r := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
-		all = append(all, NewSharing(NewEscrow(0, Party{fmt.Sprint("n", i), 1}, tm), r.IntN))
+		all = append(all, NewQuotaManager(NewQuotaLedger(0, ProcessID{fmt.Sprint("n", i), 1}, tm), r.IntN))
 	}
 	tell := func(now time.Duration) {
 		for i, x := range all {
 			name := fmt.Sprint("n", i)
-			view.Joined(now, 0, fleet.Record{Name: name, Run: 1, Seq: uint64(now), Up: now, State: fleet.Serving, Load: fleet.Load{Share: 4, Calls: x.Use()}})
-			view.Sighted(now, name, 1, fleet.Reached)
+			view.Merge(now, 0, fleet.Record{Name: name, Run: 1, Seq: uint64(now), Up: now, State: fleet.Serving, Load: fleet.Load{CallQuota: 4, MeanCalls: x.MeanInFlight()}})
+			view.ObserveReach(now, name, 1, fleet.Reached)
 		}
 	}
 	asked := 0
-	play := func(from, to time.Duration, busy bool) (least Share) {
+	play := func(from, to time.Duration, busy bool) (least Quota) {
 		least = 1 << 40
 		for now := from; now < to; now += look {
 			tell(now)
@@ -40,10 +40,10 @@
 				if i == 0 && busy {
 					inHand = int(x.Limit(now) / 1000)
 					if inHand < 10 {
-						x.Missed()
+						x.CallMissed()
 					}
 				}
-				out := x.Turn(now, inHand, view.Snapshot(now), now)
+				out := x.Tick(now, inHand, view.Snapshot(now), now)
 				if i > 0 {
 					asked += len(out)
 				}
@@ -53,7 +53,7 @@
 				m := sent[0]
 				sent = sent[1:]
 				for _, x := range all {
-					if answer, ok := x.Heard(now, m, 0); ok {
+					if answer, ok := x.Receive(now, m, 0); ok {
 						sent = append(sent, answer)
 					}
 				}
@@ -67,18 +67,18 @@
 	play(60*s, 75*s, false)
 	require.Equal(t, tm.Base, all[0].Limit(75*s))
 	for _, x := range all {
-		require.Zero(t, x.Lent(75*s))
+		require.Zero(t, x.LeasedOut(75*s))
 	}
 	require.Zero(t, asked)
 }
 
 func TestMessagesTravel(t *testing.T) {
-	m := Message{Kind: Lend, From: Party{"n1", 7}, To: Party{"n2", 1 << 60}, Number: 9, Amount: 250}
+	m := Message{Kind: LeaseGrant, From: ProcessID{"n1", 7}, To: ProcessID{"n2", 1 << 60}, Number: 9, Amount: 250}
 	got, err := ParseMessage(AppendMessage(nil, m))
 	require.NoError(t, err)
 	require.Equal(t, m, got)
-	for _, b := range [][]byte{nil, []byte("noise"), make([]byte, MostMessage+1), AppendMessage(nil, Message{Kind: 9, From: m.From, To: m.To}),
-		AppendMessage(nil, Message{Kind: Ask, To: m.To})} {
+	for _, b := range [][]byte{nil, []byte("noise"), make([]byte, MaxMessageSize+1), AppendMessage(nil, Message{Kind: 9, From: m.From, To: m.To}),
+		AppendMessage(nil, Message{Kind: LeaseRequest, To: m.To})} {
 		_, err := ParseMessage(b)
 		require.Error(t, err)
 	}
--- a/internal/overload/sums.go
+++ b/internal/overload/sums.go
@@ -30,25 +30,25 @@
 	mostParts    = 4096            // that a collector keeps
 )
 
-// AppendSum appends a sum in its form on the wire: counts, then 32-bit floats, then the offers as they are told.
-func AppendSum(b []byte, s *Sum) []byte {
+// AppendAggregate appends a sum in its form on the wire: counts, then 32-bit floats, then the offers as they are told.
+func AppendAggregate(b []byte, s *Aggregate) []byte {
 	b = binary.AppendUvarint(b, uint64(s.Members))
 	b = binary.AppendUvarint(b, uint64(max(s.Oldest, 0)/time.Millisecond))
 	for _, v := range s.figures() {
 		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(*v)))
 	}
-	return s.Offers.Append(b)
+	return s.Demand.Append(b)
 }
 
 // figures are those of a sum that are told as floats, in their order on the wire.
-func (s *Sum) figures() [5]*float64 {
-	return [...]*float64{&s.Pace, &s.Cores, &s.InUse, &s.Tries, &s.Again}
+func (s *Aggregate) figures() [5]*float64 {
+	return [...]*float64{&s.ServiceRate, &s.Cores, &s.InUse, &s.Attempts, &s.Retries}
 }
 
 var errSum = errors.New("no sum of a zone")
 
-// ParseSum reads a sum. What no sum can hold is an error: negative figures, and such as are no numbers.
-func ParseSum(b []byte) (s Sum, err error) {
+// ParseAggregate reads a sum. What no sum can hold is an error: negative figures, and such as are no numbers.
+func ParseAggregate(b []byte) (s Aggregate, err error) {
 	members, n := binary.Uvarint(b)
 	if n <= 0 || members > mostParts {
 		return s, errSum
@@ -72,31 +72,31 @@
 	if len(b) > 1+bins {
 		return s, errSum
 	}
-	s.Offers.add(string(b), 1)
+	s.Demand.add(string(b), 1)
 	return s, nil
 }
 
-// Part is what a member tells a collector.
-type Part struct {
-	From Party
-	Sum  Sum // of one
+// PartialAggregate is what a member tells a collector.
+type PartialAggregate struct {
+	From      ProcessID
+	Aggregate Aggregate // of one
 }
 
 // kindPart begins a part on the wire; see kindTries.
 const kindPart = 0xfe
 
-// OfCutoff reports whether a message to one member is about the cutoff: a report of tries, or a part of a sum.
-func OfCutoff(b []byte) bool { return len(b) > 0 && (b[0] == kindTries || b[0] == kindPart) }
+// IsSheddingMessage reports whether a message to one member is about the cutoff: a report of tries, or a part of a sum.
+func IsSheddingMessage(b []byte) bool { return len(b) > 0 && (b[0] == kindTries || b[0] == kindPart) }
 
-// AppendPart appends a part as it is sent.
-func AppendPart(b []byte, p Part) []byte {
+// AppendPartial appends a part as it is sent.
+func AppendPartial(b []byte, p PartialAggregate) []byte {
 	b = append(b, kindPart, byte(len(p.From.Name)))
 	b = append(b, p.From.Name...)
-	return AppendSum(binary.BigEndian.AppendUint64(b, p.From.Run), &p.Sum)
+	return AppendAggregate(binary.BigEndian.AppendUint64(b, p.From.Run), &p.Aggregate)
 }
 
-// ParsePart reads a part; ok is false for what is none.
-func ParsePart(b []byte) (p Part, ok bool) {
+// ParsePartial reads a part; ok is false for what is none.
+func ParsePartial(b []byte) (p PartialAggregate, ok bool) {
 	if len(b) < 2 || b[0] != kindPart {
 		return p, false
 	}
@@ -104,47 +104,49 @@
 	if b = b[2:]; n == 0 || n > fleet.MaxText || len(b) < n+8 {
 		return p, false
 	}
-	p.From = Party{string(b[:n]), binary.BigEndian.Uint64(b[n:])}
-	sum, err := ParseSum(b[n+8:])
-	p.Sum = sum
+	p.From = ProcessID{string(b[:n]), binary.BigEndian.Uint64(b[n:])}
+	sum, err := ParseAggregate(b[n+8:])
+	p.Aggregate = sum
 	return p, err == nil && sum.Members <= 1
 }
 
 // Collector is a member's part in the sums of its zone. It belongs to one goroutine.
 type Collector struct {
-	self  Party
-	parts map[Party]heardPart
+	self  ProcessID
+	parts map[ProcessID]heardPart
 	next  time.Duration
 	told  string // the sum that this member tells, if it collects
 }
 
 type heardPart struct {
-	sum Sum
+	sum Aggregate
 	at  time.Duration
 }
 
 // NewCollector begins with nothing heard.
-func NewCollector(self Party) *Collector { return &Collector{self: self, parts: map[Party]heardPart{}} }
+func NewCollector(self ProcessID) *Collector {
+	return &Collector{self: self, parts: map[ProcessID]heardPart{}}
+}
 
 // Self is this member.
-func (c *Collector) Self() Party { return c.self }
+func (c *Collector) Self() ProcessID { return c.self }
 
-// Told is the sum of the zone that this member tells; empty where others collect, or the fleet is small.
-func (c *Collector) Told() string { return c.told }
+// Published is the sum of the zone that this member tells; empty where others collect, or the fleet is small.
+func (c *Collector) Published() string { return c.told }
 
-// Heard takes in a part. What there is no room for is dropped, and comes again.
-func (c *Collector) Heard(now time.Duration, p Part) {
+// Receive takes in a part. What there is no room for is dropped, and comes again.
+func (c *Collector) Receive(now time.Duration, p PartialAggregate) {
 	if _, known := c.parts[p.From]; !known && len(c.parts) >= mostParts {
 		return
 	}
-	c.parts[p.From] = heardPart{p.Sum, now}
+	c.parts[p.From] = heardPart{p.Aggregate, now}
 }
 
-// Turn is taken at least once a second. It returns to whom this member's own part goes now, if to anybody.
-func (c *Collector) Turn(now time.Duration, own Sum, view *fleet.Snapshot) (to []Party) {
+// Tick is taken at least once a second. It returns to whom this member's own part goes now, if to anybody.
+func (c *Collector) Tick(now time.Duration, own Aggregate, view *fleet.Snapshot) (to []ProcessID) {
 	if len(view.Members) < sumsFrom {
 		if c.told != "" || len(c.parts) > 0 {
-			c.told, c.parts = "", map[Party]heardPart{}
+			c.told, c.parts = "", map[ProcessID]heardPart{}
 		}
 		return nil
 	}
@@ -177,28 +179,28 @@
 		}
 	}
 	sum.Oldest = ages / time.Duration(max(sum.Members, 1)) // in the mean
-	c.told = string(AppendSum(nil, &sum))
+	c.told = string(AppendAggregate(nil, &sum))
 	return to
 }
 
 // chosen are the collectors of this member's zone: those with the highest hash of the process and the zone.
-func (c *Collector) chosen(view *fleet.Snapshot) []Party {
+func (c *Collector) chosen(view *fleet.Snapshot) []ProcessID {
 	self := view.Find(c.self.Name)
 	if self == nil {
 		return nil
 	}
 	type candidate struct {
 		hash uint64
-		who  Party
+		who  ProcessID
 	}
 	var best []candidate
 	seed := xxhash.Sum64String(self.Region + "/" + self.Zone)
 	for i := range view.Members {
 		m := &view.Members[i]
-		if m.Zone != self.Zone || m.Region != self.Region || m.Standing != fleet.Alive || m.State != fleet.Serving && m.State != fleet.Warming {
+		if m.Zone != self.Zone || m.Region != self.Region || m.Liveness != fleet.Alive || m.State != fleet.Serving && m.State != fleet.Warming {
 			continue
 		}
-		x := candidate{mix(seed ^ m.Run), Party{m.Name, m.Run}}
+		x := candidate{mix(seed ^ m.Run), ProcessID{m.Name, m.Run}}
 		if len(best) == collectors && x.hash <= best[collectors-1].hash {
 			continue
 		}
@@ -210,7 +212,7 @@
 			best = best[:collectors]
 		}
 	}
-	var all []Party
+	var all []ProcessID
 	for _, x := range best {
 		all = append(all, x.who)
 	}
@@ -222,18 +224,18 @@
 	region, zone string
 	serving      int     // members that serve, as the view has it
 	cores        float64 // that these have told, however long ago: machines do not change
-	best         Sum
+	best         Aggregate
 	found        bool
 	age          time.Duration
 }
 
 // sumOfZones adds up the sums of all zones. One collector's word is bounded by what the members of its zone can do at
 // most; of two, the one that has counted more members is believed.
-func sumOfZones(view *fleet.Snapshot, at time.Duration) (s Sum) {
+func sumOfZones(view *fleet.Snapshot, at time.Duration) (s Aggregate) {
 	var zones []zoneSum
 	for i := range view.Members {
 		m := &view.Members[i]
-		if m.Standing != fleet.Alive || m.State != fleet.Serving && m.State != fleet.Warming {
+		if m.Liveness != fleet.Alive || m.State != fleet.Serving && m.State != fleet.Warming {
 			continue
 		}
 		k := slices.IndexFunc(zones, func(z zoneSum) bool { return z.zone == m.Zone && z.region == m.Region })
@@ -244,10 +246,10 @@
 		z := &zones[k]
 		z.serving++
 		z.cores += m.Load.Capacity
-		if m.Load.Sum == "" || m.Age(at) > sumFresh {
+		if m.Load.Aggregate == "" || m.Age(at) > sumFresh {
 			continue
 		}
-		if sum, err := ParseSum([]byte(m.Load.Sum)); err == nil && (!z.found || sum.Members > z.best.Members) {
+		if sum, err := ParseAggregate([]byte(m.Load.Aggregate)); err == nil && (!z.found || sum.Members > z.best.Members) {
 			z.best, z.found, z.age = sum, true, m.Age(at)
 		}
 	}
@@ -266,39 +268,39 @@
 }
 
 // join adds o to s.
-func (s *Sum) join(o *Sum) {
+func (s *Aggregate) join(o *Aggregate) {
 	s.Members += o.Members
 	s.Oldest = max(s.Oldest, o.Oldest)
 	mine, others := s.figures(), o.figures()
 	for i := range mine {
 		*mine[i] += *others[i]
 	}
-	for i, v := range o.Offers {
-		s.Offers[i] += v
+	for i, v := range o.Demand {
+		s.Demand[i] += v
 	}
 }
 
 // bound holds a sum to what so many members with so many cores can have told.
-func (s *Sum) bound(members int, cores float64) {
+func (s *Aggregate) bound(members int, cores float64) {
 	s.Members = min(s.Members, members)
-	s.Pace = min(s.Pace, paceMost*cores)
+	s.ServiceRate = min(s.ServiceRate, paceMost*cores)
 	s.Cores = min(s.Cores, cores)
-	s.InUse, s.Again = min(s.InUse, s.Cores), min(s.Again, s.Tries)
-	if total := s.Offers.Total(); total > readsMost*s.Pace {
-		s.Offers.scale(readsMost * s.Pace / total)
+	s.InUse, s.Retries = min(s.InUse, s.Cores), min(s.Retries, s.Attempts)
+	if total := s.Demand.Total(); total > readsMost*s.ServiceRate {
+		s.Demand.scale(readsMost * s.ServiceRate / total)
 	}
 }
 
-// PartOf is what one member tells of itself as a sum of one, bounded by what a server can do.
-func PartOf(l *fleet.Load) (s Sum) {
+// AggregateOf is what one member tells of itself as a sum of one, bounded by what a server can do.
+func AggregateOf(l *fleet.Load) (s Aggregate) {
 	s.Members = 1
-	s.Pace = paceOf(l.Pace, l.Capacity)
-	factor, total := 1.0, offered(l.Offer)
-	if total > readsMost*s.Pace {
-		factor = readsMost * s.Pace / total
+	s.ServiceRate = paceOf(l.ServiceRate, l.Capacity)
+	factor, total := 1.0, offered(l.Demand)
+	if total > readsMost*s.ServiceRate {
+		factor = readsMost * s.ServiceRate / total
 	}
-	s.Offers.add(l.Offer, factor)
-	s.Tries, s.Again = l.Tries, l.Tries*min(l.Again, 1)
+	s.Demand.add(l.Demand, factor)
+	s.Attempts, s.Retries = l.Attempts, l.Attempts*min(l.RetryRatio, 1)
 	if l.Busy >= 0 {
 		s.Cores, s.InUse = l.Capacity, l.Capacity*min(l.Busy, 1)
 	}
--- a/internal/overload/sums_test.go
+++ b/internal/overload/sums_test.go
@@ -25,8 +25,8 @@
 func newZoned(n int) *zoned {
 	x := &zoned{n: n, view: fleet.NewView("n0", fleet.Limits{Members: n}), gone: map[int]bool{}}
 	for i := range n {
-		x.all = append(x.all, NewCollector(Party{fmt.Sprint("n", i), uint64(i + 1)}))
-		x.loads = append(x.loads, fleet.Load{Capacity: 4, Pace: 4, Busy: 0.5, Tries: 10, Again: 0.2, Offer: string([]byte{10, 60, 70})})
+		x.all = append(x.all, NewCollector(ProcessID{fmt.Sprint("n", i), uint64(i + 1)}))
+		x.loads = append(x.loads, fleet.Load{Capacity: 4, ServiceRate: 4, Busy: 0.5, Attempts: 10, RetryRatio: 0.2, Demand: string([]byte{10, 60, 70})})
 	}
 	return x
 }
@@ -35,31 +35,31 @@
 func (x *zoned) turn(now time.Duration, r *rand.Rand) {
 	for i := range x.all {
 		if x.gone[i] {
-			x.view.Sighted(now, fmt.Sprint("n", i), uint64(i+1), fleet.Lost)
+			x.view.ObserveReach(now, fmt.Sprint("n", i), uint64(i+1), fleet.Lost)
 			continue
 		}
 		l := x.loads[i]
-		l.Sum = x.all[i].Told()
+		l.Aggregate = x.all[i].Published()
 		if x.lie != nil {
 			x.lie(i, &l)
 		}
 		rec := fleet.Record{Name: fmt.Sprint("n", i), Run: uint64(i + 1), Seq: uint64(now), Up: now, State: fleet.Serving, Zone: fmt.Sprint("z", i%3), Load: l}
-		if l.Sum == "" && now > 2*time.Second && (int(now/time.Second)+i)%int(fleet.Period(x.n)/time.Second) != 0 {
+		if l.Aggregate == "" && now > 2*time.Second && (int(now/time.Second)+i)%int(fleet.Period(x.n)/time.Second) != 0 {
 			continue
 		}
-		x.view.Joined(now, 0, rec)
-		x.view.Sighted(now, rec.Name, rec.Run, fleet.Reached)
+		x.view.Merge(now, 0, rec)
+		x.view.ObserveReach(now, rec.Name, rec.Run, fleet.Reached)
 	}
 	s := x.view.Snapshot(now)
 	for i, c := range x.all {
 		if x.gone[i] {
 			continue
 		}
-		own := PartOf(&x.loads[i])
-		for _, to := range c.Turn(now, own, s) {
-			p, ok := ParsePart(AppendPart(nil, Part{c.self, own}))
+		own := AggregateOf(&x.loads[i])
+		for _, to := range c.Tick(now, own, s) {
+			p, ok := ParsePartial(AppendPartial(nil, PartialAggregate{c.self, own}))
 			if ok && r.IntN(20) > 0 {
-				x.all[to.Run-1].Heard(now, p)
+				x.all[to.Run-1].Receive(now, p)
 			}
 		}
 	}
@@ -72,27 +72,27 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	x := newZoned(n)
 	now := time.Second
-	play := func(seconds int) Sum {
+	play := func(seconds int) Aggregate {
 		for range seconds {
 			x.turn(now, r)
 			now += time.Second
 		}
-		s, whole := SumOf(x.view.Snapshot(now-time.Second), now-time.Second)
+		s, whole := AggregateView(x.view.Snapshot(now-time.Second), now-time.Second)
 		require.True(t, whole)
 		return s
 	}
-	exact := func(s Sum, live int, what string) {
+	exact := func(s Aggregate, live int, what string) {
 		require.InEpsilon(t, float64(live), float64(s.Members), 0.03, what)
-		require.InEpsilon(t, 4*float64(live), s.Pace, 0.03, what)
-		require.InEpsilon(t, float64(live)*offered(x.loads[0].Offer), s.Offers.Total(), 0.05, what)
+		require.InEpsilon(t, 4*float64(live), s.ServiceRate, 0.03, what)
+		require.InEpsilon(t, float64(live)*offered(x.loads[0].Demand), s.Demand.Total(), 0.05, what)
 		require.InDelta(t, 0.5, s.Busy(), 0.01, what)
-		require.InDelta(t, 0.2, s.Again/s.Tries, 0.01, what)
+		require.InDelta(t, 0.2, s.Retries/s.Attempts, 0.01, what)
 		require.LessOrEqual(t, s.Oldest, sumFresh, what)
 	}
 	exact(play(8), n, "at rest")
 	tellers := func() (all []int) {
 		for i, c := range x.all {
-			if c.Told() != "" && !x.gone[i] {
+			if c.Published() != "" && !x.gone[i] {
 				all = append(all, i)
 			}
 		}
@@ -107,18 +107,18 @@
 
 	liar := tellers()[0]
 	x.lie = func(i int, l *fleet.Load) {
-		if s, err := ParseSum([]byte(l.Sum)); err == nil && i == liar {
+		if s, err := ParseAggregate([]byte(l.Aggregate)); err == nil && i == liar {
 			for _, v := range s.figures() {
 				*v = 1e30
 			}
-			s.Members, s.Offers[40] = mostParts, 1e9
-			l.Sum = string(AppendSum(nil, &s))
+			s.Members, s.Demand[40] = mostParts, 1e9
+			l.Aggregate = string(AppendAggregate(nil, &s))
 		}
 	}
 	s := play(3)
 	cores := 4.0 * float64(n-3*collectors)
-	require.LessOrEqual(t, s.Pace, cores/3*paceMost+cores, "one zone is believed for what it can be at most")
-	require.LessOrEqual(t, s.Offers.Total(), readsMost*s.Pace)
+	require.LessOrEqual(t, s.ServiceRate, cores/3*paceMost+cores, "one zone is believed for what it can be at most")
+	require.LessOrEqual(t, s.Demand.Total(), readsMost*s.ServiceRate)
 	x.lie = nil
 	for i := range n {
 		x.gone[i] = x.gone[i] || i%3 == 1
@@ -126,33 +126,33 @@
 	s = play(10)
 	require.InEpsilon(t, float64(2*(n/3-collectors)), float64(s.Members), 0.05, "a zone is gone")
 	small := fellows(sumsFrom-1, time.Second, func(int) fleet.Load { return x.loads[0] })
-	require.Empty(t, NewCollector(Party{"n0", 1}).Turn(time.Second, Sum{}, small))
+	require.Empty(t, NewCollector(ProcessID{"n0", 1}).Tick(time.Second, Aggregate{}, small))
 }
 
 // What is told of a sum must be read as it was, within the steps of the wire and the bounds of a record; nothing that a
 // stranger writes may break the reading, or come out as a figure that is none.
 func TestSumsAreTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Sum{Members: rapid.IntRange(0, mostParts).Draw(t, "members"), Oldest: time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond}
+		s := Aggregate{Members: rapid.IntRange(0, mostParts).Draw(t, "members"), Oldest: time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond}
 		for _, v := range s.figures() {
 			*v = rapid.Float64Range(0, 1e9).Draw(t, "figure")
 		}
-		for i := range s.Offers {
-			s.Offers[i] = rapid.Float64Range(1, 1e6).Draw(t, "offer")
+		for i := range s.Demand {
+			s.Demand[i] = rapid.Float64Range(1, 1e6).Draw(t, "offer")
 		}
-		b := AppendSum(nil, &s)
-		require.LessOrEqual(t, len(b), fleet.MaxSum)
-		back, err := ParseSum(b)
+		b := AppendAggregate(nil, &s)
+		require.LessOrEqual(t, len(b), fleet.MaxAggregate)
+		back, err := ParseAggregate(b)
 		require.NoError(t, err)
 		require.Equal(t, s.Members, back.Members)
 		require.Equal(t, s.Oldest, back.Oldest)
-		require.InEpsilon(t, s.Offers.Total(), back.Offers.Total(), 0.05)
+		require.InEpsilon(t, s.Demand.Total(), back.Demand.Total(), 0.05)
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 120).Draw(t, "noise")
-		if got, err := ParseSum(noise); err == nil {
+		if got, err := ParseAggregate(noise); err == nil {
 			for _, v := range got.figures() {
 				require.True(t, *v >= 0 && *v < 1e39)
 			}
 		}
-		ParsePart(append([]byte{kindPart}, noise...))
+		ParsePartial(append([]byte{kindPart}, noise...))
 	})
 }
--- a/internal/overload/wire.go
+++ b/internal/overload/wire.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// MostMessage is how long a message can be: two names of 64 bytes, and numbers.
-const MostMessage = 256
+// MaxMessageSize is how long a message can be: two names of 64 bytes, and numbers.
+const MaxMessageSize = 256
 
 const (
 	mKind protowire.Number = iota + 1
@@ -42,7 +42,7 @@
 
 // ParseMessage reads a message; fields of a newer version are passed over. It keeps nothing of b.
 func ParseMessage(b []byte) (m Message, err error) {
-	if len(b) > MostMessage {
+	if len(b) > MaxMessageSize {
 		return m, errMessage
 	}
 	for len(b) > 0 {
@@ -82,11 +82,11 @@
 			case mNumber:
 				m.Number = v
 			case mAmount:
-				m.Amount = Share(min(v, math.MaxInt32))
+				m.Amount = Quota(min(v, math.MaxInt32))
 			}
 		}
 	}
-	if m.Kind < Ask || m.Kind > Back || m.From.Name == "" || m.To.Name == "" {
+	if m.Kind < LeaseRequest || m.Kind > LeaseReturn || m.From.Name == "" || m.To.Name == "" {
 		return m, errMessage
 	}
 	return m, nil
--- a/internal/permit/golden_test.go
+++ b/internal/permit/golden_test.go
@@ -26,7 +26,7 @@
 // The numbers of commands are those of the log that all agree on, and the names stand in what is shown of it.
 func TestGoldenKinds(t *testing.T) {
 	var got strings.Builder
-	for kind := Ask; kind <= SetRules; kind++ {
+	for kind := Acquire; kind <= SetRules; kind++ {
 		fmt.Fprintf(&got, "%d: %s\n", kind, kind)
 	}
 	fmt.Fprintf(&got, "%d: %q\n%d: %s\n", 0, Kind(0), 200, Kind(200))
@@ -52,7 +52,7 @@
 	for _, name := range names {
 		runs[name] = 5
 	}
-	return Command{Kind: Ask, Owner: "deploy", Reason: "release 2", Names: names, Runs: runs, Halted: halted, Facts: facts}
+	return Command{Kind: Acquire, Owner: "deploy", Reason: "release 2", Names: names, Runs: runs, Halted: halted, Facts: facts}
 }
 
 func goldenRules(version uint64, limits ...Limit) Command {
@@ -67,8 +67,8 @@
 	}
 	return []Command{
 		goldenAsk(0, facts, "n0"),
-		goldenRules(1, Limit{Each: "zone", Out: 1}, Limit{Each: "region", Share: 0.5}, Limit{Zone: "c", Share: 0.1}),
-		goldenRules(1, Limit{Out: 1}),
+		goldenRules(1, Limit{Each: "zone", MaxOut: 1}, Limit{Each: "region", MaxRatio: 0.5}, Limit{Zone: "c", MaxRatio: 0.1}),
+		goldenRules(1, Limit{MaxOut: 1}),
 		goldenAsk(0, facts),
 		goldenAsk(0, facts, "nobody"),
 		goldenAsk(0, facts, "n0", "n1"),
@@ -77,20 +77,20 @@
 		goldenAsk(0, goldenFacts(func(f *Facts) { f.Load = 45 }), "n0"),
 		goldenAsk(0, goldenFacts(func(f *Facts) { f.Load = 20 }), "n0", "n2"),
 		goldenAsk(0, facts, "n0"),
-		run(Seen, "n0", 4, 1),
-		run(Seen, "n0", 5, 1),
-		run(Went, "n0", 4, 1),
-		run(Went, "n0", 5, 3),
-		{Kind: Return, Owner: "n0", Names: []string{"n0"}, Epoch: 10},
-		{Kind: Return, Owner: "n1", Names: []string{"n0"}, Epoch: 10},
-		run(Seen, "n0", 6, 1),
-		run(Seen, "n0", 6, 1),
-		{Kind: Return, Owner: "n2", Names: []string{"n2"}, Epoch: 10},
+		run(Recovered, "n0", 4, 1),
+		run(Recovered, "n0", 5, 1),
+		run(Departed, "n0", 4, 1),
+		run(Departed, "n0", 5, 3),
+		{Kind: Release, Owner: "n0", Names: []string{"n0"}, Epoch: 10},
+		{Kind: Release, Owner: "n1", Names: []string{"n0"}, Epoch: 10},
+		run(Recovered, "n0", 6, 1),
+		run(Recovered, "n0", 6, 1),
+		{Kind: Release, Owner: "n2", Names: []string{"n2"}, Epoch: 10},
 		goldenAsk(0, facts, "n1"),
 		{Kind: WriteOff, Owner: "operator", Names: []string{"n1"}},
 		{Kind: WriteOff, Owner: "operator", Reason: strings.Repeat("broken ", 40), Names: []string{"n1"}},
 		{Kind: WriteOff, Owner: "operator", Reason: "broken", Names: []string{"n1", "n2"}},
-		{Kind: Went, Owner: "operator"},
+		{Kind: Departed, Owner: "operator"},
 		{Kind: Halt, Owner: "operator", Reason: "incident"},
 		goldenAsk(0, facts, "n0"),
 		{Kind: Resume, Owner: "operator"},
@@ -124,12 +124,12 @@
 		name  string
 		rules Rules
 	}{
-		{"margin", Rules{Margin: 1, Limits: []Limit{{Out: 1}}}},
+		{"margin", Rules{Margin: 1, Limits: []Limit{{MaxOut: 1}}}},
 		{"no limits", Rules{}},
-		{"each", Rules{Limits: []Limit{{Out: 1}, {Each: "rack", Out: 1}}}},
+		{"each", Rules{Limits: []Limit{{MaxOut: 1}, {Each: "rack", MaxOut: 1}}}},
 		{"neither bound", Rules{Limits: []Limit{{}}}},
-		{"both bounds", Rules{Limits: []Limit{{Out: 1, Share: 0.5}}}},
-		{"share", Rules{Limits: []Limit{{Share: 1.5}}}},
+		{"both bounds", Rules{Limits: []Limit{{MaxOut: 1, MaxRatio: 0.5}}}},
+		{"share", Rules{Limits: []Limit{{MaxRatio: 1.5}}}},
 	} {
 		err := c.rules.Check()
 		require.Error(t, err, c.name)
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -30,8 +30,8 @@
 type Limit struct {
 	Region, Zone string  // empty: any. Each zone or region by itself, where Each is set
 	Each         string  // "zone", "region" or empty
-	Out          int     // instances; 0: see Share
-	Share        float64 // of the instances of the scope
+	MaxOut       int     // instances; 0: see Share
+	MaxRatio     float64 // of the instances of the scope
 }
 
 // Rules are the operators'. The newest version holds.
@@ -54,17 +54,17 @@
 
 // The kinds of Command.
 const (
-	Ask      Kind = iota + 1 // Owner wants Names to go out, all or none
-	Went                     // the instance has begun to go, as it told itself
-	Seen                     // the instance serves, warm, as it told itself
-	Return                   // the instance will not go on its permit of Epoch; it has forgotten that before it says so
-	WriteOff                 // Owner frees the permit of an instance, for Reason
-	Halt                     // nobody is let out any more
+	Acquire   Kind = iota + 1 // Owner wants Names to go out, all or none
+	Departed                  // the instance has begun to go, as it told itself
+	Recovered                 // the instance serves, warm, as it told itself
+	Release                   // the instance will not go on its permit of Epoch; it has forgotten that before it says so
+	WriteOff                  // Owner frees the permit of an instance, for Reason
+	Halt                      // nobody is let out any more
 	Resume
 	SetRules
 )
 
-var kinds = [...]string{Ask: "ask", Went: "went", Seen: "seen", Return: "return", WriteOff: "write off", Halt: "halt", Resume: "resume", SetRules: "rules"}
+var kinds = [...]string{Acquire: "ask", Departed: "went", Recovered: "seen", Release: "return", WriteOff: "write off", Halt: "halt", Resume: "resume", SetRules: "rules"}
 
 func (k Kind) String() string {
 	if int(k) < len(kinds) {
@@ -162,13 +162,13 @@
 
 func (s *State) apply(c *Command, d *Decision) (why string) {
 	switch c.Kind {
-	case Ask:
+	case Acquire:
 		return s.ask(c, d)
-	case Went:
+	case Departed:
 		return s.went(c)
-	case Seen:
+	case Recovered:
 		return s.free(c, func(p Permit) string { return p.back(c.Runs[p.Name], c.Seq) })
-	case Return:
+	case Release:
 		return s.free(c, func(p Permit) string {
 			switch {
 			case c.Owner != p.Name || c.Epoch != p.Epoch:
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -30,7 +30,7 @@
 }
 
 func ask(f Facts, names ...string) Command {
-	c := Command{Kind: Ask, Owner: "op", Names: names, Facts: f, Runs: map[string]uint64{}}
+	c := Command{Kind: Acquire, Owner: "op", Names: names, Facts: f, Runs: map[string]uint64{}}
 	for _, n := range names {
 		c.Runs[n] = 1
 	}
@@ -39,7 +39,7 @@
 
 // Each way to ask must be let out or refused for its own reason, which names the limit.
 func TestWhoMayGo(t *testing.T) {
-	one := Limit{Each: "zone", Out: 1}
+	one := Limit{Each: "zone", MaxOut: 1}
 	f := fleetOf(6)
 	lost, busy, half := f, f, fleetOf(6)
 	lost.Lost = []string{"n2"}
@@ -58,18 +58,18 @@
 		"another is out elsewhere": {[]Limit{one}, []Command{ask(f, "n2")}, ask(f, "n1"), ""},
 		"another is lost there":    {[]Limit{one}, nil, ask(lost, "n0"), "limits[0]: 2 of 3"},
 		"it is lost itself: going changes nothing": {[]Limit{one}, nil, ask(lost, "n2"), ""},
-		"two limits":                          {[]Limit{one, {Out: 1}}, []Command{ask(f, "n1")}, ask(f, "n0"), "limits[1]: 2 of 6 in all"},
-		"a share":                             {[]Limit{{Share: 0.34}}, []Command{ask(f, "n1")}, ask(f, "n0"), ""},
-		"a share that is passed":              {[]Limit{{Share: 0.34}}, []Command{ask(f, "n1", "n2")}, ask(f, "n0"), "limits[0]: 3 of 6 in all would be out or lost, and 2 may be"},
-		"a budget that can never be met":      {[]Limit{{Share: 0.1}}, nil, ask(f, "n0"), "limits[0]: of 6 in all none may ever go"},
-		"the load would not fit":              {[]Limit{{Out: 6}}, nil, ask(busy, "n0"), "load: 4.6"},
-		"it would":                            {[]Limit{{Out: 6}}, nil, ask(half, "n0", "n1", "n2"), ""},
-		"the same again":                      {[]Limit{{Out: 6}}, []Command{ask(f, "n0")}, ask(f, "n0"), "n0 is out already, for op"},
-		"nobody":                              {[]Limit{{Out: 6}}, nil, ask(f, "n9"), "n9 is nobody's name"},
+		"two limits":                          {[]Limit{one, {MaxOut: 1}}, []Command{ask(f, "n1")}, ask(f, "n0"), "limits[1]: 2 of 6 in all"},
+		"a share":                             {[]Limit{{MaxRatio: 0.34}}, []Command{ask(f, "n1")}, ask(f, "n0"), ""},
+		"a share that is passed":              {[]Limit{{MaxRatio: 0.34}}, []Command{ask(f, "n1", "n2")}, ask(f, "n0"), "limits[0]: 3 of 6 in all would be out or lost, and 2 may be"},
+		"a budget that can never be met":      {[]Limit{{MaxRatio: 0.1}}, nil, ask(f, "n0"), "limits[0]: of 6 in all none may ever go"},
+		"the load would not fit":              {[]Limit{{MaxOut: 6}}, nil, ask(busy, "n0"), "load: 4.6"},
+		"it would":                            {[]Limit{{MaxOut: 6}}, nil, ask(half, "n0", "n1", "n2"), ""},
+		"the same again":                      {[]Limit{{MaxOut: 6}}, []Command{ask(f, "n0")}, ask(f, "n0"), "n0 is out already, for op"},
+		"nobody":                              {[]Limit{{MaxOut: 6}}, nil, ask(f, "n9"), "n9 is nobody's name"},
 		"halted":                              {[]Limit{one}, []Command{{Kind: Halt}}, ask(f, "n0"), "halted"},
 		"a halt that was lifted came between": {[]Limit{one}, []Command{{Kind: Halt}, {Kind: Resume}}, ask(f, "n0"), "a halt came between"},
 		"no rules":                            {nil, nil, ask(f, "n0"), "there are no limits yet"},
-		"the proposer forgot who is out":      {[]Limit{{Out: 1}}, []Command{ask(f, "n5")}, ask(fleetOf(3), "n0"), "limits[0]: 2 of 4"},
+		"the proposer forgot who is out":      {[]Limit{{MaxOut: 1}}, []Command{ask(f, "n5")}, ask(fleetOf(3), "n0"), "limits[0]: 2 of 4"},
 	} {
 		s := NewState()
 		if c.limits != nil {
@@ -96,22 +96,22 @@
 		free     bool
 	}{
 		"nothing happened":                       {nil, false},
-		"it serves on and has not gone":          {[]Command{tell(Seen, 1, 9)}, false},
-		"an earlier process was seen":            {[]Command{tell(Seen, 0, 9)}, false},
-		"it went":                                {[]Command{tell(Went, 1, 5)}, false},
-		"it went; a word from before comes late": {[]Command{tell(Went, 1, 5), tell(Seen, 1, 5)}, false},
-		"it went and came back (undrain)":        {[]Command{tell(Went, 1, 5), tell(Seen, 1, 6)}, true},
-		"its next process serves":                {[]Command{tell(Seen, 2, 1)}, true},
-		"it will not go":                         {[]Command{{Kind: Return, Owner: "n0", Names: []string{"n0"}, Epoch: 2}}, true},
-		"another says that it will not":          {[]Command{{Kind: Return, Owner: "n1", Names: []string{"n0"}, Epoch: 2}}, false},
-		"that was about another permit":          {[]Command{{Kind: Return, Owner: "n0", Names: []string{"n0"}, Epoch: 1}}, false},
-		"it says so after it went":               {[]Command{tell(Went, 1, 5), {Kind: Return, Owner: "n0", Names: []string{"n0"}, Epoch: 2}}, false},
+		"it serves on and has not gone":          {[]Command{tell(Recovered, 1, 9)}, false},
+		"an earlier process was seen":            {[]Command{tell(Recovered, 0, 9)}, false},
+		"it went":                                {[]Command{tell(Departed, 1, 5)}, false},
+		"it went; a word from before comes late": {[]Command{tell(Departed, 1, 5), tell(Recovered, 1, 5)}, false},
+		"it went and came back (undrain)":        {[]Command{tell(Departed, 1, 5), tell(Recovered, 1, 6)}, true},
+		"its next process serves":                {[]Command{tell(Recovered, 2, 1)}, true},
+		"it will not go":                         {[]Command{{Kind: Release, Owner: "n0", Names: []string{"n0"}, Epoch: 2}}, true},
+		"another says that it will not":          {[]Command{{Kind: Release, Owner: "n1", Names: []string{"n0"}, Epoch: 2}}, false},
+		"that was about another permit":          {[]Command{{Kind: Release, Owner: "n0", Names: []string{"n0"}, Epoch: 1}}, false},
+		"it says so after it went":               {[]Command{tell(Departed, 1, 5), {Kind: Release, Owner: "n0", Names: []string{"n0"}, Epoch: 2}}, false},
 		"written off for no reason":              {[]Command{{Kind: WriteOff, Owner: "op", Names: []string{"n0"}}}, false},
 		"written off":                            {[]Command{{Kind: WriteOff, Owner: "op", Names: []string{"n0"}, Reason: "scrapped"}}, true},
 		"halted and resumed":                     {[]Command{{Kind: Halt}, {Kind: Resume}}, false},
 		"a command that nobody knows":            {[]Command{{Kind: 99, Names: []string{"n0"}}}, false},
 	} {
-		s := ruled(Limit{Out: 1})
+		s := ruled(Limit{MaxOut: 1})
 		require.True(t, s.Apply(ask(f, "n0")).Granted)
 		for _, x := range c.commands {
 			s.Apply(x)
@@ -124,7 +124,7 @@
 // who apply the same must have the same; and no command may make the state grow without bound.
 func TestNoGrantPassesALimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := ruled(Limit{Each: "zone", Out: 2}, Limit{Share: 0.5}), ruled(Limit{Each: "zone", Out: 2}, Limit{Share: 0.5})
+		a, b := ruled(Limit{Each: "zone", MaxOut: 2}, Limit{MaxRatio: 0.5}), ruled(Limit{Each: "zone", MaxOut: 2}, Limit{MaxRatio: 0.5})
 		f := fleetOf(rapid.IntRange(2, 9).Draw(t, "fleet"))
 		name := func(what string) string { return f.Fleet[rapid.IntRange(0, len(f.Fleet)-1).Draw(t, what)].Name }
 		for range rapid.IntRange(1, 40).Draw(t, "commands") {
@@ -141,7 +141,7 @@
 			d := a.Apply(c)
 			require.Equal(t, d, b.Apply(c))
 			require.Equal(t, a.Permits(), b.Permits())
-			if c.Kind != Ask || !d.Granted {
+			if c.Kind != Acquire || !d.Granted {
 				continue
 			}
 			require.False(t, a.Halted())
@@ -179,7 +179,7 @@
 }
 
 func (w world) state(fault string) *State {
-	s := ruled(Limit{Out: 1})
+	s := ruled(Limit{MaxOut: 1})
 	for _, c := range w.log {
 		if c.Kind == Kind(100) { // time has gone by: only the planted fault takes that for something
 			if fault == "freed by expiry" {
@@ -189,7 +189,7 @@
 		}
 		if fault == "a grant crosses a halt" {
 			c.Halted = s.halts
-			if c.Kind == Ask {
+			if c.Kind == Acquire {
 				s.halted = false
 			}
 		}
@@ -229,7 +229,7 @@
 				add(name+" goes by its permit", func(w *world) {
 					w.up[i] = false
 					w.seq[i]++
-					w.log = append(w.log, Command{Kind: Went, Names: []string{name}, Runs: map[string]uint64{name: w.run[i]}, Seq: w.seq[i]})
+					w.log = append(w.log, Command{Kind: Departed, Names: []string{name}, Runs: map[string]uint64{name: w.run[i]}, Seq: w.seq[i]})
 				})
 			}
 			if !from.up[i] && from.run[i] < 2 {
@@ -237,7 +237,7 @@
 					w.up[i] = true
 					w.run[i]++
 					w.seq[i] = 1
-					w.log = append(w.log, Command{Kind: Seen, Names: []string{name}, Runs: map[string]uint64{name: w.run[i]}, Seq: 1})
+					w.log = append(w.log, Command{Kind: Recovered, Names: []string{name}, Runs: map[string]uint64{name: w.run[i]}, Seq: 1})
 				})
 			}
 		}
@@ -270,7 +270,7 @@
 				return "both are out"
 			}
 			s := w.state(fault)
-			if s.halted && len(s.permits) > 0 && s.log[len(s.log)-1].Kind == Ask && s.log[len(s.log)-1].Granted || fault != "" && s.halts > 0 && !s.halted {
+			if s.halted && len(s.permits) > 0 && s.log[len(s.log)-1].Kind == Acquire && s.log[len(s.log)-1].Granted || fault != "" && s.halts > 0 && !s.halted {
 				return "let out while halted"
 			}
 			return ""
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -19,10 +19,10 @@
 		switch {
 		case l.Each != "" && l.Each != "zone" && l.Each != "region":
 			return fmt.Errorf("limits[%d].each: %q is neither zone nor region", i, l.Each)
-		case l.Out < 0 || (l.Out > 0) == (l.Share > 0):
+		case l.MaxOut < 0 || (l.MaxOut > 0) == (l.MaxRatio > 0):
 			return fmt.Errorf("limits[%d]: wants one of out and share", i)
-		case !(l.Share >= 0 && l.Share <= 1):
-			return fmt.Errorf("limits[%d].share: %v is not between 0 and 1", i, l.Share)
+		case !(l.MaxRatio >= 0 && l.MaxRatio <= 1):
+			return fmt.Errorf("limits[%d].share: %v is not between 0 and 1", i, l.MaxRatio)
 		}
 	}
 	return nil
@@ -44,10 +44,10 @@
 
 // most is how many of n may be out. A share is rounded down, so that it is never passed.
 func (l *Limit) most(n int) int {
-	if l.Out > 0 {
-		return l.Out
+	if l.MaxOut > 0 {
+		return l.MaxOut
 	}
-	return int(l.Share * float64(n))
+	return int(l.MaxRatio * float64(n))
 }
 
 // holds says which limit would not hold with those out; empty: all do. Only scopes that one of the names is in count: what
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -23,14 +23,14 @@
 
 const heapShare = 0.7 // of the memory limit, for the garbage collector to keep to
 
-// Part is what a program adds to an image server. What is nil is left out.
-type Part struct {
-	Fleet   server.Fleet                    // the loop tells it how the server is
-	Prepare func(*server.Server)            // is called after the server has joined the fleet
-	Run     func(ctx context.Context) error // until ctx ends; an error is logged, and the server goes on without
-	Reload  func()                          // on SIGHUP, before the configuration is read again
-	Figures func(b []byte) []byte           // appended to those of the server
-	Pages   []console.Page
+// Extension is what a program adds to an image server. What is nil is left out.
+type Extension struct {
+	Fleet         server.Fleet                    // the loop tells it how the server is
+	Prepare       func(*server.Server)            // is called after the server has joined the fleet
+	Run           func(ctx context.Context) error // until ctx ends; an error is logged, and the server goes on without
+	Reload        func()                          // on SIGHUP, before the configuration is read again
+	AppendMetrics func(b []byte) []byte           // appended to those of the server
+	Pages         []console.Page
 }
 
 // figured is a server with further figures.
@@ -39,8 +39,8 @@
 	more func(b []byte) []byte
 }
 
-func (f figured) AppendFigures(ctx context.Context, b []byte) ([]byte, error) {
-	b, err := f.Server.AppendFigures(ctx, b)
+func (f figured) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
+	b, err := f.Server.AppendMetrics(ctx, b)
 	if err == nil && f.more != nil {
 		b = f.more(b)
 	}
@@ -49,15 +49,15 @@
 
 // listen opens the socket for front ends, or takes over the one that was left open for this process.
 func listen(c *config.Config, log *logging.Limiter) (*msgpackrpc.Front, error) {
-	if c.Inherited != 0 {
-		return msgpackrpc.Inherit(c.Inherited, c.Limits.FrontSockets(), log)
+	if c.InheritedFD != 0 {
+		return msgpackrpc.Inherit(c.InheritedFD, c.Limits.FrontSockets(), log)
 	}
 	return msgpackrpc.Listen(c.Listen, c.Limits.FrontSockets(), log)
 }
 
 // Serve runs the server until a drain is over. Whatever then still hangs on a socket does not keep
 // the process past its time.
-func Serve(caught *Signals, c *config.Config, path string, log *logrus.Logger, part Part) error {
+func Serve(caught *Signals, c *config.Config, path string, log *logrus.Logger, part Extension) error {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Limits.Cores)), 1))
 	debug.SetMemoryLimit(int64(heapShare * float64(c.Limits.MemoryMB<<20)))
 	front, err := listen(c, logging.NewLimiter(log))
@@ -70,7 +70,7 @@
 	}
 	s := server.New(c, log)
 	if part.Fleet != nil {
-		s.Join(part.Fleet)
+		s.JoinFleet(part.Fleet)
 	}
 	if part.Prepare != nil {
 		part.Prepare(s)
@@ -83,7 +83,7 @@
 			return fmt.Errorf("console: %w", err)
 		}
 		go func() {
-			if err := console.Serve(ctx, ln, figured{s, part.Figures}, logging.NewLimiter(log), part.Pages...); err != nil {
+			if err := console.Serve(ctx, ln, figured{s, part.AppendMetrics}, logging.NewLimiter(log), part.Pages...); err != nil {
 				log.WithError(err).Error("no console any more")
 			}
 		}()
@@ -124,12 +124,12 @@
 		case <-caught.leave:
 			s.Drain()
 		case <-ended:
-			ended, late = nil, time.After(server.LastWrites)
+			ended, late = nil, time.After(server.FinalWriteTimeout)
 		case err := <-over:
 			stop()
 			select {
 			case <-partOver: // it has said good-bye
-			case <-time.After(server.LastWrites):
+			case <-time.After(server.FinalWriteTimeout):
 			}
 			return err
 		case <-late:
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -27,10 +27,10 @@
 	return c
 }
 
-// ErrLeft says that the process was told to leave before it had anything to leave.
-var ErrLeft = errors.New("told to leave before the start was over")
+// ErrStopped says that the process was told to leave before it had anything to leave.
+var ErrStopped = errors.New("told to leave before the start was over")
 
-// Load is config.Load for a process that is told to leave meanwhile: then it returns ErrLeft.
+// Load is config.Load for a process that is told to leave meanwhile: then it returns ErrStopped.
 func (c *Signals) Load(path string) (*config.Config, error) {
 	var loaded *config.Config
 	done := make(chan error, 1)
@@ -41,7 +41,7 @@
 	}()
 	select {
 	case <-c.leave:
-		return nil, ErrLeft
+		return nil, ErrStopped
 	case err := <-done:
 		return loaded, err
 	}
--- a/internal/release/golden_test.go
+++ b/internal/release/golden_test.go
@@ -17,15 +17,15 @@
 // The numbers and names of verdicts and the texts of errors are what a caller shows.
 func TestGoldenTexts(t *testing.T) {
 	var got strings.Builder
-	for v := CantTell; v <= Bad; v++ {
+	for v := Inconclusive; v <= Rejected; v++ {
 		fmt.Fprintf(&got, "verdict %d: %s\n", v, v)
 	}
-	valid := Terms{Wrong: 0.01, Counts: 0.02, Least: 100, Sure: 0.05}
+	valid := Terms{FalseHaltRate: 0.01, MinEffect: 0.02, MinRequests: 100, FalsePassRate: 0.05}
 	for _, spoil := range []func(*Terms){
-		func(terms *Terms) { terms.Wrong = 1 },
-		func(terms *Terms) { terms.Sure = 0 },
-		func(terms *Terms) { terms.Counts = -0.5 },
-		func(terms *Terms) { terms.Least = 0 },
+		func(terms *Terms) { terms.FalseHaltRate = 1 },
+		func(terms *Terms) { terms.FalsePassRate = 0 },
+		func(terms *Terms) { terms.MinEffect = -0.5 },
+		func(terms *Terms) { terms.MinRequests = 0 },
 	} {
 		terms := valid
 		spoil(&terms)
@@ -36,13 +36,13 @@
 	judge, err := NewJudge(valid)
 	require.NoError(t, err)
 	group := Group{Zone: "eu-a", Class: "thumb", What: "failed"}
-	err = judge.See(group, Block{Old: 1, OldBad: 2})
+	err = judge.Observe(group, Block{Old: 1, OldBad: 2})
 	require.Error(t, err)
 	fmt.Fprintf(&got, "block: %s\n", err)
 	for i := range mostGroups {
-		require.NoError(t, judge.See(Group{Zone: fmt.Sprint("z", i)}, Block{Old: 1, New: 1}))
+		require.NoError(t, judge.Observe(Group{Zone: fmt.Sprint("z", i)}, Block{Old: 1, New: 1}))
 	}
-	err = judge.See(group, Block{Old: 1, New: 1})
+	err = judge.Observe(group, Block{Old: 1, New: 1})
 	require.Error(t, err)
 	fmt.Fprintf(&got, "block: %s\n", err)
 	if *update {
--- a/internal/release/judge.go
+++ b/internal/release/judge.go
@@ -21,19 +21,19 @@
 type Verdict uint8
 
 const (
-	CantTell Verdict = iota // too little was seen; never 'good'
-	Good                    // enough was seen, and it is no worse by as much as counts
-	Bad
+	Inconclusive Verdict = iota // too little was seen; never 'good'
+	Passed                      // enough was seen, and it is no worse by as much as counts
+	Rejected
 )
 
 func (v Verdict) String() string { return [...]string{"can't tell", "good", "bad"}[v] }
 
 // Terms bound the judgement.
 type Terms struct {
-	Wrong  float64 // chance to halt a version that is no worse, over the whole of a release and however often it is looked at
-	Counts float64 // by how much a share that goes wrong must be higher to count: 0.02 is two in a hundred
-	Least  int     // requests of the new version, in each group that has any, before it can be good
-	Sure   float64 // chance to call a version good that is worse by Counts, in each group
+	FalseHaltRate float64 // chance to halt a version that is no worse, over the whole of a release and however often it is looked at
+	MinEffect     float64 // by how much a share that goes wrong must be higher to count: 0.02 is two in a hundred
+	MinRequests   int     // requests of the new version, in each group that has any, before it can be good
+	FalsePassRate float64 // chance to call a version good that is worse by Counts, in each group
 }
 
 // Bounds and priors.
@@ -64,20 +64,20 @@
 // NewJudge begins with nothing seen.
 func NewJudge(t Terms) (*Judge, error) {
 	switch {
-	case !(t.Wrong > 0 && t.Wrong < 1):
-		return nil, fmt.Errorf("wrong: %v is not between 0 and 1", t.Wrong)
-	case !(t.Sure > 0 && t.Sure < 1):
-		return nil, fmt.Errorf("sure: %v is not between 0 and 1", t.Sure)
-	case !(t.Counts > 0 && t.Counts < 1):
-		return nil, fmt.Errorf("counts: %v is not between 0 and 1", t.Counts)
-	case t.Least < 1:
-		return nil, fmt.Errorf("least: %d", t.Least)
+	case !(t.FalseHaltRate > 0 && t.FalseHaltRate < 1):
+		return nil, fmt.Errorf("wrong: %v is not between 0 and 1", t.FalseHaltRate)
+	case !(t.FalsePassRate > 0 && t.FalsePassRate < 1):
+		return nil, fmt.Errorf("sure: %v is not between 0 and 1", t.FalsePassRate)
+	case !(t.MinEffect > 0 && t.MinEffect < 1):
+		return nil, fmt.Errorf("counts: %v is not between 0 and 1", t.MinEffect)
+	case t.MinRequests < 1:
+		return nil, fmt.Errorf("least: %d", t.MinRequests)
 	}
 	return &Judge{terms: t, groups: map[Group]*evidence{}}, nil
 }
 
-// See takes in a block. One that makes no sense is an error, and changes nothing.
-func (j *Judge) See(g Group, b Block) error {
+// Observe takes in a block. One that makes no sense is an error, and changes nothing.
+func (j *Judge) Observe(g Group, b Block) error {
 	if b.Old < 0 || b.New < 0 || b.OldBad < 0 || b.NewBad < 0 || b.OldBad > b.Old || b.NewBad > b.New {
 		return fmt.Errorf("%v: %+v counts more wrong than there were", g, b)
 	}
@@ -93,12 +93,12 @@
 	if b.Old > 0 && b.New > 0 { // one side alone compares nothing
 		po, pn := share(e.old), share(e.new)
 		// Against 'no worse': what was seen before is the alternative, where it is worse by as much as counts.
-		if worse := max(pn, po+j.terms.Counts/2); worse < 1 {
+		if worse := max(pn, po+j.terms.MinEffect/2); worse < 1 {
 			e.worse += logE(b, po, worse, 0)
 		}
 		// Against 'worse by Counts': the alternative is that both are alike.
 		if same := (po*float64(b.Old) + pn*float64(b.New)) / float64(b.Old+b.New); same > 0 && same < 1 {
-			e.fine += logE(b, same, same, j.terms.Counts)
+			e.fine += logE(b, same, same, j.terms.MinEffect)
 		}
 	}
 	e.old[0] += float64(b.Old - b.OldBad)
@@ -136,7 +136,7 @@
 // Verdict says what is known, and of which group it is said: the worst one.
 func (j *Judge) Verdict() (Verdict, Group) {
 	if len(j.order) == 0 {
-		return CantTell, Group{}
+		return Inconclusive, Group{}
 	}
 	worst, most, good := j.order[0], math.Inf(-1), true
 	logs := make([]float64, 0, len(j.order))
@@ -146,17 +146,17 @@
 		if e.worse > most {
 			worst, most = g, e.worse
 		}
-		if e.new[0]+e.new[1] < float64(j.terms.Least) || e.fine < math.Log(1/j.terms.Sure) {
+		if e.new[0]+e.new[1] < float64(j.terms.MinRequests) || e.fine < math.Log(1/j.terms.FalsePassRate) {
 			good = false
 		}
 	}
 	switch {
-	case logMean(logs) >= math.Log(1/j.terms.Wrong):
-		return Bad, worst
+	case logMean(logs) >= math.Log(1/j.terms.FalseHaltRate):
+		return Rejected, worst
 	case good:
-		return Good, worst
+		return Passed, worst
 	}
-	return CantTell, worst
+	return Inconclusive, worst
 }
 
 // logMean is the logarithm of the mean of numbers that are given by theirs.
--- a/internal/release/judge_test.go
+++ b/internal/release/judge_test.go
@@ -11,7 +11,7 @@
 // what share goes wrong in a class with a version, at a look.
 func rollout(t *testing.T, seed uint64, looks int, bad func(class string, isNew bool, look int) float64) (v Verdict, at int, g Group) {
 	r := rand.New(rand.NewPCG(seed, 5))
-	j, err := NewJudge(Terms{Wrong: 0.02, Counts: 0.03, Least: 300, Sure: 0.05})
+	j, err := NewJudge(Terms{FalseHaltRate: 0.02, MinEffect: 0.03, MinRequests: 300, FalsePassRate: 0.05})
 	require.NoError(t, err)
 	count := func(n int, p float64) (k int) {
 		for range n {
@@ -25,9 +25,9 @@
 		for _, class := range []string{"preview", "hires-crop", "licence-order"} {
 			b := Block{Old: 90 + r.IntN(40), New: 8 + r.IntN(10)}
 			b.OldBad, b.NewBad = count(b.Old, bad(class, false, look)), count(b.New, bad(class, true, look))
-			require.NoError(t, j.See(Group{"z0", class, "failed"}, b))
+			require.NoError(t, j.Observe(Group{"z0", class, "failed"}, b))
 		}
-		if v, g = j.Verdict(); v == Bad {
+		if v, g = j.Verdict(); v == Rejected {
 			return v, look, g
 		}
 	}
@@ -45,9 +45,9 @@
 			return []float64{0.01, 0.05, 0.2}[look/20%3] // trouble of the whole fleet, which is nobody's fault
 		})
 		switch v {
-		case Bad:
+		case Rejected:
 			wrong++
-		case Good:
+		case Passed:
 			good++
 		}
 	}
@@ -72,7 +72,7 @@
 		last := 0
 		for seed := range uint64(50) {
 			v, at, g := rollout(t, seed, 300, c.bad)
-			require.Equal(t, Bad, v, "%s: seed %d", what, seed)
+			require.Equal(t, Rejected, v, "%s: seed %d", what, seed)
 			last = max(last, at)
 			if c.class != "" {
 				require.Equal(t, c.class, g.Class, what)
@@ -83,27 +83,27 @@
 	}
 	worse := 0
 	for seed := range uint64(100) {
-		if v, _, _ := rollout(t, seed, 100, func(_ string, isNew bool, _ int) float64 { return map[bool]float64{false: 0.02, true: 0.05}[isNew] }); v == Good {
+		if v, _, _ := rollout(t, seed, 100, func(_ string, isNew bool, _ int) float64 { return map[bool]float64{false: 0.02, true: 0.05}[isNew] }); v == Passed {
 			worse++
 		}
 	}
 	require.LessOrEqual(t, worse, 5, "worse by what counts, and called good")
 	v, _, _ := rollout(t, 1, 3, func(string, bool, int) float64 { return 0.01 })
-	require.Equal(t, CantTell, v, "a handful of requests says nothing")
+	require.Equal(t, Inconclusive, v, "a handful of requests says nothing")
 }
 
 // What makes no sense must change nothing, and terms that bound nothing must not be taken.
 func TestBlocksAndTermsThatMakeNoSense(t *testing.T) {
-	j, err := NewJudge(Terms{Wrong: 0.05, Counts: 0.02, Least: 10, Sure: 0.05})
+	j, err := NewJudge(Terms{FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.05})
 	require.NoError(t, err)
 	for _, b := range []Block{{Old: 1, OldBad: 2}, {New: -1}, {New: 3, NewBad: 4}, {OldBad: -1}} {
-		require.Error(t, j.See(Group{}, b))
+		require.Error(t, j.Observe(Group{}, b))
 	}
-	require.NoError(t, j.See(Group{}, Block{New: 5, NewBad: 5}), "no old one beside it: nothing is compared")
+	require.NoError(t, j.Observe(Group{}, Block{New: 5, NewBad: 5}), "no old one beside it: nothing is compared")
 	v, _ := j.Verdict()
-	require.Equal(t, CantTell, v)
-	for _, terms := range []Terms{{}, {Wrong: 0.05, Counts: 0.02, Least: 10}, {Wrong: 2, Counts: 0.02, Least: 10, Sure: 0.1},
-		{Wrong: 0.05, Least: 10, Sure: 0.1}, {Wrong: 0.05, Counts: 0.02, Sure: 0.1}} {
+	require.Equal(t, Inconclusive, v)
+	for _, terms := range []Terms{{}, {FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10}, {FalseHaltRate: 2, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.1},
+		{FalseHaltRate: 0.05, MinRequests: 10, FalsePassRate: 0.1}, {FalseHaltRate: 0.05, MinEffect: 0.02, FalsePassRate: 0.1}} {
 		_, err := NewJudge(terms)
 		require.Error(t, err)
 	}
--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func (s *Server) admit(p Peer, call uint32, t Try) {
+func (s *Server) admit(p Connection, call uint32, t Attempt) {
 	class, known := s.classes[t.Class]
 	if !known {
 		s.invalid(p, call, fmt.Errorf("method: unknown class %.40q", t.Class))
@@ -58,34 +58,34 @@
 		s.invalid(p, call, errTenant)
 		return
 	}
-	keyed := s.cfg.Settings.Classes[class].Safety == decide.Keyed
-	if keyed && t.Once == "" {
+	keyed := s.cfg.Settings.Classes[class].Idempotency == decide.IdempotentByKey
+	if keyed && t.IdempotencyKey == "" {
 		s.invalid(p, call, errNoOnce)
 		return
 	}
-	if at := s.clock.own(t.At); at > s.clock.now+earlyMost && t.At <= s.clock.now {
-		t.At -= s.clock.skew // stamped before the clock was set back
+	if at := s.clock.own(t.ArrivedAt); at > s.clock.now+earlyMost && t.ArrivedAt <= s.clock.now {
+		t.ArrivedAt -= s.clock.skew // stamped before the clock was set back
 	}
-	at := s.clock.own(t.At)
+	at := s.clock.own(t.ArrivedAt)
 	if at > s.clock.now+earlyMost || at < s.clock.now-s.lateMost() {
 		s.invalid(p, call, errAt)
 		return
 	}
-	if t.Wait == 0 {
-		t.Wait = s.cfg.Settings.Classes[class].Deadline // the site's requests do not tell
+	if t.Timeout == 0 {
+		t.Timeout = s.cfg.Settings.Classes[class].Deadline // the site's requests do not tell
 	}
-	if t.Wait > s.mostWait {
+	if t.Timeout > s.mostWait {
 		s.invalid(p, call, errWait)
 		return
 	}
 	if s.ctl == nil {
 		// The agent is not up, so nothing can be run. No request is sent here before it is.
-		s.count(class, Refused)
-		p.Answer(call, Answer{Kind: Refused})
+		s.count(class, Rejected)
+		p.Answer(call, Answer{Kind: Rejected})
 		return
 	}
 	r := &request{id: s.lastID + 1, try: t, class: class, tenant: tenant, peer: p, call: call}
-	r.window = s.cfg.Settings.Classes[class].KeyWindow
+	r.window = s.cfg.Settings.Classes[class].IdempotencyWindow
 	s.lastID = r.id
 	s.requests[r.id], s.byWire[t.ID] = r, r
 	s.peers.open(s.peers.of(p), call, r)
@@ -97,22 +97,22 @@
 }
 
 // due is when the caller of r gives up.
-func (s *Server) due(r *request) time.Duration { return s.clock.own(r.try.At) + r.try.Wait }
+func (s *Server) due(r *request) time.Duration { return s.clock.own(r.try.ArrivedAt) + r.try.Timeout }
 
 // enter puts r before the controller.
 func (s *Server) enter(r *request) {
 	t := &r.try
-	e := decide.Event{Kind: decide.Request, ID: r.id, Class: r.class, Tenant: r.tenant, Repeat: t.Repeat, Caller: t.Caller, MemoryKB: t.KB, Hint: t.Cost,
-		HasKey: t.Key != "", Rank: t.Rank, Due: s.due(r), Waited: max(s.clock.now-s.clock.own(t.At), 0)}
-	if s.cfg.Settings.Classes[r.class].Safety == decide.Keyed {
+	e := decide.Event{Kind: decide.EventRequest, ID: r.id, Class: r.class, Tenant: r.tenant, Retry: t.Retry, Client: t.Client, MemoryKB: t.MemoryKB, CostHint: t.CostHint,
+		HasSubject: t.Subject != "", Rank: t.Rank, Deadline: s.due(r), Waited: max(s.clock.now-s.clock.own(t.ArrivedAt), 0)}
+	if s.cfg.Settings.Classes[r.class].Idempotency == decide.IdempotentByKey {
 		if s.keys.conflicts(r) {
 			s.settle(r)
 			s.forget(r)
 			s.invalid(r.peer, r.call, errOtherOrder)
 			return
 		}
-		if e.Earlier = s.keys.take(r); e.Earlier != 0 {
-			s.stats.Repeats++
+		if e.RetryOf = s.keys.take(r); e.RetryOf != 0 {
+			s.stats.Retries++
 		}
 	}
 	s.judge(r, &e)
@@ -127,7 +127,7 @@
 	s.settle(r)
 	s.leavesTrail(r, "gone")
 	s.hangUp(r)
-	s.happened(decide.Event{Kind: decide.Gone, ID: r.id})
+	s.happened(decide.Event{Kind: decide.EventCancelled, ID: r.id})
 	if !r.running {
 		s.forget(r)
 	}
--- a/internal/server/book.go
+++ b/internal/server/book.go
@@ -30,8 +30,8 @@
 	switch kind {
 	case Served:
 		n.Served++
-	case Refused:
-		n.Refused++
+	case Rejected:
+		n.Rejected++
 	default:
 		n.Failed++
 	}
@@ -46,12 +46,12 @@
 }
 
 func (s *Server) refuse(r *request, a decide.Action) {
-	r.trail.why = a.Why.String()
-	if a.Why == decide.CallsBehind {
+	r.trail.why = a.Reason.String()
+	if a.Reason == decide.ReasonDependency {
 		s.missedCall()
 	}
 	s.refusedHere(r, a)
-	s.answer(r, Answer{Kind: Refused, After: a.StayAway, Last: a.DontRetry})
+	s.answer(r, Answer{Kind: Rejected, RetryAfter: a.RetryAfter, NoRetryElsewhere: a.NoRetryElsewhere})
 	if !r.running {
 		s.forget(r)
 	}
@@ -68,23 +68,23 @@
 }
 
 // runEnded books what the agent tells of the end of a run.
-func (s *Server) runEnded(n agent.Notice) {
-	r := s.byWire[n.Req]
+func (s *Server) runEnded(n agent.Notification) {
+	r := s.byWire[n.RequestID]
 	if r == nil || !r.running {
 		return
 	}
 	switch n.Result {
 	case agent.Success:
-		s.finish(r, decide.OK, n.Payload)
+		s.finish(r, decide.OutcomeOK, n.Payload)
 	case agent.Failure:
 		s.stats.RunsFailed++
-		s.finish(r, decide.Failed, nil)
+		s.finish(r, decide.OutcomeFailed, nil)
 	case agent.Interrupted:
 		s.stats.RunsInterrupted++
-		s.finish(r, decide.Cancelled, nil)
+		s.finish(r, decide.OutcomeCancelled, nil)
 	default:
-		s.stats.RunsMoot++
-		s.finish(r, decide.Moot, nil)
+		s.stats.RunsNotStarted++
+		s.finish(r, decide.OutcomeNotStarted, nil)
 	}
 }
 
@@ -92,14 +92,14 @@
 func (s *Server) finish(r *request, o decide.Outcome, result []byte) {
 	s.hangUp(r)
 	s.agent.Forget(r.try.ID)
-	s.happened(decide.Event{Kind: decide.Done, ID: r.id, Outcome: o, Took: s.clock.now - r.began})
-	if o == decide.OK {
+	s.happened(decide.Event{Kind: decide.EventDone, ID: r.id, Outcome: o, Took: s.clock.now - r.began})
+	if o == decide.OutcomeOK {
 		s.answer(r, Answer{Kind: Served, Body: result})
 	} else {
 		s.answer(r, Answer{Kind: Failed})
 	}
 	for _, f := range s.keys.ended(r, o, result) {
-		s.reused(f, o == decide.OK, result)
+		s.reused(f, o == decide.OutcomeOK, result)
 	}
 	s.forget(r)
 }
@@ -116,15 +116,15 @@
 	if s.requests[r.id] != r {
 		return // it has ended while it waited
 	}
-	o := decide.Failed
+	o := decide.OutcomeFailed
 	if ok {
-		o = decide.OK
+		o = decide.OutcomeOK
 		s.stats.Reused++
 		s.answer(r, Answer{Kind: Served, Body: result})
 	} else {
 		s.answer(r, Answer{Kind: Failed})
 	}
-	s.happened(decide.Event{Kind: decide.Done, ID: r.id, Outcome: o, Took: s.clock.now - r.began})
+	s.happened(decide.Event{Kind: decide.EventDone, ID: r.id, Outcome: o, Took: s.clock.now - r.began})
 	s.forget(r)
 }
 
--- a/internal/server/crossings_test.go
+++ b/internal/server/crossings_test.go
@@ -17,16 +17,16 @@
 // up is a server whose agent is up, and a front end on it.
 func up(t *testing.T) (s *Server, p *peer, do func()) {
 	s, do = idle(t)
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	p = &peer{}
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	do()
 	s.step()
 	return s, p, do
 }
 
-func order(s *Server, id string) Try {
-	return Try{ID: id, Once: "k", Class: "licence-order", At: s.clock.now, Wait: 3 * time.Second, KB: 1}
+func order(s *Server, id string) Attempt {
+	return Attempt{ID: id, IdempotencyKey: "k", Class: "licence-order", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1}
 }
 
 // The first try of an order goes in the turn in which a third comes, while a second waits for the first: the third was
@@ -42,7 +42,7 @@
 				s.Cancel(p, 1)
 			}
 			q := &peer{}
-			s.Opened(q)
+			s.ConnectionOpened(q)
 			s.Submit(q, 1, order(s, "c"))
 			if goes == "after the third" {
 				s.Cancel(p, 1)
@@ -52,7 +52,7 @@
 			require.EqualValues(t, 1, s.stats.Runs)
 			for _, id := range []string{"b", "c"} {
 				if r := s.byWire[id]; r != nil && r.running {
-					s.finish(r, decide.OK, []byte("done"))
+					s.finish(r, decide.OutcomeOK, []byte("done"))
 				}
 			}
 			s.step()
@@ -67,21 +67,21 @@
 // in the input, and lost. One that comes later finds the listener closed: that is some time before the end.
 func TestLastReadAgainstTheEnd(t *testing.T) {
 	s, p, do := up(t)
-	s.cfg.Stop = time.Second // shorter than the time in which arrivals may be run
+	s.cfg.StopTimeout = time.Second // shorter than the time in which arrivals may be run
 	s.Drain()
 	s.Drain() // a second SIGTERM
 	do()
 	s.step()
 	require.Equal(t, s.drain.stopAt-lastComers, s.drain.shutAt)
-	s.Submit(p, 1, Try{ID: "a", Class: "preview", At: s.clock.now, Wait: 3 * time.Second, KB: 1})
+	s.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	do()
 	s.step()
 	require.True(t, s.byWire["a"].running)
 	s.clock.now = s.drain.stopAt
 	require.True(t, s.finished())
-	s.Submit(p, 2, Try{ID: "b", Class: "preview", At: s.clock.now, Wait: 3 * time.Second, KB: 1})
+	s.Submit(p, 2, Attempt{ID: "b", Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	s.leave()
-	require.ElementsMatch(t, []any{"closing", Failed, Refused, "close"}, p.got)
+	require.ElementsMatch(t, []any{"closing", Failed, Rejected, "close"}, p.got)
 	require.Equal(t, "close", p.got[3])
 }
 
@@ -108,7 +108,7 @@
 					return
 				}
 				calls++
-				s.Submit(p, calls, Try{ID: when, Class: "preview", At: s.clock.now, Wait: 3 * time.Second, KB: 1})
+				s.Submit(p, calls, Attempt{ID: when, Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 			}
 			turn := func() {
 				do()
@@ -121,10 +121,10 @@
 				p.comes = 100
 				for range looksMost {
 					require.False(t, s.peers.none())
-					s.Closed(p, Finished)
+					s.ReadEnded(p, ReadPaused)
 					turn()
 				}
-				s.Closed(p, Finished)
+				s.ReadEnded(p, ReadPaused)
 				turn()
 				require.Equal(t, shut, p.got[len(p.got)-1])
 				require.Len(t, p.got, looksMost+2)
@@ -135,21 +135,21 @@
 			if name == "between" {
 				p.comes = 1
 			}
-			s.Closed(p, Finished)
+			s.ReadEnded(p, ReadPaused)
 			turn()
 			if name == "between" {
 				come("between")
-				s.Closed(p, Finished)
+				s.ReadEnded(p, ReadPaused)
 				turn()
 			}
 			come("after")
 			turn()
 			for _, when := range c.comes {
-				s.finish(s.byWire[when], decide.OK, nil)
+				s.finish(s.byWire[when], decide.OutcomeOK, nil)
 			}
 			turn()
 			if len(c.comes) > 0 {
-				s.Closed(p, Finished)
+				s.ReadEnded(p, ReadPaused)
 				turn()
 			}
 			require.Equal(t, c.want, p.got)
@@ -167,13 +167,13 @@
 	s.step()
 	s.clock.now = s.drain.stopAt
 	s.post(func() { // room is made, and taken by one that waited
-		s.Submit(p, 1, Try{ID: "a", Class: "preview", At: s.clock.now, Wait: 3 * time.Second, KB: 1})
+		s.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	})
 	for len(s.in) < inRoom {
 		s.post(func() {})
 	}
 	s.leave()
-	require.Equal(t, []any{"closing", Refused, "close"}, p.got)
+	require.Equal(t, []any{"closing", Rejected, "close"}, p.got)
 }
 
 // The link to an agent that has not greeted is looked at, and no longer once it has: a server at rest has no timer for it.
@@ -187,7 +187,7 @@
 		s.clock.now = at
 		s.deadlines.Sweep(at)
 	}
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Booting})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Booting})
 	s.clock.now += bootCheck
 	s.deadlines.Sweep(s.clock.now)
 	require.Zero(t, s.deadlines.Len())
@@ -198,9 +198,9 @@
 func TestNoticeAgainstTheAgentsStart(t *testing.T) {
 	for _, early := range []bool{true, false} {
 		s, do := idle(t)
-		s.cfg.Stop = time.Minute
+		s.cfg.StopTimeout = time.Minute
 		greet := func() {
-			s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+			s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 			s.step()
 		}
 		if !early {
@@ -214,12 +214,12 @@
 			greet()
 		}
 		p := &peer{}
-		s.Opened(p)
+		s.ConnectionOpened(p)
 		s.clock.now += s.cfg.Settings.DrainGrace - time.Second
-		s.Submit(p, 1, Try{ID: "a", Class: "preview", At: s.clock.now, Wait: 3 * time.Second, KB: 1})
+		s.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 		do()
 		s.step()
-		require.Equal(t, []any{"closing", Refused}, p.got, "notice first: %v", early)
+		require.Equal(t, []any{"closing", Rejected}, p.got, "notice first: %v", early)
 		require.Zero(t, s.stats.Runs)
 	}
 }
@@ -254,7 +254,7 @@
 	at := time.Now()
 	s.clock.read = func() time.Time { return at }
 	s.clock.advance()
-	stamped := Try{ID: "a", Class: "preview", At: time.Duration(at.UnixNano()), Wait: 3 * time.Second, KB: 1}
+	stamped := Attempt{ID: "a", Class: "preview", ArrivedAt: time.Duration(at.UnixNano()), Timeout: 3 * time.Second, MemoryKB: 1}
 	at = at.Round(0).Add(-time.Hour)
 	s.clock.advance()
 	s.Submit(p, 1, stamped)
@@ -262,7 +262,7 @@
 	s.step()
 	require.Empty(t, p.got)
 	require.True(t, s.byWire["a"].running)
-	stamped.ID, stamped.At = "b", stamped.At+time.Hour // one from the future is still wrong
+	stamped.ID, stamped.ArrivedAt = "b", stamped.ArrivedAt+time.Hour // one from the future is still wrong
 	s.Submit(p, 2, stamped)
 	do()
 	require.Equal(t, []any{Invalid}, p.got)
@@ -298,15 +298,15 @@
 	do()
 	s.step()
 	r := s.byWire["a"]
-	s.clock.now += s.cfg.Settings.Classes[2].KeyWindow / 2
+	s.clock.now += s.cfg.Settings.Classes[2].IdempotencyWindow / 2
 	s.deadlines.Sweep(s.clock.now)
 	s.step()
 	require.Equal(t, []any{Failed}, p.got) // in time, though it runs
 	s.Submit(p, 2, order(s, "b"))          // within the window
 	do()
 	s.step()
-	s.clock.now += 10 * s.cfg.Settings.Classes[2].KeyWindow
-	s.finish(r, decide.OK, []byte("done"))
+	s.clock.now += 10 * s.cfg.Settings.Classes[2].IdempotencyWindow
+	s.finish(r, decide.OutcomeOK, []byte("done"))
 	require.Equal(t, []any{Failed, Served}, p.got)
 	require.EqualValues(t, 1, s.stats.Runs)
 	s.clock.now += s.lateMost()
@@ -326,10 +326,10 @@
 	o.step()
 	o.deadlines.Sweep(o.clock.now)
 	o.serving = 0
-	o.Closed(o.peer, Left)
+	o.ReadEnded(o.peer, Disconnected)
 	o.do()
 	require.False(t, o.finished())
-	o.finish(run, decide.OK, []byte("done"))
-	o.expect(string(handover.Over))
+	o.finish(run, decide.OutcomeOK, []byte("done"))
+	o.expect(string(handover.Completed))
 	require.True(t, o.finished())
 }
--- a/internal/server/cutoff.go
+++ b/internal/server/cutoff.go
@@ -19,23 +19,23 @@
 )
 
 type cutoff struct {
-	overload.Cutoff
-	*overload.Repeats
+	overload.Shedder
+	*overload.RetryCounter
 	*overload.Collector
-	*overload.Patience
+	*overload.AgeEstimator
 	turns int
-	shown overload.Cut // of the last line of log
+	shown overload.Threshold // of the last line of log
 }
 
 // standings are the words of package overload in those of the controller.
-var standings = [...]decide.Standing{overload.Alone: decide.Unranked, overload.Elsewhere: decide.Elsewhere,
-	overload.Full: decide.Full, overload.Outranked: decide.Outranked}
+var standings = [...]decide.FleetRank{overload.VerdictUnknown: decide.RankUnknown, overload.VerdictElsewhere: decide.RankElsewhere,
+	overload.VerdictFull: decide.RankFull, overload.VerdictBelowThreshold: decide.RankBelowThreshold}
 
-// Cutoff has requests judged by what the fleet has room for. Self is this process as the fleet knows it. It is called
+// EnableShedding has requests judged by what the fleet has room for. Self is this process as the fleet knows it. It is called
 // after Join and before Run.
-func (s *Server) Cutoff(self overload.Party) {
-	s.member.cutoff = &cutoff{Repeats: overload.NewRepeats(), Collector: overload.NewCollector(self),
-		Patience: overload.NewPatience()}
+func (s *Server) EnableShedding(self overload.ProcessID) {
+	s.member.cutoff = &cutoff{RetryCounter: overload.NewRetryCounter(), Collector: overload.NewCollector(self),
+		AgeEstimator: overload.NewAgeEstimator()}
 }
 
 // judge puts r to what the fleet has room for: its standing, how old it is where it is a repeat, and by how much its
@@ -46,23 +46,23 @@
 	}
 	c, t := s.member.cutoff, &r.try
 	fp := fingerprint(t)
-	e.Age = c.Age(s.clock.now, t.Class, t.Wait)
-	again := c.Arrived(s.clock.now, fp) || e.Age > 0
-	value, work := s.cfg.Settings.Classes[r.class].Value, t.Cost.Seconds()
-	if s.cfg.Settings.ByWork {
+	e.SinceFirstAttempt = c.Age(s.clock.now, t.Class, t.Timeout)
+	again := c.Arrived(s.clock.now, fp) || e.SinceFirstAttempt > 0
+	value, work := s.cfg.Settings.Classes[r.class].PriorityWeight, t.CostHint.Seconds()
+	if s.cfg.Settings.WeightPerWork {
 		value *= work
 	}
-	e.Standing, e.Spread = standings[c.Judge(value, work, t.Rank, again)], c.Back(fp)
+	e.FleetRank, e.RetryJitter = standings[c.Classify(value, work, t.Rank, again)], c.RetryJitter(fp)
 }
 
-func fingerprint(t *Try) uint64 {
-	return overload.Fingerprint(t.Class, t.Key, t.Once, t.Caller, t.Rank, t.Cost.Seconds())
+func fingerprint(t *Attempt) uint64 {
+	return overload.Fingerprint(t.Class, t.Subject, t.IdempotencyKey, t.Client, t.Rank, t.CostHint.Seconds())
 }
 
 // refusedHere remembers what was refused and will come again, here or elsewhere.
 func (s *Server) refusedHere(r *request, a decide.Action) {
-	if s.member != nil && s.member.cutoff != nil && !a.DontRetry {
-		s.member.cutoff.Refused(s.clock.now, fingerprint(&r.try))
+	if s.member != nil && s.member.cutoff != nil && !a.NoRetryElsewhere {
+		s.member.cutoff.Rejected(s.clock.now, fingerprint(&r.try))
 	}
 }
 
@@ -73,29 +73,29 @@
 	}
 	m := s.member
 	c, at, view := m.cutoff, m.fleet.Now(), m.fleet.Snapshot()
-	own := overload.Own{Cores: float64(s.cfg.Settings.Cores), Busy: -1, Tries: c.Rate(), Again: c.Share()}
+	own := overload.LocalLoad{Cores: float64(s.cfg.Settings.Cores), Busy: -1, Attempts: c.AttemptRate(), Retries: c.RetryRatio()}
 	if s.ctl != nil {
-		own.Pace = s.ctl.Pace()
+		own.ServiceRate = s.ctl.ServiceRate()
 	}
 	if s.clock.now-s.gaugesAt <= gaugesFresh {
-		own.Busy = s.gauges.CoreUse
+		own.Busy = s.gauges.CPUUtilization
 	}
-	cut := c.Cutoff.Turn(s.clock.now, own, view, at)
+	cut := c.Shedder.Tick(s.clock.now, own, view, at)
 	if was, is := cutState(&c.shown), cutState(&cut); is != was {
-		s.changed(logrus.InfoLevel, "cutoff of the fleet", was, is, logrus.Fields{"place": cut.Place, "offered": cut.Offered,
-			"pace": cut.Pace, "again": cut.Again, "members": cut.Members, "stale": cut.Stale, "oldest_ms": cut.Oldest.Milliseconds()})
+		s.changed(logrus.InfoLevel, "cutoff of the fleet", was, is, logrus.Fields{"place": cut.Priority, "offered": cut.Offered,
+			"pace": cut.ServiceRate, "again": cut.RetryRatio, "members": cut.Members, "stale": cut.Stale, "oldest_ms": cut.Oldest.Milliseconds()})
 		c.shown = cut
 	}
 	var l fleet.Load
 	s.loadNow(&l)
-	part := overload.Part{From: c.Self(), Sum: overload.PartOf(&l)}
-	for _, p := range c.Collector.Turn(m.fleet.Now(), part.Sum, view) {
+	part := overload.PartialAggregate{From: c.Self(), Aggregate: overload.AggregateOf(&l)}
+	for _, p := range c.Collector.Tick(m.fleet.Now(), part.Aggregate, view) {
 		if to := view.Find(p.Name); to != nil && to.Run == p.Run {
-			m.fleet.Send(to, overload.AppendPart(nil, part))
+			m.fleet.Send(to, overload.AppendPartial(nil, part))
 		}
 	}
 	if c.turns++; c.turns%reportEvery == 0 {
-		for _, x := range c.Repeats.Turn(s.clock.now, view) {
+		for _, x := range c.RetryCounter.Tick(s.clock.now, view) {
 			if to := view.Find(x.To.Name); to != nil && to.Run == x.To.Run {
 				m.fleet.Send(to, overload.AppendReport(nil, x))
 			}
@@ -105,13 +105,13 @@
 }
 
 // cutState is what operators are told of: nothing is cut, the fleet is full, it comes out of that, or nobody knows.
-func cutState(c *overload.Cut) string {
+func cutState(c *overload.Threshold) string {
 	switch {
 	case !c.Known:
 		return "unknown"
 	case c.Full:
 		return "full"
-	case c.Place > 0:
+	case c.Priority > 0:
 		return "sinking"
 	}
 	return ""
@@ -121,10 +121,10 @@
 func (s *Server) tellCutoff(l *fleet.Load) {
 	c := s.member.cutoff
 	if s.ctl != nil {
-		l.Pace = s.ctl.Pace()
+		l.ServiceRate = s.ctl.ServiceRate()
 	}
-	offers := c.Offered()
-	l.Offer = string(offers.Append(nil))
-	l.Tries, l.Again, l.Cut = c.Rate(), c.Share(), c.Cut().Place
-	l.Sum = c.Told()
+	offers := c.Demand()
+	l.Demand = string(offers.Append(nil))
+	l.Attempts, l.RetryRatio, l.Threshold = c.AttemptRate(), c.RetryRatio(), c.Threshold().Priority
+	l.Aggregate = c.Published()
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -11,11 +11,11 @@
 // Drain: on SIGTERM everything that was read is answered, and the process ends in time.
 
 // endMargin is how long before the process is stopped its loop ends: the last answers, which the
-// controller gives a little earlier, are on their way by then. LastWrites of it may pass until the process ends,
+// controller gives a little earlier, are on their way by then. FinalWriteTimeout of it may pass until the process ends,
 // whatever still hangs on a socket.
 const (
-	endMargin  = 120 * time.Millisecond
-	LastWrites = 90 * time.Millisecond
+	endMargin         = 120 * time.Millisecond
+	FinalWriteTimeout = 90 * time.Millisecond
 
 	// lastComers is how long before that the listeners are closed at the latest: what came in at the last moment, over
 	// whatever way there is between the machines, is read and answered by the end. Front ends are promised 50 ms.
@@ -40,9 +40,9 @@
 		}
 		replaced := s.newer != nil
 		s.log.WithField("replaced", replaced).Info("told to leave")
-		now, stop, shut := s.clock.now, s.cfg.Stop, s.cfg.Settings.DrainGrace
+		now, stop, shut := s.clock.now, s.cfg.StopTimeout, s.cfg.Settings.DrainGrace
 		if replaced {
-			stop, shut = s.cfg.StopReplaced, 0
+			stop, shut = s.cfg.ReplacedStopTimeout, 0
 			s.announcer.Silence()
 		} else {
 			s.announcer.Set(false)
@@ -62,7 +62,7 @@
 // happenedNotice has the controller know of the notice, be it later than that came.
 func (s *Server) happenedNotice() {
 	d := &s.drain
-	s.happened(decide.Event{Kind: decide.Notice, At: d.stopAt, Waited: s.clock.now - d.began, Replaced: d.replaced})
+	s.happened(decide.Event{Kind: decide.EventDrain, StopAt: d.stopAt, Waited: s.clock.now - d.began, Replaced: d.replaced})
 }
 
 // shut closes the listeners: a refused connection tells a front end at once to go elsewhere.
@@ -96,7 +96,7 @@
 		case r.running || r.claims || s.keys.known(r) != nil && s.keys.known(r).ran:
 			s.answer(r, Answer{Kind: Failed})
 		default:
-			s.answer(r, Answer{Kind: Refused})
+			s.answer(r, Answer{Kind: Rejected})
 		}
 	}
 	s.printStats()
--- a/internal/server/drill.go
+++ b/internal/server/drill.go
@@ -11,9 +11,9 @@
 	s.clock.advance()
 }
 
-// StandStill has the loop do nothing at all for d, while the rest of the process goes on. It reports false where the
+// StallLoop has the loop do nothing at all for d, while the rest of the process goes on. It reports false where the
 // loop's input is full: it stands still already, or as good as.
-func (s *Server) StandStill(d time.Duration) bool {
+func (s *Server) StallLoop(d time.Duration) bool {
 	select {
 	case s.in <- func() {
 		s.log.WithField("for_ms", d.Milliseconds()).Warn("drill: the loop stands still")
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -54,15 +54,15 @@
 	s, _ := idle(t)
 	lines := logsTo(s)
 	at := s.clock.now - 40*time.Millisecond
-	try := Try{ID: "a1", Class: "licence-order", Caller: 2, At: at, Wait: 2 * time.Second, Cost: 70 * time.Millisecond}
-	for _, kind := range []AnswerKind{Served, Refused, Failed, Invalid} {
+	try := Attempt{ID: "a1", Class: "licence-order", Client: 2, ArrivedAt: at, Timeout: 2 * time.Second, CostHint: 70 * time.Millisecond}
+	for _, kind := range []AnswerKind{Served, Rejected, Failed, Invalid} {
 		s.leavesTrail(&request{try: try, class: 2}, answerNames[kind])
 	}
 	once := try
-	once.Once = "order 7"
+	once.IdempotencyKey = "order 7"
 	s.leavesTrail(&request{try: once, class: 2, running: true, began: at + 10*time.Millisecond}, answerNames[Served])
-	for why := decide.CoresBehind; why <= decide.BelowCut; why++ {
-		s.leavesTrail(&request{try: try, trail: trail{why: why.String()}}, answerNames[Refused])
+	for why := decide.ReasonCPU; why <= decide.ReasonBelowThreshold; why++ {
+		s.leavesTrail(&request{try: try, trail: trail{why: why.String()}}, answerNames[Rejected])
 	}
 	for reply := store.OK; int(reply) < len(outcomes); reply++ {
 		s.leavesTrail(&request{try: try, running: true, began: at, trail: trail{calls: 3, inCall: 15 * time.Millisecond,
@@ -74,21 +74,21 @@
 // The trail of requests that go their way: given up, in a call that has not ended, gone.
 func TestGoldenTrailOfRequests(t *testing.T) {
 	s, do := idle(t)
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	p := &peer{}
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	lines := logsTo(s)
 	submit := func(call uint32, id string) *request {
-		s.Submit(p, call, Try{ID: id, Once: id, Class: "licence-order", At: s.clock.now - 5*time.Millisecond, Wait: 2 * time.Second, KB: 1})
+		s.Submit(p, call, Attempt{ID: id, IdempotencyKey: id, Class: "licence-order", ArrivedAt: s.clock.now - 5*time.Millisecond, Timeout: 2 * time.Second, MemoryKB: 1})
 		do()
 		s.step()
 		return s.byWire[id]
 	}
 	s.fail(submit(1, "a1"))
 	submit(2, "a2")
-	s.wantsCall(agent.Notice{Req: "a2", Payload: []byte("x")})
+	s.wantsCall(agent.Notification{RequestID: "a2", Payload: []byte("x")})
 	s.step()
-	s.Closed(p, Left)
+	s.ReadEnded(p, Disconnected)
 	do()
 	requireGolden(t, "trail_of_requests", lines.String())
 }
@@ -101,25 +101,25 @@
 		act  func(t *testing.T, s *Server)
 	}{
 		{"the agent is up", func(_ *testing.T, s *Server) {
-			s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady, Elapsed: time.Minute})
+			s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady, Elapsed: time.Minute})
 		}},
 		{"the agent is booting", func(_ *testing.T, s *Server) {
-			s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Booting, Elapsed: time.Second})
+			s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Booting, Elapsed: time.Second})
 		}},
 		{"settings that no controller takes", func(_ *testing.T, s *Server) {
 			s.cfg.Settings.Cores = 0
-			s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+			s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 		}},
 		{"a command that the agent did not carry out", func(_ *testing.T, s *Server) {
-			s.commandRefused(agent.Notice{Req: "a1", Result: "launch"})
+			s.commandRefused(agent.Notification{RequestID: "a1", Result: "launch"})
 		}},
 		{"a wrong request", func(_ *testing.T, s *Server) { s.invalid(&peer{}, 1, errTooMany) }},
 		{"an action that can't be carried out", func(_ *testing.T, s *Server) {
 			s.requests[1] = &request{}
-			s.route(decide.Action{Kind: decide.Advertise, ID: 1})
+			s.route(decide.Action{Kind: decide.ActionAdvertise, ID: 1})
 		}},
 		{"a report of the controller", func(_ *testing.T, s *Server) {
-			s.route(decide.Action{Kind: decide.Log, Text: "breaker drops calls: begins"})
+			s.route(decide.Action{Kind: decide.ActionLog, Text: "breaker drops calls: begins"})
 		}},
 		{"reload", func(_ *testing.T, s *Server) { s.Reload(s.cfg, nil) }},
 		{"reload of a file that is wrong", func(_ *testing.T, s *Server) {
@@ -139,36 +139,36 @@
 			s.printStats()
 		}},
 		{"SIGUSR1 in a fleet", func(_ *testing.T, s *Server) {
-			s.Join(&told{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+			s.JoinFleet(&told{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
 			s.printFleet()
 		}},
 		{"a message of another member that can't be read", func(_ *testing.T, s *Server) {
 			f := &told{view: fleet.NewView("n3", fleet.Limits{Members: 4})}
-			s.Join(f)
+			s.JoinFleet(f)
 			f.hear([]byte("noise"))
 		}},
-		{"a drill", func(t *testing.T, s *Server) { require.True(t, s.StandStill(0)) }},
+		{"a drill", func(t *testing.T, s *Server) { require.True(t, s.StallLoop(0)) }},
 		{"a change of state", func(_ *testing.T, s *Server) {
-			s.Join(&told{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+			s.JoinFleet(&told{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
 			s.changed(logrus.InfoLevel, "what", "", "full", logrus.Fields{"place": 3})
 		}},
 		{"the store fails, as this member finds it", func(_ *testing.T, s *Server) {
-			s.Join(&told{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-			s.ProbeInCommon(1, "mechelen")
+			s.JoinFleet(&told{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+			s.EnableCoordinatedProbes(1, "mechelen")
 			s.keepProbing() // it has learnt which store that is
 			for range 100 {
-				s.probed(store.Broken)
+				s.probed(store.ConnectionBroken)
 			}
 			s.keepProbing()
 		}},
 		{"the fleet is full", func(_ *testing.T, s *Server) {
 			f := &told{view: fleet.NewView("n3", fleet.Limits{Members: 4}), now: time.Second}
-			f.view.Joined(f.now, 0, fleet.Record{Name: "n4", Run: 7, Seq: 1, State: fleet.Serving,
-				Load: fleet.Load{Capacity: 30, Pace: 100, Offer: string([]byte{40, 250, 250})}})
-			f.view.Sighted(f.now, "n4", 7, fleet.Reached)
-			s.Join(f)
-			s.Cutoff(overload.Party{Name: "n3", Run: 1})
-			s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+			f.view.Merge(f.now, 0, fleet.Record{Name: "n4", Run: 7, Seq: 1, State: fleet.Serving,
+				Load: fleet.Load{Capacity: 30, ServiceRate: 100, Demand: string([]byte{40, 250, 250})}})
+			f.view.ObserveReach(f.now, "n4", 7, fleet.Reached)
+			s.JoinFleet(f)
+			s.EnableShedding(overload.ProcessID{Name: "n3", Run: 1})
+			s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 			s.keepCutoff()
 		}},
 	} {
@@ -189,11 +189,11 @@
 // Names of states in the lines that tell changes, and the reasons for which a request is answered as wrong.
 func TestGoldenNames(t *testing.T) {
 	var got strings.Builder
-	for state := overload.StoreFine; state <= overload.StoreBack; state++ {
+	for state := overload.StoreHealthy; state <= overload.StoreRecovering; state++ {
 		fmt.Fprintf(&got, "store %d %q\n", state, storeName(state))
 	}
-	for _, cut := range []overload.Cut{{}, {Known: true}, {Known: true, Place: 3}, {Known: true, Full: true, Place: 3}} {
-		fmt.Fprintf(&got, "cutoff known %t, full %t, place %v: %q\n", cut.Known, cut.Full, cut.Place, cutState(&cut))
+	for _, cut := range []overload.Threshold{{}, {Known: true}, {Known: true, Priority: 3}, {Known: true, Full: true, Priority: 3}} {
+		fmt.Fprintf(&got, "cutoff known %t, full %t, place %v: %q\n", cut.Known, cut.Full, cut.Priority, cutState(&cut))
 	}
 	for _, err := range []error{errTooMany, errDuplicate, errSpent, errAt, errWait, errTenant, errNoOnce, errOtherOrder} {
 		fmt.Fprintf(&got, "wrong request: %v\n", err)
