--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -24,7 +24,7 @@
 }
 
 func (s *Server) handoverLoop() handover.Loop {
-	return handover.Loop{Post: s.post, Older: s.joinedOlder, Newer: s.joinedNewer, Got: s.partnerTold, Ended: s.partnerEnded}
+	return handover.Loop{Post: s.post, OnPredecessor: s.joinedOlder, OnSuccessor: s.joinedNewer, OnMessage: s.partnerTold, OnEnd: s.partnerEnded}
 }
 
 func (s *Server) joinedOlder(l *handover.Link) {
@@ -44,7 +44,7 @@
 	for _, e := range s.keys.entries {
 		all = append(all, e.all()...)
 	}
-	l.Tell(append(all, handover.Message{Kind: handover.Synced})...)
+	l.Publish(append(all, handover.Message{Kind: handover.Synced})...)
 	for s.peers.size() > s.mostPeers() && s.makeRoom() {
 	}
 }
@@ -67,13 +67,13 @@
 func (s *Server) tellPartners(m handover.Message) {
 	for _, l := range []*handover.Link{s.older, s.newer} {
 		if l != nil {
-			l.Tell(m)
+			l.Publish(m)
 		}
 	}
 }
 
 func (s *Server) partnerTold(l *handover.Link, m handover.Message) {
-	e := s.keys.entries[m.Once]
+	e := s.keys.entries[m.IdempotencyKey]
 	switch m.Kind {
 	case handover.Synced:
 		s.sync()
@@ -81,24 +81,24 @@
 		if e == nil || e.from == l || s.keys.past(e, s.clock.now-s.clock.skew) {
 			s.adopt(l, m)
 		}
-		s.claimed(m.Once)
+		s.claimed(m.IdempotencyKey)
 	case handover.Claim:
 		if e != nil && !s.keys.past(e, m.At) {
-			l.Tell(e.all()...)
+			l.Publish(e.all()...)
 			return
 		}
-		s.adopt(l, handover.Message{Once: m.Once, Digest: m.Digest, At: m.At + s.longestWindow()})
-		l.Tell(handover.Message{Kind: handover.Grant, Once: m.Once})
+		s.adopt(l, handover.Message{IdempotencyKey: m.IdempotencyKey, Digest: m.Digest, At: m.At + s.longestWindow()})
+		l.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: m.IdempotencyKey})
 	case handover.Grant:
-		s.claimed(m.Once)
-		if s.keys.entries[m.Once] == nil {
-			l.Tell(handover.Message{Kind: handover.Free, Once: m.Once}) // nobody waits any more
+		s.claimed(m.IdempotencyKey)
+		if s.keys.entries[m.IdempotencyKey] == nil {
+			l.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: m.IdempotencyKey}) // nobody waits any more
 		}
-	case handover.Over:
+	case handover.Completed:
 		if e != nil && e.from == l {
 			s.partnerRan(e, m.OK, m.Body)
 		}
-	case handover.Free:
+	case handover.Released:
 		if e != nil && e.from == l {
 			s.partnerRan(e, false, nil)
 			s.keys.drop(e)
@@ -144,7 +144,7 @@
 
 // claim has r wait for the older process's word on its key.
 func (s *Server) claim(r *request) {
-	once := r.try.Once
+	once := r.try.IdempotencyKey
 	s.claims[once] = append(s.claims[once], r)
 	r.claims = true
 	s.deadlines.Add(min(s.clock.now+claimLimit, s.due(r)-dueSpare), func() {
@@ -156,7 +156,7 @@
 	})
 	if len(s.claims[once]) == 1 {
 		s.stats.Claims++
-		s.older.Tell(handover.Message{Kind: handover.Claim, Once: once, Digest: s.keys.digest(r.try), At: r.try.At})
+		s.older.Publish(handover.Message{Kind: handover.Claim, IdempotencyKey: once, Digest: s.keys.digest(r.try), At: r.try.ArrivedAt})
 	}
 }
 
@@ -174,8 +174,8 @@
 
 func (s *Server) longestWindow() (longest time.Duration) {
 	for _, k := range s.cfg.Settings.Classes {
-		if k.Safety == decide.Keyed {
-			longest = max(longest, k.KeyWindow)
+		if k.Idempotency == decide.IdempotentByKey {
+			longest = max(longest, k.IdempotencyWindow)
 		}
 	}
 	return longest
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -28,14 +28,14 @@
 
 func withPartner(t *testing.T) *orders {
 	s, do := idle(t)
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	o := &orders{Server: s, peer: &peer{}, t: t, do: do}
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
 	require.NoError(t, there.SetDeadline(time.Now().Add(30*time.Second)))
-	o.link, o.told = &handover.Link{Outbox: outbox.New(here, 100)}, bufio.NewScanner(there)
+	o.link, o.told = &handover.Link{Queue: outbox.New(here, 100)}, bufio.NewScanner(there)
 	go func() { _ = o.link.Run() }()
-	s.Opened(o.peer)
+	s.ConnectionOpened(o.peer)
 	do()
 	return o
 }
@@ -44,7 +44,7 @@
 func (o *orders) order(once string) *request {
 	o.last++
 	id := string(rune('a' + o.last))
-	o.Submit(o.peer, o.last, Try{ID: id, Once: once, Class: "licence-order", At: o.clock.now, Wait: 3 * time.Second, KB: 1})
+	o.Submit(o.peer, o.last, Attempt{ID: id, IdempotencyKey: once, Class: "licence-order", ArrivedAt: o.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	o.do()
 	o.step()
 	return o.byWire[id]
@@ -70,33 +70,33 @@
 	o.joinedOlder(o.link)
 	o.partner(handover.Synced, handover.Message{})
 	require.True(t, o.opened)
-	digest := o.keys.digest(Try{})
+	digest := o.keys.digest(Attempt{})
 	closes := o.clock.now + time.Minute
 
 	a, again := o.order("aa"), o.order("aa")
 	o.expect("claim")
 	require.False(t, a.running)
-	o.partner(handover.Grant, handover.Message{Once: "aa"})
+	o.partner(handover.Grant, handover.Message{IdempotencyKey: "aa"})
 	require.True(t, a.running)
 	require.False(t, again.running)
 	o.expect("known")
-	o.finish(a, decide.OK, nil)
+	o.finish(a, decide.OutcomeOK, nil)
 	o.expect("over")
 	require.Equal(t, []any{Served, Served}, o.got)
 
 	// One that the older process has is answered with what that tells of its end.
 	b := o.order("bb")
 	o.expect("claim")
-	o.partner(handover.Known, handover.Message{Once: "bb", Digest: digest, At: closes})
+	o.partner(handover.Known, handover.Message{IdempotencyKey: "bb", Digest: digest, At: closes})
 	require.False(t, b.running)
 	require.Len(t, o.got, 2)
-	o.partner(handover.Over, handover.Message{Once: "bb", OK: true, Body: []byte("x")})
+	o.partner(handover.Completed, handover.Message{IdempotencyKey: "bb", OK: true, Body: []byte("x")})
 	require.Equal(t, Served, o.got[2])
 	o.order("bb") // not claimed any more
 	require.Equal(t, Served, o.got[3])
 
 	// A key under another body is nobody's.
-	o.partner(handover.Known, handover.Message{Once: "cc", Digest: digest + 1, At: closes})
+	o.partner(handover.Known, handover.Message{IdempotencyKey: "cc", Digest: digest + 1, At: closes})
 	o.order("cc")
 	require.Equal(t, Invalid, o.got[4])
 
@@ -107,11 +107,11 @@
 	o.deadlines.Sweep(o.clock.now)
 	require.False(t, d.running)
 	require.Equal(t, Failed, o.got[5])
-	o.partner(handover.Grant, handover.Message{Once: "dd"})
+	o.partner(handover.Grant, handover.Message{IdempotencyKey: "dd"})
 	o.expect("free")
 
 	// When the older process has ended, its runs may have had their effect; what it did not know may run.
-	o.partner(handover.Known, handover.Message{Once: "ee", Digest: digest, At: closes})
+	o.partner(handover.Known, handover.Message{IdempotencyKey: "ee", Digest: digest, At: closes})
 	o.order("ee")
 	f := o.order("ff")
 	o.expect("claim")
@@ -128,7 +128,7 @@
 func TestOlderGrantsKeys(t *testing.T) {
 	o := withPartner(t)
 	over, held := o.order("aa"), o.order("bb")
-	o.finish(over, decide.OK, []byte("x"))
+	o.finish(over, decide.OutcomeOK, []byte("x"))
 	require.True(t, held.running)
 	o.joinedNewer(o.link)
 	count := map[string]int{}
@@ -138,23 +138,23 @@
 		count[cmd]++
 	}
 	require.Equal(t, map[string]int{"known": 2, "over": 1, "synced": 1}, count)
-	claim := handover.Message{Once: "cc", Digest: o.keys.digest(Try{}), At: o.clock.now}
+	claim := handover.Message{IdempotencyKey: "cc", Digest: o.keys.digest(Attempt{}), At: o.clock.now}
 	o.partner(handover.Claim, claim)
 	o.expect("grant")
 	c := o.order("cc")
 	require.False(t, c.running)
-	o.partner(handover.Over, handover.Message{Once: "cc", OK: true})
+	o.partner(handover.Completed, handover.Message{IdempotencyKey: "cc", OK: true})
 	require.Equal(t, []any{Served, Served}, o.got)
-	o.partner(handover.Claim, handover.Message{Once: "bb", At: o.clock.now})
+	o.partner(handover.Claim, handover.Message{IdempotencyKey: "bb", At: o.clock.now})
 	o.expect("known")
-	o.finish(held, decide.Failed, nil)
+	o.finish(held, decide.OutcomeFailed, nil)
 	o.expect("over")
 
 	// What the newer one gave back may be run here.
-	claim.Once = "dd"
+	claim.IdempotencyKey = "dd"
 	o.partner(handover.Claim, claim)
 	o.expect("grant")
-	o.partner(handover.Free, handover.Message{Once: "dd"})
+	o.partner(handover.Released, handover.Message{IdempotencyKey: "dd"})
 	require.True(t, o.order("dd").running)
 	last := string(rune('a' + o.last))
 	o.expect("known")
@@ -170,7 +170,7 @@
 	require.False(t, o.finished()) // a front end is still there
 	o.forgetPeer(o.peers.of(o.peer))
 	require.False(t, o.finished()) // the newer process is still to hear how the last order ends
-	o.finish(o.byWire[last], decide.OK, nil)
+	o.finish(o.byWire[last], decide.OutcomeOK, nil)
 	o.expect("over")
 	require.True(t, o.finished())
 }
@@ -183,7 +183,7 @@
 	var idle []*peer
 	for range 2*(sparePeers+3) - sparePeers - 1 {
 		p := &peer{}
-		o.Opened(p)
+		o.ConnectionOpened(p)
 		idle = append(idle, p)
 	}
 	o.do()
@@ -191,7 +191,7 @@
 	require.Equal(t, 3, o.peers.size())
 	require.NotNil(t, o.peers.of(busy))
 	o.partnerEnded(o.link)
-	o.Opened(&peer{})
+	o.ConnectionOpened(&peer{})
 	o.do()
 	require.Equal(t, 4, o.peers.size())
 	closed := 0
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -49,7 +49,7 @@
 
 // digest stands for what a try asks for. All tries of one request carry the same body; the class may have got
 // another name since the first. It means the same in every process.
-func (t *keyTable) digest(try Try) uint64 {
+func (t *keyTable) digest(try Attempt) uint64 {
 	sum := sha256.Sum256(try.Body)
 	return binary.BigEndian.Uint64(sum[:])
 }
@@ -63,7 +63,7 @@
 
 // known returns the entry that r falls under, if there is one.
 func (t *keyTable) known(r *request) *keyEntry {
-	if e := t.entries[r.try.Once]; e != nil && !t.past(e, r.try.At) {
+	if e := t.entries[r.try.IdempotencyKey]; e != nil && !t.past(e, r.try.ArrivedAt) {
 		return e
 	}
 	return nil
@@ -81,10 +81,10 @@
 		t.enter(e, r)
 		return e.holder
 	}
-	if past := t.entries[r.try.Once]; past != nil {
+	if past := t.entries[r.try.IdempotencyKey]; past != nil {
 		t.drop(past)
 	}
-	e := &keyEntry{once: r.try.Once, digest: t.digest(r.try)}
+	e := &keyEntry{once: r.try.IdempotencyKey, digest: t.digest(r.try)}
 	t.enter(e, r)
 	t.hold(e, r)
 	return 0
@@ -101,13 +101,13 @@
 	if e.holder == r.id {
 		return
 	}
-	e.holder, e.closes = r.id, r.try.At+r.window
+	e.holder, e.closes = r.id, r.try.ArrivedAt+r.window
 	t.entries[e.once] = e
 	t.tell(e.known())
 }
 
 func (e *keyEntry) known() handover.Message {
-	return handover.Message{Kind: handover.Known, Once: e.once, Digest: e.digest, At: e.closes}
+	return handover.Message{Kind: handover.Known, IdempotencyKey: e.once, Digest: e.digest, At: e.closes}
 }
 
 // all is what there is to be told of e.
@@ -115,18 +115,18 @@
 	if !e.over {
 		return []handover.Message{e.known()}
 	}
-	return []handover.Message{e.known(), {Kind: handover.Over, Once: e.once, OK: e.ok, Body: e.result}}
+	return []handover.Message{e.known(), {Kind: handover.Completed, IdempotencyKey: e.once, OK: e.ok, Body: e.result}}
 }
 
 // adopt enters, or renews, a key that another process has, as if holder had been run under it.
 func (t *keyTable) adopt(from *handover.Link, m handover.Message, holder decide.RequestID) *keyEntry {
-	e := t.entries[m.Once]
+	e := t.entries[m.IdempotencyKey]
 	if e == nil || e.from != from {
 		if e != nil {
 			t.drop(e)
 		}
-		e = &keyEntry{once: m.Once, from: from, holder: holder, ran: true}
-		t.entries[m.Once] = e
+		e = &keyEntry{once: m.IdempotencyKey, from: from, holder: holder, ran: true}
+		t.entries[m.IdempotencyKey] = e
 	}
 	t.bytes -= len(e.result)
 	e.digest, e.closes, e.over, e.ok, e.result = m.Digest, m.At, false, false, nil
@@ -173,13 +173,13 @@
 	if e == nil || e.holder != r.id || !e.ran {
 		return nil
 	}
-	if o == decide.Moot {
+	if o == decide.OutcomeNotStarted {
 		waits := e.waits
 		e.waits, e.ran = nil, false // nothing was run
 		return waits
 	}
-	t.tell(handover.Message{Kind: handover.Over, Once: e.once, OK: o == decide.OK, Body: result})
-	return t.end(e, o == decide.OK, result)
+	t.tell(handover.Message{Kind: handover.Completed, IdempotencyKey: e.once, OK: o == decide.OutcomeOK, Body: result})
+	return t.end(e, o == decide.OutcomeOK, result)
 }
 
 // end notes the end of the run of e, and returns the tries that waited for it.
@@ -222,7 +222,7 @@
 			return nil
 		}
 		t.drop(e)
-		t.tell(handover.Message{Kind: handover.Free, Once: e.once})
+		t.tell(handover.Message{Kind: handover.Released, IdempotencyKey: e.once})
 		return nil
 	}
 	return e
--- a/internal/server/longday_test.go
+++ b/internal/server/longday_test.go
@@ -26,7 +26,7 @@
 	d := &day{Server: s, at: time.Now().Round(0), rng: rand.New(rand.NewPCG(3, 3))}
 	s.clock.read = func() time.Time { return d.at }
 	s.clock.advance()
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	return d
 }
 
@@ -45,18 +45,18 @@
 	d.n++
 	p := &countingPeer{server: d.Server}
 	id := fmt.Sprintf("%016x", d.n)
-	try := Try{ID: id, Key: id, Class: d.cfg.Classes[d.rng.IntN(3)], At: time.Duration(d.at.UnixNano()), Wait: 2 * time.Second,
-		Caller: d.n, Cost: 10 * time.Millisecond, KB: 4, Rank: 0.5, Body: make([]byte, 200)}
+	try := Attempt{ID: id, Subject: id, Class: d.cfg.Classes[d.rng.IntN(3)], ArrivedAt: time.Duration(d.at.UnixNano()), Timeout: 2 * time.Second,
+		Client: d.n, CostHint: 10 * time.Millisecond, MemoryKB: 4, Rank: 0.5, Body: make([]byte, 200)}
 	if try.Class == "licence-order" {
-		try.Once = id
+		try.IdempotencyKey = id
 	}
-	d.Opened(p)
+	d.ConnectionOpened(p)
 	d.Submit(p, 1, try)
 	switch d.rng.IntN(10) {
 	case 0:
-		d.Wrong(p, 2, errAt)
+		d.RejectInvalid(p, 2, errAt)
 	case 1:
-		d.Probe(p, 2, true)
+		d.HealthCheck(p, 2, true)
 	case 2:
 		d.Cancel(p, 1)
 	}
@@ -65,7 +65,7 @@
 		d.run = append(d.run, r)
 	}
 	if d.rng.IntN(2) == 0 {
-		d.Closed(p, Left)
+		d.ReadEnded(p, Disconnected)
 	}
 }
 
@@ -73,14 +73,14 @@
 // store, whom nobody reaches here, never answers.
 func (d *day) work() {
 	for _, r := range d.run {
-		n := agent.Notice{Req: r.try.ID, Result: agent.Success, Payload: make([]byte, 100)}
+		n := agent.Notification{RequestID: r.try.ID, Result: agent.Success, Payload: make([]byte, 100)}
 		switch d.rng.IntN(8) {
 		case 0:
 			n.Result = agent.Failure
 		case 1:
 			n.Result = agent.Interrupted
 		case 2:
-			d.wantsCall(agent.Notice{Req: r.try.ID, Payload: []byte("call")})
+			d.wantsCall(agent.Notification{RequestID: r.try.ID, Payload: []byte("call")})
 			d.turn()
 		}
 		d.runEnded(n)
@@ -100,7 +100,7 @@
 
 // 45 minutes in which nothing comes twice: ids, keys, orders, front ends and connections are ever new. Each table
 // has an end, and the memory of the last quarter is that of the second. A leak of eight bytes a request would
-// come to over 100 KB.
+// come to over 100 MemoryKB.
 func TestLongDay(t *testing.T) {
 	const length, step = 45 * time.Minute, 100 * time.Millisecond
 	d := newDay(t)
@@ -125,7 +125,7 @@
 		require.Less(t, most-halfway, uint64(64<<10), "of %d KB in use", halfway>>10)
 	}
 	// 10 requests a second; answers within 2 s, keys for their window and the time that they may come late.
-	window := int(d.cfg.Settings.Classes[2].KeyWindow/time.Second) + int(d.lateMost()/time.Second) + 2
+	window := int(d.cfg.Settings.Classes[2].IdempotencyWindow/time.Second) + int(d.lateMost()/time.Second) + 2
 	for name, bound := range map[string]int{"requests": 10 * 2, "wire": 10 * 2, "spent": 10 * 2 * int(d.lateMost()/time.Second+1), "open": 10 * 2, "keys": 10 * window,
 		"key holders": 10 * 2, "connections": d.mostPeers(), "checks": exercisesMost, "deadlines": 10*window + 100} {
 		require.LessOrEqual(t, largest[name], bound, name)
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -11,11 +11,11 @@
 
 // Fleet is where the loop tells how this server is, and where it reads what is known of the others. Neither blocks.
 type Fleet interface {
-	Tell(fleet.Status)
+	Publish(fleet.Status)
 	Snapshot() *fleet.Snapshot
 	Now() time.Duration              // the clock by which snapshots go; the system's clock does not move it
 	Send(to *fleet.Member, b []byte) // to one member; it may not arrive
-	Hear(func(b []byte))             // has messages to this member handed over
+	OnMessage(func(b []byte))        // has messages to this member handed over
 }
 
 // tellEvery is how often the loop speaks: one that stands still is missed by that.
@@ -47,10 +47,10 @@
 	s.log.WithFields(fields).WithFields(logrus.Fields{"from": from, "to": to}).Log(level, what)
 }
 
-// Join has the server tell a fleet how it is. It is called before Run, and so are Share, Cutoff and ProbeInCommon.
-func (s *Server) Join(f Fleet) {
+// JoinFleet has the server tell a fleet how it is. It is called before Run, and so are Share, Cutoff and EnableCoordinatedProbes.
+func (s *Server) JoinFleet(f Fleet) {
 	s.member = &member{fleet: f}
-	f.Hear(s.heardDirectly)
+	f.OnMessage(s.heardDirectly)
 }
 
 // heardDirectly takes in a message of another member to this one. It is called from other goroutines and does not
@@ -60,13 +60,13 @@
 	c := m.cutoff
 	var act func()
 	if tries, ok := overload.ParseReport(b); ok && c != nil {
-		act = func() { c.Repeats.Heard(s.clock.now, tries) }
-	} else if part, ok := overload.ParsePart(b); ok && c != nil {
-		act = func() { c.Collector.Heard(m.fleet.Now(), part) }
+		act = func() { c.RetryCounter.HandleReport(s.clock.now, tries) }
+	} else if part, ok := overload.ParsePartial(b); ok && c != nil {
+		act = func() { c.Collector.Receive(m.fleet.Now(), part) }
 	} else if x, err := overload.ParseMessage(b); err == nil && m.sharing != nil {
 		act = func() { s.heardOfShare(x) }
 	} else {
-		if err != nil && !overload.OfCutoff(b) {
+		if err != nil && !overload.IsSheddingMessage(b) {
 			s.warn.Warn("direct", "a message of another member can't be read", err)
 		}
 		return // or about what is off here
@@ -95,34 +95,34 @@
 	s.loadNow(&st.Load)
 	var all, off uint64
 	for _, a := range s.stats.Answers {
-		all += a.Served + a.Refused + a.Failed
-		off += a.Refused + a.Failed
+		all += a.Served + a.Rejected + a.Failed
+		off += a.Rejected + a.Failed
 	}
 	if all > m.answered {
-		st.Load.Shed = float64(off-m.turnedOff) / float64(all-m.answered)
+		st.Load.ShedRatio = float64(off-m.turnedOff) / float64(all-m.answered)
 	}
 	m.answered, m.turnedOff = all, off
-	m.fleet.Tell(st)
+	m.fleet.Publish(st)
 }
 
 // loadNow is how much this server has to do, but for what it turned away.
 func (s *Server) loadNow(l *fleet.Load) {
 	m := s.member
-	l.Capacity, l.Busy, l.InHand, l.Share = float64(s.cfg.Settings.Cores), -1, len(s.requests), s.cfg.Settings.CallsOut
+	l.Capacity, l.Busy, l.InFlight, l.CallQuota = float64(s.cfg.Settings.Cores), -1, len(s.requests), s.cfg.Settings.MaxCallsInFlight
 	if s.clock.now-s.gaugesAt <= gaugesFresh {
-		l.Busy = s.gauges.CoreUse
+		l.Busy = s.gauges.CPUUtilization
 	}
 	if m.sharing != nil {
-		l.Calls = m.sharing.Use()
+		l.MeanCalls = m.sharing.MeanInFlight()
 		if m.sharing.bound >= 0 {
-			l.Share = m.sharing.bound.Calls()
+			l.CallQuota = m.sharing.bound.Calls()
 		}
 	}
 	if m.cutoff != nil {
 		s.tellCutoff(l)
 	}
 	if m.probes != nil {
-		m.probes.Tell(l)
+		m.probes.AddToLoad(l)
 	}
 }
 
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -37,18 +37,18 @@
 	return ask(ctx, s, func() bool { return s.ctl != nil && s.opened && !s.drain.on && !s.withdrawn })
 }
 
-// AppendFigures appends the operators' figures.
-func (s *Server) AppendFigures(ctx context.Context, b []byte) ([]byte, error) {
+// AppendMetrics appends the operators' figures.
+func (s *Server) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
 	return ask(ctx, s, func() []byte {
-		return stats.Figures{Counters: &s.stats, Open: s.peers.opened}.Append(b)
+		return stats.Metrics{Counters: &s.stats, Open: s.peers.opened}.Append(b)
 	})
 }
 
-// Withdraw has front ends sent away by bad health answers; what still arrives is answered as ever.
-func (s *Server) Withdraw(ctx context.Context) error { return s.setWithdrawn(ctx, true) }
+// Deregister has front ends sent away by bad health answers; what still arrives is answered as ever.
+func (s *Server) Deregister(ctx context.Context) error { return s.setWithdrawn(ctx, true) }
 
-// Restore ends what Withdraw began.
-func (s *Server) Restore(ctx context.Context) error { return s.setWithdrawn(ctx, false) }
+// Reregister ends what Withdraw began.
+func (s *Server) Reregister(ctx context.Context) error { return s.setWithdrawn(ctx, false) }
 
 func (s *Server) setWithdrawn(ctx context.Context, on bool) error {
 	leaving, err := ask(ctx, s, func() bool {
@@ -70,9 +70,9 @@
 }
 
 func (s *Server) tellWithdrawn() {
-	kind := decide.Restore
+	kind := decide.EventReregister
 	if s.withdrawn {
-		kind = decide.Withdraw
+		kind = decide.EventDeregister
 	}
 	s.happened(decide.Event{Kind: kind})
 }
--- a/internal/server/operate_test.go
+++ b/internal/server/operate_test.go
@@ -26,13 +26,13 @@
 	s := running(t)
 	ctx := context.Background()
 	p := &peer{}
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	health := func() any {
 		for range 2 { // what was asked for is decided by the end of a turn
 			_, err := ask(ctx, s, func() int { return 0 })
 			require.NoError(t, err)
 		}
-		s.Probe(p, 1, false)
+		s.HealthCheck(p, 1, false)
 		last, err := ask(ctx, s, func() any { return p.got[len(p.got)-1] })
 		require.NoError(t, err)
 		return last
@@ -43,23 +43,23 @@
 		return is
 	}
 	require.False(t, ready())
-	require.NoError(t, s.Withdraw(ctx))
-	s.post(func() { s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady}) })
+	require.NoError(t, s.Deregister(ctx))
+	s.post(func() { s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady}) })
 	require.Equal(t, Unhealthy, health())
 	require.False(t, ready())
-	require.NoError(t, s.Restore(ctx))
+	require.NoError(t, s.Reregister(ctx))
 	require.Equal(t, Healthy, health())
 	require.True(t, ready())
-	require.NoError(t, s.Withdraw(ctx))
+	require.NoError(t, s.Deregister(ctx))
 	require.Equal(t, Unhealthy, health())
-	s.Submit(p, 2, Try{ID: "ab", Class: "preview", At: time.Duration(time.Now().UnixNano()), Wait: time.Second, KB: 1})
+	s.Submit(p, 2, Attempt{ID: "ab", Class: "preview", ArrivedAt: time.Duration(time.Now().UnixNano()), Timeout: time.Second, MemoryKB: 1})
 	require.Equal(t, Unhealthy, health())
-	figures, err := s.AppendFigures(ctx, nil)
+	figures, err := s.AppendMetrics(ctx, nil)
 	require.NoError(t, err)
 	require.Contains(t, string(figures), "app.backend_calls:1|c\napp.inflight:1|g\n")
 
 	// A process that is told to leave does not come back.
 	s.Drain()
-	require.ErrorIs(t, s.Restore(ctx), errOver)
+	require.ErrorIs(t, s.Reregister(ctx), errOver)
 	require.False(t, ready())
 }
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -27,7 +27,7 @@
 
 // peerState is what the loop knows of a connection.
 type peerState struct {
-	peer    Peer
+	peer    Connection
 	open    map[uint32]*request
 	last    uint32        // highest number of a request so far
 	said    bool          // it has sent a request or a health check that can be read
@@ -66,13 +66,13 @@
 // peerTable knows the connections, and those without an open request by how long they have been idle: what is
 // asked at each turn, or for each new connection, costs the same however many there are. Times never go back.
 type peerTable struct {
-	states  map[Peer]*peerState
+	states  map[Connection]*peerState
 	idle    [peerKinds]list.List // idle for longest first
 	opened  int                  // open requests
 	leaving []*peerState         // have no place any more, and are to be closed
 }
 
-func newPeerTable() peerTable { return peerTable{states: map[Peer]*peerState{}} }
+func newPeerTable() peerTable { return peerTable{states: map[Connection]*peerState{}} }
 
 // size is how many connections there are, but for those that are being closed.
 func (t *peerTable) size() int { return len(t.states) - len(t.leaving) }
@@ -81,9 +81,9 @@
 func (t *peerTable) none() bool { return len(t.states) == 0 }
 
 // of returns the state of a connection, or nil once it is gone.
-func (t *peerTable) of(p Peer) *peerState { return t.states[p] }
+func (t *peerTable) of(p Connection) *peerState { return t.states[p] }
 
-func (t *peerTable) add(p Peer, now time.Duration) *peerState {
+func (t *peerTable) add(p Connection, now time.Duration) *peerState {
 	st := &peerState{peer: p, open: map[uint32]*request{}, used: now}
 	t.states[p] = st
 	t.place(st)
@@ -220,7 +220,7 @@
 	if st.leaving == staying {
 		s.stats.ConnectionsClosed++
 		s.peers.leave(st, asked)
-		st.peer.Finish()
+		st.peer.PauseReading()
 	}
 }
 
@@ -230,12 +230,12 @@
 		switch busy := len(st.open) > 0; {
 		case busy && st.leaving == quiet && !st.deaf:
 			st.leaving = inUse
-			st.peer.Resume()
+			st.peer.ResumeReading()
 		case busy, st.leaving == asked:
 		case st.leaving == inUse:
 			st.leaving = asked
-			st.peer.Finish()
-		case st.leaving == quiet && !st.deaf && !st.peer.End():
+			st.peer.PauseReading()
+		case st.leaving == quiet && !st.deaf && !st.peer.TryClose():
 			st.leaving = asked
 		default:
 			s.peers.remove(st)
@@ -255,7 +255,7 @@
 func (s *Server) tellClosing(st *peerState) {
 	if !st.closing {
 		s.peers.told(st, s.clock.now)
-		st.peer.Closing()
+		st.peer.NotifyClosing()
 	}
 }
 
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -77,7 +77,7 @@
 	var busy []*peer
 	for i := range most {
 		p := &peer{}
-		s.Opened(p)
+		s.ConnectionOpened(p)
 		do()
 		if i%2 == 0 {
 			busy = append(busy, p)
@@ -87,7 +87,7 @@
 	closed := 0
 	for range 2 * most {
 		p := &peer{}
-		s.Opened(p)
+		s.ConnectionOpened(p)
 		do()
 		require.LessOrEqual(t, s.peers.size(), most)
 		if st := s.peers.of(p); st.leaving == staying {
@@ -131,14 +131,14 @@
 			s, do := idle(b)
 			s.cfg.Limits.Sockets = 2 * (sparePeers + connections)
 			for range connections {
-				s.Opened(&countingPeer{})
+				s.ConnectionOpened(&countingPeer{})
 			}
 			p := &countingPeer{}
-			s.Opened(p)
+			s.ConnectionOpened(p)
 			do()
 			b.ReportAllocs()
 			for b.Loop() {
-				s.Probe(p, 1, false)
+				s.HealthCheck(p, 1, false)
 				s.turn()
 			}
 		})
@@ -153,7 +153,7 @@
 			s.cfg.Limits.Sockets = 2 * (sparePeers + connections)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.Opened(&countingPeer{})
+				s.ConnectionOpened(&countingPeer{})
 				do()
 			}
 		})
@@ -167,13 +167,13 @@
 }
 
 func (p *countingPeer) Answer(uint32, Answer) { p.answers++ }
-func (p *countingPeer) Closing()              {}
+func (p *countingPeer) NotifyClosing()        {}
 func (p *countingPeer) Close()                {}
-func (p *countingPeer) Finish() {
+func (p *countingPeer) PauseReading() {
 	if p.server != nil {
-		p.server.Closed(p, Finished)
+		p.server.ReadEnded(p, ReadPaused)
 	}
 }
-func (p *countingPeer) Resume()       {}
-func (p *countingPeer) End() bool     { return true }
-func (p *countingPeer) MostOpen() int { return 32 }
+func (p *countingPeer) ResumeReading()    {}
+func (p *countingPeer) TryClose() bool    { return true }
+func (p *countingPeer) MaxOpenCalls() int { return 32 }
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -17,23 +17,23 @@
 const probeEvery = 250 * time.Millisecond // between two looks at whose turn it is
 
 type probes struct {
-	*overload.Probes
-	leak overload.Leak // in force at the controller
+	*overload.ProbeCoordinator
+	leak overload.ProbeAllowance // in force at the controller
 }
 
 // protects is how many calls a window the breaker never drops.
-var protects = [...]float64{overload.LeakUsual: decide.BreakerProtect, overload.LeakCareful: 0, overload.LeakOne: 1, overload.LeakNone: -1}
+var protects = [...]float64{overload.ProbeUnlimited: decide.BreakerProtectedCalls, overload.ProbeCautious: 0, overload.ProbeSingle: 1, overload.ProbeNone: -1}
 
-// ProbeInCommon has a store that does not answer tried by turns within the fleet. Run is this process as the fleet knows
+// EnableCoordinatedProbes has a store that does not answer tried by turns within the fleet. Run is this process as the fleet knows
 // it. It is called after Join and before Run.
-func (s *Server) ProbeInCommon(run uint64, zone string) {
-	s.member.probes = &probes{Probes: overload.NewProbes(run, zone)}
+func (s *Server) EnableCoordinatedProbes(run uint64, zone string) {
+	s.member.probes = &probes{ProbeCoordinator: overload.NewProbeCoordinator(run, zone)}
 }
 
 // probed notes how a call ended.
 func (s *Server) probed(reply store.Reply) {
 	if s.member != nil && s.member.probes != nil && reply != store.Void {
-		s.member.probes.Ended(reply == store.OK)
+		s.member.probes.CallEnded(reply == store.OK)
 	}
 }
 
@@ -44,14 +44,14 @@
 	}
 	m := s.member.probes
 	was, at := m.State(), s.member.fleet.Now()
-	leak := m.Turn(s.clock.now, uint32(xxhash.Sum64String(s.cfg.Store)), s.member.fleet.Snapshot(), at)
+	leak := m.Tick(s.clock.now, uint32(xxhash.Sum64String(s.cfg.Store)), s.member.fleet.Snapshot(), at)
 	if s.ctl != nil && leak != m.leak {
 		m.leak = leak
-		s.ctl.Protect(protects[leak])
+		s.ctl.SetProtectedCalls(protects[leak])
 		s.boundCalls()
 	}
 	if now := m.State(); now != was {
-		s.changed(logrus.InfoLevel, "store, as this member finds it", storeName(was), storeName(now), logrus.Fields{"agree": m.Agreed()})
+		s.changed(logrus.InfoLevel, "store, as this member finds it", storeName(was), storeName(now), logrus.Fields{"agree": m.UnhealthyMembers()})
 		s.tellFleet()
 	}
 	s.deadlines.Add(s.clock.now+probeEvery, s.keepProbing)
@@ -59,7 +59,7 @@
 
 // storeName is a state as changes tell it: the usual one has no name.
 func storeName(st overload.StoreState) string {
-	if st == overload.StoreFine {
+	if st == overload.StoreHealthy {
 		return ""
 	}
 	return st.String()
--- a/internal/server/relay.go
+++ b/internal/server/relay.go
@@ -10,13 +10,13 @@
 
 // Stage five, relay: calls of runs go to the store, and the replies back to the runs.
 
-func (s *Server) wantsCall(n agent.Notice) {
-	r := s.byWire[n.Req]
+func (s *Server) wantsCall(n agent.Notification) {
+	r := s.byWire[n.RequestID]
 	if r == nil || !r.running {
 		return
 	}
 	r.waits, r.offset = n.Payload, n.Offset
-	s.happened(decide.Event{Kind: decide.WantsCall, ID: r.id})
+	s.happened(decide.Event{Kind: decide.EventCallNeeded, ID: r.id})
 }
 
 // callStore makes the call that r waits for. The limit counts from now, the way to the store included.
@@ -33,21 +33,21 @@
 
 // hangUp gives up the call of r, whose answer nobody waits for.
 func (s *Server) hangUp(r *request) {
-	if s.store.Drop(r.try.ID) {
+	if s.store.Abandon(r.try.ID) {
 		s.stats.CallsDropped++
 	}
 }
 
 // outcomes says what a reply proves about the call.
 var outcomes = [...]decide.Outcome{
-	store.OK:      decide.OK,
-	store.Busy:    decide.Rejected,
-	store.Err:     decide.Failed,
-	store.Late:    decide.TimedOut,
-	store.Void:    decide.Moot,
-	store.Refused: decide.Unreachable,
-	store.Broken:  decide.Aborted,
-	store.Expired: decide.TimedOut,
+	store.OK:                decide.OutcomeOK,
+	store.Rejected:          decide.OutcomeRejected,
+	store.Failed:            decide.OutcomeFailed,
+	store.Late:              decide.OutcomeTimedOut,
+	store.Void:              decide.OutcomeNotStarted,
+	store.ConnectionRefused: decide.OutcomeUnreachable,
+	store.ConnectionBroken:  decide.OutcomeAborted,
+	store.Expired:           decide.OutcomeTimedOut,
 }
 
 func (s *Server) callEnded(id string, reply store.Reply, body []byte) {
@@ -59,20 +59,20 @@
 	switch reply {
 	case store.OK:
 		s.stats.CallsOK++
-		s.agent.Deliver(id, body)
-	case store.Busy:
+		s.agent.Reply(id, body)
+	case store.Rejected:
 		s.stats.CallsBusy++
 	case store.Late, store.Expired:
 		s.stats.CallsLate++
-	case store.Refused:
+	case store.ConnectionRefused:
 		s.stats.CallsUnreachable++
-	case store.Broken:
+	case store.ConnectionBroken:
 		s.stats.CallsBroken++
 	default:
 		s.stats.CallsFailed++
 	}
 	r.trail.inCall += s.clock.now - r.asked
 	r.trail.reply = replyNames[outcomes[reply]]
-	s.happened(decide.Event{Kind: decide.CallResult, ID: r.id, Outcome: outcomes[reply],
+	s.happened(decide.Event{Kind: decide.EventCallDone, ID: r.id, Outcome: outcomes[reply],
 		Took: s.clock.now - r.asked})
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -24,9 +24,9 @@
 		s.stats.Reloads++
 		s.log.WithFields(logrus.Fields{"agent": c.Agent, "store": c.Store, "announce": c.Announce, "classes": c.Classes}).
 			Info("addresses and settings taken over; other keys count from the next start")
-		s.agent.Move(c.Agent)
-		s.store.Move(c.Store)
-		s.announcer.Move(c.Announce)
+		s.agent.SetAddress(c.Agent)
+		s.store.SetAddress(c.Store)
+		s.announcer.SetAddress(c.Announce)
 	})
 }
 
@@ -38,18 +38,18 @@
 	}
 	next.Classes, names = placeClasses(s.cfg.Settings.Classes, c.Settings.Classes, names, c.Classes)
 	if s.ctl != nil {
-		if err := s.ctl.Retune(next); err != nil {
+		if err := s.ctl.Reconfigure(next); err != nil {
 			return err
 		}
 	}
 	cfg := *s.cfg
-	cfg.Settings, cfg.Classes, cfg.Tenants, cfg.Gauges, cfg.StopReplaced = next, names, c.Tenants, c.Gauges, c.StopReplaced
+	cfg.Settings, cfg.Classes, cfg.Tenants, cfg.Gauges, cfg.ReplacedStopTimeout = next, names, c.Tenants, c.Gauges, c.ReplacedStopTimeout
 	s.cfg = &cfg
 	s.nameTenants()
 	s.rebaseShare()
 	s.admitWaits()
 	for i, k := range next.Classes {
-		if !k.Gone {
+		if !k.Removed {
 			s.enlist(i)
 		} else if s.classes[names[i]] == i {
 			// Front ends learn of it late, and what they have begun they may try again.
@@ -65,12 +65,12 @@
 func placeClasses(old, fresh []decide.Class, names, freshNames []string) ([]decide.Class, []string) {
 	all := slices.Clone(old)
 	for i := range all {
-		all[i].Gone = true
+		all[i].Removed = true
 	}
 	for i, k := range fresh {
 		at := -1
 		for j, name := range names {
-			if name == freshNames[i] && all[j].Safety == k.Safety {
+			if name == freshNames[i] && all[j].Idempotency == k.Idempotency {
 				at = j
 			}
 		}
@@ -92,7 +92,7 @@
 
 // delist has them turned down, unless the class has come back.
 func (s *Server) delist(i int) {
-	if name := s.cfg.Classes[i]; s.cfg.Settings.Classes[i].Gone && s.classes[name] == i {
+	if name := s.cfg.Classes[i]; s.cfg.Settings.Classes[i].Removed && s.classes[name] == i {
 		delete(s.classes, name)
 	}
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -15,15 +15,15 @@
 // what its front ends, who hear of it late, still send; one that is new is served like any other.
 func TestRetune(t *testing.T) {
 	s, do := idle(t)
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	n := uint32(0)
 	var got []any
 	submit := func(class string) *request {
 		n++
 		p := &peer{}
-		s.Opened(p)
+		s.ConnectionOpened(p)
 		id := string(rune('a' + n))
-		s.Submit(p, n, Try{ID: id, Once: id, Class: class, At: s.clock.now, Wait: 2 * time.Second, KB: 1})
+		s.Submit(p, n, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: s.clock.now, Timeout: 2 * time.Second, MemoryKB: 1})
 		do()
 		s.step()
 		return s.byWire[id]
@@ -50,7 +50,7 @@
 	patient := submit("preview")
 	require.True(t, late.running)
 	for _, r := range []*request{old, added, late, patient} {
-		s.finish(r, decide.OK, nil)
+		s.finish(r, decide.OutcomeOK, nil)
 		got = append(got, r.peer.(*peer).got...)
 	}
 	require.Equal(t, []any{Served, Served, Served, Served}, got)
@@ -76,21 +76,21 @@
 
 // A class whose requests may not be repeated as before is another class to what is in hand.
 func TestClassChangesItsKind(t *testing.T) {
-	all, names := placeClasses([]decide.Class{{Safety: decide.Keyed}}, []decide.Class{{Safety: decide.Safe}},
+	all, names := placeClasses([]decide.Class{{Idempotency: decide.IdempotentByKey}}, []decide.Class{{Idempotency: decide.Safe}},
 		[]string{"order"}, []string{"order"})
-	require.Equal(t, []decide.Class{{Safety: decide.Keyed, Gone: true}, {Safety: decide.Safe}}, all)
+	require.Equal(t, []decide.Class{{Idempotency: decide.IdempotentByKey, Removed: true}, {Idempotency: decide.Safe}}, all)
 	require.Equal(t, []string{"order", "order"}, names)
 }
 
 // When a class gets another name, a request that is tried again comes under the new one with the old key.
 func TestTriedAgainUnderAnotherName(t *testing.T) {
 	s, do := idle(t)
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	p := &peer{}
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	submit := func(call uint32, class string) {
-		s.Submit(p, call, Try{ID: string(rune('a' + call)), Once: "k", Class: class, At: s.clock.now, Wait: time.Second,
-			KB: 1, Body: []byte("order")})
+		s.Submit(p, call, Attempt{ID: string(rune('a' + call)), IdempotencyKey: "k", Class: class, ArrivedAt: s.clock.now, Timeout: time.Second,
+			MemoryKB: 1, Body: []byte("order")})
 		do()
 		s.step()
 	}
@@ -100,7 +100,7 @@
 	s.Reload(&fresh, nil)
 	do()
 	submit(2, "order")
-	s.finish(s.byWire["b"], decide.OK, nil)
+	s.finish(s.byWire["b"], decide.OutcomeOK, nil)
 	require.Equal(t, []any{Served, Served}, p.got)
 	require.EqualValues(t, 1, s.stats.Runs)
 }
--- a/internal/server/route.go
+++ b/internal/server/route.go
@@ -14,21 +14,21 @@
 	gaugesFresh = time.Second          // gauges older than that are unknown
 )
 
-var unknownGauges = decide.Gauges{CoreUse: -1, OnCores: -1, Heap: -1, Links: -1}
+var unknownGauges = decide.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 
 func (s *Server) route(a decide.Action) {
 	switch a.Kind {
-	case decide.Health:
-		s.good, s.stored = a.Good, a.Stored
-		s.announcer.Set(a.Good)
+	case decide.ActionHealth:
+		s.good, s.stored = a.Healthy, a.Cached
+		s.announcer.Set(a.Healthy)
 		return
-	case decide.IdleLimit:
-		s.watch.limit = a.For
+	case decide.ActionIdleTimeout:
+		s.watch.limit = a.Duration
 		return
-	case decide.Wake:
+	case decide.ActionWake:
 		s.wake(a.At)
 		return
-	case decide.Log:
+	case decide.ActionLog:
 		s.log.Info(a.Text)
 		return
 	}
@@ -37,21 +37,21 @@
 		return // it has ended meanwhile
 	}
 	switch a.Kind {
-	case decide.Run:
+	case decide.ActionRun:
 		s.run(r)
-	case decide.Refuse:
+	case decide.ActionReject:
 		s.refuse(r, a)
-	case decide.Fail:
+	case decide.ActionFail:
 		s.fail(r)
-	case decide.Call:
-		s.callStore(r, a.Cap)
-	case decide.Skip:
+	case decide.ActionCall:
+		s.callStore(r, a.Timeout)
+	case decide.ActionSkipCall:
 		s.skip(r)
-	case decide.Keep:
+	case decide.ActionRemember:
 		s.keys.keep(r)
-	case decide.Forget:
+	case decide.ActionForget:
 		// An entry that no run has goes with its holder; one that a run has stays for its window.
-	case decide.Reuse:
+	case decide.ActionReuse:
 		s.reuse(r)
 	default:
 		// Stop and Advertise need settings that the configuration does not admit.
@@ -62,16 +62,16 @@
 // wake sets a timer, and asks for the gauges in time for it.
 func (s *Server) wake(at time.Duration) {
 	if ask := at - sampleLead; ask > s.clock.now {
-		s.deadlines.Add(ask, s.agent.Sample)
+		s.deadlines.Add(ask, s.agent.SampleGauges)
 	} else {
-		s.agent.Sample()
+		s.agent.SampleGauges()
 	}
 	s.deadlines.Add(at, func() {
 		g := s.gauges
 		if s.clock.now-s.gaugesAt > gaugesFresh {
 			g = unknownGauges
 		}
-		s.happened(decide.Event{Kind: decide.Timer, Gauges: g})
+		s.happened(decide.Event{Kind: decide.EventTimer, Gauges: g})
 	})
 }
 
@@ -81,13 +81,13 @@
 	for i, v := range load[:min(len(load), len(s.cfg.Gauges))] {
 		switch s.cfg.Gauges[i] {
 		case "core_use":
-			g.CoreUse = v
+			g.CPUUtilization = v
 		case "on_cores":
-			g.OnCores = v
+			g.CPUDemand = v
 		case "heap_share":
-			g.Heap = v
+			g.MemoryUtilization = v
 		case "links":
-			g.Links = v
+			g.Connections = v
 		}
 	}
 	s.gauges, s.gaugesAt = g, s.clock.now
--- a/internal/server/send.go
+++ b/internal/server/send.go
@@ -16,7 +16,7 @@
 func (s *Server) run(r *request) {
 	if !s.keys.mayRun(r) {
 		s.warn.Warn("second run", "second run of a keyed request prevented", nil)
-		s.happened(decide.Event{Kind: decide.Done, ID: r.id, Outcome: decide.Moot})
+		s.happened(decide.Event{Kind: decide.EventDone, ID: r.id, Outcome: decide.OutcomeNotStarted})
 		s.answer(r, Answer{Kind: Failed})
 		s.forget(r)
 		return
@@ -33,23 +33,23 @@
 func (s *Server) skip(r *request) {
 	s.stats.Skips++
 	s.missedCall()
-	s.agent.Forgo(r.try.ID, r.offset)
+	s.agent.SkipCall(r.try.ID, r.offset)
 }
 
 // agentNotice takes in what the agent tells.
-func (s *Server) agentNotice(n agent.Notice) {
+func (s *Server) agentNotice(n agent.Notification) {
 	switch n.Kind {
-	case agent.Greeting:
+	case agent.Handshake:
 		s.greeted(n)
-	case agent.Sampled:
+	case agent.Gauges:
 		s.sampled(n.Load)
-	case agent.Exercised:
+	case agent.DeepCheckDone:
 		s.exercised(n.Token, n.Result == agent.Success)
-	case agent.Request:
+	case agent.CallRequest:
 		s.wantsCall(n)
 	case agent.Outcome:
 		s.runEnded(n)
-	case agent.Refusal:
+	case agent.CommandRejected:
 		s.commandRefused(n)
 	}
 }
@@ -67,12 +67,12 @@
 
 // greeted starts the controller: the agent is up, and its age tells whether it is warm. A greeting on
 // a later link changes nothing, since agent and image server live and die together.
-func (s *Server) greeted(n agent.Notice) {
+func (s *Server) greeted(n agent.Notification) {
 	if s.ctl != nil {
 		return
 	}
 	set := s.cfg.Settings
-	set.Cold = n.Result == agent.Booting
+	set.WarmingUp = n.Result == agent.Booting
 	ctl, err := decide.New(set, s.cfg.Seed, s.clock.now-n.Elapsed)
 	if err != nil {
 		// The configuration was checked, so the check lacks something. Without decisions nothing is served.
@@ -82,11 +82,11 @@
 	s.log.WithFields(map[string]any{"state": n.Result, "age": n.Elapsed.String()}).Info("agent is up")
 	s.ctl = ctl
 	s.serveOnceReady()
-	if s.member != nil && set.Cold {
-		s.member.warmAt = s.clock.now - n.Elapsed + set.ColdFor
+	if s.member != nil && set.WarmingUp {
+		s.member.warmAt = s.clock.now - n.Elapsed + set.SlowStartTime
 	}
 	s.tellFleet()
-	s.happened(decide.Event{Kind: decide.Timer, Gauges: unknownGauges}) // the first step
+	s.happened(decide.Event{Kind: decide.EventTimer, Gauges: unknownGauges}) // the first step
 	if s.withdrawn {
 		s.tellWithdrawn()
 	}
@@ -100,17 +100,17 @@
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
 		if r := s.requests[id]; r != nil && r.running {
 			s.stats.RunsInterrupted++
-			s.finish(r, decide.Failed, nil)
+			s.finish(r, decide.OutcomeFailed, nil)
 		}
 	}
 }
 
 // commandRefused ends a run that the agent would not begin. Other refusals are about runs that have
 // ended, whose outcome is on its way.
-func (s *Server) commandRefused(n agent.Notice) {
-	s.stats.CommandsRefused++
-	s.warn.Warn("agent "+n.Result, "agent did not carry out a command for "+n.Req, nil)
-	if r := s.byWire[n.Req]; r != nil && r.running && n.Result == "launch" {
-		s.finish(r, decide.Moot, nil)
+func (s *Server) commandRefused(n agent.Notification) {
+	s.stats.CommandsRejected++
+	s.warn.Warn("agent "+n.Result, "agent did not carry out a command for "+n.RequestID, nil)
+	if r := s.byWire[n.RequestID]; r != nil && r.running && n.Result == "launch" {
+		s.finish(r, decide.OutcomeNotStarted, nil)
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,10 +23,10 @@
 // request is one try from its intake until nothing more is to come about it.
 type request struct {
 	id     decide.RequestID
-	try    Try
+	try    Attempt
 	class  int
 	tenant int
-	peer   Peer
+	peer   Connection
 	call   uint32        // its number on that connection
 	window time.Duration // in which it may come again and must not run twice
 
@@ -96,7 +96,7 @@
 		classes: map[string]int{}, tenants: map[string]int{}, requests: map[decide.RequestID]*request{}, byWire: map[string]*request{},
 		open: make(chan struct{}), partners: partners{claims: map[string][]*request{}},
 		keys: newKeyTable(cfg.Limits.MemoryMB), peers: newPeerTable(), exercises: map[string]probe{},
-		watch:  idleWatch{limit: cfg.Settings.IdleAfter},
+		watch:  idleWatch{limit: cfg.Settings.IdleTimeout},
 		gauges: unknownGauges}
 	for i := range cfg.Classes {
 		s.enlist(i)
@@ -230,7 +230,7 @@
 }
 
 // Ended is closed when all has been answered, or time is up. What is left is to write the last answers,
-// for which there is LastWrites.
+// for which there is FinalWriteTimeout.
 func (s *Server) Ended() <-chan struct{} { return s.ended }
 
 // PrintStats logs the counters.
@@ -243,7 +243,7 @@
 			running++
 		}
 	}
-	s.stats.AgentLinks, s.stats.StoreLinks = s.agent.Opens(), s.store.Opens()
+	s.stats.AgentLinks, s.stats.StoreLinks = s.agent.ConnectionsOpened(), s.store.ConnectionsOpened()
 	s.stats.Print(s.log, len(s.requests), running, s.keys.size(), s.peers.size())
 	s.printFleet()
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -20,12 +20,12 @@
 }
 
 func (p *peer) Answer(call uint32, a Answer) { p.got = append(p.got, a.Kind) }
-func (p *peer) Closing()                     { p.got = append(p.got, "closing") }
+func (p *peer) NotifyClosing()               { p.got = append(p.got, "closing") }
 func (p *peer) Close()                       { p.got = append(p.got, "close") }
-func (p *peer) Finish()                      { p.got = append(p.got, "close") }
-func (p *peer) Resume()                      { p.got = append(p.got, "resume") }
-func (p *peer) End() bool                    { p.got = append(p.got, "end"); p.looks++; return p.looks > p.comes }
-func (p *peer) MostOpen() int                { return 2 }
+func (p *peer) PauseReading()                { p.got = append(p.got, "close") }
+func (p *peer) ResumeReading()               { p.got = append(p.got, "resume") }
+func (p *peer) TryClose() bool               { p.got = append(p.got, "end"); p.looks++; return p.looks > p.comes }
+func (p *peer) MaxOpenCalls() int            { return 2 }
 
 // idle returns a server that does not run; do carries out what was posted to it.
 func idle(t testing.TB) (s *Server, do func()) {
@@ -46,30 +46,30 @@
 func TestBeforeTheAgentIsUp(t *testing.T) {
 	s, do := idle(t)
 	p := &peer{}
-	s.Opened(p)
-	s.Submit(p, 1, Try{ID: "ab", Class: "preview", At: s.clock.now})
-	s.Probe(p, 2, true)
+	s.ConnectionOpened(p)
+	s.Submit(p, 1, Attempt{ID: "ab", Class: "preview", ArrivedAt: s.clock.now})
+	s.HealthCheck(p, 2, true)
 	do()
-	require.Equal(t, []any{Refused, Unhealthy}, p.got)
+	require.Equal(t, []any{Rejected, Unhealthy}, p.got)
 	require.Empty(t, s.requests)
 	s.Drain()
 	do()
 	require.Empty(t, s.events) // they would keep the loop turning
-	require.Equal(t, []any{Refused, Unhealthy, "closing"}, p.got)
+	require.Equal(t, []any{Rejected, Unhealthy, "closing"}, p.got)
 }
 
 // A deep check asks the agent only where the controller leaves the answer open.
 func TestDeepCheck(t *testing.T) {
 	s, do := idle(t)
 	p := &peer{}
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	s.good, s.stored = true, true
-	s.Probe(p, 1, true)
+	s.HealthCheck(p, 1, true)
 	do()
 	require.Equal(t, []any{Healthy}, p.got)
 	s.stored = false
-	s.Probe(p, 2, false)
-	s.Probe(p, 3, true) // there is no link to the agent
+	s.HealthCheck(p, 2, false)
+	s.HealthCheck(p, 3, true) // there is no link to the agent
 	do()
 	require.Equal(t, []any{Healthy, Healthy, Unhealthy}, p.got)
 	s.exercises["x"] = probe{p, 4}
@@ -92,7 +92,7 @@
 	s.watchIdle()
 	_, ticks := s.deadlines.Next()
 	require.False(t, ticks)
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	do()
 	s.watchIdle()
 	st := s.peers.of(p)
@@ -119,10 +119,10 @@
 	s, do := idle(t)
 	p := &peer{}
 	s.watch.limit = time.Hour
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	do()
 	s.watchIdle()
-	s.route(decide.Action{Kind: decide.IdleLimit, For: time.Second})
+	s.route(decide.Action{Kind: decide.ActionIdleTimeout, Duration: time.Second})
 	s.watchIdle()
 	s.clock.now += time.Second
 	s.deadlines.Sweep(s.clock.now)
@@ -133,8 +133,8 @@
 func TestGauges(t *testing.T) {
 	s, _ := idle(t)
 	s.sampled([]float64{0.5, 3, 0.25, 9, 7})
-	want := decide.Gauges{CoreUse: 0.5, OnCores: 3, Heap: 0.25, Links: 9}
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	want := decide.Gauges{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9}
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	timer := func() decide.Gauges {
 		s.events = nil
 		s.wake(s.clock.now)
@@ -145,7 +145,7 @@
 	s.clock.now += gaugesFresh + 1
 	require.Equal(t, unknownGauges, timer())
 	s.sampled([]float64{0.5})
-	require.Equal(t, decide.Gauges{CoreUse: 0.5, OnCores: -1, Heap: -1, Links: -1}, timer())
+	require.Equal(t, decide.Gauges{CPUUtilization: 0.5, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}, timer())
 }
 
 // The controller's clock must not go back when the system's does, nor stand still until that catches up.
@@ -168,17 +168,17 @@
 // answer health checks badly, and one ahead of the clock would open the window of a key anew.
 func TestImplausibleTimes(t *testing.T) {
 	s, do := idle(t)
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	p := &peer{}
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	now, deadline := s.clock.now, s.cfg.Settings.Classes[0].Deadline
-	for i, try := range []Try{
-		{At: now + earlyMost + time.Second, Wait: time.Second},
-		{At: 0, Wait: time.Second},
-		{At: now - deadline - lateSpare - time.Second, Wait: time.Second},
-		{At: now, Wait: deadline + 1},
+	for i, try := range []Attempt{
+		{ArrivedAt: now + earlyMost + time.Second, Timeout: time.Second},
+		{ArrivedAt: 0, Timeout: time.Second},
+		{ArrivedAt: now - deadline - lateSpare - time.Second, Timeout: time.Second},
+		{ArrivedAt: now, Timeout: deadline + 1},
 	} {
-		try.ID, try.Class, try.KB = "ab", "preview", 1
+		try.ID, try.Class, try.MemoryKB = "ab", "preview", 1
 		s.Submit(p, uint32(i), try)
 		do()
 	}
@@ -189,19 +189,19 @@
 // What a request carried is not kept for as long as its key: a long day would fill the memory with it.
 func TestBodiesAreNotKept(t *testing.T) {
 	s, do := idle(t)
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	p := &peer{}
-	s.Opened(p)
-	s.Submit(p, 1, Try{ID: "ab", Once: "k", Class: "licence-order", At: s.clock.now, Wait: time.Second, KB: 1, Body: []byte("x")})
+	s.ConnectionOpened(p)
+	s.Submit(p, 1, Attempt{ID: "ab", IdempotencyKey: "k", Class: "licence-order", ArrivedAt: s.clock.now, Timeout: time.Second, MemoryKB: 1, Body: []byte("x")})
 	do()
 	s.step()
 	r := s.byWire["ab"]
 	require.True(t, r.running)
 	require.Nil(t, r.try.Body)
-	s.finish(r, decide.OK, nil)
+	s.finish(r, decide.OutcomeOK, nil)
 	require.Empty(t, s.requests)
 	require.Equal(t, 1, s.keys.size())
-	s.clock.now += s.cfg.Settings.Classes[2].KeyWindow + s.lateMost() + keySlack
+	s.clock.now += s.cfg.Settings.Classes[2].IdempotencyWindow + s.lateMost() + keySlack
 	s.deadlines.Sweep(s.clock.now)
 	require.Zero(t, s.keys.size())
 }
@@ -213,19 +213,19 @@
 	s.cfg.Limits.Sockets = 2 * (sparePeers + 4)
 	busy, quiet, silent, leaving := &peer{}, &peer{}, &peer{}, &peer{}
 	for _, p := range []*peer{busy, quiet, silent, leaving} {
-		s.Opened(p)
+		s.ConnectionOpened(p)
 	}
 	do()
 	s.peers.open(s.peers.of(busy), 1, &request{})
-	s.Probe(quiet, 1, false)
-	s.Probe(leaving, 1, false)
+	s.HealthCheck(quiet, 1, false)
+	s.HealthCheck(leaving, 1, false)
 	do()
 	s.clock.now++
 	s.tellClosing(s.peers.of(leaving))
 	s.peers.use(s.peers.of(silent), s.clock.now) // the last that came
 	one := func() *peer {
 		p := &peer{}
-		s.Opened(p)
+		s.ConnectionOpened(p)
 		do()
 		if st := s.peers.of(p); st != nil {
 			s.peers.open(st, 1, &request{})
--- a/internal/server/sharing.go
+++ b/internal/server/sharing.go
@@ -20,23 +20,23 @@
 const leastBound = 0.001
 
 type sharing struct {
-	*overload.Sharing
+	*overload.QuotaManager
 	keep  float64        // part of the own share that is never lent
-	bound overload.Share // that it may have in hand; -1 = not known
+	bound overload.Quota // that it may have in hand; -1 = not known
 }
 
-// Share has the server's share of the store move within its fleet, where its settings give it one. It is called after
+// EnableQuotaLeasing has the server's share of the store move within its fleet, where its settings give it one. It is called after
 // Join and before Run. Self is this process as the fleet knows it; lease is how long a share is lent for, and keep the
 // part of the own that never is.
-func (s *Server) Share(self overload.Party, lease time.Duration, keep float64) {
-	base := overload.ShareOf(s.cfg.Settings.CallsOut)
+func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, keep float64) {
+	base := overload.QuotaOf(s.cfg.Settings.MaxCallsInFlight)
 	if base == 0 {
 		return
 	}
-	e := overload.NewEscrow(s.member.fleet.Now(), self, overload.Terms{Base: base, Keep: overload.Share(keep * float64(base)),
-		Lease: lease, Call: s.mostWait + s.cfg.Settings.CallLingers, Linger: s.cfg.Settings.CallLingers})
+	e := overload.NewQuotaLedger(s.member.fleet.Now(), self, overload.Terms{Base: base, Reserved: overload.Quota(keep * float64(base)),
+		Lease: lease, CallTime: s.mostWait + s.cfg.Settings.AbandonedCallTime, AbandonedCallTime: s.cfg.Settings.AbandonedCallTime})
 	r := rand.New(rand.NewPCG(s.cfg.Seed, self.Run))
-	s.member.sharing = &sharing{Sharing: overload.NewSharing(e, r.IntN), keep: keep, bound: -1}
+	s.member.sharing = &sharing{QuotaManager: overload.NewQuotaManager(e, r.IntN), keep: keep, bound: -1}
 }
 
 // keepSharing takes a turn of the exchange, now and again from now on.
@@ -46,7 +46,7 @@
 	}
 	m := s.member
 	now := m.fleet.Now()
-	for _, x := range m.sharing.Turn(now, s.store.InHand(), m.fleet.Snapshot(), now) {
+	for _, x := range m.sharing.Tick(now, s.store.InFlight(), m.fleet.Snapshot(), now) {
 		s.sayOfShare(x)
 	}
 	s.holdBound(now)
@@ -56,7 +56,7 @@
 func (s *Server) heardOfShare(x overload.Message) {
 	m := s.member
 	now := m.fleet.Now()
-	answer, ok := m.sharing.Heard(now, x, s.store.InHand())
+	answer, ok := m.sharing.Receive(now, x, s.store.InFlight())
 	s.holdBound(now) // what was lent is not used any more before the answer goes out
 	if ok {
 		s.sayOfShare(answer)
@@ -77,7 +77,7 @@
 		return
 	}
 	if m.bound >= 0 {
-		base := overload.ShareOf(s.cfg.Settings.CallsOut)
+		base := overload.QuotaOf(s.cfg.Settings.MaxCallsInFlight)
 		s.changed(logrus.DebugLevel, "share of the store", shareName(m.bound, base), shareName(bound, base), nil)
 	}
 	m.bound = bound
@@ -85,7 +85,7 @@
 }
 
 // shareName is a bound as changes tell it: that of the settings has no name.
-func shareName(bound, base overload.Share) string {
+func shareName(bound, base overload.Quota) string {
 	if bound == base {
 		return ""
 	}
@@ -96,16 +96,16 @@
 // it moves, and one at a time while it tries a store for others.
 func (s *Server) boundCalls() {
 	set, m := s.cfg.Settings, s.member
-	if set.CallsOut == 0 || s.ctl == nil {
+	if set.MaxCallsInFlight == 0 || s.ctl == nil {
 		return
 	}
 	if m.sharing != nil && m.sharing.bound >= 0 {
-		set.CallsOut = max(m.sharing.bound.Calls(), leastBound)
+		set.MaxCallsInFlight = max(m.sharing.bound.Calls(), leastBound)
 	}
-	if m.probes != nil && m.probes.leak == overload.LeakOne {
-		set.CallsOut = min(set.CallsOut, 1)
+	if m.probes != nil && m.probes.leak == overload.ProbeSingle {
+		set.MaxCallsInFlight = min(set.MaxCallsInFlight, 1)
 	}
-	if err := s.ctl.Retune(set); err != nil {
+	if err := s.ctl.Reconfigure(set); err != nil {
 		s.warn.Warn("share", "a bound on calls was not taken over", err)
 	}
 }
@@ -120,8 +120,8 @@
 		s.boundCalls()
 		return
 	}
-	base := overload.ShareOf(s.cfg.Settings.CallsOut)
-	m.Rebase(base, overload.Share(m.keep*float64(base)))
+	base := overload.QuotaOf(s.cfg.Settings.MaxCallsInFlight)
+	m.SetBase(base, overload.Quota(m.keep*float64(base)))
 	m.bound = -1
 	s.holdBound(s.member.fleet.Now())
 }
@@ -129,6 +129,6 @@
 // missedCall notes that a call was left out, or a request turned away, for want of a share.
 func (s *Server) missedCall() {
 	if s.member != nil && s.member.sharing != nil {
-		s.member.sharing.Missed()
+		s.member.sharing.CallMissed()
 	}
 }
--- a/internal/server/take.go
+++ b/internal/server/take.go
@@ -15,7 +15,7 @@
 
 // probe is a health check that waits for its work.
 type probe struct {
-	peer Peer
+	peer Connection
 	call uint32
 }
 
@@ -25,8 +25,8 @@
 	errSpent     = errors.New("field id: a try of this id was answered or run before")
 )
 
-// Opened makes a connection known.
-func (s *Server) Opened(p Peer) {
+// ConnectionOpened makes a connection known.
+func (s *Server) ConnectionOpened(p Connection) {
 	s.post(func() {
 		s.stats.Connections++
 		full := s.peers.size() >= s.mostPeers() && !s.makeRoom()
@@ -40,22 +40,22 @@
 	})
 }
 
-// Closed tells that nothing more is read from a connection, for now or for good. Where it has ended, nobody waits for
+// ReadEnded tells that nothing more is read from a connection, for now or for good. Where it has ended, nobody waits for
 // answers on it; else what was read before is still answered.
-func (s *Server) Closed(p Peer, why End) {
+func (s *Server) ReadEnded(p Connection, why EndReason) {
 	s.post(func() {
 		st := s.peers.of(p)
 		switch {
-		case why == Silent && (st == nil || st.leaving == staying):
-			s.stats.Silent++
-		case why == Unreadable:
-			s.stats.Unreadable++
+		case why == ReadTimeout && (st == nil || st.leaving == staying):
+			s.stats.ReadTimeouts++
+		case why == MalformedInput:
+			s.stats.MalformedInputs++
 		}
 		switch {
 		case st == nil:
-		case why == Left:
+		case why == Disconnected:
 			s.forgetPeer(st)
-		case why == Unreadable:
+		case why == MalformedInput:
 			s.peers.leave(st, over)
 		default:
 			s.peers.leave(st, quiet)
@@ -66,7 +66,7 @@
 }
 
 // Submit takes in a request.
-func (s *Server) Submit(p Peer, call uint32, t Try) {
+func (s *Server) Submit(p Connection, call uint32, t Attempt) {
 	s.post(func() {
 		st := s.peers.of(p)
 		if st == nil || st.deaf {
@@ -84,7 +84,7 @@
 			// Two calls of one number can't be told apart by the answer: that of the first goes out, or has gone.
 			st.deaf = true
 			s.dropPeer(st)
-		case len(st.open) >= p.MostOpen():
+		case len(st.open) >= p.MaxOpenCalls():
 			s.invalid(p, call, errTooMany)
 		case s.byWire[t.ID] != nil:
 			s.invalid(p, call, errDuplicate)
@@ -96,8 +96,8 @@
 	})
 }
 
-// Wrong answers a request that can't be read.
-func (s *Server) Wrong(p Peer, call uint32, err error) {
+// RejectInvalid answers a request that can't be read.
+func (s *Server) RejectInvalid(p Connection, call uint32, err error) {
 	s.post(func() {
 		if st := s.peers.of(p); st != nil && !st.deaf {
 			s.stats.Requests++
@@ -106,14 +106,14 @@
 	})
 }
 
-func (s *Server) invalid(p Peer, call uint32, err error) {
+func (s *Server) invalid(p Connection, call uint32, err error) {
 	s.stats.Invalid++
 	s.warn.Warn("request", "wrong request from a front end", err)
 	p.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
 }
 
 // Cancel tells that nobody waits for a call any more.
-func (s *Server) Cancel(p Peer, call uint32) {
+func (s *Server) Cancel(p Connection, call uint32) {
 	s.post(func() {
 		if st := s.peers.of(p); st != nil && st.open[call] != nil {
 			s.stats.Cancelled++
@@ -122,16 +122,16 @@
 	})
 }
 
-// Probe answers a health check the way the controller wants it: from its last word, or, for a deep
+// HealthCheck answers a health check the way the controller wants it: from its last word, or, for a deep
 // one that it leaves open, by whether the agent gets work done. A flood of those is not passed on.
-func (s *Server) Probe(p Peer, call uint32, deep bool) {
+func (s *Server) HealthCheck(p Connection, call uint32, deep bool) {
 	s.post(func() {
 		st := s.peers.of(p)
 		if st == nil || st.deaf {
 			return
 		}
 		s.peers.heard(st, s.clock.now)
-		s.stats.Probes++
+		s.stats.HealthChecks++
 		if !deep || s.stored || !s.good || len(s.exercises) >= exercisesMost {
 			s.answerProbe(probe{p, call}, s.good)
 			return
@@ -139,9 +139,9 @@
 		s.lastToken++
 		token := "x" + strconv.FormatUint(s.lastToken, 10)
 		s.exercises[token] = probe{p, call}
-		s.stats.Exercises++
+		s.stats.DeepChecks++
 		s.deadlines.Add(s.clock.now+exerciseLimit, func() { s.exercised(token, false) })
-		if s.agent.Exercise(token) != nil {
+		if s.agent.DeepCheck(token) != nil {
 			s.exercised(token, false)
 		}
 	})
--- a/internal/server/trail.go
+++ b/internal/server/trail.go
@@ -20,19 +20,19 @@
 	reply  string        // how the last call ended
 }
 
-var answerNames = [...]string{Served: "served", Refused: "refused", Failed: "failed", Invalid: "invalid"}
+var answerNames = [...]string{Served: "served", Rejected: "refused", Failed: "failed", Invalid: "invalid"}
 
 // leavesTrail logs the line of r, which has just got its answer, or whose caller has gone.
 func (s *Server) leavesTrail(r *request, end string) {
 	if !s.trails {
 		return
 	}
-	at := s.clock.own(r.try.At)
-	fields := logrus.Fields{"id": r.try.ID, "class": s.cfg.Classes[r.class], "from": r.try.Caller, "end": end,
-		"after_ms": (s.clock.now - at).Milliseconds(), "wait_ms": r.try.Wait.Milliseconds(),
-		"cost_ms": r.try.Cost.Milliseconds()}
-	if r.try.Once != "" {
-		fields["once"] = r.try.Once
+	at := s.clock.own(r.try.ArrivedAt)
+	fields := logrus.Fields{"id": r.try.ID, "class": s.cfg.Classes[r.class], "from": r.try.Client, "end": end,
+		"after_ms": (s.clock.now - at).Milliseconds(), "wait_ms": r.try.Timeout.Milliseconds(),
+		"cost_ms": r.try.CostHint.Milliseconds()}
+	if r.try.IdempotencyKey != "" {
+		fields["once"] = r.try.IdempotencyKey
 	}
 	if r.trail.why != "" {
 		fields["why"] = r.trail.why
@@ -53,5 +53,5 @@
 }
 
 // replyNames are how a call ended, by what that proves.
-var replyNames = [...]string{decide.OK: "ok", decide.Failed: "failed", decide.Rejected: "turned away", decide.TimedOut: "timed out",
-	decide.Unreachable: "unreachable", decide.Aborted: "broke", decide.Moot: "void"}
+var replyNames = [...]string{decide.OutcomeOK: "ok", decide.OutcomeFailed: "failed", decide.OutcomeRejected: "turned away", decide.OutcomeTimedOut: "timed out",
+	decide.OutcomeUnreachable: "unreachable", decide.OutcomeAborted: "broke", decide.OutcomeNotStarted: "void"}
--- a/internal/server/trail_test.go
+++ b/internal/server/trail_test.go
@@ -21,11 +21,11 @@
 	log.SetLevel(logrus.DebugLevel)
 	s.log, s.trails = log, debugs(log)
 	require.True(t, s.trails)
-	s.greeted(agent.Notice{Kind: agent.Greeting, Result: agent.Steady})
+	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	p := &peer{}
-	s.Opened(p)
+	s.ConnectionOpened(p)
 	submit := func(call uint32, id, class string) *request {
-		s.Submit(p, call, Try{ID: id, Once: id, Class: class, At: s.clock.now - 5*time.Millisecond, Wait: 2 * time.Second, KB: 1})
+		s.Submit(p, call, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: s.clock.now - 5*time.Millisecond, Timeout: 2 * time.Second, MemoryKB: 1})
 		do()
 		s.step()
 		return s.byWire[id]
@@ -40,26 +40,26 @@
 		return got
 	}
 	served := submit(1, "aa", "licence-order")
-	s.wantsCall(agent.Notice{Req: "aa", Payload: []byte("x")})
+	s.wantsCall(agent.Notification{RequestID: "aa", Payload: []byte("x")})
 	s.step()
 	s.clock.now += 20 * time.Millisecond
 	s.callEnded("aa", store.OK, nil)
 	s.clock.now += 10 * time.Millisecond
-	s.finish(served, decide.OK, nil)
+	s.finish(served, decide.OutcomeOK, nil)
 	s.gone(served)
 	require.Equal(t, []logrus.Fields{{"id": "aa", "class": "licence-order", "from": 0, "end": "served", "after_ms": int64(35),
 		"wait_ms": int64(2000), "cost_ms": int64(0), "once": "aa", "held_ms": int64(5), "run_ms": int64(30), "calls": 1,
 		"in_call_ms": int64(20), "call": "ok"}}, lines())
 
 	refused := submit(2, "bb", "preview")
-	s.refuse(refused, decide.Action{Why: decide.MemoryFull})
+	s.refuse(refused, decide.Action{Reason: decide.ReasonMemory})
 	got := lines()
 	require.Len(t, got, 1)
 	require.Equal(t, "refused", got[0]["end"])
 	require.Equal(t, "memory full", got[0]["why"])
 
 	submit(3, "cc", "preview")
-	s.Closed(p, Left)
+	s.ReadEnded(p, Disconnected)
 	do()
 	got = lines()
 	require.Len(t, got, 1)
--- a/internal/stats/figures.go
+++ b/internal/stats/figures.go
@@ -8,16 +8,16 @@
 )
 
 // Answers counts what the requests of one class were answered.
-type Answers struct{ Served, Refused, Failed uint64 }
+type Answers struct{ Served, Rejected, Failed uint64 }
 
-// Figures are what operators watch while a server runs.
-type Figures struct {
+// Metrics are what operators watch while a server runs.
+type Metrics struct {
 	*Counters
 	Open int // requests taken and not answered yet
 }
 
 // Append appends the figures as lines of the statsd form, NAME:VALUE|c for a count and |g for a level.
-func (f Figures) Append(b []byte) []byte {
+func (f Metrics) Append(b []byte) []byte {
 	line := func(name string, v uint64, kind string) {
 		b = append(append(b, "app."...), name...)
 		b = append(strconv.AppendUint(append(b, ':'), v, 10), '|')
@@ -27,7 +27,7 @@
 		a := f.Answers[name]
 		under := "calls." + word(name) + "."
 		line(under+"success", a.Served, "c")
-		line(under+"busy", a.Refused, "c")
+		line(under+"busy", a.Rejected, "c")
 		line(under+"failure", a.Failed, "c")
 	}
 	line("backend_calls", f.Runs, "c")
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -6,14 +6,14 @@
 // Counters are counted by one goroutine.
 type Counters struct {
 	Connections, ConnectionsClosed uint64 // of front ends; those closed to make room or as idle
-	Silent, Unreadable             uint64 // those ended for saying nothing whole, and nothing of the protocol
+	ReadTimeouts, MalformedInputs  uint64 // those ended for saying nothing whole, and nothing of the protocol
 
-	Requests, Repeats, Invalid, Cancelled, Probes uint64              // taken in
-	Runs, Calls, CallsDropped, Skips, Exercises   uint64              // sent
-	Answers                                       map[string]*Answers // by the name of the class
-	Reused                                        uint64              // of those served, with another try's result
+	Requests, Retries, Invalid, Cancelled, HealthChecks uint64              // taken in
+	Runs, Calls, CallsDropped, Skips, DeepChecks        uint64              // sent
+	Answers                                             map[string]*Answers // by the name of the class
+	Reused                                              uint64              // of those served, with another try's result
 
-	RunsFailed, RunsInterrupted, RunsMoot, CommandsRefused                    uint64 // what the agent told
+	RunsFailed, RunsInterrupted, RunsNotStarted, CommandsRejected             uint64 // what the agent told
 	CallsOK, CallsBusy, CallsFailed, CallsLate, CallsUnreachable, CallsBroken uint64 // how calls ended
 
 	AgentLinks, StoreLinks uint64 // links opened to the agent, connections to the store
@@ -41,17 +41,17 @@
 	var all Answers
 	for _, a := range c.Answers {
 		all.Served += a.Served
-		all.Refused += a.Refused
+		all.Rejected += a.Rejected
 		all.Failed += a.Failed
 	}
 	log.WithFields(logrus.Fields{
 		"connections": c.Connections, "connections_closed": c.ConnectionsClosed,
-		"silent": c.Silent, "unreadable": c.Unreadable,
-		"requests": c.Requests, "repeats": c.Repeats, "invalid": c.Invalid, "cancelled": c.Cancelled, "probes": c.Probes,
-		"runs": c.Runs, "calls": c.Calls, "calls_dropped": c.CallsDropped, "skips": c.Skips, "exercises": c.Exercises,
-		"served": all.Served, "reused": c.Reused, "refused": all.Refused, "failed": all.Failed,
-		"runs_failed": c.RunsFailed, "runs_interrupted": c.RunsInterrupted, "runs_moot": c.RunsMoot,
-		"commands_refused": c.CommandsRefused,
+		"silent": c.ReadTimeouts, "unreadable": c.MalformedInputs,
+		"requests": c.Requests, "repeats": c.Retries, "invalid": c.Invalid, "cancelled": c.Cancelled, "probes": c.HealthChecks,
+		"runs": c.Runs, "calls": c.Calls, "calls_dropped": c.CallsDropped, "skips": c.Skips, "exercises": c.DeepChecks,
+		"served": all.Served, "reused": c.Reused, "refused": all.Rejected, "failed": all.Failed,
+		"runs_failed": c.RunsFailed, "runs_interrupted": c.RunsInterrupted, "runs_moot": c.RunsNotStarted,
+		"commands_refused": c.CommandsRejected,
 		"calls_ok":         c.CallsOK, "calls_busy": c.CallsBusy, "calls_failed": c.CallsFailed, "calls_late": c.CallsLate,
 		"calls_unreachable": c.CallsUnreachable, "calls_broken": c.CallsBroken,
 		"agent_links": c.AgentLinks, "store_links": c.StoreLinks,
--- a/internal/store/codec.go
+++ b/internal/store/codec.go
@@ -15,17 +15,17 @@
 
 // The kinds of Reply. The last three are found here and not told by the store.
 const (
-	OK      Reply = iota // with a body
-	Busy                 // turned away: it never ran
-	Err                  // failed, and may have had its effect
-	Late                 // out of time, or its run has ended; it may have had its effect
-	Void                 // no run waits for it: it never ran
-	Refused              // no connection to the store: it never ran
-	Broken               // the connection broke meanwhile; it may have had its effect
-	Expired              // given up at its time; it may have had its effect
+	OK                Reply = iota // with a body
+	Rejected                       // turned away: it never ran
+	Failed                         // failed, and may have had its effect
+	Late                           // out of time, or its run has ended; it may have had its effect
+	Void                           // no run waits for it: it never ran
+	ConnectionRefused              // no connection to the store: it never ran
+	ConnectionBroken               // the connection broke meanwhile; it may have had its effect
+	Expired                        // given up at its time; it may have had its effect
 )
 
-var words = map[string]Reply{"OK": OK, "BUSY": Busy, "ERR": Err, "LATE": Late, "VOID": Void}
+var words = map[string]Reply{"OK": OK, "BUSY": Rejected, "ERR": Failed, "LATE": Late, "VOID": Void}
 
 const (
 	maxLine  = 128
--- a/internal/store/codec_test.go
+++ b/internal/store/codec_test.go
@@ -16,7 +16,7 @@
 		id   string
 		r    Reply
 		body string
-	}{{"ab", OK, "\r\nhi"}, {"cd", Busy, ""}, {"ab", Err, ""}, {"ab", Late, ""}, {"ef", Void, ""}, {"ab", OK, ""}} {
+	}{{"ab", OK, "\r\nhi"}, {"cd", Rejected, ""}, {"ab", Failed, ""}, {"ab", Late, ""}, {"ef", Void, ""}, {"ab", OK, ""}} {
 		id, r, body, err := readReply(in)
 		require.NoError(t, err)
 		require.Equal(t, want.id, id)
--- a/internal/store/crossings_test.go
+++ b/internal/store/crossings_test.go
@@ -20,7 +20,7 @@
 // free has one connection to the store that waits for a call, as its last one was answered.
 func (l *loop) free() (far *rest) {
 	ln := listen(l.T)
-	l.link.Move(ln.Addr().String())
+	l.link.SetAddress(ln.Addr().String())
 	l.link.Call("ab", time.Hour, nil)
 	nc, in := l.accept(ln, "CALL ab 3600000 0", "")
 	fmt.Fprint(nc, "ab OK 1\r\nx\r\n")
@@ -42,7 +42,7 @@
 		l.link.Call("cd", time.Hour, nil)
 		if !seen {
 			end()
-			require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("cd %d ", Broken)}, l.ends)
+			require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("cd %d ", ConnectionBroken)}, l.ends)
 			l.link.Call("ef", time.Hour, nil)
 			l.accept(far.ln, "CALL ef 3600000 0", "")
 			continue
@@ -60,10 +60,10 @@
 		first bool // before the reply is dealt with
 		want  int  // ends told of the call
 	}{
-		"drop, reply": {func(l *loop) { l.link.Drop("cd") }, true, 0},
-		"reply, drop": {func(l *loop) { require.False(l, l.link.Drop("cd")) }, false, 1},
-		"move, reply": {func(l *loop) { l.link.Move("127.0.0.1:10") }, true, 1},
-		"reply, move": {func(l *loop) { l.link.Move("127.0.0.1:10") }, false, 1},
+		"drop, reply": {func(l *loop) { l.link.Abandon("cd") }, true, 0},
+		"reply, drop": {func(l *loop) { require.False(l, l.link.Abandon("cd")) }, false, 1},
+		"move, reply": {func(l *loop) { l.link.SetAddress("127.0.0.1:10") }, true, 1},
+		"reply, move": {func(l *loop) { l.link.SetAddress("127.0.0.1:10") }, false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, word := range []string{"OK 1\r\ny", "BUSY", "VOID", "LATE", "ERR"} {
@@ -81,7 +81,7 @@
 					c.act(l)
 				}
 				require.Len(t, l.ends, 1+c.want, word)
-				require.Zero(t, l.link.InHand())
+				require.Zero(t, l.link.InFlight())
 			}
 		})
 	}
--- a/internal/store/cut_test.go
+++ b/internal/store/cut_test.go
@@ -51,7 +51,7 @@
 	l.link.Call("more", time.Hour, nil) // has to wait for one of them
 	require.Len(t, l.link.dialled, cap(l.link.dials))
 	next := listen(t)
-	l.link.Move(next.Addr().String())
+	l.link.SetAddress(next.Addr().String())
 	for l.link.dialing > 0 { // those that hung end, and new ones are made
 		l.turn()
 	}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -86,10 +86,10 @@
 	l.replied(w, goldenRequest, OK, nil)
 	l.Call(goldenOther, time.Second+999*time.Microsecond, nil)
 	written("call of less than a millisecond without a body")
-	l.replied(w, goldenOther, Busy, nil)
+	l.replied(w, goldenOther, Rejected, nil)
 	l.Call(goldenRequest, time.Hour+time.Second, []byte(strings.Repeat("x", 100)))
 	written("call of an hour")
-	require.True(t, l.Drop(goldenRequest))
+	require.True(t, l.Abandon(goldenRequest))
 	written("drop")
 	rest, err := io.ReadAll(far)
 	require.NoError(t, err)
@@ -107,8 +107,8 @@
 	}{
 		{"OK", OK, "\x00\xff\r\nbody"},
 		{"OK without a body", OK, ""},
-		{"BUSY", Busy, ""},
-		{"ERR", Err, ""},
+		{"BUSY", Rejected, ""},
+		{"ERR", Failed, ""},
 		{"LATE", Late, ""},
 		{"VOID", Void, ""},
 	}
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -47,7 +47,7 @@
 
 	calls   map[string]*call
 	waiting []*call // for a connection, in order
-	conns   map[*outbox.Outbox]*conn
+	conns   map[*outbox.Queue]*conn
 	free    []*conn // the last used at the end, and used last: by then its close or a second reply would show
 	dialing int     // dials under way, given up or not
 	dialled []*dial // those that calls wait for, in order: never more than such calls
@@ -66,7 +66,7 @@
 
 // conn is one connection to the store.
 type conn struct {
-	*outbox.Outbox
+	*outbox.Queue
 	addr string
 	call *call  // that it carries
 	last string // id of the one before that
@@ -88,7 +88,7 @@
 // the loop. What it tries again is spread by seed.
 func New(addr string, most int, seed uint64, loop Loop, reply func(id string, r Reply, body []byte), log *logging.Limiter) *Link {
 	return &Link{addr: addr, loop: loop, reply: reply, log: log, dials: make(chan *dial, most),
-		calls: map[string]*call{}, conns: map[*outbox.Outbox]*conn{},
+		calls: map[string]*call{}, conns: map[*outbox.Queue]*conn{},
 		backoff: backoff.New(backoffLeast, backoffMost, seed, purpose)}
 }
 
@@ -141,10 +141,10 @@
 // Call makes a call for the run of request id and gives it up at until. A call that is under way
 // for the same request is given up.
 func (l *Link) Call(id string, until time.Duration, body []byte) {
-	l.Drop(id)
+	l.Abandon(id)
 	c := &call{id: id, body: body, until: until}
 	c.end = l.loop.Deadlines.Add(until, func() {
-		l.Drop(id)
+		l.Abandon(id)
 		l.reply(id, Expired, nil)
 	})
 	l.calls[id] = c
@@ -204,11 +204,11 @@
 	return i < 0
 }
 
-// InHand is how many calls have no reply yet and were not given up.
-func (l *Link) InHand() int { return len(l.calls) }
+// InFlight is how many calls have no reply yet and were not given up.
+func (l *Link) InFlight() int { return len(l.calls) }
 
-// Drop gives up the call for request id and reports whether there is one; nothing is told of it any more.
-func (l *Link) Drop(id string) bool {
+// Abandon gives up the call for request id and reports whether there is one; nothing is told of it any more.
+func (l *Link) Abandon(id string) bool {
 	c := l.calls[id]
 	if c == nil {
 		return false
@@ -235,12 +235,12 @@
 // close ends a connection that carries no call any more.
 func (l *Link) close(w *conn) {
 	w.Close()
-	delete(l.conns, w.Outbox)
+	delete(l.conns, w.Queue)
 	l.dial()
 }
 
-// Move has new calls made at another address. Those under way may end where they are.
-func (l *Link) Move(addr string) {
+// SetAddress has new calls made at another address. Those under way may end where they are.
+func (l *Link) SetAddress(addr string) {
 	if addr == l.addr {
 		return
 	}
@@ -267,10 +267,10 @@
 	l.wait = 0
 }
 
-// Opens is how many connections have been opened.
-func (l *Link) Opens() uint64 { return l.opens }
+// ConnectionsOpened is how many connections have been opened.
+func (l *Link) ConnectionsOpened() uint64 { return l.opens }
 
-func (l *Link) opened(d *dial, w *outbox.Outbox) {
+func (l *Link) opened(d *dial, w *outbox.Queue) {
 	l.dialEnded(d)
 	if d.addr != l.addr {
 		w.Close()
@@ -279,7 +279,7 @@
 	}
 	l.opens++
 	l.reached()
-	c := &conn{Outbox: w, addr: d.addr}
+	c := &conn{Queue: w, addr: d.addr}
 	l.conns[w] = c
 	l.use(c)
 	l.dial()
@@ -313,13 +313,13 @@
 		l.log.Warn("store", "no connection to the store", err)
 		if c := l.next(); c != nil {
 			l.end(c)
-			l.reply(c.id, Refused, nil)
+			l.reply(c.id, ConnectionRefused, nil)
 		}
 	}
 	l.dial() // one that was given up proves nothing about the calls that wait
 }
 
-func (l *Link) replied(o *outbox.Outbox, id string, r Reply, body []byte) {
+func (l *Link) replied(o *outbox.Queue, id string, r Reply, body []byte) {
 	w := l.conns[o]
 	if w == nil {
 		return
@@ -344,7 +344,7 @@
 	l.reply(id, r, body)
 }
 
-func (l *Link) closed(o *outbox.Outbox, err error) {
+func (l *Link) closed(o *outbox.Queue, err error) {
 	w := l.conns[o]
 	if w == nil {
 		return
@@ -354,6 +354,6 @@
 	if c := w.call; c != nil {
 		l.log.Warn("store", "connection to the store broke during a call", err)
 		l.end(c)
-		l.reply(c.id, Broken, nil)
+		l.reply(c.id, ConnectionBroken, nil)
 	}
 }
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -86,7 +86,7 @@
 	l.turn()
 	l.link.Call("cd", time.Hour, nil)
 	l.turn()
-	require.Equal(t, []string{fmt.Sprintf("ab %d ", Broken), fmt.Sprintf("cd %d ", Refused)}, l.ends)
+	require.Equal(t, []string{fmt.Sprintf("ab %d ", ConnectionBroken), fmt.Sprintf("cd %d ", ConnectionRefused)}, l.ends)
 }
 
 // After the store has moved, new calls go to its new address, and one under way ends on the connection
@@ -98,7 +98,7 @@
 	ab, _ := l.accept(old, "CALL ab 3600000 0", "")
 	l.link.Call("cd", time.Hour, nil)
 	_, cd := l.accept(old, "CALL cd 3600000 0", "")
-	l.link.Move(next.Addr().String())
+	l.link.SetAddress(next.Addr().String())
 	l.link.Call("ef", time.Hour, nil)
 	l.accept(next, "CALL ef 3600000 0", "")
 	fmt.Fprint(ab, "ab OK 1\r\nx\r\n")
@@ -107,8 +107,8 @@
 	l.now = finish
 	l.due.Sweep(l.now)
 	l.expectEnd(cd)
-	require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("cd %d ", Broken)}, l.ends)
-	require.EqualValues(t, 3, l.link.Opens())
+	require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("cd %d ", ConnectionBroken)}, l.ends)
+	require.EqualValues(t, 3, l.link.ConnectionsOpened())
 }
 
 // A dial to where the store no longer is proves nothing about the calls that wait for it.
@@ -117,13 +117,13 @@
 	old.Close()
 	l := newLoop(t, old.Addr().String())
 	l.link.Call("ab", time.Hour, nil)
-	l.link.Move(next.Addr().String())
+	l.link.SetAddress(next.Addr().String())
 	l.turn()
 	require.Empty(t, l.ends)
 	_, err := next.Accept()
 	require.NoError(t, err)
 	l.turn()
-	require.EqualValues(t, 1, l.link.Opens())
+	require.EqualValues(t, 1, l.link.ConnectionsOpened())
 }
 
 // A call whose time is up is dropped, and its connection with it: the reply may never come, or be taken
@@ -158,7 +158,7 @@
 	l.turn()
 	fmt.Fprint(cd, "cd OK 1\r\nx\r\n")
 	l.turn()
-	require.Equal(t, []string{fmt.Sprintf("ab %d ", Broken), fmt.Sprintf("cd %d x", OK)}, l.ends)
+	require.Equal(t, []string{fmt.Sprintf("ab %d ", ConnectionBroken), fmt.Sprintf("cd %d x", OK)}, l.ends)
 	l.link.Call("ef", time.Hour, nil) // the connection is used again, as long as that is soon
 	l.expect(in, "CALL ef 3600000 0", "")
 	fmt.Fprint(cd, "ef BUSY\r\n")
@@ -220,7 +220,7 @@
 	}
 	l.link.Call("gone", time.Hour, nil)
 	l.link.Call("next", time.Hour, nil)
-	require.True(t, l.link.Drop("gone"))
+	require.True(t, l.link.Abandon("gone"))
 	require.Zero(t, l.link.dialing)
 	fmt.Fprint(nc, "c3 BUSY\r\n")
 	l.turn()
--- a/lab/fleetlab/lab_test.go
+++ b/lab/fleetlab/lab_test.go
@@ -88,7 +88,7 @@
 			is[m.Name] = m.Condition
 		}
 		for _, z := range r.Zones {
-			is["zone "+z.Zone] = map[bool]string{true: "dark", false: "lit"}[z.Dark]
+			is["zone "+z.Zone] = map[bool]string{true: "dark", false: "lit"}[z.Unreachable]
 		}
 		for _, w := range want {
 			about, condition, _ := strings.Cut(w, "=")
@@ -214,7 +214,7 @@
 				}
 				for _, m := range r.Members {
 					if slices.Contains(who, m.Name) {
-						least, most = min(least, m.Cut), max(most, m.Cut)
+						least, most = min(least, m.Threshold), max(most, m.Threshold)
 					}
 				}
 			}
@@ -264,7 +264,7 @@
 		n, _ := calls()
 		for _, name := range []string{"n0", "n1", "n2", "n3", "n5"} {
 			r, err := l.Find(name).View()
-			if err != nil || slices.ContainsFunc(r.Members, func(m fleet.MemberReport) bool { return m.Name != "n4" && (m.Store == 1 || m.Store == 2) }) {
+			if err != nil || slices.ContainsFunc(r.Members, func(m fleet.MemberReport) bool { return m.Name != "n4" && (m.StoreState == 1 || m.StoreState == 2) }) {
 				return false
 			}
 		}
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -180,18 +180,18 @@
 func (s *Sim) settings() {
 	o := &s.opt
 	s.mean = meanWork(o.Classes)
-	s.set = decide.Settings{Cores: o.Cores, FleetSize: o.Servers, Callers: o.FrontEnds, MemoryKB: 60000, RunBlow: 8, KeyKB: 4,
-		Below: decide.BelowShared, CallsOut: o.Slots, CallsOver: 5 * time.Second, CallLingers: 200 * time.Millisecond,
-		ColdShare: 0.25, ColdFor: o.ColdFor, CrowdPerCore: 5, CrowdOver: 3 * time.Second, AnswerGrace: 100 * time.Millisecond,
-		DrainGrace: 2500 * time.Millisecond, IdleAfter: 30 * time.Second, MaxRetryAfter: time.Second, RetryAfter: true, TellsGone: true,
-		TellsDeadline: true, ListFollows: true, Tick: 5 * time.Millisecond, OverShare: 0.1}
+	s.set = decide.Settings{Cores: o.Cores, FleetSize: o.Servers, Clients: o.FrontEnds, MemoryKB: 60000, RunningMemoryFactor: 8, KeyMemoryKB: 4,
+		Dependency: decide.DependencyShared, MaxCallsInFlight: o.Slots, CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
+		SlowStartSpeedRatio: 0.25, SlowStartTime: o.ColdFor, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 3 * time.Second, AnswerGrace: 100 * time.Millisecond,
+		DrainGrace: 2500 * time.Millisecond, IdleTimeout: 30 * time.Second, MaxRetryAfter: time.Second, SendsRetryAfter: true, SendsCancellations: true,
+		SendsDeadlines: true, RegistryFollowsHealth: true, Tick: 5 * time.Millisecond, OverQuotaValueRatio: 0.1}
 	for _, c := range o.Classes {
-		k := decide.Class{Aim: c.Aim, Deadline: c.Wait, Value: c.Worth, Calls: c.Name != "hires-crop", KeyWindow: 5 * time.Second}
+		k := decide.Class{LatencyObjective: c.Aim, Deadline: c.Wait, PriorityWeight: c.Worth, CallsDependency: c.Name != "hires-crop", IdempotencyWindow: 5 * time.Second}
 		if c.Keyed {
-			k.Safety, k.KeyWindow = decide.Keyed, 17457*time.Millisecond
+			k.Idempotency, k.IdempotencyWindow = decide.IdempotentByKey, 17457*time.Millisecond
 		}
 		if c.Poor > 0 {
-			k.SkipWorth = c.Poor
+			k.DegradedValueRatio = c.Poor
 		}
 		s.set.Classes = append(s.set.Classes, k)
 	}
@@ -250,17 +250,17 @@
 func (s *Sim) look() {
 	n := len(s.servers)
 	late := hop * time.Duration(1+math.Ceil(math.Log(float64(n))/math.Log(hopReach)))
-	snap := &fleet.Snapshot{At: s.now, Heard: s.now, Position: fleet.Whole, Members: make([]fleet.Member, 0, n)}
+	snap := &fleet.Snapshot{At: s.now, LastReceived: s.now, Position: fleet.FullyConnected, Members: make([]fleet.Member, 0, n)}
 	for _, v := range s.servers {
 		for len(v.words) > 1 && v.words[1].at <= s.now-late {
 			v.words = v.words[1:]
 		}
-		m := fleet.Member{Record: &fleet.Record{Name: v.name, Zone: strconv.Itoa(v.zone), Run: v.run + 1}, Standing: fleet.HeardOf}
+		m := fleet.Member{Record: &fleet.Record{Name: v.name, Zone: strconv.Itoa(v.zone), Run: v.run + 1}, Liveness: fleet.Unmet}
 		if len(v.words) > 0 && v.words[0].at <= s.now-late {
-			m.Record, m.Made, m.Standing = &v.words[0].rec, v.words[0].at, fleet.Alive
+			m.Record, m.RecordedAt, m.Liveness = &v.words[0].rec, v.words[0].at, fleet.Alive
 		}
 		if !v.up && s.now-v.changed > detectFor {
-			m.Standing = fleet.Dead
+			m.Liveness = fleet.Dead
 		}
 		snap.Members = append(snap.Members, m)
 	}
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -45,12 +45,12 @@
 	words     []word
 	toldAt    time.Duration
 	seq       uint64
-	cutoff    *overload.Cutoff
-	patience  *overload.Patience
-	repeats   *overload.Repeats
+	cutoff    *overload.Shedder
+	patience  *overload.AgeEstimator
+	repeats   *overload.RetryCounter
 	collector *overload.Collector
-	probes    *overload.Probes
-	leak      overload.Leak
+	probes    *overload.ProbeCoordinator
+	leak      overload.ProbeAllowance
 }
 
 // job is one try at a server.
@@ -86,7 +86,7 @@
 	v.up, v.changed, v.good = true, s.now, true
 	curve := plant.Curve{Places: s.opt.Cores, Speed: speedOf(v.number), Knee: 2, Decay: 0.1, Least: 0.4, ColdShare: 0.25}
 	set := s.set
-	if set.Cold = cold; cold {
+	if set.WarmingUp = cold; cold {
 		curve.ColdFor = s.opt.ColdFor
 	}
 	ctl, err := decide.New(set, s.opt.Seed+uint64(v.number), s.now)
@@ -95,15 +95,15 @@
 	}
 	v.ctl, v.cores, v.jobs, v.pooled = ctl, plant.NewPool(curve, s.now), map[decide.RequestID]*job{}, map[string]*job{}
 	v.unread, v.reads, v.events, v.pending, v.armedAt = nil, 0, nil, false, 0
-	v.cutoff, v.probes, v.collector, v.leak = nil, nil, nil, overload.LeakUsual
-	self := overload.Party{Name: v.name, Run: v.id()}
+	v.cutoff, v.probes, v.collector, v.leak = nil, nil, nil, overload.ProbeUnlimited
+	self := overload.ProcessID{Name: v.name, Run: v.id()}
 	if s.opt.Cutoff {
-		v.patience = overload.NewPatience()
-		v.cutoff, v.repeats, v.collector = &overload.Cutoff{}, overload.NewRepeats(), overload.NewCollector(self)
+		v.patience = overload.NewAgeEstimator()
+		v.cutoff, v.repeats, v.collector = &overload.Shedder{}, overload.NewRetryCounter(), overload.NewCollector(self)
 		v.cycle(lookEvery, v.keepCutoff)
 	}
 	if s.opt.Probes {
-		v.probes = overload.NewProbes(v.id(), strconv.Itoa(v.zone))
+		v.probes = overload.NewProbeCoordinator(v.id(), strconv.Itoa(v.zone))
 		v.cycle(probeEvery, v.keepProbing)
 	}
 	v.cycle(time.Second, v.tell)
@@ -184,7 +184,7 @@
 			v.wasRead(j)
 			continue
 		}
-		v.ended(j, decide.OK)
+		v.ended(j, decide.OutcomeOK)
 	}
 }
 
@@ -213,14 +213,14 @@
 		j.say(answer{word: "failed"})
 		return
 	}
-	e := decide.Event{Kind: decide.Request, ID: j.id, Class: j.class, Caller: j.r.front, MemoryKB: 24, Hint: j.r.work, HasKey: !c.Keyed,
-		Rank: j.r.rank, Due: j.due, Waited: s.now - j.came}
+	e := decide.Event{Kind: decide.EventRequest, ID: j.id, Class: j.class, Client: j.r.front, MemoryKB: 24, CostHint: j.r.work, HasSubject: !c.Keyed,
+		Rank: j.r.rank, Deadline: j.due, Waited: s.now - j.came}
 	if v.cutoff != nil {
 		j.fp = overload.Fingerprint(c.Name, "", "", j.r.front, j.r.rank, j.r.work.Seconds())
-		e.Age = v.patience.Age(s.now, c.Name, j.due-j.came)
-		again := v.repeats.Arrived(s.now, j.fp) || e.Age > 0
-		e.Standing = [...]decide.Standing{decide.Unranked, decide.Elsewhere, decide.Full, decide.Outranked}[v.cutoff.Judge(c.Worth, j.r.work.Seconds(), j.r.rank, again)]
-		e.Spread = v.cutoff.Back(j.fp)
+		e.SinceFirstAttempt = v.patience.Age(s.now, c.Name, j.due-j.came)
+		again := v.repeats.Arrived(s.now, j.fp) || e.SinceFirstAttempt > 0
+		e.FleetRank = [...]decide.FleetRank{decide.RankUnknown, decide.RankElsewhere, decide.RankFull, decide.RankBelowThreshold}[v.cutoff.Classify(c.Worth, j.r.work.Seconds(), j.r.rank, again)]
+		e.RetryJitter = v.cutoff.RetryJitter(j.fp)
 	}
 	v.happened(e)
 }
@@ -254,15 +254,15 @@
 func (v *server) carryOut(a decide.Action) {
 	s := v.sim
 	switch a.Kind {
-	case decide.Health:
-		v.good = a.Good
+	case decide.ActionHealth:
+		v.good = a.Healthy
 		return
-	case decide.Wake:
+	case decide.ActionWake:
 		run := v.run
 		s.at(a.At, func() {
 			if v.up && v.run == run {
 				v.advance()
-				v.happened(decide.Event{Kind: decide.Timer, Gauges: decide.Gauges{CoreUse: v.cores.Busy(), OnCores: float64(v.cores.InHand()), Heap: 0.1, Links: 10}})
+				v.happened(decide.Event{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: v.cores.Busy(), CPUDemand: float64(v.cores.InHand()), MemoryUtilization: 0.1, Connections: 10}})
 				v.arm()
 			}
 		})
@@ -273,27 +273,27 @@
 		return
 	}
 	switch a.Kind {
-	case decide.Run:
+	case decide.ActionRun:
 		j.running, j.began = true, s.now
-		if v.sim.set.Classes[j.class].Calls {
+		if v.sim.set.Classes[j.class].CallsDependency {
 			j.waiting = true
-			v.happened(decide.Event{Kind: decide.WantsCall, ID: j.id})
+			v.happened(decide.Event{Kind: decide.EventCallNeeded, ID: j.id})
 			return
 		}
 		v.work(j)
-	case decide.Call:
+	case decide.ActionCall:
 		j.asked = s.now
-		j.call = s.stores[v.zone].begin(v, j, a.Cap)
-	case decide.Skip:
+		j.call = s.stores[v.zone].begin(v, j, a.Timeout)
+	case decide.ActionSkipCall:
 		j.poorer = true
 		v.work(j)
-	case decide.Refuse:
-		if v.cutoff != nil && !a.DontRetry {
-			v.repeats.Refused(s.now, j.fp)
+	case decide.ActionReject:
+		if v.cutoff != nil && !a.NoRetryElsewhere {
+			v.repeats.Rejected(s.now, j.fp)
 		}
 		delete(v.jobs, j.id)
-		j.say(answer{word: "refused", after: a.StayAway, last: a.DontRetry})
-	case decide.Fail:
+		j.say(answer{word: "refused", after: a.RetryAfter, last: a.NoRetryElsewhere})
+	case decide.ActionFail:
 		j.say(answer{word: "failed"})
 		if j.call != nil {
 			j.call.drop()
@@ -302,7 +302,7 @@
 		if !j.running {
 			delete(v.jobs, j.id)
 		} else if j.waiting {
-			v.ended(j, decide.Cancelled) // the agent ends what waits for a call that nobody wants
+			v.ended(j, decide.OutcomeCancelled) // the agent ends what waits for a call that nobody wants
 		}
 	}
 }
@@ -320,8 +320,8 @@
 		j.call.drop()
 		j.call = nil
 	}
-	v.happened(decide.Event{Kind: decide.Done, ID: j.id, Outcome: o, Took: v.sim.now - j.began})
-	if o == decide.OK {
+	v.happened(decide.Event{Kind: decide.EventDone, ID: j.id, Outcome: o, Took: v.sim.now - j.began})
+	if o == decide.OutcomeOK {
 		j.say(answer{word: "served", poorer: j.poorer})
 	} else {
 		j.say(answer{word: "failed"})
@@ -335,14 +335,14 @@
 	}
 	j.call = nil
 	if v.probes != nil {
-		v.probes.Ended(o == decide.OK)
+		v.probes.CallEnded(o == decide.OutcomeOK)
 	}
-	if o == decide.OK {
+	if o == decide.OutcomeOK {
 		v.advance()
 		v.work(j)
 		v.arm()
 	}
-	v.happened(decide.Event{Kind: decide.CallResult, ID: j.id, Outcome: o, Took: v.sim.now - j.asked})
+	v.happened(decide.Event{Kind: decide.EventCallDone, ID: j.id, Outcome: o, Took: v.sim.now - j.asked})
 }
 
 // view is what this server knows of the others; it is marked in it as itself while do looks at it.
@@ -351,8 +351,8 @@
 	m := &view.Members[v.number]
 	was := *m
 	m.Self = true
-	if m.Record.Run != v.id() || m.Standing != fleet.Alive {
-		m.Record, m.Standing, m.Made = v.record(), fleet.Alive, v.sim.now
+	if m.Record.Run != v.id() || m.Liveness != fleet.Alive {
+		m.Record, m.Liveness, m.RecordedAt = v.record(), fleet.Alive, v.sim.now
 	}
 	do(view)
 	*m = was
@@ -365,14 +365,14 @@
 }
 
 func (v *server) load(l *fleet.Load) {
-	l.Capacity, l.Busy, l.InHand, l.Share = float64(v.sim.opt.Cores), v.cores.Busy(), len(v.jobs), v.sim.set.CallsOut
+	l.Capacity, l.Busy, l.InFlight, l.CallQuota = float64(v.sim.opt.Cores), v.cores.Busy(), len(v.jobs), v.sim.set.MaxCallsInFlight
 	if v.cutoff != nil {
-		offers := v.cutoff.Offered()
-		l.Pace, l.Offer, l.Tries, l.Again, l.Cut = v.ctl.Pace(), string(offers.Append(nil)), v.repeats.Rate(), v.repeats.Share(), v.cutoff.Cut().Place
-		l.Sum = v.collector.Told()
+		offers := v.cutoff.Demand()
+		l.ServiceRate, l.Demand, l.Attempts, l.RetryRatio, l.Threshold = v.ctl.ServiceRate(), string(offers.Append(nil)), v.repeats.AttemptRate(), v.repeats.RetryRatio(), v.cutoff.Threshold().Priority
+		l.Aggregate = v.collector.Published()
 	}
 	if v.probes != nil {
-		v.probes.Tell(l)
+		v.probes.AddToLoad(l)
 	}
 }
 
@@ -380,7 +380,7 @@
 func (v *server) tell() {
 	rec := v.record()
 	period := fleet.Period(len(v.sim.servers))
-	if rec.Load.Sum != "" {
+	if rec.Load.Aggregate != "" {
 		period = time.Second
 	}
 	if n := len(v.words); n > 0 && v.sim.now-v.toldAt < period-time.Millisecond {
@@ -396,14 +396,14 @@
 func (v *server) keepCutoff() {
 	s := v.sim
 	v.advance()
-	own := overload.Own{Pace: v.ctl.Pace(), Cores: float64(s.opt.Cores), Busy: v.cores.Busy(), Tries: v.repeats.Rate(), Again: v.repeats.Share()}
+	own := overload.LocalLoad{ServiceRate: v.ctl.ServiceRate(), Cores: float64(s.opt.Cores), Busy: v.cores.Busy(), Attempts: v.repeats.AttemptRate(), Retries: v.repeats.RetryRatio()}
 	v.view(func(view *fleet.Snapshot) {
-		v.cutoff.Turn(s.now, own, view, s.now)
-		for _, rep := range v.repeats.Turn(s.now, view) {
+		v.cutoff.Tick(s.now, own, view, s.now)
+		for _, rep := range v.repeats.Tick(s.now, view) {
 			to := s.servers[int(rep.To.Run&0xffffffff)-1]
 			s.at(s.now+way, func() {
 				if to.up && to.id() == rep.To.Run {
-					to.repeats.Heard(s.now, rep.Tries)
+					to.repeats.HandleReport(s.now, rep.Attempts)
 				}
 			})
 		}
@@ -412,12 +412,12 @@
 		}
 		var l fleet.Load
 		v.load(&l)
-		part := overload.Part{From: overload.Party{Name: v.name, Run: v.id()}, Sum: overload.PartOf(&l)}
-		for _, p := range v.collector.Turn(s.now, part.Sum, view) {
+		part := overload.PartialAggregate{From: overload.ProcessID{Name: v.name, Run: v.id()}, Aggregate: overload.AggregateOf(&l)}
+		for _, p := range v.collector.Tick(s.now, part.Aggregate, view) {
 			to := s.servers[int(p.Run&0xffffffff)-1]
 			s.at(s.now+way, func() {
 				if to.up && to.id() == p.Run {
-					to.collector.Heard(s.now, part)
+					to.collector.Receive(s.now, part)
 				}
 			})
 		}
@@ -425,20 +425,20 @@
 	v.arm()
 }
 
-var protects = [...]float64{overload.LeakUsual: decide.BreakerProtect, overload.LeakCareful: 0, overload.LeakOne: 1, overload.LeakNone: -1}
+var protects = [...]float64{overload.ProbeUnlimited: decide.BreakerProtectedCalls, overload.ProbeCautious: 0, overload.ProbeSingle: 1, overload.ProbeNone: -1}
 
 func (v *server) keepProbing() {
 	was := v.probes.State()
-	leak := overload.LeakUsual
-	v.view(func(view *fleet.Snapshot) { leak = v.probes.Turn(v.sim.now, 7, view, v.sim.now) })
+	leak := overload.ProbeUnlimited
+	v.view(func(view *fleet.Snapshot) { leak = v.probes.Tick(v.sim.now, 7, view, v.sim.now) })
 	if leak != v.leak {
 		v.leak = leak
-		v.ctl.Protect(protects[leak])
+		v.ctl.SetProtectedCalls(protects[leak])
 		set := v.sim.set
-		if leak == overload.LeakOne {
-			set.CallsOut = min(set.CallsOut, 1)
+		if leak == overload.ProbeSingle {
+			set.MaxCallsInFlight = min(set.MaxCallsInFlight, 1)
 		}
-		if err := v.ctl.Retune(set); err != nil {
+		if err := v.ctl.Reconfigure(set); err != nil {
 			panic(err) // as above
 		}
 	}
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -57,7 +57,7 @@
 	s := st.sim
 	st.last++
 	c := &call{st: st, id: strconv.Itoa(st.last), by: by, j: j}
-	s.at(s.now+limit, func() { c.end(decide.TimedOut) })
+	s.at(s.now+limit, func() { c.end(decide.OutcomeTimedOut) })
 	if st.mute {
 		st.hung++
 		st.note(history.Call)
@@ -68,7 +68,7 @@
 		return c
 	}
 	if st.fall.IsDown(s.now) {
-		s.at(s.now+2*way, func() { c.end(decide.Failed) })
+		s.at(s.now+2*way, func() { c.end(decide.OutcomeFailed) })
 		return c
 	}
 	st.advance()
@@ -84,7 +84,7 @@
 				st.slots.Drop(x.id)
 				delete(st.hand, x.id)
 				st.note(history.CallEnd)
-				x.end(decide.Failed)
+				x.end(decide.OutcomeFailed)
 			}
 		}
 		s.log(history.Event{Kind: history.Fault, Word: "fall of store " + strconv.Itoa(st.zone), N: 1})
@@ -98,7 +98,7 @@
 		c := st.hand[id]
 		delete(st.hand, id)
 		st.note(history.CallEnd)
-		c.end(decide.OK)
+		c.end(decide.OutcomeOK)
 	}
 }
 
--- a/lab/plant/pool.go
+++ b/lab/plant/pool.go
@@ -55,7 +55,7 @@
 	p.born = now
 }
 
-// InHand is how much is being worked at, and Most the most that ever was.
+// InFlight is how much is being worked at, and Most the most that ever was.
 func (p *Pool) InHand() int { return len(p.work) }
 func (p *Pool) Most() int   { return p.most }
 
--- a/lab/schedule/hard_test.go
+++ b/lab/schedule/hard_test.go
@@ -64,7 +64,7 @@
 			time.Sleep(30 * time.Second)
 			for i, m := range c.Members {
 				if i != 1 {
-					require.NotEqual(t, fleet.Dead, m.Fleet.Snapshot().Find("n1").Standing)
+					require.NotEqual(t, fleet.Dead, m.Fleet.Snapshot().Find("n1").Liveness)
 				}
 			}
 			c.cut(none)
@@ -77,7 +77,7 @@
 			for _, m := range c.Members {
 				require.NotEqual(t, fleet.Alone, m.Fleet.Snapshot().Position)
 				for _, x := range m.Fleet.Snapshot().Members {
-					require.NotEqual(t, fleet.Dead, x.Standing, "%s of %s", m.Name, x.Name)
+					require.NotEqual(t, fleet.Dead, x.Liveness, "%s of %s", m.Name, x.Name)
 				}
 			}
 			c.cut(none)
@@ -87,8 +87,8 @@
 			c := begin(t, 5)
 			c.cut(func(from, to int) bool { return (from == 4) != (to == 4) })
 			time.Sleep(59 * time.Minute)
-			require.Equal(t, fleet.CutOff, c.Members[4].Fleet.Snapshot().Position)
-			require.Equal(t, fleet.Torn, c.Members[0].Fleet.Snapshot().Position)
+			require.Equal(t, fleet.Partitioned, c.Members[4].Fleet.Snapshot().Position)
+			require.Equal(t, fleet.PartiallyConnected, c.Members[0].Fleet.Snapshot().Position)
 			c.cut(none)
 			c.agree(t)
 		},
@@ -100,11 +100,11 @@
 			c.Start(5, fleet.Serving)
 			_, err := Until(healedWithin, func() error {
 				for _, m := range c.Members[:5] {
-					if x := m.Fleet.Snapshot().Find("n1"); x.Run != first || x.Standing != fleet.Alive {
+					if x := m.Fleet.Snapshot().Find("n1"); x.Run != first || x.Liveness != fleet.Alive {
 						return fmt.Errorf("%s sees process %x", m.Name, x.Run)
 					}
 				}
-				if twin.Fleet.Snapshot().Find("n1").Standing != fleet.Left {
+				if twin.Fleet.Snapshot().Find("n1").Liveness != fleet.Left {
 					return fmt.Errorf("the twin has not left")
 				}
 				return nil
@@ -170,14 +170,14 @@
 			time.Sleep(30 * time.Second)
 			for _, m := range c.Members {
 				require.Len(t, m.Fleet.Snapshot().Members, 3)
-				require.NotZero(t, m.Fleet.Counters.Strangers.Load())
+				require.NotZero(t, m.Fleet.Counters.ForeignPackets.Load())
 			}
 		},
 		"a good-bye is not taken for a death": func(t *testing.T) {
 			c := begin(t, 5)
 			c.Members[3].Leave()
 			c.says(t, 0, "n3", "left")
-			require.Equal(t, fleet.Whole, c.Members[0].Fleet.Snapshot().Position)
+			require.Equal(t, fleet.FullyConnected, c.Members[0].Fleet.Snapshot().Position)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/lab/schedule/measure_test.go
+++ b/lab/schedule/measure_test.go
@@ -133,7 +133,7 @@
 					s := m.Fleet.Snapshot()
 					for j := range c.Members {
 						x := s.Find(c.Members[j].Name)
-						lost := x == nil || x.Standing == fleet.Silent || x.Standing == fleet.Dead
+						lost := x == nil || x.Liveness == fleet.Silent || x.Liveness == fleet.Dead
 						if lost && !gone[[2]int{i, j}] {
 							wrong++
 						}
@@ -150,7 +150,7 @@
 				d, err := Until(10*time.Minute, func() error {
 					seen, live := 0, c.Live()
 					for _, m := range live {
-						if x := m.Fleet.Snapshot().Find(victim.Name); x == nil || x.Standing == fleet.Silent || x.Standing == fleet.Dead || x.Standing == fleet.Wedged {
+						if x := m.Fleet.Snapshot().Find(victim.Name); x == nil || x.Liveness == fleet.Silent || x.Liveness == fleet.Dead || x.Liveness == fleet.Wedged {
 							seen++
 						}
 					}
--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -73,7 +73,7 @@
 	m.Run = born<<20 | c.runs
 	m.host = c.Net.Host(m.Addr)
 	cfg := gossip.Config{Place: fleet.Place{Name: m.Name, Addr: m.Addr, Region: "belgium", Zone: m.Zone, Version: "1", Run: m.Run},
-		Seeds: c.seeds, Digest: 7, Size: len(c.Members), Limits: fleet.Limits{Members: 4096, Forget: time.Hour}, Probe: c.probe,
+		Seeds: c.seeds, Digest: 7, Size: len(c.Members), Limits: fleet.Limits{Members: 4096, ForgetAfter: time.Hour}, ProbeInterval: c.probe,
 		Seed: c.Rand.Uint64(), Incarnation: born, Transport: m.host}
 	if c.Keys != nil {
 		cfg.Keys = c.Keys(i)
@@ -97,7 +97,7 @@
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for n := 0; ; n++ {
-		f.Tell(fleet.Status{State: state, Load: fleet.Load{Capacity: 6, Busy: 0.5, InHand: n % 7, Share: 5.9}})
+		f.Publish(fleet.Status{State: state, Load: fleet.Load{Capacity: 6, Busy: 0.5, InFlight: n % 7, CallQuota: 5.9}})
 		select {
 		case <-ctx.Done():
 			return
@@ -152,12 +152,12 @@
 	var first uint64
 	for i, m := range live {
 		s := m.Fleet.Snapshot()
-		if s.Position == fleet.CutOff || len(live) > 1 && s.Position == fleet.Alone {
+		if s.Position == fleet.Partitioned || len(live) > 1 && s.Position == fleet.Alone {
 			return fmt.Errorf("%s holds itself for %v", m.Name, s.Position)
 		}
 		alive := 0
 		for j := range s.Members {
-			if x := &s.Members[j]; x.Standing == fleet.Alive || x.Standing == fleet.Wedged {
+			if x := &s.Members[j]; x.Liveness == fleet.Alive || x.Liveness == fleet.Wedged {
 				alive++
 			}
 		}
--- a/lab/schedule/schedule_test.go
+++ b/lab/schedule/schedule_test.go
@@ -70,7 +70,7 @@
 			was := last[at]
 			require.Falsef(t, x.Record.Less(&was), "%s knows less of %s than before", m.Name, x.Name)
 			last[at] = *x.Record
-			if x.Standing == fleet.Dead {
+			if x.Liveness == fleet.Dead {
 				for _, o := range c.Live() {
 					require.Falsef(t, o.Name == x.Name && o.Run == x.Run, "%s calls %s dead, which lives", m.Name, x.Name)
 				}
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -15,7 +15,7 @@
 // Store is a store. Its fields are set before Serve.
 type Store struct {
 	Delay time.Duration                       // from a call to its reply
-	Reply func(id string, body []byte) string // the word of the reply; nil: OK with the body
+	Reply func(id string, body []byte) string // the word of the reply; nil: OutcomeOK with the body
 
 	Slots *plant.Pool          // calls share it; nil: each takes Delay
 	Work  time.Duration        // of a call in a slot
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -59,28 +59,28 @@
 		name   string
 		action decide.Action
 	}{
-		{"run", decide.Action{Kind: decide.Run, ID: largest}},
-		{"stop", decide.Action{Kind: decide.Stop, ID: largest}},
-		{"refuse without advice", decide.Action{Kind: decide.Refuse, ID: 7}},
-		{"refuse with a time to stay away", decide.Action{Kind: decide.Refuse, ID: 7, StayAway: 1234567890 * time.Nanosecond}},
-		{"refuse for good", decide.Action{Kind: decide.Refuse, ID: 7, DontRetry: true}},
-		{"fail", decide.Action{Kind: decide.Fail, ID: largest}},
-		{"call", decide.Action{Kind: decide.Call, ID: 7, Cap: 1234567890 * time.Nanosecond}},
-		{"skip", decide.Action{Kind: decide.Skip, ID: largest}},
-		{"keep", decide.Action{Kind: decide.Keep, ID: 7, For: 1234567890 * time.Nanosecond}},
-		{"forget", decide.Action{Kind: decide.Forget, ID: largest}},
-		{"reuse", decide.Action{Kind: decide.Reuse, ID: largest}},
-		{"health good", decide.Action{Kind: decide.Health, Good: true}},
-		{"health bad", decide.Action{Kind: decide.Health}},
-		{"health good, for stored answers", decide.Action{Kind: decide.Health, Good: true, Stored: true}},
-		{"advertise nothing", decide.Action{Kind: decide.Advertise}},
-		{"advertise a fraction", decide.Action{Kind: decide.Advertise, Value: 1.0 / 3}},
-		{"advertise little", decide.Action{Kind: decide.Advertise, Value: 0.0000123456789}},
-		{"advertise much", decide.Action{Kind: decide.Advertise, Value: 12345678}},
-		{"idle limit", decide.Action{Kind: decide.IdleLimit, For: 1234567890 * time.Nanosecond}},
-		{"wake at a microsecond", decide.Action{Kind: decide.Wake, At: 1234567 * time.Microsecond}},
-		{"wake within a microsecond", decide.Action{Kind: decide.Wake, At: 1234567*time.Microsecond + 1}},
-		{"log", decide.Action{Kind: decide.Log, Text: "one\r\ntwo\nthree"}},
+		{"run", decide.Action{Kind: decide.ActionRun, ID: largest}},
+		{"stop", decide.Action{Kind: decide.ActionStop, ID: largest}},
+		{"refuse without advice", decide.Action{Kind: decide.ActionReject, ID: 7}},
+		{"refuse with a time to stay away", decide.Action{Kind: decide.ActionReject, ID: 7, RetryAfter: 1234567890 * time.Nanosecond}},
+		{"refuse for good", decide.Action{Kind: decide.ActionReject, ID: 7, NoRetryElsewhere: true}},
+		{"fail", decide.Action{Kind: decide.ActionFail, ID: largest}},
+		{"call", decide.Action{Kind: decide.ActionCall, ID: 7, Timeout: 1234567890 * time.Nanosecond}},
+		{"skip", decide.Action{Kind: decide.ActionSkipCall, ID: largest}},
+		{"keep", decide.Action{Kind: decide.ActionRemember, ID: 7, Duration: 1234567890 * time.Nanosecond}},
+		{"forget", decide.Action{Kind: decide.ActionForget, ID: largest}},
+		{"reuse", decide.Action{Kind: decide.ActionReuse, ID: largest}},
+		{"health good", decide.Action{Kind: decide.ActionHealth, Healthy: true}},
+		{"health bad", decide.Action{Kind: decide.ActionHealth}},
+		{"health good, for stored answers", decide.Action{Kind: decide.ActionHealth, Healthy: true, Cached: true}},
+		{"advertise nothing", decide.Action{Kind: decide.ActionAdvertise}},
+		{"advertise a fraction", decide.Action{Kind: decide.ActionAdvertise, Value: 1.0 / 3}},
+		{"advertise little", decide.Action{Kind: decide.ActionAdvertise, Value: 0.0000123456789}},
+		{"advertise much", decide.Action{Kind: decide.ActionAdvertise, Value: 12345678}},
+		{"idle limit", decide.Action{Kind: decide.ActionIdleTimeout, Duration: 1234567890 * time.Nanosecond}},
+		{"wake at a microsecond", decide.Action{Kind: decide.ActionWake, At: 1234567 * time.Microsecond}},
+		{"wake within a microsecond", decide.Action{Kind: decide.ActionWake, At: 1234567*time.Microsecond + 1}},
+		{"log", decide.Action{Kind: decide.ActionLog, Text: "one\r\ntwo\nthree"}},
 	} {
 		cases = append(cases, goldenCase{c.name, oneLineOf(t, AppendAction(nil, 12, c.action))})
 	}
@@ -110,25 +110,25 @@
 		{"create", Message{Kind: Create, Node: 3, Line: 2, Seed: 1<<64 - 1, Conf: []byte(`{"FleetSize": 11, "Name": "a b"}`)}},
 		{"create with a negative seed", Message{Kind: Create, Node: 3, Line: 2, Seed: 1<<64 - 5, Conf: []byte("{}")}},
 		{"retire", Message{Kind: Retire, Node: 3, Line: 2}},
-		happens("order", decide.Event{Kind: decide.Request, ID: 3233622311735748, Caller: 17, MemoryKB: 24.5, Tenant: 1,
-			Hint: 12 * time.Millisecond, HasKey: true, Repeat: true, Earlier: 1422162698119961, Rank: 0.625,
-			Due: 8652250 * us1, Waited: 1850 * us1, Class: 2}),
-		happens("order that mutates", decide.Event{Kind: decide.Request, ID: 8, Caller: 1, MemoryKB: 2, Class: 1}),
-		happens("order that tells little", decide.Event{Kind: decide.Request, ID: 1<<64 - 1}),
-		happens("dropped", decide.Event{Kind: decide.Gone, ID: 7}),
-		happens("wants call", decide.Event{Kind: decide.WantsCall, ID: 7}),
-		happens("notice", decide.Event{Kind: decide.Notice, At: 11912250 * us1}),
-		happens("elapsed", decide.Event{Kind: decide.Timer, Gauges: decide.Gauges{CoreUse: 0.62, OnCores: 3, Heap: 0.41, Links: 120}}),
-		happens("elapsed with some gauges", decide.Event{Kind: decide.Timer, Gauges: decide.Gauges{CoreUse: -1, OnCores: 0, Heap: -1, Links: 5}}),
-		happens("elapsed without gauges", decide.Event{Kind: decide.Timer, Gauges: decide.Gauges{CoreUse: -1, OnCores: -1, Heap: -1, Links: -1}}),
+		happens("order", decide.Event{Kind: decide.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1,
+			CostHint: 12 * time.Millisecond, HasSubject: true, Retry: true, RetryOf: 1422162698119961, Rank: 0.625,
+			Deadline: 8652250 * us1, Waited: 1850 * us1, Class: 2}),
+		happens("order that mutates", decide.Event{Kind: decide.EventRequest, ID: 8, Client: 1, MemoryKB: 2, Class: 1}),
+		happens("order that tells little", decide.Event{Kind: decide.EventRequest, ID: 1<<64 - 1}),
+		happens("dropped", decide.Event{Kind: decide.EventCancelled, ID: 7}),
+		happens("wants call", decide.Event{Kind: decide.EventCallNeeded, ID: 7}),
+		happens("notice", decide.Event{Kind: decide.EventDrain, StopAt: 11912250 * us1}),
+		happens("elapsed", decide.Event{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}}),
+		happens("elapsed with some gauges", decide.Event{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: -1, CPUDemand: 0, MemoryUtilization: -1, Connections: 5}}),
+		happens("elapsed without gauges", decide.Event{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}}),
 	}
 	for _, o := range []struct {
 		name    string
 		outcome decide.Outcome
-	}{{"ok", decide.OK}, {"failed", decide.Failed}, {"rejected", decide.Rejected}, {"timed out", decide.TimedOut},
-		{"unreachable", decide.Unreachable}, {"aborted", decide.Aborted}, {"cancelled", decide.Cancelled}, {"moot", decide.Moot}} {
-		cases = append(cases, happens("done, "+o.name, decide.Event{Kind: decide.Done, ID: 5, Outcome: o.outcome, Took: 9 * us1}),
-			happens("call result, "+o.name, decide.Event{Kind: decide.CallResult, ID: 5, Outcome: o.outcome, Took: 9 * us1}))
+	}{{"ok", decide.OutcomeOK}, {"failed", decide.OutcomeFailed}, {"rejected", decide.OutcomeRejected}, {"timed out", decide.OutcomeTimedOut},
+		{"unreachable", decide.OutcomeUnreachable}, {"aborted", decide.OutcomeAborted}, {"cancelled", decide.OutcomeCancelled}, {"moot", decide.OutcomeNotStarted}} {
+		cases = append(cases, happens("done, "+o.name, decide.Event{Kind: decide.EventDone, ID: 5, Outcome: o.outcome, Took: 9 * us1}),
+			happens("call result, "+o.name, decide.Event{Kind: decide.EventCallDone, ID: 5, Outcome: o.outcome, Took: 9 * us1}))
 	}
 	lines := readGolden(t, "events.golden", len(cases))
 	for _, c := range cases {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -111,9 +111,9 @@
 }
 
 var outcomes = map[string]decide.Outcome{
-	"OK": decide.OK, "INTERNAL": decide.Failed, "RESOURCE_EXHAUSTED": decide.Rejected,
-	"DEADLINE_EXCEEDED": decide.TimedOut, "UNAVAILABLE": decide.Unreachable, "ABORTED": decide.Aborted,
-	"CANCELLED": decide.Cancelled, "TOO_LATE": decide.Moot,
+	"OK": decide.OutcomeOK, "INTERNAL": decide.OutcomeFailed, "RESOURCE_EXHAUSTED": decide.OutcomeRejected,
+	"DEADLINE_EXCEEDED": decide.OutcomeTimedOut, "UNAVAILABLE": decide.OutcomeUnreachable, "ABORTED": decide.OutcomeAborted,
+	"CANCELLED": decide.OutcomeCancelled, "TOO_LATE": decide.OutcomeNotStarted,
 }
 
 func parse(text string) (Message, error) {
@@ -133,21 +133,21 @@
 	case "ORDER":
 		parseOrder(&f, e)
 	case "DONE":
-		e.Kind, e.ID = decide.Done, f.id("Xid")
+		e.Kind, e.ID = decide.EventDone, f.id("Xid")
 		e.Outcome = f.outcome("Disposition")
 		e.Took = f.us("WaitTimeUs")
 	case "DROPPED":
-		e.Kind, e.ID = decide.Gone, f.id("Xid")
+		e.Kind, e.ID = decide.EventCancelled, f.id("Xid")
 	case "WANTS_CALL":
-		e.Kind, e.ID = decide.WantsCall, f.id("Xid")
+		e.Kind, e.ID = decide.EventCallNeeded, f.id("Xid")
 	case "CALL_RESULT":
-		e.Kind, e.ID = decide.CallResult, f.id("Xid")
+		e.Kind, e.ID = decide.EventCallDone, f.id("Xid")
 		e.Took = f.us("WaitTimeUs")
 		e.Outcome = f.outcome("Disposition")
 	case "NOTICE":
-		e.Kind, e.At = decide.Notice, f.us("DeadlineUs")
+		e.Kind, e.StopAt = decide.EventDrain, f.us("DeadlineUs")
 	case "ELAPSED":
-		e.Kind = decide.Timer
+		e.Kind = decide.EventTimer
 		f.next()
 		e.Gauges = f.gauges("Feedback")
 	default:
@@ -160,18 +160,18 @@
 }
 
 func parseOrder(f *fields, e *decide.Event) {
-	e.Kind, e.ID = decide.Request, f.id("Xid")
-	e.Caller = int(f.whole("By"))
+	e.Kind, e.ID = decide.EventRequest, f.id("Xid")
+	e.Client = int(f.whole("By"))
 	e.MemoryKB = f.number("MemKb")
 	e.Tenant = int(f.whole("Owner"))
-	e.Hint = f.us("PredictedUs")
+	e.CostHint = f.us("PredictedUs")
 	key := f.next()
-	e.HasKey = key != "-" && key != ""
-	e.Repeat = f.flag("Repeat")
+	e.HasSubject = key != "-" && key != ""
+	e.Retry = f.flag("Repeat")
 	f.flag("Mutates")
-	e.Earlier = f.id("Forerunner")
+	e.RetryOf = f.id("Forerunner")
 	e.Rank = f.number("Prio")
-	e.Due = f.us("DeadlineUs")
+	e.Deadline = f.us("DeadlineUs")
 	e.Waited = f.us("WaitedUs")
 	e.Class = int(f.whole("Kind"))
 }
@@ -259,7 +259,7 @@
 
 // gauges reads name:value pairs and ignores names that it does not know.
 func (f *fields) gauges(name string) decide.Gauges {
-	g := decide.Gauges{CoreUse: -1, OnCores: -1, Heap: -1, Links: -1}
+	g := decide.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 	word := f.next()
 	if f.over {
 		f.fail(name, word, "gauges")
@@ -276,13 +276,13 @@
 		}
 		switch key {
 		case "core_use":
-			g.CoreUse = v
+			g.CPUUtilization = v
 		case "on_cores":
-			g.OnCores = v
+			g.CPUDemand = v
 		case "heap_share":
-			g.Heap = v
+			g.MemoryUtilization = v
 		case "links":
-			g.Links = v
+			g.Connections = v
 		}
 	}
 	return g
@@ -307,43 +307,43 @@
 		b = strconv.AppendUint(append(b, ' '), uint64(a.ID), 10)
 	}
 	switch a.Kind {
-	case decide.Run:
+	case decide.ActionRun:
 		withID("SERVE")
-	case decide.Stop:
+	case decide.ActionStop:
 		withID("YANK")
-	case decide.Refuse:
+	case decide.ActionReject:
 		withID("OVERLOAD_REPLY")
-		num(a.StayAway.Microseconds())
-		flag(a.DontRetry)
-	case decide.Fail:
+		num(a.RetryAfter.Microseconds())
+		flag(a.NoRetryElsewhere)
+	case decide.ActionFail:
 		withID("LOSE")
-	case decide.Call:
+	case decide.ActionCall:
 		withID("ASK_BELOW")
-		num(a.Cap.Microseconds())
-	case decide.Skip:
+		num(a.Timeout.Microseconds())
+	case decide.ActionSkipCall:
 		withID("SKIP")
-	case decide.Keep:
+	case decide.ActionRemember:
 		withID("KEEP")
-		num(a.For.Microseconds())
-	case decide.Forget:
+		num(a.Duration.Microseconds())
+	case decide.ActionForget:
 		withID("EVICT")
-	case decide.Reuse:
+	case decide.ActionReuse:
 		withID("ANSWER_FROM")
-	case decide.Health:
+	case decide.ActionHealth:
 		head("HEALTH")
-		flag(a.Good)
-		flag(a.Stored)
-	case decide.Advertise:
+		flag(a.Healthy)
+		flag(a.Cached)
+	case decide.ActionAdvertise:
 		head("SAY")
 		b = strconv.AppendFloat(append(b, ' '), a.Value, 'g', 6, 64)
-	case decide.IdleLimit:
+	case decide.ActionIdleTimeout:
 		head("IDLE_LIMIT")
-		num(a.For.Microseconds())
-	case decide.Wake:
+		num(a.Duration.Microseconds())
+	case decide.ActionWake:
 		head("WAKE_ME")
 		num((a.At + time.Microsecond - 1).Microseconds())
 		b = append(b, " w"...)
-	case decide.Log:
+	case decide.ActionLog:
 		head("REMARK")
 		b = append(append(b, ' '), oneLine(a.Text)...)
 	}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -22,38 +22,38 @@
 		names[v] = k
 	}
 	switch e.Kind {
-	case decide.Request:
+	case decide.EventRequest:
 		key := "-"
-		if e.HasKey {
+		if e.HasSubject {
 			key = "acct/x"
 		}
-		return fmt.Sprintf("ORDER %d %d %d %g %d %d %s %d 0 %d %g %d %d %d", node, e.ID, e.Caller, e.MemoryKB, e.Tenant,
-			e.Hint/us1, key, bit[e.Repeat], e.Earlier, e.Rank, e.Due/us1, e.Waited/us1, e.Class)
-	case decide.Done:
+		return fmt.Sprintf("ORDER %d %d %d %g %d %d %s %d 0 %d %g %d %d %d", node, e.ID, e.Client, e.MemoryKB, e.Tenant,
+			e.CostHint/us1, key, bit[e.Retry], e.RetryOf, e.Rank, e.Deadline/us1, e.Waited/us1, e.Class)
+	case decide.EventDone:
 		return fmt.Sprintf("DONE %d %d %s %d", node, e.ID, names[e.Outcome], e.Took/us1)
-	case decide.Gone:
+	case decide.EventCancelled:
 		return fmt.Sprintf("DROPPED %d %d", node, e.ID)
-	case decide.WantsCall:
+	case decide.EventCallNeeded:
 		return fmt.Sprintf("WANTS_CALL %d %d", node, e.ID)
-	case decide.CallResult:
+	case decide.EventCallDone:
 		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, e.ID, e.Took/us1, names[e.Outcome])
-	case decide.Notice:
-		return fmt.Sprintf("NOTICE %d %d", node, e.At/us1)
+	case decide.EventDrain:
+		return fmt.Sprintf("NOTICE %d %d", node, e.StopAt/us1)
 	}
-	return fmt.Sprintf("ELAPSED %d w core_use:%g,on_cores:%g,heap_share:%g,links:%g,unknown:7", node, e.Gauges.CoreUse,
-		e.Gauges.OnCores, e.Gauges.Heap, e.Gauges.Links)
+	return fmt.Sprintf("ELAPSED %d w core_use:%g,on_cores:%g,heap_share:%g,links:%g,unknown:7", node, e.Gauges.CPUUtilization,
+		e.Gauges.CPUDemand, e.Gauges.MemoryUtilization, e.Gauges.Connections)
 }
 
 func TestEveryEventGoesThere(t *testing.T) {
 	events := []decide.Event{
-		{Kind: decide.Request, ID: 3233622311735748, Caller: 17, MemoryKB: 24.5, Tenant: 1, Hint: 12000 * us1, HasKey: true,
-			Repeat: true, Earlier: 1422162698119961, Rank: 0.625, Due: 8652250 * us1, Waited: 1850 * us1, Class: 2},
-		{Kind: decide.Gone, ID: 7}, {Kind: decide.WantsCall, ID: 7}, {Kind: decide.Notice, At: 11912250 * us1},
-		{Kind: decide.Timer, Gauges: decide.Gauges{CoreUse: 0.62, OnCores: 3, Heap: 0.41, Links: 120}},
+		{Kind: decide.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1, CostHint: 12000 * us1, HasSubject: true,
+			Retry: true, RetryOf: 1422162698119961, Rank: 0.625, Deadline: 8652250 * us1, Waited: 1850 * us1, Class: 2},
+		{Kind: decide.EventCancelled, ID: 7}, {Kind: decide.EventCallNeeded, ID: 7}, {Kind: decide.EventDrain, StopAt: 11912250 * us1},
+		{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}},
 	}
 	for _, o := range outcomes {
-		events = append(events, decide.Event{Kind: decide.Done, ID: 5, Outcome: o, Took: 9 * us1},
-			decide.Event{Kind: decide.CallResult, ID: 5, Outcome: o, Took: 9 * us1})
+		events = append(events, decide.Event{Kind: decide.EventDone, ID: 5, Outcome: o, Took: 9 * us1},
+			decide.Event{Kind: decide.EventCallDone, ID: 5, Outcome: o, Took: 9 * us1})
 	}
 	for _, e := range events {
 		var b Batch
@@ -68,20 +68,20 @@
 
 func TestEveryActionGoesBack(t *testing.T) {
 	for want, a := range map[string]decide.Action{
-		"SERVE 3 9":                   {Kind: decide.Run, ID: 9},
-		"YANK 3 9":                    {Kind: decide.Stop, ID: 9},
-		"OVERLOAD_REPLY 3 9 250000 1": {Kind: decide.Refuse, ID: 9, StayAway: 250 * time.Millisecond, DontRetry: true},
-		"LOSE 3 9":                    {Kind: decide.Fail, ID: 9},
-		"ASK_BELOW 3 9 80000":         {Kind: decide.Call, ID: 9, Cap: 80 * time.Millisecond},
-		"SKIP 3 9":                    {Kind: decide.Skip, ID: 9},
-		"KEEP 3 9 8000000":            {Kind: decide.Keep, ID: 9, For: 8 * time.Second},
-		"EVICT 3 9":                   {Kind: decide.Forget, ID: 9},
-		"ANSWER_FROM 3 9":             {Kind: decide.Reuse, ID: 9},
-		"HEALTH 3 0 1":                {Kind: decide.Health, Stored: true},
-		"SAY 3 0.25":                  {Kind: decide.Advertise, Value: 0.25},
-		"IDLE_LIMIT 3 2000000":        {Kind: decide.IdleLimit, For: 2 * time.Second},
-		"WAKE_ME 3 8912251 w":         {Kind: decide.Wake, At: 8912250*us1 + 1},
-		"REMARK 3 two servers":        {Kind: decide.Log, Text: "two\nservers"},
+		"SERVE 3 9":                   {Kind: decide.ActionRun, ID: 9},
+		"YANK 3 9":                    {Kind: decide.ActionStop, ID: 9},
+		"OVERLOAD_REPLY 3 9 250000 1": {Kind: decide.ActionReject, ID: 9, RetryAfter: 250 * time.Millisecond, NoRetryElsewhere: true},
+		"LOSE 3 9":                    {Kind: decide.ActionFail, ID: 9},
+		"ASK_BELOW 3 9 80000":         {Kind: decide.ActionCall, ID: 9, Timeout: 80 * time.Millisecond},
+		"SKIP 3 9":                    {Kind: decide.ActionSkipCall, ID: 9},
+		"KEEP 3 9 8000000":            {Kind: decide.ActionRemember, ID: 9, Duration: 8 * time.Second},
+		"EVICT 3 9":                   {Kind: decide.ActionForget, ID: 9},
+		"ANSWER_FROM 3 9":             {Kind: decide.ActionReuse, ID: 9},
+		"HEALTH 3 0 1":                {Kind: decide.ActionHealth, Cached: true},
+		"SAY 3 0.25":                  {Kind: decide.ActionAdvertise, Value: 0.25},
+		"IDLE_LIMIT 3 2000000":        {Kind: decide.ActionIdleTimeout, Duration: 2 * time.Second},
+		"WAKE_ME 3 8912251 w":         {Kind: decide.ActionWake, At: 8912250*us1 + 1},
+		"REMARK 3 two servers":        {Kind: decide.ActionLog, Text: "two\nservers"},
 	} {
 		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
@@ -129,9 +129,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Cores != 6 || s.Advert != decide.AdvertCredit || s.Halt != decide.HaltDrop || !s.Classes[0].Calls ||
-		s.Classes[1].Calls || s.Classes[1].SkipWorth != 0.5 || s.Classes[1].KeyWindow != 16101*time.Millisecond ||
-		s.Tenants[0].QuotaPerS != 158 || s.TellsDeadline {
+	if s.Cores != 6 || s.Advert != decide.AdvertCredit || s.Halt != decide.HaltDrop || !s.Classes[0].CallsDependency ||
+		s.Classes[1].CallsDependency || s.Classes[1].DegradedValueRatio != 0.5 || s.Classes[1].IdempotencyWindow != 16101*time.Millisecond ||
+		s.Tenants[0].QuotaPerSecond != 158 || s.SendsDeadlines {
 		t.Errorf("read %+v", s)
 	}
 	renamed, err := Settings([]byte(strings.ReplaceAll(sample, "NAME", "other")))
