--- a/decide/decide.go
+++ b/decide/decide.go
@@ -98,9 +98,8 @@
 	return dropRatio(total, accepts, c.protect)
 }
 
-// SetProtectedCalls sets how many calls a window are never dropped: BreakerProtectedCalls unless the fleet tries in common.
-// Below 0 none is made while none is accepted.
-// Whoever is to try goes by what calls took at best.
+// SetProtectedCalls sets how many calls a window are never dropped: BreakerProtectedCalls unless the fleet
+// probes in common. Below 0 none is made while none is accepted. Whoever may probe goes by the best call time.
 func (c *Controller) SetProtectedCalls(calls float64) {
 	if c.protect = calls; calls > 0 && c.callTime.set {
 		c.callTime.v = c.callBest
@@ -221,7 +220,8 @@
 	pressed := c.gauges.CPUUtilization > pressedUse || c.gauges.CPUDemand > pressedQueue*float64(c.s.Cores)
 	late := false
 	for i := range c.classes {
-		late = late || !c.s.Classes[i].Removed && c.classes[i].latency.or(0) > c.s.Classes[i].LatencyObjective.Seconds()
+		k := &c.s.Classes[i]
+		late = late || !k.Removed && c.classes[i].latency.or(0) > k.LatencyObjective.Seconds()
 	}
 	if pressed && late {
 		c.share = max(c.share*shareDown, shareFloor)
@@ -461,7 +461,8 @@
 	if j.standing != RankUnknown {
 		storm = why == ReasonBelowThreshold || why == ReasonCPU && j.standing != RankElsewhere
 	}
-	a := Action{Kind: ActionReject, ID: j.id, Reason: why, NoRetryElsewhere: why == ReasonDependency || why == ReasonTooLate || storm}
+	a := Action{Kind: ActionReject, ID: j.id, Reason: why,
+		NoRetryElsewhere: why == ReasonDependency || why == ReasonTooLate || storm}
 	if !a.NoRetryElsewhere {
 		a.RetryAfter = min(c.stayAway(why)+j.spread, c.s.MaxRetryAfter)
 	}
