--- a/decide/api.go
+++ b/admission/api.go
@@ -1,9 +1,9 @@
-// Package decide is falldeal's overload controller: it decides, inside one server, what is run,
+// Package admission is falldeal's overload controller: it decides, inside one server, what is run,
 // turned away or failed, and which calls to the tier below are made. It does no I/O and has no clock,
 // goroutine or global of its own: feed it events with Step and carry out the actions that it returns.
 //
 // All decisions are in decide.go. This file holds only the types that a server exchanges with it.
-package decide
+package admission
 
 import "time"
 
--- a/decide/decide.go
+++ b/admission/decide.go
@@ -1,4 +1,4 @@
-package decide
+package admission
 
 // This file is the decision module; its interface (settings, events, actions) is api.go. In reading order:
 // tuned values, state, breaker, intake, hold and runs, calls, keys, memory and crowd guards, drain and
@@ -99,7 +99,7 @@
 }
 
 // SetProtectedCalls sets how many calls a window are never dropped: BreakerProtectedCalls unless the fleet
-// probes in common. Below 0 none is made while none is accepted. Whoever may probe goes by the best call time.
+// probes in common. Below 0 none is made while none is accepted. Who may probe goes by the best call time.
 func (c *Controller) SetProtectedCalls(calls float64) {
 	if c.protect = calls; calls > 0 && c.callTime.set {
 		c.callTime.v = c.callBest
--- a/decide/decide_test.go
+++ b/admission/decide_test.go
@@ -1,4 +1,4 @@
-package decide
+package admission
 
 import (
 	"bufio"
--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -15,7 +15,7 @@
 	"text/tabwriter"
 	"time"
 
-	"falldeal/lab/callers"
+	"falldeal/lab/clients"
 	"falldeal/lab/faults"
 	"falldeal/lab/fleetlab"
 	"falldeal/lab/history"
@@ -159,7 +159,7 @@
 	}
 	loaded, cancel := context.WithTimeout(ctx, a.for_)
 	defer cancel()
-	callers.Run(loaded, a.plan, l.Servers(a.lag), l.Log)
+	clients.Run(loaded, a.plan, l.Servers(a.lag), l.Log)
 	end()
 	wg.Wait()
 	return failed
--- a/cmd/falldeal-lab/main.go
+++ b/cmd/falldeal-lab/main.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"falldeal/lab/callers"
+	"falldeal/lab/clients"
 	"falldeal/lab/faults"
 	"falldeal/lab/fleetlab"
 	"falldeal/lab/history"
@@ -63,7 +63,7 @@
 // asked is what the command line says.
 type asked struct {
 	o         fleetlab.Options
-	plan      callers.Plan
+	plan      clients.Plan
 	script    string
 	load      float64
 	lag, for_ time.Duration
@@ -116,7 +116,7 @@
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	a.plan.Habits = []callers.Habit{{Tries: *retries, Heed: *heed == "all"}, {ByKey: true, Tries: *retries, Heed: *heed != "none"}}
+	a.plan.Habits = []clients.Habit{{Tries: *retries, Heed: *heed == "all"}, {ByKey: true, Tries: *retries, Heed: *heed != "none"}}
 	if *byKey {
 		a.plan.Habits = a.plan.Habits[1:]
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,7 +9,7 @@
 	"io"
 	"os"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/wire"
 )
 
@@ -22,15 +22,15 @@
 
 // node is one hosted controller; ctl is nil once it is broken.
 type node struct {
-	ctl    *decide.Controller
-	events []decide.Event
+	ctl    *admission.Controller
+	events []admission.Event
 	due    bool // it has an event in this batch
 }
 
 type host struct {
 	nodes   map[int]*node
 	order   []int // nodes with an event in this batch, as they first appear
-	actions []decide.Action
+	actions []admission.Action
 	out     []byte
 }
 
@@ -99,7 +99,7 @@
 	h.nodes[m.Node] = n
 	s, err := wire.Settings(m.Conf)
 	if err == nil {
-		n.ctl, err = decide.New(s, m.Seed, b.Now)
+		n.ctl, err = admission.New(s, m.Seed, b.Now)
 	}
 	if err != nil {
 		n.ctl = nil
--- a/internal/agent/cut_test.go
+++ b/internal/agent/cut_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"falldeal/internal/logging"
-	"falldeal/lab/standin"
+	"falldeal/lab/fakes"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -18,7 +18,7 @@
 // The configuration moves the agent in the middle of a cut: the dial to the old address hangs, and is not waited
 // for. What was to be run meanwhile is run at the new address, once, though all notices of a silence come at once.
 func TestMoveOutOfACut(t *testing.T) {
-	mute, err := standin.NewMute()
+	mute, err := fakes.NewMute()
 	require.NoError(t, err)
 	defer mute.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"falldeal/internal/logging"
-	"falldeal/internal/outbox"
+	"falldeal/internal/writequeue"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -65,10 +65,10 @@
 }
 
 // linesOn returns what is written to a connection of l while use makes use of it.
-func linesOn(t *testing.T, l *Link, use func(w *outbox.Queue)) []string {
+func linesOn(t *testing.T, l *Link, use func(w *writequeue.Queue)) []string {
 	t.Helper()
 	near, far := net.Pipe()
-	w := outbox.New(near, outRoom)
+	w := writequeue.New(near, outRoom)
 	l.opened(goldenAddr, w)
 	use(w)
 	w.Close()
@@ -94,7 +94,7 @@
 // Every command, as a link writes it, on a first connection and on one that follows it.
 func TestGoldenCommands(t *testing.T) {
 	l := newGoldenLink()
-	first := linesOn(t, l, func(w *outbox.Queue) {
+	first := linesOn(t, l, func(w *writequeue.Queue) {
 		l.handle(w, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
 		l.handle(w, Notification{Kind: Gauges, Token: "1"})
 		l.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
@@ -107,7 +107,7 @@
 	})
 	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch", "launch of an odd class without a payload",
 		"deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
-	second := linesOn(t, l, func(w *outbox.Queue) {
+	second := linesOn(t, l, func(w *writequeue.Queue) {
 		l.handle(w, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
 		l.handle(w, Notification{Kind: Gauges, Token: "8"})
 	})
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -13,7 +13,7 @@
 
 	"falldeal/internal/backoff"
 	"falldeal/internal/logging"
-	"falldeal/internal/outbox"
+	"falldeal/internal/writequeue"
 
 	"golang.org/x/sync/errgroup"
 )
@@ -60,7 +60,7 @@
 	opens  uint64               // links opened so far
 	now    func() time.Duration // the loop's clock
 	lost   func()               // tells that notices have been lost for good
-	cur    *outbox.Queue
+	cur    *writequeue.Queue
 	synced bool          // commands may be written
 	last   int64         // offset of the last notice read
 	seq    int64         // counts commands and samples; a sample's number is its token
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	w := outbox.New(nc, outRoom)
+	w := writequeue.New(nc, outRoom)
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, w.Close)()
 	defer context.AfterFunc(stay, func() { _ = nc.SetReadDeadline(time.Now().Add(finish)) })()
@@ -160,7 +160,7 @@
 	return err
 }
 
-func (l *Link) read(nc net.Conn, w *outbox.Queue) error {
+func (l *Link) read(nc net.Conn, w *writequeue.Queue) error {
 	in := bufio.NewReaderSize(nc, maxLine)
 	var p parser
 	for {
@@ -176,7 +176,7 @@
 	}
 }
 
-func (l *Link) opened(addr string, w *outbox.Queue) {
+func (l *Link) opened(addr string, w *writequeue.Queue) {
 	if addr != l.addr {
 		w.Close() // the agent has moved meanwhile
 		return
@@ -228,14 +228,14 @@
 	return true
 }
 
-func (l *Link) closed(w *outbox.Queue) {
+func (l *Link) closed(w *writequeue.Queue) {
 	if l.cur == w {
 		l.cur, l.synced = nil, false
 	}
 }
 
 // handle takes a notice in the loop: what was seen on an earlier link is dropped.
-func (l *Link) handle(w *outbox.Queue, n Notification) {
+func (l *Link) handle(w *writequeue.Queue, n Notification) {
 	if w != l.cur {
 		return
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 
 	"github.com/valyala/fastjson"
 )
@@ -75,7 +75,7 @@
 	StopTimeout         time.Duration // from SIGTERM to the end of the process
 	ReplacedStopTimeout time.Duration // the same where a newer process has taken its place
 	Limits              Limits
-	Settings            decide.Settings
+	Settings            admission.Settings
 	Classes             []string // names, in the order of Settings.Classes
 	Tenants             []string // names, in the order of Settings.Tenants
 	Gauges              []string // names, in the order in which the agent reports them
@@ -213,7 +213,7 @@
 	for _, a := range []struct{ key, addr string }{
 		{"listen", c.Listen}, {"agent", c.Agent}, {"store", c.Store}, {"announce", c.Announce}, {"console", c.Console}} {
 		if a.addr == "" {
-			if a.key != "console" && (a.key != "store" || c.Settings.Dependency != decide.DependencyNone) {
+			if a.key != "console" && (a.key != "store" || c.Settings.Dependency != admission.DependencyNone) {
 				o.fail(a.key, "missing")
 			}
 		} else if err := checkAddr(a.addr, a.key == "listen" || a.key == "console"); err != nil {
@@ -230,12 +230,12 @@
 	for _, u := range []struct {
 		key  string
 		used bool
-	}{{"Halt", s.Halt != decide.HaltOff}, {"Advert", s.Advert != decide.AdvertOff}, {"FreshForUs", s.CacheTTL > 0}} {
+	}{{"Halt", s.Halt != admission.HaltOff}, {"Advert", s.Advert != admission.AdvertOff}, {"FreshForUs", s.CacheTTL > 0}} {
 		if u.used {
 			c.Unused = append(c.Unused, "settings.FamilyInfo."+u.key)
 		}
 	}
-	s.Halt, s.Advert, s.CacheTTL = decide.HaltOff, decide.AdvertOff, min(s.CacheTTL, 0)
+	s.Halt, s.Advert, s.CacheTTL = admission.HaltOff, admission.AdvertOff, min(s.CacheTTL, 0)
 }
 
 // checkAddr accepts a numeric address with a port: there is no name service to ask. Port 0, any that
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 
 	"github.com/stretchr/testify/require"
 )
@@ -32,10 +32,10 @@
 	require.Equal(t, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, c.Limits)
 	require.Equal(t, []string{"preview", "hires-crop", "licence-order"}, c.Classes)
 	require.Equal(t, []string{"core_use", "on_cores", "heap_share", "links"}, c.Gauges)
-	require.Equal(t, decide.IdempotentByKey, c.Settings.Classes[2].Idempotency)
+	require.Equal(t, admission.IdempotentByKey, c.Settings.Classes[2].Idempotency)
 	require.Equal(t, 17457*time.Millisecond, c.Settings.Classes[2].IdempotencyWindow)
 	require.Equal(t, []bool{true, false, true}, []bool{c.Settings.Classes[0].CallsDependency, c.Settings.Classes[1].CallsDependency, c.Settings.Classes[2].CallsDependency})
-	_, err = decide.New(c.Settings, c.Seed, 0)
+	_, err = admission.New(c.Settings, c.Seed, 0)
 	require.NoError(t, err, "what passes the check must start a controller")
 }
 
@@ -134,7 +134,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := Parse([]byte(text), none)
 		if err == nil {
-			_, err = decide.New(c.Settings, c.Seed, 0)
+			_, err = admission.New(c.Settings, c.Seed, 0)
 			require.NoError(t, err, "what passes the check must start a controller")
 		}
 	})
@@ -178,37 +178,37 @@
 	for _, c := range []struct {
 		name, old, new string
 		unused         []string
-		safety         decide.Idempotency
+		safety         admission.Idempotency
 	}{
-		{"as it is", "", "", nil, decide.IdempotentByKey},
-		{"halt drop", `"Halt": "off"`, `"Halt": "drop"`, []string{"settings.FamilyInfo.Halt"}, decide.IdempotentByKey},
-		{"halt pause", `"Halt": "off"`, `"Halt": "pause"`, []string{"settings.FamilyInfo.Halt"}, decide.IdempotentByKey},
-		{"halt absent", `"Halt": "off",`, ``, nil, decide.IdempotentByKey},
-		{"level", `"Advert": "off"`, `"Advert": "level"`, []string{"settings.FamilyInfo.Advert"}, decide.IdempotentByKey},
-		{"credit", `"Advert": "off"`, `"Advert": "credit"`, []string{"settings.FamilyInfo.Advert"}, decide.IdempotentByKey},
-		{"weight", `"Advert": "off"`, `"Advert": "weight"`, []string{"settings.FamilyInfo.Advert"}, decide.IdempotentByKey},
-		{"shared reads", `"FreshForUs": 0`, `"FreshForUs": 500000`, []string{"settings.FamilyInfo.FreshForUs"}, decide.IdempotentByKey},
-		{"tier", `"Below": "shared"`, `"Below": "tier"`, nil, decide.IdempotentByKey},
-		{"no share", `"CallsOut": 5.9, `, ``, nil, decide.IdempotentByKey},
-		{"unsafe", `"Idempotency": "keyed"`, `"Idempotency": "unsafe"`, nil, decide.Unsafe},
-		{"window absent", `"KeyTtlUs": 17457000, `, ``, nil, decide.IdempotentByKey},
-		{"short deadline", `"DeadlineUs": 7000000`, `"DeadlineUs": 1`, nil, decide.IdempotentByKey},
-		{"no deadline told", `"PassesDeadline": true,`, ``, nil, decide.IdempotentByKey},
-		{"no limits", `"Limits": {`, `"Old": {`, nil, decide.IdempotentByKey},
-		{"no rules", `"Invariants": {`, `"Old": {`, nil, decide.IdempotentByKey},
-		{"tenants", `"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}]`, nil, decide.IdempotentByKey},
-		{"unknown keys", `"FleetSize"`, `"Later": [{"x": null}], "FleetSize"`, nil, decide.IdempotentByKey},
+		{"as it is", "", "", nil, admission.IdempotentByKey},
+		{"halt drop", `"Halt": "off"`, `"Halt": "drop"`, []string{"settings.FamilyInfo.Halt"}, admission.IdempotentByKey},
+		{"halt pause", `"Halt": "off"`, `"Halt": "pause"`, []string{"settings.FamilyInfo.Halt"}, admission.IdempotentByKey},
+		{"halt absent", `"Halt": "off",`, ``, nil, admission.IdempotentByKey},
+		{"level", `"Advert": "off"`, `"Advert": "level"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
+		{"credit", `"Advert": "off"`, `"Advert": "credit"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
+		{"weight", `"Advert": "off"`, `"Advert": "weight"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
+		{"shared reads", `"FreshForUs": 0`, `"FreshForUs": 500000`, []string{"settings.FamilyInfo.FreshForUs"}, admission.IdempotentByKey},
+		{"tier", `"Below": "shared"`, `"Below": "tier"`, nil, admission.IdempotentByKey},
+		{"no share", `"CallsOut": 5.9, `, ``, nil, admission.IdempotentByKey},
+		{"unsafe", `"Idempotency": "keyed"`, `"Idempotency": "unsafe"`, nil, admission.Unsafe},
+		{"window absent", `"KeyTtlUs": 17457000, `, ``, nil, admission.IdempotentByKey},
+		{"short deadline", `"DeadlineUs": 7000000`, `"DeadlineUs": 1`, nil, admission.IdempotentByKey},
+		{"no deadline told", `"PassesDeadline": true,`, ``, nil, admission.IdempotentByKey},
+		{"no limits", `"Limits": {`, `"Old": {`, nil, admission.IdempotentByKey},
+		{"no rules", `"Invariants": {`, `"Old": {`, nil, admission.IdempotentByKey},
+		{"tenants", `"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}]`, nil, admission.IdempotentByKey},
+		{"unknown keys", `"FleetSize"`, `"Later": [{"x": null}], "FleetSize"`, nil, admission.IdempotentByKey},
 	} {
 		text := strings.Replace(read(t), c.old, c.new, 1)
 		require.True(t, c.old == "" || text != read(t), c.name)
 		cfg, err := Parse([]byte(text), none)
 		require.NoError(t, err, c.name)
 		require.Equal(t, c.unused, cfg.Unused, c.name)
-		require.Equal(t, decide.HaltOff, cfg.Settings.Halt, c.name)
-		require.Equal(t, decide.AdvertOff, cfg.Settings.Advert, c.name)
+		require.Equal(t, admission.HaltOff, cfg.Settings.Halt, c.name)
+		require.Equal(t, admission.AdvertOff, cfg.Settings.Advert, c.name)
 		require.Zero(t, cfg.Settings.CacheTTL, c.name)
 		require.Equal(t, c.safety, cfg.Settings.Classes[2].Idempotency, c.name)
-		_, err = decide.New(cfg.Settings, cfg.Seed, 0)
+		_, err = admission.New(cfg.Settings, cfg.Seed, 0)
 		require.NoError(t, err, c.name)
 	}
 	cfg, err := Parse([]byte(off.Replace(read(t))), none) // nothing is called, so there is no store to name
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -3,36 +3,36 @@
 import (
 	"fmt"
 
-	"falldeal/decide"
+	"falldeal/admission"
 
 	"github.com/valyala/fastjson"
 )
 
 var (
-	halts    = map[string]decide.Halt{"": decide.HaltOff, "off": decide.HaltOff, "drop": decide.HaltDrop, "pause": decide.HaltPause}
-	belows   = map[string]decide.Dependency{"": decide.DependencyNone, "off": decide.DependencyNone, "shared": decide.DependencyShared, "tier": decide.DependencyTier}
-	safeties = map[string]decide.Idempotency{"": decide.Safe, "safe": decide.Safe, "keyed": decide.IdempotentByKey, "unsafe": decide.Unsafe}
-	adverts  = map[string]decide.Advert{"": decide.AdvertOff, "off": decide.AdvertOff, "level": decide.AdvertLevel,
-		"credit": decide.AdvertCredit, "weight": decide.AdvertWeight}
+	halts    = map[string]admission.Halt{"": admission.HaltOff, "off": admission.HaltOff, "drop": admission.HaltDrop, "pause": admission.HaltPause}
+	belows   = map[string]admission.Dependency{"": admission.DependencyNone, "off": admission.DependencyNone, "shared": admission.DependencyShared, "tier": admission.DependencyTier}
+	safeties = map[string]admission.Idempotency{"": admission.Safe, "safe": admission.Safe, "keyed": admission.IdempotentByKey, "unsafe": admission.Unsafe}
+	adverts  = map[string]admission.Advert{"": admission.AdvertOff, "off": admission.AdvertOff, "level": admission.AdvertLevel,
+		"credit": admission.AdvertCredit, "weight": admission.AdvertWeight}
 )
 
 // Settings reads the settings object that a controller starts from, as both the simulator and the
 // configuration carry it. Unknown keys are ignored.
-func Settings(text []byte) (decide.Settings, error) {
+func Settings(text []byte) (admission.Settings, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return decide.Settings{}, fmt.Errorf("settings: %w", err)
+		return admission.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := settings(object{value: v, err: &err})
 	if err != nil {
-		return decide.Settings{}, fmt.Errorf("settings: %w", err)
+		return admission.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	return s, nil
 }
 
-func settings(o object) decide.Settings {
+func settings(o object) admission.Settings {
 	f, inv, limits, mix := o.object("FamilyInfo"), o.object("Invariants"), o.object("Limits"), o.object("ResultMix")
-	s := decide.Settings{
+	s := admission.Settings{
 		Cores: int(f.whole("Cpus")), FleetSize: int(o.whole("FleetSize")), Clients: int(f.whole("ClientsTotal")),
 		MemoryKB: f.number("MemoryKb"), RunningMemoryFactor: f.number("Blowup"), KeyMemoryKB: f.number("KbPerKey"),
 		Halt: named(f, "Halt", halts), Advert: named(f, "Advert", adverts), Dependency: named(f, "Below", belows),
@@ -44,7 +44,7 @@
 		SendsCancellations: f.flag("TellsGone"), SendsDeadlines: f.flag("PassesDeadline"),
 		MarksRetries: o.object("ClientHabits").flag("MarksRetry"), RegistryFollowsHealth: f.flag("ListFollows"),
 		IdleTimeout: f.us("IdleUs"), Tick: o.us("TickUs"), OverQuotaValueRatio: o.number("OverShareWorth"), WeightPerWork: o.text("ValueBy") == "work",
-		Weights: decide.Weights{WholeRun: mix.number("Whole"), WorstWindow: mix.number("WorstWindow"),
+		Weights: admission.Weights{WholeRun: mix.number("Whole"), WorstWindow: mix.number("WorstWindow"),
 			WorstClass: mix.number("WorstClass"), WorstTenant: mix.number("WorstTenant")},
 	}
 	lanes, calls, skips := o.objects("Lanes"), f.flags("CallsByClass"), f.numbers("ClassSkipWorth")
@@ -61,9 +61,9 @@
 		return s
 	}
 	for i, l := range lanes {
-		k := decide.Class{LatencyObjective: l.us("AimUs"), Deadline: l.us("DeadlineUs"), IdempotencyWindow: l.us("KeyTtlUs"),
+		k := admission.Class{LatencyObjective: l.us("AimUs"), Deadline: l.us("DeadlineUs"), IdempotencyWindow: l.us("KeyTtlUs"),
 			Idempotency:    named(l, "Idempotency", safeties),
-			PriorityWeight: l.number("Value"), LateValueRatio: l.number("LateWorth"), CallsDependency: s.Dependency != decide.DependencyNone}
+			PriorityWeight: l.number("Value"), LateValueRatio: l.number("LateWorth"), CallsDependency: s.Dependency != admission.DependencyNone}
 		if len(calls) > 0 {
 			k.CallsDependency = k.CallsDependency && calls[i]
 		}
@@ -73,7 +73,7 @@
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range o.objects("Tenants") {
-		s.Tenants = append(s.Tenants, decide.Tenant{ServiceRatio: t.number("Portion"), QuotaPerSecond: t.number("QuotaPerS")})
+		s.Tenants = append(s.Tenants, admission.Tenant{ServiceRatio: t.number("Portion"), QuotaPerSecond: t.number("QuotaPerS")})
 	}
 	return s
 }
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"falldeal/lab/explore"
+	"falldeal/lab/modelcheck"
 
 	"github.com/stretchr/testify/require"
 )
@@ -41,12 +41,12 @@
 }
 
 // steps is all that may happen in a state. Plant may change what is heard.
-func steps(plant func(to *Self, r Record) Record) func(*world) []explore.Step[*world] {
-	return func(from *world) (all []explore.Step[*world]) {
+func steps(plant func(to *Self, r Record) Record) func(*world) []modelcheck.Step[*world] {
+	return func(from *world) (all []modelcheck.Step[*world]) {
 		add := func(name string, do func(*world)) {
 			w := from.clone()
 			do(w)
-			all = append(all, explore.Step[*world]{Name: name, To: w})
+			all = append(all, modelcheck.Step[*world]{Name: name, To: w})
 		}
 		add("wait", func(w *world) { w.now += yieldAfter })
 		for i := range from.live {
@@ -82,18 +82,18 @@
 		start *world
 		depth int
 	}{"a predecessor's words": {lone(), 9}, "two at once": {twins(), 6}} {
-		found := explore.Visit(c.start, c.depth, steps(honest), (*world).key, leaves)
+		found := modelcheck.Visit(c.start, c.depth, steps(honest), (*world).key, leaves)
 		require.Empty(t, found.Why, "%s: %v", name, found.Steps)
 		t.Logf("%s: %d states within %d steps", name, found.States, c.depth)
 	}
 
 	// Planted: a protocol without proof of life, in which any word of another process counts as one.
-	found := explore.Visit(lone(), 9, steps(func(to *Self, r Record) Record { r.Supersedes = to.rec.Run; return r }), (*world).key, leaves)
+	found := modelcheck.Visit(lone(), 9, steps(func(to *Self, r Record) Record { r.Supersedes = to.rec.Run; return r }), (*world).key, leaves)
 	require.NotEmpty(t, found.Why)
 	t.Logf("planted fault found: %s, by %v", found.Why, found.Steps)
 
 	// From wherever two processes got to, once they hear one another one of them is left, and its word is the greatest.
-	explore.Visit(twins(), 4, steps(honest), (*world).key, func(w *world) string {
+	modelcheck.Visit(twins(), 4, steps(honest), (*world).key, func(w *world) string {
 		c := w.clone()
 		for range 8 {
 			for i, s := range c.live {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"falldeal/internal/logging"
-	"falldeal/internal/outbox"
+	"falldeal/internal/writequeue"
 
 	"golang.org/x/sync/errgroup"
 )
@@ -29,7 +29,7 @@
 )
 
 // Link leads to the other process.
-type Link struct{ *outbox.Queue }
+type Link struct{ *writequeue.Queue }
 
 // Publish sends messages, many of them in pieces: one buffer for thousands of results would grow by being copied.
 func (l *Link) Publish(ms ...Message) {
@@ -155,7 +155,7 @@
 
 func serve(ctx context.Context, nc *net.UnixConn, loop Loop, joined func(*Link), log *logging.Limiter) {
 	defer nc.Close()
-	l := &Link{outbox.NewHalf(nc, outRoom)} // where the other process has ended, what it told last may still be unread
+	l := &Link{writequeue.NewHalf(nc, outRoom)} // where the other process has ended, what it told last may still be unread
 	loop.Post(func() { joined(l) })
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, l.Close)()
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"falldeal/internal/outbox"
 	"falldeal/internal/server"
+	"falldeal/internal/writequeue"
 
 	"golang.org/x/sys/unix"
 )
@@ -37,7 +37,7 @@
 // conn is one connection of a front end. Its reader and its outbox run in goroutines of their own;
 // the server's loop calls Answer, Closing, Finish, Resume, End and Close, none of which blocks.
 type conn struct {
-	*outbox.Queue
+	*writequeue.Queue
 	net      net.Conn
 	in       frames // the reader's, like the next three
 	known    names
@@ -51,7 +51,7 @@
 }
 
 func newConn(nc net.Conn) *conn {
-	c := &conn{Queue: outbox.NewHalf(nc, outRoom), net: nc, again: make(chan struct{}, 1), shut: make(chan struct{}),
+	c := &conn{Queue: writequeue.NewHalf(nc, outRoom), net: nc, again: make(chan struct{}, 1), shut: make(chan struct{}),
 		readDone: make(chan struct{})}
 	c.left = finishBytes
 	c.in = frames{from: c, begun: c.limit, late: true} // the first message has a limit from the start
--- a/internal/overload/escrow_test.go
+++ b/internal/overload/escrow_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"falldeal/lab/explore"
+	"falldeal/lab/modelcheck"
 
 	"github.com/stretchr/testify/require"
 )
@@ -50,7 +50,7 @@
 	return w
 }
 
-// inHand is what a member knows to have in hand: a process that was started again knows nothing of its predecessor's.
+// callsInFlight is what a member knows to have in hand: a process that was started again knows nothing of its predecessor's.
 func (w *world) inHand(i int) (n Quota) {
 	for _, c := range w.calls {
 		if c.by == i {
@@ -61,12 +61,12 @@
 }
 
 // next is all that may happen. Fault, if there is one, changes an escrow after it has heard something, or started.
-func next(fault func(w *world, i int)) func(world) []explore.Step[world] {
-	return func(from world) (steps []explore.Step[world]) {
+func next(fault func(w *world, i int)) func(world) []modelcheck.Step[world] {
+	return func(from world) (steps []modelcheck.Step[world]) {
 		add := func(name string, do func(*world)) {
 			w := from.clone()
 			do(&w)
-			steps = append(steps, explore.Step[world]{Name: name, To: w})
+			steps = append(steps, modelcheck.Step[world]{Name: name, To: w})
 		}
 		add("wait", func(w *world) {
 			w.now += s
@@ -153,7 +153,7 @@
 // The store must never see more calls than the sum of the shares, whatever is lost, late, doubled or started again;
 // and the explorer must find each way of breaking that which a careless change would bring.
 func TestEscrowExplored(t *testing.T) {
-	found := explore.Visit(newWorld(), *depth, next(func(*world, int) {}), key, tooMany)
+	found := modelcheck.Visit(newWorld(), *depth, next(func(*world, int) {}), key, tooMany)
 	require.Empty(t, found.Why, "%v", found.Steps)
 	t.Logf("%d states within %d steps, nothing broken", found.States, *depth)
 	for name, fault := range map[string]func(w *world, i int){
@@ -170,7 +170,7 @@
 		"a restart forgets what was lent":   func(w *world, i int) { w.all[i].ready = 0 },
 		"a restart forgets what was called": func(w *world, i int) { w.all[i].clear = 0 },
 	} {
-		found := explore.Visit(newWorld(), 11, next(fault), key, tooMany)
+		found := modelcheck.Visit(newWorld(), 11, next(fault), key, tooMany)
 		require.NotEmpty(t, found.Why, name)
 		t.Logf("planted: %s: found after %d states: %v", name, found.States, found.Steps)
 	}
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"falldeal/lab/explore"
+	"falldeal/lab/modelcheck"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
@@ -205,14 +205,14 @@
 
 // happens is all that may happen to two instances of which one may be out: asks are lost, late and doubled, instances go by
 // permits that they heard of, are killed, come back, and operators halt.
-func happens(fault string) func(world) []explore.Step[world] {
+func happens(fault string) func(world) []modelcheck.Step[world] {
 	f := fleetOf(2)
 	f.Capacity["n0"], f.Capacity["n1"] = 10, 10
-	return func(from world) (steps []explore.Step[world]) {
+	return func(from world) (steps []modelcheck.Step[world]) {
 		add := func(name string, do func(*world)) {
 			w := from.clone()
 			do(&w)
-			steps = append(steps, explore.Step[world]{Name: name, To: w})
+			steps = append(steps, modelcheck.Step[world]{Name: name, To: w})
 		}
 		s := from.state(fault)
 		if s.halts < 1 {
@@ -288,11 +288,11 @@
 		}
 	}
 	start := world{up: [2]bool{true, true}, run: [2]uint64{1, 1}}
-	found := explore.Visit(start, 9, happens(""), key(""), wrong(""))
+	found := modelcheck.Visit(start, 9, happens(""), key(""), wrong(""))
 	require.Empty(t, found.Why, "%v", found.Steps)
 	t.Logf("%d states, nothing broken", found.States)
 	for _, fault := range []string{"freed by expiry", "a grant crosses a halt"} {
-		found := explore.Visit(start, 9, happens(fault), key(fault), wrong(fault))
+		found := modelcheck.Visit(start, 9, happens(fault), key(fault), wrong(fault))
 		require.NotEmpty(t, found.Why, fault)
 		t.Logf("planted: %s: found after %d states: %v", fault, found.States, found.Steps)
 	}
--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 )
 
 // Stage two, admit: a request that makes sense is put before the controller.
@@ -58,7 +58,7 @@
 		s.invalid(p, call, errTenant)
 		return
 	}
-	keyed := s.cfg.Settings.Classes[class].Idempotency == decide.IdempotentByKey
+	keyed := s.cfg.Settings.Classes[class].Idempotency == admission.IdempotentByKey
 	if keyed && t.IdempotencyKey == "" {
 		s.invalid(p, call, errNoOnce)
 		return
@@ -102,9 +102,9 @@
 // enter puts r before the controller.
 func (s *Server) enter(r *request) {
 	t := &r.try
-	e := decide.Event{Kind: decide.EventRequest, ID: r.id, Class: r.class, Tenant: r.tenant, Retry: t.Retry, Client: t.Client, MemoryKB: t.MemoryKB, CostHint: t.CostHint,
+	e := admission.Event{Kind: admission.EventRequest, ID: r.id, Class: r.class, Tenant: r.tenant, Retry: t.Retry, Client: t.Client, MemoryKB: t.MemoryKB, CostHint: t.CostHint,
 		HasSubject: t.Subject != "", Rank: t.Rank, Deadline: s.due(r), Waited: max(s.clock.now-s.clock.own(t.ArrivedAt), 0)}
-	if s.cfg.Settings.Classes[r.class].Idempotency == decide.IdempotentByKey {
+	if s.cfg.Settings.Classes[r.class].Idempotency == admission.IdempotentByKey {
 		if s.keys.conflicts(r) {
 			s.settle(r)
 			s.forget(r)
@@ -127,7 +127,7 @@
 	s.settle(r)
 	s.leavesTrail(r, "gone")
 	s.hangUp(r)
-	s.happened(decide.Event{Kind: decide.EventCancelled, ID: r.id})
+	s.happened(admission.Event{Kind: admission.EventCancelled, ID: r.id})
 	if !r.running {
 		s.forget(r)
 	}
--- a/internal/server/book.go
+++ b/internal/server/book.go
@@ -1,7 +1,7 @@
 package server
 
 import (
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 )
 
@@ -45,9 +45,9 @@
 	}
 }
 
-func (s *Server) refuse(r *request, a decide.Action) {
+func (s *Server) refuse(r *request, a admission.Action) {
 	r.trail.why = a.Reason.String()
-	if a.Reason == decide.ReasonDependency {
+	if a.Reason == admission.ReasonDependency {
 		s.missedCall()
 	}
 	s.refusedHere(r, a)
@@ -75,31 +75,31 @@
 	}
 	switch n.Result {
 	case agent.Success:
-		s.finish(r, decide.OutcomeOK, n.Payload)
+		s.finish(r, admission.OutcomeOK, n.Payload)
 	case agent.Failure:
 		s.stats.RunsFailed++
-		s.finish(r, decide.OutcomeFailed, nil)
+		s.finish(r, admission.OutcomeFailed, nil)
 	case agent.Interrupted:
 		s.stats.RunsInterrupted++
-		s.finish(r, decide.OutcomeCancelled, nil)
+		s.finish(r, admission.OutcomeCancelled, nil)
 	default:
 		s.stats.RunsNotStarted++
-		s.finish(r, decide.OutcomeNotStarted, nil)
+		s.finish(r, admission.OutcomeNotStarted, nil)
 	}
 }
 
 // finish ends the run of r, answers it where that is still owed, and those that repeat it.
-func (s *Server) finish(r *request, o decide.Outcome, result []byte) {
+func (s *Server) finish(r *request, o admission.Outcome, result []byte) {
 	s.hangUp(r)
 	s.agent.Forget(r.try.ID)
-	s.happened(decide.Event{Kind: decide.EventDone, ID: r.id, Outcome: o, Took: s.clock.now - r.began})
-	if o == decide.OutcomeOK {
+	s.happened(admission.Event{Kind: admission.EventDone, ID: r.id, Outcome: o, Took: s.clock.now - r.began})
+	if o == admission.OutcomeOK {
 		s.answer(r, Answer{Kind: Served, Body: result})
 	} else {
 		s.answer(r, Answer{Kind: Failed})
 	}
 	for _, f := range s.keys.ended(r, o, result) {
-		s.reused(f, o == decide.OutcomeOK, result)
+		s.reused(f, o == admission.OutcomeOK, result)
 	}
 	s.forget(r)
 }
@@ -116,15 +116,15 @@
 	if s.requests[r.id] != r {
 		return // it has ended while it waited
 	}
-	o := decide.OutcomeFailed
+	o := admission.OutcomeFailed
 	if ok {
-		o = decide.OutcomeOK
+		o = admission.OutcomeOK
 		s.stats.Reused++
 		s.answer(r, Answer{Kind: Served, Body: result})
 	} else {
 		s.answer(r, Answer{Kind: Failed})
 	}
-	s.happened(decide.Event{Kind: decide.EventDone, ID: r.id, Outcome: o, Took: s.clock.now - r.began})
+	s.happened(admission.Event{Kind: admission.EventDone, ID: r.id, Outcome: o, Took: s.clock.now - r.began})
 	s.forget(r)
 }
 
--- a/internal/server/crossings_test.go
+++ b/internal/server/crossings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 	"falldeal/internal/handover"
 
@@ -52,7 +52,7 @@
 			require.EqualValues(t, 1, s.stats.Runs)
 			for _, id := range []string{"b", "c"} {
 				if r := s.byWire[id]; r != nil && r.running {
-					s.finish(r, decide.OutcomeOK, []byte("done"))
+					s.finish(r, admission.OutcomeOK, []byte("done"))
 				}
 			}
 			s.step()
@@ -145,7 +145,7 @@
 			come("after")
 			turn()
 			for _, when := range c.comes {
-				s.finish(s.byWire[when], decide.OutcomeOK, nil)
+				s.finish(s.byWire[when], admission.OutcomeOK, nil)
 			}
 			turn()
 			if len(c.comes) > 0 {
@@ -306,7 +306,7 @@
 	do()
 	s.step()
 	s.clock.now += 10 * s.cfg.Settings.Classes[2].IdempotencyWindow
-	s.finish(r, decide.OutcomeOK, []byte("done"))
+	s.finish(r, admission.OutcomeOK, []byte("done"))
 	require.Equal(t, []any{Failed, Served}, p.got)
 	require.EqualValues(t, 1, s.stats.Runs)
 	s.clock.now += s.lateMost()
@@ -329,7 +329,7 @@
 	o.ReadEnded(o.peer, Disconnected)
 	o.do()
 	require.False(t, o.finished())
-	o.finish(run, decide.OutcomeOK, []byte("done"))
+	o.finish(run, admission.OutcomeOK, []byte("done"))
 	o.expect(string(handover.Completed))
 	require.True(t, o.finished())
 }
--- a/internal/server/cutoff.go
+++ b/internal/server/cutoff.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/fleet"
 	"falldeal/internal/overload"
 
@@ -28,8 +28,8 @@
 }
 
 // standings are the words of package overload in those of the controller.
-var standings = [...]decide.FleetRank{overload.VerdictUnknown: decide.RankUnknown, overload.VerdictElsewhere: decide.RankElsewhere,
-	overload.VerdictFull: decide.RankFull, overload.VerdictBelowThreshold: decide.RankBelowThreshold}
+var standings = [...]admission.FleetRank{overload.VerdictUnknown: admission.RankUnknown, overload.VerdictElsewhere: admission.RankElsewhere,
+	overload.VerdictFull: admission.RankFull, overload.VerdictBelowThreshold: admission.RankBelowThreshold}
 
 // EnableShedding has requests judged by what the fleet has room for. Self is this process as the fleet knows it. It is called
 // after Join and before Run.
@@ -40,7 +40,7 @@
 
 // judge puts r to what the fleet has room for: its standing, how old it is where it is a repeat, and by how much its
 // caller should stay away for longer if it is refused. Nothing is asked of anybody: it goes by what was told before.
-func (s *Server) judge(r *request, e *decide.Event) {
+func (s *Server) judge(r *request, e *admission.Event) {
 	if s.member == nil || s.member.cutoff == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 }
 
 // refusedHere remembers what was refused and will come again, here or elsewhere.
-func (s *Server) refusedHere(r *request, a decide.Action) {
+func (s *Server) refusedHere(r *request, a admission.Action) {
 	if s.member != nil && s.member.cutoff != nil && !a.NoRetryElsewhere {
 		s.member.cutoff.Rejected(s.clock.now, fingerprint(&r.try))
 	}
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 )
 
 // Drain: on SIGTERM everything that was read is answered, and the process ends in time.
@@ -62,7 +62,7 @@
 // happenedNotice has the controller know of the notice, be it later than that came.
 func (s *Server) happenedNotice() {
 	d := &s.drain
-	s.happened(decide.Event{Kind: decide.EventDrain, StopAt: d.stopAt, Waited: s.clock.now - d.began, Replaced: d.replaced})
+	s.happened(admission.Event{Kind: admission.EventDrain, StopAt: d.stopAt, Waited: s.clock.now - d.began, Replaced: d.replaced})
 }
 
 // shut closes the listeners: a refused connection tells a front end at once to go elsewhere.
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 	"falldeal/internal/fleet"
 	"falldeal/internal/handover"
@@ -61,7 +61,7 @@
 	once := try
 	once.IdempotencyKey = "order 7"
 	s.leavesTrail(&request{try: once, class: 2, running: true, began: at + 10*time.Millisecond}, answerNames[Served])
-	for why := decide.ReasonCPU; why <= decide.ReasonBelowThreshold; why++ {
+	for why := admission.ReasonCPU; why <= admission.ReasonBelowThreshold; why++ {
 		s.leavesTrail(&request{try: try, trail: trail{why: why.String()}}, answerNames[Rejected])
 	}
 	for reply := store.OK; int(reply) < len(outcomes); reply++ {
@@ -116,10 +116,10 @@
 		{"a wrong request", func(_ *testing.T, s *Server) { s.invalid(&peer{}, 1, errTooMany) }},
 		{"an action that can't be carried out", func(_ *testing.T, s *Server) {
 			s.requests[1] = &request{}
-			s.route(decide.Action{Kind: decide.ActionAdvertise, ID: 1})
+			s.route(admission.Action{Kind: admission.ActionAdvertise, ID: 1})
 		}},
 		{"a report of the controller", func(_ *testing.T, s *Server) {
-			s.route(decide.Action{Kind: decide.ActionLog, Text: "breaker drops calls: begins"})
+			s.route(admission.Action{Kind: admission.ActionLog, Text: "breaker drops calls: begins"})
 		}},
 		{"reload", func(_ *testing.T, s *Server) { s.Reload(s.cfg, nil) }},
 		{"reload of a file that is wrong", func(_ *testing.T, s *Server) {
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/handover"
 )
 
@@ -174,7 +174,7 @@
 
 func (s *Server) longestWindow() (longest time.Duration) {
 	for _, k := range s.cfg.Settings.Classes {
-		if k.Idempotency == decide.IdempotentByKey {
+		if k.Idempotency == admission.IdempotentByKey {
 			longest = max(longest, k.IdempotencyWindow)
 		}
 	}
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 	"falldeal/internal/handover"
-	"falldeal/internal/outbox"
+	"falldeal/internal/writequeue"
 
 	"github.com/stretchr/testify/require"
 )
@@ -33,7 +33,7 @@
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
 	require.NoError(t, there.SetDeadline(time.Now().Add(30*time.Second)))
-	o.link, o.told = &handover.Link{Queue: outbox.New(here, 100)}, bufio.NewScanner(there)
+	o.link, o.told = &handover.Link{Queue: writequeue.New(here, 100)}, bufio.NewScanner(there)
 	go func() { _ = o.link.Run() }()
 	s.ConnectionOpened(o.peer)
 	do()
@@ -80,7 +80,7 @@
 	require.True(t, a.running)
 	require.False(t, again.running)
 	o.expect("known")
-	o.finish(a, decide.OutcomeOK, nil)
+	o.finish(a, admission.OutcomeOK, nil)
 	o.expect("over")
 	require.Equal(t, []any{Served, Served}, o.got)
 
@@ -128,7 +128,7 @@
 func TestOlderGrantsKeys(t *testing.T) {
 	o := withPartner(t)
 	over, held := o.order("aa"), o.order("bb")
-	o.finish(over, decide.OutcomeOK, []byte("x"))
+	o.finish(over, admission.OutcomeOK, []byte("x"))
 	require.True(t, held.running)
 	o.joinedNewer(o.link)
 	count := map[string]int{}
@@ -147,7 +147,7 @@
 	require.Equal(t, []any{Served, Served}, o.got)
 	o.partner(handover.Claim, handover.Message{IdempotencyKey: "bb", At: o.clock.now})
 	o.expect("known")
-	o.finish(held, decide.OutcomeFailed, nil)
+	o.finish(held, admission.OutcomeFailed, nil)
 	o.expect("over")
 
 	// What the newer one gave back may be run here.
@@ -170,7 +170,7 @@
 	require.False(t, o.finished()) // a front end is still there
 	o.forgetPeer(o.peers.of(o.peer))
 	require.False(t, o.finished()) // the newer process is still to hear how the last order ends
-	o.finish(o.byWire[last], decide.OutcomeOK, nil)
+	o.finish(o.byWire[last], admission.OutcomeOK, nil)
 	o.expect("over")
 	require.True(t, o.finished())
 }
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/handover"
 )
 
@@ -21,13 +21,13 @@
 // keyEntry is what is known of one request with an effect.
 type keyEntry struct {
 	once   string
-	digest uint64           // of what all its tries ask for
-	from   *handover.Link   // the process that has the entry; nil: this one
-	holder decide.RequestID // the try that has it
-	tries  []*request       // that are in hand under it, in order of arrival
-	ran    bool             // the holder was run
-	over   bool             // that run has ended
-	ok     bool             // and its result is kept
+	digest uint64              // of what all its tries ask for
+	from   *handover.Link      // the process that has the entry; nil: this one
+	holder admission.RequestID // the try that has it
+	tries  []*request          // that are in hand under it, in order of arrival
+	ran    bool                // the holder was run
+	over   bool                // that run has ended
+	ok     bool                // and its result is kept
 	result []byte
 	waits  []*request    // for that end
 	closes time.Duration // end of the window, on the Unix clock
@@ -76,7 +76,7 @@
 
 // take enters r, and returns the try that it repeats, or 0 for a first try. Tries that were taken in
 // together know each other too.
-func (t *keyTable) take(r *request) decide.RequestID {
+func (t *keyTable) take(r *request) admission.RequestID {
 	if e := t.known(r); e != nil {
 		t.enter(e, r)
 		return e.holder
@@ -119,7 +119,7 @@
 }
 
 // adopt enters, or renews, a key that another process has, as if holder had been run under it.
-func (t *keyTable) adopt(from *handover.Link, m handover.Message, holder decide.RequestID) *keyEntry {
+func (t *keyTable) adopt(from *handover.Link, m handover.Message, holder admission.RequestID) *keyEntry {
 	e := t.entries[m.IdempotencyKey]
 	if e == nil || e.from != from {
 		if e != nil {
@@ -168,18 +168,18 @@
 }
 
 // ended notes how the run of r ended, and returns the tries that waited for it.
-func (t *keyTable) ended(r *request, o decide.Outcome, result []byte) []*request {
+func (t *keyTable) ended(r *request, o admission.Outcome, result []byte) []*request {
 	e := t.of[r]
 	if e == nil || e.holder != r.id || !e.ran {
 		return nil
 	}
-	if o == decide.OutcomeNotStarted {
+	if o == admission.OutcomeNotStarted {
 		waits := e.waits
 		e.waits, e.ran = nil, false // nothing was run
 		return waits
 	}
-	t.tell(handover.Message{Kind: handover.Completed, IdempotencyKey: e.once, OK: o == decide.OutcomeOK, Body: result})
-	return t.end(e, o == decide.OutcomeOK, result)
+	t.tell(handover.Message{Kind: handover.Completed, IdempotencyKey: e.once, OK: o == admission.OutcomeOK, Body: result})
+	return t.end(e, o == admission.OutcomeOK, result)
 }
 
 // end notes the end of the run of e, and returns the tries that waited for it.
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 
 	"github.com/stretchr/testify/require"
 )
 
 func keyed(id int, at time.Duration) *request {
-	return &request{id: decide.RequestID(id), try: Attempt{IdempotencyKey: "k", ArrivedAt: at}, window: time.Minute}
+	return &request{id: admission.RequestID(id), try: Attempt{IdempotencyKey: "k", ArrivedAt: at}, window: time.Minute}
 }
 
 // The entry passes on while no try has run; from a run on it is that run's for the whole window,
@@ -30,7 +30,7 @@
 	require.False(t, keys.mayRun(c))
 	_, _, over := keys.join(c)
 	require.False(t, over)
-	require.Equal(t, []*request{c}, keys.ended(b, decide.OutcomeOK, []byte("x")))
+	require.Equal(t, []*request{c}, keys.ended(b, admission.OutcomeOK, []byte("x")))
 	e := keys.left(b)
 	require.Equal(t, []byte("x"), e.result)
 	require.Equal(t, 61*time.Second, e.closes)
@@ -61,7 +61,7 @@
 	c := keyed(3, 0)
 	require.Zero(t, keys.take(c))
 	keys.ran(c)
-	keys.ended(c, decide.OutcomeNotStarted, nil)
+	keys.ended(c, admission.OutcomeNotStarted, nil)
 	require.Nil(t, keys.left(c))
 	require.Zero(t, keys.take(keyed(4, 0)))
 }
@@ -73,7 +73,7 @@
 	a, b := keyed(1, 0), keyed(2, 0)
 	keys.take(a)
 	keys.ran(a)
-	keys.ended(a, decide.OutcomeOK, []byte("x"))
+	keys.ended(a, admission.OutcomeOK, []byte("x"))
 	require.Equal(t, a.id, keys.take(b))
 	_, ok, over := keys.join(b)
 	require.True(t, over)
@@ -99,7 +99,7 @@
 	s.step()
 	r := s.byWire["b"]
 	require.True(t, r.running)
-	s.finish(r, decide.OutcomeOK, []byte("result"))
+	s.finish(r, admission.OutcomeOK, []byte("result"))
 	submit(3, "another")
 	require.Equal(t, []any{Invalid, Served, Invalid}, p.got)
 	submit(4, "order")
@@ -114,10 +114,10 @@
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
 			table := newKeyTable(192)
 			life := func(i int, drop bool) {
-				r := &request{id: decide.RequestID(i + 1), try: Attempt{IdempotencyKey: fmt.Sprintf("%032x", i), Body: make([]byte, 256)}, window: time.Hour}
+				r := &request{id: admission.RequestID(i + 1), try: Attempt{IdempotencyKey: fmt.Sprintf("%032x", i), Body: make([]byte, 256)}, window: time.Hour}
 				table.take(r)
 				table.ran(r)
-				table.ended(r, decide.OutcomeOK, nil)
+				table.ended(r, admission.OutcomeOK, nil)
 				again := &request{id: r.id + 1<<32, try: r.try}
 				table.take(again)
 				table.left(again)
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -4,7 +4,7 @@
 	"context"
 	"errors"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/stats"
 )
 
@@ -70,9 +70,9 @@
 }
 
 func (s *Server) tellWithdrawn() {
-	kind := decide.EventReregister
+	kind := admission.EventReregister
 	if s.withdrawn {
-		kind = decide.EventDeregister
+		kind = admission.EventDeregister
 	}
-	s.happened(decide.Event{Kind: kind})
+	s.happened(admission.Event{Kind: kind})
 }
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -204,7 +204,7 @@
 	return most - sparePeers
 }
 
-// makeRoom closes the connection that is missed least, and reports whether there was one.
+// growTables closes the connection that is missed least, and reports whether there was one.
 func (s *Server) makeRoom() bool {
 	st := s.peers.leastMissed()
 	if st == nil {
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/overload"
 	"falldeal/internal/store"
 
@@ -22,7 +22,7 @@
 }
 
 // protects is how many calls a window the breaker never drops.
-var protects = [...]float64{overload.ProbeUnlimited: decide.BreakerProtectedCalls, overload.ProbeCautious: 0, overload.ProbeSingle: 1, overload.ProbeNone: -1}
+var protects = [...]float64{overload.ProbeUnlimited: admission.BreakerProtectedCalls, overload.ProbeCautious: 0, overload.ProbeSingle: 1, overload.ProbeNone: -1}
 
 // EnableCoordinatedProbes has a store that does not answer tried by turns within the fleet. Run is this process as the fleet knows
 // it. It is called after Join and before Run.
--- a/internal/server/relay.go
+++ b/internal/server/relay.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 	"falldeal/internal/store"
 )
@@ -16,7 +16,7 @@
 		return
 	}
 	r.waits, r.offset = n.Payload, n.Offset
-	s.happened(decide.Event{Kind: decide.EventCallNeeded, ID: r.id})
+	s.happened(admission.Event{Kind: admission.EventCallNeeded, ID: r.id})
 }
 
 // callStore makes the call that r waits for. The limit counts from now, the way to the store included.
@@ -31,7 +31,7 @@
 	s.store.Call(r.try.ID, s.clock.now+limit, r.waits)
 }
 
-// hangUp gives up the call of r, whose answer nobody waits for.
+// abandonCall gives up the call of r, whose answer nobody waits for.
 func (s *Server) hangUp(r *request) {
 	if s.store.Abandon(r.try.ID) {
 		s.stats.CallsDropped++
@@ -39,15 +39,15 @@
 }
 
 // outcomes says what a reply proves about the call.
-var outcomes = [...]decide.Outcome{
-	store.OK:                decide.OutcomeOK,
-	store.Rejected:          decide.OutcomeRejected,
-	store.Failed:            decide.OutcomeFailed,
-	store.Late:              decide.OutcomeTimedOut,
-	store.Void:              decide.OutcomeNotStarted,
-	store.ConnectionRefused: decide.OutcomeUnreachable,
-	store.ConnectionBroken:  decide.OutcomeAborted,
-	store.Expired:           decide.OutcomeTimedOut,
+var outcomes = [...]admission.Outcome{
+	store.OK:                admission.OutcomeOK,
+	store.Rejected:          admission.OutcomeRejected,
+	store.Failed:            admission.OutcomeFailed,
+	store.Late:              admission.OutcomeTimedOut,
+	store.Void:              admission.OutcomeNotStarted,
+	store.ConnectionRefused: admission.OutcomeUnreachable,
+	store.ConnectionBroken:  admission.OutcomeAborted,
+	store.Expired:           admission.OutcomeTimedOut,
 }
 
 func (s *Server) callEnded(id string, reply store.Reply, body []byte) {
@@ -73,6 +73,6 @@
 	}
 	r.trail.inCall += s.clock.now - r.asked
 	r.trail.reply = replyNames[outcomes[reply]]
-	s.happened(decide.Event{Kind: decide.EventCallDone, ID: r.id, Outcome: outcomes[reply],
+	s.happened(admission.Event{Kind: admission.EventCallDone, ID: r.id, Outcome: outcomes[reply],
 		Took: s.clock.now - r.asked})
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/config"
 
 	"github.com/sirupsen/logrus"
@@ -62,7 +62,7 @@
 // placeClasses gives each class of a new configuration the place that it has, or one behind the others. What
 // is in hand goes by places, so those of classes that are gone stay, and so does that of a class which may not
 // be repeated any more in the way it was.
-func placeClasses(old, fresh []decide.Class, names, freshNames []string) ([]decide.Class, []string) {
+func placeClasses(old, fresh []admission.Class, names, freshNames []string) ([]admission.Class, []string) {
 	all := slices.Clone(old)
 	for i := range all {
 		all[i].Removed = true
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 
 	"github.com/stretchr/testify/require"
@@ -34,7 +34,7 @@
 	fresh := *s.cfg
 	fresh.Classes = []string{"poster", "preview", "hires-crop"}
 	set := s.cfg.Settings
-	set.Classes = []decide.Class{set.Classes[2], set.Classes[0], set.Classes[1]}
+	set.Classes = []admission.Class{set.Classes[2], set.Classes[0], set.Classes[1]}
 	set.Cores++
 	set.Classes[1].Deadline = time.Second // front ends of before wait longer
 	fresh.Settings = set
@@ -50,7 +50,7 @@
 	patient := submit("preview")
 	require.True(t, late.running)
 	for _, r := range []*request{old, added, late, patient} {
-		s.finish(r, decide.OutcomeOK, nil)
+		s.finish(r, admission.OutcomeOK, nil)
 		got = append(got, r.peer.(*peer).got...)
 	}
 	require.Equal(t, []any{Served, Served, Served, Served}, got)
@@ -76,9 +76,9 @@
 
 // A class whose requests may not be repeated as before is another class to what is in hand.
 func TestClassChangesItsKind(t *testing.T) {
-	all, names := placeClasses([]decide.Class{{Idempotency: decide.IdempotentByKey}}, []decide.Class{{Idempotency: decide.Safe}},
+	all, names := placeClasses([]admission.Class{{Idempotency: admission.IdempotentByKey}}, []admission.Class{{Idempotency: admission.Safe}},
 		[]string{"order"}, []string{"order"})
-	require.Equal(t, []decide.Class{{Idempotency: decide.IdempotentByKey, Removed: true}, {Idempotency: decide.Safe}}, all)
+	require.Equal(t, []admission.Class{{Idempotency: admission.IdempotentByKey, Removed: true}, {Idempotency: admission.Safe}}, all)
 	require.Equal(t, []string{"order", "order"}, names)
 }
 
@@ -100,7 +100,7 @@
 	s.Reload(&fresh, nil)
 	do()
 	submit(2, "order")
-	s.finish(s.byWire["b"], decide.OutcomeOK, nil)
+	s.finish(s.byWire["b"], admission.OutcomeOK, nil)
 	require.Equal(t, []any{Served, Served}, p.got)
 	require.EqualValues(t, 1, s.stats.Runs)
 }
--- a/internal/server/route.go
+++ b/internal/server/route.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 )
 
 // Stage three, route: each action of the controller goes to the part that carries it out.
@@ -14,21 +14,21 @@
 	gaugesFresh = time.Second          // gauges older than that are unknown
 )
 
-var unknownGauges = decide.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
+var unknownGauges = admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 
-func (s *Server) route(a decide.Action) {
+func (s *Server) route(a admission.Action) {
 	switch a.Kind {
-	case decide.ActionHealth:
+	case admission.ActionHealth:
 		s.good, s.stored = a.Healthy, a.Cached
 		s.announcer.Set(a.Healthy)
 		return
-	case decide.ActionIdleTimeout:
+	case admission.ActionIdleTimeout:
 		s.watch.limit = a.Duration
 		return
-	case decide.ActionWake:
+	case admission.ActionWake:
 		s.wake(a.At)
 		return
-	case decide.ActionLog:
+	case admission.ActionLog:
 		s.log.Info(a.Text)
 		return
 	}
@@ -37,21 +37,21 @@
 		return // it has ended meanwhile
 	}
 	switch a.Kind {
-	case decide.ActionRun:
+	case admission.ActionRun:
 		s.run(r)
-	case decide.ActionReject:
+	case admission.ActionReject:
 		s.refuse(r, a)
-	case decide.ActionFail:
+	case admission.ActionFail:
 		s.fail(r)
-	case decide.ActionCall:
+	case admission.ActionCall:
 		s.callStore(r, a.Timeout)
-	case decide.ActionSkipCall:
+	case admission.ActionSkipCall:
 		s.skip(r)
-	case decide.ActionRemember:
+	case admission.ActionRemember:
 		s.keys.keep(r)
-	case decide.ActionForget:
+	case admission.ActionForget:
 		// An entry that no run has goes with its holder; one that a run has stays for its window.
-	case decide.ActionReuse:
+	case admission.ActionReuse:
 		s.reuse(r)
 	default:
 		// Stop and Advertise need settings that the configuration does not admit.
@@ -71,7 +71,7 @@
 		if s.clock.now-s.gaugesAt > gaugesFresh {
 			g = unknownGauges
 		}
-		s.happened(decide.Event{Kind: decide.EventTimer, Gauges: g})
+		s.happened(admission.Event{Kind: admission.EventTimer, Gauges: g})
 	})
 }
 
--- a/internal/server/send.go
+++ b/internal/server/send.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 )
 
@@ -16,7 +16,7 @@
 func (s *Server) run(r *request) {
 	if !s.keys.mayRun(r) {
 		s.warn.Warn("second run", "second run of a keyed request prevented", nil)
-		s.happened(decide.Event{Kind: decide.EventDone, ID: r.id, Outcome: decide.OutcomeNotStarted})
+		s.happened(admission.Event{Kind: admission.EventDone, ID: r.id, Outcome: admission.OutcomeNotStarted})
 		s.answer(r, Answer{Kind: Failed})
 		s.forget(r)
 		return
@@ -73,7 +73,7 @@
 	}
 	set := s.cfg.Settings
 	set.WarmingUp = n.Result == agent.Booting
-	ctl, err := decide.New(set, s.cfg.Seed, s.clock.now-n.Elapsed)
+	ctl, err := admission.New(set, s.cfg.Seed, s.clock.now-n.Elapsed)
 	if err != nil {
 		// The configuration was checked, so the check lacks something. Without decisions nothing is served.
 		s.log.WithError(err).Error("no controller for these settings")
@@ -86,7 +86,7 @@
 		s.member.warmAt = s.clock.now - n.Elapsed + set.SlowStartTime
 	}
 	s.tellFleet()
-	s.happened(decide.Event{Kind: decide.EventTimer, Gauges: unknownGauges}) // the first step
+	s.happened(admission.Event{Kind: admission.EventTimer, Gauges: unknownGauges}) // the first step
 	if s.withdrawn {
 		s.tellWithdrawn()
 	}
@@ -100,7 +100,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
 		if r := s.requests[id]; r != nil && r.running {
 			s.stats.RunsInterrupted++
-			s.finish(r, decide.OutcomeFailed, nil)
+			s.finish(r, admission.OutcomeFailed, nil)
 		}
 	}
 }
@@ -111,6 +111,6 @@
 	s.stats.CommandsRejected++
 	s.warn.Warn("agent "+n.Result, "agent did not carry out a command for "+n.RequestID, nil)
 	if r := s.byWire[n.RequestID]; r != nil && r.running && n.Result == "launch" {
-		s.finish(r, decide.OutcomeNotStarted, nil)
+		s.finish(r, admission.OutcomeNotStarted, nil)
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 	"falldeal/internal/announce"
 	"falldeal/internal/config"
@@ -22,7 +22,7 @@
 
 // request is one try from its intake until nothing more is to come about it.
 type request struct {
-	id     decide.RequestID
+	id     admission.RequestID
 	try    Attempt
 	class  int
 	tenant int
@@ -58,17 +58,17 @@
 	announcer *announce.Announcer
 	stats     stats.Counters
 
-	ctl     *decide.Controller // nil until the agent is up
-	events  []decide.Event     // for the next step
-	actions []decide.Action
+	ctl     *admission.Controller // nil until the agent is up
+	events  []admission.Event     // for the next step
+	actions []admission.Action
 
 	classes  map[string]int
 	tenants  map[string]int
 	mostWait time.Duration // longest deadline so far
-	requests map[decide.RequestID]*request
+	requests map[admission.RequestID]*request
 	byWire   map[string]*request
 	spent    spentIDs
-	lastID   decide.RequestID
+	lastID   admission.RequestID
 	keys     keyTable
 	peers    peerTable
 	watch    idleWatch
@@ -77,7 +77,7 @@
 	withdrawn    bool // by an operator
 	exercises    map[string]probe
 	lastToken    uint64
-	gauges       decide.Gauges
+	gauges       admission.Gauges
 	gaugesAt     time.Duration
 
 	fronts  []Front
@@ -93,7 +93,7 @@
 func New(cfg *config.Config, log logrus.FieldLogger) *Server {
 	s := &Server{cfg: cfg, log: log, warn: logging.NewLimiter(log), trails: debugs(log), in: make(chan func(), inRoom),
 		ended: make(chan struct{}), clock: clock{read: time.Now}, deadlines: deadline.New(),
-		classes: map[string]int{}, tenants: map[string]int{}, requests: map[decide.RequestID]*request{}, byWire: map[string]*request{},
+		classes: map[string]int{}, tenants: map[string]int{}, requests: map[admission.RequestID]*request{}, byWire: map[string]*request{},
 		open: make(chan struct{}), partners: partners{claims: map[string][]*request{}},
 		keys: newKeyTable(cfg.Limits.MemoryMB), peers: newPeerTable(), exercises: map[string]probe{},
 		watch:  idleWatch{limit: cfg.Settings.IdleTimeout},
@@ -223,7 +223,7 @@
 }
 
 // happened has the next step deal with e. Before there is a controller nothing can happen to it.
-func (s *Server) happened(e decide.Event) {
+func (s *Server) happened(e admission.Event) {
 	if s.ctl != nil {
 		s.events = append(s.events, e)
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 	"falldeal/internal/config"
 
@@ -122,7 +122,7 @@
 	s.ConnectionOpened(p)
 	do()
 	s.watchIdle()
-	s.route(decide.Action{Kind: decide.ActionIdleTimeout, Duration: time.Second})
+	s.route(admission.Action{Kind: admission.ActionIdleTimeout, Duration: time.Second})
 	s.watchIdle()
 	s.clock.now += time.Second
 	s.deadlines.Sweep(s.clock.now)
@@ -133,9 +133,9 @@
 func TestGauges(t *testing.T) {
 	s, _ := idle(t)
 	s.sampled([]float64{0.5, 3, 0.25, 9, 7})
-	want := decide.Gauges{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9}
+	want := admission.Gauges{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9}
 	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	timer := func() decide.Gauges {
+	timer := func() admission.Gauges {
 		s.events = nil
 		s.wake(s.clock.now)
 		s.deadlines.Sweep(s.clock.now)
@@ -145,7 +145,7 @@
 	s.clock.now += gaugesFresh + 1
 	require.Equal(t, unknownGauges, timer())
 	s.sampled([]float64{0.5})
-	require.Equal(t, decide.Gauges{CPUUtilization: 0.5, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}, timer())
+	require.Equal(t, admission.Gauges{CPUUtilization: 0.5, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}, timer())
 }
 
 // The controller's clock must not go back when the system's does, nor stand still until that catches up.
@@ -198,7 +198,7 @@
 	r := s.byWire["ab"]
 	require.True(t, r.running)
 	require.Nil(t, r.try.Body)
-	s.finish(r, decide.OutcomeOK, nil)
+	s.finish(r, admission.OutcomeOK, nil)
 	require.Empty(t, s.requests)
 	require.Equal(t, 1, s.keys.size())
 	s.clock.now += s.cfg.Settings.Classes[2].IdempotencyWindow + s.lateMost() + keySlack
--- a/internal/server/trail.go
+++ b/internal/server/trail.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 
 	"github.com/sirupsen/logrus"
 )
@@ -53,5 +53,5 @@
 }
 
 // replyNames are how a call ended, by what that proves.
-var replyNames = [...]string{decide.OutcomeOK: "ok", decide.OutcomeFailed: "failed", decide.OutcomeRejected: "turned away", decide.OutcomeTimedOut: "timed out",
-	decide.OutcomeUnreachable: "unreachable", decide.OutcomeAborted: "broke", decide.OutcomeNotStarted: "void"}
+var replyNames = [...]string{admission.OutcomeOK: "ok", admission.OutcomeFailed: "failed", admission.OutcomeRejected: "turned away", admission.OutcomeTimedOut: "timed out",
+	admission.OutcomeUnreachable: "unreachable", admission.OutcomeAborted: "broke", admission.OutcomeNotStarted: "void"}
--- a/internal/server/trail_test.go
+++ b/internal/server/trail_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/agent"
 	"falldeal/internal/store"
 
@@ -45,14 +45,14 @@
 	s.clock.now += 20 * time.Millisecond
 	s.callEnded("aa", store.OK, nil)
 	s.clock.now += 10 * time.Millisecond
-	s.finish(served, decide.OutcomeOK, nil)
+	s.finish(served, admission.OutcomeOK, nil)
 	s.gone(served)
 	require.Equal(t, []logrus.Fields{{"id": "aa", "class": "licence-order", "from": 0, "end": "served", "after_ms": int64(35),
 		"wait_ms": int64(2000), "cost_ms": int64(0), "once": "aa", "held_ms": int64(5), "run_ms": int64(30), "calls": 1,
 		"in_call_ms": int64(20), "call": "ok"}}, lines())
 
 	refused := submit(2, "bb", "preview")
-	s.refuse(refused, decide.Action{Reason: decide.ReasonMemory})
+	s.refuse(refused, admission.Action{Reason: admission.ReasonMemory})
 	got := lines()
 	require.Len(t, got, 1)
 	require.Equal(t, "refused", got[0]["end"])
--- a/internal/store/cut_test.go
+++ b/internal/store/cut_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"falldeal/lab/standin"
+	"falldeal/lab/fakes"
 
 	"github.com/stretchr/testify/require"
 )
 
 // mute is an address behind a cut.
 func mute(t *testing.T) string {
-	m, err := standin.NewMute()
+	m, err := fakes.NewMute()
 	require.NoError(t, err)
 	t.Cleanup(m.Close)
 	return m.Addr
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -14,7 +14,7 @@
 
 	"falldeal/internal/deadline"
 	"falldeal/internal/logging"
-	"falldeal/internal/outbox"
+	"falldeal/internal/writequeue"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -68,7 +68,7 @@
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return time.Second }, Deadlines: deadline.New()}
 	l := New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
 	near, far := net.Pipe()
-	w := outbox.New(near, outRoom)
+	w := writequeue.New(near, outRoom)
 	var cases []goldenCase
 	written := func(name string) {
 		t.Helper()
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -11,7 +11,7 @@
 	"falldeal/internal/backoff"
 	"falldeal/internal/deadline"
 	"falldeal/internal/logging"
-	"falldeal/internal/outbox"
+	"falldeal/internal/writequeue"
 
 	"golang.org/x/sync/errgroup"
 )
@@ -47,7 +47,7 @@
 
 	calls   map[string]*call
 	waiting []*call // for a connection, in order
-	conns   map[*outbox.Queue]*conn
+	conns   map[*writequeue.Queue]*conn
 	free    []*conn // the last used at the end, and used last: by then its close or a second reply would show
 	dialing int     // dials under way, given up or not
 	dialled []*dial // those that calls wait for, in order: never more than such calls
@@ -66,7 +66,7 @@
 
 // conn is one connection to the store.
 type conn struct {
-	*outbox.Queue
+	*writequeue.Queue
 	addr string
 	call *call  // that it carries
 	last string // id of the one before that
@@ -88,7 +88,7 @@
 // the loop. What it tries again is spread by seed.
 func New(addr string, most int, seed uint64, loop Loop, reply func(id string, r Reply, body []byte), log *logging.Limiter) *Link {
 	return &Link{addr: addr, loop: loop, reply: reply, log: log, dials: make(chan *dial, most),
-		calls: map[string]*call{}, conns: map[*outbox.Queue]*conn{},
+		calls: map[string]*call{}, conns: map[*writequeue.Queue]*conn{},
 		backoff: backoff.New(backoffLeast, backoffMost, seed, purpose)}
 }
 
@@ -118,7 +118,7 @@
 		l.loop.Post(func() { l.refused(to, err) })
 		return
 	}
-	w := outbox.New(nc, outRoom)
+	w := writequeue.New(nc, outRoom)
 	l.loop.Post(func() { l.opened(to, w) })
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, w.Close)()
@@ -270,7 +270,7 @@
 // ConnectionsOpened is how many connections have been opened.
 func (l *Link) ConnectionsOpened() uint64 { return l.opens }
 
-func (l *Link) opened(d *dial, w *outbox.Queue) {
+func (l *Link) opened(d *dial, w *writequeue.Queue) {
 	l.dialEnded(d)
 	if d.addr != l.addr {
 		w.Close()
@@ -319,7 +319,7 @@
 	l.dial() // one that was given up proves nothing about the calls that wait
 }
 
-func (l *Link) replied(o *outbox.Queue, id string, r Reply, body []byte) {
+func (l *Link) replied(o *writequeue.Queue, id string, r Reply, body []byte) {
 	w := l.conns[o]
 	if w == nil {
 		return
@@ -344,7 +344,7 @@
 	l.reply(id, r, body)
 }
 
-func (l *Link) closed(o *outbox.Queue, err error) {
+func (l *Link) closed(o *writequeue.Queue, err error) {
 	w := l.conns[o]
 	if w == nil {
 		return
--- a/internal/outbox/outbox.go
+++ b/internal/writequeue/queue.go
@@ -1,5 +1,5 @@
-// Package outbox writes to a connection what others queue, without ever holding them up.
-package outbox
+// Package writequeue writes to a connection what others queue, without ever holding them up.
+package writequeue
 
 import (
 	"net"
--- a/internal/outbox/outbox_test.go
+++ b/internal/writequeue/queue_test.go
@@ -1,4 +1,4 @@
-package outbox
+package writequeue
 
 import (
 	"io"
--- a/lab/callers/callers.go
+++ b/lab/clients/clients.go
@@ -1,7 +1,7 @@
-// Package callers plays front ends with habits: open arrivals that do not wait for answers, drawn from a seed, lists
+// Package clients plays front ends with habits: open arrivals that do not wait for answers, drawn from a seed, lists
 // that lag, retries with and without a bound. What it leaves out: health checks, measured load reports, and connections
 // that are closed when idle.
-package callers
+package clients
 
 import (
 	"context"
--- a/lab/callers/link.go
+++ b/lab/clients/link.go
@@ -1,4 +1,4 @@
-package callers
+package clients
 
 import (
 	"bufio"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"falldeal/lab/standin"
+	"falldeal/lab/fakes"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -164,7 +164,7 @@
 		a := answer{word: "served"}
 		if list, _ := result.([]any); len(list) > 0 {
 			body, _ := list[0].([]byte)
-			a.poorer = string(body) == standin.Poorer
+			a.poorer = string(body) == fakes.Poorer
 		}
 		return a
 	}
--- a/lab/costs/main.go
+++ b/lab/costs/main.go
@@ -19,7 +19,7 @@
 }{
 	{"garbage collection", []string{"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcAssistAlloc", "runtime.gcStart", "runtime.sweepone"}},
 	{"logs", []string{"github.com/sirupsen/logrus", "falldeal/internal/logging"}},
-	{"module", []string{"falldeal/decide"}},
+	{"module", []string{"falldeal/admission"}},
 	{"dials and closes", []string{"net.(*Dialer)", "net.(*sysDialer)", "net.(*conn).Close", "net.(*netFD).Close", "net.(*netFD).connect"}},
 	{"socket reads", []string{"net.(*conn).Read", "net.(*netFD).Read"}},
 	{"socket writes", []string{"net.(*conn).Write", "net.(*netFD).Write"}},
@@ -33,7 +33,7 @@
 		"runtime.mstart", "runtime.mPark", "runtime.sysmon", "runtime.startm", "runtime.wakep", "runtime.selectgo", "runtime.chansend", "runtime.chanrecv", "runtime.gopreempt_m", "runtime.netpoll"}},
 	{"loop", []string{"falldeal/internal/server"}},
 	{"agent, store, announce links", []string{"falldeal/internal/agent", "falldeal/internal/store", "falldeal/internal/announce"}},
-	{"outbox", []string{"falldeal/internal/outbox"}},
+	{"outbox", []string{"falldeal/internal/writequeue"}},
 	{"front connections", []string{"falldeal/internal/msgpackrpc"}},
 }
 
--- a/lab/standin/agent.go
+++ b/lab/fakes/agent.go
@@ -1,7 +1,7 @@
-// Package standin plays the parties that an image server talks to, on loopback, as the protocol page describes
+// Package fakes plays the parties that an image server talks to, on loopback, as the protocol page describes
 // them: the render farm agent, the store and the announce service. They are for the laboratory and for tests;
 // nothing that serves imports them. Without a pool of package plant a run takes the time it is told to.
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"falldeal/lab/plant"
+	"falldeal/lab/workerpool"
 )
 
 // noticesKept is how many notices an agent remembers for links that come back; protocol.
@@ -42,7 +42,7 @@
 	Plan  func(l Launch) Plan // nil: every run succeeds at once without a call
 	Ready <-chan struct{}     // the greeting waits for it; nil: it does not
 
-	Cores *plant.Pool          // runs share it, and samples tell of it; nil: they do not
+	Cores *workerpool.Pool     // runs share it, and samples tell of it; nil: they do not
 	Now   func() time.Duration // its clock
 	Began func(l Launch)       // called as a run begins, and Ended as it ends; they must not call back
 	Ended func(l Launch, result string)
--- a/lab/standin/mute.go
+++ b/lab/fakes/mute.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
--- a/lab/standin/store.go
+++ b/lab/fakes/store.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"falldeal/lab/plant"
+	"falldeal/lab/workerpool"
 )
 
 // Store is a store. Its fields are set before Serve.
@@ -17,9 +17,9 @@
 	Delay time.Duration                       // from a call to its reply
 	Reply func(id string, body []byte) string // the word of the reply; nil: OutcomeOK with the body
 
-	Slots *plant.Pool          // calls share it; nil: each takes Delay
+	Slots *workerpool.Pool     // calls share it; nil: each takes Delay
 	Work  time.Duration        // of a call in a slot
-	Fall  plant.Fall           // and it falls when it is crowded
+	Fall  workerpool.Fall      // and it falls when it is crowded
 	Now   func() time.Duration // its clock
 	Began func(id string, inHand int)
 	Ended func(id string, inHand int) // both are called with the store held, and must not call back
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -25,11 +25,11 @@
 	"time"
 
 	"falldeal/internal/fleet"
-	"falldeal/lab/callers"
+	"falldeal/lab/clients"
+	"falldeal/lab/fakes"
 	"falldeal/lab/faults"
 	"falldeal/lab/history"
-	"falldeal/lab/plant"
-	"falldeal/lab/standin"
+	"falldeal/lab/workerpool"
 )
 
 // Options say what to start.
@@ -51,14 +51,14 @@
 	ColdFor time.Duration // of an agent that has just started
 	Slots   int           // of the store of each zone
 	Call    time.Duration // of a call in a slot
-	Classes []callers.Class
+	Classes []clients.Class
 }
 
 // Defaults are options of a small fleet in three zones.
 func Defaults() Options {
 	return Options{Members: 6, Zones: []string{"brussel-noord", "zaventem", "mechelen"}, Region: "belgium", Seed: 1,
 		Probe: 500 * time.Millisecond, Level: "info", Cores: 4, ColdFor: 4 * time.Second, Slots: 16, Call: 30 * time.Millisecond,
-		Classes: []callers.Class{
+		Classes: []clients.Class{
 			{Name: "preview", Share: 0.6, Work: 40 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 1, Poor: 0.6},
 			{Name: "hires-crop", Share: 0.3, Work: 90 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 2},
 			{Name: "licence-order", Share: 0.1, Work: 60 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 3, Keyed: true}}}
@@ -79,8 +79,8 @@
 	Log      *history.Log
 	Relay    *faults.Relay
 	Members  []*Member
-	Announce *standin.Announce
-	Stores   map[string]*standin.Store // by zone
+	Announce *fakes.Announce
+	Stores   map[string]*fakes.Store // by zone
 
 	opt     Options
 	net     int // second part of all addresses
@@ -110,7 +110,7 @@
 	agentAt string
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	agent   *standin.Agent
+	agent   *fakes.Agent
 	agentLn net.Listener
 	ended   chan struct{}
 	starts  int
@@ -125,7 +125,7 @@
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	l := &Lab{Log: history.NewLog(), Relay: faults.NewRelay(o.Seed), Announce: &standin.Announce{}, Stores: map[string]*standin.Store{},
+	l := &Lab{Log: history.NewLog(), Relay: faults.NewRelay(o.Seed), Announce: &fakes.Announce{}, Stores: map[string]*fakes.Store{},
 		opt: o, begun: map[int]bool{}, ended: map[int]bool{}, script: &faults.Script{}}
 	if err := l.reserve(); err != nil {
 		return nil, err
@@ -165,8 +165,8 @@
 			return err
 		}
 		l.closers = append(l.closers, ln)
-		s := &standin.Store{Now: l.Log.Now, Work: l.opt.Call, Fall: plant.Fall{Most: fallMost * l.opt.Slots, After: fallAfter, Down: fallDown},
-			Slots: plant.NewPool(plant.Curve{Places: l.opt.Slots, Speed: 1, Knee: 1,
+		s := &fakes.Store{Now: l.Log.Now, Work: l.opt.Call, Fall: workerpool.Fall{Most: fallMost * l.opt.Slots, After: fallAfter, Down: fallDown},
+			Slots: workerpool.NewPool(workerpool.Curve{Places: l.opt.Slots, Speed: 1, Knee: 1,
 				Decay: 0.2, Least: 0.3}, l.Log.Now())}
 		s.Began = func(id string, n int) { l.Log.Add(history.Event{Kind: history.Call, Try: id, Server: zone, N: n}) }
 		s.Ended = func(id string, n int) { l.Log.Add(history.Event{Kind: history.CallEnd, Try: id, Server: zone, N: n}) }
@@ -294,22 +294,22 @@
 	if m.starts > 0 {
 		state = "booting"
 	}
-	curve := plant.Curve{Places: o.Cores, Speed: speedOf(number), Knee: 2, Decay: 0.1, Least: 0.4, ColdShare: 0.25}
+	curve := workerpool.Curve{Places: o.Cores, Speed: speedOf(number), Knee: 2, Decay: 0.1, Least: 0.4, ColdShare: 0.25}
 	if state == "booting" {
 		curve.ColdFor = o.ColdFor
 	}
-	m.agent = &standin.Agent{State: state, Now: l.Log.Now, Cores: plant.NewPool(curve, l.Log.Now()), Plan: func(x standin.Launch) standin.Plan {
+	m.agent = &fakes.Agent{State: state, Now: l.Log.Now, Cores: workerpool.NewPool(curve, l.Log.Now()), Plan: func(x fakes.Launch) fakes.Plan {
 		work, _ := strconv.ParseInt(string(x.Body), 10, 64)
-		p := standin.Plan{Work: time.Duration(work)}
+		p := fakes.Plan{Work: time.Duration(work)}
 		if x.Class != "hires-crop" {
 			p.Call = []byte("SELECT " + x.Req)
 		}
 		return p
 	}}
-	m.agent.Began = func(x standin.Launch) {
+	m.agent.Began = func(x fakes.Launch) {
 		l.Log.Add(history.Event{Kind: history.Run, Try: x.Req, Class: x.Class, Server: m.Name})
 	}
-	m.agent.Ended = func(x standin.Launch, result string) {
+	m.agent.Ended = func(x fakes.Launch, result string) {
 		l.Log.Add(history.Event{Kind: history.RunEnd, Try: x.Req, Class: x.Class, Server: m.Name, Word: result})
 	}
 	m.agentLn = ln
@@ -439,8 +439,8 @@
 }
 
 // Servers is the list that front ends have, which lags by so much.
-func (l *Lab) Servers(lag time.Duration) callers.List {
-	return func() []callers.Server {
+func (l *Lab) Servers(lag time.Duration) clients.List {
+	return func() []clients.Server {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		now := l.Log.Now()
@@ -450,10 +450,10 @@
 		for len(l.lists) > 1 && l.lists[1].at <= now-lag {
 			l.lists = l.lists[1:]
 		}
-		var all []callers.Server
+		var all []clients.Server
 		for _, name := range l.lists[0].names {
 			if m := l.Find(name); m != nil {
-				all = append(all, callers.Server{Name: name, Addr: m.Front})
+				all = append(all, clients.Server{Name: name, Addr: m.Front})
 			}
 		}
 		return all
@@ -496,7 +496,7 @@
 }
 
 // agentOf is the agent of a member whose process runs; nil without one.
-func (l *Lab) agentOf(server string) *standin.Agent {
+func (l *Lab) agentOf(server string) *fakes.Agent {
 	m := l.Find(server)
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/lab/fleetlab/lab_test.go
+++ b/lab/fleetlab/lab_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"falldeal/internal/fleet"
-	"falldeal/lab/callers"
+	"falldeal/lab/clients"
 	"falldeal/lab/faults"
 	"falldeal/lab/history"
 
@@ -116,13 +116,13 @@
 
 // load has front ends send so many requests a second, and members watched, until the function it returns is called; that
 // may be called again.
-func (l *Lab) load(frontEnds int, rate float64, habits ...callers.Habit) (quiet func()) {
+func (l *Lab) load(frontEnds int, rate float64, habits ...clients.Habit) (quiet func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Add(2)
 	go func() {
 		defer wg.Done()
-		callers.Run(ctx, callers.Plan{FrontEnds: frontEnds, Rate: rate, Classes: l.opt.Classes, Keys: 50, Seed: 1, Read: l.Read, Over: l.Over,
+		clients.Run(ctx, clients.Plan{FrontEnds: frontEnds, Rate: rate, Classes: l.opt.Classes, Keys: 50, Seed: 1, Read: l.Read, Over: l.Over,
 			Habits: habits}, l.Servers(time.Second), l.Log)
 	}()
 	go func() {
@@ -143,7 +143,7 @@
 	all := []string{"n0", "n1", "n2", "n3", "n4", "n5"}
 	l.see(t, all, append(serving(all...), "position=whole")...)
 
-	quiet := l.load(3, 60, callers.Habit{Tries: 3}, callers.Habit{ByKey: true, Tries: 3, Heed: true})
+	quiet := l.load(3, 60, clients.Habit{Tries: 3}, clients.Habit{ByKey: true, Tries: 3, Heed: true})
 	defer quiet()
 
 	near, far := []string{"n0", "n1", "n3", "n4"}, []string{"n2", "n5"}
@@ -201,7 +201,7 @@
 	})
 	all := []string{"n0", "n1", "n2", "n3", "n4"}
 	l.see(t, all, append(serving(all...), "position=whole")...)
-	quiet := l.load(4, 1.6*l.Capacity(), callers.Habit{Heed: true}, callers.Habit{ByKey: true})
+	quiet := l.load(4, 1.6*l.Capacity(), clients.Habit{Heed: true}, clients.Habit{ByKey: true})
 	defer quiet()
 	cuts := func(who []string, alike func(least, most float64) bool) {
 		t.Helper()
@@ -240,7 +240,7 @@
 	l := start(t, func(o *Options) { o.Probes, o.Slots = true, 24 })
 	all := []string{"n0", "n1", "n2", "n3", "n4", "n5"}
 	l.see(t, all, append(serving(all...), "position=whole")...)
-	quiet := l.load(3, 60, callers.Habit{Tries: 3, Heed: true})
+	quiet := l.load(3, 60, clients.Habit{Tries: 3, Heed: true})
 	defer quiet()
 	// calls of the last seconds: how many began, and the most that a store had in hand.
 	calls := func() (began, most int) {
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -17,7 +17,7 @@
 	"falldeal/internal/logging"
 	"falldeal/internal/msgpackrpc"
 	"falldeal/internal/server"
-	"falldeal/lab/standin"
+	"falldeal/lab/fakes"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -52,14 +52,14 @@
 	agent, store := listen(), listen()
 	announce, err := net.ListenPacket("udp", "127.0.0.1:0")
 	check(err)
-	go (&standin.Agent{State: "steady", Age: time.Hour, Load: [4]float64{0.02, 0, 0.1, 10}, Plan: func(l standin.Launch) standin.Plan {
+	go (&fakes.Agent{State: "steady", Age: time.Hour, Load: [4]float64{0.02, 0, 0.1, 10}, Plan: func(l fakes.Launch) fakes.Plan {
 		if l.Class == "preview" {
-			return standin.Plan{Call: make([]byte, 96)}
+			return fakes.Plan{Call: make([]byte, 96)}
 		}
-		return standin.Plan{}
+		return fakes.Plan{}
 	}}).Serve(agent)
-	go (&standin.Store{}).Serve(store)
-	go (&standin.Announce{}).Serve(announce)
+	go (&fakes.Store{}).Serve(store)
+	go (&fakes.Announce{}).Serve(announce)
 	out := json.NewEncoder(os.Stdout)
 	check(out.Encode(addresses{agent.Addr().String(), store.Addr().String(), announce.LocalAddr().String()}))
 	for in := json.NewDecoder(os.Stdin); ; {
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -15,9 +15,9 @@
 	"strconv"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/fleet"
-	"falldeal/lab/callers"
+	"falldeal/lab/clients"
 	"falldeal/lab/history"
 )
 
@@ -33,7 +33,7 @@
 	ColdFor                   time.Duration // of a server, and of a store that comes back
 	Fall                      float64       // in hand, of its slots, under which a store falls; cold, it falls under less
 	Heed                      float64       // share of the front ends that heed advice
-	Classes                   []callers.Class
+	Classes                   []clients.Class
 	Cutoff, Probes            bool
 	Sums                      bool // sums by zone in a large fleet; off: by the words of all, however old
 	Faults                    []Fault
@@ -41,7 +41,7 @@
 
 // Classes are those of the model: as the laboratory's, with four times the work, so that a server with four cores has some
 // twelve requests a second.
-var Classes = []callers.Class{
+var Classes = []clients.Class{
 	{Name: "preview", Share: 0.6, Work: 160 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 1, Poor: 0.6},
 	{Name: "hires-crop", Share: 0.3, Work: 360 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 2},
 	{Name: "licence-order", Share: 0.1, Work: 240 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 3, Keyed: true}}
@@ -108,7 +108,7 @@
 	view    *fleet.Snapshot // what has gone round
 	events  []history.Event
 	tries   uint64
-	set     decide.Settings
+	set     admission.Settings
 	mean    time.Duration // work of a request
 }
 
@@ -170,7 +170,7 @@
 	return cores
 }
 
-func meanWork(classes []callers.Class) (work time.Duration) {
+func meanWork(classes []clients.Class) (work time.Duration) {
 	for _, c := range classes {
 		work += time.Duration(c.Share * float64(c.Work))
 	}
@@ -180,15 +180,15 @@
 func (s *Sim) settings() {
 	o := &s.opt
 	s.mean = meanWork(o.Classes)
-	s.set = decide.Settings{Cores: o.Cores, FleetSize: o.Servers, Clients: o.FrontEnds, MemoryKB: 60000, RunningMemoryFactor: 8, KeyMemoryKB: 4,
-		Dependency: decide.DependencyShared, MaxCallsInFlight: o.Slots, CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
+	s.set = admission.Settings{Cores: o.Cores, FleetSize: o.Servers, Clients: o.FrontEnds, MemoryKB: 60000, RunningMemoryFactor: 8, KeyMemoryKB: 4,
+		Dependency: admission.DependencyShared, MaxCallsInFlight: o.Slots, CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
 		SlowStartSpeedRatio: 0.25, SlowStartTime: o.ColdFor, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 3 * time.Second, AnswerGrace: 100 * time.Millisecond,
 		DrainGrace: 2500 * time.Millisecond, IdleTimeout: 30 * time.Second, MaxRetryAfter: time.Second, SendsRetryAfter: true, SendsCancellations: true,
 		SendsDeadlines: true, RegistryFollowsHealth: true, Tick: 5 * time.Millisecond, OverQuotaValueRatio: 0.1}
 	for _, c := range o.Classes {
-		k := decide.Class{LatencyObjective: c.Aim, Deadline: c.Wait, PriorityWeight: c.Worth, CallsDependency: c.Name != "hires-crop", IdempotencyWindow: 5 * time.Second}
+		k := admission.Class{LatencyObjective: c.Aim, Deadline: c.Wait, PriorityWeight: c.Worth, CallsDependency: c.Name != "hires-crop", IdempotencyWindow: 5 * time.Second}
 		if c.Keyed {
-			k.Idempotency, k.IdempotencyWindow = decide.IdempotentByKey, 17457*time.Millisecond
+			k.Idempotency, k.IdempotencyWindow = admission.IdempotentByKey, 17457*time.Millisecond
 		}
 		if c.Poor > 0 {
 			k.DegradedValueRatio = c.Poor
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -5,12 +5,12 @@
 	"strconv"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/internal/fleet"
 	"falldeal/internal/overload"
-	"falldeal/lab/callers"
+	"falldeal/lab/clients"
 	"falldeal/lab/history"
-	"falldeal/lab/plant"
+	"falldeal/lab/workerpool"
 )
 
 // word is what a server told, and when.
@@ -28,15 +28,15 @@
 	up           bool
 	changed      time.Duration // when it came up or went down
 
-	ctl     *decide.Controller
-	jobs    map[decide.RequestID]*job
-	lastID  decide.RequestID
-	events  []decide.Event
-	actions []decide.Action
+	ctl     *admission.Controller
+	jobs    map[admission.RequestID]*job
+	lastID  admission.RequestID
+	events  []admission.Event
+	actions []admission.Action
 	pending bool
 	good    bool
 
-	cores   *plant.Pool
+	cores   *workerpool.Pool
 	unread  []*job
 	reads   int
 	pooled  map[string]*job
@@ -55,7 +55,7 @@
 
 // job is one try at a server.
 type job struct {
-	id      decide.RequestID
+	id      admission.RequestID
 	pool    string // its name in the pool
 	r       *request
 	class   int
@@ -84,16 +84,16 @@
 	s := v.sim
 	v.run++
 	v.up, v.changed, v.good = true, s.now, true
-	curve := plant.Curve{Places: s.opt.Cores, Speed: speedOf(v.number), Knee: 2, Decay: 0.1, Least: 0.4, ColdShare: 0.25}
+	curve := workerpool.Curve{Places: s.opt.Cores, Speed: speedOf(v.number), Knee: 2, Decay: 0.1, Least: 0.4, ColdShare: 0.25}
 	set := s.set
 	if set.WarmingUp = cold; cold {
 		curve.ColdFor = s.opt.ColdFor
 	}
-	ctl, err := decide.New(set, s.opt.Seed+uint64(v.number), s.now)
+	ctl, err := admission.New(set, s.opt.Seed+uint64(v.number), s.now)
 	if err != nil {
 		panic(err) // the settings are this package's own
 	}
-	v.ctl, v.cores, v.jobs, v.pooled = ctl, plant.NewPool(curve, s.now), map[decide.RequestID]*job{}, map[string]*job{}
+	v.ctl, v.cores, v.jobs, v.pooled = ctl, workerpool.NewPool(curve, s.now), map[admission.RequestID]*job{}, map[string]*job{}
 	v.unread, v.reads, v.events, v.pending, v.armedAt = nil, 0, nil, false, 0
 	v.cutoff, v.probes, v.collector, v.leak = nil, nil, nil, overload.ProbeUnlimited
 	self := overload.ProcessID{Name: v.name, Run: v.id()}
@@ -134,7 +134,7 @@
 		}
 	}
 	// In the order of their numbers: that of a map would be another each time.
-	for id := decide.RequestID(1); id <= v.lastID; id++ {
+	for id := admission.RequestID(1); id <= v.lastID; id++ {
 		if j := v.jobs[id]; j != nil && !j.over {
 			j.say(answer{word: "lost"})
 		}
@@ -184,7 +184,7 @@
 			v.wasRead(j)
 			continue
 		}
-		v.ended(j, decide.OutcomeOK)
+		v.ended(j, admission.OutcomeOK)
 	}
 }
 
@@ -213,20 +213,20 @@
 		j.say(answer{word: "failed"})
 		return
 	}
-	e := decide.Event{Kind: decide.EventRequest, ID: j.id, Class: j.class, Client: j.r.front, MemoryKB: 24, CostHint: j.r.work, HasSubject: !c.Keyed,
+	e := admission.Event{Kind: admission.EventRequest, ID: j.id, Class: j.class, Client: j.r.front, MemoryKB: 24, CostHint: j.r.work, HasSubject: !c.Keyed,
 		Rank: j.r.rank, Deadline: j.due, Waited: s.now - j.came}
 	if v.cutoff != nil {
 		j.fp = overload.Fingerprint(c.Name, "", "", j.r.front, j.r.rank, j.r.work.Seconds())
 		e.SinceFirstAttempt = v.patience.Age(s.now, c.Name, j.due-j.came)
 		again := v.repeats.Arrived(s.now, j.fp) || e.SinceFirstAttempt > 0
-		e.FleetRank = [...]decide.FleetRank{decide.RankUnknown, decide.RankElsewhere, decide.RankFull, decide.RankBelowThreshold}[v.cutoff.Classify(c.Worth, j.r.work.Seconds(), j.r.rank, again)]
+		e.FleetRank = [...]admission.FleetRank{admission.RankUnknown, admission.RankElsewhere, admission.RankFull, admission.RankBelowThreshold}[v.cutoff.Classify(c.Worth, j.r.work.Seconds(), j.r.rank, again)]
 		e.RetryJitter = v.cutoff.RetryJitter(j.fp)
 	}
 	v.happened(e)
 }
 
 // happened has the controller take a step, at the end of this instant.
-func (v *server) happened(e decide.Event) {
+func (v *server) happened(e admission.Event) {
 	v.events = append(v.events, e)
 	if !v.pending {
 		v.pending = true
@@ -251,18 +251,18 @@
 	v.arm()
 }
 
-func (v *server) carryOut(a decide.Action) {
+func (v *server) carryOut(a admission.Action) {
 	s := v.sim
 	switch a.Kind {
-	case decide.ActionHealth:
+	case admission.ActionHealth:
 		v.good = a.Healthy
 		return
-	case decide.ActionWake:
+	case admission.ActionWake:
 		run := v.run
 		s.at(a.At, func() {
 			if v.up && v.run == run {
 				v.advance()
-				v.happened(decide.Event{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: v.cores.Busy(), CPUDemand: float64(v.cores.InHand()), MemoryUtilization: 0.1, Connections: 10}})
+				v.happened(admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: v.cores.Busy(), CPUDemand: float64(v.cores.InHand()), MemoryUtilization: 0.1, Connections: 10}})
 				v.arm()
 			}
 		})
@@ -273,27 +273,27 @@
 		return
 	}
 	switch a.Kind {
-	case decide.ActionRun:
+	case admission.ActionRun:
 		j.running, j.began = true, s.now
 		if v.sim.set.Classes[j.class].CallsDependency {
 			j.waiting = true
-			v.happened(decide.Event{Kind: decide.EventCallNeeded, ID: j.id})
+			v.happened(admission.Event{Kind: admission.EventCallNeeded, ID: j.id})
 			return
 		}
 		v.work(j)
-	case decide.ActionCall:
+	case admission.ActionCall:
 		j.asked = s.now
 		j.call = s.stores[v.zone].begin(v, j, a.Timeout)
-	case decide.ActionSkipCall:
+	case admission.ActionSkipCall:
 		j.poorer = true
 		v.work(j)
-	case decide.ActionReject:
+	case admission.ActionReject:
 		if v.cutoff != nil && !a.NoRetryElsewhere {
 			v.repeats.Rejected(s.now, j.fp)
 		}
 		delete(v.jobs, j.id)
 		j.say(answer{word: "refused", after: a.RetryAfter, last: a.NoRetryElsewhere})
-	case decide.ActionFail:
+	case admission.ActionFail:
 		j.say(answer{word: "failed"})
 		if j.call != nil {
 			j.call.drop()
@@ -302,7 +302,7 @@
 		if !j.running {
 			delete(v.jobs, j.id)
 		} else if j.waiting {
-			v.ended(j, decide.OutcomeCancelled) // the agent ends what waits for a call that nobody wants
+			v.ended(j, admission.OutcomeCancelled) // the agent ends what waits for a call that nobody wants
 		}
 	}
 }
@@ -314,14 +314,14 @@
 	v.cores.Add(j.pool, j.r.work)
 }
 
-func (v *server) ended(j *job, o decide.Outcome) {
+func (v *server) ended(j *job, o admission.Outcome) {
 	delete(v.jobs, j.id)
 	if j.call != nil {
 		j.call.drop()
 		j.call = nil
 	}
-	v.happened(decide.Event{Kind: decide.EventDone, ID: j.id, Outcome: o, Took: v.sim.now - j.began})
-	if o == decide.OutcomeOK {
+	v.happened(admission.Event{Kind: admission.EventDone, ID: j.id, Outcome: o, Took: v.sim.now - j.began})
+	if o == admission.OutcomeOK {
 		j.say(answer{word: "served", poorer: j.poorer})
 	} else {
 		j.say(answer{word: "failed"})
@@ -329,20 +329,20 @@
 }
 
 // called takes in the end of a call.
-func (v *server) called(j *job, o decide.Outcome) {
+func (v *server) called(j *job, o admission.Outcome) {
 	if !v.up || v.jobs[j.id] != j {
 		return
 	}
 	j.call = nil
 	if v.probes != nil {
-		v.probes.CallEnded(o == decide.OutcomeOK)
+		v.probes.CallEnded(o == admission.OutcomeOK)
 	}
-	if o == decide.OutcomeOK {
+	if o == admission.OutcomeOK {
 		v.advance()
 		v.work(j)
 		v.arm()
 	}
-	v.happened(decide.Event{Kind: decide.EventCallDone, ID: j.id, Outcome: o, Took: v.sim.now - j.asked})
+	v.happened(admission.Event{Kind: admission.EventCallDone, ID: j.id, Outcome: o, Took: v.sim.now - j.asked})
 }
 
 // view is what this server knows of the others; it is marked in it as itself while do looks at it.
@@ -425,7 +425,7 @@
 	v.arm()
 }
 
-var protects = [...]float64{overload.ProbeUnlimited: decide.BreakerProtectedCalls, overload.ProbeCautious: 0, overload.ProbeSingle: 1, overload.ProbeNone: -1}
+var protects = [...]float64{overload.ProbeUnlimited: admission.BreakerProtectedCalls, overload.ProbeCautious: 0, overload.ProbeSingle: 1, overload.ProbeNone: -1}
 
 func (v *server) keepProbing() {
 	was := v.probes.State()
@@ -449,7 +449,7 @@
 
 // request is what a caller wants.
 type request struct {
-	class *callers.Class
+	class *clients.Class
 	kind  int
 	work  time.Duration
 	rank  float64
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -4,9 +4,9 @@
 	"strconv"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 	"falldeal/lab/history"
-	"falldeal/lab/plant"
+	"falldeal/lab/workerpool"
 )
 
 // A store falls when it has too many calls in hand for so long, is down for a while, and comes back cold.
@@ -20,9 +20,9 @@
 type store struct {
 	sim     *Sim
 	zone    int
-	slots   *plant.Pool
+	slots   *workerpool.Pool
 	places  int
-	fall    plant.Fall
+	fall    workerpool.Fall
 	born    time.Duration // when it came up last, cold
 	mute    bool
 	hand    map[string]*call
@@ -44,8 +44,8 @@
 func newStore(s *Sim, zone int) *store {
 	each := (s.opt.Servers + s.opt.Zones - 1 - zone) / s.opt.Zones
 	places := max(int(s.opt.Slots*float64(each)), 1)
-	return &store{sim: s, zone: zone, places: places, hand: map[string]*call{}, born: -s.opt.ColdFor, fall: plant.Fall{After: fallAfter, Down: fallDown},
-		slots: plant.NewPool(plant.Curve{Places: places, Speed: 1, Knee: 1, Decay: 0.2, Least: 0.3, ColdShare: coldShare, ColdFor: s.opt.ColdFor}, -s.opt.ColdFor)}
+	return &store{sim: s, zone: zone, places: places, hand: map[string]*call{}, born: -s.opt.ColdFor, fall: workerpool.Fall{After: fallAfter, Down: fallDown},
+		slots: workerpool.NewPool(workerpool.Curve{Places: places, Speed: 1, Knee: 1, Decay: 0.2, Least: 0.3, ColdShare: coldShare, ColdFor: s.opt.ColdFor}, -s.opt.ColdFor)}
 }
 
 func (st *store) note(kind string) {
@@ -57,7 +57,7 @@
 	s := st.sim
 	st.last++
 	c := &call{st: st, id: strconv.Itoa(st.last), by: by, j: j}
-	s.at(s.now+limit, func() { c.end(decide.OutcomeTimedOut) })
+	s.at(s.now+limit, func() { c.end(admission.OutcomeTimedOut) })
 	if st.mute {
 		st.hung++
 		st.note(history.Call)
@@ -68,7 +68,7 @@
 		return c
 	}
 	if st.fall.IsDown(s.now) {
-		s.at(s.now+2*way, func() { c.end(decide.OutcomeFailed) })
+		s.at(s.now+2*way, func() { c.end(admission.OutcomeFailed) })
 		return c
 	}
 	st.advance()
@@ -84,7 +84,7 @@
 				st.slots.Drop(x.id)
 				delete(st.hand, x.id)
 				st.note(history.CallEnd)
-				x.end(decide.OutcomeFailed)
+				x.end(admission.OutcomeFailed)
 			}
 		}
 		s.log(history.Event{Kind: history.Fault, Word: "fall of store " + strconv.Itoa(st.zone), N: 1})
@@ -98,7 +98,7 @@
 		c := st.hand[id]
 		delete(st.hand, id)
 		st.note(history.CallEnd)
-		c.end(decide.OutcomeOK)
+		c.end(admission.OutcomeOK)
 	}
 }
 
@@ -128,7 +128,7 @@
 }
 
 // end tells the server how its call ended, once; what is in a slot stays there until it is done.
-func (c *call) end(o decide.Outcome) {
+func (c *call) end(o admission.Outcome) {
 	if c.over || c.dropped {
 		return
 	}
--- a/lab/explore/explore.go
+++ b/lab/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package explore visits every state that a small protocol can get to, breadth first, so that the steps to a broken
+// Package modelcheck visits every state that a small protocol can get to, breadth first, so that the steps to a broken
 // one are the fewest. It is for protocols small enough to be visited whole: a handful of members, amounts and steps.
-package explore
+package modelcheck
 
 // Step is one thing that may happen in a state, and the state it leads to.
 type Step[S any] struct {
--- a/lab/plant/pool.go
+++ b/lab/workerpool/pool.go
@@ -1,9 +1,9 @@
-// Package plant is a small model of what serves requests below an image server: the cores of a render farm agent, and
+// Package workerpool is a small model of what serves requests below an image server: the cores of a render farm agent, and
 // the slots of a store. It is pure: times come in, ends go out.
 //
 // Work in hand shares the pool evenly. What it leaves out: memory, disks, unequal sharing between runs, and that the
 // reading of a request takes of the same cores; a real agent's curve past its knee is not a straight line.
-package plant
+package workerpool
 
 import (
 	"cmp"
--- a/lab/plant/pool_test.go
+++ b/lab/workerpool/pool_test.go
@@ -1,4 +1,4 @@
-package plant
+package workerpool
 
 import (
 	"fmt"
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 
 	"github.com/stretchr/testify/require"
 )
@@ -53,34 +53,34 @@
 
 // Every action in both states of its flags, and the figures that are rounded.
 func TestGoldenActions(t *testing.T) {
-	const largest = decide.RequestID(1<<64 - 1)
+	const largest = admission.RequestID(1<<64 - 1)
 	var cases []goldenCase
 	for _, c := range []struct {
 		name   string
-		action decide.Action
+		action admission.Action
 	}{
-		{"run", decide.Action{Kind: decide.ActionRun, ID: largest}},
-		{"stop", decide.Action{Kind: decide.ActionStop, ID: largest}},
-		{"refuse without advice", decide.Action{Kind: decide.ActionReject, ID: 7}},
-		{"refuse with a time to stay away", decide.Action{Kind: decide.ActionReject, ID: 7, RetryAfter: 1234567890 * time.Nanosecond}},
-		{"refuse for good", decide.Action{Kind: decide.ActionReject, ID: 7, NoRetryElsewhere: true}},
-		{"fail", decide.Action{Kind: decide.ActionFail, ID: largest}},
-		{"call", decide.Action{Kind: decide.ActionCall, ID: 7, Timeout: 1234567890 * time.Nanosecond}},
-		{"skip", decide.Action{Kind: decide.ActionSkipCall, ID: largest}},
-		{"keep", decide.Action{Kind: decide.ActionRemember, ID: 7, Duration: 1234567890 * time.Nanosecond}},
-		{"forget", decide.Action{Kind: decide.ActionForget, ID: largest}},
-		{"reuse", decide.Action{Kind: decide.ActionReuse, ID: largest}},
-		{"health good", decide.Action{Kind: decide.ActionHealth, Healthy: true}},
-		{"health bad", decide.Action{Kind: decide.ActionHealth}},
-		{"health good, for stored answers", decide.Action{Kind: decide.ActionHealth, Healthy: true, Cached: true}},
-		{"advertise nothing", decide.Action{Kind: decide.ActionAdvertise}},
-		{"advertise a fraction", decide.Action{Kind: decide.ActionAdvertise, Value: 1.0 / 3}},
-		{"advertise little", decide.Action{Kind: decide.ActionAdvertise, Value: 0.0000123456789}},
-		{"advertise much", decide.Action{Kind: decide.ActionAdvertise, Value: 12345678}},
-		{"idle limit", decide.Action{Kind: decide.ActionIdleTimeout, Duration: 1234567890 * time.Nanosecond}},
-		{"wake at a microsecond", decide.Action{Kind: decide.ActionWake, At: 1234567 * time.Microsecond}},
-		{"wake within a microsecond", decide.Action{Kind: decide.ActionWake, At: 1234567*time.Microsecond + 1}},
-		{"log", decide.Action{Kind: decide.ActionLog, Text: "one\r\ntwo\nthree"}},
+		{"run", admission.Action{Kind: admission.ActionRun, ID: largest}},
+		{"stop", admission.Action{Kind: admission.ActionStop, ID: largest}},
+		{"refuse without advice", admission.Action{Kind: admission.ActionReject, ID: 7}},
+		{"refuse with a time to stay away", admission.Action{Kind: admission.ActionReject, ID: 7, RetryAfter: 1234567890 * time.Nanosecond}},
+		{"refuse for good", admission.Action{Kind: admission.ActionReject, ID: 7, NoRetryElsewhere: true}},
+		{"fail", admission.Action{Kind: admission.ActionFail, ID: largest}},
+		{"call", admission.Action{Kind: admission.ActionCall, ID: 7, Timeout: 1234567890 * time.Nanosecond}},
+		{"skip", admission.Action{Kind: admission.ActionSkipCall, ID: largest}},
+		{"keep", admission.Action{Kind: admission.ActionRemember, ID: 7, Duration: 1234567890 * time.Nanosecond}},
+		{"forget", admission.Action{Kind: admission.ActionForget, ID: largest}},
+		{"reuse", admission.Action{Kind: admission.ActionReuse, ID: largest}},
+		{"health good", admission.Action{Kind: admission.ActionHealth, Healthy: true}},
+		{"health bad", admission.Action{Kind: admission.ActionHealth}},
+		{"health good, for stored answers", admission.Action{Kind: admission.ActionHealth, Healthy: true, Cached: true}},
+		{"advertise nothing", admission.Action{Kind: admission.ActionAdvertise}},
+		{"advertise a fraction", admission.Action{Kind: admission.ActionAdvertise, Value: 1.0 / 3}},
+		{"advertise little", admission.Action{Kind: admission.ActionAdvertise, Value: 0.0000123456789}},
+		{"advertise much", admission.Action{Kind: admission.ActionAdvertise, Value: 12345678}},
+		{"idle limit", admission.Action{Kind: admission.ActionIdleTimeout, Duration: 1234567890 * time.Nanosecond}},
+		{"wake at a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567 * time.Microsecond}},
+		{"wake within a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567*time.Microsecond + 1}},
+		{"log", admission.Action{Kind: admission.ActionLog, Text: "one\r\ntwo\nthree"}},
 	} {
 		cases = append(cases, goldenCase{c.name, oneLineOf(t, AppendAction(nil, 12, c.action))})
 	}
@@ -103,32 +103,32 @@
 		name string
 		want Message
 	}
-	happens := func(name string, e decide.Event) eventCase {
+	happens := func(name string, e admission.Event) eventCase {
 		return eventCase{name, Message{Kind: Happen, Node: 3, Line: 2, Event: e}}
 	}
 	cases := []eventCase{
 		{"create", Message{Kind: Create, Node: 3, Line: 2, Seed: 1<<64 - 1, Conf: []byte(`{"FleetSize": 11, "Name": "a b"}`)}},
 		{"create with a negative seed", Message{Kind: Create, Node: 3, Line: 2, Seed: 1<<64 - 5, Conf: []byte("{}")}},
 		{"retire", Message{Kind: Retire, Node: 3, Line: 2}},
-		happens("order", decide.Event{Kind: decide.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1,
+		happens("order", admission.Event{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1,
 			CostHint: 12 * time.Millisecond, HasSubject: true, Retry: true, RetryOf: 1422162698119961, Rank: 0.625,
 			Deadline: 8652250 * us1, Waited: 1850 * us1, Class: 2}),
-		happens("order that mutates", decide.Event{Kind: decide.EventRequest, ID: 8, Client: 1, MemoryKB: 2, Class: 1}),
-		happens("order that tells little", decide.Event{Kind: decide.EventRequest, ID: 1<<64 - 1}),
-		happens("dropped", decide.Event{Kind: decide.EventCancelled, ID: 7}),
-		happens("wants call", decide.Event{Kind: decide.EventCallNeeded, ID: 7}),
-		happens("notice", decide.Event{Kind: decide.EventDrain, StopAt: 11912250 * us1}),
-		happens("elapsed", decide.Event{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}}),
-		happens("elapsed with some gauges", decide.Event{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: -1, CPUDemand: 0, MemoryUtilization: -1, Connections: 5}}),
-		happens("elapsed without gauges", decide.Event{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}}),
+		happens("order that mutates", admission.Event{Kind: admission.EventRequest, ID: 8, Client: 1, MemoryKB: 2, Class: 1}),
+		happens("order that tells little", admission.Event{Kind: admission.EventRequest, ID: 1<<64 - 1}),
+		happens("dropped", admission.Event{Kind: admission.EventCancelled, ID: 7}),
+		happens("wants call", admission.Event{Kind: admission.EventCallNeeded, ID: 7}),
+		happens("notice", admission.Event{Kind: admission.EventDrain, StopAt: 11912250 * us1}),
+		happens("elapsed", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}}),
+		happens("elapsed with some gauges", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: -1, CPUDemand: 0, MemoryUtilization: -1, Connections: 5}}),
+		happens("elapsed without gauges", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}}),
 	}
 	for _, o := range []struct {
 		name    string
-		outcome decide.Outcome
-	}{{"ok", decide.OutcomeOK}, {"failed", decide.OutcomeFailed}, {"rejected", decide.OutcomeRejected}, {"timed out", decide.OutcomeTimedOut},
-		{"unreachable", decide.OutcomeUnreachable}, {"aborted", decide.OutcomeAborted}, {"cancelled", decide.OutcomeCancelled}, {"moot", decide.OutcomeNotStarted}} {
-		cases = append(cases, happens("done, "+o.name, decide.Event{Kind: decide.EventDone, ID: 5, Outcome: o.outcome, Took: 9 * us1}),
-			happens("call result, "+o.name, decide.Event{Kind: decide.EventCallDone, ID: 5, Outcome: o.outcome, Took: 9 * us1}))
+		outcome admission.Outcome
+	}{{"ok", admission.OutcomeOK}, {"failed", admission.OutcomeFailed}, {"rejected", admission.OutcomeRejected}, {"timed out", admission.OutcomeTimedOut},
+		{"unreachable", admission.OutcomeUnreachable}, {"aborted", admission.OutcomeAborted}, {"cancelled", admission.OutcomeCancelled}, {"moot", admission.OutcomeNotStarted}} {
+		cases = append(cases, happens("done, "+o.name, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: o.outcome, Took: 9 * us1}),
+			happens("call result, "+o.name, admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: o.outcome, Took: 9 * us1}))
 	}
 	lines := readGolden(t, "events.golden", len(cases))
 	for _, c := range cases {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 )
 
 // Kind tells what a message asks of the host.
@@ -32,7 +32,7 @@
 	Line  int // in the input, from 1
 	Seed  uint64
 	Conf  []byte
-	Event decide.Event
+	Event admission.Event
 }
 
 // Batch is what came in at one time.
@@ -110,10 +110,10 @@
 	}
 }
 
-var outcomes = map[string]decide.Outcome{
-	"OK": decide.OutcomeOK, "INTERNAL": decide.OutcomeFailed, "RESOURCE_EXHAUSTED": decide.OutcomeRejected,
-	"DEADLINE_EXCEEDED": decide.OutcomeTimedOut, "UNAVAILABLE": decide.OutcomeUnreachable, "ABORTED": decide.OutcomeAborted,
-	"CANCELLED": decide.OutcomeCancelled, "TOO_LATE": decide.OutcomeNotStarted,
+var outcomes = map[string]admission.Outcome{
+	"OK": admission.OutcomeOK, "INTERNAL": admission.OutcomeFailed, "RESOURCE_EXHAUSTED": admission.OutcomeRejected,
+	"DEADLINE_EXCEEDED": admission.OutcomeTimedOut, "UNAVAILABLE": admission.OutcomeUnreachable, "ABORTED": admission.OutcomeAborted,
+	"CANCELLED": admission.OutcomeCancelled, "TOO_LATE": admission.OutcomeNotStarted,
 }
 
 func parse(text string) (Message, error) {
@@ -133,21 +133,21 @@
 	case "ORDER":
 		parseOrder(&f, e)
 	case "DONE":
-		e.Kind, e.ID = decide.EventDone, f.id("Xid")
+		e.Kind, e.ID = admission.EventDone, f.id("Xid")
 		e.Outcome = f.outcome("Disposition")
 		e.Took = f.us("WaitTimeUs")
 	case "DROPPED":
-		e.Kind, e.ID = decide.EventCancelled, f.id("Xid")
+		e.Kind, e.ID = admission.EventCancelled, f.id("Xid")
 	case "WANTS_CALL":
-		e.Kind, e.ID = decide.EventCallNeeded, f.id("Xid")
+		e.Kind, e.ID = admission.EventCallNeeded, f.id("Xid")
 	case "CALL_RESULT":
-		e.Kind, e.ID = decide.EventCallDone, f.id("Xid")
+		e.Kind, e.ID = admission.EventCallDone, f.id("Xid")
 		e.Took = f.us("WaitTimeUs")
 		e.Outcome = f.outcome("Disposition")
 	case "NOTICE":
-		e.Kind, e.StopAt = decide.EventDrain, f.us("DeadlineUs")
+		e.Kind, e.StopAt = admission.EventDrain, f.us("DeadlineUs")
 	case "ELAPSED":
-		e.Kind = decide.EventTimer
+		e.Kind = admission.EventTimer
 		f.next()
 		e.Gauges = f.gauges("Feedback")
 	default:
@@ -159,8 +159,8 @@
 	return m, nil
 }
 
-func parseOrder(f *fields, e *decide.Event) {
-	e.Kind, e.ID = decide.EventRequest, f.id("Xid")
+func parseOrder(f *fields, e *admission.Event) {
+	e.Kind, e.ID = admission.EventRequest, f.id("Xid")
 	e.Client = int(f.whole("By"))
 	e.MemoryKB = f.number("MemKb")
 	e.Tenant = int(f.whole("Owner"))
@@ -221,8 +221,8 @@
 	return v
 }
 
-func (f *fields) id(name string) decide.RequestID { return decide.RequestID(f.whole(name)) }
-func (f *fields) us(name string) time.Duration    { return us(f.whole(name)) }
+func (f *fields) id(name string) admission.RequestID { return admission.RequestID(f.whole(name)) }
+func (f *fields) us(name string) time.Duration       { return us(f.whole(name)) }
 
 func (f *fields) number(name string) float64 {
 	word := f.next()
@@ -248,7 +248,7 @@
 	return false
 }
 
-func (f *fields) outcome(name string) decide.Outcome {
+func (f *fields) outcome(name string) admission.Outcome {
 	word := f.next()
 	o, ok := outcomes[word]
 	if !ok {
@@ -258,8 +258,8 @@
 }
 
 // gauges reads name:value pairs and ignores names that it does not know.
-func (f *fields) gauges(name string) decide.Gauges {
-	g := decide.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
+func (f *fields) gauges(name string) admission.Gauges {
+	g := admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 	word := f.next()
 	if f.over {
 		f.fail(name, word, "gauges")
@@ -289,7 +289,7 @@
 }
 
 // AppendAction appends the line of an action of node.
-func AppendAction(b []byte, node int, a decide.Action) []byte {
+func AppendAction(b []byte, node int, a admission.Action) []byte {
 	head := func(word string) {
 		b = append(append(b, word...), ' ')
 		b = strconv.AppendInt(b, int64(node), 10)
@@ -307,43 +307,43 @@
 		b = strconv.AppendUint(append(b, ' '), uint64(a.ID), 10)
 	}
 	switch a.Kind {
-	case decide.ActionRun:
+	case admission.ActionRun:
 		withID("SERVE")
-	case decide.ActionStop:
+	case admission.ActionStop:
 		withID("YANK")
-	case decide.ActionReject:
+	case admission.ActionReject:
 		withID("OVERLOAD_REPLY")
 		num(a.RetryAfter.Microseconds())
 		flag(a.NoRetryElsewhere)
-	case decide.ActionFail:
+	case admission.ActionFail:
 		withID("LOSE")
-	case decide.ActionCall:
+	case admission.ActionCall:
 		withID("ASK_BELOW")
 		num(a.Timeout.Microseconds())
-	case decide.ActionSkipCall:
+	case admission.ActionSkipCall:
 		withID("SKIP")
-	case decide.ActionRemember:
+	case admission.ActionRemember:
 		withID("KEEP")
 		num(a.Duration.Microseconds())
-	case decide.ActionForget:
+	case admission.ActionForget:
 		withID("EVICT")
-	case decide.ActionReuse:
+	case admission.ActionReuse:
 		withID("ANSWER_FROM")
-	case decide.ActionHealth:
+	case admission.ActionHealth:
 		head("HEALTH")
 		flag(a.Healthy)
 		flag(a.Cached)
-	case decide.ActionAdvertise:
+	case admission.ActionAdvertise:
 		head("SAY")
 		b = strconv.AppendFloat(append(b, ' '), a.Value, 'g', 6, 64)
-	case decide.ActionIdleTimeout:
+	case admission.ActionIdleTimeout:
 		head("IDLE_LIMIT")
 		num(a.Duration.Microseconds())
-	case decide.ActionWake:
+	case admission.ActionWake:
 		head("WAKE_ME")
 		num((a.At + time.Microsecond - 1).Microseconds())
 		b = append(b, " w"...)
-	case decide.ActionLog:
+	case admission.ActionLog:
 		head("REMARK")
 		b = append(append(b, ' '), oneLine(a.Text)...)
 	}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -9,35 +9,35 @@
 	"testing"
 	"time"
 
-	"falldeal/decide"
+	"falldeal/admission"
 )
 
 const us1 = time.Microsecond
 
 // eventLine writes an event as the simulator does; the test's half of the codec.
-func eventLine(node int, e decide.Event) string {
+func eventLine(node int, e admission.Event) string {
 	bit := map[bool]int{true: 1}
-	names := map[decide.Outcome]string{}
+	names := map[admission.Outcome]string{}
 	for k, v := range outcomes {
 		names[v] = k
 	}
 	switch e.Kind {
-	case decide.EventRequest:
+	case admission.EventRequest:
 		key := "-"
 		if e.HasSubject {
 			key = "acct/x"
 		}
 		return fmt.Sprintf("ORDER %d %d %d %g %d %d %s %d 0 %d %g %d %d %d", node, e.ID, e.Client, e.MemoryKB, e.Tenant,
 			e.CostHint/us1, key, bit[e.Retry], e.RetryOf, e.Rank, e.Deadline/us1, e.Waited/us1, e.Class)
-	case decide.EventDone:
+	case admission.EventDone:
 		return fmt.Sprintf("DONE %d %d %s %d", node, e.ID, names[e.Outcome], e.Took/us1)
-	case decide.EventCancelled:
+	case admission.EventCancelled:
 		return fmt.Sprintf("DROPPED %d %d", node, e.ID)
-	case decide.EventCallNeeded:
+	case admission.EventCallNeeded:
 		return fmt.Sprintf("WANTS_CALL %d %d", node, e.ID)
-	case decide.EventCallDone:
+	case admission.EventCallDone:
 		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, e.ID, e.Took/us1, names[e.Outcome])
-	case decide.EventDrain:
+	case admission.EventDrain:
 		return fmt.Sprintf("NOTICE %d %d", node, e.StopAt/us1)
 	}
 	return fmt.Sprintf("ELAPSED %d w core_use:%g,on_cores:%g,heap_share:%g,links:%g,unknown:7", node, e.Gauges.CPUUtilization,
@@ -45,15 +45,15 @@
 }
 
 func TestEveryEventGoesThere(t *testing.T) {
-	events := []decide.Event{
-		{Kind: decide.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1, CostHint: 12000 * us1, HasSubject: true,
+	events := []admission.Event{
+		{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1, CostHint: 12000 * us1, HasSubject: true,
 			Retry: true, RetryOf: 1422162698119961, Rank: 0.625, Deadline: 8652250 * us1, Waited: 1850 * us1, Class: 2},
-		{Kind: decide.EventCancelled, ID: 7}, {Kind: decide.EventCallNeeded, ID: 7}, {Kind: decide.EventDrain, StopAt: 11912250 * us1},
-		{Kind: decide.EventTimer, Gauges: decide.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}},
+		{Kind: admission.EventCancelled, ID: 7}, {Kind: admission.EventCallNeeded, ID: 7}, {Kind: admission.EventDrain, StopAt: 11912250 * us1},
+		{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}},
 	}
 	for _, o := range outcomes {
-		events = append(events, decide.Event{Kind: decide.EventDone, ID: 5, Outcome: o, Took: 9 * us1},
-			decide.Event{Kind: decide.EventCallDone, ID: 5, Outcome: o, Took: 9 * us1})
+		events = append(events, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: o, Took: 9 * us1},
+			admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: o, Took: 9 * us1})
 	}
 	for _, e := range events {
 		var b Batch
@@ -67,21 +67,21 @@
 }
 
 func TestEveryActionGoesBack(t *testing.T) {
-	for want, a := range map[string]decide.Action{
-		"SERVE 3 9":                   {Kind: decide.ActionRun, ID: 9},
-		"YANK 3 9":                    {Kind: decide.ActionStop, ID: 9},
-		"OVERLOAD_REPLY 3 9 250000 1": {Kind: decide.ActionReject, ID: 9, RetryAfter: 250 * time.Millisecond, NoRetryElsewhere: true},
-		"LOSE 3 9":                    {Kind: decide.ActionFail, ID: 9},
-		"ASK_BELOW 3 9 80000":         {Kind: decide.ActionCall, ID: 9, Timeout: 80 * time.Millisecond},
-		"SKIP 3 9":                    {Kind: decide.ActionSkipCall, ID: 9},
-		"KEEP 3 9 8000000":            {Kind: decide.ActionRemember, ID: 9, Duration: 8 * time.Second},
-		"EVICT 3 9":                   {Kind: decide.ActionForget, ID: 9},
-		"ANSWER_FROM 3 9":             {Kind: decide.ActionReuse, ID: 9},
-		"HEALTH 3 0 1":                {Kind: decide.ActionHealth, Cached: true},
-		"SAY 3 0.25":                  {Kind: decide.ActionAdvertise, Value: 0.25},
-		"IDLE_LIMIT 3 2000000":        {Kind: decide.ActionIdleTimeout, Duration: 2 * time.Second},
-		"WAKE_ME 3 8912251 w":         {Kind: decide.ActionWake, At: 8912250*us1 + 1},
-		"REMARK 3 two servers":        {Kind: decide.ActionLog, Text: "two\nservers"},
+	for want, a := range map[string]admission.Action{
+		"SERVE 3 9":                   {Kind: admission.ActionRun, ID: 9},
+		"YANK 3 9":                    {Kind: admission.ActionStop, ID: 9},
+		"OVERLOAD_REPLY 3 9 250000 1": {Kind: admission.ActionReject, ID: 9, RetryAfter: 250 * time.Millisecond, NoRetryElsewhere: true},
+		"LOSE 3 9":                    {Kind: admission.ActionFail, ID: 9},
+		"ASK_BELOW 3 9 80000":         {Kind: admission.ActionCall, ID: 9, Timeout: 80 * time.Millisecond},
+		"SKIP 3 9":                    {Kind: admission.ActionSkipCall, ID: 9},
+		"KEEP 3 9 8000000":            {Kind: admission.ActionRemember, ID: 9, Duration: 8 * time.Second},
+		"EVICT 3 9":                   {Kind: admission.ActionForget, ID: 9},
+		"ANSWER_FROM 3 9":             {Kind: admission.ActionReuse, ID: 9},
+		"HEALTH 3 0 1":                {Kind: admission.ActionHealth, Cached: true},
+		"SAY 3 0.25":                  {Kind: admission.ActionAdvertise, Value: 0.25},
+		"IDLE_LIMIT 3 2000000":        {Kind: admission.ActionIdleTimeout, Duration: 2 * time.Second},
+		"WAKE_ME 3 8912251 w":         {Kind: admission.ActionWake, At: 8912250*us1 + 1},
+		"REMARK 3 two servers":        {Kind: admission.ActionLog, Text: "two\nservers"},
 	} {
 		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Cores != 6 || s.Advert != decide.AdvertCredit || s.Halt != decide.HaltDrop || !s.Classes[0].CallsDependency ||
+	if s.Cores != 6 || s.Advert != admission.AdvertCredit || s.Halt != admission.HaltDrop || !s.Classes[0].CallsDependency ||
 		s.Classes[1].CallsDependency || s.Classes[1].DegradedValueRatio != 0.5 || s.Classes[1].IdempotencyWindow != 16101*time.Millisecond ||
 		s.Tenants[0].QuotaPerSecond != 158 || s.SendsDeadlines {
 		t.Errorf("read %+v", s)
