--- a/internal/msgpackrpc/crossings_test.go
+++ b/internal/msgpackrpc/races_test.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Events that cross, each in both orders; docs/crossings.md lists them. A step of a stand-in is held until the other
+// Events that cross, each in both orders; docs/races.md lists them. A step of a stand-in is held until the other
 // event is known to have happened, so that no test goes by luck.
 
 // never has no connection told to go for being idle, however slow the machine is.
--- a/internal/server/crossings_test.go
+++ b/internal/server/races_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Events that cross in one turn of the loop, in both orders; docs/crossings.md lists them.
+// Events that cross in one turn of the loop, in both orders; docs/races.md lists them.
 
 // up is a server whose agent is up, and a front end on it.
 func up(t *testing.T) (s *Server, p *peer, do func()) {
