--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -22,7 +22,7 @@
 )
 
 // rules are those of every play of this program.
-var rules = history.Rules{Slack: 200 * time.Millisecond, Window: fleetlab.Window}
+var rules = history.Rules{Slack: 200 * time.Millisecond, IdempotencyWindow: fleetlab.IdempotencyWindow}
 
 // settled is how long after the beginning of a fault its effect is looked at.
 const settled = 8 * time.Second
@@ -56,16 +56,16 @@
 			b := *a
 			b.o.Seed = a.o.Seed + uint64(k)
 			if on == 1 {
-				b.o.Shares = b.o.Shares || slices.Contains(a.with, "shares")
-				b.o.Probes = b.o.Probes || slices.Contains(a.with, "probes")
-				b.o.Cutoff = b.o.Cutoff || slices.Contains(a.with, "cutoff")
+				b.o.QuotaLeasing = b.o.QuotaLeasing || slices.Contains(a.with, "shares")
+				b.o.CoordinatedProbes = b.o.CoordinatedProbes || slices.Contains(a.with, "probes")
+				b.o.Shedding = b.o.Shedding || slices.Contains(a.with, "cutoff")
 			}
 			b.o.Dir = filepath.Join(dir, fmt.Sprintf("seed%d-%d", b.o.Seed, on))
 			events, cores, err := one(ctx, &b)
 			if err != nil {
 				return err
 			}
-			s := history.Sums(events)[""]
+			s := history.SummarizeRequests(events)[""]
 			if s == nil {
 				return errors.New("no request was made")
 			}
@@ -75,21 +75,21 @@
 				fmt.Fprintln(out, "broken:", w)
 			}
 			broken += n
-			store := history.Stores(events, b.o.Slots*len(b.o.Zones))
-			worth[on] = s.Got / s.Worth
-			rate, most := history.AtFault(events, faults.Mute, settled)
+			store := history.SummarizeStores(events, b.o.Slots*len(b.o.Zones))
+			worth[on] = s.ValueServed / s.Value
+			rate, most := history.StoreLoadDuringFault(events, faults.KindUnresponsiveStore, settled)
 			back := "-"
-			if from, to, ok := history.Trouble(events); ok {
-				if d, ok := history.Recovered(events, from, to); ok {
+			if from, to, ok := history.FirstFault(events); ok {
+				if d, ok := history.RecoveryTime(events, from, to); ok {
 					back = d.String()
 				} else {
 					back = "never"
 				}
 			}
 			fmt.Fprintf(t, "%d\t%s\t%.4f\t%.3f\t%.3f\t%d\t%.2f\t%d\t%.2f\t%d\t%.4f\t%.3f\t%.1f\t%d\t%s\t%d\t\n", b.o.Seed, []string{"off", "on"}[on], worth[on],
-				s.Got/max(history.Central(events, cores*a.for_.Seconds()), 1e-9),
-				float64(s.Whole)/float64(s.Requests), s.Refused, float64(s.Tries)/float64(s.Requests), store.Calls, store.Mean, store.Most,
-				store.Over, history.Even(events), rate, most, back, n)
+				s.ValueServed/max(history.OptimalValue(events, cores*a.for_.Seconds()), 1e-9),
+				float64(s.ServedInFull)/float64(s.Requests), s.Rejected, float64(s.Attempts)/float64(s.Requests), store.Calls, store.MeanInFlight, store.MaxInFlight,
+				store.OverBoundRatio, history.RejectionFairness(events), rate, most, back, n)
 		}
 		gains = append(gains, worth[1]-worth[0])
 	}
@@ -115,11 +115,11 @@
 	if err := addScript(l, a.script, ""); err != nil {
 		return nil, 0, err
 	}
-	if err := l.Begin(); err != nil {
+	if err := l.StartMembers(); err != nil {
 		return nil, 0, err
 	}
 	err = drive(ctx, l, a, func(context.Context) {})
-	return l.Log.Events(), l.Cores(), err
+	return l.Log.Events(), l.TotalCores(), err
 }
 
 // addScript adds the faults of a file, or of a text where no file is named.
@@ -131,12 +131,12 @@
 		}
 		text = string(b)
 	}
-	script, err := faults.Parse([]byte(text), l.Places())
+	script, err := faults.Parse([]byte(text), l.Locations())
 	if err != nil {
 		return fmt.Errorf("script %s: %w", path, err)
 	}
 	for _, f := range script.Faults {
-		if err := l.Add(f); err != nil {
+		if err := l.AddFault(f); err != nil {
 			return err
 		}
 	}
@@ -145,14 +145,14 @@
 
 // drive has front ends send for as long as asked, while the script is played.
 func drive(ctx context.Context, l *fleetlab.Lab, a *asked, beside func(context.Context)) error {
-	a.plan.Classes, a.plan.Seed, a.plan.Rate, a.plan.Read = a.o.Classes, a.o.Seed, a.load*l.Capacity(), l.Read
-	a.plan.Over = l.Over
+	a.plan.Classes, a.plan.Seed, a.plan.RequestsPerSecond, a.plan.ReadRequest = a.o.Classes, a.o.Seed, a.load*l.Capacity(), l.ReadRequest
+	a.plan.AttemptCompleted = l.CompleteAttempt
 	playing, end := context.WithCancel(ctx)
 	defer end()
 	var wg sync.WaitGroup
 	var failed error
 	wg.Add(2)
-	go func() { defer wg.Done(); failed = l.Play(playing) }()
+	go func() { defer wg.Done(); failed = l.RunScript(playing) }()
 	go func() { defer wg.Done(); beside(playing) }()
 	for l.Log.Now() < 10*time.Second && len(l.Servers(0)()) < len(l.Members) && ctx.Err() == nil {
 		time.Sleep(50 * time.Millisecond) // all are listed, or are not going to be
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -31,22 +31,22 @@
 	stopped, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	defer context.AfterFunc(stopped, func() { l.Close(); os.Exit(1) })()
-	if a.fault.Share > 0 {
-		if err := l.Add(faults.Fault{Kind: faults.Loss, Who: "*", To: "*", Share: a.fault.Share}); err != nil {
+	if a.fault.Ratio > 0 {
+		if err := l.AddFault(faults.Fault{Kind: faults.KindLoss, Target: "*", Peer: "*", Ratio: a.fault.Ratio}); err != nil {
 			return err
 		}
 	}
-	if err := l.Begin(); err != nil {
+	if err := l.StartMembers(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = l.Play(ctx) }()
+	go func() { _ = l.RunScript(ctx) }()
 	joined, err := until(func() bool { return count(l, "serving") == len(l.Members)*len(l.Members) })
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d members, %.0f%% loss: all see all after %.1fs\n", a.o.Members, 100*a.fault.Share, joined.Seconds())
+	fmt.Fprintf(out, "%d members, %.0f%% loss: all see all after %.1fs\n", a.o.Members, 100*a.fault.Ratio, joined.Seconds())
 	watched := l.Log.Now()
 	removed := 0
 	for l.Log.Now()-watched < a.for_ {
@@ -94,7 +94,7 @@
 // account reads the system's accounts, which count in ticks of 10 ms, and the members' own counters.
 func account(l *fleetlab.Lab) (u used) {
 	for _, m := range l.Members {
-		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.Pid())); err == nil {
+		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.PID())); err == nil {
 			if f := strings.Fields(string(text)); len(f) > 23 {
 				for _, i := range []int{13, 14} {
 					ticks, _ := strconv.ParseFloat(f[i], 64)
@@ -104,7 +104,7 @@
 				u.memory += pages * float64(os.Getpagesize()) / (1 << 20)
 			}
 		}
-		if r, err := m.View(); err == nil {
+		if r, err := m.FleetReport(); err == nil {
 			u.packets += float64(r.Counters["packets_out"])
 			u.bytes += float64(r.Counters["bytes_out"])
 		}
@@ -132,7 +132,7 @@
 // count is how many views, of all running members on all, hold one of these words.
 func count(l *fleetlab.Lab, words ...string) (n int) {
 	for _, m := range l.Members {
-		if r, err := m.View(); err == nil {
+		if r, err := m.FleetReport(); err == nil {
 			for _, x := range r.Members {
 				if slices.Contains(words, x.Condition) {
 					n++
@@ -146,10 +146,10 @@
 // says is how many running members say one of these words of a member.
 func says(l *fleetlab.Lab, of *fleetlab.Member, words ...string) (n int) {
 	for _, m := range l.Members {
-		if m == of || !m.Runs() {
+		if m == of || !m.Running() {
 			continue
 		}
-		if r, err := m.View(); err == nil {
+		if r, err := m.FleetReport(); err == nil {
 			for _, x := range r.Members {
 				if x.Name == of.Name && slices.Contains(words, x.Condition) {
 					n++
--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -65,18 +65,18 @@
 // day is a history in which one request is served and one refused, and a fault comes and goes.
 func day() []history.Event {
 	return []history.Event{
-		{At: 0, Kind: history.Process, Server: "n1", Word: "started"},
-		{At: time.Second, Kind: history.Ask, Server: "n1", Try: "a1", Class: "preview", Caller: 1, Due: 5 * time.Second},
-		{At: 1100 * time.Millisecond, Kind: history.Run, Server: "n1", Try: "a1", Class: "preview"},
-		{At: 1200 * time.Millisecond, Kind: history.RunEnd, Server: "n1", Try: "a1", Word: "ok"},
-		{At: 1300 * time.Millisecond, Kind: history.Answer, Server: "n1", Try: "a1", Word: "served", Caller: 1},
-		{At: 1300 * time.Millisecond, Kind: history.Request, Class: "preview", Caller: 1, Word: "served", N: 1, Took: 300 * time.Millisecond, Worth: 1, Got: 1},
-		{At: 2 * time.Second, Kind: history.Fault, Word: "cut zone:mechelen *", N: 1},
-		{At: 3 * time.Second, Kind: history.View, Server: "n1", Member: "n2", Word: "suspect"},
-		{At: 4 * time.Second, Kind: history.View, Server: "n3", Member: "n2", Word: "suspect"},
-		{At: 5 * time.Second, Kind: history.Fault, Word: "cut zone:mechelen *"},
-		{At: 6 * time.Second, Kind: history.Process, Server: "n2", Word: "failed"},
-		{At: 7 * time.Second, Kind: history.Request, Class: "licence-order", Caller: 1, Word: "refused", N: 3, Took: 700 * time.Millisecond, Worth: 3},
+		{At: 0, Kind: history.ProcessChanged, Server: "n1", Detail: "started"},
+		{At: time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a1", Class: "preview", Client: 1, Deadline: 5 * time.Second},
+		{At: 1100 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a1", Class: "preview"},
+		{At: 1200 * time.Millisecond, Kind: history.RunEnded, Server: "n1", AttemptID: "a1", Detail: "ok"},
+		{At: 1300 * time.Millisecond, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
+		{At: 1300 * time.Millisecond, Kind: history.RequestCompleted, Class: "preview", Client: 1, Detail: "served", Count: 1, Latency: 300 * time.Millisecond, Value: 1, ValueServed: 1},
+		{At: 2 * time.Second, Kind: history.FaultChanged, Detail: "cut zone:mechelen *", Count: 1},
+		{At: 3 * time.Second, Kind: history.ViewChanged, Server: "n1", Member: "n2", Detail: "suspect"},
+		{At: 4 * time.Second, Kind: history.ViewChanged, Server: "n3", Member: "n2", Detail: "suspect"},
+		{At: 5 * time.Second, Kind: history.FaultChanged, Detail: "cut zone:mechelen *"},
+		{At: 6 * time.Second, Kind: history.ProcessChanged, Server: "n2", Detail: "failed"},
+		{At: 7 * time.Second, Kind: history.RequestCompleted, Class: "licence-order", Client: 1, Detail: "refused", Count: 3, Latency: 700 * time.Millisecond, Value: 3},
 	}
 }
 
@@ -84,14 +84,14 @@
 // and a member called dead that lives.
 func brokenDay() []history.Event {
 	return []history.Event{
-		{At: 8 * time.Second, Kind: history.Answer, Server: "n1", Try: "a1", Word: "served", Caller: 1},
-		{At: 8 * time.Second, Kind: history.Ask, Server: "n1", Try: "a2", Once: "o1", Class: "licence-order", Caller: 1, Due: 9 * time.Second},
-		{At: 8 * time.Second, Kind: history.Ask, Server: "n1", Try: "a3", Once: "o1", Class: "licence-order", Caller: 1, Due: 9 * time.Second},
-		{At: 8100 * time.Millisecond, Kind: history.Run, Server: "n1", Try: "a2"},
-		{At: 8200 * time.Millisecond, Kind: history.Run, Server: "n1", Try: "a3"},
-		{At: 8300 * time.Millisecond, Kind: history.Answer, Server: "n1", Try: "a2", Word: "lost", Caller: 1},
-		{At: 10 * time.Second, Kind: history.Answer, Server: "n1", Try: "a3", Word: "served", Caller: 1},
-		{At: 11 * time.Second, Kind: history.View, Server: "n3", Member: "n1", Word: "dead"},
+		{At: 8 * time.Second, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
+		{At: 8 * time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a2", IdempotencyKey: "o1", Class: "licence-order", Client: 1, Deadline: 9 * time.Second},
+		{At: 8 * time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a3", IdempotencyKey: "o1", Class: "licence-order", Client: 1, Deadline: 9 * time.Second},
+		{At: 8100 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a2"},
+		{At: 8200 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a3"},
+		{At: 8300 * time.Millisecond, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a2", Detail: "lost", Client: 1},
+		{At: 10 * time.Second, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a3", Detail: "served", Client: 1},
+		{At: 11 * time.Second, Kind: history.ViewChanged, Server: "n3", Member: "n1", Detail: "dead"},
 	}
 }
 
--- a/cmd/falldeal-lab/main.go
+++ b/cmd/falldeal-lab/main.go
@@ -63,7 +63,7 @@
 // asked is what the command line says.
 type asked struct {
 	o         fleetlab.Options
-	plan      clients.Plan
+	plan      clients.Workload
 	script    string
 	load      float64
 	lag, for_ time.Duration
@@ -81,9 +81,9 @@
 	flags.IntVar(&a.o.Members, "members", a.o.Members, "fleet: instances")
 	flags.StringSliceVar(&a.o.Zones, "zones", a.o.Zones, "fleet: zones, over which they are spread in turn")
 	flags.Uint64Var(&a.o.Seed, "seed", a.o.Seed, "fleet: of arrivals and of what the network loses")
-	flags.DurationVar(&a.o.Probe, "probe", a.o.Probe, "fleet: between two probes of the failure detection")
-	flags.BoolVar(&a.o.Keyed, "keyed", true, "fleet: words are encrypted")
-	flags.StringVar(&a.o.Level, "log-level", a.o.Level, "fleet: of the instances' logs")
+	flags.DurationVar(&a.o.ProbeInterval, "probe", a.o.ProbeInterval, "fleet: between two probes of the failure detection")
+	flags.BoolVar(&a.o.Encrypted, "keyed", true, "fleet: words are encrypted")
+	flags.StringVar(&a.o.LogLevel, "log-level", a.o.LogLevel, "fleet: of the instances' logs")
 	flags.StringVar(&a.o.Dir, "dir", "", "fleet: folder for logs, history and plot (default: a new one)")
 	flags.StringVar(&a.script, "script", "", "fleet: file of faults, TOML")
 	flags.DurationVar(&a.for_, "for", 30*time.Second, "fleet: how long the load lasts; fault: how long it is in force")
@@ -92,33 +92,33 @@
 	retries := flags.Int("tries", 3, "fleet: tries of a request at most; 0 = no limit")
 	heed := flags.String("heed", "half", "fleet: front ends that heed advice: none, half (those that go by key), all")
 	flags.DurationVar(&a.lag, "lag", time.Second, "fleet: by which front ends' lists lag")
-	flags.BoolVar(&a.o.Cutoff, "cutoff", false, "fleet: what the fleet has no room for is refused by all alike")
-	flags.BoolVar(&a.o.Probes, "probes", false, "fleet: a store that does not answer is tried by turns")
+	flags.BoolVar(&a.o.Shedding, "cutoff", false, "fleet: what the fleet has no room for is refused by all alike")
+	flags.BoolVar(&a.o.CoordinatedProbes, "probes", false, "fleet: a store that does not answer is tried by turns")
 	flags.StringSliceVar(&a.with, "with", []string{"shares"}, "fleet: with --compare, what is off in the one play and on in the other: "+strings.Join(parts, ", "))
-	flags.BoolVar(&a.o.Shares, "shares", false, "fleet: shares of the store move between members")
+	flags.BoolVar(&a.o.QuotaLeasing, "shares", false, "fleet: shares of the store move between members")
 	flags.IntVar(&a.o.Cores, "cores", a.o.Cores, "fleet: of each agent; every other one's are slower")
 	flags.IntVar(&a.o.Slots, "slots", a.o.Slots, "fleet: of the store of each zone")
-	flags.DurationVar(&a.o.Call, "call", a.o.Call, "fleet: that a call takes in a slot")
-	flags.IntVar(&a.plan.Keys, "keys", 200, "fleet: different keys of reads; few make few servers busy for front ends that go by key")
+	flags.DurationVar(&a.o.CallTime, "call", a.o.CallTime, "fleet: that a call takes in a slot")
+	flags.IntVar(&a.plan.KeyCount, "keys", 200, "fleet: different keys of reads; few make few servers busy for front ends that go by key")
 	flags.IntVar(&a.compare, "compare", 0, "fleet, model: play with so many seeds, each with what --with names off and on (model: in each way), and compare")
 	byKey := flags.Bool("by-key", false, "fleet: all front ends go by key")
 	flags.IntVar(&a.detect, "detect", 0, "fleet: no load; kill a member that many times and time how long others take to see it")
 	flags.StringVar(&a.lab, "lab", "", "fault: address that fleet printed")
 	flags.StringVar(&a.fault.Kind, "kind", "", "model: burst, lost (a zone), mute, slow (stores); fault: cut, loss, double, delay, slow, reset, kill, stop, term, restart, slowrun, mute, wedge, clock")
-	flags.StringVar(&a.fault.Who, "who", "", "fault: NAME, zone:NAME, region:NAME or *")
-	flags.StringVar(&a.fault.To, "to", "", "fault: the other end of a link (default: everybody)")
+	flags.StringVar(&a.fault.Target, "who", "", "fault: NAME, zone:NAME, region:NAME or *")
+	flags.StringVar(&a.fault.Peer, "to", "", "fault: the other end of a link (default: everybody)")
 	flags.BoolVar(&a.fault.OneWay, "one-way", false, "fault: only from who to the other end")
-	flags.Float64Var(&a.fault.Share, "share", 0, "fault: share lost or doubled; how many times slower")
+	flags.Float64Var(&a.fault.Ratio, "share", 0, "fault: share lost or doubled; how many times slower")
 	flags.DurationVar(&a.fault.Delay, "delay", 0, "fault: of datagrams; how far a clock is off")
 	flags.DurationVar(&a.fault.Jitter, "jitter", 0, "fault: up to that much more")
-	flags.IntVar(&a.fault.Rate, "rate", 0, "fault: bytes a second that a slow stream carries")
+	flags.IntVar(&a.fault.BytesPerSecond, "rate", 0, "fault: bytes a second that a slow stream carries")
 	flags.Usage = func() { fmt.Fprint(out, usage, flags.FlagUsages()) }
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	a.plan.Habits = []clients.Habit{{Tries: *retries, Heed: *heed == "all"}, {ByKey: true, Tries: *retries, Heed: *heed != "none"}}
+	a.plan.Policies = []clients.Policy{{MaxAttempts: *retries, HonorRetryAfter: *heed == "all"}, {RouteByKey: true, MaxAttempts: *retries, HonorRetryAfter: *heed != "none"}}
 	if *byKey {
-		a.plan.Habits = a.plan.Habits[1:]
+		a.plan.Policies = a.plan.Policies[1:]
 	}
 	if a.heed = map[string]float64{"none": 0, "half": 0.5, "all": 1}[*heed]; a.heed == 0 && *heed != "none" {
 		return fmt.Errorf("flag --heed: %q is none of none, half and all", *heed)
@@ -133,7 +133,7 @@
 	case name == "fleet":
 		return play(&a, out)
 	case name == "fault":
-		a.fault.For = a.for_
+		a.fault.Duration = a.for_
 		return send(&a)
 	case name == "check" && flags.NArg() == 2:
 		return check(flags.Arg(1), out)
@@ -172,7 +172,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := l.Begin(); err != nil {
+	if err := l.StartMembers(); err != nil {
 		return err
 	}
 	at, err := control(ctx, l)
@@ -182,7 +182,7 @@
 	fmt.Fprintf(out, "%d instances in %s; files in %s; faults are taken at %s\n", a.o.Members, strings.Join(a.o.Zones, ", "), a.o.Dir, at)
 	fmt.Fprintf(out, "%.0f requests a second for %v, %.0f%% of what the agents can do\n", a.load*l.Capacity(), a.for_, 100*a.load)
 
-	if err := drive(ctx, l, a, func(ctx context.Context) { l.Watch(ctx, 500*time.Millisecond) }); err != nil {
+	if err := drive(ctx, l, a, func(ctx context.Context) { l.WatchViews(ctx, 500*time.Millisecond) }); err != nil {
 		return err
 	}
 	events := l.Log.Events()
@@ -200,17 +200,17 @@
 	fmt.Fprintln(out)
 	for _, e := range events {
 		switch {
-		case e.Kind == history.Fault && e.N == 1:
-			fmt.Fprintf(out, "%7.1fs  begins: %s\n", e.At.Seconds(), e.Word)
-		case e.Kind == history.Fault:
-			fmt.Fprintf(out, "%7.1fs  ends:   %s\n", e.At.Seconds(), e.Word)
-		case e.Kind == history.Process && e.Word == "failed":
+		case e.Kind == history.FaultChanged && e.Count == 1:
+			fmt.Fprintf(out, "%7.1fs  begins: %s\n", e.At.Seconds(), e.Detail)
+		case e.Kind == history.FaultChanged:
+			fmt.Fprintf(out, "%7.1fs  ends:   %s\n", e.At.Seconds(), e.Detail)
+		case e.Kind == history.ProcessChanged && e.Detail == "failed":
 			fmt.Fprintf(out, "%7.1fs  %s ended by itself; its log says why\n", e.At.Seconds(), e.Server)
 		}
 	}
 	views(out, events)
 	fmt.Fprintln(out)
-	if err := history.Print(out, events); err != nil {
+	if err := history.PrintSummary(out, events); err != nil {
 		return err
 	}
 	broken := history.Check(events, rules)
@@ -233,10 +233,10 @@
 	spans := map[string]*span{}
 	var order []string
 	for _, e := range events {
-		if e.Kind != history.View || e.Word == "serving" || e.Word == "starting" || e.Word == "warming" {
+		if e.Kind != history.ViewChanged || e.Detail == "serving" || e.Detail == "starting" || e.Detail == "warming" {
 			continue
 		}
-		key := e.Member + " is " + e.Word
+		key := e.Member + " is " + e.Detail
 		s := spans[key]
 		if s == nil || e.At-s.last > 10*time.Second {
 			key = fmt.Sprintf("%s (%.0f)", key, e.At.Seconds())
@@ -244,7 +244,7 @@
 				spans[key] = &span{first: e.At}
 				order = append(order, key)
 			}
-			spans[e.Member+" is "+e.Word] = spans[key]
+			spans[e.Member+" is "+e.Detail] = spans[key]
 			s = spans[key]
 		}
 		s.last = e.At
@@ -279,11 +279,11 @@
 		var f faults.Fault
 		err := json.NewDecoder(io.LimitReader(r.Body, 4096)).Decode(&f)
 		if err == nil {
-			f.At = l.Log.Now()
-			if f.Link() && f.To == "" {
-				f.To = "*"
+			f.Start = l.Log.Now()
+			if f.AffectsLink() && f.Peer == "" {
+				f.Peer = "*"
 			}
-			err = l.Add(f)
+			err = l.AddFault(f)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
--- a/cmd/falldeal-lab/model.go
+++ b/cmd/falldeal-lab/model.go
@@ -19,16 +19,16 @@
 		return fmt.Errorf("flag --kind: %q is none of burst, lost, mute and slow", a.fault.Kind)
 	}
 	o := model.Defaults()
-	o.Servers, o.FrontEnds, o.Load, o.For, o.Seed, o.Heed = a.o.Members, max(24, a.o.Members/2), a.load, a.for_, a.o.Seed, a.heed
+	o.Servers, o.FrontEnds, o.LoadRatio, o.Duration, o.Seed, o.HonorRetryAfterRatio = a.o.Members, max(24, a.o.Members/2), a.load, a.for_, a.o.Seed, a.heed
 	if a.fault.Kind != "" {
 		zone := -1
 		if a.fault.Kind == "lost" {
 			zone = 1
 		}
-		o.Faults = []model.Fault{{Kind: a.fault.Kind, Zone: zone, At: a.for_ * 3 / 10, For: 8 * time.Second, Times: times}}
+		o.Faults = []model.Fault{{Kind: a.fault.Kind, Zone: zone, Start: a.for_ * 3 / 10, Duration: 8 * time.Second, Factor: times}}
 	}
 	begun := time.Now()
-	results, err := model.Compare(out, o, max(a.compare, 1), model.Ways)
+	results, err := model.Compare(out, o, max(a.compare, 1), model.Strategies)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/cut_test.go
+++ b/internal/agent/cut_test.go
@@ -18,7 +18,7 @@
 // The configuration moves the agent in the middle of a cut: the dial to the old address hangs, and is not waited
 // for. What was to be run meanwhile is run at the new address, once, though all notices of a silence come at once.
 func TestMoveOutOfACut(t *testing.T) {
-	mute, err := fakes.NewMute()
+	mute, err := fakes.NewUnresponsiveListener()
 	require.NoError(t, err)
 	defer mute.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/store/cut_test.go
+++ b/internal/store/cut_test.go
@@ -13,7 +13,7 @@
 
 // mute is an address behind a cut.
 func mute(t *testing.T) string {
-	m, err := fakes.NewMute()
+	m, err := fakes.NewUnresponsiveListener()
 	require.NoError(t, err)
 	t.Cleanup(m.Close)
 	return m.Addr
--- a/lab/clients/clients.go
+++ b/lab/clients/clients.go
@@ -18,52 +18,52 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name  string
-	Share float64       // of the arrivals
-	Work  time.Duration // mean on one core
-	Wait  time.Duration // until its caller gives up
-	Aim   time.Duration // within which it is worth anything
-	Worth float64
-	Poor  float64 // share of it without the call
-	Keyed bool
+	Name               string
+	ArrivalRatio       float64       // of the arrivals
+	MeanWork           time.Duration // mean on one core
+	Timeout            time.Duration // until its caller gives up
+	LatencyObjective   time.Duration // within which it is worth anything
+	Value              float64
+	DegradedValueRatio float64 // share of it without the call
+	IdempotentByKey    bool
 }
 
-// Habit is how a front end chooses and tries again.
-type Habit struct {
-	ByKey  bool    // by a hash of the key, else in turn
-	Tries  int     // at most; 0 = no limit
-	Budget float64 // retries for each first try; 0 = as many as it likes
-	Heed   bool    // it heeds advice to stay away and not to try elsewhere
+// Policy is how a front end chooses and tries again.
+type Policy struct {
+	RouteByKey      bool    // by a hash of the key, else in turn
+	MaxAttempts     int     // at most; 0 = no limit
+	RetryBudget     float64 // retries for each first try; 0 = as many as it likes
+	HonorRetryAfter bool    // it heeds advice to stay away and not to try elsewhere
 }
 
-// Plan is a load.
-type Plan struct {
-	FrontEnds int
-	Rate      float64 // requests a second, all together
-	Classes   []Class
-	Habits    []Habit // taken in turn by front ends
-	Keys      int     // different keys of reads
-	Seed      uint64
-	// Read has a try read at a server, which takes of its cores: a try waits there until the channel is closed. Nil:
+// Workload is a load.
+type Workload struct {
+	FrontEnds         int
+	RequestsPerSecond float64 // requests a second, all together
+	Classes           []Class
+	Policies          []Policy // taken in turn by front ends
+	KeyCount          int      // different keys of reads
+	Seed              uint64
+	// ReadRequest has a try read at a server, which takes of its cores: a try waits there until the channel is closed. Nil:
 	// reading costs nothing.
-	Read func(server string) <-chan struct{}
-	Over func(server, try string) // is told of each try that is over; nil: nobody is
+	ReadRequest      func(server string) <-chan struct{}
+	AttemptCompleted func(server, try string) // is told of each try that is over; nil: nobody is
 }
 
 // Server is where a front end may send.
 type Server struct{ Name, Addr string }
 
-// List is the list of servers as a front end has it now.
-type List func() []Server
+// ServerLister is the list of servers as a front end has it now.
+type ServerLister func() []Server
 
 // pauseFull is how long a front end waits when every server it tried refused or could not be reached.
 const pauseFull = 20 * time.Millisecond
 
 type frontEnd struct {
 	number  int
-	plan    *Plan
-	habit   Habit
-	list    List
+	plan    *Workload
+	habit   Policy
+	list    ServerLister
 	log     *history.Log
 	mu      sync.Mutex
 	rand    *rand.Rand
@@ -77,11 +77,11 @@
 var tries atomic.Uint64
 
 // Run sends requests until ctx ends, and then waits for those under way.
-func Run(ctx context.Context, p Plan, list List, log *history.Log) {
+func Run(ctx context.Context, p Workload, list ServerLister, log *history.Log) {
 	tries.Store(uint64(time.Now().UnixNano()))
 	var wg sync.WaitGroup
 	for i := range p.FrontEnds {
-		f := &frontEnd{number: i, plan: &p, habit: p.Habits[i%len(p.Habits)], list: list, log: log, links: map[string]*link{},
+		f := &frontEnd{number: i, plan: &p, habit: p.Policies[i%len(p.Policies)], list: list, log: log, links: map[string]*link{},
 			rand: rand.New(rand.NewPCG(p.Seed, uint64(i)+100)), away: map[string]time.Duration{}}
 		wg.Add(1)
 		go func() {
@@ -97,10 +97,10 @@
 	var wg sync.WaitGroup
 	at := f.log.Now()
 	for n := 0; ; n++ {
-		at += time.Duration(f.rand.ExpFloat64() * float64(f.plan.FrontEnds) / f.plan.Rate * float64(time.Second))
+		at += time.Duration(f.rand.ExpFloat64() * float64(f.plan.FrontEnds) / f.plan.RequestsPerSecond * float64(time.Second))
 		class := f.drawClass()
-		work := time.Duration(float64(class.Work) * (0.5 + f.rand.ExpFloat64()/2))
-		r := request{class: class, work: work, rank: f.rand.Float64(), key: f.rand.IntN(f.plan.Keys), at: at,
+		work := time.Duration(float64(class.MeanWork) * (0.5 + f.rand.ExpFloat64()/2))
+		r := request{class: class, work: work, rank: f.rand.Float64(), key: f.rand.IntN(f.plan.KeyCount), at: at,
 			name: fmt.Sprintf("%08x%08x%016x", f.number, n, f.plan.Seed)}
 		select {
 		case <-ctx.Done():
@@ -121,7 +121,7 @@
 	x := f.rand.Float64()
 	for i := range f.plan.Classes {
 		c := &f.plan.Classes[i]
-		if x -= c.Share; x < 0 {
+		if x -= c.ArrivalRatio; x < 0 {
 			return c
 		}
 	}
@@ -140,7 +140,7 @@
 
 // serve tries a request until it is served, its caller gives up or the habit says that it is enough.
 func (f *frontEnd) serve(r *request) {
-	due := r.at + r.class.Wait
+	due := r.at + r.class.Timeout
 	word, got := "refused", 0.0
 	for {
 		s := f.choose(r)
@@ -154,10 +154,10 @@
 		a := f.try(r, s, due)
 		word = a.word
 		if word == "served" {
-			if got = r.class.Worth; a.poorer {
-				got *= r.class.Poor
+			if got = r.class.Value; a.poorer {
+				got *= r.class.DegradedValueRatio
 			}
-			if f.log.Now()-r.at > r.class.Aim {
+			if f.log.Now()-r.at > r.class.LatencyObjective {
 				word, got = "late", 0
 			}
 			break
@@ -165,27 +165,27 @@
 		if word == "unreached" {
 			time.Sleep(pauseFull)
 		}
-		if a.last && f.habit.Heed || r.class.Keyed && word != "refused" && word != "unreached" || f.log.Now() >= due || !f.again(r) {
+		if a.last && f.habit.HonorRetryAfter || r.class.IdempotentByKey && word != "refused" && word != "unreached" || f.log.Now() >= due || !f.again(r) {
 			break
 		}
-		if a.after > 0 && f.habit.Heed {
+		if a.after > 0 && f.habit.HonorRetryAfter {
 			f.mu.Lock()
 			f.away[s.Name] = f.log.Now() + a.after
 			f.mu.Unlock()
 		}
 	}
-	f.log.Add(history.Event{Kind: history.Request, Class: r.class.Name, Word: word, N: r.tries, Took: f.log.Now() - r.at, Worth: r.class.Worth,
-		Got: got, Work: r.work, Caller: f.number})
+	f.log.Add(history.Event{Kind: history.RequestCompleted, Class: r.class.Name, Detail: word, Count: r.tries, Latency: f.log.Now() - r.at, Value: r.class.Value,
+		ValueServed: got, Work: r.work, Client: f.number})
 }
 
 // again reports whether the habit allows another try, and books it.
 func (f *frontEnd) again(r *request) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.habit.Tries > 0 && r.tries >= f.habit.Tries {
+	if f.habit.MaxAttempts > 0 && r.tries >= f.habit.MaxAttempts {
 		return false
 	}
-	if f.habit.Budget > 0 && f.repeats+1 > f.habit.Budget*f.firsts+1 {
+	if f.habit.RetryBudget > 0 && f.repeats+1 > f.habit.RetryBudget*f.firsts+1 {
 		return false
 	}
 	f.repeats++
@@ -204,13 +204,13 @@
 	for range all {
 		i := f.turn
 		f.turn++
-		if f.habit.ByKey {
+		if f.habit.RouteByKey {
 			h := fnv.New32a()
 			fmt.Fprint(h, r.key)
 			i = int(h.Sum32()>>1) + r.tries + f.turn - i - 1
 		}
 		s := &all[i%len(all)]
-		if !f.habit.Heed || f.away[s.Name] <= now {
+		if !f.habit.HonorRetryAfter || f.away[s.Name] <= now {
 			return s
 		}
 	}
@@ -236,20 +236,20 @@
 		"at":   strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"wait": strconv.FormatInt(max((due-f.log.Now()).Milliseconds(), 1), 10),
 		"cost": strconv.FormatFloat(float64(r.work)/float64(time.Millisecond), 'f', 2, 64)}
-	e := history.Event{Kind: history.Ask, Try: id, Class: r.class.Name, Server: s.Name, Caller: f.number, Due: due}
-	if r.class.Keyed {
+	e := history.Event{Kind: history.AttemptSent, AttemptID: id, Class: r.class.Name, Server: s.Name, Client: f.number, Deadline: due}
+	if r.class.IdempotentByKey {
 		fields["once"] = r.name
-		e.Once = r.name
+		e.IdempotencyKey = r.name
 	} else {
 		fields["key"] = fmt.Sprintf("%016x", r.key)
 	}
 	f.log.Add(e)
-	if f.plan.Read != nil {
-		if read := f.plan.Read(s.Name); read != nil {
+	if f.plan.ReadRequest != nil {
+		if read := f.plan.ReadRequest(s.Name); read != nil {
 			select {
 			case <-read:
 			case <-time.After(due - f.log.Now()):
-				f.log.Add(history.Event{Kind: history.GaveUp, Try: id, Server: s.Name, Word: "unread"})
+				f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: s.Name, Detail: "unread"})
 				return answer{word: "gave up"}
 			}
 			// A server ends a connection on which nothing has come for 2 s, and a cold one may take longer to read.
@@ -262,11 +262,11 @@
 	got, ok := l.ask(r.class.Name, fields, []byte(strconv.FormatInt(int64(r.work), 10)))
 	if !ok {
 		f.unlink(s, l)
-		f.log.Add(history.Event{Kind: history.Answer, Try: id, Server: s.Name, Word: "lost"})
+		f.log.Add(history.Event{Kind: history.AttemptAnswered, AttemptID: id, Server: s.Name, Detail: "lost"})
 		return answer{word: "lost"}
 	}
-	if f.plan.Over != nil {
-		defer f.plan.Over(s.Name, id)
+	if f.plan.AttemptCompleted != nil {
+		defer f.plan.AttemptCompleted(s.Name, id)
 	}
 	select {
 	case a, open := <-got:
@@ -274,10 +274,10 @@
 			f.unlink(s, l)
 			a = answer{word: "lost"}
 		}
-		f.log.Add(history.Event{Kind: history.Answer, Try: id, Server: s.Name, Word: a.word})
+		f.log.Add(history.Event{Kind: history.AttemptAnswered, AttemptID: id, Server: s.Name, Detail: a.word})
 		return a
 	case <-time.After(due + grace - f.log.Now()):
-		f.log.Add(history.Event{Kind: history.GaveUp, Try: id, Server: s.Name})
+		f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: s.Name})
 		return answer{word: "gave up"}
 	}
 }
--- a/lab/clients/link.go
+++ b/lab/clients/link.go
@@ -164,7 +164,7 @@
 		a := answer{word: "served"}
 		if list, _ := result.([]any); len(list) > 0 {
 			body, _ := list[0].([]byte)
-			a.poorer = string(body) == fakes.Poorer
+			a.poorer = string(body) == fakes.DegradedResult
 		}
 		return a
 	}
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -17,17 +17,17 @@
 // noticesKept is how many notices an agent remembers for links that come back; protocol.
 const noticesKept = 4000
 
-// Poorer is the result of a run that went on without its call.
-const Poorer = "without its call"
+// DegradedResult is the result of a run that went on without its call.
+const DegradedResult = "without its call"
 
 // Launch is a run that an agent is asked for.
 type Launch struct {
-	Req, Class string
-	Body       []byte
+	RequestID, Class string
+	Body             []byte
 }
 
-// Plan says what becomes of a run.
-type Plan struct {
+// RunPlan says what becomes of a run.
+type RunPlan struct {
 	Work   time.Duration // from the launch to the end, calls not counted; 0 = at once
 	Call   []byte        // body of a call that the run makes first; nil = none
 	Result string        // success, failure, interrupted or nothing; "" = success with the body of the launch
@@ -36,16 +36,16 @@
 // Agent is a render farm agent. Its fields are set before Serve; Serve may be called from any goroutine, and
 // so may Breaks and Runs.
 type Agent struct {
-	State string              // of the greeting: booting or steady
-	Age   time.Duration       // of the agent, as the greeting tells it
-	Load  [4]float64          // what samples are answered with
-	Plan  func(l Launch) Plan // nil: every run succeeds at once without a call
-	Ready <-chan struct{}     // the greeting waits for it; nil: it does not
+	State   string                 // of the greeting: booting or steady
+	Age     time.Duration          // of the agent, as the greeting tells it
+	Load    [4]float64             // what samples are answered with
+	PlanRun func(l Launch) RunPlan // nil: every run succeeds at once without a call
+	Ready   <-chan struct{}        // the greeting waits for it; nil: it does not
 
-	Cores *workerpool.Pool     // runs share it, and samples tell of it; nil: they do not
-	Now   func() time.Duration // its clock
-	Began func(l Launch)       // called as a run begins, and Ended as it ends; they must not call back
-	Ended func(l Launch, result string)
+	Cores        *workerpool.Pool     // runs share it, and samples tell of it; nil: they do not
+	Now          func() time.Duration // its clock
+	OnRunStarted func(l Launch)       // called as a run begins, and Ended as it ends; they must not call back
+	OnRunEnded   func(l Launch, result string)
 
 	mu      sync.Mutex
 	link    *json.Encoder // of the newest link; nil while there is none
@@ -63,7 +63,7 @@
 
 type run struct {
 	launch  Launch
-	plan    Plan
+	plan    RunPlan
 	over    bool
 	waiting bool // for the reply to its call
 }
@@ -119,8 +119,8 @@
 	}
 }
 
-// Break closes the link, as a fault does; the next one finds all notices that it asks for.
-func (a *Agent) Break() {
+// Disconnect closes the link, as a fault does; the next one finds all notices that it asks for.
+func (a *Agent) Disconnect() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Runs is how many runs were begun.
-func (a *Agent) Runs() int {
+// RunsStarted is how many runs were begun.
+func (a *Agent) RunsStarted() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.runs)
@@ -156,7 +156,7 @@
 	case "sample":
 		if a.Cores != nil {
 			a.advance()
-			a.Load = [4]float64{a.Cores.Busy(), float64(a.Cores.InHand()), 0.1, 10}
+			a.Load = [4]float64{a.Cores.Utilization(), float64(a.Cores.InFlight()), 0.1, 10}
 		}
 		a.say(notice{Cmd: "sampled", Token: c.Token, Load: a.Load[:]})
 	case "exercise":
@@ -169,7 +169,7 @@
 		if r != nil && r.waiting {
 			r.waiting = false
 			if c.Cmd == "forgo" {
-				r.launch.Body = []byte(Poorer)
+				r.launch.Body = []byte(DegradedResult)
 			}
 			a.work(r)
 		}
@@ -179,19 +179,19 @@
 }
 
 func (a *Agent) begin(r *run) {
-	a.runs[r.launch.Req] = r
-	if a.Began != nil {
-		a.Began(r.launch)
+	a.runs[r.launch.RequestID] = r
+	if a.OnRunStarted != nil {
+		a.OnRunStarted(r.launch)
 	}
-	if a.Plan != nil {
-		r.plan = a.Plan(r.launch)
+	if a.PlanRun != nil {
+		r.plan = a.PlanRun(r.launch)
 	}
 	if r.plan.Call == nil {
 		a.work(r)
 		return
 	}
 	r.waiting = true
-	a.number(notice{Cmd: "request", Req: r.launch.Req, Payload: r.plan.Call})
+	a.number(notice{Cmd: "request", Req: r.launch.RequestID, Payload: r.plan.Call})
 }
 
 func (a *Agent) work(r *run) {
@@ -201,7 +201,7 @@
 	}
 	if a.Cores != nil {
 		a.advance()
-		a.Cores.Add(r.launch.Req, r.plan.Work)
+		a.Cores.Add(r.launch.RequestID, r.plan.Work)
 		a.arm()
 		return
 	}
@@ -230,7 +230,7 @@
 	if a.timer != nil {
 		a.timer.Stop()
 	}
-	if at, ok := a.Cores.Next(); ok {
+	if at, ok := a.Cores.NextCompletion(); ok {
 		a.timer = time.AfterFunc(at-a.Now(), func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
@@ -240,9 +240,9 @@
 	}
 }
 
-// Read has the cores read a request, which is work that is no run; most is how many are read at a time, and the others
+// ReadRequest has the cores read a request, which is work that is no run; most is how many are read at a time, and the others
 // wait in turn. The channel is closed when it has been read.
-func (a *Agent) Read(work time.Duration, most int) <-chan struct{} {
+func (a *Agent) ReadRequest(work time.Duration, most int) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance()
@@ -276,9 +276,9 @@
 	}
 }
 
-// Over tells that a request has its final answer, or that nobody waits for one: a run of it ends at its call, as
+// CompleteRequest tells that a request has its final answer, or that nobody waits for one: a run of it ends at its call, as
 // interrupted.
-func (a *Agent) Over(id string) {
+func (a *Agent) CompleteRequest(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r := a.runs[id]; r != nil && r.waiting {
@@ -288,12 +288,12 @@
 	}
 }
 
-// Slow has the cores be so many times slower than they are.
-func (a *Agent) Slow(times float64) {
+// SetSlowdown has the cores be so many times slower than they are.
+func (a *Agent) SetSlowdown(times float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance()
-	a.Cores.Slow(a.Now(), times)
+	a.Cores.SetSlowdown(a.Now(), times)
 	a.arm()
 }
 
@@ -301,12 +301,12 @@
 	if r.over {
 		return
 	}
-	n := notice{Cmd: "outcome", Req: r.launch.Req, Result: r.plan.Result, Elapsed: float64(r.plan.Work.Milliseconds())}
+	n := notice{Cmd: "outcome", Req: r.launch.RequestID, Result: r.plan.Result, Elapsed: float64(r.plan.Work.Milliseconds())}
 	if n.Result == "" {
 		n.Result, n.Payload = "success", r.launch.Body
 	}
-	if a.Ended != nil {
-		a.Ended(r.launch, n.Result)
+	if a.OnRunEnded != nil {
+		a.OnRunEnded(r.launch, n.Result)
 	}
 	r.over, r.launch.Body = true, nil
 	a.number(n)
--- a/lab/fakes/announce.go
+++ b/lab/fakes/announce.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Announce is an announce service: it notes the last word of each image server.
-type Announce struct {
+// AnnounceService is an announce service: it notes the last word of each image server.
+type AnnounceService struct {
 	mu    sync.Mutex
 	words map[string]bool
 	at    map[string]time.Time // of the last report
@@ -18,7 +18,7 @@
 }
 
 // Serve reads reports until conn is closed.
-func (a *Announce) Serve(conn net.PacketConn) error {
+func (a *AnnounceService) Serve(conn net.PacketConn) error {
 	b := make([]byte, 512)
 	for {
 		n, _, err := conn.ReadFrom(b)
@@ -40,8 +40,8 @@
 	}
 }
 
-// Listed reports the last word of an image server, and how many reports came from all.
-func (a *Announce) Listed(name string) (accepting bool, heard int) {
+// LastReport reports the last word of an image server, and how many reports came from all.
+func (a *AnnounceService) LastReport(name string) (accepting bool, heard int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.words[name], a.heard
@@ -50,8 +50,8 @@
 // lapse is how long an image server stays listed after its last report; protocol.
 const lapse = 3 * time.Second
 
-// List returns the names of the image servers that are listed as taking work, in order.
-func (a *Announce) List() (names []string) {
+// AcceptingServers returns the names of the image servers that are listed as taking work, in order.
+func (a *AnnounceService) AcceptingServers() (names []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(a.words)) {
--- a/lab/fakes/mute.go
+++ b/lab/fakes/mute.go
@@ -6,21 +6,21 @@
 	"syscall"
 )
 
-// Mute is an address on which a dial neither succeeds nor fails, as behind a cut: something listens there, but its
+// UnresponsiveListener is an address on which a dial neither succeeds nor fails, as behind a cut: something listens there, but its
 // queue of connections is full, and the kernel drops what comes (Linux).
-type Mute struct {
+type UnresponsiveListener struct {
 	Addr string
 	fd   int
 	fill net.Conn
 }
 
-// NewMute opens one.
-func NewMute() (*Mute, error) {
+// NewUnresponsiveListener opens one.
+func NewUnresponsiveListener() (*UnresponsiveListener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
-	m := &Mute{fd: fd}
+	m := &UnresponsiveListener{fd: fd}
 	if err := m.listen(); err != nil {
 		m.Close()
 		return nil, err
@@ -28,7 +28,7 @@
 	return m, nil
 }
 
-func (m *Mute) listen() error {
+func (m *UnresponsiveListener) listen() error {
 	if err := syscall.Bind(m.fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 }
 
 // Close frees the address.
-func (m *Mute) Close() {
+func (m *UnresponsiveListener) Close() {
 	if m.fill != nil {
 		m.fill.Close()
 	}
--- a/lab/fakes/store.go
+++ b/lab/fakes/store.go
@@ -17,12 +17,12 @@
 	Delay time.Duration                       // from a call to its reply
 	Reply func(id string, body []byte) string // the word of the reply; nil: OutcomeOK with the body
 
-	Slots *workerpool.Pool     // calls share it; nil: each takes Delay
-	Work  time.Duration        // of a call in a slot
-	Fall  workerpool.Fall      // and it falls when it is crowded
-	Now   func() time.Duration // its clock
-	Began func(id string, inHand int)
-	Ended func(id string, inHand int) // both are called with the store held, and must not call back
+	Slots         *workerpool.Pool      // calls share it; nil: each takes Delay
+	CallWork      time.Duration         // of a call in a slot
+	Crash         workerpool.CrashModel // and it falls when it is crowded
+	Now           func() time.Duration  // its clock
+	OnCallStarted func(id string, inHand int)
+	OnCallEnded   func(id string, inHand int) // both are called with the store held, and must not call back
 
 	calls atomic.Int64
 
@@ -34,22 +34,22 @@
 	timer *time.Timer
 }
 
-// Mute has the store take calls and answer none of them before their time is up, or answer those to come again.
-func (s *Store) Mute(on bool) { s.mute.Store(on) }
+// SetUnresponsive has the store take calls and answer none of them before their time is up, or answer those to come again.
+func (s *Store) SetUnresponsive(on bool) { s.mute.Store(on) }
 
 // hang keeps a call until its time is up.
 func (s *Store) hang(id string, wait time.Duration, answer func(word string)) {
 	s.mu.Lock()
 	s.hung++
-	if s.Began != nil {
-		s.Began(id, s.hung)
+	if s.OnCallStarted != nil {
+		s.OnCallStarted(id, s.hung)
 	}
 	s.mu.Unlock()
 	time.AfterFunc(wait, func() {
 		s.mu.Lock()
 		s.hung--
-		if s.Ended != nil {
-			s.Ended(id, s.hung)
+		if s.OnCallEnded != nil {
+			s.OnCallEnded(id, s.hung)
 		}
 		s.mu.Unlock()
 		answer("LATE")
@@ -64,7 +64,7 @@
 	if s.hand == nil {
 		s.hand = map[string]func(string){}
 	}
-	if s.Fall.IsDown(s.Now()) {
+	if s.Crash.IsDown(s.Now()) {
 		go answer("ERR")
 		return
 	}
@@ -72,13 +72,13 @@
 		id += "+" // a second call of a request: both are worked at
 	}
 	s.hand[id] = answer
-	s.Slots.Add(id, s.Work)
-	if s.Began != nil {
-		s.Began(id, s.Slots.InHand())
+	s.Slots.Add(id, s.CallWork)
+	if s.OnCallStarted != nil {
+		s.OnCallStarted(id, s.Slots.InFlight())
 	}
-	if s.Fall.See(s.Now(), s.Slots.InHand()) {
+	if s.Crash.Observe(s.Now(), s.Slots.InFlight()) {
 		for id := range s.hand {
-			s.Slots.Drop(id)
+			s.Slots.Cancel(id)
 			s.end(id, "ERR")
 		}
 	}
@@ -88,8 +88,8 @@
 func (s *Store) end(id, word string) {
 	answer := s.hand[id]
 	delete(s.hand, id)
-	if s.Ended != nil {
-		s.Ended(id, s.Slots.InHand())
+	if s.OnCallEnded != nil {
+		s.OnCallEnded(id, s.Slots.InFlight())
 	}
 	go answer(word)
 }
@@ -104,7 +104,7 @@
 	if s.timer != nil {
 		s.timer.Stop()
 	}
-	if at, ok := s.Slots.Next(); ok {
+	if at, ok := s.Slots.NextCompletion(); ok {
 		s.timer = time.AfterFunc(at-s.Now(), func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/lab/faults/faults_test.go
+++ b/lab/faults/faults_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var places = []Place{{"n0", "a", "r"}, {"n1", "b", "r"}, {"n2", "a", "r"}}
+var places = []Location{{"n0", "a", "r"}, {"n1", "b", "r"}, {"n2", "a", "r"}}
 
 func TestScriptsThatCannotBeMeant(t *testing.T) {
 	for want, text := range map[string]string{
@@ -59,15 +59,15 @@
 at = "7s"
 `), places)
 	require.NoError(t, err)
-	at := func(now time.Duration, from, to string) Rule { return s.Rules(now)(from, to) }
-	require.True(t, at(0, "n0", "n1").Cut)
-	require.True(t, at(0, "n1", "n0").Cut)
-	require.False(t, at(0, "n0", "n2").Cut)
-	require.False(t, at(5*time.Second, "n0", "n1").Cut)
-	require.True(t, at(6*time.Second, "n1", "n0").Cut)
-	require.False(t, at(6*time.Second, "n0", "n1").Cut)
-	require.Equal(t, 0.5, at(8*time.Second, "n0", "n1").Loss)
-	require.Equal(t, 0.75, at(8*time.Second, "n2", "n0").Loss)
+	at := func(now time.Duration, from, to string) Rule { return s.RulesAt(now)(from, to) }
+	require.True(t, at(0, "n0", "n1").Partition)
+	require.True(t, at(0, "n1", "n0").Partition)
+	require.False(t, at(0, "n0", "n2").Partition)
+	require.False(t, at(5*time.Second, "n0", "n1").Partition)
+	require.True(t, at(6*time.Second, "n1", "n0").Partition)
+	require.False(t, at(6*time.Second, "n0", "n1").Partition)
+	require.Equal(t, 0.5, at(8*time.Second, "n0", "n1").LossRatio)
+	require.Equal(t, 0.75, at(8*time.Second, "n2", "n0").LossRatio)
 	require.Zero(t, at(0, "n0", "stranger"))
 }
 
@@ -121,12 +121,12 @@
 			c.Close()
 		}
 	}()
-	cut := func(from, to string) Rule { return Rule{Cut: from == "n1" && to == "n0"} } // the way back only
-	require.NoError(t, r.Set(cut))
+	cut := func(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} } // the way back only
+	require.NoError(t, r.SetRules(cut))
 	require.Equal(t, "there", pass("there"))
 	_, err = dial(200 * time.Millisecond)
 	require.True(t, os.IsTimeout(err), "%v", err)
-	require.NoError(t, r.Set(func(string, string) Rule { return Rule{Double: 1, Delay: time.Millisecond} }))
+	require.NoError(t, r.SetRules(func(string, string) Rule { return Rule{DuplicateRatio: 1, Delay: time.Millisecond} }))
 	require.Equal(t, "twice", pass("twice"))
 	n, _, err := b.ReadFrom(got)
 	require.NoError(t, err)
@@ -137,6 +137,6 @@
 	n, err = nc.Read(got)
 	require.NoError(t, err)
 	require.Equal(t, "welcome", string(got[:n]))
-	require.NoError(t, r.Set(func(string, string) Rule { return Rule{Reset: true} }))
+	require.NoError(t, r.SetRules(func(string, string) Rule { return Rule{Reset: true} }))
 	isReset()
 }
--- a/lab/faults/relay.go
+++ b/lab/faults/relay.go
@@ -28,11 +28,11 @@
 
 // Rule is what befalls what one process sends to another.
 type Rule struct {
-	Cut           bool
-	Loss, Double  float64       // share of the datagrams that are lost, and that come twice
-	Delay, Jitter time.Duration // of datagrams, and Delay of what streams carry; jitter has datagrams overtake
-	Rate          int           // bytes a second that streams carry each; 0 = no bound
-	Reset         bool          // streams are reset, and calls too
+	Partition                 bool
+	LossRatio, DuplicateRatio float64       // share of the datagrams that are lost, and that come twice
+	Delay, Jitter             time.Duration // of datagrams, and Delay of what streams carry; jitter has datagrams overtake
+	BytesPerSecond            int           // bytes a second that streams carry each; 0 = no bound
+	Reset                     bool          // streams are reset, and calls too
 }
 
 const (
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// Set puts other rules in force, at once.
-func (r *Relay) Set(rule func(from, to string) Rule) error {
+// SetRules puts other rules in force, at once.
+func (r *Relay) SetRules(rule func(from, to string) Rule) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rule = rule
@@ -112,7 +112,7 @@
 	for _, e := range r.endpoints {
 		var cut []uint32
 		for ip, from := range r.names {
-			if rule(from, e.name).Cut || rule(e.name, from).Cut {
+			if rule(from, e.name).Partition || rule(e.name, from).Partition {
 				b := ip.As4()
 				cut = append(cut, binary.BigEndian.Uint32(b[:]))
 			}
@@ -149,10 +149,10 @@
 func (r *Relay) draw(f Rule) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if f.Cut || r.rand.Float64() < f.Loss {
+	if f.Partition || r.rand.Float64() < f.LossRatio {
 		return nil
 	}
-	for n := 0; n == 0 || n == 1 && r.rand.Float64() < f.Double; n++ {
+	for n := 0; n == 0 || n == 1 && r.rand.Float64() < f.DuplicateRatio; n++ {
 		d := f.Delay
 		if f.Jitter > 0 {
 			d += time.Duration(r.rand.Int64N(int64(f.Jitter)))
@@ -248,14 +248,14 @@
 			if first && f.Delay > 0 {
 				time.Sleep(f.Delay)
 			}
-			if f.Cut || f.Rate > 0 {
+			if f.Partition || f.BytesPerSecond > 0 {
 				time.Sleep(pace)
-				part = min(n, int(float64(f.Rate)*pace.Seconds())+1)
+				part = min(n, int(float64(f.BytesPerSecond)*pace.Seconds())+1)
 			}
 			if e.relay.ctx.Err() != nil {
 				return
 			}
-			if f.Cut {
+			if f.Partition {
 				continue
 			}
 			if _, err := to.Write(b[:part]); err != nil {
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -34,34 +34,34 @@
 
 // Options say what to start.
 type Options struct {
-	Binary  string // the program; what it needs beside it is there
-	Dir     string // for files of the processes; made if it is not there
-	Members int
-	Zones   []string // members are spread over them in turn
-	Region  string
-	Seed    uint64
-	Probe   time.Duration
-	Keyed   bool // the fleet's words are encrypted
-	Shares  bool // shares of the store move between members
-	Cutoff  bool // what the fleet has no room for is refused by all alike
-	Probes  bool // a store that does not answer is tried by turns
-	Level   string
-
-	Cores   int           // of each agent; every other member's are slower
-	ColdFor time.Duration // of an agent that has just started
-	Slots   int           // of the store of each zone
-	Call    time.Duration // of a call in a slot
-	Classes []clients.Class
+	Binary            string // the program; what it needs beside it is there
+	Dir               string // for files of the processes; made if it is not there
+	Members           int
+	Zones             []string // members are spread over them in turn
+	Region            string
+	Seed              uint64
+	ProbeInterval     time.Duration
+	Encrypted         bool // the fleet's words are encrypted
+	QuotaLeasing      bool // shares of the store move between members
+	Shedding          bool // what the fleet has no room for is refused by all alike
+	CoordinatedProbes bool // a store that does not answer is tried by turns
+	LogLevel          string
+
+	Cores      int           // of each agent; every other member's are slower
+	WarmupTime time.Duration // of an agent that has just started
+	Slots      int           // of the store of each zone
+	CallTime   time.Duration // of a call in a slot
+	Classes    []clients.Class
 }
 
 // Defaults are options of a small fleet in three zones.
 func Defaults() Options {
 	return Options{Members: 6, Zones: []string{"brussel-noord", "zaventem", "mechelen"}, Region: "belgium", Seed: 1,
-		Probe: 500 * time.Millisecond, Level: "info", Cores: 4, ColdFor: 4 * time.Second, Slots: 16, Call: 30 * time.Millisecond,
+		ProbeInterval: 500 * time.Millisecond, LogLevel: "info", Cores: 4, WarmupTime: 4 * time.Second, Slots: 16, CallTime: 30 * time.Millisecond,
 		Classes: []clients.Class{
-			{Name: "preview", Share: 0.6, Work: 40 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 1, Poor: 0.6},
-			{Name: "hires-crop", Share: 0.3, Work: 90 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 2},
-			{Name: "licence-order", Share: 0.1, Work: 60 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 3, Keyed: true}}}
+			{Name: "preview", ArrivalRatio: 0.6, MeanWork: 40 * time.Millisecond, Timeout: 4 * time.Second, LatencyObjective: 1900 * time.Millisecond, Value: 1, DegradedValueRatio: 0.6},
+			{Name: "hires-crop", ArrivalRatio: 0.3, MeanWork: 90 * time.Millisecond, Timeout: 4 * time.Second, LatencyObjective: 1900 * time.Millisecond, Value: 2},
+			{Name: "licence-order", ArrivalRatio: 0.1, MeanWork: 60 * time.Millisecond, Timeout: 4 * time.Second, LatencyObjective: 1900 * time.Millisecond, Value: 3, IdempotentByKey: true}}}
 }
 
 // A store falls when it has that many times its slots in hand for so long, and is down for a while.
@@ -71,15 +71,15 @@
 	fallDown  = 4 * time.Second
 )
 
-// Window is within which an order must not run again; it stands in the servers' settings.
-const Window = 17457 * time.Millisecond
+// IdempotencyWindow is within which an order must not run again; it stands in the servers' settings.
+const IdempotencyWindow = 17457 * time.Millisecond
 
 // Lab is a fleet of processes and what is round it.
 type Lab struct {
 	Log      *history.Log
 	Relay    *faults.Relay
 	Members  []*Member
-	Announce *fakes.Announce
+	Announce *fakes.AnnounceService
 	Stores   map[string]*fakes.Store // by zone
 
 	opt     Options
@@ -102,8 +102,8 @@
 
 // Member is one instance and, while it runs, its process.
 type Member struct {
-	Name, Zone                   string
-	Front, Console, Fleet, Heard string // addresses: for front ends, operators, others (advertised), and where it listens for them
+	Name, Zone                                           string
+	FrontAddr, ConsoleAddr, GossipAddr, GossipListenAddr string // addresses: for front ends, operators, others (advertised), and where it listens for them
 
 	lab     *Lab
 	dir     string
@@ -125,7 +125,7 @@
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	l := &Lab{Log: history.NewLog(), Relay: faults.NewRelay(o.Seed), Announce: &fakes.Announce{}, Stores: map[string]*fakes.Store{},
+	l := &Lab{Log: history.NewLog(), Relay: faults.NewRelay(o.Seed), Announce: &fakes.AnnounceService{}, Stores: map[string]*fakes.Store{},
 		opt: o, begun: map[int]bool{}, ended: map[int]bool{}, script: &faults.Script{}}
 	if err := l.reserve(); err != nil {
 		return nil, err
@@ -165,15 +165,19 @@
 			return err
 		}
 		l.closers = append(l.closers, ln)
-		s := &fakes.Store{Now: l.Log.Now, Work: l.opt.Call, Fall: workerpool.Fall{Most: fallMost * l.opt.Slots, After: fallAfter, Down: fallDown},
-			Slots: workerpool.NewPool(workerpool.Curve{Places: l.opt.Slots, Speed: 1, Knee: 1,
-				Decay: 0.2, Least: 0.3}, l.Log.Now())}
-		s.Began = func(id string, n int) { l.Log.Add(history.Event{Kind: history.Call, Try: id, Server: zone, N: n}) }
-		s.Ended = func(id string, n int) { l.Log.Add(history.Event{Kind: history.CallEnd, Try: id, Server: zone, N: n}) }
+		s := &fakes.Store{Now: l.Log.Now, CallWork: l.opt.CallTime, Crash: workerpool.CrashModel{MaxInFlight: fallMost * l.opt.Slots, Tolerance: fallAfter, Downtime: fallDown},
+			Slots: workerpool.NewPool(workerpool.Curve{Workers: l.opt.Slots, Speed: 1, Knee: 1,
+				SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3}, l.Log.Now())}
+		s.OnCallStarted = func(id string, n int) {
+			l.Log.Add(history.Event{Kind: history.CallStarted, AttemptID: id, Server: zone, Count: n})
+		}
+		s.OnCallEnded = func(id string, n int) {
+			l.Log.Add(history.Event{Kind: history.CallEnded, AttemptID: id, Server: zone, Count: n})
+		}
 		l.Stores[zone] = s
 		go func() { _ = s.Serve(ln) }()
 	}
-	if l.opt.Keyed {
+	if l.opt.Encrypted {
 		key := make([]byte, 32)
 		r := rand.New(rand.NewPCG(l.opt.Seed, 9))
 		for i := range key {
@@ -184,10 +188,10 @@
 	for i := range l.opt.Members {
 		z := i % len(l.opt.Zones)
 		c, d := 10+z, 1+i/len(l.opt.Zones)
-		m := &Member{Name: "n" + strconv.Itoa(i), Zone: l.opt.Zones[z], lab: l, Front: l.addr(c, d, 5050), Console: l.addr(c, d, 5051),
-			Heard: l.addr(c, d, 7946), Fleet: l.addr(c+100, d, 7946), agentAt: l.addr(c+50, d, 4400), dir: filepath.Join(l.opt.Dir, "n"+strconv.Itoa(i))}
+		m := &Member{Name: "n" + strconv.Itoa(i), Zone: l.opt.Zones[z], lab: l, FrontAddr: l.addr(c, d, 5050), ConsoleAddr: l.addr(c, d, 5051),
+			GossipListenAddr: l.addr(c, d, 7946), GossipAddr: l.addr(c+100, d, 7946), agentAt: l.addr(c+50, d, 4400), dir: filepath.Join(l.opt.Dir, "n"+strconv.Itoa(i))}
 		l.Members = append(l.Members, m)
-		if err := l.Relay.Add(m.Name, m.Fleet, m.Heard); err != nil {
+		if err := l.Relay.Add(m.Name, m.GossipAddr, m.GossipListenAddr); err != nil {
 			return err
 		}
 		if err := m.files(z); err != nil {
@@ -208,11 +212,11 @@
 	var lanes, calls, skips []string
 	for _, c := range o.Classes {
 		safety, ttl := "safe", 5*time.Second
-		if c.Keyed {
-			safety, ttl = "keyed", Window
+		if c.IdempotentByKey {
+			safety, ttl = "keyed", IdempotencyWindow
 		}
 		lanes = append(lanes, fmt.Sprintf(`{"Name":%q,"AimUs":%d,"DeadlineUs":%d,"Idempotency":%q,"KeyTtlUs":%d,"LateWorth":0,"Value":%g}`,
-			c.Name, c.Aim.Microseconds(), c.Wait.Microseconds(), safety, ttl.Microseconds(), c.Worth))
+			c.Name, c.LatencyObjective.Microseconds(), c.Timeout.Microseconds(), safety, ttl.Microseconds(), c.Value))
 		calls = append(calls, strconv.FormatBool(c.Name != "hires-crop"))
 		skips = append(skips, map[bool]string{true: "0.6", false: "0"}[c.Name == "preview"])
 	}
@@ -226,17 +230,17 @@
 "Invariants":{"ColdShare":0.25,"ColdUs":%d,"FallMultiple":5.0,"FallUs":3000000,"GraceToAnswerUs":100000,"StopSendingWithinUs":2500000},
 "Lanes":[%s],"Limits":{"MaxRetryAfterUs":1000000,"RetryAfter":true},
 "ResultMix":{"Whole":0.45,"WorstClass":0.2,"WorstTenant":0,"WorstWindow":0.35},"Tenants":[]}}`,
-		m.Name, m.Front, m.agentAt, l.addr(200, 1, 8761), l.storeAddr(z), m.Console, o.Seed+uint64(len(l.Members)), o.Members,
-		strings.Join(calls, ","), perServer, strings.Join(skips, ","), o.Cores, o.ColdFor.Microseconds(), strings.Join(lanes, ","))
+		m.Name, m.FrontAddr, m.agentAt, l.addr(200, 1, 8761), l.storeAddr(z), m.ConsoleAddr, o.Seed+uint64(len(l.Members)), o.Members,
+		strings.Join(calls, ","), perServer, strings.Join(skips, ","), o.Cores, o.WarmupTime.Microseconds(), strings.Join(lanes, ","))
 	if err := os.WriteFile(filepath.Join(m.dir, "config.json"), []byte(config), 0o600); err != nil {
 		return err
 	}
-	return m.WriteOperators(l.key)
+	return m.WriteOperatorsFile(l.key)
 }
 
-// WriteOperators writes the operators' file, with the fleet's key if there is one; the process reads it at its next
+// WriteOperatorsFile writes the operators' file, with the fleet's key if there is one; the process reads it at its next
 // start or SIGHUP.
-func (m *Member) WriteOperators(keys ...string) error {
+func (m *Member) WriteOperatorsFile(keys ...string) error {
 	l := m.lab
 	var seeds []string
 	for i := range min(len(l.opt.Zones), l.opt.Members) { // one in each zone
@@ -244,14 +248,14 @@
 		seeds = append(seeds, strconv.Quote(l.addr(110+z, 1+i/len(l.opt.Zones), 7946)))
 	}
 	text := fmt.Sprintf("[fleet]\nlisten = %q\nadvertise = %q\nseeds = [%s]\nregion = %q\nzone = %q\nsize = %d\nprobe_every = %q\n",
-		m.Heard, m.Fleet, strings.Join(seeds, ", "), l.opt.Region, m.Zone, l.opt.Members, l.opt.Probe)
+		m.GossipListenAddr, m.GossipAddr, strings.Join(seeds, ", "), l.opt.Region, m.Zone, l.opt.Members, l.opt.ProbeInterval)
 	if len(keys) > 0 && keys[0] != "" {
 		if err := os.WriteFile(filepath.Join(m.dir, "fleet.key"), []byte(strings.Join(keys, "\n")+"\n"), 0o600); err != nil {
 			return err
 		}
 		text += "key_file = \"fleet.key\"\n"
 	}
-	text += fmt.Sprintf("[overload]\nshares = %t\ncutoff = %t\nprobes = %t\n", l.opt.Shares, l.opt.Cutoff, l.opt.Probes)
+	text += fmt.Sprintf("[overload]\nshares = %t\ncutoff = %t\nprobes = %t\n", l.opt.QuotaLeasing, l.opt.Shedding, l.opt.CoordinatedProbes)
 	text += fmt.Sprintf("[drill]\nclock = %q\nwedge = %q\n", m.clock, wedgeFor)
 	return os.WriteFile(filepath.Join(m.dir, "operators.toml"), []byte(text), 0o600)
 }
@@ -260,15 +264,15 @@
 func (l *Lab) Key() string { return l.key }
 
 // Place says where members are, for scripts.
-func (l *Lab) Places() (places []faults.Place) {
+func (l *Lab) Locations() (places []faults.Location) {
 	for _, m := range l.Members {
-		places = append(places, faults.Place{Name: m.Name, Zone: m.Zone, Region: l.opt.Region})
+		places = append(places, faults.Location{Name: m.Name, Zone: m.Zone, Region: l.opt.Region})
 	}
 	return places
 }
 
-// Find returns the member of that name, or nil.
-func (l *Lab) Find(name string) *Member {
+// FindMember returns the member of that name, or nil.
+func (l *Lab) FindMember(name string) *Member {
 	for _, m := range l.Members {
 		if m.Name == name {
 			return m
@@ -294,23 +298,23 @@
 	if m.starts > 0 {
 		state = "booting"
 	}
-	curve := workerpool.Curve{Places: o.Cores, Speed: speedOf(number), Knee: 2, Decay: 0.1, Least: 0.4, ColdShare: 0.25}
+	curve := workerpool.Curve{Workers: o.Cores, Speed: speedOf(number), Knee: 2, SlowdownPerExcess: 0.1, MinSpeedRatio: 0.4, ColdSpeedRatio: 0.25}
 	if state == "booting" {
-		curve.ColdFor = o.ColdFor
+		curve.WarmupTime = o.WarmupTime
 	}
-	m.agent = &fakes.Agent{State: state, Now: l.Log.Now, Cores: workerpool.NewPool(curve, l.Log.Now()), Plan: func(x fakes.Launch) fakes.Plan {
+	m.agent = &fakes.Agent{State: state, Now: l.Log.Now, Cores: workerpool.NewPool(curve, l.Log.Now()), PlanRun: func(x fakes.Launch) fakes.RunPlan {
 		work, _ := strconv.ParseInt(string(x.Body), 10, 64)
-		p := fakes.Plan{Work: time.Duration(work)}
+		p := fakes.RunPlan{Work: time.Duration(work)}
 		if x.Class != "hires-crop" {
-			p.Call = []byte("SELECT " + x.Req)
+			p.Call = []byte("SELECT " + x.RequestID)
 		}
 		return p
 	}}
-	m.agent.Began = func(x fakes.Launch) {
-		l.Log.Add(history.Event{Kind: history.Run, Try: x.Req, Class: x.Class, Server: m.Name})
+	m.agent.OnRunStarted = func(x fakes.Launch) {
+		l.Log.Add(history.Event{Kind: history.RunStarted, AttemptID: x.RequestID, Class: x.Class, Server: m.Name})
 	}
-	m.agent.Ended = func(x fakes.Launch, result string) {
-		l.Log.Add(history.Event{Kind: history.RunEnd, Try: x.Req, Class: x.Class, Server: m.Name, Word: result})
+	m.agent.OnRunEnded = func(x fakes.Launch, result string) {
+		l.Log.Add(history.Event{Kind: history.RunEnded, AttemptID: x.RequestID, Class: x.Class, Server: m.Name, Detail: result})
 	}
 	m.agentLn = ln
 	go func() { _ = m.agent.Serve(ln) }()
@@ -321,7 +325,7 @@
 	}
 	defer out.Close()
 	cmd := exec.Command(o.Binary, "serve", "--config", filepath.Join(m.dir, "config.json"), "--operators",
-		filepath.Join(m.dir, "operators.toml"), "--log-level", o.Level)
+		filepath.Join(m.dir, "operators.toml"), "--log-level", o.LogLevel)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.Env = append(os.Environ(), "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_CONFIG=", "GW_INHERITED_FD=")
 	if err := cmd.Start(); err != nil {
@@ -330,7 +334,7 @@
 	}
 	m.starts++
 	m.cmd, m.ended = cmd, make(chan struct{})
-	l.Log.Add(history.Event{Kind: history.Process, Server: m.Name, Word: "started", N: cmd.Process.Pid})
+	l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: "started", Count: cmd.Process.Pid})
 	go m.wait(cmd, ln, m.ended)
 	return nil
 }
@@ -346,8 +350,8 @@
 	m.cmd = nil
 	m.mu.Unlock()
 	ln.Close()
-	m.agent.Break()
-	m.lab.Log.Add(history.Event{Kind: history.Process, Server: m.Name, Word: word})
+	m.agent.Disconnect()
+	m.lab.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: word})
 	close(ended)
 }
 
@@ -360,18 +364,18 @@
 	}
 	word := map[syscall.Signal]string{syscall.SIGKILL: "killed", syscall.SIGSTOP: "stopped", syscall.SIGCONT: "continued",
 		syscall.SIGTERM: "told to end", syscall.SIGHUP: "reloads"}[sig]
-	m.lab.Log.Add(history.Event{Kind: history.Process, Server: m.Name, Word: word})
+	m.lab.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: word})
 	_ = m.cmd.Process.Signal(sig)
 }
 
 // Kill kills the process, and waits for its end.
 func (m *Member) Kill() {
 	m.Signal(syscall.SIGKILL)
-	m.Ended()
+	m.Wait()
 }
 
-// Ended waits for the end of the process, if there is one.
-func (m *Member) Ended() {
+// Wait waits for the end of the process, if there is one.
+func (m *Member) Wait() {
 	m.mu.Lock()
 	ended := m.ended
 	m.mu.Unlock()
@@ -380,15 +384,15 @@
 	}
 }
 
-// Runs reports whether a process runs.
-func (m *Member) Runs() bool {
+// Running reports whether a process runs.
+func (m *Member) Running() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.cmd != nil
 }
 
-// Pid is the number of the process; 0 = none.
-func (m *Member) Pid() int {
+// PID is the number of the process; 0 = none.
+func (m *Member) PID() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd == nil {
@@ -399,9 +403,9 @@
 
 var client = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// View asks the process what it knows of its fleet.
-func (m *Member) View() (r fleet.Report, err error) {
-	res, err := client.Get("http://" + m.Console + "/fleet")
+// FleetReport asks the process what it knows of its fleet.
+func (m *Member) FleetReport() (r fleet.Report, err error) {
+	res, err := client.Get("http://" + m.ConsoleAddr + "/fleet")
 	if err != nil {
 		return r, err
 	}
@@ -412,22 +416,22 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// Watch asks all running members for their views, and notes what they say of others, until ctx ends.
-func (l *Lab) Watch(ctx context.Context, every time.Duration) {
+// WatchViews asks all running members for their views, and notes what they say of others, until ctx ends.
+func (l *Lab) WatchViews(ctx context.Context, every time.Duration) {
 	said := map[[2]string]string{}
 	for ctx.Err() == nil {
 		for _, m := range l.Members {
-			if !m.Runs() {
+			if !m.Running() {
 				continue
 			}
-			r, err := m.View()
+			r, err := m.FleetReport()
 			if err != nil {
 				continue // stopped, or at its end
 			}
 			for _, x := range r.Members {
 				if at := [2]string{m.Name, x.Name}; said[at] != x.Condition {
 					said[at] = x.Condition
-					l.Log.Add(history.Event{Kind: history.View, Server: m.Name, Member: x.Name, Word: x.Condition})
+					l.Log.Add(history.Event{Kind: history.ViewChanged, Server: m.Name, Member: x.Name, Detail: x.Condition})
 				}
 			}
 		}
@@ -439,21 +443,21 @@
 }
 
 // Servers is the list that front ends have, which lags by so much.
-func (l *Lab) Servers(lag time.Duration) clients.List {
+func (l *Lab) Servers(lag time.Duration) clients.ServerLister {
 	return func() []clients.Server {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		now := l.Log.Now()
 		if n := len(l.lists); n == 0 || now-l.lists[n-1].at > 100*time.Millisecond {
-			l.lists = append(l.lists, listed{now, l.Announce.List()})
+			l.lists = append(l.lists, listed{now, l.Announce.AcceptingServers()})
 		}
 		for len(l.lists) > 1 && l.lists[1].at <= now-lag {
 			l.lists = l.lists[1:]
 		}
 		var all []clients.Server
 		for _, name := range l.lists[0].names {
-			if m := l.Find(name); m != nil {
-				all = append(all, clients.Server{Name: name, Addr: m.Front})
+			if m := l.FindMember(name); m != nil {
+				all = append(all, clients.Server{Name: name, Addr: m.FrontAddr})
 			}
 		}
 		return all
@@ -466,7 +470,7 @@
 		m.Signal(syscall.SIGKILL) // also of one that is stopped
 	}
 	for _, m := range l.Members {
-		m.Ended()
+		m.Wait()
 	}
 	l.Relay.Close()
 	for _, c := range l.closers {
@@ -476,28 +480,28 @@
 
 // Capacity is how many requests a second all agents together can read and do, calls not counted.
 func (l *Lab) Capacity() float64 {
-	return l.Cores() / ((1 + history.ReadPart) * l.meanWork().Seconds())
+	return l.TotalCores() / ((1 + history.ReadCostRatio) * l.meanWork().Seconds())
 }
 
-// Read has the agent of a member read a request; the channel is closed when it has. Nil: no process is there.
-func (l *Lab) Read(server string) <-chan struct{} {
+// ReadRequest has the agent of a member read a request; the channel is closed when it has. Nil: no process is there.
+func (l *Lab) ReadRequest(server string) <-chan struct{} {
 	a := l.agentOf(server)
 	if a == nil {
 		return nil
 	}
-	return a.Read(time.Duration(history.ReadPart*float64(l.meanWork())), l.opt.Cores)
+	return a.ReadRequest(time.Duration(history.ReadCostRatio*float64(l.meanWork())), l.opt.Cores)
 }
 
-// Over has the agent of a member know that a try is over.
-func (l *Lab) Over(server, try string) {
+// CompleteAttempt has the agent of a member know that a try is over.
+func (l *Lab) CompleteAttempt(server, try string) {
 	if a := l.agentOf(server); a != nil {
-		a.Over(try)
+		a.CompleteRequest(try)
 	}
 }
 
 // agentOf is the agent of a member whose process runs; nil without one.
 func (l *Lab) agentOf(server string) *fakes.Agent {
-	m := l.Find(server)
+	m := l.FindMember(server)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd == nil {
@@ -508,13 +512,13 @@
 
 func (l *Lab) meanWork() (work time.Duration) {
 	for _, c := range l.opt.Classes {
-		work += time.Duration(c.Share * float64(c.Work))
+		work += time.Duration(c.ArrivalRatio * float64(c.MeanWork))
 	}
 	return work
 }
 
-// Cores is what all agents together do in a second, in seconds of work.
-func (l *Lab) Cores() (cores float64) {
+// TotalCores is what all agents together do in a second, in seconds of work.
+func (l *Lab) TotalCores() (cores float64) {
 	for i := range l.Members {
 		cores += float64(l.opt.Cores) * speedOf(i)
 	}
--- a/lab/fleetlab/play.go
+++ b/lab/fleetlab/play.go
@@ -12,25 +12,25 @@
 
 const look = 20 * time.Millisecond // between two looks at the script
 
-// Add adds a fault to the script in force; its time counts from the start of the laboratory.
-func (l *Lab) Add(f faults.Fault) error {
-	if err := f.Check(l.Places()); err != nil {
+// AddFault adds a fault to the script in force; its time counts from the start of the laboratory.
+func (l *Lab) AddFault(f faults.Fault) error {
+	if err := f.Check(l.Locations()); err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.script.Places = l.Places()
+	l.script.Locations = l.Locations()
 	l.script.Faults = append(l.script.Faults, f)
 	return nil
 }
 
-// Begin starts all members but those that a fault of the script has start late.
-func (l *Lab) Begin() error {
+// StartMembers starts all members but those that a fault of the script has start late.
+func (l *Lab) StartMembers() error {
 	late := map[string]bool{}
 	l.mu.Lock()
 	for i := range l.script.Faults {
-		if f := &l.script.Faults[i]; f.Kind == faults.Late {
-			for _, name := range l.script.Victims(f) {
+		if f := &l.script.Faults[i]; f.Kind == faults.KindDelayedStart {
+			for _, name := range l.script.AffectedMembers(f) {
 				late[name] = true
 			}
 		}
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// Play carries out the script until ctx ends.
-func (l *Lab) Play(ctx context.Context) error {
+// RunScript carries out the script until ctx ends.
+func (l *Lab) RunScript(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := l.turn(); err != nil {
 			return err
@@ -67,32 +67,32 @@
 	var begin, end []faults.Fault
 	links := false
 	for i, f := range l.script.Faults {
-		if now >= f.At && !l.begun[i] {
-			l.begun[i], links = true, links || f.Link()
+		if now >= f.Start && !l.begun[i] {
+			l.begun[i], links = true, links || f.AffectsLink()
 			begin = append(begin, f)
 		}
-		if l.begun[i] && !l.ended[i] && f.For > 0 && now >= f.At+f.For {
-			l.ended[i], links = true, links || f.Link()
+		if l.begun[i] && !l.ended[i] && f.Duration > 0 && now >= f.Start+f.Duration {
+			l.ended[i], links = true, links || f.AffectsLink()
 			end = append(end, f)
 		}
 	}
-	script := faults.Script{Faults: append([]faults.Fault(nil), l.script.Faults...), Places: l.script.Places}
+	script := faults.Script{Faults: append([]faults.Fault(nil), l.script.Faults...), Locations: l.script.Locations}
 	l.mu.Unlock()
 	if links {
-		if err := l.Relay.Set(script.Rules(now)); err != nil {
+		if err := l.Relay.SetRules(script.RulesAt(now)); err != nil {
 			return fmt.Errorf("rules between processes: %w", err)
 		}
 	}
 	for _, f := range begin {
-		l.Log.Add(history.Event{Kind: history.Fault, Word: name(&f), N: 1})
-		for _, m := range script.Victims(&f) {
-			l.begin(&f, l.Find(m))
+		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: name(&f), Count: 1})
+		for _, m := range script.AffectedMembers(&f) {
+			l.begin(&f, l.FindMember(m))
 		}
 	}
 	for _, f := range end {
-		l.Log.Add(history.Event{Kind: history.Fault, Word: name(&f)})
-		for _, m := range script.Victims(&f) {
-			if err := l.end(&f, l.Find(m)); err != nil {
+		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: name(&f)})
+		for _, m := range script.AffectedMembers(&f) {
+			if err := l.end(&f, l.FindMember(m)); err != nil {
 				return err
 			}
 		}
@@ -101,9 +101,9 @@
 }
 
 func name(f *faults.Fault) string {
-	s := f.Kind + " " + f.Who
-	if f.To != "" && f.To != "*" {
-		s += " " + f.To
+	s := f.Kind + " " + f.Target
+	if f.Peer != "" && f.Peer != "*" {
+		s += " " + f.Peer
 	}
 	if f.OneWay {
 		s += " one way"
@@ -113,28 +113,28 @@
 
 func (l *Lab) begin(f *faults.Fault, m *Member) {
 	switch f.Kind {
-	case faults.Kill:
+	case faults.KindKill:
 		m.Kill()
-	case faults.Stop:
+	case faults.KindPause:
 		m.Signal(syscall.SIGSTOP)
-	case faults.Term:
+	case faults.KindTerminate:
 		m.Signal(syscall.SIGTERM)
-	case faults.Restart:
+	case faults.KindRestart:
 		m.Kill()
 		if err := m.Start(); err != nil {
-			l.Log.Add(history.Event{Kind: history.Process, Server: m.Name, Word: "not started: " + err.Error()})
+			l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: "not started: " + err.Error()})
 		}
-	case faults.SlowRun:
-		m.agent.Slow(f.Share)
-	case faults.Mute:
-		l.Stores[m.Zone].Mute(true)
-	case faults.Wedge:
-		if res, err := client.Post("http://"+m.Console+"/drill/wedge", "", nil); err == nil {
+	case faults.KindSlowAgent:
+		m.agent.SetSlowdown(f.Ratio)
+	case faults.KindUnresponsiveStore:
+		l.Stores[m.Zone].SetUnresponsive(true)
+	case faults.KindWedge:
+		if res, err := client.Post("http://"+m.ConsoleAddr+"/drill/wedge", "", nil); err == nil {
 			res.Body.Close()
 		}
-	case faults.Clock:
+	case faults.KindClockSkew:
 		if err := m.setClock(f.Delay); err != nil {
-			l.Log.Add(history.Event{Kind: history.Process, Server: m.Name, Word: "not started: " + err.Error()})
+			l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: "not started: " + err.Error()})
 		}
 	}
 }
@@ -143,7 +143,7 @@
 func (m *Member) setClock(off time.Duration) error {
 	m.Kill()
 	m.clock = off
-	if err := m.WriteOperators(m.lab.key); err != nil {
+	if err := m.WriteOperatorsFile(m.lab.key); err != nil {
 		return err
 	}
 	return m.Start()
@@ -151,16 +151,16 @@
 
 func (l *Lab) end(f *faults.Fault, m *Member) error {
 	switch f.Kind {
-	case faults.Kill, faults.Term, faults.Late:
-		m.Ended()
+	case faults.KindKill, faults.KindTerminate, faults.KindDelayedStart:
+		m.Wait()
 		return m.Start()
-	case faults.Stop:
+	case faults.KindPause:
 		m.Signal(syscall.SIGCONT)
-	case faults.SlowRun:
-		m.agent.Slow(1)
-	case faults.Mute:
-		l.Stores[m.Zone].Mute(false)
-	case faults.Clock:
+	case faults.KindSlowAgent:
+		m.agent.SetSlowdown(1)
+	case faults.KindUnresponsiveStore:
+		l.Stores[m.Zone].SetUnresponsive(false)
+	case faults.KindClockSkew:
 		return m.setClock(0)
 	}
 	return nil
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -14,36 +14,36 @@
 
 // Kinds of events.
 const (
-	Ask     = "ask"     // a try was written to a server: Try, Once, Class, Server, Caller, Due
-	Answer  = "answer"  // Word is served, refused, failed; or lost: its connection ended
-	GaveUp  = "gave up" // the caller waits no longer for a try
-	Run     = "run"     // an agent began a run of a try
-	RunEnd  = "run end" // Word is how it ended
-	Call    = "call"    // a call came to a store; N are in hand there
-	CallEnd = "call end"
-	Process = "process" // Word is started, killed, stopped, continued, told to end, ended
-	Fault   = "fault"   // Word says which, N is 1 at its beginning and 0 at its end
-	View    = "view"    // Server says that Member is Word
-	Request = "request" // a request of a caller is over: Word is how, N its tries
+	AttemptSent      = "ask"     // a try was written to a server: Try, Once, Class, Server, Caller, Due
+	AttemptAnswered  = "answer"  // Word is served, refused, failed; or lost: its connection ended
+	AttemptAbandoned = "gave up" // the caller waits no longer for a try
+	RunStarted       = "run"     // an agent began a run of a try
+	RunEnded         = "run end" // Word is how it ended
+	CallStarted      = "call"    // a call came to a store; N are in hand there
+	CallEnded        = "call end"
+	ProcessChanged   = "process" // Word is started, killed, stopped, continued, told to end, ended
+	FaultChanged     = "fault"   // Word says which, N is 1 at its beginning and 0 at its end
+	ViewChanged      = "view"    // Server says that Member is Word
+	RequestCompleted = "request" // a request of a caller is over: Word is how, N its tries
 )
 
 // Event is one thing that happened. At is on the laboratory's clock.
 type Event struct {
-	At     time.Duration `json:"at"`
-	Kind   string        `json:"kind"`
-	Server string        `json:"server,omitempty"`
-	Member string        `json:"member,omitempty"`
-	Try    string        `json:"try,omitempty"`
-	Once   string        `json:"once,omitempty"`
-	Class  string        `json:"class,omitempty"`
-	Caller int           `json:"caller,omitempty"`
-	Word   string        `json:"word,omitempty"`
-	N      int           `json:"n,omitempty"`
-	Due    time.Duration `json:"due,omitempty"`   // on the same clock
-	Took   time.Duration `json:"took,omitempty"`  // of a request
-	Worth  float64       `json:"worth,omitempty"` // of a request, and what of it was got
-	Got    float64       `json:"got,omitempty"`
-	Work   time.Duration `json:"work,omitempty"` // of a request, on one core
+	At             time.Duration `json:"at"`
+	Kind           string        `json:"kind"`
+	Server         string        `json:"server,omitempty"`
+	Member         string        `json:"member,omitempty"`
+	AttemptID      string        `json:"try,omitempty"`
+	IdempotencyKey string        `json:"once,omitempty"`
+	Class          string        `json:"class,omitempty"`
+	Client         int           `json:"caller,omitempty"`
+	Detail         string        `json:"word,omitempty"`
+	Count          int           `json:"n,omitempty"`
+	Deadline       time.Duration `json:"due,omitempty"`   // on the same clock
+	Latency        time.Duration `json:"took,omitempty"`  // of a request
+	Value          float64       `json:"worth,omitempty"` // of a request, and what of it was got
+	ValueServed    float64       `json:"got,omitempty"`
+	Work           time.Duration `json:"work,omitempty"` // of a request, on one core
 }
 
 // Log collects events. Its methods may be called from any goroutine.
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -11,21 +11,21 @@
 	recoverBefore = 6 * time.Second // of the time before the trouble that counts
 )
 
-// Recovered is how long after the end of a trouble, which began at from and ended at to, service was back at 95% of what
+// RecoveryTime is how long after the end of a trouble, which began at from and ended at to, service was back at 95% of what
 // it was before, and stayed there; ok is false where it did not come back by the end of the history.
-func Recovered(events []Event, from, to time.Duration) (after time.Duration, ok bool) {
+func RecoveryTime(events []Event, from, to time.Duration) (after time.Duration, ok bool) {
 	var worth, got []float64 // by the step in which a request arrived
 	for i := range events {
 		e := &events[i]
-		if e.Kind != Request {
+		if e.Kind != RequestCompleted {
 			continue
 		}
-		k := int(max(e.At-e.Took, 0) / recoverStep)
+		k := int(max(e.At-e.Latency, 0) / recoverStep)
 		for len(worth) <= k {
 			worth, got = append(worth, 0), append(got, 0)
 		}
-		worth[k] += e.Worth
-		got[k] += e.Got
+		worth[k] += e.Value
+		got[k] += e.ValueServed
 	}
 	share := func(from, to time.Duration) float64 {
 		var w, g float64
@@ -51,15 +51,15 @@
 	return 0, false
 }
 
-// Trouble is when the first fault of a history began and ended; ok is false where none did both.
-func Trouble(events []Event) (from, to time.Duration, ok bool) {
+// FirstFault is when the first fault of a history began and ended; ok is false where none did both.
+func FirstFault(events []Event) (from, to time.Duration, ok bool) {
 	first := ""
 	for i := range events {
 		switch e := &events[i]; {
-		case e.Kind != Fault:
-		case e.N == 1 && first == "":
-			first, from = e.Word, e.At
-		case e.N == 0 && e.Word == first:
+		case e.Kind != FaultChanged:
+		case e.Count == 1 && first == "":
+			first, from = e.Detail, e.At
+		case e.Count == 0 && e.Detail == first:
 			return from, e.At, true
 		}
 	}
--- a/lab/history/report.go
+++ b/lab/history/report.go
@@ -17,43 +17,43 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sum is what became of the requests of a class.
-type Sum struct {
-	Requests, Served, Late, Refused, Failed, Tries int
-	Whole                                          int     // served with all that belongs to it
-	Worth, Got                                     float64 // asked for, and served in time
-	Took                                           *hdrhistogram.Histogram
+// RequestSummary is what became of the requests of a class.
+type RequestSummary struct {
+	Requests, Served, Late, Rejected, Failed, Attempts int
+	ServedInFull                                       int     // served with all that belongs to it
+	Value, ValueServed                                 float64 // asked for, and served in time
+	Latency                                            *hdrhistogram.Histogram
 }
 
-// Sums adds up requests by class; "" holds all of them.
-func Sums(events []Event) map[string]*Sum {
-	sums := map[string]*Sum{}
+// SummarizeRequests adds up requests by class; "" holds all of them.
+func SummarizeRequests(events []Event) map[string]*RequestSummary {
+	sums := map[string]*RequestSummary{}
 	for i := range events {
 		e := &events[i]
-		if e.Kind != Request {
+		if e.Kind != RequestCompleted {
 			continue
 		}
 		for _, class := range []string{"", e.Class} {
 			s := sums[class]
 			if s == nil {
-				s = &Sum{Took: hdrhistogram.New(1, int64(time.Minute/time.Millisecond), 3)}
+				s = &RequestSummary{Latency: hdrhistogram.New(1, int64(time.Minute/time.Millisecond), 3)}
 				sums[class] = s
 			}
 			s.Requests++
-			s.Tries += e.N
-			s.Worth += e.Worth
-			switch e.Word {
+			s.Attempts += e.Count
+			s.Value += e.Value
+			switch e.Detail {
 			case "served":
 				s.Served++
-				s.Got += e.Got
-				if e.Got == e.Worth {
-					s.Whole++
+				s.ValueServed += e.ValueServed
+				if e.ValueServed == e.Value {
+					s.ServedInFull++
 				}
-				_ = s.Took.RecordValue(max(e.Took.Milliseconds(), 1)) // longer than a minute: the caller has gone
+				_ = s.Latency.RecordValue(max(e.Latency.Milliseconds(), 1)) // longer than a minute: the caller has gone
 			case "late":
 				s.Late++
 			case "refused":
-				s.Refused++
+				s.Rejected++
 			default:
 				s.Failed++
 			}
@@ -62,21 +62,21 @@
 	return sums
 }
 
-// Store is what the stores together saw.
-type Store struct {
-	Calls int
-	Most  int     // in hand at one instant
-	Mean  float64 // in hand over the time
-	Over  float64 // share of the time with more in hand than a bound
+// StoreSummary is what the stores together saw.
+type StoreSummary struct {
+	Calls          int
+	MaxInFlight    int     // in hand at one instant
+	MeanInFlight   float64 // in hand over the time
+	OverBoundRatio float64 // share of the time with more in hand than a bound
 }
 
-// Stores sums up the calls of a history.
-func Stores(events []Event, bound int) (s Store) {
+// SummarizeStores sums up the calls of a history.
+func SummarizeStores(events []Event, bound int) (s StoreSummary) {
 	n, last := 0, time.Duration(0)
 	var held, over, all time.Duration
 	for i := range events {
 		e := &events[i]
-		if e.Kind != Call && e.Kind != CallEnd {
+		if e.Kind != CallStarted && e.Kind != CallEnded {
 			continue
 		}
 		if all > 0 || n > 0 {
@@ -87,53 +87,53 @@
 			all += e.At - last
 		}
 		last = e.At
-		if e.Kind == CallEnd {
+		if e.Kind == CallEnded {
 			n--
 			continue
 		}
 		n++
 		s.Calls++
-		s.Most = max(s.Most, n)
+		s.MaxInFlight = max(s.MaxInFlight, n)
 	}
-	s.Mean, s.Over = float64(held)/float64(max(all, 1)), float64(over)/float64(max(all, 1))
+	s.MeanInFlight, s.OverBoundRatio = float64(held)/float64(max(all, 1)), float64(over)/float64(max(all, 1))
 	return s
 }
 
-// ReadPart is what reading a request costs in the laboratory, of the mean work of one.
-const ReadPart = 0.25
+// ReadCostRatio is what reading a request costs in the laboratory, of the mean work of one.
+const ReadCostRatio = 0.25
 
-// Central is the worth that a policy could serve that sees all requests ahead and all cores as one, with so many
+// OptimalValue is the worth that a policy could serve that sees all requests ahead and all cores as one, with so many
 // seconds of cores: each is read once, and then those are run that earn the most for their work. It knows no end of
 // patience, no calls and no time that runs are in each other's way, so that nothing serves more.
-func Central(events []Event, cores float64) (worth float64) {
+func OptimalValue(events []Event, cores float64) (worth float64) {
 	var all []*Event
 	var work time.Duration
 	for i := range events {
-		if e := &events[i]; e.Kind == Request && e.Work > 0 {
+		if e := &events[i]; e.Kind == RequestCompleted && e.Work > 0 {
 			all = append(all, e)
 			work += e.Work
 		}
 	}
-	cores -= ReadPart * work.Seconds()
-	slices.SortFunc(all, func(a, b *Event) int { return cmp.Compare(b.Worth/b.Work.Seconds(), a.Worth/a.Work.Seconds()) })
+	cores -= ReadCostRatio * work.Seconds()
+	slices.SortFunc(all, func(a, b *Event) int { return cmp.Compare(b.Value/b.Work.Seconds(), a.Value/a.Work.Seconds()) })
 	for _, e := range all {
 		if cores -= e.Work.Seconds(); cores < 0 {
 			break
 		}
-		worth += e.Worth
+		worth += e.Value
 	}
 	return worth
 }
 
-// Even is Jain's index of the share of tries that each server turned away: 1 where all turn away alike, 1/n where one
+// RejectionFairness is Jain's index of the share of tries that each server turned away: 1 where all turn away alike, 1/n where one
 // does so alone.
-func Even(events []Event) float64 {
+func RejectionFairness(events []Event) float64 {
 	asked, off := map[string]float64{}, map[string]float64{}
 	for i := range events {
 		switch e := &events[i]; {
-		case e.Kind == Ask:
+		case e.Kind == AttemptSent:
 			asked[e.Server]++
-		case e.Kind == Answer && e.Word == "refused":
+		case e.Kind == AttemptAnswered && e.Detail == "refused":
 			off[e.Server]++
 		}
 	}
@@ -148,27 +148,27 @@
 	return sum * sum / (float64(len(asked)) * squares)
 }
 
-// AtFault is how many calls a second stores took, and how many they had in hand at most, while a fault was in force for
+// StoreLoadDuringFault is how many calls a second stores took, and how many they had in hand at most, while a fault was in force for
 // longer than settled. Calls that go to stores which have no fault count as well: have the fault befall all of them.
-func AtFault(events []Event, kind string, settled time.Duration) (rate float64, most int) {
+func StoreLoadDuringFault(events []Event, kind string, settled time.Duration) (rate float64, most int) {
 	var from, to, last time.Duration
 	n, calls := 0, 0
 	for i := range events {
 		e := &events[i]
 		last = e.At
 		switch {
-		case e.Kind == Fault && strings.HasPrefix(e.Word, kind+" ") && e.N == 1 && from == 0:
+		case e.Kind == FaultChanged && strings.HasPrefix(e.Detail, kind+" ") && e.Count == 1 && from == 0:
 			from = e.At + settled
-		case e.Kind == Fault && strings.HasPrefix(e.Word, kind+" ") && e.N == 0 && to == 0:
+		case e.Kind == FaultChanged && strings.HasPrefix(e.Detail, kind+" ") && e.Count == 0 && to == 0:
 			to = e.At
-		case e.Kind == Call:
+		case e.Kind == CallStarted:
 			n++
-		case e.Kind == CallEnd:
+		case e.Kind == CallEnded:
 			n--
 		}
 		if from > 0 && e.At >= from && to == 0 {
 			most = max(most, n)
-			if e.Kind == Call {
+			if e.Kind == CallStarted {
 				calls++
 			}
 		}
@@ -182,9 +182,9 @@
 	return float64(calls) / (to - from).Seconds(), most
 }
 
-// Print prints the sums as a table.
-func Print(w io.Writer, events []Event) error {
-	sums := Sums(events)
+// PrintSummary prints the sums as a table.
+func PrintSummary(w io.Writer, events []Event) error {
+	sums := SummarizeRequests(events)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\trequests\tserved\tlate\trefused\tfailed\ttries each\tworth served\tmedian ms\t99% ms\t")
 	for _, class := range slices.Sorted(maps.Keys(sums)) {
@@ -193,8 +193,8 @@
 		if name == "" {
 			name = "all"
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.3f\t%d\t%d\t\n", name, s.Requests, s.Served, s.Late, s.Refused, s.Failed,
-			float64(s.Tries)/float64(s.Requests), s.Got/max(s.Worth, 1e-9), s.Took.ValueAtQuantile(50), s.Took.ValueAtQuantile(99))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.3f\t%d\t%d\t\n", name, s.Requests, s.Served, s.Late, s.Rejected, s.Failed,
+			float64(s.Attempts)/float64(s.Requests), s.ValueServed/max(s.Value, 1e-9), s.Latency.ValueAtQuantile(50), s.Latency.ValueAtQuantile(99))
 	}
 	return t.Flush()
 }
@@ -214,15 +214,15 @@
 		at := int(e.At / time.Second)
 		last = max(last, at)
 		switch e.Kind {
-		case Request:
-			if count[e.Word] == nil {
-				count[e.Word] = map[int]int{}
+		case RequestCompleted:
+			if count[e.Detail] == nil {
+				count[e.Detail] = map[int]int{}
 			}
-			count[e.Word][at]++
-		case Fault:
-			if b := faults[e.Word]; b == nil {
-				faults[e.Word] = &bar{from: e.At.Seconds(), to: -1}
-			} else if e.N == 0 {
+			count[e.Detail][at]++
+		case FaultChanged:
+			if b := faults[e.Detail]; b == nil {
+				faults[e.Detail] = &bar{from: e.At.Seconds(), to: -1}
+			} else if e.Count == 0 {
 				b.to = e.At.Seconds()
 			}
 		}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -22,21 +22,21 @@
 
 // Plan is a closed loop: each caller has one connection and one request open on it, Requests in all.
 type Plan struct {
-	Addr     string
-	Callers  int
-	Requests int
-	Classes  []string      // taken in turn
-	Keyed    []string      // those of them whose requests must run once
-	Body     int           // bytes
-	Wait     time.Duration // that each request may take
-	Cost     time.Duration // the hint
+	Addr         string
+	Clients      int
+	Requests     int
+	Classes      []string      // taken in turn
+	KeyedClasses []string      // those of them whose requests must run once
+	BodyBytes    int           // bytes
+	Timeout      time.Duration // that each request may take
+	CostHint     time.Duration // the hint
 }
 
 // Report counts answers.
-type Report struct{ Served, Refused, Failed int64 }
+type Report struct{ Served, Rejected, Failed int64 }
 
 // Total is how many answers came.
-func (r Report) Total() int64 { return r.Served + r.Refused + r.Failed }
+func (r Report) Total() int64 { return r.Served + r.Rejected + r.Failed }
 
 type counts struct{ served, refused, failed atomic.Int64 }
 
@@ -51,7 +51,7 @@
 	var left atomic.Int64
 	left.Store(int64(p.Requests))
 	g, ctx := errgroup.WithContext(ctx)
-	for caller := range p.Callers {
+	for caller := range p.Clients {
 		g.Go(func() error { return p.call(ctx, caller, &left, &n) })
 	}
 	err := g.Wait()
@@ -68,7 +68,7 @@
 	out := bufio.NewWriter(nc)
 	enc, dec := msgpack.NewEncoder(out), msgpack.NewDecoder(bufio.NewReader(nc))
 	for call := uint32(1); left.Add(-1) >= 0; call++ {
-		if err := nc.SetDeadline(time.Now().Add(p.Wait + patience)); err != nil {
+		if err := nc.SetDeadline(time.Now().Add(p.Timeout + patience)); err != nil {
 			return err
 		}
 		if err := p.ask(enc, caller, call); err != nil {
@@ -89,14 +89,14 @@
 	id := ids.Add(1)
 	fields := map[string]string{"id": fmt.Sprintf("%016x", id), "from": strconv.Itoa(caller), "kb": "4.0", "rank": "0.5",
 		"at":   strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"wait": strconv.FormatInt(p.Wait.Milliseconds(), 10),
-		"cost": strconv.FormatFloat(float64(p.Cost)/float64(time.Millisecond), 'f', 2, 64)}
-	if slices.Contains(p.Keyed, class) {
+		"wait": strconv.FormatInt(p.Timeout.Milliseconds(), 10),
+		"cost": strconv.FormatFloat(float64(p.CostHint)/float64(time.Millisecond), 'f', 2, 64)}
+	if slices.Contains(p.KeyedClasses, class) {
 		fields["once"] = fmt.Sprintf("%032x", id)
 	} else {
 		fields["key"] = fmt.Sprintf("%016x", id%1000)
 	}
-	return enc.Encode([]any{0, call, class, []any{fields, make([]byte, p.Body)}})
+	return enc.Encode([]any{0, call, class, []any{fields, make([]byte, p.BodyBytes)}})
 }
 
 var errAnswer = errors.New("not the answer to the call")
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -52,14 +52,14 @@
 	agent, store := listen(), listen()
 	announce, err := net.ListenPacket("udp", "127.0.0.1:0")
 	check(err)
-	go (&fakes.Agent{State: "steady", Age: time.Hour, Load: [4]float64{0.02, 0, 0.1, 10}, Plan: func(l fakes.Launch) fakes.Plan {
+	go (&fakes.Agent{State: "steady", Age: time.Hour, Load: [4]float64{0.02, 0, 0.1, 10}, PlanRun: func(l fakes.Launch) fakes.RunPlan {
 		if l.Class == "preview" {
-			return fakes.Plan{Call: make([]byte, 96)}
+			return fakes.RunPlan{Call: make([]byte, 96)}
 		}
-		return fakes.Plan{}
+		return fakes.RunPlan{}
 	}}).Serve(agent)
 	go (&fakes.Store{}).Serve(store)
-	go (&fakes.Announce{}).Serve(announce)
+	go (&fakes.AnnounceService{}).Serve(announce)
 	out := json.NewEncoder(os.Stdout)
 	check(out.Encode(addresses{agent.Addr().String(), store.Addr().String(), announce.LocalAddr().String()}))
 	for in := json.NewDecoder(os.Stdin); ; {
@@ -124,7 +124,7 @@
 
 // play has the other process carry out a plan.
 func (w *world) play(b testing.TB, p Plan) Report {
-	p.Addr, p.Wait, p.Cost = w.addr, 10*time.Minute, time.Millisecond
+	p.Addr, p.Timeout, p.CostHint = w.addr, 10*time.Minute, time.Millisecond
 	require.NoError(b, w.in.Encode(p))
 	var r Report
 	require.NoError(b, w.out.Decode(&r))
@@ -134,8 +134,8 @@
 // Whatever is asked for through the stand-ins is served, by a codec that is not the server's.
 func TestServedThroughStandIns(t *testing.T) {
 	w := newWorld(t)
-	r := w.play(t, Plan{Callers: 8, Requests: 300, Classes: []string{"preview", "hires-crop", "licence-order"},
-		Keyed: []string{"licence-order"}, Body: 2048})
+	r := w.play(t, Plan{Clients: 8, Requests: 300, Classes: []string{"preview", "hires-crop", "licence-order"},
+		KeyedClasses: []string{"licence-order"}, BodyBytes: 2048})
 	require.Equal(t, Report{Served: 300}, r)
 }
 
@@ -164,10 +164,10 @@
 		for _, callers := range []int{1, 8, 64} {
 			b.Run(fmt.Sprintf("%s/callers=%d", class, callers), func(b *testing.B) {
 				w := newWorld(b)
-				w.play(b, Plan{Callers: callers, Requests: 10 * callers, Classes: []string{class}, Body: 1024})
+				w.play(b, Plan{Clients: callers, Requests: 10 * callers, Classes: []string{class}, BodyBytes: 1024})
 				b.ResetTimer()
 				before := used(b)
-				r := w.play(b, Plan{Callers: callers, Requests: b.N, Classes: []string{class}, Body: 1024})
+				r := w.play(b, Plan{Clients: callers, Requests: b.N, Classes: []string{class}, BodyBytes: 1024})
 				report(b, before)
 				b.ReportMetric(float64(r.Served)/float64(r.Total()), "served/op")
 			})
--- a/lab/memnet/memnet.go
+++ b/lab/memnet/memnet.go
@@ -25,13 +25,13 @@
 
 // Fault is what happens to what one host sends to another.
 type Fault struct {
-	Cut           bool
-	Loss, Double  float64       // share of the packets that are lost, and that come twice
-	Delay, Jitter time.Duration // of packets; those with different jitter overtake one another
+	Partition                 bool
+	LossRatio, DuplicateRatio float64       // share of the packets that are lost, and that come twice
+	Delay, Jitter             time.Duration // of packets; those with different jitter overtake one another
 }
 
-// Net is a network. Its methods may be called from any goroutine.
-type Net struct {
+// Network is a network. Its methods may be called from any goroutine.
+type Network struct {
 	mu    sync.Mutex
 	rand  *rand.Rand
 	hosts map[string]*Host
@@ -41,12 +41,12 @@
 }
 
 // New returns a network whose losses and delays are drawn from seed. Without a rule nothing goes wrong.
-func New(seed uint64) *Net {
-	return &Net{rand: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*Host{}, rule: func(string, string) Fault { return Fault{} }}
+func New(seed uint64) *Network {
+	return &Network{rand: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*Host{}, rule: func(string, string) Fault { return Fault{} }}
 }
 
-// Rule puts other faults in force. Hosts are named by their addresses.
-func (n *Net) Rule(rule func(from, to string) Fault) {
+// SetRule puts other faults in force. Hosts are named by their addresses.
+func (n *Network) SetRule(rule func(from, to string) Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rule = rule
@@ -54,7 +54,7 @@
 
 // Host is one end of the network: a transport of memberlist.
 type Host struct {
-	net     *Net
+	net     *Network
 	addr    string
 	packets chan *memberlist.Packet
 	streams chan net.Conn
@@ -63,7 +63,7 @@
 }
 
 // Host returns a new host at an address, IP and port; one that was there before is down.
-func (n *Net) Host(addr string) *Host {
+func (n *Network) Host(addr string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := &Host{net: n, addr: addr, packets: make(chan *memberlist.Packet, packetsHeld), streams: make(chan net.Conn, streamsHeld),
@@ -103,11 +103,11 @@
 	n.Packets++
 	n.Bytes += int64(len(b))
 	f := n.rule(h.addr, addr)
-	if f.Cut || n.rand.Float64() < f.Loss {
+	if f.Partition || n.rand.Float64() < f.LossRatio {
 		return now, nil
 	}
 	copies := 1
-	if n.rand.Float64() < f.Double {
+	if n.rand.Float64() < f.DuplicateRatio {
 		copies = 2
 	}
 	for range copies {
@@ -121,7 +121,7 @@
 	return now, nil
 }
 
-func (n *Net) deliver(addr string, p *memberlist.Packet) {
+func (n *Network) deliver(addr string, p *memberlist.Packet) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if to := n.hosts[addr]; to != nil && !to.down {
@@ -157,7 +157,7 @@
 	n.mu.Lock()
 	there, back, to := n.rule(h.addr, addr), n.rule(addr, h.addr), n.hosts[addr]
 	n.mu.Unlock()
-	if there.Cut || back.Cut || to == nil {
+	if there.Partition || back.Partition || to == nil {
 		time.Sleep(limit)
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
@@ -203,7 +203,7 @@
 	c.own.net.mu.Lock()
 	f := c.own.net.rule(c.own.addr, c.peer.addr)
 	c.own.net.mu.Unlock()
-	if f.Cut {
+	if f.Partition {
 		return len(b), nil // taken by the kernel, and lost on the way
 	}
 	return c.Conn.Write(b)
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -14,54 +14,54 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Way is one way for a fleet to go about overload.
-type Way struct {
+// Strategy is one way for a fleet to go about overload.
+type Strategy struct {
 	Name string
 	Set  func(o *Options)
 }
 
-// Ways are those that are compared.
-var Ways = []Way{
+// Strategies are those that are compared.
+var Strategies = []Strategy{
 	{"off", func(o *Options) {}},
-	{"cutoff, by words", func(o *Options) { o.Cutoff, o.Sums = true, false }},
-	{"cutoff, by sums", func(o *Options) { o.Cutoff, o.Sums = true, true }},
-	{"cutoff and probes", func(o *Options) { o.Cutoff, o.Sums, o.Probes = true, true, true }},
+	{"cutoff, by words", func(o *Options) { o.Shedding, o.Aggregates = true, false }},
+	{"cutoff, by sums", func(o *Options) { o.Shedding, o.Aggregates = true, true }},
+	{"cutoff and probes", func(o *Options) { o.Shedding, o.Aggregates, o.CoordinatedProbes = true, true, true }},
 }
 
 // Result is what came of one day.
 type Result struct {
-	Way                     string
-	Seed                    uint64
-	Worth, OfCentral, Tries float64 // share of the worth served, and of that of a policy that sees all; tries for each request
-	Recovered               time.Duration
-	Back                    bool // service came back to 95% of what it was before
-	Late                    float64
-	AtStore                 float64 // calls a second at stores that are mute
-	StoreMost               int     // in hand at once at mute stores
-	Requests                int
+	Strategy                                     string
+	Seed                                         uint64
+	ValueRatio, OptimalRatio, AttemptsPerRequest float64 // share of the worth served, and of that of a policy that sees all; tries for each request
+	RecoveryTime                                 time.Duration
+	HasRecovered                                 bool // service came back to 95% of what it was before
+	LateRatio                                    float64
+	StoreCallRate                                float64 // calls a second at stores that are mute
+	MaxStoreCalls                                int     // in hand at once at mute stores
+	Requests                                     int
 }
 
-// Judge sums up a day whose trouble is the first fault of its options.
-func Judge(o Options, events []history.Event) Result {
+// Evaluate sums up a day whose trouble is the first fault of its options.
+func Evaluate(o Options, events []history.Event) Result {
 	r := Result{Seed: o.Seed}
-	s := history.Sums(events)[""]
+	s := history.SummarizeRequests(events)[""]
 	if s == nil {
 		return r
 	}
-	r.Requests, r.Worth, r.Tries = s.Requests, s.Got/s.Worth, float64(s.Tries)/float64(s.Requests)
-	r.Late = float64(s.Late) / float64(s.Requests)
-	r.OfCentral = s.Got / max(history.Central(events, CoresOf(o)*o.For.Seconds()), 1e-9)
+	r.Requests, r.ValueRatio, r.AttemptsPerRequest = s.Requests, s.ValueServed/s.Value, float64(s.Attempts)/float64(s.Requests)
+	r.LateRatio = float64(s.Late) / float64(s.Requests)
+	r.OptimalRatio = s.ValueServed / max(history.OptimalValue(events, TotalCores(o)*o.Duration.Seconds()), 1e-9)
 	if len(o.Faults) > 0 {
 		f := o.Faults[0]
-		r.Recovered, r.Back = history.Recovered(events, f.At, f.At+f.For)
-		r.AtStore, r.StoreMost = history.AtFault(events, f.Kind, 4*time.Second)
+		r.RecoveryTime, r.HasRecovered = history.RecoveryTime(events, f.Start, f.Start+f.Duration)
+		r.StoreCallRate, r.MaxStoreCalls = history.StoreLoadDuringFault(events, f.Kind, 4*time.Second)
 	}
 	return r
 }
 
 // Compare plays a day with so many seeds in each of some ways, on all cores, and prints a line for each way: the mean of
 // the seeds, with the least and the most of the worth that is gained over the first way, seed by seed.
-func Compare(out io.Writer, o Options, seeds int, ways []Way) ([]Result, error) {
+func Compare(out io.Writer, o Options, seeds int, ways []Strategy) ([]Result, error) {
 	results := make([]Result, len(ways)*seeds)
 	var g errgroup.Group
 	g.SetLimit(runtime.GOMAXPROCS(0))
@@ -71,8 +71,8 @@
 				p := o
 				p.Seed = o.Seed + uint64(k)
 				w.Set(&p)
-				r := Judge(p, Play(p))
-				r.Way = w.Name
+				r := Evaluate(p, Run(p))
+				r.Strategy = w.Name
 				results[i*seeds+k] = r
 				return nil
 			})
@@ -90,11 +90,11 @@
 		var back []time.Duration
 		never, most := 0, 0
 		for k, r := range all {
-			worth, central, tries, late, rate = worth+r.Worth, central+r.OfCentral, tries+r.Tries, late+r.Late, rate+r.AtStore
-			gains = append(gains, r.Worth-results[k].Worth)
-			most = max(most, r.StoreMost)
-			if r.Back {
-				back = append(back, r.Recovered)
+			worth, central, tries, late, rate = worth+r.ValueRatio, central+r.OptimalRatio, tries+r.AttemptsPerRequest, late+r.LateRatio, rate+r.StoreCallRate
+			gains = append(gains, r.ValueRatio-results[k].ValueRatio)
+			most = max(most, r.MaxStoreCalls)
+			if r.HasRecovered {
+				back = append(back, r.RecoveryTime)
 			} else {
 				never++
 			}
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -23,41 +23,41 @@
 
 // Options say what is played.
 type Options struct {
-	Servers, Zones, FrontEnds int
-	Seed                      uint64
-	Load                      float64 // of what the cores can do
-	For                       time.Duration
-	Cores                     int // of each server; every other one's are slower
-	Slots                     float64
-	Call                      time.Duration
-	ColdFor                   time.Duration // of a server, and of a store that comes back
-	Fall                      float64       // in hand, of its slots, under which a store falls; cold, it falls under less
-	Heed                      float64       // share of the front ends that heed advice
-	Classes                   []clients.Class
-	Cutoff, Probes            bool
-	Sums                      bool // sums by zone in a large fleet; off: by the words of all, however old
-	Faults                    []Fault
+	Servers, Zones, FrontEnds   int
+	Seed                        uint64
+	LoadRatio                   float64 // of what the cores can do
+	Duration                    time.Duration
+	Cores                       int // of each server; every other one's are slower
+	SlotsPerServer              float64
+	CallTime                    time.Duration
+	WarmupTime                  time.Duration // of a server, and of a store that comes back
+	StoreCrashMultiple          float64       // in hand, of its slots, under which a store falls; cold, it falls under less
+	HonorRetryAfterRatio        float64       // share of the front ends that heed advice
+	Classes                     []clients.Class
+	Shedding, CoordinatedProbes bool
+	Aggregates                  bool // sums by zone in a large fleet; off: by the words of all, however old
+	Faults                      []Fault
 }
 
 // Classes are those of the model: as the laboratory's, with four times the work, so that a server with four cores has some
 // twelve requests a second.
 var Classes = []clients.Class{
-	{Name: "preview", Share: 0.6, Work: 160 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 1, Poor: 0.6},
-	{Name: "hires-crop", Share: 0.3, Work: 360 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 2},
-	{Name: "licence-order", Share: 0.1, Work: 240 * time.Millisecond, Wait: 4 * time.Second, Aim: 1900 * time.Millisecond, Worth: 3, Keyed: true}}
+	{Name: "preview", ArrivalRatio: 0.6, MeanWork: 160 * time.Millisecond, Timeout: 4 * time.Second, LatencyObjective: 1900 * time.Millisecond, Value: 1, DegradedValueRatio: 0.6},
+	{Name: "hires-crop", ArrivalRatio: 0.3, MeanWork: 360 * time.Millisecond, Timeout: 4 * time.Second, LatencyObjective: 1900 * time.Millisecond, Value: 2},
+	{Name: "licence-order", ArrivalRatio: 0.1, MeanWork: 240 * time.Millisecond, Timeout: 4 * time.Second, LatencyObjective: 1900 * time.Millisecond, Value: 3, IdempotentByKey: true}}
 
 // Defaults are those of a small fleet; slots are for each server.
 func Defaults() Options {
-	return Options{Servers: 12, Zones: 3, FrontEnds: 24, Seed: 1, Load: 0.8, For: 40 * time.Second, Cores: 4, Slots: 4,
-		Call: 100 * time.Millisecond, ColdFor: 4 * time.Second, Fall: 5, Heed: 1, Classes: Classes, Sums: true}
+	return Options{Servers: 12, Zones: 3, FrontEnds: 24, Seed: 1, LoadRatio: 0.8, Duration: 40 * time.Second, Cores: 4, SlotsPerServer: 4,
+		CallTime: 100 * time.Millisecond, WarmupTime: 4 * time.Second, StoreCrashMultiple: 5, HonorRetryAfterRatio: 1, Classes: Classes, Aggregates: true}
 }
 
 // Fault is one thing that goes wrong for a while.
 type Fault struct {
-	Kind    string // mute: stores answer nothing, and come back cold; lost: the servers of a zone; slow: stores; burst: of load
-	Zone    int    // -1: all
-	At, For time.Duration
-	Times   float64 // slow, burst
+	Kind            string // mute: stores answer nothing, and come back cold; lost: the servers of a zone; slow: stores; burst: of load
+	Zone            int    // -1: all
+	Start, Duration time.Duration
+	Factor          float64 // slow, burst
 }
 
 // Times of the model, from what real processes and the membership's schedules have shown.
@@ -95,8 +95,8 @@
 	return x
 }
 
-// Sim is one day at play.
-type Sim struct {
+// Simulation is one day at play.
+type Simulation struct {
 	opt     Options
 	now     time.Duration
 	agenda  agenda
@@ -112,9 +112,9 @@
 	mean    time.Duration // work of a request
 }
 
-// Play plays a day and returns its history.
-func Play(o Options) []history.Event {
-	s := &Sim{opt: o, rand: rand.New(rand.NewPCG(o.Seed, 11))}
+// Run plays a day and returns its history.
+func Run(o Options) []history.Event {
+	s := &Simulation{opt: o, rand: rand.New(rand.NewPCG(o.Seed, 11))}
 	s.settings()
 	for z := range o.Zones {
 		s.stores = append(s.stores, newStore(s, z))
@@ -128,16 +128,16 @@
 	}
 	s.look()
 	for i := range o.FrontEnds {
-		f := &frontEnd{sim: s, number: i, heed: s.rand.Float64() < o.Heed, away: map[int]time.Duration{}, rand: rand.New(rand.NewPCG(o.Seed, uint64(i)+100)),
+		f := &frontEnd{sim: s, number: i, heed: s.rand.Float64() < o.HonorRetryAfterRatio, away: map[int]time.Duration{}, rand: rand.New(rand.NewPCG(o.Seed, uint64(i)+100)),
 			order: s.rand.Perm(o.Servers)}
 		s.fronts = append(s.fronts, f)
 		f.next(500 * time.Millisecond)
 	}
 	for _, f := range o.Faults {
-		s.at(f.At, func() { s.fault(f, true) })
-		s.at(f.At+f.For, func() { s.fault(f, false) })
+		s.at(f.Start, func() { s.fault(f, true) })
+		s.at(f.Start+f.Duration, func() { s.fault(f, false) })
 	}
-	for len(s.agenda) > 0 && s.now <= o.For+10*time.Second {
+	for len(s.agenda) > 0 && s.now <= o.Duration+10*time.Second {
 		e := heap.Pop(&s.agenda).(event)
 		s.now = e.at
 		e.do()
@@ -145,12 +145,12 @@
 	return s.events
 }
 
-func (s *Sim) at(at time.Duration, do func()) {
+func (s *Simulation) at(at time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.agenda, event{max(at, s.now), s.seq, do})
 }
 
-func (s *Sim) log(e history.Event) {
+func (s *Simulation) log(e history.Event) {
 	e.At = s.now
 	s.events = append(s.events, e)
 }
@@ -159,11 +159,11 @@
 
 // Capacity is how many requests a second all can read and do.
 func Capacity(o Options) float64 {
-	return CoresOf(o) / ((1 + history.ReadPart) * meanWork(o.Classes).Seconds())
+	return TotalCores(o) / ((1 + history.ReadCostRatio) * meanWork(o.Classes).Seconds())
 }
 
-// CoresOf is the work that all do in a second, in seconds.
-func CoresOf(o Options) (cores float64) {
+// TotalCores is the work that all do in a second, in seconds.
+func TotalCores(o Options) (cores float64) {
 	for i := range o.Servers {
 		cores += float64(o.Cores) * speedOf(i)
 	}
@@ -172,39 +172,39 @@
 
 func meanWork(classes []clients.Class) (work time.Duration) {
 	for _, c := range classes {
-		work += time.Duration(c.Share * float64(c.Work))
+		work += time.Duration(c.ArrivalRatio * float64(c.MeanWork))
 	}
 	return work
 }
 
-func (s *Sim) settings() {
+func (s *Simulation) settings() {
 	o := &s.opt
 	s.mean = meanWork(o.Classes)
 	s.set = admission.Settings{Cores: o.Cores, FleetSize: o.Servers, Clients: o.FrontEnds, MemoryKB: 60000, RunningMemoryFactor: 8, KeyMemoryKB: 4,
-		Dependency: admission.DependencyShared, MaxCallsInFlight: o.Slots, CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
-		SlowStartSpeedRatio: 0.25, SlowStartTime: o.ColdFor, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 3 * time.Second, AnswerGrace: 100 * time.Millisecond,
+		Dependency: admission.DependencyShared, MaxCallsInFlight: o.SlotsPerServer, CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
+		SlowStartSpeedRatio: 0.25, SlowStartTime: o.WarmupTime, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 3 * time.Second, AnswerGrace: 100 * time.Millisecond,
 		DrainGrace: 2500 * time.Millisecond, IdleTimeout: 30 * time.Second, MaxRetryAfter: time.Second, SendsRetryAfter: true, SendsCancellations: true,
 		SendsDeadlines: true, RegistryFollowsHealth: true, Tick: 5 * time.Millisecond, OverQuotaValueRatio: 0.1}
 	for _, c := range o.Classes {
-		k := admission.Class{LatencyObjective: c.Aim, Deadline: c.Wait, PriorityWeight: c.Worth, CallsDependency: c.Name != "hires-crop", IdempotencyWindow: 5 * time.Second}
-		if c.Keyed {
+		k := admission.Class{LatencyObjective: c.LatencyObjective, Deadline: c.Timeout, PriorityWeight: c.Value, CallsDependency: c.Name != "hires-crop", IdempotencyWindow: 5 * time.Second}
+		if c.IdempotentByKey {
 			k.Idempotency, k.IdempotencyWindow = admission.IdempotentByKey, 17457*time.Millisecond
 		}
-		if c.Poor > 0 {
-			k.DegradedValueRatio = c.Poor
+		if c.DegradedValueRatio > 0 {
+			k.DegradedValueRatio = c.DegradedValueRatio
 		}
 		s.set.Classes = append(s.set.Classes, k)
 	}
 }
 
 // fault begins or ends a fault.
-func (s *Sim) fault(f Fault, on bool) {
+func (s *Simulation) fault(f Fault, on bool) {
 	word := f.Kind + " zone " + strconv.Itoa(f.Zone)
 	n := 0
 	if on {
 		n = 1
 	}
-	s.log(history.Event{Kind: history.Fault, Word: word, N: n})
+	s.log(history.Event{Kind: history.FaultChanged, Detail: word, Count: n})
 	for z, st := range s.stores {
 		if f.Zone >= 0 && f.Zone != z {
 			continue
@@ -218,10 +218,10 @@
 		case "slow":
 			times := 1.0
 			if on {
-				times = f.Times
+				times = f.Factor
 			}
 			st.advance()
-			st.slots.Slow(s.now, times)
+			st.slots.SetSlowdown(s.now, times)
 			st.arm()
 		case "lost":
 			for _, v := range s.servers {
@@ -236,18 +236,18 @@
 }
 
 // rate is how many requests a second arrive now.
-func (s *Sim) rate() float64 {
-	r := s.opt.Load * Capacity(s.opt) * min(0.2+0.8*float64(s.now)/float64(rampFor), 1)
+func (s *Simulation) rate() float64 {
+	r := s.opt.LoadRatio * Capacity(s.opt) * min(0.2+0.8*float64(s.now)/float64(rampFor), 1)
 	for _, f := range s.opt.Faults {
-		if f.Kind == "burst" && s.now >= f.At && s.now < f.At+f.For {
-			r *= f.Times
+		if f.Kind == "burst" && s.now >= f.Start && s.now < f.Start+f.Duration {
+			r *= f.Factor
 		}
 	}
 	return r
 }
 
 // look makes the view of all servers: what was told long enough ago to have gone round.
-func (s *Sim) look() {
+func (s *Simulation) look() {
 	n := len(s.servers)
 	late := hop * time.Duration(1+math.Ceil(math.Log(float64(n))/math.Log(hopReach)))
 	snap := &fleet.Snapshot{At: s.now, LastReceived: s.now, Position: fleet.FullyConnected, Members: make([]fleet.Member, 0, n)}
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -21,7 +21,7 @@
 
 // server is one image server with its agent.
 type server struct {
-	sim          *Sim
+	sim          *Simulation
 	number, zone int
 	name         string
 	run          uint64 // of its process; it counts starts
@@ -84,10 +84,10 @@
 	s := v.sim
 	v.run++
 	v.up, v.changed, v.good = true, s.now, true
-	curve := workerpool.Curve{Places: s.opt.Cores, Speed: speedOf(v.number), Knee: 2, Decay: 0.1, Least: 0.4, ColdShare: 0.25}
+	curve := workerpool.Curve{Workers: s.opt.Cores, Speed: speedOf(v.number), Knee: 2, SlowdownPerExcess: 0.1, MinSpeedRatio: 0.4, ColdSpeedRatio: 0.25}
 	set := s.set
 	if set.WarmingUp = cold; cold {
-		curve.ColdFor = s.opt.ColdFor
+		curve.WarmupTime = s.opt.WarmupTime
 	}
 	ctl, err := admission.New(set, s.opt.Seed+uint64(v.number), s.now)
 	if err != nil {
@@ -97,12 +97,12 @@
 	v.unread, v.reads, v.events, v.pending, v.armedAt = nil, 0, nil, false, 0
 	v.cutoff, v.probes, v.collector, v.leak = nil, nil, nil, overload.ProbeUnlimited
 	self := overload.ProcessID{Name: v.name, Run: v.id()}
-	if s.opt.Cutoff {
+	if s.opt.Shedding {
 		v.patience = overload.NewAgeEstimator()
 		v.cutoff, v.repeats, v.collector = &overload.Shedder{}, overload.NewRetryCounter(), overload.NewCollector(self)
 		v.cycle(lookEvery, v.keepCutoff)
 	}
-	if s.opt.Probes {
+	if s.opt.CoordinatedProbes {
 		v.probes = overload.NewProbeCoordinator(v.id(), strconv.Itoa(v.zone))
 		v.cycle(probeEvery, v.keepProbing)
 	}
@@ -170,7 +170,7 @@
 		v.reads++
 		j.pool = "r" + strconv.FormatUint(uint64(j.id), 10)
 		v.pooled[j.pool] = j
-		v.cores.Add(j.pool, time.Duration(history.ReadPart*float64(v.sim.mean)))
+		v.cores.Add(j.pool, time.Duration(history.ReadCostRatio*float64(v.sim.mean)))
 	}
 }
 
@@ -189,7 +189,7 @@
 }
 
 func (v *server) arm() {
-	at, ok := v.cores.Next()
+	at, ok := v.cores.NextCompletion()
 	if !ok || v.armedAt > v.sim.now && v.armedAt <= at {
 		return
 	}
@@ -213,13 +213,13 @@
 		j.say(answer{word: "failed"})
 		return
 	}
-	e := admission.Event{Kind: admission.EventRequest, ID: j.id, Class: j.class, Client: j.r.front, MemoryKB: 24, CostHint: j.r.work, HasSubject: !c.Keyed,
+	e := admission.Event{Kind: admission.EventRequest, ID: j.id, Class: j.class, Client: j.r.front, MemoryKB: 24, CostHint: j.r.work, HasSubject: !c.IdempotentByKey,
 		Rank: j.r.rank, Deadline: j.due, Waited: s.now - j.came}
 	if v.cutoff != nil {
 		j.fp = overload.Fingerprint(c.Name, "", "", j.r.front, j.r.rank, j.r.work.Seconds())
 		e.SinceFirstAttempt = v.patience.Age(s.now, c.Name, j.due-j.came)
 		again := v.repeats.Arrived(s.now, j.fp) || e.SinceFirstAttempt > 0
-		e.FleetRank = [...]admission.FleetRank{admission.RankUnknown, admission.RankElsewhere, admission.RankFull, admission.RankBelowThreshold}[v.cutoff.Classify(c.Worth, j.r.work.Seconds(), j.r.rank, again)]
+		e.FleetRank = [...]admission.FleetRank{admission.RankUnknown, admission.RankElsewhere, admission.RankFull, admission.RankBelowThreshold}[v.cutoff.Classify(c.Value, j.r.work.Seconds(), j.r.rank, again)]
 		e.RetryJitter = v.cutoff.RetryJitter(j.fp)
 	}
 	v.happened(e)
@@ -262,7 +262,7 @@
 		s.at(a.At, func() {
 			if v.up && v.run == run {
 				v.advance()
-				v.happened(admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: v.cores.Busy(), CPUDemand: float64(v.cores.InHand()), MemoryUtilization: 0.1, Connections: 10}})
+				v.happened(admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: v.cores.Utilization(), CPUDemand: float64(v.cores.InFlight()), MemoryUtilization: 0.1, Connections: 10}})
 				v.arm()
 			}
 		})
@@ -365,7 +365,7 @@
 }
 
 func (v *server) load(l *fleet.Load) {
-	l.Capacity, l.Busy, l.InFlight, l.CallQuota = float64(v.sim.opt.Cores), v.cores.Busy(), len(v.jobs), v.sim.set.MaxCallsInFlight
+	l.Capacity, l.Busy, l.InFlight, l.CallQuota = float64(v.sim.opt.Cores), v.cores.Utilization(), len(v.jobs), v.sim.set.MaxCallsInFlight
 	if v.cutoff != nil {
 		offers := v.cutoff.Demand()
 		l.ServiceRate, l.Demand, l.Attempts, l.RetryRatio, l.Threshold = v.ctl.ServiceRate(), string(offers.Append(nil)), v.repeats.AttemptRate(), v.repeats.RetryRatio(), v.cutoff.Threshold().Priority
@@ -396,7 +396,7 @@
 func (v *server) keepCutoff() {
 	s := v.sim
 	v.advance()
-	own := overload.LocalLoad{ServiceRate: v.ctl.ServiceRate(), Cores: float64(s.opt.Cores), Busy: v.cores.Busy(), Attempts: v.repeats.AttemptRate(), Retries: v.repeats.RetryRatio()}
+	own := overload.LocalLoad{ServiceRate: v.ctl.ServiceRate(), Cores: float64(s.opt.Cores), Busy: v.cores.Utilization(), Attempts: v.repeats.AttemptRate(), Retries: v.repeats.RetryRatio()}
 	v.view(func(view *fleet.Snapshot) {
 		v.cutoff.Tick(s.now, own, view, s.now)
 		for _, rep := range v.repeats.Tick(s.now, view) {
@@ -407,7 +407,7 @@
 				}
 			})
 		}
-		if !s.opt.Sums {
+		if !s.opt.Aggregates {
 			return
 		}
 		var l fleet.Load
@@ -460,7 +460,7 @@
 
 // frontEnd sends requests to servers in turn, and tries again for as long as somebody waits.
 type frontEnd struct {
-	sim    *Sim
+	sim    *Simulation
 	number int
 	heed   bool
 	rand   *rand.Rand
@@ -471,16 +471,16 @@
 
 func (f *frontEnd) next(from time.Duration) {
 	s := f.sim
-	if at := from + time.Duration(f.rand.ExpFloat64()*float64(s.opt.FrontEnds)/s.rate()*float64(time.Second)); at < s.opt.For {
+	if at := from + time.Duration(f.rand.ExpFloat64()*float64(s.opt.FrontEnds)/s.rate()*float64(time.Second)); at < s.opt.Duration {
 		s.at(at, func() {
 			f.next(at)
 			x, k := f.rand.Float64(), 0
-			for k < len(s.opt.Classes)-1 && x >= s.opt.Classes[k].Share {
-				x -= s.opt.Classes[k].Share
+			for k < len(s.opt.Classes)-1 && x >= s.opt.Classes[k].ArrivalRatio {
+				x -= s.opt.Classes[k].ArrivalRatio
 				k++
 			}
 			c := &s.opt.Classes[k]
-			r := &request{class: c, kind: k, work: time.Duration(float64(c.Work) * (0.5 + f.rand.ExpFloat64()/2)), rank: f.rand.Float64(), at: s.now, front: f.number}
+			r := &request{class: c, kind: k, work: time.Duration(float64(c.MeanWork) * (0.5 + f.rand.ExpFloat64()/2)), rank: f.rand.Float64(), at: s.now, front: f.number}
 			f.try(r)
 		})
 	}
@@ -496,7 +496,7 @@
 
 func (f *frontEnd) try(r *request) {
 	s := f.sim
-	due := r.at + r.class.Wait
+	due := r.at + r.class.Timeout
 	var to *server
 	for range s.servers {
 		v := s.servers[f.order[f.turn%len(s.servers)]]
@@ -539,15 +539,15 @@
 				}
 				done = true
 				switch {
-				case a.word == "served" && s.now-r.at <= r.class.Aim:
-					got := r.class.Worth
+				case a.word == "served" && s.now-r.at <= r.class.LatencyObjective:
+					got := r.class.Value
 					if a.poorer {
-						got *= r.class.Poor
+						got *= r.class.DegradedValueRatio
 					}
 					f.end(r, "served", got)
 				case a.word == "served":
 					f.end(r, "late", 0)
-				case a.last && f.heed || r.class.Keyed && a.word != "refused" || s.now >= due:
+				case a.last && f.heed || r.class.IdempotentByKey && a.word != "refused" || s.now >= due:
 					f.end(r, a.word, 0)
 				default:
 					if a.after > 0 && f.heed {
@@ -561,6 +561,6 @@
 }
 
 func (f *frontEnd) end(r *request, word string, got float64) {
-	f.sim.log(history.Event{Kind: history.Request, Class: r.class.Name, Word: word, N: r.tries, Took: f.sim.now - r.at, Worth: r.class.Worth, Got: got,
-		Work: r.work, Caller: f.number})
+	f.sim.log(history.Event{Kind: history.RequestCompleted, Class: r.class.Name, Detail: word, Count: r.tries, Latency: f.sim.now - r.at, Value: r.class.Value, ValueServed: got,
+		Work: r.work, Client: f.number})
 }
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -18,11 +18,11 @@
 
 // store is the store of one zone.
 type store struct {
-	sim     *Sim
+	sim     *Simulation
 	zone    int
 	slots   *workerpool.Pool
 	places  int
-	fall    workerpool.Fall
+	fall    workerpool.CrashModel
 	born    time.Duration // when it came up last, cold
 	mute    bool
 	hand    map[string]*call
@@ -41,15 +41,15 @@
 	dropped bool
 }
 
-func newStore(s *Sim, zone int) *store {
+func newStore(s *Simulation, zone int) *store {
 	each := (s.opt.Servers + s.opt.Zones - 1 - zone) / s.opt.Zones
-	places := max(int(s.opt.Slots*float64(each)), 1)
-	return &store{sim: s, zone: zone, places: places, hand: map[string]*call{}, born: -s.opt.ColdFor, fall: workerpool.Fall{After: fallAfter, Down: fallDown},
-		slots: workerpool.NewPool(workerpool.Curve{Places: places, Speed: 1, Knee: 1, Decay: 0.2, Least: 0.3, ColdShare: coldShare, ColdFor: s.opt.ColdFor}, -s.opt.ColdFor)}
+	places := max(int(s.opt.SlotsPerServer*float64(each)), 1)
+	return &store{sim: s, zone: zone, places: places, hand: map[string]*call{}, born: -s.opt.WarmupTime, fall: workerpool.CrashModel{Tolerance: fallAfter, Downtime: fallDown},
+		slots: workerpool.NewPool(workerpool.Curve{Workers: places, Speed: 1, Knee: 1, SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3, ColdSpeedRatio: coldShare, WarmupTime: s.opt.WarmupTime}, -s.opt.WarmupTime)}
 }
 
 func (st *store) note(kind string) {
-	st.sim.log(history.Event{Kind: kind, Server: strconv.Itoa(st.zone), N: st.slots.InHand() + st.hung})
+	st.sim.log(history.Event{Kind: kind, Server: strconv.Itoa(st.zone), Count: st.slots.InFlight() + st.hung})
 }
 
 // begin takes a call, for limit at most.
@@ -60,10 +60,10 @@
 	s.at(s.now+limit, func() { c.end(admission.OutcomeTimedOut) })
 	if st.mute {
 		st.hung++
-		st.note(history.Call)
+		st.note(history.CallStarted)
 		s.at(s.now+limit, func() { // it stays until its time is up
 			st.hung--
-			st.note(history.CallEnd)
+			st.note(history.CallEnded)
 		})
 		return c
 	}
@@ -73,21 +73,21 @@
 	}
 	st.advance()
 	st.hand[c.id] = c
-	st.slots.Add(c.id, s.opt.Call)
-	st.note(history.Call)
-	warm := min(float64(s.now-st.born)/float64(max(s.opt.ColdFor, 1)), 1)
-	st.fall.Most = int(s.opt.Fall * float64(st.places) * (coldShare + (1-coldShare)*warm))
-	if st.fall.See(s.now, st.slots.InHand()) {
+	st.slots.Add(c.id, s.opt.CallTime)
+	st.note(history.CallStarted)
+	warm := min(float64(s.now-st.born)/float64(max(s.opt.WarmupTime, 1)), 1)
+	st.fall.MaxInFlight = int(s.opt.StoreCrashMultiple * float64(st.places) * (coldShare + (1-coldShare)*warm))
+	if st.fall.Observe(s.now, st.slots.InFlight()) {
 		st.restart(s.now + fallDown)
 		for i := range st.last + 1 {
 			if x := st.hand[strconv.Itoa(i)]; x != nil {
-				st.slots.Drop(x.id)
+				st.slots.Cancel(x.id)
 				delete(st.hand, x.id)
-				st.note(history.CallEnd)
+				st.note(history.CallEnded)
 				x.end(admission.OutcomeFailed)
 			}
 		}
-		s.log(history.Event{Kind: history.Fault, Word: "fall of store " + strconv.Itoa(st.zone), N: 1})
+		s.log(history.Event{Kind: history.FaultChanged, Detail: "fall of store " + strconv.Itoa(st.zone), Count: 1})
 	}
 	st.arm()
 	return c
@@ -97,7 +97,7 @@
 	for _, id := range st.slots.Advance(st.sim.now) {
 		c := st.hand[id]
 		delete(st.hand, id)
-		st.note(history.CallEnd)
+		st.note(history.CallEnded)
 		c.end(admission.OutcomeOK)
 	}
 }
@@ -113,7 +113,7 @@
 }
 
 func (st *store) arm() {
-	at, ok := st.slots.Next()
+	at, ok := st.slots.NextCompletion()
 	if !ok || st.armedAt > st.sim.now && st.armedAt <= at {
 		return
 	}
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -8,8 +8,8 @@
 	To   S
 }
 
-// Found is what a visit came to.
-type Found struct {
+// Result is what a visit came to.
+type Result struct {
 	Why    string   // what was broken; empty: nothing
 	Steps  []string // the fewest that lead there
 	States int      // that were visited
@@ -18,7 +18,7 @@
 
 // Visit visits what can be reached from start within so many steps. Next returns what may happen; it must not change
 // its argument. Key tells states apart. Broken says what is wrong with a state, or nothing.
-func Visit[S any](start S, depth int, next func(S) []Step[S], key func(S) string, broken func(S) string) Found {
+func Visit[S any](start S, depth int, next func(S) []Step[S], key func(S) string, broken func(S) string) Result {
 	type node struct {
 		state S
 		from  *node
@@ -36,7 +36,7 @@
 		var below []*node
 		for _, n := range level {
 			if why := broken(n.state); why != "" {
-				return Found{Why: why, Steps: trace(n), States: len(seen)}
+				return Result{Why: why, Steps: trace(n), States: len(seen)}
 			}
 			if d == depth {
 				continue
@@ -49,9 +49,9 @@
 			}
 		}
 		if d == depth {
-			return Found{States: len(seen)}
+			return Result{States: len(seen)}
 		}
 		level = below
 	}
-	return Found{States: len(seen), Whole: true}
+	return Result{States: len(seen), Whole: true}
 }
--- a/lab/schedule/hard_test.go
+++ b/lab/schedule/hard_test.go
@@ -25,14 +25,14 @@
 
 func (c *Cluster) agree(t *testing.T) {
 	t.Helper()
-	_, err := Until(healedWithin, c.Agree)
+	_, err := WaitUntil(healedWithin, c.CheckAgreement)
 	require.NoError(t, err)
 }
 
 // says waits until member i says that of another.
 func (c *Cluster) says(t *testing.T, i int, of string, condition string) {
 	t.Helper()
-	_, err := Until(healedWithin, func() error {
+	_, err := WaitUntil(healedWithin, func() error {
 		m := c.Members[i].Fleet.Snapshot().Find(of)
 		if m == nil || m.Condition() != condition {
 			return fmt.Errorf("%s says of %s: %+v", c.Members[i].Name, of, m)
@@ -48,8 +48,8 @@
 	for i, m := range c.Members {
 		number[m.Addr] = i
 	}
-	c.Net.Rule(func(from, to string) memnet.Fault {
-		return memnet.Fault{Cut: cut(number[from], number[to]), Delay: time.Millisecond}
+	c.Network.SetRule(func(from, to string) memnet.Fault {
+		return memnet.Fault{Partition: cut(number[from], number[to]), Delay: time.Millisecond}
 	})
 }
 
@@ -98,7 +98,7 @@
 			twin := &Member{Name: "n1", Addr: "10.0.9.9:7946", Zone: "zaventem"}
 			c.Members = append(c.Members, twin)
 			c.Start(5, fleet.Serving)
-			_, err := Until(healedWithin, func() error {
+			_, err := WaitUntil(healedWithin, func() error {
 				for _, m := range c.Members[:5] {
 					if x := m.Fleet.Snapshot().Find("n1"); x.Run != first || x.Liveness != fleet.Alive {
 						return fmt.Errorf("%s sees process %x", m.Name, x.Run)
@@ -136,14 +136,14 @@
 		},
 		"40% loss for 10 s: nobody is removed for good": func(t *testing.T) {
 			c := begin(t, 10)
-			c.Net.Rule(func(string, string) memnet.Fault { return memnet.Fault{Loss: 0.4, Delay: time.Millisecond} })
+			c.Network.SetRule(func(string, string) memnet.Fault { return memnet.Fault{LossRatio: 0.4, Delay: time.Millisecond} })
 			time.Sleep(10 * time.Second)
 			c.cut(none)
 			c.agree(t)
 		},
 		"the whole fleet restarted within 1 s: only the new processes are left, also where a clock was set back": func(t *testing.T) {
 			c := begin(t, 9)
-			c.SkewBy = func(i int) time.Duration { return map[bool]time.Duration{true: -time.Hour}[i%3 == 0] }
+			c.ClockSkew = func(i int) time.Duration { return map[bool]time.Duration{true: -time.Hour}[i%3 == 0] }
 			for i, m := range c.Members {
 				m.Kill()
 				c.Start(i, fleet.Serving)
--- a/lab/schedule/heartbeat.go
+++ b/lab/schedule/heartbeat.go
@@ -11,30 +11,30 @@
 // Heartbeats is the plain way to compare with: each member sends each other one a datagram of its state each second,
 // and calls lost whom it has not heard for Missed seconds. On the same network in memory.
 type Heartbeats struct {
-	Every  time.Duration
-	Missed int // beats
-	Bytes  int // of a beat
+	Interval     time.Duration
+	MissedLimit  int // beats
+	PayloadBytes int // of a beat
 }
 
-// Beater is one member of a fleet that knows itself by heartbeats.
-type Beater struct {
-	host   *memnet.Host
-	heard  map[string]time.Time
-	lost   map[string]bool
-	Wrong  int // times it called somebody lost
-	cancel context.CancelFunc
-	ended  chan struct{}
+// HeartbeatMember is one member of a fleet that knows itself by heartbeats.
+type HeartbeatMember struct {
+	host          *memnet.Host
+	heard         map[string]time.Time
+	lost          map[string]bool
+	FalseRemovals int // times it called somebody lost
+	cancel        context.CancelFunc
+	ended         chan struct{}
 }
 
 // Start starts a member among addrs; its own is addrs[i].
-func (h Heartbeats) Start(n *memnet.Net, addrs []string, i int) *Beater {
+func (h Heartbeats) Start(n *memnet.Network, addrs []string, i int) *HeartbeatMember {
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &Beater{host: n.Host(addrs[i]), heard: map[string]time.Time{}, lost: map[string]bool{}, cancel: cancel, ended: make(chan struct{})}
+	b := &HeartbeatMember{host: n.Host(addrs[i]), heard: map[string]time.Time{}, lost: map[string]bool{}, cancel: cancel, ended: make(chan struct{})}
 	go func() {
 		defer close(b.ended)
-		t := time.NewTicker(h.Every)
+		t := time.NewTicker(h.Interval)
 		defer t.Stop()
-		beat := make([]byte, h.Bytes)
+		beat := make([]byte, h.PayloadBytes)
 		for _, a := range addrs {
 			b.heard[a] = time.Now()
 		}
@@ -52,9 +52,9 @@
 						continue
 					}
 					_, _ = b.host.WriteTo(beat, a)
-					if time.Since(b.heard[a]) > time.Duration(h.Missed)*h.Every && !b.lost[a] {
+					if time.Since(b.heard[a]) > time.Duration(h.MissedLimit)*h.Interval && !b.lost[a] {
 						b.lost[a] = true
-						b.Wrong++
+						b.FalseRemovals++
 					}
 				}
 			}
@@ -64,15 +64,15 @@
 }
 
 // Stop ends the member without a word.
-func (b *Beater) Stop() {
+func (b *HeartbeatMember) Stop() {
 	b.host.Kill()
 	b.cancel()
 	<-b.ended
 }
 
-// Bound is the least number of beats that have to be missed for fewer than one false removal an hour in a fleet of n,
+// MinMissedHeartbeats is the least number of beats that have to be missed for fewer than one false removal an hour in a fleet of n,
 // when a share of them is lost: what plain heartbeats pay for loss in time to detect.
-func Bound(n int, loss float64) int {
+func MinMissedHeartbeats(n int, loss float64) int {
 	if loss <= 0 {
 		return 1
 	}
--- a/lab/schedule/measure_test.go
+++ b/lab/schedule/measure_test.go
@@ -61,7 +61,7 @@
 				time.Sleep(time.Second)
 			}
 		}
-		d, err := Until(10*time.Minute, c.Agree)
+		d, err := WaitUntil(10*time.Minute, c.CheckAgreement)
 		require.NoError(t, err)
 		t.Logf("%4d members joined: agreed after %v; %v of processor time each", n, d.Round(time.Second/10), ((cpu() - used) / time.Duration(n)).Round(10*time.Microsecond))
 		time.Sleep(rest)
@@ -85,9 +85,9 @@
 		for i := range n {
 			addrs = append(addrs, fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255))
 		}
-		var all []*Beater
+		var all []*HeartbeatMember
 		for i := range n {
-			all = append(all, Heartbeats{Every: time.Second, Missed: 4, Bytes: 120}.Start(net, addrs, i))
+			all = append(all, Heartbeats{Interval: time.Second, MissedLimit: 4, PayloadBytes: 120}.Start(net, addrs, i))
 		}
 		time.Sleep(2*time.Second + time.Second/2)
 		used := cpu()
@@ -122,10 +122,10 @@
 			for i := range c.Members {
 				c.Start(i, fleet.Serving)
 			}
-			_, err := Until(10*time.Minute, c.Agree)
+			_, err := WaitUntil(10*time.Minute, c.CheckAgreement)
 			require.NoError(t, err)
-			c.Net.Rule(func(string, string) memnet.Fault {
-				return memnet.Fault{Loss: loss, Delay: time.Millisecond, Jitter: time.Millisecond}
+			c.Network.SetRule(func(string, string) memnet.Fault {
+				return memnet.Fault{LossRatio: loss, Delay: time.Millisecond, Jitter: time.Millisecond}
 			})
 			wrong, gone := 0, map[[2]int]bool{}
 			for begun := time.Now(); time.Since(begun) < quiet; time.Sleep(time.Second / 4) {
@@ -147,8 +147,8 @@
 				victim.Kill()
 				begun := time.Now()
 				var one time.Duration
-				d, err := Until(10*time.Minute, func() error {
-					seen, live := 0, c.Live()
+				d, err := WaitUntil(10*time.Minute, func() error {
+					seen, live := 0, c.LiveMembers()
 					for _, m := range live {
 						if x := m.Fleet.Snapshot().Find(victim.Name); x == nil || x.Liveness == fleet.Silent || x.Liveness == fleet.Dead || x.Liveness == fleet.Wedged {
 							seen++
@@ -177,25 +177,25 @@
 func TestMeasureHeartbeats(t *testing.T) {
 	for _, loss := range []float64{0, 0.05, 0.2, 0.4} {
 		eachSize(t, func(t *testing.T, n int) {
-			t.Logf("%4d members, %2.0f%% loss: heartbeats need %d missed beats for fewer than one false removal an hour", n, 100*loss, Bound(n, loss))
+			t.Logf("%4d members, %2.0f%% loss: heartbeats need %d missed beats for fewer than one false removal an hour", n, 100*loss, MinMissedHeartbeats(n, loss))
 		})
 	}
 	eachSize(t, func(t *testing.T, n int) {
 		net := memnet.New(1)
-		net.Rule(func(string, string) memnet.Fault { return memnet.Fault{Loss: 0.2, Delay: time.Millisecond} })
+		net.SetRule(func(string, string) memnet.Fault { return memnet.Fault{LossRatio: 0.2, Delay: time.Millisecond} })
 		var addrs []string
 		for i := range n {
 			addrs = append(addrs, fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255))
 		}
-		var all []*Beater
+		var all []*HeartbeatMember
 		for i := range n {
-			all = append(all, Heartbeats{Every: time.Second, Missed: 4, Bytes: 120}.Start(net, addrs, i))
+			all = append(all, Heartbeats{Interval: time.Second, MissedLimit: 4, PayloadBytes: 120}.Start(net, addrs, i))
 		}
 		time.Sleep(30 * time.Second)
 		wrong := 0
 		for _, b := range all {
 			b.Stop()
-			wrong += b.Wrong
+			wrong += b.FalseRemovals
 		}
 		t.Logf("%4d members, 20%% loss, 4 missed beats: %d false removals in 30 s (%.1f for each member and hour)", n, wrong, float64(wrong)/float64(n)*120)
 		time.Sleep(time.Second)
--- a/lab/schedule/schedule.go
+++ b/lab/schedule/schedule.go
@@ -33,11 +33,11 @@
 
 // Cluster is a fleet in memory. It belongs to one goroutine of a bubble.
 type Cluster struct {
-	Net     *memnet.Net
-	Members []*Member
-	Rand    *rand.Rand
-	Keys    func(i int) [][]byte // nil: none
-	SkewBy  func(i int) time.Duration
+	Network   *memnet.Network
+	Members   []*Member
+	Rand      *rand.Rand
+	Keys      func(i int) [][]byte // nil: none
+	ClockSkew func(i int) time.Duration
 
 	seeds []string
 	probe time.Duration
@@ -50,7 +50,7 @@
 
 // New returns a fleet of n members that do not run yet. The first three are seeds.
 func New(n int, seed uint64) *Cluster {
-	c := &Cluster{Net: memnet.New(seed), Rand: rand.New(rand.NewPCG(seed, 2)), probe: 500 * time.Millisecond, log: logrus.New()}
+	c := &Cluster{Network: memnet.New(seed), Rand: rand.New(rand.NewPCG(seed, 2)), probe: 500 * time.Millisecond, log: logrus.New()}
 	c.log.SetOutput(io.Discard)
 	for i := range n {
 		c.Members = append(c.Members, &Member{Name: fmt.Sprintf("n%d", i), Zone: Zones[i%len(Zones)],
@@ -67,11 +67,11 @@
 	m := c.Members[i]
 	c.runs++
 	born := uint64(time.Now().UnixMilli())
-	if c.SkewBy != nil {
-		born += uint64(c.SkewBy(i).Milliseconds())
+	if c.ClockSkew != nil {
+		born += uint64(c.ClockSkew(i).Milliseconds())
 	}
 	m.Run = born<<20 | c.runs
-	m.host = c.Net.Host(m.Addr)
+	m.host = c.Network.Host(m.Addr)
 	cfg := gossip.Config{Place: fleet.Place{Name: m.Name, Addr: m.Addr, Region: "belgium", Zone: m.Zone, Version: "1", Run: m.Run},
 		Seeds: c.seeds, Digest: 7, Size: len(c.Members), Limits: fleet.Limits{Members: 4096, ForgetAfter: time.Hour}, ProbeInterval: c.probe,
 		Seed: c.Rand.Uint64(), Incarnation: born, Transport: m.host}
@@ -136,8 +136,8 @@
 	time.Sleep(time.Minute)
 }
 
-// Live are the members whose process runs.
-func (c *Cluster) Live() (live []*Member) {
+// LiveMembers are the members whose process runs.
+func (c *Cluster) LiveMembers() (live []*Member) {
 	for _, m := range c.Members {
 		if m.Fleet != nil {
 			live = append(live, m)
@@ -146,9 +146,9 @@
 	return live
 }
 
-// Agree reports whether every live member sees just the live ones as alive, each with its own state, and says why not.
-func (c *Cluster) Agree() error {
-	live := c.Live()
+// CheckAgreement reports whether every live member sees just the live ones as alive, each with its own state, and says why not.
+func (c *Cluster) CheckAgreement() error {
+	live := c.LiveMembers()
 	var first uint64
 	for i, m := range live {
 		s := m.Fleet.Snapshot()
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// Until waits until cond returns nil, and reports how long that took; after limit it reports the last error.
-func Until(limit time.Duration, cond func() error) (time.Duration, error) {
+// WaitUntil waits until cond returns nil, and reports how long that took; after limit it reports the last error.
+func WaitUntil(limit time.Duration, cond func() error) (time.Duration, error) {
 	begun := time.Now()
 	for {
 		err := cond()
@@ -187,20 +187,20 @@
 
 // Fault is one thing that goes wrong for a while.
 type Fault struct {
-	Kind     string // cut, oneway, zone, loss, delay, double, kill, stop, wedge, restart
-	Who, To  int    // members, or zones
-	At, For  time.Duration
-	Strength float64
+	Kind            string // cut, oneway, zone, loss, delay, double, kill, stop, wedge, restart
+	Target, Peer    int    // members, or zones
+	Start, Duration time.Duration
+	Intensity       float64
 }
 
-// Draw draws what goes wrong: one to four faults within 40 s, over one another.
-func (c *Cluster) Draw() (faults []Fault) {
+// DrawFaults draws what goes wrong: one to four faults within 40 s, over one another.
+func (c *Cluster) DrawFaults() (faults []Fault) {
 	kinds := []string{"cut", "oneway", "zone", "loss", "delay", "double", "kill", "stop", "wedge", "restart"}
 	n := len(c.Members)
 	for range 1 + c.Rand.IntN(4) {
-		f := Fault{Kind: kinds[c.Rand.IntN(len(kinds))], Who: c.Rand.IntN(n), To: c.Rand.IntN(n),
-			At: time.Duration(c.Rand.IntN(20_000)) * time.Millisecond, For: time.Duration(500+c.Rand.IntN(20_000)) * time.Millisecond,
-			Strength: c.Rand.Float64()}
+		f := Fault{Kind: kinds[c.Rand.IntN(len(kinds))], Target: c.Rand.IntN(n), Peer: c.Rand.IntN(n),
+			Start: time.Duration(c.Rand.IntN(20_000)) * time.Millisecond, Duration: time.Duration(500+c.Rand.IntN(20_000)) * time.Millisecond,
+			Intensity: c.Rand.Float64()}
 		faults = append(faults, f)
 	}
 	return faults
@@ -212,21 +212,21 @@
 	return z
 }
 
-// Play plays faults, and returns once all of them are over and everybody runs. Watch is called ten times a second.
-func (c *Cluster) Play(faults []Fault, watch func()) {
+// InjectFaults plays faults, and returns once all of them are over and everybody runs. Watch is called ten times a second.
+func (c *Cluster) InjectFaults(faults []Fault, watch func()) {
 	begun := time.Now()
 	done := make([]bool, len(faults))
 	for over := false; !over; {
 		over = true
 		now := time.Since(begun)
 		for i, f := range faults {
-			if done[i] || now < f.At {
+			if done[i] || now < f.Start {
 				over = over && done[i]
 				continue
 			}
-			ended := now >= f.At+f.For
+			ended := now >= f.Start+f.Duration
 			over = over && ended
-			switch m := c.Members[f.Who]; f.Kind {
+			switch m := c.Members[f.Target]; f.Kind {
 			case "kill":
 				if !ended {
 					m.Kill()
@@ -234,21 +234,21 @@
 			case "restart":
 				done[i] = true
 				m.Kill()
-				c.Start(f.Who, fleet.Serving)
+				c.Start(f.Target, fleet.Serving)
 			case "wedge":
 				if done[i] = true; m.Fleet != nil {
 					m.Wedge()
-					time.Sleep(f.For)
+					time.Sleep(f.Duration)
 					m.Kill()
 				}
 			}
 			done[i] = done[i] || ended
 		}
-		c.Net.Rule(func(from, to string) memnet.Fault { return c.rule(faults, time.Since(begun), from, to) })
+		c.Network.SetRule(func(from, to string) memnet.Fault { return c.rule(faults, time.Since(begun), from, to) })
 		watch()
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.Net.Rule(func(string, string) memnet.Fault { return memnet.Fault{Delay: time.Millisecond} })
+	c.Network.SetRule(func(string, string) memnet.Fault { return memnet.Fault{Delay: time.Millisecond} })
 	for i, m := range c.Members {
 		if m.Fleet == nil {
 			c.Start(i, fleet.Serving)
@@ -260,27 +260,27 @@
 func (c *Cluster) rule(faults []Fault, now time.Duration, from, to string) memnet.Fault {
 	r := memnet.Fault{Delay: time.Millisecond, Jitter: time.Millisecond}
 	for _, f := range faults {
-		if now < f.At || now >= f.At+f.For {
+		if now < f.Start || now >= f.Start+f.Duration {
 			continue
 		}
-		who, other := c.Members[f.Who].Addr, c.Members[f.To].Addr
+		who, other := c.Members[f.Target].Addr, c.Members[f.Peer].Addr
 		switch f.Kind {
 		case "cut":
-			r.Cut = r.Cut || from == who && to == other || from == other && to == who
+			r.Partition = r.Partition || from == who && to == other || from == other && to == who
 		case "oneway":
-			r.Cut = r.Cut || from == who && f.Strength < 0.5 || from == who && to == other
+			r.Partition = r.Partition || from == who && f.Intensity < 0.5 || from == who && to == other
 		case "zone":
-			z := f.Who % len(Zones)
-			r.Cut = r.Cut || (c.zoneOf(from) == z) != (c.zoneOf(to) == z) && (f.Strength < 0.7 || c.zoneOf(from) == z)
+			z := f.Target % len(Zones)
+			r.Partition = r.Partition || (c.zoneOf(from) == z) != (c.zoneOf(to) == z) && (f.Intensity < 0.7 || c.zoneOf(from) == z)
 		case "stop":
-			r.Cut = r.Cut || from == who || to == who
+			r.Partition = r.Partition || from == who || to == who
 		case "loss":
-			r.Loss = max(r.Loss, 0.4*f.Strength)
+			r.LossRatio = max(r.LossRatio, 0.4*f.Intensity)
 		case "delay":
-			r.Delay += time.Duration(f.Strength * float64(300*time.Millisecond))
-			r.Jitter += time.Duration(f.Strength * float64(200*time.Millisecond))
+			r.Delay += time.Duration(f.Intensity * float64(300*time.Millisecond))
+			r.Jitter += time.Duration(f.Intensity * float64(200*time.Millisecond))
 		case "double":
-			r.Double = max(r.Double, f.Strength)
+			r.DuplicateRatio = max(r.DuplicateRatio, f.Intensity)
 		}
 	}
 	return r
--- a/lab/schedule/schedule_test.go
+++ b/lab/schedule/schedule_test.go
@@ -45,12 +45,12 @@
 				for i := range c.Members {
 					c.Start(i, fleet.Serving)
 				}
-				_, err := Until(healedWithin, c.Agree)
+				_, err := WaitUntil(healedWithin, c.CheckAgreement)
 				require.NoError(t, err, "at first")
-				faults := c.Draw()
+				faults := c.DrawFaults()
 				last := map[[2]string]fleet.Record{}
-				c.Play(faults, func() { c.watch(t, last) })
-				d, err := Until(healedWithin, c.Agree)
+				c.InjectFaults(faults, func() { c.watch(t, last) })
+				d, err := WaitUntil(healedWithin, c.CheckAgreement)
 				require.NoErrorf(t, err, "after %+v", faults)
 				mu.Lock()
 				defer mu.Unlock()
@@ -62,7 +62,7 @@
 
 // watch checks what must hold at any time.
 func (c *Cluster) watch(t *testing.T, last map[[2]string]fleet.Record) {
-	for _, m := range c.Live() {
+	for _, m := range c.LiveMembers() {
 		s := m.Fleet.Snapshot()
 		for i := range s.Members {
 			x := &s.Members[i]
@@ -71,7 +71,7 @@
 			require.Falsef(t, x.Record.Less(&was), "%s knows less of %s than before", m.Name, x.Name)
 			last[at] = *x.Record
 			if x.Liveness == fleet.Dead {
-				for _, o := range c.Live() {
+				for _, o := range c.LiveMembers() {
 					require.Falsef(t, o.Name == x.Name && o.Run == x.Run, "%s calls %s dead, which lives", m.Name, x.Name)
 				}
 			}
--- a/lab/workerpool/pool.go
+++ b/lab/workerpool/pool.go
@@ -14,14 +14,14 @@
 
 // Curve says how much a pool gets done.
 type Curve struct {
-	Places int     // cores, or slots
-	Speed  float64 // work done by a place in a second, in seconds of work; two kinds of machine differ by it
-	Knee   float64 // up to that many in hand for each place nothing is lost
-	Decay  float64 // share that is lost for each further one a place
-	Least  float64 // share that is left at least
-
-	ColdShare float64       // of its speed at the start
-	ColdFor   time.Duration // until it is at its full speed
+	Workers           int     // cores, or slots
+	Speed             float64 // work done by a place in a second, in seconds of work; two kinds of machine differ by it
+	Knee              float64 // up to that many in hand for each place nothing is lost
+	SlowdownPerExcess float64 // share that is lost for each further one a place
+	MinSpeedRatio     float64 // share that is left at least
+
+	ColdSpeedRatio float64       // of its speed at the start
+	WarmupTime     time.Duration // until it is at its full speed
 }
 
 // Pool is a pool at work. It belongs to one goroutine, or to whoever holds a lock.
@@ -43,8 +43,8 @@
 	return &Pool{curve: c, born: now, at: now, slow: 1, work: map[string]float64{}}
 }
 
-// Slow has the pool be so many times slower than its curve says.
-func (p *Pool) Slow(now time.Duration, times float64) {
+// SetSlowdown has the pool be so many times slower than its curve says.
+func (p *Pool) SetSlowdown(now time.Duration, times float64) {
 	p.Advance(now)
 	p.slow = max(times, 1e-3)
 }
@@ -56,11 +56,11 @@
 }
 
 // InFlight is how much is being worked at, and Most the most that ever was.
-func (p *Pool) InHand() int { return len(p.work) }
-func (p *Pool) Most() int   { return p.most }
+func (p *Pool) InFlight() int    { return len(p.work) }
+func (p *Pool) MaxInFlight() int { return p.most }
 
-// Done is how much work was done so far.
-func (p *Pool) Done() time.Duration { return time.Duration(p.doneBy * float64(time.Second)) }
+// WorkDone is how much work was done so far.
+func (p *Pool) WorkDone() time.Duration { return time.Duration(p.doneBy * float64(time.Second)) }
 
 // Rate is the work that a second gets done, in seconds, with n in hand.
 func (p *Pool) Rate(now time.Duration, n int) float64 {
@@ -69,13 +69,13 @@
 	}
 	c := &p.curve
 	share := 1.0
-	if over := float64(n)/float64(c.Places) - c.Knee; over > 0 {
-		share = max(1-c.Decay*over, c.Least)
+	if over := float64(n)/float64(c.Workers) - c.Knee; over > 0 {
+		share = max(1-c.SlowdownPerExcess*over, c.MinSpeedRatio)
 	}
-	if age := now - p.born; c.ColdFor > 0 && age < c.ColdFor {
-		share *= c.ColdShare + (1-c.ColdShare)*float64(age)/float64(c.ColdFor)
+	if age := now - p.born; c.WarmupTime > 0 && age < c.WarmupTime {
+		share *= c.ColdSpeedRatio + (1-c.ColdSpeedRatio)*float64(age)/float64(c.WarmupTime)
 	}
-	return float64(min(n, c.Places)) * c.Speed * share / p.slow
+	return float64(min(n, c.Workers)) * c.Speed * share / p.slow
 }
 
 // Add begins work. Advance was called with the same time before.
@@ -84,8 +84,8 @@
 	p.most = max(p.most, len(p.work))
 }
 
-// Drop gives work up.
-func (p *Pool) Drop(id string) { delete(p.work, id) }
+// Cancel gives work up.
+func (p *Pool) Cancel(id string) { delete(p.work, id) }
 
 // Advance brings the pool to now, and returns what has ended, in the order of its end.
 func (p *Pool) Advance(now time.Duration) (ended []string) {
@@ -134,43 +134,43 @@
 	return time.Duration(min(least/each, 1e6) * float64(time.Second))
 }
 
-// Next is when Advance should be called again.
-func (p *Pool) Next() (time.Duration, bool) {
+// NextCompletion is when Advance should be called again.
+func (p *Pool) NextCompletion() (time.Duration, bool) {
 	if n := len(p.work); n > 0 {
 		return p.at + min(p.first(p.Rate(p.at, n)/float64(n))+time.Microsecond, step), true
 	}
 	return 0, false
 }
 
-// Busy is the share of the places that is in use, and OnPlaces how many are in hand for each.
-func (p *Pool) Busy() float64 { return min(float64(len(p.work))/float64(p.curve.Places), 1) }
+// Utilization is the share of the places that is in use, and OnPlaces how many are in hand for each.
+func (p *Pool) Utilization() float64 { return min(float64(len(p.work))/float64(p.curve.Workers), 1) }
 
-// Fall is a store's fall: too many in hand for too long, and it is down for a while.
-type Fall struct {
-	Most  int           // in hand that it survives; 0 = any
-	After time.Duration // for which it survives more
-	Down  time.Duration
+// CrashModel is a store's fall: too many in hand for too long, and it is down for a while.
+type CrashModel struct {
+	MaxInFlight int           // in hand that it survives; 0 = any
+	Tolerance   time.Duration // for which it survives more
+	Downtime    time.Duration
 
 	overAt time.Duration
 	over   bool
 	until  time.Duration
 }
 
-// See notes how many are in hand, and reports whether the store falls now.
-func (f *Fall) See(now time.Duration, inHand int) bool {
-	if f.Most == 0 || inHand <= f.Most {
+// Observe notes how many are in hand, and reports whether the store falls now.
+func (f *CrashModel) Observe(now time.Duration, inHand int) bool {
+	if f.MaxInFlight == 0 || inHand <= f.MaxInFlight {
 		f.over = false
 		return false
 	}
 	if !f.over {
 		f.over, f.overAt = true, now
 	}
-	if now-f.overAt < f.After {
+	if now-f.overAt < f.Tolerance {
 		return false
 	}
-	f.over, f.until = false, now+f.Down
+	f.over, f.until = false, now+f.Downtime
 	return true
 }
 
 // IsDown reports whether it is down.
-func (f *Fall) IsDown(now time.Duration) bool { return now < f.until }
+func (f *CrashModel) IsDown(now time.Duration) bool { return now < f.until }
