--- a/lab/clients/clients.go
+++ b/lab/clients/clients.go
@@ -56,231 +56,231 @@
 // ServerLister is the list of servers as a front end has it now.
 type ServerLister func() []Server
 
-// pauseFull is how long a front end waits when every server it tried refused or could not be reached.
-const pauseFull = 20 * time.Millisecond
+// retryPause is how long a front end waits when every server it tried refused or could not be reached.
+const retryPause = 20 * time.Millisecond
 
 type frontEnd struct {
-	number  int
-	plan    *Workload
-	habit   Policy
-	list    ServerLister
-	log     *history.Log
-	mu      sync.Mutex
-	rand    *rand.Rand
-	links   map[string]*link
-	turn    int
-	firsts  float64
-	repeats float64
-	away    map[string]time.Duration // servers that asked to be left alone, until then
+	number        int
+	workload      *Workload
+	policy        Policy
+	servers       ServerLister
+	log           *history.Log
+	mu            sync.Mutex
+	rand          *rand.Rand
+	conns         map[string]*serverConn
+	nextServer    int
+	firstAttempts float64
+	retries       float64
+	backoffUntil  map[string]time.Duration // servers that asked to be left alone, until then
 }
 
-var tries atomic.Uint64
+var attemptIDs atomic.Uint64
 
 // Run sends requests until ctx ends, and then waits for those under way.
-func Run(ctx context.Context, p Workload, list ServerLister, log *history.Log) {
-	tries.Store(uint64(time.Now().UnixNano()))
-	var wg sync.WaitGroup
-	for i := range p.FrontEnds {
-		f := &frontEnd{number: i, plan: &p, habit: p.Policies[i%len(p.Policies)], list: list, log: log, links: map[string]*link{},
-			rand: rand.New(rand.NewPCG(p.Seed, uint64(i)+100)), away: map[string]time.Duration{}}
-		wg.Add(1)
+func Run(ctx context.Context, workload Workload, servers ServerLister, log *history.Log) {
+	attemptIDs.Store(uint64(time.Now().UnixNano()))
+	var group sync.WaitGroup
+	for i := range workload.FrontEnds {
+		f := &frontEnd{number: i, workload: &workload, policy: workload.Policies[i%len(workload.Policies)], servers: servers, log: log, conns: map[string]*serverConn{},
+			rand: rand.New(rand.NewPCG(workload.Seed, uint64(i)+100)), backoffUntil: map[string]time.Duration{}}
+		group.Add(1)
 		go func() {
-			defer wg.Done()
-			f.arrivals(ctx)
+			defer group.Done()
+			f.generate(ctx)
 		}()
 	}
-	wg.Wait()
+	group.Wait()
 }
 
-// arrivals has requests arrive at times that nothing which happens moves.
-func (f *frontEnd) arrivals(ctx context.Context) {
-	var wg sync.WaitGroup
+// generate has requests arrive at times that nothing which happens moves.
+func (f *frontEnd) generate(ctx context.Context) {
+	var group sync.WaitGroup
 	at := f.log.Now()
 	for n := 0; ; n++ {
-		at += time.Duration(f.rand.ExpFloat64() * float64(f.plan.FrontEnds) / f.plan.RequestsPerSecond * float64(time.Second))
+		at += time.Duration(f.rand.ExpFloat64() * float64(f.workload.FrontEnds) / f.workload.RequestsPerSecond * float64(time.Second))
 		class := f.drawClass()
 		work := time.Duration(float64(class.MeanWork) * (0.5 + f.rand.ExpFloat64()/2))
-		r := request{class: class, work: work, rank: f.rand.Float64(), key: f.rand.IntN(f.plan.KeyCount), at: at,
-			name: fmt.Sprintf("%08x%08x%016x", f.number, n, f.plan.Seed)}
+		arrived := request{class: class, work: work, rank: f.rand.Float64(), key: f.rand.IntN(f.workload.KeyCount), arrival: at,
+			idempotencyKey: fmt.Sprintf("%08x%08x%016x", f.number, n, f.workload.Seed)}
 		select {
 		case <-ctx.Done():
-			wg.Wait()
+			group.Wait()
 			f.close()
 			return
 		case <-time.After(max(at-f.log.Now(), 0)):
 		}
-		wg.Add(1)
+		group.Add(1)
 		go func() {
-			defer wg.Done()
-			f.serve(&r)
+			defer group.Done()
+			f.serve(&arrived)
 		}()
 	}
 }
 
 func (f *frontEnd) drawClass() *Class {
 	x := f.rand.Float64()
-	for i := range f.plan.Classes {
-		c := &f.plan.Classes[i]
+	for i := range f.workload.Classes {
+		c := &f.workload.Classes[i]
 		if x -= c.ArrivalRatio; x < 0 {
 			return c
 		}
 	}
-	return &f.plan.Classes[0]
+	return &f.workload.Classes[0]
 }
 
 type request struct {
-	class *Class
-	work  time.Duration
-	rank  float64
-	key   int
-	name  string
-	at    time.Duration
-	tries int
+	class          *Class
+	work           time.Duration
+	rank           float64
+	key            int
+	idempotencyKey string
+	arrival        time.Duration
+	attempts       int
 }
 
 // serve tries a request until it is served, its caller gives up or the habit says that it is enough.
-func (f *frontEnd) serve(r *request) {
-	due := r.at + r.class.Timeout
-	word, got := "refused", 0.0
+func (f *frontEnd) serve(pending *request) {
+	deadline := pending.arrival + pending.class.Timeout
+	outcome, value := "refused", 0.0
 	for {
-		s := f.choose(r)
-		if s == nil {
-			time.Sleep(pauseFull)
-			if f.log.Now() >= due {
+		target := f.choose(pending)
+		if target == nil {
+			time.Sleep(retryPause)
+			if f.log.Now() >= deadline {
 				break
 			}
 			continue
 		}
-		a := f.try(r, s, due)
-		word = a.word
-		if word == "served" {
-			if got = r.class.Value; a.poorer {
-				got *= r.class.DegradedValueRatio
+		reply := f.attempt(pending, target, deadline)
+		outcome = reply.outcome
+		if outcome == "served" {
+			if value = pending.class.Value; reply.degraded {
+				value *= pending.class.DegradedValueRatio
 			}
-			if f.log.Now()-r.at > r.class.LatencyObjective {
-				word, got = "late", 0
+			if f.log.Now()-pending.arrival > pending.class.LatencyObjective {
+				outcome, value = "late", 0
 			}
 			break
 		}
-		if word == "unreached" {
-			time.Sleep(pauseFull)
+		if outcome == "unreached" {
+			time.Sleep(retryPause)
 		}
-		if a.last && f.habit.HonorRetryAfter || r.class.IdempotentByKey && word != "refused" && word != "unreached" || f.log.Now() >= due || !f.again(r) {
+		if reply.noRetry && f.policy.HonorRetryAfter || pending.class.IdempotentByKey && outcome != "refused" && outcome != "unreached" || f.log.Now() >= deadline || !f.allowRetry(pending) {
 			break
 		}
-		if a.after > 0 && f.habit.HonorRetryAfter {
+		if reply.retryAfter > 0 && f.policy.HonorRetryAfter {
 			f.mu.Lock()
-			f.away[s.Name] = f.log.Now() + a.after
+			f.backoffUntil[target.Name] = f.log.Now() + reply.retryAfter
 			f.mu.Unlock()
 		}
 	}
-	f.log.Add(history.Event{Kind: history.RequestCompleted, Class: r.class.Name, Detail: word, Count: r.tries, Latency: f.log.Now() - r.at, Value: r.class.Value,
-		ValueServed: got, Work: r.work, Client: f.number})
+	f.log.Add(history.Event{Kind: history.RequestCompleted, Class: pending.class.Name, Detail: outcome, Count: pending.attempts, Latency: f.log.Now() - pending.arrival, Value: pending.class.Value,
+		ValueServed: value, Work: pending.work, Client: f.number})
 }
 
-// again reports whether the habit allows another try, and books it.
-func (f *frontEnd) again(r *request) bool {
+// allowRetry reports whether the habit allows another try, and books it.
+func (f *frontEnd) allowRetry(pending *request) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.habit.MaxAttempts > 0 && r.tries >= f.habit.MaxAttempts {
+	if f.policy.MaxAttempts > 0 && pending.attempts >= f.policy.MaxAttempts {
 		return false
 	}
-	if f.habit.RetryBudget > 0 && f.repeats+1 > f.habit.RetryBudget*f.firsts+1 {
+	if f.policy.RetryBudget > 0 && f.retries+1 > f.policy.RetryBudget*f.firstAttempts+1 {
 		return false
 	}
-	f.repeats++
+	f.retries++
 	return true
 }
 
 // choose returns the server for the next try, or nil while there is none.
-func (f *frontEnd) choose(r *request) *Server {
-	all := f.list()
+func (f *frontEnd) choose(pending *request) *Server {
+	servers := f.servers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.log.Now()
-	if r.tries == 0 {
-		f.firsts++
+	if pending.attempts == 0 {
+		f.firstAttempts++
 	}
-	for range all {
-		i := f.turn
-		f.turn++
-		if f.habit.RouteByKey {
-			h := fnv.New32a()
-			fmt.Fprint(h, r.key)
-			i = int(h.Sum32()>>1) + r.tries + f.turn - i - 1
+	for range servers {
+		i := f.nextServer
+		f.nextServer++
+		if f.policy.RouteByKey {
+			hash := fnv.New32a()
+			fmt.Fprint(hash, pending.key)
+			i = int(hash.Sum32()>>1) + pending.attempts + f.nextServer - i - 1
 		}
-		s := &all[i%len(all)]
-		if !f.habit.HonorRetryAfter || f.away[s.Name] <= now {
-			return s
+		candidate := &servers[i%len(servers)]
+		if !f.policy.HonorRetryAfter || f.backoffUntil[candidate.Name] <= now {
+			return candidate
 		}
 	}
 	return nil
 }
 
 type answer struct {
-	word   string
-	after  time.Duration
-	last   bool
-	poorer bool // served without the call
+	outcome    string
+	retryAfter time.Duration
+	noRetry    bool
+	degraded   bool // served without the call
 }
 
-// try sends a request to one server and waits for its answer.
-func (f *frontEnd) try(r *request, s *Server, due time.Duration) answer {
-	l := f.link(s)
-	if l == nil {
-		return answer{word: "unreached"}
+// attempt sends a request to one server and waits for its answer.
+func (f *frontEnd) attempt(pending *request, target *Server, deadline time.Duration) answer {
+	conn := f.dial(target)
+	if conn == nil {
+		return answer{outcome: "unreached"}
 	}
-	r.tries++
-	id := fmt.Sprintf("%016x", tries.Add(1))
-	fields := map[string]string{"id": id, "from": strconv.Itoa(f.number), "kb": "24.0", "rank": fmt.Sprintf("%.4f", r.rank),
+	pending.attempts++
+	id := fmt.Sprintf("%016x", attemptIDs.Add(1))
+	fields := map[string]string{"id": id, "from": strconv.Itoa(f.number), "kb": "24.0", "rank": fmt.Sprintf("%.4f", pending.rank),
 		"at":   strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"wait": strconv.FormatInt(max((due-f.log.Now()).Milliseconds(), 1), 10),
-		"cost": strconv.FormatFloat(float64(r.work)/float64(time.Millisecond), 'f', 2, 64)}
-	e := history.Event{Kind: history.AttemptSent, AttemptID: id, Class: r.class.Name, Server: s.Name, Client: f.number, Deadline: due}
-	if r.class.IdempotentByKey {
-		fields["once"] = r.name
-		e.IdempotencyKey = r.name
+		"wait": strconv.FormatInt(max((deadline-f.log.Now()).Milliseconds(), 1), 10),
+		"cost": strconv.FormatFloat(float64(pending.work)/float64(time.Millisecond), 'f', 2, 64)}
+	sent := history.Event{Kind: history.AttemptSent, AttemptID: id, Class: pending.class.Name, Server: target.Name, Client: f.number, Deadline: deadline}
+	if pending.class.IdempotentByKey {
+		fields["once"] = pending.idempotencyKey
+		sent.IdempotencyKey = pending.idempotencyKey
 	} else {
-		fields["key"] = fmt.Sprintf("%016x", r.key)
+		fields["key"] = fmt.Sprintf("%016x", pending.key)
 	}
-	f.log.Add(e)
-	if f.plan.ReadRequest != nil {
-		if read := f.plan.ReadRequest(s.Name); read != nil {
+	f.log.Add(sent)
+	if f.workload.ReadRequest != nil {
+		if read := f.workload.ReadRequest(target.Name); read != nil {
 			select {
 			case <-read:
-			case <-time.After(due - f.log.Now()):
-				f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: s.Name, Detail: "unread"})
-				return answer{word: "gave up"}
+			case <-time.After(deadline - f.log.Now()):
+				f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: target.Name, Detail: "unread"})
+				return answer{outcome: "gave up"}
 			}
 			// A server ends a connection on which nothing has come for 2 s, and a cold one may take longer to read.
-			if still := f.link(s); still != nil {
-				l = still
+			if still := f.dial(target); still != nil {
+				conn = still
 			}
 		}
 	}
 	// The body tells the stand-in agent how much work it is.
-	got, ok := l.ask(r.class.Name, fields, []byte(strconv.FormatInt(int64(r.work), 10)))
+	answers, ok := conn.send(pending.class.Name, fields, []byte(strconv.FormatInt(int64(pending.work), 10)))
 	if !ok {
-		f.unlink(s, l)
-		f.log.Add(history.Event{Kind: history.AttemptAnswered, AttemptID: id, Server: s.Name, Detail: "lost"})
-		return answer{word: "lost"}
+		f.forget(target, conn)
+		f.log.Add(history.Event{Kind: history.AttemptAnswered, AttemptID: id, Server: target.Name, Detail: "lost"})
+		return answer{outcome: "lost"}
 	}
-	if f.plan.AttemptCompleted != nil {
-		defer f.plan.AttemptCompleted(s.Name, id)
+	if f.workload.AttemptCompleted != nil {
+		defer f.workload.AttemptCompleted(target.Name, id)
 	}
 	select {
-	case a, open := <-got:
+	case reply, open := <-answers:
 		if !open {
-			f.unlink(s, l)
-			a = answer{word: "lost"}
+			f.forget(target, conn)
+			reply = answer{outcome: "lost"}
 		}
-		f.log.Add(history.Event{Kind: history.AttemptAnswered, AttemptID: id, Server: s.Name, Detail: a.word})
-		return a
-	case <-time.After(due + grace - f.log.Now()):
-		f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: s.Name})
-		return answer{word: "gave up"}
+		f.log.Add(history.Event{Kind: history.AttemptAnswered, AttemptID: id, Server: target.Name, Detail: reply.outcome})
+		return reply
+	case <-time.After(deadline + answerGrace - f.log.Now()):
+		f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: target.Name})
+		return answer{outcome: "gave up"}
 	}
 }
 
-// grace is how long past its end a caller still listens, so that a late answer is seen as late.
-const grace = time.Second
+// answerGrace is how long past its end a caller still listens, so that a late answer is seen as late.
+const answerGrace = time.Second
--- a/lab/clients/link.go
+++ b/lab/clients/link.go
@@ -13,131 +13,131 @@
 )
 
 const (
-	mostOpen  = 32 // requests on one connection; protocol
-	dialLimit = time.Second
+	maxPending  = 32 // requests on one connection; protocol
+	dialTimeout = time.Second
 )
 
-// link is a connection to a server.
-type link struct {
-	nc   net.Conn
-	mu   sync.Mutex
-	out  *bufio.Writer
-	enc  *msgpack.Encoder
-	last uint32
-	open map[uint32]chan answer
-	gone bool // the server asked for no more, or the connection has ended
+// serverConn is a connection to a server.
+type serverConn struct {
+	conn     net.Conn
+	mu       sync.Mutex
+	writer   *bufio.Writer
+	encoder  *msgpack.Encoder
+	lastCall uint32
+	pending  map[uint32]chan answer
+	closing  bool // the server asked for no more, or the connection has ended
 }
 
-// link returns a connection to s with room on it, or nil where none can be had.
-func (f *frontEnd) link(s *Server) *link {
-	key := s.Name + " " + s.Addr
+// dial returns a connection to s with room on it, or nil where none can be had.
+func (f *frontEnd) dial(target *Server) *serverConn {
+	key := target.Name + " " + target.Addr
 	f.mu.Lock()
-	l := f.links[key]
+	conn := f.conns[key]
 	f.mu.Unlock()
-	if l != nil && l.room() {
-		return l
+	if conn != nil && conn.hasCapacity() {
+		return conn
 	}
-	nc, err := net.DialTimeout("tcp", s.Addr, dialLimit)
+	dialed, err := net.DialTimeout("tcp", target.Addr, dialTimeout)
 	if err != nil {
 		return nil
 	}
-	out := bufio.NewWriter(nc)
-	l = &link{nc: nc, out: out, enc: msgpack.NewEncoder(out), open: map[uint32]chan answer{}}
-	go l.read()
+	writer := bufio.NewWriter(dialed)
+	conn = &serverConn{conn: dialed, writer: writer, encoder: msgpack.NewEncoder(writer), pending: map[uint32]chan answer{}}
+	go conn.readAnswers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.links[key] = l // one that was full goes on until its answers are in
-	return l
+	f.conns[key] = conn // one that was full goes on until its answers are in
+	return conn
 }
 
-func (f *frontEnd) unlink(s *Server, l *link) {
+func (f *frontEnd) forget(target *Server, conn *serverConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if key := s.Name + " " + s.Addr; f.links[key] == l {
-		delete(f.links, key)
+	if key := target.Name + " " + target.Addr; f.conns[key] == conn {
+		delete(f.conns, key)
 	}
 }
 
 func (f *frontEnd) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, l := range f.links {
-		l.nc.Close()
+	for _, l := range f.conns {
+		l.conn.Close()
 	}
 }
 
-func (l *link) room() bool {
+func (l *serverConn) hasCapacity() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.gone && len(l.open) < mostOpen
+	return !l.closing && len(l.pending) < maxPending
 }
 
-// ask writes a request. The channel brings its answer, or is closed with the connection.
-func (l *link) ask(method string, fields map[string]string, body []byte) (<-chan answer, bool) {
+// send writes a request. The channel brings its answer, or is closed with the connection.
+func (l *serverConn) send(method string, fields map[string]string, body []byte) (<-chan answer, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.gone {
+	if l.closing {
 		return nil, false
 	}
-	l.last++
-	got := make(chan answer, 2)
-	l.open[l.last] = got
-	_ = l.nc.SetWriteDeadline(time.Now().Add(dialLimit))
-	err := l.enc.Encode([]any{0, l.last, method, []any{fields, body}})
+	l.lastCall++
+	answers := make(chan answer, 2)
+	l.pending[l.lastCall] = answers
+	_ = l.conn.SetWriteDeadline(time.Now().Add(dialTimeout))
+	err := l.encoder.Encode([]any{0, l.lastCall, method, []any{fields, body}})
 	if err == nil {
-		err = l.out.Flush()
+		err = l.writer.Flush()
 	}
 	if err != nil {
-		delete(l.open, l.last)
-		l.nc.Close()
+		delete(l.pending, l.lastCall)
+		l.conn.Close()
 		return nil, false
 	}
-	return got, true
+	return answers, true
 }
 
-// read hands out answers until the connection ends.
-func (l *link) read() {
-	dec := msgpack.NewDecoder(bufio.NewReader(l.nc))
+// readAnswers hands out answers until the connection ends.
+func (l *serverConn) readAnswers() {
+	decoder := msgpack.NewDecoder(bufio.NewReader(l.conn))
 	for {
-		m, err := dec.DecodeSlice()
-		if err != nil || len(m) < 3 || len(m) > 4 {
+		message, err := decoder.DecodeSlice()
+		if err != nil || len(message) < 3 || len(message) > 4 {
 			break
 		}
-		if len(m) == 3 { // a notification: closing
+		if len(message) == 3 { // a notification: closing
 			l.mu.Lock()
-			l.gone = true
-			idle := len(l.open) == 0
+			l.closing = true
+			idle := len(l.pending) == 0
 			l.mu.Unlock()
 			if idle {
 				break
 			}
 			continue
 		}
-		id := number(m[1])
+		id := callNumber(message[1])
 		l.mu.Lock()
-		got := l.open[id]
-		delete(l.open, id)
-		idle := l.gone && len(l.open) == 0
+		answers := l.pending[id]
+		delete(l.pending, id)
+		idle := l.closing && len(l.pending) == 0
 		l.mu.Unlock()
-		if got != nil {
-			got <- parse(m[2], m[3])
+		if answers != nil {
+			answers <- parseAnswer(message[2], message[3])
 		}
 		if idle {
 			break
 		}
 	}
-	l.nc.Close()
+	l.conn.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.gone = true
-	for id, got := range l.open {
-		delete(l.open, id)
-		close(got)
+	l.closing = true
+	for id, answers := range l.pending {
+		delete(l.pending, id)
+		close(answers)
 	}
 }
 
-func number(v any) uint32 {
-	switch n := v.(type) {
+func callNumber(value any) uint32 {
+	switch n := value.(type) {
 	case int8:
 		return uint32(n)
 	case uint8:
@@ -158,29 +158,29 @@
 	return 0
 }
 
-// parse reads the error of an answer: nil, or a list of its name and fields.
-func parse(fault, result any) answer {
-	if fault == nil {
-		a := answer{word: "served"}
+// parseAnswer reads the error of an answer: nil, or a list of its name and fields.
+func parseAnswer(failure, result any) answer {
+	if failure == nil {
+		parsed := answer{outcome: "served"}
 		if list, _ := result.([]any); len(list) > 0 {
 			body, _ := list[0].([]byte)
-			a.poorer = string(body) == fakes.DegradedResult
+			parsed.degraded = string(body) == fakes.DegradedResult
 		}
-		return a
+		return parsed
 	}
-	list, _ := fault.([]any)
+	list, _ := failure.([]any)
 	if len(list) == 0 || list[0] != "Overloaded" {
-		return answer{word: "failed"}
+		return answer{outcome: "failed"}
 	}
-	a := answer{word: "refused"}
+	parsed := answer{outcome: "refused"}
 	if len(list) > 1 {
 		if fields, ok := list[1].(map[string]any); ok {
 			if text, ok := fields["after"].(string); ok {
 				ms, _ := strconv.ParseFloat(text, 64)
-				a.after = time.Duration(ms * float64(time.Millisecond))
+				parsed.retryAfter = time.Duration(ms * float64(time.Millisecond))
 			}
-			a.last = fields["last"] == "1"
+			parsed.noRetry = fields["last"] == "1"
 		}
 	}
-	return a
+	return parsed
 }
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -14,8 +14,8 @@
 	"falldeal/lab/workerpool"
 )
 
-// noticesKept is how many notices an agent remembers for links that come back; protocol.
-const noticesKept = 4000
+// notificationBacklog is how many notices an agent remembers for links that come back; protocol.
+const notificationBacklog = 4000
 
 // DegradedResult is the result of a run that went on without its call.
 const DegradedResult = "without its call"
@@ -48,27 +48,27 @@
 	OnRunEnded   func(l Launch, result string)
 
 	mu      sync.Mutex
-	link    *json.Encoder // of the newest link; nil while there is none
+	encoder *json.Encoder // of the newest link; nil while there is none
 	conn    net.Conn
 	offset  int
-	notices []notice // the last ones, in order
+	backlog []notification // the last ones, in order
 	runs    map[string]*run
 	timer   *time.Timer // at which runs in the pool end
 
-	unread    []*read // in order
-	reading   map[string]*read
-	mostReads int
-	reads     int
+	readQueue   []*pendingRead // in order
+	activeReads map[string]*pendingRead
+	maxReads    int
+	readCount   int
 }
 
 type run struct {
-	launch  Launch
-	plan    RunPlan
-	over    bool
-	waiting bool // for the reply to its call
+	launch       Launch
+	plan         RunPlan
+	completed    bool
+	awaitingCall bool // for the reply to its call
 }
 
-type notice struct {
+type notification struct {
 	Cmd     string    `json:"cmd"`
 	Offset  int       `json:"offset,omitempty"`
 	Req     string    `json:"req,omitempty"`
@@ -89,32 +89,32 @@
 }
 
 // Serve accepts links until ln is closed.
-func (a *Agent) Serve(ln net.Listener) error { return accept(ln, a.read) }
+func (a *Agent) Serve(ln net.Listener) error { return accept(ln, a.handleConn) }
 
 // accept has each connection read by a goroutine of its own, until ln is closed.
-func accept(ln net.Listener, read func(net.Conn)) error {
+func accept(ln net.Listener, handle func(net.Conn)) error {
 	for {
-		nc, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return err
 		}
-		go read(nc)
+		go handle(conn)
 	}
 }
 
-func (a *Agent) read(nc net.Conn) {
-	defer nc.Close()
-	in := json.NewDecoder(bufio.NewReader(nc))
+func (a *Agent) handleConn(conn net.Conn) {
+	defer conn.Close()
+	decoder := json.NewDecoder(bufio.NewReader(conn))
 	for {
-		var c command
-		if in.Decode(&c) != nil {
+		var cmd command
+		if decoder.Decode(&cmd) != nil {
 			return // also for what is no command
 		}
-		if c.Cmd == "subscribe" && a.Ready != nil {
+		if cmd.Cmd == "subscribe" && a.Ready != nil {
 			<-a.Ready
 		}
 		a.mu.Lock()
-		a.command(nc, c)
+		a.handleCommand(conn, cmd)
 		a.mu.Unlock()
 	}
 }
@@ -135,98 +135,98 @@
 	return len(a.runs)
 }
 
-func (a *Agent) command(nc net.Conn, c command) {
-	if c.Cmd == "subscribe" {
+func (a *Agent) handleCommand(conn net.Conn, cmd command) {
+	if cmd.Cmd == "subscribe" {
 		if a.runs == nil {
 			a.runs = map[string]*run{}
 		}
-		a.conn, a.link = nc, json.NewEncoder(nc)
-		a.say(notice{Cmd: "greeting", Result: a.State, Elapsed: float64(a.Age.Milliseconds())})
-		for _, n := range a.notices {
-			if n.Offset > c.Offset {
-				a.say(n)
+		a.conn, a.encoder = conn, json.NewEncoder(conn)
+		a.send(notification{Cmd: "greeting", Result: a.State, Elapsed: float64(a.Age.Milliseconds())})
+		for _, n := range a.backlog {
+			if n.Offset > cmd.Offset {
+				a.send(n)
 			}
 		}
 		return
 	}
-	if nc != a.conn {
+	if conn != a.conn {
 		return // a newer link has replaced this one
 	}
-	switch r := a.runs[c.Req]; c.Cmd {
+	switch target := a.runs[cmd.Req]; cmd.Cmd {
 	case "sample":
 		if a.Cores != nil {
 			a.advance()
 			a.Load = [4]float64{a.Cores.Utilization(), float64(a.Cores.InFlight()), 0.1, 10}
 		}
-		a.say(notice{Cmd: "sampled", Token: c.Token, Load: a.Load[:]})
+		a.send(notification{Cmd: "sampled", Token: cmd.Token, Load: a.Load[:]})
 	case "exercise":
-		a.say(notice{Cmd: "exercised", Token: c.Token, Result: "success"})
+		a.send(notification{Cmd: "exercised", Token: cmd.Token, Result: "success"})
 	case "launch":
-		if r == nil {
-			a.begin(&run{launch: Launch{c.Req, c.Method, c.Payload}})
+		if target == nil {
+			a.startRun(&run{launch: Launch{cmd.Req, cmd.Method, cmd.Payload}})
 		}
 	case "deliver", "forgo":
-		if r != nil && r.waiting {
-			r.waiting = false
-			if c.Cmd == "forgo" {
-				r.launch.Body = []byte(DegradedResult)
+		if target != nil && target.awaitingCall {
+			target.awaitingCall = false
+			if cmd.Cmd == "forgo" {
+				target.launch.Body = []byte(DegradedResult)
 			}
-			a.work(r)
+			a.execute(target)
 		}
 	default:
-		nc.Close() // protocol: what is no command ends the link
+		conn.Close() // protocol: what is no command ends the link
 	}
 }
 
-func (a *Agent) begin(r *run) {
-	a.runs[r.launch.RequestID] = r
+func (a *Agent) startRun(started *run) {
+	a.runs[started.launch.RequestID] = started
 	if a.OnRunStarted != nil {
-		a.OnRunStarted(r.launch)
+		a.OnRunStarted(started.launch)
 	}
 	if a.PlanRun != nil {
-		r.plan = a.PlanRun(r.launch)
+		started.plan = a.PlanRun(started.launch)
 	}
-	if r.plan.Call == nil {
-		a.work(r)
+	if started.plan.Call == nil {
+		a.execute(started)
 		return
 	}
-	r.waiting = true
-	a.number(notice{Cmd: "request", Req: r.launch.RequestID, Payload: r.plan.Call})
+	started.awaitingCall = true
+	a.publish(notification{Cmd: "request", Req: started.launch.RequestID, Payload: started.plan.Call})
 }
 
-func (a *Agent) work(r *run) {
-	if r.plan.Work <= 0 {
-		a.end(r)
+func (a *Agent) execute(ready *run) {
+	if ready.plan.Work <= 0 {
+		a.finishRun(ready)
 		return
 	}
 	if a.Cores != nil {
 		a.advance()
-		a.Cores.Add(r.launch.RequestID, r.plan.Work)
-		a.arm()
+		a.Cores.Add(ready.launch.RequestID, ready.plan.Work)
+		a.scheduleAdvance()
 		return
 	}
-	time.AfterFunc(r.plan.Work, func() {
+	time.AfterFunc(ready.plan.Work, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.end(r)
+		a.finishRun(ready)
 	})
 }
 
 // advance brings the pool to the present, and ends the runs that are over.
 func (a *Agent) advance() {
 	for _, id := range a.Cores.Advance(a.Now()) {
-		if r := a.reading[id]; r != nil {
-			delete(a.reading, id)
-			close(r.over)
+		if r := a.activeReads[id]; r != nil {
+			delete(a.activeReads, id)
+			close(r.done)
 			continue
 		}
-		a.end(a.runs[id])
+		a.finishRun(a.runs[id])
 	}
-	a.readNext()
+	a.startReads()
 }
 
-// arm has the pool looked at when its next run ends.
-func (a *Agent) arm() {
+// scheduleAdvance has the pool looked at when its next run ends.
+func (a *Agent) scheduleAdvance() {
 	if a.timer != nil {
 		a.timer.Stop()
 	}
@@ -235,43 +235,43 @@
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			a.advance()
-			a.arm()
+			a.scheduleAdvance()
 		})
 	}
 }
 
 // ReadRequest has the cores read a request, which is work that is no run; most is how many are read at a time, and the others
 // wait in turn. The channel is closed when it has been read.
-func (a *Agent) ReadRequest(work time.Duration, most int) <-chan struct{} {
+func (a *Agent) ReadRequest(work time.Duration, limit int) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance()
-	a.reads++
-	r := &read{id: readMark + strconv.Itoa(a.reads), work: work, over: make(chan struct{})}
-	a.unread = append(a.unread, r)
-	a.mostReads = most
-	a.readNext()
-	a.arm()
-	return r.over
+	a.readCount++
+	r := &pendingRead{id: readIDPrefix + strconv.Itoa(a.readCount), work: work, done: make(chan struct{})}
+	a.readQueue = append(a.readQueue, r)
+	a.maxReads = limit
+	a.startReads()
+	a.scheduleAdvance()
+	return r.done
 }
 
-// readMark begins the names of work in the pool that is no run.
-const readMark = "read "
+// readIDPrefix begins the names of work in the pool that is no run.
+const readIDPrefix = "read "
 
-type read struct {
+type pendingRead struct {
 	id   string
 	work time.Duration
-	over chan struct{}
+	done chan struct{}
 }
 
-func (a *Agent) readNext() {
-	for len(a.unread) > 0 && len(a.reading) < a.mostReads {
-		if a.reading == nil {
-			a.reading = map[string]*read{}
+func (a *Agent) startReads() {
+	for len(a.readQueue) > 0 && len(a.activeReads) < a.maxReads {
+		if a.activeReads == nil {
+			a.activeReads = map[string]*pendingRead{}
 		}
-		r := a.unread[0]
-		a.unread = a.unread[1:]
-		a.reading[r.id] = r
+		r := a.readQueue[0]
+		a.readQueue = a.readQueue[1:]
+		a.activeReads[r.id] = r
 		a.Cores.Add(r.id, r.work)
 	}
 }
@@ -281,51 +281,51 @@
 func (a *Agent) CompleteRequest(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if r := a.runs[id]; r != nil && r.waiting {
-		r.waiting = false
+	if r := a.runs[id]; r != nil && r.awaitingCall {
+		r.awaitingCall = false
 		r.plan.Result = "interrupted"
-		a.end(r)
+		a.finishRun(r)
 	}
 }
 
 // SetSlowdown has the cores be so many times slower than they are.
-func (a *Agent) SetSlowdown(times float64) {
+func (a *Agent) SetSlowdown(factor float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advance()
-	a.Cores.SetSlowdown(a.Now(), times)
-	a.arm()
+	a.Cores.SetSlowdown(a.Now(), factor)
+	a.scheduleAdvance()
 }
 
-func (a *Agent) end(r *run) {
-	if r.over {
+func (a *Agent) finishRun(finished *run) {
+	if finished.completed {
 		return
 	}
-	n := notice{Cmd: "outcome", Req: r.launch.RequestID, Result: r.plan.Result, Elapsed: float64(r.plan.Work.Milliseconds())}
-	if n.Result == "" {
-		n.Result, n.Payload = "success", r.launch.Body
+	outcome := notification{Cmd: "outcome", Req: finished.launch.RequestID, Result: finished.plan.Result, Elapsed: float64(finished.plan.Work.Milliseconds())}
+	if outcome.Result == "" {
+		outcome.Result, outcome.Payload = "success", finished.launch.Body
 	}
 	if a.OnRunEnded != nil {
-		a.OnRunEnded(r.launch, n.Result)
+		a.OnRunEnded(finished.launch, outcome.Result)
 	}
-	r.over, r.launch.Body = true, nil
-	a.number(n)
+	finished.completed, finished.launch.Body = true, nil
+	a.publish(outcome)
 }
 
-// number gives a notice its place, keeps it and tells it.
-func (a *Agent) number(n notice) {
+// publish gives a notice its place, keeps it and tells it.
+func (a *Agent) publish(event notification) {
 	a.offset++
-	n.Offset = a.offset
-	a.notices = append(a.notices, n)
-	if len(a.notices) > noticesKept {
-		a.notices = a.notices[len(a.notices)-noticesKept:]
+	event.Offset = a.offset
+	a.backlog = append(a.backlog, event)
+	if len(a.backlog) > notificationBacklog {
+		a.backlog = a.backlog[len(a.backlog)-notificationBacklog:]
 	}
-	a.say(n)
+	a.send(event)
 }
 
-// say writes a notice; what a broken link loses comes again on the next.
-func (a *Agent) say(n notice) {
-	if a.link != nil {
-		_ = a.link.Encode(n)
+// send writes a notice; what a broken link loses comes again on the next.
+func (a *Agent) send(n notification) {
+	if a.encoder != nil {
+		_ = a.encoder.Encode(n)
 	}
 }
--- a/lab/fakes/mute.go
+++ b/lab/fakes/mute.go
@@ -9,9 +9,9 @@
 // UnresponsiveListener is an address on which a dial neither succeeds nor fails, as behind a cut: something listens there, but its
 // queue of connections is full, and the kernel drops what comes (Linux).
 type UnresponsiveListener struct {
-	Addr string
-	fd   int
-	fill net.Conn
+	Addr        string
+	fd          int
+	backlogConn net.Conn
 }
 
 // NewUnresponsiveListener opens one.
@@ -40,14 +40,14 @@
 		return err
 	}
 	m.Addr = fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port)
-	m.fill, err = net.Dial("tcp", m.Addr)
+	m.backlogConn, err = net.Dial("tcp", m.Addr)
 	return err
 }
 
 // Close frees the address.
 func (m *UnresponsiveListener) Close() {
-	if m.fill != nil {
-		m.fill.Close()
+	if m.backlogConn != nil {
+		m.backlogConn.Close()
 	}
 	syscall.Close(m.fd)
 }
--- a/lab/fakes/store.go
+++ b/lab/fakes/store.go
@@ -26,81 +26,81 @@
 
 	calls atomic.Int64
 
-	mute atomic.Bool
+	unresponsive atomic.Bool
 
-	mu    sync.Mutex // of the slots
-	hand  map[string]func(word string)
-	hung  int
-	timer *time.Timer
+	mu           sync.Mutex // of the slots
+	inFlight     map[string]func(word string)
+	hangingCalls int
+	timer        *time.Timer
 }
 
 // SetUnresponsive has the store take calls and answer none of them before their time is up, or answer those to come again.
-func (s *Store) SetUnresponsive(on bool) { s.mute.Store(on) }
+func (s *Store) SetUnresponsive(on bool) { s.unresponsive.Store(on) }
 
 // hang keeps a call until its time is up.
-func (s *Store) hang(id string, wait time.Duration, answer func(word string)) {
+func (s *Store) hang(id string, wait time.Duration, reply func(status string)) {
 	s.mu.Lock()
-	s.hung++
+	s.hangingCalls++
 	if s.OnCallStarted != nil {
-		s.OnCallStarted(id, s.hung)
+		s.OnCallStarted(id, s.hangingCalls)
 	}
 	s.mu.Unlock()
 	time.AfterFunc(wait, func() {
 		s.mu.Lock()
-		s.hung--
+		s.hangingCalls--
 		if s.OnCallEnded != nil {
-			s.OnCallEnded(id, s.hung)
+			s.OnCallEnded(id, s.hangingCalls)
 		}
 		s.mu.Unlock()
-		answer("LATE")
+		reply("LATE")
 	})
 }
 
-// begin puts a call into the slots. A call that nobody waits for any more stays in them until it is done.
-func (s *Store) begin(id string, answer func(word string)) {
+// startCall puts a call into the slots. A call that nobody waits for any more stays in them until it is done.
+func (s *Store) startCall(id string, reply func(status string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
-	if s.hand == nil {
-		s.hand = map[string]func(string){}
+	if s.inFlight == nil {
+		s.inFlight = map[string]func(string){}
 	}
 	if s.Crash.IsDown(s.Now()) {
-		go answer("ERR")
+		go reply("ERR")
 		return
 	}
-	for s.hand[id] != nil {
+	for s.inFlight[id] != nil {
 		id += "+" // a second call of a request: both are worked at
 	}
-	s.hand[id] = answer
+	s.inFlight[id] = reply
 	s.Slots.Add(id, s.CallWork)
 	if s.OnCallStarted != nil {
 		s.OnCallStarted(id, s.Slots.InFlight())
 	}
 	if s.Crash.Observe(s.Now(), s.Slots.InFlight()) {
-		for id := range s.hand {
+		for id := range s.inFlight {
 			s.Slots.Cancel(id)
-			s.end(id, "ERR")
+			s.finishCall(id, "ERR")
 		}
 	}
-	s.arm()
+	s.scheduleAdvance()
 }
 
-func (s *Store) end(id, word string) {
-	answer := s.hand[id]
-	delete(s.hand, id)
+func (s *Store) finishCall(id, status string) {
+	reply := s.inFlight[id]
+	delete(s.inFlight, id)
 	if s.OnCallEnded != nil {
 		s.OnCallEnded(id, s.Slots.InFlight())
 	}
-	go answer(word)
+	go reply(status)
 }
 
 func (s *Store) advance() {
 	for _, id := range s.Slots.Advance(s.Now()) {
-		s.end(id, "OK")
+		s.finishCall(id, "OK")
 	}
 }
 
-func (s *Store) arm() {
+func (s *Store) scheduleAdvance() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
@@ -109,7 +109,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.advance()
-			s.arm()
+			s.scheduleAdvance()
 		})
 	}
 }
@@ -118,14 +118,14 @@
 func (s *Store) Calls() int64 { return s.calls.Load() }
 
 // Serve accepts connections until ln is closed.
-func (s *Store) Serve(ln net.Listener) error { return accept(ln, s.read) }
+func (s *Store) Serve(ln net.Listener) error { return accept(ln, s.handleConn) }
 
-func (s *Store) read(nc net.Conn) {
-	defer nc.Close()
+func (s *Store) handleConn(conn net.Conn) {
+	defer conn.Close()
 	var mu sync.Mutex // of the writing side
-	in := bufio.NewReader(nc)
+	reader := bufio.NewReader(conn)
 	for {
-		line, err := in.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
@@ -135,30 +135,30 @@
 			continue // DROP: the reply that still comes is for nobody
 		}
 		body := make([]byte, length+2)
-		if _, err := io.ReadFull(in, body); err != nil {
+		if _, err := io.ReadFull(reader, body); err != nil {
 			return
 		}
 		s.calls.Add(1)
-		say := func(word string) {
+		send := func(status string) {
 			mu.Lock()
 			defer mu.Unlock()
-			if word == "OK" {
-				fmt.Fprintf(nc, "%s OK %d\r\n%s", id, length, body)
+			if status == "OK" {
+				fmt.Fprintf(conn, "%s OK %d\r\n%s", id, length, body)
 			} else {
-				fmt.Fprintf(nc, "%s %s\r\n", id, word)
+				fmt.Fprintf(conn, "%s %s\r\n", id, status)
 			}
 		}
 		answer := func() {
-			word := "OK"
+			status := "OK"
 			if s.Reply != nil {
-				word = s.Reply(id, body[:length])
+				status = s.Reply(id, body[:length])
 			}
-			say(word)
+			send(status)
 		}
-		if s.mute.Load() {
-			s.hang(id, time.Duration(wait)*time.Millisecond, say)
+		if s.unresponsive.Load() {
+			s.hang(id, time.Duration(wait)*time.Millisecond, send)
 		} else if s.Slots != nil {
-			s.begin(id, say)
+			s.startCall(id, send)
 		} else if s.Delay > 0 {
 			time.AfterFunc(s.Delay, answer)
 		} else {
--- a/lab/faults/faults_test.go
+++ b/lab/faults/faults_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var places = []Location{{"n0", "a", "r"}, {"n1", "b", "r"}, {"n2", "a", "r"}}
+var testLocations = []Location{{"n0", "a", "r"}, {"n1", "b", "r"}, {"n2", "a", "r"}}
 
-func TestScriptsThatCannotBeMeant(t *testing.T) {
+func TestParseRejectsInvalidScripts(t *testing.T) {
 	for want, text := range map[string]string{
 		"fault[0].kind: \"flood\"":        `kind = "flood"`,
 		"fault[0].who: nobody is \"n9\"":  "kind = \"kill\"\nwho = \"n9\"",
@@ -27,14 +27,14 @@
 		"fault[0].rate":                   "kind = \"slow\"\nwho = \"n0\"",
 		"strength":                        "kind = \"cut\"\nwho = \"n0\"\nstrength = 1",
 	} {
-		_, err := Parse([]byte("[[fault]]\n"+text), places)
+		_, err := Parse([]byte("[[fault]]\n"+text), testLocations)
 		require.ErrorContains(t, err, want)
 	}
 }
 
 // A zone that is cut off is whole in itself; faults over one another add up; and each ends with its time.
-func TestRules(t *testing.T) {
-	s, err := Parse([]byte(`
+func TestRulesAt(t *testing.T) {
+	script, err := Parse([]byte(`
 [[fault]]
 kind = "cut"
 who = "zone:a"
@@ -57,9 +57,9 @@
 to = "n2"
 share = 0.5
 at = "7s"
-`), places)
+`), testLocations)
 	require.NoError(t, err)
-	at := func(now time.Duration, from, to string) Rule { return s.RulesAt(now)(from, to) }
+	at := func(now time.Duration, from, to string) Rule { return script.RulesAt(now)(from, to) }
 	require.True(t, at(0, "n0", "n1").Partition)
 	require.True(t, at(0, "n1", "n0").Partition)
 	require.False(t, at(0, "n0", "n2").Partition)
@@ -74,44 +74,44 @@
 // Through the relay, what passes comes whole; a call over a cut does not connect; one way only, the other still comes;
 // and a process that is not there resets.
 func TestRelay(t *testing.T) {
-	r := NewRelay(1)
-	defer r.Close()
+	relay := NewRelay(1)
+	defer relay.Close()
 	octet := 16 + os.Getpid()%200
 	at := func(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d:7946", octet, kind, n) }
 	for i := range 2 {
-		require.NoError(t, r.Add(fmt.Sprint("n", i), at(250, i+1), at(251, i+1)))
+		require.NoError(t, relay.Add(fmt.Sprint("n", i), at(250, i+1), at(251, i+1)))
 	}
-	from := &net.UDPAddr{IP: net.ParseIP(fmt.Sprintf("127.%d.251.1", octet)), Port: 7946}
-	a, err := net.ListenUDP("udp", from)
+	senderAddr := &net.UDPAddr{IP: net.ParseIP(fmt.Sprintf("127.%d.251.1", octet)), Port: 7946}
+	sender, err := net.ListenUDP("udp", senderAddr)
 	require.NoError(t, err)
-	defer a.Close()
-	to, err := net.ResolveUDPAddr("udp", at(250, 2))
+	defer sender.Close()
+	targetAddr, err := net.ResolveUDPAddr("udp", at(250, 2))
 	require.NoError(t, err)
-	b, err := net.ListenPacket("udp", at(251, 2))
+	receiver, err := net.ListenPacket("udp", at(251, 2))
 	require.NoError(t, err)
-	defer b.Close()
-	got := make([]byte, 10)
-	pass := func(word string) string {
-		_, err := a.WriteTo([]byte(word), to)
+	defer receiver.Close()
+	buffer := make([]byte, 10)
+	relayed := func(word string) string {
+		_, err := sender.WriteTo([]byte(word), targetAddr)
 		require.NoError(t, err)
-		n, _, err := b.ReadFrom(got)
+		n, _, err := receiver.ReadFrom(buffer)
 		require.NoError(t, err)
-		return string(got[:n])
+		return string(buffer[:n])
 	}
-	require.Equal(t, "hello", pass("hello"))
+	require.Equal(t, "hello", relayed("hello"))
 
-	dial := func(limit time.Duration) (net.Conn, error) {
-		return (&net.Dialer{Timeout: limit, LocalAddr: &net.TCPAddr{IP: from.IP}}).Dial("tcp", at(250, 2))
+	dial := func(timeout time.Duration) (net.Conn, error) {
+		return (&net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: senderAddr.IP}}).Dial("tcp", at(250, 2))
 	}
-	isReset := func() { // while it connects, or as soon as it has
-		nc, err := dial(time.Minute)
+	requireReset := func() { // while it connects, or as soon as it has
+		conn, err := dial(time.Minute)
 		if err == nil {
-			_, err = nc.Read(got)
-			nc.Close()
+			_, err = conn.Read(buffer)
+			conn.Close()
 		}
 		require.ErrorIs(t, err, syscall.ECONNRESET)
 	}
-	isReset() // nobody listens
+	requireReset() // nobody listens
 	ln, err := net.Listen("tcp", at(251, 2))
 	require.NoError(t, err)
 	defer ln.Close()
@@ -121,22 +121,24 @@
 			c.Close()
 		}
 	}()
-	cut := func(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} } // the way back only
-	require.NoError(t, r.SetRules(cut))
-	require.Equal(t, "there", pass("there"))
+	partition := func(senderAddr, targetAddr string) Rule {
+		return Rule{Partition: senderAddr == "n1" && targetAddr == "n0"}
+	} // the way back only
+	require.NoError(t, relay.SetRules(partition))
+	require.Equal(t, "there", relayed("there"))
 	_, err = dial(200 * time.Millisecond)
 	require.True(t, os.IsTimeout(err), "%v", err)
-	require.NoError(t, r.SetRules(func(string, string) Rule { return Rule{DuplicateRatio: 1, Delay: time.Millisecond} }))
-	require.Equal(t, "twice", pass("twice"))
-	n, _, err := b.ReadFrom(got)
+	require.NoError(t, relay.SetRules(func(string, string) Rule { return Rule{DuplicateRatio: 1, Delay: time.Millisecond} }))
+	require.Equal(t, "twice", relayed("twice"))
+	n, _, err := receiver.ReadFrom(buffer)
 	require.NoError(t, err)
-	require.Equal(t, "twice", string(got[:n]))
-	nc, err := dial(time.Minute)
+	require.Equal(t, "twice", string(buffer[:n]))
+	conn, err := dial(time.Minute)
 	require.NoError(t, err)
-	defer nc.Close()
-	n, err = nc.Read(got)
+	defer conn.Close()
+	n, err = conn.Read(buffer)
 	require.NoError(t, err)
-	require.Equal(t, "welcome", string(got[:n]))
-	require.NoError(t, r.SetRules(func(string, string) Rule { return Rule{Reset: true} }))
-	isReset()
+	require.Equal(t, "welcome", string(buffer[:n]))
+	require.NoError(t, relay.SetRules(func(string, string) Rule { return Rule{Reset: true} }))
+	requireReset()
 }
--- a/lab/faults/relay.go
+++ b/lab/faults/relay.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	pendingMost = 1 << 14 // datagrams of a relay that are on their way; further ones are lost
-	pace        = 20 * time.Millisecond
-	dialLimit   = 5 * time.Second
+	maxPending  = 1 << 14 // datagrams of a relay that are on their way; further ones are lost
+	streamPace  = 20 * time.Millisecond
+	dialTimeout = 5 * time.Second
 )
 
 // Relay stands between processes. Its methods may be called from any goroutine.
@@ -50,38 +50,38 @@
 	endpoints []*endpoint
 	pending   atomic.Int64
 	ctx       context.Context
-	stop      context.CancelFunc
+	cancel    context.CancelFunc
 
 	Datagrams, Bytes, Lost atomic.Int64 // that came, and those that were dropped
 }
 
 type endpoint struct {
-	relay *Relay
-	name  string
-	real  string
-	to    *net.UDPAddr
-	udp   *net.UDPConn
-	tcp   *net.TCPListener
+	relay     *Relay
+	name      string
+	target    string
+	targetUDP *net.UDPAddr
+	udp       *net.UDPConn
+	tcp       *net.TCPListener
 }
 
 // NewRelay returns a relay that draws from seed. Nothing goes wrong before Set.
 func NewRelay(seed uint64) *Relay {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Relay{rand: rand.New(rand.NewPCG(seed, 3)), rule: func(string, string) Rule { return Rule{} },
-		names: map[netip.Addr]string{}, ctx: ctx, stop: stop}
+		names: map[netip.Addr]string{}, ctx: ctx, cancel: stop}
 }
 
 // Add relays what comes to advertised, TCP and UDP, to the process called name at real.
-func (r *Relay) Add(name, advertised, real string) error {
-	to, err := net.ResolveUDPAddr("udp", real)
+func (r *Relay) Add(name, advertised, target string) error {
+	targetUDP, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return err
 	}
-	at, err := net.ResolveUDPAddr("udp", advertised)
+	advertisedUDP, err := net.ResolveUDPAddr("udp", advertised)
 	if err != nil {
 		return err
 	}
-	udp, err := net.ListenUDP("udp", at)
+	udp, err := net.ListenUDP("udp", advertisedUDP)
 	if err != nil {
 		return err
 	}
@@ -93,13 +93,13 @@
 		udp.Close()
 		return err
 	}
-	e := &endpoint{relay: r, name: name, real: real, to: to, udp: udp, tcp: ln.(*net.TCPListener)}
+	added := &endpoint{relay: r, name: name, target: target, targetUDP: targetUDP, udp: udp, tcp: ln.(*net.TCPListener)}
 	r.mu.Lock()
-	r.names[to.AddrPort().Addr().Unmap()] = name
-	r.endpoints = append(r.endpoints, e)
+	r.names[targetUDP.AddrPort().Addr().Unmap()] = name
+	r.endpoints = append(r.endpoints, added)
 	r.mu.Unlock()
-	go e.packets()
-	go e.calls()
+	go added.relayDatagrams()
+	go added.acceptStreams()
 	return nil
 }
 
@@ -109,22 +109,22 @@
 	defer r.mu.Unlock()
 	r.rule = rule
 	var all error
-	for _, e := range r.endpoints {
-		var cut []uint32
+	for _, target := range r.endpoints {
+		var blocked []uint32
 		for ip, from := range r.names {
-			if rule(from, e.name).Partition || rule(e.name, from).Partition {
-				b := ip.As4()
-				cut = append(cut, binary.BigEndian.Uint32(b[:]))
+			if rule(from, target.name).Partition || rule(target.name, from).Partition {
+				octets := ip.As4()
+				blocked = append(blocked, binary.BigEndian.Uint32(octets[:]))
 			}
 		}
-		all = errors.Join(all, e.filter(cut))
+		all = errors.Join(all, target.dropFrom(blocked))
 	}
 	return all
 }
 
 // Close ends the relay and what it carries.
 func (r *Relay) Close() {
-	r.stop()
+	r.cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.endpoints {
@@ -133,129 +133,129 @@
 	}
 }
 
-func (r *Relay) from(a netip.Addr) string {
+func (r *Relay) senderOf(a netip.Addr) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.names[a.Unmap()]
 }
 
-func (r *Relay) between(from, to string) Rule {
+func (r *Relay) ruleFor(from, to string) Rule {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rule(from, to)
 }
 
-// draw draws what becomes of a datagram: how often it comes, and when.
-func (r *Relay) draw(f Rule) (delays []time.Duration) {
+// drawDelays draws what becomes of a datagram: how often it comes, and when.
+func (r *Relay) drawDelays(rule Rule) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if f.Partition || r.rand.Float64() < f.LossRatio {
+	if rule.Partition || r.rand.Float64() < rule.LossRatio {
 		return nil
 	}
-	for n := 0; n == 0 || n == 1 && r.rand.Float64() < f.DuplicateRatio; n++ {
-		d := f.Delay
-		if f.Jitter > 0 {
-			d += time.Duration(r.rand.Int64N(int64(f.Jitter)))
+	for n := 0; n == 0 || n == 1 && r.rand.Float64() < rule.DuplicateRatio; n++ {
+		delay := rule.Delay
+		if rule.Jitter > 0 {
+			delay += time.Duration(r.rand.Int64N(int64(rule.Jitter)))
 		}
-		delays = append(delays, d)
+		delays = append(delays, delay)
 	}
 	return delays
 }
 
-func (e *endpoint) packets() {
-	r := e.relay
+func (e *endpoint) relayDatagrams() {
+	relay := e.relay
 	b := make([]byte, 64<<10)
 	for {
-		n, src, err := e.udp.ReadFromUDPAddrPort(b)
+		n, source, err := e.udp.ReadFromUDPAddrPort(b)
 		if err != nil {
-			if r.ctx.Err() != nil {
+			if relay.ctx.Err() != nil {
 				return
 			}
 			continue // that of an earlier datagram to a process which is not there
 		}
-		r.Datagrams.Add(1)
-		r.Bytes.Add(int64(n))
-		delays := r.draw(r.between(r.from(src.Addr()), e.name))
+		relay.Datagrams.Add(1)
+		relay.Bytes.Add(int64(n))
+		delays := relay.drawDelays(relay.ruleFor(relay.senderOf(source.Addr()), e.name))
 		if len(delays) == 0 {
-			r.Lost.Add(1)
+			relay.Lost.Add(1)
 		}
-		for _, d := range delays {
-			if d <= 0 {
-				_, _ = e.udp.WriteToUDP(b[:n], e.to)
+		for _, delay := range delays {
+			if delay <= 0 {
+				_, _ = e.udp.WriteToUDP(b[:n], e.targetUDP)
 				continue
 			}
-			if r.pending.Add(1) > pendingMost {
-				r.pending.Add(-1)
-				r.Lost.Add(1)
+			if relay.pending.Add(1) > maxPending {
+				relay.pending.Add(-1)
+				relay.Lost.Add(1)
 				continue
 			}
 			late := append([]byte(nil), b[:n]...)
-			time.AfterFunc(d, func() {
-				r.pending.Add(-1)
-				_, _ = e.udp.WriteToUDP(late, e.to)
+			time.AfterFunc(delay, func() {
+				relay.pending.Add(-1)
+				_, _ = e.udp.WriteToUDP(late, e.targetUDP)
 			})
 		}
 	}
 }
 
-func (e *endpoint) calls() {
+func (e *endpoint) acceptStreams() {
 	for {
 		c, err := e.tcp.AcceptTCP()
 		if err != nil {
 			return
 		}
-		go e.carry(c)
+		go e.relayStream(c)
 	}
 }
 
-// carry carries one stream both ways until either end has closed it, or a rule resets it.
-func (e *endpoint) carry(c *net.TCPConn) {
-	defer c.Close()
-	src, _ := netip.ParseAddrPort(c.RemoteAddr().String())
-	from := e.relay.from(src.Addr())
-	reset := func() { _ = c.SetLinger(0) }
-	out, err := net.DialTimeout("tcp", e.real, dialLimit)
-	if err != nil || e.relay.between(from, e.name).Reset {
+// relayStream carries one stream both ways until either end has closed it, or a rule resets it.
+func (e *endpoint) relayStream(inbound *net.TCPConn) {
+	defer inbound.Close()
+	source, _ := netip.ParseAddrPort(inbound.RemoteAddr().String())
+	from := e.relay.senderOf(source.Addr())
+	reset := func() { _ = inbound.SetLinger(0) }
+	outbound, err := net.DialTimeout("tcp", e.target, dialTimeout)
+	if err != nil || e.relay.ruleFor(from, e.name).Reset {
 		reset()
 		if err == nil {
-			out.Close()
+			outbound.Close()
 		}
 		return
 	}
-	defer out.Close()
-	defer context.AfterFunc(e.relay.ctx, func() { c.Close(); out.Close() })()
-	over := make(chan struct{}, 2)
-	go func() { e.pump(out.(*net.TCPConn), c, from, e.name, reset); over <- struct{}{} }()
-	go func() { e.pump(c, out.(*net.TCPConn), e.name, from, reset); over <- struct{}{} }()
-	<-over
-	<-over
+	defer outbound.Close()
+	defer context.AfterFunc(e.relay.ctx, func() { inbound.Close(); outbound.Close() })()
+	done := make(chan struct{}, 2)
+	go func() { e.copyStream(outbound.(*net.TCPConn), inbound, from, e.name, reset); done <- struct{}{} }()
+	go func() { e.copyStream(inbound, outbound.(*net.TCPConn), e.name, from, reset); done <- struct{}{} }()
+	<-done
+	<-done
 }
 
-// pump copies one way. While that is cut it holds what has come.
-func (e *endpoint) pump(to, from *net.TCPConn, fromName, toName string, reset func()) {
+// copyStream copies one way. While that is cut it holds what has come.
+func (e *endpoint) copyStream(to, from *net.TCPConn, fromName, toName string, reset func()) {
 	b := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(b)
 		for first := true; n > 0; first = false {
-			f := e.relay.between(fromName, toName)
-			if f.Reset {
+			rule := e.relay.ruleFor(fromName, toName)
+			if rule.Reset {
 				reset()
 				to.Close()
 				from.Close()
 				return
 			}
 			part := n
-			if first && f.Delay > 0 {
-				time.Sleep(f.Delay)
+			if first && rule.Delay > 0 {
+				time.Sleep(rule.Delay)
 			}
-			if f.Partition || f.BytesPerSecond > 0 {
-				time.Sleep(pace)
-				part = min(n, int(float64(f.BytesPerSecond)*pace.Seconds())+1)
+			if rule.Partition || rule.BytesPerSecond > 0 {
+				time.Sleep(streamPace)
+				part = min(n, int(float64(rule.BytesPerSecond)*streamPace.Seconds())+1)
 			}
 			if e.relay.ctx.Err() != nil {
 				return
 			}
-			if f.Partition {
+			if rule.Partition {
 				continue
 			}
 			if _, err := to.Write(b[:part]); err != nil {
@@ -279,11 +279,11 @@
 	}
 }
 
-// filter has the listening socket drop what comes from these addresses (in network order).
-func (e *endpoint) filter(cut []uint32) error {
+// dropFrom has the listening socket drop what comes from these addresses (in network order).
+func (e *endpoint) dropFrom(blocked []uint32) error {
 	const source = 0xfff00000 + 12 // of the network header (SKF_NET_OFF): the sender's address
 	prog := []bpf.Instruction{bpf.LoadAbsolute{Off: source, Size: 4}}
-	for _, ip := range cut {
+	for _, ip := range blocked {
 		prog = append(prog, bpf.JumpIf{Cond: bpf.JumpNotEqual, Val: ip, SkipTrue: 1}, bpf.RetConstant{Val: 0})
 	}
 	raw, err := bpf.Assemble(append(prog, bpf.RetConstant{Val: 0xffffffff}))
@@ -291,8 +291,8 @@
 		return err
 	}
 	code := make([]unix.SockFilter, len(raw))
-	for i, r := range raw {
-		code[i] = unix.SockFilter{Code: r.Op, Jt: r.Jt, Jf: r.Jf, K: r.K}
+	for i, op := range raw {
+		code[i] = unix.SockFilter{Code: op.Op, Jt: op.Jt, Jf: op.Jf, K: op.K}
 	}
 	conn, err := e.tcp.SyscallConn()
 	if err != nil {
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -94,42 +94,42 @@
 	var file struct {
 		Fault []raw `toml:"fault"`
 	}
-	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := dec.Decode(&file); err != nil {
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	if err := decoder.Decode(&file); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
 			return nil, errors.New(strict.String())
 		}
 		return nil, err
 	}
-	s := &Script{Locations: places}
-	for i, r := range file.Fault {
-		f, err := r.checked(places)
+	script := &Script{Locations: places}
+	for i, entry := range file.Fault {
+		fault, err := entry.parse(places)
 		if err != nil {
 			return nil, fmt.Errorf("fault[%d].%w", i, err)
 		}
-		s.Faults = append(s.Faults, f)
+		script.Faults = append(script.Faults, fault)
 	}
-	return s, nil
+	return script, nil
 }
 
-func (r *raw) checked(places []Location) (f Fault, err error) {
-	f = Fault{Kind: r.Kind, Target: r.Who, Peer: r.To, OneWay: r.OneWay, Ratio: r.Share, BytesPerSecond: r.Rate}
-	for _, t := range []struct {
+func (r *raw) parse(places []Location) (fault Fault, err error) {
+	fault = Fault{Kind: r.Kind, Target: r.Who, Peer: r.To, OneWay: r.OneWay, Ratio: r.Share, BytesPerSecond: r.Rate}
+	for _, field := range []struct {
 		key, text string
 		to        *time.Duration
-	}{{"at", r.At, &f.Start}, {"for", r.For, &f.Duration}, {"delay", r.Delay, &f.Delay}, {"jitter", r.Jitter, &f.Jitter}} {
-		if t.text == "" {
+	}{{"at", r.At, &fault.Start}, {"for", r.For, &fault.Duration}, {"delay", r.Delay, &fault.Delay}, {"jitter", r.Jitter, &fault.Jitter}} {
+		if field.text == "" {
 			continue
 		}
-		if *t.to, err = time.ParseDuration(t.text); err != nil || *t.to < 0 && f.Kind != KindClockSkew {
-			return f, fmt.Errorf("%s: %q is no time", t.key, t.text)
+		if *field.to, err = time.ParseDuration(field.text); err != nil || *field.to < 0 && fault.Kind != KindClockSkew {
+			return fault, fmt.Errorf("%s: %q is no time", field.key, field.text)
 		}
 	}
-	if f.AffectsLink() && f.Peer == "" {
-		f.Peer = "*"
+	if fault.AffectsLink() && fault.Peer == "" {
+		fault.Peer = "*"
 	}
-	return f, f.Check(places)
+	return fault, fault.Check(places)
 }
 
 // Check reports what is wrong with a fault.
@@ -154,12 +154,12 @@
 	case f.Kind == KindPause && f.Duration == 0:
 		return errors.New("for: a process that is stopped has to be continued")
 	}
-	for _, p := range []struct{ key, pattern string }{{"who", f.Target}, {"to", f.Peer}} {
-		if p.pattern == "" && p.key == "to" {
+	for _, field := range []struct{ key, pattern string }{{"who", f.Target}, {"to", f.Peer}} {
+		if field.pattern == "" && field.key == "to" {
 			continue
 		}
-		if !slices.ContainsFunc(places, func(x Location) bool { return x.matches(p.pattern) }) {
-			return fmt.Errorf("%s: nobody is %q", p.key, p.pattern)
+		if !slices.ContainsFunc(places, func(x Location) bool { return x.matches(field.pattern) }) {
+			return fmt.Errorf("%s: nobody is %q", field.key, field.pattern)
 		}
 	}
 	return nil
@@ -177,51 +177,51 @@
 
 // RulesAt returns what befalls what one member sends to another at now: all faults in force together.
 func (s *Script) RulesAt(now time.Duration) func(from, to string) Rule {
-	var on []Fault
-	for _, f := range s.Faults {
-		if f.AffectsLink() && f.ActiveAt(now) {
-			on = append(on, f)
+	var active []Fault
+	for _, fault := range s.Faults {
+		if fault.AffectsLink() && fault.ActiveAt(now) {
+			active = append(active, fault)
 		}
 	}
-	place := map[string]*Location{}
+	location := map[string]*Location{}
 	for i := range s.Locations {
-		place[s.Locations[i].Name] = &s.Locations[i]
+		location[s.Locations[i].Name] = &s.Locations[i]
 	}
 	return func(from, to string) (r Rule) {
-		a, b := place[from], place[to]
-		if a == nil || b == nil {
+		sender, receiver := location[from], location[to]
+		if sender == nil || receiver == nil {
 			return r
 		}
-		for i := range on {
+		for i := range active {
 			// A whole zone against everybody is the zone against the others: it is not cut in itself.
-			f := &on[i]
-			there := a.matches(f.Target) && b.matches(f.Peer) && !(f.Peer == "*" && b.matches(f.Target))
-			back := b.matches(f.Target) && a.matches(f.Peer) && !(f.Peer == "*" && a.matches(f.Target))
-			if f.Target == "*" && f.Peer == "*" {
-				there = true
+			fault := &active[i]
+			forward := sender.matches(fault.Target) && receiver.matches(fault.Peer) && !(fault.Peer == "*" && receiver.matches(fault.Target))
+			back := receiver.matches(fault.Target) && sender.matches(fault.Peer) && !(fault.Peer == "*" && sender.matches(fault.Target))
+			if fault.Target == "*" && fault.Peer == "*" {
+				forward = true
 			}
-			if there || back && !f.OneWay {
-				r.add(f)
+			if forward || back && !fault.OneWay {
+				r.add(fault)
 			}
 		}
 		return r
 	}
 }
 
-func (r *Rule) add(f *Fault) {
-	switch f.Kind {
+func (r *Rule) add(fault *Fault) {
+	switch fault.Kind {
 	case KindPartition:
 		r.Partition = true
 	case KindLoss:
-		r.LossRatio = 1 - (1-r.LossRatio)*(1-f.Ratio)
+		r.LossRatio = 1 - (1-r.LossRatio)*(1-fault.Ratio)
 	case KindDuplicate:
-		r.DuplicateRatio = 1 - (1-r.DuplicateRatio)*(1-f.Ratio)
+		r.DuplicateRatio = 1 - (1-r.DuplicateRatio)*(1-fault.Ratio)
 	case KindDelay:
-		r.Delay += f.Delay
-		r.Jitter += f.Jitter
+		r.Delay += fault.Delay
+		r.Jitter += fault.Jitter
 	case KindThrottle:
-		if r.BytesPerSecond == 0 || f.BytesPerSecond < r.BytesPerSecond {
-			r.BytesPerSecond = f.BytesPerSecond
+		if r.BytesPerSecond == 0 || fault.BytesPerSecond < r.BytesPerSecond {
+			r.BytesPerSecond = fault.BytesPerSecond
 		}
 	case KindReset:
 		r.Reset = true
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -66,9 +66,9 @@
 
 // A store falls when it has that many times its slots in hand for so long, and is down for a while.
 const (
-	fallMost  = 5
-	fallAfter = 5 * time.Second
-	fallDown  = 4 * time.Second
+	storeCrashMultiple  = 5
+	storeCrashTolerance = 5 * time.Second
+	storeDowntime       = 4 * time.Second
 )
 
 // IdempotencyWindow is within which an order must not run again; it stands in the servers' settings.
@@ -82,20 +82,20 @@
 	Announce *fakes.AnnounceService
 	Stores   map[string]*fakes.Store // by zone
 
-	opt     Options
-	net     int // second part of all addresses
+	options Options
+	subnet  int // second part of all addresses
 	guard   net.Listener
 	closers []io.Closer
 	key     string
 
-	mu     sync.Mutex
-	script *faults.Script
-	begun  map[int]bool // faults of the script that were begun, and ended
-	ended  map[int]bool
-	lists  []listed
+	mu        sync.Mutex
+	script    *faults.Script
+	started   map[int]bool // faults of the script that were begun, and ended
+	ended     map[int]bool
+	snapshots []registrySnapshot
 }
 
-type listed struct {
+type registrySnapshot struct {
 	at    time.Duration
 	names []string
 }
@@ -105,42 +105,42 @@
 	Name, Zone                                           string
 	FrontAddr, ConsoleAddr, GossipAddr, GossipListenAddr string // addresses: for front ends, operators, others (advertised), and where it listens for them
 
-	lab     *Lab
-	dir     string
-	agentAt string
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	agent   *fakes.Agent
-	agentLn net.Listener
-	ended   chan struct{}
-	starts  int
-	clock   time.Duration // that its next process takes the system's clock to be off by
+	lab           *Lab
+	dir           string
+	agentAddr     string
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	agent         *fakes.Agent
+	agentListener net.Listener
+	exited        chan struct{}
+	starts        int
+	clockSkew     time.Duration // that its next process takes the system's clock to be off by
 }
 
-// wedgeFor is for how long a loop stands still that is told to.
-const wedgeFor = 15 * time.Second
+// wedgeTime is for how long a loop stands still that is told to.
+const wedgeTime = 15 * time.Second
 
 // New prepares a fleet; no process runs before Start.
-func New(o Options) (*Lab, error) {
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+func New(options Options) (*Lab, error) {
+	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	l := &Lab{Log: history.NewLog(), Relay: faults.NewRelay(o.Seed), Announce: &fakes.AnnounceService{}, Stores: map[string]*fakes.Store{},
-		opt: o, begun: map[int]bool{}, ended: map[int]bool{}, script: &faults.Script{}}
-	if err := l.reserve(); err != nil {
+	created := &Lab{Log: history.NewLog(), Relay: faults.NewRelay(options.Seed), Announce: &fakes.AnnounceService{}, Stores: map[string]*fakes.Store{},
+		options: options, started: map[int]bool{}, ended: map[int]bool{}, script: &faults.Script{}}
+	if err := created.reserveSubnet(); err != nil {
 		return nil, err
 	}
-	if err := l.prepare(); err != nil {
-		l.Close()
+	if err := created.startDependencies(); err != nil {
+		created.Close()
 		return nil, err
 	}
-	return l, nil
+	return created, nil
 }
 
-// reserve finds a part of loopback that no other laboratory uses now.
-func (l *Lab) reserve() (err error) {
+// reserveSubnet finds a part of loopback that no other laboratory uses now.
+func (l *Lab) reserveSubnet() (err error) {
 	for range 200 {
-		l.net = 16 + rand.IntN(230)
+		l.subnet = 16 + rand.IntN(230)
 		if l.guard, err = net.Listen("tcp", l.addr(255, 254, 7000)); err == nil {
 			l.closers = append(l.closers, l.guard)
 			return nil
@@ -149,9 +149,11 @@
 	return fmt.Errorf("no part of loopback is free: %w", err)
 }
 
-func (l *Lab) addr(c, d, port int) string { return fmt.Sprintf("127.%d.%d.%d:%d", l.net, c, d, port) }
+func (l *Lab) addr(c, d, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", l.subnet, c, d, port)
+}
 
-func (l *Lab) prepare() error {
+func (l *Lab) startDependencies() error {
 	at := l.addr(200, 1, 8761)
 	conn, err := net.ListenPacket("udp", at)
 	if err != nil {
@@ -159,14 +161,14 @@
 	}
 	l.closers = append(l.closers, conn)
 	go func() { _ = l.Announce.Serve(conn) }()
-	for z, zone := range l.opt.Zones {
+	for z, zone := range l.options.Zones {
 		ln, err := net.Listen("tcp", l.storeAddr(z))
 		if err != nil {
 			return err
 		}
 		l.closers = append(l.closers, ln)
-		s := &fakes.Store{Now: l.Log.Now, CallWork: l.opt.CallTime, Crash: workerpool.CrashModel{MaxInFlight: fallMost * l.opt.Slots, Tolerance: fallAfter, Downtime: fallDown},
-			Slots: workerpool.NewPool(workerpool.Curve{Workers: l.opt.Slots, Speed: 1, Knee: 1,
+		s := &fakes.Store{Now: l.Log.Now, CallWork: l.options.CallTime, Crash: workerpool.CrashModel{MaxInFlight: storeCrashMultiple * l.options.Slots, Tolerance: storeCrashTolerance, Downtime: storeDowntime},
+			Slots: workerpool.NewPool(workerpool.Curve{Workers: l.options.Slots, Speed: 1, Knee: 1,
 				SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3}, l.Log.Now())}
 		s.OnCallStarted = func(id string, n int) {
 			l.Log.Add(history.Event{Kind: history.CallStarted, AttemptID: id, Server: zone, Count: n})
@@ -177,24 +179,24 @@
 		l.Stores[zone] = s
 		go func() { _ = s.Serve(ln) }()
 	}
-	if l.opt.Encrypted {
+	if l.options.Encrypted {
 		key := make([]byte, 32)
-		r := rand.New(rand.NewPCG(l.opt.Seed, 9))
+		r := rand.New(rand.NewPCG(l.options.Seed, 9))
 		for i := range key {
 			key[i] = byte(r.Uint32())
 		}
 		l.key = hex.EncodeToString(key)
 	}
-	for i := range l.opt.Members {
-		z := i % len(l.opt.Zones)
-		c, d := 10+z, 1+i/len(l.opt.Zones)
-		m := &Member{Name: "n" + strconv.Itoa(i), Zone: l.opt.Zones[z], lab: l, FrontAddr: l.addr(c, d, 5050), ConsoleAddr: l.addr(c, d, 5051),
-			GossipListenAddr: l.addr(c, d, 7946), GossipAddr: l.addr(c+100, d, 7946), agentAt: l.addr(c+50, d, 4400), dir: filepath.Join(l.opt.Dir, "n"+strconv.Itoa(i))}
+	for i := range l.options.Members {
+		z := i % len(l.options.Zones)
+		c, d := 10+z, 1+i/len(l.options.Zones)
+		m := &Member{Name: "n" + strconv.Itoa(i), Zone: l.options.Zones[z], lab: l, FrontAddr: l.addr(c, d, 5050), ConsoleAddr: l.addr(c, d, 5051),
+			GossipListenAddr: l.addr(c, d, 7946), GossipAddr: l.addr(c+100, d, 7946), agentAddr: l.addr(c+50, d, 4400), dir: filepath.Join(l.options.Dir, "n"+strconv.Itoa(i))}
 		l.Members = append(l.Members, m)
 		if err := l.Relay.Add(m.Name, m.GossipAddr, m.GossipListenAddr); err != nil {
 			return err
 		}
-		if err := m.files(z); err != nil {
+		if err := m.writeFiles(z); err != nil {
 			return err
 		}
 	}
@@ -203,12 +205,12 @@
 
 func (l *Lab) storeAddr(z int) string { return l.addr(201, 1+z, 8900) }
 
-// files writes what the process is started with.
-func (m *Member) files(z int) error {
+// writeFiles writes what the process is started with.
+func (m *Member) writeFiles(z int) error {
 	if err := os.MkdirAll(m.dir, 0o755); err != nil {
 		return err
 	}
-	l, o := m.lab, &m.lab.opt
+	l, o := m.lab, &m.lab.options
 	var lanes, calls, skips []string
 	for _, c := range o.Classes {
 		safety, ttl := "safe", 5*time.Second
@@ -230,7 +232,7 @@
 "Invariants":{"ColdShare":0.25,"ColdUs":%d,"FallMultiple":5.0,"FallUs":3000000,"GraceToAnswerUs":100000,"StopSendingWithinUs":2500000},
 "Lanes":[%s],"Limits":{"MaxRetryAfterUs":1000000,"RetryAfter":true},
 "ResultMix":{"Whole":0.45,"WorstClass":0.2,"WorstTenant":0,"WorstWindow":0.35},"Tenants":[]}}`,
-		m.Name, m.FrontAddr, m.agentAt, l.addr(200, 1, 8761), l.storeAddr(z), m.ConsoleAddr, o.Seed+uint64(len(l.Members)), o.Members,
+		m.Name, m.FrontAddr, m.agentAddr, l.addr(200, 1, 8761), l.storeAddr(z), m.ConsoleAddr, o.Seed+uint64(len(l.Members)), o.Members,
 		strings.Join(calls, ","), perServer, strings.Join(skips, ","), o.Cores, o.WarmupTime.Microseconds(), strings.Join(lanes, ","))
 	if err := os.WriteFile(filepath.Join(m.dir, "config.json"), []byte(config), 0o600); err != nil {
 		return err
@@ -243,20 +245,20 @@
 func (m *Member) WriteOperatorsFile(keys ...string) error {
 	l := m.lab
 	var seeds []string
-	for i := range min(len(l.opt.Zones), l.opt.Members) { // one in each zone
-		z := i % len(l.opt.Zones)
-		seeds = append(seeds, strconv.Quote(l.addr(110+z, 1+i/len(l.opt.Zones), 7946)))
+	for i := range min(len(l.options.Zones), l.options.Members) { // one in each zone
+		z := i % len(l.options.Zones)
+		seeds = append(seeds, strconv.Quote(l.addr(110+z, 1+i/len(l.options.Zones), 7946)))
 	}
 	text := fmt.Sprintf("[fleet]\nlisten = %q\nadvertise = %q\nseeds = [%s]\nregion = %q\nzone = %q\nsize = %d\nprobe_every = %q\n",
-		m.GossipListenAddr, m.GossipAddr, strings.Join(seeds, ", "), l.opt.Region, m.Zone, l.opt.Members, l.opt.ProbeInterval)
+		m.GossipListenAddr, m.GossipAddr, strings.Join(seeds, ", "), l.options.Region, m.Zone, l.options.Members, l.options.ProbeInterval)
 	if len(keys) > 0 && keys[0] != "" {
 		if err := os.WriteFile(filepath.Join(m.dir, "fleet.key"), []byte(strings.Join(keys, "\n")+"\n"), 0o600); err != nil {
 			return err
 		}
 		text += "key_file = \"fleet.key\"\n"
 	}
-	text += fmt.Sprintf("[overload]\nshares = %t\ncutoff = %t\nprobes = %t\n", l.opt.QuotaLeasing, l.opt.Shedding, l.opt.CoordinatedProbes)
-	text += fmt.Sprintf("[drill]\nclock = %q\nwedge = %q\n", m.clock, wedgeFor)
+	text += fmt.Sprintf("[overload]\nshares = %t\ncutoff = %t\nprobes = %t\n", l.options.QuotaLeasing, l.options.Shedding, l.options.CoordinatedProbes)
+	text += fmt.Sprintf("[drill]\nclock = %q\nwedge = %q\n", m.clockSkew, wedgeTime)
 	return os.WriteFile(filepath.Join(m.dir, "operators.toml"), []byte(text), 0o600)
 }
 
@@ -266,7 +268,7 @@
 // Place says where members are, for scripts.
 func (l *Lab) Locations() (places []faults.Location) {
 	for _, m := range l.Members {
-		places = append(places, faults.Location{Name: m.Name, Zone: m.Zone, Region: l.opt.Region})
+		places = append(places, faults.Location{Name: m.Name, Zone: m.Zone, Region: l.options.Region})
 	}
 	return places
 }
@@ -288,17 +290,17 @@
 	if m.cmd != nil {
 		return fmt.Errorf("%s runs already", m.Name)
 	}
-	ln, err := net.Listen("tcp", m.agentAt)
+	ln, err := net.Listen("tcp", m.agentAddr)
 	if err != nil {
 		return err
 	}
-	l, o := m.lab, &m.lab.opt
+	l, o := m.lab, &m.lab.options
 	number, _ := strconv.Atoi(m.Name[1:])
 	state := "steady"
 	if m.starts > 0 {
 		state = "booting"
 	}
-	curve := workerpool.Curve{Workers: o.Cores, Speed: speedOf(number), Knee: 2, SlowdownPerExcess: 0.1, MinSpeedRatio: 0.4, ColdSpeedRatio: 0.25}
+	curve := workerpool.Curve{Workers: o.Cores, Speed: coreSpeed(number), Knee: 2, SlowdownPerExcess: 0.1, MinSpeedRatio: 0.4, ColdSpeedRatio: 0.25}
 	if state == "booting" {
 		curve.WarmupTime = o.WarmupTime
 	}
@@ -316,7 +318,7 @@
 	m.agent.OnRunEnded = func(x fakes.Launch, result string) {
 		l.Log.Add(history.Event{Kind: history.RunEnded, AttemptID: x.RequestID, Class: x.Class, Server: m.Name, Detail: result})
 	}
-	m.agentLn = ln
+	m.agentListener = ln
 	go func() { _ = m.agent.Serve(ln) }()
 	out, err := os.OpenFile(filepath.Join(m.dir, "log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -333,13 +335,13 @@
 		return err
 	}
 	m.starts++
-	m.cmd, m.ended = cmd, make(chan struct{})
+	m.cmd, m.exited = cmd, make(chan struct{})
 	l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: "started", Count: cmd.Process.Pid})
-	go m.wait(cmd, ln, m.ended)
+	go m.awaitExit(cmd, ln, m.exited)
 	return nil
 }
 
-func (m *Member) wait(cmd *exec.Cmd, ln net.Listener, ended chan struct{}) {
+func (m *Member) awaitExit(cmd *exec.Cmd, ln net.Listener, ended chan struct{}) {
 	err := cmd.Wait()
 	word := "ended"
 	var exit *exec.ExitError
@@ -377,7 +379,7 @@
 // Wait waits for the end of the process, if there is one.
 func (m *Member) Wait() {
 	m.mu.Lock()
-	ended := m.ended
+	ended := m.exited
 	m.mu.Unlock()
 	if ended != nil {
 		<-ended
@@ -401,11 +403,11 @@
 	return m.cmd.Process.Pid
 }
 
-var client = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var consoleClient = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // FleetReport asks the process what it knows of its fleet.
 func (m *Member) FleetReport() (r fleet.Report, err error) {
-	res, err := client.Get("http://" + m.ConsoleAddr + "/fleet")
+	res, err := consoleClient.Get("http://" + m.ConsoleAddr + "/fleet")
 	if err != nil {
 		return r, err
 	}
@@ -448,14 +450,14 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		now := l.Log.Now()
-		if n := len(l.lists); n == 0 || now-l.lists[n-1].at > 100*time.Millisecond {
-			l.lists = append(l.lists, listed{now, l.Announce.AcceptingServers()})
+		if n := len(l.snapshots); n == 0 || now-l.snapshots[n-1].at > 100*time.Millisecond {
+			l.snapshots = append(l.snapshots, registrySnapshot{now, l.Announce.AcceptingServers()})
 		}
-		for len(l.lists) > 1 && l.lists[1].at <= now-lag {
-			l.lists = l.lists[1:]
+		for len(l.snapshots) > 1 && l.snapshots[1].at <= now-lag {
+			l.snapshots = l.snapshots[1:]
 		}
 		var all []clients.Server
-		for _, name := range l.lists[0].names {
+		for _, name := range l.snapshots[0].names {
 			if m := l.FindMember(name); m != nil {
 				all = append(all, clients.Server{Name: name, Addr: m.FrontAddr})
 			}
@@ -485,22 +487,22 @@
 
 // ReadRequest has the agent of a member read a request; the channel is closed when it has. Nil: no process is there.
 func (l *Lab) ReadRequest(server string) <-chan struct{} {
-	a := l.agentOf(server)
+	a := l.runningAgent(server)
 	if a == nil {
 		return nil
 	}
-	return a.ReadRequest(time.Duration(history.ReadCostRatio*float64(l.meanWork())), l.opt.Cores)
+	return a.ReadRequest(time.Duration(history.ReadCostRatio*float64(l.meanWork())), l.options.Cores)
 }
 
 // CompleteAttempt has the agent of a member know that a try is over.
 func (l *Lab) CompleteAttempt(server, try string) {
-	if a := l.agentOf(server); a != nil {
+	if a := l.runningAgent(server); a != nil {
 		a.CompleteRequest(try)
 	}
 }
 
-// agentOf is the agent of a member whose process runs; nil without one.
-func (l *Lab) agentOf(server string) *fakes.Agent {
+// runningAgent is the agent of a member whose process runs; nil without one.
+func (l *Lab) runningAgent(server string) *fakes.Agent {
 	m := l.FindMember(server)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -511,7 +513,7 @@
 }
 
 func (l *Lab) meanWork() (work time.Duration) {
-	for _, c := range l.opt.Classes {
+	for _, c := range l.options.Classes {
 		work += time.Duration(c.ArrivalRatio * float64(c.MeanWork))
 	}
 	return work
@@ -520,10 +522,10 @@
 // TotalCores is what all agents together do in a second, in seconds of work.
 func (l *Lab) TotalCores() (cores float64) {
 	for i := range l.Members {
-		cores += float64(l.opt.Cores) * speedOf(i)
+		cores += float64(l.options.Cores) * coreSpeed(i)
 	}
 	return cores
 }
 
-// speedOf tells the two kinds of machines apart.
-func speedOf(i int) float64 { return []float64{1, 0.7}[i%2] }
+// coreSpeed tells the two kinds of machines apart.
+func coreSpeed(i int) float64 { return []float64{1, 0.7}[i%2] }
--- a/lab/fleetlab/play.go
+++ b/lab/fleetlab/play.go
@@ -10,34 +10,34 @@
 	"falldeal/lab/history"
 )
 
-const look = 20 * time.Millisecond // between two looks at the script
+const scriptInterval = 20 * time.Millisecond // between two looks at the script
 
 // AddFault adds a fault to the script in force; its time counts from the start of the laboratory.
-func (l *Lab) AddFault(f faults.Fault) error {
-	if err := f.Check(l.Locations()); err != nil {
+func (l *Lab) AddFault(fault faults.Fault) error {
+	if err := fault.Check(l.Locations()); err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.script.Locations = l.Locations()
-	l.script.Faults = append(l.script.Faults, f)
+	l.script.Faults = append(l.script.Faults, fault)
 	return nil
 }
 
 // StartMembers starts all members but those that a fault of the script has start late.
 func (l *Lab) StartMembers() error {
-	late := map[string]bool{}
+	delayed := map[string]bool{}
 	l.mu.Lock()
 	for i := range l.script.Faults {
 		if f := &l.script.Faults[i]; f.Kind == faults.KindDelayedStart {
 			for _, name := range l.script.AffectedMembers(f) {
-				late[name] = true
+				delayed[name] = true
 			}
 		}
 	}
 	l.mu.Unlock()
 	for _, m := range l.Members {
-		if !late[m.Name] {
+		if !delayed[m.Name] {
 			if err := m.Start(); err != nil {
 				return err
 			}
@@ -49,31 +49,31 @@
 // RunScript carries out the script until ctx ends.
 func (l *Lab) RunScript(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := l.turn(); err != nil {
+		if err := l.applyFaults(); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(look):
+		case <-time.After(scriptInterval):
 		}
 	}
 	return nil
 }
 
-// turn begins and ends the faults that are due.
-func (l *Lab) turn() error {
+// applyFaults begins and ends the faults that are due.
+func (l *Lab) applyFaults() error {
 	now := l.Log.Now()
 	l.mu.Lock()
-	var begin, end []faults.Fault
+	var starting, ending []faults.Fault
 	links := false
-	for i, f := range l.script.Faults {
-		if now >= f.Start && !l.begun[i] {
-			l.begun[i], links = true, links || f.AffectsLink()
-			begin = append(begin, f)
+	for i, fault := range l.script.Faults {
+		if now >= fault.Start && !l.started[i] {
+			l.started[i], links = true, links || fault.AffectsLink()
+			starting = append(starting, fault)
 		}
-		if l.begun[i] && !l.ended[i] && f.Duration > 0 && now >= f.Start+f.Duration {
-			l.ended[i], links = true, links || f.AffectsLink()
-			end = append(end, f)
+		if l.started[i] && !l.ended[i] && fault.Duration > 0 && now >= fault.Start+fault.Duration {
+			l.ended[i], links = true, links || fault.AffectsLink()
+			ending = append(ending, fault)
 		}
 	}
 	script := faults.Script{Faults: append([]faults.Fault(nil), l.script.Faults...), Locations: l.script.Locations}
@@ -83,16 +83,16 @@
 			return fmt.Errorf("rules between processes: %w", err)
 		}
 	}
-	for _, f := range begin {
-		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: name(&f), Count: 1})
-		for _, m := range script.AffectedMembers(&f) {
-			l.begin(&f, l.FindMember(m))
+	for _, fault := range starting {
+		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: faultName(&fault), Count: 1})
+		for _, m := range script.AffectedMembers(&fault) {
+			l.startFault(&fault, l.FindMember(m))
 		}
 	}
-	for _, f := range end {
-		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: name(&f)})
-		for _, m := range script.AffectedMembers(&f) {
-			if err := l.end(&f, l.FindMember(m)); err != nil {
+	for _, fault := range ending {
+		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: faultName(&fault)})
+		for _, m := range script.AffectedMembers(&fault) {
+			if err := l.endFault(&fault, l.FindMember(m)); err != nil {
 				return err
 			}
 		}
@@ -100,68 +100,68 @@
 	return nil
 }
 
-func name(f *faults.Fault) string {
-	s := f.Kind + " " + f.Target
-	if f.Peer != "" && f.Peer != "*" {
-		s += " " + f.Peer
+func faultName(fault *faults.Fault) string {
+	text := fault.Kind + " " + fault.Target
+	if fault.Peer != "" && fault.Peer != "*" {
+		text += " " + fault.Peer
 	}
-	if f.OneWay {
-		s += " one way"
+	if fault.OneWay {
+		text += " one way"
 	}
-	return s
+	return text
 }
 
-func (l *Lab) begin(f *faults.Fault, m *Member) {
-	switch f.Kind {
+func (l *Lab) startFault(fault *faults.Fault, member *Member) {
+	switch fault.Kind {
 	case faults.KindKill:
-		m.Kill()
+		member.Kill()
 	case faults.KindPause:
-		m.Signal(syscall.SIGSTOP)
+		member.Signal(syscall.SIGSTOP)
 	case faults.KindTerminate:
-		m.Signal(syscall.SIGTERM)
+		member.Signal(syscall.SIGTERM)
 	case faults.KindRestart:
-		m.Kill()
-		if err := m.Start(); err != nil {
-			l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: "not started: " + err.Error()})
+		member.Kill()
+		if err := member.Start(); err != nil {
+			l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: member.Name, Detail: "not started: " + err.Error()})
 		}
 	case faults.KindSlowAgent:
-		m.agent.SetSlowdown(f.Ratio)
+		member.agent.SetSlowdown(fault.Ratio)
 	case faults.KindUnresponsiveStore:
-		l.Stores[m.Zone].SetUnresponsive(true)
+		l.Stores[member.Zone].SetUnresponsive(true)
 	case faults.KindWedge:
-		if res, err := client.Post("http://"+m.ConsoleAddr+"/drill/wedge", "", nil); err == nil {
-			res.Body.Close()
+		if response, err := consoleClient.Post("http://"+member.ConsoleAddr+"/drill/wedge", "", nil); err == nil {
+			response.Body.Close()
 		}
 	case faults.KindClockSkew:
-		if err := m.setClock(f.Delay); err != nil {
-			l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: "not started: " + err.Error()})
+		if err := member.restartWithClock(fault.Delay); err != nil {
+			l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: member.Name, Detail: "not started: " + err.Error()})
 		}
 	}
 }
 
-// setClock starts the member's process again with another clock.
-func (m *Member) setClock(off time.Duration) error {
+// restartWithClock starts the member's process again with another clock.
+func (m *Member) restartWithClock(skew time.Duration) error {
 	m.Kill()
-	m.clock = off
+	m.clockSkew = skew
 	if err := m.WriteOperatorsFile(m.lab.key); err != nil {
 		return err
 	}
 	return m.Start()
 }
 
-func (l *Lab) end(f *faults.Fault, m *Member) error {
-	switch f.Kind {
+func (l *Lab) endFault(fault *faults.Fault, member *Member) error {
+	switch fault.Kind {
 	case faults.KindKill, faults.KindTerminate, faults.KindDelayedStart:
-		m.Wait()
-		return m.Start()
+		member.Wait()
+		return member.Start()
 	case faults.KindPause:
-		m.Signal(syscall.SIGCONT)
+		member.Signal(syscall.SIGCONT)
 	case faults.KindSlowAgent:
-		m.agent.SetSlowdown(1)
+		member.agent.SetSlowdown(1)
 	case faults.KindUnresponsiveStore:
-		l.Stores[m.Zone].SetUnresponsive(false)
+		l.Stores[member.Zone].SetUnresponsive(false)
 	case faults.KindClockSkew:
-		return m.setClock(0)
+		return member.restartWithClock(0)
 	}
 	return nil
 }
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -29,12 +29,12 @@
 	RuleDeadline     = "in time"    // and has it by its end, while its server lives and its caller waits
 	RuleRunsOnce     = "runs once"  // an order runs once within its window
 	RuleStoreCalls   = "store"      // the stores never see more calls than they survive
-	RuleNoFalseDeath = "not dead"   // nobody is called dead whose process lives, and has for longer than newsWay
+	RuleNoFalseDeath = "not dead"   // nobody is called dead whose process lives, and has for longer than viewLag
 )
 
-// newsWay is how long what was true of a process may still be said after it has started again: the call that was refused
+// viewLag is how long what was true of a process may still be said after it has started again: the call that was refused
 // was made before, and a view is published, asked for and noted after.
-const newsWay = 2 * time.Second
+const viewLag = 2 * time.Second
 
 // Check returns what is broken. It goes through the history once, and holds to what callers and stand-ins saw.
 func Check(events []Event, r Rules) (broken []Violation) {
@@ -110,7 +110,7 @@
 				excuse(e.Server) // what it has in hand may be lost, or late by as long as it stands still
 			}
 		case ViewChanged:
-			if e.Detail == "dead" && lives[e.Member] && e.At-born[e.Member] > newsWay {
+			if e.Detail == "dead" && lives[e.Member] && e.At-born[e.Member] > viewLag {
 				fail(RuleNoFalseDeath, e, "%s says so of %s", e.Server, e.Member)
 			}
 		}
--- a/lab/history/check_test.go
+++ b/lab/history/check_test.go
@@ -56,7 +56,7 @@
 }
 
 // A history that a crash has cut off must be readable up to the break.
-func TestCutHistory(t *testing.T) {
+func TestReadTruncatedHistory(t *testing.T) {
 	var b bytes.Buffer
 	require.NoError(t, json.NewEncoder(&b).Encode(Event{At: s, Kind: AttemptSent}))
 	events, err := Read(strings.NewReader(b.String() + `{"at":2000,"ki`))
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -76,35 +76,35 @@
 
 // Write writes events, one a line.
 func Write(path string, events []Event) error {
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	w := bufio.NewWriter(f)
-	enc := json.NewEncoder(w)
+	buffered := bufio.NewWriter(file)
+	encoder := json.NewEncoder(buffered)
 	for i := range events {
-		if err := enc.Encode(&events[i]); err != nil {
-			f.Close()
+		if err := encoder.Encode(&events[i]); err != nil {
+			file.Close()
 			return err
 		}
 	}
-	if err := w.Flush(); err != nil {
-		f.Close()
+	if err := buffered.Flush(); err != nil {
+		file.Close()
 		return err
 	}
-	return f.Close()
+	return file.Close()
 }
 
 // Read reads what Write has written. What a break has cut off at the end is left out.
 func Read(r io.Reader) (events []Event, err error) {
-	dec := json.NewDecoder(bufio.NewReader(r))
+	decoder := json.NewDecoder(bufio.NewReader(r))
 	for {
-		var e Event
-		if err := dec.Decode(&e); err == io.EOF || err == io.ErrUnexpectedEOF {
+		var event Event
+		if err := decoder.Decode(&event); err == io.EOF || err == io.ErrUnexpectedEOF {
 			return events, nil
 		} else if err != nil {
 			return events, err
 		}
-		events = append(events, e)
+		events = append(events, event)
 	}
 }
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -4,48 +4,48 @@
 
 // How a return to service is judged: by the worth served of what arrived in a window, against that before the trouble.
 const (
-	recoverWindow = 2 * time.Second
-	recoverStays  = 4 * time.Second // for which it has to last
-	recoverPart   = 0.95
-	recoverStep   = 250 * time.Millisecond
-	recoverBefore = 6 * time.Second // of the time before the trouble that counts
+	recoveryWindow = 2 * time.Second
+	recoveryHold   = 4 * time.Second // for which it has to last
+	recoveryRatio  = 0.95
+	recoveryStep   = 250 * time.Millisecond
+	baselineWindow = 6 * time.Second // of the time before the trouble that counts
 )
 
 // RecoveryTime is how long after the end of a trouble, which began at from and ended at to, service was back at 95% of what
 // it was before, and stayed there; ok is false where it did not come back by the end of the history.
 func RecoveryTime(events []Event, from, to time.Duration) (after time.Duration, ok bool) {
-	var worth, got []float64 // by the step in which a request arrived
+	var offered, served []float64 // by the step in which a request arrived
 	for i := range events {
-		e := &events[i]
-		if e.Kind != RequestCompleted {
+		event := &events[i]
+		if event.Kind != RequestCompleted {
 			continue
 		}
-		k := int(max(e.At-e.Latency, 0) / recoverStep)
-		for len(worth) <= k {
-			worth, got = append(worth, 0), append(got, 0)
+		step := int(max(event.At-event.Latency, 0) / recoveryStep)
+		for len(offered) <= step {
+			offered, served = append(offered, 0), append(served, 0)
 		}
-		worth[k] += e.Value
-		got[k] += e.ValueServed
+		offered[step] += event.Value
+		served[step] += event.ValueServed
 	}
-	share := func(from, to time.Duration) float64 {
-		var w, g float64
-		for k := int(max(from, 0) / recoverStep); k < int(to/recoverStep) && k < len(worth); k++ {
-			w, g = w+worth[k], g+got[k]
+	servedRatio := func(from, to time.Duration) float64 {
+		var offeredSum, servedSum float64
+		for step := int(max(from, 0) / recoveryStep); step < int(to/recoveryStep) && step < len(offered); step++ {
+			offeredSum, servedSum = offeredSum+offered[step], servedSum+served[step]
 		}
-		if w == 0 {
+		if offeredSum == 0 {
 			return 0
 		}
-		return g / w
+		return servedSum / offeredSum
 	}
-	wanted := recoverPart * share(from-recoverBefore, from)
-	stays := time.Duration(0)
-	for at := to; at+recoverWindow <= time.Duration(len(worth))*recoverStep; at += recoverStep {
-		if share(at, at+recoverWindow) < wanted {
-			stays = 0
+	baseline := recoveryRatio * servedRatio(from-baselineWindow, from)
+	held := time.Duration(0)
+	for at := to; at+recoveryWindow <= time.Duration(len(offered))*recoveryStep; at += recoveryStep {
+		if servedRatio(at, at+recoveryWindow) < baseline {
+			held = 0
 			continue
 		}
-		if stays += recoverStep; stays >= recoverStays {
-			return at - stays + recoverStep - to, true
+		if held += recoveryStep; held >= recoveryHold {
+			return at - held + recoveryStep - to, true
 		}
 	}
 	return 0, false
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// patience is how long a caller waits for a connection, or past the end of its wait for an answer.
-const patience = 10 * time.Second
+// timeoutSlack is how long a caller waits for a connection, or past the end of its wait for an answer.
+const timeoutSlack = 10 * time.Second
 
 // Plan is a closed loop: each caller has one connection and one request open on it, Requests in all.
 type Plan struct {
@@ -38,56 +38,56 @@
 // Total is how many answers came.
 func (r Report) Total() int64 { return r.Served + r.Rejected + r.Failed }
 
-type counts struct{ served, refused, failed atomic.Int64 }
+type counters struct{ served, rejected, failed atomic.Int64 }
 
-// ids are unique within a process; a run of it starts at another number.
-var ids atomic.Uint64
+// attemptIDs are unique within a process; a run of it starts at another number.
+var attemptIDs atomic.Uint64
 
-func init() { ids.Store(uint64(time.Now().UnixNano())) }
+func init() { attemptIDs.Store(uint64(time.Now().UnixNano())) }
 
 // Run carries out a plan. Its error tells of an answer that never came or can't be read.
-func Run(ctx context.Context, p Plan) (Report, error) {
-	var n counts
-	var left atomic.Int64
-	left.Store(int64(p.Requests))
-	g, ctx := errgroup.WithContext(ctx)
-	for caller := range p.Clients {
-		g.Go(func() error { return p.call(ctx, caller, &left, &n) })
+func Run(ctx context.Context, plan Plan) (Report, error) {
+	var counts counters
+	var remaining atomic.Int64
+	remaining.Store(int64(plan.Requests))
+	group, ctx := errgroup.WithContext(ctx)
+	for client := range plan.Clients {
+		group.Go(func() error { return plan.runClient(ctx, client, &remaining, &counts) })
 	}
-	err := g.Wait()
-	return Report{n.served.Load(), n.refused.Load(), n.failed.Load()}, err
+	err := group.Wait()
+	return Report{counts.served.Load(), counts.rejected.Load(), counts.failed.Load()}, err
 }
 
-func (p *Plan) call(ctx context.Context, caller int, left *atomic.Int64, n *counts) error {
-	nc, err := (&net.Dialer{Timeout: patience}).DialContext(ctx, "tcp", p.Addr)
+func (p *Plan) runClient(ctx context.Context, client int, remaining *atomic.Int64, counts *counters) error {
+	conn, err := (&net.Dialer{Timeout: timeoutSlack}).DialContext(ctx, "tcp", p.Addr)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	out := bufio.NewWriter(nc)
-	enc, dec := msgpack.NewEncoder(out), msgpack.NewDecoder(bufio.NewReader(nc))
-	for call := uint32(1); left.Add(-1) >= 0; call++ {
-		if err := nc.SetDeadline(time.Now().Add(p.Timeout + patience)); err != nil {
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	writer := bufio.NewWriter(conn)
+	encoder, decoder := msgpack.NewEncoder(writer), msgpack.NewDecoder(bufio.NewReader(conn))
+	for call := uint32(1); remaining.Add(-1) >= 0; call++ {
+		if err := conn.SetDeadline(time.Now().Add(p.Timeout + timeoutSlack)); err != nil {
 			return err
 		}
-		if err := p.ask(enc, caller, call); err != nil {
+		if err := p.send(encoder, client, call); err != nil {
 			return err
 		}
-		if err := out.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
-		if err := n.answer(dec, call); err != nil {
-			return fmt.Errorf("caller %d, call %d: %w", caller, call, err)
+		if err := counts.readAnswer(decoder, call); err != nil {
+			return fmt.Errorf("caller %d, call %d: %w", client, call, err)
 		}
 	}
 	return nil
 }
 
-func (p *Plan) ask(enc *msgpack.Encoder, caller int, call uint32) error {
+func (p *Plan) send(encoder *msgpack.Encoder, client int, call uint32) error {
 	class := p.Classes[int(call)%len(p.Classes)]
-	id := ids.Add(1)
-	fields := map[string]string{"id": fmt.Sprintf("%016x", id), "from": strconv.Itoa(caller), "kb": "4.0", "rank": "0.5",
+	id := attemptIDs.Add(1)
+	fields := map[string]string{"id": fmt.Sprintf("%016x", id), "from": strconv.Itoa(client), "kb": "4.0", "rank": "0.5",
 		"at":   strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"wait": strconv.FormatInt(p.Timeout.Milliseconds(), 10),
 		"cost": strconv.FormatFloat(float64(p.CostHint)/float64(time.Millisecond), 'f', 2, 64)}
@@ -96,42 +96,42 @@
 	} else {
 		fields["key"] = fmt.Sprintf("%016x", id%1000)
 	}
-	return enc.Encode([]any{0, call, class, []any{fields, make([]byte, p.BodyBytes)}})
+	return encoder.Encode([]any{0, call, class, []any{fields, make([]byte, p.BodyBytes)}})
 }
 
-var errAnswer = errors.New("not the answer to the call")
+var errUnexpectedAnswer = errors.New("not the answer to the call")
 
-// answer reads one answer and counts it.
-func (n *counts) answer(dec *msgpack.Decoder, call uint32) error {
-	parts, err := dec.DecodeArrayLen()
+// readAnswer reads one answer and counts it.
+func (n *counters) readAnswer(decoder *msgpack.Decoder, call uint32) error {
+	parts, err := decoder.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	kind, err := dec.DecodeInt()
+	kind, err := decoder.DecodeInt()
 	if err != nil {
 		return err
 	}
-	id, err := dec.DecodeUint32()
+	id, err := decoder.DecodeUint32()
 	if err != nil {
 		return err
 	}
 	if parts != 4 || kind != 1 || id != call {
-		return fmt.Errorf("%w: %d parts, kind %d, id %d", errAnswer, parts, kind, id)
+		return fmt.Errorf("%w: %d parts, kind %d, id %d", errUnexpectedAnswer, parts, kind, id)
 	}
-	fault, err := dec.DecodeInterface()
+	failure, err := decoder.DecodeInterface()
 	if err != nil {
 		return err
 	}
-	if _, err := dec.DecodeInterface(); err != nil {
+	if _, err := decoder.DecodeInterface(); err != nil {
 		return err
 	}
-	switch list, ok := fault.([]any); {
-	case fault == nil:
+	switch list, ok := failure.([]any); {
+	case failure == nil:
 		n.served.Add(1)
 	case !ok || len(list) == 0:
-		return fmt.Errorf("%w: error %.80v", errAnswer, fault)
+		return fmt.Errorf("%w: error %.80v", errUnexpectedAnswer, failure)
 	case list[0] == "Overloaded":
-		n.refused.Add(1)
+		n.rejected.Add(1)
 	default:
 		n.failed.Add(1)
 	}
--- a/lab/memnet/memnet.go
+++ b/lab/memnet/memnet.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	packetsHeld = 512 // of one host, not read yet
-	streamsHeld = 64
+	packetQueue = 512 // of one host, not read yet
+	streamQueue = 64
 )
 
 // Fault is what happens to what one host sends to another.
@@ -54,7 +54,7 @@
 
 // Host is one end of the network: a transport of memberlist.
 type Host struct {
-	net     *Network
+	network *Network
 	addr    string
 	packets chan *memberlist.Packet
 	streams chan net.Conn
@@ -66,7 +66,7 @@
 func (n *Network) Host(addr string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h := &Host{net: n, addr: addr, packets: make(chan *memberlist.Packet, packetsHeld), streams: make(chan net.Conn, streamsHeld),
+	h := &Host{network: n, addr: addr, packets: make(chan *memberlist.Packet, packetQueue), streams: make(chan net.Conn, streamQueue),
 		conns: map[*conn]bool{}}
 	n.hosts[addr] = h
 	return h
@@ -74,8 +74,8 @@
 
 // Kill takes the host away without a word; calls to it are refused from now on.
 func (h *Host) Kill() {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
 	h.down = true
 	for c := range h.conns {
 		c.Conn.Close()
@@ -93,41 +93,41 @@
 }
 
 func (h *Host) WriteTo(b []byte, addr string) (time.Time, error) {
-	n := h.net
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	network := h.network
+	network.mu.Lock()
+	defer network.mu.Unlock()
 	now := time.Now()
 	if h.down {
 		return now, net.ErrClosed
 	}
-	n.Packets++
-	n.Bytes += int64(len(b))
-	f := n.rule(h.addr, addr)
-	if f.Partition || n.rand.Float64() < f.LossRatio {
+	network.Packets++
+	network.Bytes += int64(len(b))
+	fault := network.rule(h.addr, addr)
+	if fault.Partition || network.rand.Float64() < fault.LossRatio {
 		return now, nil
 	}
 	copies := 1
-	if n.rand.Float64() < f.DuplicateRatio {
+	if network.rand.Float64() < fault.DuplicateRatio {
 		copies = 2
 	}
 	for range copies {
-		p := &memberlist.Packet{Buf: append([]byte(nil), b...), From: udpAddr(h.addr)}
-		delay := f.Delay
-		if f.Jitter > 0 {
-			delay += time.Duration(n.rand.Int64N(int64(f.Jitter)))
+		packet := &memberlist.Packet{Buf: append([]byte(nil), b...), From: udpAddr(h.addr)}
+		delay := fault.Delay
+		if fault.Jitter > 0 {
+			delay += time.Duration(network.rand.Int64N(int64(fault.Jitter)))
 		}
-		time.AfterFunc(delay, func() { n.deliver(addr, p) })
+		time.AfterFunc(delay, func() { network.deliver(addr, packet) })
 	}
 	return now, nil
 }
 
-func (n *Network) deliver(addr string, p *memberlist.Packet) {
+func (n *Network) deliver(addr string, packet *memberlist.Packet) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if to := n.hosts[addr]; to != nil && !to.down {
-		p.Timestamp = time.Now()
+		packet.Timestamp = time.Now()
 		select {
-		case to.packets <- p:
+		case to.packets <- packet:
 		default: // as a full socket does
 		}
 	}
@@ -141,42 +141,42 @@
 	return a
 }
 
-func (h *Host) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return h.WriteTo(b, a.Addr)
+func (h *Host) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+	return h.WriteTo(b, to.Addr)
 }
 
 func (h *Host) PacketCh() <-chan *memberlist.Packet { return h.packets }
 func (h *Host) StreamCh() <-chan net.Conn           { return h.streams }
 
-func (h *Host) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
-	return h.DialTimeout(a.Addr, limit)
+func (h *Host) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return h.DialTimeout(to.Addr, timeout)
 }
 
-func (h *Host) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
-	n := h.net
-	n.mu.Lock()
-	there, back, to := n.rule(h.addr, addr), n.rule(addr, h.addr), n.hosts[addr]
-	n.mu.Unlock()
-	if there.Partition || back.Partition || to == nil {
-		time.Sleep(limit)
+func (h *Host) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	network := h.network
+	network.mu.Lock()
+	forward, back, target := network.rule(h.addr, addr), network.rule(addr, h.addr), network.hosts[addr]
+	network.mu.Unlock()
+	if forward.Partition || back.Partition || target == nil {
+		time.Sleep(timeout)
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
-	time.Sleep(there.Delay + back.Delay)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if to.down || h.down {
+	time.Sleep(forward.Delay + back.Delay)
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if target.down || h.down {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	near, far := net.Pipe()
-	a, b := &conn{near, h, to, addr}, &conn{far, to, h, h.addr}
+	localEnd, remoteEnd := net.Pipe()
+	dialed, accepted := &conn{localEnd, h, target, addr}, &conn{remoteEnd, target, h, h.addr}
 	select {
-	case to.streams <- b:
+	case target.streams <- accepted:
 	default:
-		near.Close()
+		localEnd.Close()
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	h.conns[a], to.conns[b] = true, true
-	return a, nil
+	h.conns[dialed], target.conns[accepted] = true, true
+	return dialed, nil
 }
 
 // Shutdown is the end of a host that ends by itself. What waits unread is closed.
@@ -195,29 +195,29 @@
 // conn is one end of a stream. While its way is cut nothing of it arrives.
 type conn struct {
 	net.Conn
-	own, peer *Host
-	addr      string
+	local, remote *Host
+	remoteAddr    string
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	c.own.net.mu.Lock()
-	f := c.own.net.rule(c.own.addr, c.peer.addr)
-	c.own.net.mu.Unlock()
-	if f.Partition {
+	c.local.network.mu.Lock()
+	fault := c.local.network.rule(c.local.addr, c.remote.addr)
+	c.local.network.mu.Unlock()
+	if fault.Partition {
 		return len(b), nil // taken by the kernel, and lost on the way
 	}
 	return c.Conn.Write(b)
 }
 
 func (c *conn) Close() error {
-	c.own.net.mu.Lock()
-	delete(c.own.conns, c)
-	c.own.net.mu.Unlock()
+	c.local.network.mu.Lock()
+	delete(c.local.conns, c)
+	c.local.network.mu.Unlock()
 	return c.Conn.Close()
 }
 
 func (c *conn) RemoteAddr() net.Addr {
-	a := udpAddr(c.addr).(*net.UDPAddr)
+	a := udpAddr(c.remoteAddr).(*net.UDPAddr)
 	return &net.TCPAddr{IP: a.IP, Port: a.Port}
 }
 
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -24,34 +24,34 @@
 		from  *node
 		step  string
 	}
-	trace := func(n *node) (steps []string) {
-		for ; n.from != nil; n = n.from {
-			steps = append([]string{n.step}, steps...)
+	trace := func(current *node) (steps []string) {
+		for ; current.from != nil; current = current.from {
+			steps = append([]string{current.step}, steps...)
 		}
 		return steps
 	}
 	seen := map[string]bool{key(start): true}
 	level := []*node{{state: start}}
-	for d := 0; len(level) > 0; d++ {
-		var below []*node
-		for _, n := range level {
-			if why := broken(n.state); why != "" {
-				return Result{Why: why, Steps: trace(n), States: len(seen)}
+	for steps := 0; len(level) > 0; steps++ {
+		var deeper []*node
+		for _, current := range level {
+			if why := broken(current.state); why != "" {
+				return Result{Why: why, Steps: trace(current), States: len(seen)}
 			}
-			if d == depth {
+			if steps == depth {
 				continue
 			}
-			for _, s := range next(n.state) {
-				if k := key(s.To); !seen[k] {
-					seen[k] = true
-					below = append(below, &node{s.To, n, s.Name})
+			for _, step := range next(current.state) {
+				if id := key(step.To); !seen[id] {
+					seen[id] = true
+					deeper = append(deeper, &node{step.To, current, step.Name})
 				}
 			}
 		}
-		if d == depth {
+		if steps == depth {
 			return Result{States: len(seen)}
 		}
-		level = below
+		level = deeper
 	}
 	return Result{States: len(seen), Whole: true}
 }
