--- a/lab/fakes/announce.go
+++ b/lab/fakes/announce.go
@@ -9,17 +9,29 @@
 	"time"
 )
 
-// AnnounceService is an announce service: it notes the last word of each image server.
+const (
+	// registrationTTL is how long an image server stays registered after its last report (protocol).
+	registrationTTL = 3 * time.Second
+	// maxReportBytes bounds a datagram of the announce protocol.
+	maxReportBytes = 512
+)
+
+// report is the last report of an image server.
+type report struct {
+	accepting  bool
+	receivedAt time.Time
+}
+
+// AnnounceService is a fake announce service: a registry of image servers, with the last report of each. Its methods
+// may be called from any goroutine.
 type AnnounceService struct {
-	mu          sync.Mutex
-	accepting   map[string]bool
-	reportedAt  map[string]time.Time // of the last report
-	reportCount int
+	mu      sync.Mutex
+	reports map[string]report // by image server
 }
 
-// Serve reads reports until conn is closed.
+// Serve reads reports until conn is closed, and returns the connection's error. Malformed datagrams are dropped.
 func (a *AnnounceService) Serve(conn net.PacketConn) error {
-	packet := make([]byte, 512)
+	packet := make([]byte, maxReportBytes)
 	for {
 		n, _, err := conn.ReadFrom(packet)
 		if err != nil {
@@ -30,32 +42,25 @@
 		if _, err := fmt.Sscanf(string(packet[:n]), "announce %s %t", &name, &accepting); err != nil {
 			continue
 		}
-		a.mu.Lock()
-		if a.accepting == nil {
-			a.accepting, a.reportedAt = map[string]bool{}, map[string]time.Time{}
-		}
-		a.accepting[name], a.reportedAt[name] = accepting, time.Now()
-		a.reportCount++
-		a.mu.Unlock()
+		a.register(name, accepting)
 	}
 }
 
-// LastReport reports the last word of an image server, and how many reports came from all.
-func (a *AnnounceService) LastReport(name string) (accepting bool, reports int) {
+func (a *AnnounceService) register(name string, accepting bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.accepting[name], a.reportCount
+	if a.reports == nil {
+		a.reports = map[string]report{}
+	}
+	a.reports[name] = report{accepting: accepting, receivedAt: time.Now()}
 }
 
-// registrationTTL is how long an image server stays listed after its last report; protocol.
-const registrationTTL = 3 * time.Second
-
-// AcceptingServers returns the names of the image servers that are listed as taking work, in order.
+// AcceptingServers returns the names of the image servers that are registered as accepting work, sorted.
 func (a *AnnounceService) AcceptingServers() (names []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(a.accepting)) {
-		if a.accepting[name] && time.Since(a.reportedAt[name]) < registrationTTL {
+	for _, name := range slices.Sorted(maps.Keys(a.reports)) {
+		if last := a.reports[name]; last.accepting && time.Since(last.receivedAt) < registrationTTL {
 			names = append(names, name)
 		}
 	}
--- a/lab/fakes/store.go
+++ b/lab/fakes/store.go
@@ -12,64 +12,100 @@
 	"falldeal/lab/workerpool"
 )
 
-// Store is a store. Its fields are set before Serve.
+// Store is a fake store. Its exported fields are set before Serve and not changed after it. Its methods may be called
+// from any goroutine.
 type Store struct {
-	Delay time.Duration                       // from a call to its reply
-	Reply func(id string, body []byte) string // the word of the reply; nil: OutcomeOK with the body
-
-	Slots         *workerpool.Pool      // calls share it; nil: each takes Delay
-	CallWork      time.Duration         // of a call in a slot
-	Crash         workerpool.CrashModel // and it falls when it is crowded
-	Now           func() time.Duration  // its clock
-	OnCallStarted func(id string, inHand int)
-	OnCallEnded   func(id string, inHand int) // both are called with the store held, and must not call back
-
-	calls atomic.Int64
+	Slots    *workerpool.Pool      // shared by all calls; nil: calls are answered at once
+	CallWork time.Duration         // of a call in a slot
+	Crash    workerpool.CrashModel // under more calls than the store survives
+	Now      func() time.Duration  // clock of Slots
+	// OnCallStarted and OnCallEnded are called while the store is locked, and must not call its methods.
+	OnCallStarted func(id string, inFlight int)
+	OnCallEnded   func(id string, inFlight int)
 
 	unresponsive atomic.Bool
 
-	mu           sync.Mutex // of the slots
-	inFlight     map[string]func(word string)
-	hangingCalls int
-	timer        *time.Timer
+	mu           sync.Mutex
+	inFlight     map[string]replyFunc // by identifier in Slots
+	hangingCalls int                  // that an unresponsive store holds
+	timer        *time.Timer          // fires when the next call in Slots completes
 }
 
-// SetUnresponsive has the store take calls and answer none of them before their time is up, or answer those to come again.
+// replyFunc writes the reply to one call. It may be called from any goroutine.
+type replyFunc func(callStatus)
+
+// SetUnresponsive makes the store accept calls without answering any of them before its timeout, or returns it to
+// normal. Calls that it holds already stay as they are.
 func (s *Store) SetUnresponsive(on bool) { s.unresponsive.Store(on) }
 
-// hang keeps a call until its time is up.
-func (s *Store) hang(id string, wait time.Duration, reply func(status string)) {
+// Serve accepts connections of image servers until ln is closed, and returns the listener's error.
+func (s *Store) Serve(ln net.Listener) error { return accept(ln, s.handleConn) }
+
+func (s *Store) handleConn(conn net.Conn) {
+	defer conn.Close()
+	var writing sync.Mutex // calls of one connection complete in any order
+	reader := bufio.NewReader(conn)
+	for {
+		call, err := readCall(reader)
+		if err != nil {
+			return
+		}
+		s.handleCall(call, func(status callStatus) {
+			writing.Lock()
+			defer writing.Unlock()
+			call.writeReply(conn, status)
+		})
+	}
+}
+
+func (s *Store) handleCall(call *storeCall, reply replyFunc) {
+	switch {
+	case s.unresponsive.Load():
+		s.hang(call.id, call.timeout, reply)
+	case s.Slots != nil:
+		s.startCall(call.id, reply)
+	default:
+		reply(callOK)
+	}
+}
+
+// hang holds a call until its timeout has elapsed.
+func (s *Store) hang(id string, timeout time.Duration, reply replyFunc) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.hangingCalls++
 	if s.OnCallStarted != nil {
 		s.OnCallStarted(id, s.hangingCalls)
 	}
-	s.mu.Unlock()
-	time.AfterFunc(wait, func() {
-		s.mu.Lock()
-		s.hangingCalls--
-		if s.OnCallEnded != nil {
-			s.OnCallEnded(id, s.hangingCalls)
-		}
-		s.mu.Unlock()
-		reply("LATE")
+	time.AfterFunc(timeout, func() {
+		s.endHangingCall(id)
+		reply(callLate)
 	})
 }
 
-// startCall puts a call into the slots. A call that nobody waits for any more stays in them until it is done.
-func (s *Store) startCall(id string, reply func(status string)) {
+func (s *Store) endHangingCall(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.hangingCalls--
+	if s.OnCallEnded != nil {
+		s.OnCallEnded(id, s.hangingCalls)
+	}
+}
+
+// startCall puts a call into the slots. An abandoned call stays there until its work is done.
+func (s *Store) startCall(id string, reply replyFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance()
 	if s.inFlight == nil {
-		s.inFlight = map[string]func(string){}
+		s.inFlight = map[string]replyFunc{}
 	}
 	if s.Crash.IsDown(s.Now()) {
-		go reply("ERR")
+		go reply(callFailed)
 		return
 	}
 	for s.inFlight[id] != nil {
-		id += "+" // a second call of a request: both are worked at
+		id += "+" // a second call of a request: the store works at both
 	}
 	s.inFlight[id] = reply
 	s.Slots.Add(id, s.CallWork)
@@ -77,15 +113,22 @@
 		s.OnCallStarted(id, s.Slots.InFlight())
 	}
 	if s.Crash.Observe(s.Now(), s.Slots.InFlight()) {
-		for id := range s.inFlight {
-			s.Slots.Cancel(id)
-			s.finishCall(id, "ERR")
-		}
+		s.failAll()
 	}
 	s.scheduleAdvance()
 }
 
-func (s *Store) finishCall(id, status string) {
+// failAll fails the calls in all slots, as a crash does.
+func (s *Store) failAll() {
+	for id := range s.inFlight {
+		s.Slots.Cancel(id)
+		s.finishCall(id, callFailed)
+	}
+}
+
+// finishCall replies on a goroutine of its own, which ends once the reply is written or the connection has ended: a
+// client that does not read must not block the store.
+func (s *Store) finishCall(id string, status callStatus) {
 	reply := s.inFlight[id]
 	delete(s.inFlight, id)
 	if s.OnCallEnded != nil {
@@ -94,75 +137,63 @@
 	go reply(status)
 }
 
+// advance brings the slots to the present and finishes the calls that have completed.
 func (s *Store) advance() {
 	for _, id := range s.Slots.Advance(s.Now()) {
-		s.finishCall(id, "OK")
+		s.finishCall(id, callOK)
 	}
 }
 
+// scheduleAdvance sets the timer to the next completion in the slots.
 func (s *Store) scheduleAdvance() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
-	if at, ok := s.Slots.NextCompletion(); ok {
-		s.timer = time.AfterFunc(at-s.Now(), func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.advance()
-			s.scheduleAdvance()
-		})
+	at, ok := s.Slots.NextCompletion()
+	if !ok {
+		return
 	}
+	s.timer = time.AfterFunc(at-s.Now(), func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.advance()
+		s.scheduleAdvance()
+	})
 }
 
-// Calls is how many calls were read.
-func (s *Store) Calls() int64 { return s.calls.Load() }
-
-// Serve accepts connections until ln is closed.
-func (s *Store) Serve(ln net.Listener) error { return accept(ln, s.handleConn) }
+// storeCall is one call of an image server.
+type storeCall struct {
+	id      string
+	timeout time.Duration
+	body    []byte // with its line end
+}
 
-func (s *Store) handleConn(conn net.Conn) {
-	defer conn.Close()
-	var mu sync.Mutex // of the writing side
-	reader := bufio.NewReader(conn)
+// readCall reads the next call with its body. It skips all other lines: a DROP needs no action, as the image server
+// ignores the reply to a call that it has dropped.
+func readCall(reader *bufio.Reader) (*storeCall, error) {
+	var id string
+	var timeoutMillis, length int
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			return
-		}
-		var id string
-		var wait, length int
-		if _, err := fmt.Sscanf(line, "CALL %s %d %d\r\n", &id, &wait, &length); err != nil {
-			continue // DROP: the reply that still comes is for nobody
-		}
-		body := make([]byte, length+2)
-		if _, err := io.ReadFull(reader, body); err != nil {
-			return
-		}
-		s.calls.Add(1)
-		send := func(status string) {
-			mu.Lock()
-			defer mu.Unlock()
-			if status == "OK" {
-				fmt.Fprintf(conn, "%s OK %d\r\n%s", id, length, body)
-			} else {
-				fmt.Fprintf(conn, "%s %s\r\n", id, status)
-			}
+			return nil, err
 		}
-		answer := func() {
-			status := "OK"
-			if s.Reply != nil {
-				status = s.Reply(id, body[:length])
-			}
-			send(status)
-		}
-		if s.unresponsive.Load() {
-			s.hang(id, time.Duration(wait)*time.Millisecond, send)
-		} else if s.Slots != nil {
-			s.startCall(id, send)
-		} else if s.Delay > 0 {
-			time.AfterFunc(s.Delay, answer)
-		} else {
-			answer()
+		if _, err := fmt.Sscanf(line, "CALL %s %d %d\r\n", &id, &timeoutMillis, &length); err == nil {
+			break
 		}
 	}
+	body := make([]byte, length+len("\r\n"))
+	if _, err := io.ReadFull(reader, body); err != nil {
+		return nil, err
+	}
+	return &storeCall{id: id, timeout: time.Duration(timeoutMillis) * time.Millisecond, body: body}, nil
+}
+
+// writeReply writes the reply to a call, whose result is its body. An error of the connection ends its reader.
+func (c *storeCall) writeReply(w io.Writer, status callStatus) {
+	if status == callOK {
+		fmt.Fprintf(w, "%s OK %d\r\n%s", c.id, len(c.body)-len("\r\n"), c.body)
+		return
+	}
+	fmt.Fprintf(w, "%s %s\r\n", c.id, status)
 }
--- /dev/null
+++ b/lab/fakes/unresponsive.go
@@ -0,0 +1,61 @@
+package fakes
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"syscall"
+)
+
+// UnresponsiveListener is an address on which a dial neither succeeds nor fails, as behind a network partition: a
+// socket listens there, but its backlog is full and the kernel drops further SYN packets (Linux).
+type UnresponsiveListener struct {
+	Addr string
+
+	fd          int
+	backlogConn net.Conn // fills the backlog
+}
+
+var errNotIPv4 = errors.New("the socket's address is not IPv4")
+
+// NewUnresponsiveListener opens one on a free port of 127.0.0.1. The caller closes it.
+func NewUnresponsiveListener() (*UnresponsiveListener, error) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return nil, err
+	}
+	l := &UnresponsiveListener{fd: fd}
+	if err := l.listen(); err != nil {
+		l.Close()
+		return nil, err
+	}
+	return l, nil
+}
+
+func (l *UnresponsiveListener) listen() error {
+	if err := syscall.Bind(l.fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		return err
+	}
+	if err := syscall.Listen(l.fd, 0); err != nil {
+		return err
+	}
+	bound, err := syscall.Getsockname(l.fd)
+	if err != nil {
+		return err
+	}
+	addr, ok := bound.(*syscall.SockaddrInet4)
+	if !ok {
+		return errNotIPv4
+	}
+	l.Addr = fmt.Sprintf("127.0.0.1:%d", addr.Port)
+	l.backlogConn, err = net.Dial("tcp", l.Addr)
+	return err
+}
+
+// Close frees the address.
+func (l *UnresponsiveListener) Close() {
+	if l.backlogConn != nil {
+		l.backlogConn.Close()
+	}
+	_ = syscall.Close(l.fd) // nothing was written, so nothing can be lost
+}
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -315,8 +315,8 @@
 	m.agent.OnRunStarted = func(x fakes.Launch) {
 		l.Log.Add(history.Event{Kind: history.RunStarted, AttemptID: x.RequestID, Class: x.Class, Server: m.Name})
 	}
-	m.agent.OnRunEnded = func(x fakes.Launch, result string) {
-		l.Log.Add(history.Event{Kind: history.RunEnded, AttemptID: x.RequestID, Class: x.Class, Server: m.Name, Detail: result})
+	m.agent.OnRunEnded = func(x fakes.Launch, result fakes.RunResult) {
+		l.Log.Add(history.Event{Kind: history.RunEnded, AttemptID: x.RequestID, Class: x.Class, Server: m.Name, Detail: string(result)})
 	}
 	m.agentListener = ln
 	go func() { _ = m.agent.Serve(ln) }()
