--- a/lab/workerpool/pool.go
+++ b/lab/workerpool/pool.go
@@ -1,104 +1,128 @@
-// Package workerpool is a small model of what serves requests below an image server: the cores of a render farm agent, and
-// the slots of a store. It is pure: times come in, ends go out.
+// Package workerpool models what serves requests behind an image server: the cores of a render farm agent, and the slots
+// of a store. It reads no clock: callers pass in the time and get back what has completed.
 //
-// Work in hand shares the pool evenly. What it leaves out: memory, disks, unequal sharing between runs, and that the
-// reading of a request takes of the same cores; a real agent's curve past its knee is not a straight line.
+// Work in flight shares the pool evenly. The model leaves out memory, disks and unequal sharing between runs; a real
+// agent's throughput past its knee does not fall along a straight line.
 package workerpool
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
 )
 
-// Curve says how much a pool gets done.
+const (
+	// maxStep bounds the time for which a changing speed is taken as constant.
+	maxStep = 50 * time.Millisecond
+	// minWork is the least work of an item, in seconds, so that every item completes at a time of its own.
+	minWork = 1e-6
+	// completedBelow is the remaining work, in seconds, below which an item is complete.
+	completedBelow = 1e-9
+	// minSlowdown bounds SetSlowdown, so that the speed stays finite.
+	minSlowdown = 1e-3
+	// maxWait bounds the time until a completion, in seconds, so that it fits a time.Duration.
+	maxWait = 1e6
+)
+
+// Curve says how much work a pool gets done, by its load and its age.
 type Curve struct {
-	Workers           int     // cores, or slots
-	Speed             float64 // work done by a place in a second, in seconds of work; two kinds of machine differ by it
-	Knee              float64 // up to that many in hand for each place nothing is lost
-	SlowdownPerExcess float64 // share that is lost for each further one a place
-	MinSpeedRatio     float64 // share that is left at least
-
-	ColdSpeedRatio float64       // of its speed at the start
-	WarmupTime     time.Duration // until it is at its full speed
+	Workers int     // cores or slots
+	Speed   float64 // seconds of work that a worker does in a second; kinds of machines differ by it
+	Knee    float64 // items in flight for each worker up to which the pool loses no speed
+
+	SlowdownPerExcess float64 // ratio of the speed lost for each item per worker above Knee
+	MinSpeedRatio     float64 // of Speed, however many are in flight
+
+	ColdSpeedRatio float64       // of Speed, right after the start
+	WarmupTime     time.Duration // over which the speed rises from ColdSpeedRatio to full
+}
+
+// speedRatio is the ratio of Speed that is left with n items in flight, at an age of the pool.
+func (c *Curve) speedRatio(n int, age time.Duration) float64 {
+	ratio := 1.0
+	if excess := float64(n)/float64(c.Workers) - c.Knee; excess > 0 {
+		ratio = max(1-c.SlowdownPerExcess*excess, c.MinSpeedRatio)
+	}
+	if c.WarmupTime > 0 && age < c.WarmupTime {
+		ratio *= c.ColdSpeedRatio + (1-c.ColdSpeedRatio)*float64(age)/float64(c.WarmupTime)
+	}
+	return ratio
 }
 
-// Pool is a pool at work. It belongs to one goroutine, or to whoever holds a lock.
+// Pool does work along a Curve. It is not safe for concurrent use: it belongs to one goroutine, or to the holder of a
+// lock. Times are durations on the caller's clock and must not decrease.
 type Pool struct {
 	curve       Curve
 	startedAt   time.Duration
 	slowdown    float64
 	now         time.Duration
-	remaining   map[string]float64 // what is left of it, in seconds
-	workDone    float64            // work that was done, in seconds
+	remaining   map[string]float64 // seconds of work, by item
+	workDone    float64            // seconds
 	maxInFlight int
 }
 
-// maxStep bounds how long a changing speed is taken for constant.
-const maxStep = 50 * time.Millisecond
-
-// NewPool returns a pool that starts at now.
+// NewPool returns an empty pool that starts at now, cold if its curve has a warm-up.
 func NewPool(curve Curve, now time.Duration) *Pool {
 	return &Pool{curve: curve, startedAt: now, now: now, slowdown: 1, remaining: map[string]float64{}}
 }
 
-// SetSlowdown has the pool be so many times slower than its curve says.
+// SetSlowdown divides the speed by factor from now on; 1 is the speed of the curve.
 func (p *Pool) SetSlowdown(now time.Duration, factor float64) {
 	p.Advance(now)
-	p.slowdown = max(factor, 1e-3)
+	p.slowdown = max(factor, minSlowdown)
 }
 
-// Restart has the pool be as cold as it was at its start.
+// Restart makes the pool as cold as it was at its start. Work in flight stays.
 func (p *Pool) Restart(now time.Duration) {
 	p.Advance(now)
 	p.startedAt = now
 }
 
-// InFlight is how much is being worked at, and Most the most that ever was.
-func (p *Pool) InFlight() int    { return len(p.remaining) }
+// InFlight is the number of items that are worked at.
+func (p *Pool) InFlight() int { return len(p.remaining) }
+
+// MaxInFlight is the largest number of items that were ever worked at together.
 func (p *Pool) MaxInFlight() int { return p.maxInFlight }
 
-// WorkDone is how much work was done so far.
-func (p *Pool) WorkDone() time.Duration { return time.Duration(p.workDone * float64(time.Second)) }
+// WorkDone is the work that was done since the start, in time on a worker of speed 1.
+func (p *Pool) WorkDone() time.Duration { return seconds(p.workDone) }
+
+// Utilization is the ratio of the workers that are in use, from 0 to 1.
+func (p *Pool) Utilization() float64 {
+	return min(float64(len(p.remaining))/float64(p.curve.Workers), 1)
+}
 
-// Rate is the work that a second gets done, in seconds, with n in hand.
+// Rate is how many seconds of work the pool does in a second with n items in flight.
 func (p *Pool) Rate(now time.Duration, n int) float64 {
 	if n == 0 {
 		return 0
 	}
-	curve := &p.curve
-	ratio := 1.0
-	if excess := float64(n)/float64(curve.Workers) - curve.Knee; excess > 0 {
-		ratio = max(1-curve.SlowdownPerExcess*excess, curve.MinSpeedRatio)
-	}
-	if age := now - p.startedAt; curve.WarmupTime > 0 && age < curve.WarmupTime {
-		ratio *= curve.ColdSpeedRatio + (1-curve.ColdSpeedRatio)*float64(age)/float64(curve.WarmupTime)
-	}
-	return float64(min(n, curve.Workers)) * curve.Speed * ratio / p.slowdown
+	ratio := p.curve.speedRatio(n, now-p.startedAt)
+	return float64(min(n, p.curve.Workers)) * p.curve.Speed * ratio / p.slowdown
 }
 
-// Add begins work. Advance was called with the same time before.
+// Add starts an item of work. Its id must not be in flight, and Advance must have been called with the present time.
 func (p *Pool) Add(id string, work time.Duration) {
-	p.remaining[id] = max(work.Seconds(), 1e-6)
+	p.remaining[id] = max(work.Seconds(), minWork)
 	p.maxInFlight = max(p.maxInFlight, len(p.remaining))
 }
 
-// Cancel gives work up.
+// Cancel removes an item without completing it.
 func (p *Pool) Cancel(id string) { delete(p.remaining, id) }
 
-// Advance brings the pool to now, and returns what has ended, in the order of its end.
+// Advance brings the pool to now. It returns the items that have completed, in the order of their completion and by id
+// within one step.
 func (p *Pool) Advance(now time.Duration) (completed []string) {
 	for p.now < now {
-		if len(p.remaining) == 0 {
+		n := len(p.remaining)
+		if n == 0 {
 			p.now = now
 			break
 		}
-		n := len(p.remaining)
 		perItem := p.Rate(p.now, n) / float64(n)
 		elapsed := min(now-p.now, maxStep)
-		if first := p.untilNextCompletion(perItem); first < elapsed {
-			elapsed = max(first, time.Nanosecond)
+		if next := p.untilNextCompletion(perItem); next < elapsed {
+			elapsed = max(next, time.Nanosecond)
 		}
 		p.now += elapsed
 		for id, left := range p.remaining {
@@ -110,19 +134,18 @@
 	return completed
 }
 
-// removeCompleted removes what has come to its end.
 func (p *Pool) removeCompleted() (completed []string) {
 	for id, left := range p.remaining {
-		if left <= 1e-9 {
+		if left <= completedBelow {
 			completed = append(completed, id)
 			delete(p.remaining, id)
 		}
 	}
-	slices.SortFunc(completed, cmp.Compare)
+	slices.Sort(completed)
 	return completed
 }
 
-// untilNextCompletion is how long the next end is off at a rate for each.
+// untilNextCompletion is how long the next completion is away while each item gets perItem seconds of work a second.
 func (p *Pool) untilNextCompletion(perItem float64) time.Duration {
 	if perItem <= 0 {
 		return math.MaxInt64
@@ -131,48 +154,18 @@
 	for _, left := range p.remaining {
 		shortest = min(shortest, left)
 	}
-	return time.Duration(min(shortest/perItem, 1e6) * float64(time.Second))
-}
-
-// NextCompletion is when Advance should be called again.
-func (p *Pool) NextCompletion() (time.Duration, bool) {
-	if n := len(p.remaining); n > 0 {
-		return p.now + min(p.untilNextCompletion(p.Rate(p.now, n)/float64(n))+time.Microsecond, maxStep), true
-	}
-	return 0, false
-}
-
-// Utilization is the share of the places that is in use, and OnPlaces how many are in hand for each.
-func (p *Pool) Utilization() float64 {
-	return min(float64(len(p.remaining))/float64(p.curve.Workers), 1)
-}
-
-// CrashModel is a store's fall: too many in hand for too long, and it is down for a while.
-type CrashModel struct {
-	MaxInFlight int           // in hand that it survives; 0 = any
-	Tolerance   time.Duration // for which it survives more
-	Downtime    time.Duration
-
-	exceededAt time.Duration
-	exceeded   bool
-	downUntil  time.Duration
+	return seconds(min(shortest/perItem, maxWait))
 }
 
-// Observe notes how many are in hand, and reports whether the store falls now.
-func (f *CrashModel) Observe(now time.Duration, inHand int) bool {
-	if f.MaxInFlight == 0 || inHand <= f.MaxInFlight {
-		f.exceeded = false
-		return false
-	}
-	if !f.exceeded {
-		f.exceeded, f.exceededAt = true, now
-	}
-	if now-f.exceededAt < f.Tolerance {
-		return false
+// NextCompletion is when Advance should be called again; ok is false with nothing in flight. It may be earlier than a
+// completion, where the speed changes meanwhile.
+func (p *Pool) NextCompletion() (at time.Duration, ok bool) {
+	n := len(p.remaining)
+	if n == 0 {
+		return 0, false
 	}
-	f.exceeded, f.downUntil = false, now+f.Downtime
-	return true
+	next := p.untilNextCompletion(p.Rate(p.now, n) / float64(n))
+	return p.now + min(next+time.Microsecond, maxStep), true
 }
 
-// IsDown reports whether it is down.
-func (f *CrashModel) IsDown(now time.Duration) bool { return now < f.downUntil }
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/lab/workerpool/pool_test.go
+++ b/lab/workerpool/pool_test.go
@@ -8,19 +8,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Work must end when the curve says, however seldom the pool is looked at.
+// Work must complete when the curve says, however seldom the pool is advanced.
 func TestWorkCompletesAtThroughputOfCurve(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		curve Curve
 		n     int
-		want  time.Duration // until n pieces of 100 ms are done
+		want  time.Duration // until n items of 100 ms are done
 	}{
-		"room for all":           {Curve{Workers: 4, Speed: 1, Knee: 1}, 4, 100 * time.Millisecond},
+		"a worker for each item": {Curve{Workers: 4, Speed: 1, Knee: 1}, 4, 100 * time.Millisecond},
 		"shared":                 {Curve{Workers: 4, Speed: 1, Knee: 9}, 8, 200 * time.Millisecond},
 		"slower machine":         {Curve{Workers: 4, Speed: 0.5, Knee: 9}, 4, 200 * time.Millisecond},
 		"past the knee":          {Curve{Workers: 4, Speed: 1, Knee: 1, SlowdownPerExcess: 0.5}, 8, 400 * time.Millisecond},
-		"never less than so":     {Curve{Workers: 1, Speed: 1, Knee: 1, SlowdownPerExcess: 1, MinSpeedRatio: 0.25}, 10, 4 * time.Second},
-		"cold, half on the mean": {Curve{Workers: 1, Speed: 1, Knee: 1, ColdSpeedRatio: 0, WarmupTime: 200 * time.Millisecond}, 1, 200 * time.Millisecond},
+		"at the least speed":     {Curve{Workers: 1, Speed: 1, Knee: 1, SlowdownPerExcess: 1, MinSpeedRatio: 0.25}, 10, 4 * time.Second},
+		"cold, half the speed on average": {
+			Curve{Workers: 1, Speed: 1, Knee: 1, ColdSpeedRatio: 0, WarmupTime: 200 * time.Millisecond},
+			1, 200 * time.Millisecond,
+		},
 	} {
 		for _, interval := range []time.Duration{time.Millisecond, time.Second} {
 			pool := NewPool(testCase.curve, 0)
@@ -49,7 +52,7 @@
 	require.False(t, crash.Observe(2*time.Second, 11))
 	require.False(t, crash.Observe(2900*time.Millisecond, 12))
 	require.False(t, crash.Observe(2950*time.Millisecond, 9))
-	require.False(t, crash.Observe(3100*time.Millisecond, 12), "it began anew")
+	require.False(t, crash.Observe(3100*time.Millisecond, 12), "the tolerance starts again")
 	require.True(t, crash.Observe(4200*time.Millisecond, 12))
 	require.True(t, crash.IsDown(9*time.Second))
 	require.False(t, crash.IsDown(10*time.Second))
