--- /dev/null
+++ b/lab/clients/conn.go
@@ -0,0 +1,235 @@
+package clients
+
+import (
+	"bufio"
+	"net"
+	"strconv"
+	"sync"
+	"time"
+
+	"falldeal/lab/fakes"
+	"falldeal/lab/history"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+const (
+	maxPending  = 32 // requests on one connection (protocol)
+	dialTimeout = time.Second
+
+	requestType           = 0 // of a MessagePack-RPC message
+	notificationParts     = 3 // elements of a MessagePack-RPC notification
+	responseParts         = 4 // elements of a MessagePack-RPC response
+	errorOverloaded       = "Overloaded"
+	fieldRetryAfterMillis = "after"
+	fieldNoRetry          = "last"
+)
+
+// serverConn is a connection to a server, shared by the requests of one front end. A goroutine of its own reads the
+// answers until the connection ends.
+type serverConn struct {
+	conn net.Conn
+
+	mu       sync.Mutex // of the fields below
+	writer   *bufio.Writer
+	encoder  *msgpack.Encoder
+	lastCall uint32
+	pending  map[uint32]chan answer // by call
+	closing  bool                   // the server accepts no more requests on it, or it has ended
+}
+
+// dial returns a connection to a server that accepts one more request, or nil if there is none and none can be made. A
+// connection that is full is replaced, and goes on until its answers are in.
+func (f *frontEnd) dial(target Server) *serverConn {
+	f.mu.Lock()
+	existing := f.conns[target]
+	f.mu.Unlock()
+	if existing != nil && existing.hasCapacity() {
+		return existing
+	}
+	dialed, err := net.DialTimeout("tcp", target.Addr, dialTimeout)
+	if err != nil {
+		return nil
+	}
+	writer := bufio.NewWriter(dialed)
+	conn := &serverConn{conn: dialed, writer: writer, encoder: msgpack.NewEncoder(writer), pending: map[uint32]chan answer{}}
+	go conn.readAnswers()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.conns[target] = conn
+	return conn
+}
+
+// forget removes a connection that has ended, unless another one has replaced it.
+func (f *frontEnd) forget(target Server, conn *serverConn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.conns[target] == conn {
+		delete(f.conns, target)
+	}
+}
+
+// close closes all current connections.
+func (f *frontEnd) close() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range f.conns {
+		conn.conn.Close()
+	}
+}
+
+func (c *serverConn) hasCapacity() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.closing && len(c.pending) < maxPending
+}
+
+// send writes a request. The channel delivers its answer, or is closed with the connection. It returns false if the
+// connection has ended.
+func (c *serverConn) send(method string, fields map[string]string, body []byte) (<-chan answer, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closing {
+		return nil, false
+	}
+	c.lastCall++
+	answers := make(chan answer, 1)
+	c.pending[c.lastCall] = answers
+	if err := c.write(method, fields, body); err != nil {
+		delete(c.pending, c.lastCall)
+		c.conn.Close()
+		return nil, false
+	}
+	return answers, true
+}
+
+func (c *serverConn) write(method string, fields map[string]string, body []byte) error {
+	if err := c.conn.SetWriteDeadline(time.Now().Add(dialTimeout)); err != nil {
+		return err
+	}
+	if err := c.encoder.Encode([]any{requestType, c.lastCall, method, []any{fields, body}}); err != nil {
+		return err
+	}
+	return c.writer.Flush()
+}
+
+// readAnswers hands out answers until the connection ends, and then closes the channels of all pending requests.
+func (c *serverConn) readAnswers() {
+	defer c.abort()
+	decoder := msgpack.NewDecoder(bufio.NewReader(c.conn))
+	for {
+		message, err := decoder.DecodeSlice()
+		if err != nil {
+			return
+		}
+		drained := false
+		switch len(message) {
+		case notificationParts: // the only one is closing
+			drained = c.startClosing()
+		case responseParts:
+			drained = c.complete(callNumber(message[1]), parseAnswer(message[2], message[3]))
+		default:
+			return
+		}
+		if drained {
+			return
+		}
+	}
+}
+
+// startClosing lets the pending requests end, and reports whether there are none.
+func (c *serverConn) startClosing() (drained bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closing = true
+	return len(c.pending) == 0
+}
+
+// complete delivers the answer to a pending request, and reports whether it was the last one of a closing connection.
+func (c *serverConn) complete(call uint32, reply answer) (drained bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if answers := c.pending[call]; answers != nil {
+		delete(c.pending, call)
+		answers <- reply // has a buffer for it
+	}
+	return c.closing && len(c.pending) == 0
+}
+
+// abort ends the connection and all requests that are pending on it.
+func (c *serverConn) abort() {
+	c.conn.Close()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closing = true
+	for call, answers := range c.pending {
+		delete(c.pending, call)
+		close(answers)
+	}
+}
+
+// callNumber converts the number of a call from any integer type that the decoder returns; 0 belongs to no call.
+func callNumber(value any) uint32 {
+	switch number := value.(type) {
+	case int8:
+		return uint32(number)
+	case uint8:
+		return uint32(number)
+	case int16:
+		return uint32(number)
+	case uint16:
+		return uint32(number)
+	case int32:
+		return uint32(number)
+	case uint32:
+		return number
+	case int64:
+		return uint32(number)
+	case uint64:
+		return uint32(number)
+	}
+	return 0
+}
+
+// parseAnswer reads a response: failure is nil, or a list of the error's name and its fields.
+func parseAnswer(failure, result any) answer {
+	if failure == nil {
+		return answer{outcome: history.OutcomeServed, degraded: isDegraded(result)}
+	}
+	list, ok := failure.([]any)
+	if !ok || len(list) == 0 || list[0] != errorOverloaded {
+		return answer{outcome: history.OutcomeFailed}
+	}
+	rejected := answer{outcome: history.OutcomeRejected}
+	if len(list) == 1 {
+		return rejected
+	}
+	fields, ok := list[1].(map[string]any)
+	if !ok {
+		return rejected
+	}
+	rejected.noRetry = fields[fieldNoRetry] == "1"
+	if text, ok := fields[fieldRetryAfterMillis].(string); ok {
+		rejected.retryAfter = parseMillis(text)
+	}
+	return rejected
+}
+
+// isDegraded reports whether a result is that of a run without its call.
+func isDegraded(result any) bool {
+	list, ok := result.([]any)
+	if !ok || len(list) == 0 {
+		return false
+	}
+	body, ok := list[0].([]byte)
+	return ok && string(body) == fakes.DegradedResult
+}
+
+// parseMillis reads a number of milliseconds; 0 where there is none.
+func parseMillis(text string) time.Duration {
+	millis, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		return 0
+	}
+	return time.Duration(millis * float64(time.Millisecond))
+}
--- /dev/null
+++ b/lab/clients/frontend.go
@@ -0,0 +1,196 @@
+package clients
+
+import (
+	"context"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"falldeal/lab/history"
+)
+
+// retryPause is how long a front end waits when it finds no server, or cannot reach the one that it has chosen.
+const retryPause = 20 * time.Millisecond
+
+// frontEnd sends the requests of one front end. Each request has a goroutine of its own.
+type frontEnd struct {
+	number   int
+	workload *Workload
+	policy   Policy
+	servers  ServerLister
+	log      *history.Log
+	rand     *rand.Rand // of the goroutine in generate alone
+
+	mu           sync.Mutex
+	conns        map[Server]*serverConn
+	nextServer   int
+	backoffUntil map[string]time.Duration // by server, on the clock of the log
+}
+
+// request is one request of a client.
+type request struct {
+	class          *Class
+	work           time.Duration
+	rank           float64
+	key            int
+	idempotencyKey string
+	arrival        time.Duration
+	attempts       int
+}
+
+// deadline is when the client gives up.
+func (r *request) deadline() time.Duration { return r.arrival + r.class.Timeout }
+
+// generate has requests arrive in a Poisson process until ctx ends, and waits for those in flight.
+func (f *frontEnd) generate(ctx context.Context) {
+	var inFlight sync.WaitGroup
+	defer f.close()
+	defer inFlight.Wait()
+	arrival := f.log.Now()
+	for n := 0; ; n++ {
+		arrival += f.drawInterval()
+		arrived := f.drawRequest(n, arrival)
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(max(arrival-f.log.Now(), 0)):
+		}
+		inFlight.Go(func() { f.serve(arrived) })
+	}
+}
+
+// drawInterval draws the time between two requests of this front end.
+func (f *frontEnd) drawInterval() time.Duration {
+	seconds := f.rand.ExpFloat64() * float64(f.workload.FrontEnds) / f.workload.RequestsPerSecond
+	return time.Duration(seconds * float64(time.Second))
+}
+
+// drawRequest draws request n of this front end.
+func (f *frontEnd) drawRequest(n int, arrival time.Duration) *request {
+	class := f.drawClass()
+	return &request{
+		class:          class,
+		work:           time.Duration(float64(class.MeanWork) * (0.5 + f.rand.ExpFloat64()/2)),
+		rank:           f.rand.Float64(),
+		key:            f.rand.IntN(f.workload.KeyCount),
+		arrival:        arrival,
+		idempotencyKey: fmt.Sprintf("%08x%08x%016x", f.number, n, f.workload.Seed),
+	}
+}
+
+func (f *frontEnd) drawClass() *Class {
+	x := f.rand.Float64()
+	for i := range f.workload.Classes {
+		class := &f.workload.Classes[i]
+		if x -= class.ArrivalRatio; x < 0 {
+			return class
+		}
+	}
+	return &f.workload.Classes[0]
+}
+
+// serve attempts a request until it is served, its client gives up or the policy allows no further attempt.
+func (f *frontEnd) serve(pending *request) {
+	outcome, value := history.OutcomeRejected, 0.0
+	for {
+		target, ok := f.choose(pending)
+		if !ok {
+			time.Sleep(retryPause)
+			if f.log.Now() >= pending.deadline() {
+				break
+			}
+			continue
+		}
+		reply := f.attempt(pending, target)
+		outcome = reply.outcome
+		if outcome == history.OutcomeServed {
+			outcome, value = f.rate(pending, reply)
+			break
+		}
+		if outcome == history.OutcomeUnreachable {
+			time.Sleep(retryPause)
+		}
+		if !f.mayRetry(pending, reply) {
+			break
+		}
+		f.backOff(target, reply.retryAfter)
+	}
+	f.log.Add(history.Event{
+		Kind:        history.RequestCompleted,
+		Class:       pending.class.Name,
+		Detail:      string(outcome),
+		Count:       pending.attempts,
+		Latency:     f.log.Now() - pending.arrival,
+		Value:       pending.class.Value,
+		ValueServed: value,
+		Work:        pending.work,
+		Client:      f.number,
+	})
+}
+
+// rate returns whether a served request counts as served or late, and its value.
+func (f *frontEnd) rate(served *request, reply answer) (history.Outcome, float64) {
+	if f.log.Now()-served.arrival > served.class.LatencyObjective {
+		return history.OutcomeLate, 0
+	}
+	value := served.class.Value
+	if reply.degraded {
+		value *= served.class.DegradedValueRatio
+	}
+	return history.OutcomeServed, value
+}
+
+// mayRetry reports whether another attempt is allowed and makes sense. A request that is idempotent by key may have run
+// unless the server rejected it or was not reached; it is then not sent again.
+func (f *frontEnd) mayRetry(pending *request, reply answer) bool {
+	notRun := reply.outcome == history.OutcomeRejected || reply.outcome == history.OutcomeUnreachable
+	switch {
+	case reply.noRetry && f.policy.HonorRetryAfter:
+		return false
+	case pending.class.IdempotentByKey && !notRun:
+		return false
+	case f.log.Now() >= pending.deadline():
+		return false
+	default:
+		return f.policy.MaxAttempts == 0 || pending.attempts < f.policy.MaxAttempts
+	}
+}
+
+// backOff avoids a server for as long as it asked for, where the policy honours that.
+func (f *frontEnd) backOff(target Server, retryAfter time.Duration) {
+	if retryAfter <= 0 || !f.policy.HonorRetryAfter {
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.backoffUntil[target.Name] = f.log.Now() + retryAfter
+}
+
+// choose returns the server for the next attempt; ok is false while there is none.
+func (f *frontEnd) choose(pending *request) (target Server, ok bool) {
+	servers := f.servers()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.log.Now()
+	for range servers {
+		i := f.nextServer
+		f.nextServer++
+		if f.policy.RouteByKey {
+			i = keyHash(pending.key) + pending.attempts // the same server for all steps of this loop
+		}
+		candidate := servers[i%len(servers)]
+		if !f.policy.HonorRetryAfter || f.backoffUntil[candidate.Name] <= now {
+			return candidate, true
+		}
+	}
+	return Server{}, false
+}
+
+// keyHash spreads keys over servers; it is never negative.
+func keyHash(key int) int {
+	hash := fnv.New32a()
+	fmt.Fprint(hash, key)
+	return int(hash.Sum32() >> 1)
+}
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -27,6 +27,23 @@
 	RequestCompleted = "request" // a request of a caller is over: Word is how, N its tries
 )
 
+// Outcome is how an attempt or a request ended. It stands in Event.Detail.
+type Outcome string
+
+// Outcomes of attempts and requests.
+const (
+	OutcomeServed      Outcome = "served"
+	OutcomeLate        Outcome = "late"      // served after its latency objective; of requests only
+	OutcomeRejected    Outcome = "refused"   // by admission control
+	OutcomeFailed      Outcome = "failed"    // with another error
+	OutcomeLost        Outcome = "lost"      // with its connection
+	OutcomeAbandoned   Outcome = "gave up"   // without an answer in time
+	OutcomeUnreachable Outcome = "unreached" // no connection to the server
+)
+
+// DetailUnread is the Detail of an AttemptAbandoned whose request was not read by its deadline.
+const DetailUnread = "unread"
+
 // Event is one thing that happened. At is on the laboratory's clock.
 type Event struct {
 	At             time.Duration `json:"at"`
