--- /dev/null
+++ b/lab/load/bench_test.go
@@ -0,0 +1,68 @@
+package load
+
+import (
+	"fmt"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// usage is what this process has used so far.
+type usage struct {
+	cpu      time.Duration
+	switches int64 // voluntary context switches
+}
+
+func currentUsage(b *testing.B) usage {
+	b.Helper()
+	var rusage syscall.Rusage
+	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &rusage))
+	return usage{cpu: time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano()), switches: rusage.Nvcsw}
+}
+
+// reportUsage reports what was used since before, per operation.
+func reportUsage(b *testing.B, before usage) {
+	b.Helper()
+	now := currentUsage(b)
+	b.ReportMetric(float64((now.cpu-before.cpu).Microseconds())/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64(now.switches-before.switches)/float64(b.N), "waits/op")
+}
+
+// BenchmarkRequest measures what a request costs the server's process, kernel and runtime included. Previews make a
+// call.
+func BenchmarkRequest(b *testing.B) {
+	for _, class := range []string{"hires-crop", "preview"} {
+		for _, clients := range []int{1, 8, 64} {
+			b.Run(fmt.Sprintf("%s/callers=%d", class, clients), func(b *testing.B) {
+				srv := newTestServer(b)
+				srv.run(b, Plan{Clients: clients, Requests: 10 * clients, Classes: []string{class}, BodyBytes: 1024})
+				b.ResetTimer()
+				before := currentUsage(b)
+				report := srv.run(b, Plan{Clients: clients, Requests: b.N, Classes: []string{class}, BodyBytes: 1024})
+				reportUsage(b, before)
+				b.ReportMetric(float64(report.Served)/float64(report.Total()), "served/op")
+			})
+		}
+	}
+}
+
+// BenchmarkIdle measures what a second without requests costs the server's process, with idle connections.
+func BenchmarkIdle(b *testing.B) {
+	for _, connections := range []int{0, 150} {
+		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
+			srv := newTestServer(b)
+			for range connections {
+				conn, err := net.Dial("tcp", srv.addr)
+				require.NoError(b, err)
+				defer conn.Close()
+			}
+			b.ResetTimer()
+			before := currentUsage(b)
+			time.Sleep(time.Duration(b.N) * time.Second)
+			reportUsage(b, before)
+		})
+	}
+}
--- /dev/null
+++ b/lab/load/dependencies_test.go
@@ -0,0 +1,90 @@
+package load
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"falldeal/lab/fakes"
+)
+
+// The fakes and the load run in a process of their own, so that processor time and profile of the test process are the
+// server's alone. That process is the test program again, with this variable set.
+const runAsDependencies = "FALLDEAL_BENCH_SURROUNDINGS"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(runAsDependencies) == "" {
+		os.Exit(m.Run())
+	}
+	if err := serveDependencies(os.Stdin, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+}
+
+// addresses are those of the fakes, as their process writes them to its standard output.
+type addresses struct{ Agent, Store, Announce string }
+
+// serveDependencies starts the fakes and writes their addresses. It then carries out the plans that it reads, and writes
+// their reports, until the input ends.
+func serveDependencies(in io.Reader, out io.Writer) error {
+	addrs, err := startFakes()
+	if err != nil {
+		return err
+	}
+	encoder, decoder := json.NewEncoder(out), json.NewDecoder(in)
+	if err := encoder.Encode(addrs); err != nil {
+		return err
+	}
+	for {
+		var plan Plan
+		if decoder.Decode(&plan) != nil {
+			return nil // the test process has closed the pipe
+		}
+		report, err := Run(context.Background(), plan)
+		if err != nil {
+			return err
+		}
+		if err := encoder.Encode(report); err != nil {
+			return err
+		}
+	}
+}
+
+// startFakes starts the fakes, which run until the process ends.
+func startFakes() (addresses, error) {
+	agentListener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return addresses{}, err
+	}
+	storeListener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return addresses{}, err
+	}
+	announceConn, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		return addresses{}, err
+	}
+	agent := &fakes.Agent{State: "steady", Age: time.Hour, Load: [4]float64{0.02, 0, 0.1, 10}, PlanRun: planRun}
+	go func() { _ = agent.Serve(agentListener) }()
+	go func() { _ = (&fakes.Store{}).Serve(storeListener) }()
+	go func() { _ = (&fakes.AnnounceService{}).Serve(announceConn) }()
+	return addresses{
+		Agent:    agentListener.Addr().String(),
+		Store:    storeListener.Addr().String(),
+		Announce: announceConn.LocalAddr().String(),
+	}, nil
+}
+
+// planRun has previews make a call of 96 bytes, and everything else succeed at once.
+func planRun(launch fakes.Launch) fakes.RunPlan {
+	if launch.Class == "preview" {
+		return fakes.RunPlan{Call: make([]byte, 96)}
+	}
+	return fakes.RunPlan{}
+}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,15 +1,12 @@
-// Package load asks an image server for work over MessagePack-RPC, as the protocol page describes front ends.
-// Its codec is a library's and not that of the server, so that each checks the other.
+// Package load generates a closed-loop load on one image server over MessagePack-RPC, as the protocol page describes
+// front ends. Its codec is a library's and not that of the server, so that each checks the other.
 package load
 
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"net"
-	"slices"
-	"strconv"
 	"sync/atomic"
 	"time"
 
@@ -17,35 +14,47 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// timeoutSlack is how long a caller waits for a connection, or past the end of its wait for an answer.
+// timeoutSlack is how long a client waits for a connection, and for an answer past the timeout of its request.
 const timeoutSlack = 10 * time.Second
 
-// Plan is a closed loop: each caller has one connection and one request open on it, Requests in all.
+// Plan is a closed loop: each client has one connection and one request in flight on it, until Requests were sent.
 type Plan struct {
 	Addr         string
 	Clients      int
-	Requests     int
-	Classes      []string      // taken in turn
-	KeyedClasses []string      // those of them whose requests must run once
-	BodyBytes    int           // bytes
-	Timeout      time.Duration // that each request may take
-	CostHint     time.Duration // the hint
+	Requests     int           // of all clients together
+	Classes      []string      // sent round robin by each client
+	KeyedClasses []string      // those of Classes whose requests carry an idempotency key
+	BodyBytes    int           // size of a request's body
+	Timeout      time.Duration // of a request
+	CostHint     time.Duration // processor time that a request claims to take
 }
 
 // Report counts answers.
 type Report struct{ Served, Rejected, Failed int64 }
 
-// Total is how many answers came.
+// Total is the number of all answers.
 func (r Report) Total() int64 { return r.Served + r.Rejected + r.Failed }
 
+// counters counts the answers to all clients of a run.
 type counters struct{ served, rejected, failed atomic.Int64 }
 
-// attemptIDs are unique within a process; a run of it starts at another number.
-var attemptIDs atomic.Uint64
+func (c *counters) add(result outcome) {
+	switch result {
+	case outcomeServed:
+		c.served.Add(1)
+	case outcomeRejected:
+		c.rejected.Add(1)
+	case outcomeFailed:
+		c.failed.Add(1)
+	}
+}
 
-func init() { attemptIDs.Store(uint64(time.Now().UnixNano())) }
+func (c *counters) report() Report {
+	return Report{Served: c.served.Load(), Rejected: c.rejected.Load(), Failed: c.failed.Load()}
+}
 
-// Run carries out a plan. Its error tells of an answer that never came or can't be read.
+// Run carries out a plan. It returns an error when an answer does not come in time or can't be read, or when ctx ends;
+// the report then counts the answers until then.
 func Run(ctx context.Context, plan Plan) (Report, error) {
 	var counts counters
 	var remaining atomic.Int64
@@ -55,9 +64,10 @@
 		group.Go(func() error { return plan.runClient(ctx, client, &remaining, &counts) })
 	}
 	err := group.Wait()
-	return Report{counts.served.Load(), counts.rejected.Load(), counts.failed.Load()}, err
+	return counts.report(), err
 }
 
+// runClient sends requests one by one while any of the plan remain.
 func (p *Plan) runClient(ctx context.Context, client int, remaining *atomic.Int64, counts *counters) error {
 	conn, err := (&net.Dialer{Timeout: timeoutSlack}).DialContext(ctx, "tcp", p.Addr)
 	if err != nil {
@@ -71,69 +81,17 @@
 		if err := conn.SetDeadline(time.Now().Add(p.Timeout + timeoutSlack)); err != nil {
 			return err
 		}
-		if err := p.send(encoder, client, call); err != nil {
+		if err := p.writeRequest(encoder, client, call); err != nil {
 			return err
 		}
 		if err := writer.Flush(); err != nil {
 			return err
 		}
-		if err := counts.readAnswer(decoder, call); err != nil {
+		result, err := readAnswer(decoder, call)
+		if err != nil {
 			return fmt.Errorf("caller %d, call %d: %w", client, call, err)
 		}
-	}
-	return nil
-}
-
-func (p *Plan) send(encoder *msgpack.Encoder, client int, call uint32) error {
-	class := p.Classes[int(call)%len(p.Classes)]
-	id := attemptIDs.Add(1)
-	fields := map[string]string{"id": fmt.Sprintf("%016x", id), "from": strconv.Itoa(client), "kb": "4.0", "rank": "0.5",
-		"at":   strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"wait": strconv.FormatInt(p.Timeout.Milliseconds(), 10),
-		"cost": strconv.FormatFloat(float64(p.CostHint)/float64(time.Millisecond), 'f', 2, 64)}
-	if slices.Contains(p.KeyedClasses, class) {
-		fields["once"] = fmt.Sprintf("%032x", id)
-	} else {
-		fields["key"] = fmt.Sprintf("%016x", id%1000)
-	}
-	return encoder.Encode([]any{0, call, class, []any{fields, make([]byte, p.BodyBytes)}})
-}
-
-var errUnexpectedAnswer = errors.New("not the answer to the call")
-
-// readAnswer reads one answer and counts it.
-func (n *counters) readAnswer(decoder *msgpack.Decoder, call uint32) error {
-	parts, err := decoder.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	kind, err := decoder.DecodeInt()
-	if err != nil {
-		return err
-	}
-	id, err := decoder.DecodeUint32()
-	if err != nil {
-		return err
-	}
-	if parts != 4 || kind != 1 || id != call {
-		return fmt.Errorf("%w: %d parts, kind %d, id %d", errUnexpectedAnswer, parts, kind, id)
-	}
-	failure, err := decoder.DecodeInterface()
-	if err != nil {
-		return err
-	}
-	if _, err := decoder.DecodeInterface(); err != nil {
-		return err
-	}
-	switch list, ok := failure.([]any); {
-	case failure == nil:
-		n.served.Add(1)
-	case !ok || len(list) == 0:
-		return fmt.Errorf("%w: error %.80v", errUnexpectedAnswer, failure)
-	case list[0] == "Overloaded":
-		n.rejected.Add(1)
-	default:
-		n.failed.Add(1)
+		counts.add(result)
 	}
 	return nil
 }
