--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -1,57 +1,75 @@
-// Package modelcheck visits every state that a small protocol can get to, breadth first, so that the steps to a broken
-// one are the fewest. It is for protocols small enough to be visited whole: a handful of members, amounts and steps.
+// Package modelcheck checks an invariant in every reachable state of a small protocol. It searches breadth first, so that
+// the counterexample that it finds has the fewest steps. It is for protocols small enough to be searched completely: a
+// handful of members, amounts and steps.
 package modelcheck
 
-// Step is one thing that may happen in a state, and the state it leads to.
+import "slices"
+
+// Step is a transition: something that may happen in a state, and the state that it leads to.
 type Step[S any] struct {
 	Name string
 	To   S
 }
 
-// Result is what a visit came to.
+// Result is what a search found.
 type Result struct {
-	Why    string   // what was broken; empty: nothing
-	Steps  []string // the fewest that lead there
-	States int      // that were visited
-	Whole  bool     // no state was left out for the bound on steps
+	Why    string   // the violation of the invariant; empty if there is none
+	Steps  []string // the fewest steps from the start to the violation
+	States int      // different states reached
+	Whole  bool     // all reachable states were checked: the bound on steps left none out
 }
 
-// Visit visits what can be reached from start within so many steps. Next returns what may happen; it must not change
-// its argument. Key tells states apart. Broken says what is wrong with a state, or nothing.
-func Visit[S any](start S, depth int, next func(S) []Step[S], key func(S) string, broken func(S) string) Result {
-	type node struct {
-		state S
-		from  *node
-		step  string
-	}
-	trace := func(current *node) (steps []string) {
-		for ; current.from != nil; current = current.from {
-			steps = append([]string{current.step}, steps...)
-		}
-		return steps
+// node is a state on the search's frontier, with the path that led to it.
+type node[S any] struct {
+	state S
+	from  *node[S] // nil at the start
+	step  string   // that led here from there
+}
+
+// path returns the names of the steps from the start.
+func (n *node[S]) path() (steps []string) {
+	for ; n.from != nil; n = n.from {
+		steps = append(steps, n.step)
 	}
+	slices.Reverse(steps)
+	return steps
+}
+
+// Visit searches the states that are reachable from start within depth steps, and ends at the first violation. Next
+// returns the steps that are possible in a state; it must not change the state. Key returns equal strings for states
+// that are the same. Violation says how a state violates the invariant; empty if it does not.
+func Visit[S any](
+	start S, depth int, next func(S) []Step[S], key func(S) string, violation func(S) string,
+) Result {
 	seen := map[string]bool{key(start): true}
-	level := []*node{{state: start}}
-	for steps := 0; len(level) > 0; steps++ {
-		var deeper []*node
-		for _, current := range level {
-			if why := broken(current.state); why != "" {
-				return Result{Why: why, Steps: trace(current), States: len(seen)}
-			}
-			if steps == depth {
-				continue
+	frontier := []*node[S]{{state: start}}
+	for steps := 0; len(frontier) > 0; steps++ {
+		var reached []*node[S]
+		for _, current := range frontier {
+			if why := violation(current.state); why != "" {
+				return Result{Why: why, Steps: current.path(), States: len(seen)}
 			}
-			for _, step := range next(current.state) {
-				if id := key(step.To); !seen[id] {
-					seen[id] = true
-					deeper = append(deeper, &node{step.To, current, step.Name})
-				}
+			if steps < depth {
+				reached = append(reached, current.expand(seen, next, key)...)
 			}
 		}
 		if steps == depth {
 			return Result{States: len(seen)}
 		}
-		level = deeper
+		frontier = reached
 	}
 	return Result{States: len(seen), Whole: true}
 }
+
+// expand returns the states one step away that were not seen before, and marks them as seen.
+func (n *node[S]) expand(seen map[string]bool, next func(S) []Step[S], key func(S) string) (reached []*node[S]) {
+	for _, step := range next(n.state) {
+		id := key(step.To)
+		if seen[id] {
+			continue
+		}
+		seen[id] = true
+		reached = append(reached, &node[S]{state: step.To, from: n, step: step.Name})
+	}
+	return reached
+}
--- /dev/null
+++ b/lab/modelcheck/modelcheck_test.go
@@ -0,0 +1,43 @@
+package modelcheck
+
+import (
+	"strconv"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// counterSteps are those of a counter up to 10 that can add one or double.
+func counterSteps(n int) (steps []Step[int]) {
+	for _, step := range []Step[int]{{Name: "add", To: n + 1}, {Name: "double", To: 2 * n}} {
+		if step.To <= 10 {
+			steps = append(steps, step)
+		}
+	}
+	return steps
+}
+
+func TestVisit(t *testing.T) {
+	isNine := func(n int) string {
+		if n == 9 {
+			return "the counter is 9"
+		}
+		return ""
+	}
+	for name, testCase := range map[string]struct {
+		depth     int
+		violation func(int) string
+		want      Result
+	}{
+		"no violation":               {20, func(int) string { return "" }, Result{States: 10, Whole: true}},
+		"bound on steps":             {2, func(int) string { return "" }, Result{States: 4}},
+		"violation in the last step": {4, isNine, Result{Why: "the counter is 9", Steps: []string{"add", "double", "double", "add"}, States: 10}},
+		"violation beyond the bound": {3, isNine, Result{States: 7}},
+		"violation of the start":     {0, func(int) string { return "always" }, Result{Why: "always", States: 1}},
+		"no step allowed":            {0, isNine, Result{States: 1}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			require.Equal(t, testCase.want, Visit(1, testCase.depth, counterSteps, strconv.Itoa, testCase.violation))
+		})
+	}
+}
