--- /dev/null
+++ b/lab/memnet/host.go
@@ -0,0 +1,115 @@
+package memnet
+
+import (
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// Host is one end of a network. It is a memberlist.NodeAwareTransport; its methods may be called from any goroutine.
+type Host struct {
+	network *Network
+	addr    string
+	packets chan *memberlist.Packet
+	streams chan net.Conn
+	// Under the network's lock.
+	down  bool
+	conns map[*conn]bool
+}
+
+var _ memberlist.NodeAwareTransport = (*Host)(nil)
+
+// Kill takes the host down at once: it sends and receives nothing more, its streams end, and dials to it are refused.
+func (h *Host) Kill() {
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	h.down = true
+	for c := range h.conns {
+		c.Conn.Close()
+	}
+}
+
+// Shutdown takes the host down for memberlist, and closes the streams that were not accepted.
+func (h *Host) Shutdown() error {
+	h.Kill()
+	for {
+		select {
+		case c := <-h.streams:
+			c.Close()
+		default:
+			return nil
+		}
+	}
+}
+
+// FinalAdvertiseAddr returns the host's address, whatever is asked for.
+func (h *Host) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	addr, err := net.ResolveUDPAddr("udp", h.addr)
+	if err != nil {
+		return nil, 0, err
+	}
+	return addr.IP, addr.Port, nil
+}
+
+// WriteTo sends a packet and returns the time of that. A packet that is lost is no error.
+func (h *Host) WriteTo(b []byte, addr string) (time.Time, error) {
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	now := time.Now()
+	if h.down {
+		return now, net.ErrClosed
+	}
+	h.network.send(h.addr, addr, b)
+	return now, nil
+}
+
+// WriteToAddress is WriteTo for an address with a name, which is ignored.
+func (h *Host) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
+	return h.WriteTo(b, to.Addr)
+}
+
+// PacketCh delivers the packets that arrive.
+func (h *Host) PacketCh() <-chan *memberlist.Packet { return h.packets }
+
+// StreamCh delivers the streams that others open.
+func (h *Host) StreamCh() <-chan net.Conn { return h.streams }
+
+// DialAddressTimeout is DialTimeout for an address with a name, which is ignored.
+func (h *Host) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return h.DialTimeout(to.Addr, timeout)
+}
+
+// DialTimeout opens a stream. It times out behind a partition in either direction and where there was never a host, and
+// is refused by a host that is down or has too many unaccepted streams.
+func (h *Host) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	network := h.network
+	network.mu.Lock()
+	forward, back, target := network.rule(h.addr, addr), network.rule(addr, h.addr), network.hosts[addr]
+	network.mu.Unlock()
+	if forward.Partition || back.Partition || target == nil {
+		time.Sleep(timeout)
+		return nil, dialError(os.ErrDeadlineExceeded)
+	}
+	time.Sleep(forward.Delay + back.Delay)
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if target.down || h.down {
+		return nil, dialError(syscall.ECONNREFUSED)
+	}
+	localEnd, remoteEnd := net.Pipe()
+	dialed := &conn{Conn: localEnd, local: h, remote: target, remoteAddr: addr}
+	accepted := &conn{Conn: remoteEnd, local: target, remote: h, remoteAddr: h.addr}
+	select {
+	case target.streams <- accepted:
+	default:
+		localEnd.Close()
+		return nil, dialError(syscall.ECONNREFUSED)
+	}
+	h.conns[dialed], target.conns[accepted] = true, true
+	return dialed, nil
+}
+
+func dialError(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Err: err} }
