--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -8,112 +8,190 @@
 // Rules are the bounds that a history is checked against.
 type Rules struct {
 	Slack             time.Duration // by which a final answer may be late
-	IdempotencyWindow time.Duration // within which an order must not run again
-	MaxStoreCalls     int           // calls in hand that the stores together may see; 0 = any
+	IdempotencyWindow time.Duration // within which a request with an idempotency key must not run again
+	MaxStoreCalls     int           // in flight at all stores together; 0 = any number
 }
 
-// Violation is one broken rule.
+// Names of the rules.
+const (
+	// RuleSingleAnswer: each attempt has one final answer at most.
+	RuleSingleAnswer = "one answer"
+	// RuleDeadline: an attempt has its final answer by its deadline, while its server lives and its client waits.
+	RuleDeadline = "in time"
+	// RuleRunsOnce: a request with an idempotency key runs once within the window.
+	RuleRunsOnce = "runs once"
+	// RuleStoreCalls: the stores never have more calls in flight than they survive.
+	RuleStoreCalls = "store"
+	// RuleNoFalseDeath: no member is reported dead whose process has lived for longer than viewLag.
+	RuleNoFalseDeath = "not dead"
+)
+
+// viewLag is how long a report of an earlier process may still come after the next one has started: the connection that
+// was refused was made before, and a view is published, polled and recorded after.
+const viewLag = 2 * time.Second
+
+// conditionDead is the condition of a member that a view reports as dead.
+const conditionDead = "dead"
+
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   string
 	Event  Event
 	Reason string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%v %s: %s (server %s, try %s)", b.Event.At.Round(time.Millisecond), b.Rule, b.Reason, b.Event.Server, b.Event.AttemptID)
+func (v Violation) String() string {
+	at := v.Event.At.Round(time.Millisecond)
+	return fmt.Sprintf("%v %s: %s (server %s, try %s)", at, v.Rule, v.Reason, v.Event.Server, v.Event.AttemptID)
 }
 
-// Names of the rules.
-const (
-	RuleSingleAnswer = "one answer" // each try has one final answer at most
-	RuleDeadline     = "in time"    // and has it by its end, while its server lives and its caller waits
-	RuleRunsOnce     = "runs once"  // an order runs once within its window
-	RuleStoreCalls   = "store"      // the stores never see more calls than they survive
-	RuleNoFalseDeath = "not dead"   // nobody is called dead whose process lives, and has for longer than viewLag
-)
+// Check returns the violations of a history, in the order of their discovery. It relies only on what clients and fakes
+// saw, except for views, which it checks.
+func Check(events []Event, rules Rules) []Violation {
+	check := &checker{
+		rules:     rules,
+		attempts:  map[string]*attempt{},
+		open:      map[string]map[string]*attempt{},
+		runs:      map[string]time.Duration{},
+		processes: map[string]*process{},
+	}
+	for i := range events {
+		check.apply(&events[i])
+	}
+	return check.violations
+}
 
-// viewLag is how long what was true of a process may still be said after it has started again: the call that was refused
-// was made before, and a view is published, asked for and noted after.
-const viewLag = 2 * time.Second
+// checker holds the state of a check between events.
+type checker struct {
+	rules         Rules
+	violations    []Violation
+	attempts      map[string]*attempt
+	open          map[string]map[string]*attempt // by server: those without an answer
+	runs          map[string]time.Duration       // by idempotency key: when it ran last
+	processes     map[string]*process
+	callsInFlight int
+}
+
+// attempt is what is known of one attempt.
+type attempt struct {
+	sent     Event
+	answered bool
+	excused  bool // its answer may be late or lost, as its server's process was interfered with
+}
 
-// Check returns what is broken. It goes through the history once, and holds to what callers and stand-ins saw.
-func Check(events []Event, r Rules) (broken []Violation) {
-	type try struct {
-		Event
-		answered, excused bool
-	}
-	tries := map[string]*try{}
-	runs := map[string]time.Duration{} // of an order: when it began last
-	lives, stopped, born := map[string]bool{}, map[string]bool{}, map[string]time.Duration{}
-	open := map[string]map[string]*try{} // by server
-	excuse := func(server string) {
-		for _, t := range open[server] {
-			t.excused = true
+// process is what is known of the processes of one server.
+type process struct {
+	alive     bool
+	paused    bool
+	startedAt time.Duration
+}
+
+func (c *checker) apply(event *Event) {
+	switch event.Kind {
+	case AttemptSent:
+		c.attemptSent(event)
+	case AttemptAnswered, AttemptAbandoned:
+		c.attemptEnded(event)
+	case RunStarted:
+		c.runStarted(event)
+	case CallStarted:
+		c.callsInFlight++
+		if c.rules.MaxStoreCalls > 0 && c.callsInFlight > c.rules.MaxStoreCalls {
+			c.fail(RuleStoreCalls, event, "%d calls in hand", c.callsInFlight)
 		}
+	case CallEnded:
+		c.callsInFlight--
+	case ProcessChanged:
+		c.processChanged(event)
+	case ViewChanged:
+		c.viewChanged(event)
+	}
+}
+
+func (c *checker) fail(rule string, event *Event, reason string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, Event: *event, Reason: fmt.Sprintf(reason, args...)})
+}
+
+// process returns the state of a server's processes.
+func (c *checker) process(server string) *process {
+	known := c.processes[server]
+	if known == nil {
+		known = &process{}
+		c.processes[server] = known
 	}
-	fail := func(rule string, e Event, why string, args ...any) {
-		broken = append(broken, Violation{rule, e, fmt.Sprintf(why, args...)})
+	return known
+}
+
+func (c *checker) attemptSent(event *Event) {
+	sent := &attempt{sent: *event, excused: c.process(event.Server).paused}
+	c.attempts[event.AttemptID] = sent
+	if c.open[event.Server] == nil {
+		c.open[event.Server] = map[string]*attempt{}
 	}
-	late := func(t *try, at time.Duration) {
-		if at > t.Deadline+r.Slack && !t.excused {
-			fail(RuleDeadline, t.Event, "final answer %v after its end", (at - t.Deadline).Round(time.Millisecond))
-		}
+	c.open[event.Server][event.AttemptID] = sent
+}
+
+func (c *checker) attemptEnded(event *Event) {
+	ended := c.attempts[event.AttemptID]
+	if ended == nil {
+		return
+	}
+	if event.Kind == AttemptAnswered && ended.answered {
+		c.fail(RuleSingleAnswer, event, "answered again")
+		return
+	}
+	ended.answered = true
+	delete(c.open[ended.sent.Server], event.AttemptID)
+	if ended.excused {
+		return
 	}
-	inHand := 0
-	for _, e := range events {
-		switch e.Kind {
-		case AttemptSent:
-			t := &try{Event: e, excused: stopped[e.Server]}
-			tries[e.AttemptID] = t
-			if open[e.Server] == nil {
-				open[e.Server] = map[string]*try{}
-			}
-			open[e.Server][e.AttemptID] = t
-		case AttemptAnswered, AttemptAbandoned:
-			t := tries[e.AttemptID]
-			if t == nil {
-				continue
-			}
-			if e.Kind == AttemptAnswered && t.answered {
-				fail(RuleSingleAnswer, e, "answered again")
-				continue
-			}
-			t.answered = true
-			delete(open[t.Server], e.AttemptID)
-			if e.Kind == AttemptAnswered && e.Detail != "lost" || e.Kind == AttemptAbandoned {
-				late(t, e.At)
-			} else if !t.excused && lives[t.Server] {
-				fail(RuleDeadline, t.Event, "lost on a connection that a living server ended")
-			}
-		case RunStarted:
-			t := tries[e.AttemptID]
-			if t == nil || t.IdempotencyKey == "" {
-				continue
-			}
-			if at, ran := runs[t.IdempotencyKey]; ran && e.At-at <= r.IdempotencyWindow {
-				fail(RuleRunsOnce, e, "order %s began %v before as well", t.IdempotencyKey, (e.At - at).Round(time.Millisecond))
-			}
-			runs[t.IdempotencyKey] = e.At
-		case CallStarted:
-			inHand++
-			if r.MaxStoreCalls > 0 && inHand > r.MaxStoreCalls {
-				fail(RuleStoreCalls, e, "%d calls in hand", inHand)
-			}
-		case CallEnded:
-			inHand--
-		case ProcessChanged:
-			lives[e.Server] = e.Detail == "started" || lives[e.Server] && e.Detail != "killed" && e.Detail != "ended"
-			stopped[e.Server] = e.Detail == "stopped" || stopped[e.Server] && e.Detail != "continued" && e.Detail != "started"
-			if e.Detail == "started" {
-				born[e.Server] = e.At
-			} else {
-				excuse(e.Server) // what it has in hand may be lost, or late by as long as it stands still
-			}
-		case ViewChanged:
-			if e.Detail == "dead" && lives[e.Member] && e.At-born[e.Member] > viewLag {
-				fail(RuleNoFalseDeath, e, "%s says so of %s", e.Server, e.Member)
-			}
+	if event.Kind == AttemptAnswered && Outcome(event.Detail) == OutcomeLost {
+		if c.process(ended.sent.Server).alive {
+			c.fail(RuleDeadline, &ended.sent, "lost on a connection that a living server ended")
 		}
+		return
+	}
+	if late := event.At - ended.sent.Deadline; late > c.rules.Slack {
+		c.fail(RuleDeadline, &ended.sent, "final answer %v after its end", late.Round(time.Millisecond))
+	}
+}
+
+func (c *checker) runStarted(event *Event) {
+	started := c.attempts[event.AttemptID]
+	if started == nil || started.sent.IdempotencyKey == "" {
+		return
+	}
+	key := started.sent.IdempotencyKey
+	if at, ran := c.runs[key]; ran && event.At-at <= c.rules.IdempotencyWindow {
+		c.fail(RuleRunsOnce, event, "order %s began %v before as well", key, (event.At - at).Round(time.Millisecond))
+	}
+	c.runs[key] = event.At
+}
+
+func (c *checker) processChanged(event *Event) {
+	changed := c.process(event.Server)
+	state := ProcessState(event.Detail)
+	if state == ProcessStarted {
+		*changed = process{alive: true, startedAt: event.At}
+		return
+	}
+	switch state {
+	case ProcessKilled, ProcessEnded:
+		changed.alive = false
+	case ProcessPaused:
+		changed.paused = true
+	case ProcessResumed:
+		changed.paused = false
+	default: // changes nothing by itself; its end follows as an event of its own
+	}
+	for _, open := range c.open[event.Server] {
+		open.excused = true
+	}
+}
+
+func (c *checker) viewChanged(event *Event) {
+	member := c.process(event.Member)
+	if event.Detail == conditionDead && member.alive && event.At-member.startedAt > viewLag {
+		c.fail(RuleNoFalseDeath, event, "%s says so of %s", event.Server, event.Member)
 	}
-	return broken
 }
--- a/lab/history/check_test.go
+++ b/lab/history/check_test.go
@@ -11,55 +11,54 @@
 	"github.com/stretchr/testify/require"
 )
 
-const s = time.Second
-
-// Each planted fault must be found, by its rule and no other; a history without one must pass.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// A violation that is added to a good history must be found, by its rule and no other; the good history must pass.
+func TestCheckFindsAddedViolations(t *testing.T) {
 	good := []Event{
 		{At: 0, Kind: ProcessChanged, Server: "n1", Detail: "started"},
 		{At: 0, Kind: ProcessChanged, Server: "n2", Detail: "started"},
-		{At: 1 * s, Kind: AttemptSent, AttemptID: "a", IdempotencyKey: "o1", Server: "n1", Deadline: 4 * s},
-		{At: 1 * s, Kind: AttemptSent, AttemptID: "b", Server: "n2", Deadline: 4 * s},
-		{At: 2 * s, Kind: RunStarted, AttemptID: "a", Server: "n1"},
-		{At: 2 * s, Kind: CallStarted, AttemptID: "a"},
-		{At: 3 * s, Kind: CallEnded, AttemptID: "a"},
-		{At: 3 * s, Kind: AttemptAnswered, AttemptID: "a", Server: "n1", Detail: "served"},
-		{At: 4 * s, Kind: AttemptAnswered, AttemptID: "b", Server: "n2", Detail: "refused"},
-		{At: 5 * s, Kind: AttemptSent, AttemptID: "c", Server: "n1", Deadline: 6 * s},
-		{At: 5 * s, Kind: ProcessChanged, Server: "n1", Detail: "stopped"},
-		{At: 8 * s, Kind: ProcessChanged, Server: "n1", Detail: "continued"},
-		{At: 8 * s, Kind: AttemptAnswered, AttemptID: "c", Server: "n1", Detail: "failed"}, // it stood still
-		{At: 9 * s, Kind: ProcessChanged, Server: "n2", Detail: "killed"},
-		{At: 10 * s, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"},
-		{At: 30 * s, Kind: AttemptSent, AttemptID: "d", IdempotencyKey: "o1", Server: "n1", Deadline: 33 * s},
-		{At: 30 * s, Kind: RunStarted, AttemptID: "d", Server: "n1"}, // past its window
-		{At: 31 * s, Kind: AttemptAnswered, AttemptID: "d", Server: "n1", Detail: "served"},
-		{At: 32 * s, Kind: ProcessChanged, Server: "n2", Detail: "started"},
-		{At: 33 * s, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"}, // it was, when that was found
+		{At: 1 * time.Second, Kind: AttemptSent, AttemptID: "a", IdempotencyKey: "o1", Server: "n1", Deadline: 4 * time.Second},
+		{At: 1 * time.Second, Kind: AttemptSent, AttemptID: "b", Server: "n2", Deadline: 4 * time.Second},
+		{At: 2 * time.Second, Kind: RunStarted, AttemptID: "a", Server: "n1"},
+		{At: 2 * time.Second, Kind: CallStarted, AttemptID: "a"},
+		{At: 3 * time.Second, Kind: CallEnded, AttemptID: "a"},
+		{At: 3 * time.Second, Kind: AttemptAnswered, AttemptID: "a", Server: "n1", Detail: "served"},
+		{At: 4 * time.Second, Kind: AttemptAnswered, AttemptID: "b", Server: "n2", Detail: "refused"},
+		{At: 5 * time.Second, Kind: AttemptSent, AttemptID: "c", Server: "n1", Deadline: 6 * time.Second},
+		{At: 5 * time.Second, Kind: ProcessChanged, Server: "n1", Detail: "stopped"},
+		{At: 8 * time.Second, Kind: ProcessChanged, Server: "n1", Detail: "continued"},
+		{At: 8 * time.Second, Kind: AttemptAnswered, AttemptID: "c", Server: "n1", Detail: "failed"}, // late, as its server was paused
+		{At: 9 * time.Second, Kind: ProcessChanged, Server: "n2", Detail: "killed"},
+		{At: 10 * time.Second, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"},
+		{At: 30 * time.Second, Kind: AttemptSent, AttemptID: "d", IdempotencyKey: "o1", Server: "n1", Deadline: 33 * time.Second},
+		{At: 30 * time.Second, Kind: RunStarted, AttemptID: "d", Server: "n1"}, // after the idempotency window
+		{At: 31 * time.Second, Kind: AttemptAnswered, AttemptID: "d", Server: "n1", Detail: "served"},
+		{At: 32 * time.Second, Kind: ProcessChanged, Server: "n2", Detail: "started"},
+		{At: 33 * time.Second, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"}, // was true within viewLag
 	}
-	rules := Rules{Slack: s / 5, IdempotencyWindow: 17 * s, MaxStoreCalls: 1}
+	rules := Rules{Slack: time.Second / 5, IdempotencyWindow: 17 * time.Second, MaxStoreCalls: 1}
 	require.Empty(t, Check(good, rules))
-	for rule, planted := range map[string][]Event{
-		RuleSingleAnswer: {{At: 3 * s, Kind: AttemptAnswered, AttemptID: "a", Server: "n1", Detail: "failed"}},
-		RuleDeadline: {{At: 11 * s, Kind: AttemptSent, AttemptID: "e", Server: "n1", Deadline: 12 * s},
-			{At: 13 * s, Kind: AttemptAnswered, AttemptID: "e", Server: "n1", Detail: "served"}},
-		RuleRunsOnce:     {{At: 7 * s, Kind: AttemptSent, AttemptID: "f", IdempotencyKey: "o1", Server: "n2", Deadline: 9 * s}, {At: 8 * s, Kind: RunStarted, AttemptID: "f", Server: "n2"}},
-		RuleStoreCalls:   {{At: 2 * s, Kind: CallStarted, AttemptID: "x"}, {At: 3 * s, Kind: CallEnded, AttemptID: "x"}},
-		RuleNoFalseDeath: {{At: 12 * s, Kind: ViewChanged, Server: "n2", Member: "n1", Detail: "dead"}},
+	for rule, added := range map[string][]Event{
+		RuleSingleAnswer: {{At: 3 * time.Second, Kind: AttemptAnswered, AttemptID: "a", Server: "n1", Detail: "failed"}},
+		RuleDeadline: {{At: 11 * time.Second, Kind: AttemptSent, AttemptID: "e", Server: "n1", Deadline: 12 * time.Second},
+			{At: 13 * time.Second, Kind: AttemptAnswered, AttemptID: "e", Server: "n1", Detail: "served"}},
+		RuleRunsOnce: {{At: 7 * time.Second, Kind: AttemptSent, AttemptID: "f", IdempotencyKey: "o1", Server: "n2", Deadline: 9 * time.Second},
+			{At: 8 * time.Second, Kind: RunStarted, AttemptID: "f", Server: "n2"}},
+		RuleStoreCalls:   {{At: 2 * time.Second, Kind: CallStarted, AttemptID: "x"}, {At: 3 * time.Second, Kind: CallEnded, AttemptID: "x"}},
+		RuleNoFalseDeath: {{At: 12 * time.Second, Kind: ViewChanged, Server: "n2", Member: "n1", Detail: "dead"}},
 	} {
-		events := slices.Concat(good, planted)
+		events := slices.Concat(good, added)
 		slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
-		broken := Check(events, rules)
-		require.Len(t, broken, 1, rule)
-		require.Equal(t, rule, broken[0].Rule)
+		violations := Check(events, rules)
+		require.Len(t, violations, 1, rule)
+		require.Equal(t, rule, violations[0].Rule)
 	}
 }
 
-// A history that a crash has cut off must be readable up to the break.
+// A history that a crash has truncated must be readable up to there.
 func TestReadTruncatedHistory(t *testing.T) {
-	var b bytes.Buffer
-	require.NoError(t, json.NewEncoder(&b).Encode(Event{At: s, Kind: AttemptSent}))
-	events, err := Read(strings.NewReader(b.String() + `{"at":2000,"ki`))
+	var file bytes.Buffer
+	require.NoError(t, json.NewEncoder(&file).Encode(Event{At: time.Second, Kind: AttemptSent}))
+	events, err := Read(strings.NewReader(file.String() + `{"at":2000,"ki`))
 	require.NoError(t, err)
-	require.Equal(t, []Event{{At: s, Kind: AttemptSent}}, events)
+	require.Equal(t, []Event{{At: time.Second, Kind: AttemptSent}}, events)
 }
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -2,65 +2,78 @@
 
 import "time"
 
-// How a return to service is judged: by the worth served of what arrived in a window, against that before the trouble.
+// A recovery is judged by the ratio of value served, by the arrival of requests, against that before the fault.
 const (
-	recoveryWindow = 2 * time.Second
-	recoveryHold   = 4 * time.Second // for which it has to last
-	recoveryRatio  = 0.95
+	recoveryWindow = 2 * time.Second // over which the ratio is taken
+	recoveryHold   = 4 * time.Second // for which the ratio has to stay up
+	recoveryRatio  = 0.95            // of the ratio before the fault
 	recoveryStep   = 250 * time.Millisecond
-	baselineWindow = 6 * time.Second // of the time before the trouble that counts
+	baselineWindow = 6 * time.Second // before the fault
 )
 
-// RecoveryTime is how long after the end of a trouble, which began at from and ended at to, service was back at 95% of what
-// it was before, and stayed there; ok is false where it did not come back by the end of the history.
+// RecoveryTime is how long after the end of a fault, which lasted from from to to, the service was back at 95% of the value
+// that it served before, and stayed there. Ok is false if it was not back by the end of the history.
 func RecoveryTime(events []Event, from, to time.Duration) (after time.Duration, ok bool) {
-	var offered, served []float64 // by the step in which a request arrived
+	values := valuesByArrival(events)
+	baseline := recoveryRatio * values.servedRatio(from-baselineWindow, from)
+	held := time.Duration(0)
+	for at := to; at+recoveryWindow <= values.end(); at += recoveryStep {
+		if values.servedRatio(at, at+recoveryWindow) < baseline {
+			held = 0
+			continue
+		}
+		held += recoveryStep
+		if held >= recoveryHold {
+			return at - held + recoveryStep - to, true
+		}
+	}
+	return 0, false
+}
+
+// valueSeries is the value of requests and what of it was served, by the recoveryStep in which they arrived.
+type valueSeries struct{ offered, served []float64 }
+
+func valuesByArrival(events []Event) (values valueSeries) {
 	for i := range events {
 		event := &events[i]
 		if event.Kind != RequestCompleted {
 			continue
 		}
 		step := int(max(event.At-event.Latency, 0) / recoveryStep)
-		for len(offered) <= step {
-			offered, served = append(offered, 0), append(served, 0)
+		for len(values.offered) <= step {
+			values.offered, values.served = append(values.offered, 0), append(values.served, 0)
 		}
-		offered[step] += event.Value
-		served[step] += event.ValueServed
+		values.offered[step] += event.Value
+		values.served[step] += event.ValueServed
 	}
-	servedRatio := func(from, to time.Duration) float64 {
-		var offeredSum, servedSum float64
-		for step := int(max(from, 0) / recoveryStep); step < int(to/recoveryStep) && step < len(offered); step++ {
-			offeredSum, servedSum = offeredSum+offered[step], servedSum+served[step]
-		}
-		if offeredSum == 0 {
-			return 0
-		}
-		return servedSum / offeredSum
+	return values
+}
+
+func (v *valueSeries) end() time.Duration { return time.Duration(len(v.offered)) * recoveryStep }
+
+// servedRatio is the ratio of the value that was served, of requests that arrived in an interval; 0 without any.
+func (v *valueSeries) servedRatio(from, to time.Duration) float64 {
+	var offered, served float64
+	for step := int(max(from, 0) / recoveryStep); step < int(to/recoveryStep) && step < len(v.offered); step++ {
+		offered += v.offered[step]
+		served += v.served[step]
 	}
-	baseline := recoveryRatio * servedRatio(from-baselineWindow, from)
-	held := time.Duration(0)
-	for at := to; at+recoveryWindow <= time.Duration(len(offered))*recoveryStep; at += recoveryStep {
-		if servedRatio(at, at+recoveryWindow) < baseline {
-			held = 0
-			continue
-		}
-		if held += recoveryStep; held >= recoveryHold {
-			return at - held + recoveryStep - to, true
-		}
+	if offered == 0 {
+		return 0
 	}
-	return 0, false
+	return served / offered
 }
 
-// FirstFault is when the first fault of a history began and ended; ok is false where none did both.
+// FirstFault is when the first fault of a history started and ended. Ok is false if it did not do both.
 func FirstFault(events []Event) (from, to time.Duration, ok bool) {
-	first := ""
+	name := ""
 	for i := range events {
-		switch e := &events[i]; {
-		case e.Kind != FaultChanged:
-		case e.Count == 1 && first == "":
-			first, from = e.Detail, e.At
-		case e.Count == 0 && e.Detail == first:
-			return from, e.At, true
+		switch event := &events[i]; {
+		case event.Kind != FaultChanged:
+		case event.Count == 1 && name == "":
+			name, from = event.Detail, event.At
+		case event.Count == 0 && event.Detail == name:
+			return from, event.At, true
 		}
 	}
 	return 0, 0, false
