--- /dev/null
+++ b/lab/faults/endpoint.go
@@ -0,0 +1,173 @@
+package faults
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+	"unsafe"
+
+	"golang.org/x/net/bpf"
+	"golang.org/x/sys/unix"
+)
+
+const (
+	maxDatagramBytes = 64 << 10
+	// maxPending bounds the delayed datagrams of a relay; further ones are lost.
+	maxPending = 1 << 14
+	// dialTimeout bounds the dial of a process.
+	dialTimeout = 5 * time.Second
+)
+
+// endpoint is the advertised address of one process.
+type endpoint struct {
+	relay     *Relay
+	name      string
+	target    string // real address of the process
+	targetUDP *net.UDPAddr
+	udp       *net.UDPConn
+	tcp       *net.TCPListener
+}
+
+// listen opens the sockets of the advertised address.
+func (e *endpoint) listen(advertised string) error {
+	advertisedUDP, err := net.ResolveUDPAddr("udp", advertised)
+	if err != nil {
+		return err
+	}
+	if e.udp, err = net.ListenUDP("udp", advertisedUDP); err != nil {
+		return err
+	}
+	_ = e.udp.SetReadBuffer(udpReadBuffer) // a smaller one loses more datagrams, as a busy machine does
+	var config net.ListenConfig
+	config.SetMultipathTCP(false) // sockets of multipath TCP take no filter
+	listener, err := config.Listen(e.relay.ctx, "tcp", advertised)
+	if err != nil {
+		closeQuietly(e.udp)
+		return err
+	}
+	e.tcp = listener.(*net.TCPListener) // the type of every "tcp" listener
+	return nil
+}
+
+// relayDatagrams relays datagrams until the relay is closed.
+func (e *endpoint) relayDatagrams() {
+	buffer := make([]byte, maxDatagramBytes)
+	for {
+		n, source, err := e.udp.ReadFromUDPAddrPort(buffer)
+		if e.relay.ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			continue // an ICMP error for an earlier datagram to a process that is not running
+		}
+		rule := e.relay.ruleFor(e.relay.senderOf(source.Addr()), e.name)
+		for _, delay := range e.relay.drawDelays(rule) {
+			e.deliver(buffer[:n], delay)
+		}
+	}
+}
+
+// deliver sends a datagram to the process, after a delay. Errors are losses, which UDP allows.
+func (e *endpoint) deliver(datagram []byte, delay time.Duration) {
+	if delay <= 0 {
+		_, _ = e.udp.WriteToUDP(datagram, e.targetUDP)
+		return
+	}
+	if e.relay.pending.Add(1) > maxPending {
+		e.relay.pending.Add(-1)
+		return
+	}
+	delayed := append([]byte(nil), datagram...)
+	time.AfterFunc(delay, func() {
+		e.relay.pending.Add(-1)
+		_, _ = e.udp.WriteToUDP(delayed, e.targetUDP)
+	})
+}
+
+// acceptStreams has a goroutine relay each stream, until the relay is closed.
+func (e *endpoint) acceptStreams() {
+	for {
+		inbound, err := e.tcp.AcceptTCP()
+		if err != nil {
+			return
+		}
+		go e.relayStream(inbound)
+	}
+}
+
+// relayStream relays a stream in both directions until both have ended, a rule resets it or the relay is closed.
+func (e *endpoint) relayStream(inbound *net.TCPConn) {
+	defer closeQuietly(inbound)
+	from := ""
+	if source, err := netip.ParseAddrPort(inbound.RemoteAddr().String()); err == nil {
+		from = e.relay.senderOf(source.Addr())
+	}
+	reset := func() { _ = inbound.SetLinger(0) } // so that closing it sends a RST
+	outbound, err := e.dial()
+	if err != nil {
+		reset()
+		return
+	}
+	defer closeQuietly(outbound)
+	if e.relay.ruleFor(from, e.name).Reset {
+		reset()
+		return
+	}
+	defer context.AfterFunc(e.relay.ctx, func() {
+		closeQuietly(inbound)
+		closeQuietly(outbound)
+	})()
+	request := streamCopy{relay: e.relay, from: inbound, to: outbound, sender: from, receiver: e.name, reset: reset}
+	response := streamCopy{relay: e.relay, from: outbound, to: inbound, sender: e.name, receiver: from, reset: reset}
+	var directions sync.WaitGroup
+	directions.Go(request.run)
+	directions.Go(response.run)
+	directions.Wait()
+}
+
+func (e *endpoint) dial() (*net.TCPConn, error) {
+	conn, err := net.DialTimeout("tcp", e.target, dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return conn.(*net.TCPConn), nil // the type of every "tcp" connection
+}
+
+// dropFrom has the listening socket drop what comes from the blocked IPv4 addresses.
+func (e *endpoint) dropFrom(blocked []uint32) error {
+	instructions, err := bpf.Assemble(dropFilter(blocked))
+	if err != nil {
+		return err
+	}
+	code := make([]unix.SockFilter, len(instructions))
+	for i, op := range instructions {
+		code[i] = unix.SockFilter{Code: op.Op, Jt: op.Jt, Jf: op.Jf, K: op.K}
+	}
+	conn, err := e.tcp.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var optionErr error
+	controlErr := conn.Control(func(fd uintptr) {
+		program := &unix.SockFprog{Len: uint16(len(code)), Filter: (*unix.SockFilter)(unsafe.Pointer(&code[0]))}
+		optionErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
+	})
+	return errors.Join(controlErr, optionErr)
+}
+
+// dropFilter is a socket filter that drops packets from the blocked IPv4 addresses.
+func dropFilter(blocked []uint32) []bpf.Instruction {
+	const (
+		networkHeader = 0xfff00000 // SKF_NET_OFF
+		sourceAddress = 12         // in an IPv4 header
+		wholePacket   = 0xffffffff
+	)
+	filter := []bpf.Instruction{bpf.LoadAbsolute{Off: networkHeader + sourceAddress, Size: 4}}
+	for _, ip := range blocked {
+		filter = append(filter, bpf.JumpIf{Cond: bpf.JumpNotEqual, Val: ip, SkipTrue: 1}, bpf.RetConstant{Val: 0})
+	}
+	return append(filter, bpf.RetConstant{Val: wholePacket})
+}
--- /dev/null
+++ b/lab/faults/relay_test.go
@@ -0,0 +1,130 @@
+package faults
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// relayTest is a relay between the processes n0 and n1, which the test plays: n0 sends and n1 receives.
+type relayTest struct {
+	*Relay
+	octet    int // second one of all addresses, so that test runs at the same time do not meet
+	sender   *net.UDPConn
+	receiver net.PacketConn
+}
+
+func newRelayTest(t *testing.T) *relayTest {
+	t.Helper()
+	test := &relayTest{Relay: NewRelay(1), octet: 16 + os.Getpid()%200}
+	t.Cleanup(test.Close)
+	for i := range 2 {
+		require.NoError(t, test.Add(fmt.Sprint("n", i), test.advertised(i), test.real(i)))
+	}
+	senderAddr, err := net.ResolveUDPAddr("udp", test.real(0))
+	require.NoError(t, err)
+	test.sender, err = net.ListenUDP("udp", senderAddr)
+	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, test.sender.Close()) })
+	test.receiver, err = net.ListenPacket("udp", test.real(1))
+	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, test.receiver.Close()) })
+	return test
+}
+
+func (r *relayTest) advertised(i int) string { return fmt.Sprintf("127.%d.250.%d:7946", r.octet, i+1) }
+func (r *relayTest) real(i int) string       { return fmt.Sprintf("127.%d.251.%d:7946", r.octet, i+1) }
+
+// send sends a datagram from n0 to n1.
+func (r *relayTest) send(t *testing.T, text string) {
+	t.Helper()
+	target, err := net.ResolveUDPAddr("udp", r.advertised(1))
+	require.NoError(t, err)
+	_, err = r.sender.WriteTo([]byte(text), target)
+	require.NoError(t, err)
+}
+
+// receive returns the next datagram that n1 receives.
+func (r *relayTest) receive(t *testing.T) string {
+	t.Helper()
+	buffer := make([]byte, 10)
+	n, _, err := r.receiver.ReadFrom(buffer)
+	require.NoError(t, err)
+	return string(buffer[:n])
+}
+
+// dial opens a stream from n0 to n1.
+func (r *relayTest) dial(timeout time.Duration) (net.Conn, error) {
+	local := &net.TCPAddr{IP: net.ParseIP(fmt.Sprintf("127.%d.251.1", r.octet))}
+	return (&net.Dialer{Timeout: timeout, LocalAddr: local}).Dial("tcp", r.advertised(1))
+}
+
+// requireReset opens a stream that must be reset while it connects or as soon as it has.
+func (r *relayTest) requireReset(t *testing.T) {
+	t.Helper()
+	conn, err := r.dial(time.Minute)
+	if err == nil {
+		defer conn.Close()
+		_, err = conn.Read(make([]byte, 1))
+	}
+	require.ErrorIs(t, err, syscall.ECONNRESET)
+}
+
+// acceptStreams has n1 accept streams and write "welcome" to each.
+func (r *relayTest) acceptStreams(t *testing.T) {
+	t.Helper()
+	ln, err := net.Listen("tcp", r.real(1))
+	require.NoError(t, err)
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for conn, err := ln.Accept(); err == nil; conn, err = ln.Accept() {
+			_, _ = conn.Write([]byte("welcome"))
+			conn.Close()
+		}
+	}()
+}
+
+// Datagrams must arrive without a fault and through a partition of the other direction, and twice if duplicated.
+func TestRelayDatagrams(t *testing.T) {
+	relay := newRelayTest(t)
+	relay.send(t, "hello")
+	require.Equal(t, "hello", relay.receive(t))
+
+	require.NoError(t, relay.SetRules(func(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} }))
+	relay.send(t, "there")
+	require.Equal(t, "there", relay.receive(t))
+
+	require.NoError(t, relay.SetRules(func(string, string) Rule { return Rule{DuplicateRatio: 1, Delay: time.Millisecond} }))
+	relay.send(t, "twice")
+	require.Equal(t, "twice", relay.receive(t))
+	require.Equal(t, "twice", relay.receive(t))
+}
+
+// Streams must be reset where the process is not running or a rule says so, time out through a partition in either
+// direction, and carry everything otherwise.
+func TestRelayStreams(t *testing.T) {
+	relay := newRelayTest(t)
+	relay.requireReset(t) // n1 does not accept streams yet
+	relay.acceptStreams(t)
+
+	require.NoError(t, relay.SetRules(func(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} }))
+	_, err := relay.dial(200 * time.Millisecond)
+	require.True(t, os.IsTimeout(err), "%v", err)
+
+	require.NoError(t, relay.SetRules(func(string, string) Rule { return Rule{Delay: time.Millisecond} }))
+	conn, err := relay.dial(time.Minute)
+	require.NoError(t, err)
+	defer conn.Close()
+	buffer := make([]byte, 10)
+	n, err := conn.Read(buffer)
+	require.NoError(t, err)
+	require.Equal(t, "welcome", string(buffer[:n]))
+
+	require.NoError(t, relay.SetRules(func(string, string) Rule { return Rule{Reset: true} }))
+	relay.requireReset(t)
+}
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -4,78 +4,18 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"slices"
-	"strings"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Kinds of faults. Those of links last; those of processes are done once, and undone at the end where that makes sense.
-const (
-	KindPartition = "cut"    // nothing passes
-	KindLoss      = "loss"   // Share of the datagrams is lost
-	KindDuplicate = "double" // Share of them comes twice
-	KindDelay     = "delay"  // all are late by Delay and up to Jitter more
-	KindThrottle  = "slow"   // streams carry Rate bytes a second
-	KindReset     = "reset"  // streams are reset
-
-	KindKill              = "kill"    // SIGKILL; started again at the end, if there is one
-	KindPause             = "stop"    // SIGSTOP, and SIGCONT at the end
-	KindTerminate         = "term"    // SIGTERM; started again at the end, if there is one
-	KindRestart           = "restart" // SIGKILL, and started again at once under the same name
-	KindDelayedStart      = "late"    // not started before the end
-	KindSlowAgent         = "slowrun" // the agent is Share times slower
-	KindUnresponsiveStore = "mute"    // the store of its zone takes calls and answers none
-	KindWedge             = "wedge"   // its loop stands still for a while, and the rest of it goes on
-	KindClockSkew         = "clock"   // started again with its clock off by Delay, which may be below 0; right again at the end
-)
-
-var linkKinds, processKinds = []string{KindPartition, KindLoss, KindDuplicate, KindDelay, KindThrottle, KindReset}, []string{KindKill, KindPause, KindTerminate, KindRestart, KindDelayedStart, KindSlowAgent, KindUnresponsiveStore, KindWedge, KindClockSkew}
-
-// Fault is one thing that goes wrong. Who and To name a member, zone:NAME, region:NAME or * for everybody.
-type Fault struct {
-	Kind           string        `json:"Kind"`
-	Target         string        `json:"Who"`    // whose process, or who sends
-	Peer           string        `json:"To"`     // who is sent to; links only, * if empty
-	OneWay         bool          `json:"OneWay"` // links: only from Who to To
-	Start          time.Duration `json:"At"`
-	Duration       time.Duration `json:"For"` // 0 = to the end
-	Ratio          float64       `json:"Share"`
-	Delay          time.Duration `json:"Delay"`
-	Jitter         time.Duration `json:"Jitter"`
-	BytesPerSecond int           `json:"Rate"`
-}
-
-// AffectsLink reports whether the fault is of what lies between processes.
-func (f *Fault) AffectsLink() bool { return slices.Contains(linkKinds, f.Kind) }
-
-// ActiveAt reports whether the fault is in force.
-func (f *Fault) ActiveAt(now time.Duration) bool {
-	return now >= f.Start && (f.Duration == 0 || now < f.Start+f.Duration)
-}
-
-// Location is where a member is.
-type Location struct{ Name, Zone, Region string }
-
-// matches reports whether a pattern names the member.
-func (p *Location) matches(pattern string) bool {
-	if zone, ok := strings.CutPrefix(pattern, "zone:"); ok {
-		return p.Zone == zone
-	}
-	if region, ok := strings.CutPrefix(pattern, "region:"); ok {
-		return p.Region == region
-	}
-	return pattern == "*" || pattern == p.Name
-}
-
-// Script is what goes wrong when, and where members are.
+// Script is a list of faults, and the members that they may befall.
 type Script struct {
 	Faults    []Fault
 	Locations []Location
 }
 
-// raw is a fault as it is written.
+// raw is a fault as it stands in a script. Errors of the decoder print the names of the type and its fields.
 type raw struct {
 	Kind   string  `toml:"kind"`
 	Who    string  `toml:"who"`
@@ -89,8 +29,9 @@
 	Rate   int     `toml:"rate"`
 }
 
-// Parse reads a script: a list of tables [[fault]]. An error names the fault and the key.
-func Parse(text []byte, places []Location) (*Script, error) {
+// Parse reads a script in TOML: a list of tables [[fault]]. An error names the fault and the key; it wraps a FieldError
+// where the value does not make sense.
+func Parse(text []byte, locations []Location) (*Script, error) {
 	var file struct {
 		Fault []raw `toml:"fault"`
 	}
@@ -98,13 +39,13 @@
 	if err := decoder.Decode(&file); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
-			return nil, errors.New(strict.String())
+			return nil, errors.New(strict.String()) // its text shows the unknown keys in their lines
 		}
 		return nil, err
 	}
-	script := &Script{Locations: places}
-	for i, entry := range file.Fault {
-		fault, err := entry.parse(places)
+	script := &Script{Locations: locations}
+	for i := range file.Fault {
+		fault, err := file.Fault[i].parse(locations)
 		if err != nil {
 			return nil, fmt.Errorf("fault[%d].%w", i, err)
 		}
@@ -113,101 +54,80 @@
 	return script, nil
 }
 
-func (r *raw) parse(places []Location) (fault Fault, err error) {
+func (r *raw) parse(locations []Location) (fault Fault, err error) {
 	fault = Fault{Kind: r.Kind, Target: r.Who, Peer: r.To, OneWay: r.OneWay, Ratio: r.Share, BytesPerSecond: r.Rate}
 	for _, field := range []struct {
 		key, text string
 		to        *time.Duration
-	}{{"at", r.At, &fault.Start}, {"for", r.For, &fault.Duration}, {"delay", r.Delay, &fault.Delay}, {"jitter", r.Jitter, &fault.Jitter}} {
+	}{
+		{"at", r.At, &fault.Start},
+		{"for", r.For, &fault.Duration},
+		{"delay", r.Delay, &fault.Delay},
+		{"jitter", r.Jitter, &fault.Jitter},
+	} {
 		if field.text == "" {
 			continue
 		}
-		if *field.to, err = time.ParseDuration(field.text); err != nil || *field.to < 0 && fault.Kind != KindClockSkew {
-			return fault, fmt.Errorf("%s: %q is no time", field.key, field.text)
+		*field.to, err = time.ParseDuration(field.text)
+		if err != nil || *field.to < 0 && fault.Kind != KindClockSkew {
+			return fault, fieldError(field.key, "%q is no time", field.text)
 		}
 	}
 	if fault.AffectsLink() && fault.Peer == "" {
-		fault.Peer = "*"
-	}
-	return fault, fault.Check(places)
-}
-
-// Check reports what is wrong with a fault.
-func (f *Fault) Check(places []Location) error {
-	switch {
-	case !f.AffectsLink() && !slices.Contains(processKinds, f.Kind):
-		return fmt.Errorf("kind: %q, want one of %s", f.Kind, strings.Join(append(slices.Clone(linkKinds), processKinds...), ", "))
-	case !f.AffectsLink() && (f.Peer != "" || f.OneWay):
-		return errors.New("to: a fault of a process has no other end")
-	case (f.Kind == KindLoss || f.Kind == KindDuplicate) && !(f.Ratio > 0 && f.Ratio <= 1):
-		return fmt.Errorf("share: %v, want more than 0 and at most 1", f.Ratio)
-	case f.Kind == KindSlowAgent && !(f.Ratio >= 1):
-		return fmt.Errorf("share: %v, want at least 1: how many times slower", f.Ratio)
-	case f.Kind == KindDelay && f.Delay+f.Jitter <= 0:
-		return errors.New("delay: missing")
-	case f.Kind == KindThrottle && f.BytesPerSecond <= 0:
-		return errors.New("rate: want more than 0 bytes a second")
-	case f.Kind == KindDelayedStart && (f.Duration == 0 || f.Start != 0):
-		return errors.New("for: a late start is at 0 and has an end")
-	case f.Kind == KindClockSkew && f.Delay == 0:
-		return errors.New("delay: missing: how far the clock is off")
-	case f.Kind == KindPause && f.Duration == 0:
-		return errors.New("for: a process that is stopped has to be continued")
-	}
-	for _, field := range []struct{ key, pattern string }{{"who", f.Target}, {"to", f.Peer}} {
-		if field.pattern == "" && field.key == "to" {
-			continue
-		}
-		if !slices.ContainsFunc(places, func(x Location) bool { return x.matches(field.pattern) }) {
-			return fmt.Errorf("%s: nobody is %q", field.key, field.pattern)
-		}
+		fault.Peer = everybody
 	}
-	return nil
+	return fault, fault.Check(locations)
 }
 
-// AffectedMembers are the members whose process a fault befalls.
+// AffectedMembers returns the names of the members whose process a fault befalls.
 func (s *Script) AffectedMembers(f *Fault) (names []string) {
-	for _, p := range s.Locations {
-		if p.matches(f.Target) {
-			names = append(names, p.Name)
+	for i := range s.Locations {
+		if s.Locations[i].matches(f.Target) {
+			names = append(names, s.Locations[i].Name)
 		}
 	}
 	return names
 }
 
-// RulesAt returns what befalls what one member sends to another at now: all faults in force together.
+// RulesAt returns the rules that the faults of links make together at a time. Traffic with a process that is no member
+// is not affected.
 func (s *Script) RulesAt(now time.Duration) func(from, to string) Rule {
 	var active []Fault
-	for _, fault := range s.Faults {
-		if fault.AffectsLink() && fault.ActiveAt(now) {
-			active = append(active, fault)
+	for i := range s.Faults {
+		if s.Faults[i].AffectsLink() && s.Faults[i].ActiveAt(now) {
+			active = append(active, s.Faults[i])
 		}
 	}
-	location := map[string]*Location{}
+	locations := map[string]*Location{}
 	for i := range s.Locations {
-		location[s.Locations[i].Name] = &s.Locations[i]
+		locations[s.Locations[i].Name] = &s.Locations[i]
 	}
-	return func(from, to string) (r Rule) {
-		sender, receiver := location[from], location[to]
+	return func(from, to string) (rule Rule) {
+		sender, receiver := locations[from], locations[to]
 		if sender == nil || receiver == nil {
-			return r
+			return Rule{}
 		}
 		for i := range active {
-			// A whole zone against everybody is the zone against the others: it is not cut in itself.
-			fault := &active[i]
-			forward := sender.matches(fault.Target) && receiver.matches(fault.Peer) && !(fault.Peer == "*" && receiver.matches(fault.Target))
-			back := receiver.matches(fault.Target) && sender.matches(fault.Peer) && !(fault.Peer == "*" && sender.matches(fault.Target))
-			if fault.Target == "*" && fault.Peer == "*" {
-				forward = true
-			}
-			if forward || back && !fault.OneWay {
-				r.add(fault)
+			if active[i].affects(sender, receiver) {
+				rule.add(&active[i])
 			}
 		}
-		return r
+		return rule
 	}
 }
 
+// Rule is what befalls the traffic from one process to another. The zero value is no fault.
+type Rule struct {
+	Partition      bool
+	LossRatio      float64       // of datagrams that are lost, from 0 to 1
+	DuplicateRatio float64       // of datagrams that arrive twice, from 0 to 1
+	Delay          time.Duration // of datagrams, and of each chunk that a stream carries
+	Jitter         time.Duration // up to which datagrams are delayed further, so that they overtake one another
+	BytesPerSecond int           // that each stream carries at most; 0 = no bound
+	Reset          bool          // streams are reset, open ones and new ones
+}
+
+// add adds a fault of links to the rule. Losses are independent of each other, delays add up, and the lowest rate counts.
 func (r *Rule) add(fault *Fault) {
 	switch fault.Kind {
 	case KindPartition:
