--- /dev/null
+++ b/lab/fleetlab/dependencies.go
@@ -0,0 +1,163 @@
+package fleetlab
+
+import (
+	"net"
+	"strconv"
+	"time"
+
+	"falldeal/lab/fakes"
+	"falldeal/lab/history"
+	"falldeal/lab/workerpool"
+)
+
+// A store crashes when it has more than storeCrashMultiple times its slots in flight for storeCrashTolerance, and is then
+// down for storeDowntime.
+const (
+	storeCrashMultiple  = 5
+	storeCrashTolerance = 5 * time.Second
+	storeDowntime       = 4 * time.Second
+)
+
+// startAnnounceService starts the fake announce service. Its goroutine ends when Close closes the socket.
+func (l *Lab) startAnnounceService() error {
+	conn, err := net.ListenPacket("udp", l.announceAddr())
+	if err != nil {
+		return err
+	}
+	l.closers = append(l.closers, conn)
+	go func() { _ = l.Announce.Serve(conn) }()
+	return nil
+}
+
+// startStore starts the fake store of a zone. Its goroutine ends when Close closes the socket.
+func (l *Lab) startStore(zone int) error {
+	ln, err := net.Listen("tcp", l.storeAddr(zone))
+	if err != nil {
+		return err
+	}
+	l.closers = append(l.closers, ln)
+	name := l.options.Zones[zone]
+	store := l.newStore(name)
+	l.Stores[name] = store
+	go func() { _ = store.Serve(ln) }()
+	return nil
+}
+
+func (l *Lab) newStore(zone string) *fakes.Store {
+	slots := l.options.Slots
+	curve := workerpool.Curve{Workers: slots, Speed: 1, Knee: 1, SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3}
+	log := func(kind string) func(id string, inFlight int) {
+		return func(id string, inFlight int) {
+			l.Log.Add(history.Event{Kind: kind, AttemptID: id, Server: zone, Count: inFlight})
+		}
+	}
+	return &fakes.Store{
+		Now:      l.Log.Now,
+		CallWork: l.options.CallTime,
+		Slots:    workerpool.NewPool(curve, l.Log.Now()),
+		Crash: workerpool.CrashModel{
+			MaxInFlight: storeCrashMultiple * slots,
+			Tolerance:   storeCrashTolerance,
+			Downtime:    storeDowntime,
+		},
+		OnCallStarted: log(history.CallStarted),
+		OnCallEnded:   log(history.CallEnded),
+	}
+}
+
+// newAgent returns the fake agent of a member's next process. Only the first one starts warmed up.
+func (m *Member) newAgent() *fakes.Agent {
+	log := m.lab.Log
+	curve := workerpool.Curve{
+		Workers:           m.lab.options.Cores,
+		Speed:             coreSpeed(m.number),
+		Knee:              2,
+		SlowdownPerExcess: 0.1,
+		MinSpeedRatio:     0.4,
+		ColdSpeedRatio:    0.25,
+	}
+	state := "steady"
+	if m.starts > 0 {
+		state = "booting"
+		curve.WarmupTime = m.lab.options.WarmupTime
+	}
+	return &fakes.Agent{
+		State:   state,
+		Now:     log.Now,
+		Cores:   workerpool.NewPool(curve, log.Now()),
+		PlanRun: planRun,
+		OnRunStarted: func(l fakes.Launch) {
+			log.Add(history.Event{Kind: history.RunStarted, AttemptID: l.RequestID, Class: l.Class, Server: m.Name})
+		},
+		OnRunEnded: func(l fakes.Launch, result fakes.RunResult) {
+			log.Add(history.Event{
+				Kind: history.RunEnded, AttemptID: l.RequestID, Class: l.Class, Server: m.Name, Detail: string(result),
+			})
+		},
+	}
+}
+
+// planRun takes the work of a run from the body of its request, where package clients puts it.
+func planRun(launch fakes.Launch) fakes.RunPlan {
+	work, err := strconv.ParseInt(string(launch.Body), 10, 64)
+	if err != nil {
+		work = 0
+	}
+	plan := fakes.RunPlan{Work: time.Duration(work)}
+	if callsStore(launch.Class) {
+		plan.Call = []byte("SELECT " + launch.RequestID)
+	}
+	return plan
+}
+
+// coreSpeed is the speed of the cores of member i: there are two kinds of machines.
+func coreSpeed(i int) float64 { return []float64{1, 0.7}[i%2] }
+
+// TotalCores is the work that all agents together do in a second, in seconds on a core of speed 1.
+func (l *Lab) TotalCores() (cores float64) {
+	for i := range l.Members {
+		cores += float64(l.options.Cores) * coreSpeed(i)
+	}
+	return cores
+}
+
+// Capacity is how many requests a second all agents together can read and run, without calls.
+func (l *Lab) Capacity() float64 {
+	return l.TotalCores() / ((1 + history.ReadCostRatio) * l.meanWork().Seconds())
+}
+
+func (l *Lab) meanWork() (work time.Duration) {
+	for _, c := range l.options.Classes {
+		work += time.Duration(c.ArrivalRatio * float64(c.MeanWork))
+	}
+	return work
+}
+
+// ReadRequest has the agent of a member read a request; the channel is closed when it has been read. Nil: the member has
+// no process.
+func (l *Lab) ReadRequest(server string) <-chan struct{} {
+	agent := l.runningAgent(server)
+	if agent == nil {
+		return nil
+	}
+	work := time.Duration(history.ReadCostRatio * float64(l.meanWork()))
+	return agent.ReadRequest(work, l.options.Cores)
+}
+
+// CompleteAttempt tells the agent of a member that an attempt has its answer or is abandoned.
+func (l *Lab) CompleteAttempt(server, attemptID string) {
+	if agent := l.runningAgent(server); agent != nil {
+		agent.CompleteRequest(attemptID)
+	}
+}
+
+// runningAgent returns the agent of a member whose process runs; nil without one.
+func (l *Lab) runningAgent(server string) *fakes.Agent {
+	member := l.FindMember(server)
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	if member.cmd == nil {
+		return nil
+	}
+	return member.agent
+}
--- a/lab/fleetlab/lab_test.go
+++ b/lab/fleetlab/lab_test.go
@@ -63,9 +63,9 @@
 	require.NoError(t, l.applyFaults())
 	return func() {
 		l.mu.Lock()
-		for i := range l.script.Faults {
-			if g := &l.script.Faults[i]; g.Start == fault.Start && g.Kind == fault.Kind {
-				g.Duration = max(l.Log.Now()-g.Start, 1)
+		for _, scripted := range l.script {
+			if scripted.Start == fault.Start && scripted.Kind == fault.Kind {
+				scripted.Duration = max(l.Log.Now()-scripted.Start, 1)
 			}
 		}
 		l.mu.Unlock()
--- /dev/null
+++ b/lab/fleetlab/script.go
@@ -0,0 +1,250 @@
+package fleetlab
+
+import (
+	"context"
+	"fmt"
+	"syscall"
+	"time"
+
+	"falldeal/lab/faults"
+	"falldeal/lab/history"
+)
+
+// scriptInterval is how often the script is looked at for faults to start and to end.
+const scriptInterval = 20 * time.Millisecond
+
+// faultState is how far a fault of the script has come.
+type faultState uint8
+
+const (
+	faultPending faultState = iota
+	faultActive
+	faultEnded
+)
+
+func (s faultState) String() string {
+	switch s {
+	case faultPending:
+		return "pending"
+	case faultActive:
+		return "active"
+	case faultEnded:
+		return "ended"
+	}
+	return fmt.Sprintf("faultState(%d)", uint8(s))
+}
+
+// scriptedFault is a fault of the script. It belongs to the lock of the Lab.
+type scriptedFault struct {
+	faults.Fault
+	state faultState
+}
+
+// advance moves the fault to the state that it should have, and reports whether it starts and whether it ends. A short
+// fault may do both at once.
+func (f *scriptedFault) advance(now time.Duration) (starts, ends bool) {
+	if f.state == faultPending && now >= f.Start {
+		f.state = faultActive
+		starts = true
+	}
+	if f.state == faultActive && f.Duration > 0 && now >= f.Start+f.Duration {
+		f.state = faultEnded
+		ends = true
+	}
+	return starts, ends
+}
+
+// Locations returns where the members are, for scripts.
+func (l *Lab) Locations() (locations []faults.Location) {
+	for _, m := range l.Members {
+		locations = append(locations, faults.Location{Name: m.Name, Zone: m.Zone, Region: l.options.Region})
+	}
+	return locations
+}
+
+// AddFault adds a fault to the script. It fails if the fault does not make sense for this fleet.
+func (l *Lab) AddFault(fault faults.Fault) error {
+	if err := fault.Check(l.Locations()); err != nil {
+		return err
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.script = append(l.script, &scriptedFault{Fault: fault})
+	return nil
+}
+
+// StartMembers starts all members except those whose start a fault of the script delays.
+func (l *Lab) StartMembers() error {
+	delayed := l.delayedMembers()
+	for _, m := range l.Members {
+		if delayed[m.Name] {
+			continue
+		}
+		if err := m.Start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (l *Lab) delayedMembers() map[string]bool {
+	delayed := map[string]bool{}
+	l.mu.Lock()
+	script := l.currentScript()
+	l.mu.Unlock()
+	for i := range script.Faults {
+		fault := &script.Faults[i]
+		if fault.Kind != faults.KindDelayedStart {
+			continue
+		}
+		for _, name := range script.AffectedMembers(fault) {
+			delayed[name] = true
+		}
+	}
+	return delayed
+}
+
+// currentScript returns a copy of the script. The caller holds the lock.
+func (l *Lab) currentScript() faults.Script {
+	script := faults.Script{Locations: l.Locations()}
+	for _, f := range l.script {
+		script.Faults = append(script.Faults, f.Fault)
+	}
+	return script
+}
+
+// RunScript starts and ends the faults of the script until ctx ends. It returns an error when a process can't be started
+// again or the rules between processes can't be set.
+func (l *Lab) RunScript(ctx context.Context) error {
+	for ctx.Err() == nil {
+		if err := l.applyFaults(); err != nil {
+			return err
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(scriptInterval):
+		}
+	}
+	return nil
+}
+
+// applyFaults starts and ends the faults that are due.
+func (l *Lab) applyFaults() error {
+	now := l.Log.Now()
+	starting, ending, script := l.dueFaults(now)
+	if affectLinks(starting) || affectLinks(ending) {
+		if err := l.Relay.SetRules(script.RulesAt(now)); err != nil {
+			return fmt.Errorf("rules between processes: %w", err)
+		}
+	}
+	for i := range starting {
+		fault := &starting[i]
+		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: faultName(fault), Count: 1})
+		for _, name := range script.AffectedMembers(fault) {
+			l.startFault(fault, l.FindMember(name))
+		}
+	}
+	for i := range ending {
+		fault := &ending[i]
+		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: faultName(fault)})
+		for _, name := range script.AffectedMembers(fault) {
+			if err := l.endFault(fault, l.FindMember(name)); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// dueFaults advances the faults of the script. It returns those that start, those that end, and the whole script.
+func (l *Lab) dueFaults(now time.Duration) (starting, ending []faults.Fault, script faults.Script) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, scripted := range l.script {
+		starts, ends := scripted.advance(now)
+		if starts {
+			starting = append(starting, scripted.Fault)
+		}
+		if ends {
+			ending = append(ending, scripted.Fault)
+		}
+	}
+	return starting, ending, l.currentScript()
+}
+
+func affectLinks(changed []faults.Fault) bool {
+	for i := range changed {
+		if changed[i].AffectsLink() {
+			return true
+		}
+	}
+	return false
+}
+
+// faultName names a fault in the history.
+func faultName(fault *faults.Fault) string {
+	text := fault.Kind + " " + fault.Target
+	if fault.Peer != "" && fault.Peer != "*" {
+		text += " " + fault.Peer
+	}
+	if fault.OneWay {
+		text += " one way"
+	}
+	return text
+}
+
+// startFault starts a fault of a process. Faults of links are in the rules of the relay.
+func (l *Lab) startFault(fault *faults.Fault, member *Member) {
+	switch fault.Kind {
+	case faults.KindKill:
+		member.Kill()
+	case faults.KindPause:
+		member.Signal(syscall.SIGSTOP)
+	case faults.KindTerminate:
+		member.Signal(syscall.SIGTERM)
+	case faults.KindRestart:
+		member.Kill()
+		member.logStartError(member.Start())
+	case faults.KindSlowAgent:
+		member.setAgentSlowdown(fault.Ratio)
+	case faults.KindUnresponsiveStore:
+		l.Stores[member.Zone].SetUnresponsive(true)
+	case faults.KindWedge:
+		member.wedge()
+	case faults.KindClockSkew:
+		member.logStartError(member.restartWithClock(fault.Delay))
+	}
+}
+
+// endFault ends a fault of a process.
+func (l *Lab) endFault(fault *faults.Fault, member *Member) error {
+	switch fault.Kind {
+	case faults.KindKill, faults.KindTerminate, faults.KindDelayedStart:
+		member.Wait()
+		return member.Start()
+	case faults.KindPause:
+		member.Signal(syscall.SIGCONT)
+	case faults.KindSlowAgent:
+		member.setAgentSlowdown(1)
+	case faults.KindUnresponsiveStore:
+		l.Stores[member.Zone].SetUnresponsive(false)
+	case faults.KindClockSkew:
+		return member.restartWithClock(0)
+	}
+	return nil
+}
+
+// logStartError logs that the process could not be started again. The fault has begun nevertheless, so the script goes on.
+func (m *Member) logStartError(err error) {
+	if err != nil {
+		m.logState(history.ProcessState("not started: "+err.Error()), 0)
+	}
+}
+
+// wedge has the member's process block its loop. A process that does not answer is not wedged.
+func (m *Member) wedge() {
+	response, err := consoleClient.Post("http://"+m.ConsoleAddr+"/drill/wedge", "", nil)
+	if err == nil {
+		response.Body.Close()
+	}
+}
