--- /dev/null
+++ b/lab/costs/main_test.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/pprof/profile"
+	"github.com/stretchr/testify/require"
+)
+
+// sample is a sample of a stack, from its leaf to its root, that took so many ns.
+func sample(nanos int64, stack ...string) *profile.Sample {
+	made := &profile.Sample{Value: []int64{1, nanos}}
+	for i, function := range stack {
+		made.Location = append(made.Location, &profile.Location{
+			ID:   uint64(i + 1),
+			Line: []profile.Line{{Function: &profile.Function{ID: uint64(i + 1), Name: function}}},
+		})
+	}
+	return made
+}
+
+func TestPartOf(t *testing.T) {
+	for want, stack := range map[string][]string{
+		"garbage collection": {"runtime.scanobject", "runtime.gcBgMarkWorker"},
+		"socket writes":      {"syscall.write", "net.(*conn).Write", "falldeal/internal/writequeue.(*Queue).flush"},
+		"outbox":             {"runtime.mallocgc", "falldeal/internal/writequeue.(*Queue).flush"},
+		"module":             {"runtime.mallocgc", "falldeal/admission.(*Controller).Step", "falldeal/internal/server.(*Server).step"},
+		"loop":               {"falldeal/internal/server.(*Server).step"},
+		"front connections":  {"falldeal/internal/msgpackrpc.(*conn).serve"},
+		"other":              {"main.main"},
+	} {
+		require.Equal(t, want, partOf(sample(1, stack...)))
+	}
+}
+
+func TestReport(t *testing.T) {
+	loop := sample(3e9, "falldeal/internal/server.(*Server).step")
+	unknown := sample(1e9, "main.main")
+	written := &profile.Profile{
+		SampleType: []*profile.ValueType{{Type: "samples", Unit: "count"}, {Type: "cpu", Unit: "nanoseconds"}},
+		Sample:     []*profile.Sample{loop, unknown},
+	}
+	for i, s := range written.Sample {
+		s.Location[0].ID = uint64(i + 1)
+		s.Location[0].Line[0].Function.ID = uint64(i + 1)
+		written.Location = append(written.Location, s.Location[0])
+		written.Function = append(written.Function, s.Location[0].Line[0].Function)
+	}
+	path := filepath.Join(t.TempDir(), "cpu.pprof")
+	file, err := os.Create(path)
+	require.NoError(t, err)
+	require.NoError(t, written.Write(file))
+	require.NoError(t, file.Close())
+	var output bytes.Buffer
+	require.NoError(t, report(&output, path))
+	require.Equal(t, path+": 4.00 s of processor time\n"+
+		"  loop                          75.0%\n"+
+		"  other                         25.0%\n", output.String())
+	require.Error(t, report(&output, filepath.Join(t.TempDir(), "missing")))
+}
