--- a/lab/clients/attempt.go
+++ b/lab/clients/attempt.go
@@ -40,7 +40,7 @@
 	if f.workload.ReadRequest != nil {
 		if read := f.workload.ReadRequest(target.Name); read != nil {
 			if !f.awaitRead(read, pending.deadline()) {
-				f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: target.Name, Detail: history.DetailUnread})
+				f.logAbandoned(id, target, history.DetailUnread)
 				return answer{outcome: history.OutcomeAbandoned}
 			}
 			conn = f.redial(target, conn)
@@ -95,8 +95,8 @@
 	}
 }
 
-// redial returns a connection that is still open after a read: a server ends a connection on which nothing has come for
-// 2 s, and one that warms up may take longer to read.
+// redial returns a connection that is still open after a read: a server ends a connection on which nothing has come
+// for 2 s, and one that warms up may take longer to read.
 func (f *frontEnd) redial(target Server, previous *serverConn) *serverConn {
 	if conn := f.dial(target); conn != nil {
 		return conn
@@ -104,7 +104,9 @@
 	return previous
 }
 
-func (f *frontEnd) awaitAnswer(pending *request, target Server, conn *serverConn, id string, answers <-chan answer) answer {
+func (f *frontEnd) awaitAnswer(
+	pending *request, target Server, conn *serverConn, id string, answers <-chan answer,
+) answer {
 	select {
 	case reply, open := <-answers:
 		if !open {
@@ -114,11 +116,15 @@
 		f.logAnswer(id, target, reply.outcome)
 		return reply
 	case <-time.After(pending.deadline() + answerGrace - f.log.Now()):
-		f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: target.Name})
+		f.logAbandoned(id, target, "")
 		return answer{outcome: history.OutcomeAbandoned}
 	}
 }
 
+func (f *frontEnd) logAbandoned(id string, target Server, detail string) {
+	f.log.Add(history.Event{Kind: history.AttemptAbandoned, AttemptID: id, Server: target.Name, Detail: detail})
+}
+
 func (f *frontEnd) logAnswer(id string, target Server, outcome history.Outcome) {
 	f.log.Add(history.Event{Kind: history.AttemptAnswered, AttemptID: id, Server: target.Name, Detail: string(outcome)})
 }
--- a/lab/clients/clients.go
+++ b/lab/clients/clients.go
@@ -1,6 +1,6 @@
-// Package clients generates the load of front ends on a fleet: requests that arrive at random times, drawn from a seed,
-// whether or not earlier ones were answered; registries that lag; and retries by a configurable policy. It leaves out
-// health checks, measured load reports, and connections that are closed when idle.
+// Package clients generates the load of front ends on a fleet: requests that arrive at random times, drawn from a
+// seed, whether or not earlier ones were answered; registries that lag; and retries by a configurable policy. It
+// leaves out health checks, measured load reports, and connections that are closed when idle.
 package clients
 
 import (
@@ -50,7 +50,8 @@
 // Server is where a front end may send requests.
 type Server struct{ Name, Addr string }
 
-// ServerLister returns the servers that are registered as a front end sees it now. It may be called from any goroutine.
+// ServerLister returns the servers that are registered as a front end sees it now. It may be called from any
+// goroutine.
 type ServerLister func() []Server
 
 // attemptIDs numbers the attempts of all front ends. A run starts at another number, so that the attempts of two runs
@@ -60,7 +61,8 @@
 // frontEndSeedOffset keeps the random sequences of front ends apart from those of other parts with the same seed.
 const frontEndSeedOffset = 100
 
-// Run sends requests until ctx ends, and returns when those in flight have ended. What happens to them is added to log.
+// Run sends requests until ctx ends, and returns when those in flight have ended. What happens to them is added to
+// log.
 func Run(ctx context.Context, workload Workload, servers ServerLister, log *history.Log) {
 	attemptIDs.Store(uint64(time.Now().UnixNano()))
 	var frontEnds sync.WaitGroup
--- a/lab/clients/conn.go
+++ b/lab/clients/conn.go
@@ -38,8 +38,8 @@
 	closing  bool                   // the server accepts no more requests on it, or it has ended
 }
 
-// dial returns a connection to a server that accepts one more request, or nil if there is none and none can be made. A
-// connection that is full is replaced, and goes on until its answers are in.
+// dial returns a connection to a server that accepts one more request, or nil if there is none and none can be made.
+// A connection that is full is replaced, and goes on until its answers are in.
 func (f *frontEnd) dial(target Server) *serverConn {
 	f.mu.Lock()
 	existing := f.conns[target]
@@ -52,7 +52,12 @@
 		return nil
 	}
 	writer := bufio.NewWriter(dialed)
-	conn := &serverConn{conn: dialed, writer: writer, encoder: msgpack.NewEncoder(writer), pending: map[uint32]chan answer{}}
+	conn := &serverConn{
+		conn:    dialed,
+		writer:  writer,
+		encoder: msgpack.NewEncoder(writer),
+		pending: map[uint32]chan answer{},
+	}
 	go conn.readAnswers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/clients/frontend.go
+++ b/lab/clients/frontend.go
@@ -142,8 +142,8 @@
 	return history.OutcomeServed, value
 }
 
-// mayRetry reports whether another attempt is allowed and makes sense. A request that is idempotent by key may have run
-// unless the server rejected it or was not reached; it is then not sent again.
+// mayRetry reports whether another attempt is allowed and makes sense. A request that is idempotent by key may have
+// run unless the server rejected it or was not reached; it is then not sent again.
 func (f *frontEnd) mayRetry(pending *request, reply answer) bool {
 	notRun := reply.outcome == history.OutcomeRejected || reply.outcome == history.OutcomeUnreachable
 	switch {
--- a/lab/costs/main_test.go
+++ b/lab/costs/main_test.go
@@ -27,10 +27,12 @@
 		"garbage collection": {"runtime.scanobject", "runtime.gcBgMarkWorker"},
 		"socket writes":      {"syscall.write", "net.(*conn).Write", "falldeal/internal/writequeue.(*Queue).flush"},
 		"outbox":             {"runtime.mallocgc", "falldeal/internal/writequeue.(*Queue).flush"},
-		"module":             {"runtime.mallocgc", "falldeal/admission.(*Controller).Step", "falldeal/internal/server.(*Server).step"},
-		"loop":               {"falldeal/internal/server.(*Server).step"},
-		"front connections":  {"falldeal/internal/msgpackrpc.(*conn).serve"},
-		"other":              {"main.main"},
+		"module": {
+			"runtime.mallocgc", "falldeal/admission.(*Controller).Step", "falldeal/internal/server.(*Server).step",
+		},
+		"loop":              {"falldeal/internal/server.(*Server).step"},
+		"front connections": {"falldeal/internal/msgpackrpc.(*conn).serve"},
+		"other":             {"main.main"},
 	} {
 		require.Equal(t, want, partOf(sample(1, stack...)))
 	}
--- a/lab/costs/parts.go
+++ b/lab/costs/parts.go
@@ -15,9 +15,9 @@
 // otherPart is what belongs to no part.
 const otherPart = "other"
 
-// parts are the parts of the server's work. They are tried in order on each frame of a stack, from its leaf to its root;
-// the first match decides. What the runtime does for a part, such as allocating, so goes to the part. The prefixes name
-// functions of the server: where those are renamed, the prefixes have to follow.
+// parts are the parts of the server's work. They are tried in order on each frame of a stack, from its leaf to its
+// root; the first match decides. What the runtime does for a part, such as allocating, so goes to the part. The
+// prefixes name functions of the server: where those are renamed, the prefixes have to follow.
 var parts = []part{
 	{name: "garbage collection", prefixes: []string{
 		"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcAssistAlloc",
--- a/lab/fakes/agent_run.go
+++ b/lab/fakes/agent_run.go
@@ -12,7 +12,8 @@
 	Body      []byte
 }
 
-// RunPlan says what becomes of a run. Unless it is interrupted it succeeds, with the body of its launch as the result.
+// RunPlan says what becomes of a run. Unless it is interrupted it succeeds, with the body of its launch as the
+// result.
 type RunPlan struct {
 	Work time.Duration // processor time without calls; 0 = none
 	Call []byte        // body of a call that the run makes first; nil = none
--- /dev/null
+++ b/lab/fakes/agent_test.go
@@ -0,0 +1,142 @@
+package fakes
+
+import (
+	"encoding/json"
+	"net"
+	"testing"
+	"time"
+
+	"falldeal/lab/workerpool"
+
+	"github.com/stretchr/testify/require"
+)
+
+// startAgent serves an agent until the test ends, and returns its address.
+func startAgent(t *testing.T, agent *Agent) (addr string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	served := make(chan error, 1)
+	go func() { served <- agent.Serve(ln) }()
+	t.Cleanup(func() {
+		ln.Close()
+		require.ErrorIs(t, <-served, net.ErrClosed)
+	})
+	return ln.Addr().String()
+}
+
+// agentClient is an image server's connection to an agent.
+type agentClient struct {
+	conn    net.Conn
+	decoder *json.Decoder
+}
+
+// subscribe connects to an agent and asks for the notifications after offset.
+func subscribe(t *testing.T, addr string, offset int) *agentClient {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	require.NoError(t, err)
+	t.Cleanup(func() { conn.Close() })
+	client := &agentClient{conn: conn, decoder: json.NewDecoder(conn)}
+	client.send(t, command{Name: commandSubscribe, Offset: offset})
+	require.Equal(t, notificationGreeting, client.receive(t).Name)
+	return client
+}
+
+func (c *agentClient) send(t *testing.T, cmd command) {
+	t.Helper()
+	require.NoError(t, json.NewEncoder(c.conn).Encode(cmd))
+}
+
+func (c *agentClient) receive(t *testing.T) (n notification) {
+	t.Helper()
+	require.NoError(t, c.conn.SetReadDeadline(time.Now().Add(time.Minute)))
+	require.NoError(t, c.decoder.Decode(&n))
+	return n
+}
+
+// A run must succeed with its body; with a call, it must wait for the call to be answered, skipped, or of no more use.
+func TestAgentRuns(t *testing.T) {
+	for name, testCase := range map[string]struct {
+		call   []byte
+		resume func(t *testing.T, agent *Agent, client *agentClient)
+		want   notification
+	}{
+		"without a call": {
+			want: notification{Result: "success", Payload: []byte("body")},
+		},
+		"call answered": {
+			call: []byte("SELECT"),
+			resume: func(t *testing.T, _ *Agent, client *agentClient) {
+				client.send(t, command{Name: commandDeliver, Req: "a"})
+			},
+			want: notification{Result: "success", Payload: []byte("body")},
+		},
+		"call skipped": {
+			call: []byte("SELECT"),
+			resume: func(t *testing.T, _ *Agent, client *agentClient) {
+				client.send(t, command{Name: commandForgo, Req: "a"})
+			},
+			want: notification{Result: "success", Payload: []byte(DegradedResult)},
+		},
+		"request completed meanwhile": {
+			call:   []byte("SELECT"),
+			resume: func(_ *testing.T, agent *Agent, _ *agentClient) { agent.CompleteRequest("a") },
+			want:   notification{Result: "interrupted"},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			agent := &Agent{State: "steady", PlanRun: func(Launch) RunPlan { return RunPlan{Call: testCase.call} }}
+			client := subscribe(t, startAgent(t, agent), 0)
+			client.send(t, command{Name: commandLaunch, Req: "a", Method: "preview", Payload: []byte("body")})
+			if testCase.resume != nil {
+				request := client.receive(t)
+				require.Equal(t, notificationRequest, request.Name)
+				require.Equal(t, testCase.call, request.Payload)
+				testCase.resume(t, agent, client)
+			}
+			outcome := client.receive(t)
+			require.Equal(t, notificationOutcome, outcome.Name)
+			require.Equal(t, testCase.want.Result, outcome.Result)
+			require.Equal(t, testCase.want.Payload, outcome.Payload)
+		})
+	}
+}
+
+// A connection that resumes must get the notifications after its offset, and a run must not start twice.
+func TestAgentResumes(t *testing.T) {
+	agent := &Agent{}
+	addr := startAgent(t, agent)
+	first := subscribe(t, addr, 0)
+	for _, id := range []string{"a", "b", "a"} {
+		first.send(t, command{Name: commandLaunch, Req: id})
+	}
+	require.Equal(t, 1, first.receive(t).Offset)
+	require.Equal(t, 2, first.receive(t).Offset)
+	agent.Disconnect()
+
+	second := subscribe(t, addr, 1)
+	resumed := second.receive(t)
+	require.Equal(t, "b", resumed.Req)
+	require.Equal(t, 2, resumed.Offset)
+	second.send(t, command{Name: commandSample, Token: "s"})
+	require.Equal(t, notificationSampled, second.receive(t).Name)
+}
+
+// Runs and reads must share the cores: two of 50 ms on one core take 100 ms.
+func TestAgentSharesCores(t *testing.T) {
+	started := time.Now()
+	now := func() time.Duration { return time.Since(started) }
+	agent := &Agent{
+		Now:     now,
+		Cores:   workerpool.NewPool(workerpool.Curve{Workers: 1, Speed: 1, Knee: 9}, now()),
+		PlanRun: func(Launch) RunPlan { return RunPlan{Work: 50 * time.Millisecond} },
+	}
+	client := subscribe(t, startAgent(t, agent), 0)
+	begun := time.Now()
+	client.send(t, command{Name: commandLaunch, Req: "a"})
+	read := agent.ReadRequest(50*time.Millisecond, 1)
+	require.Equal(t, notificationOutcome, client.receive(t).Name)
+	<-read
+	require.GreaterOrEqual(t, time.Since(begun), 95*time.Millisecond)
+}
--- a/lab/faults/fault.go
+++ b/lab/faults/fault.go
@@ -27,22 +27,22 @@
 	KindSlowAgent         = "slowrun" // the agent is slower by the factor Ratio until the end
 	KindUnresponsiveStore = "mute"    // the store of its zone accepts calls and answers none until the end
 	KindWedge             = "wedge"   // the server's loop blocks for a while; the rest of the process goes on
-	KindClockSkew         = "clock"   // started again with its clock off by Delay, which may be negative; again without at the end
+	KindClockSkew         = "clock"   // started again with its clock off by Delay, which may be negative, until the end
 )
 
 var (
 	linkKinds    = []string{KindPartition, KindLoss, KindDuplicate, KindDelay, KindThrottle, KindReset}
 	processKinds = []string{
-		KindKill, KindPause, KindTerminate, KindRestart, KindDelayedStart, KindSlowAgent, KindUnresponsiveStore, KindWedge,
-		KindClockSkew,
+		KindKill, KindPause, KindTerminate, KindRestart, KindDelayedStart, KindSlowAgent, KindUnresponsiveStore,
+		KindWedge, KindClockSkew,
 	}
 )
 
 // everybody is the pattern that matches all members.
 const everybody = "*"
 
-// Fault is one thing that goes wrong. Target and Peer are patterns: the name of a member, zone:NAME, region:NAME, or * for
-// all members. Times are on the laboratory's clock.
+// Fault is one thing that goes wrong. Target and Peer are patterns: the name of a member, zone:NAME, region:NAME, or
+// * for all members. Times are on the laboratory's clock.
 type Fault struct {
 	Kind           string        `json:"Kind"`
 	Target         string        `json:"Who"`    // whose process, or the sender
@@ -93,7 +93,8 @@
 	return &FieldError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// Check returns a FieldError if the fault does not make sense, or if no member among the locations matches its patterns.
+// Check returns a FieldError if the fault does not make sense, or if no member among the locations matches its
+// patterns.
 func (f *Fault) Check(locations []Location) error {
 	err := f.checkKind()
 	if err == nil {
@@ -116,7 +117,8 @@
 		return nil
 	}
 	if !slices.Contains(processKinds, f.Kind) {
-		return fieldError("kind", "%q, want one of %s", f.Kind, strings.Join(slices.Concat(linkKinds, processKinds), ", "))
+		known := strings.Join(slices.Concat(linkKinds, processKinds), ", ")
+		return fieldError("kind", "%q, want one of %s", f.Kind, known)
 	}
 	if f.Peer != "" || f.OneWay {
 		return fieldError("to", "a fault of a process has no other end")
@@ -181,8 +183,8 @@
 	return f.crossedBy(from, to) || !f.OneWay && f.crossedBy(to, from)
 }
 
-// crossedBy reports whether what one member sends to another goes from the fault's target to its peer. Where the peer is
-// everybody, that means everybody else: links within the target, such as a zone, are not affected.
+// crossedBy reports whether what one member sends to another goes from the fault's target to its peer. Where the peer
+// is everybody, that means everybody else: links within the target, such as a zone, are not affected.
 func (f *Fault) crossedBy(from, to *Location) bool {
 	if !from.matches(f.Target) || !to.matches(f.Peer) {
 		return false
--- a/lab/faults/relay.go
+++ b/lab/faults/relay.go
@@ -1,11 +1,11 @@
 // Package faults injects faults between processes and into them. Other processes reach a process at an advertised
-// address, where a relay takes its traffic and passes it on to the real address, as far as the rules in force allow. All
-// addresses are in 127.0.0.0/8; nothing of the system is changed, and no privilege is needed.
+// address, where a relay takes its traffic and passes it on to the real address, as far as the rules in force allow.
+// All addresses are in 127.0.0.0/8; nothing of the system is changed, and no privilege is needed.
 //
-// The relay tells the sender by its source address, so a process has to send from the address that it listens on. A TCP
-// connection through a partition is not established, as with a real one: the relay's listening socket drops the SYN
-// packets of partitioned senders (a socket filter, Linux). Unlike a real machine, whose kernel refuses connections to a
-// process that was killed, the relay accepts them and resets them at once.
+// The relay tells the sender by its source address, so a process has to send from the address that it listens on. A
+// TCP connection through a partition is not established, as with a real one: the relay's listening socket drops the
+// SYN packets of partitioned senders (a socket filter, Linux). Unlike a real machine, whose kernel refuses
+// connections to a process that was killed, the relay accepts them and resets them at once.
 package faults
 
 import (
@@ -42,7 +42,8 @@
 	endpoints []*endpoint
 }
 
-// NewRelay returns a relay without processes and faults, which draws losses and delays from seed. The caller closes it.
+// NewRelay returns a relay without processes and faults, which draws losses and delays from seed. The caller closes
+// it.
 func NewRelay(seed uint64) *Relay {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Relay{
@@ -86,8 +87,8 @@
 	return all
 }
 
-// partitionedFrom returns the real addresses of the processes between which and the one called name there is a partition
-// in either direction. The caller holds the lock.
+// partitionedFrom returns the real addresses of the processes between which and the one called name there is a
+// partition in either direction. The caller holds the lock.
 func (r *Relay) partitionedFrom(name string) (blocked []uint32) {
 	for ip, other := range r.names {
 		if r.rule(other, name).Partition || r.rule(name, other).Partition {
--- a/lab/faults/relay_test.go
+++ b/lab/faults/relay_test.go
@@ -89,17 +89,21 @@
 	}()
 }
 
+// partitionBack is a partition from n1 to n0, one way.
+func partitionBack(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} }
+
 // Datagrams must arrive without a fault and through a partition of the other direction, and twice if duplicated.
 func TestRelayDatagrams(t *testing.T) {
 	relay := newRelayTest(t)
 	relay.send(t, "hello")
 	require.Equal(t, "hello", relay.receive(t))
 
-	require.NoError(t, relay.SetRules(func(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} }))
+	require.NoError(t, relay.SetRules(partitionBack))
 	relay.send(t, "there")
 	require.Equal(t, "there", relay.receive(t))
 
-	require.NoError(t, relay.SetRules(func(string, string) Rule { return Rule{DuplicateRatio: 1, Delay: time.Millisecond} }))
+	duplicate := Rule{DuplicateRatio: 1, Delay: time.Millisecond}
+	require.NoError(t, relay.SetRules(func(string, string) Rule { return duplicate }))
 	relay.send(t, "twice")
 	require.Equal(t, "twice", relay.receive(t))
 	require.Equal(t, "twice", relay.receive(t))
@@ -112,7 +116,7 @@
 	relay.requireReset(t) // n1 does not accept streams yet
 	relay.acceptStreams(t)
 
-	require.NoError(t, relay.SetRules(func(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} }))
+	require.NoError(t, relay.SetRules(partitionBack))
 	_, err := relay.dial(200 * time.Millisecond)
 	require.True(t, os.IsTimeout(err), "%v", err)
 
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -29,8 +29,8 @@
 	Rate   int     `toml:"rate"`
 }
 
-// Parse reads a script in TOML: a list of tables [[fault]]. An error names the fault and the key; it wraps a FieldError
-// where the value does not make sense.
+// Parse reads a script in TOML: a list of tables [[fault]]. An error names the fault and the key; it wraps a
+// FieldError where the value does not make sense.
 func Parse(text []byte, locations []Location) (*Script, error) {
 	var file struct {
 		Fault []raw `toml:"fault"`
@@ -89,8 +89,8 @@
 	return names
 }
 
-// RulesAt returns the rules that the faults of links make together at a time. Traffic with a process that is no member
-// is not affected.
+// RulesAt returns the rules that the faults of links make together at a time. Traffic with a process that is no
+// member is not affected.
 func (s *Script) RulesAt(now time.Duration) func(from, to string) Rule {
 	var active []Fault
 	for i := range s.Faults {
@@ -127,7 +127,8 @@
 	Reset          bool          // streams are reset, open ones and new ones
 }
 
-// add adds a fault of links to the rule. Losses are independent of each other, delays add up, and the lowest rate counts.
+// add adds a fault of links to the rule. Losses are independent of each other, delays add up, and the lowest rate
+// counts.
 func (r *Rule) add(fault *Fault) {
 	switch fault.Kind {
 	case KindPartition:
--- a/lab/faults/script_test.go
+++ b/lab/faults/script_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// A partition of a zone must not affect the links within it; faults must add up; and each must end after its duration.
+// A partition of a zone must not affect the links within it; faults must add up; and each must end after its
+// duration.
 func TestRulesAt(t *testing.T) {
 	script, err := Parse([]byte(`
 [[fault]]
--- a/lab/faults/stream.go
+++ b/lab/faults/stream.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// forward writes a chunk by the rules in force, which may change meanwhile; in a partition it waits. It returns false if
-// the stream is over.
+// forward writes a chunk by the rules in force, which may change meanwhile; in a partition it waits. It returns false
+// if the stream is over.
 func (s *streamCopy) forward(chunk []byte) bool {
 	for first := true; len(chunk) > 0; first = false {
 		rule := s.relay.ruleFor(s.sender, s.receiver)
--- a/lab/fleetlab/dependencies.go
+++ b/lab/fleetlab/dependencies.go
@@ -10,8 +10,8 @@
 	"falldeal/lab/workerpool"
 )
 
-// A store crashes when it has more than storeCrashMultiple times its slots in flight for storeCrashTolerance, and is then
-// down for storeDowntime.
+// A store crashes when it has more than storeCrashMultiple times its slots in flight for storeCrashTolerance, and is
+// then down for storeDowntime.
 const (
 	storeCrashMultiple  = 5
 	storeCrashTolerance = 5 * time.Second
@@ -133,8 +133,8 @@
 	return work
 }
 
-// ReadRequest has the agent of a member read a request; the channel is closed when it has been read. Nil: the member has
-// no process.
+// ReadRequest has the agent of a member read a request; the channel is closed when it has been read. Nil: the member
+// has no process.
 func (l *Lab) ReadRequest(server string) <-chan struct{} {
 	agent := l.runningAgent(server)
 	if agent == nil {
--- a/lab/fleetlab/files.go
+++ b/lab/fleetlab/files.go
@@ -92,17 +92,18 @@
 	}
 	return fmt.Sprintf(
 		`{"Name":%q,"AimUs":%d,"DeadlineUs":%d,"Idempotency":%q,"KeyTtlUs":%d,"LateWorth":0,"Value":%g}`,
-		class.Name, class.LatencyObjective.Microseconds(), class.Timeout.Microseconds(), idempotency, window.Microseconds(),
-		class.Value)
+		class.Name, class.LatencyObjective.Microseconds(), class.Timeout.Microseconds(),
+		idempotency, window.Microseconds(), class.Value)
 }
 
-// WriteOperatorsFile writes the operators' file and, unless the first key is empty, the file of the fleet's keys, of which
-// the first one encrypts. The process reads them at its next start or SIGHUP.
+// WriteOperatorsFile writes the operators' file and, unless the first key is empty, the file of the fleet's keys, of
+// which the first one encrypts. The process reads them at its next start or SIGHUP.
 func (m *Member) WriteOperatorsFile(keys ...string) error {
 	options := &m.lab.options
 	var text strings.Builder
-	fmt.Fprintf(&text, "[fleet]\nlisten = %q\nadvertise = %q\nseeds = [%s]\nregion = %q\nzone = %q\nsize = %d\nprobe_every = %q\n",
-		m.GossipListenAddr, m.GossipAddr, m.lab.seedList(), options.Region, m.Zone, options.Members, options.ProbeInterval)
+	fmt.Fprintf(&text, "[fleet]\nlisten = %q\nadvertise = %q\n", m.GossipListenAddr, m.GossipAddr)
+	fmt.Fprintf(&text, "seeds = [%s]\nregion = %q\nzone = %q\n", m.lab.seedList(), options.Region, m.Zone)
+	fmt.Fprintf(&text, "size = %d\nprobe_every = %q\n", options.Members, options.ProbeInterval)
 	if len(keys) > 0 && keys[0] != "" {
 		lines := strings.Join(keys, "\n") + "\n"
 		if err := os.WriteFile(filepath.Join(m.dir, keyFile), []byte(lines), 0o600); err != nil {
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -1,8 +1,9 @@
-// Package fleetlab starts fleets of real processes of the shipped program on loopback, with fakes of all services that
-// they depend on, and injects faults (package faults). Each process has addresses of its own in 127.0.0.0/8.
+// Package fleetlab starts fleets of real processes of the shipped program on loopback, with fakes of all services
+// that they depend on, and injects faults (package faults). Each process has addresses of its own in 127.0.0.0/8.
 //
-// All processes share one machine, so a large fleet is slower than one on machines of its own, and the network's bandwidth
-// is not modelled. A blocked loop and a skewed clock are injected by the program itself, as its operators' file allows.
+// All processes share one machine, so a large fleet is slower than one on machines of its own, and the network's
+// bandwidth is not modelled. A blocked loop and a skewed clock are injected by the program itself, as its operators'
+// file allows.
 package fleetlab
 
 import (
--- /dev/null
+++ b/lab/fleetlab/membership_test.go
@@ -0,0 +1,181 @@
+package fleetlab
+
+import (
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"falldeal/internal/fleet"
+	"falldeal/lab/clients"
+	"falldeal/lab/faults"
+	"falldeal/lab/history"
+
+	"github.com/stretchr/testify/require"
+)
+
+// In a fleet of six processes in three zones, under load, all members that can know it must see a zone that is
+// partitioned, a process that is killed behind the partition, one that is paused and one that is started again, each
+// as what it is; after that all must agree. What clients and fakes saw must keep the rules all along.
+func TestZonePartitionAndLostProcesses(t *testing.T) {
+	lab := startLab(t, func(*Options) {})
+	all := memberNames(6)
+	lab.requireWhole(t, all)
+
+	stopLoad := lab.generateLoad(3, 60,
+		clients.Policy{MaxAttempts: 3}, clients.Policy{RouteByKey: true, MaxAttempts: 3, HonorRetryAfter: true})
+	defer stopLoad()
+
+	majority, isolated := []string{"n0", "n1", "n3", "n4"}, []string{"n2", "n5"}
+	heal := lab.inject(t, faults.Fault{Kind: faults.KindPartition, Target: "zone:mechelen", Peer: "*"})
+	lab.requireViews(t, majority,
+		append(serving(majority...), "n2=cut off", "n5=cut off", "zone mechelen=dark", "position=torn")...)
+	lab.requireViews(t, isolated, append(serving(isolated...), "n0=cut off", "n4=cut off", "position=cut off")...)
+
+	lab.FindMember("n4").Kill()
+	lab.requireViews(t, without(majority, "n4"), "n4=dead", "n2=cut off", "n0=serving")
+	lab.requireViews(t, isolated, "n4=cut off") // behind the partition the death can't be known
+
+	heal()
+	live := without(all, "n4")
+	lab.requireViews(t, live, append(serving(live...), "n4=dead", "zone mechelen=lit", "position=torn")...)
+
+	resume := lab.inject(t, faults.Fault{Kind: faults.KindPause, Target: "n1", Duration: time.Hour})
+	lab.requireViews(t, without(live, "n1"), "n1=wedged", "n4=dead")
+	resume()
+	lab.requireViews(t, live, append(serving(live...), "n4=dead")...)
+
+	require.NoError(t, lab.FindMember("n4").Start())
+	seesWhole := func() bool { return lab.FindMember("n0").position() == "whole" }
+	require.Eventually(t, seesWhole, waitTimeout, time.Second/10)
+	lab.requireViews(t, all, "position=whole")
+
+	stopLoad()
+	lab.requireNoViolations(t)
+	require.NotZero(t, history.SummarizeRequests(lab.Log.Events())[""].Served)
+}
+
+// A process whose loop alone is blocked must be told from one that is gone, by its own report. Clocks that are an
+// hour ahead or behind must not part a member from the fleet, before a restart under its name or after.
+func TestWedgedLoopAndClockSkew(t *testing.T) {
+	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 5, []string{"z0", "z1"} })
+	all := memberNames(5)
+	lab.requireWhole(t, all)
+	lab.inject(t, faults.Fault{Kind: faults.KindWedge, Target: "n3"})
+	lab.requireViews(t, without(all, "n3"), "n3=wedged", "position=torn")
+	lab.requireWhole(t, all)
+	endAhead := lab.inject(t, faults.Fault{Kind: faults.KindClockSkew, Target: "n1", Delay: time.Hour})
+	endBehind := lab.inject(t, faults.Fault{Kind: faults.KindClockSkew, Target: "n2", Delay: -time.Hour})
+	lab.requireWhole(t, all)
+	endAhead() // the next incarnation is an hour behind what the others know by its name
+	endBehind()
+	lab.requireWhole(t, all)
+	lab.requireNoViolations(t)
+}
+
+// Traffic of a process without the fleet's key, and what is no message, must be counted and dropped, and change
+// nothing. A key that is in force on one half of the fleet first must not part it where all know both keys.
+func TestForeignTrafficAndKeyRotation(t *testing.T) {
+	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 3, []string{"z0"} })
+	all := memberNames(3)
+	lab.requireWhole(t, all)
+	sendForeignTraffic(t, lab.Members[0])
+	lab.requireWhole(t, all)
+
+	first, second := lab.Key(), strings.Repeat("5a", 32)
+	for _, keys := range [][]string{{first, second}, {second, first}, {second}} {
+		for _, m := range lab.Members {
+			require.NoError(t, m.WriteOperatorsFile(keys...))
+			m.Signal(syscall.SIGHUP)
+		}
+		lab.requireWhole(t, all)
+	}
+
+	last := lab.Members[2]
+	require.NoError(t, last.WriteOperatorsFile(first)) // which the others have forgotten
+	last.Kill()
+	require.NoError(t, last.Start())
+	require.Eventually(t, func() bool { return last.position() == "alone" }, waitTimeout, time.Second/10)
+	lab.requireViews(t, all[:2], serving("n0", "n1")...)
+	require.NoError(t, last.WriteOperatorsFile(second))
+	last.Signal(syscall.SIGHUP)
+	lab.requireWhole(t, all)
+}
+
+// sendForeignTraffic sends what is no message to a member, until the member has counted some of it.
+func sendForeignTraffic(t *testing.T, target *Member) {
+	t.Helper()
+	udp, err := net.Dial("udp", target.GossipListenAddr)
+	require.NoError(t, err)
+	defer udp.Close()
+	tcp, err := net.Dial("tcp", target.GossipListenAddr)
+	require.NoError(t, err)
+	defer tcp.Close()
+	_, err = tcp.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
+	require.NoError(t, err)
+	require.Eventually(t, func() bool {
+		for _, packet := range [][]byte{{0}, []byte("noise"), make([]byte, 60000), {1, 2, 3}} {
+			_, _ = udp.Write(packet) // the counters show whether enough of them have arrived
+		}
+		report, err := target.FleetReport()
+		return err == nil && report.Counters["strangers"]+report.Counters["spoilt"] >= 8
+	}, waitTimeout, 100*time.Millisecond)
+}
+
+// A server that is drained and terminated must be seen by all as having left. It must not start again with an
+// operators' file that makes no sense.
+func TestGracefulLeaveAndInvalidOperatorsFiles(t *testing.T) {
+	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 3, []string{"z0"} })
+	all := memberNames(3)
+	lab.requireViews(t, all, "position=whole")
+	leaving := lab.Members[1]
+	response, err := consoleClient.Post("http://"+leaving.ConsoleAddr+"/drain", "", http.NoBody)
+	require.NoError(t, err)
+	require.NoError(t, response.Body.Close())
+	lab.requireViews(t, all, "n1=draining")
+	leaving.Signal(syscall.SIGTERM)
+	leaving.Wait()
+	require.False(t, leaving.Running())
+	lab.requireViews(t, without(all, "n1"), "n1=left", "position=whole")
+
+	output := lab.runProgram(t, "fleet", "status", "--check", "--console", lab.Members[0].ConsoleAddr)
+	require.Contains(t, output, "n0 sees its fleet: whole")
+	output = lab.runProgram(t, "fleet", "members", "--console", lab.Members[0].ConsoleAddr)
+	require.Regexp(t, `n1 +z0 +left`, output)
+	lab.requireInvalidOperatorsFiles(t, leaving)
+	require.Greater(t, fleet.Fresh(3), fleet.Period(3))
+}
+
+// runProgram runs a command of the shipped program, which must succeed, and returns its output.
+func (l *Lab) runProgram(t *testing.T, args ...string) string {
+	t.Helper()
+	output, err := exec.Command(l.options.Binary, args...).CombinedOutput()
+	require.NoError(t, err, "%s", output)
+	return string(output)
+}
+
+// requireInvalidOperatorsFiles starts a member that does not run with values in its operators' file that make no
+// sense. Each start must fail with an error that names the key.
+func (l *Lab) requireInvalidOperatorsFiles(t *testing.T, stopped *Member) {
+	t.Helper()
+	path := filepath.Join(stopped.dir, operatorsFile)
+	valid, err := os.ReadFile(path)
+	require.NoError(t, err)
+	for key, replacement := range map[string][2]string{
+		"fleet.probe_every": {`"500ms"`, `"5ms"`},
+		"fleet.speed":       {"[fleet]", "[fleet]\nspeed = 5"},
+		"fleet.listen":      {stopped.GossipListenAddr, l.Members[0].GossipListenAddr},
+	} {
+		invalid := strings.Replace(string(valid), replacement[0], replacement[1], 1)
+		require.NoError(t, os.WriteFile(path, []byte(invalid), 0o600))
+		config := filepath.Join(stopped.dir, configFile)
+		output, err := exec.Command(l.options.Binary, "serve", "--config", config, "--operators", path).CombinedOutput()
+		require.Error(t, err)
+		require.Contains(t, string(output), key)
+	}
+}
--- /dev/null
+++ b/lab/fleetlab/overload_test.go
@@ -0,0 +1,126 @@
+package fleetlab
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"falldeal/internal/fleet"
+	"falldeal/internal/overload"
+	"falldeal/lab/clients"
+	"falldeal/lab/faults"
+	"falldeal/lab/history"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Five processes under half as much load again as they can serve, one of them killed and one paused meanwhile, whose
+// clients retry without limit: all that live must shed load, at about the same threshold, and stop when the load is
+// gone.
+func TestFleetShedsAtOneThreshold(t *testing.T) {
+	lab := startLab(t, func(o *Options) {
+		o.Members, o.Zones, o.Cores = 5, []string{"z0", "z1"}, 1
+		o.Shedding, o.QuotaLeasing, o.CoordinatedProbes = true, true, true
+	})
+	all := memberNames(5)
+	lab.requireWhole(t, all)
+	stopLoad := lab.generateLoad(4, 1.6*lab.Capacity(),
+		clients.Policy{HonorRetryAfter: true}, clients.Policy{RouteByKey: true})
+	defer stopLoad()
+	const tolerance = 6 // of thresholds, as priorities
+	shedding := func(lowest, highest float64) bool { return lowest > 0 && highest-lowest < tolerance }
+	lab.requireThresholds(t, all, shedding)
+	lab.FindMember("n4").Kill()
+	require.False(t, lab.FindMember("n4").Running())
+	resume := lab.inject(t, faults.Fault{Kind: faults.KindPause, Target: "n3", Duration: time.Hour})
+	lab.requireViews(t, all[:3], "n3=wedged", "n4=dead")
+	lab.requireThresholds(t, all[:3], shedding)
+	resume()
+	lab.requireThresholds(t, all[:4], shedding)
+	stopLoad()
+	lab.requireThresholds(t, all[:4], func(_, highest float64) bool { return highest == 0 })
+	lab.requireNoViolations(t)
+}
+
+// requireThresholds waits until the lowest and the highest shedding threshold of members, in all their views, meet a
+// condition.
+func (l *Lab) requireThresholds(t *testing.T, members []string, condition func(lowest, highest float64) bool) {
+	t.Helper()
+	require.Eventually(t, func() bool {
+		lowest, highest := math.Inf(1), 0.0
+		for _, name := range members {
+			report, err := l.FindMember(name).FleetReport()
+			if err != nil {
+				return false
+			}
+			for _, m := range report.Members {
+				if slices.Contains(members, m.Name) {
+					lowest, highest = min(lowest, m.Threshold), max(highest, m.Threshold)
+				}
+			}
+		}
+		return condition(lowest, highest)
+	}, waitTimeout, time.Second/5)
+}
+
+// Stores that answer nothing must come to be probed by one server at a time, with a second call in flight at most
+// where the next server takes over. When they answer again, all servers must come to use them. The stores' own
+// records are the judge.
+func TestUnresponsiveStoresAreProbedByOneServer(t *testing.T) {
+	lab := startLab(t, func(o *Options) { o.CoordinatedProbes, o.Slots = true, 24 })
+	all := memberNames(6)
+	lab.requireWhole(t, all)
+	stopLoad := lab.generateLoad(3, 60, clients.Policy{MaxAttempts: 3, HonorRetryAfter: true})
+	defer stopLoad()
+	wait := func(reason string, condition func() bool) {
+		t.Helper()
+		require.Eventually(t, condition, waitTimeout, time.Second/5, reason)
+	}
+	inUse := func() bool {
+		started, _ := lab.recentCalls()
+		return started > 100
+	}
+	probesOnly := func() bool {
+		started, maxInFlight := lab.recentCalls()
+		return started > 0 && started <= 24 && maxInFlight <= 2
+	}
+	wait("calls are made", inUse)
+	restore := lab.inject(t, faults.Fault{Kind: faults.KindUnresponsiveStore, Target: "*", Duration: time.Hour})
+	wait("one probe at a time", probesOnly)
+	lab.FindMember("n4").Kill() // which may be the one that probes
+	wait("one probe at a time still", probesOnly)
+	restore()
+	wait("all servers use the stores again", func() bool {
+		return inUse() && lab.allUseStores(without(all, "n4"))
+	})
+	stopLoad()
+	lab.requireNoViolations(t)
+}
+
+// recentCalls is how many calls the stores have got in the last 6 s, and how many one of them had in flight at most.
+func (l *Lab) recentCalls() (started, maxInFlight int) {
+	from := l.Log.Now() - 6*time.Second
+	for _, e := range l.Log.Events() {
+		if e.At > from && e.Kind == history.CallStarted {
+			started++
+			maxInFlight = max(maxInFlight, e.Count)
+		}
+	}
+	return started, maxInFlight
+}
+
+// allUseStores reports whether members see each other's stores as answering.
+func (l *Lab) allUseStores(members []string) bool {
+	notInUse := func(m fleet.MemberReport) bool {
+		state := overload.StoreState(m.StoreState)
+		return slices.Contains(members, m.Name) && (state == overload.StoreFailing || state == overload.StoreProbing)
+	}
+	for _, name := range members {
+		report, err := l.FindMember(name).FleetReport()
+		if err != nil || slices.ContainsFunc(report.Members, notInUse) {
+			return false
+		}
+	}
+	return true
+}
--- a/lab/fleetlab/script.go
+++ b/lab/fleetlab/script.go
@@ -40,8 +40,8 @@
 	state faultState
 }
 
-// advance moves the fault to the state that it should have, and reports whether it starts and whether it ends. A short
-// fault may do both at once.
+// advance moves the fault to the state that it should have, and reports whether it starts and whether it ends. A
+// short fault may do both at once.
 func (f *scriptedFault) advance(now time.Duration) (starts, ends bool) {
 	if f.state == faultPending && now >= f.Start {
 		f.state = faultActive
@@ -113,8 +113,8 @@
 	return script
 }
 
-// RunScript starts and ends the faults of the script until ctx ends. It returns an error when a process can't be started
-// again or the rules between processes can't be set.
+// RunScript starts and ends the faults of the script until ctx ends. It returns an error when a process can't be
+// started again or the rules between processes can't be set.
 func (l *Lab) RunScript(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := l.applyFaults(); err != nil {
@@ -234,7 +234,8 @@
 	return nil
 }
 
-// logStartError logs that the process could not be started again. The fault has begun nevertheless, so the script goes on.
+// logStartError logs that the process could not be started again. The fault has begun nevertheless, so the script
+// goes on.
 func (m *Member) logStartError(err error) {
 	if err != nil {
 		m.logState(history.ProcessState("not started: "+err.Error()), 0)
--- a/lab/fleetlab/views.go
+++ b/lab/fleetlab/views.go
@@ -31,7 +31,8 @@
 	return report, json.NewDecoder(response.Body).Decode(&report)
 }
 
-// WatchViews polls the views of all running members until ctx ends, and logs when what one reports of another changes.
+// WatchViews polls the views of all running members until ctx ends, and logs when what one reports of another
+// changes.
 func (l *Lab) WatchViews(ctx context.Context, interval time.Duration) {
 	last := map[viewKey]string{}
 	for ctx.Err() == nil {
@@ -91,8 +92,8 @@
 	}
 }
 
-// registered returns the names that were registered lag ago, or at the first snapshot if that is later. Snapshots before
-// that are dropped: all callers are expected to use the same lag.
+// registered returns the names that were registered lag ago, or at the first snapshot if that is later. Snapshots
+// before that are dropped: all callers are expected to use the same lag.
 func (l *Lab) registered(lag time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -26,8 +26,8 @@
 	RuleNoFalseDeath = "not dead"
 )
 
-// viewLag is how long a report of an earlier process may still come after the next one has started: the connection that
-// was refused was made before, and a view is published, polled and recorded after.
+// viewLag is how long a report of an earlier process may still come after the next one has started: the connection
+// that was refused was made before, and a view is published, polled and recorded after.
 const viewLag = 2 * time.Second
 
 // conditionDead is the condition of a member that a view reports as dead.
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("%v %s: %s (server %s, try %s)", at, v.Rule, v.Reason, v.Event.Server, v.Event.AttemptID)
 }
 
-// Check returns the violations of a history, in the order of their discovery. It relies only on what clients and fakes
-// saw, except for views, which it checks.
+// Check returns the violations of a history, in the order of their discovery. It relies only on what clients and
+// fakes saw, except for views, which it checks.
 func Check(events []Event, rules Rules) []Violation {
 	check := &checker{
 		rules:     rules,
--- a/lab/history/check_test.go
+++ b/lab/history/check_test.go
@@ -11,12 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
+// keyed is the sending of an attempt with the idempotency key o1.
+func keyed(at time.Duration, id, server string, deadline time.Duration) Event {
+	return Event{
+		At: at, Kind: AttemptSent, AttemptID: id, IdempotencyKey: "o1", Server: server, Deadline: deadline,
+	}
+}
+
 // A violation that is added to a good history must be found, by its rule and no other; the good history must pass.
 func TestCheckFindsAddedViolations(t *testing.T) {
 	good := []Event{
 		{At: 0, Kind: ProcessChanged, Server: "n1", Detail: "started"},
 		{At: 0, Kind: ProcessChanged, Server: "n2", Detail: "started"},
-		{At: 1 * time.Second, Kind: AttemptSent, AttemptID: "a", IdempotencyKey: "o1", Server: "n1", Deadline: 4 * time.Second},
+		keyed(1*time.Second, "a", "n1", 4*time.Second),
 		{At: 1 * time.Second, Kind: AttemptSent, AttemptID: "b", Server: "n2", Deadline: 4 * time.Second},
 		{At: 2 * time.Second, Kind: RunStarted, AttemptID: "a", Server: "n1"},
 		{At: 2 * time.Second, Kind: CallStarted, AttemptID: "a"},
@@ -26,10 +33,10 @@
 		{At: 5 * time.Second, Kind: AttemptSent, AttemptID: "c", Server: "n1", Deadline: 6 * time.Second},
 		{At: 5 * time.Second, Kind: ProcessChanged, Server: "n1", Detail: "stopped"},
 		{At: 8 * time.Second, Kind: ProcessChanged, Server: "n1", Detail: "continued"},
-		{At: 8 * time.Second, Kind: AttemptAnswered, AttemptID: "c", Server: "n1", Detail: "failed"}, // late, as its server was paused
+		{At: 8 * time.Second, Kind: AttemptAnswered, AttemptID: "c", Server: "n1", Detail: "failed"}, // late: paused
 		{At: 9 * time.Second, Kind: ProcessChanged, Server: "n2", Detail: "killed"},
 		{At: 10 * time.Second, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"},
-		{At: 30 * time.Second, Kind: AttemptSent, AttemptID: "d", IdempotencyKey: "o1", Server: "n1", Deadline: 33 * time.Second},
+		keyed(30*time.Second, "d", "n1", 33*time.Second),
 		{At: 30 * time.Second, Kind: RunStarted, AttemptID: "d", Server: "n1"}, // after the idempotency window
 		{At: 31 * time.Second, Kind: AttemptAnswered, AttemptID: "d", Server: "n1", Detail: "served"},
 		{At: 32 * time.Second, Kind: ProcessChanged, Server: "n2", Detail: "started"},
@@ -41,9 +48,13 @@
 		RuleSingleAnswer: {{At: 3 * time.Second, Kind: AttemptAnswered, AttemptID: "a", Server: "n1", Detail: "failed"}},
 		RuleDeadline: {{At: 11 * time.Second, Kind: AttemptSent, AttemptID: "e", Server: "n1", Deadline: 12 * time.Second},
 			{At: 13 * time.Second, Kind: AttemptAnswered, AttemptID: "e", Server: "n1", Detail: "served"}},
-		RuleRunsOnce: {{At: 7 * time.Second, Kind: AttemptSent, AttemptID: "f", IdempotencyKey: "o1", Server: "n2", Deadline: 9 * time.Second},
+		RuleRunsOnce: {
+			keyed(7*time.Second, "f", "n2", 9*time.Second),
 			{At: 8 * time.Second, Kind: RunStarted, AttemptID: "f", Server: "n2"}},
-		RuleStoreCalls:   {{At: 2 * time.Second, Kind: CallStarted, AttemptID: "x"}, {At: 3 * time.Second, Kind: CallEnded, AttemptID: "x"}},
+		RuleStoreCalls: {
+			{At: 2 * time.Second, Kind: CallStarted, AttemptID: "x"},
+			{At: 3 * time.Second, Kind: CallEnded, AttemptID: "x"},
+		},
 		RuleNoFalseDeath: {{At: 12 * time.Second, Kind: ViewChanged, Server: "n2", Member: "n1", Detail: "dead"}},
 	} {
 		events := slices.Concat(good, added)
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -1,6 +1,6 @@
-// Package history records what happens in a laboratory, on one clock: requests and answers as clients saw them, runs and
-// calls as the fakes saw them, processes and faults as the laboratory made them, and what members reported of one another.
-// It checks a history against rules and sums it up. It shares no code with the programs that it judges.
+// Package history records what happens in a laboratory, on one clock: requests and answers as clients saw them, runs
+// and calls as the fakes saw them, processes and faults as the laboratory made them, and what members reported of one
+// another. It checks a history against rules and sums it up. It shares no code with the programs that it judges.
 package history
 
 import "time"
@@ -17,7 +17,9 @@
 	ProcessChanged   = "process"  // Server; Detail is the ProcessState
 	FaultChanged     = "fault"    // Detail names the fault; Count is 1 at its start and 0 at its end
 	ViewChanged      = "view"     // Server reports the condition Detail of Member
-	RequestCompleted = "request"  // Class, Client, Latency, Value, ValueServed, Work; Detail is the Outcome, Count the attempts
+	// RequestCompleted has Class, Client, Latency, Value, ValueServed and Work. Detail is the Outcome, Count the number of
+	// attempts.
+	RequestCompleted = "request"
 )
 
 // Outcome is how an attempt or a request ended. It stands in Event.Detail.
--- a/lab/history/plot.go
+++ b/lab/history/plot.go
@@ -20,8 +20,8 @@
 	faultColorStart = 4   // index of the first fault's color
 )
 
-// Plot draws the requests that ended in each second, by outcome, with bars for faults below. The extension of path chooses
-// the format: PNG, SVG or PDF.
+// Plot draws the requests that ended in each second, by outcome, with bars for faults below. The extension of path
+// chooses the format: PNG, SVG or PDF.
 func Plot(path, title string, events []Event) error {
 	figure := plot.New()
 	figure.Title.Text = title
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -11,8 +11,8 @@
 	baselineWindow = 6 * time.Second // before the fault
 )
 
-// RecoveryTime is how long after the end of a fault, which lasted from from to to, the service was back at 95% of the value
-// that it served before, and stayed there. Ok is false if it was not back by the end of the history.
+// RecoveryTime is how long after the end of a fault, which lasted from from to to, the service was back at 95% of the
+// value that it served before, and stayed there. Ok is false if it was not back by the end of the history.
 func RecoveryTime(events []Event, from, to time.Duration) (after time.Duration, ok bool) {
 	values := valuesByArrival(events)
 	baseline := recoveryRatio * values.servedRatio(from-baselineWindow, from)
--- a/lab/history/stores.go
+++ b/lab/history/stores.go
@@ -44,9 +44,9 @@
 	return summary
 }
 
-// StoreLoadDuringFault is how many calls a second came to the stores, and how many were in flight at most, while the first
-// fault of a kind was in force for longer than settled. It counts the calls of all stores, so the fault should affect
-// all of them. Both are 0 if the fault did not last that long.
+// StoreLoadDuringFault is how many calls a second came to the stores, and how many were in flight at most, while the
+// first fault of a kind was in force for longer than settled. It counts the calls of all stores, so the fault should
+// affect all of them. Both are 0 if the fault did not last that long.
 func StoreLoadDuringFault(events []Event, kind string, settled time.Duration) (rate float64, maxInFlight int) {
 	load := faultLoad{prefix: kind + " ", settled: settled}
 	for i := range events {
@@ -98,7 +98,8 @@
 	}
 }
 
-// result returns the calls a second and the most calls in flight during the measurement; both are 0 if there was none.
+// result returns the calls a second and the most calls in flight during the measurement; both are 0 if there was
+// none.
 func (l *faultLoad) result() (rate float64, maxInFlight int) {
 	to := l.to
 	if to == 0 {
--- a/lab/load/dependencies_test.go
+++ b/lab/load/dependencies_test.go
@@ -13,8 +13,8 @@
 	"falldeal/lab/fakes"
 )
 
-// The fakes and the load run in a process of their own, so that processor time and profile of the test process are the
-// server's alone. That process is the test program again, with this variable set.
+// The fakes and the load run in a process of their own, so that processor time and profile of the test process are
+// the server's alone. That process is the test program again, with this variable set.
 const runAsDependencies = "FALLDEAL_BENCH_SURROUNDINGS"
 
 func TestMain(m *testing.M) {
@@ -30,8 +30,8 @@
 // addresses are those of the fakes, as their process writes them to its standard output.
 type addresses struct{ Agent, Store, Announce string }
 
-// serveDependencies starts the fakes and writes their addresses. It then carries out the plans that it reads, and writes
-// their reports, until the input ends.
+// serveDependencies starts the fakes and writes their addresses. It then carries out the plans that it reads, and
+// writes their reports, until the input ends.
 func serveDependencies(in io.Reader, out io.Writer) error {
 	addrs, err := startFakes()
 	if err != nil {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -53,8 +53,8 @@
 	return Report{Served: c.served.Load(), Rejected: c.rejected.Load(), Failed: c.failed.Load()}
 }
 
-// Run carries out a plan. It returns an error when an answer does not come in time or can't be read, or when ctx ends;
-// the report then counts the answers until then.
+// Run carries out a plan. It returns an error when an answer does not come in time or can't be read, or when ctx
+// ends; the report then counts the answers until then.
 func Run(ctx context.Context, plan Plan) (Report, error) {
 	var counts counters
 	var remaining atomic.Int64
--- a/lab/load/rpc.go
+++ b/lab/load/rpc.go
@@ -20,8 +20,8 @@
 	subjectKeys = 1000 // different keys of requests without an idempotency key
 )
 
-// attemptIDs numbers requests, unique within a process. It starts at another number in each, so that the requests of two
-// processes to one server do not share identifiers.
+// attemptIDs numbers requests, unique within a process. It starts at another number in each, so that the requests of
+// two processes to one server do not share identifiers.
 var attemptIDs atomic.Uint64
 
 func init() { attemptIDs.Store(uint64(time.Now().UnixNano())) }
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -50,8 +50,8 @@
 	return started
 }
 
-// startDependencies starts the process of the fakes and the load, and returns what speaks to it. The process ends after
-// the test, with its input.
+// startDependencies starts the process of the fakes and the load, and returns what speaks to it. The process ends
+// after the test, with its input.
 func startDependencies(tb testing.TB) (*testServer, addresses) {
 	tb.Helper()
 	dependencies := exec.Command(os.Args[0])
@@ -72,8 +72,8 @@
 	return started, addrs
 }
 
-// testConfig is the example configuration with the addresses of the fakes. Its deadlines are 10 minutes, so that a machine
-// that is busy for a while does not make requests late.
+// testConfig is the example configuration with the addresses of the fakes. Its deadlines are 10 minutes, so that a
+// machine that is busy for a while does not make requests late.
 func testConfig(tb testing.TB, addrs addresses) *config.Config {
 	tb.Helper()
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
--- a/lab/memnet/host.go
+++ b/lab/memnet/host.go
@@ -82,8 +82,8 @@
 	return h.DialTimeout(to.Addr, timeout)
 }
 
-// DialTimeout opens a stream. It times out behind a partition in either direction and where there was never a host, and
-// is refused by a host that is down or has too many unaccepted streams.
+// DialTimeout opens a stream. It times out behind a partition in either direction and where there was never a host,
+// and is refused by a host that is down or has too many unaccepted streams.
 func (h *Host) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	network := h.network
 	network.mu.Lock()
--- a/lab/memnet/network.go
+++ b/lab/memnet/network.go
@@ -1,7 +1,7 @@
 // Package memnet is a network in memory between the members of a fleet, with faults for each pair of hosts. It is for
-// tests in a testing/synctest bubble, where hundreds of members live for minutes within a second. Losses and delays are
-// drawn from a seed. It leaves out bandwidth and queues on the way. Each host queues a bounded number of packets and
-// drops the rest; nothing of a host runs on after it.
+// tests in a testing/synctest bubble, where hundreds of members live for minutes within a second. Losses and delays
+// are drawn from a seed. It leaves out bandwidth and queues on the way. Each host queues a bounded number of packets
+// and drops the rest; nothing of a host runs on after it.
 package memnet
 
 import (
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck checks an invariant in every reachable state of a small protocol. It searches breadth first, so that
-// the counterexample that it finds has the fewest steps. It is for protocols small enough to be searched completely: a
-// handful of members, amounts and steps.
+// Package modelcheck checks an invariant in every reachable state of a small protocol. It searches breadth first, so
+// that the counterexample that it finds has the fewest steps. It is for protocols small enough to be searched
+// completely: a handful of members, amounts and steps.
 package modelcheck
 
 import "slices"
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -29,9 +29,11 @@
 		violation func(int) string
 		want      Result
 	}{
-		"no violation":               {20, func(int) string { return "" }, Result{States: 10, Whole: true}},
-		"bound on steps":             {2, func(int) string { return "" }, Result{States: 4}},
-		"violation in the last step": {4, isNine, Result{Why: "the counter is 9", Steps: []string{"add", "double", "double", "add"}, States: 10}},
+		"no violation":   {20, func(int) string { return "" }, Result{States: 10, Whole: true}},
+		"bound on steps": {2, func(int) string { return "" }, Result{States: 4}},
+		"violation in the last step": {
+			4, isNine, Result{Why: "the counter is 9", Steps: []string{"add", "double", "double", "add"}, States: 10},
+		},
 		"violation beyond the bound": {3, isNine, Result{States: 7}},
 		"violation of the start":     {0, func(int) string { return "always" }, Result{Why: "always", States: 1}},
 		"no step allowed":            {0, isNine, Result{States: 1}},
--- a/lab/workerpool/crash.go
+++ b/lab/workerpool/crash.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// CrashModel decides when a store crashes: with more calls in flight than it survives, for longer than it tolerates. It
-// is then down for a while. It is not safe for concurrent use.
+// CrashModel decides when a store crashes: with more calls in flight than it survives, for longer than it tolerates.
+// It is then down for a while. It is not safe for concurrent use.
 type CrashModel struct {
 	MaxInFlight int           // calls that the store survives for any time; 0 = any number
 	Tolerance   time.Duration // for which it survives more
--- a/lab/workerpool/pool.go
+++ b/lab/workerpool/pool.go
@@ -1,5 +1,5 @@
-// Package workerpool models what serves requests behind an image server: the cores of a render farm agent, and the slots
-// of a store. It reads no clock: callers pass in the time and get back what has completed.
+// Package workerpool models what serves requests behind an image server: the cores of a render farm agent, and the
+// slots of a store. It reads no clock: callers pass in the time and get back what has completed.
 //
 // Work in flight shares the pool evenly. The model leaves out memory, disks and unequal sharing between runs; a real
 // agent's throughput past its knee does not fall along a straight line.
@@ -110,8 +110,8 @@
 // Cancel removes an item without completing it.
 func (p *Pool) Cancel(id string) { delete(p.remaining, id) }
 
-// Advance brings the pool to now. It returns the items that have completed, in the order of their completion and by id
-// within one step.
+// Advance brings the pool to now. It returns the items that have completed, in the order of their completion and by
+// id within one step.
 func (p *Pool) Advance(now time.Duration) (completed []string) {
 	for p.now < now {
 		n := len(p.remaining)
--- a/lab/workerpool/pool_test.go
+++ b/lab/workerpool/pool_test.go
@@ -18,8 +18,14 @@
 		"a worker for each item": {Curve{Workers: 4, Speed: 1, Knee: 1}, 4, 100 * time.Millisecond},
 		"shared":                 {Curve{Workers: 4, Speed: 1, Knee: 9}, 8, 200 * time.Millisecond},
 		"slower machine":         {Curve{Workers: 4, Speed: 0.5, Knee: 9}, 4, 200 * time.Millisecond},
-		"past the knee":          {Curve{Workers: 4, Speed: 1, Knee: 1, SlowdownPerExcess: 0.5}, 8, 400 * time.Millisecond},
-		"at the least speed":     {Curve{Workers: 1, Speed: 1, Knee: 1, SlowdownPerExcess: 1, MinSpeedRatio: 0.25}, 10, 4 * time.Second},
+		"past the knee": {
+			Curve{Workers: 4, Speed: 1, Knee: 1, SlowdownPerExcess: 0.5},
+			8, 400 * time.Millisecond,
+		},
+		"at the least speed": {
+			Curve{Workers: 1, Speed: 1, Knee: 1, SlowdownPerExcess: 1, MinSpeedRatio: 0.25},
+			10, 4 * time.Second,
+		},
 		"cold, half the speed on average": {
 			Curve{Workers: 1, Speed: 1, Knee: 1, ColdSpeedRatio: 0, WarmupTime: 200 * time.Millisecond},
 			1, 200 * time.Millisecond,
@@ -37,7 +43,8 @@
 				now = max(next, now+interval)
 				completed += len(pool.Advance(now))
 			}
-			require.InDelta(t, testCase.want.Seconds(), now.Seconds(), 0.3*testCase.want.Seconds()+interval.Seconds(), name)
+			tolerance := 0.3*testCase.want.Seconds() + interval.Seconds()
+			require.InDelta(t, testCase.want.Seconds(), now.Seconds(), tolerance, name)
 			require.InDelta(t, 0.1*float64(testCase.n), pool.WorkDone().Seconds(), 0.01, name)
 			require.Equal(t, testCase.n, pool.MaxInFlight())
 		}
