--- /dev/null
+++ b/admission/action.go
@@ -0,0 +1,66 @@
+package admission
+
+import "time"
+
+// ActionKind distinguishes actions.
+type ActionKind uint8
+
+// The kinds of Action.
+const (
+	ActionRun         ActionKind = iota // start this queued request
+	ActionStop                          // stop this running request
+	ActionReject                        // reject it: it never ran
+	ActionFail                          // answer it with an error
+	ActionCall                          // make the call that it waits for, for Timeout at most
+	ActionSkipCall                      // let it go on without that call
+	ActionRemember                      // remember it for Duration, so that retries are recognised
+	ActionForget                        // forget it
+	ActionReuse                         // answer it with the result of the request that it retries
+	ActionHealth                        // answer health checks by Healthy, without a deep check if Cached
+	ActionAdvertise                     // send Value along with answers from now on
+	ActionIdleTimeout                   // close connections that are idle for Duration
+	ActionWake                          // send an EventTimer at At
+	ActionLog                           // log Text for the operators
+)
+
+func (k ActionKind) String() string {
+	return [...]string{"run", "stop", "reject", "fail", "call", "skip call", "remember", "forget", "reuse", "health",
+		"advertise", "idle timeout", "wake", "log"}[k]
+}
+
+// Reason tells why a request was rejected.
+type Reason uint8
+
+// The kinds of Reason.
+const (
+	ReasonCPU            Reason = iota // too much work for this server's cores
+	ReasonDependency                   // the dependency is overloaded or failing
+	ReasonTooLate                      // the latency objective has passed or can't be met any more
+	ReasonMemory                       // no memory
+	ReasonDraining                     // this server stops
+	ReasonBelowThreshold               // the fleet is full of requests of more value
+)
+
+// String returns the text that stands in logs.
+func (r Reason) String() string {
+	return [...]string{"cores behind", "calls behind", "too late", "memory full", "leaving", "below the cutoff"}[r]
+}
+
+// Action is something that the server is to do, in the order given. Only the fields of its kind are set.
+type Action struct {
+	Kind ActionKind
+	ID   RequestID
+
+	// ActionReject.
+	Reason           Reason
+	RetryAfter       time.Duration // how long the client is to avoid this server; 0: no advice
+	NoRetryElsewhere bool          // the client is asked not to try other servers
+
+	Timeout  time.Duration // ActionCall
+	Duration time.Duration // ActionRemember, ActionIdleTimeout
+	Healthy  bool          // ActionHealth
+	Cached   bool          // ActionHealth
+	Value    float64       // ActionAdvertise
+	At       time.Duration // ActionWake
+	Text     string        // ActionLog
+}
--- a/admission/behind_test.go
+++ b/admission/behind_test.go
@@ -9,16 +9,16 @@
 // a tenth of a second says nothing to a front end that comes every few seconds anyway.
 func TestAdviceOutlastsTheGapBetweenACallersRequests(t *testing.T) {
 	refusal := func(callers int, waited, work time.Duration) *Action {
-		s := settings()
+		s := testSettings()
 		s.Clients = callers
-		c := start(t, s)
+		controller := start(t, s)
 		now := time.Duration(0)
 		var last *Action
 		for id := RequestID(1); id <= 400; id++ {
 			now += 50 * ms // 20 requests a second
 			e := req(id, 1)
 			e.Waited, e.CostHint = waited, work
-			if a := find(c.Step(now, []Event{e, {Kind: EventTimer, Gauges: calm}}, nil), ActionReject, id); a != nil {
+			if a := find(controller.Step(now, []Event{e, {Kind: EventTimer, Gauges: calm}}, nil), ActionReject, id); a != nil {
 				last = a
 			}
 		}
@@ -51,15 +51,15 @@
 // advice is spread as the caller of this module asks, within what is heeded.
 func TestAgeAndSpreadOfATry(t *testing.T) {
 	first := func(age, spread time.Duration) (ran bool, refused *Action) {
-		c := start(t, settings())
+		controller := start(t, testSettings())
 		var events []Event
 		for id := RequestID(1); id <= 16; id++ { // cores are taken, and some are held
 			events = append(events, req(id, 0))
 		}
-		c.Step(10*ms, events, nil)
+		controller.Step(10*ms, events, nil)
 		e := req(99, 0)
 		e.SinceFirstAttempt, e.RetryJitter = age, spread
-		as := c.Step(20*ms, []Event{e}, nil)
+		as := controller.Step(20*ms, []Event{e}, nil)
 		return find(as, ActionReject, 99) == nil, find(as, ActionReject, 99)
 	}
 	if ran, _ := first(0, 0); !ran {
@@ -68,7 +68,7 @@
 	if ran, a := first(1900*ms, 0); ran || !a.NoRetryElsewhere {
 		t.Errorf("a try that can't be in time any more: %v %+v", ran, a)
 	}
-	c := start(t, settings())
+	c := start(t, testSettings())
 	for id := RequestID(1); id <= 400; id++ {
 		e := req(id, 0)
 		e.RetryJitter = time.Duration(id) * 10 * ms
--- /dev/null
+++ b/admission/event.go
@@ -0,0 +1,107 @@
+package admission
+
+import "time"
+
+// RequestID identifies one attempt of a request. A retry has another one.
+type RequestID uint64
+
+// FleetRank is what the other servers of a fleet make of a request, as far as the controller's owner knows.
+type FleetRank uint8
+
+// The kinds of FleetRank.
+const (
+	RankUnknown        FleetRank = iota // nothing is known of other servers
+	RankElsewhere                       // if it is rejected here, another server runs it
+	RankFull                            // if it is rejected here, it should not be retried elsewhere
+	RankBelowThreshold                  // no server is to run it while CPU is short
+)
+
+func (r FleetRank) String() string {
+	return [...]string{"unknown", "elsewhere", "full", "below threshold"}[r]
+}
+
+// EventKind distinguishes events.
+type EventKind uint8
+
+// The kinds of Event.
+const (
+	EventRequest    EventKind = iota // a request was read
+	EventDone                        // a run, or the reuse of a result, has ended
+	EventCancelled                   // nobody waits for this request any more
+	EventCallNeeded                  // a running request waits for a call to the dependency
+	EventCallDone                    // such a call has ended
+	EventDrain                       // this server is to stop at StopAt
+	EventTimer                       // the time of an ActionWake has come; Gauges are set
+	EventDeregister                  // operators want clients elsewhere; the process stays
+	EventReregister                  // operators want clients back
+)
+
+func (k EventKind) String() string {
+	return [...]string{"request", "done", "cancelled", "call needed", "call done", "drain", "timer", "deregister",
+		"reregister"}[k]
+}
+
+// Outcome is how a run or a call ended.
+type Outcome uint8
+
+// The kinds of Outcome.
+const (
+	OutcomeOK          Outcome = iota
+	OutcomeFailed              // it failed and may have had its effect
+	OutcomeRejected            // a call was rejected: it never ran
+	OutcomeTimedOut            // a call was abandoned and may have had its effect
+	OutcomeUnreachable         // the dependency was not reached: the call never ran
+	OutcomeAborted             // a call was interrupted and may have had its effect
+	OutcomeCancelled           // a run was stopped, or ended since no answer was owed
+	OutcomeNotStarted          // nothing was started: the request had ended before
+)
+
+func (o Outcome) String() string {
+	return [...]string{"ok", "failed", "rejected", "timed out", "unreachable", "aborted", "cancelled", "not started"}[o]
+}
+
+// NeverRan reports whether the outcome proves that nothing was run.
+func (o Outcome) NeverRan() bool {
+	return o == OutcomeRejected || o == OutcomeUnreachable || o == OutcomeNotStarted
+}
+
+// Gauges are a server's own measurements. A negative value means unknown.
+type Gauges struct {
+	CPUUtilization    float64 // part of the cores in use over the last half second
+	CPUDemand         float64 // cores asked for at present: by runs, reading, health checks, handshakes
+	MemoryUtilization float64 // part of the memory in use
+	Connections       float64 // open connections
+}
+
+// Event is something that happened to a server. Only the fields of its kind are set.
+type Event struct {
+	Kind EventKind
+	ID   RequestID
+
+	// EventRequest.
+	Class             int
+	Tenant            int
+	Client            int           // number of the client
+	MemoryKB          float64       // memory while queued
+	CostHint          time.Duration // expected work on a standard core; 0: unknown
+	HasSubject        bool          // it names the subject of a read
+	Retry             bool          // it is marked as a retry
+	RetryOf           RequestID     // the remembered request that it retries; 0: none
+	Rank              float64       // its place among all requests by value, 0 to 1
+	Deadline          time.Duration // when its client gives up; 0: not known
+	FleetRank         FleetRank
+	SinceFirstAttempt time.Duration // from the first attempt of its client to this one; 0: none, or not known
+	RetryJitter       time.Duration // added to advice to stay away, so that clients don't return at one instant
+
+	Waited time.Duration // EventRequest: since it reached the machine; EventDrain: since the signal
+
+	// EventDone and EventCallDone.
+	Outcome Outcome
+	Took    time.Duration
+
+	// EventDrain.
+	StopAt   time.Duration // when the process ends
+	Replaced bool          // another process of this server goes on: health stays
+
+	Gauges Gauges // EventTimer
+}
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -57,11 +57,11 @@
 		{"Deadline 0", func(s *Settings) { s.Classes[1].Deadline = 0 }},
 		{"KeyWindow -1ms", func(s *Settings) { s.Classes[2].IdempotencyWindow = -ms }},
 	} {
-		s := settings()
+		s := testSettings()
 		c.change(&s)
 		_, err := New(s, 7, 0)
 		fmt.Fprintf(&got, "%s\n\tNew: %v\n", c.name, err)
-		fmt.Fprintf(&got, "\tRetune: %v\n", start(t, settings()).Reconfigure(s))
+		fmt.Fprintf(&got, "\tRetune: %v\n", start(t, testSettings()).Reconfigure(s))
 	}
 	requireGolden(t, "settings", got.String())
 }
@@ -74,25 +74,25 @@
 		enter func(*Controller)
 		leave func(*Controller)
 	}{
-		{"calls dropped", func(c *Controller) { c.protect = -1 }, func(c *Controller) { c.protect = BreakerProtectedCalls }},
-		{"calls bounded", func(c *Controller) { c.callShare = callsLeast }, func(c *Controller) { c.callShare = callsRaise }},
-		{"share lowered", func(c *Controller) { c.share = shareDown }, func(c *Controller) { c.share = 1 }},
-		{"memory full", func(c *Controller) { c.memory = c.memoryLimit() + 1 }, func(c *Controller) { c.memory = 0 }},
-		{"unwell", func(c *Controller) { c.unwell = true }, func(c *Controller) { c.unwell = false }},
+		{"calls dropped", func(c *Controller) { c.protectedCalls = -1 }, func(c *Controller) { c.protectedCalls = BreakerProtectedCalls }},
+		{"calls bounded", func(c *Controller) { c.callLimitRatio = minCallLimitRatio }, func(c *Controller) { c.callLimitRatio = maxCallLimitRatio }},
+		{"share lowered", func(c *Controller) { c.admitProbability = admitDecrease }, func(c *Controller) { c.admitProbability = 1 }},
+		{"memory full", func(c *Controller) { c.memoryKB = c.memoryLimit() + 1 }, func(c *Controller) { c.memoryKB = 0 }},
+		{"unwell", func(c *Controller) { c.unhealthy = true }, func(c *Controller) { c.unhealthy = false }},
 	} {
-		controller := start(t, settings())
+		controller := start(t, testSettings())
 		fmt.Fprintf(&got, "%s\n", c.name)
 		for _, change := range []func(*Controller){c.enter, c.leave} {
-			controller.now += 2 * logEvery
-			controller.out = nil
+			controller.now += 2 * reportInterval
+			controller.actions = nil
 			change(controller)
-			controller.reports()
-			logged(&got, controller.out)
+			controller.reportConditions()
+			logged(&got, controller.actions)
 		}
 	}
 	for _, replaced := range []bool{false, true} {
 		fmt.Fprintf(&got, "notice, replaced %t\n", replaced)
-		logged(&got, start(t, settings()).Step(ms, []Event{{Kind: EventDrain, StopAt: 3000 * ms, Replaced: replaced}}, nil))
+		logged(&got, start(t, testSettings()).Step(ms, []Event{{Kind: EventDrain, StopAt: 3000 * ms, Replaced: replaced}}, nil))
 	}
 	requireGolden(t, "reports", got.String())
 }
--- a/admission/large_test.go
+++ b/admission/large_test.go
@@ -24,13 +24,13 @@
 		"no mean time":      func(s *Settings) { s.CallsWindow = 0 },
 		"cold without time": func(s *Settings) { s.WarmingUp, s.SlowStartTime, s.SlowStartSpeedRatio = true, 0, 0 },
 	} {
-		s := settings()
+		s := testSettings()
 		change(&s)
-		c, err := New(s, 7, 0)
+		controller, err := New(s, 7, 0)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		as := c.Step(0, nil, nil)
+		actions := controller.Step(0, nil, nil)
 		running := map[RequestID]time.Duration{}
 		for id := RequestID(1); id <= 400; id++ {
 			now := time.Duration(id) * 50 * ms
@@ -43,16 +43,16 @@
 					delete(running, r)
 				}
 			}
-			n := len(as)
-			as = c.Step(now, events, as)
-			for _, a := range as[n:] {
+			n := len(actions)
+			actions = controller.Step(now, events, actions)
+			for _, a := range actions[n:] {
 				if a.Kind == ActionRun {
 					running[a.ID] = now
 				}
 			}
 		}
 		runs := 0
-		for _, a := range as {
+		for _, a := range actions {
 			if math.IsNaN(a.Value) || math.IsInf(a.Value, 0) || a.Value < 0 || a.Duration < 0 || a.Timeout < 0 || a.RetryAfter < 0 {
 				t.Errorf("%s: action %+v", name, a)
 			}
@@ -68,7 +68,7 @@
 
 func TestSharesThatAreNoNumbersAreNamed(t *testing.T) {
 	for _, v := range []float64{math.NaN(), -1} {
-		s := settings()
+		s := testSettings()
 		s.MaxCallsInFlight = v
 		if _, err := New(s, 1, 0); err == nil || !strings.Contains(err.Error(), "CallsOut") {
 			t.Errorf("CallsOut %v: error %v", v, err)
@@ -78,25 +78,25 @@
 
 // What a server keeps must not grow with the callers, subjects and keys that it meets over weeks.
 func TestStateStaysBoundedOverManyCallersAndKeys(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Cores, s.MaxCallsInFlight = 2, 0.5
-	c := start(t, s)
+	controller := start(t, s)
 	largest := 0
-	var as []Action
+	var actions []Action
 	for id := RequestID(1); id <= 100000; id++ {
 		now := time.Duration(id) * 100 * ms
 		e := req(id, int(id)%4)
 		e.Client, e.HasSubject, e.Tenant, e.Retry = int(id), true, int(id)%9, id%7 == 0
 		events := []Event{e}
-		for _, a := range as { // what ran in the last batch is done in this one
+		for _, a := range actions { // what ran in the last batch is done in this one
 			if a.Kind == ActionRun {
 				events = append(events, Event{Kind: EventDone, ID: a.ID, Took: 100 * ms})
 			}
 		}
-		as = c.Step(now, events, as[:0])
-		size := len(c.jobs) + len(c.entries) + len(c.dues.list) + len(c.callers.list)
-		for i := range c.classes {
-			size += len(c.classes[i].hold)
+		actions = controller.Step(now, events, actions[:0])
+		size := len(controller.requests) + len(controller.keys) + len(controller.deadlines.items) + len(controller.callQueue.items)
+		for i := range controller.classes {
+			size += len(controller.classes[i].queue)
 		}
 		largest = max(largest, size)
 	}
--- a/admission/rest_test.go
+++ b/admission/rest_test.go
@@ -11,8 +11,8 @@
 
 // wakes steps c at the times that it asks for, up to until, and returns how often that was.
 func wakes(c *Controller, until time.Duration, g Gauges) (n int) {
-	for ; c.wakeAt <= until; n++ {
-		c.Step(c.wakeAt, []Event{{Kind: EventTimer, Gauges: g}}, nil)
+	for ; c.timerAt <= until; n++ {
+		c.Step(c.timerAt, []Event{{Kind: EventTimer, Gauges: g}}, nil)
 	}
 	return n
 }
@@ -20,21 +20,21 @@
 // A server of a large fleet has nothing to do for most of the time. It used to wake up ten times a second for
 // that, with two more turns for the gauges each time.
 func TestAServerAtRestSleeps(t *testing.T) {
-	c := start(t, settings())
-	c.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
-	n := wakes(c, 10*time.Second, calm)
+	controller := start(t, testSettings())
+	controller.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
+	n := wakes(controller, 10*time.Second, calm)
 	if n < 9 || n > 12 {
 		t.Errorf("%d wakes in ten seconds at rest", n)
 	}
 	// While the share recovers it is awake.
-	c.share = 0.3 // of which the sweeps left out so far make up for some
-	c.Step(c.wakeAt, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
-	if n = wakes(c, c.now+2*time.Second, calm); n < 19 {
+	controller.admitProbability = 0.3 // of which the sweeps left out so far make up for some
+	controller.Step(controller.timerAt, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
+	if n = wakes(controller, controller.now+2*time.Second, calm); n < 19 {
 		t.Errorf("%d wakes in two seconds of recovery", n)
 	}
 	// And while something is in hand.
-	c.Step(c.now+1, []Event{req(1, 1)}, nil)
-	if n = wakes(c, c.now+time.Second, calm); n < 9 {
+	controller.Step(controller.now+1, []Event{req(1, 1)}, nil)
+	if n = wakes(controller, controller.now+time.Second, calm); n < 9 {
 		t.Errorf("%d wakes in a second with a run", n)
 	}
 }
@@ -43,7 +43,7 @@
 // for every sweep, and its state is the same.
 func TestRestChangesNoDecision(t *testing.T) {
 	for seed := range uint64(30) {
-		sleeps, sweeps := start(t, settings()), start(t, settings())
+		sleeps, sweeps := start(t, testSettings()), start(t, testSettings())
 		rng := rand.New(rand.NewPCG(seed, 5))
 		now, id := time.Duration(0), RequestID(0)
 		sleeps.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
@@ -93,31 +93,31 @@
 
 // state6 is what sweeps change, rounded.
 func state6(c *Controller) string {
-	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.share, c.callShare, c.callBest,
-		c.runLimit, c.readWait.v, c.idleSaid)
+	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.admitProbability, c.callLimitRatio, c.bestCallTime,
+		c.runLimit, c.readWait.value, c.idleTimeout)
 }
 
 // BenchmarkStep is a step that takes in one request and ends another, with so many in hand.
 func BenchmarkStep(b *testing.B) {
 	for _, inHand := range []int{0, 10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("held=%d", inHand), func(b *testing.B) {
-			s := settings()
+			s := testSettings()
 			s.MemoryKB, s.Cores = 1e9, 64
 			for i := range s.Classes {
 				s.Classes[i].LatencyObjective, s.Classes[i].Deadline = time.Hour, time.Hour
 			}
-			c := start(b, s)
+			controller := start(b, s)
 			now, id := time.Duration(1), RequestID(0)
 			for range inHand {
 				id++
-				c.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 0, MemoryKB: 1, CostHint: time.Microsecond}}, nil)
+				controller.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 0, MemoryKB: 1, CostHint: time.Microsecond}}, nil)
 			}
 			var actions []Action
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
 				now += 100 * time.Microsecond
-				actions = c.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 3, MemoryKB: 1, CostHint: time.Microsecond},
+				actions = controller.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 3, MemoryKB: 1, CostHint: time.Microsecond},
 					{Kind: EventCancelled, ID: id}}, actions[:0])
 			}
 		})
--- /dev/null
+++ b/admission/scheduler.go
@@ -0,0 +1,170 @@
+package admission
+
+import "time"
+
+// Scheduling: how many requests run, and estimates of how long they take.
+const (
+	initialRunsPerCore  = 1.33            // runs on the CPU, per core, to begin with; ours
+	maxRunsPerCore      = 2.2             // upper bound to which measured demand may raise it; ours
+	targetDemandPerCore = 1.5             // CPU demand per core at which it is not raised further; ours
+	runLimitStep        = 0.25            // change of the limit per sweep; ours
+	estimateGain        = 0.1             // weight of a new run in the estimates; ours
+	minSlowStartSpeed   = 0.1             // least part of its speed assumed of a cold server; ours
+	speedTimeConstant   = 2 * time.Second // of fully used CPU time, over which speed is averaged; ours
+	minCoreSpeed        = 0.01            // least speed of a core, of a standard one; ours
+	defaultCallTime     = 0.05            // seconds that a call takes before one was measured; ours
+	coresPerTrialRun    = 3               // one core in this many runs trials when all are late; ours
+)
+
+// dispatch starts calls that wait and then runs, as far as every limit allows.
+func (c *Controller) dispatch() {
+	c.startCalls()
+	for float64(c.onCPU) < c.runLimit && float64(c.running) < c.concurrencyLimit() {
+		if c.expireQueued() {
+			continue
+		}
+		req := c.nextQueued(float64(c.awaitingCallCount) >= max(1, waitersPerCall*c.callLimit()))
+		switch {
+		case req == nil:
+			return
+		case c.memoryKB+c.runningExtraKB(req) > c.memoryLimit():
+			if c.running > 0 {
+				return
+			}
+			c.reject(req, ReasonMemory)
+		case c.draining && !c.endsBeforeStop(c.now+c.serviceTime(req)):
+			c.reject(req, ReasonDraining)
+		default:
+			c.startRun(req)
+		}
+	}
+}
+
+// trialRuns is how many requests run though none can be on time, so that a recovery is noticed.
+func (c *Controller) trialRuns() int { return max(1, c.settings.Cores/coresPerTrialRun) }
+
+func (c *Controller) startRun(req *request) {
+	c.dequeue(req)
+	req.state, req.ran, req.startedAt = running, true, c.now
+	c.memoryKB += c.runningExtraKB(req)
+	c.running++
+	c.onCPU++
+	c.runningWork += req.work
+	if key := c.keys[req.id]; key != nil {
+		key.ran = true
+	}
+	c.emit(Action{Kind: ActionRun, ID: req.id})
+	c.cacheResult(req)
+	for _, follower := range req.followers {
+		c.joinRun(follower)
+	}
+	req.followers = nil
+}
+
+func (c *Controller) runDone(event *Event) {
+	req := c.requests[event.ID]
+	if req == nil || req.state < joined {
+		return
+	}
+	if event.Outcome == OutcomeOK && req.state == running {
+		class := &c.classes[req.class]
+		class.cpuTime.add(req.work, (event.Took - req.callTime).Seconds(), estimateGain)
+		class.callsPerRun.add(float64(req.callAttempts), estimateGain)
+		class.meanLatency.add((c.now - req.arrivedAt - req.callTime).Seconds(), latencyGain)
+		c.speed.add(c.busyTime, req.work, 0)
+	}
+	if event.Outcome == OutcomeCancelled && !req.answered {
+		c.emit(Action{Kind: ActionFail, ID: req.id})
+	}
+	noResult := event.Outcome == OutcomeCancelled || event.Outcome == OutcomeFailed
+	if noResult && c.settings.Classes[req.class].Idempotency == Safe && req.remembered {
+		c.forgetKey(req)
+	}
+	c.release(req)
+}
+
+// fail answers with an error. Running work is stopped where that is possible and loses nothing.
+func (c *Controller) fail(req *request) {
+	if req.answered {
+		return
+	}
+	c.emit(Action{Kind: ActionFail, ID: req.id})
+	c.settle(req)
+}
+
+// settle records that no answer is owed any more. The run of an idempotent request goes on: its result
+// answers the retries.
+func (c *Controller) settle(req *request) {
+	req.answered = true
+	if req.state < running {
+		c.release(req)
+		return
+	}
+	keyed := c.settings.Classes[req.class].Idempotency == IdempotentByKey
+	if req.state == running && c.settings.Halt != HaltOff && !keyed {
+		c.emit(Action{Kind: ActionStop, ID: req.id})
+	}
+}
+
+// adjustRunLimit lets more run while cores idle though requests are queued, and fewer while they are crowded.
+func (c *Controller) adjustRunLimit() {
+	cores := float64(c.settings.Cores)
+	demand, target := c.gauges.CPUDemand, targetDemandPerCore*cores
+	switch {
+	case demand > target:
+		c.runLimit -= runLimitStep
+	case c.queuedCount > 0 && demand >= 0 && demand < target:
+		c.runLimit += runLimitStep
+	}
+	c.runLimit = min(max(c.runLimit, cores), maxRunsPerCore*cores)
+}
+
+// ServiceRate is the work that this server completes per second, in seconds of a standard core.
+func (c *Controller) ServiceRate() float64 {
+	return max(c.speed.primary/max(c.speed.secondary, 1e-3), minCoreSpeed) * float64(c.settings.Cores)
+}
+
+// estimateWork takes the hint of the work of req, or the mean of its class where there is none.
+func (c *Controller) estimateWork(req *request, hint time.Duration) {
+	class := &c.classes[req.class]
+	if req.work = hint.Seconds(); req.work > 0 {
+		class.meanWork.add(req.work, estimateGain)
+		return
+	}
+	req.work = class.meanWork.or(defaultWorkRatio * c.settings.Classes[req.class].LatencyObjective.Seconds())
+}
+
+// serviceTime estimates how long req takes once it runs, calls included.
+func (c *Controller) serviceTime(req *request) time.Duration {
+	class := &c.classes[req.class]
+	estimate := req.work * initialRunsPerCore * float64(c.settings.Cores) / c.ServiceRate()
+	if class.cpuTime.x.set {
+		estimate = class.cpuTime.valueAt(req.work)
+	}
+	if c.needsCall(req) {
+		estimate += class.callsPerRun.or(1) * c.callTime.or(defaultCallTime)
+	}
+	return seconds(estimate)
+}
+
+// cpuWait estimates how long req waits for a core: for half of the running work, and what is queued ahead.
+func (c *Controller) cpuWait(req *request) time.Duration {
+	if float64(c.onCPU) < c.runLimit && c.queuedCount == 0 {
+		return 0
+	}
+	ahead := 0.5 * c.runningWork
+	objective := c.settings.Classes[req.class].LatencyObjective.Seconds()
+	for i := range c.classes {
+		ahead += c.classes[i].queuedWork * min(1, objective/c.settings.Classes[i].LatencyObjective.Seconds())
+	}
+	return seconds(ahead / c.ServiceRate())
+}
+
+// finishTime estimates when req would be answered if it were admitted now.
+func (c *Controller) finishTime(req *request) time.Duration {
+	wait := c.cpuWait(req)
+	if c.needsCall(req) {
+		wait = max(wait, c.callWait())
+	}
+	return c.now + wait + c.serviceTime(req)
+}
--- /dev/null
+++ b/admission/settings_check.go
@@ -0,0 +1,61 @@
+package admission
+
+import (
+	"fmt"
+	"time"
+)
+
+// SettingsError names a field of Settings with which no server can run. Its text is part of the simulator's
+// protocol, so the names in it are those under which operators know the fields.
+type SettingsError struct {
+	Field  string
+	Detail string
+}
+
+func (e *SettingsError) Error() string { return "settings: " + e.Field + ": " + e.Detail }
+
+func settingsError(field, format string, args ...any) error {
+	return &SettingsError{Field: field, Detail: fmt.Sprintf(format, args...)}
+}
+
+// check returns a *SettingsError for the first field that cannot be served, and raises factors below their
+// least sensible value.
+func (s *Settings) check() error {
+	switch {
+	case s.Cores <= 0:
+		return settingsError("Cores", "%d, want at least 1", s.Cores)
+	case len(s.Classes) == 0:
+		return settingsError("Classes", "none")
+	case !(s.MemoryKB > 0):
+		return settingsError("MemoryKB", "%v, want more than 0", s.MemoryKB)
+	case !(s.RunningMemoryFactor >= 0) || !(s.KeyMemoryKB >= 0) || !(s.MaxCallsInFlight >= 0):
+		return settingsError("RunBlow, KeyKB, CallsOut", "negative")
+	}
+	if err := s.checkTimes(); err != nil {
+		return err
+	}
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.IdempotencyWindow < 0 {
+			return settingsError(fmt.Sprintf("Classes[%d]", i), "Aim %v, Deadline %v and KeyWindow %v must be positive",
+				class.LatencyObjective, class.Deadline, class.IdempotencyWindow)
+		}
+	}
+	s.RunningMemoryFactor = max(s.RunningMemoryFactor, 1)
+	s.MaxConcurrencyPerCore = max(s.MaxConcurrencyPerCore, 1)
+	return nil
+}
+
+func (s *Settings) checkTimes() error {
+	for _, field := range []struct {
+		name  string
+		value time.Duration
+	}{{"CallsOver", s.CallsWindow}, {"CallLingers", s.AbandonedCallTime}, {"ColdFor", s.SlowStartTime},
+		{"CrowdOver", s.ConcurrencyWindow}, {"AnswerGrace", s.AnswerGrace}, {"DrainGrace", s.DrainGrace},
+		{"FreshFor", s.CacheTTL}, {"MaxRetryAfter", s.MaxRetryAfter}, {"IdleAfter", s.IdleTimeout}, {"Tick", s.Tick}} {
+		if field.value < 0 {
+			return settingsError(field.name, "negative time %v", field.value)
+		}
+	}
+	return nil
+}
--- a/admission/state.go
+++ b/admission/state.go
@@ -6,320 +6,235 @@
 	"time"
 )
 
-// The controller's state: plain fields and their bookkeeping, no decisions.
-
-type state uint8
+// requestState is the life of a request. The order counts: from running on it has taken memory to run.
+type requestState uint8
 
 const (
-	reading state = iota // not yet taken: in no sum of the hold
-	held
-	following // held; waits for the try that it repeats to run or go
-	joined    // waits for the answer of the try that it repeats
-	running   // on the cores, or waiting for disk
-	waiting   // for a call to be made
-	calling
+	received     requestState = iota // read, and not yet decided on
+	queued                           // waits to run
+	following                        // waits for the attempt that it retries to run or end
+	joined                           // waits for the result of the attempt that it retries
+	running                          // on the CPU, or waiting for the disk
+	awaitingCall                     // waits for a call to be made
+	calling                          // waits for a call to end
+	released                         // has ended; it is in no table any more
 )
 
-type job struct {
-	id                    RequestID
-	class, tenant         int
-	state                 state
-	standing              FleetRank
-	answered, ran, repeat bool
-	kept, gone            bool
-	kb                    float64
-	work                  float64 // seconds on a standard core
-	arrived, aim, useful  time.Duration
-	first                 time.Duration // when its caller sent the first try, as far as known
-	due, began, asked     time.Duration
-	spread                time.Duration // of advice to stay away
-	calls                 time.Duration // spent waiting for calls and in them
-	tries                 int
-	lead                  *job // that it follows
-	followers             []*job
-}
-
-type classState struct {
-	hold     []*job // in order of arrival
-	heldN    int
-	heldWork float64
-	work     mean // work of a request
-	onCore   fit  // time on the cores for a given work
-	perRun   mean // calls a run
-	latency  mean // arrival to end, less calls
-}
-
-type tenantState struct {
-	offered decay // a: requests
-	factor  float64
-}
-
-type entry struct {
-	expires time.Duration
-	ran     bool
-}
-
-type dueKind uint8
+func (s requestState) String() string {
+	return [...]string{"received", "queued", "following", "joined", "running", "awaiting call", "calling", "released"}[s]
+}
+
+// request is what the controller knows of one attempt.
+type request struct {
+	id           RequestID
+	class        int // index into Settings.Classes
+	tenant       int // index into Controller.tenants
+	state        requestState
+	fleetRank    FleetRank
+	retry        bool // marked as a retry
+	answered     bool // no answer is owed any more
+	ran          bool // it was started
+	remembered   bool // it has an entry in Controller.keys
+	memoryKB     float64
+	work         float64       // seconds of a standard core
+	retryJitter  time.Duration // of advice to stay away
+	callTime     time.Duration // spent waiting for calls and in them
+	callAttempts int
+	leader       *request   // while following
+	followers    []*request // that follow this one
+
+	firstAttemptAt time.Duration // when its client sent the first attempt, as far as known
+	arrivedAt      time.Duration
+	startedAt      time.Duration // of its run
+	callNeededAt   time.Duration // since then it waits for its call, or is in it
+	objective      time.Duration // an answer by then has its full value
+	usefulUntil    time.Duration // an answer by then has some value
+	deadline       time.Duration // its client gives up then
+}
+
+// classStats is the state of one class.
+type classStats struct {
+	queue       []*request // in order of arrival; requests that have left it are dropped from its front
+	queuedCount int
+	queuedWork  float64
+	meanWork    movingAverage // work of a request
+	cpuTime     linearFit     // time on the CPU for a given work
+	callsPerRun movingAverage
+	meanLatency movingAverage // from arrival to end without calls, in seconds
+}
+
+// tenantStats is the state of one tenant.
+type tenantStats struct {
+	offered     decayingPair // primary: requests
+	valueFactor float64      // on the value of its requests
+}
+
+// keyEntry is the record of a remembered request.
+type keyEntry struct {
+	expiresAt time.Duration
+	ran       bool
+}
+
+// deadlineKind distinguishes what a deadline is about.
+type deadlineKind uint8
 
 const (
-	dueAnswer dueKind = iota
-	dueRetry
-	dueLinger
-	dueEntry
+	deadlineAnswer        deadlineKind = iota // a request must be answered
+	deadlineCallRetry                         // a call may be retried
+	deadlineAbandonedCall                     // an abandoned call no longer occupies the dependency
+	deadlineKey                               // a key expires
 )
 
-type due struct {
-	kind dueKind
-	job  *job
-	id   RequestID
-}
-
-// Controller decides for one server. It is not safe for use by several goroutines at once.
-type Controller struct {
-	s       Settings
-	rng     *rand.Rand
-	now     time.Duration
-	started time.Duration
-	booted  bool
-	out     []Action
-
-	jobs    map[RequestID]*job
-	classes []classState
-	tenants []tenantState
-	entries map[RequestID]*entry
-	dues    queue[due]
-	callers queue[*job] // waiting for a call, by the end of their useful time
-
-	outcomes            *ring   // calls, accepts
-	protect             float64 // calls a window that the breaker never drops
-	callCredit          float64 // call-seconds under the bound, or over it
-	inCalls             *ring   // call-seconds in hand
-	share               float64
-	runLimit            float64
-	busy                time.Duration // full use of all cores so far
-	speed               decay         // a: work done, b: core-seconds used
-	callTime            mean
-	arrivals            decay         // a: all that were read, b: those marked as further tries
-	readWait            mean          // seconds between reaching the machine and being read
-	withdrawn           bool          // by an operator
-	unwell              bool          // health checks are answered badly
-	healthAt            time.Duration // since then
-	idleSaid            time.Duration // idle limit in force
-	callShare, callBest float64       // bound on calls in hand, of the share; best mean time
-
-	memory                         float64
-	runs, onCores, inHand, lingers int // runs in all, on the cores, calls in hand, abandoned ones
-	heldN, waitN                   int
-	heldWork, runWork              float64
-	gauges                         Gauges
-	logs                           [5]condition // what the operators were told last
-	wakeAt, sweepAt                time.Duration
-	resting                        bool // sweeps are left out
-	draining                       bool
-	noticeAt, stopAt               time.Duration
-}
-
-func (c *Controller) hold(j *job) {
-	cs := &c.classes[j.class]
-	j.state = held
-	cs.hold = append(cs.hold, j)
-	cs.heldN++
-	cs.heldWork += j.work
-	c.heldN++
-	c.heldWork += j.work
-}
-
-// unhold takes j out of the sums; its place in the hold is passed over later.
-func (c *Controller) unhold(j *job) {
-	cs := &c.classes[j.class]
-	cs.heldN--
-	c.heldN--
-	cs.heldWork = max(cs.heldWork-j.work, 0)
-	c.heldWork = max(c.heldWork-j.work, 0)
-}
-
-func (c *Controller) follow(j, lead *job) {
-	j.state, j.lead = following, lead
-	lead.followers = append(lead.followers, j)
-}
-
-// pass brings the sums that run with time up to now.
-func (c *Controller) pass(now time.Duration) {
-	if dt := now - c.now; dt > 0 {
-		used := float64(min(c.onCores, c.s.Cores))
-		c.busy += time.Duration(float64(dt) * used / float64(c.s.Cores))
-		c.speed.add(c.busy, 0, dt.Seconds()*used)
-		limit := c.callLimit()
-		c.callCredit += dt.Seconds() * (limit - float64(c.inHand+c.lingers))
-		next := math.Floor(limit) + 1
-		most := limit * callsPace.Seconds() * (next - limit) / next // lasts for callsPace at next calls in hand
-		c.callCredit = max(min(c.callCredit, most), -limit*c.s.CallsWindow.Seconds())
-		c.inCalls.add(now, dt.Seconds()*float64(c.inHand+c.lingers), 0)
-		c.now = now
-	}
+func (k deadlineKind) String() string {
+	return [...]string{"answer", "call retry", "abandoned call", "key"}[k]
 }
 
-// makeRoom has a place for each class and tenant of the settings.
-func (c *Controller) makeRoom() {
-	c.classes = append(c.classes, make([]classState, len(c.s.Classes)-len(c.classes))...)
-	for len(c.tenants) < max(len(c.s.Tenants), 1) {
-		c.tenants = append(c.tenants, tenantState{offered: decay{tau: offeredMemory}, factor: 1})
-	}
+type deadline struct {
+	kind    deadlineKind
+	request *request  // deadlineAnswer, deadlineCallRetry
+	id      RequestID // deadlineKey
 }
 
-// recount sums up the memory anew, which depends on the settings.
-func (c *Controller) recount() {
-	c.memory = float64(len(c.entries)) * c.s.KeyMemoryKB
-	for _, j := range c.jobs {
-		c.memory += j.kb
-		if j.state >= running {
-			c.memory += (c.s.RunningMemoryFactor - 1) * j.kb
+// Controller decides for one server. It belongs to one goroutine.
+type Controller struct {
+	settings    Settings
+	rng         *rand.Rand
+	now         time.Duration // of the batch that is processed
+	startedAt   time.Duration
+	initialized bool     // the first step was taken
+	actions     []Action // of the step that is taken
+
+	requests  map[RequestID]*request
+	classes   []classStats
+	tenants   []tenantStats // at least one
+	keys      map[RequestID]*keyEntry
+	deadlines timedQueue[deadline]
+
+	// Admission and scheduling.
+	admitProbability float64
+	arrivals         decayingPair  // primary: requests read; secondary: retries, or rejections that stand for them
+	readWait         movingAverage // seconds between reaching the machine and being read
+	runLimit         float64       // requests on the CPU
+	busyTime         time.Duration // time for which all cores together were in use
+	speed            decayingPair  // primary: work completed; secondary: core-seconds used
+	gauges           Gauges
+
+	// What is in flight.
+	memoryKB    float64 // of requests and keys
+	running     int     // runs, those that wait for calls included
+	onCPU       int     // runs that do not
+	runningWork float64
+	queuedCount int
+	queuedWork  float64
+
+	// Calls.
+	callQueue         timedQueue[*request] // waiting for a call, by the end of their usefulness
+	awaitingCallCount int
+	callsInFlight     int
+	abandonedCalls    int            // that still occupy the dependency
+	callTime          movingAverage  // seconds
+	bestCallTime      float64        // seconds; the best mean, which drifts up
+	callLimitRatio    float64        // limit on calls in flight, of Settings.MaxCallsInFlight
+	callCredit        float64        // call-seconds under the limit, or over it if negative
+	callSeconds       *rollingWindow // call-seconds in flight
+	outcomes          *rollingWindow // calls, and those of them that were accepted
+	protectedCalls    float64        // calls per window that the breaker never drops
+
+	// Health, advice and drain.
+	deregistered    bool // by an operator
+	unhealthy       bool // health checks are answered badly
+	healthChangedAt time.Duration
+	idleTimeout     time.Duration // in force
+	draining        bool
+	drainStartedAt  time.Duration
+	stopAt          time.Duration // when the process ends
+
+	conditions [conditionCount]condition // as last reported to the operators
+	timerAt    time.Duration             // of the last ActionWake
+	sweepAt    time.Duration             // of the next sweep
+	idle       bool                      // sweeps are skipped
+}
+
+// New returns a controller for a server that starts at now. The error names the field of settings that cannot
+// be served. Random choices follow from seed.
+func New(settings Settings, seed uint64, now time.Duration) (*Controller, error) {
+	if err := settings.check(); err != nil {
+		return nil, err
+	}
+	const randomStream = 0x9e3779b97f4a7c15
+	controller := &Controller{settings: settings, rng: rand.New(rand.NewPCG(seed, randomStream)), now: now, startedAt: now,
+		sweepAt: now, requests: map[RequestID]*request{}, keys: map[RequestID]*keyEntry{},
+		admitProbability: 1, runLimit: initialRunsPerCore * float64(settings.Cores), gauges: Gauges{-1, -1, -1, -1},
+		callLimitRatio: initialCallLimitRatio, bestCallTime: 1e9, protectedCalls: BreakerProtectedCalls,
+		outcomes: newRollingWindow(breakerWindow, breakerBuckets), idleTimeout: settings.IdleTimeout}
+	controller.callCredit = controller.callLimit() * callCreditWindow.Seconds()
+	controller.outcomes.advance(now)
+	controller.startCallWindow()
+	half := float64(settings.Cores) / 2
+	controller.speed = decayingPair{timeConstant: speedTimeConstant, primary: half, secondary: half}
+	if settings.WarmingUp {
+		controller.speed.primary *= max(settings.SlowStartSpeedRatio, minSlowStartSpeed)
+	}
+	controller.arrivals.timeConstant = offeredTimeConstant
+	controller.growTables()
+	controller.weighTenants()
+	return controller, nil
+}
+
+// Reconfigure replaces the settings while requests are in flight. Classes are identified by their index: those
+// that there were keep theirs, and new ones follow. A server warms up once, at its start. On an error, which
+// names the field, the old settings stay.
+func (c *Controller) Reconfigure(settings Settings) error {
+	if err := settings.check(); err != nil {
+		return err
+	}
+	if len(settings.Classes) < len(c.classes) {
+		return settingsError("Classes", "%d of %d left", len(settings.Classes), len(c.classes))
+	}
+	settings.WarmingUp = c.settings.WarmingUp
+	newWindow := settings.CallsWindow != c.settings.CallsWindow
+	c.settings = settings
+	if newWindow {
+		c.startCallWindow()
+	}
+	c.growTables()
+	c.weighTenants()
+	c.recountMemory()
+	return nil
+}
+
+// startCallWindow begins to measure the mean of calls in flight.
+func (c *Controller) startCallWindow() {
+	c.callSeconds = newRollingWindow(max(c.settings.CallsWindow, time.Second), callSecondsBuckets)
+	c.callSeconds.advance(c.now)
+}
+
+// growTables makes an entry for each class and tenant of the settings.
+func (c *Controller) growTables() {
+	c.classes = append(c.classes, make([]classStats, len(c.settings.Classes)-len(c.classes))...)
+	for len(c.tenants) < max(len(c.settings.Tenants), 1) {
+		c.tenants = append(c.tenants, tenantStats{offered: decayingPair{timeConstant: offeredTimeConstant}, valueFactor: 1})
+	}
+}
+
+// recountMemory adds up the memory in use, which depends on the settings.
+func (c *Controller) recountMemory() {
+	c.memoryKB = float64(len(c.keys)) * c.settings.KeyMemoryKB
+	for _, req := range c.requests {
+		c.memoryKB += req.memoryKB
+		if req.state >= running {
+			c.memoryKB += c.runningExtraKB(req)
 		}
 	}
 }
 
-func (c *Controller) emit(a Action) { c.out = append(c.out, a) }
-
-func seconds(v float64) time.Duration { return time.Duration(min(v, 1e6) * float64(time.Second)) }
-
-func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
-
-// leave ends j and gives back what it took.
-func (c *Controller) leave(j *job) {
-	switch j.state {
-	case held:
-		c.unhold(j)
-	case running:
-		c.onCores--
-	case waiting:
-		c.waitN--
-	case calling:
-		c.hangUp(j)
-	}
-	c.memory -= j.kb
-	if j.state >= running {
-		c.memory -= (c.s.RunningMemoryFactor - 1) * j.kb
-		c.runs--
-		c.runWork = max(c.runWork-j.work, 0)
-	}
-	j.gone = true
-	delete(c.jobs, j.id)
-	if j.kept && !j.ran {
-		c.forget(j)
-	}
-	followers := j.followers
-	j.followers = nil
-	c.inherit(followers)
-}
-
-func (c *Controller) event(e *Event) {
-	switch e.Kind {
-	case EventRequest:
-		c.request(e)
-	case EventDone:
-		c.done(e)
-	case EventCancelled:
-		c.goneEvent(e)
-	case EventCallNeeded:
-		c.wantsCall(e)
-	case EventCallDone:
-		c.callResult(e)
-	case EventDrain:
-		c.notice(e)
-	case EventDeregister, EventReregister:
-		c.withdraw(e.Kind == EventDeregister)
-	case EventTimer:
-		c.gauges = e.Gauges
-	}
-}
-
-func (c *Controller) enter(j *job, keepFor time.Duration) {
-	j.kept = true
-	c.memory += c.s.KeyMemoryKB
-	c.entries[j.id] = &entry{expires: c.now + keepFor}
-	c.dues.push(c.now+keepFor, due{kind: dueEntry, id: j.id})
-	c.emit(Action{Kind: ActionRemember, ID: j.id, Duration: keepFor})
-}
-
-func (c *Controller) forget(j *job) {
-	j.kept = false
-	if e := c.entries[j.id]; e != nil && e.expires > c.now {
-		c.memory -= c.s.KeyMemoryKB
-		c.emit(Action{Kind: ActionForget, ID: j.id})
-		delete(c.entries, j.id)
-	}
-}
-
-func (c *Controller) queueCall(j *job) {
-	j.state, j.asked = waiting, c.now
-	c.waitN++
-	c.callers.push(j.useful, j)
-}
-
-func (c *Controller) resume(j *job) {
-	j.calls += c.now - j.asked
-	j.state = running
-	c.onCores++
-}
-
-func (c *Controller) linger() {
-	if c.s.AbandonedCallTime > 0 {
-		c.lingers++
-		c.dues.push(c.now+c.s.AbandonedCallTime, due{kind: dueLinger})
-	}
-}
-
-// dead: nothing is to be done about d any more.
-func (c *Controller) dead(d due) bool {
-	switch d.kind {
-	case dueAnswer:
-		return d.job.gone || d.job.answered
-	case dueRetry:
-		return d.job.gone || d.job.answered || d.job.state != waiting
-	}
-	return false
-}
-
-// makeUp makes the sweeps that were left out at rest, before anything new is looked at: they then find what each
-// would have found at its time.
-func (c *Controller) makeUp() {
-	c.sweepAt = max(c.sweepAt, c.now-restMost*sweepEvery) // a machine may stand still for longer
-	for ; c.resting && c.sweepAt < c.now; c.sweepAt += sweepEvery {
-		c.sweep()
-	}
-	c.resting = false
-}
-
-// wake asks for the next timer: the sweep, or an earlier due time.
-func (c *Controller) wake() {
-	next := c.sweepAt
-	if c.resting = c.atRest(); c.resting {
-		next += (restMost - 1) * sweepEvery
-	}
-	if !c.dues.empty() {
-		next = min(next, c.dues.headAt())
-	}
-	if c.wakeAt <= c.now || next < c.wakeAt {
-		c.wakeAt = max(next, c.now+1)
-		c.emit(Action{Kind: ActionWake, At: c.wakeAt})
-	}
-}
-
-// condition is a state that the operators are told of, and when they last were.
-type condition struct {
-	on   bool
-	told time.Duration
-}
-
-// report logs that a state begins or ends, each state once in logEvery at most.
-func (c *Controller) report(k *condition, on bool, what string) {
-	if on == k.on || c.now < k.told+logEvery && k.told > 0 {
-		return
-	}
-	k.on, k.told = on, max(c.now, 1)
-	if on {
-		c.emit(Action{Kind: ActionLog, Text: what + ": begins"})
-	} else {
-		c.emit(Action{Kind: ActionLog, Text: what + ": ends"})
+// shortestObjective is the shortest latency objective of all classes.
+func (c *Controller) shortestObjective() time.Duration {
+	shortest := time.Duration(math.MaxInt64)
+	for i := range c.settings.Classes {
+		if class := &c.settings.Classes[i]; !class.Removed {
+			shortest = min(shortest, class.LatencyObjective)
+		}
 	}
+	return shortest
 }
