--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -1,9 +1,7 @@
 package admission
 
 import (
-	"fmt"
 	"math"
-	"math/rand/v2"
 	"os"
 	"reflect"
 	"strings"
@@ -105,11 +103,11 @@
 	}
 }
 
-// atCall brings request id of class to its call at time now.
-func atCall(t *testing.T, c *Controller, now time.Duration, id RequestID, class int) []Action {
+// startToCall brings request id of class to its call within the first millisecond.
+func startToCall(t *testing.T, c *Controller, id RequestID, class int) []Action {
 	t.Helper()
-	want(t, c.Step(now, []Event{req(id, class)}, nil), ActionRun, id)
-	return c.Step(now+ms, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+	want(t, c.Step(0, []Event{req(id, class)}, nil), ActionRun, id)
+	return c.Step(ms, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
 }
 
 func TestDroppedCallIsSkippedOrFails(t *testing.T) {
@@ -134,7 +132,7 @@
 	}{{0, OutcomeFailed, true}, {1, OutcomeFailed, false}, {1, OutcomeAborted, false}, {1, OutcomeTimedOut, false}, {1, OutcomeUnreachable, true},
 		{2, OutcomeRejected, true}, {2, OutcomeFailed, false}} {
 		c := start(t, testSettings())
-		want(t, atCall(t, c, 0, 1, test.class), ActionCall, 1)
+		want(t, startToCall(t, c, 1, test.class), ActionCall, 1)
 		actions := c.Step(10*ms, []Event{{Kind: EventCallDone, ID: 1, Outcome: test.outcome, Took: 9 * ms}}, nil)
 		actions = c.Step(300*ms, nil, actions)
 		if got := find(actions, ActionCall, 1) != nil; got != test.again {
@@ -276,7 +274,7 @@
 	for _, k := range []EventKind{EventDone, EventCancelled, EventCallNeeded, EventCallDone} {
 		controller.Step(0, []Event{{Kind: k, ID: 99}}, nil)
 	}
-	want(t, atCall(t, controller, 0, 1, 0), ActionCall, 1)
+	want(t, startToCall(t, controller, 1, 0), ActionCall, 1)
 	ev := Event{Kind: EventCallDone, ID: 1, Took: ms}
 	controller.Step(2*ms, []Event{ev, ev, {Kind: EventCallNeeded, ID: 5}}, nil)
 	controller.Step(3*ms, []Event{{Kind: EventDone, ID: 1}, {Kind: EventDone, ID: 1}, req(2, 77)}, nil)
@@ -341,295 +339,11 @@
 	}
 }
 
-// ---- Random sequences -------------------------------------------------------------------------
-
-type tryState struct {
-	class            int
-	arrived, due     time.Duration
-	ran, running     bool
-	answered, gone   bool
-	atCall, calling  bool
-	joined, over     bool
-	origin, callsRan int
-	kb               float64
-}
-
-// world answers a controller's actions in odd but legal ways and checks the four rules.
-type world struct {
-	t       *testing.T
-	s       Settings
-	c       *Controller
-	rng     *rand.Rand
-	now     time.Duration
-	tries   map[RequestID]*tryState
-	live    []RequestID
-	keys    map[RequestID]time.Duration
-	effects map[int]int // runs of each keyed or unsafe request
-	noticed time.Duration
-	log     []Action
-	next    RequestID
-	lastKey map[int]RequestID
-}
-
-func (w *world) order() Event {
-	w.next++
-	class := w.rng.IntN(len(w.s.Classes))
-	event := Event{Kind: EventRequest, ID: w.next, Class: class, Tenant: w.rng.IntN(2), MemoryKB: 5 + 20*w.rng.Float64(),
-		CostHint: time.Duration(w.rng.IntN(300)) * ms, Retry: w.rng.IntN(4) == 0, Waited: time.Duration(w.rng.IntN(50)) * ms}
-	origin := int(w.next)
-	if w.s.Classes[class].Idempotency == IdempotentByKey && w.rng.IntN(2) == 0 {
-		if lead, ok := w.lastKey[class]; ok && w.keys[lead] > w.now {
-			event.RetryOf, origin = lead, w.tries[lead].origin
-		}
-	}
-	if w.s.Classes[class].Idempotency == IdempotentByKey && event.RetryOf == 0 {
-		w.lastKey[class] = event.ID
-	}
-	due := w.now - event.Waited + w.s.Classes[class].Deadline
-	if w.s.SendsDeadlines {
-		due = w.now + time.Duration(w.rng.IntN(3000))*ms
-		event.Deadline = due
-	}
-	w.tries[event.ID] = &tryState{class: class, arrived: w.now - event.Waited, due: max(due, w.now), origin: origin, kb: event.MemoryKB}
-	w.live = append(w.live, event.ID)
-	return event
-}
-
-func (w *world) events() []Event {
-	var events []Event
-	live := w.live[:0]
-	for _, id := range w.live {
-		test := w.tries[id]
-		if test.over {
-			continue
-		}
-		live = append(live, id)
-		switch roll := w.rng.IntN(40); {
-		case test.joined && roll < 4:
-			events = append(events, Event{Kind: EventDone, ID: id, Outcome: Outcome(w.rng.IntN(2)), Took: 5 * ms})
-			test.over, test.answered = true, true
-		case test.calling && roll < 6:
-			outcome := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeAborted}[w.rng.IntN(8)]
-			events = append(events, Event{Kind: EventCallDone, ID: id, Outcome: outcome, Took: 20 * ms})
-			test.calling, test.atCall = false, outcome != OutcomeOK
-			if !outcome.NeverRan() {
-				test.callsRan++
-			}
-			test.running = outcome == OutcomeOK
-		case test.running && roll < 2 && !test.answered:
-			events = append(events, Event{Kind: EventCallNeeded, ID: id})
-			test.running, test.atCall, test.callsRan = false, true, 0
-		case test.running && roll < 6:
-			events = append(events, Event{Kind: EventDone, ID: id, Outcome: Outcome(w.rng.IntN(2)), Took: 100 * ms})
-			test.running, test.over, test.answered = false, true, true
-		case roll == 39 && !test.answered:
-			events = append(events, Event{Kind: EventCancelled, ID: id})
-			test.gone, test.answered = true, true
-			if !test.running && !test.atCall && !test.calling {
-				test.over = true
-			} else if !test.running {
-				events = append(events, Event{Kind: EventDone, ID: id, Outcome: OutcomeCancelled})
-				test.over = true
-			}
-		case (test.atCall || test.calling) && test.answered:
-			events = append(events, Event{Kind: EventDone, ID: id, Outcome: OutcomeCancelled})
-			test.over = true
-		}
-		if w.rng.IntN(50) == 0 && len(events) > 0 {
-			events = append(events, events[len(events)-1]) // the same outcome twice
-		}
-	}
-	w.live = live
-	for range w.rng.IntN(4) {
-		events = append(events, w.order())
-	}
-	return events
-}
-
-func (w *world) act(as []Action) {
-	t := w.t
-	for _, action := range as {
-		test := w.tries[action.ID]
-		known := Class{}
-		if test != nil {
-			known = w.s.Classes[test.class]
-		}
-		switch action.Kind {
-		case ActionRun:
-			if test.answered || test.ran {
-				t.Fatalf("%d run again or after its answer", action.ID)
-			}
-			if w.noticed > 0 && test.arrived > w.noticed+w.s.DrainGrace {
-				t.Fatalf("%d run though it came too late in a drain", action.ID)
-			}
-			if w.effects[test.origin]++; known.Idempotency == IdempotentByKey && (w.effects[test.origin] > 1 || w.keys[action.ID] <= w.now && w.keys[action.ID] == 0) {
-				t.Fatalf("keyed %d: run %d, entry until %v at %v", action.ID, w.effects[test.origin], w.keys[action.ID], w.now)
-			}
-			test.ran, test.running = true, true
-		case ActionReject, ActionFail:
-			if test.gone { // told later in the batch that this answers
-				continue
-			}
-			if test.answered {
-				t.Fatalf("%d answered twice", action.ID)
-			}
-			if action.Kind == ActionReject && known.Idempotency != Safe && w.effects[test.origin] > 0 {
-				t.Fatalf("%d turned away after a run", action.ID)
-			}
-			if w.now > test.due+w.s.AnswerGrace {
-				t.Fatalf("%d answered %v late", action.ID, w.now-test.due)
-			}
-			test.answered = true
-			if !test.running && !test.atCall && !test.calling {
-				test.over = true
-			}
-		case ActionCall:
-			if !test.atCall || known.Idempotency != Safe && test.callsRan > 0 {
-				t.Fatalf("call of %d out of place or repeated", action.ID)
-			}
-			test.atCall, test.calling = false, true
-		case ActionSkipCall:
-			if known.DegradedValueRatio == 0 || !test.atCall {
-				t.Fatalf("skip of %d out of place", action.ID)
-			}
-			test.atCall, test.running = false, true
-		case ActionRemember:
-			w.keys[action.ID] = w.now + action.Duration
-			if known.Idempotency == IdempotentByKey && w.keys[action.ID] < test.arrived+known.IdempotencyWindow {
-				t.Fatalf("entry of %d too short", action.ID)
-			}
-		case ActionForget:
-			if test.ran && known.Idempotency == IdempotentByKey {
-				t.Fatalf("entry of %d forgotten after its run", action.ID)
-			}
-			delete(w.keys, action.ID)
-		case ActionReuse:
-			if test.answered || test.ran {
-				t.Fatalf("reuse for %d out of place", action.ID)
-			}
-			test.joined = true
-		case ActionStop:
-			if w.s.Halt == HaltOff {
-				t.Fatal("stop where nothing can be stopped")
-			}
-		case ActionAdvertise:
-			if w.s.Advert == AdvertOff {
-				t.Fatal("free value where there is none")
-			}
-		}
-	}
-}
-
-func (w *world) check() {
-	memory, out := 0.0, 0
-	for _, test := range w.tries {
-		if test.over {
-			continue
-		}
-		if !test.answered && w.now > test.due+w.s.AnswerGrace {
-			w.t.Fatalf("a request is lost: due %v, now %v", test.due, w.now)
-		}
-		if memory += test.kb; test.running || test.atCall || test.calling {
-			memory += test.kb * (w.s.RunningMemoryFactor - 1)
-		}
-		if test.calling && !test.answered {
-			out++
-		}
-	}
-	for _, until := range w.keys {
-		if until > w.now {
-			memory += w.s.KeyMemoryKB
-		}
-	}
-	if memory > w.s.MemoryKB {
-		w.t.Fatalf("%v kB of %v in use", memory, w.s.MemoryKB)
-	}
-	if w.s.MaxCallsInFlight >= 1 && float64(out) > w.s.MaxCallsInFlight {
-		w.t.Fatalf("%d calls in hand of a share of %v", out, w.s.MaxCallsInFlight)
-	}
-}
-
-func play(t *testing.T, s Settings, seed uint64) []Action {
-	controller, err := New(s, seed, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	world := &world{t: t, s: s, c: controller, rng: rand.New(rand.NewPCG(seed, 1)), tries: map[RequestID]*tryState{},
-		keys: map[RequestID]time.Duration{}, effects: map[int]int{}, lastKey: map[int]RequestID{}}
-	stop := time.Duration(0)
-	for i := 0; i < 1500 && (stop == 0 || world.now < stop); i++ {
-		world.now += time.Duration(1+world.rng.IntN(15)) * ms // late timers, uneven batches
-		events := world.events()
-		if i == 1200 {
-			world.noticed, stop = world.now, world.now+2500*ms
-			events = append(events, Event{Kind: EventDrain, StopAt: stop})
-		}
-		if i%12 == 0 {
-			events = append(events, Event{Kind: EventTimer, Gauges: Gauges{CPUUtilization: world.rng.Float64(), CPUDemand: 12 * world.rng.Float64()}})
-		}
-		as := controller.Step(world.now, events, nil)
-		world.act(as)
-		world.log = append(world.log, as...)
-		world.check()
-	}
-	for _, x := range world.tries {
-		if stop > 0 && world.now >= stop && !x.answered {
-			t.Fatal("a request read is unanswered at the end of a drain")
-		}
-	}
-	return world.log
-}
-
-func variants() []Settings {
-	var list []Settings
-	for i := range 12 {
-		settings := testSettings()
-		settings.Halt, settings.Advert, settings.Dependency = Halt(i%3), Advert(i%4), Dependency(i%3)
-		settings.WarmingUp, settings.SendsDeadlines = i%2 == 0, i%5 < 2
-		if settings.Dependency != DependencyShared {
-			settings.MaxCallsInFlight = 0
-		}
-		if i%4 == 1 {
-			settings.CacheTTL = time.Second
-		}
-		if i%6 == 2 {
-			settings.Tenants, settings.MemoryKB = nil, 600
-		}
-		if i == 7 {
-			settings.MaxCallsInFlight = 0.4
-		}
-		list = append(list, settings)
-	}
-	for i, share := range []float64{0.05, 0.4, 0.9} { // small servers of large fleets
-		s := testSettings()
-		s.Cores, s.MaxCallsInFlight, s.Clients, s.FleetSize = 1+i%2, share, 1000, 300
-		s.MarksRetries, s.Advert, s.MemoryKB = i == 1, Advert(i+1), 1500
-		list = append(list, s)
-	}
-	return list
-}
-
-func TestRulesOverRandomSequences(t *testing.T) {
-	for i, s := range variants() {
-		for seed := range uint64(4) {
-			t.Run(fmt.Sprint(i, "-", seed), func(t *testing.T) { play(t, s, seed) })
-		}
-	}
-}
-
-func TestEqualEventsGiveEqualActions(t *testing.T) {
-	for i, s := range variants() {
-		if !reflect.DeepEqual(play(t, s, 5), play(t, s, 5)) {
-			t.Fatalf("variant %d acts differently on the same events", i)
-		}
-	}
-}
-
-// Operators' word on health stands until they take it back, whatever the load; requests are run meanwhile.
-func TestWithdraw(t *testing.T) {
+// A server that operators have deregistered stays so until they take it back, whatever the load; requests are run meanwhile.
+func TestDeregisteredUntilReregistered(t *testing.T) {
 	controller := start(t, testSettings())
 	if want(t, controller.Step(time.Second, []Event{{Kind: EventDeregister}}, nil), ActionHealth, 0).Healthy {
-		t.Error("health is not bad after Withdraw")
+		t.Error("health is not bad after EventDeregister")
 	}
 	for now := 1100 * ms; now < 5*time.Second; now += 100 * ms {
 		if find(controller.Step(now, []Event{{Kind: EventTimer}}, nil), ActionHealth, 0) != nil {
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -29,7 +29,7 @@
 // The full message for every field of the settings that can be at fault.
 func TestGoldenSettingsErrors(t *testing.T) {
 	var got strings.Builder
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func(*Settings)
 	}{
@@ -58,9 +58,9 @@
 		{"KeyWindow -1ms", func(s *Settings) { s.Classes[2].IdempotencyWindow = -ms }},
 	} {
 		s := testSettings()
-		c.change(&s)
+		test.change(&s)
 		_, err := New(s, 7, 0)
-		fmt.Fprintf(&got, "%s\n\tNew: %v\n", c.name, err)
+		fmt.Fprintf(&got, "%s\n\tNew: %v\n", test.name, err)
 		fmt.Fprintf(&got, "\tRetune: %v\n", start(t, testSettings()).Reconfigure(s))
 	}
 	requireGolden(t, "settings", got.String())
@@ -69,7 +69,7 @@
 // The lines for the operators' log: every state that begins and ends, and the notice.
 func TestGoldenReports(t *testing.T) {
 	var got strings.Builder
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		enter func(*Controller)
 		leave func(*Controller)
@@ -81,8 +81,8 @@
 		{"unwell", func(c *Controller) { c.unhealthy = true }, func(c *Controller) { c.unhealthy = false }},
 	} {
 		controller := start(t, testSettings())
-		fmt.Fprintf(&got, "%s\n", c.name)
-		for _, change := range []func(*Controller){c.enter, c.leave} {
+		fmt.Fprintf(&got, "%s\n", test.name)
+		for _, change := range []func(*Controller){test.enter, test.leave} {
 			controller.now += 2 * reportInterval
 			controller.actions = nil
 			change(controller)
--- a/admission/large_test.go
+++ b/admission/large_test.go
@@ -24,46 +24,53 @@
 		"no mean time":      func(s *Settings) { s.CallsWindow = 0 },
 		"cold without time": func(s *Settings) { s.WarmingUp, s.SlowStartTime, s.SlowStartSpeedRatio = true, 0, 0 },
 	} {
-		s := testSettings()
-		change(&s)
-		controller, err := New(s, 7, 0)
-		if err != nil {
-			t.Fatalf("%s: %v", name, err)
-		}
-		actions := controller.Step(0, nil, nil)
-		running := map[RequestID]time.Duration{}
-		for id := RequestID(1); id <= 400; id++ {
-			now := time.Duration(id) * 50 * ms
-			e := req(id, int(id)%4)
-			e.Client = int(id)
-			events := []Event{e, {Kind: EventTimer, Gauges: Gauges{-1, -1, -1, -1}}}
-			for r := RequestID(1); r < id; r++ { // in order, so that a failure repeats
-				if at, ok := running[r]; ok && now > at+100*ms {
-					events = append(events, Event{Kind: EventDone, ID: r, Took: now - at})
-					delete(running, r)
-				}
-			}
-			n := len(actions)
-			actions = controller.Step(now, events, actions)
-			for _, a := range actions[n:] {
-				if a.Kind == ActionRun {
-					running[a.ID] = now
-				}
+		settings := testSettings()
+		change(&settings)
+		checkServes(t, name, settings)
+	}
+}
+
+// checkServes has a controller decide on 400 requests and checks that it runs some and that its actions make sense.
+func checkServes(t *testing.T, name string, settings Settings) {
+	t.Helper()
+	controller, err := New(settings, 7, 0)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	actions := controller.Step(0, nil, nil)
+	startedAt := map[RequestID]time.Duration{}
+	for id := RequestID(1); id <= 400; id++ {
+		now := time.Duration(id) * 50 * ms
+		event := req(id, int(id)%4)
+		event.Client = int(id)
+		events := []Event{event, {Kind: EventTimer, Gauges: Gauges{-1, -1, -1, -1}}}
+		for other := RequestID(1); other < id; other++ { // in order, so that a failure repeats
+			if at, ok := startedAt[other]; ok && now > at+100*ms {
+				events = append(events, Event{Kind: EventDone, ID: other, Took: now - at})
+				delete(startedAt, other)
 			}
 		}
-		runs := 0
-		for _, a := range actions {
-			if math.IsNaN(a.Value) || math.IsInf(a.Value, 0) || a.Value < 0 || a.Duration < 0 || a.Timeout < 0 || a.RetryAfter < 0 {
-				t.Errorf("%s: action %+v", name, a)
-			}
-			if a.Kind == ActionRun {
-				runs++
+		before := len(actions)
+		actions = controller.Step(now, events, actions)
+		for _, action := range actions[before:] {
+			if action.Kind == ActionRun {
+				startedAt[action.ID] = now
 			}
 		}
-		if runs == 0 {
-			t.Errorf("%s: nothing was run", name)
+	}
+	runs := 0
+	for _, action := range actions {
+		if math.IsNaN(action.Value) || math.IsInf(action.Value, 0) || action.Value < 0 ||
+			action.Duration < 0 || action.Timeout < 0 || action.RetryAfter < 0 {
+			t.Errorf("%s: action %+v", name, action)
+		}
+		if action.Kind == ActionRun {
+			runs++
 		}
 	}
+	if runs == 0 {
+		t.Errorf("%s: nothing was run", name)
+	}
 }
 
 func TestSharesThatAreNoNumbersAreNamed(t *testing.T) {
--- a/admission/symptoms_test.go
+++ b/admission/symptoms_test.go
@@ -472,13 +472,13 @@
 	}{{0.01, false}, {1, true}} {
 		ctl := start(t, settings)
 		for id := RequestID(1); id <= 5; id++ { // more than may call at once
-			atCall(t, ctl, 0, id, 1)
+			startToCall(t, ctl, id, 1)
 		}
 		if ctl.awaitingCallCount == 0 {
 			t.Fatal("no call waits")
 		}
 		ctl.callTime = movingAverage{controller.took, true}
-		actions := atCall(t, ctl, 0, 7, 3)
+		actions := startToCall(t, ctl, 7, 3)
 		if got := find(actions, ActionSkipCall, 7) != nil; got != controller.skips {
 			t.Errorf("calls take %v s: skipped is %v", controller.took, got)
 		}
