--- a/internal/agent/codec.go
+++ b/internal/agent/codec.go
@@ -103,18 +103,18 @@
 // Commands are built by appending to a line. Ids are hex digits and tokens are our own, so neither
 // needs an escape.
 
-func subscribe(offset int64) []byte {
+func encodeSubscribe(offset int64) []byte {
 	return append(strconv.AppendInt([]byte(`{"cmd":"subscribe","offset":`), offset, 10), "}\n"...)
 }
 
-func launch(req, class string, payload []byte) []byte {
+func encodeLaunch(req, class string, payload []byte) []byte {
 	var a fastjson.Arena
 	b := append([]byte(`{"cmd":"launch","req":"`), req...)
 	b = a.NewString(class).MarshalTo(append(b, `","method":`...))
 	return appendPayload(b, payload)
 }
 
-func deliver(req string, payload []byte) []byte {
+func encodeReply(req string, payload []byte) []byte {
 	b := append([]byte(`{"cmd":"deliver","req":"`), req...)
 	return appendPayload(append(b, '"'), payload)
 }
@@ -124,11 +124,11 @@
 	return append(b, "\"}\n"...)
 }
 
-func forgo(req string, offset int64) []byte {
+func encodeSkipCall(req string, offset int64) []byte {
 	b := append([]byte(`{"cmd":"forgo","req":"`), req...)
 	return append(strconv.AppendInt(append(b, `","offset":`...), offset, 10), "}\n"...)
 }
 
-func tokened(cmd, token string) []byte {
+func encodeWithToken(cmd, token string) []byte {
 	return []byte(`{"cmd":"` + cmd + `","token":"` + token + "\"}\n")
 }
--- a/internal/agent/codec_test.go
+++ b/internal/agent/codec_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestParse(t *testing.T) {
-	for _, c := range []struct {
+func TestParseNotification(t *testing.T) {
+	for _, test := range []struct {
 		line string
 		want Notification
 	}{
@@ -21,45 +21,45 @@
 		{`{"cmd":"refusal","result":"launch","req":"ab"}`, Notification{Kind: CommandRejected, RequestID: "ab", Result: "launch"}},
 		{`{"cmd":"aside","offset":9,"result":"so it goes","new":{}}`, Notification{Kind: Aside, Offset: 9, Result: "so it goes"}},
 	} {
-		var p parser
-		n, err := p.parse([]byte(c.line))
-		require.NoError(t, err, c.line)
-		require.Equal(t, c.want, n)
+		var lineParser parser
+		notification, err := lineParser.parse([]byte(test.line))
+		require.NoError(t, err, test.line)
+		require.Equal(t, test.want, notification)
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidLines(t *testing.T) {
 	for _, line := range []string{"", "{", "[]", "7", `{"cmd":"outcome"}`, `{"cmd":"news"}`,
 		`{"cmd":"outcome","offset":1,"req":"ab","result":"odd"}`,
 		`{"cmd":"outcome","offset":1,"req":"ab","result":"success","payload":"%%"}`,
 		`{"cmd":"outcome","offset":1,"req":"ab","result":"success","elapsed_ms":-1}`,
 		`{"cmd":"request","offset":-1,"req":"ab"}`, `{"cmd":"greeting","result":"asleep"}`,
 		`{"cmd":"aside","offset":-1}`} {
-		var p parser
-		_, err := p.parse([]byte(line))
+		var lineParser parser
+		_, err := lineParser.parse([]byte(line))
 		require.Error(t, err, line)
 	}
 }
 
-func TestCommands(t *testing.T) {
+func TestCommandEncoding(t *testing.T) {
 	for want, got := range map[string][]byte{
-		`{"cmd":"subscribe","offset":12}`:                              subscribe(12),
-		`{"cmd":"launch","req":"ab","method":"a\"b","payload":"AP8="}`: launch("ab", `a"b`, []byte{0, 255}),
-		`{"cmd":"deliver","req":"ab","payload":""}`:                    deliver("ab", nil),
-		`{"cmd":"forgo","req":"ab","offset":3}`:                        forgo("ab", 3),
-		`{"cmd":"sample","token":"5"}`:                                 tokened("sample", "5"),
+		`{"cmd":"subscribe","offset":12}`:                              encodeSubscribe(12),
+		`{"cmd":"launch","req":"ab","method":"a\"b","payload":"AP8="}`: encodeLaunch("ab", `a"b`, []byte{0, 255}),
+		`{"cmd":"deliver","req":"ab","payload":""}`:                    encodeReply("ab", nil),
+		`{"cmd":"forgo","req":"ab","offset":3}`:                        encodeSkipCall("ab", 3),
+		`{"cmd":"sample","token":"5"}`:                                 encodeWithToken("sample", "5"),
 	} {
 		require.Equal(t, want+"\n", string(got))
 	}
 }
 
-func FuzzParse(f *testing.F) {
+func FuzzParseNotification(f *testing.F) {
 	f.Add([]byte(`{"cmd":"outcome","offset":7,"req":"ab","result":"success","elapsed_ms":40,"payload":"AP8="}`))
 	f.Add([]byte(`{"cmd":"sampled","token":"4","load":[0.5,null,nan,2]}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		var p parser
-		if n, err := p.parse(line); err == nil && (n.Elapsed < 0 || n.Offset < 0 && n.Kind != Gauges && n.Kind != Handshake && n.Kind != DeepCheckDone && n.Kind != CommandRejected) {
-			t.Errorf("read %+v", n)
+		var lineParser parser
+		if notification, err := lineParser.parse(line); err == nil && (notification.Elapsed < 0 || notification.Offset < 0 && notification.Kind != Gauges && notification.Kind != Handshake && notification.Kind != DeepCheckDone && notification.Kind != CommandRejected) {
+			t.Errorf("read %+v", notification)
 		}
 	})
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -26,8 +26,8 @@
 func requireGolden(t *testing.T, file string, cases []goldenCase) {
 	t.Helper()
 	var got strings.Builder
-	for _, c := range cases {
-		got.WriteString(c.name + ": " + c.form + "\n")
+	for _, golden := range cases {
+		got.WriteString(golden.name + ": " + golden.form + "\n")
 	}
 	path := filepath.Join("testdata", file)
 	if *update {
@@ -64,19 +64,19 @@
 	return New(goldenAddr, 1, func(do func()) { do() }, func(Notification) {}, logging.NewLimiter(log))
 }
 
-// linesOn returns what is written to a connection of l while use makes use of it.
-func linesOn(t *testing.T, l *Link, use func(w *writequeue.Queue)) []string {
+// linesWritten returns what is written to a connection of l while use makes use of it.
+func linesWritten(t *testing.T, link *Link, exercise func(queue *writequeue.Queue)) []string {
 	t.Helper()
-	near, far := net.Pipe()
-	w := writequeue.New(near, outRoom)
-	l.opened(goldenAddr, w)
-	use(w)
-	w.Close()
-	over := make(chan error, 1)
-	go func() { over <- w.Run() }()
-	text, err := io.ReadAll(far)
+	local, remote := net.Pipe()
+	queue := writequeue.New(local, writeQueueSize)
+	link.handleOpened(goldenAddr, queue)
+	exercise(queue)
+	queue.Close()
+	writerDone := make(chan error, 1)
+	go func() { writerDone <- queue.Run() }()
+	text, err := io.ReadAll(remote)
 	require.NoError(t, err)
-	require.NoError(t, <-over)
+	require.NoError(t, <-writerDone)
 	require.True(t, strings.HasSuffix(string(text), "\n"))
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
@@ -93,23 +93,23 @@
 
 // Every command, as a link writes it, on a first connection and on one that follows it.
 func TestGoldenCommands(t *testing.T) {
-	l := newGoldenLink()
-	first := linesOn(t, l, func(w *writequeue.Queue) {
-		l.handle(w, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
-		l.handle(w, Notification{Kind: Gauges, Token: "1"})
-		l.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
-		l.Launch("00000000000000aa", "né\"<\\>\n", nil)
-		l.Reply(goldenRequest, []byte("reply\r\n"))
-		l.handle(w, Notification{Kind: Aside, Offset: 7})
-		l.SkipCall("00000000000000aa", 7)
-		l.SampleGauges()
-		require.NoError(t, l.DeepCheck("x1"))
+	link := newGoldenLink()
+	first := linesWritten(t, link, func(queue *writequeue.Queue) {
+		link.handleNotification(queue, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
+		link.handleNotification(queue, Notification{Kind: Gauges, Token: "1"})
+		link.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
+		link.Launch("00000000000000aa", "né\"<\\>\n", nil)
+		link.Reply(goldenRequest, []byte("reply\r\n"))
+		link.handleNotification(queue, Notification{Kind: Aside, Offset: 7})
+		link.SkipCall("00000000000000aa", 7)
+		link.SampleGauges()
+		require.NoError(t, link.DeepCheck("x1"))
 	})
 	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch", "launch of an odd class without a payload",
 		"deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
-	second := linesOn(t, l, func(w *writequeue.Queue) {
-		l.handle(w, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
-		l.handle(w, Notification{Kind: Gauges, Token: "8"})
+	second := linesWritten(t, link, func(queue *writequeue.Queue) {
+		link.handleNotification(queue, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
+		link.handleNotification(queue, Notification{Kind: Gauges, Token: "8"})
 	})
 	cases = append(cases, nameLines(t, []string{"subscribe after a break", "sample after a break", "launch sent again",
 		"second launch sent again", "deliver sent again", "forgo sent again"}, second)...)
@@ -117,7 +117,7 @@
 }
 
 // Every kind of message from the agent, with each of its results.
-func TestGoldenNotices(t *testing.T) {
+func TestGoldenNotifications(t *testing.T) {
 	cases := []struct {
 		name string
 		want Notification
@@ -139,22 +139,22 @@
 		{"aside", Notification{Kind: Aside, Offset: 11, Result: "so it goes"}},
 	}
 	lines := readGolden(t, "notices.golden", len(cases))
-	var p parser
-	for _, c := range cases {
-		require.Contains(t, lines, c.name)
-		got, err := p.parse([]byte(lines[c.name] + "\n"))
-		require.NoError(t, err, c.name)
+	var lineParser parser
+	for _, test := range cases {
+		require.Contains(t, lines, test.name)
+		got, err := lineParser.parse([]byte(lines[test.name] + "\n"))
+		require.NoError(t, err, test.name)
 		if len(got.Payload) == 0 {
 			got.Payload = nil
 		}
-		require.Equal(t, c.want, got, c.name)
+		require.Equal(t, test.want, got, test.name)
 	}
 }
 
 // What is logged of lines that are no messages.
 func TestGoldenErrors(t *testing.T) {
 	var cases []goldenCase
-	for _, c := range []struct{ name, line string }{
+	for _, test := range []struct{ name, line string }{
 		{"unknown kind", `{"cmd":"news"}`},
 		{"no kind", `{}`},
 		{"negative time", `{"cmd":"greeting","result":"steady","elapsed_ms":-1}`},
@@ -165,10 +165,10 @@
 		{"unknown state", `{"cmd":"greeting","result":"asleep"}`},
 		{"aside with a negative offset", `{"cmd":"aside","offset":-1}`},
 	} {
-		var p parser
-		_, err := p.parse([]byte(c.line))
-		require.Error(t, err, c.name)
-		cases = append(cases, goldenCase{c.name, err.Error()})
+		var lineParser parser
+		_, err := lineParser.parse([]byte(test.line))
+		require.Error(t, err, test.name)
+		cases = append(cases, goldenCase{test.name, err.Error()})
 	}
 	requireGolden(t, "errors.golden", cases)
 }
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -19,67 +19,67 @@
 )
 
 const (
-	maxLine      = 32 << 10 // a result of 4 KiB in base64, many times over
-	outRoom      = 4096     // commands that wait to be written
-	dialTimeout  = 2 * time.Second
-	backoffLeast = 10 * time.Millisecond
-	backoffMost  = 500 * time.Millisecond
+	maxLine        = 32 << 10 // a result of 4 KiB in base64, many times over
+	writeQueueSize = 4096     // commands that wait to be written
+	dialTimeout    = 2 * time.Second
+	minBackoff     = 10 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 
-	// finish is how long a link may go on after the agent has moved to another address.
-	finish = 1500 * time.Millisecond
+	// drainTimeout is how long a link may go on after the agent has moved to another address.
+	drainTimeout = 1500 * time.Millisecond
 
-	// A link on which nothing came for silentMost, though silentAsked samples were asked for meanwhile, leads nowhere: each
+	// A link on which nothing came for maxSilence, though minUnansweredSamples samples were asked for meanwhile, leads nowhere: each
 	// is answered at once. The count is for a process that stood still, which has time passed and answers unread.
-	silentMost  = 2 * time.Second
-	silentAsked = 3
-	// greetMost is how long a link may be without its greeting, be it the first one: a booting agent greets once it is up,
+	maxSilence           = 2 * time.Second
+	minUnansweredSamples = 3
+	// handshakeTimeout is how long a link may be without its greeting, be it the first one: a booting agent greets once it is up,
 	// and takes a new link as well. A third of what a server may take to be ready on the platform.
-	greetMost = 10 * time.Second
+	handshakeTimeout = 10 * time.Second
 
-	// restartSlack is what an agent's age, told twice, may lack though it is the same agent.
-	restartSlack = time.Second
+	// ageTolerance is what an agent's age, told twice, may lack though it is the same agent.
+	ageTolerance = time.Second
 )
 
 // command is kept until the agent is known to have read it.
 type command struct {
-	seq  int64
-	req  string // whose notices prove that it was read
-	line []byte
-	once bool // read a second time, it may do harm
+	sequence      int64
+	requestID     string // whose notices prove that it was read
+	line          []byte
+	nonIdempotent bool // read a second time, it may do harm
 }
 
 // Link is the link to the agent. Its methods are called from the loop that post hands functions to.
 type Link struct {
-	moves  chan string  // the address in force, for Run
-	seed   uint64       // of the spread of what is tried again
-	post   func(func()) // hands a function to the loop
-	notice func(Notification)
-	log    *logging.Limiter
-
-	addr   string               // in force
-	opens  uint64               // links opened so far
-	now    func() time.Duration // the loop's clock
-	lost   func()               // tells that notices have been lost for good
-	cur    *writequeue.Queue
-	synced bool          // commands may be written
-	last   int64         // offset of the last notice read
-	seq    int64         // counts commands and samples; a sample's number is its token
-	unread []command     // in order of sending
-	heard  time.Duration // when the link last brought anything, or was opened
-	asked  int           // samples since then
-	greet  time.Time     // when the first greeting of this agent came; zero before that
-	age    time.Duration // of the agent at that time
-	first  bool          // no notice has come on this link yet
-	gap    bool          // the first one was not the next to that read last
+	addresses      chan string  // the address in force, for Run
+	seed           uint64       // of the spread of what is tried again
+	post           func(func()) // hands a function to the loop
+	onNotification func(Notification)
+	log            *logging.Limiter
+
+	address           string               // in force
+	connectionsOpened uint64               // links opened so far
+	now               func() time.Duration // the loop's clock
+	onLost            func()               // tells that notices have been lost for good
+	current           *writequeue.Queue
+	synced            bool          // commands may be written
+	lastOffset        int64         // offset of the last notice read
+	lastSequence      int64         // counts commands and samples; a sample's number is its token
+	unacknowledged    []command     // in order of sending
+	lastReceived      time.Duration // when the link last brought anything, or was opened
+	unansweredSamples int           // samples since then
+	handshakeAt       time.Time     // when the first greeting of this agent came; zero before that
+	handshakeAge      time.Duration // of the agent at that time
+	awaitingFirst     bool          // no notice has come on this link yet
+	gap               bool          // the first one was not the next to that read last
 }
 
-// purpose sets the agent's jitter apart from that of other links of one server.
-const purpose = 0xa6e27
+// backoffPurpose sets the agent's jitter apart from that of other links of one server.
+const backoffPurpose = 0xa6e27
 
 // New returns a Link that hands each new notice to the function notice, within the loop. What it tries again is
 // spread by seed.
 func New(addr string, seed uint64, post func(func()), notice func(Notification), log *logging.Limiter) *Link {
-	l := &Link{moves: make(chan string, 1), seed: seed, post: post, notice: notice, log: log}
+	l := &Link{addresses: make(chan string, 1), seed: seed, post: post, onNotification: notice, log: log}
 	l.SetAddress(addr)
 	return l
 }
@@ -87,23 +87,23 @@
 // Watch has links replaced that are open and bring nothing. now is the loop's clock. lost is called within the loop where
 // notices are lost for good: the agent keeps the last 4,000, and none where it was started anew. What became of the
 // runs in hand is then told by nobody.
-func (l *Link) Watch(now func() time.Duration, lost func()) { l.now, l.lost = now, lost }
+func (l *Link) Watch(now func() time.Duration, lost func()) { l.now, l.onLost = now, lost }
 
 // SetAddress has the link opened at another address. The present one is used until that has been done.
 func (l *Link) SetAddress(addr string) {
-	if addr == l.addr {
+	if addr == l.address {
 		return
 	}
-	l.addr = addr
+	l.address = addr
 	select {
-	case <-l.moves: // not followed yet, and out of date
+	case <-l.addresses: // not followed yet, and out of date
 	default:
 	}
-	l.moves <- addr
+	l.addresses <- addr
 }
 
 // ConnectionsOpened is how many links have been opened.
-func (l *Link) ConnectionsOpened() uint64 { return l.opens }
+func (l *Link) ConnectionsOpened() uint64 { return l.connectionsOpened }
 
 // Run keeps a link open at the address in force until ctx ends.
 func (l *Link) Run(ctx context.Context) error {
@@ -114,24 +114,24 @@
 		select {
 		case <-ctx.Done():
 			return g.Wait()
-		case addr := <-l.moves:
+		case addr := <-l.addresses:
 			leave()
 			stay, stop := context.WithCancel(ctx)
 			leave = stop
-			g.Go(func() error { l.keep(ctx, stay, addr); return nil })
+			g.Go(func() error { l.reconnect(ctx, stay, addr); return nil })
 		}
 	}
 }
 
-// keep opens links to addr, one after the other, for as long as stay lasts.
-func (l *Link) keep(ctx, stay context.Context, addr string) {
-	wait := backoff.New(backoffLeast, backoffMost, l.seed, purpose)
+// reconnect opens links to addr, one after the other, for as long as stay lasts.
+func (l *Link) reconnect(ctx, stay context.Context, addr string) {
+	wait := backoff.New(minBackoff, maxBackoff, l.seed, backoffPurpose)
 	for stay.Err() == nil {
 		began := time.Now()
 		if err := l.serve(ctx, stay, addr); err != nil && stay.Err() == nil {
 			l.log.Warn("agent", "link to the agent broke; opening it again", err)
 		}
-		if time.Since(began) > backoffMost {
+		if time.Since(began) > maxBackoff {
 			wait.Reset()
 		}
 		select {
@@ -148,15 +148,15 @@
 	if err != nil {
 		return err
 	}
-	w := writequeue.New(nc, outRoom)
+	w := writequeue.New(nc, writeQueueSize)
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, w.Close)()
-	defer context.AfterFunc(stay, func() { _ = nc.SetReadDeadline(time.Now().Add(finish)) })()
+	defer context.AfterFunc(stay, func() { _ = nc.SetReadDeadline(time.Now().Add(drainTimeout)) })()
 	g.Go(w.Run)
-	l.post(func() { l.opened(addr, w) })
+	l.post(func() { l.handleOpened(addr, w) })
 	g.Go(func() error { return l.read(nc, w) })
 	err = g.Wait()
-	l.post(func() { l.closed(w) })
+	l.post(func() { l.handleClosed(w) })
 	return err
 }
 
@@ -172,192 +172,196 @@
 		if err != nil {
 			return err
 		}
-		l.post(func() { l.handle(w, n) })
+		l.post(func() { l.handleNotification(w, n) })
 	}
 }
 
-func (l *Link) opened(addr string, w *writequeue.Queue) {
-	if addr != l.addr {
+func (l *Link) handleOpened(addr string, w *writequeue.Queue) {
+	if addr != l.address {
 		w.Close() // the agent has moved meanwhile
 		return
 	}
-	if l.cur != nil {
-		l.cur.Close() // after what it has still to write
+	if l.current != nil {
+		l.current.Close() // after what it has still to write
 	}
-	l.opens++
-	l.cur, l.synced, l.first, l.gap = w, false, true, false
-	l.hears()
-	w.Send(subscribe(l.last))
+	l.connectionsOpened++
+	l.current, l.synced, l.awaitingFirst, l.gap = w, false, true, false
+	l.noteReceived()
+	w.Send(encodeSubscribe(l.lastOffset))
 }
 
-// hears notes that the link leads somewhere.
-func (l *Link) hears() {
-	l.asked = 0
+// noteReceived notes that the link leads somewhere.
+func (l *Link) noteReceived() {
+	l.unansweredSamples = 0
 	if l.now != nil {
-		l.heard = l.now()
+		l.lastReceived = l.now()
 	}
 }
 
 // Check gives up a link that is open and brings nothing, for another to be opened. Sample does the same; before the first
 // greeting nobody samples.
 func (l *Link) Check() {
-	if l.now == nil || l.cur == nil {
+	if l.now == nil || l.current == nil {
 		return
 	}
-	silent := l.now() - l.heard
-	if l.synced && l.asked >= silentAsked && silent >= silentMost || !l.synced && silent >= greetMost {
+	silent := l.now() - l.lastReceived
+	if l.synced && l.unansweredSamples >= minUnansweredSamples && silent >= maxSilence || !l.synced && silent >= handshakeTimeout {
 		l.log.Warn("agent silent", "the link to the agent is open and brings nothing; opening another", nil)
-		l.giveUp()
+		l.abortConnection()
 	}
 }
 
-func (l *Link) giveUp() {
-	l.cur.Abort()
-	l.cur, l.synced = nil, false
+func (l *Link) abortConnection() {
+	l.current.Abort()
+	l.current, l.synced = nil, false
 }
 
-// greeted reports whether this is the agent that greeted before: one that is much younger than that one would be has
+// isSameAgent reports whether this is the agent that greeted before: one that is much younger than that one would be has
 // been started meanwhile, knows of no run, and numbers its notices anew.
-func (l *Link) greeted(age time.Duration) bool {
-	if l.greet.IsZero() {
-		l.greet, l.age = time.Now(), age
-	} else if age < (l.age+time.Since(l.greet))/2-restartSlack {
-		l.greet, l.age, l.last = time.Now(), age, 0
+func (l *Link) isSameAgent(age time.Duration) bool {
+	if l.handshakeAt.IsZero() {
+		l.handshakeAt, l.handshakeAge = time.Now(), age
+	} else if age < (l.handshakeAge+time.Since(l.handshakeAt))/2-ageTolerance {
+		l.handshakeAt, l.handshakeAge, l.lastOffset = time.Now(), age, 0
 		return false
 	}
 	return true
 }
 
-func (l *Link) closed(w *writequeue.Queue) {
-	if l.cur == w {
-		l.cur, l.synced = nil, false
+func (l *Link) handleClosed(w *writequeue.Queue) {
+	if l.current == w {
+		l.current, l.synced = nil, false
 	}
 }
 
-// handle takes a notice in the loop: what was seen on an earlier link is dropped.
-func (l *Link) handle(w *writequeue.Queue, n Notification) {
-	if w != l.cur {
+// handleNotification takes a notice in the loop: what was seen on an earlier link is dropped.
+func (l *Link) handleNotification(w *writequeue.Queue, n Notification) {
+	if w != l.current {
 		return
 	}
-	l.hears()
+	l.noteReceived()
 	if n.Offset > 0 && (n.Kind == Outcome || n.Kind == CallRequest || n.Kind == Aside) {
-		if n.Offset <= l.last {
+		if n.Offset <= l.lastOffset {
 			return
 		}
-		l.gap = l.gap || l.first && n.Offset > l.last+1
-		l.first, l.last = false, n.Offset
+		l.gap = l.gap || l.awaitingFirst && n.Offset > l.lastOffset+1
+		l.awaitingFirst, l.lastOffset = false, n.Offset
 	}
 	switch n.Kind {
 	case Handshake:
-		if !l.greeted(n.Elapsed) {
+		if !l.isSameAgent(n.Elapsed) {
 			l.log.Warn("agent restarted", "the agent was started anew; its runs are lost", nil)
-			l.giveUp() // the next link asks for its notices from the first
-			l.lose()
+			l.abortConnection() // the next link asks for its notices from the first
+			l.reportLoss()
 			return
 		}
 		// All notices that were missed come before the answer to this sample. Only then is it
 		// known which of the unread commands still make sense.
-		l.sample()
+		l.sendSample()
 	case Gauges:
-		l.sampled(n.Token)
+		l.handleSample(n.Token)
 	case Outcome, CallRequest:
 		l.Forget(n.RequestID)
 	}
-	l.notice(n)
+	l.onNotification(n)
 }
 
-// sampled drops what was sent before the sample: commands are read in order. The first answer on a
+// handleSample drops what was sent before the sample: commands are read in order. The first answer on a
 // link also opens it for commands, beginning with those that the last link may have lost.
-func (l *Link) sampled(token string) {
+func (l *Link) handleSample(token string) {
 	seq, err := strconv.ParseInt(token, 10, 64)
 	if err != nil {
 		return
 	}
 	if l.synced {
-		l.drop(func(c command) bool { return c.seq < seq })
-		if slices.ContainsFunc(l.unread, func(c command) bool { return c.once }) {
-			l.sample() // it was sent since
+		l.removeCommands(func(c command) bool { return c.sequence < seq })
+		if slices.ContainsFunc(l.unacknowledged, func(c command) bool { return c.nonIdempotent }) {
+			l.sendSample() // it was sent since
 		}
 		return
 	}
 	l.synced = true
 	if l.gap {
 		l.log.Warn("agent gap", "the agent no longer has all notices; runs in hand are given up", nil)
-		l.lose()
+		l.reportLoss()
 	}
 	var all []byte
-	for _, c := range l.unread {
+	for _, c := range l.unacknowledged {
 		all = append(all, c.line...)
 	}
 	if len(all) > 0 {
-		l.cur.Send(all) // at once: they may be more than there is room for
+		l.current.Send(all) // at once: they may be more than there is room for
 	}
 }
 
-// lose tells that nobody will tell of the runs in hand.
-func (l *Link) lose() {
+// reportLoss tells that nobody will tell of the runs in hand.
+func (l *Link) reportLoss() {
 	l.gap = false
-	if l.lost != nil {
-		l.lost()
+	if l.onLost != nil {
+		l.onLost()
 	}
 }
 
-func (l *Link) drop(gone func(command) bool) { l.unread = slices.DeleteFunc(l.unread, gone) }
+func (l *Link) removeCommands(gone func(command) bool) {
+	l.unacknowledged = slices.DeleteFunc(l.unacknowledged, gone)
+}
 
 // Forget drops the commands about a request, which need not be sent again: a notice about it proves
 // that they were read, or nobody wants them any more.
-func (l *Link) Forget(req string) { l.drop(func(c command) bool { return c.req == req }) }
+func (l *Link) Forget(req string) {
+	l.removeCommands(func(c command) bool { return c.requestID == req })
+}
 
 func (l *Link) send(req string, line []byte, once bool) {
-	l.seq++
-	l.unread = append(l.unread, command{l.seq, req, line, once})
+	l.lastSequence++
+	l.unacknowledged = append(l.unacknowledged, command{l.lastSequence, req, line, once})
 	if l.synced {
-		l.cur.Send(line)
+		l.current.Send(line)
 	}
 }
 
 // Launch runs a request.
 func (l *Link) Launch(req, class string, payload []byte) {
-	l.send(req, launch(req, class, payload), false)
+	l.send(req, encodeLaunch(req, class, payload), false)
 }
 
 // Reply hands a run the reply to the call that it waits for. The protocol gives it no number: sent again after a break, it
 // would answer the run's next call if that had come by then. So a sample asks at once whether it was read, not at the
 // next sweep, and what a break may still leave in doubt is what the agent reads within a round trip.
 func (l *Link) Reply(req string, payload []byte) {
-	l.send(req, deliver(req, payload), true)
-	if l.synced && l.asked == 0 {
-		l.sample()
+	l.send(req, encodeReply(req, payload), true)
+	if l.synced && l.unansweredSamples == 0 {
+		l.sendSample()
 	}
 }
 
 // SkipCall lets a run go on without the call that the notice at offset asked for.
 func (l *Link) SkipCall(req string, offset int64) {
-	l.send(req, forgo(req, offset), false)
+	l.send(req, encodeSkipCall(req, offset), false)
 }
 
 // SampleGauges asks for the gauges.
 func (l *Link) SampleGauges() {
 	if l.synced {
-		l.sample()
+		l.sendSample()
 	}
 	l.Check()
 }
 
-func (l *Link) sample() {
-	l.seq++
-	l.asked++
-	l.cur.Send(tokened("sample", strconv.FormatInt(l.seq, 10)))
+func (l *Link) sendSample() {
+	l.lastSequence++
+	l.unansweredSamples++
+	l.current.Send(encodeWithToken("sample", strconv.FormatInt(l.lastSequence, 10)))
 }
 
-// ErrDown says that there is no link.
-var ErrDown = errors.New("no link to the agent")
+// ErrNotConnected says that there is no link.
+var ErrNotConnected = errors.New("no link to the agent")
 
 // DeepCheck asks for the work of a deep health check; its end names the token.
 func (l *Link) DeepCheck(token string) error {
 	if !l.synced {
-		return ErrDown
+		return ErrNotConnected
 	}
-	l.cur.Send(tokened("exercise", token))
+	l.current.Send(encodeWithToken("exercise", token))
 	return nil
 }
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -15,120 +15,120 @@
 
 // A moved agent is reached at its new address while the old link still serves; runs go on over the new
 // one from the last notice read, and what was on its way is sent again.
-func TestMove(t *testing.T) {
-	in := make(chan func(), 10)
-	var seen []string
+func TestAddressChange(t *testing.T) {
+	posted := make(chan func(), 10)
+	var notifications []string
 	log, _ := test.NewNullLogger()
-	var lns [2]net.Listener
-	for i := range lns {
+	var listeners [2]net.Listener
+	for i := range listeners {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer ln.Close()
-		lns[i] = ln
+		listeners[i] = ln
 	}
-	l := New(lns[0].Addr().String(), 1, func(f func()) { in <- f }, func(n Notification) { seen = append(seen, string(n.Kind)+n.RequestID) },
+	link := New(listeners[0].Addr().String(), 1, func(f func()) { posted <- f }, func(n Notification) { notifications = append(notifications, string(n.Kind)+n.RequestID) },
 		logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = l.Run(ctx) }()
-	turn := func() { (<-in)() }
+	go func() { _ = link.Run(ctx) }()
+	runPosted := func() { (<-posted)() }
 	var conns [2]net.Conn
 	var lines [2]*bufio.Scanner
 	accept := func(i int) {
-		nc, err := lns[i].Accept()
+		conn, err := listeners[i].Accept()
 		require.NoError(t, err)
-		conns[i], lines[i] = nc, bufio.NewScanner(nc)
+		conns[i], lines[i] = conn, bufio.NewScanner(conn)
 	}
 	expect := func(i int, want string) {
 		t.Helper()
 		require.True(t, lines[i].Scan())
 		require.Equal(t, want, lines[i].Text())
 	}
-	tell := func(i int, line string) {
+	send := func(i int, line string) {
 		fmt.Fprintln(conns[i], line)
-		turn()
+		runPosted()
 	}
 	accept(0)
-	turn()
+	runPosted()
 	expect(0, `{"cmd":"subscribe","offset":0}`)
-	tell(0, `{"cmd":"greeting","result":"steady","elapsed_ms":1}`)
+	send(0, `{"cmd":"greeting","result":"steady","elapsed_ms":1}`)
 	expect(0, `{"cmd":"sample","token":"1"}`)
-	tell(0, `{"cmd":"sampled","token":"1","load":[]}`)
-	tell(0, `{"cmd":"aside","offset":1}`)
-	l.SetAddress(lns[1].Addr().String())
-	l.Launch("a", "preview", nil)
+	send(0, `{"cmd":"sampled","token":"1","load":[]}`)
+	send(0, `{"cmd":"aside","offset":1}`)
+	link.SetAddress(listeners[1].Addr().String())
+	link.Launch("a", "preview", nil)
 	expect(0, `{"cmd":"launch","req":"a","method":"preview","payload":""}`) // the old link serves until the new one is open
 	accept(1)
-	turn()                            // opened
+	runPosted()                       // opened
 	require.False(t, lines[0].Scan()) // the old one is closed
-	turn()
+	runPosted()
 	expect(1, `{"cmd":"subscribe","offset":1}`)
-	tell(1, `{"cmd":"greeting","result":"steady","elapsed_ms":9}`)
+	send(1, `{"cmd":"greeting","result":"steady","elapsed_ms":9}`)
 	expect(1, `{"cmd":"sample","token":"3"}`)
-	tell(1, `{"cmd":"sampled","token":"3","load":[]}`)
+	send(1, `{"cmd":"sampled","token":"3","load":[]}`)
 	expect(1, `{"cmd":"launch","req":"a","method":"preview","payload":""}`)
-	tell(1, `{"cmd":"outcome","offset":2,"req":"a","result":"success"}`)
-	require.Equal(t, []string{"greeting", "sampled", "aside", "greeting", "sampled", "outcomea"}, seen)
-	require.EqualValues(t, 2, l.ConnectionsOpened())
+	send(1, `{"cmd":"outcome","offset":2,"req":"a","result":"success"}`)
+	require.Equal(t, []string{"greeting", "sampled", "aside", "greeting", "sampled", "outcomea"}, notifications)
+	require.EqualValues(t, 2, link.ConnectionsOpened())
 }
 
 // A broken link loses neither commands nor notices: what the agent has not been seen to read is sent
 // again, but only once the missed notices are in; notices that were seen are dropped.
 func TestReconnect(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer ln.Close()
-	in := make(chan func(), 10)
-	var seen []string
+	defer listener.Close()
+	posted := make(chan func(), 10)
+	var notifications []string
 	log, _ := test.NewNullLogger()
-	l := New(ln.Addr().String(), 1, func(f func()) { in <- f }, func(n Notification) { seen = append(seen, string(n.Kind)+n.RequestID) },
+	link := New(listener.Addr().String(), 1, func(f func()) { posted <- f }, func(n Notification) { notifications = append(notifications, string(n.Kind)+n.RequestID) },
 		logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = l.Run(ctx) }()
-	turn := func() { (<-in)() }
+	go func() { _ = link.Run(ctx) }()
+	runPosted := func() { (<-posted)() }
 
-	l.Launch("a", "preview", nil) // the agent is not up yet
-	nc, err := ln.Accept()
+	link.Launch("a", "preview", nil) // the agent is not up yet
+	conn, err := listener.Accept()
 	require.NoError(t, err)
-	lines := bufio.NewScanner(nc)
+	lines := bufio.NewScanner(conn)
 	expect := func(want string) {
 		t.Helper()
 		require.True(t, lines.Scan())
 		require.Equal(t, want, lines.Text())
 	}
-	tell := func(format string, args ...any) {
-		fmt.Fprintf(nc, format+"\n", args...)
-		turn()
+	send := func(format string, args ...any) {
+		fmt.Fprintf(conn, format+"\n", args...)
+		runPosted()
 	}
-	turn() // opened
+	runPosted() // opened
 	expect(`{"cmd":"subscribe","offset":0}`)
-	require.ErrorIs(t, l.DeepCheck("x"), ErrDown)
-	tell(`{"cmd":"greeting","result":"booting","elapsed_ms":1}`)
+	require.ErrorIs(t, link.DeepCheck("x"), ErrNotConnected)
+	send(`{"cmd":"greeting","result":"booting","elapsed_ms":1}`)
 	expect(`{"cmd":"sample","token":"2"}`)
-	tell(`{"cmd":"sampled","token":"2","load":[]}`)
+	send(`{"cmd":"sampled","token":"2","load":[]}`)
 	expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`)
-	l.SampleGauges()
+	link.SampleGauges()
 	expect(`{"cmd":"sample","token":"3"}`)
-	tell(`{"cmd":"sampled","token":"3","load":[]}`) // so the launch was read
-	require.Empty(t, l.unread)
-	l.Launch("b", "preview", nil)
-	l.Launch("c", "preview", nil)
-	tell(`{"cmd":"request","offset":1,"req":"b"}`)
-	tell(`not a notice`) // the link is opened again
-	l.Reply("b", nil)
+	send(`{"cmd":"sampled","token":"3","load":[]}`) // so the launch was read
+	require.Empty(t, link.unacknowledged)
+	link.Launch("b", "preview", nil)
+	link.Launch("c", "preview", nil)
+	send(`{"cmd":"request","offset":1,"req":"b"}`)
+	send(`not a notice`) // the link is opened again
+	link.Reply("b", nil)
 
-	nc, err = ln.Accept()
+	conn, err = listener.Accept()
 	require.NoError(t, err)
-	lines = bufio.NewScanner(nc)
-	turn()
+	lines = bufio.NewScanner(conn)
+	runPosted()
 	expect(`{"cmd":"subscribe","offset":1}`)
-	tell(`{"cmd":"greeting","result":"steady","elapsed_ms":9}`)
-	tell(`{"cmd":"request","offset":1,"req":"b"}`)
-	tell(`{"cmd":"outcome","offset":2,"req":"a","result":"success"}`)
+	send(`{"cmd":"greeting","result":"steady","elapsed_ms":9}`)
+	send(`{"cmd":"request","offset":1,"req":"b"}`)
+	send(`{"cmd":"outcome","offset":2,"req":"a","result":"success"}`)
 	expect(`{"cmd":"sample","token":"7"}`)
-	tell(`{"cmd":"sampled","token":"7","load":[]}`)
+	send(`{"cmd":"sampled","token":"7","load":[]}`)
 	expect(`{"cmd":"launch","req":"c","method":"preview","payload":""}`)
 	expect(`{"cmd":"deliver","req":"b","payload":""}`)
-	require.Equal(t, []string{"greeting", "sampled", "sampled", "requestb", "greeting", "outcomea", "sampled"}, seen)
+	require.Equal(t, []string{"greeting", "sampled", "sampled", "requestb", "greeting", "outcomea", "sampled"}, notifications)
 }
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -10,64 +10,64 @@
 	"falldeal/internal/logging"
 )
 
-// every is short against the 3 s after which an entry lapses, so that it stays though one report in four
+// reportInterval is short against the 3 s after which an entry lapses, so that it stays though one report in four
 // is lost: fourteen in a row are not.
-const every = 200 * time.Millisecond
+const reportInterval = 200 * time.Millisecond
 
 // Announcer sends reports on its own, from the first Set on.
 type Announcer struct {
-	name    string
-	log     *logging.Limiter
-	known   bool // now holds something to report
-	silent  bool
-	now     report
-	reports chan report
+	name       string
+	log        *logging.Limiter
+	reportable bool // now holds something to report
+	silenced   bool
+	current    report
+	reports    chan report
 }
 
 // report is what is reported, and where.
 type report struct {
-	addr      string
+	address   string
 	accepting bool
 }
 
 // New returns an Announcer of the image server called name.
 func New(addr, name string, log *logging.Limiter) *Announcer {
-	return &Announcer{name: name, log: log, now: report{addr: addr}, reports: make(chan report, 1)}
+	return &Announcer{name: name, log: log, current: report{address: addr}, reports: make(chan report, 1)}
 }
 
 // Set changes what is reported, at once. It never blocks; one goroutine may call it and Move.
 func (a *Announcer) Set(accepting bool) {
-	a.known, a.now.accepting = true, accepting
-	a.tell()
+	a.reportable, a.current.accepting = true, accepting
+	a.publish()
 }
 
 // SetAddress changes where that is reported.
 func (a *Announcer) SetAddress(addr string) {
-	a.now.addr = addr
-	if a.known {
-		a.tell()
+	a.current.address = addr
+	if a.reportable {
+		a.publish()
 	}
 }
 
 // Silence ends all reports: another process makes them.
 func (a *Announcer) Silence() {
-	a.now.addr = ""
-	a.tell()
-	a.silent = true
+	a.current.address = ""
+	a.publish()
+	a.silenced = true
 }
 
 // Silent reports whether reports have ended.
-func (a *Announcer) Silent() bool { return a.silent }
+func (a *Announcer) Silent() bool { return a.silenced }
 
-func (a *Announcer) tell() {
-	if a.silent {
+func (a *Announcer) publish() {
+	if a.silenced {
 		return
 	}
 	select {
 	case <-a.reports: // not sent yet, and out of date
 	default:
 	}
-	a.reports <- a.now
+	a.reports <- a.current
 }
 
 // send sends a report. A first error tells of an earlier one that found nobody there, and takes the place of this one:
@@ -92,24 +92,24 @@
 		}
 	}
 	defer hangUp()
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case next := <-a.reports:
-			if next.addr != now.addr {
+			if next.address != now.address {
 				hangUp()
 			}
 			now = next
 		case <-tick.C:
 		}
-		if now.addr == "" {
+		if now.address == "" {
 			continue // nothing to report yet
 		}
 		if conn == nil {
-			c, err := net.Dial("udp", now.addr)
+			c, err := net.Dial("udp", now.address)
 			if err != nil {
 				a.log.Warn("announce", "no socket to the announce service", err)
 				continue
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -17,20 +17,20 @@
 	require.NoError(t, err)
 	defer service.Close()
 	log, _ := test.NewNullLogger()
-	a := New(service.LocalAddr().String(), "n3", logging.NewLimiter(log))
+	announcer := New(service.LocalAddr().String(), "n3", logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error)
-	go func() { over <- a.Run(ctx) }()
+	runDone := make(chan error)
+	go func() { runDone <- announcer.Run(ctx) }()
 	next := func() string {
 		b := make([]byte, 100)
 		n, _, err := service.ReadFrom(b)
 		require.NoError(t, err)
 		return string(b[:n])
 	}
-	a.Set(true)
+	announcer.Set(true)
 	require.Equal(t, "announce n3 true", next())
 	require.Equal(t, "announce n3 true", next())
-	a.Set(false)
+	announcer.Set(false)
 	for next() != "announce n3 false" {
 	}
 	require.Equal(t, "announce n3 false", next())
@@ -38,28 +38,28 @@
 	service, err = net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer service.Close()
-	a.SetAddress(service.LocalAddr().String()) // what was said holds there too
+	announcer.SetAddress(service.LocalAddr().String()) // what was said holds there too
 	require.NoError(t, old.Close())
 	require.Equal(t, "announce n3 false", next())
 	require.Equal(t, "announce n3 false", next())
 	cancel()
-	require.NoError(t, <-over)
+	require.NoError(t, <-runDone)
 }
 
 // When another process goes on, what this one thinks of itself is no news any more.
 func TestSilence(t *testing.T) {
-	a := New("127.0.0.1:9", "n3", nil)
-	a.Set(true)
-	a.Silence()
-	a.Set(false)
-	a.SetAddress("127.0.0.1:10")
-	require.Empty(t, (<-a.reports).addr)
-	require.Empty(t, a.reports)
+	announcer := New("127.0.0.1:9", "n3", nil)
+	announcer.Set(true)
+	announcer.Silence()
+	announcer.Set(false)
+	announcer.SetAddress("127.0.0.1:10")
+	require.Empty(t, (<-announcer.reports).address)
+	require.Empty(t, announcer.reports)
 }
 
 // The service was down for a report, and the error of that takes the place of the next: the last word of a server that
 // leaves, which then came 200 ms late.
-func TestReportAgainstAServiceThatWasDown(t *testing.T) {
+func TestReportAfterServiceWasDown(t *testing.T) {
 	service, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := service.LocalAddr().String()
@@ -67,12 +67,12 @@
 	require.NoError(t, err)
 	defer conn.Close()
 	require.NoError(t, service.Close())
-	a := New(addr, "n3", nil)
-	require.NoError(t, a.send(conn, report{addr, true})) // nobody is there; the machine says so with the next
+	announcer := New(addr, "n3", nil)
+	require.NoError(t, announcer.send(conn, report{addr, true})) // nobody is there; the machine says so with the next
 	service, err = net.ListenPacket("udp", addr)
 	require.NoError(t, err)
 	defer service.Close()
-	require.NoError(t, a.send(conn, report{addr, false}))
+	require.NoError(t, announcer.send(conn, report{addr, false}))
 	b := make([]byte, 100)
 	n, _, err := service.ReadFrom(b)
 	require.NoError(t, err)
--- a/internal/announce/golden_test.go
+++ b/internal/announce/golden_test.go
@@ -20,8 +20,8 @@
 func requireGolden(t *testing.T, file string, cases []goldenCase) {
 	t.Helper()
 	var got strings.Builder
-	for _, c := range cases {
-		got.WriteString(c.name + ": " + c.form + "\n")
+	for _, golden := range cases {
+		got.WriteString(golden.name + ": " + golden.form + "\n")
 	}
 	path := filepath.Join("testdata", file)
 	if *update {
@@ -35,7 +35,7 @@
 // Each report, one datagram, which has no end of line.
 func TestGoldenReports(t *testing.T) {
 	var cases []goldenCase
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		server    string
 		accepting bool
@@ -43,14 +43,14 @@
 		{"server that accepts", "image-12.zone-a", true},
 		{"server that does not", "image-12.zone-a", false},
 	} {
-		near, far := net.Pipe()
+		local, remote := net.Pipe()
 		sent := make(chan error, 1)
-		go func() { sent <- New("registry:1", c.server, nil).send(near, report{"registry:1", c.accepting}) }()
+		go func() { sent <- New("registry:1", test.server, nil).send(local, report{"registry:1", test.accepting}) }()
 		text := make([]byte, 100)
-		n, err := far.Read(text)
+		n, err := remote.Read(text)
 		require.NoError(t, err)
 		require.NoError(t, <-sent)
-		cases = append(cases, goldenCase{c.name, string(text[:n])})
+		cases = append(cases, goldenCase{test.name, string(text[:n])})
 	}
 	requireGolden(t, "reports.golden", cases)
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -55,18 +55,18 @@
 	lines := bytes.SplitAfter(file, []byte("\n"))
 	require.Len(t, lines, len(goldenCases)+1, "a line for each case, and nothing after the last")
 	require.Empty(t, lines[len(goldenCases)])
-	var p parser
-	for i, c := range goldenCases {
-		got, err := p.parse(lines[i])
-		require.NoError(t, err, c.name)
-		require.Equal(t, c.message, got, c.name)
+	var lineParser parser
+	for i, golden := range goldenCases {
+		got, err := lineParser.parse(lines[i])
+		require.NoError(t, err, golden.name)
+		require.Equal(t, golden.message, got, golden.name)
 	}
 }
 
 // A field that a newer process has added must be passed over.
 func TestGoldenMessageWithAddedField(t *testing.T) {
-	var p parser
-	got, err := p.parse([]byte(`{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"))
+	var lineParser parser
+	got, err := lineParser.parse([]byte(`{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"))
 	require.NoError(t, err)
 	require.Equal(t, Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1}, got)
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	maxLine     = 32 << 10 // a result of 4 KiB in base64, many times over
-	outRoom     = 4096     // messages, or batches of them, that wait to be written
-	batch       = 32 << 10 // bytes
-	dialTimeout = time.Second
-	acceptPause = 50 * time.Millisecond // after a failed accept
-	lockPause   = 5 * time.Millisecond  // between two looks at a lock that another process holds
+	maxLine          = 32 << 10 // a result of 4 KiB in base64, many times over
+	writeQueueSize   = 4096     // messages, or batches of them, that wait to be written
+	batchSize        = 32 << 10 // bytes
+	dialTimeout      = time.Second
+	acceptRetryDelay = 50 * time.Millisecond // after a failed accept
+	lockRetryDelay   = 5 * time.Millisecond  // between two looks at a lock that another process holds
 )
 
 // Link leads to the other process.
@@ -35,7 +35,7 @@
 func (l *Link) Publish(ms ...Message) {
 	var b []byte
 	for _, m := range ms {
-		if b = appendMessage(b, m); len(b) >= batch {
+		if b = appendMessage(b, m); len(b) >= batchSize {
 			l.Send(b)
 			b = nil
 		}
@@ -91,7 +91,7 @@
 				log.Warn("handover", "newer process not accepted", err)
 				select {
 				case <-ctx.Done():
-				case <-time.After(acceptPause):
+				case <-time.After(acceptRetryDelay):
 				}
 				continue
 			}
@@ -105,7 +105,7 @@
 // taken the place: the next process finds this one though it does not serve yet. Of two that start at one time the
 // lock lets one look and take its place before the other looks. An error may come beside either.
 func join(path string) (older *net.UnixConn, ln *net.UnixListener, err error) {
-	unlock := lock(path + ".lock")
+	unlock := acquireLock(path + ".lock")
 	defer unlock()
 	nc, err := net.DialTimeout("unix", path, dialTimeout)
 	if err == nil {
@@ -118,9 +118,9 @@
 	return nil, ln, errors.Join(err, listenErr)
 }
 
-// lock waits until no other process holds the lock, for as long as a dial may take: one that stands still must not keep
+// acquireLock waits until no other process holds the lock, for as long as a dial may take: one that stands still must not keep
 // this one from serving. A process that ends gives it back.
-func lock(path string) (unlock func()) {
+func acquireLock(path string) (unlock func()) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return func() {} // listening there fails as well, and says so
@@ -129,7 +129,7 @@
 		if time.Now().After(until) {
 			break
 		}
-		time.Sleep(lockPause)
+		time.Sleep(lockRetryDelay)
 	}
 	return func() { f.Close() }
 }
@@ -155,7 +155,7 @@
 
 func serve(ctx context.Context, nc *net.UnixConn, loop Loop, joined func(*Link), log *logging.Limiter) {
 	defer nc.Close()
-	l := &Link{writequeue.NewHalf(nc, outRoom)} // where the other process has ended, what it told last may still be unread
+	l := &Link{writequeue.NewHalf(nc, writeQueueSize)} // where the other process has ended, what it told last may still be unread
 	loop.Post(func() { joined(l) })
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, l.Close)()
--- a/internal/store/codec.go
+++ b/internal/store/codec.go
@@ -25,14 +25,14 @@
 	Expired                        // given up at its time; it may have had its effect
 )
 
-var words = map[string]Reply{"OK": OK, "BUSY": Rejected, "ERR": Failed, "LATE": Late, "VOID": Void}
+var replyWords = map[string]Reply{"OK": OK, "BUSY": Rejected, "ERR": Failed, "LATE": Late, "VOID": Void}
 
 const (
-	maxLine  = 128
-	maxReply = 64 << 10
+	maxLine = 128
+	maxBody = 64 << 10
 )
 
-var errLine = errors.New("a line that is no reply")
+var ErrMalformedReply = errors.New("a line that is no reply")
 
 func appendCall(b []byte, id string, wait time.Duration, body []byte) []byte {
 	b = append(append(append(b, "CALL "...), id...), ' ')
@@ -55,26 +55,26 @@
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	parts := bytes.Split(line, []byte(" "))
 	if !ok || len(line) > maxLine || len(parts) < 2 || len(parts) > 3 || len(parts[0]) == 0 {
-		return "", 0, nil, fmt.Errorf("%w: %.80q", errLine, line)
+		return "", 0, nil, fmt.Errorf("%w: %.80q", ErrMalformedReply, line)
 	}
-	r, ok = words[string(parts[1])]
+	r, ok = replyWords[string(parts[1])]
 	if !ok || (r == OK) != (len(parts) == 3) {
-		return "", 0, nil, fmt.Errorf("%w: %.80q", errLine, line)
+		return "", 0, nil, fmt.Errorf("%w: %.80q", ErrMalformedReply, line)
 	}
 	id = string(parts[0])
 	if r != OK {
 		return id, r, nil, nil
 	}
 	n, err := strconv.ParseUint(string(parts[2]), 10, 32)
-	if err != nil || n > maxReply {
-		return "", 0, nil, fmt.Errorf("%w: length %.40q", errLine, parts[2])
+	if err != nil || n > maxBody {
+		return "", 0, nil, fmt.Errorf("%w: length %.40q", ErrMalformedReply, parts[2])
 	}
 	body = make([]byte, n+2)
 	if _, err := io.ReadFull(in, body); err != nil {
 		return "", 0, nil, err
 	}
 	if !bytes.HasSuffix(body, []byte("\r\n")) {
-		return "", 0, nil, fmt.Errorf("%w: body of %d bytes without its end", errLine, n)
+		return "", 0, nil, fmt.Errorf("%w: body of %d bytes without its end", ErrMalformedReply, n)
 	}
 	return id, OK, body[:n], nil
 }
--- a/internal/store/codec_test.go
+++ b/internal/store/codec_test.go
@@ -11,23 +11,23 @@
 )
 
 func TestReadReply(t *testing.T) {
-	in := bufio.NewReader(strings.NewReader("ab OK 4\r\n\r\nhi\r\ncd BUSY\r\nab ERR\r\nab LATE\r\nef VOID\r\nab OK 0\r\n\r\n"))
+	reader := bufio.NewReader(strings.NewReader("ab OK 4\r\n\r\nhi\r\ncd BUSY\r\nab ERR\r\nab LATE\r\nef VOID\r\nab OK 0\r\n\r\n"))
 	for _, want := range []struct {
 		id   string
 		r    Reply
 		body string
 	}{{"ab", OK, "\r\nhi"}, {"cd", Rejected, ""}, {"ab", Failed, ""}, {"ab", Late, ""}, {"ef", Void, ""}, {"ab", OK, ""}} {
-		id, r, body, err := readReply(in)
+		id, reply, body, err := readReply(reader)
 		require.NoError(t, err)
 		require.Equal(t, want.id, id)
-		require.Equal(t, want.r, r)
+		require.Equal(t, want.r, reply)
 		require.Equal(t, want.body, string(body))
 	}
-	_, _, _, err := readReply(in)
+	_, _, _, err := readReply(reader)
 	require.ErrorIs(t, err, io.EOF)
 }
 
-func TestReadReplyRefuses(t *testing.T) {
+func TestReadReplyRejectsInvalidFrames(t *testing.T) {
 	for _, text := range []string{"ab OK 4\nhi", "ab\r\n", "ab OK\r\n", "ab BUSY 4\r\n", "ab WELL\r\n", "ab OK x\r\n",
 		" OK 1\r\nx\r\n", "ab OK -1\r\n", "ab OK 99999999\r\n", "ab OK 2\r\nabcd", "ab OK 2\r\na", "ab BUSY 1 2\r\n",
 		strings.Repeat("a", maxLine) + " BUSY\r\n", strings.Repeat("a", 8<<10)} {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCommands(t *testing.T) {
+func TestCommandEncoding(t *testing.T) {
 	require.Equal(t, "CALL ab 250 3\r\na\r\n\r\n", string(appendCall(nil, "ab", 250*time.Millisecond, []byte("a\r\n"))))
 	require.Equal(t, "CALL ab 1 0\r\n\r\n", string(appendCall(nil, "ab", -time.Second, nil)))
 	require.Equal(t, "DROP ab\r\n", string(appendDrop(nil, "ab")))
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -29,8 +29,8 @@
 func requireGolden(t *testing.T, file string, cases []goldenCase) {
 	t.Helper()
 	var got strings.Builder
-	for _, c := range cases {
-		got.WriteString(c.name + ": " + c.form + "\n")
+	for _, golden := range cases {
+		got.WriteString(golden.name + ": " + golden.form + "\n")
 	}
 	path := filepath.Join("testdata", file)
 	if *update {
@@ -66,35 +66,35 @@
 func TestGoldenCalls(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return time.Second }, Deadlines: deadline.New()}
-	l := New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
-	near, far := net.Pipe()
-	w := writequeue.New(near, outRoom)
+	link := New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
+	local, remote := net.Pipe()
+	queue := writequeue.New(local, writeQueueSize)
 	var cases []goldenCase
 	written := func(name string) {
 		t.Helper()
 		text := make([]byte, 1<<10)
-		n, err := far.Read(text)
+		n, err := remote.Read(text)
 		require.NoError(t, err)
 		cases = append(cases, goldenCase{name, strconv.Quote(string(text[:n]))})
 	}
-	over := make(chan error, 1)
-	go func() { over <- w.Run() }()
+	writerDone := make(chan error, 1)
+	go func() { writerDone <- queue.Run() }()
 
-	l.Call(goldenRequest, 1250*time.Millisecond, []byte("\x00\xffbody\r\n"))
-	l.opened(<-l.dials, w)
+	link.Call(goldenRequest, 1250*time.Millisecond, []byte("\x00\xffbody\r\n"))
+	link.handleOpened(<-link.dialRequests, queue)
 	written("call")
-	l.replied(w, goldenRequest, OK, nil)
-	l.Call(goldenOther, time.Second+999*time.Microsecond, nil)
+	link.handleReply(queue, goldenRequest, OK, nil)
+	link.Call(goldenOther, time.Second+999*time.Microsecond, nil)
 	written("call of less than a millisecond without a body")
-	l.replied(w, goldenOther, Rejected, nil)
-	l.Call(goldenRequest, time.Hour+time.Second, []byte(strings.Repeat("x", 100)))
+	link.handleReply(queue, goldenOther, Rejected, nil)
+	link.Call(goldenRequest, time.Hour+time.Second, []byte(strings.Repeat("x", 100)))
 	written("call of an hour")
-	require.True(t, l.Abandon(goldenRequest))
+	require.True(t, link.Abandon(goldenRequest))
 	written("drop")
-	rest, err := io.ReadAll(far)
+	rest, err := io.ReadAll(remote)
 	require.NoError(t, err)
 	require.Empty(t, rest)
-	require.NoError(t, <-over)
+	require.NoError(t, <-writerDone)
 	requireGolden(t, "calls.golden", cases)
 }
 
@@ -113,25 +113,25 @@
 		{"VOID", Void, ""},
 	}
 	replies := readGolden(t, "replies.golden", len(cases))
-	for _, c := range cases {
-		require.Contains(t, replies, c.name)
-		text, err := strconv.Unquote(replies[c.name])
-		require.NoError(t, err, c.name)
-		in := bufio.NewReader(strings.NewReader(text))
-		id, reply, body, err := readReply(in)
-		require.NoError(t, err, c.name)
-		require.Equal(t, goldenRequest, id, c.name)
-		require.Equal(t, c.reply, reply, c.name)
-		require.Equal(t, c.body, string(body), c.name)
-		_, err = in.ReadByte()
-		require.ErrorIs(t, err, io.EOF, c.name)
+	for _, test := range cases {
+		require.Contains(t, replies, test.name)
+		text, err := strconv.Unquote(replies[test.name])
+		require.NoError(t, err, test.name)
+		reader := bufio.NewReader(strings.NewReader(text))
+		id, reply, body, err := readReply(reader)
+		require.NoError(t, err, test.name)
+		require.Equal(t, goldenRequest, id, test.name)
+		require.Equal(t, test.reply, reply, test.name)
+		require.Equal(t, test.body, string(body), test.name)
+		_, err = reader.ReadByte()
+		require.ErrorIs(t, err, io.EOF, test.name)
 	}
 }
 
 // What is logged of lines that are no replies.
 func TestGoldenErrors(t *testing.T) {
 	var cases []goldenCase
-	for _, c := range []struct{ name, text string }{
+	for _, test := range []struct{ name, text string }{
 		{"line without a carriage return", "ab OK 4\nhi"},
 		{"line of one word", "ab\r\n"},
 		{"line without an id", " BUSY\r\n"},
@@ -143,9 +143,9 @@
 		{"line past the limit", strings.Repeat("a", maxLine) + " BUSY\r\n"},
 		{"body without its end", "ab OK 2\r\nabcd"},
 	} {
-		_, _, _, err := readReply(bufio.NewReader(strings.NewReader(c.text)))
-		require.ErrorIs(t, err, errLine, c.name)
-		cases = append(cases, goldenCase{c.name, err.Error()})
+		_, _, _, err := readReply(bufio.NewReader(strings.NewReader(test.text)))
+		require.ErrorIs(t, err, ErrMalformedReply, test.name)
+		cases = append(cases, goldenCase{test.name, err.Error()})
 	}
 	requireGolden(t, "errors.golden", cases)
 }
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	outRoom      = 8 // lines that wait to be written on a connection
-	readRoom     = 4 << 10
-	dialTimeout  = 2 * time.Second
-	reuseWithin  = 50 * time.Millisecond // the store may have forgotten one idle for longer, and a dial takes 0.1 ms
-	backoffLeast = 10 * time.Millisecond
-	backoffMost  = 200 * time.Millisecond
-
-	// finish is how long a call may go on after the store has moved to another address.
-	finish = 1500 * time.Millisecond
+	writeQueueSize = 8 // lines that wait to be written on a connection
+	readBufferSize = 4 << 10
+	dialTimeout    = 2 * time.Second
+	idleTimeout    = 50 * time.Millisecond // the store may have forgotten one idle for longer, and a dial takes 0.1 ms
+	minBackoff     = 10 * time.Millisecond
+	maxBackoff     = 200 * time.Millisecond
+
+	// drainTimeout is how long a call may go on after the store has moved to another address.
+	drainTimeout = 1500 * time.Millisecond
 )
 
 // Loop is what a Link needs of the loop that owns it.
@@ -39,57 +39,57 @@
 // none at all, then costs that call and no other. Connections are opened as calls need them, used again
 // while that is soon, and closed otherwise. Its methods are called from the loop only.
 type Link struct {
-	addr  string // in force
-	loop  Loop
-	reply func(id string, r Reply, body []byte)
-	log   *logging.Limiter
-	dials chan *dial // asks Run to dial; has room for all that may be under way
-
-	calls   map[string]*call
-	waiting []*call // for a connection, in order
-	conns   map[*writequeue.Queue]*conn
-	free    []*conn // the last used at the end, and used last: by then its close or a second reply would show
-	dialing int     // dials under way, given up or not
-	dialled []*dial // those that calls wait for, in order: never more than such calls
-	opens   uint64  // connections opened so far
-	backoff *backoff.Backoff
-	wait    time.Duration // before the next dial
+	address      string // in force
+	loop         Loop
+	onReply      func(id string, r Reply, body []byte)
+	log          *logging.Limiter
+	dialRequests chan *dial // asks Run to dial; has room for all that may be under way
+
+	calls             map[string]*call
+	waiting           []*call // for a connection, in order
+	connections       map[*writequeue.Queue]*connection
+	idle              []*connection // the last used at the end, and used last: by then its close or a second reply would show
+	dialsInFlight     int           // dials under way, given up or not
+	wantedDials       []*dial       // those that calls wait for, in order: never more than such calls
+	connectionsOpened uint64        // connections opened so far
+	backoff           *backoff.Backoff
+	dialDelay         time.Duration // before the next dial
 }
 
 // dial is one attempt to open a connection.
 type dial struct {
-	addr   string
-	wait   time.Duration // before it
-	ctx    context.Context
-	giveUp context.CancelFunc
+	address string
+	delay   time.Duration // before it
+	ctx     context.Context
+	cancel  context.CancelFunc
 }
 
-// conn is one connection to the store.
-type conn struct {
+// connection is one connection to the store.
+type connection struct {
 	*writequeue.Queue
-	addr string
-	call *call  // that it carries
-	last string // id of the one before that
-	idle *deadline.Entry
+	address       string
+	call          *call  // that it carries
+	lastRequestID string // id of the one before that
+	idleTimer     *deadline.Entry
 }
 
 type call struct {
-	id    string
-	body  []byte
-	until time.Duration
-	on    *conn // nil while it waits for one
-	end   *deadline.Entry
+	requestID     string
+	body          []byte
+	deadline      time.Duration
+	connection    *connection // nil while it waits for one
+	deadlineTimer *deadline.Entry
 }
 
-// purpose sets the store's jitter apart from that of other links of one server.
-const purpose = 0x5702e
+// backoffPurpose sets the store's jitter apart from that of other links of one server.
+const backoffPurpose = 0x5702e
 
 // New returns a Link over up to most connections that reports the end of each call with reply, within
 // the loop. What it tries again is spread by seed.
 func New(addr string, most int, seed uint64, loop Loop, reply func(id string, r Reply, body []byte), log *logging.Limiter) *Link {
-	return &Link{addr: addr, loop: loop, reply: reply, log: log, dials: make(chan *dial, most),
-		calls: map[string]*call{}, conns: map[*writequeue.Queue]*conn{},
-		backoff: backoff.New(backoffLeast, backoffMost, seed, purpose)}
+	return &Link{address: addr, loop: loop, onReply: reply, log: log, dialRequests: make(chan *dial, most),
+		calls: map[string]*call{}, connections: map[*writequeue.Queue]*connection{},
+		backoff: backoff.New(minBackoff, maxBackoff, seed, backoffPurpose)}
 }
 
 // Run opens connections as calls need them, until ctx ends.
@@ -99,7 +99,7 @@
 		select {
 		case <-ctx.Done():
 			return g.Wait()
-		case to := <-l.dials:
+		case to := <-l.dialRequests:
 			g.Go(func() error { l.serve(ctx, to); return nil })
 		}
 	}
@@ -107,67 +107,67 @@
 
 // serve runs one connection from its dial to its end.
 func (l *Link) serve(ctx context.Context, to *dial) {
-	defer context.AfterFunc(ctx, to.giveUp)()
+	defer context.AfterFunc(ctx, to.cancel)()
 	select {
 	case <-to.ctx.Done():
-	case <-time.After(to.wait):
+	case <-time.After(to.delay):
 	}
 	d := net.Dialer{Timeout: dialTimeout}
-	nc, err := d.DialContext(to.ctx, "tcp", to.addr)
+	nc, err := d.DialContext(to.ctx, "tcp", to.address)
 	if err != nil {
-		l.loop.Post(func() { l.refused(to, err) })
+		l.loop.Post(func() { l.handleDialFailed(to, err) })
 		return
 	}
-	w := writequeue.New(nc, outRoom)
-	l.loop.Post(func() { l.opened(to, w) })
+	w := writequeue.New(nc, writeQueueSize)
+	l.loop.Post(func() { l.handleOpened(to, w) })
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, w.Close)()
 	g.Go(w.Run)
 	g.Go(func() error {
-		in := bufio.NewReaderSize(nc, readRoom)
+		in := bufio.NewReaderSize(nc, readBufferSize)
 		for {
 			id, r, body, err := readReply(in)
 			if err != nil {
 				w.Close()
 				return err
 			}
-			l.loop.Post(func() { l.replied(w, id, r, body) })
+			l.loop.Post(func() { l.handleReply(w, id, r, body) })
 		}
 	})
 	err = g.Wait()
-	l.loop.Post(func() { l.closed(w, err) })
+	l.loop.Post(func() { l.handleClosed(w, err) })
 }
 
 // Call makes a call for the run of request id and gives it up at until. A call that is under way
 // for the same request is given up.
 func (l *Link) Call(id string, until time.Duration, body []byte) {
 	l.Abandon(id)
-	c := &call{id: id, body: body, until: until}
-	c.end = l.loop.Deadlines.Add(until, func() {
+	c := &call{requestID: id, body: body, deadline: until}
+	c.deadlineTimer = l.loop.Deadlines.Add(until, func() {
 		l.Abandon(id)
-		l.reply(id, Expired, nil)
+		l.onReply(id, Expired, nil)
 	})
 	l.calls[id] = c
-	for i, w := range l.free {
+	for i, w := range l.idle {
 		// A second copy of the last reply would be taken for the answer to the same request's next call.
-		if w.last != id {
-			l.free = append(l.free[:i], l.free[i+1:]...)
-			l.loop.Deadlines.Cancel(w.idle)
-			l.write(c, w)
+		if w.lastRequestID != id {
+			l.idle = append(l.idle[:i], l.idle[i+1:]...)
+			l.loop.Deadlines.Cancel(w.idleTimer)
+			l.startCall(c, w)
 			return
 		}
 	}
 	l.waiting = append(l.waiting, c)
-	l.dial()
+	l.adjustDials()
 }
 
-func (l *Link) write(c *call, w *conn) {
-	c.on, w.call = w, c
-	w.Send(appendCall(nil, c.id, c.until-l.loop.Now(), c.body))
+func (l *Link) startCall(c *call, w *connection) {
+	c.connection, w.call = w, c
+	w.Send(appendCall(nil, c.requestID, c.deadline-l.loop.Now(), c.body))
 }
 
-// next takes the call that waits for longest.
-func (l *Link) next() *call {
+// nextWaiting takes the call that waits for longest.
+func (l *Link) nextWaiting() *call {
 	if len(l.waiting) == 0 {
 		return nil
 	}
@@ -176,30 +176,30 @@
 	return c
 }
 
-// dial has connections opened for the calls that wait, as far as there may be more, and gives up the oldest dials
+// adjustDials has connections opened for the calls that wait, as far as there may be more, and gives up the oldest dials
 // that no call waits for any more: where the store does not answer at all they would hang for their whole time,
 // and the calls that come next would wait for them.
-func (l *Link) dial() {
-	for len(l.dialled) > len(l.waiting) {
-		l.dialled[0].giveUp()
-		l.dialled = slices.Delete(l.dialled, 0, 1)
+func (l *Link) adjustDials() {
+	for len(l.wantedDials) > len(l.waiting) {
+		l.wantedDials[0].cancel()
+		l.wantedDials = slices.Delete(l.wantedDials, 0, 1)
 	}
-	for len(l.dialled) < len(l.waiting) && l.dialing+len(l.conns) < cap(l.dials) {
-		d := &dial{addr: l.addr, wait: l.wait}
-		d.ctx, d.giveUp = context.WithCancel(context.Background())
-		l.dialing++
-		l.dialled = append(l.dialled, d)
-		l.dials <- d
+	for len(l.wantedDials) < len(l.waiting) && l.dialsInFlight+len(l.connections) < cap(l.dialRequests) {
+		d := &dial{address: l.address, delay: l.dialDelay}
+		d.ctx, d.cancel = context.WithCancel(context.Background())
+		l.dialsInFlight++
+		l.wantedDials = append(l.wantedDials, d)
+		l.dialRequests <- d
 	}
 }
 
-// dialEnded notes the end of a dial, and reports whether it had been given up.
-func (l *Link) dialEnded(d *dial) (givenUp bool) {
-	l.dialing--
-	d.giveUp() // frees its context
-	i := slices.Index(l.dialled, d)
+// removeDial notes the end of a dial, and reports whether it had been given up.
+func (l *Link) removeDial(d *dial) (givenUp bool) {
+	l.dialsInFlight--
+	d.cancel() // frees its context
+	i := slices.Index(l.wantedDials, d)
 	if i >= 0 {
-		l.dialled = slices.Delete(l.dialled, i, i+1)
+		l.wantedDials = slices.Delete(l.wantedDials, i, i+1)
 	}
 	return i < 0
 }
@@ -213,147 +213,147 @@
 	if c == nil {
 		return false
 	}
-	l.end(c)
-	if w := c.on; w != nil {
+	l.endCall(c)
+	if w := c.connection; w != nil {
 		w.Send(appendDrop(nil, id))
-		l.close(w) // its reply may still come, or never
+		l.closeConnection(w) // its reply may still come, or never
 	}
 	return true
 }
 
-func (l *Link) end(c *call) {
-	l.loop.Deadlines.Cancel(c.end)
-	delete(l.calls, c.id)
-	if c.on != nil {
-		c.on.call = nil
+func (l *Link) endCall(c *call) {
+	l.loop.Deadlines.Cancel(c.deadlineTimer)
+	delete(l.calls, c.requestID)
+	if c.connection != nil {
+		c.connection.call = nil
 	} else if i := slices.Index(l.waiting, c); i >= 0 {
 		l.waiting = slices.Delete(l.waiting, i, i+1)
-		l.dial()
+		l.adjustDials()
 	}
 }
 
-// close ends a connection that carries no call any more.
-func (l *Link) close(w *conn) {
+// closeConnection ends a connection that carries no call any more.
+func (l *Link) closeConnection(w *connection) {
 	w.Close()
-	delete(l.conns, w.Queue)
-	l.dial()
+	delete(l.connections, w.Queue)
+	l.adjustDials()
 }
 
 // SetAddress has new calls made at another address. Those under way may end where they are.
 func (l *Link) SetAddress(addr string) {
-	if addr == l.addr {
+	if addr == l.address {
 		return
 	}
-	l.addr = addr
-	l.reached()
-	for _, w := range l.free {
-		l.loop.Deadlines.Cancel(w.idle)
-		l.close(w)
+	l.address = addr
+	l.resetBackoff()
+	for _, w := range l.idle {
+		l.loop.Deadlines.Cancel(w.idleTimer)
+		l.closeConnection(w)
 	}
-	l.free = nil
-	for _, w := range l.conns {
-		l.loop.Deadlines.Add(l.loop.Now()+finish, w.Close)
+	l.idle = nil
+	for _, w := range l.connections {
+		l.loop.Deadlines.Add(l.loop.Now()+drainTimeout, w.Close)
 	}
-	for _, d := range l.dialled {
-		d.giveUp() // nothing new goes to the old address
+	for _, d := range l.wantedDials {
+		d.cancel() // nothing new goes to the old address
 	}
-	l.dialled = nil
-	l.dial()
+	l.wantedDials = nil
+	l.adjustDials()
 }
 
-// reached has the next dial made at once.
-func (l *Link) reached() {
+// resetBackoff has the next dial made at once.
+func (l *Link) resetBackoff() {
 	l.backoff.Reset()
-	l.wait = 0
+	l.dialDelay = 0
 }
 
 // ConnectionsOpened is how many connections have been opened.
-func (l *Link) ConnectionsOpened() uint64 { return l.opens }
+func (l *Link) ConnectionsOpened() uint64 { return l.connectionsOpened }
 
-func (l *Link) opened(d *dial, w *writequeue.Queue) {
-	l.dialEnded(d)
-	if d.addr != l.addr {
+func (l *Link) handleOpened(d *dial, w *writequeue.Queue) {
+	l.removeDial(d)
+	if d.address != l.address {
 		w.Close()
-		l.dial()
+		l.adjustDials()
 		return
 	}
-	l.opens++
-	l.reached()
-	c := &conn{Queue: w, addr: d.addr}
-	l.conns[w] = c
-	l.use(c)
-	l.dial()
+	l.connectionsOpened++
+	l.resetBackoff()
+	c := &connection{Queue: w, address: d.address}
+	l.connections[w] = c
+	l.assign(c)
+	l.adjustDials()
 }
 
-// use gives w to a call that waits, or keeps it for a moment.
-func (l *Link) use(w *conn) {
-	if c := l.next(); c != nil {
-		l.write(c, w)
+// assign gives w to a call that waits, or keeps it for a moment.
+func (l *Link) assign(w *connection) {
+	if c := l.nextWaiting(); c != nil {
+		l.startCall(c, w)
 		return
 	}
-	l.free = append(l.free, w)
-	w.idle = l.loop.Deadlines.Add(l.loop.Now()+reuseWithin, func() { l.unfree(w); l.close(w) })
+	l.idle = append(l.idle, w)
+	w.idleTimer = l.loop.Deadlines.Add(l.loop.Now()+idleTimeout, func() { l.removeIdle(w); l.closeConnection(w) })
 }
 
-// unfree takes w from the connections that wait for a call, and reports whether it was one.
-func (l *Link) unfree(w *conn) bool {
-	for i, f := range l.free {
+// removeIdle takes w from the connections that wait for a call, and reports whether it was one.
+func (l *Link) removeIdle(w *connection) bool {
+	for i, f := range l.idle {
 		if f == w {
-			l.free = append(l.free[:i], l.free[i+1:]...)
-			l.loop.Deadlines.Cancel(w.idle)
+			l.idle = append(l.idle[:i], l.idle[i+1:]...)
+			l.loop.Deadlines.Cancel(w.idleTimer)
 			return true
 		}
 	}
 	return false
 }
 
-func (l *Link) refused(d *dial, err error) {
-	if !l.dialEnded(d) {
-		l.wait = l.backoff.Next()
+func (l *Link) handleDialFailed(d *dial, err error) {
+	if !l.removeDial(d) {
+		l.dialDelay = l.backoff.Next()
 		l.log.Warn("store", "no connection to the store", err)
-		if c := l.next(); c != nil {
-			l.end(c)
-			l.reply(c.id, ConnectionRefused, nil)
+		if c := l.nextWaiting(); c != nil {
+			l.endCall(c)
+			l.onReply(c.requestID, ConnectionRefused, nil)
 		}
 	}
-	l.dial() // one that was given up proves nothing about the calls that wait
+	l.adjustDials() // one that was given up proves nothing about the calls that wait
 }
 
-func (l *Link) replied(o *writequeue.Queue, id string, r Reply, body []byte) {
-	w := l.conns[o]
+func (l *Link) handleReply(o *writequeue.Queue, id string, r Reply, body []byte) {
+	w := l.connections[o]
 	if w == nil {
 		return
 	}
 	c := w.call
-	if c == nil || c.id != id {
+	if c == nil || c.requestID != id {
 		// Nobody asked for it. A call under way may still be answered; no further one is made there.
-		w.addr = ""
+		w.address = ""
 		if c == nil {
-			l.unfree(w)
-			l.close(w)
+			l.removeIdle(w)
+			l.closeConnection(w)
 		}
 		return
 	}
-	l.end(c)
-	w.last = id
-	if w.addr == l.addr {
-		l.use(w)
+	l.endCall(c)
+	w.lastRequestID = id
+	if w.address == l.address {
+		l.assign(w)
 	} else {
-		l.close(w)
+		l.closeConnection(w)
 	}
-	l.reply(id, r, body)
+	l.onReply(id, r, body)
 }
 
-func (l *Link) closed(o *writequeue.Queue, err error) {
-	w := l.conns[o]
+func (l *Link) handleClosed(o *writequeue.Queue, err error) {
+	w := l.connections[o]
 	if w == nil {
 		return
 	}
-	l.unfree(w)
-	l.close(w)
+	l.removeIdle(w)
+	l.closeConnection(w)
 	if c := w.call; c != nil {
 		l.log.Warn("store", "connection to the store broke during a call", err)
-		l.end(c)
-		l.reply(c.id, ConnectionBroken, nil)
+		l.endCall(c)
+		l.onReply(c.requestID, ConnectionBroken, nil)
 	}
 }
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -15,29 +15,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loop runs what a Link posts, on the test's goroutine and with a clock of the test's.
-type loop struct {
+// fakeLoop runs what a Link posts, on the test's goroutine and with a clock of the test's.
+type fakeLoop struct {
 	*testing.T
-	in   chan func()
-	now  time.Duration
-	due  *deadline.Queue
-	ends []string
-	link *Link
+	posted    chan func()
+	now       time.Duration
+	deadlines *deadline.Queue
+	outcomes  []string
+	link      *Link
 }
 
-func newLoop(t *testing.T, addr string) *loop {
-	l := &loop{T: t, in: make(chan func(), 10), due: deadline.New()}
+func newFakeLoop(t *testing.T, addr string) *fakeLoop {
+	fake := &fakeLoop{T: t, posted: make(chan func(), 10), deadlines: deadline.New()}
 	log, _ := test.NewNullLogger()
-	l.link = New(addr, 4, 1, Loop{Post: func(f func()) { l.in <- f }, Now: func() time.Duration { return l.now }, Deadlines: l.due},
-		func(id string, r Reply, body []byte) { l.ends = append(l.ends, fmt.Sprintf("%s %d %s", id, r, body)) },
+	fake.link = New(addr, 4, 1, Loop{Post: func(f func()) { fake.posted <- f }, Now: func() time.Duration { return fake.now }, Deadlines: fake.deadlines},
+		func(id string, r Reply, body []byte) {
+			fake.outcomes = append(fake.outcomes, fmt.Sprintf("%s %d %s", id, r, body))
+		},
 		logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _ = l.link.Run(ctx) }()
-	return l
+	go func() { _ = fake.link.Run(ctx) }()
+	return fake
 }
 
-func (l *loop) turn() { (<-l.in)() }
+func (l *fakeLoop) runPosted() { (<-l.posted)() }
 
 func listen(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,19 +48,19 @@
 	return ln
 }
 
-// accept takes the connection that a call opens, and returns it once the call was read from it.
-func (l *loop) accept(ln net.Listener, call string, body string) (net.Conn, *bufio.Reader) {
+// acceptCall takes the connection that a call opens, and returns it once the call was read from it.
+func (l *fakeLoop) acceptCall(listener net.Listener, call string, body string) (net.Conn, *bufio.Reader) {
 	l.Helper()
-	nc, err := ln.Accept()
+	conn, err := listener.Accept()
 	require.NoError(l, err)
-	l.Cleanup(func() { nc.Close() })
-	l.turn()
-	in := bufio.NewReader(nc)
-	l.expect(in, call, body)
-	return nc, in
+	l.Cleanup(func() { conn.Close() })
+	l.runPosted()
+	reader := bufio.NewReader(conn)
+	l.expect(reader, call, body)
+	return conn, reader
 }
 
-func (l *loop) expect(in *bufio.Reader, lines ...string) {
+func (l *fakeLoop) expect(in *bufio.Reader, lines ...string) {
 	l.Helper()
 	for _, want := range lines {
 		line, err := in.ReadString('\n')
@@ -67,162 +69,162 @@
 	}
 }
 
-// expectEnd reads the end of a connection.
-func (l *loop) expectEnd(in *bufio.Reader) {
+// expectClosed reads the end of a connection.
+func (l *fakeLoop) expectClosed(in *bufio.Reader) {
 	l.Helper()
 	_, err := in.ReadByte()
 	require.Error(l, err)
-	l.turn()
+	l.runPosted()
 }
 
 // A refused connection proves that no call ran; one that breaks meanwhile proves nothing.
-func TestRefusedAndBroken(t *testing.T) {
+func TestConnectionRefusedAndBroken(t *testing.T) {
 	ln := listen(t)
-	l := newLoop(t, ln.Addr().String())
-	l.link.Call("ab", time.Hour, nil)
-	nc, _ := l.accept(ln, "CALL ab 3600000 0", "")
+	fake := newFakeLoop(t, ln.Addr().String())
+	fake.link.Call("ab", time.Hour, nil)
+	conn, _ := fake.acceptCall(ln, "CALL ab 3600000 0", "")
 	ln.Close()
-	nc.Close()
-	l.turn()
-	l.link.Call("cd", time.Hour, nil)
-	l.turn()
-	require.Equal(t, []string{fmt.Sprintf("ab %d ", ConnectionBroken), fmt.Sprintf("cd %d ", ConnectionRefused)}, l.ends)
+	conn.Close()
+	fake.runPosted()
+	fake.link.Call("cd", time.Hour, nil)
+	fake.runPosted()
+	require.Equal(t, []string{fmt.Sprintf("ab %d ", ConnectionBroken), fmt.Sprintf("cd %d ", ConnectionRefused)}, fake.outcomes)
 }
 
 // After the store has moved, new calls go to its new address, and one under way ends on the connection
 // that it was made on, if that is soon.
-func TestMove(t *testing.T) {
+func TestAddressChange(t *testing.T) {
 	old, next := listen(t), listen(t)
-	l := newLoop(t, old.Addr().String())
-	l.link.Call("ab", time.Hour, nil)
-	ab, _ := l.accept(old, "CALL ab 3600000 0", "")
-	l.link.Call("cd", time.Hour, nil)
-	_, cd := l.accept(old, "CALL cd 3600000 0", "")
-	l.link.SetAddress(next.Addr().String())
-	l.link.Call("ef", time.Hour, nil)
-	l.accept(next, "CALL ef 3600000 0", "")
-	fmt.Fprint(ab, "ab OK 1\r\nx\r\n")
-	l.turn()
-	l.turn() // that connection has ended: the old address gets nothing new
-	l.now = finish
-	l.due.Sweep(l.now)
-	l.expectEnd(cd)
-	require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("cd %d ", ConnectionBroken)}, l.ends)
-	require.EqualValues(t, 3, l.link.ConnectionsOpened())
+	fake := newFakeLoop(t, old.Addr().String())
+	fake.link.Call("ab", time.Hour, nil)
+	firstConn, _ := fake.acceptCall(old, "CALL ab 3600000 0", "")
+	fake.link.Call("cd", time.Hour, nil)
+	_, secondReader := fake.acceptCall(old, "CALL cd 3600000 0", "")
+	fake.link.SetAddress(next.Addr().String())
+	fake.link.Call("ef", time.Hour, nil)
+	fake.acceptCall(next, "CALL ef 3600000 0", "")
+	fmt.Fprint(firstConn, "ab OK 1\r\nx\r\n")
+	fake.runPosted()
+	fake.runPosted() // that connection has ended: the old address gets nothing new
+	fake.now = drainTimeout
+	fake.deadlines.Sweep(fake.now)
+	fake.expectClosed(secondReader)
+	require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("cd %d ", ConnectionBroken)}, fake.outcomes)
+	require.EqualValues(t, 3, fake.link.ConnectionsOpened())
 }
 
 // A dial to where the store no longer is proves nothing about the calls that wait for it.
-func TestMoveDuringDial(t *testing.T) {
+func TestAddressChangeDuringDial(t *testing.T) {
 	old, next := listen(t), listen(t)
 	old.Close()
-	l := newLoop(t, old.Addr().String())
-	l.link.Call("ab", time.Hour, nil)
-	l.link.SetAddress(next.Addr().String())
-	l.turn()
-	require.Empty(t, l.ends)
+	fake := newFakeLoop(t, old.Addr().String())
+	fake.link.Call("ab", time.Hour, nil)
+	fake.link.SetAddress(next.Addr().String())
+	fake.runPosted()
+	require.Empty(t, fake.outcomes)
 	_, err := next.Accept()
 	require.NoError(t, err)
-	l.turn()
-	require.EqualValues(t, 1, l.link.ConnectionsOpened())
+	fake.runPosted()
+	require.EqualValues(t, 1, fake.link.ConnectionsOpened())
 }
 
 // A call whose time is up is dropped, and its connection with it: the reply may never come, or be taken
 // for that of a later call.
-func TestExpiry(t *testing.T) {
+func TestCallExpiry(t *testing.T) {
 	ln := listen(t)
-	l := newLoop(t, ln.Addr().String())
-	l.link.Call("ab", 100*time.Millisecond, []byte("x"))
-	l.now = 40 * time.Millisecond // the way to the store counts
-	nc, in := l.accept(ln, "CALL ab 60 1", "x")
-	l.now = 100 * time.Millisecond
-	l.due.Sweep(l.now)
-	require.Equal(t, []string{fmt.Sprintf("ab %d ", Expired)}, l.ends)
-	fmt.Fprint(nc, "ab OK 1\r\nx\r\n")
-	l.expect(in, "DROP ab")
-	l.link.Call("ab", l.now+time.Second, nil)
-	for len(l.link.conns) == 0 { // the end of the first connection may come between
-		l.turn()
+	fake := newFakeLoop(t, ln.Addr().String())
+	fake.link.Call("ab", 100*time.Millisecond, []byte("x"))
+	fake.now = 40 * time.Millisecond // the way to the store counts
+	conn, reader := fake.acceptCall(ln, "CALL ab 60 1", "x")
+	fake.now = 100 * time.Millisecond
+	fake.deadlines.Sweep(fake.now)
+	require.Equal(t, []string{fmt.Sprintf("ab %d ", Expired)}, fake.outcomes)
+	fmt.Fprint(conn, "ab OK 1\r\nx\r\n")
+	fake.expect(reader, "DROP ab")
+	fake.link.Call("ab", fake.now+time.Second, nil)
+	for len(fake.link.connections) == 0 { // the end of the first connection may come between
+		fake.runPosted()
 	}
-	require.Len(t, l.ends, 1)
+	require.Len(t, fake.outcomes, 1)
 }
 
 // A reply that can't be read costs the call that it was for, and no other that is under way.
-func TestOneCallAConnection(t *testing.T) {
+func TestOneCallPerConnection(t *testing.T) {
 	ln := listen(t)
-	l := newLoop(t, ln.Addr().String())
-	l.link.Call("ab", time.Hour, nil)
-	ab, _ := l.accept(ln, "CALL ab 3600000 0", "")
-	l.link.Call("cd", time.Hour, nil)
-	cd, in := l.accept(ln, "CALL cd 3600000 0", "")
-	fmt.Fprint(ab, "ab OK 3000000000\r\n")
-	l.turn()
-	fmt.Fprint(cd, "cd OK 1\r\nx\r\n")
-	l.turn()
-	require.Equal(t, []string{fmt.Sprintf("ab %d ", ConnectionBroken), fmt.Sprintf("cd %d x", OK)}, l.ends)
-	l.link.Call("ef", time.Hour, nil) // the connection is used again, as long as that is soon
-	l.expect(in, "CALL ef 3600000 0", "")
-	fmt.Fprint(cd, "ef BUSY\r\n")
-	l.turn()
-	l.now += reuseWithin
-	l.due.Sweep(l.now)
-	l.expectEnd(in)
-	require.Empty(t, l.link.conns)
+	fake := newFakeLoop(t, ln.Addr().String())
+	fake.link.Call("ab", time.Hour, nil)
+	firstConn, _ := fake.acceptCall(ln, "CALL ab 3600000 0", "")
+	fake.link.Call("cd", time.Hour, nil)
+	secondConn, reader := fake.acceptCall(ln, "CALL cd 3600000 0", "")
+	fmt.Fprint(firstConn, "ab OK 3000000000\r\n")
+	fake.runPosted()
+	fmt.Fprint(secondConn, "cd OK 1\r\nx\r\n")
+	fake.runPosted()
+	require.Equal(t, []string{fmt.Sprintf("ab %d ", ConnectionBroken), fmt.Sprintf("cd %d x", OK)}, fake.outcomes)
+	fake.link.Call("ef", time.Hour, nil) // the connection is used again, as long as that is soon
+	fake.expect(reader, "CALL ef 3600000 0", "")
+	fmt.Fprint(secondConn, "ef BUSY\r\n")
+	fake.runPosted()
+	fake.now += idleTimeout
+	fake.deadlines.Sweep(fake.now)
+	fake.expectClosed(reader)
+	require.Empty(t, fake.link.connections)
 }
 
 // Replies that nobody asked for end nothing, and no call is made any more on a connection that brought
 // one. A second copy might be taken for the reply to its request's next call, so that goes elsewhere.
-func TestUnaskedReplies(t *testing.T) {
+func TestUnsolicitedReplies(t *testing.T) {
 	ln := listen(t)
-	l := newLoop(t, ln.Addr().String())
-	l.link.Call("ab", time.Hour, nil)
-	first, in := l.accept(ln, "CALL ab 3600000 0", "")
+	fake := newFakeLoop(t, ln.Addr().String())
+	fake.link.Call("ab", time.Hour, nil)
+	first, firstReader := fake.acceptCall(ln, "CALL ab 3600000 0", "")
 	fmt.Fprint(first, "ab OK 1\r\nx\r\n")
-	l.turn()
-	l.link.Call("ab", time.Hour, nil)
-	second, ahead := l.accept(ln, "CALL ab 3600000 0", "")
+	fake.runPosted()
+	fake.link.Call("ab", time.Hour, nil)
+	second, secondReader := fake.acceptCall(ln, "CALL ab 3600000 0", "")
 	fmt.Fprint(first, "ab OK 1\r\nx\r\n")
-	l.turn()
-	l.expectEnd(in)
+	fake.runPosted()
+	fake.expectClosed(firstReader)
 	fmt.Fprint(second, "ff OK 1\r\ny\r\n")
-	l.turn()
+	fake.runPosted()
 	fmt.Fprint(second, "ab OK 1\r\nz\r\n")
-	l.turn()
-	l.expectEnd(ahead)
-	require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("ab %d z", OK)}, l.ends)
+	fake.runPosted()
+	fake.expectClosed(secondReader)
+	require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("ab %d z", OK)}, fake.outcomes)
 }
 
 // A store that closes a connection behind its reply, or says more on it, shows that soon: the one that has
 // been idle for longest is used first, and the one that just replied last.
-func TestLongestIdleFirst(t *testing.T) {
+func TestLongestIdleConnectionFirst(t *testing.T) {
 	ln := listen(t)
-	l := newLoop(t, ln.Addr().String())
-	l.link.Call("ab", time.Hour, nil)
-	ab, first := l.accept(ln, "CALL ab 3600000 0", "")
-	l.link.Call("cd", time.Hour, nil)
-	cd, _ := l.accept(ln, "CALL cd 3600000 0", "")
-	fmt.Fprint(ab, "ab BUSY\r\n")
-	l.turn()
-	fmt.Fprint(cd, "cd BUSY\r\n")
-	l.turn()
-	l.link.Call("ef", time.Hour, nil)
-	l.expect(first, "CALL ef 3600000 0", "")
+	fake := newFakeLoop(t, ln.Addr().String())
+	fake.link.Call("ab", time.Hour, nil)
+	firstConn, firstReader := fake.acceptCall(ln, "CALL ab 3600000 0", "")
+	fake.link.Call("cd", time.Hour, nil)
+	secondConn, _ := fake.acceptCall(ln, "CALL cd 3600000 0", "")
+	fmt.Fprint(firstConn, "ab BUSY\r\n")
+	fake.runPosted()
+	fmt.Fprint(secondConn, "cd BUSY\r\n")
+	fake.runPosted()
+	fake.link.Call("ef", time.Hour, nil)
+	fake.expect(firstReader, "CALL ef 3600000 0", "")
 }
 
 // Calls past the number of connections wait for one to be free, in order.
-func TestMostConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	ln := listen(t)
-	l := newLoop(t, ln.Addr().String())
-	var in *bufio.Reader
-	var nc net.Conn
-	for i := range cap(l.link.dials) {
-		l.link.Call(fmt.Sprint("c", i), time.Hour, nil)
-		nc, in = l.accept(ln, fmt.Sprintf("CALL c%d 3600000 0", i), "")
+	fake := newFakeLoop(t, ln.Addr().String())
+	var reader *bufio.Reader
+	var conn net.Conn
+	for i := range cap(fake.link.dialRequests) {
+		fake.link.Call(fmt.Sprint("c", i), time.Hour, nil)
+		conn, reader = fake.acceptCall(ln, fmt.Sprintf("CALL c%d 3600000 0", i), "")
 	}
-	l.link.Call("gone", time.Hour, nil)
-	l.link.Call("next", time.Hour, nil)
-	require.True(t, l.link.Abandon("gone"))
-	require.Zero(t, l.link.dialing)
-	fmt.Fprint(nc, "c3 BUSY\r\n")
-	l.turn()
-	l.expect(in, "CALL next 3600000 0", "")
+	fake.link.Call("gone", time.Hour, nil)
+	fake.link.Call("next", time.Hour, nil)
+	require.True(t, fake.link.Abandon("gone"))
+	require.Zero(t, fake.link.dialsInFlight)
+	fmt.Fprint(conn, "c3 BUSY\r\n")
+	fake.runPosted()
+	fake.expect(reader, "CALL next 3600000 0", "")
 }
