--- /dev/null
+++ b/internal/latest/latest_test.go
@@ -0,0 +1,20 @@
+package latest
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The receiver gets the newest value once, whatever was set before it.
+func TestNewestReplacesPending(t *testing.T) {
+	value := New[int]()
+	require.Empty(t, value.C())
+	value.Set(1)
+	value.Set(2)
+	value.Set(3)
+	require.Equal(t, 3, <-value.C())
+	require.Empty(t, value.C())
+	value.Set(4)
+	require.Equal(t, 4, <-value.C())
+}
--- /dev/null
+++ b/internal/reconnect/reconnect_test.go
@@ -0,0 +1,177 @@
+package reconnect
+
+import (
+	"context"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"falldeal/internal/writequeue"
+
+	"github.com/stretchr/testify/require"
+)
+
+const testTimeout = 30 * time.Second
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// closedAddress is one on which nothing listens.
+func closedAddress(t *testing.T) string {
+	t.Helper()
+	listener := listen(t)
+	require.NoError(t, listener.Close())
+	return listener.Addr().String()
+}
+
+// receive returns the next value, and fails the test where none comes.
+func receive[T any](t *testing.T, values <-chan T) T {
+	t.Helper()
+	select {
+	case value := <-values:
+		return value
+	case <-time.After(testTimeout):
+		require.Fail(t, "nothing came")
+		panic("unreachable")
+	}
+}
+
+// recorder is a Handler that passes on what it is called with.
+type recorder struct {
+	opened chan string
+	queues chan *writequeue.Queue
+	closed chan *writequeue.Queue
+	failed chan error
+}
+
+func newRecorder() *recorder {
+	return &recorder{opened: make(chan string, 100), queues: make(chan *writequeue.Queue, 100),
+		closed: make(chan *writequeue.Queue, 100), failed: make(chan error, 100)}
+}
+
+func (r *recorder) Opened(address string, queue *writequeue.Queue) {
+	r.opened <- address
+	r.queues <- queue
+}
+
+func (r *recorder) Read(conn net.Conn, _ *writequeue.Queue) error {
+	_, err := io.Copy(io.Discard, conn)
+	if err == nil {
+		return io.EOF
+	}
+	return err
+}
+
+func (r *recorder) Closed(queue *writequeue.Queue) { r.closed <- queue }
+
+func (r *recorder) Failed(err error) { r.failed <- err }
+
+// startLink runs a Link, and waits at the end of the test until all of it has ended.
+func startLink(t *testing.T, link *Link, handler Handler) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- link.Run(ctx, handler) }()
+	t.Cleanup(func() {
+		cancel()
+		require.NoError(t, receive(t, done))
+	})
+}
+
+var testConfig = Config{MinBackoff: time.Millisecond, MaxBackoff: 4 * time.Millisecond, Seed: 1, Purpose: 2,
+	WriteQueueSize: 4}
+
+// A peer that cannot be reached is told apart from one that fails later, and the text is that of the dial.
+func TestUnreachableError(t *testing.T) {
+	address := closedAddress(t)
+	_, err := Dial(context.Background(), "tcp", address, DialTimeout)
+	var unreachable *UnreachableError
+	require.ErrorAs(t, err, &unreachable)
+	require.Equal(t, address, unreachable.Address)
+	require.ErrorIs(t, err, syscall.ECONNREFUSED)
+	require.EqualError(t, err, "dial tcp "+address+": connect: connection refused")
+}
+
+// A peer that is not there yet is dialed again until it is, and again after its connection broke.
+func TestReconnect(t *testing.T) {
+	address := closedAddress(t)
+	handler := newRecorder()
+	startLink(t, New(address, testConfig), handler)
+	var unreachable *UnreachableError
+	for range 3 {
+		require.ErrorAs(t, receive(t, handler.failed), &unreachable)
+	}
+	listener, err := net.Listen("tcp", address)
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	for range 3 {
+		conn, err := listener.Accept()
+		require.NoError(t, err)
+		require.Equal(t, address, receive(t, handler.opened))
+		require.NoError(t, conn.Close())
+		require.Same(t, receive(t, handler.queues), receive(t, handler.closed))
+	}
+}
+
+// What is queued when the context ends is written before the connection is closed.
+func TestServeWritesWhatWaits(t *testing.T) {
+	local, remote := net.Pipe()
+	queue := writequeue.New(local, 4)
+	ctx, cancel := context.WithCancel(context.Background())
+	queue.Send([]byte("a"))
+	queue.Send([]byte("b"))
+	cancel()
+	done := make(chan error, 1)
+	go func() {
+		done <- Serve(ctx, queue, func() error {
+			_, err := local.Read(make([]byte, 1))
+			return err
+		})
+	}()
+	text, err := io.ReadAll(remote)
+	require.NoError(t, err)
+	require.Equal(t, "ab", string(text))
+	require.ErrorIs(t, receive(t, done), io.ErrClosedPipe)
+}
+
+// A new address is dialed at once, while the connection to the old one goes on until the Handler closes it; its end is
+// no failure.
+func TestAddressChange(t *testing.T) {
+	first, second := listen(t), listen(t)
+	link := New(first.Addr().String(), testConfig)
+	handler := newRecorder()
+	startLink(t, link, handler)
+	firstConn, err := first.Accept()
+	require.NoError(t, err)
+	t.Cleanup(func() { firstConn.Close() })
+	require.Equal(t, first.Addr().String(), receive(t, handler.opened))
+	firstQueue := receive(t, handler.queues)
+	link.SetAddress(second.Addr().String())
+	require.Equal(t, second.Addr().String(), link.Address())
+	secondConn, err := second.Accept()
+	require.NoError(t, err)
+	t.Cleanup(func() { secondConn.Close() })
+	require.Equal(t, second.Addr().String(), receive(t, handler.opened))
+	require.Empty(t, handler.closed)
+	firstQueue.Close()
+	require.Same(t, firstQueue, receive(t, handler.closed))
+	require.Empty(t, handler.failed)
+}
+
+// One that was replaced before it was ever open is given up, though its dial hangs or fails.
+func TestAddressChangeBeforeOpen(t *testing.T) {
+	listener := listen(t)
+	link := New(closedAddress(t), testConfig)
+	link.SetAddress(listener.Addr().String())
+	handler := newRecorder()
+	startLink(t, link, handler)
+	require.Equal(t, listener.Addr().String(), receive(t, handler.opened))
+	require.Empty(t, handler.failed)
+}
