--- /dev/null
+++ b/internal/agent/command_test.go
@@ -0,0 +1,38 @@
+package agent
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestCommandEncoding(t *testing.T) {
+	for want, got := range map[string][]byte{
+		`{"cmd":"subscribe","offset":12}`:                              encodeSubscribe(12),
+		`{"cmd":"launch","req":"ab","method":"a\"b","payload":"AP8="}`: encodeLaunch("ab", `a"b`, []byte{0, 255}),
+		`{"cmd":"deliver","req":"ab","payload":""}`:                    encodeReply("ab", nil),
+		`{"cmd":"forgo","req":"ab","offset":3}`:                        encodeSkipCall("ab", 3),
+		`{"cmd":"sample","token":"5"}`:                                 encodeSample(5),
+	} {
+		require.Equal(t, want+"\n", string(got))
+	}
+}
+
+// What an answered sample acknowledges, and what is known of a request, is not sent again; the rest is, in order.
+func TestCommandLog(t *testing.T) {
+	var log commandLog
+	require.Nil(t, log.lines())
+	log.add(command{sequence: 1, requestID: "a", line: []byte("1\n")})
+	log.add(command{sequence: 3, requestID: "b", line: []byte("3\n"), nonIdempotent: true})
+	log.add(command{sequence: 4, requestID: "a", line: []byte("4\n")})
+	log.add(command{sequence: 6, requestID: "c", line: []byte("6\n")})
+	require.Equal(t, "1\n3\n4\n6\n", string(log.lines()))
+	log.acknowledge(3)
+	require.Equal(t, "3\n4\n6\n", string(log.lines()))
+	require.True(t, log.hasNonIdempotent())
+	log.removeRequest("a")
+	require.Equal(t, "3\n6\n", string(log.lines()))
+	log.acknowledge(4)
+	require.Equal(t, "6\n", string(log.lines()))
+	require.False(t, log.hasNonIdempotent())
+}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -64,7 +64,7 @@
 	return New(goldenAddr, 1, func(do func()) { do() }, func(Notification) {}, logging.NewLimiter(log))
 }
 
-// linesWritten returns what is written to a connection of l while use makes use of it.
+// linesWritten returns the lines that link writes to a connection during exercise.
 func linesWritten(t *testing.T, link *Link, exercise func(queue *writequeue.Queue)) []string {
 	t.Helper()
 	local, remote := net.Pipe()
@@ -105,8 +105,8 @@
 		link.SampleGauges()
 		require.NoError(t, link.DeepCheck("x1"))
 	})
-	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch", "launch of an odd class without a payload",
-		"deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
+	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch",
+		"launch of an odd class without a payload", "deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
 	second := linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
 		link.handleNotification(queue, Notification{Kind: Gauges, Token: "8"})
@@ -139,10 +139,10 @@
 		{"aside", Notification{Kind: Aside, Offset: 11, Result: "so it goes"}},
 	}
 	lines := readGolden(t, "notices.golden", len(cases))
-	var lineParser parser
+	lineParser := newParser()
 	for _, test := range cases {
 		require.Contains(t, lines, test.name)
-		got, err := lineParser.parse([]byte(lines[test.name] + "\n"))
+		got, err := lineParser.Parse([]byte(lines[test.name] + "\n"))
 		require.NoError(t, err, test.name)
 		if len(got.Payload) == 0 {
 			got.Payload = nil
@@ -165,8 +165,8 @@
 		{"unknown state", `{"cmd":"greeting","result":"asleep"}`},
 		{"aside with a negative offset", `{"cmd":"aside","offset":-1}`},
 	} {
-		var lineParser parser
-		_, err := lineParser.parse([]byte(test.line))
+		lineParser := newParser()
+		_, err := lineParser.Parse([]byte(test.line))
 		require.Error(t, err, test.name)
 		cases = append(cases, goldenCase{test.name, err.Error()})
 	}
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -1,93 +1,17 @@
 package agent
 
 import (
-	"bufio"
-	"context"
 	"fmt"
-	"net"
 	"testing"
-	"time"
 
-	"falldeal/internal/logging"
-
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
-// remoteAgent is the agent's side of a Link, whose loop and clock are the test's.
-type remoteAgent struct {
-	*testing.T
-	*Link
-	listener       net.Listener
-	posted         chan func()
-	now            time.Duration
-	lossesReported int
-	notifications  []string
-	conn           net.Conn
-	lines          *bufio.Scanner
-}
-
-func newRemoteAgent(t *testing.T) *remoteAgent {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	remote := &remoteAgent{T: t, listener: listener, posted: make(chan func(), 100)}
-	log, _ := test.NewNullLogger()
-	remote.Link = New(listener.Addr().String(), 1, func(do func()) { remote.posted <- do },
-		func(n Notification) { remote.notifications = append(remote.notifications, string(n.Kind)+n.RequestID) }, logging.NewLimiter(log))
-	remote.Watch(func() time.Duration { return remote.now }, func() { remote.lossesReported++ })
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(func() { cancel(); listener.Close() })
-	go func() { _ = remote.Link.Run(ctx) }()
-	return remote
-}
-
-// accept takes the next link, once the loop knows of it, and its subscription.
-func (f *remoteAgent) accept(offset int) {
-	f.Helper()
-	nc, err := f.listener.Accept()
-	require.NoError(f, err)
-	f.Cleanup(func() { nc.Close() })
-	require.NoError(f, nc.SetDeadline(time.Now().Add(30*time.Second)))
-	f.conn, f.lines = nc, bufio.NewScanner(nc)
-	for opens := f.ConnectionsOpened(); f.ConnectionsOpened() == opens; {
-		(<-f.posted)() // the end of the link before may come between
-	}
-	f.expect(fmt.Sprintf(`{"cmd":"subscribe","offset":%d}`, offset))
-}
-
-func (f *remoteAgent) expect(want string) {
-	f.Helper()
-	require.True(f, f.lines.Scan(), "%v", f.lines.Err())
-	require.Equal(f, want, f.lines.Text())
-}
-
-// expectSample reads a sample and returns its token.
-func (f *remoteAgent) expectSample() (token string) {
-	f.Helper()
-	require.True(f, f.lines.Scan(), "%v", f.lines.Err())
-	_, err := fmt.Sscanf(f.lines.Text(), `{"cmd":"sample","token":%q}`, &token)
-	require.NoError(f, err, f.lines.Text())
-	return token
-}
-
-func (f *remoteAgent) send(format string, args ...any) {
-	fmt.Fprintf(f.conn, format+"\n", args...)
-	(<-f.posted)()
-}
-
-func (f *remoteAgent) sendSampled(token string) {
-	f.send(`{"cmd":"sampled","token":%q,"load":[]}`, token)
-}
-
-func (f *remoteAgent) sendHandshake(ms int) {
-	f.send(`{"cmd":"greeting","result":"steady","elapsed_ms":%d}`, ms)
-}
-
-// A link that is open and brings nothing is replaced, and what was to be run goes over the next one; one whose answers
-// come is not, nor is one whose answers are only unread as the process stood still.
+// A connection that is open and brings nothing is replaced, and what was to be run goes over the next one. One whose answers
+// come is not, nor is one whose answers are only unread because the process was stopped.
 func TestSilenceRacesSample(t *testing.T) {
 	for _, responsive := range []bool{true, false} {
-		t.Run(fmt.Sprint("speaks: ", responsive), func(t *testing.T) {
+		t.Run(fmt.Sprint("responsive: ", responsive), func(t *testing.T) {
 			remote := newRemoteAgent(t)
 			remote.accept(0)
 			remote.now += handshakeTimeout - 1 // a booting agent may take its time
@@ -105,7 +29,7 @@
 			}
 			if responsive {
 				require.NotNil(t, remote.current)
-				remote.now += 100 * maxSilence // the process stands still; the answer to its one sample waits
+				remote.now += 100 * maxSilence // the process is stopped; the answer to its one sample waits
 				remote.SampleGauges()
 				require.NotNil(t, remote.current)
 				return
@@ -122,8 +46,8 @@
 	}
 }
 
-// A link that was never greeted on leads nowhere, or the agent boots: after a while another is opened, and the agent greets
-// on that. One that was greeted on at the last moment stays. The first link was never replaced.
+// A connection without a handshake leads nowhere, or the agent boots: at the timeout another is opened, and the agent sends
+// its handshake on that. One whose handshake comes at the last moment stays.
 func TestSilenceRacesFirstHandshake(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		remote := newRemoteAgent(t)
@@ -141,12 +65,12 @@
 		remote.Check()
 		require.NotNil(t, remote.current)
 		remote.sendSampled(remote.expectSample())
-		require.True(t, remote.synced)
+		require.Equal(t, ready, remote.state())
 	}
 }
 
-// The link breaks before or after it is known that the agent has read the reply to a call. A reply that was read is not
-// sent again: it would answer the run's next call. Before, that was known at the next sweep only.
+// The connection breaks before or after it is known that the agent has read the reply to a call. A reply that was read is
+// not sent again: it would answer the run's next call.
 func TestDisconnectRacesReply(t *testing.T) {
 	const reply = `{"cmd":"deliver","req":"a","payload":"eA=="}`
 	for _, known := range []bool{true, false} {
@@ -155,7 +79,7 @@
 		remote.sendHandshake(1)
 		remote.sendSampled(remote.expectSample())
 		remote.SampleGauges()
-		earlier := remote.expectSample() // says nothing of what follows it
+		earlier := remote.expectSample() // acknowledges nothing that follows it
 		remote.Reply("a", []byte("x"))
 		remote.expect(reply)
 		remote.sendSampled(earlier)
@@ -173,7 +97,7 @@
 		remote.Launch("b", "preview", nil)
 		remote.expect(`{"cmd":"launch","req":"b","method":"preview","payload":""}`)
 	}
-	remote := newRemoteAgent(t) // nothing is under way: it is asked at once
+	remote := newRemoteAgent(t) // no sample is unanswered: one is sent at once
 	remote.accept(0)
 	remote.sendHandshake(1)
 	remote.sendSampled(remote.expectSample())
@@ -183,8 +107,8 @@
 	require.Empty(t, remote.unacknowledged)
 }
 
-// More notices came during a break than the agent keeps: what became of runs in hand is told by nobody. With all of them,
-// or some twice, nothing is lost.
+// More notifications came during a break than the agent keeps: the outcome of runs in flight is lost. With all of them, or
+// some twice, nothing is.
 func TestDisconnectRacesNotifications(t *testing.T) {
 	for name, test := range map[string]struct {
 		offsets []int
@@ -204,15 +128,15 @@
 			for _, offset := range test.offsets {
 				remote.send(`{"cmd":"aside","offset":%d}`, offset)
 			}
-			require.Zero(t, remote.lossesReported) // what has come may tell of the runs
+			require.Zero(t, remote.lossesReported) // those that came may be of the runs in flight
 			remote.sendSampled(token)
 			require.Equal(t, test.lost, remote.lossesReported)
 		})
 	}
 }
 
-// An agent that greets again, older by as much as time has passed, is the same; one that is far younger has been started
-// meanwhile and is asked for its notices from the first.
+// An agent whose second handshake reports it older by as much as time has passed is the same. One that is far younger was
+// restarted meanwhile and is asked for its notifications from the first.
 func TestHandshakeOfRestartedAgent(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		remote := newRemoteAgent(t)
--- /dev/null
+++ b/internal/agent/remote_test.go
@@ -0,0 +1,112 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"falldeal/internal/logging"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/require"
+)
+
+const testTimeout = 30 * time.Second
+
+// remoteAgent is the agent's side of a Link, whose loop and clock are the test's.
+type remoteAgent struct {
+	*testing.T
+	*Link
+	listener       net.Listener
+	posted         chan func()
+	now            time.Duration
+	lossesReported int
+	notifications  []string // kind and request of each
+	conn           net.Conn // accepted last
+	lines          *bufio.Scanner
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+func newRemoteAgent(t *testing.T) *remoteAgent {
+	t.Helper()
+	listener := listen(t)
+	return newRemoteAgentAt(t, listener.Addr().String(), listener)
+}
+
+// newRemoteAgentAt has the Link dial address at first, whatever listener listens at.
+func newRemoteAgentAt(t *testing.T, address string, listener net.Listener) *remoteAgent {
+	t.Helper()
+	remote := &remoteAgent{T: t, listener: listener, posted: make(chan func(), 100)}
+	log, _ := test.NewNullLogger()
+	remote.Link = New(address, 1, func(do func()) { remote.posted <- do }, remote.record, logging.NewLimiter(log))
+	remote.Watch(func() time.Duration { return remote.now }, func() { remote.lossesReported++ })
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	go func() { _ = remote.Link.Run(ctx) }()
+	return remote
+}
+
+func (r *remoteAgent) record(notification Notification) {
+	r.notifications = append(r.notifications, string(notification.Kind)+notification.RequestID)
+}
+
+// runPosted runs the next function that the Link hands to its loop.
+func (r *remoteAgent) runPosted() { (<-r.posted)() }
+
+// accept takes the next connection, once the loop knows of it, and its subscription.
+func (r *remoteAgent) accept(offset int) {
+	r.Helper()
+	conn, err := r.listener.Accept()
+	require.NoError(r, err)
+	r.Cleanup(func() { conn.Close() })
+	require.NoError(r, conn.SetDeadline(time.Now().Add(testTimeout)))
+	r.conn, r.lines = conn, bufio.NewScanner(conn)
+	for opened := r.ConnectionsOpened(); r.ConnectionsOpened() == opened; {
+		r.runPosted() // the end of the connection before may come between
+	}
+	r.expect(fmt.Sprintf(`{"cmd":"subscribe","offset":%d}`, offset))
+}
+
+// expect reads a command.
+func (r *remoteAgent) expect(want string) {
+	r.Helper()
+	require.True(r, r.lines.Scan(), "%v", r.lines.Err())
+	require.Equal(r, want, r.lines.Text())
+}
+
+// expectSample reads a sample and returns its token.
+func (r *remoteAgent) expectSample() (token string) {
+	r.Helper()
+	require.True(r, r.lines.Scan(), "%v", r.lines.Err())
+	_, err := fmt.Sscanf(r.lines.Text(), `{"cmd":"sample","token":%q}`, &token)
+	require.NoError(r, err, r.lines.Text())
+	return token
+}
+
+// send sends a line, and runs what the Link hands to its loop for that.
+func (r *remoteAgent) send(format string, args ...any) {
+	r.Helper()
+	_, err := fmt.Fprintf(r.conn, format+"\n", args...)
+	require.NoError(r, err)
+	r.runPosted()
+}
+
+func (r *remoteAgent) sendSampled(token string) {
+	r.Helper()
+	r.send(`{"cmd":"sampled","token":%q,"load":[]}`, token)
+}
+
+func (r *remoteAgent) sendHandshake(ageMilliseconds int) {
+	r.Helper()
+	r.send(`{"cmd":"greeting","result":"steady","elapsed_ms":%d}`, ageMilliseconds)
+}
