--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -55,9 +55,9 @@
 	lines := bytes.SplitAfter(file, []byte("\n"))
 	require.Len(t, lines, len(goldenCases)+1, "a line for each case, and nothing after the last")
 	require.Empty(t, lines[len(goldenCases)])
-	var lineParser parser
+	lineParser := newParser()
 	for i, golden := range goldenCases {
-		got, err := lineParser.parse(lines[i])
+		got, err := lineParser.Parse(lines[i])
 		require.NoError(t, err, golden.name)
 		require.Equal(t, golden.message, got, golden.name)
 	}
@@ -65,8 +65,8 @@
 
 // A field that a newer process has added must be passed over.
 func TestGoldenMessageWithAddedField(t *testing.T) {
-	var lineParser parser
-	got, err := lineParser.parse([]byte(`{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"))
+	lineParser := newParser()
+	got, err := lineParser.Parse([]byte(`{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"))
 	require.NoError(t, err)
 	require.Equal(t, Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1}, got)
 }
@@ -75,7 +75,7 @@
 func TestGoldenSocketNames(t *testing.T) {
 	dir, err := os.MkdirTemp("", "handover") // short: the path of a socket is limited
 	require.NoError(t, err)
-	defer os.RemoveAll(dir)
+	t.Cleanup(func() { require.NoError(t, os.RemoveAll(dir)) })
 	older, listener, err := join(filepath.Join(dir, "socket"))
 	require.NoError(t, err)
 	require.Nil(t, older)
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -15,16 +15,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// process runs one side and notes what its loop is handed.
+const testTimeout = 30 * time.Second
+
+// process runs one side, and passes on what its loop is handed.
 type process struct {
 	*testing.T
 	events   chan any
-	joined   chan *Link // joined
-	loopLock sync.Mutex // held by a test that keeps the loop from its turns
-	stop     func()     // and wait until all is written
+	joined   chan *Link
+	loopLock sync.Mutex // held by a test that holds up the loop
+	stop     func()     // ends it, and waits until all is written
 }
 
 func startProcess(t *testing.T, path string) *process {
+	t.Helper()
 	started := &process{T: t, events: make(chan any, 100), joined: make(chan *Link, 10)}
 	joined := func(name string) func(*Link) {
 		return func(l *Link) {
@@ -52,7 +55,7 @@
 		select {
 		case err := <-runDone:
 			require.NoError(t, err)
-		case <-time.After(30 * time.Second):
+		case <-time.After(testTimeout):
 			t.Fatal("Run does not end")
 		}
 	}
@@ -64,22 +67,26 @@
 	select {
 	case got := <-p.events:
 		require.Equal(p, want, got)
-	case <-time.After(30 * time.Second):
+	case <-time.After(testTimeout):
 		p.Fatalf("%v did not come", want)
 	}
 }
 
-// waitForListener waits until a process has taken its place at path. Whoever finds the file there is not refused.
+// waitForListener waits until a process listens at path: it does as soon as the file is there.
 func waitForListener(t *testing.T, path string) {
-	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 30*time.Second, time.Millisecond)
+	t.Helper()
+	exists := func() bool {
+		_, err := os.Stat(path)
+		return err == nil
+	}
+	require.Eventually(t, exists, testTimeout, time.Millisecond)
 }
 
-// A process that is started between another's bind and listen took itself for the only one; so did one that was started
-// before the other served, and one of two that were started at the same time. The place is taken in one step, and as soon
-// as a process has found nobody there; nobody looks while another takes it.
-func TestOneListenerAtATime(t *testing.T) {
+// A process finds one that has taken the place, though that one accepts nobody yet: one that was started before the other
+// served took itself for the only one.
+func TestJoinFindsListenerBeforeItServes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	older, listener, err := join(path) // listens, though it accepts nobody yet
+	older, listener, err := join(path)
 	require.NoError(t, err)
 	require.Nil(t, older)
 	defer listener.Close()
@@ -88,70 +95,78 @@
 	require.NotNil(t, second)
 	require.Nil(t, none)
 	second.Close()
+}
+
+// dialUntil dials path again and again until stop is closed or a dial fails.
+func dialUntil(stop <-chan struct{}, path string) error {
+	for {
+		select {
+		case <-stop:
+			return nil
+		default:
+		}
+		conn, err := net.Dial("unix", path)
+		if err != nil {
+			return err
+		}
+		conn.Close()
+	}
+}
 
-	// The place changes hands while others look: nobody ever finds it empty.
+// acceptAndClose accepts until listener is closed.
+func acceptAndClose(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		conn.Close()
+	}
+}
+
+// The place changes hands while others dial: none of them ever finds it empty, as between another's bind and listen.
+func TestListenReplacesListenerAtomically(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "s")
+	first, err := listen(path)
+	require.NoError(t, err)
+	defer first.Close()
 	stop, dialers := make(chan struct{}), make(chan error, 4)
 	for range cap(dialers) {
-		go func() {
-			for {
-				select {
-				case <-stop:
-					dialers <- nil
-					return
-				default:
-				}
-				conn, err := net.Dial("unix", path)
-				if err != nil {
-					dialers <- err
-					return
-				}
-				conn.Close()
-			}
-		}()
+		go func() { dialers <- dialUntil(stop, path) }()
 	}
-	var listeners []*net.UnixListener
 	for range 50 {
 		listener, err := listen(path)
 		require.NoError(t, err)
-		listeners = append(listeners, listener)
-		go func() {
-			for {
-				conn, err := listener.Accept()
-				if err != nil {
-					return
-				}
-				conn.Close()
-			}
-		}()
+		defer listener.Close()
+		go acceptAndClose(listener)
 	}
 	close(stop)
 	for range cap(dialers) {
 		require.NoError(t, <-dialers)
 	}
-	for _, listener := range listeners {
-		listener.Close()
-	}
+}
 
-	// Who looks while another holds the lock waits for it.
-	empty := filepath.Join(t.TempDir(), "s")
-	unlock := acquireLock(empty + ".lock")
+// Of two processes that are started at the same time one waits, at the lock, until the other has taken the place.
+func TestJoinWaitsForLock(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "s")
+	unlock := acquireLock(path + ".lock")
 	found := make(chan bool, 1)
 	go func() {
-		older, listener, _ := join(empty)
+		older, listener, _ := join(path)
 		if listener != nil {
 			listener.Close()
 		}
 		found <- older != nil
 	}()
-	listener, err = listen(empty)
+	listener, err := listen(path)
 	require.NoError(t, err)
 	defer listener.Close()
 	unlock()
 	require.True(t, <-found)
 }
 
-// Each process finds the one before it, what is told last still arrives, and the socket of one that has ended
-// is no hindrance to the next.
+// Each process finds the one before it, messages sent last still arrive, and the socket of one that has ended does not
+// hinder the next.
 func TestSuccessiveProcesses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first := startProcess(t, path)
@@ -180,7 +195,7 @@
 	third.stop()
 }
 
-// What the older process told last must not be lost because the newer one fails to write to it meanwhile.
+// The last messages of the older process must not be lost where the newer one fails to write to it meanwhile.
 func TestLastMessagesSurviveWriteFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first := startProcess(t, path)
--- /dev/null
+++ b/internal/handover/socket.go
@@ -0,0 +1,72 @@
+package handover
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io/fs"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"falldeal/internal/reconnect"
+)
+
+const (
+	dialTimeout    = time.Second
+	lockTimeout    = 2 * dialTimeout
+	lockRetryDelay = 5 * time.Millisecond
+)
+
+// join returns the connection to the older process that listens at path, or, where there is none, the listener that has
+// taken its place: the next process finds this one though it does not serve yet. Of two that start at the same time the
+// lock lets one look and take the place before the other looks. An error may come beside either.
+func join(path string) (predecessor net.Conn, listener net.Listener, err error) {
+	unlock := acquireLock(path + ".lock")
+	defer unlock()
+	// The end of this process does not cut the dial short: a process that ends would take the place of the older one.
+	predecessor, err = reconnect.Dial(context.Background(), "unix", path, dialTimeout)
+	if err == nil {
+		return predecessor, nil, nil
+	}
+	listener, listenErr := listen(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		err = nil // nobody has ever listened there: a process that has ended leaves its socket, and is logged
+	}
+	return nil, listener, errors.Join(err, listenErr)
+}
+
+// acquireLock waits until no other process holds the lock, for lockTimeout at most: a process that is stopped must not
+// keep this one from serving. The kernel releases the lock of a process that ends.
+func acquireLock(path string) (unlock func()) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return func() {} // listening there fails as well, and reports it
+	}
+	giveUpAt := time.Now().Add(lockTimeout)
+	for syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil && !time.Now().After(giveUpAt) {
+		time.Sleep(lockRetryDelay)
+	}
+	return func() {
+		_ = file.Close() // nothing was written to it
+	}
+}
+
+// listen takes the place at path of whatever listened there before, in one step: whoever dials meanwhile finds the one
+// or the other. The next process does the same, so the socket must not go with this one.
+func listen(path string) (net.Listener, error) {
+	own := fmt.Sprintf("%s.%d", path, os.Getpid())
+	if err := os.Remove(own); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return nil, fmt.Errorf("socket of the process before: %w", err)
+	}
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
+	if err != nil {
+		return nil, err
+	}
+	listener.SetUnlinkOnClose(false)
+	if err := os.Rename(own, path); err != nil {
+		return nil, errors.Join(err, listener.Close())
+	}
+	return listener, nil
+}
