--- a/internal/store/codec_test.go
+++ b/internal/store/frame_test.go
@@ -13,17 +13,17 @@
 func TestReadReply(t *testing.T) {
 	reader := bufio.NewReader(strings.NewReader("ab OK 4\r\n\r\nhi\r\ncd BUSY\r\nab ERR\r\nab LATE\r\nef VOID\r\nab OK 0\r\n\r\n"))
 	for _, want := range []struct {
-		id   string
-		r    Reply
-		body string
+		requestID string
+		reply     Reply
+		body      string
 	}{{"ab", OK, "\r\nhi"}, {"cd", Rejected, ""}, {"ab", Failed, ""}, {"ab", Late, ""}, {"ef", Void, ""}, {"ab", OK, ""}} {
-		id, reply, body, err := readReply(reader)
+		frame, err := readReply(reader)
 		require.NoError(t, err)
-		require.Equal(t, want.id, id)
-		require.Equal(t, want.r, reply)
-		require.Equal(t, want.body, string(body))
+		require.Equal(t, want.requestID, frame.requestID)
+		require.Equal(t, want.reply, frame.reply)
+		require.Equal(t, want.body, string(frame.body))
 	}
-	_, _, _, err := readReply(reader)
+	_, err := readReply(reader)
 	require.ErrorIs(t, err, io.EOF)
 }
 
@@ -31,11 +31,19 @@
 	for _, text := range []string{"ab OK 4\nhi", "ab\r\n", "ab OK\r\n", "ab BUSY 4\r\n", "ab WELL\r\n", "ab OK x\r\n",
 		" OK 1\r\nx\r\n", "ab OK -1\r\n", "ab OK 99999999\r\n", "ab OK 2\r\nabcd", "ab OK 2\r\na", "ab BUSY 1 2\r\n",
 		strings.Repeat("a", maxLine) + " BUSY\r\n", strings.Repeat("a", 8<<10)} {
-		_, _, _, err := readReply(bufio.NewReaderSize(strings.NewReader(text), 1<<10))
+		_, err := readReply(bufio.NewReaderSize(strings.NewReader(text), 1<<10))
 		require.Error(t, err, "%.40q", text)
 	}
 }
 
+// A reply that is printed names what it is; the numbers stand in maps of other packages.
+func TestReplyNames(t *testing.T) {
+	require.Equal(t, "OK", OK.String())
+	require.Equal(t, "ConnectionRefused", ConnectionRefused.String())
+	require.Equal(t, "Expired", Expired.String())
+	require.Equal(t, "Reply(8)", (Expired + 1).String())
+}
+
 func TestCommandEncoding(t *testing.T) {
 	require.Equal(t, "CALL ab 250 3\r\na\r\n\r\n", string(appendCall(nil, "ab", 250*time.Millisecond, []byte("a\r\n"))))
 	require.Equal(t, "CALL ab 1 0\r\n\r\n", string(appendCall(nil, "ab", -time.Second, nil)))
@@ -45,14 +53,14 @@
 func FuzzReadReply(f *testing.F) {
 	f.Add("ab OK 4\r\n\r\nhi\r\ncd BUSY\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		in := bufio.NewReader(strings.NewReader(text))
+		reader := bufio.NewReader(strings.NewReader(text))
 		for {
-			id, r, body, err := readReply(in)
+			frame, err := readReply(reader)
 			if err != nil {
 				return
 			}
-			if id == "" || r > Void || r != OK && body != nil {
-				t.Errorf("read %q %d %q", id, r, body)
+			if frame.requestID == "" || frame.reply > Void || frame.reply != OK && frame.body != nil {
+				t.Errorf("read %+v", frame)
 			}
 		}
 	})
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -83,10 +83,10 @@
 	link.Call(goldenRequest, 1250*time.Millisecond, []byte("\x00\xffbody\r\n"))
 	link.handleOpened(<-link.dialRequests, queue)
 	written("call")
-	link.handleReply(queue, goldenRequest, OK, nil)
+	link.handleReply(queue, replyFrame{requestID: goldenRequest, reply: OK})
 	link.Call(goldenOther, time.Second+999*time.Microsecond, nil)
 	written("call of less than a millisecond without a body")
-	link.handleReply(queue, goldenOther, Rejected, nil)
+	link.handleReply(queue, replyFrame{requestID: goldenOther, reply: Rejected})
 	link.Call(goldenRequest, time.Hour+time.Second, []byte(strings.Repeat("x", 100)))
 	written("call of an hour")
 	require.True(t, link.Abandon(goldenRequest))
@@ -118,11 +118,11 @@
 		text, err := strconv.Unquote(replies[test.name])
 		require.NoError(t, err, test.name)
 		reader := bufio.NewReader(strings.NewReader(text))
-		id, reply, body, err := readReply(reader)
+		frame, err := readReply(reader)
 		require.NoError(t, err, test.name)
-		require.Equal(t, goldenRequest, id, test.name)
-		require.Equal(t, test.reply, reply, test.name)
-		require.Equal(t, test.body, string(body), test.name)
+		require.Equal(t, goldenRequest, frame.requestID, test.name)
+		require.Equal(t, test.reply, frame.reply, test.name)
+		require.Equal(t, test.body, string(frame.body), test.name)
 		_, err = reader.ReadByte()
 		require.ErrorIs(t, err, io.EOF, test.name)
 	}
@@ -143,7 +143,7 @@
 		{"line past the limit", strings.Repeat("a", maxLine) + " BUSY\r\n"},
 		{"body without its end", "ab OK 2\r\nabcd"},
 	} {
-		_, _, _, err := readReply(bufio.NewReader(strings.NewReader(test.text)))
+		_, err := readReply(bufio.NewReader(strings.NewReader(test.text)))
 		require.ErrorIs(t, err, ErrMalformedReply, test.name)
 		cases = append(cases, goldenCase{test.name, err.Error()})
 	}
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -10,6 +10,7 @@
 
 	"falldeal/internal/deadline"
 	"falldeal/internal/logging"
+	"falldeal/internal/reconnect"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -26,29 +27,39 @@
 }
 
 func newFakeLoop(t *testing.T, addr string) *fakeLoop {
+	t.Helper()
 	fake := &fakeLoop{T: t, posted: make(chan func(), 10), deadlines: deadline.New()}
 	log, _ := test.NewNullLogger()
-	fake.link = New(addr, 4, 1, Loop{Post: func(f func()) { fake.posted <- f }, Now: func() time.Duration { return fake.now }, Deadlines: fake.deadlines},
-		func(id string, r Reply, body []byte) {
-			fake.outcomes = append(fake.outcomes, fmt.Sprintf("%s %d %s", id, r, body))
-		},
-		logging.NewLimiter(log))
+	loop := Loop{Post: func(f func()) { fake.posted <- f }, Now: func() time.Duration { return fake.now },
+		Deadlines: fake.deadlines}
+	fake.link = New(addr, 4, 1, loop, fake.record, logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = fake.link.Run(ctx) }()
 	return fake
 }
 
+func (l *fakeLoop) record(requestID string, reply Reply, body []byte) {
+	l.outcomes = append(l.outcomes, outcome(requestID, reply, string(body)))
+}
+
+// outcome is the end of a call as text.
+func outcome(requestID string, reply Reply, body string) string {
+	return fmt.Sprintf("%s %s %s", requestID, reply, body)
+}
+
+// runPosted runs the next function that the Link hands to its loop.
 func (l *fakeLoop) runPosted() { (<-l.posted)() }
 
 func listen(t *testing.T) net.Listener {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
-	return ln
+	t.Cleanup(func() { listener.Close() })
+	return listener
 }
 
-// acceptCall takes the connection that a call opens, and returns it once the call was read from it.
+// acceptCall accepts the connection that a call opens, and reads the call from it.
 func (l *fakeLoop) acceptCall(listener net.Listener, call string, body string) (net.Conn, *bufio.Reader) {
 	l.Helper()
 	conn, err := listener.Accept()
@@ -60,6 +71,7 @@
 	return conn, reader
 }
 
+// expect reads lines.
 func (l *fakeLoop) expect(in *bufio.Reader, lines ...string) {
 	l.Helper()
 	for _, want := range lines {
@@ -88,11 +100,10 @@
 	fake.runPosted()
 	fake.link.Call("cd", time.Hour, nil)
 	fake.runPosted()
-	require.Equal(t, []string{fmt.Sprintf("ab %d ", ConnectionBroken), fmt.Sprintf("cd %d ", ConnectionRefused)}, fake.outcomes)
+	require.Equal(t, []string{outcome("ab", ConnectionBroken, ""), outcome("cd", ConnectionRefused, "")}, fake.outcomes)
 }
 
-// After the store has moved, new calls go to its new address, and one under way ends on the connection
-// that it was made on, if that is soon.
+// After the store has moved, new calls go to its new address, and one in flight ends on its connection, if that is soon.
 func TestAddressChange(t *testing.T) {
 	old, next := listen(t), listen(t)
 	fake := newFakeLoop(t, old.Addr().String())
@@ -105,15 +116,15 @@
 	fake.acceptCall(next, "CALL ef 3600000 0", "")
 	fmt.Fprint(firstConn, "ab OK 1\r\nx\r\n")
 	fake.runPosted()
-	fake.runPosted() // that connection has ended: the old address gets nothing new
-	fake.now = drainTimeout
+	fake.runPosted() // the end of that connection: the old address gets nothing new
+	fake.now = reconnect.DrainTimeout
 	fake.deadlines.Sweep(fake.now)
 	fake.expectClosed(secondReader)
-	require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("cd %d ", ConnectionBroken)}, fake.outcomes)
+	require.Equal(t, []string{outcome("ab", OK, "x"), outcome("cd", ConnectionBroken, "")}, fake.outcomes)
 	require.EqualValues(t, 3, fake.link.ConnectionsOpened())
 }
 
-// A dial to where the store no longer is proves nothing about the calls that wait for it.
+// A failed dial to the old address proves nothing about the calls that wait.
 func TestAddressChangeDuringDial(t *testing.T) {
 	old, next := listen(t), listen(t)
 	old.Close()
@@ -128,17 +139,17 @@
 	require.EqualValues(t, 1, fake.link.ConnectionsOpened())
 }
 
-// A call whose time is up is dropped, and its connection with it: the reply may never come, or be taken
-// for that of a later call.
+// A call is given up at its deadline, and its connection with it: the reply may never come, or be taken for that of a
+// later call.
 func TestCallExpiry(t *testing.T) {
 	ln := listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", 100*time.Millisecond, []byte("x"))
-	fake.now = 40 * time.Millisecond // the way to the store counts
+	fake.now = 40 * time.Millisecond // the dial counts
 	conn, reader := fake.acceptCall(ln, "CALL ab 60 1", "x")
 	fake.now = 100 * time.Millisecond
 	fake.deadlines.Sweep(fake.now)
-	require.Equal(t, []string{fmt.Sprintf("ab %d ", Expired)}, fake.outcomes)
+	require.Equal(t, []string{outcome("ab", Expired, "")}, fake.outcomes)
 	fmt.Fprint(conn, "ab OK 1\r\nx\r\n")
 	fake.expect(reader, "DROP ab")
 	fake.link.Call("ab", fake.now+time.Second, nil)
@@ -148,7 +159,7 @@
 	require.Len(t, fake.outcomes, 1)
 }
 
-// A reply that can't be read costs the call that it was for, and no other that is under way.
+// A reply that cannot be read costs the call that it was for, and no other in flight.
 func TestOneCallPerConnection(t *testing.T) {
 	ln := listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
@@ -160,7 +171,7 @@
 	fake.runPosted()
 	fmt.Fprint(secondConn, "cd OK 1\r\nx\r\n")
 	fake.runPosted()
-	require.Equal(t, []string{fmt.Sprintf("ab %d ", ConnectionBroken), fmt.Sprintf("cd %d x", OK)}, fake.outcomes)
+	require.Equal(t, []string{outcome("ab", ConnectionBroken, ""), outcome("cd", OK, "x")}, fake.outcomes)
 	fake.link.Call("ef", time.Hour, nil) // the connection is used again, as long as that is soon
 	fake.expect(reader, "CALL ef 3600000 0", "")
 	fmt.Fprint(secondConn, "ef BUSY\r\n")
@@ -171,8 +182,8 @@
 	require.Empty(t, fake.link.connections)
 }
 
-// Replies that nobody asked for end nothing, and no call is made any more on a connection that brought
-// one. A second copy might be taken for the reply to its request's next call, so that goes elsewhere.
+// An unsolicited reply ends no call, and no further call is made on its connection. A second copy might be taken for the
+// reply to its request's next call, so that is made on another connection.
 func TestUnsolicitedReplies(t *testing.T) {
 	ln := listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
@@ -190,11 +201,11 @@
 	fmt.Fprint(second, "ab OK 1\r\nz\r\n")
 	fake.runPosted()
 	fake.expectClosed(secondReader)
-	require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("ab %d z", OK)}, fake.outcomes)
+	require.Equal(t, []string{outcome("ab", OK, "x"), outcome("ab", OK, "z")}, fake.outcomes)
 }
 
-// A store that closes a connection behind its reply, or says more on it, shows that soon: the one that has
-// been idle for longest is used first, and the one that just replied last.
+// A store that closes a connection after its reply, or sends more on it, shows that soon: the connection that has been idle
+// longest is used first, and the one that just brought a reply last.
 func TestLongestIdleConnectionFirst(t *testing.T) {
 	ln := listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
@@ -210,13 +221,13 @@
 	fake.expect(firstReader, "CALL ef 3600000 0", "")
 }
 
-// Calls past the number of connections wait for one to be free, in order.
+// Calls past the number of connections wait for an idle one, in order.
 func TestConnectionLimit(t *testing.T) {
 	ln := listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	var reader *bufio.Reader
 	var conn net.Conn
-	for i := range cap(fake.link.dialRequests) {
+	for i := range fake.link.maxConnections {
 		fake.link.Call(fmt.Sprint("c", i), time.Hour, nil)
 		conn, reader = fake.acceptCall(ln, fmt.Sprintf("CALL c%d 3600000 0", i), "")
 	}
--- a/internal/store/partition_test.go
+++ b/internal/store/partition_test.go
@@ -11,45 +11,46 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unresponsiveAddress is an address behind a cut.
+// unresponsiveAddress returns an address on which dials hang, as in a partition.
 func unresponsiveAddress(t *testing.T) string {
+	t.Helper()
 	unresponsive, err := fakes.NewMute()
 	require.NoError(t, err)
 	t.Cleanup(unresponsive.Close)
 	return unresponsive.Addr
 }
 
-// A zone is cut off: dials hang. A call that was given up takes its dial along. Before that, dials for calls that
-// were long over kept the places of those to come: these hung too, for as long as a dial may take.
+// In a partition dials hang. A call that is given up cancels its dial: dials for calls that were long over would take the
+// places of those to come, which would then hang too for as long as a dial may take.
 func TestAbandonedCallCancelsItsDial(t *testing.T) {
 	fake := newFakeLoop(t, unresponsiveAddress(t))
-	for i := range 3 * cap(fake.link.dialRequests) {
+	for i := range 3 * fake.link.maxConnections {
 		id := fmt.Sprint(i)
 		fake.link.Call(id, fake.now+time.Second, nil)
 		require.Len(t, fake.link.wantedDials, 1, "call %d", i) // its own
 		fake.now += time.Second
 		fake.deadlines.Sweep(fake.now)
-		require.Equal(t, fmt.Sprintf("%d %d ", i, Expired), fake.outcomes[i])
+		require.Equal(t, outcome(id, Expired, ""), fake.outcomes[i])
 		require.Empty(t, fake.link.wantedDials)
 		require.Empty(t, fake.link.waiting)
-		fake.runPosted() // the dial has ended, without a word on any call
+		fake.runPosted() // the dial has ended, which ends no call
 		require.Zero(t, fake.link.dialsInFlight)
 		require.Len(t, fake.outcomes, i+1)
 	}
 	require.Zero(t, fake.link.dialDelay) // nothing was refused, so the next dial is made at once
 }
 
-// The configuration moves the store in the middle of a cut. What waits for a connection to the old address gets
-// one to the new, without waiting for the dials that hang.
+// The store moves during a partition. Calls that wait for a connection to the old address get one to the new, without
+// waiting for the dials that hang.
 func TestAddressChangeDuringPartition(t *testing.T) {
 	fake := newFakeLoop(t, unresponsiveAddress(t))
 	var calls []string
-	for i := range cap(fake.link.dialRequests) { // as many dials as there may be
+	for i := range fake.link.maxConnections { // as many dials as there may be
 		calls = append(calls, fmt.Sprint(i))
 		fake.link.Call(calls[i], time.Hour, nil)
 	}
 	fake.link.Call("more", time.Hour, nil) // has to wait for one of them
-	require.Len(t, fake.link.wantedDials, cap(fake.link.dialRequests))
+	require.Len(t, fake.link.wantedDials, fake.link.maxConnections)
 	next := listen(t)
 	fake.link.SetAddress(next.Addr().String())
 	for fake.link.dialsInFlight > 0 { // those that hung end, and new ones are made
@@ -72,7 +73,7 @@
 		for len(fake.outcomes) == 0 {
 			fake.runPosted()
 		}
-		require.Equal(t, fmt.Sprintf("%s %d ", id, OK), fake.outcomes[0])
+		require.Equal(t, outcome(id, OK, ""), fake.outcomes[0])
 		fake.outcomes = nil
 		if i == 0 { // the connection is used again for the one that had no place
 			line, err = reader.ReadString('\n')
--- a/internal/store/races_test.go
+++ b/internal/store/races_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// idleRemote is the store's side of a connection that waits for a call.
+// idleRemote is the store's side of an idle connection.
 type idleRemote struct {
 	listener net.Listener
 	conn     net.Conn
 	reader   *bufio.Reader
 }
 
-// idleConnection has one connection to the store that waits for a call, as its last one was answered.
+// idleConnection opens a connection to the store that is idle, as its call was answered.
 func (l *fakeLoop) idleConnection() (remote *idleRemote) {
 	listener := listen(l.T)
 	l.link.SetAddress(listener.Addr().String())
@@ -28,8 +28,8 @@
 	return &idleRemote{listener, conn, reader}
 }
 
-// The store closes a connection that waits, and a call is made before or after that is seen here: on the closed one it may
-// have run and is told as broken, once; seen in time, the call goes elsewhere.
+// The store closes an idle connection, and a call is made before or after that is observed here: on the closed one it may
+// have run and is reported as broken, once; observed in time, the call is made on another connection.
 func TestCloseRacesCall(t *testing.T) {
 	for _, observed := range []bool{true, false} {
 		fake := newFakeLoop(t, "127.0.0.1:9")
@@ -42,7 +42,7 @@
 		fake.link.Call("cd", time.Hour, nil)
 		if !observed {
 			handleClosed()
-			require.Equal(t, []string{fmt.Sprintf("ab %d x", OK), fmt.Sprintf("cd %d ", ConnectionBroken)}, fake.outcomes)
+			require.Equal(t, []string{outcome("ab", OK, "x"), outcome("cd", ConnectionBroken, "")}, fake.outcomes)
 			fake.link.Call("ef", time.Hour, nil)
 			fake.acceptCall(remote.listener, "CALL ef 3600000 0", "")
 			continue
@@ -52,13 +52,13 @@
 	}
 }
 
-// A call is given up, or the store moves, while its reply is on the way, or after: the reply counts for that call or for
+// A call is abandoned, or the store moves, while its reply is on the way, or after: the reply counts for that call or for
 // none.
 func TestAbandonRacesReply(t *testing.T) {
 	for name, test := range map[string]struct {
 		act   func(fake *fakeLoop)
 		first bool // before the reply is dealt with
-		want  int  // ends told of the call
+		want  int  // outcomes reported of the call
 	}{
 		"drop, reply": {func(fake *fakeLoop) { fake.link.Abandon("cd") }, true, 0},
 		"reply, drop": {func(fake *fakeLoop) { require.False(fake, fake.link.Abandon("cd")) }, false, 1},
