--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -64,13 +64,13 @@
 	return New(goldenAddr, 1, func(do func()) { do() }, func(Notification) {}, logging.NewLimiter(log))
 }
 
-// linesWritten returns the lines that link writes to a connection during exercise.
-func linesWritten(t *testing.T, link *Link, exercise func(queue *writequeue.Queue)) []string {
+// linesWritten returns the lines that link writes to a connection during scenario.
+func linesWritten(t *testing.T, link *Link, scenario func(queue *writequeue.Queue)) []string {
 	t.Helper()
 	local, remote := net.Pipe()
 	queue := writequeue.New(local, writeQueueSize)
 	link.handleOpened(goldenAddr, queue)
-	exercise(queue)
+	scenario(queue)
 	queue.Close()
 	writerDone := make(chan error, 1)
 	go func() { writerDone <- queue.Run() }()
@@ -124,9 +124,10 @@
 	}{
 		{"greeting of one that boots", Notification{Kind: Handshake, Result: Booting}},
 		{"greeting of one that runs", Notification{Kind: Handshake, Result: Steady, Elapsed: 3600000500 * time.Microsecond}},
-		{"outcome success", Notification{Kind: Outcome, Offset: 7, RequestID: goldenRequest, Result: Success, Elapsed: 40250 * time.Microsecond,
-			Payload: []byte{0, 255, '\r', '\n'}}},
-		{"outcome failure", Notification{Kind: Outcome, Offset: 8, RequestID: goldenRequest, Result: Failure, Elapsed: 5 * time.Millisecond}},
+		{"outcome success", Notification{Kind: Outcome, Offset: 7, RequestID: goldenRequest, Result: Success,
+			Elapsed: 40250 * time.Microsecond, Payload: []byte{0, 255, '\r', '\n'}}},
+		{"outcome failure", Notification{Kind: Outcome, Offset: 8, RequestID: goldenRequest, Result: Failure,
+			Elapsed: 5 * time.Millisecond}},
 		{"outcome interrupted", Notification{Kind: Outcome, Offset: 9, RequestID: goldenRequest, Result: Interrupted}},
 		{"outcome nothing", Notification{Kind: Outcome, Offset: 10, RequestID: goldenRequest, Result: Nothing}},
 		{"request", Notification{Kind: CallRequest, Offset: 4294967296, RequestID: goldenRequest, Payload: []byte("call\r\n")}},
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -1,123 +1,173 @@
-// Package announce reports to the announce service, which tells front ends of image servers.
+// Package announce reports whether an image server accepts requests to the announce service, which tells front ends of
+// image servers.
 package announce
 
 import (
 	"context"
 	"fmt"
 	"net"
+	"strconv"
 	"time"
 
+	"falldeal/internal/latest"
 	"falldeal/internal/logging"
 )
 
-// reportInterval is short against the 3 s after which an entry lapses, so that it stays though one report in four
-// is lost: fourteen in a row are not.
-const reportInterval = 200 * time.Millisecond
+const (
+	// reportInterval is short against the 3 s after which an entry lapses, so that it stays though one report in four
+	// is lost: fourteen in a row are not.
+	reportInterval = 200 * time.Millisecond
 
-// Announcer sends reports on its own, from the first Set on.
+	// maxAttempts is for the error of an earlier report, which takes the place of the next.
+	maxAttempts = 2
+)
+
+// state is the life of an Announcer. It only moves on.
+type state uint8
+
+const (
+	idle      state = iota // nothing to report yet
+	reporting              // from the first Set on
+	silenced               // another process reports
+)
+
+func (s state) String() string {
+	switch s {
+	case idle:
+		return "idle"
+	case reporting:
+		return "reporting"
+	case silenced:
+		return "silenced"
+	default:
+		return "state(" + strconv.Itoa(int(s)) + ")"
+	}
+}
+
+// Announcer repeats the newest report, from the first Set on. Its methods but Run belong to one goroutine and never block.
 type Announcer struct {
-	name       string
-	log        *logging.Limiter
-	reportable bool // now holds something to report
-	silenced   bool
-	current    report
-	reports    chan report
+	name    string
+	log     *logging.Limiter
+	state   state
+	current report
+	reports latest.Value[report] // for Run
 }
 
 // report is what is reported, and where.
 type report struct {
-	address   string
+	address   string // empty: nowhere
 	accepting bool
 }
 
-// New returns an Announcer of the image server called name.
-func New(addr, name string, log *logging.Limiter) *Announcer {
-	return &Announcer{name: name, log: log, current: report{address: addr}, reports: make(chan report, 1)}
+// New returns an Announcer of the image server called name to the service at address.
+func New(address, name string, log *logging.Limiter) *Announcer {
+	return &Announcer{name: name, log: log, current: report{address: address}, reports: latest.New[report]()}
 }
 
-// Set changes what is reported, at once. It never blocks; one goroutine may call it and Move.
+// Set changes what is reported, at once.
 func (a *Announcer) Set(accepting bool) {
-	a.reportable, a.current.accepting = true, accepting
+	a.current.accepting = accepting
+	if a.state == idle {
+		a.state = reporting
+	}
 	a.publish()
 }
 
-// SetAddress changes where that is reported.
-func (a *Announcer) SetAddress(addr string) {
-	a.current.address = addr
-	if a.reportable {
-		a.publish()
-	}
+// SetAddress changes the address that is reported to.
+func (a *Announcer) SetAddress(address string) {
+	a.current.address = address
+	a.publish()
 }
 
 // Silence ends all reports: another process makes them.
 func (a *Announcer) Silence() {
-	a.current.address = ""
-	a.publish()
-	a.silenced = true
+	if a.state == silenced {
+		return
+	}
+	a.state = silenced
+	a.reports.Set(report{accepting: a.current.accepting})
 }
 
 // Silent reports whether reports have ended.
-func (a *Announcer) Silent() bool { return a.silenced }
+func (a *Announcer) Silent() bool { return a.state == silenced }
 
 func (a *Announcer) publish() {
-	if a.silenced {
+	if a.state == reporting {
+		a.reports.Set(a.current)
+	}
+}
+
+// Run reports until ctx ends: at once where there is a new report, and every reportInterval.
+func (a *Announcer) Run(ctx context.Context) error {
+	var newest report
+	var service socket
+	defer service.close()
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case newest = <-a.reports.C():
+			service.setAddress(newest.address)
+		case <-ticker.C:
+		}
+		if newest.address != "" {
+			a.sendTo(&service, newest)
+		}
+	}
+}
+
+func (a *Announcer) sendTo(service *socket, newest report) {
+	conn, err := service.open()
+	if err != nil {
+		a.log.Warn("announce", "no socket to the announce service", err)
 		return
 	}
-	select {
-	case <-a.reports: // not sent yet, and out of date
-	default:
+	if err := a.send(conn, newest); err != nil {
+		a.log.Warn("announce", "report not sent", err)
 	}
-	a.reports <- a.current
 }
 
-// send sends a report. A first error tells of an earlier one that found nobody there, and takes the place of this one:
-// the last word of a server that leaves would come late for it.
-func (a *Announcer) send(conn net.Conn, r report) (err error) {
-	for range 2 {
-		if _, err = fmt.Fprintf(conn, "announce %s %t", a.name, r.accepting); err == nil {
+// send sends a report. A first error may be that of an earlier report, which found nobody there: the last report of a
+// server that drains would come an interval late for it.
+func (a *Announcer) send(conn net.Conn, newest report) (err error) {
+	for range maxAttempts {
+		if _, err = fmt.Fprintf(conn, "announce %s %t", a.name, newest.accepting); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-// Run reports until ctx ends.
-func (a *Announcer) Run(ctx context.Context) error {
-	var now report
-	var conn net.Conn
-	hangUp := func() {
-		if conn != nil {
-			conn.Close()
-			conn = nil
-		}
+// socket is the UDP socket to the service, opened on first use. It belongs to Run.
+type socket struct {
+	address string
+	conn    net.Conn // nil: not open
+}
+
+func (s *socket) setAddress(address string) {
+	if address != s.address {
+		s.close()
+		s.address = address
 	}
-	defer hangUp()
-	tick := time.NewTicker(reportInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case next := <-a.reports:
-			if next.address != now.address {
-				hangUp()
-			}
-			now = next
-		case <-tick.C:
-		}
-		if now.address == "" {
-			continue // nothing to report yet
-		}
-		if conn == nil {
-			c, err := net.Dial("udp", now.address)
-			if err != nil {
-				a.log.Warn("announce", "no socket to the announce service", err)
-				continue
-			}
-			conn = c
-		}
-		if err := a.send(conn, now); err != nil {
-			a.log.Warn("announce", "report not sent", err)
-		}
+}
+
+func (s *socket) open() (net.Conn, error) {
+	if s.conn != nil {
+		return s.conn, nil
+	}
+	conn, err := net.Dial("udp", s.address)
+	if err != nil {
+		return nil, err
+	}
+	s.conn = conn
+	return conn, nil
+}
+
+func (s *socket) close() {
+	if s.conn != nil {
+		s.conn.Close()
+		s.conn = nil
 	}
 }
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -11,70 +11,78 @@
 	"github.com/stretchr/testify/require"
 )
 
+// listen opens the service's socket at address.
+func listen(t *testing.T, address string) net.PacketConn {
+	t.Helper()
+	service, err := net.ListenPacket("udp", address)
+	require.NoError(t, err)
+	t.Cleanup(func() {
+		_ = service.Close() // an error where the test has closed it
+	})
+	return service
+}
+
+// receive returns the next report.
+func receive(t *testing.T, service net.PacketConn) string {
+	t.Helper()
+	datagram := make([]byte, 100)
+	n, _, err := service.ReadFrom(datagram)
+	require.NoError(t, err)
+	return string(datagram[:n])
+}
+
 // A change is reported at once, and a report is repeated so that the entry does not lapse.
 func TestReports(t *testing.T) {
-	service, err := net.ListenPacket("udp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer service.Close()
+	service := listen(t, "127.0.0.1:0")
 	log, _ := test.NewNullLogger()
 	announcer := New(service.LocalAddr().String(), "n3", logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	runDone := make(chan error)
 	go func() { runDone <- announcer.Run(ctx) }()
-	next := func() string {
-		b := make([]byte, 100)
-		n, _, err := service.ReadFrom(b)
-		require.NoError(t, err)
-		return string(b[:n])
-	}
 	announcer.Set(true)
-	require.Equal(t, "announce n3 true", next())
-	require.Equal(t, "announce n3 true", next())
+	require.Equal(t, "announce n3 true", receive(t, service))
+	require.Equal(t, "announce n3 true", receive(t, service))
 	announcer.Set(false)
-	for next() != "announce n3 false" {
+	for receive(t, service) != "announce n3 false" {
 	}
-	require.Equal(t, "announce n3 false", next())
-	old := service
-	service, err = net.ListenPacket("udp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer service.Close()
-	announcer.SetAddress(service.LocalAddr().String()) // what was said holds there too
-	require.NoError(t, old.Close())
-	require.Equal(t, "announce n3 false", next())
-	require.Equal(t, "announce n3 false", next())
+	require.Equal(t, "announce n3 false", receive(t, service))
+	moved := listen(t, "127.0.0.1:0")
+	announcer.SetAddress(moved.LocalAddr().String()) // what was reported holds there too
+	require.NoError(t, service.Close())
+	require.Equal(t, "announce n3 false", receive(t, moved))
+	require.Equal(t, "announce n3 false", receive(t, moved))
 	cancel()
 	require.NoError(t, <-runDone)
 }
 
-// When another process goes on, what this one thinks of itself is no news any more.
+// Once another process reports, changes here are not reported any more.
 func TestSilence(t *testing.T) {
 	announcer := New("127.0.0.1:9", "n3", nil)
+	announcer.SetAddress("127.0.0.1:8")
+	require.Empty(t, announcer.reports.C()) // nothing to report yet
 	announcer.Set(true)
+	require.False(t, announcer.Silent())
 	announcer.Silence()
+	require.True(t, announcer.Silent())
+	require.Equal(t, "silenced", announcer.state.String())
 	announcer.Set(false)
 	announcer.SetAddress("127.0.0.1:10")
-	require.Empty(t, (<-announcer.reports).address)
-	require.Empty(t, announcer.reports)
+	require.Empty(t, (<-announcer.reports.C()).address)
+	require.Empty(t, announcer.reports.C())
 }
 
-// The service was down for a report, and the error of that takes the place of the next: the last word of a server that
-// leaves, which then came 200 ms late.
+// The service was down for a report, and the error of that takes the place of the next: the last report of a server that
+// drains, which then came 200 ms late.
 func TestReportAfterServiceWasDown(t *testing.T) {
-	service, err := net.ListenPacket("udp", "127.0.0.1:0")
+	service := listen(t, "127.0.0.1:0")
+	address := service.LocalAddr().String()
+	conn, err := net.Dial("udp", address)
 	require.NoError(t, err)
-	addr := service.LocalAddr().String()
-	conn, err := net.Dial("udp", addr)
-	require.NoError(t, err)
-	defer conn.Close()
+	t.Cleanup(func() { conn.Close() })
 	require.NoError(t, service.Close())
-	announcer := New(addr, "n3", nil)
-	require.NoError(t, announcer.send(conn, report{addr, true})) // nobody is there; the machine says so with the next
-	service, err = net.ListenPacket("udp", addr)
-	require.NoError(t, err)
-	defer service.Close()
-	require.NoError(t, announcer.send(conn, report{addr, false}))
-	b := make([]byte, 100)
-	n, _, err := service.ReadFrom(b)
-	require.NoError(t, err)
-	require.Equal(t, "announce n3 false", string(b[:n]))
+	announcer := New(address, "n3", nil)
+	require.NoError(t, announcer.send(conn, report{address, true})) // nobody is there; the kernel reports it with the next
+	service = listen(t, address)
+	require.NoError(t, announcer.send(conn, report{address, false}))
+	require.Equal(t, "announce n3 false", receive(t, service))
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -24,7 +24,8 @@
 	{"known", Message{Kind: Known, IdempotencyKey: "ab12", Digest: 0xfedcba9876543210, At: 1796147027278 * time.Millisecond}},
 	{"known, digest without leading zeros", Message{Kind: Known, IdempotencyKey: "00ff", Digest: 0x1a, At: 1}},
 	{"known, greatest numbers", Message{Kind: Known, IdempotencyKey: "ab12", Digest: math.MaxUint64, At: math.MaxInt64}},
-	{"over, success with a result", Message{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"result")}},
+	{"over, success with a result",
+		Message{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"result")}},
 	{"over, success with an empty result", Message{Kind: Completed, IdempotencyKey: "ab12", OK: true}},
 	{"over, failure", Message{Kind: Completed, IdempotencyKey: "ab12"}},
 	{"free", Message{Kind: Released, IdempotencyKey: "ab12"}},
@@ -66,7 +67,8 @@
 // A field that a newer process has added must be passed over.
 func TestGoldenMessageWithAddedField(t *testing.T) {
 	lineParser := newParser()
-	got, err := lineParser.Parse([]byte(`{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"))
+	const line = `{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"
+	got, err := lineParser.Parse([]byte(line))
 	require.NoError(t, err)
 	require.Equal(t, Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1}, got)
 }
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -97,15 +97,21 @@
 		return replyFrame{}, 0, fmt.Errorf("%w: %.80q", ErrMalformedReply, line)
 	}
 	if hasLength {
-		length, err := strconv.ParseUint(string(fields[2]), 10, 32)
-		if err != nil || length > maxBody {
-			return replyFrame{}, 0, fmt.Errorf("%w: length %.40q", ErrMalformedReply, fields[2])
+		if bodyLength, err = parseBodyLength(fields[2]); err != nil {
+			return replyFrame{}, 0, err
 		}
-		bodyLength = int(length)
 	}
 	return replyFrame{requestID: string(fields[0]), reply: reply}, bodyLength, nil
 }
 
+func parseBodyLength(text []byte) (int, error) {
+	length, err := strconv.ParseUint(string(text), 10, 32)
+	if err != nil || length > maxBody {
+		return 0, fmt.Errorf("%w: length %.40q", ErrMalformedReply, text)
+	}
+	return int(length), nil
+}
+
 // readBody reads a body and its end.
 func readBody(reader *bufio.Reader, length int) ([]byte, error) {
 	body := make([]byte, length+len(newline))
--- a/internal/store/frame_test.go
+++ b/internal/store/frame_test.go
@@ -11,7 +11,8 @@
 )
 
 func TestReadReply(t *testing.T) {
-	reader := bufio.NewReader(strings.NewReader("ab OK 4\r\n\r\nhi\r\ncd BUSY\r\nab ERR\r\nab LATE\r\nef VOID\r\nab OK 0\r\n\r\n"))
+	const text = "ab OK 4\r\n\r\nhi\r\ncd BUSY\r\nab ERR\r\nab LATE\r\nef VOID\r\nab OK 0\r\n\r\n"
+	reader := bufio.NewReader(strings.NewReader(text))
 	for _, want := range []struct {
 		requestID string
 		reply     Reply
