--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -1,59 +1,20 @@
 package agent
 
 import (
-	"flag"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"falldeal/internal/logging"
 	"falldeal/internal/writequeue"
+	"falldeal/lab/golden"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
-
-// goldenCase is one line of a golden file: the name of a form, and the form as text.
-type goldenCase struct{ name, form string }
-
-// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
-func requireGolden(t *testing.T, file string, cases []goldenCase) {
-	t.Helper()
-	var got strings.Builder
-	for _, golden := range cases {
-		got.WriteString(golden.name + ": " + golden.form + "\n")
-	}
-	path := filepath.Join("testdata", file)
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got.String())
-}
-
-// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
-func readGolden(t *testing.T, file string, count int) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", file))
-	require.NoError(t, err)
-	forms := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
-		require.True(t, found, line)
-		require.NotContains(t, forms, name)
-		forms[name] = form
-	}
-	require.Len(t, forms, count)
-	return forms
-}
-
 const (
 	goldenAddr    = "agent:1"
 	goldenRequest = "9b1f03aa5c7e2d41"
@@ -81,12 +42,12 @@
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
 
-func nameLines(t *testing.T, names, lines []string) []goldenCase {
+func nameLines(t *testing.T, names, lines []string) []golden.Case {
 	t.Helper()
 	require.Len(t, lines, len(names), "%q", lines)
-	var cases []goldenCase
+	var cases []golden.Case
 	for i, name := range names {
-		cases = append(cases, goldenCase{name, lines[i]})
+		cases = append(cases, golden.Case{Name: name, Form: lines[i]})
 	}
 	return cases
 }
@@ -113,7 +74,7 @@
 	})
 	cases = append(cases, nameLines(t, []string{"subscribe after a break", "sample after a break", "launch sent again",
 		"second launch sent again", "deliver sent again", "forgo sent again"}, second)...)
-	requireGolden(t, "commands.golden", cases)
+	golden.Require(t, "commands.golden", cases)
 }
 
 // Every kind of message from the agent, with each of its results.
@@ -139,7 +100,7 @@
 		{"refusal of an exercise", Notification{Kind: CommandRejected, Token: "x3", Result: "exercise"}},
 		{"aside", Notification{Kind: Aside, Offset: 11, Result: "so it goes"}},
 	}
-	lines := readGolden(t, "notices.golden", len(cases))
+	lines := golden.Read(t, "notices.golden", len(cases))
 	lineParser := newParser()
 	for _, test := range cases {
 		require.Contains(t, lines, test.name)
@@ -154,7 +115,7 @@
 
 // What is logged of lines that are no messages.
 func TestGoldenErrors(t *testing.T) {
-	var cases []goldenCase
+	var cases []golden.Case
 	for _, test := range []struct{ name, line string }{
 		{"unknown kind", `{"cmd":"news"}`},
 		{"no kind", `{}`},
@@ -169,7 +130,7 @@
 		lineParser := newParser()
 		_, err := lineParser.Parse([]byte(test.line))
 		require.Error(t, err, test.name)
-		cases = append(cases, goldenCase{test.name, err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
 	}
-	requireGolden(t, "errors.golden", cases)
+	golden.Require(t, "errors.golden", cases)
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -2,11 +2,8 @@
 
 import (
 	"bufio"
-	"flag"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"testing"
@@ -15,48 +12,12 @@
 	"falldeal/internal/deadline"
 	"falldeal/internal/logging"
 	"falldeal/internal/writequeue"
+	"falldeal/lab/golden"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
-
-// goldenCase is one line of a golden file: the name of a form, and the form as text.
-type goldenCase struct{ name, form string }
-
-// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
-func requireGolden(t *testing.T, file string, cases []goldenCase) {
-	t.Helper()
-	var got strings.Builder
-	for _, golden := range cases {
-		got.WriteString(golden.name + ": " + golden.form + "\n")
-	}
-	path := filepath.Join("testdata", file)
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got.String())
-}
-
-// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
-func readGolden(t *testing.T, file string, count int) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", file))
-	require.NoError(t, err)
-	forms := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
-		require.True(t, found, line)
-		require.NotContains(t, forms, name)
-		forms[name] = form
-	}
-	require.Len(t, forms, count)
-	return forms
-}
-
 const (
 	goldenRequest = "9b1f03aa5c7e2d41"
 	goldenOther   = "00000000000000aa"
@@ -69,13 +30,13 @@
 	link := New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
 	local, remote := net.Pipe()
 	queue := writequeue.New(local, writeQueueSize)
-	var cases []goldenCase
+	var cases []golden.Case
 	written := func(name string) {
 		t.Helper()
 		text := make([]byte, 1<<10)
 		n, err := remote.Read(text)
 		require.NoError(t, err)
-		cases = append(cases, goldenCase{name, strconv.Quote(string(text[:n]))})
+		cases = append(cases, golden.Case{Name: name, Form: strconv.Quote(string(text[:n]))})
 	}
 	writerDone := make(chan error, 1)
 	go func() { writerDone <- queue.Run() }()
@@ -95,7 +56,7 @@
 	require.NoError(t, err)
 	require.Empty(t, rest)
 	require.NoError(t, <-writerDone)
-	requireGolden(t, "calls.golden", cases)
+	golden.Require(t, "calls.golden", cases)
 }
 
 // Every kind of reply.
@@ -112,7 +73,7 @@
 		{"LATE", Late, ""},
 		{"VOID", Void, ""},
 	}
-	replies := readGolden(t, "replies.golden", len(cases))
+	replies := golden.Read(t, "replies.golden", len(cases))
 	for _, test := range cases {
 		require.Contains(t, replies, test.name)
 		text, err := strconv.Unquote(replies[test.name])
@@ -130,7 +91,7 @@
 
 // What is logged of lines that are no replies.
 func TestGoldenErrors(t *testing.T) {
-	var cases []goldenCase
+	var cases []golden.Case
 	for _, test := range []struct{ name, text string }{
 		{"line without a carriage return", "ab OK 4\nhi"},
 		{"line of one word", "ab\r\n"},
@@ -145,7 +106,7 @@
 	} {
 		_, err := readReply(bufio.NewReader(strings.NewReader(test.text)))
 		require.ErrorIs(t, err, ErrMalformedReply, test.name)
-		cases = append(cases, goldenCase{test.name, err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
 	}
-	requireGolden(t, "errors.golden", cases)
+	golden.Require(t, "errors.golden", cases)
 }
