--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -2,11 +2,8 @@
 
 import (
 	"bufio"
-	"flag"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"testing"
@@ -15,48 +12,12 @@
 	"falldeal/internal/deadline"
 	"falldeal/internal/logging"
 	"falldeal/internal/writequeue"
+	"falldeal/lab/golden"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
-
-// goldenCase is one line of a golden file: the name of a form, and the form as text.
-type goldenCase struct{ name, form string }
-
-// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
-func requireGolden(t *testing.T, file string, cases []goldenCase) {
-	t.Helper()
-	var got strings.Builder
-	for _, c := range cases {
-		got.WriteString(c.name + ": " + c.form + "\n")
-	}
-	path := filepath.Join("testdata", file)
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got.String())
-}
-
-// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
-func readGolden(t *testing.T, file string, count int) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", file))
-	require.NoError(t, err)
-	forms := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
-		require.True(t, found, line)
-		require.NotContains(t, forms, name)
-		forms[name] = form
-	}
-	require.Len(t, forms, count)
-	return forms
-}
-
 const (
 	goldenRequest = "9b1f03aa5c7e2d41"
 	goldenOther   = "00000000000000aa"
@@ -66,36 +27,36 @@
 func TestGoldenCalls(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return time.Second }, Deadlines: deadline.New()}
-	l := New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
-	near, far := net.Pipe()
-	w := writequeue.New(near, outRoom)
-	var cases []goldenCase
+	link := New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
+	local, remote := net.Pipe()
+	queue := writequeue.New(local, writeQueueSize)
+	var cases []golden.Case
 	written := func(name string) {
 		t.Helper()
 		text := make([]byte, 1<<10)
-		n, err := far.Read(text)
+		n, err := remote.Read(text)
 		require.NoError(t, err)
-		cases = append(cases, goldenCase{name, strconv.Quote(string(text[:n]))})
+		cases = append(cases, golden.Case{Name: name, Form: strconv.Quote(string(text[:n]))})
 	}
-	over := make(chan error, 1)
-	go func() { over <- w.Run() }()
+	writerDone := make(chan error, 1)
+	go func() { writerDone <- queue.Run() }()
 
-	l.Call(goldenRequest, 1250*time.Millisecond, []byte("\x00\xffbody\r\n"))
-	l.opened(<-l.dials, w)
+	link.Call(goldenRequest, 1250*time.Millisecond, []byte("\x00\xffbody\r\n"))
+	link.handleOpened(<-link.dialRequests, queue)
 	written("call")
-	l.replied(w, goldenRequest, OK, nil)
-	l.Call(goldenOther, time.Second+999*time.Microsecond, nil)
+	link.handleReply(queue, replyFrame{requestID: goldenRequest, reply: OK})
+	link.Call(goldenOther, time.Second+999*time.Microsecond, nil)
 	written("call of less than a millisecond without a body")
-	l.replied(w, goldenOther, Rejected, nil)
-	l.Call(goldenRequest, time.Hour+time.Second, []byte(strings.Repeat("x", 100)))
+	link.handleReply(queue, replyFrame{requestID: goldenOther, reply: Rejected})
+	link.Call(goldenRequest, time.Hour+time.Second, []byte(strings.Repeat("x", 100)))
 	written("call of an hour")
-	require.True(t, l.Abandon(goldenRequest))
+	require.True(t, link.Abandon(goldenRequest))
 	written("drop")
-	rest, err := io.ReadAll(far)
+	rest, err := io.ReadAll(remote)
 	require.NoError(t, err)
 	require.Empty(t, rest)
-	require.NoError(t, <-over)
-	requireGolden(t, "calls.golden", cases)
+	require.NoError(t, <-writerDone)
+	golden.Require(t, "calls.golden", cases)
 }
 
 // Every kind of reply.
@@ -112,26 +73,26 @@
 		{"LATE", Late, ""},
 		{"VOID", Void, ""},
 	}
-	replies := readGolden(t, "replies.golden", len(cases))
-	for _, c := range cases {
-		require.Contains(t, replies, c.name)
-		text, err := strconv.Unquote(replies[c.name])
-		require.NoError(t, err, c.name)
-		in := bufio.NewReader(strings.NewReader(text))
-		id, reply, body, err := readReply(in)
-		require.NoError(t, err, c.name)
-		require.Equal(t, goldenRequest, id, c.name)
-		require.Equal(t, c.reply, reply, c.name)
-		require.Equal(t, c.body, string(body), c.name)
-		_, err = in.ReadByte()
-		require.ErrorIs(t, err, io.EOF, c.name)
+	replies := golden.Read(t, "replies.golden", len(cases))
+	for _, test := range cases {
+		require.Contains(t, replies, test.name)
+		text, err := strconv.Unquote(replies[test.name])
+		require.NoError(t, err, test.name)
+		reader := bufio.NewReader(strings.NewReader(text))
+		frame, err := readReply(reader)
+		require.NoError(t, err, test.name)
+		require.Equal(t, goldenRequest, frame.requestID, test.name)
+		require.Equal(t, test.reply, frame.reply, test.name)
+		require.Equal(t, test.body, string(frame.body), test.name)
+		_, err = reader.ReadByte()
+		require.ErrorIs(t, err, io.EOF, test.name)
 	}
 }
 
 // What is logged of lines that are no replies.
 func TestGoldenErrors(t *testing.T) {
-	var cases []goldenCase
-	for _, c := range []struct{ name, text string }{
+	var cases []golden.Case
+	for _, test := range []struct{ name, text string }{
 		{"line without a carriage return", "ab OK 4\nhi"},
 		{"line of one word", "ab\r\n"},
 		{"line without an id", " BUSY\r\n"},
@@ -143,9 +104,9 @@
 		{"line past the limit", strings.Repeat("a", maxLine) + " BUSY\r\n"},
 		{"body without its end", "ab OK 2\r\nabcd"},
 	} {
-		_, _, _, err := readReply(bufio.NewReader(strings.NewReader(c.text)))
-		require.ErrorIs(t, err, errLine, c.name)
-		cases = append(cases, goldenCase{c.name, err.Error()})
+		_, err := readReply(bufio.NewReader(strings.NewReader(test.text)))
+		require.ErrorIs(t, err, ErrMalformedReply, test.name)
+		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
 	}
-	requireGolden(t, "errors.golden", cases)
+	golden.Require(t, "errors.golden", cases)
 }
