--- a/internal/permit/golden_test.go
+++ b/internal/permit/golden_test.go
@@ -33,26 +33,26 @@
 	requireGolden(t, "testdata/kinds.txt", got.String())
 }
 
-// goldenFacts are those of six instances in three zones.
-func goldenFacts(change func(f *Facts)) Facts {
-	f := Facts{Capacity: map[string]float64{}}
+// goldenView are those of six instances in three zones.
+func goldenView(change func(view *FleetView)) FleetView {
+	view := FleetView{Capacity: map[string]float64{}}
 	for i, zone := range []string{"a", "a", "b", "b", "c", "c"} {
 		name := fmt.Sprint("n", i)
-		f.Fleet = append(f.Fleet, Place{Name: name, Region: "eu", Zone: zone})
-		f.Capacity[name] = 10
+		view.Instances = append(view.Instances, Instance{Name: name, Region: "eu", Zone: zone})
+		view.Capacity[name] = 10
 	}
-	change(&f)
-	return f
+	change(&view)
+	return view
 }
 
-func noChange(*Facts) {}
+func noChange(*FleetView) {}
 
-func goldenAsk(halted uint64, facts Facts, names ...string) Command {
+func goldenAcquire(halted uint64, facts FleetView, names ...string) Command {
 	runs := map[string]uint64{}
 	for _, name := range names {
 		runs[name] = 5
 	}
-	return Command{Kind: Acquire, Owner: "deploy", Reason: "release 2", Names: names, Runs: runs, Halted: halted, Facts: facts}
+	return Command{Kind: Acquire, Owner: "deploy", Reason: "release 2", Names: names, Incarnations: runs, KnownHalts: halted, View: facts}
 }
 
 func goldenRules(version uint64, limits ...Limit) Command {
@@ -61,22 +61,22 @@
 
 // goldenCommands come to every answer that there is.
 func goldenCommands() []Command {
-	facts := goldenFacts(noChange)
+	facts := goldenView(noChange)
 	run := func(kind Kind, name string, run, seq uint64) Command {
-		return Command{Kind: kind, Owner: name, Names: []string{name}, Runs: map[string]uint64{name: run}, Seq: seq}
+		return Command{Kind: kind, Owner: name, Names: []string{name}, Incarnations: map[string]uint64{name: run}, Seq: seq}
 	}
 	return []Command{
-		goldenAsk(0, facts, "n0"),
-		goldenRules(1, Limit{Each: "zone", MaxOut: 1}, Limit{Each: "region", MaxRatio: 0.5}, Limit{Zone: "c", MaxRatio: 0.1}),
-		goldenRules(1, Limit{MaxOut: 1}),
-		goldenAsk(0, facts),
-		goldenAsk(0, facts, "nobody"),
-		goldenAsk(0, facts, "n0", "n1"),
-		goldenAsk(0, facts, "n4"),
-		goldenAsk(0, goldenFacts(func(f *Facts) { f.Lost = []string{"n3"} }), "n2"),
-		goldenAsk(0, goldenFacts(func(f *Facts) { f.Load = 45 }), "n0"),
-		goldenAsk(0, goldenFacts(func(f *Facts) { f.Load = 20 }), "n0", "n2"),
-		goldenAsk(0, facts, "n0"),
+		goldenAcquire(0, facts, "n0"),
+		goldenRules(1, Limit{Per: "zone", MaxUnavailable: 1}, Limit{Per: "region", MaxUnavailableRatio: 0.5}, Limit{Zone: "c", MaxUnavailableRatio: 0.1}),
+		goldenRules(1, Limit{MaxUnavailable: 1}),
+		goldenAcquire(0, facts),
+		goldenAcquire(0, facts, "nobody"),
+		goldenAcquire(0, facts, "n0", "n1"),
+		goldenAcquire(0, facts, "n4"),
+		goldenAcquire(0, goldenView(func(f *FleetView) { f.Lost = []string{"n3"} }), "n2"),
+		goldenAcquire(0, goldenView(func(f *FleetView) { f.Load = 45 }), "n0"),
+		goldenAcquire(0, goldenView(func(f *FleetView) { f.Load = 20 }), "n0", "n2"),
+		goldenAcquire(0, facts, "n0"),
 		run(Recovered, "n0", 4, 1),
 		run(Recovered, "n0", 5, 1),
 		run(Departed, "n0", 4, 1),
@@ -86,16 +86,16 @@
 		run(Recovered, "n0", 6, 1),
 		run(Recovered, "n0", 6, 1),
 		{Kind: Release, Owner: "n2", Names: []string{"n2"}, Epoch: 10},
-		goldenAsk(0, facts, "n1"),
+		goldenAcquire(0, facts, "n1"),
 		{Kind: WriteOff, Owner: "operator", Names: []string{"n1"}},
 		{Kind: WriteOff, Owner: "operator", Reason: strings.Repeat("broken ", 40), Names: []string{"n1"}},
 		{Kind: WriteOff, Owner: "operator", Reason: "broken", Names: []string{"n1", "n2"}},
 		{Kind: Departed, Owner: "operator"},
 		{Kind: Halt, Owner: "operator", Reason: "incident"},
-		goldenAsk(0, facts, "n0"),
+		goldenAcquire(0, facts, "n0"),
 		{Kind: Resume, Owner: "operator"},
-		goldenAsk(0, facts, "n0"),
-		goldenAsk(1, facts, "n0"),
+		goldenAcquire(0, facts, "n0"),
+		goldenAcquire(1, facts, "n0"),
 		goldenRules(2),
 		{Kind: 200, Owner: "operator"},
 	}
@@ -105,12 +105,12 @@
 func TestGoldenDecisions(t *testing.T) {
 	var got strings.Builder
 	state := NewState()
-	for _, c := range goldenCommands() {
-		d := state.Apply(c)
+	for _, command := range goldenCommands() {
+		decision := state.Apply(command)
 		fmt.Fprintf(&got, "epoch=%d kind=%q owner=%q names=%q reason=%q granted=%v why=%q\n",
-			d.Epoch, d.Kind, d.Owner, d.Names, d.Reason, d.Granted, d.Why)
+			decision.Epoch, decision.Kind, decision.Owner, decision.Names, decision.Reason, decision.Granted, decision.Denial)
 		for _, p := range state.Permits() {
-			fmt.Fprintf(&got, "    permit name=%q run=%d owner=%q reason=%q epoch=%d out=%v\n", p.Name, p.Run, p.Owner, p.Reason, p.Epoch, p.Out)
+			fmt.Fprintf(&got, "    permit name=%q run=%d owner=%q reason=%q epoch=%d out=%v\n", p.Name, p.Incarnation, p.Owner, p.Reason, p.Epoch, p.Departed)
 		}
 	}
 	fmt.Fprintf(&got, "halted=%v halts=%d log=%d\n", state.Halted(), state.Halts(), len(state.Log()))
@@ -120,20 +120,20 @@
 // The texts of errors name the key of the operators' rules that is at fault.
 func TestGoldenRuleErrors(t *testing.T) {
 	var got strings.Builder
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		rules Rules
 	}{
-		{"margin", Rules{Margin: 1, Limits: []Limit{{MaxOut: 1}}}},
+		{"margin", Rules{Margin: 1, Limits: []Limit{{MaxUnavailable: 1}}}},
 		{"no limits", Rules{}},
-		{"each", Rules{Limits: []Limit{{MaxOut: 1}, {Each: "rack", MaxOut: 1}}}},
+		{"each", Rules{Limits: []Limit{{MaxUnavailable: 1}, {Per: "rack", MaxUnavailable: 1}}}},
 		{"neither bound", Rules{Limits: []Limit{{}}}},
-		{"both bounds", Rules{Limits: []Limit{{MaxOut: 1, MaxRatio: 0.5}}}},
-		{"share", Rules{Limits: []Limit{{MaxRatio: 1.5}}}},
+		{"both bounds", Rules{Limits: []Limit{{MaxUnavailable: 1, MaxUnavailableRatio: 0.5}}}},
+		{"share", Rules{Limits: []Limit{{MaxUnavailableRatio: 1.5}}}},
 	} {
-		err := c.rules.Check()
-		require.Error(t, err, c.name)
-		fmt.Fprintf(&got, "%s: %s\n", c.name, err)
+		err := test.rules.Check()
+		require.Error(t, err, test.name)
+		fmt.Fprintf(&got, "%s: %s\n", test.name, err)
 	}
 	requireGolden(t, "testdata/rule_errors.txt", got.String())
 }
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -16,22 +16,22 @@
 
 // Bounds of what is kept.
 const (
-	mostPermits = 4096
-	mostLost    = 4096
-	mostReason  = 200 // bytes of a reason
-	mostLog     = 1024
+	maxPermits     = 4096
+	maxLost        = 4096
+	maxReasonBytes = 200 // bytes of a reason
+	maxLogEntries  = 1024
 )
 
-// Place is an instance and where it is.
-type Place struct{ Name, Region, Zone string }
+// Instance is an instance and where it is.
+type Instance struct{ Name, Region, Zone string }
 
 // Limit is how much of a scope may be out at once, unplanned losses included. Of several limits that hold for an
 // instance each has to hold.
 type Limit struct {
-	Region, Zone string  // empty: any. Each zone or region by itself, where Each is set
-	Each         string  // "zone", "region" or empty
-	MaxOut       int     // instances; 0: see Share
-	MaxRatio     float64 // of the instances of the scope
+	Region, Zone        string  // empty: any. Each zone or region by itself, where Each is set
+	Per                 string  // "zone", "region" or empty
+	MaxUnavailable      int     // instances; 0: see Share
+	MaxUnavailableRatio float64 // of the instances of the scope
 }
 
 // Rules are the operators'. The newest version holds.
@@ -41,12 +41,12 @@
 	Margin  float64 // of the capacity that is left, which the load must not take
 }
 
-// Facts are what the proposer of a command saw.
-type Facts struct {
-	Fleet    []Place // all instances that should be there, those that are out or lost as well
-	Lost     []string
-	Load     float64            // seconds of work a second that all are asked for
-	Capacity map[string]float64 // that each instance can do; one that is missing counts as 0
+// FleetView are what the proposer of a command saw.
+type FleetView struct {
+	Instances []Instance // all instances that should be there, those that are out or lost as well
+	Lost      []string
+	Load      float64            // seconds of work a second that all are asked for
+	Capacity  map[string]float64 // that each instance can do; one that is missing counts as 0
 }
 
 // Kind tells commands apart.
@@ -64,39 +64,39 @@
 	SetRules
 )
 
-var kinds = [...]string{Acquire: "ask", Departed: "went", Recovered: "seen", Release: "return", WriteOff: "write off", Halt: "halt", Resume: "resume", SetRules: "rules"}
+var kindNames = [...]string{Acquire: "ask", Departed: "went", Recovered: "seen", Release: "return", WriteOff: "write off", Halt: "halt", Resume: "resume", SetRules: "rules"}
 
 func (k Kind) String() string {
-	if int(k) < len(kinds) {
-		return kinds[k]
+	if int(k) < len(kindNames) {
+		return kindNames[k]
 	}
 	return fmt.Sprintf("command(%d)", uint8(k))
 }
 
 // Command is one entry of the log that all agree on.
 type Command struct {
-	Kind   Kind
-	Owner  string // who asks, or orders
-	Reason string
-	Names  []string          // Ask; the others name one
-	Runs   map[string]uint64 // Ask: the process of each that goes; Went and Seen: the one that tells
-	Seq    uint64            // Went and Seen: of its word, among those of the process
-	Epoch  uint64            // Return
-	Halted uint64            // Ask: the number of halts that the proposer knew of
-	Rules  Rules             // SetRules
-	Facts  Facts             // Ask
+	Kind         Kind
+	Owner        string // who asks, or orders
+	Reason       string
+	Names        []string          // Ask; the others name one
+	Incarnations map[string]uint64 // Ask: the process of each that goes; Went and Seen: the one that tells
+	Seq          uint64            // Went and Seen: of its word, among those of the process
+	Epoch        uint64            // Return
+	KnownHalts   uint64            // Ask: the number of halts that the proposer knew of
+	Rules        Rules             // SetRules
+	View         FleetView         // Ask
 }
 
 // Permit is a permission to be out.
 type Permit struct {
-	Name   string
-	Run    uint64 // the process that goes: another one of the name frees the permit
-	Owner  string
-	Reason string
-	Epoch  uint64 // of the command that granted it; later permits have higher ones
-	Out    bool   // it has begun to go
-	seq    uint64 // of the word that told so
-	place  Place
+	Name        string
+	Incarnation uint64 // the process that goes: another one of the name frees the permit
+	Owner       string
+	Reason      string
+	Epoch       uint64 // of the command that granted it; later permits have higher ones
+	Departed    bool   // it has begun to go
+	departedSeq uint64 // of the word that told so
+	instance    Instance
 }
 
 // Decision is what came of a command, as the log of decisions has it.
@@ -107,7 +107,7 @@
 	Names   []string
 	Reason  string
 	Granted bool   // or done
-	Why     string // it was not; names the limit
+	Denial  string // it was not; names the limit
 }
 
 // State is what all agree on.
@@ -129,174 +129,174 @@
 
 // Permits are those in force, in the order in which they were granted.
 func (s *State) Permits() []Permit {
-	all := make([]Permit, 0, len(s.permits))
+	permits := make([]Permit, 0, len(s.permits))
 	for _, p := range s.permits {
-		all = append(all, p)
+		permits = append(permits, p)
 	}
-	slices.SortFunc(all, func(a, b Permit) int {
+	slices.SortFunc(permits, func(a, b Permit) int {
 		if a.Epoch != b.Epoch {
 			return int(a.Epoch) - int(b.Epoch)
 		}
 		return strings.Compare(a.Name, b.Name)
 	})
-	return all
+	return permits
 }
 
 // Log are the latest decisions, oldest first.
 func (s *State) Log() []Decision { return s.log }
 
 // Apply applies the next command.
-func (s *State) Apply(c Command) Decision {
+func (s *State) Apply(command Command) Decision {
 	s.epoch++
-	d := Decision{Epoch: s.epoch, Kind: c.Kind, Owner: c.Owner, Names: c.Names, Reason: c.Reason}
-	if len(d.Reason) > mostReason {
-		d.Reason = d.Reason[:mostReason]
+	decision := Decision{Epoch: s.epoch, Kind: command.Kind, Owner: command.Owner, Names: command.Names, Reason: command.Reason}
+	if len(decision.Reason) > maxReasonBytes {
+		decision.Reason = decision.Reason[:maxReasonBytes]
 	}
-	d.Why = s.apply(&c, &d)
-	d.Granted = d.Why == ""
-	if s.log = append(s.log, d); len(s.log) > mostLog {
-		s.log = slices.Delete(s.log, 0, len(s.log)-mostLog)
+	decision.Denial = s.apply(&command, &decision)
+	decision.Granted = decision.Denial == ""
+	if s.log = append(s.log, decision); len(s.log) > maxLogEntries {
+		s.log = slices.Delete(s.log, 0, len(s.log)-maxLogEntries)
 	}
-	return d
+	return decision
 }
 
-func (s *State) apply(c *Command, d *Decision) (why string) {
-	switch c.Kind {
+func (s *State) apply(command *Command, decision *Decision) (why string) {
+	switch command.Kind {
 	case Acquire:
-		return s.ask(c, d)
+		return s.acquire(command, decision)
 	case Departed:
-		return s.went(c)
+		return s.markDeparted(command)
 	case Recovered:
-		return s.free(c, func(p Permit) string { return p.back(c.Runs[p.Name], c.Seq) })
+		return s.release(command, func(p Permit) string { return p.checkRecovered(command.Incarnations[p.Name], command.Seq) })
 	case Release:
-		return s.free(c, func(p Permit) string {
+		return s.release(command, func(p Permit) string {
 			switch {
-			case c.Owner != p.Name || c.Epoch != p.Epoch:
+			case command.Owner != p.Name || command.Epoch != p.Epoch:
 				return "that permit is another's"
-			case p.Out:
+			case p.Departed:
 				return p.Name + " has begun to go"
 			}
 			return ""
 		})
 	case WriteOff:
-		if c.Reason == "" {
+		if command.Reason == "" {
 			return "a permit is written off for a reason only"
 		}
-		return s.free(c, func(Permit) string { return "" })
+		return s.release(command, func(Permit) string { return "" })
 	case Halt:
 		s.halted = true
 		s.halts++
 	case Resume:
 		s.halted = false
 	case SetRules:
-		if c.Rules.Version <= s.rules.Version {
-			return fmt.Sprintf("rules %d are not newer than %d", c.Rules.Version, s.rules.Version)
+		if command.Rules.Version <= s.rules.Version {
+			return fmt.Sprintf("rules %d are not newer than %d", command.Rules.Version, s.rules.Version)
 		}
-		if err := c.Rules.Check(); err != nil {
+		if err := command.Rules.Check(); err != nil {
 			return err.Error()
 		}
-		s.rules = c.Rules
+		s.rules = command.Rules
 	default:
 		return "not a command that is known"
 	}
 	return ""
 }
 
-// free frees the permit of the one instance that c names, unless may says why not.
-func (s *State) free(c *Command, may func(Permit) string) string {
-	if len(c.Names) != 1 {
+// release frees the permit of the one instance that c names, unless may says why not.
+func (s *State) release(command *Command, may func(Permit) string) string {
+	if len(command.Names) != 1 {
 		return "names one instance"
 	}
-	p, ok := s.permits[c.Names[0]]
+	permit, ok := s.permits[command.Names[0]]
 	if !ok {
-		return c.Names[0] + " has no permit"
+		return command.Names[0] + " has no permit"
 	}
-	if why := may(p); why != "" {
+	if why := may(permit); why != "" {
 		return why
 	}
-	delete(s.permits, p.Name)
+	delete(s.permits, permit.Name)
 	return ""
 }
 
-// back says why an instance that serves has not come back yet: an earlier process, the one that was to go and has not
+// checkRecovered says why an instance that serves has not come back yet: an earlier process, the one that was to go and has not
 // begun, or a word from before it began. One that restarts in a loop is never seen warm.
-func (p *Permit) back(run, seq uint64) string {
+func (p *Permit) checkRecovered(run, seq uint64) string {
 	switch {
-	case run < p.Run:
+	case run < p.Incarnation:
 		return p.Name + " was an earlier process then"
-	case run == p.Run && (!p.Out || seq <= p.seq):
+	case run == p.Incarnation && (!p.Departed || seq <= p.departedSeq):
 		return p.Name + " has not gone yet"
 	}
 	return ""
 }
 
-// went notes that an instance has begun to go.
-func (s *State) went(c *Command) string {
-	if len(c.Names) != 1 {
+// markDeparted notes that an instance has begun to go.
+func (s *State) markDeparted(command *Command) string {
+	if len(command.Names) != 1 {
 		return "names one instance"
 	}
-	p, ok := s.permits[c.Names[0]]
-	if !ok || c.Runs[p.Name] != p.Run {
-		return c.Names[0] + " has no permit"
+	permit, ok := s.permits[command.Names[0]]
+	if !ok || command.Incarnations[permit.Name] != permit.Incarnation {
+		return command.Names[0] + " has no permit"
 	}
-	if !p.Out || c.Seq < p.seq {
-		p.Out, p.seq = true, c.Seq
-		s.permits[p.Name] = p
+	if !permit.Departed || command.Seq < permit.departedSeq {
+		permit.Departed, permit.departedSeq = true, command.Seq
+		s.permits[permit.Name] = permit
 	}
 	return ""
 }
 
-// ask lets all of the names out or none of them.
-func (s *State) ask(c *Command, d *Decision) string {
+// acquire lets all of the names out or none of them.
+func (s *State) acquire(command *Command, decision *Decision) string {
 	switch {
 	case s.halted:
 		return "halted"
-	case c.Halted != s.halts:
+	case command.KnownHalts != s.halts:
 		return "a halt came between"
 	case len(s.rules.Limits) == 0:
 		return "there are no limits yet"
-	case len(c.Names) == 0 || len(s.permits)+len(c.Names) > mostPermits || len(c.Facts.Lost) > mostLost:
+	case len(command.Names) == 0 || len(s.permits)+len(command.Names) > maxPermits || len(command.View.Lost) > maxLost:
 		return "too many, or none"
 	}
-	out := map[string]bool{}
+	unavailable := map[string]bool{}
 	for name := range s.permits {
-		out[name] = true
+		unavailable[name] = true
 	}
-	for _, name := range c.Facts.Lost {
-		out[name] = true
+	for _, name := range command.View.Lost {
+		unavailable[name] = true
 	}
-	places := map[string]Place{}
-	for _, p := range c.Facts.Fleet {
-		places[p.Name] = p
+	instances := map[string]Instance{}
+	for _, p := range command.View.Instances {
+		instances[p.Name] = p
 	}
 	for _, p := range s.permits { // also where the proposer has forgotten it
-		if _, ok := places[p.Name]; !ok {
-			places[p.Name] = p.place
+		if _, ok := instances[p.Name]; !ok {
+			instances[p.Name] = p.instance
 		}
 	}
-	for _, name := range c.Names {
+	for _, name := range command.Names {
 		if p, ok := s.permits[name]; ok {
 			return fmt.Sprintf("%s is out already, for %s", name, p.Owner)
 		}
-		if _, ok := places[name]; !ok {
+		if _, ok := instances[name]; !ok {
 			return name + " is nobody's name"
 		}
-		out[name] = true
+		unavailable[name] = true
 	}
-	if why := s.rules.holds(places, out, c.Names); why != "" {
+	if why := s.rules.checkLimits(instances, unavailable, command.Names); why != "" {
 		return why
 	}
-	left := 0.0
-	for name := range places {
-		if !out[name] {
-			left += c.Facts.Capacity[name]
+	remaining := 0.0
+	for name := range instances {
+		if !unavailable[name] {
+			remaining += command.View.Capacity[name]
 		}
 	}
-	if c.Facts.Load > left*(1-s.rules.Margin) {
-		return fmt.Sprintf("load: %.1f is asked for, and %.1f less %.0f%% would be left", c.Facts.Load, left, 100*s.rules.Margin)
+	if command.View.Load > remaining*(1-s.rules.Margin) {
+		return fmt.Sprintf("load: %.1f is asked for, and %.1f less %.0f%% would be left", command.View.Load, remaining, 100*s.rules.Margin)
 	}
-	for _, name := range c.Names {
-		s.permits[name] = Permit{Name: name, Run: c.Runs[name], Owner: c.Owner, Reason: d.Reason, Epoch: d.Epoch, place: places[name]}
+	for _, name := range command.Names {
+		s.permits[name] = Permit{Name: name, Incarnation: command.Incarnations[name], Owner: command.Owner, Reason: decision.Reason, Epoch: decision.Epoch, instance: instances[name]}
 	}
 	return ""
 }
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -15,67 +15,67 @@
 	if len(r.Limits) == 0 {
 		return errors.New("limits: none")
 	}
-	for i, l := range r.Limits {
+	for i, limit := range r.Limits {
 		switch {
-		case l.Each != "" && l.Each != "zone" && l.Each != "region":
-			return fmt.Errorf("limits[%d].each: %q is neither zone nor region", i, l.Each)
-		case l.MaxOut < 0 || (l.MaxOut > 0) == (l.MaxRatio > 0):
+		case limit.Per != "" && limit.Per != "zone" && limit.Per != "region":
+			return fmt.Errorf("limits[%d].each: %q is neither zone nor region", i, limit.Per)
+		case limit.MaxUnavailable < 0 || (limit.MaxUnavailable > 0) == (limit.MaxUnavailableRatio > 0):
 			return fmt.Errorf("limits[%d]: wants one of out and share", i)
-		case !(l.MaxRatio >= 0 && l.MaxRatio <= 1):
-			return fmt.Errorf("limits[%d].share: %v is not between 0 and 1", i, l.MaxRatio)
+		case !(limit.MaxUnavailableRatio >= 0 && limit.MaxUnavailableRatio <= 1):
+			return fmt.Errorf("limits[%d].share: %v is not between 0 and 1", i, limit.MaxUnavailableRatio)
 		}
 	}
 	return nil
 }
 
 // scope is the part of the fleet in which an instance counts for a limit; ok is false where it counts for none.
-func (l *Limit) scope(p Place) (name string, ok bool) {
-	if l.Region != "" && l.Region != p.Region || l.Zone != "" && l.Zone != p.Zone {
+func (l *Limit) scope(instance Instance) (domain string, ok bool) {
+	if l.Region != "" && l.Region != instance.Region || l.Zone != "" && l.Zone != instance.Zone {
 		return "", false
 	}
-	switch l.Each {
+	switch l.Per {
 	case "zone":
-		return p.Region + "/" + p.Zone, true
+		return instance.Region + "/" + instance.Zone, true
 	case "region":
-		return p.Region, true
+		return instance.Region, true
 	}
 	return "all", true
 }
 
-// most is how many of n may be out. A share is rounded down, so that it is never passed.
-func (l *Limit) most(n int) int {
-	if l.MaxOut > 0 {
-		return l.MaxOut
+// maxUnavailable is how many of n may be out. A share is rounded down, so that it is never passed.
+func (l *Limit) maxUnavailable(n int) int {
+	if l.MaxUnavailable > 0 {
+		return l.MaxUnavailable
 	}
-	return int(l.MaxRatio * float64(n))
+	return int(l.MaxUnavailableRatio * float64(n))
 }
 
-// holds says which limit would not hold with those out; empty: all do. Only scopes that one of the names is in count: what
+// checkLimits says which limit would not hold with those out; empty: all do. Only scopes that one of the names is in count: what
 // is over its limit elsewhere, by losses, holds up nobody here.
-func (r *Rules) holds(places map[string]Place, out map[string]bool, names []string) string {
+func (r *Rules) checkLimits(instances map[string]Instance, unavailable map[string]bool, names []string) string {
 	for i := range r.Limits {
-		l := &r.Limits[i]
-		all, gone, asked := map[string]int{}, map[string]int{}, map[string]bool{}
-		for name, p := range places {
-			if scope, ok := l.scope(p); ok {
-				all[scope]++
-				if out[name] {
-					gone[scope]++
+		limit := &r.Limits[i]
+		total, unavailableIn, requested := map[string]int{}, map[string]int{}, map[string]bool{}
+		for name, p := range instances {
+			if scope, ok := limit.scope(p); ok {
+				total[scope]++
+				if unavailable[name] {
+					unavailableIn[scope]++
 				}
 			}
 		}
 		for _, name := range names {
-			if scope, ok := l.scope(places[name]); ok {
-				asked[scope] = true
+			if scope, ok := limit.scope(instances[name]); ok {
+				requested[scope] = true
 			}
 		}
-		for _, scope := range slices.Sorted(maps.Keys(asked)) {
-			most := l.most(all[scope])
-			if most == 0 {
-				return fmt.Sprintf("limits[%d]: of %d in %s none may ever go", i, all[scope], scope)
+		for _, scope := range slices.Sorted(maps.Keys(requested)) {
+			allowed := limit.maxUnavailable(total[scope])
+			if allowed == 0 {
+				return fmt.Sprintf("limits[%d]: of %d in %s none may ever go", i, total[scope], scope)
 			}
-			if gone[scope] > most {
-				return fmt.Sprintf("limits[%d]: %d of %d in %s would be out or lost, and %d may be", i, gone[scope], all[scope], scope, most)
+			if unavailableIn[scope] > allowed {
+				return fmt.Sprintf("limits[%d]: %d of %d in %s would be out or lost, and %d may be", i, unavailableIn[scope], total[scope], scope, allowed)
 			}
 		}
 	}
