--- /dev/null
+++ b/internal/permit/acquire.go
@@ -0,0 +1,155 @@
+package permit
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// prospect is the fleet as it is before or would be after a grant.
+type prospect struct {
+	instances   map[string]Instance // all that are known, by name
+	unavailable map[string]bool     // those that are out by permit or lost
+}
+
+// acquire grants permits for all names of the command, or for none of them.
+func (s *State) acquire(command *Command, decision *Decision) error {
+	if err := s.checkGrantable(command); err != nil {
+		return err
+	}
+	after := s.prospectOf(&command.View)
+	if err := s.checkNames(command.Names, after.instances); err != nil {
+		return err
+	}
+	for _, name := range command.Names {
+		after.unavailable[name] = true
+	}
+	if err := s.rules.checkLimits(after, command.Names); err != nil {
+		return err
+	}
+	if err := s.rules.checkLoad(after, &command.View); err != nil {
+		return err
+	}
+	for _, name := range command.Names {
+		s.permits[name] = Permit{
+			Name:        name,
+			Incarnation: command.Incarnations[name],
+			Owner:       command.Owner,
+			Reason:      decision.Reason,
+			Epoch:       decision.Epoch,
+			instance:    after.instances[name],
+		}
+	}
+	return nil
+}
+
+// checkGrantable returns why no permit can be granted now, whichever instances are named.
+func (s *State) checkGrantable(command *Command) error {
+	switch {
+	case s.halted:
+		return ErrHalted
+	case command.KnownHalts != s.halts:
+		return ErrHaltedSince
+	case len(s.rules.Limits) == 0:
+		return ErrNoLimits
+	case len(command.Names) == 0 || len(s.permits)+len(command.Names) > maxPermits:
+		return ErrBatchSize
+	case len(command.View.Lost) > maxLost:
+		return ErrBatchSize
+	}
+	return nil
+}
+
+// prospectOf returns the fleet as it is before a grant.
+func (s *State) prospectOf(view *FleetView) prospect {
+	before := prospect{instances: map[string]Instance{}, unavailable: map[string]bool{}}
+	for _, instance := range view.Instances {
+		before.instances[instance.Name] = instance
+	}
+	for name, permit := range s.permits {
+		before.unavailable[name] = true
+		if _, ok := before.instances[name]; !ok { // an instance that is out counts even where the proposer has forgotten it
+			before.instances[name] = permit.instance
+		}
+	}
+	for _, name := range view.Lost {
+		before.unavailable[name] = true
+	}
+	return before
+}
+
+// checkNames returns an error unless each name is that of a known instance without a permit.
+func (s *State) checkNames(names []string, instances map[string]Instance) error {
+	for _, name := range names {
+		if permit, ok := s.permits[name]; ok {
+			return &InstanceError{Name: name, Err: fmt.Errorf("%w, for %s", ErrAlreadyPermitted, permit.Owner)}
+		}
+		if _, ok := instances[name]; !ok {
+			return &InstanceError{Name: name, Err: ErrUnknownInstance}
+		}
+	}
+	return nil
+}
+
+// checkLimits returns a *LimitError for the first limit that would be exceeded. Only domains that one of the names is in
+// count: losses elsewhere delay nobody here.
+func (r *Rules) checkLimits(after prospect, names []string) error {
+	for i := range r.Limits {
+		limit := &r.Limits[i]
+		total, unavailable := limit.count(after)
+		for _, domain := range limit.domainsOf(names, after.instances) {
+			allowed := limit.maxUnavailable(total[domain])
+			if allowed == 0 || unavailable[domain] > allowed {
+				return &LimitError{
+					Index:       i,
+					Domain:      domain,
+					Instances:   total[domain],
+					Unavailable: unavailable[domain],
+					Allowed:     allowed,
+				}
+			}
+		}
+	}
+	return nil
+}
+
+// count returns the number of instances by domain, and of those that would be unavailable.
+func (l *Limit) count(after prospect) (total, unavailable map[string]int) {
+	total, unavailable = map[string]int{}, map[string]int{}
+	for name, instance := range after.instances {
+		domain, ok := l.domainOf(instance)
+		if !ok {
+			continue
+		}
+		total[domain]++
+		if after.unavailable[name] {
+			unavailable[domain]++
+		}
+	}
+	return total, unavailable
+}
+
+// domainsOf returns the domains that the named instances are counted in, sorted.
+func (l *Limit) domainsOf(names []string, instances map[string]Instance) []string {
+	domains := map[string]bool{}
+	for _, name := range names {
+		if domain, ok := l.domainOf(instances[name]); ok {
+			domains[domain] = true
+		}
+	}
+	return slices.Sorted(maps.Keys(domains))
+}
+
+// checkLoad returns a *LoadError where the load would not fit into the remaining capacity less the margin.
+func (r *Rules) checkLoad(after prospect, view *FleetView) error {
+	remaining := 0.0
+	for name := range after.instances {
+		if !after.unavailable[name] {
+			remaining += view.Capacity[name]
+		}
+	}
+	if view.Load > remaining*(1-r.Margin) {
+		return &LoadError{Load: view.Load, Remaining: remaining, Margin: r.Margin}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/permit/acquire_test.go
@@ -0,0 +1,181 @@
+package permit
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+// newFleetView returns n instances in two zones, each with the capacity of one core.
+func newFleetView(n int) FleetView {
+	view := FleetView{Capacity: map[string]float64{}}
+	for i := range n {
+		instance := Instance{Name: fmt.Sprint("n", i), Region: "belgium", Zone: fmt.Sprint("z", i%2)}
+		view.Instances = append(view.Instances, instance)
+		view.Capacity[instance.Name] = 1
+	}
+	return view
+}
+
+func newStateWithLimits(limits ...Limit) *State {
+	state := NewState()
+	state.Apply(Command{Kind: SetRules, Rules: Rules{Version: 1, Limits: limits, Margin: 0.1}})
+	return state
+}
+
+// acquireCommand asks for permits for the first process of each name.
+func acquireCommand(view FleetView, names ...string) Command {
+	command := Command{Kind: Acquire, Owner: "op", Names: names, View: view, Incarnations: map[string]uint64{}}
+	for _, name := range names {
+		command.Incarnations[name] = 1
+	}
+	return command
+}
+
+// denialText is the text of a denial, empty for a grant.
+func denialText(decision Decision) string {
+	if decision.Granted() {
+		return ""
+	}
+	return decision.Denial.Error()
+}
+
+// Each request must be granted, or denied for its own reason, which names the limit.
+func TestAcquire(t *testing.T) {
+	view := newFleetView(6)
+	lost, busy, half := view, view, newFleetView(6)
+	lost.Lost = []string{"n2"}
+	busy.Load = 4.6
+	half.Load = 2
+
+	onePerZone := []Limit{{Per: PerZone, MaxUnavailable: 1}}
+	onePerZoneAndOne := []Limit{{Per: PerZone, MaxUnavailable: 1}, {MaxUnavailable: 1}}
+	third := []Limit{{MaxUnavailableRatio: 0.34}}
+	tenth := []Limit{{MaxUnavailableRatio: 0.1}}
+	one := []Limit{{MaxUnavailable: 1}}
+	six := []Limit{{MaxUnavailable: 6}}
+
+	acquire := func(names ...string) Command { return acquireCommand(view, names...) }
+	halt, resume := Command{Kind: Halt}, Command{Kind: Resume}
+	for name, test := range map[string]struct {
+		limits  []Limit
+		before  []Command
+		command Command
+		denial  string // empty: granted
+	}{
+		"one":                      {onePerZone, nil, acquire("n0"), ""},
+		"one of each zone":         {onePerZone, nil, acquire("n0", "n1"), ""},
+		"two of a zone":            {onePerZone, nil, acquire("n0", "n2"), "limits[0]: 2 of 3 in belgium/z0"},
+		"another is out there":     {onePerZone, []Command{acquire("n2")}, acquire("n0"), "limits[0]: 2 of 3"},
+		"another is out elsewhere": {onePerZone, []Command{acquire("n2")}, acquire("n1"), ""},
+		"another is lost there":    {onePerZone, nil, acquireCommand(lost, "n0"), "limits[0]: 2 of 3"},
+		"it is lost itself":        {onePerZone, nil, acquireCommand(lost, "n2"), ""}, // going changes nothing
+		"two limits":               {onePerZoneAndOne, []Command{acquire("n1")}, acquire("n0"), "limits[1]: 2 of 6 in all"},
+		"ratio":                    {third, []Command{acquire("n1")}, acquire("n0"), ""},
+		"ratio exceeded": {third, []Command{acquire("n1", "n2")}, acquire("n0"),
+			"limits[0]: 3 of 6 in all would be out or lost, and 2 may be"},
+		"limit that can never be met": {tenth, nil, acquire("n0"), "limits[0]: of 6 in all none may ever go"},
+		"load would not fit":          {six, nil, acquireCommand(busy, "n0"), "load: 4.6"},
+		"load fits":                   {six, nil, acquireCommand(half, "n0", "n1", "n2"), ""},
+		"same again":                  {six, []Command{acquire("n0")}, acquire("n0"), "n0 is out already, for op"},
+		"unknown instance":            {six, nil, acquire("n9"), "n9 is nobody's name"},
+		"halted":                      {onePerZone, []Command{halt}, acquire("n0"), "halted"},
+		"halted and resumed since":    {onePerZone, []Command{halt, resume}, acquire("n0"), "a halt came between"},
+		"no rules":                    {nil, nil, acquire("n0"), "there are no limits yet"},
+		"proposer forgot who is out":  {one, []Command{acquire("n5")}, acquireCommand(newFleetView(3), "n0"), "limits[0]: 2 of 4"},
+	} {
+		state := NewState()
+		if test.limits != nil {
+			state = newStateWithLimits(test.limits...)
+		}
+		for _, command := range test.before {
+			state.Apply(command)
+		}
+		decision := state.Apply(test.command)
+		require.Contains(t, denialText(decision), test.denial, name)
+		require.Equal(t, test.denial == "", decision.Granted(), "%s: %v", name, decision.Denial)
+		require.Equal(t, decision, state.Log()[len(state.Log())-1])
+	}
+}
+
+// Whatever is applied, in whatever order, no grant may leave more unavailable than a limit allows, by plain counting;
+// replicas that apply the same must hold the same.
+func TestGrantsNeverExceedLimits(t *testing.T) {
+	limits := []Limit{{Per: PerZone, MaxUnavailable: 2}, {MaxUnavailableRatio: 0.5}}
+	rapid.Check(t, func(t *rapid.T) {
+		first, second := newStateWithLimits(limits...), newStateWithLimits(limits...)
+		view := newFleetView(rapid.IntRange(2, 9).Draw(t, "fleet"))
+		for range rapid.IntRange(1, 40).Draw(t, "commands") {
+			command := drawCommand(t, view, first.Halts())
+			decision := first.Apply(command)
+			require.Equal(t, decision, second.Apply(command))
+			require.Equal(t, first.Permits(), second.Permits())
+			if command.Kind != Acquire || !decision.Granted() {
+				continue
+			}
+			require.False(t, first.Halted())
+			unavailable := unavailableNames(first, command.View)
+			for _, n := range unavailableByZone(view, unavailable, command.Names) {
+				require.LessOrEqual(t, n, 2)
+			}
+			require.LessOrEqual(t, len(unavailable), len(view.Instances)/2)
+		}
+	})
+}
+
+// drawCommand draws a command of any kind about one or two instances of the view.
+func drawCommand(t *rapid.T, view FleetView, knownHalts uint64) Command {
+	drawName := func(label string) string {
+		return view.Instances[rapid.IntRange(0, len(view.Instances)-1).Draw(t, label)].Name
+	}
+	command := Command{
+		Kind:       Kind(rapid.IntRange(1, 8).Draw(t, "kind")),
+		Owner:      "op",
+		Names:      []string{drawName("who")},
+		Seq:        rapid.Uint64Range(0, 3).Draw(t, "seq"),
+		Reason:     rapid.SampledFrom([]string{"", "x"}).Draw(t, "reason"),
+		KnownHalts: knownHalts,
+		View:       view,
+	}
+	command.View.Lost = nil
+	for range rapid.IntRange(0, 2).Draw(t, "lost") {
+		command.View.Lost = append(command.View.Lost, drawName("lost"))
+	}
+	if rapid.Bool().Draw(t, "two") {
+		command.Names = append(command.Names, drawName("too"))
+	}
+	command.Incarnations = map[string]uint64{command.Names[0]: rapid.Uint64Range(0, 3).Draw(t, "run")}
+	return command
+}
+
+// unavailableNames returns the instances that are out by permit or lost.
+func unavailableNames(state *State, view FleetView) map[string]bool {
+	unavailable := map[string]bool{}
+	for _, permit := range state.Permits() {
+		unavailable[permit.Name] = true
+	}
+	for _, name := range view.Lost {
+		unavailable[name] = true
+	}
+	return unavailable
+}
+
+// unavailableByZone counts the unavailable instances in each zone that one of the names is in.
+func unavailableByZone(view FleetView, unavailable map[string]bool, names []string) map[string]int {
+	zones := map[string]bool{}
+	for _, instance := range view.Instances {
+		if slices.Contains(names, instance.Name) {
+			zones[instance.Zone] = true
+		}
+	}
+	counts := map[string]int{}
+	for _, instance := range view.Instances {
+		if unavailable[instance.Name] && zones[instance.Zone] {
+			counts[instance.Zone]++
+		}
+	}
+	return counts
+}
--- a/internal/permit/golden_test.go
+++ b/internal/permit/golden_test.go
@@ -23,7 +23,7 @@
 	require.Equal(t, string(want), got)
 }
 
-// The numbers of commands are those of the log that all agree on, and the names stand in what is shown of it.
+// The numbers of the kinds are part of the replicated log, and their names are shown to operators.
 func TestGoldenKinds(t *testing.T) {
 	var got strings.Builder
 	for kind := Acquire; kind <= SetRules; kind++ {
@@ -33,7 +33,7 @@
 	requireGolden(t, "testdata/kinds.txt", got.String())
 }
 
-// goldenView are those of six instances in three zones.
+// goldenView returns six instances in three zones.
 func goldenView(change func(view *FleetView)) FleetView {
 	view := FleetView{Capacity: map[string]float64{}}
 	for i, zone := range []string{"a", "a", "b", "b", "c", "c"} {
@@ -47,70 +47,93 @@
 
 func noChange(*FleetView) {}
 
-func goldenAcquire(halted uint64, facts FleetView, names ...string) Command {
-	runs := map[string]uint64{}
+// goldenAcquire requests permits for process 5 of each name.
+func goldenAcquire(knownHalts uint64, view FleetView, names ...string) Command {
+	incarnations := map[string]uint64{}
 	for _, name := range names {
-		runs[name] = 5
+		incarnations[name] = 5
+	}
+	return Command{
+		Kind:         Acquire,
+		Owner:        "deploy",
+		Reason:       "release 2",
+		Names:        names,
+		Incarnations: incarnations,
+		KnownHalts:   knownHalts,
+		View:         view,
 	}
-	return Command{Kind: Acquire, Owner: "deploy", Reason: "release 2", Names: names, Incarnations: runs, KnownHalts: halted, View: facts}
 }
 
 func goldenRules(version uint64, limits ...Limit) Command {
 	return Command{Kind: SetRules, Owner: "operator", Rules: Rules{Version: version, Margin: 0.2, Limits: limits}}
 }
 
-// goldenCommands come to every answer that there is.
-func goldenCommands() []Command {
-	facts := goldenView(noChange)
-	run := func(kind Kind, name string, run, seq uint64) Command {
-		return Command{Kind: kind, Owner: name, Names: []string{name}, Incarnations: map[string]uint64{name: run}, Seq: seq}
+// goldenReport is a report of n0 about itself.
+func goldenReport(kind Kind, incarnation, seq uint64) Command {
+	const name = "n0"
+	return Command{
+		Kind:         kind,
+		Owner:        name,
+		Names:        []string{name},
+		Incarnations: map[string]uint64{name: incarnation},
+		Seq:          seq,
 	}
+}
+
+// goldenCommands lead to every possible decision.
+func goldenCommands() []Command {
+	view := goldenView(noChange)
 	return []Command{
-		goldenAcquire(0, facts, "n0"),
-		goldenRules(1, Limit{Per: "zone", MaxUnavailable: 1}, Limit{Per: "region", MaxUnavailableRatio: 0.5}, Limit{Zone: "c", MaxUnavailableRatio: 0.1}),
+		goldenAcquire(0, view, "n0"),
+		goldenRules(1,
+			Limit{Per: PerZone, MaxUnavailable: 1},
+			Limit{Per: PerRegion, MaxUnavailableRatio: 0.5},
+			Limit{Zone: "c", MaxUnavailableRatio: 0.1}),
 		goldenRules(1, Limit{MaxUnavailable: 1}),
-		goldenAcquire(0, facts),
-		goldenAcquire(0, facts, "nobody"),
-		goldenAcquire(0, facts, "n0", "n1"),
-		goldenAcquire(0, facts, "n4"),
+		goldenAcquire(0, view),
+		goldenAcquire(0, view, "nobody"),
+		goldenAcquire(0, view, "n0", "n1"),
+		goldenAcquire(0, view, "n4"),
 		goldenAcquire(0, goldenView(func(f *FleetView) { f.Lost = []string{"n3"} }), "n2"),
 		goldenAcquire(0, goldenView(func(f *FleetView) { f.Load = 45 }), "n0"),
 		goldenAcquire(0, goldenView(func(f *FleetView) { f.Load = 20 }), "n0", "n2"),
-		goldenAcquire(0, facts, "n0"),
-		run(Recovered, "n0", 4, 1),
-		run(Recovered, "n0", 5, 1),
-		run(Departed, "n0", 4, 1),
-		run(Departed, "n0", 5, 3),
+		goldenAcquire(0, view, "n0"),
+		goldenReport(Recovered, 4, 1),
+		goldenReport(Recovered, 5, 1),
+		goldenReport(Departed, 4, 1),
+		goldenReport(Departed, 5, 3),
 		{Kind: Release, Owner: "n0", Names: []string{"n0"}, Epoch: 10},
 		{Kind: Release, Owner: "n1", Names: []string{"n0"}, Epoch: 10},
-		run(Recovered, "n0", 6, 1),
-		run(Recovered, "n0", 6, 1),
+		goldenReport(Recovered, 6, 1),
+		goldenReport(Recovered, 6, 1),
 		{Kind: Release, Owner: "n2", Names: []string{"n2"}, Epoch: 10},
-		goldenAcquire(0, facts, "n1"),
+		goldenAcquire(0, view, "n1"),
 		{Kind: WriteOff, Owner: "operator", Names: []string{"n1"}},
 		{Kind: WriteOff, Owner: "operator", Reason: strings.Repeat("broken ", 40), Names: []string{"n1"}},
 		{Kind: WriteOff, Owner: "operator", Reason: "broken", Names: []string{"n1", "n2"}},
 		{Kind: Departed, Owner: "operator"},
 		{Kind: Halt, Owner: "operator", Reason: "incident"},
-		goldenAcquire(0, facts, "n0"),
+		goldenAcquire(0, view, "n0"),
 		{Kind: Resume, Owner: "operator"},
-		goldenAcquire(0, facts, "n0"),
-		goldenAcquire(1, facts, "n0"),
+		goldenAcquire(0, view, "n0"),
+		goldenAcquire(1, view, "n0"),
 		goldenRules(2),
 		{Kind: 200, Owner: "operator"},
 	}
 }
 
-// Whoever applies the same commands must give the same answers, in the same words, and come to the same permits.
+// The same commands must lead to the same decisions, with the same texts, and to the same permits.
 func TestGoldenDecisions(t *testing.T) {
 	var got strings.Builder
 	state := NewState()
 	for _, command := range goldenCommands() {
 		decision := state.Apply(command)
 		fmt.Fprintf(&got, "epoch=%d kind=%q owner=%q names=%q reason=%q granted=%v why=%q\n",
-			decision.Epoch, decision.Kind, decision.Owner, decision.Names, decision.Reason, decision.Granted, decision.Denial)
-		for _, p := range state.Permits() {
-			fmt.Fprintf(&got, "    permit name=%q run=%d owner=%q reason=%q epoch=%d out=%v\n", p.Name, p.Incarnation, p.Owner, p.Reason, p.Epoch, p.Departed)
+			decision.Epoch, decision.Kind, decision.Owner, decision.Names, decision.Reason,
+			decision.Granted(), denialText(decision))
+		for _, permit := range state.Permits() {
+			fmt.Fprintf(&got, "    permit name=%q run=%d owner=%q reason=%q epoch=%d out=%v\n",
+				permit.Name, permit.Incarnation, permit.Owner, permit.Reason, permit.Epoch, permit.Departed)
 		}
 	}
 	fmt.Fprintf(&got, "halted=%v halts=%d log=%d\n", state.Halted(), state.Halts(), len(state.Log()))
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -3,81 +3,86 @@
 import (
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
 )
 
-// Check reports rules that make no sense.
+// Domain is the part of the fleet for which a limit is counted separately.
+type Domain string
+
+// The domains of a Limit.
+const (
+	WholeFleet Domain = "" // one count for all instances that the limit selects
+	PerZone    Domain = "zone"
+	PerRegion  Domain = "region"
+)
+
+// Limit bounds how many instances may be unavailable at once, by permit or lost. An instance that several limits select
+// has to satisfy all of them.
+type Limit struct {
+	Region, Zone        string  // the instances it selects; empty: any
+	Per                 Domain  // in which they are counted
+	MaxUnavailable      int     // instances; 0: MaxUnavailableRatio holds
+	MaxUnavailableRatio float64 // of the instances in the domain, 0 to 1
+}
+
+// Rules are set by operators. Only a version above the one in force replaces it.
+type Rules struct {
+	Version uint64
+	Limits  []Limit
+	Margin  float64 // part of the remaining capacity that the load must not take, 0 up to but not including 1
+}
+
+// Check returns a *KeyError for rules that make no sense.
 func (r *Rules) Check() error {
 	if !(r.Margin >= 0 && r.Margin < 1) {
-		return fmt.Errorf("margin: %v is not between 0 and 1", r.Margin)
+		return keyErrorf("margin", "%v is not between 0 and 1", r.Margin)
 	}
 	if len(r.Limits) == 0 {
-		return errors.New("limits: none")
+		return &KeyError{Key: "limits", Err: errors.New("none")}
 	}
-	for i, limit := range r.Limits {
-		switch {
-		case limit.Per != "" && limit.Per != "zone" && limit.Per != "region":
-			return fmt.Errorf("limits[%d].each: %q is neither zone nor region", i, limit.Per)
-		case limit.MaxUnavailable < 0 || (limit.MaxUnavailable > 0) == (limit.MaxUnavailableRatio > 0):
-			return fmt.Errorf("limits[%d]: wants one of out and share", i)
-		case !(limit.MaxUnavailableRatio >= 0 && limit.MaxUnavailableRatio <= 1):
-			return fmt.Errorf("limits[%d].share: %v is not between 0 and 1", i, limit.MaxUnavailableRatio)
+	for i := range r.Limits {
+		if err := r.Limits[i].check(fmt.Sprintf("limits[%d]", i)); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// scope is the part of the fleet in which an instance counts for a limit; ok is false where it counts for none.
-func (l *Limit) scope(instance Instance) (domain string, ok bool) {
+// check returns a *KeyError for a limit that makes no sense. Key is that of the limit.
+func (l *Limit) check(key string) error {
+	switch l.Per {
+	case WholeFleet, PerZone, PerRegion:
+	default:
+		return keyErrorf(key+".each", "%q is neither zone nor region", l.Per)
+	}
+	if l.MaxUnavailable < 0 || (l.MaxUnavailable > 0) == (l.MaxUnavailableRatio > 0) {
+		return &KeyError{Key: key, Err: errNeitherOrBothSet}
+	}
+	if !(l.MaxUnavailableRatio >= 0 && l.MaxUnavailableRatio <= 1) {
+		return keyErrorf(key+".share", "%v is not between 0 and 1", l.MaxUnavailableRatio)
+	}
+	return nil
+}
+
+// domainOf returns the domain in which an instance is counted. ok is false where the limit does not select it.
+func (l *Limit) domainOf(instance Instance) (domain string, ok bool) {
 	if l.Region != "" && l.Region != instance.Region || l.Zone != "" && l.Zone != instance.Zone {
 		return "", false
 	}
 	switch l.Per {
-	case "zone":
+	case PerZone:
 		return instance.Region + "/" + instance.Zone, true
-	case "region":
+	case PerRegion:
 		return instance.Region, true
+	case WholeFleet:
 	}
 	return "all", true
 }
 
-// maxUnavailable is how many of n may be out. A share is rounded down, so that it is never passed.
-func (l *Limit) maxUnavailable(n int) int {
+// maxUnavailable returns how many of so many instances may be unavailable. A ratio is rounded down, so that it is never
+// exceeded.
+func (l *Limit) maxUnavailable(instances int) int {
 	if l.MaxUnavailable > 0 {
 		return l.MaxUnavailable
 	}
-	return int(l.MaxUnavailableRatio * float64(n))
-}
-
-// checkLimits says which limit would not hold with those out; empty: all do. Only scopes that one of the names is in count: what
-// is over its limit elsewhere, by losses, holds up nobody here.
-func (r *Rules) checkLimits(instances map[string]Instance, unavailable map[string]bool, names []string) string {
-	for i := range r.Limits {
-		limit := &r.Limits[i]
-		total, unavailableIn, requested := map[string]int{}, map[string]int{}, map[string]bool{}
-		for name, p := range instances {
-			if scope, ok := limit.scope(p); ok {
-				total[scope]++
-				if unavailable[name] {
-					unavailableIn[scope]++
-				}
-			}
-		}
-		for _, name := range names {
-			if scope, ok := limit.scope(instances[name]); ok {
-				requested[scope] = true
-			}
-		}
-		for _, scope := range slices.Sorted(maps.Keys(requested)) {
-			allowed := limit.maxUnavailable(total[scope])
-			if allowed == 0 {
-				return fmt.Sprintf("limits[%d]: of %d in %s none may ever go", i, total[scope], scope)
-			}
-			if unavailableIn[scope] > allowed {
-				return fmt.Sprintf("limits[%d]: %d of %d in %s would be out or lost, and %d may be", i, unavailableIn[scope], total[scope], scope, allowed)
-			}
-		}
-	}
-	return ""
+	return int(l.MaxUnavailableRatio * float64(instances))
 }
--- /dev/null
+++ b/internal/permit/state_test.go
@@ -0,0 +1,50 @@
+package permit
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// A permit must be released by what shows that its instance is back, and by nothing else.
+func TestRelease(t *testing.T) {
+	view := newFleetView(4)
+	names := []string{"n0"}
+	report := func(kind Kind, incarnation, seq uint64) Command {
+		return Command{Kind: kind, Names: names, Incarnations: map[string]uint64{"n0": incarnation}, Seq: seq}
+	}
+	release := func(owner string, epoch uint64) Command {
+		return Command{Kind: Release, Owner: owner, Names: names, Epoch: epoch}
+	}
+	writeOff := func(reason string) Command {
+		return Command{Kind: WriteOff, Owner: "op", Names: names, Reason: reason}
+	}
+	for name, test := range map[string]struct {
+		commands []Command
+		released bool
+	}{
+		"nothing":                          {nil, false},
+		"serves on and has not departed":   {[]Command{report(Recovered, 1, 9)}, false},
+		"earlier process recovered":        {[]Command{report(Recovered, 0, 9)}, false},
+		"departed":                         {[]Command{report(Departed, 1, 5)}, false},
+		"departed, then a late report":     {[]Command{report(Departed, 1, 5), report(Recovered, 1, 5)}, false},
+		"departed and recovered (undrain)": {[]Command{report(Departed, 1, 5), report(Recovered, 1, 6)}, true},
+		"next process recovered":           {[]Command{report(Recovered, 2, 1)}, true},
+		"given back":                       {[]Command{release("n0", 2)}, true},
+		"given back by another":            {[]Command{release("n1", 2)}, false},
+		"another permit given back":        {[]Command{release("n0", 1)}, false},
+		"given back after departing":       {[]Command{report(Departed, 1, 5), release("n0", 2)}, false},
+		"written off for no reason":        {[]Command{writeOff("")}, false},
+		"written off":                      {[]Command{writeOff("scrapped")}, true},
+		"halted and resumed":               {[]Command{{Kind: Halt}, {Kind: Resume}}, false},
+		"unknown command":                  {[]Command{{Kind: 99, Names: names}}, false},
+	} {
+		state := newStateWithLimits(Limit{MaxUnavailable: 1})
+		decision := state.Apply(acquireCommand(view, "n0"))
+		require.True(t, decision.Granted())
+		for _, command := range test.commands {
+			state.Apply(command)
+		}
+		require.Equal(t, test.released, len(state.Permits()) == 0, name)
+	}
+}
