--- a/internal/permit/acquire.go
+++ b/internal/permit/acquire.go
@@ -143,7 +143,7 @@
 // checkLoad returns a *LoadError where the load would not fit into the remaining capacity less the margin.
 func (r *Rules) checkLoad(after prospect, view *FleetView) error {
 	remaining := 0.0
-	for name := range after.instances {
+	for _, name := range slices.Sorted(maps.Keys(after.instances)) { // sums of floats depend on the order
 		if !after.unavailable[name] {
 			remaining += view.Capacity[name]
 		}
--- a/internal/permit/acquire_test.go
+++ b/internal/permit/acquire_test.go
@@ -101,6 +101,26 @@
 	}
 }
 
+// Replicas must come to the same sum of capacities, to the last bit, or they could decide differently.
+func TestRemainingCapacityIsDeterministic(t *testing.T) {
+	const replicas = 100
+	view := newFleetView(12)
+	for i, instance := range view.Instances {
+		view.Capacity[instance.Name] = 1 / float64(i+3)
+	}
+	view.Load = 100
+	var first *LoadError
+	for range replicas {
+		state := newStateWithLimits(Limit{MaxUnavailable: 1})
+		var load *LoadError
+		require.ErrorAs(t, state.Apply(acquireCommand(view, "n0")).Denial, &load)
+		if first == nil {
+			first = load
+		}
+		require.Equal(t, first, load)
+	}
+}
+
 // Whatever is applied, in whatever order, no grant may leave more unavailable than a limit allows, by plain counting;
 // replicas that apply the same must hold the same.
 func TestGrantsNeverExceedLimits(t *testing.T) {
