--- a/internal/release/golden_test.go
+++ b/internal/release/golden_test.go
@@ -20,12 +20,12 @@
 	for v := Inconclusive; v <= Rejected; v++ {
 		fmt.Fprintf(&got, "verdict %d: %s\n", v, v)
 	}
-	valid := Terms{FalseHaltRate: 0.01, MinEffect: 0.02, MinRequests: 100, FalsePassRate: 0.05}
-	for _, spoil := range []func(*Terms){
-		func(terms *Terms) { terms.FalseHaltRate = 1 },
-		func(terms *Terms) { terms.FalsePassRate = 0 },
-		func(terms *Terms) { terms.MinEffect = -0.5 },
-		func(terms *Terms) { terms.MinRequests = 0 },
+	valid := Criteria{FalseHaltRate: 0.01, MinEffect: 0.02, MinRequests: 100, FalsePassRate: 0.05}
+	for _, spoil := range []func(*Criteria){
+		func(terms *Criteria) { terms.FalseHaltRate = 1 },
+		func(terms *Criteria) { terms.FalsePassRate = 0 },
+		func(terms *Criteria) { terms.MinEffect = -0.5 },
+		func(terms *Criteria) { terms.MinRequests = 0 },
 	} {
 		terms := valid
 		spoil(&terms)
@@ -35,11 +35,11 @@
 	}
 	judge, err := NewJudge(valid)
 	require.NoError(t, err)
-	group := Group{Zone: "eu-a", Class: "thumb", What: "failed"}
+	group := Group{Zone: "eu-a", Class: "thumb", Metric: "failed"}
 	err = judge.Observe(group, Block{Old: 1, OldBad: 2})
 	require.Error(t, err)
 	fmt.Fprintf(&got, "block: %s\n", err)
-	for i := range mostGroups {
+	for i := range maxGroups {
 		require.NoError(t, judge.Observe(Group{Zone: fmt.Sprint("z", i)}, Block{Old: 1, New: 1}))
 	}
 	err = judge.Observe(group, Block{Old: 1, New: 1})
--- a/internal/release/judge_test.go
+++ b/internal/release/judge_test.go
@@ -9,52 +9,52 @@
 
 // rollout plays looks at a canary of one in ten: each look brings some requests of each class from both versions. bad says
 // what share goes wrong in a class with a version, at a look.
-func rollout(t *testing.T, seed uint64, looks int, bad func(class string, isNew bool, look int) float64) (v Verdict, at int, g Group) {
-	r := rand.New(rand.NewPCG(seed, 5))
-	j, err := NewJudge(Terms{FalseHaltRate: 0.02, MinEffect: 0.03, MinRequests: 300, FalsePassRate: 0.05})
+func rollout(t *testing.T, seed uint64, maxRounds int, errorRatio func(class string, isNew bool, round int) float64) (verdict Verdict, at int, worst Group) {
+	random := rand.New(rand.NewPCG(seed, 5))
+	judge, err := NewJudge(Criteria{FalseHaltRate: 0.02, MinEffect: 0.03, MinRequests: 300, FalsePassRate: 0.05})
 	require.NoError(t, err)
 	count := func(n int, p float64) (k int) {
 		for range n {
-			if r.Float64() < p {
+			if random.Float64() < p {
 				k++
 			}
 		}
 		return k
 	}
-	for look := range looks {
+	for round := range maxRounds {
 		for _, class := range []string{"preview", "hires-crop", "licence-order"} {
-			b := Block{Old: 90 + r.IntN(40), New: 8 + r.IntN(10)}
-			b.OldBad, b.NewBad = count(b.Old, bad(class, false, look)), count(b.New, bad(class, true, look))
-			require.NoError(t, j.Observe(Group{"z0", class, "failed"}, b))
+			b := Block{Old: 90 + random.IntN(40), New: 8 + random.IntN(10)}
+			b.OldBad, b.NewBad = count(b.Old, errorRatio(class, false, round)), count(b.New, errorRatio(class, true, round))
+			require.NoError(t, judge.Observe(Group{"z0", class, "failed"}, b))
 		}
-		if v, g = j.Verdict(); v == Rejected {
-			return v, look, g
+		if verdict, worst = judge.Verdict(); verdict == Rejected {
+			return verdict, round, worst
 		}
 	}
-	return v, looks, g
+	return verdict, maxRounds, worst
 }
 
 // A version that is no worse must not be halted more often than stated, though it is looked at after each block and the
 // share that goes wrong changes for both; one that is worse must be found soon, and in the class that it is worse in; and
 // too little must never be called good.
-func TestNewAgainstOld(t *testing.T) {
+func TestJudgeRollouts(t *testing.T) {
 	const releases = 400
-	wrong, good := 0, 0
+	rejected, passed := 0, 0
 	for seed := range uint64(releases) {
-		v, _, _ := rollout(t, seed, 200, func(_ string, _ bool, look int) float64 {
-			return []float64{0.01, 0.05, 0.2}[look/20%3] // trouble of the whole fleet, which is nobody's fault
+		v, _, _ := rollout(t, seed, 200, func(_ string, _ bool, round int) float64 {
+			return []float64{0.01, 0.05, 0.2}[round/20%3] // trouble of the whole fleet, which is nobody's fault
 		})
 		switch v {
 		case Rejected:
-			wrong++
+			rejected++
 		case Passed:
-			good++
+			passed++
 		}
 	}
-	require.LessOrEqual(t, float64(wrong), 0.02*releases)
-	t.Logf("no worse: %d of %d halted wrongly (stated: 2%%), %d called good within 200 looks", wrong, releases, good)
-	for what, c := range map[string]struct {
-		bad    func(class string, isNew bool, look int) float64
+	require.LessOrEqual(t, float64(rejected), 0.02*releases)
+	t.Logf("no worse: %d of %d halted wrongly (stated: 2%%), %d called good within 200 looks", rejected, releases, passed)
+	for name, test := range map[string]struct {
+		bad    func(class string, isNew bool, round int) float64
 		within int
 		class  string
 	}{
@@ -62,24 +62,24 @@
 		"fails in one class": {func(class string, isNew bool, _ int) float64 {
 			return map[bool]float64{false: 0.01, true: 0.2}[isNew && class == "licence-order"]
 		}, 60, "licence-order"},
-		"bad only under load, from look 50 on": {func(_ string, isNew bool, look int) float64 {
-			return map[bool]float64{false: 0.01, true: 0.25}[isNew && look >= 50]
+		"bad only under load, from look 50 on": {func(_ string, isNew bool, round int) float64 {
+			return map[bool]float64{false: 0.01, true: 0.25}[isNew && round >= 50]
 		}, 110, ""},
-		"leaks slowly": {func(_ string, isNew bool, look int) float64 {
-			return 0.01 + map[bool]float64{false: 0, true: 0.002}[isNew]*float64(look)
+		"leaks slowly": {func(_ string, isNew bool, round int) float64 {
+			return 0.01 + map[bool]float64{false: 0, true: 0.002}[isNew]*float64(round)
 		}, 150, ""},
 	} {
 		last := 0
 		for seed := range uint64(50) {
-			v, at, g := rollout(t, seed, 300, c.bad)
-			require.Equal(t, Rejected, v, "%s: seed %d", what, seed)
+			v, at, g := rollout(t, seed, 300, test.bad)
+			require.Equal(t, Rejected, v, "%s: seed %d", name, seed)
 			last = max(last, at)
-			if c.class != "" {
-				require.Equal(t, c.class, g.Class, what)
+			if test.class != "" {
+				require.Equal(t, test.class, g.Class, name)
 			}
 		}
-		require.LessOrEqual(t, last, c.within, what)
-		t.Logf("%s: found after at most %d looks", what, last)
+		require.LessOrEqual(t, last, test.within, name)
+		t.Logf("%s: found after at most %d looks", name, last)
 	}
 	worse := 0
 	for seed := range uint64(100) {
@@ -93,16 +93,16 @@
 }
 
 // What makes no sense must change nothing, and terms that bound nothing must not be taken.
-func TestBlocksAndTermsThatMakeNoSense(t *testing.T) {
-	j, err := NewJudge(Terms{FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.05})
+func TestInvalidBlocksAndCriteria(t *testing.T) {
+	judge, err := NewJudge(Criteria{FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.05})
 	require.NoError(t, err)
 	for _, b := range []Block{{Old: 1, OldBad: 2}, {New: -1}, {New: 3, NewBad: 4}, {OldBad: -1}} {
-		require.Error(t, j.Observe(Group{}, b))
+		require.Error(t, judge.Observe(Group{}, b))
 	}
-	require.NoError(t, j.Observe(Group{}, Block{New: 5, NewBad: 5}), "no old one beside it: nothing is compared")
-	v, _ := j.Verdict()
+	require.NoError(t, judge.Observe(Group{}, Block{New: 5, NewBad: 5}), "no old one beside it: nothing is compared")
+	v, _ := judge.Verdict()
 	require.Equal(t, Inconclusive, v)
-	for _, terms := range []Terms{{}, {FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10}, {FalseHaltRate: 2, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.1},
+	for _, terms := range []Criteria{{}, {FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10}, {FalseHaltRate: 2, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.1},
 		{FalseHaltRate: 0.05, MinRequests: 10, FalsePassRate: 0.1}, {FalseHaltRate: 0.05, MinEffect: 0.02, FalsePassRate: 0.1}} {
 		_, err := NewJudge(terms)
 		require.Error(t, err)
