--- a/internal/release/golden_test.go
+++ b/internal/release/golden_test.go
@@ -14,22 +14,22 @@
 
 const goldenTexts = "testdata/texts.txt"
 
-// The numbers and names of verdicts and the texts of errors are what a caller shows.
+// The numbers and names of verdicts and the texts of errors are shown to operators.
 func TestGoldenTexts(t *testing.T) {
 	var got strings.Builder
 	for v := Inconclusive; v <= Rejected; v++ {
 		fmt.Fprintf(&got, "verdict %d: %s\n", v, v)
 	}
 	valid := Criteria{FalseHaltRate: 0.01, MinEffect: 0.02, MinRequests: 100, FalsePassRate: 0.05}
-	for _, spoil := range []func(*Criteria){
-		func(terms *Criteria) { terms.FalseHaltRate = 1 },
-		func(terms *Criteria) { terms.FalsePassRate = 0 },
-		func(terms *Criteria) { terms.MinEffect = -0.5 },
-		func(terms *Criteria) { terms.MinRequests = 0 },
+	for _, invalidate := range []func(*Criteria){
+		func(criteria *Criteria) { criteria.FalseHaltRate = 1 },
+		func(criteria *Criteria) { criteria.FalsePassRate = 0 },
+		func(criteria *Criteria) { criteria.MinEffect = -0.5 },
+		func(criteria *Criteria) { criteria.MinRequests = 0 },
 	} {
-		terms := valid
-		spoil(&terms)
-		_, err := NewJudge(terms)
+		criteria := valid
+		invalidate(&criteria)
+		_, err := NewJudge(criteria)
 		require.Error(t, err)
 		fmt.Fprintf(&got, "terms: %s\n", err)
 	}
@@ -37,13 +37,13 @@
 	require.NoError(t, err)
 	group := Group{Zone: "eu-a", Class: "thumb", Metric: "failed"}
 	err = judge.Observe(group, Block{Old: 1, OldBad: 2})
-	require.Error(t, err)
+	require.ErrorIs(t, err, ErrInvalidBlock)
 	fmt.Fprintf(&got, "block: %s\n", err)
 	for i := range maxGroups {
 		require.NoError(t, judge.Observe(Group{Zone: fmt.Sprint("z", i)}, Block{Old: 1, New: 1}))
 	}
 	err = judge.Observe(group, Block{Old: 1, New: 1})
-	require.Error(t, err)
+	require.ErrorIs(t, err, ErrTooManyGroups)
 	fmt.Fprintf(&got, "block: %s\n", err)
 	if *update {
 		require.NoError(t, os.WriteFile(goldenTexts, []byte(got.String()), 0o644))
--- a/internal/release/judge_test.go
+++ b/internal/release/judge_test.go
@@ -7,104 +7,152 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rollout plays looks at a canary of one in ten: each look brings some requests of each class from both versions. bad says
-// what share goes wrong in a class with a version, at a look.
-func rollout(t *testing.T, seed uint64, maxRounds int, errorRatio func(class string, isNew bool, round int) float64) (verdict Verdict, at int, worst Group) {
+// errorRatios says which ratio of the requests of a class goes wrong with a version in a round.
+type errorRatios func(class string, canary bool, round int) float64
+
+// constantly has the same ratio go wrong in all classes and rounds.
+func constantly(baselineRatio, canaryRatio float64) errorRatios {
+	return func(_ string, canary bool, _ int) float64 {
+		if canary {
+			return canaryRatio
+		}
+		return baselineRatio
+	}
+}
+
+// result is how a rollout ended.
+type result struct {
+	verdict Verdict
+	rounds  int // before the rejection, or all of them
+	worst   Group
+}
+
+// rollout simulates a canary of one instance in ten: each round brings some requests of each class from both versions.
+func rollout(t *testing.T, seed uint64, maxRounds int, ratios errorRatios) result {
+	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 5))
 	judge, err := NewJudge(Criteria{FalseHaltRate: 0.02, MinEffect: 0.03, MinRequests: 300, FalsePassRate: 0.05})
 	require.NoError(t, err)
-	count := func(n int, p float64) (k int) {
-		for range n {
-			if random.Float64() < p {
-				k++
+	countBad := func(requests int, ratio float64) (bad int) {
+		for range requests {
+			if random.Float64() < ratio {
+				bad++
 			}
 		}
-		return k
+		return bad
 	}
+	end := result{rounds: maxRounds}
 	for round := range maxRounds {
 		for _, class := range []string{"preview", "hires-crop", "licence-order"} {
-			b := Block{Old: 90 + random.IntN(40), New: 8 + random.IntN(10)}
-			b.OldBad, b.NewBad = count(b.Old, errorRatio(class, false, round)), count(b.New, errorRatio(class, true, round))
-			require.NoError(t, judge.Observe(Group{"z0", class, "failed"}, b))
+			block := Block{Old: 90 + random.IntN(40), New: 8 + random.IntN(10)}
+			block.OldBad = countBad(block.Old, ratios(class, false, round))
+			block.NewBad = countBad(block.New, ratios(class, true, round))
+			require.NoError(t, judge.Observe(Group{"z0", class, "failed"}, block))
 		}
-		if verdict, worst = judge.Verdict(); verdict == Rejected {
-			return verdict, round, worst
+		if end.verdict, end.worst = judge.Verdict(); end.verdict == Rejected {
+			end.rounds = round
+			return end
 		}
 	}
-	return verdict, maxRounds, worst
+	return end
 }
 
-// A version that is no worse must not be halted more often than stated, though it is looked at after each block and the
-// share that goes wrong changes for both; one that is worse must be found soon, and in the class that it is worse in; and
-// too little must never be called good.
-func TestJudgeRollouts(t *testing.T) {
-	const releases = 400
-	rejected, passed := 0, 0
-	for seed := range uint64(releases) {
-		v, _, _ := rollout(t, seed, 200, func(_ string, _ bool, round int) float64 {
-			return []float64{0.01, 0.05, 0.2}[round/20%3] // trouble of the whole fleet, which is nobody's fault
-		})
-		switch v {
-		case Rejected:
-			rejected++
-		case Passed:
-			passed++
-		}
+// countVerdicts returns how often so many rollouts ended with each verdict.
+func countVerdicts(t *testing.T, rollouts uint64, maxRounds int, ratios errorRatios) map[Verdict]int {
+	t.Helper()
+	counts := map[Verdict]int{}
+	for seed := range rollouts {
+		counts[rollout(t, seed, maxRounds, ratios).verdict]++
 	}
-	require.LessOrEqual(t, float64(rejected), 0.02*releases)
-	t.Logf("no worse: %d of %d halted wrongly (stated: 2%%), %d called good within 200 looks", rejected, releases, passed)
+	return counts
+}
+
+// A version that is no worse must not be rejected more often than stated, though it is looked at after each round and the
+// ratio that goes wrong changes for both versions.
+func TestFalseHaltRate(t *testing.T) {
+	const rollouts = 400
+	counts := countVerdicts(t, rollouts, 200, func(_ string, _ bool, round int) float64 {
+		return []float64{0.01, 0.05, 0.2}[round/20%3] // faults of the whole fleet
+	})
+	require.LessOrEqual(t, float64(counts[Rejected]), 0.02*rollouts)
+	t.Logf("no worse: %d of %d rejected (stated: 2%%), %d passed within 200 rounds",
+		counts[Rejected], rollouts, counts[Passed])
+}
+
+// A version that is worse must be found soon, and in the class that it is worse in.
+func TestWorseVersionIsRejected(t *testing.T) {
 	for name, test := range map[string]struct {
-		bad    func(class string, isNew bool, round int) float64
-		within int
-		class  string
+		ratios    errorRatios
+		maxRounds int
+		class     string // empty: any
 	}{
-		"fails in all classes": {func(_ string, isNew bool, _ int) float64 { return map[bool]float64{false: 0.01, true: 0.15}[isNew] }, 60, ""},
-		"fails in one class": {func(class string, isNew bool, _ int) float64 {
-			return map[bool]float64{false: 0.01, true: 0.2}[isNew && class == "licence-order"]
+		"fails in all classes": {constantly(0.01, 0.15), 60, ""},
+		"fails in one class": {func(class string, canary bool, _ int) float64 {
+			if canary && class == "licence-order" {
+				return 0.2
+			}
+			return 0.01
 		}, 60, "licence-order"},
-		"bad only under load, from look 50 on": {func(_ string, isNew bool, round int) float64 {
-			return map[bool]float64{false: 0.01, true: 0.25}[isNew && round >= 50]
+		"fails only under load, from round 50 on": {func(_ string, canary bool, round int) float64 {
+			if canary && round >= 50 {
+				return 0.25
+			}
+			return 0.01
 		}, 110, ""},
-		"leaks slowly": {func(_ string, isNew bool, round int) float64 {
-			return 0.01 + map[bool]float64{false: 0, true: 0.002}[isNew]*float64(round)
+		"leaks slowly": {func(_ string, canary bool, round int) float64 {
+			if canary {
+				return 0.01 + 0.002*float64(round)
+			}
+			return 0.01
 		}, 150, ""},
 	} {
 		last := 0
 		for seed := range uint64(50) {
-			v, at, g := rollout(t, seed, 300, test.bad)
-			require.Equal(t, Rejected, v, "%s: seed %d", name, seed)
-			last = max(last, at)
+			end := rollout(t, seed, 300, test.ratios)
+			require.Equal(t, Rejected, end.verdict, "%s: seed %d", name, seed)
+			last = max(last, end.rounds)
 			if test.class != "" {
-				require.Equal(t, test.class, g.Class, name)
+				require.Equal(t, test.class, end.worst.Class, name)
 			}
 		}
-		require.LessOrEqual(t, last, test.within, name)
-		t.Logf("%s: found after at most %d looks", name, last)
+		require.LessOrEqual(t, last, test.maxRounds, name)
+		t.Logf("%s: found after at most %d rounds", name, last)
 	}
-	worse := 0
-	for seed := range uint64(100) {
-		if v, _, _ := rollout(t, seed, 100, func(_ string, isNew bool, _ int) float64 { return map[bool]float64{false: 0.02, true: 0.05}[isNew] }); v == Passed {
-			worse++
-		}
-	}
-	require.LessOrEqual(t, worse, 5, "worse by what counts, and called good")
-	v, _, _ := rollout(t, 1, 3, func(string, bool, int) float64 { return 0.01 })
-	require.Equal(t, Inconclusive, v, "a handful of requests says nothing")
 }
 
-// What makes no sense must change nothing, and terms that bound nothing must not be taken.
-func TestInvalidBlocksAndCriteria(t *testing.T) {
+// A version that is worse by an effect that matters must not pass more often than stated.
+func TestFalsePassRate(t *testing.T) {
+	counts := countVerdicts(t, 100, 100, constantly(0.02, 0.05))
+	require.LessOrEqual(t, counts[Passed], 5)
+}
+
+// A handful of requests must not be enough for a verdict.
+func TestTooFewRequests(t *testing.T) {
+	require.Equal(t, Inconclusive, rollout(t, 1, 3, constantly(0.01, 0.01)).verdict)
+}
+
+// A block that makes no sense must change nothing, and requests of one version alone must compare nothing.
+func TestInvalidBlocks(t *testing.T) {
 	judge, err := NewJudge(Criteria{FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.05})
 	require.NoError(t, err)
-	for _, b := range []Block{{Old: 1, OldBad: 2}, {New: -1}, {New: 3, NewBad: 4}, {OldBad: -1}} {
-		require.Error(t, judge.Observe(Group{}, b))
+	for _, block := range []Block{{Old: 1, OldBad: 2}, {New: -1}, {New: 3, NewBad: 4}, {OldBad: -1}} {
+		require.ErrorIs(t, judge.Observe(Group{}, block), ErrInvalidBlock)
 	}
-	require.NoError(t, judge.Observe(Group{}, Block{New: 5, NewBad: 5}), "no old one beside it: nothing is compared")
-	v, _ := judge.Verdict()
-	require.Equal(t, Inconclusive, v)
-	for _, terms := range []Criteria{{}, {FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10}, {FalseHaltRate: 2, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.1},
-		{FalseHaltRate: 0.05, MinRequests: 10, FalsePassRate: 0.1}, {FalseHaltRate: 0.05, MinEffect: 0.02, FalsePassRate: 0.1}} {
-		_, err := NewJudge(terms)
+	require.NoError(t, judge.Observe(Group{}, Block{New: 5, NewBad: 5}))
+	verdict, _ := judge.Verdict()
+	require.Equal(t, Inconclusive, verdict)
+}
+
+// Criteria that bound nothing must not be accepted.
+func TestInvalidCriteria(t *testing.T) {
+	for _, criteria := range []Criteria{
+		{},
+		{FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10},
+		{FalseHaltRate: 2, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.1},
+		{FalseHaltRate: 0.05, MinRequests: 10, FalsePassRate: 0.1},
+		{FalseHaltRate: 0.05, MinEffect: 0.02, FalsePassRate: 0.1},
+	} {
+		_, err := NewJudge(criteria)
 		require.Error(t, err)
 	}
 }
