--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,17 +29,17 @@
 
 // Defaults of keys that may be absent, and the least values that a server can work with.
 const (
-	defaultStop = 3200 * time.Millisecond
+	defaultStopTimeout = 3200 * time.Millisecond
 
-	// A process that was replaced is given the longest deadline, up to replacedWait, and some time to end.
-	replacedWait  = 3 * time.Second
-	replacedSpare = 700 * time.Millisecond
+	// A process that was replaced is given the longest deadline, up to maxReplacedWait, and some time to end.
+	maxReplacedWait = 3 * time.Second
+	replacedMargin  = 700 * time.Millisecond
 
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastMemoryMB   = 32
-	leastSockets    = 64
+	minMemoryMB     = 32
+	minSockets      = 64
 )
 
 // Limits bound this process.
@@ -49,17 +49,17 @@
 	Sockets  int // file descriptors
 }
 
-// Front ends may take one descriptor in frontShare, calls to the store one in storeShare.
+// Front ends may take one descriptor in frontSocketsDivisor, calls to the store one in storeSocketsDivisor.
 const (
-	frontShare = 2
-	storeShare = 8
+	frontSocketsDivisor = 2
+	storeSocketsDivisor = 8
 )
 
 // FrontSockets is how many connections front ends may have open.
-func (l Limits) FrontSockets() int { return l.Sockets / frontShare }
+func (l Limits) FrontSockets() int { return l.Sockets / frontSocketsDivisor }
 
 // StoreSockets is how many connections to the store may be open.
-func (l Limits) StoreSockets() int { return l.Sockets / storeShare }
+func (l Limits) StoreSockets() int { return l.Sockets / storeSocketsDivisor }
 
 // Config is what an image server is told at its start.
 type Config struct {
@@ -96,82 +96,82 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := Parse(text, os.Getenv)
+	cfg, err := Parse(text, os.Getenv)
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return c, nil
+	return cfg, nil
 }
 
 // Parse reads a configuration; an error names the key at fault. env is where variables are read.
 func Parse(text []byte, env func(string) string) (*Config, error) {
-	v, err := fastjson.ParseBytes(text)
+	value, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return nil, err
 	}
-	if v.Type() != fastjson.TypeObject {
-		return nil, fmt.Errorf("want an object, got %v", v.Type())
+	if value.Type() != fastjson.TypeObject {
+		return nil, fmt.Errorf("want an object, got %v", value.Type())
 	}
-	o := object{value: v, err: &err}
-	if !v.Exists("settings") {
-		o.fail("settings", "missing")
+	root := object{value: value, err: &err}
+	if !value.Exists("settings") {
+		root.fail("settings", "missing")
 	}
-	limits, set := o.object("limits"), o.object("settings")
-	c := &Config{
-		Name: o.text("name"), Listen: o.text("listen"), Agent: o.text("agent"), Store: o.text("store"),
-		Announce: o.text("announce"), Console: o.text("console"),
-		StopTimeout: time.Duration(o.whole("stop_ms")) * time.Millisecond,
-		Limits: Limits{Cores: limits.number("cores"), MemoryMB: int(limits.whole("memory_mb")),
-			Sockets: int(limits.whole("sockets"))},
-		Settings: settings(set),
-		Gauges:   set.object("FamilyInfo").texts("Gauges"),
+	limits, settings := root.object("limits"), root.object("settings")
+	cfg := &Config{
+		Name: root.text("name"), Listen: root.text("listen"), Agent: root.text("agent"), Store: root.text("store"),
+		Announce: root.text("announce"), Console: root.text("console"),
+		StopTimeout: time.Duration(root.integer("stop_ms")) * time.Millisecond,
+		Limits: Limits{Cores: limits.number("cores"), MemoryMB: int(limits.integer("memory_mb")),
+			Sockets: int(limits.integer("sockets"))},
+		Settings: readSettings(settings),
+		Gauges:   settings.object("FamilyInfo").texts("Gauges"),
 	}
-	for _, l := range set.objects("Lanes") {
-		c.Classes = append(c.Classes, l.text("Name"))
+	for _, class := range settings.objects("Lanes") {
+		cfg.Classes = append(cfg.Classes, class.text("Name"))
 	}
-	for _, t := range set.objects("Tenants") {
-		c.Tenants = append(c.Tenants, t.text("Name"))
+	for _, tenant := range settings.objects("Tenants") {
+		cfg.Tenants = append(cfg.Tenants, tenant.text("Name"))
 	}
 	if name := env(envName); name != "" {
-		c.Name = name
+		cfg.Name = name
 	}
 	if listen := env(envListen); listen != "" {
-		c.Listen = listen
+		cfg.Listen = listen
 	}
 	if console := env(envConsole); console != "" {
-		c.Console = console
+		cfg.Console = console
 	}
 	if text := env(envInherited); text != "" {
 		fd, err := strconv.ParseUint(text, 10, 16)
 		if err != nil || fd == 0 {
 			return nil, fmt.Errorf("%s: %q is no descriptor", envInherited, text)
 		}
-		c.InheritedFD, c.Handover = uintptr(fd), filepath.Join(os.TempDir(), "falldeal.sock")
-	}
-	c.setAside()
-	c.defaults(o)
-	c.check(o)
-	c.checkSettings(set)
-	c.Seed = o.hex("seed")
-	for _, k := range c.Settings.Classes {
-		c.ReplacedStopTimeout = max(c.ReplacedStopTimeout, min(k.Deadline, replacedWait)+replacedSpare)
-	}
-	c.keys = map[string]bool{}
-	o.eachKey(func(key string) { c.keys[key] = true })
+		cfg.InheritedFD, cfg.Handover = uintptr(fd), filepath.Join(os.TempDir(), "falldeal.sock")
+	}
+	cfg.dropUnsupported()
+	cfg.applyDefaults(root)
+	cfg.checkAddresses(root)
+	cfg.checkSettings(settings)
+	cfg.Seed = root.hex("seed")
+	for _, class := range cfg.Settings.Classes {
+		cfg.ReplacedStopTimeout = max(cfg.ReplacedStopTimeout, min(class.Deadline, maxReplacedWait)+replacedMargin)
+	}
+	cfg.keys = map[string]bool{}
+	root.visitKeys(func(key string) { cfg.keys[key] = true })
 	if err != nil {
 		return nil, err
 	}
-	return c, nil
+	return cfg, nil
 }
 
 // Successor reads the file at path for a process that runs with c. It fails on a key that c was given and the
 // file lacks: that is a file cut short or half written, not a wish for the default.
-func (c *Config) Successor(path string) (*Config, error) {
+func (cfg *Config) Successor(path string) (*Config, error) {
 	next, err := Load(path)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range slices.Sorted(maps.Keys(c.keys)) {
+	for _, key := range slices.Sorted(maps.Keys(cfg.keys)) {
 		if !next.keys[key] {
 			return nil, fmt.Errorf("configuration: %s: missing, and given in the one in force", key)
 		}
@@ -179,68 +179,68 @@
 	return next, nil
 }
 
-// defaults fills in keys that are absent; one that is there must make sense.
-func (c *Config) defaults(o object) {
-	limits := o.object("limits")
-	if !o.value.Exists("stop_ms") {
-		c.StopTimeout = defaultStop
+// applyDefaults fills in keys that are absent; one that is there must make sense.
+func (c *Config) applyDefaults(root object) {
+	limits := root.object("limits")
+	if !root.value.Exists("stop_ms") {
+		c.StopTimeout = defaultStopTimeout
 	}
-	if !o.value.Exists("limits", "cores") {
+	if !root.value.Exists("limits", "cores") {
 		c.Limits.Cores = defaultCores
 	}
-	if !o.value.Exists("limits", "memory_mb") {
+	if !root.value.Exists("limits", "memory_mb") {
 		c.Limits.MemoryMB = defaultMemoryMB
 	}
-	if !o.value.Exists("limits", "sockets") {
+	if !root.value.Exists("limits", "sockets") {
 		c.Limits.Sockets = defaultSockets
 	}
 	switch {
 	case c.StopTimeout <= 0 || c.StopTimeout > time.Hour:
-		o.fail("stop_ms", "%v is not between 1 ms and an hour", c.StopTimeout)
+		root.fail("stop_ms", "%v is not between 1 ms and an hour", c.StopTimeout)
 	case !(c.Limits.Cores > 0):
 		limits.fail("cores", "%v, want more than 0", c.Limits.Cores)
-	case c.Limits.MemoryMB < leastMemoryMB:
-		limits.fail("memory_mb", "%d, want at least %d", c.Limits.MemoryMB, leastMemoryMB)
-	case c.Limits.Sockets < leastSockets:
-		limits.fail("sockets", "%d, want at least %d", c.Limits.Sockets, leastSockets)
+	case c.Limits.MemoryMB < minMemoryMB:
+		limits.fail("memory_mb", "%d, want at least %d", c.Limits.MemoryMB, minMemoryMB)
+	case c.Limits.Sockets < minSockets:
+		limits.fail("sockets", "%d, want at least %d", c.Limits.Sockets, minSockets)
 	}
 }
 
-func (c *Config) check(o object) {
+func (c *Config) checkAddresses(root object) {
 	if c.Name == "" {
-		o.fail("name", "missing")
+		root.fail("name", "missing")
 	}
-	for _, a := range []struct{ key, addr string }{
+	for _, entry := range []struct{ key, addr string }{
 		{"listen", c.Listen}, {"agent", c.Agent}, {"store", c.Store}, {"announce", c.Announce}, {"console", c.Console}} {
-		if a.addr == "" {
-			if a.key != "console" && (a.key != "store" || c.Settings.Dependency != admission.DependencyNone) {
-				o.fail(a.key, "missing")
+		if entry.addr == "" {
+			if entry.key != "console" && (entry.key != "store" || c.Settings.Dependency != admission.DependencyNone) {
+				root.fail(entry.key, "missing")
 			}
-		} else if err := checkAddr(a.addr, a.key == "listen" || a.key == "console"); err != nil {
-			o.fail(a.key, "%v", err)
+		} else if err := checkAddress(entry.addr, entry.key == "listen" || entry.key == "console"); err != nil {
+			root.fail(entry.key, "%v", err)
 		}
 	}
 }
 
-// setAside has the controller do without what the settings allow and the sockets can't carry: the agent has no command
+// dropUnsupported has the controller do without what the settings allow and the sockets can't carry: the agent has no command
 // that stops a run, answers carry no free value, and a read may not be answered with the result of another. None of
 // them is owed to anybody; a controller that counted on one would wait for what never comes.
-func (c *Config) setAside() {
-	s := &c.Settings
-	for _, u := range []struct {
+func (c *Config) dropUnsupported() {
+	settings := &c.Settings
+	for _, feature := range []struct {
 		key  string
 		used bool
-	}{{"Halt", s.Halt != admission.HaltOff}, {"Advert", s.Advert != admission.AdvertOff}, {"FreshForUs", s.CacheTTL > 0}} {
-		if u.used {
-			c.Unused = append(c.Unused, "settings.FamilyInfo."+u.key)
+	}{{"Halt", settings.Halt != admission.HaltOff}, {"Advert", settings.Advert != admission.AdvertOff}, {"FreshForUs", settings.CacheTTL > 0}} {
+		if feature.used {
+			c.Unused = append(c.Unused, "settings.FamilyInfo."+feature.key)
 		}
 	}
-	s.Halt, s.Advert, s.CacheTTL = admission.HaltOff, admission.AdvertOff, min(s.CacheTTL, 0)
+	settings.Halt, settings.Advert, settings.CacheTTL = admission.HaltOff, admission.AdvertOff, min(settings.CacheTTL, 0)
 }
 
-// checkAddr accepts a numeric address with a port: there is no name service to ask. Port 0, any that
+// checkAddress accepts a numeric address with a port: there is no name service to ask. Port 0, any that
 // is free, makes sense only where this process listens.
-func checkAddr(addr string, listens bool) error {
+func checkAddress(addr string, listens bool) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
@@ -314,18 +314,18 @@
 	if err != nil {
 		return 0, fmt.Errorf("configuration: %w", err)
 	}
-	v, err := fastjson.ParseBytes(text)
+	value, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return 0, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	set := v.Get("settings")
-	if set == nil {
+	settings := value.Get("settings")
+	if settings == nil {
 		return 0, fmt.Errorf("configuration %s: settings: missing", path)
 	}
-	if info := set.Get("FamilyInfo"); info != nil {
+	if info := settings.Get("FamilyInfo"); info != nil {
 		info.Del("Cold")
 	}
-	h := fnv.New64a()
-	h.Write(set.MarshalTo(nil))
-	return h.Sum64(), nil
+	hash := fnv.New64a()
+	hash.Write(settings.MarshalTo(nil))
+	return hash.Sum64(), nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,65 +12,65 @@
 	"github.com/stretchr/testify/require"
 )
 
-const sample = "testdata/config.json"
+const samplePath = "testdata/config.json"
 
-func none(string) string { return "" }
+func noEnvironment(string) string { return "" }
 
-func read(t testing.TB) string {
-	text, err := os.ReadFile(sample)
+func readSample(t testing.TB) string {
+	text, err := os.ReadFile(samplePath)
 	require.NoError(t, err)
 	return string(text)
 }
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(read(t)), none)
+	cfg, err := Parse([]byte(readSample(t)), noEnvironment)
 	require.NoError(t, err)
-	require.Equal(t, "n3", c.Name)
-	require.Equal(t, "127.0.0.1:8900", c.Store)
-	require.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
-	require.Equal(t, 3200*time.Millisecond, c.StopTimeout)
-	require.Equal(t, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, c.Limits)
-	require.Equal(t, []string{"preview", "hires-crop", "licence-order"}, c.Classes)
-	require.Equal(t, []string{"core_use", "on_cores", "heap_share", "links"}, c.Gauges)
-	require.Equal(t, admission.IdempotentByKey, c.Settings.Classes[2].Idempotency)
-	require.Equal(t, 17457*time.Millisecond, c.Settings.Classes[2].IdempotencyWindow)
-	require.Equal(t, []bool{true, false, true}, []bool{c.Settings.Classes[0].CallsDependency, c.Settings.Classes[1].CallsDependency, c.Settings.Classes[2].CallsDependency})
-	_, err = admission.New(c.Settings, c.Seed, 0)
+	require.Equal(t, "n3", cfg.Name)
+	require.Equal(t, "127.0.0.1:8900", cfg.Store)
+	require.Equal(t, uint64(0x8c1f30d27a5be964), cfg.Seed)
+	require.Equal(t, 3200*time.Millisecond, cfg.StopTimeout)
+	require.Equal(t, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, cfg.Limits)
+	require.Equal(t, []string{"preview", "hires-crop", "licence-order"}, cfg.Classes)
+	require.Equal(t, []string{"core_use", "on_cores", "heap_share", "links"}, cfg.Gauges)
+	require.Equal(t, admission.IdempotentByKey, cfg.Settings.Classes[2].Idempotency)
+	require.Equal(t, 17457*time.Millisecond, cfg.Settings.Classes[2].IdempotencyWindow)
+	require.Equal(t, []bool{true, false, true}, []bool{cfg.Settings.Classes[0].CallsDependency, cfg.Settings.Classes[1].CallsDependency, cfg.Settings.Classes[2].CallsDependency})
+	_, err = admission.New(cfg.Settings, cfg.Seed, 0)
 	require.NoError(t, err, "what passes the check must start a controller")
 }
 
 func TestDefaults(t *testing.T) {
-	text := strings.Replace(read(t), `"seed": "8c1f30d27a5be964", "stop_ms": 3200,`, "", 1)
+	text := strings.Replace(readSample(t), `"seed": "8c1f30d27a5be964", "stop_ms": 3200,`, "", 1)
 	text = strings.Replace(text, `"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},`, "", 1)
-	c, err := Parse([]byte(text), none)
+	cfg, err := Parse([]byte(text), noEnvironment)
 	require.NoError(t, err)
-	require.Equal(t, defaultStop, c.StopTimeout)
-	require.Equal(t, Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}, c.Limits)
+	require.Equal(t, defaultStopTimeout, cfg.StopTimeout)
+	require.Equal(t, Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}, cfg.Limits)
 }
 
 func TestEnvironment(t *testing.T) {
 	t.Setenv(envName, "n9")
 	t.Setenv(envListen, "127.0.0.2:5050")
-	t.Setenv(envPath, sample)
-	c, err := Load("")
+	t.Setenv(envPath, samplePath)
+	cfg, err := Load("")
 	require.NoError(t, err)
-	require.Equal(t, "n9", c.Name)
-	require.Equal(t, "127.0.0.2:5050", c.Listen)
-	require.Empty(t, c.Console)
+	require.Equal(t, "n9", cfg.Name)
+	require.Equal(t, "127.0.0.2:5050", cfg.Listen)
+	require.Empty(t, cfg.Console)
 	t.Setenv(envConsole, "127.0.0.2:15000")
-	c, err = Load("")
+	cfg, err = Load("")
 	require.NoError(t, err)
-	require.Equal(t, "127.0.0.2:15000", c.Console)
+	require.Equal(t, "127.0.0.2:15000", cfg.Console)
 
-	require.Empty(t, c.Handover)
+	require.Empty(t, cfg.Handover)
 	t.Setenv(envInherited, "3")
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
-	c, err = Load("")
+	cfg, err = Load("")
 	require.NoError(t, err)
-	require.EqualValues(t, 3, c.InheritedFD)
-	require.Equal(t, filepath.Join(dir, "falldeal.sock"), c.Handover)
-	require.Equal(t, replacedWait+replacedSpare, c.ReplacedStopTimeout)
+	require.EqualValues(t, 3, cfg.InheritedFD)
+	require.Equal(t, filepath.Join(dir, "falldeal.sock"), cfg.Handover)
+	require.Equal(t, maxReplacedWait+replacedMargin, cfg.ReplacedStopTimeout)
 	t.Setenv(envInherited, "stdin")
 	_, err = Load("")
 	require.ErrorContains(t, err, envInherited)
@@ -83,8 +83,8 @@
 }
 
 // A wrong configuration must end the start with the name of the key, not with a server that guesses.
-func TestFaultyKeys(t *testing.T) {
-	for _, c := range []struct{ old, new, key string }{
+func TestInvalidKeys(t *testing.T) {
+	for _, test := range []struct{ old, new, key string }{
 		{`"n3"`, `""`, "name:"},
 		{`"n3"`, `7`, "name:"},
 		{`"127.0.0.1:5050"`, `"localhost:5050"`, "listen:"},
@@ -122,19 +122,19 @@
 		{`"Lanes": [`, `"Lanes": [], "Old": [`, "settings.Lanes:"},
 		{`"Lanes": [`, `"Lanes": [3, `, "settings.Lanes[0]:"},
 	} {
-		text := strings.Replace(read(t), c.old, c.new, 1)
-		_, err := Parse([]byte(text), none)
-		require.ErrorContains(t, err, c.key, "%s in place of %s", c.new, c.old)
+		text := strings.Replace(readSample(t), test.old, test.new, 1)
+		_, err := Parse([]byte(text), noEnvironment)
+		require.ErrorContains(t, err, test.key, "%s in place of %s", test.new, test.old)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(read(f))
+	f.Add(readSample(f))
 	f.Add(`{"settings":{"Lanes":[{}]}}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		c, err := Parse([]byte(text), none)
+		cfg, err := Parse([]byte(text), noEnvironment)
 		if err == nil {
-			_, err = admission.New(c.Settings, c.Seed, 0)
+			_, err = admission.New(cfg.Settings, cfg.Seed, 0)
 			require.NoError(t, err, "what passes the check must start a controller")
 		}
 	})
@@ -143,9 +143,9 @@
 // A file that is being written, or lost a part, must not be taken for one that wants the defaults.
 func TestSuccessor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	inForce, err := Parse([]byte(read(t)), none)
+	inForce, err := Parse([]byte(readSample(t)), noEnvironment)
 	require.NoError(t, err)
-	for _, c := range []struct{ old, new, key string }{
+	for _, test := range []struct{ old, new, key string }{
 		{"", "", ""},
 		{`"preview"`, `"poster"`, ""},
 		{`[true, false, true]`, `[true, true, true]`, ""},
@@ -156,15 +156,15 @@
 		{`"stop_ms": 3200`, `"stop_ms": 3200, "more": 1`, ""},
 		{`"DeadlineUs": 7000000`, `"DeadlineUs": "7000000"`, "settings.Lanes[0].DeadlineUs:"},
 	} {
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(read(t), c.old, c.new, 1)), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(readSample(t), test.old, test.new, 1)), 0o600))
 		_, err := inForce.Successor(path)
-		if c.key == "" {
-			require.NoError(t, err, c.new)
+		if test.key == "" {
+			require.NoError(t, err, test.new)
 			continue
 		}
-		require.ErrorContains(t, err, c.key)
+		require.ErrorContains(t, err, test.key)
 	}
-	for _, text := range []string{"", read(t)[:len(read(t))/2]} {
+	for _, text := range []string{"", readSample(t)[:len(readSample(t))/2]} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := inForce.Successor(path)
 		require.Error(t, err)
@@ -173,9 +173,9 @@
 
 // Settings that the platform's pages allow start a server, whatever the sockets have no message for: another customer's
 // server with halt "drop" did not start at all. The controller then does not count on it, and the log can tell.
-func TestSettingsOfOtherCustomers(t *testing.T) {
+func TestUnsupportedSettings(t *testing.T) {
 	off := strings.NewReplacer(`"Below": "shared"`, `"Below": "off"`, `"store": "127.0.0.1:8900",`, ``)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, old, new string
 		unused         []string
 		safety         admission.Idempotency
@@ -199,19 +199,19 @@
 		{"tenants", `"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}]`, nil, admission.IdempotentByKey},
 		{"unknown keys", `"FleetSize"`, `"Later": [{"x": null}], "FleetSize"`, nil, admission.IdempotentByKey},
 	} {
-		text := strings.Replace(read(t), c.old, c.new, 1)
-		require.True(t, c.old == "" || text != read(t), c.name)
-		cfg, err := Parse([]byte(text), none)
-		require.NoError(t, err, c.name)
-		require.Equal(t, c.unused, cfg.Unused, c.name)
-		require.Equal(t, admission.HaltOff, cfg.Settings.Halt, c.name)
-		require.Equal(t, admission.AdvertOff, cfg.Settings.Advert, c.name)
-		require.Zero(t, cfg.Settings.CacheTTL, c.name)
-		require.Equal(t, c.safety, cfg.Settings.Classes[2].Idempotency, c.name)
+		text := strings.Replace(readSample(t), test.old, test.new, 1)
+		require.True(t, test.old == "" || text != readSample(t), test.name)
+		cfg, err := Parse([]byte(text), noEnvironment)
+		require.NoError(t, err, test.name)
+		require.Equal(t, test.unused, cfg.Unused, test.name)
+		require.Equal(t, admission.HaltOff, cfg.Settings.Halt, test.name)
+		require.Equal(t, admission.AdvertOff, cfg.Settings.Advert, test.name)
+		require.Zero(t, cfg.Settings.CacheTTL, test.name)
+		require.Equal(t, test.safety, cfg.Settings.Classes[2].Idempotency, test.name)
 		_, err = admission.New(cfg.Settings, cfg.Seed, 0)
-		require.NoError(t, err, c.name)
+		require.NoError(t, err, test.name)
 	}
-	cfg, err := Parse([]byte(off.Replace(read(t))), none) // nothing is called, so there is no store to name
+	cfg, err := Parse([]byte(off.Replace(readSample(t))), noEnvironment) // nothing is called, so there is no store to name
 	require.NoError(t, err)
 	require.False(t, cfg.Settings.Classes[0].CallsDependency)
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -34,7 +34,7 @@
 // fullSample is the sample with a value for every key that is read.
 func fullSample(t *testing.T) map[string]any {
 	var root map[string]any
-	require.NoError(t, json.Unmarshal([]byte(read(t)), &root))
+	require.NoError(t, json.Unmarshal([]byte(readSample(t)), &root))
 	root["console"] = "127.0.0.1:15000"
 	root["settings"].(map[string]any)["Tenants"] = []any{map[string]any{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}}
 	return root
@@ -77,11 +77,11 @@
 }
 
 // leaves returns the path of every value in v, objects and lists among them, in the order of their names.
-func leaves(path string, v any) (paths []string) {
+func leaves(path string, value any) (paths []string) {
 	if path != "" {
 		paths = append(paths, path)
 	}
-	switch v := v.(type) {
+	switch v := value.(type) {
 	case map[string]any:
 		for name, member := range v {
 			paths = append(paths, leaves(strings.TrimPrefix(path+"."+name, "."), member)...)
@@ -108,11 +108,11 @@
 	var got strings.Builder
 	for _, path := range leaves("", fullSample(t)) {
 		for _, value := range []string{"{}", "[]", `"word"`, "true", "7.5", "null"} {
-			_, err := Parse(replaced(t, path, value), none)
+			_, err := Parse(replaced(t, path, value), noEnvironment)
 			fmt.Fprintf(&got, "%s = %s\n\t%s\n", path, value, outcome(err))
 		}
 		if !strings.HasSuffix(path, "]") {
-			_, err := Parse(replaced(t, path, absent), none)
+			_, err := Parse(replaced(t, path, absent), noEnvironment)
 			fmt.Fprintf(&got, "%s is absent\n\t%s\n", path, outcome(err))
 		}
 	}
@@ -122,7 +122,7 @@
 // A value of the right type that makes no sense.
 func TestGoldenWrongValues(t *testing.T) {
 	var got strings.Builder
-	for _, c := range []struct{ path, value string }{
+	for _, test := range []struct{ path, value string }{
 		{"name", `""`},
 		{"listen", `""`},
 		{"listen", `"localhost:5050"`},
@@ -196,8 +196,8 @@
 		{"settings.Lanes[2].Idempotency", `"unsafe"`},
 		{"settings.Tenants", `[3]`},
 	} {
-		_, err := Parse(replaced(t, c.path, c.value), none)
-		fmt.Fprintf(&got, "%s = %s\n\t%s\n", c.path, c.value, outcome(err))
+		_, err := Parse(replaced(t, test.path, test.value), noEnvironment)
+		fmt.Fprintf(&got, "%s = %s\n\t%s\n", test.path, test.value, outcome(err))
 	}
 	requireGolden(t, "values", got.String())
 }
@@ -205,7 +205,7 @@
 // What is wrong with the whole, or with what the environment sets.
 func TestGoldenLoad(t *testing.T) {
 	dir := t.TempDir()
-	in := func(name string) string {
+	inDirectory := func(name string) string {
 		if strings.HasSuffix(name, ".json") {
 			return filepath.Join(dir, name)
 		}
@@ -213,13 +213,13 @@
 	}
 	for name, text := range map[string]string{"good.json": string(replaced(t, "name", `"n3"`)), "word.json": "word",
 		"list.json": "[]", "cut.json": `{"name": "n3",`, "empty.json": "", "none.json": "{}", "bad.json": string(replaced(t, "stop_ms", "0"))} {
-		require.NoError(t, os.WriteFile(in(name), []byte(text), 0o600))
+		require.NoError(t, os.WriteFile(inDirectory(name), []byte(text), 0o600))
 	}
 	for _, name := range []string{envPath, envName, envListen, envConsole, envInherited} {
 		t.Setenv(name, "")
 	}
 	var got strings.Builder
-	for _, c := range []struct{ path, variable, value string }{
+	for _, test := range []struct{ path, variable, value string }{
 		{"", envName, ""},
 		{"", envPath, "absent.json"},
 		{"absent.json", envName, ""},
@@ -238,13 +238,13 @@
 		{"good.json", envInherited, "70000"},
 		{"good.json", envInherited, "3"},
 	} {
-		t.Setenv(c.variable, in(c.value))
-		_, err := Load(in(c.path))
-		fmt.Fprintf(&got, "Load %q with %s=%q\n\t%s\n", c.path, c.variable, c.value, outcome(err))
-		t.Setenv(c.variable, "")
+		t.Setenv(test.variable, inDirectory(test.value))
+		_, err := Load(inDirectory(test.path))
+		fmt.Fprintf(&got, "Load %q with %s=%q\n\t%s\n", test.path, test.variable, test.value, outcome(err))
+		t.Setenv(test.variable, "")
 	}
 	for _, path := range []string{"", "absent.json", "word.json", "list.json", "none.json", "good.json"} {
-		digest, err := Digest(in(path))
+		digest, err := Digest(inDirectory(path))
 		fmt.Fprintf(&got, "Digest %q\n\t%016x, %s\n", path, digest, outcome(err))
 	}
 	for _, text := range []string{"word", "7", "{}", `{"Lanes": [{"AimUs": "soon"}]}`, `{"Lanes": [{}]}`} {
@@ -256,7 +256,7 @@
 
 // A key that was given and is missing from the file that is to be taken over.
 func TestGoldenSuccessor(t *testing.T) {
-	inForce, err := Parse(replaced(t, "name", `"n3"`), none)
+	inForce, err := Parse(replaced(t, "name", `"n3"`), noEnvironment)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "next.json")
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -32,16 +32,16 @@
 
 // get returns the member of that type, or nil.
 func (o object) get(name string, want ...fastjson.Type) *fastjson.Value {
-	v := o.value.Get(name)
-	if v == nil || v.Type() == fastjson.TypeNull {
+	member := o.value.Get(name)
+	if member == nil || member.Type() == fastjson.TypeNull {
 		return nil
 	}
-	for _, t := range want {
-		if v.Type() == t {
-			return v
+	for _, wanted := range want {
+		if member.Type() == wanted {
+			return member
 		}
 	}
-	o.fail(name, "want a value of type %v, got %v", want[0], v.Type())
+	o.fail(name, "want a value of type %v, got %v", want[0], member.Type())
 	return nil
 }
 
@@ -61,23 +61,23 @@
 	return list
 }
 
-// eachKey calls f with the path of every key. The objects of a list count as one, whose keys are those that
+// visitKeys calls f with the path of every key. The objects of a list count as one, whose keys are those that
 // all of them have.
-func (o object) eachKey(f func(key string)) {
-	o.value.GetObject().Visit(func(k []byte, v *fastjson.Value) {
+func (o object) visitKeys(visit func(key string)) {
+	o.value.GetObject().Visit(func(k []byte, member *fastjson.Value) {
 		name := string(k)
-		f(o.key(name))
-		switch v.Type() {
+		visit(o.key(name))
+		switch member.Type() {
 		case fastjson.TypeObject:
-			object{value: v, path: o.key(name)}.eachKey(f)
+			object{value: member, path: o.key(name)}.visitKeys(visit)
 		case fastjson.TypeArray:
-			had := map[string]int{}
-			for _, item := range v.GetArray() {
-				object{value: item, path: o.key(name) + "[]"}.eachKey(func(key string) { had[key]++ })
+			count := map[string]int{}
+			for _, item := range member.GetArray() {
+				object{value: item, path: o.key(name) + "[]"}.visitKeys(func(key string) { count[key]++ })
 			}
-			for key, n := range had {
-				if n == len(v.GetArray()) {
-					f(key)
+			for key, n := range count {
+				if n == len(member.GetArray()) {
+					visit(key)
 				}
 			}
 		}
@@ -99,51 +99,51 @@
 }
 
 func (o object) number(name string) float64 {
-	v := o.get(name, fastjson.TypeNumber)
-	if v == nil {
+	member := o.get(name, fastjson.TypeNumber)
+	if member == nil {
 		return 0
 	}
-	f := v.GetFloat64()
-	if math.IsNaN(f) || math.IsInf(f, 0) {
-		o.fail(name, "want a finite number, got %v", v)
+	number := member.GetFloat64()
+	if math.IsNaN(number) || math.IsInf(number, 0) {
+		o.fail(name, "want a finite number, got %v", member)
 		return 0
 	}
-	return f
+	return number
 }
 
 // hex reads a number that is written as a string of up to 16 hex digits.
 func (o object) hex(name string) uint64 {
-	word := o.text(name)
-	if word == "" {
+	text := o.text(name)
+	if text == "" {
 		return 0
 	}
-	v, err := strconv.ParseUint(word, 16, 64)
+	number, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		o.fail(name, "want up to 16 hex digits, got %.40q", word)
+		o.fail(name, "want up to 16 hex digits, got %.40q", text)
 	}
-	return v
+	return number
 }
 
-func (o object) whole(name string) int64 {
-	v := o.number(name)
-	if v != math.Trunc(v) || math.Abs(v) > 1<<53 {
-		o.fail(name, "want a whole number, got %v", v)
+func (o object) integer(name string) int64 {
+	number := o.number(name)
+	if number != math.Trunc(number) || math.Abs(number) > 1<<53 {
+		o.fail(name, "want a whole number, got %v", number)
 		return 0
 	}
-	return int64(v)
+	return int64(number)
 }
 
-// us reads a time in microseconds.
-func (o object) us(name string) time.Duration {
-	v := o.whole(name)
-	if v > math.MaxInt64/1000 || v < math.MinInt64/1000 {
-		o.fail(name, "%d microseconds are too many", v)
+// microseconds reads a time in microseconds.
+func (o object) microseconds(name string) time.Duration {
+	count := o.integer(name)
+	if count > math.MaxInt64/1000 || count < math.MinInt64/1000 {
+		o.fail(name, "%d microseconds are too many", count)
 		return 0
 	}
-	return time.Duration(v) * time.Microsecond
+	return time.Duration(count) * time.Microsecond
 }
 
-func (o object) flag(name string) bool {
+func (o object) boolean(name string) bool {
 	v := o.get(name, fastjson.TypeTrue, fastjson.TypeFalse)
 	return v != nil && v.GetBool()
 }
@@ -159,7 +159,7 @@
 	return list
 }
 
-func (o object) flags(name string) []bool {
+func (o object) booleans(name string) []bool {
 	var list []bool
 	for i, v := range o.list(name) {
 		if t := v.Type(); t != fastjson.TypeTrue && t != fastjson.TypeFalse {
@@ -181,12 +181,12 @@
 	return list
 }
 
-// named reads a word that stands for a value of T.
-func named[T any](o object, name string, words map[string]T) T {
-	word := o.text(name)
-	v, ok := words[word]
+// enum reads a word that stands for a value of T.
+func enum[T any](o object, name string, values map[string]T) T {
+	text := o.text(name)
+	value, ok := values[text]
 	if !ok {
-		o.fail(name, "unknown value %q", word)
+		o.fail(name, "unknown value %q", text)
 	}
-	return v
+	return value
 }
