--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,7 +16,9 @@
 
 func noEnvironment(string) string { return "" }
 
+// readSample returns the text of the sample.
 func readSample(t testing.TB) string {
+	t.Helper()
 	text, err := os.ReadFile(samplePath)
 	require.NoError(t, err)
 	return string(text)
@@ -34,7 +36,11 @@
 	require.Equal(t, []string{"core_use", "on_cores", "heap_share", "links"}, cfg.Gauges)
 	require.Equal(t, admission.IdempotentByKey, cfg.Settings.Classes[2].Idempotency)
 	require.Equal(t, 17457*time.Millisecond, cfg.Settings.Classes[2].IdempotencyWindow)
-	require.Equal(t, []bool{true, false, true}, []bool{cfg.Settings.Classes[0].CallsDependency, cfg.Settings.Classes[1].CallsDependency, cfg.Settings.Classes[2].CallsDependency})
+	var callsDependency []bool
+	for _, class := range cfg.Settings.Classes {
+		callsDependency = append(callsDependency, class.CallsDependency)
+	}
+	require.Equal(t, []bool{true, false, true}, callsDependency)
 	_, err = admission.New(cfg.Settings, cfg.Seed, 0)
 	require.NoError(t, err, "what passes the check must start a controller")
 }
@@ -73,16 +79,25 @@
 	require.Equal(t, maxReplacedWait+replacedMargin, cfg.ReplacedStopTimeout)
 	t.Setenv(envInherited, "stdin")
 	_, err = Load("")
-	require.ErrorContains(t, err, envInherited)
+	requireKey(t, err, envInherited)
 
 	t.Setenv(envPath, "")
 	_, err = Load("")
-	require.ErrorContains(t, err, envPath)
+	requireKey(t, err, envPath)
 	_, err = Load(filepath.Join(dir, "absent"))
 	require.Error(t, err)
 }
 
-// A wrong configuration must end the start with the name of the key, not with a server that guesses.
+// requireKey has an error name the key at fault, in its text and by its type.
+func requireKey(t *testing.T, err error, key string) {
+	t.Helper()
+	require.ErrorContains(t, err, key)
+	var keyError *KeyError
+	require.ErrorAs(t, err, &keyError)
+	require.Equal(t, key, keyError.Key)
+}
+
+// A wrong configuration must prevent the start and name the key; the server must not guess.
 func TestInvalidKeys(t *testing.T) {
 	for _, test := range []struct{ old, new, key string }{
 		{`"n3"`, `""`, "name:"},
@@ -125,6 +140,7 @@
 		text := strings.Replace(readSample(t), test.old, test.new, 1)
 		_, err := Parse([]byte(text), noEnvironment)
 		require.ErrorContains(t, err, test.key, "%s in place of %s", test.new, test.old)
+		requireKey(t, err, strings.TrimSuffix(test.key, ":"))
 	}
 }
 
@@ -140,7 +156,7 @@
 	})
 }
 
-// A file that is being written, or lost a part, must not be taken for one that wants the defaults.
+// A file that is half written, or has lost a part, must not be taken for one that asks for the defaults.
 func TestSuccessor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	inForce, err := Parse([]byte(readSample(t)), noEnvironment)
@@ -163,6 +179,8 @@
 			continue
 		}
 		require.ErrorContains(t, err, test.key)
+		key, _, _ := strings.Cut(test.key, ":")
+		requireKey(t, err, key)
 	}
 	for _, text := range []string{"", readSample(t)[:len(readSample(t))/2]} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -171,8 +189,8 @@
 	}
 }
 
-// Settings that the platform's pages allow start a server, whatever the sockets have no message for: another customer's
-// server with halt "drop" did not start at all. The controller then does not count on it, and the log can tell.
+// Settings that the platform's pages allow must start a server, also where the protocols can't carry them: a server with
+// halt "drop" did not start at all once. The controller must not count on them, and Unused names them for the log.
 func TestUnsupportedSettings(t *testing.T) {
 	off := strings.NewReplacer(`"Below": "shared"`, `"Below": "off"`, `"store": "127.0.0.1:8900",`, ``)
 	for _, test := range []struct {
@@ -187,16 +205,18 @@
 		{"level", `"Advert": "off"`, `"Advert": "level"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
 		{"credit", `"Advert": "off"`, `"Advert": "credit"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
 		{"weight", `"Advert": "off"`, `"Advert": "weight"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
-		{"shared reads", `"FreshForUs": 0`, `"FreshForUs": 500000`, []string{"settings.FamilyInfo.FreshForUs"}, admission.IdempotentByKey},
+		{"shared reads", `"FreshForUs": 0`, `"FreshForUs": 500000`, []string{"settings.FamilyInfo.FreshForUs"},
+			admission.IdempotentByKey},
 		{"tier", `"Below": "shared"`, `"Below": "tier"`, nil, admission.IdempotentByKey},
 		{"no share", `"CallsOut": 5.9, `, ``, nil, admission.IdempotentByKey},
 		{"unsafe", `"Idempotency": "keyed"`, `"Idempotency": "unsafe"`, nil, admission.Unsafe},
 		{"window absent", `"KeyTtlUs": 17457000, `, ``, nil, admission.IdempotentByKey},
 		{"short deadline", `"DeadlineUs": 7000000`, `"DeadlineUs": 1`, nil, admission.IdempotentByKey},
-		{"no deadline told", `"PassesDeadline": true,`, ``, nil, admission.IdempotentByKey},
+		{"deadline not sent", `"PassesDeadline": true,`, ``, nil, admission.IdempotentByKey},
 		{"no limits", `"Limits": {`, `"Old": {`, nil, admission.IdempotentByKey},
 		{"no rules", `"Invariants": {`, `"Old": {`, nil, admission.IdempotentByKey},
-		{"tenants", `"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}]`, nil, admission.IdempotentByKey},
+		{"tenants", `"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}]`, nil,
+			admission.IdempotentByKey},
 		{"unknown keys", `"FleetSize"`, `"Later": [{"x": null}], "FleetSize"`, nil, admission.IdempotentByKey},
 	} {
 		text := strings.Replace(readSample(t), test.old, test.new, 1)
--- /dev/null
+++ b/internal/config/digest.go
@@ -0,0 +1,36 @@
+package config
+
+import (
+	"fmt"
+	"hash/fnv"
+	"os"
+
+	"github.com/valyala/fastjson"
+)
+
+// Digest returns a hash of the settings in the file at path, or at GW_CONFIG where path is empty. Instances that are to
+// make the same decisions have the same one: it leaves out what differs between them, which is their addresses and
+// whether a server is warming up.
+func Digest(path string) (uint64, error) {
+	if path == "" {
+		path = os.Getenv(envPath)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return 0, fmt.Errorf("configuration: %w", err)
+	}
+	value, err := fastjson.ParseBytes(text)
+	if err != nil {
+		return 0, fmt.Errorf("configuration %s: %w", path, err)
+	}
+	settings := value.Get("settings")
+	if settings == nil {
+		return 0, fmt.Errorf("configuration %s: %w", path, &KeyError{Key: "settings", Err: errMissing})
+	}
+	if family := settings.Get("FamilyInfo"); family != nil {
+		family.Del("Cold")
+	}
+	hash := fnv.New64a()
+	hash.Write(settings.MarshalTo(nil)) // never returns an error
+	return hash.Sum64(), nil
+}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -50,16 +50,16 @@
 		parent = child(t, parent, step)
 	}
 	last := steps[len(steps)-1]
-	switch p := parent.(type) {
+	switch container := parent.(type) {
 	case map[string]any:
-		p[last] = placeholder
+		container[last] = placeholder
 		if value == absent {
-			delete(p, last)
+			delete(container, last)
 		}
 	case []any:
 		i, err := strconv.Atoi(last)
 		require.NoError(t, err)
-		p[i] = placeholder
+		container[i] = placeholder
 	}
 	text, err := json.Marshal(root)
 	require.NoError(t, err)
@@ -76,18 +76,18 @@
 	return parent.([]any)[i]
 }
 
-// leaves returns the path of every value in v, objects and lists among them, in the order of their names.
+// leaves returns the path of every value in one, objects and lists among them, in the order of their names.
 func leaves(path string, value any) (paths []string) {
 	if path != "" {
 		paths = append(paths, path)
 	}
-	switch v := value.(type) {
+	switch container := value.(type) {
 	case map[string]any:
-		for name, member := range v {
+		for name, member := range container {
 			paths = append(paths, leaves(strings.TrimPrefix(path+"."+name, "."), member)...)
 		}
 	case []any:
-		for i, item := range v {
+		for i, item := range container {
 			paths = append(paths, leaves(fmt.Sprintf("%s[%d]", path, i), item)...)
 		}
 	}
@@ -103,17 +103,27 @@
 	return err.Error()
 }
 
+// keyOutcome is outcome for an error that must name a key.
+func keyOutcome(t *testing.T, err error) string {
+	t.Helper()
+	if err != nil {
+		var keyError *KeyError
+		require.ErrorAs(t, err, &keyError)
+	}
+	return outcome(err)
+}
+
 // Every key is read: with a value of the wrong type the message names it. Without the key it has a default or is missed.
 func TestGoldenWrongTypeOfEveryKey(t *testing.T) {
 	var got strings.Builder
 	for _, path := range leaves("", fullSample(t)) {
 		for _, value := range []string{"{}", "[]", `"word"`, "true", "7.5", "null"} {
 			_, err := Parse(replaced(t, path, value), noEnvironment)
-			fmt.Fprintf(&got, "%s = %s\n\t%s\n", path, value, outcome(err))
+			fmt.Fprintf(&got, "%s = %s\n\t%s\n", path, value, keyOutcome(t, err))
 		}
 		if !strings.HasSuffix(path, "]") {
 			_, err := Parse(replaced(t, path, absent), noEnvironment)
-			fmt.Fprintf(&got, "%s is absent\n\t%s\n", path, outcome(err))
+			fmt.Fprintf(&got, "%s is absent\n\t%s\n", path, keyOutcome(t, err))
 		}
 	}
 	requireGolden(t, "types", got.String())
@@ -197,7 +207,7 @@
 		{"settings.Tenants", `[3]`},
 	} {
 		_, err := Parse(replaced(t, test.path, test.value), noEnvironment)
-		fmt.Fprintf(&got, "%s = %s\n\t%s\n", test.path, test.value, outcome(err))
+		fmt.Fprintf(&got, "%s = %s\n\t%s\n", test.path, test.value, keyOutcome(t, err))
 	}
 	requireGolden(t, "values", got.String())
 }
@@ -211,8 +221,15 @@
 		}
 		return name
 	}
-	for name, text := range map[string]string{"good.json": string(replaced(t, "name", `"n3"`)), "word.json": "word",
-		"list.json": "[]", "cut.json": `{"name": "n3",`, "empty.json": "", "none.json": "{}", "bad.json": string(replaced(t, "stop_ms", "0"))} {
+	for name, text := range map[string]string{
+		"good.json":  string(replaced(t, "name", `"n3"`)),
+		"word.json":  "word",
+		"list.json":  "[]",
+		"cut.json":   `{"name": "n3",`,
+		"empty.json": "",
+		"none.json":  "{}",
+		"bad.json":   string(replaced(t, "stop_ms", "0")),
+	} {
 		require.NoError(t, os.WriteFile(inDirectory(name), []byte(text), 0o600))
 	}
 	for _, name := range []string{envPath, envName, envListen, envConsole, envInherited} {
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -3,20 +3,49 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strconv"
 	"time"
 
 	"github.com/valyala/fastjson"
 )
 
-// object reads the members of a JSON object. It keeps the first error, which names the key at fault
-// by its path. Members that are absent or null read as zero.
+// maxInteger is the largest number up to which a float64 holds every integer.
+const maxInteger = 1 << 53
+
+// object reads the members of a JSON object. Members that are absent or null read as zero. All objects of one document
+// share the first failure.
 type object struct {
 	value *fastjson.Value
 	path  string
-	err   *error
+	first **KeyError
+}
+
+// newObject returns the object at the root of a document.
+func newObject(value *fastjson.Value) object {
+	return object{value: value, first: new(*KeyError)}
+}
+
+// failure returns the first failure in the document as a *KeyError, or nil.
+func (o object) failure() error {
+	if *o.first == nil {
+		return nil
+	}
+	return *o.first
+}
+
+// fail records that the member of that name is at fault.
+func (o object) fail(name string, err error) {
+	if *o.first == nil {
+		*o.first = &KeyError{Key: o.key(name), Err: err}
+	}
+}
+
+func (o object) failf(name, format string, args ...any) {
+	o.fail(name, fmt.Errorf(format, args...))
 }
 
+// key returns the path of a member.
 func (o object) key(name string) string {
 	if o.path == "" {
 		return name
@@ -24,76 +53,81 @@
 	return o.path + "." + name
 }
 
-func (o object) fail(name, format string, args ...any) {
-	if *o.err == nil {
-		*o.err = fmt.Errorf("%s: %s", o.key(name), fmt.Sprintf(format, args...))
-	}
-}
+// elementName returns the name of an element of a list.
+func elementName(name string, i int) string { return name + "[" + strconv.Itoa(i) + "]" }
 
-// get returns the member of that type, or nil.
-func (o object) get(name string, want ...fastjson.Type) *fastjson.Value {
+// get returns the member if it has one of the types, or nil.
+func (o object) get(name string, types ...fastjson.Type) *fastjson.Value {
 	member := o.value.Get(name)
 	if member == nil || member.Type() == fastjson.TypeNull {
 		return nil
 	}
-	for _, wanted := range want {
-		if member.Type() == wanted {
-			return member
-		}
+	if slices.Contains(types, member.Type()) {
+		return member
 	}
-	o.fail(name, "want a value of type %v, got %v", want[0], member.Type())
+	o.failf(name, "want a value of type %v, got %v", types[0], member.Type())
 	return nil
 }
 
+func (o object) child(name string, value *fastjson.Value) object {
+	return object{value: value, path: o.key(name), first: o.first}
+}
+
 func (o object) object(name string) object {
-	return object{value: o.get(name, fastjson.TypeObject), path: o.key(name), err: o.err}
+	return o.child(name, o.get(name, fastjson.TypeObject))
 }
 
 func (o object) objects(name string) []object {
 	var list []object
-	for i, v := range o.list(name) {
-		at := name + "[" + strconv.Itoa(i) + "]"
-		if v.Type() != fastjson.TypeObject {
-			o.fail(at, "want an object, got %v", v.Type())
+	for i, item := range o.list(name) {
+		itemName := elementName(name, i)
+		if item.Type() != fastjson.TypeObject {
+			o.failf(itemName, "want an object, got %v", item.Type())
 		}
-		list = append(list, object{value: v, path: o.key(at), err: o.err})
+		list = append(list, o.child(itemName, item))
 	}
 	return list
 }
 
-// visitKeys calls f with the path of every key. The objects of a list count as one, whose keys are those that
-// all of them have.
+// visitKeys calls visit with the path of every key. The objects of a list count as one, whose keys are those that all of
+// them have.
 func (o object) visitKeys(visit func(key string)) {
-	o.value.GetObject().Visit(func(k []byte, member *fastjson.Value) {
-		name := string(k)
+	o.value.GetObject().Visit(func(key []byte, member *fastjson.Value) {
+		name := string(key)
 		visit(o.key(name))
-		switch member.Type() {
-		case fastjson.TypeObject:
-			object{value: member, path: o.key(name)}.visitKeys(visit)
-		case fastjson.TypeArray:
-			count := map[string]int{}
-			for _, item := range member.GetArray() {
-				object{value: item, path: o.key(name) + "[]"}.visitKeys(func(key string) { count[key]++ })
-			}
-			for key, n := range count {
-				if n == len(member.GetArray()) {
-					visit(key)
-				}
-			}
+		if member.Type() == fastjson.TypeObject {
+			o.child(name, member).visitKeys(visit)
+		}
+		if member.Type() == fastjson.TypeArray {
+			o.child(name+"[]", nil).visitCommonKeys(member.GetArray(), visit)
 		}
 	})
 }
 
+// visitCommonKeys calls visit with the path of every key that all items of a list have.
+func (o object) visitCommonKeys(items []*fastjson.Value, visit func(key string)) {
+	counts := map[string]int{}
+	for _, item := range items {
+		o.value = item
+		o.visitKeys(func(key string) { counts[key]++ })
+	}
+	for key, n := range counts {
+		if n == len(items) {
+			visit(key)
+		}
+	}
+}
+
 func (o object) list(name string) []*fastjson.Value {
-	if v := o.get(name, fastjson.TypeArray); v != nil {
-		return v.GetArray()
+	if member := o.get(name, fastjson.TypeArray); member != nil {
+		return member.GetArray()
 	}
 	return nil
 }
 
 func (o object) text(name string) string {
-	if v := o.get(name, fastjson.TypeString); v != nil {
-		return string(v.GetStringBytes())
+	if member := o.get(name, fastjson.TypeString); member != nil {
+		return string(member.GetStringBytes())
 	}
 	return ""
 }
@@ -105,7 +139,7 @@
 	}
 	number := member.GetFloat64()
 	if math.IsNaN(number) || math.IsInf(number, 0) {
-		o.fail(name, "want a finite number, got %v", member)
+		o.failf(name, "want a finite number, got %v", member)
 		return 0
 	}
 	return number
@@ -119,15 +153,15 @@
 	}
 	number, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		o.fail(name, "want up to 16 hex digits, got %.40q", text)
+		o.failf(name, "want up to 16 hex digits, got %.40q", text)
 	}
 	return number
 }
 
 func (o object) integer(name string) int64 {
 	number := o.number(name)
-	if number != math.Trunc(number) || math.Abs(number) > 1<<53 {
-		o.fail(name, "want a whole number, got %v", number)
+	if number != math.Trunc(number) || math.Abs(number) > maxInteger {
+		o.failf(name, "want a whole number, got %v", number)
 		return 0
 	}
 	return int64(number)
@@ -137,56 +171,50 @@
 func (o object) microseconds(name string) time.Duration {
 	count := o.integer(name)
 	if count > math.MaxInt64/1000 || count < math.MinInt64/1000 {
-		o.fail(name, "%d microseconds are too many", count)
+		o.failf(name, "%d microseconds are too many", count)
 		return 0
 	}
 	return time.Duration(count) * time.Microsecond
 }
 
 func (o object) boolean(name string) bool {
-	v := o.get(name, fastjson.TypeTrue, fastjson.TypeFalse)
-	return v != nil && v.GetBool()
+	member := o.get(name, fastjson.TypeTrue, fastjson.TypeFalse)
+	return member != nil && member.GetBool()
 }
 
 func (o object) numbers(name string) []float64 {
-	var list []float64
-	for i, v := range o.list(name) {
-		if v.Type() != fastjson.TypeNumber {
-			o.fail(fmt.Sprintf("%s[%d]", name, i), "want a number, got %v", v.Type())
-		}
-		list = append(list, v.GetFloat64())
-	}
-	return list
+	get := func(item *fastjson.Value) float64 { return item.GetFloat64() }
+	return elements(o, name, "a number", get, fastjson.TypeNumber)
 }
 
 func (o object) booleans(name string) []bool {
-	var list []bool
-	for i, v := range o.list(name) {
-		if t := v.Type(); t != fastjson.TypeTrue && t != fastjson.TypeFalse {
-			o.fail(fmt.Sprintf("%s[%d]", name, i), "want true or false, got %v", t)
-		}
-		list = append(list, v.GetBool())
-	}
-	return list
+	get := func(item *fastjson.Value) bool { return item.GetBool() }
+	return elements(o, name, "true or false", get, fastjson.TypeTrue, fastjson.TypeFalse)
 }
 
 func (o object) texts(name string) []string {
-	var list []string
-	for i, v := range o.list(name) {
-		if v.Type() != fastjson.TypeString {
-			o.fail(fmt.Sprintf("%s[%d]", name, i), "want a string, got %v", v.Type())
+	get := func(item *fastjson.Value) string { return string(item.GetStringBytes()) }
+	return elements(o, name, "a string", get, fastjson.TypeString)
+}
+
+// elements reads a list whose items have one of the types. An item of another type is a failure, and reads as zero.
+func elements[T any](o object, name, want string, get func(*fastjson.Value) T, types ...fastjson.Type) []T {
+	var list []T
+	for i, item := range o.list(name) {
+		if !slices.Contains(types, item.Type()) {
+			o.failf(elementName(name, i), "want %s, got %v", want, item.Type())
 		}
-		list = append(list, string(v.GetStringBytes()))
+		list = append(list, get(item))
 	}
 	return list
 }
 
-// enum reads a word that stands for a value of T.
+// enum reads a text that stands for a value of T.
 func enum[T any](o object, name string, values map[string]T) T {
 	text := o.text(name)
 	value, ok := values[text]
 	if !ok {
-		o.fail(name, "unknown value %q", text)
+		o.failf(name, "unknown value %q", text)
 	}
 	return value
 }
