--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -23,25 +23,25 @@
 
 // Bounds, and defaults of keys that may be absent.
 const (
-	mostFile      = 1 << 20 // bytes of the file
-	mostKeys      = 8       // keys of a fleet in its key file
-	mostSeeds     = 64
-	leastProbe    = 100 * time.Millisecond
-	mostProbe     = 10 * time.Second
-	defaultProbe  = 500 * time.Millisecond
-	mostMembers   = 16384
-	defaultSize   = 300
-	leastForget   = time.Minute
-	mostForget    = 30 * 24 * time.Hour
-	defaultForget = 24 * time.Hour
-	leastLease    = 500 * time.Millisecond
-	mostLease     = time.Minute
-	defaultLease  = 3 * time.Second
-	defaultKeep   = 0.5
-	mostClock     = 24 * time.Hour // that a drill sets the clock off by
-	mostWedge     = time.Minute
-	defaultTrace  = 16 // MB of a file of spans
-	mostTrace     = 1024
+	maxFileBytes         = 1 << 20 // bytes of the file
+	maxKeys              = 8       // keys of a fleet in its key file
+	maxSeeds             = 64
+	minProbeInterval     = 100 * time.Millisecond
+	maxProbeInterval     = 10 * time.Second
+	defaultProbeInterval = 500 * time.Millisecond
+	maxMembers           = 16384
+	defaultSize          = 300
+	minForgetAfter       = time.Minute
+	maxForgetAfter       = 30 * 24 * time.Hour
+	defaultForgetAfter   = 24 * time.Hour
+	minLease             = 500 * time.Millisecond
+	maxLease             = time.Minute
+	defaultLease         = 3 * time.Second
+	defaultReservedRatio = 0.5
+	maxClockOffset       = 24 * time.Hour // that a drill sets the clock off by
+	maxWedge             = time.Minute
+	defaultTraceMB       = 16 // MB of a file of spans
+	maxTraceMB           = 1024
 )
 
 // File is what operators set.
@@ -66,26 +66,26 @@
 	MB     *int     `toml:"max_mb"`
 }
 
-func (t *trace) checked(dir string) (*Trace, error) {
+func (t *trace) parse(dir string) (*Trace, error) {
 	if t == nil {
 		return nil, nil
 	}
 	if t.File == "" {
 		return nil, errors.New("file: missing")
 	}
-	x, mb := &Trace{File: beside(dir, t.File), Sample: 1}, defaultTrace
+	x, mb := &Trace{File: resolvePath(dir, t.File), Sample: 1}, defaultTraceMB
 	if t.Sample != nil {
 		if x.Sample = *t.Sample; !(x.Sample >= 0 && x.Sample <= 1) {
 			return nil, fmt.Errorf("sample: %v is not between 0 and 1", x.Sample)
 		}
 	}
-	err := whole("max_mb", t.MB, 1, mostTrace, &mb)
+	err := setInteger("max_mb", t.MB, 1, maxTraceMB, &mb)
 	x.Bytes = int64(mb) << 20
 	return x, err
 }
 
-// beside is a path that a file in dir names.
-func beside(dir, path string) string {
+// resolvePath is a path that a file in dir names.
+func resolvePath(dir, path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
@@ -151,24 +151,24 @@
 
 // Load reads the file at path, and the files that it names.
 func Load(path string) (*File, error) {
-	text, err := readBounded(path)
+	text, err := readFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("operators' file: %w", err)
 	}
-	f, err := Parse(text, filepath.Dir(path))
+	file, err := Parse(text, filepath.Dir(path))
 	if err != nil {
 		return nil, fmt.Errorf("operators' file %s: %w", path, err)
 	}
-	return f, nil
+	return file, nil
 }
 
-func readBounded(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > mostFile {
-		return nil, fmt.Errorf("%s: %d bytes, want at most %d", path, info.Size(), mostFile)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s: %d bytes, want at most %d", path, info.Size(), maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
@@ -182,9 +182,9 @@
 		Trace    *trace    `toml:"trace"`
 		Drill    *drill    `toml:"drill"`
 	}
-	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := dec.Decode(&raw); err != nil {
-		return nil, named(err)
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	if err := decoder.Decode(&raw); err != nil {
+		return nil, decodeError(err)
 	}
 	if raw.Fleet == nil {
 		for name, there := range map[string]bool{"overload": raw.Overload != nil, "trace": raw.Trace != nil, "drill": raw.Drill != nil} {
@@ -194,42 +194,42 @@
 		}
 		return &File{}, nil
 	}
-	f, err := raw.Fleet.checked(dir)
+	fleet, err := raw.Fleet.parse(dir)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.%w", err)
 	}
-	o, err := raw.Overload.checked()
+	overload, err := raw.Overload.parse()
 	if err != nil {
 		return nil, fmt.Errorf("overload.%w", err)
 	}
-	d, err := raw.Drill.checked()
+	faults, err := raw.Drill.parse()
 	if err != nil {
 		return nil, fmt.Errorf("drill.%w", err)
 	}
-	x, err := raw.Trace.checked(dir)
+	trace, err := raw.Trace.parse(dir)
 	if err != nil {
 		return nil, fmt.Errorf("trace.%w", err)
 	}
-	return &File{Fleet: f, Overload: o, Trace: x, FaultInjection: d}, nil
+	return &File{Fleet: fleet, Overload: overload, Trace: trace, FaultInjection: faults}, nil
 }
 
-func (t *drill) checked() (*FaultInjection, error) {
+func (t *drill) parse() (*FaultInjection, error) {
 	if t == nil {
 		return nil, nil
 	}
 	d := &FaultInjection{}
-	if err := span("clock", t.Clock, -mostClock, mostClock, &d.Clock); err != nil {
+	if err := setDuration("clock", t.Clock, -maxClockOffset, maxClockOffset, &d.Clock); err != nil {
 		return nil, err
 	}
-	return d, span("wedge", t.Wedge, 0, mostWedge, &d.Wedge)
+	return d, setDuration("wedge", t.Wedge, 0, maxWedge, &d.Wedge)
 }
 
-func (t *overload) checked() (*Overload, error) {
+func (t *overload) parse() (*Overload, error) {
 	if t == nil {
 		return nil, nil
 	}
-	o := &Overload{QuotaLeasing: t.Shares, Shedding: t.Cutoff, CoordinatedProbes: t.Probes, Lease: defaultLease, ReservedRatio: defaultKeep}
-	if err := span("lease", t.Lease, leastLease, mostLease, &o.Lease); err != nil {
+	o := &Overload{QuotaLeasing: t.Shares, Shedding: t.Cutoff, CoordinatedProbes: t.Probes, Lease: defaultLease, ReservedRatio: defaultReservedRatio}
+	if err := setDuration("lease", t.Lease, minLease, maxLease, &o.Lease); err != nil {
 		return nil, err
 	}
 	if t.Keep != nil {
@@ -240,28 +240,28 @@
 	return o, nil
 }
 
-// named has an error of the library name the key.
-func named(err error) error {
+// decodeError has an error of the library name the key.
+func decodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		e := strict.Errors[0]
-		row, _ := e.Position()
-		return fmt.Errorf("%s: no such key (line %d)", strings.Join(e.Key(), "."), row)
-	}
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		row, _ := one.Position()
-		if key := strings.Join(one.Key(), "."); key != "" {
-			return fmt.Errorf("%s: %w (line %d)", key, one, row)
+		unknown := strict.Errors[0]
+		row, _ := unknown.Position()
+		return fmt.Errorf("%s: no such key (line %d)", strings.Join(unknown.Key(), "."), row)
+	}
+	var decode *toml.DecodeError
+	if errors.As(err, &decode) {
+		row, _ := decode.Position()
+		if key := strings.Join(decode.Key(), "."); key != "" {
+			return fmt.Errorf("%s: %w (line %d)", key, decode, row)
 		}
-		return fmt.Errorf("line %d: %w", row, one)
+		return fmt.Errorf("line %d: %w", row, decode)
 	}
 	return err
 }
 
-func (t *table) checked(dir string) (*Fleet, error) {
+func (t *table) parse(dir string) (*Fleet, error) {
 	f := &Fleet{Listen: t.Listen, Advertise: t.Advertise, Seeds: t.Seeds, Region: t.Region, Zone: t.Zone, Size: defaultSize,
-		ProbeInterval: defaultProbe, Limits: fleet.Limits{Members: mostMembers / 4, ForgetAfter: defaultForget}}
+		ProbeInterval: defaultProbeInterval, Limits: fleet.Limits{Members: maxMembers / 4, ForgetAfter: defaultForgetAfter}}
 	if f.Advertise == "" {
 		f.Advertise = f.Listen
 	}
@@ -270,40 +270,40 @@
 		addrs = append(addrs, struct{ key, addr string }{"seeds[" + strconv.Itoa(i) + "]", s})
 	}
 	for _, a := range addrs {
-		if err := address(a.addr); err != nil {
+		if err := checkAddress(a.addr); err != nil {
 			return nil, fmt.Errorf("%s: %w", a.key, err)
 		}
 	}
 	if host, _, _ := net.SplitHostPort(f.Advertise); net.ParseIP(host).IsUnspecified() {
 		return nil, fmt.Errorf("advertise: %s is an address that nobody can call", f.Advertise)
 	}
-	if len(f.Seeds) > mostSeeds {
-		return nil, fmt.Errorf("seeds: %d, want at most %d", len(f.Seeds), mostSeeds)
+	if len(f.Seeds) > maxSeeds {
+		return nil, fmt.Errorf("seeds: %d, want at most %d", len(f.Seeds), maxSeeds)
 	}
 	for _, w := range []struct{ key, word string }{{"region", f.Region}, {"zone", f.Zone}} {
-		if err := place(w.word); err != nil {
+		if err := checkPlaceName(w.word); err != nil {
 			return nil, fmt.Errorf("%s: %w", w.key, err)
 		}
 	}
-	if err := whole("size", t.Size, 1, mostMembers, &f.Size); err != nil {
+	if err := setInteger("size", t.Size, 1, maxMembers, &f.Size); err != nil {
 		return nil, err
 	}
-	if err := whole("members_max", t.MembersMax, 2, mostMembers, &f.Limits.Members); err != nil {
+	if err := setInteger("members_max", t.MembersMax, 2, maxMembers, &f.Limits.Members); err != nil {
 		return nil, err
 	}
 	if f.Size > f.Limits.Members {
 		return nil, fmt.Errorf("size: %d, and members_max is %d", f.Size, f.Limits.Members)
 	}
-	if err := span("forget_after", t.Forget, leastForget, mostForget, &f.Limits.ForgetAfter); err != nil {
+	if err := setDuration("forget_after", t.Forget, minForgetAfter, maxForgetAfter, &f.Limits.ForgetAfter); err != nil {
 		return nil, err
 	}
-	if err := span("probe_every", t.Probe, leastProbe, mostProbe, &f.ProbeInterval); err != nil {
+	if err := setDuration("probe_every", t.Probe, minProbeInterval, maxProbeInterval, &f.ProbeInterval); err != nil {
 		return nil, err
 	}
 	if t.KeyFile != "" {
-		text, err := readBounded(beside(dir, t.KeyFile))
+		text, err := readFile(resolvePath(dir, t.KeyFile))
 		if err == nil {
-			f.Keys, err = keys(text)
+			f.Keys, err = parseKeys(text)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("key_file: %w", err)
@@ -312,8 +312,8 @@
 	return f, nil
 }
 
-// address accepts a numeric address with a port: there is no name service to ask.
-func address(addr string) error {
+// checkAddress accepts a numeric address with a port: there is no name service to ask.
+func checkAddress(addr string) error {
 	if addr == "" {
 		return errors.New("missing")
 	}
@@ -330,51 +330,51 @@
 	return nil
 }
 
-// place accepts the name of a region or zone.
-func place(s string) error {
+// checkPlaceName accepts the name of a region or zone.
+func checkPlaceName(name string) error {
 	switch {
-	case s == "":
+	case name == "":
 		return errors.New("missing")
-	case len(s) > fleet.MaxText:
-		return fmt.Errorf("%d bytes, want at most %d", len(s), fleet.MaxText)
+	case len(name) > fleet.MaxText:
+		return fmt.Errorf("%d bytes, want at most %d", len(name), fleet.MaxText)
 	}
-	for _, c := range s {
+	for _, c := range name {
 		if c <= ' ' || c > '~' {
-			return fmt.Errorf("%q has a character that is no printable ASCII", s)
+			return fmt.Errorf("%q has a character that is no printable ASCII", name)
 		}
 	}
 	return nil
 }
 
-func whole(key string, given *int, least, most int, v *int) error {
+func setInteger(key string, given *int, lowest, highest int, target *int) error {
 	if given == nil {
 		return nil
 	}
-	if *given < least || *given > most {
-		return fmt.Errorf("%s: %d is not between %d and %d", key, *given, least, most)
+	if *given < lowest || *given > highest {
+		return fmt.Errorf("%s: %d is not between %d and %d", key, *given, lowest, highest)
 	}
-	*v = *given
+	*target = *given
 	return nil
 }
 
-func span(key string, given *string, least, most time.Duration, v *time.Duration) error {
+func setDuration(key string, given *string, lowest, highest time.Duration, target *time.Duration) error {
 	if given == nil {
 		return nil
 	}
-	d, err := time.ParseDuration(*given)
+	duration, err := time.ParseDuration(*given)
 	if err != nil {
 		return fmt.Errorf("%s: %w", key, err)
 	}
-	if d < least || d > most {
-		return fmt.Errorf("%s: %v is not between %v and %v", key, d, least, most)
+	if duration < lowest || duration > highest {
+		return fmt.Errorf("%s: %v is not between %v and %v", key, duration, lowest, highest)
 	}
-	*v = d
+	*target = duration
 	return nil
 }
 
-// keys reads a key file: a key of 16, 24 or 32 bytes a line, in hex digits; blank lines and such that begin with # are
+// parseKeys reads a key file: a key of 16, 24 or 32 bytes a line, in hex digits; blank lines and such that begin with # are
 // skipped. The first one encrypts; all of them are understood.
-func keys(text []byte) (all [][]byte, err error) {
+func parseKeys(text []byte) (all [][]byte, err error) {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
 		line := strings.TrimSpace(lines.Text())
@@ -392,8 +392,8 @@
 		return nil, lines.Err()
 	case len(all) == 0:
 		return nil, errors.New("no key in it")
-	case len(all) > mostKeys:
-		return nil, fmt.Errorf("%d keys, want at most %d", len(all), mostKeys)
+	case len(all) > maxKeys:
+		return nil, fmt.Errorf("%d keys, want at most %d", len(all), maxKeys)
 	}
 	return all, nil
 }
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const least = "[fleet]\nlisten = \"10.0.0.1:7946\"\nregion = \"belgium\"\nzone = \"mechelen\"\n"
+const minimalFile = "[fleet]\nlisten = \"10.0.0.1:7946\"\nregion = \"belgium\"\nzone = \"mechelen\"\n"
 
 // The file that is shipped as an example must be one that starts, and say what the defaults are.
 func TestShippedFile(t *testing.T) {
@@ -21,7 +21,7 @@
 	shipped, err := Parse(text, dir)
 	require.NoError(t, err)
 	require.Len(t, shipped.Fleet.Keys, 1)
-	plain, err := Parse([]byte(least), dir)
+	plain, err := Parse([]byte(minimalFile), dir)
 	require.NoError(t, err)
 	require.Equal(t, plain.Fleet.Limits, shipped.Fleet.Limits)
 	require.Equal(t, plain.Fleet.ProbeInterval, shipped.Fleet.ProbeInterval)
@@ -33,37 +33,37 @@
 }
 
 // Whatever can't be meant must name its key; a key of the fleet must never be repeated in a message.
-func TestErrorsNameTheKey(t *testing.T) {
+func TestErrorsNameKey(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"bad": "secret\n", "none": "# nothing\n", "many": strings.Repeat(strings.Repeat("0a", 16)+"\n", 9)} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
 	for want, text := range map[string]string{
 		"fleet.listen: missing":               "[fleet]\n",
-		"fleet.listen: \"host\"":              strings.Replace(least, "10.0.0.1:7946", "host:7946", 1),
-		"fleet.listen: \"0\"":                 strings.Replace(least, "7946", "0", 1),
-		"fleet.advertise: 0.0.0.0":            strings.Replace(least, "10.0.0.1", "0.0.0.0", 1),
-		"fleet.seeds[1]":                      least + "seeds = [\"10.0.0.2:7946\", \"10.0.0.3\"]",
-		"fleet.seeds: 65":                     least + "seeds = [" + strings.Repeat("\"10.0.0.2:7946\",", 65) + "]",
-		"fleet.zone: missing":                 strings.Replace(least, "mechelen", "", 1),
-		"fleet.region: \"bel gium\"":          strings.Replace(least, "belgium", "bel gium", 1),
-		"fleet.size: 0":                       least + "size = 0",
-		"fleet.size: 500, and members_max is": least + "size = 500\nmembers_max = 400",
-		"fleet.forget_after: 1s":              least + "forget_after = \"1s\"",
-		"fleet.probe_every":                   least + "probe_every = \"often\"",
-		"fleet.speed: no such key (line 5)":   least + "speed = 5",
-		"fleet.size":                          least + "size = \"many\"",
+		"fleet.listen: \"host\"":              strings.Replace(minimalFile, "10.0.0.1:7946", "host:7946", 1),
+		"fleet.listen: \"0\"":                 strings.Replace(minimalFile, "7946", "0", 1),
+		"fleet.advertise: 0.0.0.0":            strings.Replace(minimalFile, "10.0.0.1", "0.0.0.0", 1),
+		"fleet.seeds[1]":                      minimalFile + "seeds = [\"10.0.0.2:7946\", \"10.0.0.3\"]",
+		"fleet.seeds: 65":                     minimalFile + "seeds = [" + strings.Repeat("\"10.0.0.2:7946\",", 65) + "]",
+		"fleet.zone: missing":                 strings.Replace(minimalFile, "mechelen", "", 1),
+		"fleet.region: \"bel gium\"":          strings.Replace(minimalFile, "belgium", "bel gium", 1),
+		"fleet.size: 0":                       minimalFile + "size = 0",
+		"fleet.size: 500, and members_max is": minimalFile + "size = 500\nmembers_max = 400",
+		"fleet.forget_after: 1s":              minimalFile + "forget_after = \"1s\"",
+		"fleet.probe_every":                   minimalFile + "probe_every = \"often\"",
+		"fleet.speed: no such key (line 5)":   minimalFile + "speed = 5",
+		"fleet.size":                          minimalFile + "size = \"many\"",
 		"line 1":                              "[fleet",
 		"overload: needs the table":           "[overload]\nshares = true",
-		"overload.lease: 1ms":                 least + "[overload]\nlease = \"1ms\"",
-		"overload.keep: 2":                    least + "[overload]\nkeep = 2.0",
+		"overload.lease: 1ms":                 minimalFile + "[overload]\nlease = \"1ms\"",
+		"overload.keep: 2":                    minimalFile + "[overload]\nkeep = 2.0",
 		"drill: needs the table":              "[drill]\nclock = \"1s\"",
-		"drill.clock: -48h":                   least + "[drill]\nclock = \"-48h\"",
-		"drill.wedge: 2m":                     least + "[drill]\nwedge = \"2m\"",
-		"fleet.key_file: stat":                least + "key_file = \"absent\"",
-		"fleet.key_file: line 1: want":        least + "key_file = \"bad\"",
-		"fleet.key_file: no key":              least + "key_file = \"none\"",
-		"fleet.key_file: 9 keys":              least + "key_file = \"many\"",
+		"drill.clock: -48h":                   minimalFile + "[drill]\nclock = \"-48h\"",
+		"drill.wedge: 2m":                     minimalFile + "[drill]\nwedge = \"2m\"",
+		"fleet.key_file: stat":                minimalFile + "key_file = \"absent\"",
+		"fleet.key_file: line 1: want":        minimalFile + "key_file = \"bad\"",
+		"fleet.key_file: no key":              minimalFile + "key_file = \"none\"",
+		"fleet.key_file: 9 keys":              minimalFile + "key_file = \"many\"",
 	} {
 		_, err := Parse([]byte(text), dir)
 		require.ErrorContains(t, err, want)
