--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -95,7 +95,7 @@
 	return paths
 }
 
-// outcome is the message of an error, or what stands for none.
+// outcome returns the message of an error, or that there is none.
 func outcome(err error) string {
 	if err == nil {
 		return "accepted"
--- /dev/null
+++ b/internal/operators/fleet.go
@@ -0,0 +1,136 @@
+package operators
+
+import (
+	"fmt"
+	"net"
+	"time"
+
+	"falldeal/internal/fleet"
+)
+
+// Bounds and defaults of the table [fleet].
+const (
+	maxSeeds             = 64
+	maxMembers           = 16384
+	defaultMembers       = maxMembers / 4
+	defaultSize          = 300
+	minForgetAfter       = time.Minute
+	maxForgetAfter       = 30 * 24 * time.Hour
+	defaultForgetAfter   = 24 * time.Hour
+	minProbeInterval     = 100 * time.Millisecond
+	maxProbeInterval     = 10 * time.Second
+	defaultProbeInterval = 500 * time.Millisecond
+)
+
+// Fleet is the table [fleet]: this instance's membership.
+type Fleet struct {
+	Listen        string   // IP address and port, TCP and UDP, at which this instance listens for other members
+	Advertise     string   // where other members reach it, if that is elsewhere
+	Seeds         []string // members to contact first; its own address among them does no harm
+	Region        string
+	Zone          string
+	Keys          [][]byte      // encryption keys, newest first; none: messages are not encrypted
+	Size          int           // expected number of members, for pacing
+	Limits        fleet.Limits  // of the membership view
+	ProbeInterval time.Duration // between two probes of other members
+}
+
+// table is the table [fleet] as it is decoded. Errors of the decoder print its name and fields.
+type table struct {
+	Listen     string   `toml:"listen"`
+	Advertise  string   `toml:"advertise"`
+	Seeds      []string `toml:"seeds"`
+	Region     string   `toml:"region"`
+	Zone       string   `toml:"zone"`
+	KeyFile    string   `toml:"key_file"`
+	Size       *int     `toml:"size"`
+	MembersMax *int     `toml:"members_max"`
+	Forget     *string  `toml:"forget_after"`
+	Probe      *string  `toml:"probe_every"`
+}
+
+// parse checks the table and reads the key file, whose path is relative to dir.
+func (t *table) parse(dir string) (*Fleet, error) {
+	parsed := &Fleet{
+		Listen:        t.Listen,
+		Advertise:     t.Advertise,
+		Seeds:         t.Seeds,
+		Region:        t.Region,
+		Zone:          t.Zone,
+		Size:          defaultSize,
+		Limits:        fleet.Limits{Members: defaultMembers, ForgetAfter: defaultForgetAfter},
+		ProbeInterval: defaultProbeInterval,
+	}
+	if parsed.Advertise == "" {
+		parsed.Advertise = parsed.Listen
+	}
+	if err := parsed.checkAddresses(); err != nil {
+		return nil, err
+	}
+	if err := parsed.checkPlace(); err != nil {
+		return nil, err
+	}
+	if err := t.setSizes(parsed); err != nil {
+		return nil, err
+	}
+	if err := t.setDurations(parsed); err != nil {
+		return nil, err
+	}
+	var err error
+	parsed.Keys, err = readKeyFile(dir, t.KeyFile)
+	if err != nil {
+		return nil, &KeyError{Key: "fleet.key_file", Err: err}
+	}
+	return parsed, nil
+}
+
+func (f *Fleet) checkAddresses() error {
+	type keyed struct{ key, address string }
+	addresses := []keyed{{"fleet.listen", f.Listen}, {"fleet.advertise", f.Advertise}}
+	for i, seed := range f.Seeds {
+		addresses = append(addresses, keyed{fmt.Sprintf("fleet.seeds[%d]", i), seed})
+	}
+	for _, item := range addresses {
+		if err := checkAddress(item.address); err != nil {
+			return &KeyError{Key: item.key, Err: err}
+		}
+	}
+	if host, _, _ := net.SplitHostPort(f.Advertise); net.ParseIP(host).IsUnspecified() {
+		return keyErrorf("fleet.advertise", "%s is an address that nobody can call", f.Advertise)
+	}
+	if len(f.Seeds) > maxSeeds {
+		return keyErrorf("fleet.seeds", "%d, want at most %d", len(f.Seeds), maxSeeds)
+	}
+	return nil
+}
+
+func (f *Fleet) checkPlace() error {
+	if err := checkPlaceName(f.Region); err != nil {
+		return &KeyError{Key: "fleet.region", Err: err}
+	}
+	if err := checkPlaceName(f.Zone); err != nil {
+		return &KeyError{Key: "fleet.zone", Err: err}
+	}
+	return nil
+}
+
+func (t *table) setSizes(parsed *Fleet) error {
+	if err := setBounded("fleet.size", t.Size, 1, maxMembers, &parsed.Size); err != nil {
+		return err
+	}
+	if err := setBounded("fleet.members_max", t.MembersMax, 2, maxMembers, &parsed.Limits.Members); err != nil {
+		return err
+	}
+	if parsed.Size > parsed.Limits.Members {
+		return keyErrorf("fleet.size", "%d, and members_max is %d", parsed.Size, parsed.Limits.Members)
+	}
+	return nil
+}
+
+func (t *table) setDurations(parsed *Fleet) error {
+	err := setDuration("fleet.forget_after", t.Forget, minForgetAfter, maxForgetAfter, &parsed.Limits.ForgetAfter)
+	if err != nil {
+		return err
+	}
+	return setDuration("fleet.probe_every", t.Probe, minProbeInterval, maxProbeInterval, &parsed.ProbeInterval)
+}
--- a/internal/operators/golden_test.go
+++ b/internal/operators/golden_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -32,19 +33,12 @@
 	zoneLine   = "zone = \"mechelen\"\n"
 )
 
-// replaceLine returns the least file with other lines in place of one.
+// replaceLine returns the minimal file with other lines in place of one.
 func replaceLine(line, other string) string { return strings.Replace(minimalFile, line, other, 1) }
 
-// The full message for every key that can be at fault.
-func TestGoldenErrors(t *testing.T) {
-	dir := t.TempDir()
-	key := strings.Repeat("0a", 16) + "\n"
-	for name, text := range map[string]string{"bad.key": "# newest first\n\n0a0b\n", "none.key": "# nothing\n", "many.key": strings.Repeat(key, 9),
-		"long.key": strings.Repeat("0a", 1<<16), "good.key": key, "huge.key": strings.Repeat("#", maxFileBytes+1)} {
-		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
-	}
-	var got strings.Builder
-	for _, text := range []string{
+// Files with at most one fault, by the table that has it.
+var (
+	syntaxCases = []string{
 		"",
 		minimalFile,
 		"[fleet",
@@ -61,7 +55,8 @@
 		"overload = 5\n",
 		"trace = 5\n",
 		"drill = 5\n",
-
+	}
+	fleetCases = []string{
 		replaceLine(listenLine, ""),
 		replaceLine(listenLine, "listen = 5\n"),
 		replaceLine(listenLine, "listen = \"host:7946\"\n"),
@@ -107,7 +102,8 @@
 		minimalFile + "key_file = \"long.key\"\n",
 		minimalFile + "key_file = \"huge.key\"\n",
 		minimalFile + "key_file = \"good.key\"\n",
-
+	}
+	overloadCases = []string{
 		"[overload]\nshares = true\n",
 		minimalFile + "[overload]\nshares = 5\n",
 		minimalFile + "[overload]\ncutoff = 5\n",
@@ -121,7 +117,8 @@
 		minimalFile + "[overload]\nkeep = 1.1\n",
 		minimalFile + "[overload]\nkeep = nan\n",
 		minimalFile + "[overload]\nshares = true\nlease = \"1s\"\nkeep = 0.5\ncutoff = true\nprobes = true\n",
-
+	}
+	traceCases = []string{
 		"[trace]\nfile = \"spans\"\n",
 		minimalFile + "[trace]\n",
 		minimalFile + "[trace]\nfile = 5\n",
@@ -132,7 +129,8 @@
 		minimalFile + "[trace]\nfile = \"spans\"\nmax_mb = 0\n",
 		minimalFile + "[trace]\nfile = \"spans\"\nmax_mb = 1025\n",
 		minimalFile + "[trace]\nfile = \"spans\"\nsample = 0.5\nmax_mb = 1\n",
-
+	}
+	faultInjectionCases = []string{
 		"[drill]\nclock = \"1s\"\n",
 		minimalFile + "[drill]\nclock = 5\n",
 		minimalFile + "[drill]\nclock = \"late\"\n",
@@ -143,14 +141,35 @@
 		minimalFile + "[drill]\nwedge = \"-1s\"\n",
 		minimalFile + "[drill]\nwedge = \"61s\"\n",
 		minimalFile + "[drill]\nclock = \"-1s\"\nwedge = \"1s\"\n",
+	}
+)
+
+// The full message for every key that can be at fault.
+func TestGoldenErrors(t *testing.T) {
+	dir := t.TempDir()
+	key := strings.Repeat("0a", 16) + "\n"
+	for name, text := range map[string]string{
+		"bad.key":  "# newest first\n\n0a0b\n",
+		"none.key": "# nothing\n",
+		"many.key": strings.Repeat(key, 9),
+		"long.key": strings.Repeat("0a", 1<<16),
+		"good.key": key,
+		"huge.key": strings.Repeat("#", maxFileBytes+1),
 	} {
+		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
+	}
+	var got strings.Builder
+	for _, text := range slices.Concat(syntaxCases, fleetCases, overloadCases, traceCases, faultInjectionCases) {
 		_, err := Parse([]byte(text), dir)
 		fmt.Fprintf(&got, "%s\n\t%s\n", shown(text), outcome(err))
+		if err != nil && !strings.HasPrefix(err.Error(), "line ") { // the syntax is good
+			requireKey(t, err)
+		}
 	}
 	requireGolden(t, "errors", strings.ReplaceAll(got.String(), dir, "(folder)"))
 }
 
-// shown is a file on one line, without what all of them have.
+// shown returns a file on one line, with the minimal file abbreviated.
 func shown(text string) string {
 	const widest = 100
 	line := strings.ReplaceAll(strings.Replace(text, minimalFile, "(least) ", 1), "\n", "; ")
@@ -160,7 +179,7 @@
 	return line
 }
 
-// outcome is the message of an error, or what stands for none.
+// outcome returns the message of an error, or that there is none.
 func outcome(err error) string {
 	if err == nil {
 		return "accepted"
@@ -171,7 +190,11 @@
 // The messages of a file that can't be read name the file.
 func TestGoldenLoad(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"bad.toml": "[fleet]\n", "huge.toml": strings.Repeat("#", maxFileBytes+1), "good.toml": minimalFile} {
+	for name, text := range map[string]string{
+		"bad.toml":  "[fleet]\n",
+		"huge.toml": strings.Repeat("#", maxFileBytes+1),
+		"good.toml": minimalFile,
+	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
 	var got strings.Builder
--- /dev/null
+++ b/internal/operators/keyfile.go
@@ -0,0 +1,56 @@
+package operators
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// maxKeys bounds the keys in a key file.
+const maxKeys = 8
+
+// keySizes are the sizes of AES keys in bytes.
+var keySizes = []int{16, 24, 32}
+
+// readKeyFile reads the file at path, relative to dir. No path means no keys.
+func readKeyFile(dir, path string) ([][]byte, error) {
+	if path == "" {
+		return nil, nil
+	}
+	text, err := readFile(resolvePath(dir, path))
+	if err != nil {
+		return nil, err
+	}
+	return parseKeys(text)
+}
+
+// parseKeys reads a key file: one key of 16, 24 or 32 bytes on each line, in hex digits. Blank lines and those that
+// begin with # are skipped. The first key encrypts; all of them decrypt. Errors never repeat a line: it is a secret.
+func parseKeys(text []byte) ([][]byte, error) {
+	var keys [][]byte
+	lines := bufio.NewScanner(bytes.NewReader(text))
+	for number := 1; lines.Scan(); number++ {
+		line := strings.TrimSpace(lines.Text())
+		if line == "" || line[0] == '#' {
+			continue
+		}
+		key, err := hex.DecodeString(line)
+		if err != nil || !slices.Contains(keySizes, len(key)) {
+			return nil, fmt.Errorf("line %d: want 32, 48 or 64 hex digits", number)
+		}
+		keys = append(keys, key)
+	}
+	switch {
+	case lines.Err() != nil:
+		return nil, lines.Err()
+	case len(keys) == 0:
+		return nil, errors.New("no key in it")
+	case len(keys) > maxKeys:
+		return nil, fmt.Errorf("%d keys, want at most %d", len(keys), maxKeys)
+	}
+	return keys, nil
+}
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// minimalFile has the keys without a default.
 const minimalFile = "[fleet]\nlisten = \"10.0.0.1:7946\"\nregion = \"belgium\"\nzone = \"mechelen\"\n"
 
 // The file that is shipped as an example must be one that starts, and say what the defaults are.
@@ -17,7 +18,8 @@
 	dir := t.TempDir()
 	text, err := os.ReadFile("../../deploy/operators.toml")
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(filepath.Join(dir, "fleet.key"), []byte("# newest first\n"+strings.Repeat("0a", 32)+"\n"), 0o600))
+	keyFile := "# newest first\n" + strings.Repeat("0a", 32) + "\n"
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "fleet.key"), []byte(keyFile), 0o600))
 	shipped, err := Parse(text, dir)
 	require.NoError(t, err)
 	require.Len(t, shipped.Fleet.Keys, 1)
@@ -32,10 +34,22 @@
 	require.Nil(t, none.Fleet)
 }
 
-// Whatever can't be meant must name its key; a key of the fleet must never be repeated in a message.
+// requireKey returns the key that an error names by its type.
+func requireKey(t *testing.T, err error) string {
+	t.Helper()
+	var keyError *KeyError
+	require.ErrorAs(t, err, &keyError)
+	return keyError.Key
+}
+
+// An error must name the key at fault; it must never repeat an encryption key.
 func TestErrorsNameKey(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"bad": "secret\n", "none": "# nothing\n", "many": strings.Repeat(strings.Repeat("0a", 16)+"\n", 9)} {
+	for name, text := range map[string]string{
+		"bad":  "secret\n",
+		"none": "# nothing\n",
+		"many": strings.Repeat(strings.Repeat("0a", 16)+"\n", 9),
+	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
 	for want, text := range map[string]string{
@@ -67,6 +81,10 @@
 	} {
 		_, err := Parse([]byte(text), dir)
 		require.ErrorContains(t, err, want)
+		if !strings.HasPrefix(want, "line ") {
+			key, _, _ := strings.Cut(want, ":")
+			require.Equal(t, key, requireKey(t, err))
+		}
 		require.NotContains(t, err.Error(), "secret")
 	}
 }
--- /dev/null
+++ b/internal/operators/trace.go
@@ -0,0 +1,40 @@
+package operators
+
+// Bounds and defaults of the table [trace].
+const (
+	defaultTraceMB = 16
+	maxTraceMB     = 1024
+	bytesPerMB     = 1 << 20
+)
+
+// Trace is the table [trace]: spans of what changes in this instance's part of the fleet.
+type Trace struct {
+	File   string
+	Sample float64 // ratio of the episodes that are written, 0 to 1
+	Bytes  int64   // maximum size of the file
+}
+
+// trace is the table [trace] as it is decoded. Errors of the decoder print its name and fields.
+type trace struct {
+	File   string   `toml:"file"`
+	Sample *float64 `toml:"sample"`
+	MB     *int     `toml:"max_mb"`
+}
+
+// parse checks the table. It returns nil where it is absent. The path of the file is relative to dir.
+func (t *trace) parse(dir string) (*Trace, error) {
+	if t == nil {
+		return nil, nil
+	}
+	if t.File == "" {
+		return nil, &KeyError{Key: "trace.file", Err: errMissing}
+	}
+	sample, megabytes := 1.0, defaultTraceMB
+	if err := setBounded("trace.sample", t.Sample, 0, 1, &sample); err != nil {
+		return nil, err
+	}
+	if err := setBounded("trace.max_mb", t.MB, 1, maxTraceMB, &megabytes); err != nil {
+		return nil, err
+	}
+	return &Trace{File: resolvePath(dir, t.File), Sample: sample, Bytes: int64(megabytes) * bytesPerMB}, nil
+}
