--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,22 +11,22 @@
 )
 
 // A peer that fails all the time must not fill the log, and what was left out must show.
-func TestRepeatsAreCounted(t *testing.T) {
+func TestWarnCountsSuppressedLines(t *testing.T) {
 	log, hook := test.NewNullLogger()
 	log.SetLevel(logrus.WarnLevel)
-	l := NewLimiter(log)
+	limiter := NewLimiter(log)
 	now := time.Unix(100, 0)
-	l.now = func() time.Time { return now }
+	limiter.now = func() time.Time { return now }
 	for range 10 {
-		l.Warn("store", "broke", errors.New("reset"))
+		limiter.Warn("store", "broke", errors.New("reset"))
 	}
-	l.Warn("agent", "broke", nil)
+	limiter.Warn("agent", "broke", nil)
 	require.Len(t, hook.Entries, 2)
-	now = now.Add(every)
-	l.Warn("store", "broke", nil)
+	now = now.Add(minInterval)
+	limiter.Warn("store", "broke", nil)
 	require.Equal(t, 9, hook.LastEntry().Data["not_logged"])
-	for i := range 2 * most {
-		l.Warn(string(rune('a'+i)), "one of many", nil)
+	for i := range 2 * maxKeys {
+		limiter.Warn(string(rune('a'+i)), "one of many", nil)
 	}
-	require.LessOrEqual(t, len(l.seen), most)
+	require.LessOrEqual(t, len(limiter.records), maxKeys)
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/counters.go
@@ -25,31 +25,31 @@
 
 // Name returns what is counted for the class of that name.
 func (c *Counters) Name(class string) *Answers {
-	a := c.Answers[class]
-	if a == nil {
+	answers := c.Answers[class]
+	if answers == nil {
 		if c.Answers == nil {
 			c.Answers = map[string]*Answers{}
 		}
-		a = &Answers{}
-		c.Answers[class] = a
+		answers = &Answers{}
+		c.Answers[class] = answers
 	}
-	return a
+	return answers
 }
 
 // Print logs all counters and what is in hand.
 func (c *Counters) Print(log logrus.FieldLogger, open, running, keys, peers int) {
-	var all Answers
-	for _, a := range c.Answers {
-		all.Served += a.Served
-		all.Rejected += a.Rejected
-		all.Failed += a.Failed
+	var total Answers
+	for _, answers := range c.Answers {
+		total.Served += answers.Served
+		total.Rejected += answers.Rejected
+		total.Failed += answers.Failed
 	}
 	log.WithFields(logrus.Fields{
 		"connections": c.Connections, "connections_closed": c.ConnectionsClosed,
 		"silent": c.ReadTimeouts, "unreadable": c.MalformedInputs,
 		"requests": c.Requests, "repeats": c.Retries, "invalid": c.Invalid, "cancelled": c.Cancelled, "probes": c.HealthChecks,
 		"runs": c.Runs, "calls": c.Calls, "calls_dropped": c.CallsDropped, "skips": c.Skips, "exercises": c.DeepChecks,
-		"served": all.Served, "reused": c.Reused, "refused": all.Rejected, "failed": all.Failed,
+		"served": total.Served, "reused": c.Reused, "refused": total.Rejected, "failed": total.Failed,
 		"runs_failed": c.RunsFailed, "runs_interrupted": c.RunsInterrupted, "runs_moot": c.RunsNotStarted,
 		"commands_refused": c.CommandsRejected,
 		"calls_ok":         c.CallsOK, "calls_busy": c.CallsBusy, "calls_failed": c.CallsFailed, "calls_late": c.CallsLate,
--- a/internal/stats/golden_test.go
+++ b/internal/stats/golden_test.go
@@ -27,7 +27,7 @@
 
 // The line that SIGUSR1 and the end of a process print: all names of counters, each with its own value.
 func TestGoldenPrint(t *testing.T) {
-	c := Counters{Connections: 1, ConnectionsClosed: 2, ReadTimeouts: 3, MalformedInputs: 4,
+	counters := Counters{Connections: 1, ConnectionsClosed: 2, ReadTimeouts: 3, MalformedInputs: 4,
 		Requests: 5, Retries: 6, Invalid: 7, Cancelled: 8, HealthChecks: 9,
 		Runs: 10, Calls: 11, CallsDropped: 12, Skips: 13, DeepChecks: 14,
 		Answers: map[string]*Answers{"preview": {Served: 100, Rejected: 200, Failed: 300}, "hires-crop": {Served: 15, Rejected: 16, Failed: 17}},
@@ -38,7 +38,7 @@
 	log := logrus.New()
 	log.SetOutput(&got)
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true})
-	c.Print(log, 36, 37, 38, 39)
+	counters.Print(log, 36, 37, 38, 39)
 	new(Counters).Print(log, 0, 0, 0, 0)
 	requireGolden(t, "print", got.String())
 }
--- a/internal/stats/figures_test.go
+++ b/internal/stats/metrics_test.go
@@ -7,8 +7,8 @@
 )
 
 // The names are those that the operators' collector knows; a class must not break a line apart.
-func TestFigures(t *testing.T) {
-	c := Counters{Answers: map[string]*Answers{"licence-order": {Served: 812, Rejected: 3}, "a.b\nc": {Failed: 1}}, Runs: 900, Reloads: 2, ReloadsFailed: 1}
+func TestMetrics(t *testing.T) {
+	counters := Counters{Answers: map[string]*Answers{"licence-order": {Served: 812, Rejected: 3}, "a.b\nc": {Failed: 1}}, Runs: 900, Reloads: 2, ReloadsFailed: 1}
 	require.Equal(t, `app.calls.a_b_c.success:0|c
 app.calls.a_b_c.busy:0|c
 app.calls.a_b_c.failure:1|c
@@ -19,5 +19,5 @@
 app.inflight:14|g
 app.reconfig_ok:2|c
 app.reconfig_failed:1|c
-`, string(Metrics{Counters: &c, Open: 14}.Append(nil)))
+`, string(Metrics{Counters: &counters, Open: 14}.Append(nil)))
 }
--- a/internal/tracing/golden_test.go
+++ b/internal/tracing/golden_test.go
@@ -18,8 +18,8 @@
 
 const goldenSpans = "testdata/spans.jsonl"
 
-// drawn matches what differs from run to run: identifiers, but for those that say that there is none, and times.
-var drawn = regexp.MustCompile(`"(TraceID|SpanID|StartTime|EndTime)":"([0-9a-f]*[1-9a-f][0-9a-f]*|\d{4}-\d\d-\d\dT[^"]+)"`)
+// randomFields matches what differs from run to run: identifiers, but for those that say that there is none, and times.
+var randomFields = regexp.MustCompile(`"(TraceID|SpanID|StartTime|EndTime)":"([0-9a-f]*[1-9a-f][0-9a-f]*|\d{4}-\d\d-\d\dT[^"]+)"`)
 
 // writeSpans plays episodes with every type of attribute, one for each as their order is not fixed, and returns the file.
 func writeSpans(t *testing.T) []byte {
@@ -51,7 +51,7 @@
 // The file of spans is read by the operators' tools: a span for each line, with these names, attributes and resource.
 func TestGoldenSpans(t *testing.T) {
 	file := writeSpans(t)
-	got := drawn.ReplaceAll(file, []byte(`"$1":"drawn"`))
+	got := randomFields.ReplaceAll(file, []byte(`"$1":"drawn"`))
 	if *update {
 		require.NoError(t, os.WriteFile(goldenSpans, got, 0o644))
 	}
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -28,120 +28,120 @@
 
 // Bounds of what is held in memory.
 const (
-	queued  = 512 // spans that wait to be written
-	batched = 64
+	maxQueuedSpans = 512 // spans that wait to be written
+	maxBatchSpans  = 64
 )
 
 // Tracer belongs to one goroutine, the loop of the server; Close may be called once it is over.
 type Tracer struct {
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
-	file     *bounded
-	open     map[string]*episode
+	file     *boundedFile
+	episodes map[string]*episode
 }
 
 // episode is a time in which one thing is not as usual.
 type episode struct {
-	ctx   context.Context
-	whole trace.Span
-	state trace.Span
+	ctx       context.Context
+	span      trace.Span
+	stateSpan trace.Span
 }
 
 // New opens the file, which is appended to. Name and version are those of the server.
 func New(cfg Config, name, version string) (*Tracer, error) {
-	f, err := os.OpenFile(cfg.File, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o640)
+	file, err := os.OpenFile(cfg.File, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o640)
 	if err != nil {
 		return nil, err
 	}
-	info, err := f.Stat()
+	info, err := file.Stat()
 	if err != nil {
-		f.Close()
+		file.Close()
 		return nil, err
 	}
-	b := &bounded{file: f, left: cfg.Bytes - info.Size()}
-	exporter, err := stdouttrace.New(stdouttrace.WithWriter(b))
+	output := &boundedFile{file: file, remaining: cfg.Bytes - info.Size()}
+	exporter, err := stdouttrace.New(stdouttrace.WithWriter(output))
 	if err != nil {
-		f.Close()
+		file.Close()
 		return nil, err
 	}
-	p := sdk.NewTracerProvider(sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(cfg.Sample))),
-		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(queued), sdk.WithMaxExportBatchSize(batched)),
+	provider := sdk.NewTracerProvider(sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(cfg.Sample))),
+		sdk.WithBatcher(exporter, sdk.WithMaxQueueSize(maxQueuedSpans), sdk.WithMaxExportBatchSize(maxBatchSpans)),
 		sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "falldeal"), attribute.String("service.instance.id", name),
 			attribute.String("service.version", version))))
-	return &Tracer{provider: p, tracer: p.Tracer("falldeal"), file: b, open: map[string]*episode{}}, nil
+	return &Tracer{provider: provider, tracer: provider.Tracer("falldeal"), file: output, episodes: map[string]*episode{}}, nil
 }
 
 // Change notes that something went from one state to another; "" is the usual state. Fields say why, and go to the state
 // that begins, or to the whole where that ends.
 func (t *Tracer) Change(what, from, to string, fields map[string]any) {
-	e := t.open[what]
-	if e == nil {
+	current := t.episodes[what]
+	if current == nil {
 		if to == "" {
 			return
 		}
-		e = &episode{}
-		e.ctx, e.whole = t.tracer.Start(context.Background(), what)
-		t.open[what] = e
+		current = &episode{}
+		current.ctx, current.span = t.tracer.Start(context.Background(), what)
+		t.episodes[what] = current
 	}
-	if e.state != nil {
-		e.state.End()
-		e.state = nil
+	if current.stateSpan != nil {
+		current.stateSpan.End()
+		current.stateSpan = nil
 	}
 	if to == "" {
-		if e.whole.IsRecording() {
-			e.whole.SetAttributes(attributes(fields)...)
+		if current.span.IsRecording() {
+			current.span.SetAttributes(attributes(fields)...)
 		}
-		e.whole.End()
-		delete(t.open, what)
+		current.span.End()
+		delete(t.episodes, what)
 		return
 	}
-	_, e.state = t.tracer.Start(e.ctx, what+": "+to)
-	if e.state.IsRecording() {
-		e.state.SetAttributes(append(attributes(fields), attribute.String("from", from))...)
+	_, current.stateSpan = t.tracer.Start(current.ctx, what+": "+to)
+	if current.stateSpan.IsRecording() {
+		current.stateSpan.SetAttributes(append(attributes(fields), attribute.String("from", from))...)
 	}
 }
 
-func attributes(fields map[string]any) (all []attribute.KeyValue) {
-	for k, v := range fields {
-		switch v := v.(type) {
+func attributes(fields map[string]any) (list []attribute.KeyValue) {
+	for key, value := range fields {
+		switch v := value.(type) {
 		case bool:
-			all = append(all, attribute.Bool(k, v))
+			list = append(list, attribute.Bool(key, v))
 		case int:
-			all = append(all, attribute.Int(k, v))
+			list = append(list, attribute.Int(key, v))
 		case int64:
-			all = append(all, attribute.Int64(k, v))
+			list = append(list, attribute.Int64(key, v))
 		case float64:
-			all = append(all, attribute.Float64(k, v))
+			list = append(list, attribute.Float64(key, v))
 		default:
-			all = append(all, attribute.String(k, fmt.Sprint(v)))
+			list = append(list, attribute.String(key, fmt.Sprint(v)))
 		}
 	}
-	return all
+	return list
 }
 
 // Close ends what is open and writes what waits, as far as ctx gives time.
 func (t *Tracer) Close(ctx context.Context) error {
-	for what := range t.open {
+	for what := range t.episodes {
 		t.Change(what, "", "", map[string]any{"end": "of the process"})
 	}
 	return errors.Join(t.provider.Shutdown(ctx), t.file.file.Close())
 }
 
 // Lost is how many writes there was no room for.
-func (t *Tracer) Lost() int64 { return t.file.lost.Load() }
+func (t *Tracer) Lost() int64 { return t.file.dropped.Load() }
 
-// bounded is a file that takes so many bytes and drops what is more, a write as a whole: no line is torn.
-type bounded struct {
-	file *os.File
-	left int64
-	lost atomic.Int64
+// boundedFile is a file that takes so many bytes and drops what is more, a write as a whole: no line is torn.
+type boundedFile struct {
+	file      *os.File
+	remaining int64
+	dropped   atomic.Int64
 }
 
-func (b *bounded) Write(p []byte) (int, error) {
-	if int64(len(p)) > b.left {
-		b.lost.Add(1)
+func (b *boundedFile) Write(p []byte) (int, error) {
+	if int64(len(p)) > b.remaining {
+		b.dropped.Add(1)
 		return len(p), nil
 	}
-	b.left -= int64(len(p))
+	b.remaining -= int64(len(p))
 	return b.file.Write(p)
 }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-type line struct {
+type spanLine struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ SpanID string }
@@ -21,16 +21,16 @@
 	}
 }
 
-func read(t *testing.T, path string) (all []line) {
-	f, err := os.Open(path)
+func readSpans(t *testing.T, path string) (spans []spanLine) {
+	file, err := os.Open(path)
 	require.NoError(t, err)
-	defer f.Close()
-	for in := bufio.NewScanner(f); in.Scan(); {
-		var l line
-		require.NoError(t, json.Unmarshal(in.Bytes(), &l), "a line is whole")
-		all = append(all, l)
+	defer file.Close()
+	for lines := bufio.NewScanner(file); lines.Scan(); {
+		var span spanLine
+		require.NoError(t, json.Unmarshal(lines.Bytes(), &span), "a line is whole")
+		spans = append(spans, span)
 	}
-	return all
+	return spans
 }
 
 // An episode must be one trace with a span for each of its states and what they were told of, also where the process ends
@@ -38,28 +38,28 @@
 func TestEpisodesAreTraces(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.jsonl")
 	play := func(cfg Config) *Tracer {
-		x, err := New(cfg, "n1", "1")
+		tracer, err := New(cfg, "n1", "1")
 		require.NoError(t, err)
-		x.Change("cutoff", "", "", nil) // as usual
-		x.Change("cutoff", "", "full", map[string]any{"place": 7.5, "members": 12})
-		x.Change("store", "", "trouble", map[string]any{"agree": 3})
-		x.Change("cutoff", "full", "sinking", nil)
-		x.Change("cutoff", "sinking", "", map[string]any{"known": true})
-		require.NoError(t, x.Close(context.Background()))
-		return x
+		tracer.Change("cutoff", "", "", nil) // as usual
+		tracer.Change("cutoff", "", "full", map[string]any{"place": 7.5, "members": 12})
+		tracer.Change("store", "", "trouble", map[string]any{"agree": 3})
+		tracer.Change("cutoff", "full", "sinking", nil)
+		tracer.Change("cutoff", "sinking", "", map[string]any{"known": true})
+		require.NoError(t, tracer.Close(context.Background()))
+		return tracer
 	}
 	play(Config{File: path, Sample: 1, Bytes: 1 << 20})
-	byName := map[string]line{}
-	for _, l := range read(t, path) {
-		byName[l.Name] = l
+	byName := map[string]spanLine{}
+	for _, span := range readSpans(t, path) {
+		byName[span.Name] = span
 	}
 	require.Len(t, byName, 5)
-	whole := byName["cutoff"]
+	episode := byName["cutoff"]
 	for _, name := range []string{"cutoff: full", "cutoff: sinking"} {
-		require.Equal(t, whole.SpanContext.TraceID, byName[name].SpanContext.TraceID)
-		require.Equal(t, whole.SpanContext.SpanID, byName[name].Parent.SpanID)
+		require.Equal(t, episode.SpanContext.TraceID, byName[name].SpanContext.TraceID)
+		require.Equal(t, episode.SpanContext.SpanID, byName[name].Parent.SpanID)
 	}
-	require.NotEqual(t, whole.SpanContext.TraceID, byName["store"].SpanContext.TraceID)
+	require.NotEqual(t, episode.SpanContext.TraceID, byName["store"].SpanContext.TraceID)
 	require.Len(t, byName["cutoff: full"].Attributes, 3)
 
 	info, err := os.Stat(path)
@@ -67,7 +67,7 @@
 	play(Config{File: path, Sample: 0, Bytes: 1 << 20})
 	full := play(Config{File: path, Sample: 1, Bytes: info.Size() + 100})
 	require.Positive(t, full.Lost())
-	require.Len(t, read(t, path), 5)
+	require.Len(t, readSpans(t, path), 5)
 	_, err = New(Config{File: filepath.Join(path, "x")}, "n1", "1")
 	require.Error(t, err)
 }
@@ -75,15 +75,15 @@
 func BenchmarkChange(b *testing.B) {
 	for name, sample := range map[string]float64{"sampled": 1, "not": 0} {
 		b.Run(name, func(b *testing.B) {
-			x, err := New(Config{File: filepath.Join(b.TempDir(), "spans"), Sample: sample, Bytes: 1 << 20}, "n1", "1")
+			tracer, err := New(Config{File: filepath.Join(b.TempDir(), "spans"), Sample: sample, Bytes: 1 << 20}, "n1", "1")
 			require.NoError(b, err)
 			fields := map[string]any{"place": 7.5, "members": 12, "known": true}
 			b.ReportAllocs()
 			for b.Loop() {
-				x.Change("cutoff", "", "full", fields)
-				x.Change("cutoff", "full", "", nil)
+				tracer.Change("cutoff", "", "full", fields)
+				tracer.Change("cutoff", "full", "", nil)
 			}
-			require.NoError(b, x.Close(context.Background()))
+			require.NoError(b, tracer.Close(context.Background()))
 		})
 	}
 }
