--- a/internal/stats/metrics.go
+++ b/internal/stats/metrics.go
@@ -7,37 +7,47 @@
 	"strings"
 )
 
-// Answers counts what the requests of one class were answered.
-type Answers struct{ Served, Rejected, Failed uint64 }
+// metricKind is the type of a metric in a statsd line.
+type metricKind string
 
-// Metrics are what operators watch while a server runs.
+const (
+	counter metricKind = "c"
+	gauge   metricKind = "g"
+)
+
+// Metrics are what operators monitor while a server runs.
 type Metrics struct {
 	*Counters
-	Open int // requests taken and not answered yet
+	Open int // requests that have no reply yet
 }
 
-// Append appends the figures as lines of the statsd form, NAME:VALUE|c for a count and |g for a level.
+// Append appends the metrics as lines of statsd, NAME:VALUE|c for a counter and NAME:VALUE|g for a gauge.
 func (m Metrics) Append(b []byte) []byte {
-	appendLine := func(name string, value uint64, kind string) {
-		b = append(append(b, "app."...), name...)
-		b = append(strconv.AppendUint(append(b, ':'), value, 10), '|')
-		b = append(append(b, kind...), '\n')
-	}
-	for _, name := range slices.Sorted(maps.Keys(m.Answers)) {
-		answers := m.Answers[name]
-		prefix := "calls." + sanitize(name) + "."
-		appendLine(prefix+"success", answers.Served, "c")
-		appendLine(prefix+"busy", answers.Rejected, "c")
-		appendLine(prefix+"failure", answers.Failed, "c")
+	for _, class := range slices.Sorted(maps.Keys(m.Answers)) {
+		answers := m.Answers[class]
+		prefix := "calls." + sanitize(class) + "."
+		b = appendLine(b, prefix+"success", answers.Served, counter)
+		b = appendLine(b, prefix+"busy", answers.Rejected, counter)
+		b = appendLine(b, prefix+"failure", answers.Failed, counter)
 	}
-	appendLine("backend_calls", m.Runs, "c")
-	appendLine("inflight", uint64(m.Open), "g")
-	appendLine("reconfig_ok", m.Reloads, "c")
-	appendLine("reconfig_failed", m.ReloadsFailed, "c")
-	return b
+	b = appendLine(b, "backend_calls", m.Runs, counter)
+	b = appendLine(b, "inflight", uint64(m.Open), gauge)
+	b = appendLine(b, "reconfig_ok", m.Reloads, counter)
+	return appendLine(b, "reconfig_failed", m.ReloadsFailed, counter)
+}
+
+// appendLine appends one line.
+func appendLine(b []byte, name string, value uint64, kind metricKind) []byte {
+	b = append(b, "app."...)
+	b = append(b, name...)
+	b = append(b, ':')
+	b = strconv.AppendUint(b, value, 10)
+	b = append(b, '|')
+	b = append(b, kind...)
+	return append(b, '\n')
 }
 
-// sanitize keeps a name from being taken for several parts of a line.
+// sanitize replaces the characters of a class that would end a part of a name or a line.
 func sanitize(class string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || strings.ContainsRune(".:|@#/", r) {
--- a/internal/stats/metrics_test.go
+++ b/internal/stats/metrics_test.go
@@ -6,9 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The names are those that the operators' collector knows; a class must not break a line apart.
+// The names are those that the operators' collector knows; the name of a class must not break a line apart.
 func TestMetrics(t *testing.T) {
-	counters := Counters{Answers: map[string]*Answers{"licence-order": {Served: 812, Rejected: 3}, "a.b\nc": {Failed: 1}}, Runs: 900, Reloads: 2, ReloadsFailed: 1}
+	counters := Counters{
+		Answers:       map[string]*Answers{"licence-order": {Served: 812, Rejected: 3}, "a.b\nc": {Failed: 1}},
+		Runs:          900,
+		Reloads:       2,
+		ReloadsFailed: 1,
+	}
 	require.Equal(t, `app.calls.a_b_c.success:0|c
 app.calls.a_b_c.busy:0|c
 app.calls.a_b_c.failure:1|c
