--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging keeps log lines that repeat from filling the log.
+// Package logging limits the rate of log lines, so that a fault which repeats does not fill the log.
 package logging
 
 import (
@@ -9,30 +9,33 @@
 )
 
 const (
-	minInterval = 5 * time.Second // least time between two lines under one key
-	maxKeys     = 256             // keys remembered; past that all are forgotten at once
+	minInterval = 5 * time.Second // between two lines under one key
+	maxKeys     = 256             // that are remembered; beyond that all are forgotten at once
 )
 
-// Limiter passes one line a key on to a logger, then counts instead for some time.
+// Limiter passes at most one line in minInterval under each key on to a logger, and counts the lines that it suppresses.
+// It is safe for concurrent use.
 type Limiter struct {
-	log     logrus.FieldLogger
+	log logrus.FieldLogger
+	now func() time.Time
+
 	mu      sync.Mutex
-	records map[string]*record
-	now     func() time.Time
+	records map[string]*record // guarded by mu
 }
 
+// record is what a Limiter remembers of a key.
 type record struct {
-	loggedAt   time.Time
-	suppressed int
+	loggedAt   time.Time // when a line was passed on
+	suppressed int       // lines since then
 }
 
-// NewLimiter returns a Limiter before log.
+// NewLimiter returns a Limiter that passes lines on to log.
 func NewLimiter(log logrus.FieldLogger) *Limiter {
 	return &Limiter{log: log, records: map[string]*record{}, now: time.Now}
 }
 
-// Warn logs text and err, unless a line under the same key went out a short while ago. The next
-// line that goes out tells how many did not.
+// Warn logs text and err, which may be nil, unless a line under the same key was logged less than minInterval ago. The
+// next line under the key has the number of suppressed ones in the field not_logged.
 func (l *Limiter) Warn(key, text string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,9 +52,14 @@
 	if err != nil {
 		entry = entry.WithError(err)
 	}
+	l.remember(key, now)
+	entry.Warn(text)
+}
+
+// remember starts to count suppressed lines under a key. The caller holds mu.
+func (l *Limiter) remember(key string, now time.Time) {
 	if len(l.records) >= maxKeys {
 		clear(l.records)
 	}
 	l.records[key] = &record{loggedAt: now}
-	entry.Warn(text)
 }
