--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,10 +17,10 @@
 func noEnvironment(string) string { return "" }
 
 // readSample returns the text of the sample.
-func readSample(t testing.TB) string {
-	t.Helper()
+func readSample(tb testing.TB) string {
+	tb.Helper()
 	text, err := os.ReadFile(samplePath)
-	require.NoError(t, err)
+	require.NoError(tb, err)
 	return string(text)
 }
 
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -33,6 +33,7 @@
 
 // fullSample is the sample with a value for every key that is read.
 func fullSample(t *testing.T) map[string]any {
+	t.Helper()
 	var root map[string]any
 	require.NoError(t, json.Unmarshal([]byte(readSample(t)), &root))
 	root["console"] = "127.0.0.1:15000"
@@ -42,6 +43,7 @@
 
 // replaced returns the full sample with the value at path, such as settings.Lanes[0].Name, given as JSON text.
 func replaced(t *testing.T, path, value string) []byte {
+	t.Helper()
 	const placeholder = "@value@"
 	root := fullSample(t)
 	steps := strings.Split(strings.NewReplacer("[", ".", "]", "").Replace(path), ".")
@@ -66,7 +68,9 @@
 	return []byte(strings.Replace(string(text), strconv.Quote(placeholder), value, 1))
 }
 
+// child returns the member or element of that name.
 func child(t *testing.T, parent any, step string) any {
+	t.Helper()
 	if object, ok := parent.(map[string]any); ok {
 		require.Contains(t, object, step)
 		return object[step]
--- a/internal/permit/acquire.go
+++ b/internal/permit/acquire.go
@@ -52,9 +52,9 @@
 		return ErrHaltedSince
 	case len(s.rules.Limits) == 0:
 		return ErrNoLimits
-	case len(command.Names) == 0 || len(s.permits)+len(command.Names) > maxPermits:
-		return ErrBatchSize
-	case len(command.View.Lost) > maxLost:
+	case len(command.Names) == 0,
+		len(s.permits)+len(command.Names) > maxPermits,
+		len(command.View.Lost) > maxLost:
 		return ErrBatchSize
 	}
 	return nil
@@ -92,7 +92,7 @@
 }
 
 // checkLimits returns a *LimitError for the first limit that would be exceeded. Only domains that one of the names is in
-// count: losses elsewhere delay nobody here.
+// count: losses elsewhere must not delay this command.
 func (r *Rules) checkLimits(after prospect, names []string) error {
 	for i := range r.Limits {
 		limit := &r.Limits[i]
--- a/internal/permit/acquire_test.go
+++ b/internal/permit/acquire_test.go
@@ -46,7 +46,7 @@
 // Each request must be granted, or denied for its own reason, which names the limit.
 func TestAcquire(t *testing.T) {
 	view := newFleetView(6)
-	lost, busy, half := view, view, newFleetView(6)
+	lost, busy, half, three := view, view, newFleetView(6), newFleetView(3)
 	lost.Lost = []string{"n2"}
 	busy.Load = 4.6
 	half.Load = 2
@@ -85,7 +85,7 @@
 		"halted":                      {onePerZone, []Command{halt}, acquire("n0"), "halted"},
 		"halted and resumed since":    {onePerZone, []Command{halt, resume}, acquire("n0"), "a halt came between"},
 		"no rules":                    {nil, nil, acquire("n0"), "there are no limits yet"},
-		"proposer forgot who is out":  {one, []Command{acquire("n5")}, acquireCommand(newFleetView(3), "n0"), "limits[0]: 2 of 4"},
+		"proposer forgot who is out":  {one, []Command{acquire("n5")}, acquireCommand(three, "n0"), "limits[0]: 2 of 4"},
 	} {
 		state := NewState()
 		if test.limits != nil {
--- a/internal/permit/errors.go
+++ b/internal/permit/errors.go
@@ -7,15 +7,14 @@
 
 // Denials of a command as a whole.
 var (
-	ErrHalted           = errors.New("halted")
-	ErrHaltedSince      = errors.New("a halt came between")
-	ErrNoLimits         = errors.New("there are no limits yet")
-	ErrBatchSize        = errors.New("too many, or none")
-	ErrNotOneInstance   = errors.New("names one instance")
-	ErrNotHolder        = errors.New("that permit is another's")
-	ErrReasonRequired   = errors.New("a permit is written off for a reason only")
-	ErrUnknownCommand   = errors.New("not a command that is known")
-	errNeitherOrBothSet = errors.New("wants one of out and share")
+	ErrHalted         = errors.New("halted")
+	ErrHaltedSince    = errors.New("a halt came between") // after the proposer read State.Halts
+	ErrNoLimits       = errors.New("there are no limits yet")
+	ErrBatchSize      = errors.New("too many, or none") // instances named, permitted or lost
+	ErrNotOneInstance = errors.New("names one instance")
+	ErrNotHolder      = errors.New("that permit is another's")
+	ErrReasonRequired = errors.New("a permit is written off for a reason only")
+	ErrUnknownCommand = errors.New("not a command that is known")
 )
 
 // Denials that concern one instance. They come wrapped in an InstanceError.
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -1,9 +1,6 @@
 package permit
 
-import (
-	"errors"
-	"fmt"
-)
+import "fmt"
 
 // Domain is the part of the fleet for which a limit is counted separately.
 type Domain string
@@ -37,7 +34,7 @@
 		return keyErrorf("margin", "%v is not between 0 and 1", r.Margin)
 	}
 	if len(r.Limits) == 0 {
-		return &KeyError{Key: "limits", Err: errors.New("none")}
+		return keyErrorf("limits", "none")
 	}
 	for i := range r.Limits {
 		if err := r.Limits[i].check(fmt.Sprintf("limits[%d]", i)); err != nil {
@@ -55,7 +52,7 @@
 		return keyErrorf(key+".each", "%q is neither zone nor region", l.Per)
 	}
 	if l.MaxUnavailable < 0 || (l.MaxUnavailable > 0) == (l.MaxUnavailableRatio > 0) {
-		return &KeyError{Key: key, Err: errNeitherOrBothSet}
+		return keyErrorf(key, "wants one of out and share")
 	}
 	if !(l.MaxUnavailableRatio >= 0 && l.MaxUnavailableRatio <= 1) {
 		return keyErrorf(key+".share", "%v is not between 0 and 1", l.MaxUnavailableRatio)
--- a/internal/release/evidence.go
+++ b/internal/release/evidence.go
@@ -67,7 +67,7 @@
 
 // logEValue returns the logarithm of the e-variable of a block. The alternative is the pair of error ratios; the
 // hypothesis is that the canary's ratio is that of the baseline, whatever it is, plus effect. The e-variable is the
-// likelihood ratio to the point of the hypothesis that is nearest to the alternative (its reverse information projection).
+// likelihood ratio to the point of the hypothesis that is nearest to the alternative, its reverse information projection.
 func logEValue(block Block, baselineRatio, canaryRatio, effect float64) float64 {
 	baselineCount, canaryCount := float64(block.Old), float64(block.New)
 	slope := func(ratio float64) float64 { // of the divergence along the hypothesis
--- /dev/null
+++ b/internal/release/example_test.go
@@ -0,0 +1,34 @@
+package release_test
+
+import (
+	"fmt"
+
+	"falldeal/internal/release"
+)
+
+// A new version of which one request in ten fails, beside an old one of which one in a hundred does.
+func ExampleJudge() {
+	judge, err := release.NewJudge(release.Criteria{
+		FalseHaltRate: 0.01,
+		FalsePassRate: 0.05,
+		MinEffect:     0.02,
+		MinRequests:   500,
+	})
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	group := release.Group{Zone: "eu-a", Class: "preview", Metric: "failed"}
+	for round := 1; ; round++ {
+		if err := judge.Observe(group, release.Block{Old: 900, OldBad: 9, New: 100, NewBad: 10}); err != nil {
+			fmt.Println(err)
+			return
+		}
+		if verdict, worst := judge.Verdict(); verdict != release.Inconclusive {
+			fmt.Println(verdict, "in", worst.Class, "after round", round)
+			return
+		}
+	}
+	// Output:
+	// bad in preview after round 2
+}
