--- a/internal/agent/partition_test.go
+++ b/internal/agent/partition_test.go
@@ -12,7 +12,7 @@
 // The agent moves during a partition: the dial to the old address hangs, and is not waited for. What was to be run
 // meanwhile is run at the new address, once, though all notifications come in one burst.
 func TestAddressChangeDuringPartition(t *testing.T) {
-	unresponsive, err := fakes.NewMute()
+	unresponsive, err := fakes.NewUnresponsiveListener()
 	require.NoError(t, err)
 	t.Cleanup(unresponsive.Close)
 	remote := newRemoteAgentAt(t, unresponsive.Addr, listen(t))
--- a/internal/store/partition_test.go
+++ b/internal/store/partition_test.go
@@ -14,7 +14,7 @@
 // unresponsiveAddress returns an address on which dials hang, as in a partition.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
-	unresponsive, err := fakes.NewMute()
+	unresponsive, err := fakes.NewUnresponsiveListener()
 	require.NoError(t, err)
 	t.Cleanup(unresponsive.Close)
 	return unresponsive.Addr
--- a/lab/fleetlab/play.go
+++ b/lab/fleetlab/play.go
@@ -10,34 +10,34 @@
 	"falldeal/lab/history"
 )
 
-const look = 20 * time.Millisecond // between two looks at the script
+const scriptInterval = 20 * time.Millisecond // between two looks at the script
 
-// Add adds a fault to the script in force; its time counts from the start of the laboratory.
-func (l *Lab) Add(f faults.Fault) error {
-	if err := f.Check(l.Places()); err != nil {
+// AddFault adds a fault to the script in force; its time counts from the start of the laboratory.
+func (l *Lab) AddFault(fault faults.Fault) error {
+	if err := fault.Check(l.Locations()); err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.script.Places = l.Places()
-	l.script.Faults = append(l.script.Faults, f)
+	l.script.Locations = l.Locations()
+	l.script.Faults = append(l.script.Faults, fault)
 	return nil
 }
 
-// Begin starts all members but those that a fault of the script has start late.
-func (l *Lab) Begin() error {
-	late := map[string]bool{}
+// StartMembers starts all members but those that a fault of the script has start late.
+func (l *Lab) StartMembers() error {
+	delayed := map[string]bool{}
 	l.mu.Lock()
 	for i := range l.script.Faults {
-		if f := &l.script.Faults[i]; f.Kind == faults.Late {
-			for _, name := range l.script.Victims(f) {
-				late[name] = true
+		if f := &l.script.Faults[i]; f.Kind == faults.KindDelayedStart {
+			for _, name := range l.script.AffectedMembers(f) {
+				delayed[name] = true
 			}
 		}
 	}
 	l.mu.Unlock()
 	for _, m := range l.Members {
-		if !late[m.Name] {
+		if !delayed[m.Name] {
 			if err := m.Start(); err != nil {
 				return err
 			}
@@ -46,53 +46,53 @@
 	return nil
 }
 
-// Play carries out the script until ctx ends.
-func (l *Lab) Play(ctx context.Context) error {
+// RunScript carries out the script until ctx ends.
+func (l *Lab) RunScript(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := l.turn(); err != nil {
+		if err := l.applyFaults(); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(look):
+		case <-time.After(scriptInterval):
 		}
 	}
 	return nil
 }
 
-// turn begins and ends the faults that are due.
-func (l *Lab) turn() error {
+// applyFaults begins and ends the faults that are due.
+func (l *Lab) applyFaults() error {
 	now := l.Log.Now()
 	l.mu.Lock()
-	var begin, end []faults.Fault
+	var starting, ending []faults.Fault
 	links := false
-	for i, f := range l.script.Faults {
-		if now >= f.At && !l.begun[i] {
-			l.begun[i], links = true, links || f.Link()
-			begin = append(begin, f)
+	for i, fault := range l.script.Faults {
+		if now >= fault.Start && !l.started[i] {
+			l.started[i], links = true, links || fault.AffectsLink()
+			starting = append(starting, fault)
 		}
-		if l.begun[i] && !l.ended[i] && f.For > 0 && now >= f.At+f.For {
-			l.ended[i], links = true, links || f.Link()
-			end = append(end, f)
+		if l.started[i] && !l.ended[i] && fault.Duration > 0 && now >= fault.Start+fault.Duration {
+			l.ended[i], links = true, links || fault.AffectsLink()
+			ending = append(ending, fault)
 		}
 	}
-	script := faults.Script{Faults: append([]faults.Fault(nil), l.script.Faults...), Places: l.script.Places}
+	script := faults.Script{Faults: append([]faults.Fault(nil), l.script.Faults...), Locations: l.script.Locations}
 	l.mu.Unlock()
 	if links {
-		if err := l.Relay.Set(script.Rules(now)); err != nil {
+		if err := l.Relay.SetRules(script.RulesAt(now)); err != nil {
 			return fmt.Errorf("rules between processes: %w", err)
 		}
 	}
-	for _, f := range begin {
-		l.Log.Add(history.Event{Kind: history.Fault, Word: name(&f), N: 1})
-		for _, m := range script.Victims(&f) {
-			l.begin(&f, l.Find(m))
+	for _, fault := range starting {
+		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: faultName(&fault), Count: 1})
+		for _, m := range script.AffectedMembers(&fault) {
+			l.startFault(&fault, l.FindMember(m))
 		}
 	}
-	for _, f := range end {
-		l.Log.Add(history.Event{Kind: history.Fault, Word: name(&f)})
-		for _, m := range script.Victims(&f) {
-			if err := l.end(&f, l.Find(m)); err != nil {
+	for _, fault := range ending {
+		l.Log.Add(history.Event{Kind: history.FaultChanged, Detail: faultName(&fault)})
+		for _, m := range script.AffectedMembers(&fault) {
+			if err := l.endFault(&fault, l.FindMember(m)); err != nil {
 				return err
 			}
 		}
@@ -100,68 +100,68 @@
 	return nil
 }
 
-func name(f *faults.Fault) string {
-	s := f.Kind + " " + f.Who
-	if f.To != "" && f.To != "*" {
-		s += " " + f.To
+func faultName(fault *faults.Fault) string {
+	text := fault.Kind + " " + fault.Target
+	if fault.Peer != "" && fault.Peer != "*" {
+		text += " " + fault.Peer
 	}
-	if f.OneWay {
-		s += " one way"
+	if fault.OneWay {
+		text += " one way"
 	}
-	return s
+	return text
 }
 
-func (l *Lab) begin(f *faults.Fault, m *Member) {
-	switch f.Kind {
-	case faults.Kill:
-		m.Kill()
-	case faults.Stop:
-		m.Signal(syscall.SIGSTOP)
-	case faults.Term:
-		m.Signal(syscall.SIGTERM)
-	case faults.Restart:
-		m.Kill()
-		if err := m.Start(); err != nil {
-			l.Log.Add(history.Event{Kind: history.Process, Server: m.Name, Word: "not started: " + err.Error()})
+func (l *Lab) startFault(fault *faults.Fault, member *Member) {
+	switch fault.Kind {
+	case faults.KindKill:
+		member.Kill()
+	case faults.KindPause:
+		member.Signal(syscall.SIGSTOP)
+	case faults.KindTerminate:
+		member.Signal(syscall.SIGTERM)
+	case faults.KindRestart:
+		member.Kill()
+		if err := member.Start(); err != nil {
+			l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: member.Name, Detail: "not started: " + err.Error()})
 		}
-	case faults.SlowRun:
-		m.agent.Slow(f.Share)
-	case faults.Mute:
-		l.Stores[m.Zone].Mute(true)
-	case faults.Wedge:
-		if res, err := client.Post("http://"+m.Console+"/drill/wedge", "", nil); err == nil {
-			res.Body.Close()
+	case faults.KindSlowAgent:
+		member.agent.SetSlowdown(fault.Ratio)
+	case faults.KindUnresponsiveStore:
+		l.Stores[member.Zone].SetUnresponsive(true)
+	case faults.KindWedge:
+		if response, err := consoleClient.Post("http://"+member.ConsoleAddr+"/drill/wedge", "", nil); err == nil {
+			response.Body.Close()
 		}
-	case faults.Clock:
-		if err := m.setClock(f.Delay); err != nil {
-			l.Log.Add(history.Event{Kind: history.Process, Server: m.Name, Word: "not started: " + err.Error()})
+	case faults.KindClockSkew:
+		if err := member.restartWithClock(fault.Delay); err != nil {
+			l.Log.Add(history.Event{Kind: history.ProcessChanged, Server: member.Name, Detail: "not started: " + err.Error()})
 		}
 	}
 }
 
-// setClock starts the member's process again with another clock.
-func (m *Member) setClock(off time.Duration) error {
+// restartWithClock starts the member's process again with another clock.
+func (m *Member) restartWithClock(skew time.Duration) error {
 	m.Kill()
-	m.clock = off
-	if err := m.WriteOperators(m.lab.key); err != nil {
+	m.clockSkew = skew
+	if err := m.WriteOperatorsFile(m.lab.key); err != nil {
 		return err
 	}
 	return m.Start()
 }
 
-func (l *Lab) end(f *faults.Fault, m *Member) error {
-	switch f.Kind {
-	case faults.Kill, faults.Term, faults.Late:
-		m.Ended()
-		return m.Start()
-	case faults.Stop:
-		m.Signal(syscall.SIGCONT)
-	case faults.SlowRun:
-		m.agent.Slow(1)
-	case faults.Mute:
-		l.Stores[m.Zone].Mute(false)
-	case faults.Clock:
-		return m.setClock(0)
+func (l *Lab) endFault(fault *faults.Fault, member *Member) error {
+	switch fault.Kind {
+	case faults.KindKill, faults.KindTerminate, faults.KindDelayedStart:
+		member.Wait()
+		return member.Start()
+	case faults.KindPause:
+		member.Signal(syscall.SIGCONT)
+	case faults.KindSlowAgent:
+		member.agent.SetSlowdown(1)
+	case faults.KindUnresponsiveStore:
+		l.Stores[member.Zone].SetUnresponsive(false)
+	case faults.KindClockSkew:
+		return member.restartWithClock(0)
 	}
 	return nil
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,15 +1,12 @@
-// Package load asks an image server for work over MessagePack-RPC, as the protocol page describes front ends.
-// Its codec is a library's and not that of the server, so that each checks the other.
+// Package load generates a closed-loop load on one image server over MessagePack-RPC, as the protocol page describes
+// front ends. Its codec is a library's and not that of the server, so that each checks the other.
 package load
 
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"net"
-	"slices"
-	"strconv"
 	"sync/atomic"
 	"time"
 
@@ -17,123 +14,84 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// patience is how long a caller waits for a connection, or past the end of its wait for an answer.
-const patience = 10 * time.Second
+// timeoutSlack is how long a client waits for a connection, and for an answer past the timeout of its request.
+const timeoutSlack = 10 * time.Second
 
-// Plan is a closed loop: each caller has one connection and one request open on it, Requests in all.
+// Plan is a closed loop: each client has one connection and one request in flight on it, until Requests were sent.
 type Plan struct {
-	Addr     string
-	Callers  int
-	Requests int
-	Classes  []string      // taken in turn
-	Keyed    []string      // those of them whose requests must run once
-	Body     int           // bytes
-	Wait     time.Duration // that each request may take
-	Cost     time.Duration // the hint
+	Addr         string
+	Clients      int
+	Requests     int           // of all clients together
+	Classes      []string      // sent round robin by each client
+	KeyedClasses []string      // those of Classes whose requests carry an idempotency key
+	BodyBytes    int           // size of a request's body
+	Timeout      time.Duration // of a request
+	CostHint     time.Duration // processor time that a request claims to take
 }
 
 // Report counts answers.
-type Report struct{ Served, Refused, Failed int64 }
+type Report struct{ Served, Rejected, Failed int64 }
 
-// Total is how many answers came.
-func (r Report) Total() int64 { return r.Served + r.Refused + r.Failed }
+// Total is the number of all answers.
+func (r Report) Total() int64 { return r.Served + r.Rejected + r.Failed }
 
-type counts struct{ served, refused, failed atomic.Int64 }
+// counters counts the answers to all clients of a run.
+type counters struct{ served, rejected, failed atomic.Int64 }
 
-// ids are unique within a process; a run of it starts at another number.
-var ids atomic.Uint64
+func (c *counters) add(result outcome) {
+	switch result {
+	case outcomeServed:
+		c.served.Add(1)
+	case outcomeRejected:
+		c.rejected.Add(1)
+	case outcomeFailed:
+		c.failed.Add(1)
+	}
+}
 
-func init() { ids.Store(uint64(time.Now().UnixNano())) }
+func (c *counters) report() Report {
+	return Report{Served: c.served.Load(), Rejected: c.rejected.Load(), Failed: c.failed.Load()}
+}
 
-// Run carries out a plan. Its error tells of an answer that never came or can't be read.
-func Run(ctx context.Context, p Plan) (Report, error) {
-	var n counts
-	var left atomic.Int64
-	left.Store(int64(p.Requests))
-	g, ctx := errgroup.WithContext(ctx)
-	for caller := range p.Callers {
-		g.Go(func() error { return p.call(ctx, caller, &left, &n) })
+// Run carries out a plan. It returns an error when an answer does not come in time or can't be read, or when ctx ends;
+// the report then counts the answers until then.
+func Run(ctx context.Context, plan Plan) (Report, error) {
+	var counts counters
+	var remaining atomic.Int64
+	remaining.Store(int64(plan.Requests))
+	group, ctx := errgroup.WithContext(ctx)
+	for client := range plan.Clients {
+		group.Go(func() error { return plan.runClient(ctx, client, &remaining, &counts) })
 	}
-	err := g.Wait()
-	return Report{n.served.Load(), n.refused.Load(), n.failed.Load()}, err
+	err := group.Wait()
+	return counts.report(), err
 }
 
-func (p *Plan) call(ctx context.Context, caller int, left *atomic.Int64, n *counts) error {
-	nc, err := (&net.Dialer{Timeout: patience}).DialContext(ctx, "tcp", p.Addr)
+// runClient sends requests one by one while any of the plan remain.
+func (p *Plan) runClient(ctx context.Context, client int, remaining *atomic.Int64, counts *counters) error {
+	conn, err := (&net.Dialer{Timeout: timeoutSlack}).DialContext(ctx, "tcp", p.Addr)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	out := bufio.NewWriter(nc)
-	enc, dec := msgpack.NewEncoder(out), msgpack.NewDecoder(bufio.NewReader(nc))
-	for call := uint32(1); left.Add(-1) >= 0; call++ {
-		if err := nc.SetDeadline(time.Now().Add(p.Wait + patience)); err != nil {
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	writer := bufio.NewWriter(conn)
+	encoder, decoder := msgpack.NewEncoder(writer), msgpack.NewDecoder(bufio.NewReader(conn))
+	for call := uint32(1); remaining.Add(-1) >= 0; call++ {
+		if err := conn.SetDeadline(time.Now().Add(p.Timeout + timeoutSlack)); err != nil {
 			return err
 		}
-		if err := p.ask(enc, caller, call); err != nil {
+		if err := p.writeRequest(encoder, client, call); err != nil {
 			return err
 		}
-		if err := out.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
-		if err := n.answer(dec, call); err != nil {
-			return fmt.Errorf("caller %d, call %d: %w", caller, call, err)
+		result, err := readAnswer(decoder, call)
+		if err != nil {
+			return fmt.Errorf("caller %d, call %d: %w", client, call, err)
 		}
-	}
-	return nil
-}
-
-func (p *Plan) ask(enc *msgpack.Encoder, caller int, call uint32) error {
-	class := p.Classes[int(call)%len(p.Classes)]
-	id := ids.Add(1)
-	fields := map[string]string{"id": fmt.Sprintf("%016x", id), "from": strconv.Itoa(caller), "kb": "4.0", "rank": "0.5",
-		"at":   strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"wait": strconv.FormatInt(p.Wait.Milliseconds(), 10),
-		"cost": strconv.FormatFloat(float64(p.Cost)/float64(time.Millisecond), 'f', 2, 64)}
-	if slices.Contains(p.Keyed, class) {
-		fields["once"] = fmt.Sprintf("%032x", id)
-	} else {
-		fields["key"] = fmt.Sprintf("%016x", id%1000)
-	}
-	return enc.Encode([]any{0, call, class, []any{fields, make([]byte, p.Body)}})
-}
-
-var errAnswer = errors.New("not the answer to the call")
-
-// answer reads one answer and counts it.
-func (n *counts) answer(dec *msgpack.Decoder, call uint32) error {
-	parts, err := dec.DecodeArrayLen()
-	if err != nil {
-		return err
-	}
-	kind, err := dec.DecodeInt()
-	if err != nil {
-		return err
-	}
-	id, err := dec.DecodeUint32()
-	if err != nil {
-		return err
-	}
-	if parts != 4 || kind != 1 || id != call {
-		return fmt.Errorf("%w: %d parts, kind %d, id %d", errAnswer, parts, kind, id)
-	}
-	fault, err := dec.DecodeInterface()
-	if err != nil {
-		return err
-	}
-	if _, err := dec.DecodeInterface(); err != nil {
-		return err
-	}
-	switch list, ok := fault.([]any); {
-	case fault == nil:
-		n.served.Add(1)
-	case !ok || len(list) == 0:
-		return fmt.Errorf("%w: error %.80v", errAnswer, fault)
-	case list[0] == "Overloaded":
-		n.refused.Add(1)
-	default:
-		n.failed.Add(1)
+		counts.add(result)
 	}
 	return nil
 }
