--- a/cmd/falldeal-fleet/ask.go
+++ b/cmd/falldeal-fleet/ask.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	askLimit  = 5 * time.Second
-	mostReply = 64 << 20
+	queryTimeout  = 5 * time.Second
+	maxReplyBytes = 64 << 20
 )
 
-const askUsage = `Usage: falldeal fleet COMMAND --console ADDRESS [flags]
+const queryUsage = `Usage: falldeal fleet COMMAND --console ADDRESS [flags]
 
 Asks one instance, at its console, what it knows of its fleet.
 
@@ -35,12 +35,12 @@
 Flags:
 `
 
-func ask(args []string, out io.Writer) error {
+func query(args []string, out io.Writer) error {
 	flags := pflag.NewFlagSet("falldeal fleet", pflag.ContinueOnError)
 	addr := flags.String("console", "", "address of the instance's console")
 	asJSON := flags.Bool("json", false, "print what the instance answered, as JSON")
 	check := flags.Bool("check", false, "status: fail unless everybody known is reached")
-	flags.Usage = func() { fmt.Fprint(out, askUsage, flags.FlagUsages()) }
+	flags.Usage = func() { fmt.Fprint(out, queryUsage, flags.FlagUsages()) }
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	if *addr == "" {
 		return errors.New("flag --console: missing")
 	}
-	raw, r, err := fetch(*addr)
+	raw, report, err := fetchReport(*addr)
 	if err != nil {
 		return err
 	}
@@ -60,106 +60,106 @@
 	case *asJSON:
 		_, err = out.Write(raw)
 	case name == "members":
-		err = printMembers(out, &r)
+		err = printMembers(out, &report)
 	default:
-		err = printStatus(out, &r)
+		err = printStatus(out, &report)
 	}
-	if err == nil && *check && r.Position != fleet.FullyConnected.String() {
-		return fmt.Errorf("the fleet as seen by %s: %s", r.Self, r.Position)
+	if err == nil && *check && report.Position != fleet.FullyConnected.String() {
+		return fmt.Errorf("the fleet as seen by %s: %s", report.Self, report.Position)
 	}
 	return err
 }
 
-func fetch(addr string) (raw []byte, r fleet.Report, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), askLimit)
+func fetchReport(addr string) (raw []byte, report fleet.Report, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/fleet", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/fleet", nil)
 	if err != nil {
-		return nil, r, fmt.Errorf("flag --console: %w", err)
+		return nil, report, fmt.Errorf("flag --console: %w", err)
 	}
-	res, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, r, err
+		return nil, report, err
 	}
-	defer res.Body.Close()
-	if res.StatusCode == http.StatusNotFound {
-		return nil, r, fmt.Errorf("%s: this instance is in no fleet", addr)
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusNotFound {
+		return nil, report, fmt.Errorf("%s: this instance is in no fleet", addr)
 	}
-	if raw, err = io.ReadAll(io.LimitReader(res.Body, mostReply)); err != nil {
-		return nil, r, err
+	if raw, err = io.ReadAll(io.LimitReader(response.Body, maxReplyBytes)); err != nil {
+		return nil, report, err
 	}
-	if res.StatusCode != http.StatusOK {
-		return nil, r, fmt.Errorf("%s: %s", addr, res.Status)
+	if response.StatusCode != http.StatusOK {
+		return nil, report, fmt.Errorf("%s: %s", addr, response.Status)
 	}
-	return raw, r, json.Unmarshal(raw, &r)
+	return raw, report, json.Unmarshal(raw, &report)
 }
 
 func seconds(ms int64) string { return fmt.Sprintf("%.1fs", float64(ms)/1000) }
 
-func printMembers(out io.Writer, r *fleet.Report) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "NAME\tZONE\tCONDITION\tSINCE\tTOLD\tAGE\tCORES\tBUSY\tIN HAND\tSHED\tVERSION\tCONFIG")
-	for _, m := range r.Members {
-		name, busy := m.Name, "-"
-		if m.Self {
+func printMembers(out io.Writer, report *fleet.Report) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "NAME\tZONE\tCONDITION\tSINCE\tTOLD\tAGE\tCORES\tBUSY\tIN HAND\tSHED\tVERSION\tCONFIG")
+	for _, member := range report.Members {
+		name, busy := member.Name, "-"
+		if member.Self {
 			name += " *"
 		}
-		if m.Busy >= 0 {
-			busy = fmt.Sprintf("%.0f%%", 100*m.Busy)
+		if member.Busy >= 0 {
+			busy = fmt.Sprintf("%.0f%%", 100*member.Busy)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%d\t%.0f%%\t%s\t%.8s\n", name, m.Zone, m.Condition, seconds(m.SinceMs), m.ReportedState,
-			seconds(m.AgeMs), m.Cores, busy, m.InFlight, 100*m.ShedRatio, m.Version, m.Config)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%d\t%.0f%%\t%s\t%.8s\n", name, member.Zone, member.Condition, seconds(member.SinceMs), member.ReportedState,
+			seconds(member.AgeMs), member.Cores, busy, member.InFlight, 100*member.ShedRatio, member.Version, member.Config)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func printStatus(out io.Writer, r *fleet.Report) error {
-	heard := "never"
-	if r.LastReceivedMs >= 0 {
-		heard = seconds(r.LastReceivedMs) + " ago"
+func printStatus(out io.Writer, report *fleet.Report) error {
+	lastReceived := "never"
+	if report.LastReceivedMs >= 0 {
+		lastReceived = seconds(report.LastReceivedMs) + " ago"
 	}
 	fmt.Fprintf(out, "%s sees its fleet: %s; last word of another member: %s; words are due each %s, overdue after %s\n",
-		r.Self, r.Position, heard, seconds(r.PeriodMs), seconds(r.FreshMs))
+		report.Self, report.Position, lastReceived, seconds(report.PeriodMs), seconds(report.FreshMs))
 	fmt.Fprintf(out, "serving by fresh words: %d members, %g cores, %.1f of them in use, %d requests in hand; oldest word %s; %d left out as too old\n",
-		r.Fresh.Members, r.Fresh.Cores, r.Fresh.Busy, r.Fresh.InFlight, seconds(r.Fresh.OldestMs), r.Fresh.Stale)
-	if f := &r.Fresh; f.ServiceRate > 0 {
-		where := "nothing is cut: the fleet has room"
-		if f.MaxThreshold > 0 {
-			where = fmt.Sprintf("the fleet is full: cut below place %.1f to %.1f (%.3g to %.3g earned for a second of work)", f.MinThreshold, f.MaxThreshold,
-				overload.WeightAt(f.MinThreshold), overload.WeightAt(f.MaxThreshold))
+		report.Fresh.Members, report.Fresh.Cores, report.Fresh.Busy, report.Fresh.InFlight, seconds(report.Fresh.OldestMs), report.Fresh.Stale)
+	if fresh := &report.Fresh; fresh.ServiceRate > 0 {
+		rejecting := "nothing is cut: the fleet has room"
+		if fresh.MaxThreshold > 0 {
+			rejecting = fmt.Sprintf("the fleet is full: cut below place %.1f to %.1f (%.3g to %.3g earned for a second of work)", fresh.MinThreshold, fresh.MaxThreshold,
+				overload.WeightAt(fresh.MinThreshold), overload.WeightAt(fresh.MaxThreshold))
 		}
 		fmt.Fprintf(out, "overload: %s; %.0f tries a second, %.2f repeats for each first one (budget %.2f); %.1f s of work can be done in a second\n",
-			where, f.Attempts, f.RetryRatio, overload.RetryBudget, f.ServiceRate)
+			rejecting, fresh.Attempts, fresh.RetryRatio, overload.RetryBudget, fresh.ServiceRate)
 	}
-	if f := &r.Fresh; f.CallQuota > 0 {
-		fmt.Fprintf(out, "calls: %.1f may be in hand in the mean, %.1f are, as far as it is told\n", f.CallQuota, f.MeanCalls)
+	if fresh := &report.Fresh; fresh.CallQuota > 0 {
+		fmt.Fprintf(out, "calls: %.1f may be in hand in the mean, %.1f are, as far as it is told\n", fresh.CallQuota, fresh.MeanCalls)
 	}
 	stores := map[string][]string{}
-	for _, m := range r.Members {
-		if m.StoreState != 0 {
-			is := m.Zone + " " + overload.StoreState(m.StoreState).String()
-			turn := ""
-			if overload.StoreState(m.StoreState) == overload.StoreProbing {
-				turn = fmt.Sprintf(", turn %d", m.ProbeRound)
+	for _, member := range report.Members {
+		if member.StoreState != 0 {
+			key := member.Zone + " " + overload.StoreState(member.StoreState).String()
+			round := ""
+			if overload.StoreState(member.StoreState) == overload.StoreProbing {
+				round = fmt.Sprintf(", turn %d", member.ProbeRound)
 			}
-			stores[is] = append(stores[is], fmt.Sprintf("%s (%s ago%s)", m.Name, seconds(m.AgeMs), turn))
+			stores[key] = append(stores[key], fmt.Sprintf("%s (%s ago%s)", member.Name, seconds(member.AgeMs), round))
 		}
 	}
-	for _, is := range slices.Sorted(maps.Keys(stores)) {
-		fmt.Fprintf(out, "store, %s: %d members: %s\n", is, len(stores[is]), strings.Join(stores[is][:min(len(stores[is]), 5)], ", "))
+	for _, key := range slices.Sorted(maps.Keys(stores)) {
+		fmt.Fprintf(out, "store, %s: %d members: %s\n", key, len(stores[key]), strings.Join(stores[key][:min(len(stores[key]), 5)], ", "))
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "REGION\tZONE\tKNOWN\tALIVE\tSUSPECT\tWEDGED\tCUT OFF\tDEAD\tLEFT\t")
-	for _, z := range append(r.Zones, r.Total) {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "REGION\tZONE\tKNOWN\tALIVE\tSUSPECT\tWEDGED\tCUT OFF\tDEAD\tLEFT\t")
+	for _, zone := range append(report.Zones, report.Total) {
 		mark := ""
-		if z.Unreachable {
+		if zone.Unreachable {
 			mark = "half or more silent"
 		}
-		if z.Zone == "" {
-			z.Region, z.Zone = "all", ""
+		if zone.Zone == "" {
+			zone.Region, zone.Zone = "all", ""
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", z.Region, z.Zone, z.Known, z.Alive, z.Suspect, z.Wedged, z.Silent,
-			z.Dead, z.Left, mark)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", zone.Region, zone.Zone, zone.Known, zone.Alive, zone.Suspect, zone.Wedged, zone.Silent,
+			zone.Dead, zone.Left, mark)
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -55,17 +55,17 @@
 	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
 	cmd.Env = append(cmd.Env, env...)
 	cmd.Stdin = strings.NewReader(input)
-	var out, errors bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &errors
+	var out, errOut bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &out, &errOut
 	if err := cmd.Run(); err != nil {
 		require.IsType(t, &exec.ExitError{}, err)
 	}
-	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errors)
+	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errOut)
 }
 
 const (
-	sample    = "../../internal/config/testdata/config.json"
-	leastFile = "[fleet]\nlisten = \"127.0.0.1:7946\"\nregion = \"belgium\"\nzone = \"mechelen\"\n"
+	sampleConfig         = "../../internal/config/testdata/config.json"
+	minimalOperatorsFile = "[fleet]\nlisten = \"127.0.0.1:7946\"\nregion = \"belgium\"\nzone = \"mechelen\"\n"
 )
 
 var timeOfLine = regexp.MustCompile(`time="[^"]*"`)
@@ -73,12 +73,12 @@
 // Help, flags, exit codes and messages of what falldeal becomes for a fleet.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
-	text, err := os.ReadFile(sample)
+	text, err := os.ReadFile(sampleConfig)
 	require.NoError(t, err)
 	for name, content := range map[string]string{"good.json": string(text), "bad.json": strings.Replace(string(text), `"Cpus": 6`, `"Cpus": -6`, 1),
-		"none.toml": "", "good.toml": leastFile + "seeds = [\"127.0.0.2:7946\"]\n", "bad.toml": leastFile + "size = 0\n",
-		"drill.toml": leastFile + "[drill]\nclock = \"-2s\"\nwedge = \"1s\"\n",
-		"trace.toml": leastFile + "[trace]\nfile = \"absent/spans\"\n"} {
+		"none.toml": "", "good.toml": minimalOperatorsFile + "seeds = [\"127.0.0.2:7946\"]\n", "bad.toml": minimalOperatorsFile + "size = 0\n",
+		"drill.toml": minimalOperatorsFile + "[drill]\nclock = \"-2s\"\nwedge = \"1s\"\n",
+		"trace.toml": minimalOperatorsFile + "[trace]\nfile = \"absent/spans\"\n"} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
 	}
 	var got strings.Builder
@@ -172,7 +172,7 @@
 		addr := server.Listener.Addr().String()
 		for _, args := range []string{"fleet members", "fleet status", "fleet members --json", "fleet status --check"} {
 			var out bytes.Buffer
-			err := command(append(strings.Fields(args), "--console", addr), &out)
+			err := run(append(strings.Fields(args), "--console", addr), &out)
 			output := fmt.Sprintf("%s-- error\n%v\n", &out, err)
 			fmt.Fprintf(&got, "== %s: %s\n%s\n", console, args, strings.ReplaceAll(output, addr, "(address)"))
 		}
--- a/cmd/falldeal-fleet/main.go
+++ b/cmd/falldeal-fleet/main.go
@@ -29,77 +29,77 @@
 // version is set by the linker where a release is built, and told to the others.
 var version = "dev"
 
-// bindAgain is how often the fleet's address is tried again while the process that is being replaced has it.
-const bindAgain = 500 * time.Millisecond
+// bindRetryInterval is how often the fleet's address is tried again while the process that is being replaced has it.
+const bindRetryInterval = 500 * time.Millisecond
 
-// traceLimit is how long the end of a process waits for its last spans to be written.
-const traceLimit = 200 * time.Millisecond
+// traceCloseTimeout is how long the end of a process waits for its last spans to be written.
+const traceCloseTimeout = 200 * time.Millisecond
 
 func main() {
-	err := command(os.Args[1:], os.Stdout)
+	err := run(os.Args[1:], os.Stdout)
 	if err != nil && !errors.Is(err, pflag.ErrHelp) {
 		fmt.Fprintln(os.Stderr, "falldeal:", err)
 		os.Exit(1)
 	}
 }
 
-func command(args []string, out io.Writer) error {
+func run(args []string, out io.Writer) error {
 	if len(args) > 0 && args[0] == "fleet" {
-		return ask(args[1:], out)
+		return query(args[1:], out)
 	}
 	flags := pflag.NewFlagSet("falldeal", pflag.ContinueOnError)
-	path := flags.String("config", "", "configuration file (default: the variable GW_CONFIG)")
-	operated := flags.String("operators", "", "operators' file")
-	level := flags.String("log-level", "info", "least level that is logged: debug, info, warning, error")
+	configPath := flags.String("config", "", "configuration file (default: the variable GW_CONFIG)")
+	operatorsPath := flags.String("operators", "", "operators' file")
+	logLevel := flags.String("log-level", "info", "least level that is logged: debug, info, warning, error")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
-	lvl, err := logrus.ParseLevel(*level)
+	level, err := logrus.ParseLevel(*logLevel)
 	if err != nil {
 		return fmt.Errorf("flag --log-level: %w", err)
 	}
 	load := config.Load
-	var caught *process.Signals
+	var signals *process.Signals
 	if flags.Arg(0) == "serve" {
-		caught = process.Catch()
-		load = caught.Load
+		signals = process.Catch()
+		load = signals.Load
 	}
-	c, err := load(*path)
+	conf, err := load(*configPath)
 	if errors.Is(err, process.ErrStopped) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	o, err := operators.Load(*operated)
+	file, err := operators.Load(*operatorsPath)
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
-	log.SetLevel(lvl)
-	m := &membership{config: *path, operators: *operated, log: log, name: c.Name, bindAgain: c.Handover != ""}
-	part, err := m.part(c, o)
+	log.SetLevel(level)
+	member := &membership{configPath: *configPath, operatorsPath: *operatorsPath, log: log, name: conf.Name, retryBind: conf.Handover != ""}
+	extension, err := member.extension(conf, file)
 	if err != nil {
-		return fmt.Errorf("operators' file %s: %w", *operated, err)
+		return fmt.Errorf("operators' file %s: %w", *operatorsPath, err)
 	}
 	switch name := flags.Arg(0); name {
 	case "serve":
-		if m.fleet != nil && !m.bindAgain {
-			if err := m.fleet.Listen(); err != nil {
-				return fmt.Errorf("operators' file %s: %w", *operated, err)
+		if member.fleet != nil && !member.retryBind {
+			if err := member.fleet.Listen(); err != nil {
+				return fmt.Errorf("operators' file %s: %w", *operatorsPath, err)
 			}
 		}
-		err := process.Serve(caught, c, *path, log, part)
-		if m.tracer != nil {
-			ctx, cancel := context.WithTimeout(context.Background(), traceLimit)
+		err := process.Serve(signals, conf, *configPath, log, extension)
+		if member.tracer != nil {
+			ctx, cancel := context.WithTimeout(context.Background(), traceCloseTimeout)
 			defer cancel()
-			err = errors.Join(err, m.tracer.Close(ctx))
+			err = errors.Join(err, member.tracer.Close(ctx))
 		}
 		return err
 	case "check":
-		fmt.Fprintf(out, "configuration of %s is good: %d classes, listening on %s\n", c.Name, len(c.Classes), c.Listen)
-		if f := o.Fleet; f != nil {
-			fmt.Fprintf(out, "fleet: reached at %s in zone %s of %s, %d seeds, %d keys\n", f.Advertise, f.Zone, f.Region, len(f.Seeds), len(f.Keys))
+		fmt.Fprintf(out, "configuration of %s is good: %d classes, listening on %s\n", conf.Name, len(conf.Classes), conf.Listen)
+		if table := file.Fleet; table != nil {
+			fmt.Fprintf(out, "fleet: reached at %s in zone %s of %s, %d seeds, %d keys\n", table.Advertise, table.Zone, table.Region, len(table.Seeds), len(table.Keys))
 		}
 		return nil
 	default:
@@ -109,20 +109,20 @@
 
 // membership is this process's part in a fleet, and where it is configured.
 type membership struct {
-	config, operators, name string
-	log                     *logrus.Logger
-	fleet                   *gossip.Fleet
-	tracer                  *tracing.Tracer // nil: none
-	bindAgain               bool
+	configPath, operatorsPath, name string
+	log                             *logrus.Logger
+	fleet                           *gossip.Fleet
+	tracer                          *tracing.Tracer // nil: none
+	retryBind                       bool
 }
 
-// part returns what the process adds to the server; nothing where the file has no fleet.
-func (m *membership) part(c *config.Config, o *operators.File) (process.Extension, error) {
-	f := o.Fleet
-	if f == nil {
+// extension returns what the process adds to the server; nothing where the file has no fleet.
+func (m *membership) extension(conf *config.Config, file *operators.File) (process.Extension, error) {
+	table := file.Fleet
+	if table == nil {
 		return process.Extension{}, nil
 	}
-	digest, err := config.Digest(m.config)
+	digest, err := config.Digest(m.configPath)
 	if err != nil {
 		return process.Extension{}, err
 	}
@@ -130,65 +130,65 @@
 	if _, err := rand.Read(random[:]); err != nil {
 		return process.Extension{}, err
 	}
-	var drill operators.FaultInjection
-	if o.FaultInjection != nil {
-		drill = *o.FaultInjection
-		m.log.WithFields(logrus.Fields{"clock_ms": drill.Clock.Milliseconds(), "wedge_ms": drill.Wedge.Milliseconds()}).Warn("a drill is set up")
+	var faults operators.FaultInjection
+	if file.FaultInjection != nil {
+		faults = *file.FaultInjection
+		m.log.WithFields(logrus.Fields{"clock_ms": faults.Clock.Milliseconds(), "wedge_ms": faults.Wedge.Milliseconds()}).Warn("a drill is set up")
 	}
-	now := uint64(time.Now().Add(drill.Clock).UnixMilli())
+	now := uint64(time.Now().Add(faults.Clock).UnixMilli())
 	run := now<<20 | binary.BigEndian.Uint64(random[:])>>44
 	m.fleet, err = gossip.New(gossip.Config{
-		Place: fleet.Place{Name: c.Name, Addr: f.Advertise, Region: f.Region, Zone: f.Zone, Version: version,
+		Place: fleet.Place{Name: conf.Name, Addr: table.Advertise, Region: table.Region, Zone: table.Zone, Version: version,
 			Run: run},
-		Listen: f.Listen, Seeds: f.Seeds, Keys: f.Keys, Digest: digest, Size: f.Size, Limits: f.Limits, ProbeInterval: f.ProbeInterval,
-		Seed: c.Seed, Incarnation: now}, m.log)
+		Listen: table.Listen, Seeds: table.Seeds, Keys: table.Keys, Digest: digest, Size: table.Size, Limits: table.Limits, ProbeInterval: table.ProbeInterval,
+		Seed: conf.Seed, Incarnation: now}, m.log)
 	if err != nil {
 		return process.Extension{}, err
 	}
-	part := process.Extension{Fleet: m.fleet, Run: m.run, Reload: m.reload, AppendMetrics: m.fleet.AppendMetrics, Pages: []console.Page{m.fleet.Page()}}
-	var served *server.Server
-	if drill.Wedge > 0 {
-		part.Pages = append(part.Pages, console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Do: func() []byte {
-			if !served.StallLoop(drill.Wedge) {
+	extension := process.Extension{Fleet: m.fleet, Run: m.run, Reload: m.reload, AppendMetrics: m.fleet.AppendMetrics, Pages: []console.Page{m.fleet.Page()}}
+	var instance *server.Server
+	if faults.Wedge > 0 {
+		extension.Pages = append(extension.Pages, console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Do: func() []byte {
+			if !instance.StallLoop(faults.Wedge) {
 				return []byte("the loop is behind already\n")
 			}
-			return []byte("the loop stands still for " + drill.Wedge.String() + "\n")
+			return []byte("the loop stands still for " + faults.Wedge.String() + "\n")
 		}})
 	}
 	var tracer *tracing.Tracer
-	if x := o.Trace; x != nil {
-		if tracer, err = tracing.New(tracing.Config{File: x.File, Sample: x.Sample, Bytes: x.Bytes}, c.Name, version); err != nil {
+	if x := file.Trace; x != nil {
+		if tracer, err = tracing.New(tracing.Config{File: x.File, Sample: x.Sample, Bytes: x.Bytes}, conf.Name, version); err != nil {
 			return process.Extension{}, fmt.Errorf("trace.file: %w", err)
 		}
 		m.tracer = tracer
 	}
-	part.Prepare = func(s *server.Server) {
+	extension.Prepare = func(prepared *server.Server) {
 		if tracer != nil {
-			s.Trace(tracer.Change)
+			prepared.Trace(tracer.Change)
 		}
-		if served = s; drill.Clock != 0 {
-			s.SkewClock(drill.Clock)
+		if instance = prepared; faults.Clock != 0 {
+			prepared.SkewClock(faults.Clock)
 		}
-		x, self := o.Overload, overload.ProcessID{Name: c.Name, Run: run}
+		x, self := file.Overload, overload.ProcessID{Name: conf.Name, Run: run}
 		if x == nil {
 			return
 		}
 		if x.Shedding {
-			s.EnableShedding(self)
+			prepared.EnableShedding(self)
 		}
 		if x.CoordinatedProbes {
-			s.EnableCoordinatedProbes(run, f.Zone)
+			prepared.EnableCoordinatedProbes(run, table.Zone)
 		}
 		if x.QuotaLeasing {
-			s.EnableQuotaLeasing(self, x.Lease, x.ReservedRatio)
+			prepared.EnableQuotaLeasing(self, x.Lease, x.ReservedRatio)
 		}
 	}
-	return part, nil
+	return extension, nil
 }
 
 // run takes part until ctx ends. A process that takes another's place waits until that one has let the address go.
 func (m *membership) run(ctx context.Context) error {
-	for m.bindAgain {
+	for m.retryBind {
 		err := m.fleet.Listen()
 		if err == nil {
 			break
@@ -197,7 +197,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(bindAgain):
+		case <-time.After(bindRetryInterval):
 		}
 	}
 	return m.fleet.Run(ctx)
@@ -206,8 +206,8 @@
 // reload takes over seeds, keys and the digest of the configuration; what else the table holds counts from the next
 // start. A file that makes no sense changes nothing.
 func (m *membership) reload() {
-	o, err := operators.Load(m.operators)
-	if err == nil && (o.Fleet == nil) != (m.fleet == nil) {
+	file, err := operators.Load(m.operatorsPath)
+	if err == nil && (file.Fleet == nil) != (m.fleet == nil) {
 		err = errors.New("fleet: it is joined or left by a start only")
 	}
 	if err != nil {
@@ -217,11 +217,11 @@
 	if m.fleet == nil {
 		return
 	}
-	digest, err := config.Digest(m.config)
+	digest, err := config.Digest(m.configPath)
 	if err != nil {
 		return // the server says so
 	}
-	m.fleet.Reload(gossip.Change{Seeds: o.Fleet.Seeds, Keys: o.Fleet.Keys, Digest: digest})
-	m.log.WithFields(logrus.Fields{"seeds": len(o.Fleet.Seeds), "keys": len(o.Fleet.Keys)}).
+	m.fleet.Reload(gossip.Change{Seeds: file.Fleet.Seeds, Keys: file.Fleet.Keys, Digest: digest})
+	m.log.WithFields(logrus.Fields{"seeds": len(file.Fleet.Seeds), "keys": len(file.Fleet.Keys)}).
 		Info("operators' file: seeds and keys taken over; other keys count from the next start")
 }
--- a/cmd/falldeal/deploy_test.go
+++ b/cmd/falldeal/deploy_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// deployed returns the command that deploy/balancer.toml gives under a key.
-func deployed(t *testing.T, key string) string {
+// deployCommand returns the command that deploy/balancer.toml gives under a key.
+func deployCommand(t *testing.T, key string) string {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
 	found := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
@@ -26,7 +26,7 @@
 // refuses to start further processes, so `run` has to become the program.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "bin")
-	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployed(t, "build"), "bin", bin))
+	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployCommand(t, "build"), "bin", bin))
 	build.Dir = "../.."
 	out, err := build.CombinedOutput()
 	require.NoError(t, err, "%s", out)
@@ -38,5 +38,5 @@
 		require.NoError(t, file.Close())
 		require.Contains(t, strings.Join(libraries, " "), "libc.so", program)
 	}
-	require.Regexp(t, `^exec bin/falldeal [^;&|]*$`, deployed(t, "run"))
+	require.Regexp(t, `^exec bin/falldeal [^;&|]*$`, deployCommand(t, "run"))
 }
--- a/cmd/falldeal/golden_test.go
+++ b/cmd/falldeal/golden_test.go
@@ -39,18 +39,18 @@
 	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
 	cmd.Env = append(cmd.Env, env...)
 	cmd.Stdin = strings.NewReader(input)
-	var out, errors bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &errors
+	var out, errOut bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &out, &errOut
 	if err := cmd.Run(); err != nil {
 		require.IsType(t, &exec.ExitError{}, err)
 	}
-	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errors)
+	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errOut)
 }
 
 // Help, flags, exit codes and messages of every command.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
-	text, err := os.ReadFile(sample)
+	text, err := os.ReadFile(sampleConfig)
 	require.NoError(t, err)
 	for name, content := range map[string]string{"good.json": string(text), "cut.json": string(text[:len(text)/2]),
 		"bad.json": strings.Replace(string(text), `"Cpus": 6`, `"Cpus": -6`, 1), "operators.toml": ""} {
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	varying := strings.NewReplacer(filepath.Dir(self), "(folder of the program)", runtime.Version(), "(version of Go)")
 	var got strings.Builder
-	for _, c := range []struct{ args, env string }{
+	for _, test := range []struct{ args, env string }{
 		{"", ""},
 		{"--help", ""},
 		{"-h", ""},
@@ -99,7 +99,7 @@
 		{"fleet members", ""},
 		{"lab check", ""},
 	} {
-		fmt.Fprintf(&got, "== %s falldeal %s\n%s\n", c.env, c.args, invoke(t, dir, strings.Fields(c.env), "", strings.Fields(c.args)...))
+		fmt.Fprintf(&got, "== %s falldeal %s\n%s\n", test.env, test.args, invoke(t, dir, strings.Fields(test.env), "", strings.Fields(test.args)...))
 	}
 	requireGolden(t, "commands", varying.Replace(got.String()))
 }
--- a/cmd/falldeal/main.go
+++ b/cmd/falldeal/main.go
@@ -40,14 +40,14 @@
 )
 
 func main() {
-	if err := command(os.Args[1:], os.Stdout); err != nil {
+	if err := run(os.Args[1:], os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "falldeal:", err)
 		os.Exit(1)
 	}
 }
 
-// become replaces this process by another program of the same folder.
-var become = func(program string, args []string) error {
+// execProgram replaces this process by another program of the same folder.
+var execProgram = func(program string, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -56,17 +56,17 @@
 	return fmt.Errorf("%s: %w", path, syscall.Exec(path, append([]string{path}, args...), os.Environ()))
 }
 
-func command(args []string, out io.Writer) error {
+func run(args []string, out io.Writer) error {
 	if len(args) > 0 && args[0] == "fleet" {
-		return become(fleetProgram, args)
+		return execProgram(fleetProgram, args)
 	}
 	if len(args) > 0 && args[0] == "lab" {
-		return become(labProgram, args[1:])
+		return execProgram(labProgram, args[1:])
 	}
 	flags := pflag.NewFlagSet("falldeal", pflag.ContinueOnError)
-	path := flags.String("config", "", "configuration file (default: the variable GW_CONFIG)")
-	operators := flags.String("operators", "", "operators' file, TOML; it may have this instance know the others of its fleet")
-	level := flags.String("log-level", "info", "least level that is logged: debug, info, warning, error")
+	configPath := flags.String("config", "", "configuration file (default: the variable GW_CONFIG)")
+	operatorsPath := flags.String("operators", "", "operators' file, TOML; it may have this instance know the others of its fleet")
+	logLevel := flags.String("log-level", "info", "least level that is logged: debug, info, warning, error")
 	flags.Usage = func() { fmt.Fprint(out, usage, flags.FlagUsages()) }
 	if err := flags.Parse(args); err != nil {
 		if errors.Is(err, pflag.ErrHelp) {
@@ -79,26 +79,26 @@
 		return fmt.Errorf("want one command, got %d", flags.NArg())
 	}
 	name := flags.Arg(0)
-	if *operators != "" && (name == "serve" || name == "check") {
-		return become(fleetProgram, args)
+	if *operatorsPath != "" && (name == "serve" || name == "check") {
+		return execProgram(fleetProgram, args)
 	}
 	switch name {
 	case "version":
 		fmt.Fprintln(out, "falldeal", version, runtime.Version())
 		return nil
 	case "check":
-		c, err := config.Load(*path)
+		conf, err := config.Load(*configPath)
 		if err == nil {
-			fmt.Fprintf(out, "configuration of %s is good: %d classes, listening on %s\n", c.Name, len(c.Classes), c.Listen)
+			fmt.Fprintf(out, "configuration of %s is good: %d classes, listening on %s\n", conf.Name, len(conf.Classes), conf.Listen)
 		}
 		return err
 	case "serve":
-		lvl, err := logrus.ParseLevel(*level)
+		level, err := logrus.ParseLevel(*logLevel)
 		if err != nil {
 			return fmt.Errorf("flag --log-level: %w", err)
 		}
-		caught := process.Catch()
-		c, err := caught.Load(*path)
+		signals := process.Catch()
+		conf, err := signals.Load(*configPath)
 		if errors.Is(err, process.ErrStopped) {
 			return nil
 		}
@@ -106,8 +106,8 @@
 			return err
 		}
 		log := logrus.New()
-		log.SetLevel(lvl)
-		return process.Serve(caught, c, *path, log, process.Extension{})
+		log.SetLevel(level)
+		return process.Serve(signals, conf, *configPath, log, process.Extension{})
 	default:
 		flags.Usage()
 		return fmt.Errorf("unknown command %q", name)
--- a/cmd/falldeal/main_test.go
+++ b/cmd/falldeal/main_test.go
@@ -20,28 +20,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-const sample = "../../internal/config/testdata/config.json"
+const sampleConfig = "../../internal/config/testdata/config.json"
 
 func TestCommands(t *testing.T) {
 	for want, args := range map[string][]string{
 		"falldeal dev":                {"version"},
-		"configuration of n3 is good": {"check", "--config", sample},
+		"configuration of n3 is good": {"check", "--config", sampleConfig},
 		"serve front ends until":      {"--help"},
 		"--log-level":                 {"serve", "--help"},
 	} {
 		var out bytes.Buffer
-		require.NoError(t, command(args, &out), "%v", args)
+		require.NoError(t, run(args, &out), "%v", args)
 		require.Contains(t, out.String(), want)
 	}
 }
 
 // What can't be served ends the start with a message that names the key or the word at fault.
-func TestBadStarts(t *testing.T) {
-	text, err := os.ReadFile(sample)
+func TestStartErrors(t *testing.T) {
+	text, err := os.ReadFile(sampleConfig)
 	require.NoError(t, err)
 	bad := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(bad, bytes.Replace(text, []byte(`"Cpus": 6`), []byte(`"Cpus": -6`), 1), 0o600))
-	for _, c := range []struct{ args, want string }{
+	for _, test := range []struct{ args, want string }{
 		{"", "want one command"},
 		{"serve now", "want one command"},
 		{"fetch", `"fetch"`},
@@ -52,14 +52,14 @@
 		{"serve --config /absent.json", "absent.json"},
 	} {
 		var out bytes.Buffer
-		require.ErrorContains(t, command(strings.Fields(c.args), &out), c.want, c.args)
+		require.ErrorContains(t, run(strings.Fields(test.args), &out), test.want, test.args)
 	}
 }
 
 // SIGHUP has the file read again: the link moves to the agent's new address. A file that makes no sense
 // is logged with its key and changes nothing, and neither ends the process; SIGTERM does.
 func TestReload(t *testing.T) {
-	text, err := os.ReadFile(sample)
+	text, err := os.ReadFile(sampleConfig)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
 	agents := make([]net.Listener, 3)
@@ -76,32 +76,32 @@
 	t.Setenv("GW_LISTEN", "")
 	t.Setenv("GW_NAME", "")
 	write(agents[0].Addr().String())
-	c, err := config.Load("")
+	conf, err := config.Load("")
 	require.NoError(t, err)
 	log, _ := test.NewNullLogger()
 	failed := make(chan string, 1)
-	log.AddHook(onError(failed))
-	over := make(chan error, 1)
-	go func() { over <- process.Serve(process.Catch(), c, "", log, process.Extension{}) }()
+	log.AddHook(errorHook(failed))
+	served := make(chan error, 1)
+	go func() { served <- process.Serve(process.Catch(), conf, "", log, process.Extension{}) }()
 	accept := func(i int) {
-		nc, err := agents[i].Accept()
+		conn, err := agents[i].Accept()
 		require.NoError(t, err)
-		t.Cleanup(func() { nc.Close() })
+		t.Cleanup(func() { conn.Close() })
 	}
 	accept(0) // signals are taken by then
 	write(agents[1].Addr().String())
-	hangUp := func() { require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP)) }
-	hangUp()
+	sendHangup := func() { require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP)) }
+	sendHangup()
 	accept(1)
 	write("nowhere")
-	hangUp()
+	sendHangup()
 	require.Contains(t, <-failed, "agent")
 	write(agents[2].Addr().String())
-	hangUp()
+	sendHangup()
 	accept(2)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	select {
-	case err := <-over:
+	case err := <-served:
 		require.NoError(t, err)
 	case <-time.After(30 * time.Second):
 		t.Fatal("serve does not end")
@@ -110,8 +110,8 @@
 
 // SIGTERM comes while the process is busy with other signals, here over a configuration that nobody finishes writing: it is
 // obeyed once that is done. It was dropped, as the others had filled the channel, and the process was killed with all it had.
-func TestTermAgainstOtherSignals(t *testing.T) {
-	text, err := os.ReadFile(sample)
+func TestTermBehindOtherSignals(t *testing.T) {
+	text, err := os.ReadFile(sampleConfig)
 	require.NoError(t, err)
 	agent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -122,49 +122,49 @@
 	t.Setenv("GW_CONFIG", path)
 	t.Setenv("GW_LISTEN", "")
 	t.Setenv("GW_NAME", "")
-	c, err := config.Load("")
+	conf, err := config.Load("")
 	require.NoError(t, err)
 	log, _ := test.NewNullLogger()
-	over := make(chan error, 1)
-	go func() { over <- process.Serve(process.Catch(), c, "", log, process.Extension{}) }()
-	nc, err := agent.Accept() // signals are taken by then
+	served := make(chan error, 1)
+	go func() { served <- process.Serve(process.Catch(), conf, "", log, process.Extension{}) }()
+	conn, err := agent.Accept() // signals are taken by then
 	require.NoError(t, err)
-	defer nc.Close()
+	defer conn.Close()
 	require.NoError(t, os.Remove(path))
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
-	seen := make(chan os.Signal, 10)
-	signal.Notify(seen, syscall.SIGHUP, syscall.SIGUSR1)
-	defer signal.Stop(seen)
+	delivered := make(chan os.Signal, 10)
+	signal.Notify(delivered, syscall.SIGHUP, syscall.SIGUSR1)
+	defer signal.Stop(delivered)
 	send := func(sig syscall.Signal) {
 		require.NoError(t, syscall.Kill(os.Getpid(), sig))
-		require.Equal(t, sig, <-seen) // it has been handed out
+		require.Equal(t, sig, <-delivered) // it has been handed out
 	}
 	send(syscall.SIGHUP)
-	half, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the file is being read
+	writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the file is being read
 	require.NoError(t, err)
 	for range 10 {
 		send(syscall.SIGUSR1)
 	}
-	term := make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM)
-	defer signal.Stop(term)
+	terminated := make(chan os.Signal, 1)
+	signal.Notify(terminated, syscall.SIGTERM)
+	defer signal.Stop(terminated)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	<-term
-	require.NoError(t, half.Close())
+	<-terminated
+	require.NoError(t, writer.Close())
 	select {
-	case err := <-over:
+	case err := <-served:
 		require.NoError(t, err)
 	case <-time.After(30 * time.Second):
 		t.Fatal("SIGTERM was lost")
 	}
 }
 
-// onError hands over what was wrong with a configuration.
-type onError chan string
+// errorHook hands over what was wrong with a configuration.
+type errorHook chan string
 
-func (onError) Levels() []logrus.Level { return []logrus.Level{logrus.ErrorLevel} }
+func (errorHook) Levels() []logrus.Level { return []logrus.Level{logrus.ErrorLevel} }
 
-func (h onError) Fire(e *logrus.Entry) error {
+func (h errorHook) Fire(e *logrus.Entry) error {
 	h <- fmt.Sprint(e.Data[logrus.ErrorKey])
 	return nil
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -22,105 +22,105 @@
 
 // node is one hosted controller; ctl is nil once it is broken.
 type node struct {
-	ctl    *admission.Controller
-	events []admission.Event
-	due    bool // it has an event in this batch
+	controller *admission.Controller
+	events     []admission.Event
+	pending    bool // it has an event in this batch
 }
 
 type host struct {
 	nodes   map[int]*node
-	order   []int // nodes with an event in this batch, as they first appear
+	pending []int // nodes with an event in this batch, as they first appear
 	actions []admission.Action
-	out     []byte
+	reply   []byte
 }
 
 func serve(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
-	h := host{nodes: map[int]*node{}}
-	var b wire.Batch
+	reader, writer := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
+	simulator := host{nodes: map[int]*node{}}
+	var batch wire.Batch
 	for {
-		err := r.Read(&b)
+		err := reader.Read(&batch)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := h.batch(&b); err != nil {
+		if err := simulator.handleBatch(&batch); err != nil {
 			return err
 		}
-		h.out = append(h.out, "FINISHED\n"...)
-		if _, err := w.Write(h.out); err != nil {
+		simulator.reply = append(simulator.reply, "FINISHED\n"...)
+		if _, err := writer.Write(simulator.reply); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
 	}
 }
 
-func (h *host) batch(b *wire.Batch) error {
-	h.out, h.order = h.out[:0], h.order[:0]
-	for i := range b.Messages {
-		m := &b.Messages[i]
-		n := h.nodes[m.Node]
-		if n == nil && m.Kind != wire.Create {
-			return fmt.Errorf("line %d: field NodeId: unknown instance %d", m.Line, m.Node)
+func (h *host) handleBatch(batch *wire.Batch) error {
+	h.reply, h.pending = h.reply[:0], h.pending[:0]
+	for i := range batch.Messages {
+		message := &batch.Messages[i]
+		target := h.nodes[message.Node]
+		if target == nil && message.Kind != wire.MessageCreate {
+			return fmt.Errorf("line %d: field NodeId: unknown instance %d", message.Line, message.Node)
 		}
-		switch m.Kind {
-		case wire.Create:
-			h.create(m, b)
-		case wire.Retire:
-			delete(h.nodes, m.Node)
-		case wire.Happen:
-			n.events = append(n.events, m.Event)
-			h.mark(m.Node, n)
+		switch message.Kind {
+		case wire.MessageCreate:
+			h.create(message, batch)
+		case wire.MessageRetire:
+			delete(h.nodes, message.Node)
+		case wire.MessageEvent:
+			target.events = append(target.events, message.Event)
+			h.markPending(message.Node, target)
 		}
 	}
-	for _, id := range h.order {
-		if n := h.nodes[id]; n != nil && n.due {
-			n.due = false
-			h.step(id, n, b)
-			n.events = n.events[:0]
+	for _, id := range h.pending {
+		if target := h.nodes[id]; target != nil && target.pending {
+			target.pending = false
+			h.step(id, target, batch)
+			target.events = target.events[:0]
 		}
 	}
 	return nil
 }
 
-func (h *host) mark(id int, n *node) {
-	if !n.due {
-		n.due = true
-		h.order = append(h.order, id)
+func (h *host) markPending(id int, target *node) {
+	if !target.pending {
+		target.pending = true
+		h.pending = append(h.pending, id)
 	}
 }
 
-func (h *host) create(m *wire.Message, b *wire.Batch) {
-	n := &node{}
-	h.nodes[m.Node] = n
-	s, err := wire.Settings(m.Conf)
+func (h *host) create(message *wire.Message, batch *wire.Batch) {
+	created := &node{}
+	h.nodes[message.Node] = created
+	settings, err := wire.ParseSettings(message.Settings)
 	if err == nil {
-		n.ctl, err = admission.New(s, m.Seed, b.Now)
+		created.controller, err = admission.New(settings, message.Seed, batch.Now)
 	}
 	if err != nil {
-		n.ctl = nil
-		h.out = wire.AppendBroken(h.out, m.Node, err)
+		created.controller = nil
+		h.reply = wire.AppendBroken(h.reply, message.Node, err)
 		return
 	}
-	h.mark(m.Node, n)
+	h.markPending(message.Node, created)
 }
 
-func (h *host) step(id int, n *node, b *wire.Batch) {
-	if n.ctl == nil {
+func (h *host) step(id int, target *node, batch *wire.Batch) {
+	if target.controller == nil {
 		return
 	}
 	defer func() {
-		if p := recover(); p != nil {
-			n.ctl = nil
-			h.out = wire.AppendBroken(h.out, id, fmt.Errorf("panic: %v", p))
+		if reason := recover(); reason != nil {
+			target.controller = nil
+			h.reply = wire.AppendBroken(h.reply, id, fmt.Errorf("panic: %v", reason))
 		}
 	}()
-	h.actions = n.ctl.Step(b.Now, n.events, h.actions[:0])
-	for _, a := range h.actions {
-		h.out = wire.AppendAction(h.out, id, a)
+	h.actions = target.controller.Step(batch.Now, target.events, h.actions[:0])
+	for _, action := range h.actions {
+		h.reply = wire.AppendAction(h.reply, id, action)
 	}
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	mostConns = 32 // open at a time, of the descriptors that are left to other things than front ends
-	maxHeader = 4 << 10
+	maxConnections = 32 // open at a time, of the descriptors that are left to other things than front ends
+	maxHeaderBytes = 4 << 10
 )
 
-// limits bound how long a call takes.
-type limits struct {
-	call   time.Duration // for a caller to send it: it takes one of the places for connections
-	answer time.Duration // for the server to say what it is asked
-	write  time.Duration // for the caller to read that
+// timeouts bound how long a call takes.
+type timeouts struct {
+	request  time.Duration // for a caller to send it: it takes one of the places for connections
+	handle   time.Duration // for the server to say what it is asked
+	response time.Duration // for the caller to read that
 }
 
 // Callers are owed an answer within 1 s.
-var inService = limits{call: time.Second, answer: 700 * time.Millisecond, write: 2 * time.Second}
+var defaultTimeouts = timeouts{request: time.Second, handle: 700 * time.Millisecond, response: 2 * time.Second}
 
 // Instance is the server that the calls are about.
 type Instance interface {
@@ -48,65 +48,65 @@
 }
 
 // Serve answers calls that come to ln until ctx ends. It closes ln.
-func Serve(ctx context.Context, ln net.Listener, s Instance, warn *logging.Limiter, pages ...Page) error {
-	return inService.serve(ctx, ln, s, warn, pages...)
+func Serve(ctx context.Context, listener net.Listener, instance Instance, limiter *logging.Limiter, pages ...Page) error {
+	return defaultTimeouts.serve(ctx, listener, instance, limiter, pages...)
 }
 
-func (l limits) serve(ctx context.Context, ln net.Listener, s Instance, warn *logging.Limiter, pages ...Page) error {
-	srv := &http.Server{Handler: l.handler(s, pages), ReadTimeout: l.call, WriteTimeout: l.call + l.answer + l.write,
-		MaxHeaderBytes: maxHeader, ErrorLog: log.New(lines{warn}, "", 0)}
-	srv.SetKeepAlivesEnabled(false)
-	defer context.AfterFunc(ctx, func() { srv.Close() })()
-	if err := srv.Serve(netutil.LimitListener(ln, mostConns)); ctx.Err() == nil {
+func (l timeouts) serve(ctx context.Context, listener net.Listener, instance Instance, limiter *logging.Limiter, pages ...Page) error {
+	server := &http.Server{Handler: l.handler(instance, pages), ReadTimeout: l.request, WriteTimeout: l.request + l.handle + l.response,
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(errorLogWriter{limiter}, "", 0)}
+	server.SetKeepAlivesEnabled(false)
+	defer context.AfterFunc(ctx, func() { server.Close() })()
+	if err := server.Serve(netutil.LimitListener(listener, maxConnections)); ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-// lines takes what the HTTP server has to say of its callers.
-type lines struct{ warn *logging.Limiter }
+// errorLogWriter takes what the HTTP server has to say of its callers.
+type errorLogWriter struct{ limiter *logging.Limiter }
 
-func (l lines) Write(b []byte) (int, error) {
-	l.warn.Warn("console", "call to the console: "+string(b), nil)
+func (l errorLogWriter) Write(b []byte) (int, error) {
+	l.limiter.Warn("console", "call to the console: "+string(b), nil)
 	return len(b), nil
 }
 
-func (l limits) handler(s Instance, pages []Page) http.Handler {
+func (l timeouts) handler(instance Instance, pages []Page) http.Handler {
 	mux := http.NewServeMux()
-	answer := func(pattern string, do func(context.Context) (int, []byte, error)) {
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			ctx, cancel := context.WithTimeout(r.Context(), l.answer)
+	handle := func(pattern string, call func(context.Context) (int, []byte, error)) {
+		mux.HandleFunc(pattern, func(response http.ResponseWriter, request *http.Request) {
+			ctx, cancel := context.WithTimeout(request.Context(), l.handle)
 			defer cancel()
-			code, text, err := do(ctx)
+			code, body, err := call(ctx)
 			if err != nil {
-				code, text = http.StatusServiceUnavailable, []byte(err.Error()+"\n")
+				code, body = http.StatusServiceUnavailable, []byte(err.Error()+"\n")
 			}
-			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-			w.WriteHeader(code)
-			_, _ = w.Write(text) // a caller that has gone needs no answer
+			response.Header().Set("Content-Type", "text/plain; charset=utf-8")
+			response.WriteHeader(code)
+			_, _ = response.Write(body) // a caller that has gone needs no answer
 		})
 	}
-	answer("GET /ready", func(ctx context.Context) (int, []byte, error) {
-		ready, err := s.Ready(ctx)
+	handle("GET /ready", func(ctx context.Context) (int, []byte, error) {
+		ready, err := instance.Ready(ctx)
 		if err == nil && !ready {
 			return http.StatusServiceUnavailable, []byte("not ready\n"), nil
 		}
 		return http.StatusOK, []byte("ready\n"), err
 	})
-	answer("GET /metrics", func(ctx context.Context) (int, []byte, error) {
-		b, err := s.AppendMetrics(ctx, nil)
+	handle("GET /metrics", func(ctx context.Context) (int, []byte, error) {
+		b, err := instance.AppendMetrics(ctx, nil)
 		return http.StatusOK, b, err
 	})
-	answer("POST /drain", func(ctx context.Context) (int, []byte, error) {
-		return http.StatusOK, []byte("front ends are sent away\n"), s.Deregister(ctx)
+	handle("POST /drain", func(ctx context.Context) (int, []byte, error) {
+		return http.StatusOK, []byte("front ends are sent away\n"), instance.Deregister(ctx)
 	})
-	answer("POST /undrain", func(ctx context.Context) (int, []byte, error) {
-		return http.StatusOK, []byte("front ends are welcome\n"), s.Reregister(ctx)
+	handle("POST /undrain", func(ctx context.Context) (int, []byte, error) {
+		return http.StatusOK, []byte("front ends are welcome\n"), instance.Reregister(ctx)
 	})
-	for _, p := range pages {
-		mux.HandleFunc(p.Pattern, func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Type", p.Type)
-			_, _ = w.Write(p.Do())
+	for _, page := range pages {
+		mux.HandleFunc(page.Pattern, func(response http.ResponseWriter, _ *http.Request) {
+			response.Header().Set("Content-Type", page.Type)
+			_, _ = response.Write(page.Do())
 		})
 	}
 	return mux
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,13 +15,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// operated notes what it is told. It hangs while it is told to.
-type operated struct {
-	withdrawn bool
-	hangs     bool
+// fakeInstance notes what it is told. It hangs while it is told to.
+type fakeInstance struct {
+	deregistered bool
+	hangs        bool
 }
 
-func (o *operated) do(ctx context.Context) error {
+func (o *fakeInstance) wait(ctx context.Context) error {
 	if !o.hangs {
 		return nil
 	}
@@ -29,52 +29,58 @@
 	return ctx.Err()
 }
 
-func (o *operated) Ready(ctx context.Context) (bool, error) { return !o.withdrawn, o.do(ctx) }
+func (o *fakeInstance) Ready(ctx context.Context) (bool, error) { return !o.deregistered, o.wait(ctx) }
 
-func (o *operated) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
-	return append(b, "app.inflight:3|g\n"...), o.do(ctx)
+func (o *fakeInstance) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
+	return append(b, "app.inflight:3|g\n"...), o.wait(ctx)
 }
 
-func (o *operated) Deregister(ctx context.Context) error { o.withdrawn = true; return o.do(ctx) }
-func (o *operated) Reregister(ctx context.Context) error { o.withdrawn = false; return o.do(ctx) }
+func (o *fakeInstance) Deregister(ctx context.Context) error {
+	o.deregistered = true
+	return o.wait(ctx)
+}
+func (o *fakeInstance) Reregister(ctx context.Context) error {
+	o.deregistered = false
+	return o.wait(ctx)
+}
 
-const patience = 30 * time.Second // after which a test that hangs is given up
+const testTimeout = 30 * time.Second // after which a test that hangs is given up
 
 // A machine that stands still for a while must not turn a test's calls into late ones.
-var patient = limits{call: patience, answer: patience, write: patience}
+var testTimeouts = timeouts{request: testTimeout, handle: testTimeout, response: testTimeout}
 
-func start(t *testing.T, o *operated, l limits) (addr string) {
+func startConsole(t *testing.T, instance *fakeInstance, limits timeouts) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error, 1)
+	served := make(chan error, 1)
 	log, _ := test.NewNullLogger()
-	go func() { over <- l.serve(ctx, ln, o, logging.NewLimiter(log)) }()
-	t.Cleanup(func() { cancel(); require.NoError(t, <-over) })
+	go func() { served <- limits.serve(ctx, ln, instance, logging.NewLimiter(log)) }()
+	t.Cleanup(func() { cancel(); require.NoError(t, <-served) })
 	return ln.Addr().String()
 }
 
-// call makes one call on a connection of its own and returns what came until that was closed.
-func call(t *testing.T, addr, method, path string) (code int, text string) {
-	nc, err := net.Dial("tcp", addr)
+// send makes one call on a connection of its own and returns what came until that was closed.
+func send(t *testing.T, addr, method, path string) (code int, text string) {
+	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer nc.Close()
-	require.NoError(t, nc.SetDeadline(time.Now().Add(patience)))
-	_, err = io.WriteString(nc, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
+	defer conn.Close()
+	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	_, err = io.WriteString(conn, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
-	in := bufio.NewReader(nc)
-	r, err := http.ReadResponse(in, nil)
+	in := bufio.NewReader(conn)
+	response, err := http.ReadResponse(in, nil)
 	require.NoError(t, err)
-	b, err := io.ReadAll(r.Body)
+	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	_, err = in.ReadByte()
 	require.ErrorIs(t, err, io.EOF, "one call a connection")
-	return r.StatusCode, string(b)
+	return response.StatusCode, string(body)
 }
 
 func TestCalls(t *testing.T) {
-	addr := start(t, &operated{}, patient)
-	for _, c := range []struct {
+	addr := startConsole(t, &fakeInstance{}, testTimeouts)
+	for _, test := range []struct {
 		method, path string
 		code         int
 		text         string
@@ -88,42 +94,42 @@
 		{"GET", "/drain", 405, "Method Not Allowed\n"}, // a look must not send front ends away
 		{"GET", "/", 404, "404 page not found\n"},
 	} {
-		code, text := call(t, addr, c.method, c.path)
-		require.Equal(t, c.code, code, c.path)
-		require.Equal(t, c.text, text, c.path)
+		code, text := send(t, addr, test.method, test.path)
+		require.Equal(t, test.code, code, test.path)
+		require.Equal(t, test.text, text, test.path)
 	}
 }
 
 // A server that is too busy to say is not ready; callers don't wait for ever to hear so.
 func TestBusyServer(t *testing.T) {
-	l := patient
-	l.answer = time.Millisecond
-	addr := start(t, &operated{hangs: true}, l)
-	for _, c := range [][2]string{{"GET", "/ready"}, {"GET", "/metrics"}, {"POST", "/drain"}, {"POST", "/undrain"}} {
-		code, _ := call(t, addr, c[0], c[1])
-		require.Equal(t, 503, code, c[1])
+	limits := testTimeouts
+	limits.handle = time.Millisecond
+	addr := startConsole(t, &fakeInstance{hangs: true}, limits)
+	for _, test := range [][2]string{{"GET", "/ready"}, {"GET", "/metrics"}, {"POST", "/drain"}, {"POST", "/undrain"}} {
+		code, _ := send(t, addr, test[0], test[1])
+		require.Equal(t, 503, code, test[1])
 	}
 }
 
 // Callers that send nothing, or half a call, take all places but lose them.
-func TestSilentCallers(t *testing.T) {
-	l := patient
-	l.call = 100 * time.Millisecond
-	addr := start(t, &operated{}, l)
+func TestSilentClients(t *testing.T) {
+	limits := testTimeouts
+	limits.request = 100 * time.Millisecond
+	addr := startConsole(t, &fakeInstance{}, limits)
 	var silent []net.Conn
-	for i := range mostConns {
-		nc, err := net.Dial("tcp", addr)
+	for i := range maxConnections {
+		conn, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
-		defer nc.Close()
-		require.NoError(t, nc.SetDeadline(time.Now().Add(patience)))
-		silent = append(silent, nc)
+		defer conn.Close()
+		require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+		silent = append(silent, conn)
 		if i%2 == 0 {
-			_, err = io.WriteString(nc, "GET /re")
+			_, err = io.WriteString(conn, "GET /re")
 			require.NoError(t, err)
 		}
 	}
-	for _, nc := range silent {
-		_, err := io.Copy(io.Discard, nc)
+	for _, conn := range silent {
+		_, err := io.Copy(io.Discard, conn)
 		require.NoError(t, err, "want the end of the connection")
 	}
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -36,25 +36,27 @@
 	require.Equal(t, string(want), got)
 }
 
-// leaving answers every call with an error, as a server does that is told to leave.
-type leaving struct{}
+// drainingInstance answers every call with an error, as a server does that is told to leave.
+type drainingInstance struct{}
 
-var errLeaving = errors.New("the server is leaving")
+var errDraining = errors.New("the server is leaving")
 
-func (leaving) Ready(context.Context) (bool, error)                       { return false, errLeaving }
-func (leaving) AppendMetrics(_ context.Context, b []byte) ([]byte, error) { return b, errLeaving }
-func (leaving) Deregister(context.Context) error                          { return errLeaving }
-func (leaving) Reregister(context.Context) error                          { return errLeaving }
+func (drainingInstance) Ready(context.Context) (bool, error) { return false, errDraining }
+func (drainingInstance) AppendMetrics(_ context.Context, b []byte) ([]byte, error) {
+	return b, errDraining
+}
+func (drainingInstance) Deregister(context.Context) error { return errDraining }
+func (drainingInstance) Reregister(context.Context) error { return errDraining }
 
-// serving answers calls about o until the test is over.
-func serving(t *testing.T, o Instance, l limits, pages ...Page) (addr string) {
+// startConsoleWithPages answers calls about o until the test is over.
+func startConsoleWithPages(t *testing.T, instance Instance, limits timeouts, pages ...Page) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error, 1)
+	served := make(chan error, 1)
 	log, _ := test.NewNullLogger()
-	go func() { over <- l.serve(ctx, ln, o, logging.NewLimiter(log), pages...) }()
-	t.Cleanup(func() { cancel(); require.NoError(t, <-over) })
+	go func() { served <- limits.serve(ctx, ln, instance, logging.NewLimiter(log), pages...) }()
+	t.Cleanup(func() { cancel(); require.NoError(t, <-served) })
 	return ln.Addr().String()
 }
 
@@ -62,12 +64,12 @@
 	dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 )
 
-// answerTo returns all bytes that come back for one call, but for the date.
-func answerTo(t *testing.T, addr, method, path string) string {
+// sendRaw returns all bytes that come back for one call, but for the date.
+func sendRaw(t *testing.T, addr, method, path string) string {
 	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer conn.Close()
-	require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = io.WriteString(conn, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	require.NoError(t, err)
 	b, err := io.ReadAll(conn)
@@ -79,8 +81,8 @@
 func TestGoldenCalls(t *testing.T) {
 	page := Page{Pattern: "GET /fleet", Type: "application/json", Do: func() []byte { return []byte("{}\n") }}
 	wedge := Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Do: func() []byte { return []byte("done\n") }}
-	busy := patient
-	busy.answer = time.Millisecond
+	busy := testTimeouts
+	busy.handle = time.Millisecond
 	calls := []struct{ method, path string }{
 		{"GET", "/ready"},
 		{"GET", "/metrics"},
@@ -102,14 +104,14 @@
 		{"GET", "/ready/"},
 	}
 	var got strings.Builder
-	for _, s := range []struct{ state, addr string }{
-		{"serving, in a fleet", serving(t, &operated{}, patient, page, wedge)},
-		{"serving, in no fleet", serving(t, &operated{}, patient)},
-		{"leaving", serving(t, leaving{}, patient, page)},
-		{"busy", serving(t, &operated{hangs: true}, busy, page)},
+	for _, console := range []struct{ state, addr string }{
+		{"serving, in a fleet", startConsoleWithPages(t, &fakeInstance{}, testTimeouts, page, wedge)},
+		{"serving, in no fleet", startConsoleWithPages(t, &fakeInstance{}, testTimeouts)},
+		{"leaving", startConsoleWithPages(t, drainingInstance{}, testTimeouts, page)},
+		{"busy", startConsoleWithPages(t, &fakeInstance{hangs: true}, busy, page)},
 	} {
-		for _, c := range calls {
-			fmt.Fprintf(&got, "== %s: %s %s\n%s\n", s.state, c.method, c.path, answerTo(t, s.addr, c.method, c.path))
+		for _, call := range calls {
+			fmt.Fprintf(&got, "== %s: %s %s\n%s\n", console.state, call.method, call.path, sendRaw(t, console.addr, call.method, call.path))
 		}
 	}
 	requireGolden(t, "calls", got.String())
@@ -117,21 +119,21 @@
 
 // snapshot is one with a member in every standing and in every state.
 func snapshot() *fleet.Snapshot {
-	s := &fleet.Snapshot{At: 9 * time.Second, LastReceived: 8 * time.Second, Self: "n00", Position: fleet.PartiallyConnected,
+	view := &fleet.Snapshot{At: 9 * time.Second, LastReceived: 8 * time.Second, Self: "n00", Position: fleet.PartiallyConnected,
 		Zones: []fleet.Zone{{Region: "belgium", Zone: "mechelen", Known: 4, Count: [fleet.Left + 1]int{1, 2, 3, 4, 5, 6, 7}}},
 		Total: fleet.Zone{Known: 11, Count: [fleet.Left + 1]int{1, 2, 3, 4, 5, 6, 7}}}
 	for standing := fleet.Unmet; standing <= fleet.Left; standing++ {
 		for state := fleet.Starting; state <= fleet.Stopped+1; state++ {
-			n := len(s.Members)
-			s.Members = append(s.Members, fleet.Member{Liveness: standing, Self: n == 0, RecordedAt: time.Duration(n) * 10 * time.Millisecond,
+			n := len(view.Members)
+			view.Members = append(view.Members, fleet.Member{Liveness: standing, Self: n == 0, RecordedAt: time.Duration(n) * 10 * time.Millisecond,
 				Since: time.Second, Record: &fleet.Record{Name: fmt.Sprintf("n%02d", n), Run: uint64(n + 1), Incarnation: uint64(n + 2),
 					Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Config: 0xabc, State: state}})
 		}
 	}
-	s.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, ShedRatio: 0.25, MeanCalls: 1.5, ServiceRate: 3.5, Demand: "o", Attempts: 40,
+	view.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, ShedRatio: 0.25, MeanCalls: 1.5, ServiceRate: 3.5, Demand: "o", Attempts: 40,
 		RetryRatio: 0.125, Threshold: 12.5, StoreState: 2, StoreID: 3, ProbeRound: 4, Aggregate: "s"}
-	s.Members[8].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, MeanCalls: 1.5, ServiceRate: 3.5, Attempts: 40, RetryRatio: 0.125, Threshold: 12.5}
-	return s
+	view.Members[8].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, MeanCalls: 1.5, ServiceRate: 3.5, Attempts: 40, RetryRatio: 0.125, Threshold: 12.5}
+	return view
 }
 
 // The body of /fleet: keys, their order, which are left out when zero, and the words for positions, standings and states.
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -21,7 +21,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-const heapShare = 0.7 // of the memory limit, for the garbage collector to keep to
+const heapLimitRatio = 0.7 // of the memory limit, for the garbage collector to keep to
 
 // Extension is what a program adds to an image server. What is nil is left out.
 type Extension struct {
@@ -33,106 +33,106 @@
 	Pages         []console.Page
 }
 
-// figured is a server with further figures.
-type figured struct {
+// serverWithMetrics is a server with further figures.
+type serverWithMetrics struct {
 	*server.Server
-	more func(b []byte) []byte
+	appendMore func(b []byte) []byte
 }
 
-func (f figured) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
+func (f serverWithMetrics) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
 	b, err := f.Server.AppendMetrics(ctx, b)
-	if err == nil && f.more != nil {
-		b = f.more(b)
+	if err == nil && f.appendMore != nil {
+		b = f.appendMore(b)
 	}
 	return b, err
 }
 
 // listen opens the socket for front ends, or takes over the one that was left open for this process.
-func listen(c *config.Config, log *logging.Limiter) (*msgpackrpc.Front, error) {
-	if c.InheritedFD != 0 {
-		return msgpackrpc.Inherit(c.InheritedFD, c.Limits.FrontSockets(), log)
+func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Front, error) {
+	if conf.InheritedFD != 0 {
+		return msgpackrpc.Inherit(conf.InheritedFD, conf.Limits.FrontSockets(), log)
 	}
-	return msgpackrpc.Listen(c.Listen, c.Limits.FrontSockets(), log)
+	return msgpackrpc.Listen(conf.Listen, conf.Limits.FrontSockets(), log)
 }
 
 // Serve runs the server until a drain is over. Whatever then still hangs on a socket does not keep
 // the process past its time.
-func Serve(caught *Signals, c *config.Config, path string, log *logrus.Logger, part Extension) error {
-	runtime.GOMAXPROCS(max(int(math.Ceil(c.Limits.Cores)), 1))
-	debug.SetMemoryLimit(int64(heapShare * float64(c.Limits.MemoryMB<<20)))
-	front, err := listen(c, logging.NewLimiter(log))
+func Serve(signals *Signals, conf *config.Config, path string, log *logrus.Logger, extension Extension) error {
+	runtime.GOMAXPROCS(max(int(math.Ceil(conf.Limits.Cores)), 1))
+	debug.SetMemoryLimit(int64(heapLimitRatio * float64(conf.Limits.MemoryMB<<20)))
+	front, err := listen(conf, logging.NewLimiter(log))
 	if err != nil {
 		return err
 	}
 	log.WithField("addr", front.Addr().String()).Info("listening")
-	for _, key := range c.Unused {
+	for _, key := range conf.Unused {
 		log.WithField("key", key).Info("not used: the sockets have nothing to carry it out with")
 	}
-	s := server.New(c, log)
-	if part.Fleet != nil {
-		s.JoinFleet(part.Fleet)
+	instance := server.New(conf, log)
+	if extension.Fleet != nil {
+		instance.JoinFleet(extension.Fleet)
 	}
-	if part.Prepare != nil {
-		part.Prepare(s)
+	if extension.Prepare != nil {
+		extension.Prepare(instance)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	if c.Console != "" {
-		ln, err := net.Listen("tcp", c.Console)
+	if conf.Console != "" {
+		listener, err := net.Listen("tcp", conf.Console)
 		if err != nil {
 			return fmt.Errorf("console: %w", err)
 		}
 		go func() {
-			if err := console.Serve(ctx, ln, figured{s, part.AppendMetrics}, logging.NewLimiter(log), part.Pages...); err != nil {
+			if err := console.Serve(ctx, listener, serverWithMetrics{instance, extension.AppendMetrics}, logging.NewLimiter(log), extension.Pages...); err != nil {
 				log.WithError(err).Error("no console any more")
 			}
 		}()
 	}
-	over := make(chan error, 1)
-	go func() { over <- s.Run(ctx, front) }()
-	partOver := make(chan struct{})
-	if part.Run != nil {
+	serverDone := make(chan error, 1)
+	go func() { serverDone <- instance.Run(ctx, front) }()
+	extensionDone := make(chan struct{})
+	if extension.Run != nil {
 		go func() {
-			defer close(partOver)
-			if err := part.Run(ctx); err != nil {
+			defer close(extensionDone)
+			if err := extension.Run(ctx); err != nil {
 				log.WithError(err).Error("the server goes on without")
 			}
 		}()
 	} else {
-		close(partOver)
+		close(extensionDone)
 	}
 
-	inForce := c
-	var late <-chan time.Time
-	ended := s.Ended()
+	active := conf
+	var closeDeadline <-chan time.Time
+	drained := instance.Ended()
 	for {
 		select {
-		case sig := <-caught.others:
+		case sig := <-signals.control:
 			switch sig {
 			case syscall.SIGUSR1:
-				s.PrintStats()
+				instance.PrintStats()
 			case syscall.SIGHUP:
-				if part.Reload != nil {
-					part.Reload()
+				if extension.Reload != nil {
+					extension.Reload()
 				}
-				next, err := inForce.Successor(path)
+				next, err := active.Successor(path)
 				if err == nil {
-					inForce = next
+					active = next
 				}
-				s.Reload(next, err)
+				instance.Reload(next, err)
 			}
-		case <-caught.leave:
-			s.Drain()
-		case <-ended:
-			ended, late = nil, time.After(server.FinalWriteTimeout)
-		case err := <-over:
+		case <-signals.terminate:
+			instance.Drain()
+		case <-drained:
+			drained, closeDeadline = nil, time.After(server.FinalWriteTimeout)
+		case err := <-serverDone:
 			stop()
 			select {
-			case <-partOver: // it has said good-bye
+			case <-extensionDone: // it has said good-bye
 			case <-time.After(server.FinalWriteTimeout):
 			}
 			return err
-		case <-late:
+		case <-closeDeadline:
 			log.Warn("connections still open at the end")
 			return nil
 		}
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -11,8 +11,8 @@
 
 // Signals are those that this process has been sent and has not dealt with.
 type Signals struct {
-	leave  chan os.Signal // SIGTERM, SIGINT
-	others chan os.Signal
+	terminate chan os.Signal // SIGTERM, SIGINT
+	control   chan os.Signal
 }
 
 // Catch is the first thing that a program which serves does: a signal that comes before would end the process, be it one
@@ -20,11 +20,11 @@
 // during the start is dealt with after it.
 func Catch() *Signals {
 	// A signal that finds its channel full is dropped: one to leave must not be because others wait.
-	c := &Signals{leave: make(chan os.Signal, 1), others: make(chan os.Signal, 4)}
-	signal.Notify(c.others, syscall.SIGUSR1, syscall.SIGHUP)
-	signal.Notify(c.leave, syscall.SIGTERM, syscall.SIGINT)
+	signals := &Signals{terminate: make(chan os.Signal, 1), control: make(chan os.Signal, 4)}
+	signal.Notify(signals.control, syscall.SIGUSR1, syscall.SIGHUP)
+	signal.Notify(signals.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE) // of a log that nobody reads any more
-	return c
+	return signals
 }
 
 // ErrStopped says that the process was told to leave before it had anything to leave.
@@ -33,16 +33,16 @@
 // Load is config.Load for a process that is told to leave meanwhile: then it returns ErrStopped.
 func (c *Signals) Load(path string) (*config.Config, error) {
 	var loaded *config.Config
-	done := make(chan error, 1)
+	loadDone := make(chan error, 1)
 	go func() {
 		var err error
 		loaded, err = config.Load(path)
-		done <- err
+		loadDone <- err
 	}()
 	select {
-	case <-c.leave:
+	case <-c.terminate:
 		return nil, ErrStopped
-	case err := <-done:
+	case err := <-loadDone:
 		return loaded, err
 	}
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -23,8 +23,8 @@
 func requireGolden(t *testing.T, file string, cases []goldenCase) {
 	t.Helper()
 	var got strings.Builder
-	for _, c := range cases {
-		got.WriteString(c.name + ": " + c.form + "\n")
+	for _, test := range cases {
+		got.WriteString(test.name + ": " + test.form + "\n")
 	}
 	path := filepath.Join("testdata", file)
 	if *update {
@@ -55,7 +55,7 @@
 func TestGoldenActions(t *testing.T) {
 	const largest = admission.RequestID(1<<64 - 1)
 	var cases []goldenCase
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		action admission.Action
 	}{
@@ -82,14 +82,14 @@
 		{"wake within a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567*time.Microsecond + 1}},
 		{"log", admission.Action{Kind: admission.ActionLog, Text: "one\r\ntwo\nthree"}},
 	} {
-		cases = append(cases, goldenCase{c.name, oneLineOf(t, AppendAction(nil, 12, c.action))})
+		cases = append(cases, goldenCase{test.name, trimNewline(t, AppendAction(nil, 12, test.action))})
 	}
-	cases = append(cases, goldenCase{"broken", oneLineOf(t, AppendBroken(nil, 12, errors.New("one\r\ntwo")))})
+	cases = append(cases, goldenCase{"broken", trimNewline(t, AppendBroken(nil, 12, errors.New("one\r\ntwo")))})
 	requireGolden(t, "actions.golden", cases)
 }
 
-// oneLineOf returns a line without its end.
-func oneLineOf(t *testing.T, line []byte) string {
+// trimNewline returns a line without its end.
+func trimNewline(t *testing.T, line []byte) string {
 	t.Helper()
 	text, found := strings.CutSuffix(string(line), "\n")
 	require.True(t, found)
@@ -103,47 +103,47 @@
 		name string
 		want Message
 	}
-	happens := func(name string, e admission.Event) eventCase {
-		return eventCase{name, Message{Kind: Happen, Node: 3, Line: 2, Event: e}}
+	happens := func(name string, event admission.Event) eventCase {
+		return eventCase{name, Message{Kind: MessageEvent, Node: 3, Line: 2, Event: event}}
 	}
 	cases := []eventCase{
-		{"create", Message{Kind: Create, Node: 3, Line: 2, Seed: 1<<64 - 1, Conf: []byte(`{"FleetSize": 11, "Name": "a b"}`)}},
-		{"create with a negative seed", Message{Kind: Create, Node: 3, Line: 2, Seed: 1<<64 - 5, Conf: []byte("{}")}},
-		{"retire", Message{Kind: Retire, Node: 3, Line: 2}},
+		{"create", Message{Kind: MessageCreate, Node: 3, Line: 2, Seed: 1<<64 - 1, Settings: []byte(`{"FleetSize": 11, "Name": "a b"}`)}},
+		{"create with a negative seed", Message{Kind: MessageCreate, Node: 3, Line: 2, Seed: 1<<64 - 5, Settings: []byte("{}")}},
+		{"retire", Message{Kind: MessageRetire, Node: 3, Line: 2}},
 		happens("order", admission.Event{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1,
 			CostHint: 12 * time.Millisecond, HasSubject: true, Retry: true, RetryOf: 1422162698119961, Rank: 0.625,
-			Deadline: 8652250 * us1, Waited: 1850 * us1, Class: 2}),
+			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2}),
 		happens("order that mutates", admission.Event{Kind: admission.EventRequest, ID: 8, Client: 1, MemoryKB: 2, Class: 1}),
 		happens("order that tells little", admission.Event{Kind: admission.EventRequest, ID: 1<<64 - 1}),
 		happens("dropped", admission.Event{Kind: admission.EventCancelled, ID: 7}),
 		happens("wants call", admission.Event{Kind: admission.EventCallNeeded, ID: 7}),
-		happens("notice", admission.Event{Kind: admission.EventDrain, StopAt: 11912250 * us1}),
+		happens("notice", admission.Event{Kind: admission.EventDrain, StopAt: 11912250 * microsecond}),
 		happens("elapsed", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}}),
 		happens("elapsed with some gauges", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: -1, CPUDemand: 0, MemoryUtilization: -1, Connections: 5}}),
 		happens("elapsed without gauges", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}}),
 	}
-	for _, o := range []struct {
+	for _, outcomeCase := range []struct {
 		name    string
 		outcome admission.Outcome
 	}{{"ok", admission.OutcomeOK}, {"failed", admission.OutcomeFailed}, {"rejected", admission.OutcomeRejected}, {"timed out", admission.OutcomeTimedOut},
 		{"unreachable", admission.OutcomeUnreachable}, {"aborted", admission.OutcomeAborted}, {"cancelled", admission.OutcomeCancelled}, {"moot", admission.OutcomeNotStarted}} {
-		cases = append(cases, happens("done, "+o.name, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: o.outcome, Took: 9 * us1}),
-			happens("call result, "+o.name, admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: o.outcome, Took: 9 * us1}))
+		cases = append(cases, happens("done, "+outcomeCase.name, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: outcomeCase.outcome, Took: 9 * microsecond}),
+			happens("call result, "+outcomeCase.name, admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: outcomeCase.outcome, Took: 9 * microsecond}))
 	}
 	lines := readGolden(t, "events.golden", len(cases))
-	for _, c := range cases {
-		require.Contains(t, lines, c.name)
-		var b Batch
-		require.NoError(t, NewReader(strings.NewReader("SYNC 1234567\n"+lines[c.name]+"\nOVER_TO_YOU\n")).Read(&b), c.name)
-		require.Equal(t, 1234567*us1, b.Now, c.name)
-		require.Equal(t, []Message{c.want}, b.Messages, c.name)
+	for _, test := range cases {
+		require.Contains(t, lines, test.name)
+		var batch Batch
+		require.NoError(t, NewReader(strings.NewReader("SYNC 1234567\n"+lines[test.name]+"\nOVER_TO_YOU\n")).Read(&batch), test.name)
+		require.Equal(t, 1234567*microsecond, batch.Now, test.name)
+		require.Equal(t, []Message{test.want}, batch.Messages, test.name)
 	}
 }
 
 // What is said of input that can't be read.
 func TestGoldenErrors(t *testing.T) {
 	var cases []goldenCase
-	for _, c := range []struct{ name, input string }{
+	for _, test := range []struct{ name, input string }{
 		{"no batch", "HELLO\n"},
 		{"time that is no number", "SYNC x\n"},
 		{"time with more", "SYNC 1 2\n"},
@@ -173,10 +173,10 @@
 		{"elapsed, gauge without a value", "SYNC 1\nELAPSED 3 w core_use\n"},
 		{"elapsed, cut", "SYNC 1\nELAPSED 3 w\n"},
 	} {
-		var b Batch
-		err := NewReader(strings.NewReader(c.input)).Read(&b)
-		require.Error(t, err, c.name)
-		cases = append(cases, goldenCase{c.name, err.Error()})
+		var batch Batch
+		err := NewReader(strings.NewReader(test.input)).Read(&batch)
+		require.Error(t, err, test.name)
+		cases = append(cases, goldenCase{test.name, err.Error()})
 	}
 	requireGolden(t, "errors.golden", cases)
 }
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -7,7 +7,7 @@
 	"falldeal/internal/config"
 )
 
-func us(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
+func microseconds(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// Settings reads a node's settings. Unknown keys are ignored.
-func Settings(text []byte) (admission.Settings, error) { return config.Settings(text) }
+// ParseSettings reads a node's settings. Unknown keys are ignored.
+func ParseSettings(text []byte) (admission.Settings, error) { return config.Settings(text) }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -15,24 +15,24 @@
 	"falldeal/admission"
 )
 
-// Kind tells what a message asks of the host.
-type Kind uint8
+// MessageKind tells what a message asks of the host.
+type MessageKind uint8
 
 // The kinds of Message.
 const (
-	Create Kind = iota // a node starts: Seed and Conf are set
-	Retire             // a node has died
-	Happen             // Event is set
+	MessageCreate MessageKind = iota // a node starts: Seed and Conf are set
+	MessageRetire                    // a node has died
+	MessageEvent                     // Event is set
 )
 
 // Message is one line of a batch.
 type Message struct {
-	Kind  Kind
-	Node  int
-	Line  int // in the input, from 1
-	Seed  uint64
-	Conf  []byte
-	Event admission.Event
+	Kind     MessageKind
+	Node     int
+	Line     int // in the input, from 1
+	Seed     uint64
+	Settings []byte
+	Event    admission.Event
 }
 
 // Batch is what came in at one time.
@@ -43,30 +43,30 @@
 
 // Reader reads batches.
 type Reader struct {
-	in   *bufio.Reader
-	line int
-	long []byte
+	in       *bufio.Reader
+	line     int
+	overflow []byte
 }
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<16)} }
 
-// next returns the next line, valid until the following call.
-func (r *Reader) next() ([]byte, error) {
-	r.long = r.long[:0]
+// nextLine returns the next line, valid until the following call.
+func (r *Reader) nextLine() ([]byte, error) {
+	r.overflow = r.overflow[:0]
 	for {
 		part, err := r.in.ReadSlice('\n')
-		if err == nil && len(r.long) == 0 {
+		if err == nil && len(r.overflow) == 0 {
 			r.line++
 			return bytes.TrimSuffix(part[:len(part)-1], []byte("\r")), nil
 		}
-		r.long = append(r.long, part...)
+		r.overflow = append(r.overflow, part...)
 		switch {
 		case err == nil:
 			r.line++
-			return bytes.TrimSuffix(r.long[:len(r.long)-1], []byte("\r")), nil
+			return bytes.TrimSuffix(r.overflow[:len(r.overflow)-1], []byte("\r")), nil
 		case errors.Is(err, bufio.ErrBufferFull):
-		case errors.Is(err, io.EOF) && len(r.long) > 0:
+		case errors.Is(err, io.EOF) && len(r.overflow) > 0:
 			return nil, fmt.Errorf("line %d: cut short", r.line+1)
 		default:
 			return nil, err
@@ -76,22 +76,22 @@
 
 // Read reads a batch into b, whose memory it uses again. At the end of input between two batches
 // it returns io.EOF; any other error names the line, and the field where one is wrong.
-func (r *Reader) Read(b *Batch) error {
-	b.Messages = b.Messages[:0]
-	text, err := r.next()
+func (r *Reader) Read(batch *Batch) error {
+	batch.Messages = batch.Messages[:0]
+	text, err := r.nextLine()
 	if err != nil {
 		return err
 	}
-	f := fields{rest: string(text)}
-	if word := f.next(); word != "SYNC" {
-		return fmt.Errorf("line %d: want SYNC, got %q", r.line, word)
+	line := fieldReader{rest: string(text)}
+	if verb := line.next(); verb != "SYNC" {
+		return fmt.Errorf("line %d: want SYNC, got %q", r.line, verb)
 	}
-	b.Now = f.us("clock")
-	if err := f.done(); err != nil {
+	batch.Now = line.duration("clock")
+	if err := line.finish(); err != nil {
 		return fmt.Errorf("line %d: SYNC: %w", r.line, err)
 	}
 	for {
-		text, err := r.next()
+		text, err := r.nextLine()
 		if errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: input ends within a batch", r.line+1)
 		}
@@ -101,12 +101,12 @@
 		if string(text) == "OVER_TO_YOU" {
 			return nil
 		}
-		m, err := parse(string(text))
+		message, err := parse(string(text))
 		if err != nil {
 			return fmt.Errorf("line %d: %w", r.line, err)
 		}
-		m.Line = r.line
-		b.Messages = append(b.Messages, m)
+		message.Line = r.line
+		batch.Messages = append(batch.Messages, message)
 	}
 }
 
@@ -117,235 +117,237 @@
 }
 
 func parse(text string) (Message, error) {
-	f := fields{rest: text}
-	word := f.next()
-	m := Message{Kind: Happen}
-	e := &m.Event
-	m.Node = int(f.whole("NodeId"))
-	switch word {
+	line := fieldReader{rest: text}
+	verb := line.next()
+	message := Message{Kind: MessageEvent}
+	event := &message.Event
+	message.Node = int(line.integer("NodeId"))
+	switch verb {
 	case "CREATE":
-		m.Kind = Create
-		m.Seed = uint64(f.whole("Seed"))
-		m.Conf = []byte(f.rest)
-		f.rest = ""
+		message.Kind = MessageCreate
+		message.Seed = uint64(line.integer("Seed"))
+		message.Settings = []byte(line.rest)
+		line.rest = ""
 	case "RETIRE":
-		m.Kind = Retire
+		message.Kind = MessageRetire
 	case "ORDER":
-		parseOrder(&f, e)
+		parseOrder(&line, event)
 	case "DONE":
-		e.Kind, e.ID = admission.EventDone, f.id("Xid")
-		e.Outcome = f.outcome("Disposition")
-		e.Took = f.us("WaitTimeUs")
+		event.Kind, event.ID = admission.EventDone, line.id("Xid")
+		event.Outcome = line.outcome("Disposition")
+		event.Took = line.duration("WaitTimeUs")
 	case "DROPPED":
-		e.Kind, e.ID = admission.EventCancelled, f.id("Xid")
+		event.Kind, event.ID = admission.EventCancelled, line.id("Xid")
 	case "WANTS_CALL":
-		e.Kind, e.ID = admission.EventCallNeeded, f.id("Xid")
+		event.Kind, event.ID = admission.EventCallNeeded, line.id("Xid")
 	case "CALL_RESULT":
-		e.Kind, e.ID = admission.EventCallDone, f.id("Xid")
-		e.Took = f.us("WaitTimeUs")
-		e.Outcome = f.outcome("Disposition")
+		event.Kind, event.ID = admission.EventCallDone, line.id("Xid")
+		event.Took = line.duration("WaitTimeUs")
+		event.Outcome = line.outcome("Disposition")
 	case "NOTICE":
-		e.Kind, e.StopAt = admission.EventDrain, f.us("DeadlineUs")
+		event.Kind, event.StopAt = admission.EventDrain, line.duration("DeadlineUs")
 	case "ELAPSED":
-		e.Kind = admission.EventTimer
-		f.next()
-		e.Gauges = f.gauges("Feedback")
+		event.Kind = admission.EventTimer
+		line.next()
+		event.Gauges = line.gauges("Feedback")
 	default:
-		return m, fmt.Errorf("unknown event %q", word)
+		return message, fmt.Errorf("unknown event %q", verb)
 	}
-	if err := f.done(); err != nil {
-		return m, fmt.Errorf("%s: %w", word, err)
+	if err := line.finish(); err != nil {
+		return message, fmt.Errorf("%s: %w", verb, err)
 	}
-	return m, nil
+	return message, nil
 }
 
-func parseOrder(f *fields, e *admission.Event) {
-	e.Kind, e.ID = admission.EventRequest, f.id("Xid")
-	e.Client = int(f.whole("By"))
-	e.MemoryKB = f.number("MemKb")
-	e.Tenant = int(f.whole("Owner"))
-	e.CostHint = f.us("PredictedUs")
-	key := f.next()
-	e.HasSubject = key != "-" && key != ""
-	e.Retry = f.flag("Repeat")
-	f.flag("Mutates")
-	e.RetryOf = f.id("Forerunner")
-	e.Rank = f.number("Prio")
-	e.Deadline = f.us("DeadlineUs")
-	e.Waited = f.us("WaitedUs")
-	e.Class = int(f.whole("Kind"))
+func parseOrder(line *fieldReader, event *admission.Event) {
+	event.Kind, event.ID = admission.EventRequest, line.id("Xid")
+	event.Client = int(line.integer("By"))
+	event.MemoryKB = line.float("MemKb")
+	event.Tenant = int(line.integer("Owner"))
+	event.CostHint = line.duration("PredictedUs")
+	key := line.next()
+	event.HasSubject = key != "-" && key != ""
+	event.Retry = line.flag("Repeat")
+	line.flag("Mutates")
+	event.RetryOf = line.id("Forerunner")
+	event.Rank = line.float("Prio")
+	event.Deadline = line.duration("DeadlineUs")
+	event.Waited = line.duration("WaitedUs")
+	event.Class = int(line.integer("Kind"))
 }
 
-// fields takes a line apart and keeps the first error.
-type fields struct {
-	rest string
-	over bool
-	err  error
+// fieldReader takes a line apart and keeps the first error.
+type fieldReader struct {
+	rest      string
+	exhausted bool
+	err       error
 }
 
-func (f *fields) next() string {
+func (f *fieldReader) next() string {
 	if f.rest == "" {
-		f.over = true
+		f.exhausted = true
 		return ""
 	}
-	word, rest, _ := strings.Cut(f.rest, " ")
+	text, rest, _ := strings.Cut(f.rest, " ")
 	f.rest = rest
-	return word
+	return text
 }
 
-func (f *fields) fail(name, word, want string) {
+func (f *fieldReader) fail(name, got, want string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("field %s: want %s, got %q", name, want, word)
+		f.err = fmt.Errorf("field %s: want %s, got %q", name, want, got)
 	}
 }
 
-func (f *fields) done() error {
+func (f *fieldReader) finish() error {
 	if f.err == nil && f.rest != "" {
 		f.err = fmt.Errorf("more fields than expected: %q", f.rest)
 	}
 	return f.err
 }
 
-func (f *fields) whole(name string) int64 {
-	word := f.next()
-	if word == "-" {
+func (f *fieldReader) integer(name string) int64 {
+	text := f.next()
+	if text == "-" {
 		return 0
 	}
-	v, err := strconv.ParseInt(word, 10, 64)
+	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		if u, uerr := strconv.ParseUint(word, 10, 64); uerr == nil {
-			return int64(u)
+		if unsigned, unsignedErr := strconv.ParseUint(text, 10, 64); unsignedErr == nil {
+			return int64(unsigned)
 		}
-		f.fail(name, word, "a whole number")
+		f.fail(name, text, "a whole number")
 	}
-	return v
+	return value
 }
 
-func (f *fields) id(name string) admission.RequestID { return admission.RequestID(f.whole(name)) }
-func (f *fields) us(name string) time.Duration       { return us(f.whole(name)) }
+func (f *fieldReader) id(name string) admission.RequestID {
+	return admission.RequestID(f.integer(name))
+}
+func (f *fieldReader) duration(name string) time.Duration { return microseconds(f.integer(name)) }
 
-func (f *fields) number(name string) float64 {
-	word := f.next()
-	if word == "-" {
+func (f *fieldReader) float(name string) float64 {
+	text := f.next()
+	if text == "-" {
 		return 0
 	}
-	v, err := strconv.ParseFloat(word, 64)
-	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(name, word, "a number")
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
+		f.fail(name, text, "a number")
 		return 0
 	}
-	return v
+	return value
 }
 
-func (f *fields) flag(name string) bool {
-	switch word := f.next(); word {
+func (f *fieldReader) flag(name string) bool {
+	switch text := f.next(); text {
 	case "1":
 		return true
 	case "0", "-":
 	default:
-		f.fail(name, word, "1 or 0")
+		f.fail(name, text, "1 or 0")
 	}
 	return false
 }
 
-func (f *fields) outcome(name string) admission.Outcome {
-	word := f.next()
-	o, ok := outcomes[word]
+func (f *fieldReader) outcome(name string) admission.Outcome {
+	text := f.next()
+	outcome, ok := outcomes[text]
 	if !ok {
-		f.fail(name, word, "an ending")
+		f.fail(name, text, "an ending")
 	}
-	return o
+	return outcome
 }
 
 // gauges reads name:value pairs and ignores names that it does not know.
-func (f *fields) gauges(name string) admission.Gauges {
-	g := admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
-	word := f.next()
-	if f.over {
-		f.fail(name, word, "gauges")
+func (f *fieldReader) gauges(name string) admission.Gauges {
+	gauges := admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
+	list := f.next()
+	if f.exhausted {
+		f.fail(name, list, "gauges")
 	}
-	for pair := range strings.SplitSeq(word, ",") {
+	for pair := range strings.SplitSeq(list, ",") {
 		if pair == "-" || pair == "" {
 			continue
 		}
-		key, text, ok := strings.Cut(pair, ":")
-		v, err := strconv.ParseFloat(text, 64)
-		if !ok || err != nil || math.IsNaN(v) {
+		key, number, ok := strings.Cut(pair, ":")
+		value, err := strconv.ParseFloat(number, 64)
+		if !ok || err != nil || math.IsNaN(value) {
 			f.fail(name, pair, "name:value")
-			return g
+			return gauges
 		}
 		switch key {
 		case "core_use":
-			g.CPUUtilization = v
+			gauges.CPUUtilization = value
 		case "on_cores":
-			g.CPUDemand = v
+			gauges.CPUDemand = value
 		case "heap_share":
-			g.MemoryUtilization = v
+			gauges.MemoryUtilization = value
 		case "links":
-			g.Connections = v
+			gauges.Connections = value
 		}
 	}
-	return g
+	return gauges
 }
 
 // AppendAction appends the line of an action of node.
-func AppendAction(b []byte, node int, a admission.Action) []byte {
-	head := func(word string) {
-		b = append(append(b, word...), ' ')
+func AppendAction(b []byte, node int, action admission.Action) []byte {
+	appendVerb := func(verb string) {
+		b = append(append(b, verb...), ' ')
 		b = strconv.AppendInt(b, int64(node), 10)
 	}
-	num := func(v int64) { b = strconv.AppendInt(append(b, ' '), v, 10) }
-	flag := func(v bool) {
-		if v {
-			num(1)
+	appendInt := func(value int64) { b = strconv.AppendInt(append(b, ' '), value, 10) }
+	appendFlag := func(value bool) {
+		if value {
+			appendInt(1)
 		} else {
-			num(0)
+			appendInt(0)
 		}
 	}
-	withID := func(word string) {
-		head(word)
-		b = strconv.AppendUint(append(b, ' '), uint64(a.ID), 10)
+	appendVerbAndID := func(verb string) {
+		appendVerb(verb)
+		b = strconv.AppendUint(append(b, ' '), uint64(action.ID), 10)
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case admission.ActionRun:
-		withID("SERVE")
+		appendVerbAndID("SERVE")
 	case admission.ActionStop:
-		withID("YANK")
+		appendVerbAndID("YANK")
 	case admission.ActionReject:
-		withID("OVERLOAD_REPLY")
-		num(a.RetryAfter.Microseconds())
-		flag(a.NoRetryElsewhere)
+		appendVerbAndID("OVERLOAD_REPLY")
+		appendInt(action.RetryAfter.Microseconds())
+		appendFlag(action.NoRetryElsewhere)
 	case admission.ActionFail:
-		withID("LOSE")
+		appendVerbAndID("LOSE")
 	case admission.ActionCall:
-		withID("ASK_BELOW")
-		num(a.Timeout.Microseconds())
+		appendVerbAndID("ASK_BELOW")
+		appendInt(action.Timeout.Microseconds())
 	case admission.ActionSkipCall:
-		withID("SKIP")
+		appendVerbAndID("SKIP")
 	case admission.ActionRemember:
-		withID("KEEP")
-		num(a.Duration.Microseconds())
+		appendVerbAndID("KEEP")
+		appendInt(action.Duration.Microseconds())
 	case admission.ActionForget:
-		withID("EVICT")
+		appendVerbAndID("EVICT")
 	case admission.ActionReuse:
-		withID("ANSWER_FROM")
+		appendVerbAndID("ANSWER_FROM")
 	case admission.ActionHealth:
-		head("HEALTH")
-		flag(a.Healthy)
-		flag(a.Cached)
+		appendVerb("HEALTH")
+		appendFlag(action.Healthy)
+		appendFlag(action.Cached)
 	case admission.ActionAdvertise:
-		head("SAY")
-		b = strconv.AppendFloat(append(b, ' '), a.Value, 'g', 6, 64)
+		appendVerb("SAY")
+		b = strconv.AppendFloat(append(b, ' '), action.Value, 'g', 6, 64)
 	case admission.ActionIdleTimeout:
-		head("IDLE_LIMIT")
-		num(a.Duration.Microseconds())
+		appendVerb("IDLE_LIMIT")
+		appendInt(action.Duration.Microseconds())
 	case admission.ActionWake:
-		head("WAKE_ME")
-		num((a.At + time.Microsecond - 1).Microseconds())
+		appendVerb("WAKE_ME")
+		appendInt((action.At + time.Microsecond - 1).Microseconds())
 		b = append(b, " w"...)
 	case admission.ActionLog:
-		head("REMARK")
-		b = append(append(b, ' '), oneLine(a.Text)...)
+		appendVerb("REMARK")
+		b = append(append(b, ' '), oneLine(action.Text)...)
 	}
 	return append(b, '\n')
 }
@@ -355,4 +357,4 @@
 	return append(fmt.Appendf(b, "BROKEN %d %s", node, oneLine(err.Error())), '\n')
 }
 
-func oneLine(s string) string { return strings.NewReplacer("\n", " ", "\r", " ").Replace(s) }
+func oneLine(text string) string { return strings.NewReplacer("\n", " ", "\r", " ").Replace(text) }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -12,62 +12,62 @@
 	"falldeal/admission"
 )
 
-const us1 = time.Microsecond
+const microsecond = time.Microsecond
 
 // eventLine writes an event as the simulator does; the test's half of the codec.
-func eventLine(node int, e admission.Event) string {
+func eventLine(node int, event admission.Event) string {
 	bit := map[bool]int{true: 1}
 	names := map[admission.Outcome]string{}
 	for k, v := range outcomes {
 		names[v] = k
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case admission.EventRequest:
 		key := "-"
-		if e.HasSubject {
+		if event.HasSubject {
 			key = "acct/x"
 		}
-		return fmt.Sprintf("ORDER %d %d %d %g %d %d %s %d 0 %d %g %d %d %d", node, e.ID, e.Client, e.MemoryKB, e.Tenant,
-			e.CostHint/us1, key, bit[e.Retry], e.RetryOf, e.Rank, e.Deadline/us1, e.Waited/us1, e.Class)
+		return fmt.Sprintf("ORDER %d %d %d %g %d %d %s %d 0 %d %g %d %d %d", node, event.ID, event.Client, event.MemoryKB, event.Tenant,
+			event.CostHint/microsecond, key, bit[event.Retry], event.RetryOf, event.Rank, event.Deadline/microsecond, event.Waited/microsecond, event.Class)
 	case admission.EventDone:
-		return fmt.Sprintf("DONE %d %d %s %d", node, e.ID, names[e.Outcome], e.Took/us1)
+		return fmt.Sprintf("DONE %d %d %s %d", node, event.ID, names[event.Outcome], event.Took/microsecond)
 	case admission.EventCancelled:
-		return fmt.Sprintf("DROPPED %d %d", node, e.ID)
+		return fmt.Sprintf("DROPPED %d %d", node, event.ID)
 	case admission.EventCallNeeded:
-		return fmt.Sprintf("WANTS_CALL %d %d", node, e.ID)
+		return fmt.Sprintf("WANTS_CALL %d %d", node, event.ID)
 	case admission.EventCallDone:
-		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, e.ID, e.Took/us1, names[e.Outcome])
+		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, event.ID, event.Took/microsecond, names[event.Outcome])
 	case admission.EventDrain:
-		return fmt.Sprintf("NOTICE %d %d", node, e.StopAt/us1)
+		return fmt.Sprintf("NOTICE %d %d", node, event.StopAt/microsecond)
 	}
-	return fmt.Sprintf("ELAPSED %d w core_use:%g,on_cores:%g,heap_share:%g,links:%g,unknown:7", node, e.Gauges.CPUUtilization,
-		e.Gauges.CPUDemand, e.Gauges.MemoryUtilization, e.Gauges.Connections)
+	return fmt.Sprintf("ELAPSED %d w core_use:%g,on_cores:%g,heap_share:%g,links:%g,unknown:7", node, event.Gauges.CPUUtilization,
+		event.Gauges.CPUDemand, event.Gauges.MemoryUtilization, event.Gauges.Connections)
 }
 
-func TestEveryEventGoesThere(t *testing.T) {
+func TestReadEvents(t *testing.T) {
 	events := []admission.Event{
-		{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1, CostHint: 12000 * us1, HasSubject: true,
-			Retry: true, RetryOf: 1422162698119961, Rank: 0.625, Deadline: 8652250 * us1, Waited: 1850 * us1, Class: 2},
-		{Kind: admission.EventCancelled, ID: 7}, {Kind: admission.EventCallNeeded, ID: 7}, {Kind: admission.EventDrain, StopAt: 11912250 * us1},
+		{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1, CostHint: 12000 * microsecond, HasSubject: true,
+			Retry: true, RetryOf: 1422162698119961, Rank: 0.625, Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2},
+		{Kind: admission.EventCancelled, ID: 7}, {Kind: admission.EventCallNeeded, ID: 7}, {Kind: admission.EventDrain, StopAt: 11912250 * microsecond},
 		{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}},
 	}
-	for _, o := range outcomes {
-		events = append(events, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: o, Took: 9 * us1},
-			admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: o, Took: 9 * us1})
+	for _, outcome := range outcomes {
+		events = append(events, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: outcome, Took: 9 * microsecond},
+			admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: outcome, Took: 9 * microsecond})
 	}
-	for _, e := range events {
-		var b Batch
-		if err := NewReader(strings.NewReader("SYNC 5\n" + eventLine(3, e) + "\nOVER_TO_YOU\n")).Read(&b); err != nil {
+	for _, event := range events {
+		var batch Batch
+		if err := NewReader(strings.NewReader("SYNC 5\n" + eventLine(3, event) + "\nOVER_TO_YOU\n")).Read(&batch); err != nil {
 			t.Fatal(err)
 		}
-		if m := b.Messages[0]; b.Now != 5*us1 || m.Node != 3 || m.Kind != Happen || !reflect.DeepEqual(m.Event, e) {
-			t.Errorf("%s\ngave %+v", eventLine(3, e), m)
+		if message := batch.Messages[0]; batch.Now != 5*microsecond || message.Node != 3 || message.Kind != MessageEvent || !reflect.DeepEqual(message.Event, event) {
+			t.Errorf("%s\ngave %+v", eventLine(3, event), message)
 		}
 	}
 }
 
-func TestEveryActionGoesBack(t *testing.T) {
-	for want, a := range map[string]admission.Action{
+func TestAppendAction(t *testing.T) {
+	for want, action := range map[string]admission.Action{
 		"SERVE 3 9":                   {Kind: admission.ActionRun, ID: 9},
 		"YANK 3 9":                    {Kind: admission.ActionStop, ID: 9},
 		"OVERLOAD_REPLY 3 9 250000 1": {Kind: admission.ActionReject, ID: 9, RetryAfter: 250 * time.Millisecond, NoRetryElsewhere: true},
@@ -80,10 +80,10 @@
 		"HEALTH 3 0 1":                {Kind: admission.ActionHealth, Cached: true},
 		"SAY 3 0.25":                  {Kind: admission.ActionAdvertise, Value: 0.25},
 		"IDLE_LIMIT 3 2000000":        {Kind: admission.ActionIdleTimeout, Duration: 2 * time.Second},
-		"WAKE_ME 3 8912251 w":         {Kind: admission.ActionWake, At: 8912250*us1 + 1},
+		"WAKE_ME 3 8912251 w":         {Kind: admission.ActionWake, At: 8912250*microsecond + 1},
 		"REMARK 3 two servers":        {Kind: admission.ActionLog, Text: "two\nservers"},
 	} {
-		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
+		if got := string(AppendAction(nil, 3, action)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
@@ -92,8 +92,8 @@
 	}
 }
 
-func TestBadInputNamesLineAndField(t *testing.T) {
-	for in, want := range map[string]string{
+func TestReadErrorsNameLineAndField(t *testing.T) {
+	for input, want := range map[string]string{
 		"HELLO\n":                                     "line 1",
 		"SYNC x\nOVER_TO_YOU\n":                       "clock",
 		"SYNC 1\nDROPPED 3\nOVER_TO_YOU\n":            "line 2: DROPPED: field Xid",
@@ -104,19 +104,19 @@
 		"SYNC 1\nDROPPED 3 4\n":                       "ends within a batch",
 		"SYNC 1\nDROPPED 3":                           "cut short",
 	} {
-		var b Batch
-		err := NewReader(strings.NewReader(in)).Read(&b)
+		var batch Batch
+		err := NewReader(strings.NewReader(input)).Read(&batch)
 		if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: error %v, want %q", in, err, want)
+			t.Errorf("%q: error %v, want %q", input, err, want)
 		}
 	}
-	var b Batch
-	if err := NewReader(strings.NewReader("")).Read(&b); !errors.Is(err, io.EOF) {
+	var batch Batch
+	if err := NewReader(strings.NewReader("")).Read(&batch); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input between batches: %v", err)
 	}
 }
 
-const sample = `{"Azs": ["a"], "FleetSize": 11, "TickUs": 5000, "Surprise": {"x": 1},
+const sampleSettings = `{"Azs": ["a"], "FleetSize": 11, "TickUs": 5000, "Surprise": {"x": 1},
  "FamilyInfo": {"Advert": "credit", "Below": "shared", "Blowup": 4.0, "CallsByClass": [true, false], "CallsOut": 5.9,
  "CallsOverUs": 5000000, "ClassSkipWorth": [0.0, 0.5], "Cpus": 6, "Halt": "drop", "KbPerKey": 19.5, "MemoryKb": 9150.0},
  "Invariants": {"ColdShare": 0.21, "ColdUs": 18000000, "FallMultiple": 6.0, "FallUs": 1500000},
@@ -124,24 +124,24 @@
  {"AimUs": 2100000, "DeadlineUs": 5400000, "Idempotency": "keyed", "KeyTtlUs": 16101000, "Name": "reserve", "Value": 3}],
  "Tenants": [{"Name": "NAME", "Portion": 0.57, "QuotaPerS": 158.0}]}`
 
-func TestSettings(t *testing.T) {
-	s, err := Settings([]byte(sample))
+func TestParseSettings(t *testing.T) {
+	settings, err := ParseSettings([]byte(sampleSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Cores != 6 || s.Advert != admission.AdvertCredit || s.Halt != admission.HaltDrop || !s.Classes[0].CallsDependency ||
-		s.Classes[1].CallsDependency || s.Classes[1].DegradedValueRatio != 0.5 || s.Classes[1].IdempotencyWindow != 16101*time.Millisecond ||
-		s.Tenants[0].QuotaPerSecond != 158 || s.SendsDeadlines {
-		t.Errorf("read %+v", s)
+	if settings.Cores != 6 || settings.Advert != admission.AdvertCredit || settings.Halt != admission.HaltDrop || !settings.Classes[0].CallsDependency ||
+		settings.Classes[1].CallsDependency || settings.Classes[1].DegradedValueRatio != 0.5 || settings.Classes[1].IdempotencyWindow != 16101*time.Millisecond ||
+		settings.Tenants[0].QuotaPerSecond != 158 || settings.SendsDeadlines {
+		t.Errorf("read %+v", settings)
 	}
-	renamed, err := Settings([]byte(strings.ReplaceAll(sample, "NAME", "other")))
-	if err != nil || !reflect.DeepEqual(s, renamed) {
+	renamed, err := ParseSettings([]byte(strings.ReplaceAll(sampleSettings, "NAME", "other")))
+	if err != nil || !reflect.DeepEqual(settings, renamed) {
 		t.Error("names of classes and tenants change the settings")
 	}
-	for _, bad := range [][2]string{{`"drop"`, `"maybe"`}, {"[true, false]", "[true]"}, {"[0.0, 0.5]", "[0.1, 0.2, 0.3]"},
+	for _, replacement := range [][2]string{{`"drop"`, `"maybe"`}, {"[true, false]", "[true]"}, {"[0.0, 0.5]", "[0.1, 0.2, 0.3]"},
 		{"11,", `"x",`}} {
-		if _, err := Settings([]byte(strings.Replace(sample, bad[0], bad[1], 1))); err == nil {
-			t.Errorf("%s in place of %s: no error", bad[1], bad[0])
+		if _, err := ParseSettings([]byte(strings.Replace(sampleSettings, replacement[0], replacement[1], 1))); err == nil {
+			t.Errorf("%s in place of %s: no error", replacement[1], replacement[0])
 		}
 	}
 }
