--- /dev/null
+++ b/wire/append.go
@@ -0,0 +1,95 @@
+package wire
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"falldeal/admission"
+)
+
+const (
+	verbBroken = "BROKEN"
+
+	// timerName is what a node calls its only timer; the simulator sends it back when the timer fires.
+	timerName = "w"
+
+	advertPrecision = 6 // digits of an advertised value
+)
+
+// actionVerbs are the first words of the lines, by the kind of the action.
+var actionVerbs = [...]string{
+	admission.ActionRun:         "SERVE",
+	admission.ActionStop:        "YANK",
+	admission.ActionReject:      "OVERLOAD_REPLY",
+	admission.ActionFail:        "LOSE",
+	admission.ActionCall:        "ASK_BELOW",
+	admission.ActionSkipCall:    "SKIP",
+	admission.ActionRemember:    "KEEP",
+	admission.ActionForget:      "EVICT",
+	admission.ActionReuse:       "ANSWER_FROM",
+	admission.ActionHealth:      "HEALTH",
+	admission.ActionAdvertise:   "SAY",
+	admission.ActionIdleTimeout: "IDLE_LIMIT",
+	admission.ActionWake:        "WAKE_ME",
+	admission.ActionLog:         "REMARK",
+}
+
+// AppendAction appends the line of an action of node. The action's kind must be one of package admission's.
+func AppendAction(b []byte, node int, action admission.Action) []byte {
+	b = append(append(b, actionVerbs[action.Kind]...), ' ')
+	b = strconv.AppendInt(b, int64(node), 10)
+	return append(appendArguments(b, &action), '\n')
+}
+
+// appendArguments appends the fields behind the verb and the node, each after a space.
+func appendArguments(b []byte, action *admission.Action) []byte {
+	switch action.Kind {
+	case admission.ActionRun, admission.ActionStop, admission.ActionFail, admission.ActionSkipCall,
+		admission.ActionForget, admission.ActionReuse:
+		return appendID(b, action.ID)
+	case admission.ActionReject:
+		b = appendMicroseconds(appendID(b, action.ID), action.RetryAfter)
+		return appendFlag(b, action.NoRetryElsewhere)
+	case admission.ActionCall:
+		return appendMicroseconds(appendID(b, action.ID), action.Timeout)
+	case admission.ActionRemember:
+		return appendMicroseconds(appendID(b, action.ID), action.Duration)
+	case admission.ActionHealth:
+		return appendFlag(appendFlag(b, action.Healthy), action.Cached)
+	case admission.ActionAdvertise:
+		return strconv.AppendFloat(append(b, ' '), action.Value, 'g', advertPrecision, 64)
+	case admission.ActionIdleTimeout:
+		return appendMicroseconds(b, action.Duration)
+	case admission.ActionWake:
+		const roundUp = time.Microsecond - 1 // a timer must not fire before its time
+		return append(appendMicroseconds(b, action.At+roundUp), " "+timerName...)
+	case admission.ActionLog:
+		return append(append(b, ' '), oneLine(action.Text)...)
+	}
+	return b
+}
+
+func appendID(b []byte, id admission.RequestID) []byte {
+	return strconv.AppendUint(append(b, ' '), uint64(id), 10)
+}
+
+func appendMicroseconds(b []byte, d time.Duration) []byte {
+	return strconv.AppendInt(append(b, ' '), d.Microseconds(), 10)
+}
+
+func appendFlag(b []byte, set bool) []byte {
+	if set {
+		return append(b, " 1"...)
+	}
+	return append(b, " 0"...)
+}
+
+// AppendBroken appends the line that reports that node's controller has failed and takes part no more.
+func AppendBroken(b []byte, node int, err error) []byte {
+	return append(fmt.Appendf(b, "%s %d %s", verbBroken, node, oneLine(err.Error())), '\n')
+}
+
+// oneLine returns text with spaces in place of line ends.
+func oneLine(text string) string { return strings.NewReplacer("\n", " ", "\r", " ").Replace(text) }
--- /dev/null
+++ b/wire/fields.go
@@ -0,0 +1,159 @@
+package wire
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"falldeal/admission"
+)
+
+// unset stands for a field that has no value.
+const unset = "-"
+
+// noGauge is the value of a gauge that was not reported.
+const noGauge = -1
+
+// outcomes are the endings of runs and calls, by their names on the wire.
+var outcomes = map[string]admission.Outcome{
+	"OK":                 admission.OutcomeOK,
+	"INTERNAL":           admission.OutcomeFailed,
+	"RESOURCE_EXHAUSTED": admission.OutcomeRejected,
+	"DEADLINE_EXCEEDED":  admission.OutcomeTimedOut,
+	"UNAVAILABLE":        admission.OutcomeUnreachable,
+	"ABORTED":            admission.OutcomeAborted,
+	"CANCELLED":          admission.OutcomeCancelled,
+	"TOO_LATE":           admission.OutcomeNotStarted,
+}
+
+// fieldReader reads the fields of a line one after the other and keeps the first error, which finish returns.
+type fieldReader struct {
+	rest      string // not read yet
+	exhausted bool   // a field was asked for behind the last one
+	err       error
+}
+
+// next returns the text of the next field, "" behind the last one.
+func (f *fieldReader) next() string {
+	if f.rest == "" {
+		f.exhausted = true
+		return ""
+	}
+	text, rest, _ := strings.Cut(f.rest, " ")
+	f.rest = rest
+	return text
+}
+
+// remainder returns the text of all fields that are left.
+func (f *fieldReader) remainder() string {
+	text := f.rest
+	f.rest = ""
+	return text
+}
+
+func (f *fieldReader) fail(name, got, want string) {
+	if f.err == nil {
+		f.err = &FieldError{Field: name, Want: want, Got: got}
+	}
+}
+
+// finish returns the first error; fields that are left are one.
+func (f *fieldReader) finish() error {
+	if f.err == nil && f.rest != "" {
+		f.err = fmt.Errorf("more fields than expected: %q", f.rest)
+	}
+	return f.err
+}
+
+// integer reads a whole number, of which the simulator writes some as signed and some as unsigned ones of 64 bits.
+func (f *fieldReader) integer(name string) int64 {
+	text := f.next()
+	if text == unset {
+		return 0
+	}
+	value, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		if unsigned, unsignedErr := strconv.ParseUint(text, 10, 64); unsignedErr == nil {
+			return int64(unsigned)
+		}
+		f.fail(name, text, "a whole number")
+	}
+	return value
+}
+
+func (f *fieldReader) id(name string) admission.RequestID {
+	return admission.RequestID(f.integer(name))
+}
+
+// duration reads a whole number of microseconds.
+func (f *fieldReader) duration(name string) time.Duration {
+	return time.Duration(f.integer(name)) * time.Microsecond
+}
+
+func (f *fieldReader) float(name string) float64 {
+	text := f.next()
+	if text == unset {
+		return 0
+	}
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
+		f.fail(name, text, "a number")
+		return 0
+	}
+	return value
+}
+
+func (f *fieldReader) flag(name string) bool {
+	switch text := f.next(); text {
+	case "1":
+		return true
+	case "0", unset:
+	default:
+		f.fail(name, text, "1 or 0")
+	}
+	return false
+}
+
+func (f *fieldReader) outcome(name string) admission.Outcome {
+	text := f.next()
+	outcome, ok := outcomes[text]
+	if !ok {
+		f.fail(name, text, "an ending")
+	}
+	return outcome
+}
+
+// gauges reads name:value pairs, separated by commas, and ignores names that it does not know.
+func (f *fieldReader) gauges(name string) admission.Gauges {
+	gauges := admission.Gauges{
+		CPUUtilization: noGauge, CPUDemand: noGauge, MemoryUtilization: noGauge, Connections: noGauge,
+	}
+	list := f.next()
+	if f.exhausted {
+		f.fail(name, list, "gauges")
+	}
+	for pair := range strings.SplitSeq(list, ",") {
+		if pair == unset || pair == "" {
+			continue
+		}
+		key, number, ok := strings.Cut(pair, ":")
+		value, err := strconv.ParseFloat(number, 64)
+		if !ok || err != nil || math.IsNaN(value) {
+			f.fail(name, pair, "name:value")
+			return gauges
+		}
+		switch key {
+		case "core_use":
+			gauges.CPUUtilization = value
+		case "on_cores":
+			gauges.CPUDemand = value
+		case "heap_share":
+			gauges.MemoryUtilization = value
+		case "links":
+			gauges.Connections = value
+		}
+	}
+	return gauges
+}
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "record the golden files anew")
 
-// goldenCase is one line of a golden file: the name of a form, and the form as text.
+// goldenCase is one line of a golden file: its name and its text.
 type goldenCase struct{ name, form string }
 
 // requireGolden compares cases with a file in testdata, which must hold just these, in this order.
@@ -62,7 +62,8 @@
 		{"run", admission.Action{Kind: admission.ActionRun, ID: largest}},
 		{"stop", admission.Action{Kind: admission.ActionStop, ID: largest}},
 		{"refuse without advice", admission.Action{Kind: admission.ActionReject, ID: 7}},
-		{"refuse with a time to stay away", admission.Action{Kind: admission.ActionReject, ID: 7, RetryAfter: 1234567890 * time.Nanosecond}},
+		{"refuse with a time to stay away",
+			admission.Action{Kind: admission.ActionReject, ID: 7, RetryAfter: 1234567890 * time.Nanosecond}},
 		{"refuse for good", admission.Action{Kind: admission.ActionReject, ID: 7, NoRetryElsewhere: true}},
 		{"fail", admission.Action{Kind: admission.ActionFail, ID: largest}},
 		{"call", admission.Action{Kind: admission.ActionCall, ID: 7, Timeout: 1234567890 * time.Nanosecond}},
@@ -103,44 +104,63 @@
 		name string
 		want Message
 	}
-	happens := func(name string, event admission.Event) eventCase {
+	withEvent := func(name string, event admission.Event) eventCase {
 		return eventCase{name, Message{Kind: MessageEvent, Node: 3, Line: 2, Event: event}}
 	}
+	timer := func(cpuUtilization, cpuDemand, memoryUtilization, connections float64) admission.Event {
+		return admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: cpuUtilization,
+			CPUDemand: cpuDemand, MemoryUtilization: memoryUtilization, Connections: connections}}
+	}
 	cases := []eventCase{
-		{"create", Message{Kind: MessageCreate, Node: 3, Line: 2, Seed: 1<<64 - 1, Settings: []byte(`{"FleetSize": 11, "Name": "a b"}`)}},
-		{"create with a negative seed", Message{Kind: MessageCreate, Node: 3, Line: 2, Seed: 1<<64 - 5, Settings: []byte("{}")}},
+		{"create", Message{Kind: MessageCreate, Node: 3, Line: 2, Seed: 1<<64 - 1,
+			Settings: []byte(`{"FleetSize": 11, "Name": "a b"}`)}},
+		{"create with a negative seed", Message{Kind: MessageCreate, Node: 3, Line: 2, Seed: 1<<64 - 5,
+			Settings: []byte("{}")}},
 		{"retire", Message{Kind: MessageRetire, Node: 3, Line: 2}},
-		happens("order", admission.Event{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1,
-			CostHint: 12 * time.Millisecond, HasSubject: true, Retry: true, RetryOf: 1422162698119961, Rank: 0.625,
+		withEvent("order", admission.Event{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5,
+			Tenant: 1, CostHint: 12 * time.Millisecond, HasSubject: true, Retry: true, RetryOf: 1422162698119961, Rank: 0.625,
 			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2}),
-		happens("order that mutates", admission.Event{Kind: admission.EventRequest, ID: 8, Client: 1, MemoryKB: 2, Class: 1}),
-		happens("order that tells little", admission.Event{Kind: admission.EventRequest, ID: 1<<64 - 1}),
-		happens("dropped", admission.Event{Kind: admission.EventCancelled, ID: 7}),
-		happens("wants call", admission.Event{Kind: admission.EventCallNeeded, ID: 7}),
-		happens("notice", admission.Event{Kind: admission.EventDrain, StopAt: 11912250 * microsecond}),
-		happens("elapsed", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}}),
-		happens("elapsed with some gauges", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: -1, CPUDemand: 0, MemoryUtilization: -1, Connections: 5}}),
-		happens("elapsed without gauges", admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}}),
+		withEvent("order that mutates",
+			admission.Event{Kind: admission.EventRequest, ID: 8, Client: 1, MemoryKB: 2, Class: 1}),
+		withEvent("order that tells little", admission.Event{Kind: admission.EventRequest, ID: 1<<64 - 1}),
+		withEvent("dropped", admission.Event{Kind: admission.EventCancelled, ID: 7}),
+		withEvent("wants call", admission.Event{Kind: admission.EventCallNeeded, ID: 7}),
+		withEvent("notice", admission.Event{Kind: admission.EventDrain, StopAt: 11912250 * microsecond}),
+		withEvent("elapsed", timer(0.62, 3, 0.41, 120)),
+		withEvent("elapsed with some gauges", timer(-1, 0, -1, 5)),
+		withEvent("elapsed without gauges", timer(-1, -1, -1, -1)),
 	}
-	for _, outcomeCase := range []struct {
+	for _, ending := range []struct {
 		name    string
 		outcome admission.Outcome
-	}{{"ok", admission.OutcomeOK}, {"failed", admission.OutcomeFailed}, {"rejected", admission.OutcomeRejected}, {"timed out", admission.OutcomeTimedOut},
-		{"unreachable", admission.OutcomeUnreachable}, {"aborted", admission.OutcomeAborted}, {"cancelled", admission.OutcomeCancelled}, {"moot", admission.OutcomeNotStarted}} {
-		cases = append(cases, happens("done, "+outcomeCase.name, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: outcomeCase.outcome, Took: 9 * microsecond}),
-			happens("call result, "+outcomeCase.name, admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: outcomeCase.outcome, Took: 9 * microsecond}))
+	}{
+		{"ok", admission.OutcomeOK},
+		{"failed", admission.OutcomeFailed},
+		{"rejected", admission.OutcomeRejected},
+		{"timed out", admission.OutcomeTimedOut},
+		{"unreachable", admission.OutcomeUnreachable},
+		{"aborted", admission.OutcomeAborted},
+		{"cancelled", admission.OutcomeCancelled},
+		{"moot", admission.OutcomeNotStarted},
+	} {
+		cases = append(cases,
+			withEvent("done, "+ending.name, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: ending.outcome,
+				Took: 9 * microsecond}),
+			withEvent("call result, "+ending.name, admission.Event{Kind: admission.EventCallDone, ID: 5,
+				Outcome: ending.outcome, Took: 9 * microsecond}))
 	}
 	lines := readGolden(t, "events.golden", len(cases))
 	for _, test := range cases {
 		require.Contains(t, lines, test.name)
 		var batch Batch
-		require.NoError(t, NewReader(strings.NewReader("SYNC 1234567\n"+lines[test.name]+"\nOVER_TO_YOU\n")).Read(&batch), test.name)
+		input := "SYNC 1234567\n" + lines[test.name] + "\nOVER_TO_YOU\n"
+		require.NoError(t, NewReader(strings.NewReader(input)).Read(&batch), test.name)
 		require.Equal(t, 1234567*microsecond, batch.Now, test.name)
 		require.Equal(t, []Message{test.want}, batch.Messages, test.name)
 	}
 }
 
-// What is said of input that can't be read.
+// The message for each kind of input that can't be read.
 func TestGoldenErrors(t *testing.T) {
 	var cases []goldenCase
 	for _, test := range []struct{ name, input string }{
--- /dev/null
+++ b/wire/reader_test.go
@@ -0,0 +1,112 @@
+package wire
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"falldeal/admission"
+
+	"github.com/stretchr/testify/require"
+)
+
+const microsecond = time.Microsecond
+
+// eventLine writes an event as the simulator does; the test's half of the codec.
+func eventLine(node int, event admission.Event) string {
+	bit := map[bool]int{true: 1}
+	names := map[admission.Outcome]string{}
+	for name, outcome := range outcomes {
+		names[outcome] = name
+	}
+	switch event.Kind {
+	case admission.EventRequest:
+		key := "-"
+		if event.HasSubject {
+			key = "acct/x"
+		}
+		return fmt.Sprintf("ORDER %d %d %d %g %d %d %s %d 0 %d %g %d %d %d", node, event.ID, event.Client, event.MemoryKB,
+			event.Tenant, event.CostHint/microsecond, key, bit[event.Retry], event.RetryOf, event.Rank,
+			event.Deadline/microsecond, event.Waited/microsecond, event.Class)
+	case admission.EventDone:
+		return fmt.Sprintf("DONE %d %d %s %d", node, event.ID, names[event.Outcome], event.Took/microsecond)
+	case admission.EventCancelled:
+		return fmt.Sprintf("DROPPED %d %d", node, event.ID)
+	case admission.EventCallNeeded:
+		return fmt.Sprintf("WANTS_CALL %d %d", node, event.ID)
+	case admission.EventCallDone:
+		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, event.ID, event.Took/microsecond, names[event.Outcome])
+	case admission.EventDrain:
+		return fmt.Sprintf("NOTICE %d %d", node, event.StopAt/microsecond)
+	case admission.EventTimer:
+		return fmt.Sprintf("ELAPSED %d w core_use:%g,on_cores:%g,heap_share:%g,links:%g,unknown:7", node,
+			event.Gauges.CPUUtilization, event.Gauges.CPUDemand, event.Gauges.MemoryUtilization, event.Gauges.Connections)
+	default: // the simulator has no operators
+		panic(fmt.Sprintf("no line for an event of kind %d", event.Kind))
+	}
+}
+
+func TestReadEvents(t *testing.T) {
+	events := []admission.Event{
+		{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1,
+			CostHint: 12000 * microsecond, HasSubject: true, Retry: true, RetryOf: 1422162698119961, Rank: 0.625,
+			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2},
+		{Kind: admission.EventCancelled, ID: 7},
+		{Kind: admission.EventCallNeeded, ID: 7},
+		{Kind: admission.EventDrain, StopAt: 11912250 * microsecond},
+		{Kind: admission.EventTimer, Gauges: admission.Gauges{
+			CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}},
+	}
+	for _, outcome := range outcomes {
+		events = append(events,
+			admission.Event{Kind: admission.EventDone, ID: 5, Outcome: outcome, Took: 9 * microsecond},
+			admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: outcome, Took: 9 * microsecond})
+	}
+	for _, event := range events {
+		line := eventLine(3, event)
+		var batch Batch
+		require.NoError(t, NewReader(strings.NewReader("SYNC 5\n"+line+"\nOVER_TO_YOU\n")).Read(&batch), line)
+		require.Equal(t, 5*microsecond, batch.Now, line)
+		require.Equal(t, []Message{{Kind: MessageEvent, Node: 3, Line: 2, Event: event}}, batch.Messages, line)
+	}
+}
+
+func TestReadErrorsNameLineAndField(t *testing.T) {
+	for input, want := range map[string]string{
+		"HELLO\n":                                     "line 1",
+		"SYNC x\nOVER_TO_YOU\n":                       "clock",
+		"SYNC 1\nDROPPED 3\nOVER_TO_YOU\n":            "line 2: DROPPED: field Xid",
+		"SYNC 1\nDONE 3 4 FINE 5\nOVER_TO_YOU\n":      "field Disposition",
+		"SYNC 1\nDROPPED 3 4 5\nOVER_TO_YOU\n":        "more fields",
+		"SYNC 1\nJUMP 3\nOVER_TO_YOU\n":               `unknown event "JUMP"`,
+		"SYNC 1\nELAPSED 3 w core_use\nOVER_TO_YOU\n": "field Feedback",
+		"SYNC 1\nDROPPED 3 4\n":                       "ends within a batch",
+		"SYNC 1\nDROPPED 3":                           "cut short",
+	} {
+		var batch Batch
+		err := NewReader(strings.NewReader(input)).Read(&batch)
+		require.ErrorContains(t, err, want, input)
+		require.NotErrorIs(t, err, io.EOF, input)
+	}
+	var batch Batch
+	require.ErrorIs(t, NewReader(strings.NewReader("")).Read(&batch), io.EOF, "end of input between batches")
+}
+
+func TestReadErrorsAreTyped(t *testing.T) {
+	var batch Batch
+	err := NewReader(strings.NewReader("SYNC 1\nDONE 3 4 FINE 5\nOVER_TO_YOU\n")).Read(&batch)
+	var lineErr *LineError
+	require.ErrorAs(t, err, &lineErr)
+	require.Equal(t, 2, lineErr.Line)
+	var fieldErr *FieldError
+	require.ErrorAs(t, err, &fieldErr)
+	require.Equal(t, FieldError{Field: "Disposition", Want: "an ending", Got: "FINE"}, *fieldErr)
+	for input, want := range map[string]error{"SYNC 1\n": ErrIncompleteBatch, "SYNC 1": ErrTruncated} {
+		err := NewReader(strings.NewReader(input)).Read(&batch)
+		require.ErrorIs(t, err, want, input)
+		require.ErrorAs(t, err, &lineErr, input)
+	}
+}
+
