--- /dev/null
+++ b/cmd/simhost/serve.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+
+	"falldeal/wire"
+)
+
+const (
+	replyEnd         = "FINISHED\n"
+	replyBufferBytes = 64 << 10
+)
+
+// serve answers the batches of in on out until in ends.
+func serve(in io.Reader, out io.Writer) error {
+	reader, writer := wire.NewReader(in), bufio.NewWriterSize(out, replyBufferBytes)
+	simulated := newHost()
+	var batch wire.Batch
+	for {
+		err := reader.Read(&batch)
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		reply, err := simulated.handle(&batch)
+		if err != nil {
+			return err
+		}
+		if err := write(writer, reply); err != nil {
+			return fmt.Errorf("reply: %w", err)
+		}
+	}
+}
+
+// write sends a reply at once: the simulator waits for it.
+func write(writer *bufio.Writer, reply []byte) error {
+	if _, err := writer.Write(reply); err != nil {
+		return err
+	}
+	return writer.Flush()
+}
--- a/wire/reader_test.go
+++ b/wire/reader_test.go
@@ -109,4 +109,3 @@
 		require.ErrorAs(t, err, &lineErr, input)
 	}
 }
-
