--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process is one process of an image server: its limits, signals and sockets. The programs that serve share
-// it; one of them adds a part of its own.
+// Package process runs an image server as a process: resource limits, sockets, signals and the console. The programs
+// that serve share it; an Extension is what one of them adds.
 package process
 
 import (
@@ -7,6 +7,7 @@
 	"fmt"
 	"math"
 	"net"
+	"os"
 	"runtime"
 	"runtime/debug"
 	"syscall"
@@ -21,30 +22,64 @@
 	"github.com/sirupsen/logrus"
 )
 
-const heapLimitRatio = 0.7 // of the memory limit, for the garbage collector to keep to
+// heapLimitRatio is the part of the memory limit that the garbage collector is to keep the heap within.
+const heapLimitRatio = 0.7
 
-// Extension is what a program adds to an image server. What is nil is left out.
-type Extension struct {
-	Fleet         server.Fleet                    // the loop tells it how the server is
-	Prepare       func(*server.Server)            // is called after the server has joined the fleet
-	Run           func(ctx context.Context) error // until ctx ends; an error is logged, and the server goes on without
-	Reload        func()                          // on SIGHUP, before the configuration is read again
-	AppendMetrics func(b []byte) []byte           // appended to those of the server
-	Pages         []console.Page
+// process is an image server and what it runs with. The goroutine that calls Serve owns it.
+type process struct {
+	signals   *Signals
+	active    *config.Config // the configuration in use
+	path      string         // of the configuration's file, read again on SIGHUP
+	log       *logrus.Logger
+	server    *server.Server
+	extension Extension
 }
 
-// serverWithMetrics is a server with further figures.
-type serverWithMetrics struct {
-	*server.Server
-	appendMore func(b []byte) []byte
-}
+// Serve runs the server until it is drained, which SIGTERM and SIGINT start, and returns the error that ended it, if
+// one did. path is the file that conf was read from. Connections that are still open when the drain is over delay the
+// return by server.FinalWriteTimeout at most; the console and the extension end with the server.
+func Serve(signals *Signals, conf *config.Config, path string, log *logrus.Logger, extension Extension) error {
+	limitResources(&conf.Limits)
+	front, err := listen(conf, logging.NewLimiter(log))
+	if err != nil {
+		return err
+	}
+	log.WithField("addr", front.Addr().String()).Info("listening")
+	for _, key := range conf.Unused {
+		log.WithField("key", key).Info("not used: the sockets have nothing to carry it out with")
+	}
+	running := &process{
+		signals: signals, active: conf, path: path, log: log,
+		server: server.New(conf, log), extension: extension,
+	}
+	extension.attach(running.server)
 
-func (f serverWithMetrics) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
-	b, err := f.Server.AppendMetrics(ctx, b)
-	if err == nil && f.appendMore != nil {
-		b = f.appendMore(b)
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	if err := running.startConsole(ctx); err != nil {
+		return err
+	}
+	serverDone := make(chan error, 1)
+	go func() { serverDone <- running.server.Run(ctx, front) }()
+	extensionDone := running.startExtension(ctx)
+
+	finished, err := running.handleSignals(serverDone)
+	if !finished {
+		log.Warn("connections still open at the end")
+		return nil
+	}
+	stop()
+	select {
+	case <-extensionDone:
+	case <-time.After(server.FinalWriteTimeout):
 	}
-	return b, err
+	return err
+}
+
+// limitResources has the Go runtime keep to the limits of the configuration.
+func limitResources(limits *config.Limits) {
+	runtime.GOMAXPROCS(max(int(math.Ceil(limits.Cores)), 1))
+	debug.SetMemoryLimit(int64(heapLimitRatio * float64(limits.MemoryMB<<20)))
 }
 
 // listen opens the socket for front ends, or takes over the one that was left open for this process.
@@ -55,86 +90,80 @@
 	return msgpackrpc.Listen(conf.Listen, conf.Limits.FrontSockets(), log)
 }
 
-// Serve runs the server until a drain is over. Whatever then still hangs on a socket does not keep
-// the process past its time.
-func Serve(signals *Signals, conf *config.Config, path string, log *logrus.Logger, extension Extension) error {
-	runtime.GOMAXPROCS(max(int(math.Ceil(conf.Limits.Cores)), 1))
-	debug.SetMemoryLimit(int64(heapLimitRatio * float64(conf.Limits.MemoryMB<<20)))
-	front, err := listen(conf, logging.NewLimiter(log))
-	if err != nil {
-		return err
-	}
-	log.WithField("addr", front.Addr().String()).Info("listening")
-	for _, key := range conf.Unused {
-		log.WithField("key", key).Info("not used: the sockets have nothing to carry it out with")
-	}
-	instance := server.New(conf, log)
-	if extension.Fleet != nil {
-		instance.JoinFleet(extension.Fleet)
+// startConsole opens the console if it has an address, and serves it until ctx ends.
+func (p *process) startConsole(ctx context.Context) error {
+	if p.active.Console == "" {
+		return nil
 	}
-	if extension.Prepare != nil {
-		extension.Prepare(instance)
+	listener, err := net.Listen("tcp", p.active.Console)
+	if err != nil {
+		return fmt.Errorf("console: %w", err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	if conf.Console != "" {
-		listener, err := net.Listen("tcp", conf.Console)
+	instance := instanceWithMetrics{p.server, p.extension.AppendMetrics}
+	go func() {
+		err := console.Serve(ctx, listener, instance, logging.NewLimiter(p.log), p.extension.Pages...)
 		if err != nil {
-			return fmt.Errorf("console: %w", err)
+			p.log.WithError(err).Error("no console any more")
 		}
-		go func() {
-			if err := console.Serve(ctx, listener, serverWithMetrics{instance, extension.AppendMetrics}, logging.NewLimiter(log), extension.Pages...); err != nil {
-				log.WithError(err).Error("no console any more")
-			}
-		}()
-	}
-	serverDone := make(chan error, 1)
-	go func() { serverDone <- instance.Run(ctx, front) }()
-	extensionDone := make(chan struct{})
-	if extension.Run != nil {
-		go func() {
-			defer close(extensionDone)
-			if err := extension.Run(ctx); err != nil {
-				log.WithError(err).Error("the server goes on without")
-			}
-		}()
-	} else {
-		close(extensionDone)
+	}()
+	return nil
+}
+
+// startExtension runs the extension until ctx ends. The channel that it returns is closed when that is done.
+func (p *process) startExtension(ctx context.Context) <-chan struct{} {
+	done := make(chan struct{})
+	if p.extension.Run == nil {
+		close(done)
+		return done
 	}
+	go func() {
+		defer close(done)
+		if err := p.extension.Run(ctx); err != nil {
+			p.log.WithError(err).Error("the server goes on without")
+		}
+	}()
+	return done
+}
 
-	active := conf
+// handleSignals carries out signals until the server has finished, and returns its error, or until connections that
+// are open after the drain have used up their time.
+func (p *process) handleSignals(serverDone <-chan error) (finished bool, err error) {
+	drained := p.server.Ended()
 	var closeDeadline <-chan time.Time
-	drained := instance.Ended()
 	for {
 		select {
-		case sig := <-signals.control:
-			switch sig {
-			case syscall.SIGUSR1:
-				instance.PrintStats()
-			case syscall.SIGHUP:
-				if extension.Reload != nil {
-					extension.Reload()
-				}
-				next, err := active.Successor(path)
-				if err == nil {
-					active = next
-				}
-				instance.Reload(next, err)
-			}
-		case <-signals.terminate:
-			instance.Drain()
+		case sig := <-p.signals.control:
+			p.handleControl(sig)
+		case <-p.signals.terminate:
+			p.server.Drain()
 		case <-drained:
 			drained, closeDeadline = nil, time.After(server.FinalWriteTimeout)
 		case err := <-serverDone:
-			stop()
-			select {
-			case <-extensionDone: // it has said good-bye
-			case <-time.After(server.FinalWriteTimeout):
-			}
-			return err
+			return true, err
 		case <-closeDeadline:
-			log.Warn("connections still open at the end")
-			return nil
+			return false, nil
 		}
 	}
 }
+
+// handleControl carries out a signal that does not end the process.
+func (p *process) handleControl(sig os.Signal) {
+	switch sig {
+	case syscall.SIGUSR1:
+		p.server.PrintStats()
+	case syscall.SIGHUP:
+		p.reload()
+	}
+}
+
+// reload reads the configuration again. The server logs an error, and goes on with what it has.
+func (p *process) reload() {
+	if p.extension.Reload != nil {
+		p.extension.Reload()
+	}
+	next, err := p.active.Successor(p.path)
+	if err == nil {
+		p.active = next
+	}
+	p.server.Reload(next, err)
+}
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -9,40 +9,45 @@
 	"falldeal/internal/config"
 )
 
-// Signals are those that this process has been sent and has not dealt with.
+// controlSignals is how many signals may wait that do not end the process.
+const controlSignals = 4
+
+// Signals holds the signals that this process has been sent and has not handled.
 type Signals struct {
 	terminate chan os.Signal // SIGTERM, SIGINT
-	control   chan os.Signal
+	control   chan os.Signal // SIGUSR1, SIGHUP
 }
 
-// Catch is the first thing that a program which serves does: a signal that comes before would end the process, be it one
-// that asks for the counters only, and a new configuration told of before the file is read must not be missed. What comes
-// during the start is dealt with after it.
+// Catch must be the first thing that a program which serves does: until then even SIGUSR1 ends the process, and a
+// SIGHUP that announces a new configuration would be missed. Signals that come during the start are handled after it.
 func Catch() *Signals {
-	// A signal that finds its channel full is dropped: one to leave must not be because others wait.
-	signals := &Signals{terminate: make(chan os.Signal, 1), control: make(chan os.Signal, 4)}
+	// A signal that finds its channel full is dropped. That must not happen to a termination because others wait.
+	signals := &Signals{terminate: make(chan os.Signal, 1), control: make(chan os.Signal, controlSignals)}
 	signal.Notify(signals.control, syscall.SIGUSR1, syscall.SIGHUP)
 	signal.Notify(signals.terminate, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE) // of a log that nobody reads any more
+	signal.Ignore(syscall.SIGPIPE) // from a log whose reader is gone
 	return signals
 }
 
-// ErrStopped says that the process was told to leave before it had anything to leave.
+// ErrStopped reports a termination signal before the server was started.
 var ErrStopped = errors.New("told to leave before the start was over")
 
-// Load is config.Load for a process that is told to leave meanwhile: then it returns ErrStopped.
-func (c *Signals) Load(path string) (*config.Config, error) {
-	var loaded *config.Config
-	loadDone := make(chan error, 1)
+// Load is config.Load, but returns ErrStopped if a termination signal comes meanwhile. The goroutine that reads the
+// file is then left behind: the read may never end, and the process does.
+func (s *Signals) Load(path string) (*config.Config, error) {
+	type result struct {
+		conf *config.Config
+		err  error
+	}
+	loaded := make(chan result, 1)
 	go func() {
-		var err error
-		loaded, err = config.Load(path)
-		loadDone <- err
+		conf, err := config.Load(path)
+		loaded <- result{conf, err}
 	}()
 	select {
-	case <-c.terminate:
+	case <-s.terminate:
 		return nil, ErrStopped
-	case err := <-loadDone:
-		return loaded, err
+	case result := <-loaded:
+		return result.conf, result.err
 	}
 }
