--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,5 +1,5 @@
-// Package console is the operators' address: a few calls over HTTP that ask one image server how it is and
-// tell it to let front ends go elsewhere.
+// Package console serves the operators' HTTP interface of one image server: readiness, metrics, and taking the server
+// out of its front ends' lists and back in.
 package console
 
 import (
@@ -15,99 +15,74 @@
 )
 
 const (
-	maxConnections = 32 // open at a time, of the descriptors that are left to other things than front ends
+	maxConnections = 32 // open at a time: most of a process's descriptors are for front ends
 	maxHeaderBytes = 4 << 10
 )
 
-// timeouts bound how long a call takes.
+// timeouts bound the parts of a call.
 type timeouts struct {
-	request  time.Duration // for a caller to send it: it takes one of the places for connections
-	handle   time.Duration // for the server to say what it is asked
-	response time.Duration // for the caller to read that
+	request  time.Duration // for the client to send it; meanwhile it takes up one of maxConnections
+	handle   time.Duration // for the server to carry it out
+	response time.Duration // for the client to read the response
 }
 
-// Callers are owed an answer within 1 s.
+// defaultTimeouts let a client that keeps to its own part have a response within 1 s.
 var defaultTimeouts = timeouts{request: time.Second, handle: 700 * time.Millisecond, response: 2 * time.Second}
 
-// Instance is the server that the calls are about.
+// Instance is the server that the calls are about. Its methods are called from many goroutines at once; an error is
+// answered with status 503.
 type Instance interface {
 	// Ready reports whether this process serves.
 	Ready(ctx context.Context) (bool, error)
-	// AppendMetrics appends the figures, a line each.
+	// AppendMetrics appends the metrics, a line each.
 	AppendMetrics(ctx context.Context, b []byte) ([]byte, error)
-	// Deregister has health checks answered badly, and Restore well again.
+	// Deregister has front ends go elsewhere: health checks fail from then on.
 	Deregister(ctx context.Context) error
+	// Reregister undoes Deregister.
 	Reregister(ctx context.Context) error
 }
 
-// Page is one call more that a subsystem answers. Do must not block.
+// Page is a further call, answered by a part of the server. Do returns the body; it must not block, and is called from
+// many goroutines at once.
 type Page struct {
-	Pattern string // as that of an http.ServeMux
-	Type    string // of what Do returns
+	Pattern string // as for http.ServeMux
+	Type    string // the body's content type
 	Do      func() []byte
 }
 
-// Serve answers calls that come to ln until ctx ends. It closes ln.
-func Serve(ctx context.Context, listener net.Listener, instance Instance, limiter *logging.Limiter, pages ...Page) error {
+// Serve answers calls that come to listener until ctx ends, and closes it. It returns an error only if that was not for
+// the end of ctx.
+func Serve(
+	ctx context.Context, listener net.Listener, instance Instance, limiter *logging.Limiter, pages ...Page,
+) error {
 	return defaultTimeouts.serve(ctx, listener, instance, limiter, pages...)
 }
 
-func (l timeouts) serve(ctx context.Context, listener net.Listener, instance Instance, limiter *logging.Limiter, pages ...Page) error {
-	server := &http.Server{Handler: l.handler(instance, pages), ReadTimeout: l.request, WriteTimeout: l.request + l.handle + l.response,
-		MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(errorLogWriter{limiter}, "", 0)}
+func (t timeouts) serve(
+	ctx context.Context, listener net.Listener, instance Instance, limiter *logging.Limiter, pages ...Page,
+) error {
+	server := &http.Server{
+		Handler:        newHandler(instance, t.handle, pages),
+		ReadTimeout:    t.request,
+		WriteTimeout:   t.request + t.handle + t.response,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       log.New(errorLogWriter{limiter}, "", 0),
+	}
 	server.SetKeepAlivesEnabled(false)
-	defer context.AfterFunc(ctx, func() { server.Close() })()
+	stopClosing := context.AfterFunc(ctx, func() {
+		_ = server.Close() // only of its listener and connections, which nothing is left to be done about
+	})
+	defer stopClosing()
 	if err := server.Serve(netutil.LimitListener(listener, maxConnections)); ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-// errorLogWriter takes what the HTTP server has to say of its callers.
+// errorLogWriter passes on what the HTTP server logs about its clients.
 type errorLogWriter struct{ limiter *logging.Limiter }
 
-func (l errorLogWriter) Write(b []byte) (int, error) {
-	l.limiter.Warn("console", "call to the console: "+string(b), nil)
+func (w errorLogWriter) Write(b []byte) (int, error) {
+	w.limiter.Warn("console", "call to the console: "+string(b), nil)
 	return len(b), nil
 }
-
-func (l timeouts) handler(instance Instance, pages []Page) http.Handler {
-	mux := http.NewServeMux()
-	handle := func(pattern string, call func(context.Context) (int, []byte, error)) {
-		mux.HandleFunc(pattern, func(response http.ResponseWriter, request *http.Request) {
-			ctx, cancel := context.WithTimeout(request.Context(), l.handle)
-			defer cancel()
-			code, body, err := call(ctx)
-			if err != nil {
-				code, body = http.StatusServiceUnavailable, []byte(err.Error()+"\n")
-			}
-			response.Header().Set("Content-Type", "text/plain; charset=utf-8")
-			response.WriteHeader(code)
-			_, _ = response.Write(body) // a caller that has gone needs no answer
-		})
-	}
-	handle("GET /ready", func(ctx context.Context) (int, []byte, error) {
-		ready, err := instance.Ready(ctx)
-		if err == nil && !ready {
-			return http.StatusServiceUnavailable, []byte("not ready\n"), nil
-		}
-		return http.StatusOK, []byte("ready\n"), err
-	})
-	handle("GET /metrics", func(ctx context.Context) (int, []byte, error) {
-		b, err := instance.AppendMetrics(ctx, nil)
-		return http.StatusOK, b, err
-	})
-	handle("POST /drain", func(ctx context.Context) (int, []byte, error) {
-		return http.StatusOK, []byte("front ends are sent away\n"), instance.Deregister(ctx)
-	})
-	handle("POST /undrain", func(ctx context.Context) (int, []byte, error) {
-		return http.StatusOK, []byte("front ends are welcome\n"), instance.Reregister(ctx)
-	})
-	for _, page := range pages {
-		mux.HandleFunc(page.Pattern, func(response http.ResponseWriter, _ *http.Request) {
-			response.Header().Set("Content-Type", page.Type)
-			_, _ = response.Write(page.Do())
-		})
-	}
-	return mux
-}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,58 +15,72 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeInstance notes what it is told. It hangs while it is told to.
+// fakeInstance records whether it is deregistered. With hangs set, its calls last until their contexts end.
 type fakeInstance struct {
 	deregistered bool
 	hangs        bool
 }
 
-func (o *fakeInstance) wait(ctx context.Context) error {
-	if !o.hangs {
+func (f *fakeInstance) wait(ctx context.Context) error {
+	if !f.hangs {
 		return nil
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (o *fakeInstance) Ready(ctx context.Context) (bool, error) { return !o.deregistered, o.wait(ctx) }
+func (f *fakeInstance) Ready(ctx context.Context) (bool, error) { return !f.deregistered, f.wait(ctx) }
 
-func (o *fakeInstance) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
-	return append(b, "app.inflight:3|g\n"...), o.wait(ctx)
+func (f *fakeInstance) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
+	return append(b, "app.inflight:3|g\n"...), f.wait(ctx)
 }
 
-func (o *fakeInstance) Deregister(ctx context.Context) error {
-	o.deregistered = true
-	return o.wait(ctx)
+func (f *fakeInstance) Deregister(ctx context.Context) error {
+	f.deregistered = true
+	return f.wait(ctx)
 }
-func (o *fakeInstance) Reregister(ctx context.Context) error {
-	o.deregistered = false
-	return o.wait(ctx)
+
+func (f *fakeInstance) Reregister(ctx context.Context) error {
+	f.deregistered = false
+	return f.wait(ctx)
 }
 
 const testTimeout = 30 * time.Second // after which a test that hangs is given up
 
-// A machine that stands still for a while must not turn a test's calls into late ones.
+// testTimeouts are so long that a pause of the machine does not make a test's calls late.
 var testTimeouts = timeouts{request: testTimeout, handle: testTimeout, response: testTimeout}
 
-func startConsole(t *testing.T, instance *fakeInstance, limits timeouts) (addr string) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// startConsole serves a console until the test is over.
+func startConsole(t *testing.T, instance Instance, limits timeouts, pages ...Page) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	log, _ := test.NewNullLogger()
-	go func() { served <- limits.serve(ctx, ln, instance, logging.NewLimiter(log)) }()
-	t.Cleanup(func() { cancel(); require.NoError(t, <-served) })
-	return ln.Addr().String()
+	go func() { served <- limits.serve(ctx, listener, instance, logging.NewLimiter(log), pages...) }()
+	t.Cleanup(func() {
+		cancel()
+		require.NoError(t, <-served)
+	})
+	return listener.Addr().String()
 }
 
-// send makes one call on a connection of its own and returns what came until that was closed.
-func send(t *testing.T, addr, method, path string) (code int, text string) {
+// dial opens a connection that is closed when the test is over.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer conn.Close()
+	t.Cleanup(func() { conn.Close() })
 	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
-	_, err = io.WriteString(conn, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
+	return conn
+}
+
+// send makes one call on a connection of its own and returns the response, after which the server must close.
+func send(t *testing.T, addr, method, path string) (code int, text string) {
+	t.Helper()
+	conn := dial(t, addr)
+	_, err := io.WriteString(conn, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
 	in := bufio.NewReader(conn)
 	response, err := http.ReadResponse(in, nil)
@@ -91,7 +105,7 @@
 		{"GET", "/ready", 503, "not ready\n"},
 		{"POST", "/undrain", 200, "front ends are welcome\n"},
 		{"GET", "/ready", 200, "ready\n"},
-		{"GET", "/drain", 405, "Method Not Allowed\n"}, // a look must not send front ends away
+		{"GET", "/drain", 405, "Method Not Allowed\n"}, // reading must change nothing
 		{"GET", "/", 404, "404 page not found\n"},
 	} {
 		code, text := send(t, addr, test.method, test.path)
@@ -100,31 +114,30 @@
 	}
 }
 
-// A server that is too busy to say is not ready; callers don't wait for ever to hear so.
+// A server that is too busy to answer is not ready, and clients learn so in time.
 func TestBusyServer(t *testing.T) {
 	limits := testTimeouts
 	limits.handle = time.Millisecond
 	addr := startConsole(t, &fakeInstance{hangs: true}, limits)
-	for _, test := range [][2]string{{"GET", "/ready"}, {"GET", "/metrics"}, {"POST", "/drain"}, {"POST", "/undrain"}} {
-		code, _ := send(t, addr, test[0], test[1])
-		require.Equal(t, 503, code, test[1])
+	for _, test := range []struct{ method, path string }{
+		{"GET", "/ready"}, {"GET", "/metrics"}, {"POST", "/drain"}, {"POST", "/undrain"},
+	} {
+		code, _ := send(t, addr, test.method, test.path)
+		require.Equal(t, 503, code, test.path)
 	}
 }
 
-// Callers that send nothing, or half a call, take all places but lose them.
+// Clients that send nothing, or half a call, take up all connections but lose them in time.
 func TestSilentClients(t *testing.T) {
 	limits := testTimeouts
 	limits.request = 100 * time.Millisecond
 	addr := startConsole(t, &fakeInstance{}, limits)
 	var silent []net.Conn
 	for i := range maxConnections {
-		conn, err := net.Dial("tcp", addr)
-		require.NoError(t, err)
-		defer conn.Close()
-		require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+		conn := dial(t, addr)
 		silent = append(silent, conn)
 		if i%2 == 0 {
-			_, err = io.WriteString(conn, "GET /re")
+			_, err := io.WriteString(conn, "GET /re")
 			require.NoError(t, err)
 		}
 	}
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -7,7 +7,6 @@
 	"flag"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -16,15 +15,13 @@
 	"time"
 
 	"falldeal/internal/fleet"
-	"falldeal/internal/logging"
 
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
+// requireGolden compares got byte for byte with the golden file of that name.
 func requireGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -36,7 +33,7 @@
 	require.Equal(t, string(want), got)
 }
 
-// drainingInstance answers every call with an error, as a server does that is told to leave.
+// drainingInstance answers every call with an error, as a server does that drains to stop.
 type drainingInstance struct{}
 
 var errDraining = errors.New("the server is leaving")
@@ -48,29 +45,13 @@
 func (drainingInstance) Deregister(context.Context) error { return errDraining }
 func (drainingInstance) Reregister(context.Context) error { return errDraining }
 
-// startConsoleWithPages answers calls about o until the test is over.
-func startConsoleWithPages(t *testing.T, instance Instance, limits timeouts, pages ...Page) (addr string) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	ctx, cancel := context.WithCancel(context.Background())
-	served := make(chan error, 1)
-	log, _ := test.NewNullLogger()
-	go func() { served <- limits.serve(ctx, ln, instance, logging.NewLimiter(log), pages...) }()
-	t.Cleanup(func() { cancel(); require.NoError(t, <-served) })
-	return ln.Addr().String()
-}
-
-var (
-	dateHeader = regexp.MustCompile(`Date: [^\r]*`)
-)
+var dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 
-// sendRaw returns all bytes that come back for one call, but for the date.
+// sendRaw returns all bytes of the response to one call, with the date taken out.
 func sendRaw(t *testing.T, addr, method, path string) string {
-	conn, err := net.Dial("tcp", addr)
-	require.NoError(t, err)
-	defer conn.Close()
-	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
-	_, err = io.WriteString(conn, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+	t.Helper()
+	conn := dial(t, addr)
+	_, err := io.WriteString(conn, method+" "+path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	require.NoError(t, err)
 	b, err := io.ReadAll(conn)
 	require.NoError(t, err)
@@ -80,7 +61,8 @@
 // Status line, headers and body of every call, by the state of the server.
 func TestGoldenCalls(t *testing.T) {
 	page := Page{Pattern: "GET /fleet", Type: "application/json", Do: func() []byte { return []byte("{}\n") }}
-	wedge := Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Do: func() []byte { return []byte("done\n") }}
+	wedge := Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8",
+		Do: func() []byte { return []byte("done\n") }}
 	busy := testTimeouts
 	busy.handle = time.Millisecond
 	calls := []struct{ method, path string }{
@@ -105,38 +87,45 @@
 	}
 	var got strings.Builder
 	for _, console := range []struct{ state, addr string }{
-		{"serving, in a fleet", startConsoleWithPages(t, &fakeInstance{}, testTimeouts, page, wedge)},
-		{"serving, in no fleet", startConsoleWithPages(t, &fakeInstance{}, testTimeouts)},
-		{"leaving", startConsoleWithPages(t, drainingInstance{}, testTimeouts, page)},
-		{"busy", startConsoleWithPages(t, &fakeInstance{hangs: true}, busy, page)},
+		{"serving, in a fleet", startConsole(t, &fakeInstance{}, testTimeouts, page, wedge)},
+		{"serving, in no fleet", startConsole(t, &fakeInstance{}, testTimeouts)},
+		{"leaving", startConsole(t, drainingInstance{}, testTimeouts, page)},
+		{"busy", startConsole(t, &fakeInstance{hangs: true}, busy, page)},
 	} {
 		for _, call := range calls {
-			fmt.Fprintf(&got, "== %s: %s %s\n%s\n", console.state, call.method, call.path, sendRaw(t, console.addr, call.method, call.path))
+			response := sendRaw(t, console.addr, call.method, call.path)
+			fmt.Fprintf(&got, "== %s: %s %s\n%s\n", console.state, call.method, call.path, response)
 		}
 	}
 	requireGolden(t, "calls", got.String())
 }
 
-// snapshot is one with a member in every standing and in every state.
+// snapshot returns one with a member of every liveness in every state.
 func snapshot() *fleet.Snapshot {
-	view := &fleet.Snapshot{At: 9 * time.Second, LastReceived: 8 * time.Second, Self: "n00", Position: fleet.PartiallyConnected,
-		Zones: []fleet.Zone{{Region: "belgium", Zone: "mechelen", Known: 4, Count: [fleet.Left + 1]int{1, 2, 3, 4, 5, 6, 7}}},
-		Total: fleet.Zone{Known: 11, Count: [fleet.Left + 1]int{1, 2, 3, 4, 5, 6, 7}}}
-	for standing := fleet.Unmet; standing <= fleet.Left; standing++ {
+	count := [fleet.Left + 1]int{1, 2, 3, 4, 5, 6, 7}
+	view := &fleet.Snapshot{
+		At: 9 * time.Second, LastReceived: 8 * time.Second, Self: "n00", Position: fleet.PartiallyConnected,
+		Zones: []fleet.Zone{{Region: "belgium", Zone: "mechelen", Known: 4, Count: count}},
+		Total: fleet.Zone{Known: 11, Count: count},
+	}
+	for liveness := fleet.Unmet; liveness <= fleet.Left; liveness++ {
 		for state := fleet.Starting; state <= fleet.Stopped+1; state++ {
 			n := len(view.Members)
-			view.Members = append(view.Members, fleet.Member{Liveness: standing, Self: n == 0, RecordedAt: time.Duration(n) * 10 * time.Millisecond,
-				Since: time.Second, Record: &fleet.Record{Name: fmt.Sprintf("n%02d", n), Run: uint64(n + 1), Incarnation: uint64(n + 2),
-					Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Config: 0xabc, State: state}})
+			record := &fleet.Record{Name: fmt.Sprintf("n%02d", n), Run: uint64(n + 1), Incarnation: uint64(n + 2),
+				Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Config: 0xabc, State: state}
+			view.Members = append(view.Members, fleet.Member{Liveness: liveness, Self: n == 0, Record: record,
+				RecordedAt: time.Duration(n) * 10 * time.Millisecond, Since: time.Second})
 		}
 	}
-	view.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, ShedRatio: 0.25, MeanCalls: 1.5, ServiceRate: 3.5, Demand: "o", Attempts: 40,
-		RetryRatio: 0.125, Threshold: 12.5, StoreState: 2, StoreID: 3, ProbeRound: 4, Aggregate: "s"}
-	view.Members[8].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, MeanCalls: 1.5, ServiceRate: 3.5, Attempts: 40, RetryRatio: 0.125, Threshold: 12.5}
+	view.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, ShedRatio: 0.25, MeanCalls: 1.5,
+		ServiceRate: 3.5, Demand: "o", Attempts: 40, RetryRatio: 0.125, Threshold: 12.5, StoreState: 2, StoreID: 3,
+		ProbeRound: 4, Aggregate: "s"}
+	view.Members[8].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, MeanCalls: 1.5, ServiceRate: 3.5,
+		Attempts: 40, RetryRatio: 0.125, Threshold: 12.5}
 	return view
 }
 
-// The body of /fleet: keys, their order, which are left out when zero, and the words for positions, standings and states.
+// The body of /fleet: keys, their order, which are left out when zero, and the names of positions, liveness and states.
 func TestGoldenFleetReport(t *testing.T) {
 	var got strings.Builder
 	alone := *snapshot()
