--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -3,65 +3,22 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 
+	"falldeal/internal/commandtest"
 	"falldeal/internal/fleet"
 
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
-// asProgram has this program be the command instead of its tests.
-const asProgram = "FALLDEAL_TEST_AS_PROGRAM"
-
-func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		main()
-		return
-	}
-	os.Exit(m.Run())
-}
-
-// invoke runs this program in the folder dir, with the variables of env set and no others of its own, and returns what it
-// wrote and its exit code.
-func invoke(t *testing.T, dir string, env []string, input string, args ...string) string {
-	t.Helper()
-	self, err := os.Executable()
-	require.NoError(t, err)
-	cmd := exec.Command(self, args...)
-	cmd.Dir = dir
-	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
-	cmd.Env = append(cmd.Env, env...)
-	cmd.Stdin = strings.NewReader(input)
-	var out, errOut bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &errOut
-	if err := cmd.Run(); err != nil {
-		require.IsType(t, &exec.ExitError{}, err)
-	}
-	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errOut)
-}
+func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
 const (
 	sampleConfig         = "../../internal/config/testdata/config.json"
@@ -117,11 +74,11 @@
 		"fleet members --console 127.0.0.1:1",
 		"fleet members --console a\x7fb",
 	} {
-		output := timeOfLine.ReplaceAllString(invoke(t, dir, nil, "", strings.Fields(args)...), `time="(time)"`)
+		output := timeOfLine.ReplaceAllString(commandtest.Run(t, dir, nil, "", strings.Fields(args)...), `time="(time)"`)
 		output = strings.ReplaceAll(output, dir, "(folder)")
 		fmt.Fprintf(&got, "== falldeal-fleet %q\n%s\n", args, output)
 	}
-	requireGolden(t, "commands", got.String())
+	commandtest.RequireGolden(t, "commands", got.String())
 }
 
 // reports are what instances answer, by what their consoles' addresses are called in the golden file.
@@ -177,5 +134,5 @@
 			fmt.Fprintf(&got, "== %s: %s\n%s\n", console, args, strings.ReplaceAll(output, addr, "(address)"))
 		}
 	}
-	requireGolden(t, "answers", got.String())
+	commandtest.RequireGolden(t, "answers", got.String())
 }
--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -2,65 +2,22 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"falldeal/internal/commandtest"
 	"falldeal/lab/history"
 
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
-// asProgram has this program be the command instead of its tests.
-const asProgram = "FALLDEAL_TEST_AS_PROGRAM"
-
-func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		main()
-		return
-	}
-	os.Exit(m.Run())
-}
-
-// invoke runs this program in the folder dir, with the variables of env set and no others of its own, and returns what it
-// wrote and its exit code.
-func invoke(t *testing.T, dir string, env []string, input string, args ...string) string {
-	t.Helper()
-	self, err := os.Executable()
-	require.NoError(t, err)
-	cmd := exec.Command(self, args...)
-	cmd.Dir = dir
-	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
-	cmd.Env = append(cmd.Env, env...)
-	cmd.Stdin = strings.NewReader(input)
-	var out, errors bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &errors
-	if err := cmd.Run(); err != nil {
-		require.IsType(t, &exec.ExitError{}, err)
-	}
-	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errors)
-}
+func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
 // day is a history in which one request is served and one refused, and a fault comes and goes.
 func day() []history.Event {
@@ -143,9 +100,9 @@
 		"check day.jsonl",
 		"check broken.jsonl",
 	} {
-		fmt.Fprintf(&got, "== falldeal-lab %s\n%s\n", args, invoke(t, dir, nil, "", strings.Fields(args)...))
+		fmt.Fprintf(&got, "== falldeal-lab %s\n%s\n", args, commandtest.Run(t, dir, nil, "", strings.Fields(args)...))
 	}
-	requireGolden(t, "commands", varying.Replace(got.String()))
+	commandtest.RequireGolden(t, "commands", varying.Replace(got.String()))
 }
 
 // What a fault command sends to a fleet that runs.
@@ -159,5 +116,5 @@
 	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 --for 5s --lab " +
 		fleet.Listener.Addr().String()
 	require.NoError(t, command(strings.Fields(args), &bytes.Buffer{}))
-	requireGolden(t, "fault", got.String()+"\n")
+	commandtest.RequireGolden(t, "fault", got.String()+"\n")
 }
--- a/cmd/falldeal/golden_test.go
+++ b/cmd/falldeal/golden_test.go
@@ -1,52 +1,18 @@
 package main
 
 import (
-	"bytes"
-	"flag"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"runtime"
 	"strings"
 	"testing"
 
+	"falldeal/internal/commandtest"
+
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
-// invoke runs this program in the folder dir, with the variables of env set and no others of its own, and returns what it
-// wrote and its exit code.
-func invoke(t *testing.T, dir string, env []string, input string, args ...string) string {
-	t.Helper()
-	self, err := os.Executable()
-	require.NoError(t, err)
-	cmd := exec.Command(self, args...)
-	cmd.Dir = dir
-	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
-	cmd.Env = append(cmd.Env, env...)
-	cmd.Stdin = strings.NewReader(input)
-	var out, errOut bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &errOut
-	if err := cmd.Run(); err != nil {
-		require.IsType(t, &exec.ExitError{}, err)
-	}
-	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errOut)
-}
-
 // Help, flags, exit codes and messages of every command.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
@@ -99,7 +65,7 @@
 		{"fleet members", ""},
 		{"lab check", ""},
 	} {
-		fmt.Fprintf(&got, "== %s falldeal %s\n%s\n", test.env, test.args, invoke(t, dir, strings.Fields(test.env), "", strings.Fields(test.args)...))
+		fmt.Fprintf(&got, "== %s falldeal %s\n%s\n", test.env, test.args, commandtest.Run(t, dir, strings.Fields(test.env), "", strings.Fields(test.args)...))
 	}
-	requireGolden(t, "commands", varying.Replace(got.String()))
+	commandtest.RequireGolden(t, "commands", varying.Replace(got.String()))
 }
--- a/cmd/falldeal/start_test.go
+++ b/cmd/falldeal/start_test.go
@@ -10,19 +10,12 @@
 	"testing"
 	"time"
 
+	"falldeal/internal/commandtest"
+
 	"github.com/stretchr/testify/require"
 )
 
-// asProgram has this program be falldeal instead of its tests.
-const asProgram = "FALLDEAL_TEST_AS_PROGRAM"
-
-func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		main()
-		return
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
 // startingProcess is a process of its own that has been started, and two agents that it may be led to.
 type startingProcess struct {
@@ -49,7 +42,7 @@
 		process.agents[i] = ln
 	}
 	process.cmd = exec.Command(os.Args[0], "serve", "--config", process.configPath)
-	process.cmd.Env = append(os.Environ(), asProgram+"=1", "GW_LISTEN=", "GW_NAME=", "GW_CONSOLE=")
+	process.cmd.Env = append(os.Environ(), commandtest.ProgramVariable+"=1", "GW_LISTEN=", "GW_NAME=", "GW_CONSOLE=")
 	t.Cleanup(func() {
 		if process.cmd.Process != nil && process.cmd.ProcessState == nil {
 			_ = process.cmd.Process.Kill()
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -1,61 +1,14 @@
 package main
 
 import (
-	"bytes"
-	"flag"
 	"fmt"
-	"os"
-	"os/exec"
-	"path/filepath"
 	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/require"
+	"falldeal/internal/commandtest"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
-// asProgram has this program be the command instead of its tests.
-const asProgram = "FALLDEAL_TEST_AS_PROGRAM"
-
-func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		main()
-		return
-	}
-	os.Exit(m.Run())
-}
-
-// invoke runs this program in the folder dir, with the variables of env set and no others of its own, and returns what it
-// wrote and its exit code.
-func invoke(t *testing.T, dir string, env []string, input string, args ...string) string {
-	t.Helper()
-	self, err := os.Executable()
-	require.NoError(t, err)
-	cmd := exec.Command(self, args...)
-	cmd.Dir = dir
-	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
-	cmd.Env = append(cmd.Env, env...)
-	cmd.Stdin = strings.NewReader(input)
-	var out, errOut bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &errOut
-	if err := cmd.Run(); err != nil {
-		require.IsType(t, &exec.ExitError{}, err)
-	}
-	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errOut)
-}
+func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
 // What the simulator reads, the exit code and the messages, by what it has written.
 func TestGoldenConversations(t *testing.T) {
@@ -81,8 +34,8 @@
 		{"an end within a batch", "SYNC 1\n"},
 		{"an end within a line", "SYNC 1"},
 	} {
-		fmt.Fprintf(&got, "== %s\n%s\n", test.name, invoke(t, t.TempDir(), nil, test.input))
+		fmt.Fprintf(&got, "== %s\n%s\n", test.name, commandtest.Run(t, t.TempDir(), nil, test.input))
 	}
-	fmt.Fprintf(&got, "== flags are ignored\n%s\n", invoke(t, t.TempDir(), nil, "", "--help"))
-	requireGolden(t, "conversations", got.String())
+	fmt.Fprintf(&got, "== flags are ignored\n%s\n", commandtest.Run(t, t.TempDir(), nil, "", "--help"))
+	commandtest.RequireGolden(t, "conversations", got.String())
 }
