--- /dev/null
+++ b/cmd/falldeal/config_test.go
@@ -0,0 +1,38 @@
+package main
+
+import (
+	"net"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+const sampleConfig = "../../internal/config/testdata/config.json"
+
+// configWithAgent returns the sample configuration with another agent, any port for front ends, and a short drain.
+func configWithAgent(t *testing.T, agentAddr string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(sampleConfig)
+	require.NoError(t, err)
+	replacer := strings.NewReplacer("127.0.0.1:4400", agentAddr, ":5050", ":0", `"stop_ms": 3200`, `"stop_ms": 100`)
+	return []byte(replacer.Replace(string(text)))
+}
+
+// listenAsAgent opens a socket for a server to connect to, closed when the test is over.
+func listenAsAgent(t *testing.T) *net.TCPListener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	return listener.(*net.TCPListener)
+}
+
+// acceptServer waits for a server's connection, which is closed when the test is over.
+func acceptServer(t *testing.T, agent *net.TCPListener) {
+	t.Helper()
+	conn, err := agent.Accept()
+	require.NoError(t, err)
+	t.Cleanup(func() { conn.Close() })
+}
--- a/cmd/falldeal/deploy_test.go
+++ b/cmd/falldeal/deploy_test.go
@@ -14,6 +14,7 @@
 
 // deployCommand returns the command that deploy/balancer.toml gives under a key.
 func deployCommand(t *testing.T, key string) string {
+	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
 	found := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
@@ -21,9 +22,9 @@
 	return string(found[1])
 }
 
-// The fleet's bench reaches an image server's sockets and clocks by way of the C library: a program that is
-// linked statically, as Go does by itself where nothing needs C, would run past it and fail every day. And it
-// refuses to start further processes, so `run` has to become the program.
+// The fleet's bench intercepts a server's sockets and clocks in the C library: a program that is linked statically, as
+// Go does where nothing needs C, would run past it. It also refuses to start further processes, so `run` must exec the
+// program.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "bin")
 	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployCommand(t, "build"), "bin", bin))
--- a/cmd/falldeal/golden_test.go
+++ b/cmd/falldeal/golden_test.go
@@ -18,8 +18,12 @@
 	dir := t.TempDir()
 	text, err := os.ReadFile(sampleConfig)
 	require.NoError(t, err)
-	for name, content := range map[string]string{"good.json": string(text), "cut.json": string(text[:len(text)/2]),
-		"bad.json": strings.Replace(string(text), `"Cpus": 6`, `"Cpus": -6`, 1), "operators.toml": ""} {
+	for name, content := range map[string]string{
+		"good.json":      string(text),
+		"cut.json":       string(text[:len(text)/2]),
+		"bad.json":       strings.Replace(string(text), `"Cpus": 6`, `"Cpus": -6`, 1),
+		"operators.toml": "",
+	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
 	}
 	self, err := os.Executable()
@@ -59,13 +63,14 @@
 		{"check --config good.json", "GW_LISTEN=here"},
 		{"check --config good.json", "GW_CONSOLE=here"},
 		{"check --config good.json", "GW_INHERITED_FD=stdin"},
-		{"serve --config good.json --operators operators.toml", ""}, // the program that it becomes is not there
+		{"serve --config good.json --operators operators.toml", ""}, // falldeal-fleet is not there
 		{"check --config good.json --operators operators.toml", ""},
 		{"version --operators operators.toml", ""},
 		{"fleet members", ""},
 		{"lab check", ""},
 	} {
-		fmt.Fprintf(&got, "== %s falldeal %s\n%s\n", test.env, test.args, commandtest.Run(t, dir, strings.Fields(test.env), "", strings.Fields(test.args)...))
+		output := commandtest.Run(t, dir, strings.Fields(test.env), "", strings.Fields(test.args)...)
+		fmt.Fprintf(&got, "== %s falldeal %s\n%s\n", test.env, test.args, output)
 	}
 	commandtest.RequireGolden(t, "commands", varying.Replace(got.String()))
 }
--- a/cmd/falldeal/main.go
+++ b/cmd/falldeal/main.go
@@ -1,4 +1,4 @@
-// Command falldeal is an image server that knows how much it can take.
+// Command falldeal is an image server with admission control and load shedding.
 package main
 
 import (
@@ -6,20 +6,10 @@
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
-	"runtime"
-	"syscall"
 
-	"falldeal/internal/config"
-	"falldeal/internal/process"
-
-	"github.com/sirupsen/logrus"
 	"github.com/spf13/pflag"
 )
 
-// version is set by the linker where a release is built.
-var version = "dev"
-
 const usage = `Usage: falldeal COMMAND [flags]
 
 Commands:
@@ -33,12 +23,6 @@
 Flags of serve and check:
 `
 
-// Programs beside this one that carry out what weighs too much for a start of the server alone.
-const (
-	fleetProgram = "falldeal-fleet"
-	labProgram   = "falldeal-lab"
-)
-
 func main() {
 	if err := run(os.Args[1:], os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "falldeal:", err)
@@ -46,16 +30,25 @@
 	}
 }
 
-// execProgram replaces this process by another program of the same folder.
-var execProgram = func(program string, args []string) error {
-	self, err := os.Executable()
-	if err != nil {
-		return err
-	}
-	path := filepath.Join(filepath.Dir(self), program)
-	return fmt.Errorf("%s: %w", path, syscall.Exec(path, append([]string{path}, args...), os.Environ()))
+// options are the flags of serve and check.
+type options struct {
+	configPath    string // "": that of the variable GW_CONFIG
+	operatorsPath string // "": none
+	logLevel      string
+}
+
+// flagSet returns the flags, which set o. Its usage is printed on out.
+func (o *options) flagSet(out io.Writer) *pflag.FlagSet {
+	flags := pflag.NewFlagSet("falldeal", pflag.ContinueOnError)
+	flags.StringVar(&o.configPath, "config", "", "configuration file (default: the variable GW_CONFIG)")
+	flags.StringVar(&o.operatorsPath, "operators", "",
+		"operators' file, TOML; it may have this instance know the others of its fleet")
+	flags.StringVar(&o.logLevel, "log-level", "info", "least level that is logged: debug, info, warning, error")
+	flags.Usage = func() { fmt.Fprint(out, usage, flags.FlagUsages()) }
+	return flags
 }
 
+// run carries out a command line. It does not return if another program carries it out, which replaces this process.
 func run(args []string, out io.Writer) error {
 	if len(args) > 0 && args[0] == "fleet" {
 		return execProgram(fleetProgram, args)
@@ -63,11 +56,8 @@
 	if len(args) > 0 && args[0] == "lab" {
 		return execProgram(labProgram, args[1:])
 	}
-	flags := pflag.NewFlagSet("falldeal", pflag.ContinueOnError)
-	configPath := flags.String("config", "", "configuration file (default: the variable GW_CONFIG)")
-	operatorsPath := flags.String("operators", "", "operators' file, TOML; it may have this instance know the others of its fleet")
-	logLevel := flags.String("log-level", "info", "least level that is logged: debug, info, warning, error")
-	flags.Usage = func() { fmt.Fprint(out, usage, flags.FlagUsages()) }
+	var opts options
+	flags := opts.flagSet(out)
 	if err := flags.Parse(args); err != nil {
 		if errors.Is(err, pflag.ErrHelp) {
 			return nil
@@ -78,38 +68,20 @@
 		flags.Usage()
 		return fmt.Errorf("want one command, got %d", flags.NArg())
 	}
-	name := flags.Arg(0)
-	if *operatorsPath != "" && (name == "serve" || name == "check") {
+	command := flags.Arg(0)
+	if opts.operatorsPath != "" && (command == "serve" || command == "check") {
 		return execProgram(fleetProgram, args)
 	}
-	switch name {
+	switch command {
 	case "version":
-		fmt.Fprintln(out, "falldeal", version, runtime.Version())
+		printVersion(out)
 		return nil
 	case "check":
-		conf, err := config.Load(*configPath)
-		if err == nil {
-			fmt.Fprintf(out, "configuration of %s is good: %d classes, listening on %s\n", conf.Name, len(conf.Classes), conf.Listen)
-		}
-		return err
+		return check(&opts, out)
 	case "serve":
-		level, err := logrus.ParseLevel(*logLevel)
-		if err != nil {
-			return fmt.Errorf("flag --log-level: %w", err)
-		}
-		signals := process.Catch()
-		conf, err := signals.Load(*configPath)
-		if errors.Is(err, process.ErrStopped) {
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-		log := logrus.New()
-		log.SetLevel(level)
-		return process.Serve(signals, conf, *configPath, log, process.Extension{})
+		return serve(&opts)
 	default:
 		flags.Usage()
-		return fmt.Errorf("unknown command %q", name)
+		return fmt.Errorf("unknown command %q", command)
 	}
 }
--- /dev/null
+++ b/cmd/falldeal/serve.go
@@ -0,0 +1,29 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"falldeal/internal/process"
+
+	"github.com/sirupsen/logrus"
+)
+
+// serve runs an image server that is in no fleet, until a signal ends it.
+func serve(opts *options) error {
+	level, err := logrus.ParseLevel(opts.logLevel)
+	if err != nil {
+		return fmt.Errorf("flag --log-level: %w", err)
+	}
+	signals := process.Catch()
+	conf, err := signals.Load(opts.configPath)
+	if errors.Is(err, process.ErrStopped) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	log := logrus.New()
+	log.SetLevel(level)
+	return process.Serve(signals, conf, opts.configPath, log, process.Extension{})
+}
--- a/cmd/falldeal/start_test.go
+++ b/cmd/falldeal/start_test.go
@@ -5,7 +5,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -17,111 +16,123 @@
 
 func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
-// startingProcess is a process of its own that has been started, and two agents that it may be led to.
+// startingProcess is a server in a process of its own, and two agents that its configuration may name.
 type startingProcess struct {
 	*testing.T
 	cmd        *exec.Cmd
-	configPath string // of its configuration
-	agents     [2]net.Listener
-}
-
-// configWithAgent returns the sample configuration with one of the agents.
-func (s *startingProcess) configWithAgent(agent int) []byte {
-	text, err := os.ReadFile(sampleConfig)
-	require.NoError(s, err)
-	return []byte(strings.NewReplacer("127.0.0.1:4400", s.agents[agent].Addr().String(), ":5050", ":0",
-		`"stop_ms": 3200`, `"stop_ms": 100`).Replace(string(text)))
+	configPath string
+	config     *os.File // pipe that the process reads its configuration from, after startBlocked
+	agents     [2]*net.TCPListener
 }
 
+// newStartingProcess prepares a process, which is killed if it is still there when the test is over.
 func newStartingProcess(t *testing.T) *startingProcess {
-	process := &startingProcess{T: t, configPath: filepath.Join(t.TempDir(), "config.json")}
-	for i := range process.agents {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		t.Cleanup(func() { ln.Close() })
-		process.agents[i] = ln
+	t.Helper()
+	starting := &startingProcess{T: t, configPath: filepath.Join(t.TempDir(), "config.json")}
+	for i := range starting.agents {
+		starting.agents[i] = listenAsAgent(t)
 	}
-	process.cmd = exec.Command(os.Args[0], "serve", "--config", process.configPath)
-	process.cmd.Env = append(os.Environ(), commandtest.ProgramVariable+"=1", "GW_LISTEN=", "GW_NAME=", "GW_CONSOLE=")
+	starting.cmd = exec.Command(os.Args[0], "serve", "--config", starting.configPath)
+	starting.cmd.Env = append(os.Environ(), commandtest.ProgramVariable+"=1", "GW_LISTEN=", "GW_NAME=", "GW_CONSOLE=")
 	t.Cleanup(func() {
-		if process.cmd.Process != nil && process.cmd.ProcessState == nil {
-			_ = process.cmd.Process.Kill()
-			_ = process.cmd.Wait()
+		if starting.cmd.Process != nil && starting.cmd.ProcessState == nil {
+			_ = starting.cmd.Process.Kill()
+			_ = starting.cmd.Wait()
 		}
 	})
-	return process
+	return starting
+}
+
+// startBlocked starts a process and returns when it reads its configuration, of which nothing comes until unblock.
+func startBlocked(t *testing.T) *startingProcess {
+	t.Helper()
+	starting := newStartingProcess(t)
+	require.NoError(t, syscall.Mkfifo(starting.configPath, 0o600))
+	require.NoError(t, starting.cmd.Start())
+	config, err := os.OpenFile(starting.configPath, os.O_WRONLY, 0) // returns once the process reads
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = config.Close() }) // again after unblock
+	starting.config = config
+	return starting
 }
 
-// startBlocked starts the process and holds it where it reads its configuration, of which nothing comes until the file that is
-// returned is written to.
-func (s *startingProcess) startBlocked() *os.File {
-	require.NoError(s, syscall.Mkfifo(s.configPath, 0o600))
-	require.NoError(s, s.cmd.Start())
-	writer, err := os.OpenFile(s.configPath, os.O_WRONLY, 0) // returns once the other side reads
+// unblock writes the configuration that the process has been waiting for, with the first agent.
+func (s *startingProcess) unblock() {
+	s.Helper()
+	_, err := s.config.Write(s.configFor(0))
 	require.NoError(s, err)
-	s.Cleanup(func() { writer.Close() })
-	return writer
+	require.NoError(s, s.config.Close())
+}
+
+// writeConfig writes a configuration with one of the agents to a file.
+func (s *startingProcess) writeConfig(agent int) {
+	s.Helper()
+	require.NoError(s, os.WriteFile(s.configPath, s.configFor(agent), 0o600))
 }
 
-// waitForAgent waits until the process has a link to that agent.
+func (s *startingProcess) configFor(agent int) []byte {
+	s.Helper()
+	return configWithAgent(s.T, s.agents[agent].Addr().String())
+}
+
+// waitForAgent waits until the process has connected to one of the agents.
 func (s *startingProcess) waitForAgent(agent int) {
 	s.Helper()
-	require.NoError(s, s.agents[agent].(*net.TCPListener).SetDeadline(time.Now().Add(30*time.Second)))
-	conn, err := s.agents[agent].Accept()
-	require.NoError(s, err)
-	s.Cleanup(func() { conn.Close() })
+	require.NoError(s, s.agents[agent].SetDeadline(time.Now().Add(testTimeout)))
+	acceptServer(s.T, s.agents[agent])
 }
 
-func (s *startingProcess) signal(sig syscall.Signal) { require.NoError(s, s.cmd.Process.Signal(sig)) }
+func (s *startingProcess) signal(sig syscall.Signal) {
+	s.Helper()
+	require.NoError(s, s.cmd.Process.Signal(sig))
+}
+
+// requireTerminates sends SIGTERM, after which the process must end with status 0.
+func (s *startingProcess) requireTerminates() {
+	s.Helper()
+	s.signal(syscall.SIGTERM)
+	require.NoError(s, s.cmd.Wait())
+}
 
-// A process is told of a new configuration, and asked for its counters, while it reads the old one: it goes on, and takes
-// the new one over once it has started. Each of these signals ended it.
+// Signals for a new configuration and for the counters that come while the process reads its configuration don't end
+// it: once it has started it reads the new one. Each of them used to end the process.
 func TestReloadDuringStart(t *testing.T) {
 	for _, order := range [][]syscall.Signal{{syscall.SIGHUP, syscall.SIGUSR1}, {syscall.SIGUSR1, syscall.SIGHUP}} {
-		process := newStartingProcess(t)
-		writer := process.startBlocked()
+		starting := startBlocked(t)
 		for _, sig := range order {
-			process.signal(sig)
+			starting.signal(sig)
 		}
-		require.NoError(t, os.Remove(process.configPath))
-		require.NoError(t, os.WriteFile(process.configPath, process.configWithAgent(1), 0o600))
-		_, err := writer.Write(process.configWithAgent(0))
-		require.NoError(t, err)
-		require.NoError(t, writer.Close())
-		process.waitForAgent(1)
-		process.signal(syscall.SIGTERM)
-		require.NoError(t, process.cmd.Wait())
+		require.NoError(t, os.Remove(starting.configPath)) // the pipe
+		starting.writeConfig(1)
+		starting.unblock()
+		starting.waitForAgent(1)
+		starting.requireTerminates()
 	}
 }
 
-// SIGTERM comes before the configuration is read, or after: the process ends by itself either way, and in good order.
-// Before, it was killed with the status of a crash; one whose configuration never comes must end as well.
+// SIGTERM before the configuration is read and after: the process ends by itself with status 0. Before, it used to be
+// killed by the signal; one whose configuration never comes must end as well.
 func TestTermDuringStart(t *testing.T) {
 	for _, read := range []bool{false, true} {
-		process := newStartingProcess(t)
-		writer := process.startBlocked()
+		starting := startBlocked(t)
 		if read {
-			_, err := writer.Write(process.configWithAgent(0))
-			require.NoError(t, err)
-			require.NoError(t, writer.Close())
-			process.waitForAgent(0)
+			starting.unblock()
+			starting.waitForAgent(0)
 		}
-		process.signal(syscall.SIGTERM)
-		require.NoError(t, process.cmd.Wait())
+		starting.requireTerminates()
 	}
 }
 
-// Nobody reads the log any more: what is written to it then ended the process.
+// A log whose reader is gone used to end the process at the next line.
 func TestLogWithoutReader(t *testing.T) {
-	process := newStartingProcess(t)
-	require.NoError(t, os.WriteFile(process.configPath, process.configWithAgent(0), 0o600))
+	starting := newStartingProcess(t)
+	starting.writeConfig(0)
 	read, write, err := os.Pipe()
 	require.NoError(t, err)
 	require.NoError(t, read.Close())
-	process.cmd.Stderr = write
-	require.NoError(t, process.cmd.Start())
+	starting.cmd.Stderr = write
+	require.NoError(t, starting.cmd.Start())
 	require.NoError(t, write.Close())
-	process.waitForAgent(0) // it has said by then where it listens
-	process.signal(syscall.SIGTERM)
-	require.NoError(t, process.cmd.Wait())
+	starting.waitForAgent(0) // it has logged by then where it listens
+	starting.requireTerminates()
 }
