--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -27,15 +27,20 @@
 
 var timeOfLine = regexp.MustCompile(`time="[^"]*"`)
 
-// Help, flags, exit codes and messages of what falldeal becomes for a fleet.
+// Help, flags, exit codes and messages of each command.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile(sampleConfig)
 	require.NoError(t, err)
-	for name, content := range map[string]string{"good.json": string(text), "bad.json": strings.Replace(string(text), `"Cpus": 6`, `"Cpus": -6`, 1),
-		"none.toml": "", "good.toml": minimalOperatorsFile + "seeds = [\"127.0.0.2:7946\"]\n", "bad.toml": minimalOperatorsFile + "size = 0\n",
+	for name, content := range map[string]string{
+		"good.json":  string(text),
+		"bad.json":   strings.Replace(string(text), `"Cpus": 6`, `"Cpus": -6`, 1),
+		"none.toml":  "",
+		"good.toml":  minimalOperatorsFile + "seeds = [\"127.0.0.2:7946\"]\n",
+		"bad.toml":   minimalOperatorsFile + "size = 0\n",
 		"drill.toml": minimalOperatorsFile + "[drill]\nclock = \"-2s\"\nwedge = \"1s\"\n",
-		"trace.toml": minimalOperatorsFile + "[trace]\nfile = \"absent/spans\"\n"} {
+		"trace.toml": minimalOperatorsFile + "[trace]\nfile = \"absent/spans\"\n",
+	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
 	}
 	var got strings.Builder
@@ -81,23 +86,33 @@
 	commandtest.RequireGolden(t, "commands", got.String())
 }
 
-// reports are what instances answer, by what their consoles' addresses are called in the golden file.
+// reports are those of several instances, by the names of their consoles in the golden file.
 func reports() map[string]fleet.Report {
-	whole := fleet.Report{Self: "n3", Position: "whole", LastReceivedMs: 250, PeriodMs: 1000, FreshMs: 5000,
+	whole := fleet.Report{
+		Self: "n3", Position: "whole", LastReceivedMs: 250, PeriodMs: 1000, FreshMs: 5000,
 		Members: []fleet.MemberReport{
-			{Name: "n3", Process: "n3/0000000000000007", Zone: "mechelen", Region: "belgium", Condition: "serving", ReportedState: "serving", SinceMs: 61500,
-				Version: "1.2.3", Config: "0123456789abcdef", Cores: 6, Busy: 0.5, InFlight: 12, ShedRatio: 0.25, Self: true},
-			{Name: "n4", Zone: "zaventem", Region: "belgium", Condition: "cut off", ReportedState: "warming", AgeMs: 3120, SinceMs: 900, Version: "dev",
-				Config: "01", Cores: 2.5, Busy: -1, StoreState: 1},
-			{Name: "n5", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 40, StoreState: 2, ProbeRound: 7},
-			{Name: "n6", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 50, StoreState: 3}},
-		Zones: []fleet.ZoneReport{{Region: "belgium", Zone: "mechelen", Known: 1, Alive: 1},
-			{Region: "belgium", Zone: "zaventem", Known: 21, Alive: 1, Suspect: 2, Wedged: 3, Silent: 4, Dead: 5, Left: 6, Unmet: 7, Unreachable: true}},
+			{Name: "n3", Process: "n3/0000000000000007", Zone: "mechelen", Region: "belgium", Condition: "serving",
+				ReportedState: "serving", SinceMs: 61500, Version: "1.2.3", Config: "0123456789abcdef", Cores: 6, Busy: 0.5,
+				InFlight: 12, ShedRatio: 0.25, Self: true},
+			{Name: "n4", Zone: "zaventem", Region: "belgium", Condition: "cut off", ReportedState: "warming", AgeMs: 3120,
+				SinceMs: 900, Version: "dev", Config: "01", Cores: 2.5, Busy: -1, StoreState: 1},
+			{Name: "n5", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 40,
+				StoreState: 2, ProbeRound: 7},
+			{Name: "n6", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 50,
+				StoreState: 3},
+		},
+		Zones: []fleet.ZoneReport{
+			{Region: "belgium", Zone: "mechelen", Known: 1, Alive: 1},
+			{Region: "belgium", Zone: "zaventem", Known: 21, Alive: 1, Suspect: 2, Wedged: 3, Silent: 4, Dead: 5, Left: 6,
+				Unmet: 7, Unreachable: true},
+		},
 		Total: fleet.ZoneReport{Known: 22, Alive: 2, Suspect: 2, Wedged: 3, Silent: 4, Dead: 5, Left: 6, Unmet: 7},
-		Fresh: fleet.AggregateReport{Members: 2, Stale: 1, Cores: 8.5, Busy: 3, InFlight: 12, OldestMs: 1100}}
+		Fresh: fleet.AggregateReport{Members: 2, Stale: 1, Cores: 8.5, Busy: 3, InFlight: 12, OldestMs: 1100},
+	}
 	full := whole
 	full.Position = "torn"
-	full.Fresh.ServiceRate, full.Fresh.Attempts, full.Fresh.RetryRatio, full.Fresh.MinThreshold, full.Fresh.MaxThreshold = 7.5, 120, 0.125, 11.5, 12.5
+	full.Fresh.ServiceRate, full.Fresh.Attempts, full.Fresh.RetryRatio = 7.5, 120, 0.125
+	full.Fresh.MinThreshold, full.Fresh.MaxThreshold = 11.5, 12.5
 	full.Fresh.CallQuota, full.Fresh.MeanCalls = 11.8, 4.25
 	room := whole
 	room.Fresh.ServiceRate, room.Fresh.Attempts = 7.5, 12
@@ -105,7 +120,7 @@
 	return map[string]fleet.Report{"whole": whole, "full": full, "room": room, "alone": alone}
 }
 
-// What is printed of what an instance answers.
+// What is printed for each kind of response of an instance.
 func TestGoldenAnswers(t *testing.T) {
 	consoles := map[string]http.HandlerFunc{
 		"in no fleet": http.NotFound,
--- /dev/null
+++ b/cmd/falldeal-fleet/members.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"text/tabwriter"
+
+	"falldeal/internal/fleet"
+)
+
+// newTable returns a writer of columns, which are two spaces apart.
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
+
+// printMembers prints a line for each member.
+func printMembers(out io.Writer, report *fleet.Report) error {
+	table := newTable(out)
+	fmt.Fprintln(table, "NAME\tZONE\tCONDITION\tSINCE\tTOLD\tAGE\tCORES\tBUSY\tIN HAND\tSHED\tVERSION\tCONFIG")
+	for i := range report.Members {
+		printMember(table, &report.Members[i])
+	}
+	return table.Flush()
+}
+
+func printMember(table io.Writer, member *fleet.MemberReport) {
+	name, busy := member.Name, "-"
+	if member.Self {
+		name += " *"
+	}
+	if member.Busy >= 0 {
+		busy = fmt.Sprintf("%.0f%%", 100*member.Busy)
+	}
+	fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%d\t%.0f%%\t%s\t%.8s\n",
+		name, member.Zone, member.Condition, seconds(member.SinceMs), member.ReportedState, seconds(member.AgeMs),
+		member.Cores, busy, member.InFlight, 100*member.ShedRatio, member.Version, member.Config)
+}
--- /dev/null
+++ b/cmd/falldeal-fleet/status.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strings"
+
+	"falldeal/internal/fleet"
+	"falldeal/internal/overload"
+)
+
+const maxStoreMembers = 5 // named in the line of a store
+
+// printStatus prints how the instance is connected, what the fleet serves, how it is with its stores, and its zones.
+func printStatus(out io.Writer, report *fleet.Report) error {
+	printConnection(out, report)
+	printServing(out, &report.Fresh)
+	printOverload(out, &report.Fresh)
+	printCalls(out, &report.Fresh)
+	printStores(out, report.Members)
+	return printZones(out, report)
+}
+
+func printConnection(out io.Writer, report *fleet.Report) {
+	lastReceived := "never"
+	if report.LastReceivedMs >= 0 {
+		lastReceived = seconds(report.LastReceivedMs) + " ago"
+	}
+	fmt.Fprintf(out, "%s sees its fleet: %s; last word of another member: %s; words are due each %s, overdue after %s\n",
+		report.Self, report.Position, lastReceived, seconds(report.PeriodMs), seconds(report.FreshMs))
+}
+
+func printServing(out io.Writer, fresh *fleet.AggregateReport) {
+	fmt.Fprintf(out, "serving by fresh words: %d members, %g cores, %.1f of them in use, %d requests in hand; "+
+		"oldest word %s; %d left out as too old\n",
+		fresh.Members, fresh.Cores, fresh.Busy, fresh.InFlight, seconds(fresh.OldestMs), fresh.Stale)
+}
+
+// printOverload prints the shedding threshold and the retries, where members publish a service rate.
+func printOverload(out io.Writer, fresh *fleet.AggregateReport) {
+	if fresh.ServiceRate <= 0 {
+		return
+	}
+	threshold := "nothing is cut: the fleet has room"
+	if fresh.MaxThreshold > 0 {
+		threshold = fmt.Sprintf("the fleet is full: cut below place %.1f to %.1f (%.3g to %.3g earned for a second of work)",
+			fresh.MinThreshold, fresh.MaxThreshold,
+			overload.WeightAt(fresh.MinThreshold), overload.WeightAt(fresh.MaxThreshold))
+	}
+	fmt.Fprintf(out, "overload: %s; %.0f tries a second, %.2f repeats for each first one (budget %.2f); "+
+		"%.1f s of work can be done in a second\n",
+		threshold, fresh.Attempts, fresh.RetryRatio, overload.RetryBudget, fresh.ServiceRate)
+}
+
+// printCalls prints the quota of calls to stores, where there is one.
+func printCalls(out io.Writer, fresh *fleet.AggregateReport) {
+	if fresh.CallQuota <= 0 {
+		return
+	}
+	fmt.Fprintf(out, "calls: %.1f may be in hand in the mean, %.1f are, as far as it is told\n",
+		fresh.CallQuota, fresh.MeanCalls)
+}
+
+// printStores prints a line for each zone and state of its store, but for stores that are well, with the members that
+// report it.
+func printStores(out io.Writer, members []fleet.MemberReport) {
+	reporters := map[string][]string{} // by zone and state
+	for i := range members {
+		member := &members[i]
+		if member.StoreState == 0 {
+			continue
+		}
+		state := overload.StoreState(member.StoreState)
+		round := ""
+		if state == overload.StoreProbing {
+			round = fmt.Sprintf(", turn %d", member.ProbeRound)
+		}
+		store := member.Zone + " " + state.String()
+		reporters[store] = append(reporters[store],
+			fmt.Sprintf("%s (%s ago%s)", member.Name, seconds(member.AgeMs), round))
+	}
+	for _, store := range slices.Sorted(maps.Keys(reporters)) {
+		names := reporters[store]
+		fmt.Fprintf(out, "store, %s: %d members: %s\n",
+			store, len(names), strings.Join(names[:min(len(names), maxStoreMembers)], ", "))
+	}
+}
+
+// printZones prints a line for each zone and one for all of them.
+func printZones(out io.Writer, report *fleet.Report) error {
+	table := newTable(out)
+	fmt.Fprintln(table, "REGION\tZONE\tKNOWN\tALIVE\tSUSPECT\tWEDGED\tCUT OFF\tDEAD\tLEFT\t")
+	for _, zone := range append(report.Zones, report.Total) {
+		mark := ""
+		if zone.Unreachable {
+			mark = "half or more silent"
+		}
+		if zone.Zone == "" {
+			zone.Region = "all"
+		}
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", zone.Region, zone.Zone,
+			zone.Known, zone.Alive, zone.Suspect, zone.Wedged, zone.Silent, zone.Dead, zone.Left, mark)
+	}
+	return table.Flush()
+}
