--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -19,8 +19,8 @@
 
 func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
-// day is a history in which one request is served and one refused, and a fault comes and goes.
-func day() []history.Event {
+// sampleHistory is a history in which one request is served and one refused, and a fault comes and goes.
+func sampleHistory() []history.Event {
 	return []history.Event{
 		{At: 0, Kind: history.ProcessChanged, Server: "n1", Detail: "started"},
 		{At: time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a1", Class: "preview", Client: 1, Deadline: 5 * time.Second},
@@ -37,9 +37,9 @@
 	}
 }
 
-// brokenDay breaks every rule that the program checks: an answer too many, one too late, one lost, an order that runs twice,
+// violatingEvents breaks every rule that the program checks: an answer too many, one too late, one lost, an order that runs twice,
 // and a member called dead that lives.
-func brokenDay() []history.Event {
+func violatingEvents() []history.Event {
 	return []history.Event{
 		{At: 8 * time.Second, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
 		{At: 8 * time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a2", IdempotencyKey: "o1", Class: "licence-order", Client: 1, Deadline: 9 * time.Second},
@@ -55,8 +55,8 @@
 // Help, flags, exit codes and messages of every command that starts no fleet.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, history.Write(filepath.Join(dir, "day.jsonl"), day()))
-	require.NoError(t, history.Write(filepath.Join(dir, "broken.jsonl"), append(day(), brokenDay()...)))
+	require.NoError(t, history.Write(filepath.Join(dir, "day.jsonl"), sampleHistory()))
+	require.NoError(t, history.Write(filepath.Join(dir, "broken.jsonl"), append(sampleHistory(), violatingEvents()...)))
 	for name, content := range map[string]string{"word.jsonl": "word\n", "empty.jsonl": "", "script.toml": "[[fault]]\nkind = \"cut\"\nwho = \"n99\"\n",
 		"key.toml": "speed = 5\n"} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
@@ -115,6 +115,6 @@
 	defer fleet.Close()
 	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 --for 5s --lab " +
 		fleet.Listener.Addr().String()
-	require.NoError(t, command(strings.Fields(args), &bytes.Buffer{}))
+	require.NoError(t, run(strings.Fields(args), &bytes.Buffer{}))
 	commandtest.RequireGolden(t, "fault", got.String()+"\n")
 }
