--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -2,160 +2,217 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"os"
 	"os/signal"
 	"slices"
-	"strconv"
-	"strings"
+	"sync"
 	"syscall"
 	"time"
 
+	"falldeal/internal/fleet"
 	"falldeal/lab/faults"
 	"falldeal/lab/fleetlab"
 )
 
-// idleTime is for how long processes are left to themselves while their cost is measured.
-const idleTime = 20 * time.Second
+const (
+	// idleTime is for how long processes are left to themselves while their cost is measured.
+	idleTime = 20 * time.Second
 
-// detect kills a member again and again and times how long all the others take to call it cut off or dead. Before
-// that it counts for how many members others are wrong while nobody is killed, with the losses of the script.
+	falseRemovalPollInterval = 250 * time.Millisecond
+	waitTimeout              = 3 * time.Minute
+
+	victimStream = 5 // of the random numbers that choose whom to kill
+)
+
+// removedConditions are those in which a member gets no requests.
+var removedConditions = []string{"cut off", "dead", "wedged"}
+
+// errWaitTimeout reports a condition that did not hold within waitTimeout.
+var errWaitTimeout = errors.New("not reached within 3 minutes")
+
+// detection measures the failure detection of a fleet without load.
+type detection struct {
+	opts *options
+	lab  *fleetlab.Lab
+	out  io.Writer
+}
+
+// detect times the failure detection: it kills members and times how long all others take to see it. Before that it
+// counts how many members are taken for failed while none is, under the loss of --share, and what membership costs.
 func detect(opts *options, out io.Writer) error {
-	fleet, err := openLab(opts)
+	lab, err := openLab(opts)
 	if err != nil {
 		return err
 	}
-	defer fleet.Close()
+	defer lab.Close()
 	stopped, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	defer context.AfterFunc(stopped, func() { fleet.Close(); os.Exit(1) })()
+	defer context.AfterFunc(stopped, func() {
+		lab.Close()
+		os.Exit(1)
+	})()
 	if opts.fault.Ratio > 0 {
-		if err := fleet.AddFault(faults.Fault{Kind: faults.KindLoss, Target: "*", Peer: "*", Ratio: opts.fault.Ratio}); err != nil {
+		loss := faults.Fault{Kind: faults.KindLoss, Target: "*", Peer: "*", Ratio: opts.fault.Ratio}
+		if err := lab.AddFault(loss); err != nil {
 			return err
 		}
 	}
-	if err := fleet.StartMembers(); err != nil {
+	if err := lab.StartMembers(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
+	var script sync.WaitGroup
+	script.Go(func() { _ = lab.RunScript(ctx) }) // it ends early where the loss can't be caused
+	defer script.Wait()
 	defer cancel()
-	go func() { _ = fleet.RunScript(ctx) }()
-	joined, err := waitUntil(func() bool { return countViews(fleet, "serving") == len(fleet.Members)*len(fleet.Members) })
+
+	measured := &detection{opts: opts, lab: lab, out: out}
+	if err := measured.waitForJoin(); err != nil {
+		return err
+	}
+	measured.countFalseRemovals()
+	measured.measureIdleCost()
+	return measured.timeKills()
+}
+
+// waitForJoin waits until every member sees all as serving.
+func (d *detection) waitForJoin() error {
+	members := len(d.lab.Members)
+	joined, err := waitUntil(func() bool { return d.countViews("serving") == members*members })
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d members, %.0f%% loss: all see all after %.1fs\n", opts.lab.Members, 100*opts.fault.Ratio, joined.Seconds())
-	watched := fleet.Log.Now()
+	fmt.Fprintf(d.out, "%d members, %.0f%% loss: all see all after %.1fs\n",
+		d.opts.lab.Members, 100*d.opts.fault.Ratio, joined.Seconds())
+	return nil
+}
+
+// countFalseRemovals prints how many members at most were taken for failed at once.
+func (d *detection) countFalseRemovals() {
+	start := d.lab.Log.Now()
 	removed := 0
-	for fleet.Log.Now()-watched < opts.duration {
-		removed = max(removed, countViews(fleet, "cut off", "dead", "wedged"))
-		time.Sleep(250 * time.Millisecond)
+	for d.lab.Log.Now()-start < d.opts.duration {
+		removed = max(removed, d.countViews(removedConditions...))
+		time.Sleep(falseRemovalPollInterval)
 	}
-	fmt.Fprintf(out, "false removals in %v: %d of %d views at most at once\n", opts.duration, removed, len(fleet.Members)*(len(fleet.Members)-1))
-	before, begin := measureUsage(fleet), fleet.Log.Now()
-	time.Sleep(idleTime) // nobody asks meanwhile: answers cost more than membership
-	now, n, spent := measureUsage(fleet), float64(len(fleet.Members)), (fleet.Log.Now() - begin).Seconds()
-	fmt.Fprintf(out, "at rest each: %.1f ms of processor time and %.1f packets, %.0f bytes sent a second; %.1f MB resident\n", (now.cpu-before.cpu)/n/spent,
-		(now.packets-before.packets)/n/spent, (now.bytes-before.bytes)/n/spent, now.memory/n)
-	rnd := rand.New(rand.NewPCG(opts.lab.Seed, 5))
-	var first, all []time.Duration
-	for range opts.detect {
-		m := fleet.Members[rnd.IntN(len(fleet.Members))]
-		m.Kill()
-		begin := fleet.Log.Now()
-		seen := time.Duration(0)
-		d, err := waitUntil(func() bool {
-			n := countViewsOf(fleet, m, "cut off", "dead", "wedged")
-			if n > 0 && seen == 0 {
-				seen = fleet.Log.Now() - begin
-			}
-			return n == len(fleet.Members)-1
-		})
+	members := len(d.lab.Members)
+	fmt.Fprintf(d.out, "false removals in %v: %d of %d views at most at once\n",
+		d.opts.duration, removed, members*(members-1))
+}
+
+// measureIdleCost prints what membership costs each process while no report is asked for, which would cost more.
+func (d *detection) measureIdleCost() {
+	before, start := measureUsage(d.lab.Members), d.lab.Log.Now()
+	time.Sleep(idleTime)
+	after, members := measureUsage(d.lab.Members), float64(len(d.lab.Members))
+	elapsed := (d.lab.Log.Now() - start).Seconds()
+	perSecond := func(before, after float64) float64 { return (after - before) / members / elapsed }
+	fmt.Fprintf(d.out, "at rest each: %.1f ms of processor time and %.1f packets, %.0f bytes sent a second; "+
+		"%.1f MB resident\n",
+		perSecond(before.cpuMs, after.cpuMs), perSecond(before.packets, after.packets),
+		perSecond(before.bytes, after.bytes), after.memoryMB/members)
+}
+
+// timeKills kills members, one at a time, and prints after how long one other and all others have seen it.
+func (d *detection) timeKills() error {
+	random := rand.New(rand.NewPCG(d.opts.lab.Seed, victimStream))
+	var byOne, byAll []time.Duration
+	for range d.opts.detect {
+		victim := d.lab.Members[random.IntN(len(d.lab.Members))]
+		first, all, err := d.timeKill(victim)
 		if err != nil {
 			return err
 		}
-		first, all = append(first, seen), append(all, d)
-		if err := m.Start(); err != nil {
-			return err
-		}
-		if _, err := waitUntil(func() bool { return countViewsOf(fleet, m, "serving", "warming") >= len(fleet.Members)-1 }); err != nil {
-			return err
-		}
+		byOne, byAll = append(byOne, first), append(byAll, all)
 	}
-	fmt.Fprintf(out, "killed %d times: seen by one after %s; by all after %s\n", opts.detect, formatQuantiles(first), formatQuantiles(all))
+	fmt.Fprintf(d.out, "killed %d times: seen by one after %s; by all after %s\n",
+		d.opts.detect, formatQuantiles(byOne), formatQuantiles(byAll))
 	return nil
 }
 
-// resourceUsage is what all processes have used so far: ms of processor time, packets and bytes; and MB that they hold.
-type resourceUsage struct{ cpu, packets, bytes, memory float64 }
-
-// measureUsage reads the system's accounts, which count in ticks of 10 ms, and the members' own counters.
-func measureUsage(fleet *fleetlab.Lab) (u resourceUsage) {
-	for _, m := range fleet.Members {
-		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.PID())); err == nil {
-			if f := strings.Fields(string(text)); len(f) > 23 {
-				for _, i := range []int{13, 14} {
-					ticks, _ := strconv.ParseFloat(f[i], 64)
-					u.cpu += 10 * ticks
-				}
-				pages, _ := strconv.ParseFloat(f[23], 64)
-				u.memory += pages * float64(os.Getpagesize()) / (1 << 20)
-			}
-		}
-		if r, err := m.FleetReport(); err == nil {
-			u.packets += float64(r.Counters["packets_out"])
-			u.bytes += float64(r.Counters["bytes_out"])
+// timeKill kills a member and starts it again. It returns when all others have seen both, with the times after which
+// one other and all others had seen the kill.
+func (d *detection) timeKill(victim *fleetlab.Member) (byOne, byAll time.Duration, err error) {
+	others := len(d.lab.Members) - 1
+	victim.Kill()
+	start := d.lab.Log.Now()
+	byAll, err = waitUntil(func() bool {
+		seen := d.countViewsOf(victim, removedConditions...)
+		if seen > 0 && byOne == 0 {
+			byOne = d.lab.Log.Now() - start
 		}
+		return seen == others
+	})
+	if err != nil {
+		return 0, 0, err
 	}
-	return u
+	if err := victim.Start(); err != nil {
+		return 0, 0, err
+	}
+	_, err = waitUntil(func() bool { return d.countViewsOf(victim, "serving", "warming") >= others })
+	return byOne, byAll, err
 }
 
-func formatQuantiles(d []time.Duration) string {
-	slices.Sort(d)
-	at := func(q float64) float64 { return d[int(q*float64(len(d)-1))].Seconds() }
-	return fmt.Sprintf("%.1f / %.1f / %.1f / %.1f s (least, median, 90%%, most)", at(0), at(0.5), at(0.9), at(1))
+// countViews counts the views, of all members by all members that answer, in which one is in one of the conditions.
+func (d *detection) countViews(conditions ...string) int {
+	count := 0
+	for _, observer := range d.lab.Members {
+		count += countReported(observer, func(seen *fleet.MemberReport) bool {
+			return slices.Contains(conditions, seen.Condition)
+		})
+	}
+	return count
 }
 
-func waitUntil(cond func() bool) (time.Duration, error) {
-	begin := time.Now()
-	for !cond() {
-		if time.Since(begin) > 3*time.Minute {
-			return 0, fmt.Errorf("not reached within 3 minutes")
+// countViewsOf counts the other running members that see a member in one of the conditions.
+func (d *detection) countViewsOf(member *fleetlab.Member, conditions ...string) int {
+	count := 0
+	for _, observer := range d.lab.Members {
+		if observer == member || !observer.Running() {
+			continue
 		}
-		time.Sleep(50 * time.Millisecond)
+		count += countReported(observer, func(seen *fleet.MemberReport) bool {
+			return seen.Name == member.Name && slices.Contains(conditions, seen.Condition)
+		})
 	}
-	return time.Since(begin), nil
+	return count
 }
 
-// countViews is how many views, of all running members on all, hold one of these words.
-func countViews(fleet *fleetlab.Lab, conditions ...string) (n int) {
-	for _, m := range fleet.Members {
-		if r, err := m.FleetReport(); err == nil {
-			for _, x := range r.Members {
-				if slices.Contains(conditions, x.Condition) {
-					n++
-				}
-			}
+// countReported counts the members that an observer reports and that match. One that does not answer reports none.
+func countReported(observer *fleetlab.Member, match func(seen *fleet.MemberReport) bool) int {
+	report, err := observer.FleetReport()
+	if err != nil {
+		return 0
+	}
+	count := 0
+	for i := range report.Members {
+		if match(&report.Members[i]) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// countViewsOf is how many running members say one of these words of a member.
-func countViewsOf(fleet *fleetlab.Lab, member *fleetlab.Member, conditions ...string) (n int) {
-	for _, m := range fleet.Members {
-		if m == member || !m.Running() {
-			continue
-		}
-		if r, err := m.FleetReport(); err == nil {
-			for _, x := range r.Members {
-				if x.Name == member.Name && slices.Contains(conditions, x.Condition) {
-					n++
-				}
-			}
+// waitUntil polls a condition until it holds, and returns how long that took.
+func waitUntil(condition func() bool) (time.Duration, error) {
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > waitTimeout {
+			return 0, errWaitTimeout
 		}
+		time.Sleep(pollInterval)
 	}
-	return n
+	return time.Since(start), nil
+}
+
+// formatQuantiles formats the distribution of durations, which it sorts. There must be one.
+func formatQuantiles(durations []time.Duration) string {
+	slices.Sort(durations)
+	quantile := func(q float64) float64 { return durations[int(q*float64(len(durations)-1))].Seconds() }
+	return fmt.Sprintf("%.1f / %.1f / %.1f / %.1f s (least, median, 90%%, most)",
+		quantile(0), quantile(0.5), quantile(0.9), quantile(1))
 }
--- /dev/null
+++ b/cmd/falldeal-lab/fleet.go
@@ -0,0 +1,160 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"falldeal/lab/clients"
+	"falldeal/lab/faults"
+	"falldeal/lab/fleetlab"
+	"falldeal/lab/history"
+)
+
+const (
+	maxMembers = 600 // processes on one machine
+
+	// listTimeout bounds the wait for all members to be in the front ends' lists before the load starts.
+	listTimeout      = 10 * time.Second
+	pollInterval     = 50 * time.Millisecond
+	viewPollInterval = 500 * time.Millisecond
+)
+
+// exampleScript is run where no script is named.
+const exampleScript = `
+[[fault]]
+kind = "cut"
+who = "zone:mechelen"
+at = "8s"
+for = "8s"
+
+[[fault]]
+kind = "kill"
+who = "n1"
+at = "20s"
+for = "6s"
+`
+
+// runFleet runs a fleet under load and faults, writes its history to a file and a plot, and reports.
+func runFleet(opts *options, out io.Writer) error {
+	lab, err := openLab(opts)
+	if err != nil {
+		return err
+	}
+	defer lab.Close()
+	if err := addScript(lab, opts.scriptPath, exampleScript); err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	if err := lab.StartMembers(); err != nil {
+		return err
+	}
+	controlAddr, err := serveControl(ctx, lab)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "%d instances in %s; files in %s; faults are taken at %s\n",
+		opts.lab.Members, strings.Join(opts.lab.Zones, ", "), opts.lab.Dir, controlAddr)
+	fmt.Fprintf(out, "%.0f requests a second for %v, %.0f%% of what the agents can do\n",
+		opts.loadRatio*lab.Capacity(), opts.duration, 100*opts.loadRatio)
+
+	watch := func(ctx context.Context) { lab.WatchViews(ctx, viewPollInterval) }
+	if err := runLoad(ctx, lab, opts, watch); err != nil {
+		return err
+	}
+	events := lab.Log.Events()
+	if err := writeHistory(&opts.lab, events); err != nil {
+		return err
+	}
+	return report(out, events)
+}
+
+// writeHistory writes the events, and a plot of the requests, to the fleet's folder.
+func writeHistory(lab *fleetlab.Options, events []history.Event) error {
+	if err := history.Write(filepath.Join(lab.Dir, "history.jsonl"), events); err != nil {
+		return err
+	}
+	title := fmt.Sprintf("%d instances, seed %d", lab.Members, lab.Seed)
+	return history.Plot(filepath.Join(lab.Dir, "requests.png"), title, events)
+}
+
+// openLab prepares a fleet, in a new folder if none is named, which it sets in opts.
+func openLab(opts *options) (*fleetlab.Lab, error) {
+	if opts.lab.Members < 1 || opts.lab.Members > maxMembers {
+		return nil, fmt.Errorf("flag --members: %d is not between 1 and %d", opts.lab.Members, maxMembers)
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	opts.lab.Binary = filepath.Join(filepath.Dir(self), "falldeal")
+	if opts.lab.Dir, err = dirOrNew(opts.lab.Dir); err != nil {
+		return nil, err
+	}
+	return fleetlab.New(opts.lab)
+}
+
+// dirOrNew returns dir, or a new temporary folder if that is empty.
+func dirOrNew(dir string) (string, error) {
+	if dir != "" {
+		return dir, nil
+	}
+	return os.MkdirTemp("", "falldeal-lab-")
+}
+
+// addScript adds the faults of a file, or those of text if no file is named.
+func addScript(lab *fleetlab.Lab, path, text string) error {
+	if path != "" {
+		content, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		text = string(content)
+	}
+	script, err := faults.Parse([]byte(text), lab.Locations())
+	if err != nil {
+		return fmt.Errorf("script %s: %w", path, err)
+	}
+	for _, fault := range script.Faults {
+		if err := lab.AddFault(fault); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// runLoad has front ends send for opts.duration, while the script of faults runs. Beside it watch runs, until its
+// context ends; nil: nothing does.
+func runLoad(ctx context.Context, lab *fleetlab.Lab, opts *options, watch func(context.Context)) error {
+	workload := opts.workload
+	workload.Classes, workload.Seed = opts.lab.Classes, opts.lab.Seed
+	workload.RequestsPerSecond = opts.loadRatio * lab.Capacity()
+	workload.ReadRequest, workload.AttemptCompleted = lab.ReadRequest, lab.CompleteAttempt
+
+	running, stop := context.WithCancel(ctx)
+	defer stop()
+	var wait sync.WaitGroup
+	var scriptErr error
+	wait.Go(func() { scriptErr = lab.RunScript(running) })
+	if watch != nil {
+		wait.Go(func() { watch(running) })
+	}
+	// After listTimeout some members are not going to be listed.
+	for lab.Log.Now() < listTimeout && len(lab.Servers(0)()) < len(lab.Members) && ctx.Err() == nil {
+		time.Sleep(pollInterval)
+	}
+	loaded, cancel := context.WithTimeout(ctx, opts.duration)
+	defer cancel()
+	clients.Run(loaded, workload, lab.Servers(opts.listLag), lab.Log)
+	stop()
+	wait.Wait()
+	return scriptErr
+}
--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -19,34 +19,44 @@
 
 func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
-// sampleHistory is a history in which one request is served and one refused, and a fault comes and goes.
+// sampleHistory has one request served and one rejected, and a fault that begins and ends.
 func sampleHistory() []history.Event {
+	const served = 1300 * time.Millisecond
 	return []history.Event{
 		{At: 0, Kind: history.ProcessChanged, Server: "n1", Detail: "started"},
-		{At: time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a1", Class: "preview", Client: 1, Deadline: 5 * time.Second},
+		{At: time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a1", Class: "preview", Client: 1,
+			Deadline: 5 * time.Second},
 		{At: 1100 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a1", Class: "preview"},
 		{At: 1200 * time.Millisecond, Kind: history.RunEnded, Server: "n1", AttemptID: "a1", Detail: "ok"},
-		{At: 1300 * time.Millisecond, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
-		{At: 1300 * time.Millisecond, Kind: history.RequestCompleted, Class: "preview", Client: 1, Detail: "served", Count: 1, Latency: 300 * time.Millisecond, Value: 1, ValueServed: 1},
+		{At: served, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
+		{At: served, Kind: history.RequestCompleted, Class: "preview", Client: 1, Detail: "served", Count: 1,
+			Latency: 300 * time.Millisecond, Value: 1, ValueServed: 1},
 		{At: 2 * time.Second, Kind: history.FaultChanged, Detail: "cut zone:mechelen *", Count: 1},
 		{At: 3 * time.Second, Kind: history.ViewChanged, Server: "n1", Member: "n2", Detail: "suspect"},
 		{At: 4 * time.Second, Kind: history.ViewChanged, Server: "n3", Member: "n2", Detail: "suspect"},
 		{At: 5 * time.Second, Kind: history.FaultChanged, Detail: "cut zone:mechelen *"},
 		{At: 6 * time.Second, Kind: history.ProcessChanged, Server: "n2", Detail: "failed"},
-		{At: 7 * time.Second, Kind: history.RequestCompleted, Class: "licence-order", Client: 1, Detail: "refused", Count: 3, Latency: 700 * time.Millisecond, Value: 3},
+		{At: 7 * time.Second, Kind: history.RequestCompleted, Class: "licence-order", Client: 1, Detail: "refused", Count: 3,
+			Latency: 700 * time.Millisecond, Value: 3},
 	}
 }
 
-// violatingEvents breaks every rule that the program checks: an answer too many, one too late, one lost, an order that runs twice,
-// and a member called dead that lives.
+// violatingEvents violate every rule: an answer too many, one too late, one lost, an order that runs twice, and a
+// member that is seen dead and is not.
 func violatingEvents() []history.Event {
+	const sent, deadline = 8 * time.Second, 9 * time.Second
+	order := func(attempt string) history.Event {
+		return history.Event{At: sent, Kind: history.AttemptSent, Server: "n1", AttemptID: attempt, IdempotencyKey: "o1",
+			Class: "licence-order", Client: 1, Deadline: deadline}
+	}
 	return []history.Event{
-		{At: 8 * time.Second, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
-		{At: 8 * time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a2", IdempotencyKey: "o1", Class: "licence-order", Client: 1, Deadline: 9 * time.Second},
-		{At: 8 * time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a3", IdempotencyKey: "o1", Class: "licence-order", Client: 1, Deadline: 9 * time.Second},
+		{At: sent, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
+		order("a2"),
+		order("a3"),
 		{At: 8100 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a2"},
 		{At: 8200 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a3"},
-		{At: 8300 * time.Millisecond, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a2", Detail: "lost", Client: 1},
+		{At: 8300 * time.Millisecond, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a2", Detail: "lost",
+			Client: 1},
 		{At: 10 * time.Second, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a3", Detail: "served", Client: 1},
 		{At: 11 * time.Second, Kind: history.ViewChanged, Server: "n3", Member: "n1", Detail: "dead"},
 	}
@@ -56,9 +66,14 @@
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, history.Write(filepath.Join(dir, "day.jsonl"), sampleHistory()))
-	require.NoError(t, history.Write(filepath.Join(dir, "broken.jsonl"), append(sampleHistory(), violatingEvents()...)))
-	for name, content := range map[string]string{"word.jsonl": "word\n", "empty.jsonl": "", "script.toml": "[[fault]]\nkind = \"cut\"\nwho = \"n99\"\n",
-		"key.toml": "speed = 5\n"} {
+	violating := append(sampleHistory(), violatingEvents()...)
+	require.NoError(t, history.Write(filepath.Join(dir, "broken.jsonl"), violating))
+	for name, content := range map[string]string{
+		"word.jsonl":  "word\n",
+		"empty.jsonl": "",
+		"script.toml": "[[fault]]\nkind = \"cut\"\nwho = \"n99\"\n",
+		"key.toml":    "speed = 5\n",
+	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
 	}
 	fleet := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -113,8 +128,8 @@
 		_, _ = got.ReadFrom(r.Body)
 	}))
 	defer fleet.Close()
-	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 --for 5s --lab " +
-		fleet.Listener.Addr().String()
+	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 " +
+		"--for 5s --lab " + fleet.Listener.Addr().String()
 	require.NoError(t, run(strings.Fields(args), &bytes.Buffer{}))
 	commandtest.RequireGolden(t, "fault", got.String()+"\n")
 }
--- a/cmd/falldeal-lab/model.go
+++ b/cmd/falldeal-lab/model.go
@@ -8,35 +8,56 @@
 	"falldeal/lab/model"
 )
 
-// runModel plays fleets of models with the shipped decision code, in each of the ways to go about overload, and compares.
+const (
+	maxModelServers   = 10000
+	minModelFrontEnds = 24
+	modelFaultTime    = 8 * time.Second
+)
+
+// modelFaultFactors are the kinds of faults in the model with how many times it multiplies arrivals or calls' times. ""
+// stands for no fault.
+var modelFaultFactors = map[string]float64{"burst": 1.6, "lost": 1, "mute": 1, "slow": 8, "": 1}
+
+// Zones of a fault in the model.
+const (
+	allZones = -1
+	lostZone = 1
+)
+
+// runModel runs models of fleets with the real decision code, under each overload strategy, and prints a comparison.
 func runModel(opts *options, out io.Writer) error {
-	if opts.lab.Members < 1 || opts.lab.Members > 10000 {
-		return fmt.Errorf("flag --members: %d is not between 1 and 10000", opts.lab.Members)
+	servers := opts.lab.Members
+	if servers < 1 || servers > maxModelServers {
+		return fmt.Errorf("flag --members: %d is not between 1 and %d", servers, maxModelServers)
 	}
-	kinds := map[string]float64{"burst": 1.6, "lost": 1, "mute": 1, "slow": 8, "": 1}
-	times, ok := kinds[opts.fault.Kind]
-	if !ok {
+	factor, known := modelFaultFactors[opts.fault.Kind]
+	if !known {
 		return fmt.Errorf("flag --kind: %q is none of burst, lost, mute and slow", opts.fault.Kind)
 	}
-	modelOptions := model.Defaults()
-	modelOptions.Servers, modelOptions.FrontEnds, modelOptions.LoadRatio, modelOptions.Duration, modelOptions.Seed, modelOptions.HonorRetryAfterRatio = opts.lab.Members, max(24, opts.lab.Members/2), opts.loadRatio, opts.duration, opts.lab.Seed, opts.honorRetryAfterRatio
+	settings := model.Defaults()
+	settings.Servers, settings.FrontEnds = servers, max(minModelFrontEnds, servers/2)
+	settings.LoadRatio, settings.Duration, settings.Seed = opts.loadRatio, opts.duration, opts.lab.Seed
+	settings.HonorRetryAfterRatio = opts.honorRetryAfterRatio
 	if opts.fault.Kind != "" {
-		zone := -1
+		zone := allZones
 		if opts.fault.Kind == "lost" {
-			zone = 1
+			zone = lostZone
 		}
-		modelOptions.Faults = []model.Fault{{Kind: opts.fault.Kind, Zone: zone, Start: opts.duration * 3 / 10, Duration: 8 * time.Second, Factor: times}}
+		settings.Faults = []model.Fault{{Kind: opts.fault.Kind, Zone: zone, Start: opts.duration * 3 / 10,
+			Duration: modelFaultTime, Factor: factor}}
 	}
-	begun := time.Now()
-	results, err := model.Compare(out, modelOptions, max(opts.compare, 1), model.Strategies)
+	start := time.Now()
+	results, err := model.Compare(out, settings, max(opts.compare, 1), model.Strategies)
 	if err != nil {
 		return err
 	}
-	n := 0
-	for _, r := range results {
-		n += r.Requests
+	requests := 0
+	for i := range results {
+		requests += results[i].Requests
 	}
-	fmt.Fprintf(out, "%d servers, %.0f%% of what they can do, %.0f%% of the front ends heed advice: %d days, %d requests, in %v\n", opts.lab.Members,
-		100*opts.loadRatio, 100*opts.honorRetryAfterRatio, len(results), n, time.Since(begun).Round(time.Second/10))
+	fmt.Fprintf(out, "%d servers, %.0f%% of what they can do, %.0f%% of the front ends heed advice: "+
+		"%d days, %d requests, in %v\n",
+		servers, 100*opts.loadRatio, 100*opts.honorRetryAfterRatio, len(results), requests,
+		time.Since(start).Round(time.Second/10))
 	return nil
 }
