--- a/wire/parse.go
+++ b/wire/parse.go
@@ -53,19 +53,18 @@
 }
 
 // parseMessage reads a line between the first and the last one of a batch.
-func parseMessage(text string) (Message, error) {
-	line := fieldReader{rest: text}
+func parseMessage(line *fieldReader, message *Message) error {
 	verb := line.next()
-	message := Message{Node: int(line.integer("NodeId"))}
+	message.Node = int(line.integer("NodeId"))
 	parse, known := parsers[verb]
 	if !known {
-		return Message{}, fmt.Errorf("unknown event %q", verb)
+		return fmt.Errorf("unknown event %q", verb)
 	}
-	parse(&line, &message)
+	parse(line, message)
 	if err := line.finish(); err != nil {
-		return Message{}, fmt.Errorf("%s: %w", verb, err)
+		return fmt.Errorf("%s: %w", verb, err)
 	}
-	return message, nil
+	return nil
 }
 
 func parseRequest(line *fieldReader, event *admission.Event) {
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -61,8 +61,9 @@
 // Reader reads batches. It is not safe for concurrent use.
 type Reader struct {
 	in       *bufio.Reader
-	line     int    // the last one that was read, from 1
-	overflow []byte // a line that is longer than the buffer of in
+	line     int         // the last one that was read, from 1
+	overflow []byte      // a line that is longer than the buffer of in
+	fields   fieldReader // of the last line; here as it would be allocated for each one
 }
 
 // NewReader returns a Reader of in.
@@ -86,27 +87,36 @@
 		if string(text) == batchEnd {
 			return nil
 		}
-		message, err := parseMessage(string(text))
-		if err != nil {
+		if err := r.appendMessage(batch, string(text)); err != nil {
 			return r.lineError(err)
 		}
-		message.Line = r.line
-		batch.Messages = append(batch.Messages, message)
 	}
 }
 
+// appendMessage reads the line of a message.
+func (r *Reader) appendMessage(batch *Batch, text string) error {
+	last := len(batch.Messages)
+	batch.Messages = append(batch.Messages, Message{Line: r.line})
+	r.fields = fieldReader{rest: text}
+	if err := parseMessage(&r.fields, &batch.Messages[last]); err != nil {
+		batch.Messages = batch.Messages[:last]
+		return err
+	}
+	return nil
+}
+
 // readStart reads the first line of a batch.
 func (r *Reader) readStart(batch *Batch) error {
 	text, err := r.nextLine()
 	if err != nil {
 		return err
 	}
-	line := fieldReader{rest: string(text)}
-	if verb := line.next(); verb != verbBatchStart {
+	r.fields = fieldReader{rest: string(text)}
+	if verb := r.fields.next(); verb != verbBatchStart {
 		return r.lineError(fmt.Errorf("want %s, got %q", verbBatchStart, verb))
 	}
-	batch.Now = line.duration("clock")
-	if err := line.finish(); err != nil {
+	batch.Now = r.fields.duration("clock")
+	if err := r.fields.finish(); err != nil {
 		return r.lineError(fmt.Errorf("%s: %w", verbBatchStart, err))
 	}
 	return nil
