--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -2,94 +2,61 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"falldeal/internal/commandtest"
 	"falldeal/lab/history"
 
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
-// asProgram has this program be the command instead of its tests.
-const asProgram = "FALLDEAL_TEST_AS_PROGRAM"
-
-func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		main()
-		return
-	}
-	os.Exit(m.Run())
-}
-
-// invoke runs this program in the folder dir, with the variables of env set and no others of its own, and returns what it
-// wrote and its exit code.
-func invoke(t *testing.T, dir string, env []string, input string, args ...string) string {
-	t.Helper()
-	self, err := os.Executable()
-	require.NoError(t, err)
-	cmd := exec.Command(self, args...)
-	cmd.Dir = dir
-	cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG=", "GW_NAME=", "GW_LISTEN=", "GW_CONSOLE=", "GW_INHERITED_FD=", "TMPDIR="+dir)
-	cmd.Env = append(cmd.Env, env...)
-	cmd.Stdin = strings.NewReader(input)
-	var out, errors bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &errors
-	if err := cmd.Run(); err != nil {
-		require.IsType(t, &exec.ExitError{}, err)
-	}
-	return fmt.Sprintf("exit code %d\n-- standard output\n%s-- standard error\n%s", cmd.ProcessState.ExitCode(), &out, &errors)
-}
-
-// day is a history in which one request is served and one refused, and a fault comes and goes.
-func day() []history.Event {
+// sampleHistory has one request served and one rejected, and a fault that begins and ends.
+func sampleHistory() []history.Event {
+	const served = 1300 * time.Millisecond
 	return []history.Event{
 		{At: 0, Kind: history.ProcessChanged, Server: "n1", Detail: "started"},
-		{At: time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a1", Class: "preview", Client: 1, Deadline: 5 * time.Second},
+		{At: time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a1", Class: "preview", Client: 1,
+			Deadline: 5 * time.Second},
 		{At: 1100 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a1", Class: "preview"},
 		{At: 1200 * time.Millisecond, Kind: history.RunEnded, Server: "n1", AttemptID: "a1", Detail: "ok"},
-		{At: 1300 * time.Millisecond, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
-		{At: 1300 * time.Millisecond, Kind: history.RequestCompleted, Class: "preview", Client: 1, Detail: "served", Count: 1, Latency: 300 * time.Millisecond, Value: 1, ValueServed: 1},
+		{At: served, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
+		{At: served, Kind: history.RequestCompleted, Class: "preview", Client: 1, Detail: "served", Count: 1,
+			Latency: 300 * time.Millisecond, Value: 1, ValueServed: 1},
 		{At: 2 * time.Second, Kind: history.FaultChanged, Detail: "cut zone:mechelen *", Count: 1},
 		{At: 3 * time.Second, Kind: history.ViewChanged, Server: "n1", Member: "n2", Detail: "suspect"},
 		{At: 4 * time.Second, Kind: history.ViewChanged, Server: "n3", Member: "n2", Detail: "suspect"},
 		{At: 5 * time.Second, Kind: history.FaultChanged, Detail: "cut zone:mechelen *"},
 		{At: 6 * time.Second, Kind: history.ProcessChanged, Server: "n2", Detail: "failed"},
-		{At: 7 * time.Second, Kind: history.RequestCompleted, Class: "licence-order", Client: 1, Detail: "refused", Count: 3, Latency: 700 * time.Millisecond, Value: 3},
+		{At: 7 * time.Second, Kind: history.RequestCompleted, Class: "licence-order", Client: 1, Detail: "refused", Count: 3,
+			Latency: 700 * time.Millisecond, Value: 3},
 	}
 }
 
-// brokenDay breaks every rule that the program checks: an answer too many, one too late, one lost, an order that runs twice,
-// and a member called dead that lives.
-func brokenDay() []history.Event {
+// violatingEvents violate every rule: an answer too many, one too late, one lost, an order that runs twice, and a
+// member that is seen dead and is not.
+func violatingEvents() []history.Event {
+	const sent, deadline = 8 * time.Second, 9 * time.Second
+	order := func(attempt string) history.Event {
+		return history.Event{At: sent, Kind: history.AttemptSent, Server: "n1", AttemptID: attempt, IdempotencyKey: "o1",
+			Class: "licence-order", Client: 1, Deadline: deadline}
+	}
 	return []history.Event{
-		{At: 8 * time.Second, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
-		{At: 8 * time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a2", IdempotencyKey: "o1", Class: "licence-order", Client: 1, Deadline: 9 * time.Second},
-		{At: 8 * time.Second, Kind: history.AttemptSent, Server: "n1", AttemptID: "a3", IdempotencyKey: "o1", Class: "licence-order", Client: 1, Deadline: 9 * time.Second},
+		{At: sent, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a1", Detail: "served", Client: 1},
+		order("a2"),
+		order("a3"),
 		{At: 8100 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a2"},
 		{At: 8200 * time.Millisecond, Kind: history.RunStarted, Server: "n1", AttemptID: "a3"},
-		{At: 8300 * time.Millisecond, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a2", Detail: "lost", Client: 1},
+		{At: 8300 * time.Millisecond, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a2", Detail: "lost",
+			Client: 1},
 		{At: 10 * time.Second, Kind: history.AttemptAnswered, Server: "n1", AttemptID: "a3", Detail: "served", Client: 1},
 		{At: 11 * time.Second, Kind: history.ViewChanged, Server: "n3", Member: "n1", Detail: "dead"},
 	}
@@ -98,10 +65,15 @@
 // Help, flags, exit codes and messages of every command that starts no fleet.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, history.Write(filepath.Join(dir, "day.jsonl"), day()))
-	require.NoError(t, history.Write(filepath.Join(dir, "broken.jsonl"), append(day(), brokenDay()...)))
-	for name, content := range map[string]string{"word.jsonl": "word\n", "empty.jsonl": "", "script.toml": "[[fault]]\nkind = \"cut\"\nwho = \"n99\"\n",
-		"key.toml": "speed = 5\n"} {
+	require.NoError(t, history.Write(filepath.Join(dir, "day.jsonl"), sampleHistory()))
+	violating := append(sampleHistory(), violatingEvents()...)
+	require.NoError(t, history.Write(filepath.Join(dir, "broken.jsonl"), violating))
+	for name, content := range map[string]string{
+		"word.jsonl":  "word\n",
+		"empty.jsonl": "",
+		"script.toml": "[[fault]]\nkind = \"cut\"\nwho = \"n99\"\n",
+		"key.toml":    "speed = 5\n",
+	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
 	}
 	fleet := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -143,9 +115,9 @@
 		"check day.jsonl",
 		"check broken.jsonl",
 	} {
-		fmt.Fprintf(&got, "== falldeal-lab %s\n%s\n", args, invoke(t, dir, nil, "", strings.Fields(args)...))
+		fmt.Fprintf(&got, "== falldeal-lab %s\n%s\n", args, commandtest.Run(t, dir, nil, "", strings.Fields(args)...))
 	}
-	requireGolden(t, "commands", varying.Replace(got.String()))
+	commandtest.RequireGolden(t, "commands", varying.Replace(got.String()))
 }
 
 // What a fault command sends to a fleet that runs.
@@ -156,8 +128,8 @@
 		_, _ = got.ReadFrom(r.Body)
 	}))
 	defer fleet.Close()
-	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 --for 5s --lab " +
-		fleet.Listener.Addr().String()
-	require.NoError(t, command(strings.Fields(args), &bytes.Buffer{}))
-	requireGolden(t, "fault", got.String()+"\n")
+	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 " +
+		"--for 5s --lab " + fleet.Listener.Addr().String()
+	require.NoError(t, run(strings.Fields(args), &bytes.Buffer{}))
+	commandtest.RequireGolden(t, "fault", got.String()+"\n")
 }
--- a/cmd/falldeal-lab/model.go
+++ b/cmd/falldeal-lab/model.go
@@ -8,35 +8,56 @@
 	"falldeal/lab/model"
 )
 
-// modelled plays fleets of models with the shipped decision code, in each of the ways to go about overload, and compares.
-func modelled(a *asked, out io.Writer) error {
-	if a.o.Members < 1 || a.o.Members > 10000 {
-		return fmt.Errorf("flag --members: %d is not between 1 and 10000", a.o.Members)
+const (
+	maxModelServers   = 10000
+	minModelFrontEnds = 24
+	modelFaultTime    = 8 * time.Second
+)
+
+// modelFaultFactors are the kinds of faults in the model with how many times it multiplies arrivals or calls' times. ""
+// stands for no fault.
+var modelFaultFactors = map[string]float64{"burst": 1.6, "lost": 1, "mute": 1, "slow": 8, "": 1}
+
+// Zones of a fault in the model.
+const (
+	allZones = -1
+	lostZone = 1
+)
+
+// runModel runs models of fleets with the real decision code, under each overload strategy, and prints a comparison.
+func runModel(opts *options, out io.Writer) error {
+	servers := opts.lab.Members
+	if servers < 1 || servers > maxModelServers {
+		return fmt.Errorf("flag --members: %d is not between 1 and %d", servers, maxModelServers)
 	}
-	kinds := map[string]float64{"burst": 1.6, "lost": 1, "mute": 1, "slow": 8, "": 1}
-	times, ok := kinds[a.fault.Kind]
-	if !ok {
-		return fmt.Errorf("flag --kind: %q is none of burst, lost, mute and slow", a.fault.Kind)
+	factor, known := modelFaultFactors[opts.fault.Kind]
+	if !known {
+		return fmt.Errorf("flag --kind: %q is none of burst, lost, mute and slow", opts.fault.Kind)
 	}
-	o := model.Defaults()
-	o.Servers, o.FrontEnds, o.LoadRatio, o.Duration, o.Seed, o.HonorRetryAfterRatio = a.o.Members, max(24, a.o.Members/2), a.load, a.for_, a.o.Seed, a.heed
-	if a.fault.Kind != "" {
-		zone := -1
-		if a.fault.Kind == "lost" {
-			zone = 1
+	settings := model.Defaults()
+	settings.Servers, settings.FrontEnds = servers, max(minModelFrontEnds, servers/2)
+	settings.LoadRatio, settings.Duration, settings.Seed = opts.loadRatio, opts.duration, opts.lab.Seed
+	settings.HonorRetryAfterRatio = opts.honorRetryAfterRatio
+	if opts.fault.Kind != "" {
+		zone := allZones
+		if opts.fault.Kind == "lost" {
+			zone = lostZone
 		}
-		o.Faults = []model.Fault{{Kind: a.fault.Kind, Zone: zone, Start: a.for_ * 3 / 10, Duration: 8 * time.Second, Factor: times}}
+		settings.Faults = []model.Fault{{Kind: opts.fault.Kind, Zone: zone, Start: opts.duration * 3 / 10,
+			Duration: modelFaultTime, Factor: factor}}
 	}
-	begun := time.Now()
-	results, err := model.Compare(out, o, max(a.compare, 1), model.Strategies)
+	start := time.Now()
+	results, err := model.Compare(out, settings, max(opts.compare, 1), model.Strategies)
 	if err != nil {
 		return err
 	}
-	n := 0
-	for _, r := range results {
-		n += r.Requests
+	requests := 0
+	for i := range results {
+		requests += results[i].Requests
 	}
-	fmt.Fprintf(out, "%d servers, %.0f%% of what they can do, %.0f%% of the front ends heed advice: %d days, %d requests, in %v\n", a.o.Members,
-		100*a.load, 100*a.heed, len(results), n, time.Since(begun).Round(time.Second/10))
+	fmt.Fprintf(out, "%d servers, %.0f%% of what they can do, %.0f%% of the front ends heed advice: "+
+		"%d days, %d requests, in %v\n",
+		servers, 100*opts.loadRatio, 100*opts.honorRetryAfterRatio, len(results), requests,
+		time.Since(start).Round(time.Second/10))
 	return nil
 }
--- a/cmd/falldeal/deploy_test.go
+++ b/cmd/falldeal/deploy_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// deployed returns the command that deploy/balancer.toml gives under a key.
-func deployed(t *testing.T, key string) string {
+// deployCommand returns the command that deploy/balancer.toml gives under a key.
+func deployCommand(t *testing.T, key string) string {
+	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
 	found := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
@@ -21,12 +22,12 @@
 	return string(found[1])
 }
 
-// The fleet's bench reaches an image server's sockets and clocks by way of the C library: a program that is
-// linked statically, as Go does by itself where nothing needs C, would run past it and fail every day. And it
-// refuses to start further processes, so `run` has to become the program.
+// The fleet's bench intercepts a server's sockets and clocks in the C library: a program that is linked statically, as
+// Go does where nothing needs C, would run past it. It also refuses to start further processes, so `run` must exec the
+// program.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "bin")
-	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployed(t, "build"), "bin", bin))
+	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployCommand(t, "build"), "bin", bin))
 	build.Dir = "../.."
 	out, err := build.CombinedOutput()
 	require.NoError(t, err, "%s", out)
@@ -38,5 +39,5 @@
 		require.NoError(t, file.Close())
 		require.Contains(t, strings.Join(libraries, " "), "libc.so", program)
 	}
-	require.Regexp(t, `^exec bin/falldeal [^;&|]*$`, deployed(t, "run"))
+	require.Regexp(t, `^exec bin/falldeal [^;&|]*$`, deployCommand(t, "run"))
 }
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -1,13 +1,9 @@
 package wire
 
 import (
-	"time"
-
 	"falldeal/admission"
 	"falldeal/internal/config"
 )
 
-func us(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
-
-// Settings reads a node's settings. Unknown keys are ignored.
-func Settings(text []byte) (admission.Settings, error) { return config.Settings(text) }
+// ParseSettings reads a node's settings, JSON. Unknown keys are ignored.
+func ParseSettings(text []byte) (admission.Settings, error) { return config.Settings(text) }
