--- a/internal/overload/sums_test.go
+++ b/internal/overload/aggregation_test.go
@@ -12,54 +12,54 @@
 	"pgregory.net/rapid"
 )
 
-// zoned is a fleet of n members in three zones that tell of their load as seldom as its size asks for.
-type zoned struct {
-	n     int
-	all   []*Collector
-	loads []fleet.Load
-	view  *fleet.View
-	gone  map[int]bool
-	lie   func(i int, l *fleet.Load)
+// zonedFleet is a fleet of n members in three zones that tell of their load as seldom as its size asks for.
+type zonedFleet struct {
+	members    int
+	collectors []*Collector
+	loads      []fleet.Load
+	view       *fleet.View
+	dead       map[int]bool
+	misreport  func(i int, l *fleet.Load)
 }
 
-func newZoned(n int) *zoned {
-	x := &zoned{n: n, view: fleet.NewView("n0", fleet.Limits{Members: n}), gone: map[int]bool{}}
+func newZonedFleet(n int) *zonedFleet {
+	x := &zonedFleet{members: n, view: fleet.NewView("n0", fleet.Limits{Members: n}), dead: map[int]bool{}}
 	for i := range n {
-		x.all = append(x.all, NewCollector(ProcessID{fmt.Sprint("n", i), uint64(i + 1)}))
+		x.collectors = append(x.collectors, NewCollector(ProcessID{fmt.Sprint("n", i), uint64(i + 1)}))
 		x.loads = append(x.loads, fleet.Load{Capacity: 4, ServiceRate: 4, Busy: 0.5, Attempts: 10, RetryRatio: 0.2, Demand: string([]byte{10, 60, 70})})
 	}
 	return x
 }
 
-// turn plays a second; one part in twenty is lost.
-func (x *zoned) turn(now time.Duration, r *rand.Rand) {
-	for i := range x.all {
-		if x.gone[i] {
+// tick plays a second; one part in twenty is lost.
+func (x *zonedFleet) tick(now time.Duration, r *rand.Rand) {
+	for i := range x.collectors {
+		if x.dead[i] {
 			x.view.ObserveReach(now, fmt.Sprint("n", i), uint64(i+1), fleet.Lost)
 			continue
 		}
 		l := x.loads[i]
-		l.Aggregate = x.all[i].Published()
-		if x.lie != nil {
-			x.lie(i, &l)
+		l.Aggregate = x.collectors[i].Published()
+		if x.misreport != nil {
+			x.misreport(i, &l)
 		}
 		rec := fleet.Record{Name: fmt.Sprint("n", i), Run: uint64(i + 1), Seq: uint64(now), Up: now, State: fleet.Serving, Zone: fmt.Sprint("z", i%3), Load: l}
-		if l.Aggregate == "" && now > 2*time.Second && (int(now/time.Second)+i)%int(fleet.Period(x.n)/time.Second) != 0 {
+		if l.Aggregate == "" && now > 2*time.Second && (int(now/time.Second)+i)%int(fleet.Period(x.members)/time.Second) != 0 {
 			continue
 		}
 		x.view.Merge(now, 0, rec)
 		x.view.ObserveReach(now, rec.Name, rec.Run, fleet.Reached)
 	}
 	s := x.view.Snapshot(now)
-	for i, c := range x.all {
-		if x.gone[i] {
+	for i, c := range x.collectors {
+		if x.dead[i] {
 			continue
 		}
 		own := AggregateOf(&x.loads[i])
 		for _, to := range c.Tick(now, own, s) {
 			p, ok := ParsePartial(AppendPartial(nil, PartialAggregate{c.self, own}))
 			if ok && r.IntN(20) > 0 {
-				x.all[to.Run-1].Receive(now, p)
+				x.collectors[to.Run-1].Receive(now, p)
 			}
 		}
 	}
@@ -67,14 +67,14 @@
 
 // In a fleet whose words are far apart all must know the sum of all within seconds, though parts are lost, collectors
 // die and one of them tells what it likes; and where a zone has nobody to sum it up, that must be known as not known.
-func TestSumsOfZones(t *testing.T) {
+func TestZoneAggregates(t *testing.T) {
 	const n = 150
 	r := rand.New(rand.NewPCG(1, 2))
-	x := newZoned(n)
+	x := newZonedFleet(n)
 	now := time.Second
 	play := func(seconds int) Aggregate {
 		for range seconds {
-			x.turn(now, r)
+			x.tick(now, r)
 			now += time.Second
 		}
 		s, whole := AggregateView(x.view.Snapshot(now-time.Second), now-time.Second)
@@ -84,57 +84,57 @@
 	exact := func(s Aggregate, live int, what string) {
 		require.InEpsilon(t, float64(live), float64(s.Members), 0.03, what)
 		require.InEpsilon(t, 4*float64(live), s.ServiceRate, 0.03, what)
-		require.InEpsilon(t, float64(live)*offered(x.loads[0].Demand), s.Demand.Total(), 0.05, what)
+		require.InEpsilon(t, float64(live)*encodedDemandTotal(x.loads[0].Demand), s.Demand.Total(), 0.05, what)
 		require.InDelta(t, 0.5, s.Busy(), 0.01, what)
 		require.InDelta(t, 0.2, s.Retries/s.Attempts, 0.01, what)
-		require.LessOrEqual(t, s.Oldest, sumFresh, what)
+		require.LessOrEqual(t, s.Oldest, zoneAggregateMaxAge, what)
 	}
 	exact(play(8), n, "at rest")
 	tellers := func() (all []int) {
-		for i, c := range x.all {
-			if c.Published() != "" && !x.gone[i] {
+		for i, c := range x.collectors {
+			if c.Published() != "" && !x.dead[i] {
 				all = append(all, i)
 			}
 		}
 		return all
 	}
-	require.Len(t, tellers(), 3*collectors)
+	require.Len(t, tellers(), 3*collectorsPerZone)
 	for _, i := range tellers() {
-		x.gone[i] = true
+		x.dead[i] = true
 	}
-	exact(play(10), n-3*collectors, "all collectors died")
-	require.Len(t, tellers(), 3*collectors)
+	exact(play(10), n-3*collectorsPerZone, "all collectors died")
+	require.Len(t, tellers(), 3*collectorsPerZone)
 
 	liar := tellers()[0]
-	x.lie = func(i int, l *fleet.Load) {
+	x.misreport = func(i int, l *fleet.Load) {
 		if s, err := ParseAggregate([]byte(l.Aggregate)); err == nil && i == liar {
-			for _, v := range s.figures() {
+			for _, v := range s.floatFields() {
 				*v = 1e30
 			}
-			s.Members, s.Demand[40] = mostParts, 1e9
+			s.Members, s.Demand[40] = maxPartials, 1e9
 			l.Aggregate = string(AppendAggregate(nil, &s))
 		}
 	}
 	s := play(3)
-	cores := 4.0 * float64(n-3*collectors)
-	require.LessOrEqual(t, s.ServiceRate, cores/3*paceMost+cores, "one zone is believed for what it can be at most")
-	require.LessOrEqual(t, s.Demand.Total(), readsMost*s.ServiceRate)
-	x.lie = nil
+	cores := 4.0 * float64(n-3*collectorsPerZone)
+	require.LessOrEqual(t, s.ServiceRate, cores/3*maxServiceRatePerCore+cores, "one zone is believed for what it can be at most")
+	require.LessOrEqual(t, s.Demand.Total(), maxDemandFactor*s.ServiceRate)
+	x.misreport = nil
 	for i := range n {
-		x.gone[i] = x.gone[i] || i%3 == 1
+		x.dead[i] = x.dead[i] || i%3 == 1
 	}
 	s = play(10)
-	require.InEpsilon(t, float64(2*(n/3-collectors)), float64(s.Members), 0.05, "a zone is gone")
-	small := fellows(sumsFrom-1, time.Second, func(int) fleet.Load { return x.loads[0] })
+	require.InEpsilon(t, float64(2*(n/3-collectorsPerZone)), float64(s.Members), 0.05, "a zone is gone")
+	small := viewOf(minMembersForCollectors-1, time.Second, func(int) fleet.Load { return x.loads[0] })
 	require.Empty(t, NewCollector(ProcessID{"n0", 1}).Tick(time.Second, Aggregate{}, small))
 }
 
 // What is told of a sum must be read as it was, within the steps of the wire and the bounds of a record; nothing that a
 // stranger writes may break the reading, or come out as a figure that is none.
-func TestSumsAreTold(t *testing.T) {
+func TestAggregateEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Aggregate{Members: rapid.IntRange(0, mostParts).Draw(t, "members"), Oldest: time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond}
-		for _, v := range s.figures() {
+		s := Aggregate{Members: rapid.IntRange(0, maxPartials).Draw(t, "members"), Oldest: time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond}
+		for _, v := range s.floatFields() {
 			*v = rapid.Float64Range(0, 1e9).Draw(t, "figure")
 		}
 		for i := range s.Demand {
@@ -149,10 +149,10 @@
 		require.InEpsilon(t, s.Demand.Total(), back.Demand.Total(), 0.05)
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 120).Draw(t, "noise")
 		if got, err := ParseAggregate(noise); err == nil {
-			for _, v := range got.figures() {
+			for _, v := range got.floatFields() {
 				require.True(t, *v >= 0 && *v < 1e39)
 			}
 		}
-		ParsePartial(append([]byte{kindPart}, noise...))
+		ParsePartial(append([]byte{kindPartial}, noise...))
 	})
 }
--- a/internal/overload/patience_test.go
+++ b/internal/overload/attempt_age_test.go
@@ -10,7 +10,7 @@
 
 // Of callers that wait for a few different times over all tries, later tries must be known and not be held for older than
 // they are; and where waits say nothing, nothing may be read into them.
-func TestAgesOfRequests(t *testing.T) {
+func TestAgeEstimator(t *testing.T) {
 	const ms = time.Millisecond
 	for what, c := range map[string]struct {
 		wait      func(r *rand.Rand) time.Duration // of a first try
@@ -42,9 +42,9 @@
 					if got > 0 {
 						known++
 					}
-					require.LessOrEqual(t, got, age+2*waitStep, what)
+					require.LessOrEqual(t, got, age+2*timeoutBucketWidth, what)
 					if c.mayBeSure && got > 0 {
-						require.InDelta(t, age, got, float64(2*waitStep), what)
+						require.InDelta(t, age, got, float64(2*timeoutBucketWidth), what)
 					}
 				}
 				if r.IntN(2) == 0 {
@@ -55,12 +55,12 @@
 		require.GreaterOrEqual(t, float64(known), c.knows*float64(later), what)
 		require.LessOrEqual(t, float64(wrong), 0.01*float64(firsts+wrong), what)
 		for _, w := range p.classes {
-			require.LessOrEqual(t, len(w.count), mostWaits)
+			require.LessOrEqual(t, len(w.counts), maxTimeoutBuckets)
 		}
 	}
 	p := NewAgeEstimator()
-	for i := range 3 * mostPatience {
+	for i := range 3 * maxEstimatedClasses {
 		p.Age(0, string(rune('a'+i)), time.Second)
 	}
-	require.Len(t, p.classes, mostPatience)
+	require.Len(t, p.classes, maxEstimatedClasses)
 }
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -19,12 +19,12 @@
 var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
 
 const (
-	goldenLeases    = "testdata/leases.hex"
-	goldenReports   = "testdata/reports.hex"
-	goldenSums      = "testdata/sums.hex"
-	goldenParts     = "testdata/parts.hex"
-	goldenOffers    = "testdata/offers.hex"
-	goldenAgreement = "testdata/agreement.txt"
+	goldenLeases     = "testdata/leases.hex"
+	goldenReports    = "testdata/reports.hex"
+	goldenAggregates = "testdata/sums.hex"
+	goldenPartials   = "testdata/parts.hex"
+	goldenDemands    = "testdata/offers.hex"
+	goldenAgreement  = "testdata/agreement.txt"
 )
 
 // requireGolden compares what the code produces now with a golden file.
@@ -130,7 +130,7 @@
 
 // goldenReportCases are the fingerprints of reports; whom a report is for is not part of the frame.
 func goldenReportCases() []frameCase[[]uint64] {
-	most := make([]uint64, mostReport)
+	most := make([]uint64, maxReportAttempts)
 	for i := range most {
 		most[i] = uint64(i) << 56
 	}
@@ -160,28 +160,28 @@
 	})
 }
 
-// offersOf are the offers that are told with these steps, from the bin first on.
-func offersOf(first int, steps ...byte) (o Demand) {
+// demandOf are the offers that are told with these steps, from the bin first on.
+func demandOf(first int, steps ...byte) (o Demand) {
 	for i, step := range steps {
-		o[first+i] = told[step]
+		o[first+i] = demandSteps[step]
 	}
 	return o
 }
 
-func goldenOfferCases() []frameCase[Demand] {
+func goldenDemandCases() []frameCase[Demand] {
 	var tooLittle, tooMuch, all Demand
-	tooLittle[3] = leastOffer / 2
+	tooLittle[3] = minPublishedDemand / 2
 	tooMuch[3] = 1e12
-	most := offersOf(3, math.MaxUint8)
+	most := demandOf(3, math.MaxUint8)
 	none := Demand{}
 	for i := range all {
-		all[i] = told[i+1]
+		all[i] = demandSteps[i+1]
 	}
 	return []frameCase[Demand]{
 		{name: "none", value: Demand{}},
-		{name: "first bin", value: offersOf(0, 1)},
-		{name: "last bin", value: offersOf(bins-1, 60)},
-		{name: "two bins and an empty one between", value: offersOf(10, 60, 0, 70)},
+		{name: "first bin", value: demandOf(0, 1)},
+		{name: "last bin", value: demandOf(demandBins-1, 60)},
+		{name: "two bins and an empty one between", value: demandOf(10, 60, 0, 70)},
 		{name: "all bins", value: all},
 		{name: "too little to be told", value: tooLittle, read: &none},
 		{name: "more than can be told", value: tooMuch, read: &most},
@@ -189,18 +189,18 @@
 }
 
 // Offers must stay as they are: they stand in the words of members, and in the sums of zones.
-func TestGoldenOffersWritten(t *testing.T) {
-	requireGolden(t, goldenOffers, writeFrames(goldenOfferCases(), func(b []byte, o Demand) []byte { return o.Append(b) }))
+func TestGoldenDemandsWritten(t *testing.T) {
+	requireGolden(t, goldenDemands, writeFrames(goldenDemandCases(), func(b []byte, o Demand) []byte { return o.Append(b) }))
 }
 
-func TestGoldenOffersRead(t *testing.T) {
-	requireRead(t, goldenOffers, goldenOfferCases(), func(b []byte) (o Demand) {
-		o.add(string(b), 1)
+func TestGoldenDemandsRead(t *testing.T) {
+	requireRead(t, goldenDemands, goldenDemandCases(), func(b []byte) (o Demand) {
+		o.addEncoded(string(b), 1)
 		return o
 	})
 }
 
-func goldenSumCases() []frameCase[Aggregate] {
+func goldenAggregateCases() []frameCase[Aggregate] {
 	one := func(change func(s *Aggregate)) Aggregate {
 		s := Aggregate{Members: 1}
 		change(&s)
@@ -219,8 +219,8 @@
 		{name: "in use", value: one(func(s *Aggregate) { s.InUse = 4.25 })},
 		{name: "tries", value: one(func(s *Aggregate) { s.Attempts = 40.5 })},
 		{name: "again", value: one(func(s *Aggregate) { s.Retries = 8.125 })},
-		{name: "offers", value: one(func(s *Aggregate) { s.Demand = offersOf(10, 60, 0, 70) })},
-		{name: "all figures", value: Aggregate{Members: mostParts, Oldest: time.Hour, Demand: offersOf(0, 1, 2, 3), ServiceRate: 1024,
+		{name: "offers", value: one(func(s *Aggregate) { s.Demand = demandOf(10, 60, 0, 70) })},
+		{name: "all figures", value: Aggregate{Members: maxPartials, Oldest: time.Hour, Demand: demandOf(0, 1, 2, 3), ServiceRate: 1024,
 			Cores: 2048, InUse: 512, Attempts: 4096.5, Retries: 256.25}},
 		{name: "fraction of a millisecond and of a float", value: fraction, read: &fractionRead},
 		{name: "stale members and a negative age are not told", value: stale, read: &staleRead},
@@ -228,34 +228,34 @@
 }
 
 // Sums of zones must stay as they are: the words that hold them go through a fleet of several versions.
-func TestGoldenSumsWritten(t *testing.T) {
-	requireGolden(t, goldenSums, writeFrames(goldenSumCases(), func(b []byte, s Aggregate) []byte { return AppendAggregate(b, &s) }))
+func TestGoldenAggregatesWritten(t *testing.T) {
+	requireGolden(t, goldenAggregates, writeFrames(goldenAggregateCases(), func(b []byte, s Aggregate) []byte { return AppendAggregate(b, &s) }))
 }
 
-func TestGoldenSumsRead(t *testing.T) {
-	requireRead(t, goldenSums, goldenSumCases(), func(b []byte) Aggregate {
+func TestGoldenAggregatesRead(t *testing.T) {
+	requireRead(t, goldenAggregates, goldenAggregateCases(), func(b []byte) Aggregate {
 		s, err := ParseAggregate(b)
 		require.NoError(t, err)
 		return s
 	})
 }
 
-func goldenPartCases() []frameCase[PartialAggregate] {
+func goldenPartialCases() []frameCase[PartialAggregate] {
 	return []frameCase[PartialAggregate]{
 		{name: "nothing told", value: PartialAggregate{From: ProcessID{Name: "n1"}}},
 		{name: "all figures", value: PartialAggregate{From: goldenBorrower, Aggregate: Aggregate{Members: 1, Oldest: 20 * time.Millisecond,
-			Demand: offersOf(10, 60, 0, 70), ServiceRate: 6.75, Cores: 7.5, InUse: 4.25, Attempts: 40.5, Retries: 8.125}}},
+			Demand: demandOf(10, 60, 0, 70), ServiceRate: 6.75, Cores: 7.5, InUse: 4.25, Attempts: 40.5, Retries: 8.125}}},
 		{name: "longest name", value: PartialAggregate{From: ProcessID{longName, math.MaxUint64}, Aggregate: Aggregate{Members: 1}}},
 	}
 }
 
 // Parts must stay as they are: the collector that they go to may be of another version.
-func TestGoldenPartsWritten(t *testing.T) {
-	requireGolden(t, goldenParts, writeFrames(goldenPartCases(), AppendPartial))
+func TestGoldenPartialsWritten(t *testing.T) {
+	requireGolden(t, goldenPartials, writeFrames(goldenPartialCases(), AppendPartial))
 }
 
-func TestGoldenPartsRead(t *testing.T) {
-	requireRead(t, goldenParts, goldenPartCases(), func(b []byte) PartialAggregate {
+func TestGoldenPartialsRead(t *testing.T) {
+	requireRead(t, goldenPartials, goldenPartialCases(), func(b []byte) PartialAggregate {
 		require.True(t, IsSheddingMessage(b))
 		_, isReport := ParseReport(b)
 		require.False(t, isReport)
@@ -285,7 +285,7 @@
 	writeCountingMembers(&got)
 	writeCollectors(&got)
 	writeProbers(&got)
-	writePlaces(&got)
+	writePriorities(&got)
 	for s := StoreHealthy; s <= StoreRecovering; s++ {
 		fmt.Fprintf(&got, "store state %d: %s\n", s, s)
 	}
@@ -315,7 +315,7 @@
 func writeCountingMembers(out *strings.Builder) {
 	view := goldenView(10)
 	for fingerprint := range uint64(8) {
-		fmt.Fprintf(out, "tries of %d are counted by: %s\n", fingerprint, view.Members[named(fingerprint, view)].Name)
+		fmt.Fprintf(out, "tries of %d are counted by: %s\n", fingerprint, view.Members[countingMember(fingerprint, view)].Name)
 	}
 }
 
@@ -330,7 +330,7 @@
 
 // writeProbers has each of some members take its turn, in trouble, with the same view of the others.
 func writeProbers(out *strings.Builder) {
-	const members, store, failures = 10, 5, failsAlone
+	const members, store, failures = 10, 5, failureThreshold
 	for round := range uint64(4) {
 		for i := range members {
 			view := goldenView(members)
@@ -353,7 +353,7 @@
 	}
 }
 
-func writePlaces(out *strings.Builder) {
+func writePriorities(out *strings.Builder) {
 	for _, c := range []struct{ value, work, rank float64 }{
 		{1, 1, 0}, {1, 1, 0.5}, {1, 1, 2}, {8, 0.125, 0}, {1e9, 1e-3, 1}, {1e-9, 1, 0.25}, {0, 1, 0},
 	} {
--- a/internal/overload/sharing_test.go
+++ b/internal/overload/quota_manager_test.go
@@ -13,9 +13,9 @@
 
 // A busy member among idle ones must come to have several times its share and keep it while it needs it, must give it
 // back soon after, and idle members must not ask at all.
-func TestSharesMoveToWhoIsBusy(t *testing.T) {
+func TestQuotaMovesToBusyMember(t *testing.T) {
 	const n, look = 9, 250 * time.Millisecond
-	tm := Terms{Base: 4000, Reserved: 2000, Lease: 3 * s, CallTime: 4 * s, AbandonedCallTime: s / 5}
+	tm := Terms{Base: 4000, Reserved: 2000, Lease: 3 * second, CallTime: 4 * second, AbandonedCallTime: second / 5}
 	var all []*QuotaManager
 	view := fleet.NewView("n0", fleet.Limits{Members: n})
 	r := rand.New(rand.NewPCG(1, 1))
@@ -62,17 +62,17 @@
 		}
 		return least
 	}
-	play(10*s, 20*s, true)
-	require.GreaterOrEqual(t, play(20*s, 60*s, true), 2*tm.Base, "while it needs them")
-	play(60*s, 75*s, false)
-	require.Equal(t, tm.Base, all[0].Limit(75*s))
+	play(10*second, 20*second, true)
+	require.GreaterOrEqual(t, play(20*second, 60*second, true), 2*tm.Base, "while it needs them")
+	play(60*second, 75*second, false)
+	require.Equal(t, tm.Base, all[0].Limit(75*second))
 	for _, x := range all {
-		require.Zero(t, x.LeasedOut(75*s))
+		require.Zero(t, x.LeasedOut(75*second))
 	}
 	require.Zero(t, asked)
 }
 
-func TestMessagesTravel(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	m := Message{Kind: LeaseGrant, From: ProcessID{"n1", 7}, To: ProcessID{"n2", 1 << 60}, Number: 9, Amount: 250}
 	got, err := ParseMessage(AppendMessage(nil, m))
 	require.NoError(t, err)
--- a/internal/overload/cutoff_test.go
+++ b/internal/overload/shedding_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// fellows returns a view of n members, of which n0 is the observer, that have told load(i).
-func fellows(n int, now time.Duration, load func(i int) fleet.Load) *fleet.Snapshot {
+// viewOf returns a view of n members, of which n0 is the observer, that have told load(i).
+func viewOf(n int, now time.Duration, load func(i int) fleet.Load) *fleet.Snapshot {
 	v := fleet.NewView("n0", fleet.Limits{Members: n})
 	for i := range n {
 		name := fmt.Sprint("n", i)
@@ -25,9 +25,9 @@
 	return v.Snapshot(now)
 }
 
-// play has n servers judge requests that come at random ones, rate a second in all, for so long. A server can do 4
+// simulateShedding has n servers judge requests that come at random ones, rate a second in all, for so long. A server can do 4
 // seconds of work a second. It returns what was let in of each server's work, by whether it was outranked.
-func play(n int, rate, seconds float64, lie func(i int, l *fleet.Load)) (all []*Shedder, in, out []float64) {
+func simulateShedding(n int, rate, seconds float64, lie func(i int, l *fleet.Load)) (all []*Shedder, in, out []float64) {
 	r := rand.New(rand.NewPCG(3, uint64(n)))
 	loads := make([]fleet.Load, n)
 	for range n {
@@ -35,7 +35,7 @@
 	}
 	const step = 500 * time.Millisecond
 	for now := step; now < time.Duration(seconds*float64(time.Second)); now += step {
-		view := fellows(n, now, func(i int) fleet.Load { return loads[i] })
+		view := viewOf(n, now, func(i int) fleet.Load { return loads[i] })
 		view.Members[0].Self = false // everybody looks at it
 		in, out = make([]float64, n), make([]float64, n)
 		for i, c := range all {
@@ -67,7 +67,7 @@
 
 // A fleet with room must refuse nothing for being outranked, and a full one must let in about what it can do, the same
 // at all servers; one server whose word is wrong must neither starve the others nor flood them.
-func TestTheFleetCutsWhereItIsFull(t *testing.T) {
+func TestShedderAdmitsCapacity(t *testing.T) {
 	const n = 12
 	sum := func(v []float64) (t float64) {
 		for _, x := range v {
@@ -88,12 +88,12 @@
 		{"at 300%", 3, nil, 0.85, 1.15},
 		{"a load ten times too high at 80%", 0.8, func(i int, l *fleet.Load) {
 			if i == 3 {
-				l.Demand = ten(l.Demand)
+				l.Demand = tenfold(l.Demand)
 			}
 		}, 0.7, 0.9},
 		{"a load ten times too high at 150%", 1.5, func(i int, l *fleet.Load) {
 			if i == 3 {
-				l.Demand = ten(l.Demand)
+				l.Demand = tenfold(l.Demand)
 			}
 		}, 0.75, 1.15},
 		{"a load too low", 1.5, func(i int, l *fleet.Load) {
@@ -107,7 +107,7 @@
 			}
 		}, 0.85, 1.5},
 	} {
-		all, in, out := play(n, c.load*n*4/work, 20, c.lie)
+		all, in, out := simulateShedding(n, c.load*n*4/work, 20, c.lie)
 		got := sum(in) / (n * 4)
 		require.True(t, got > c.least && got < c.most, "%s: %.2f of what can be done is let in", c.what, got)
 		if c.load < 1 && c.lie == nil {
@@ -120,23 +120,23 @@
 	}
 }
 
-// ten makes an offer ten times as large.
-func ten(offer string) string {
+// tenfold makes an offer ten times as large.
+func tenfold(offer string) string {
 	b := []byte(offer)
 	for i := 1; i < len(b); i++ {
 		if b[i] > 0 {
-			b[i] += byte(math.Round(offerStep * math.Log2(10)))
+			b[i] += byte(math.Round(demandStepsPerDoubling * math.Log2(10)))
 		}
 	}
 	return string(b)
 }
 
 // Without word from others, with old words only, or cut off from most, nothing may be judged by them.
-func TestNothingIsJudgedWithoutTheOthers(t *testing.T) {
+func TestShedderUnknownWithoutPeers(t *testing.T) {
 	full := func(int) fleet.Load {
 		return fleet.Load{Capacity: 4, ServiceRate: 4, Demand: string([]byte{10, 120, 120, 120})}
 	}
-	view := fellows(4, time.Second, full)
+	view := viewOf(4, time.Second, full)
 	var c Shedder
 	turn := func(s *fleet.Snapshot, at time.Duration) Verdict {
 		c.Tick(at, LocalLoad{ServiceRate: 4, Cores: 4, Busy: 1}, s, at)
@@ -149,7 +149,7 @@
 	cut := *view
 	cut.Position = fleet.Partitioned
 	require.Equal(t, VerdictUnknown, turn(&cut, time.Second))
-	require.Equal(t, VerdictUnknown, turn(fellows(1, time.Second, full), time.Second))
+	require.Equal(t, VerdictUnknown, turn(viewOf(1, time.Second, full), time.Second))
 	for _, bad := range [][3]float64{{0, 1, 0}, {1, 0, 0}, {math.NaN(), 1, 0}, {1, math.Inf(1), 2}, {1, 1, math.NaN()}, {1e300, 1e-300, 1}} {
 		c.Classify(bad[0], bad[1], bad[2], true) // must not fall
 	}
@@ -157,33 +157,33 @@
 
 // Whatever is told must come to about the same when it is read, take few bytes, and cut where a plain sort of it cuts.
 // No word of a stranger may break the reading.
-func TestOffersAreToldAndCut(t *testing.T) {
+func TestDemandEncodingAndThreshold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Demand
 		for range rapid.IntRange(0, 30).Draw(t, "bins") {
-			o[rapid.IntRange(0, bins-1).Draw(t, "bin")] = rapid.Float64Range(2*leastOffer, 1e4).Draw(t, "work")
+			o[rapid.IntRange(0, demandBins-1).Draw(t, "bin")] = rapid.Float64Range(2*minPublishedDemand, 1e4).Draw(t, "work")
 		}
 		b := o.Append(nil)
 		require.LessOrEqual(t, len(b), fleet.MaxDemand)
 		var back Demand
-		back.add(string(b), 1)
+		back.addEncoded(string(b), 1)
 		for i := range o {
 			require.InEpsilon(t, o[i]+1e-12, back[i]+1e-12, 0.05)
 		}
-		require.InDelta(t, back.Total(), offered(string(b)), 1e-6*back.Total())
+		require.InDelta(t, back.Total(), encodedDemandTotal(string(b)), 1e-6*back.Total())
 		capacity := rapid.Float64Range(0.01, 1e5).Draw(t, "capacity")
-		place, above := o.cut(capacity), 0.0
+		place, above := o.thresholdFor(capacity), 0.0
 		for i, v := range o {
 			above += v * min(max(float64(i+1)-place, 0), 1)
 		}
 		require.InDelta(t, min(capacity, o.Total()), above, 1e-6*o.Total()+1e-9)
-		o.add(string(rapid.SliceOfN(rapid.Byte(), 0, 80).Draw(t, "noise")), 1)
+		o.addEncoded(string(rapid.SliceOfN(rapid.Byte(), 0, 80).Draw(t, "noise")), 1)
 	})
 }
 
 // Tries that nobody marks must be counted as the repeats that they are, within a stated error, by members that each see
 // a part, though some reports are lost and a member that counts is gone in the middle.
-func TestRepeatsAreCounted(t *testing.T) {
+func TestRetryCounterAccuracy(t *testing.T) {
 	for _, c := range []struct {
 		n           int
 		again, lost float64 // chance of a further try; of a report to be lost
@@ -219,7 +219,7 @@
 				}
 			}
 			for i, x := range all {
-				view := fellows(c.n, now, func(int) fleet.Load { return fleet.Load{} })
+				view := viewOf(c.n, now, func(int) fleet.Load { return fleet.Load{} })
 				view.Members[0].Self = false
 				for k := range view.Members {
 					m := &view.Members[k]
@@ -229,7 +229,7 @@
 					}
 				}
 				sent := x.Tick(now, view)
-				require.LessOrEqual(t, len(sent), 4*reportsWanted)
+				require.LessOrEqual(t, len(sent), 4*targetReportRate)
 				for _, rep := range sent {
 					back, ok := ParseReport(AppendReport(nil, rep))
 					require.True(t, ok)
@@ -244,7 +244,7 @@
 		for _, x := range all {
 			sum += x.AttemptRate()
 			again += x.AttemptRate() * x.RetryRatio()
-			require.LessOrEqual(t, len(x.counts), mostCounted)
+			require.LessOrEqual(t, len(x.tracked), maxTrackedRequests)
 		}
 		exact := 1 - firsts/tries
 		require.InDelta(t, exact, again/sum, c.off, "%d members, %.0f%% again", c.n, 100*c.again)
@@ -252,16 +252,16 @@
 	x := NewRetryCounter()
 	require.False(t, x.Arrived(0, 7))
 	x.Rejected(0, 7)
-	require.True(t, x.Arrived(refusedFor-1, 7))
-	require.False(t, x.Arrived(refusedFor, 7))
-	for fp := range uint64(3 * mostRefused) {
+	require.True(t, x.Arrived(rejectionMemory-1, 7))
+	require.False(t, x.Arrived(rejectionMemory, 7))
+	for fp := range uint64(3 * maxRejections) {
 		x.Rejected(0, fp)
 	}
-	require.Len(t, x.refused, mostRefused)
+	require.Len(t, x.rejected, maxRejections)
 }
 
-func BenchmarkJudge(b *testing.B) {
-	view := fellows(300, time.Second, func(int) fleet.Load {
+func BenchmarkClassify(b *testing.B) {
+	view := viewOf(300, time.Second, func(int) fleet.Load {
 		return fleet.Load{Capacity: 4, ServiceRate: 4, Demand: string([]byte{10, 120, 120, 120})}
 	})
 	c, r, p := &Shedder{}, NewRetryCounter(), NewAgeEstimator()
@@ -274,9 +274,9 @@
 	}
 }
 
-func BenchmarkTurn(b *testing.B) {
+func BenchmarkShedderTick(b *testing.B) {
 	for _, n := range []int{10, 100, 300, 3000} {
-		view := fellows(n, time.Second, func(int) fleet.Load { return fleet.Load{Capacity: 4, ServiceRate: 4, Demand: string(make([]byte, 30))} })
+		view := viewOf(n, time.Second, func(int) fleet.Load { return fleet.Load{Capacity: 4, ServiceRate: 4, Demand: string(make([]byte, 30))} })
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := &Shedder{}
 			b.ReportAllocs()
--- a/internal/overload/wire.go
+++ b/internal/overload/wire.go
@@ -11,83 +11,83 @@
 const MaxMessageSize = 256
 
 const (
-	mKind protowire.Number = iota + 1
-	mFrom
-	mFromRun
-	mTo
-	mToRun
-	mNumber
-	mAmount
+	fieldKind protowire.Number = iota + 1
+	fieldFrom
+	fieldFromRun
+	fieldTo
+	fieldToRun
+	fieldNumber
+	fieldAmount
 )
 
-var errMessage = errors.New("no message of the lease exchange")
+var errInvalidMessage = errors.New("no message of the lease exchange")
 
 // AppendMessage appends m as the fields of a protobuf message.
-func AppendMessage(b []byte, m Message) []byte {
-	whole := func(n protowire.Number, v uint64) {
-		b = protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
+func AppendMessage(b []byte, message Message) []byte {
+	appendVarint := func(number protowire.Number, value uint64) {
+		b = protowire.AppendVarint(protowire.AppendTag(b, number, protowire.VarintType), value)
 	}
-	text := func(n protowire.Number, s string) {
-		b = protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), s)
+	appendString := func(number protowire.Number, value string) {
+		b = protowire.AppendString(protowire.AppendTag(b, number, protowire.BytesType), value)
 	}
-	whole(mKind, uint64(m.Kind))
-	text(mFrom, m.From.Name)
-	whole(mFromRun, m.From.Run)
-	text(mTo, m.To.Name)
-	whole(mToRun, m.To.Run)
-	whole(mNumber, m.Number)
-	whole(mAmount, uint64(max(m.Amount, 0)))
+	appendVarint(fieldKind, uint64(message.Kind))
+	appendString(fieldFrom, message.From.Name)
+	appendVarint(fieldFromRun, message.From.Run)
+	appendString(fieldTo, message.To.Name)
+	appendVarint(fieldToRun, message.To.Run)
+	appendVarint(fieldNumber, message.Number)
+	appendVarint(fieldAmount, uint64(max(message.Amount, 0)))
 	return b
 }
 
 // ParseMessage reads a message; fields of a newer version are passed over. It keeps nothing of b.
-func ParseMessage(b []byte) (m Message, err error) {
+func ParseMessage(b []byte) (message Message, err error) {
 	if len(b) > MaxMessageSize {
-		return m, errMessage
+		return message, errInvalidMessage
 	}
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return m, errMessage
+			return message, errInvalidMessage
 		}
 		size := protowire.ConsumeFieldValue(num, typ, b[n:])
 		if size < 0 {
-			return m, errMessage
+			return message, errInvalidMessage
 		}
 		value := b[n : n+size]
 		b = b[n+size:]
 		switch num {
-		case mFrom, mTo:
+		case fieldFrom, fieldTo:
 			s, k := protowire.ConsumeString(value)
 			if typ != protowire.BytesType || k < 0 {
-				return m, errMessage
+				return message, errInvalidMessage
 			}
-			if num == mFrom {
-				m.From.Name = s
+			if num == fieldFrom {
+				message.From.Name = s
 			} else {
-				m.To.Name = s
+				message.To.Name = s
 			}
-		case mKind, mFromRun, mToRun, mNumber, mAmount:
+		case fieldKind, fieldFromRun, fieldToRun, fieldNumber, fieldAmount:
 			v, k := protowire.ConsumeVarint(value)
 			if typ != protowire.VarintType || k < 0 {
-				return m, errMessage
+				return message, errInvalidMessage
 			}
 			switch num {
-			case mKind:
-				m.Kind = Kind(min(v, math.MaxUint8))
-			case mFromRun:
-				m.From.Run = v
-			case mToRun:
-				m.To.Run = v
-			case mNumber:
-				m.Number = v
-			case mAmount:
-				m.Amount = Quota(min(v, math.MaxInt32))
+			case fieldKind:
+				message.Kind = Kind(min(v, math.MaxUint8))
+			case fieldFromRun:
+				message.From.Run = v
+			case fieldToRun:
+				message.To.Run = v
+			case fieldNumber:
+				message.Number = v
+			case fieldAmount:
+				message.Amount = Quota(min(v, math.MaxInt32))
 			}
 		}
 	}
-	if m.Kind < LeaseRequest || m.Kind > LeaseReturn || m.From.Name == "" || m.To.Name == "" {
-		return m, errMessage
+	if message.Kind < LeaseRequest || message.Kind > LeaseReturn || message.From.Name == "" || message.To.Name == "" {
+		return message, errInvalidMessage
 	}
-	return m, nil
+	return message, nil
 }
