--- a/internal/overload/attempt_age.go
+++ b/internal/overload/attempt_age.go
@@ -2,93 +2,130 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
-// No try is marked as a repeat, but each tells how long its caller still waits. A caller that waits for a request so long
-// over all tries tells less with each: what is missing to what it tells at first is the age of the request. Callers wait
-// for a handful of times that are configured somewhere, so that first tries come with the same few waits again and
-// again, and later ones with any: a wait that is seen often is that of a first try, and what falls short of the next such
-// is at least that old. Where waits are all alike, or all different, nothing is learned, as today.
+// No attempt is marked as a retry, but each states how long its client still waits. A client that limits the time over
+// all attempts states less with each one, and the difference to the first is the age of the request. Timeouts are
+// configured somewhere, so first attempts come with the same few timeouts over and over and later ones with any. A
+// timeout that is common is therefore that of a first attempt; an attempt that falls short of the next common one is at
+// least that old. If timeouts are all the same or all different, nothing is learned.
 const (
-	timeoutBucketWidth       = 10 * time.Millisecond // width of a bucket of waits; a first try may be off by one
-	commonTimeoutRatio       = 0.04                  // of the tries of a class, that makes a wait one of first tries
-	minCommonTimeoutAttempts = 6.0                   // and tries that do so at least
-	minClassAttempts         = 25.0                  // tries of a class before anything is said
-	attemptCountHalfLife     = 10 * time.Second      // after which what was counted counts half
-	minBucketCount           = 0.25                  // a bucket that counts less is dropped
-	maxTimeoutBuckets        = 1024                  // buckets of a class
-	maxEstimatedClasses      = 64                    // classes
+	timeoutBucketWidth       = 10 * time.Millisecond // a first attempt may be off by one bucket
+	commonTimeoutRatio       = 0.04                  // of the attempts of a class, from which a timeout is common
+	minCommonTimeoutAttempts = 6.0                   // and attempts, from which it is
+	minClassAttempts         = 25.0                  // of a class, before any timeout is common
+	attemptCountHalfLife     = 10 * time.Second
+	minBucketCount           = 0.25 // a bucket with less is dropped
+	maxTimeoutBuckets        = 1024 // of a class
+	maxEstimatedClasses      = 64
 )
 
-// timeoutHistogram counts the tries of a class by how long their callers wait.
+// timeoutHistogram counts the attempts of a class by the time that their clients still wait.
 type timeoutHistogram struct {
-	counts          map[int]float64
+	counts          map[int]float64 // by bucket, decayed
 	total           float64
-	nextDecay       time.Duration // when to halve next
-	nextUpdateCount float64       // count at which to look for first tries next
-	commonBuckets   []int         // buckets of first tries, in order
+	nextDecay       time.Duration
+	nextUpdateTotal float64 // total from which common buckets are looked for again
+	commonBuckets   []int   // in ascending order
 }
 
-// AgeEstimator knows how long callers wait for requests, by class. It belongs to one goroutine.
+// AgeEstimator estimates the age of requests from their clients' timeouts, by class. It belongs to one goroutine.
 type AgeEstimator struct{ classes map[string]*timeoutHistogram }
 
-// NewAgeEstimator knows nothing.
+// NewAgeEstimator returns an estimator that has learned nothing.
 func NewAgeEstimator() *AgeEstimator { return &AgeEstimator{map[string]*timeoutHistogram{}} }
 
-// Age takes in how long a caller still waits, and returns how long ago it sent the first try of that request, at least;
-// 0 for a first try, and where nothing shows.
-func (p *AgeEstimator) Age(now time.Duration, class string, timeout time.Duration) time.Duration {
-	histogram := p.classes[class]
+// Age counts an attempt whose client still waits for the given time. It returns how long ago the first attempt of the
+// request was sent, at least; 0 for a first attempt and if nothing is known.
+func (e *AgeEstimator) Age(now time.Duration, class string, timeout time.Duration) time.Duration {
+	histogram := e.histogram(now, class)
 	if histogram == nil {
-		if len(p.classes) >= maxEstimatedClasses {
-			return 0
-		}
-		histogram = &timeoutHistogram{counts: map[int]float64{}, nextDecay: now + attemptCountHalfLife, nextUpdateCount: minClassAttempts}
-		p.classes[class] = histogram
+		return 0
 	}
 	bucket := int(timeout / timeoutBucketWidth)
-	if _, ok := histogram.counts[bucket]; ok || len(histogram.counts) < maxTimeoutBuckets {
-		histogram.counts[bucket]++
-		histogram.total++
-	}
-	if now >= histogram.nextDecay || histogram.total >= histogram.nextUpdateCount {
-		histogram.nextUpdateCount = 2 * histogram.total
+	histogram.count(bucket)
+	if now >= histogram.nextDecay || histogram.total >= histogram.nextUpdateTotal {
 		histogram.update(now)
 	}
-	for _, commonBucket := range histogram.commonBuckets {
-		if bucket <= commonBucket+1 {
-			if bucket >= commonBucket-1 {
-				return 0
-			}
-			return time.Duration(commonBucket)*timeoutBucketWidth - timeout
+	for _, common := range histogram.commonBuckets {
+		switch {
+		case bucket > common+1:
+		case bucket >= common-1:
+			return 0
+		default:
+			return time.Duration(common)*timeoutBucketWidth - timeout
 		}
 	}
 	return 0
 }
 
-// update finds which waits are those of first tries, and has older ones count less.
-func (w *timeoutHistogram) update(now time.Duration) {
-	w.commonBuckets = w.commonBuckets[:0]
-	maxBucket := 0
-	for bucket := range w.counts {
-		maxBucket = max(maxBucket, bucket)
+// histogram returns the histogram of a class; nil if there is no room for another one.
+func (e *AgeEstimator) histogram(now time.Duration, class string) *timeoutHistogram {
+	if histogram := e.classes[class]; histogram != nil {
+		return histogram
 	}
-	for bucket := 0; bucket <= maxBucket && w.total >= minClassAttempts; bucket++ {
-		if w.counts[bucket] > 0 && w.counts[bucket-1]+w.counts[bucket]+w.counts[bucket+1] >= max(commonTimeoutRatio*w.total, minCommonTimeoutAttempts) && w.counts[bucket] >= max(w.counts[bucket-1], w.counts[bucket+1]) {
-			w.commonBuckets = append(w.commonBuckets, bucket)
-		}
+	if len(e.classes) >= maxEstimatedClasses {
+		return nil
+	}
+	histogram := &timeoutHistogram{
+		counts:          map[int]float64{},
+		nextDecay:       now + attemptCountHalfLife,
+		nextUpdateTotal: minClassAttempts,
+	}
+	e.classes[class] = histogram
+	return histogram
+}
+
+// count counts an attempt, unless there is no room for another bucket.
+func (h *timeoutHistogram) count(bucket int) {
+	if _, ok := h.counts[bucket]; ok || len(h.counts) < maxTimeoutBuckets {
+		h.counts[bucket]++
+		h.total++
+	}
+}
+
+// update finds the common timeouts, and halves the counts when it is time. The next update is due when the total has
+// doubled, or else at the next decay.
+func (h *timeoutHistogram) update(now time.Duration) {
+	h.nextUpdateTotal = 2 * h.total
+	h.findCommonBuckets()
+	if now >= h.nextDecay {
+		h.decay()
+		h.nextDecay, h.nextUpdateTotal = now+attemptCountHalfLife, math.Inf(1)
 	}
-	if now < w.nextDecay {
+}
+
+func (h *timeoutHistogram) findCommonBuckets() {
+	h.commonBuckets = h.commonBuckets[:0]
+	if h.total < minClassAttempts {
 		return
 	}
-	w.nextDecay, w.total, w.nextUpdateCount = now+attemptCountHalfLife, 0, math.Inf(1)
-	for bucket, count := range w.counts {
-		if count /= 2; count < minBucketCount {
-			delete(w.counts, bucket)
+	for bucket := range h.counts {
+		if bucket >= 0 && h.isCommon(bucket) {
+			h.commonBuckets = append(h.commonBuckets, bucket)
+		}
+	}
+	slices.Sort(h.commonBuckets)
+}
+
+// isCommon reports whether a bucket and its neighbours have enough attempts, and none of the two has more than it.
+func (h *timeoutHistogram) isCommon(bucket int) bool {
+	below, count, above := h.counts[bucket-1], h.counts[bucket], h.counts[bucket+1]
+	return below+count+above >= max(commonTimeoutRatio*h.total, minCommonTimeoutAttempts) && count >= max(below, above)
+}
+
+// decay halves the counts and drops buckets that have next to none.
+func (h *timeoutHistogram) decay() {
+	h.total = 0
+	for bucket, count := range h.counts {
+		count /= 2
+		if count < minBucketCount {
+			delete(h.counts, bucket)
 			continue
 		}
-		w.counts[bucket] = count
-		w.total += count
+		h.counts[bucket] = count
+		h.total += count
 	}
 }
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -1,147 +1,113 @@
-// Package overload decides what the members of a fleet do about overload in common. It is pure: times come in, on this
-// process's monotonic clock, and messages and limits go out. Without word from others each part says what a server
-// does that is alone.
 package overload
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 )
 
-// Quota is an amount of calls in hand at a store, in thousandths of a call: in a large fleet a server's own share is
-// less than one.
-type Quota int64
-
-// Calls turns a share into calls.
-func (s Quota) Calls() float64 { return float64(s) / 1000 }
-
-// QuotaOf turns calls into a share, rounded down.
-func QuotaOf(calls float64) Quota { return Quota(math.Floor(max(calls, 0) * 1000)) }
-
-// Terms are what all members of a fleet hold to about one store. They have to be the same everywhere but for Base:
-// whoever counts on a shorter Lease or Call than the others takes back too early.
-type Terms struct {
-	Base              Quota         // of this member, by its settings; the sum of all is what the store survives
-	Reserved          Quota         // of that, which is never lent: what a process that has just started may use
-	Lease             time.Duration // for which a share is lent, from before it is asked for
-	CallTime          time.Duration // for which a call may be at work at the store after it was begun
-	AbandonedCallTime time.Duration // and after the death of the process that made it
-}
-
 const (
-	// clockDriftDivisor bounds how far two clocks drift apart: one part in so many. It is the one that package fleet holds to.
-	clockDriftDivisor  = 2000
-	maxLeases          = 64 // lent and borrowed at a time, each
-	maxPendingRequests = 4
-)
-
-// ProcessID is a process of a member; a restart is another one.
-type ProcessID struct {
-	Name string
-	Run  uint64
-}
+	// clockDriftDivisor bounds how far the clocks of two machines drift apart: by one part in so many. Package fleet
+	// assumes the same bound.
+	clockDriftDivisor = 2000
 
-func (p ProcessID) compare(other ProcessID) int {
-	return cmp.Or(cmp.Compare(p.Name, other.Name), cmp.Compare(p.Run, other.Run))
-}
-
-// Kind tells messages apart.
-type Kind uint8
-
-const (
-	LeaseRequest Kind = iota + 1 // lend me Amount, or less
-	LeaseGrant                   // Amount is yours until your asking and the lease is over; 0: nothing is
-	LeaseReturn                  // I shall not use it any more
+	maxLeases          = 64 // granted and received at a time, each
+	maxPendingRequests = 4
 )
 
-// Message goes from one process to another. It may be lost, late, doubled or overtaken; nothing needs an answer.
-type Message struct {
-	Kind     Kind
-	From, To ProcessID
-	Number   uint64 // of the asking, by whoever asked
-	Amount   Quota
+// Terms are the rules of a fleet for one store. All members must have the same ones but for Base and Reserved: a member
+// with a shorter Lease or CallTime than others would reclaim quota too early.
+type Terms struct {
+	Base              Quota         // of this member by its settings; the store bears the sum over all members
+	Reserved          Quota         // part of Base that is never leased out, and all that a process uses after its start
+	Lease             time.Duration // of a lease, from before it is requested
+	CallTime          time.Duration // that the store may work on a call, from its start
+	AbandonedCallTime time.Duration // that the store may go on with a call after its process has died
 }
 
-// lease is a share that was lent or borrowed.
+// lease is quota that is granted to or received from a peer.
 type lease struct {
 	peer    ProcessID
 	number  uint64
 	amount  Quota
-	expires time.Duration // lender: back by itself then; borrower: not to be used from then on
+	expires time.Duration // granted: reclaimed then without a return; received: no new call begins under it from then on
 }
 
-// pendingRequest is a question that has no answer yet.
+func (l *lease) is(peer ProcessID, number uint64) bool { return l.peer == peer && l.number == number }
+
+// pendingRequest is a request without an answer.
 type pendingRequest struct {
 	peer   ProcessID
 	number uint64
 	sentAt time.Duration
 }
 
-// QuotaLedger holds one member's share of a store, of which it lends what it does not use. It belongs to one goroutine.
+// QuotaLedger keeps the quota of one member at a store: its own, what it has leased to other members and what it has
+// leased from them. It belongs to one goroutine.
+//
+// The number of calls in flight at the store never exceeds the sum of Base over all members, whatever is partitioned,
+// crashed, delayed, duplicated or restarted, by these rules:
 //
-// What holds whatever is cut, dead, late, doubled or restarted: a share is lent only by who has it and does not use
-// it, is not used by the lender again before the borrower has given it back or its calls must be over, and is not
-// used by the borrower after that. Both sides count elapsed time, the borrower from before it asked, the lender from
-// after it has lent. A process that starts may be the successor of one that had calls at the store and had lent: it
-// makes no call until those must be over, and uses Keep alone until all that could have been lent is. The sum of calls
-// in hand then never exceeds the sum of Base.
+//   - A member leases out only its own quota that it does not use. It uses that again after the borrower has returned
+//     it, or when the lease and all calls begun under it must be over.
+//   - Both sides measure elapsed time: the borrower from before its request, the lender from after its grant.
+//   - A process that starts may follow one that had calls in flight and had leased out quota. It makes no call until
+//     those calls must be over, and uses no more than Reserved until those leases must be.
 //
-// Two things are outside: a process that is stopped between looking at its limit and writing a call, which adds that
-// one call; and a store that works at a call for longer than Call.
+// Two cases are not covered: a process that is suspended between reading its limit and writing a call, which adds that
+// one call, and a store that works on a call for longer than CallTime.
 type QuotaLedger struct {
 	terms                Terms
 	self                 ProcessID
-	predecessorCallsEnd  time.Duration // when no call of a predecessor is at work any more
-	predecessorLeasesEnd time.Duration // when nothing that it lent is out any more
+	predecessorCallsEnd  time.Duration
+	predecessorLeasesEnd time.Duration
 	lastNumber           uint64
 	leasedOut            []lease
 	leased               []lease
 	pending              []pendingRequest
 }
 
-// NewQuotaLedger returns the escrow of a process that starts now.
-func NewQuotaLedger(now time.Duration, self ProcessID, t Terms) *QuotaLedger {
-	e := &QuotaLedger{terms: t, self: self}
-	e.predecessorCallsEnd, e.predecessorLeasesEnd = now+t.AbandonedCallTime+t.AbandonedCallTime/clockDriftDivisor, now+e.reclaimDelay()
-	return e
+// NewQuotaLedger returns the ledger of a process that starts now.
+func NewQuotaLedger(now time.Duration, self ProcessID, terms Terms) *QuotaLedger {
+	ledger := &QuotaLedger{terms: terms, self: self}
+	ledger.predecessorCallsEnd = now + withClockDrift(terms.AbandonedCallTime)
+	ledger.predecessorLeasesEnd = now + ledger.reclaimDelay()
+	return ledger
 }
 
-// SetBase puts another share in force, as new settings give it. What is lent stays lent.
-func (e *QuotaLedger) SetBase(base, reserved Quota) { e.terms.Base, e.terms.Reserved = base, reserved }
+// SetBase changes the quota of this member after a reload of its settings. Leases stay as they are.
+func (l *QuotaLedger) SetBase(base, reserved Quota) { l.terms.Base, l.terms.Reserved = base, reserved }
 
-// reclaimDelay is how long after lending a share is back by itself.
-func (e *QuotaLedger) reclaimDelay() time.Duration {
-	d := e.terms.Lease + e.terms.CallTime
-	return d + d/clockDriftDivisor
+// reclaimDelay returns how long after a grant the quota is used again without a return.
+func (l *QuotaLedger) reclaimDelay() time.Duration {
+	return withClockDrift(l.terms.Lease + l.terms.CallTime)
 }
 
-// Limit is what this member may have in hand now, when it begins a call.
-func (e *QuotaLedger) Limit(now time.Duration) Quota {
-	limit := e.terms.Base
-	switch {
-	case now < e.predecessorCallsEnd:
+// withClockDrift returns how long to wait on this clock until d has passed on any other.
+func withClockDrift(d time.Duration) time.Duration { return d + d/clockDriftDivisor }
+
+// Limit returns the quota that this member may have in flight when it begins a call now.
+func (l *QuotaLedger) Limit(now time.Duration) Quota {
+	if now < l.predecessorCallsEnd {
 		return 0
-	case now < e.predecessorLeasesEnd:
-		limit = min(e.terms.Reserved, e.terms.Base)
 	}
-	for i := range e.leasedOut {
-		if now < e.leasedOut[i].expires {
-			limit -= e.leasedOut[i].amount
-		}
+	limit := l.terms.Base
+	if now < l.predecessorLeasesEnd {
+		limit = min(l.terms.Reserved, l.terms.Base)
 	}
-	for i := range e.leased {
-		if now < e.leased[i].expires {
-			limit += e.leased[i].amount
-		}
-	}
-	return max(limit, 0)
+	return max(limit-l.LeasedOut(now)+l.Leased(now), 0)
 }
 
-// Leased is what it has of others now, and Lent what others have of it.
-func (e *QuotaLedger) Leased(now time.Duration) (s Quota)    { return unexpiredQuota(now, e.leased) }
-func (e *QuotaLedger) LeasedOut(now time.Duration) (s Quota) { return unexpiredQuota(now, e.leasedOut) }
+// LimitUntil returns the lower of the limits at two times, for a caller that reads the limit next at the second.
+func (l *QuotaLedger) LimitUntil(now, then time.Duration) Quota {
+	return min(l.Limit(now), l.Limit(then))
+}
+
+// Leased returns the quota that this member has leased from others and may use now.
+func (l *QuotaLedger) Leased(now time.Duration) Quota { return unexpiredQuota(now, l.leased) }
+
+// LeasedOut returns the quota that others have leased from this member.
+func (l *QuotaLedger) LeasedOut(now time.Duration) Quota { return unexpiredQuota(now, l.leasedOut) }
 
 func unexpiredQuota(now time.Duration, leases []lease) (total Quota) {
 	for i := range leases {
@@ -152,93 +118,111 @@
 	return total
 }
 
-// dropExpired forgets what is over. A loan whose use is over stays until it is given back, or is back by itself.
-func (e *QuotaLedger) dropExpired(now time.Duration) {
-	e.leasedOut = slices.DeleteFunc(e.leasedOut, func(l lease) bool { return now >= l.expires })
-	e.leased = slices.DeleteFunc(e.leased, func(l lease) bool { return now >= l.expires+e.terms.CallTime })
-	e.pending = slices.DeleteFunc(e.pending, func(a pendingRequest) bool { return now >= a.sentAt+e.terms.Lease })
-}
-
-// RequestLease asks a member for a share. It returns false where too much is asked for already, or one question to that member
-// has no answer yet.
-func (e *QuotaLedger) RequestLease(now time.Duration, lender ProcessID, amount Quota) (Message, bool) {
-	e.dropExpired(now)
-	if amount <= 0 || len(e.pending) >= maxPendingRequests || len(e.leased) >= maxLeases ||
-		slices.ContainsFunc(e.pending, func(request pendingRequest) bool { return request.peer == lender }) {
+// dropExpired forgets what has expired. A received lease stays until its calls must be over, so that it is returned.
+func (l *QuotaLedger) dropExpired(now time.Duration) {
+	l.leasedOut = slices.DeleteFunc(l.leasedOut, func(granted lease) bool {
+		return now >= granted.expires
+	})
+	l.leased = slices.DeleteFunc(l.leased, func(received lease) bool {
+		return now >= received.expires+l.terms.CallTime
+	})
+	l.pending = slices.DeleteFunc(l.pending, func(request pendingRequest) bool {
+		return now >= request.sentAt+l.terms.Lease
+	})
+}
+
+// RequestLease returns a request for quota to send to a lender. Ok is false if there are too many leases or requests, or
+// one to this lender is pending.
+func (l *QuotaLedger) RequestLease(now time.Duration, lender ProcessID, amount Quota) (request Message, ok bool) {
+	l.dropExpired(now)
+	if amount <= 0 || len(l.pending) >= maxPendingRequests || len(l.leased) >= maxLeases {
 		return Message{}, false
 	}
-	e.lastNumber++
-	e.pending = append(e.pending, pendingRequest{lender, e.lastNumber, now})
-	return Message{Kind: LeaseRequest, From: e.self, To: lender, Number: e.lastNumber, Amount: amount}, true
-}
-
-// HandleMessage takes in a message. InFlight is what this member has in hand now; need is what it means to use itself before long.
-func (e *QuotaLedger) HandleMessage(now time.Duration, message Message, inFlight, needed Quota) (answer Message, ok bool) {
-	e.dropExpired(now)
-	if message.To != e.self {
+	if slices.ContainsFunc(l.pending, func(r pendingRequest) bool { return r.peer == lender }) {
+		return Message{}, false
+	}
+	l.lastNumber++
+	l.pending = append(l.pending, pendingRequest{lender, l.lastNumber, now})
+	return Message{Kind: LeaseRequest, From: l.self, To: lender, Number: l.lastNumber, Amount: amount}, true
+}
+
+// HandleMessage handles a message of another member, and returns the answer to send if ok. InFlight is the quota that
+// this member's calls use now; needed is the quota that it expects to use itself.
+func (l *QuotaLedger) HandleMessage(
+	now time.Duration, message Message, inFlight, needed Quota,
+) (answer Message, ok bool) {
+	l.dropExpired(now)
+	if message.To != l.self {
 		return Message{}, false
 	}
 	switch message.Kind {
 	case LeaseRequest:
-		return e.grant(now, message, inFlight, needed)
+		return l.grant(now, message, max(inFlight, needed))
 	case LeaseGrant:
-		for i, request := range e.pending {
-			if request.peer == message.From && request.number == message.Number {
-				e.pending = slices.Delete(e.pending, i, i+1)
-				if message.Amount > 0 {
-					e.leased = append(e.leased, lease{message.From, message.Number, message.Amount, request.sentAt + e.terms.Lease})
-				}
-				break
-			}
-		}
+		l.receiveGrant(message)
 	case LeaseReturn:
-		e.leasedOut = slices.DeleteFunc(e.leasedOut, func(l lease) bool { return l.peer == message.From && l.number == message.Number })
+		l.leasedOut = slices.DeleteFunc(l.leasedOut, func(granted lease) bool {
+			return granted.is(message.From, message.Number)
+		})
 	}
 	return Message{}, false
 }
 
-// grant lends what is neither in hand, nor needed here, nor kept, nor another's. It says so where that is nothing, so
-// that whoever asked may ask another.
-func (e *QuotaLedger) grant(now time.Duration, request Message, inFlight, needed Quota) (Message, bool) {
-	answer := Message{Kind: LeaseGrant, From: e.self, To: request.From, Number: request.Number}
-	if now < e.predecessorLeasesEnd || len(e.leasedOut) >= maxLeases {
+// grant leases out quota that is neither used nor reserved nor leased out already. If there is none the answer says so,
+// and the borrower asks another member. Ok is false for a duplicate, or a request that a later one has overtaken.
+func (l *QuotaLedger) grant(now time.Duration, request Message, used Quota) (answer Message, ok bool) {
+	answer = Message{Kind: LeaseGrant, From: l.self, To: request.From, Number: request.Number}
+	if now < l.predecessorLeasesEnd || len(l.leasedOut) >= maxLeases {
 		return answer, true
 	}
-	if slices.ContainsFunc(e.leasedOut, func(l lease) bool { return l.peer == request.From && l.number >= request.Number }) {
-		return Message{}, false // the same question again, or one that a later has overtaken
+	if slices.ContainsFunc(l.leasedOut, func(granted lease) bool {
+		return granted.peer == request.From && granted.number >= request.Number
+	}) {
+		return Message{}, false
 	}
-	leasedOut := e.LeasedOut(now)
-	free := min(e.terms.Base-e.terms.Reserved-leasedOut, e.terms.Base-leasedOut-max(inFlight, needed))
-	amount := min(request.Amount, free)
-	if amount > 0 {
+	free := l.terms.Base - l.LeasedOut(now) - max(l.terms.Reserved, used)
+	if amount := min(request.Amount, free); amount > 0 {
 		answer.Amount = amount
-		e.leasedOut = append(e.leasedOut, lease{request.From, request.Number, amount, now + e.reclaimDelay()})
+		l.leasedOut = append(l.leasedOut, lease{request.From, request.Number, amount, now + l.reclaimDelay()})
 	}
 	return answer, true
 }
 
-// Return gives back what may not be used any more, and what is not needed, the loan that ends last first: as much as
-// leaves a limit of at least what is in hand and needed.
-func (e *QuotaLedger) Return(now time.Duration, inFlight, needed Quota) (returns []Message) {
-	e.dropExpired(now)
-	slices.SortFunc(e.leased, func(a, b lease) int { return cmp.Or(cmp.Compare(a.expires, b.expires), a.peer.compare(b.peer)) })
-	for i := len(e.leased) - 1; i >= 0; i-- {
-		candidate := e.leased[i]
-		remaining := e.Limit(now)
+// receiveGrant takes a grant that answers a pending request.
+func (l *QuotaLedger) receiveGrant(grant Message) {
+	index := slices.IndexFunc(l.pending, func(r pendingRequest) bool {
+		return r.peer == grant.From && r.number == grant.Number
+	})
+	if index < 0 {
+		return
+	}
+	expires := l.pending[index].sentAt + l.terms.Lease
+	l.pending = slices.Delete(l.pending, index, index+1)
+	if grant.Amount > 0 {
+		l.leased = append(l.leased, lease{grant.From, grant.Number, grant.Amount, expires})
+	}
+}
+
+// Return gives up leases that have expired or are not needed, and returns the messages that say so. Those that expire
+// last go first, as far as the limit stays at what is in flight and needed.
+func (l *QuotaLedger) Return(now time.Duration, inFlight, needed Quota) (returns []Message) {
+	l.dropExpired(now)
+	slices.SortFunc(l.leased, func(a, b lease) int {
+		return cmp.Or(cmp.Compare(a.expires, b.expires), a.peer.compare(b.peer))
+	})
+	used := max(inFlight, needed)
+	for i := len(l.leased) - 1; i >= 0; i-- {
+		candidate := l.leased[i]
+		limit := l.Limit(now)
+		returnable := inFlight <= limit // an expired one that no call is left of
 		if now < candidate.expires {
-			remaining -= candidate.amount
-		} else if inFlight <= remaining {
-			remaining = max(inFlight, needed) // its use is over, and no call of it is left
+			returnable = limit-candidate.amount >= used
 		}
-		if remaining >= max(inFlight, needed) {
-			e.leased = slices.Delete(e.leased, i, i+1)
-			returns = append(returns, Message{Kind: LeaseReturn, From: e.self, To: candidate.peer, Number: candidate.number, Amount: candidate.amount})
+		if returnable {
+			l.leased = slices.Delete(l.leased, i, i+1)
+			returns = append(returns, Message{Kind: LeaseReturn, From: l.self, To: candidate.peer,
+				Number: candidate.number, Amount: candidate.amount})
 		}
 	}
 	return returns
 }
-
-// LimitUntil is the least limit from now on until then, for who looks again only then.
-func (e *QuotaLedger) LimitUntil(now, then time.Duration) Quota {
-	return min(e.Limit(now), e.Limit(then))
-}
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -1,82 +1,94 @@
 package overload
 
 import (
-	"cmp"
 	"time"
 
 	"falldeal/internal/fleet"
 )
 
-// How a fleet tries a store that does not answer. All of these are ours; the page on probes has what was measured.
+// Tuning of coordinated probes. The values are our own; docs/probes.md has the measurements.
 const (
-	failureThreshold       = 6                // failures in a row after which a member that nobody warned has trouble; as the breaker
-	warnedFailureThreshold = 1                // and one that was warned by others
-	minUnhealthyMembers    = 2                // members in trouble, at least, by which a store is taken to be the cause
-	unhealthyQuorumDivisor = 10               // and one in so many
-	probeTurnDuration      = 2 * time.Second  // that a member has the turn
-	probeTurnTimeout       = 5 * time.Second  // after which a turn of which nothing is heard goes to the next
-	verifiersPerRecovered  = 3                // members that check for each one that is back
-	recoveringDuration     = 30 * time.Second // for which a member says that it is back
-	maxProbeRound          = 1 << 40          // a greater number is nobody's
+	failureThreshold       = 6                // consecutive failures until a store counts as failing; as in the breaker
+	warnedFailureThreshold = 1                // the same after other members' warning
+	minUnhealthyMembers    = 2                // at least so many must be unhealthy for the store to be the cause
+	unhealthyQuorumDivisor = 10               // and one member in so many
+	probeTurnDuration      = 2 * time.Second  // of a member's turn
+	probeTurnTimeout       = 5 * time.Second  // after which a turn that nothing is heard of passes on
+	verifiersPerRecovered  = 3                // members that verify the store for each one that has recovered
+	recoveringDuration     = 30 * time.Second // for which a member publishes that it has recovered
+	maxProbeRound          = 1 << 40          // rounds from here on are not believed
 )
 
-// StoreState is how a member stands to its store, as it tells it.
+// StoreState is the state of a store as one member finds it, and publishes it.
 type StoreState uint8
 
+// The states of a store, as they are encoded.
 const (
-	StoreHealthy    StoreState = iota // as far as it knows
-	StoreFailing                      // its calls fail
-	StoreProbing                      // they do, and it has the turn to try
-	StoreRecovering                   // they did, and succeed again
+	StoreHealthy    StoreState = iota // as far as the member knows
+	StoreFailing                      // calls fail
+	StoreProbing                      // calls fail, and it is this member's turn to probe
+	StoreRecovering                   // calls succeed again
 )
 
 var storeStateNames = [...]string{"fine", "trouble", "trying", "back"}
 
 func (s StoreState) String() string { return storeStateNames[min(int(s), len(storeStateNames)-1)] }
 
-// ProbeAllowance is what a member may try of its store.
+// ProbeAllowance limits the calls that a member may make to probe its store.
 type ProbeAllowance uint8
 
+// The allowances.
 const (
-	ProbeUnlimited ProbeAllowance = iota // what it does alone
-	ProbeCautious                        // the first failure counts: others have warned
+	ProbeUnlimited ProbeAllowance = iota // as the member's own breaker allows
+	ProbeCautious                        // the same, but the first failure counts: other members have warned
 	ProbeSingle                          // one call at a time
 	ProbeNone
 )
 
-// ProbeCoordinator decides who tries a store that does not answer: one member at a time in each zone, by turns that go on when
-// whoever has one is lost, instead of each as often as its own breaker lets through. Whoever finds that the store answers
-// says so; then some others check, each for itself, and more for each that finds the same. So nobody can open or close
-// it for all. Members of one zone with one store are a group: a store that is slow from one zone only is tried, and
-// found, by that zone. It belongs to one goroutine.
+var probeAllowanceNames = [...]string{"unlimited", "cautious", "single", "none"}
+
+func (a ProbeAllowance) String() string {
+	return probeAllowanceNames[min(int(a), len(probeAllowanceNames)-1)]
+}
+
+// ProbeCoordinator decides which members probe a store that does not respond. Members of one zone with the same store
+// are a group, so that a store that is slow from one zone only is probed, and found again, by that zone.
+//
+// In a group one member probes at a time, in numbered rounds that pass on if the member is lost, instead of each as
+// often as its own breaker allows. A member whose probe succeeds publishes that; then some others verify it with probes
+// of their own, and more for each one that succeeds. So no single member can open or close the store for all.
+//
+// It belongs to one goroutine.
 type ProbeCoordinator struct {
 	run                 uint64
 	zone                string
 	storeID             uint32
 	state               StoreState
 	stateSince          time.Duration
-	consecutiveFailures int // in a row
-	successes           int // since the trouble began
+	consecutiveFailures int
+	successes           int // since the state changed
 	round               uint64
-	roundSince          time.Duration // when that was heard of
-	unhealthyMembers    int           // members of the group in trouble, this one included
+	roundSince          time.Duration // when this member learned of the round
+	unhealthyMembers    int           // of the group
 }
 
-// NewProbeCoordinator begins with a store that is taken to be well.
+// NewProbeCoordinator returns a coordinator for a process, with a store that is assumed to be healthy.
 func NewProbeCoordinator(run uint64, zone string) *ProbeCoordinator {
 	return &ProbeCoordinator{run: run, zone: zone}
 }
 
-// State is how this member stands to its store, and Agreed how many members of its group are in trouble.
-func (p *ProbeCoordinator) State() StoreState     { return p.state }
+// State returns the state of the store as this member finds it.
+func (p *ProbeCoordinator) State() StoreState { return p.state }
+
+// UnhealthyMembers returns how many members of the group find the store failing, with this one if it does.
 func (p *ProbeCoordinator) UnhealthyMembers() int { return p.unhealthyMembers }
 
-// AddToLoad adds to a word what others go by.
+// AddToLoad adds what other members need for their decisions to the load that this one publishes.
 func (p *ProbeCoordinator) AddToLoad(load *fleet.Load) {
 	load.StoreState, load.StoreID, load.ProbeRound = uint8(p.state), p.storeID, p.round
 }
 
-// CallEnded notes that a call has ended; ok: with an answer in time.
+// CallEnded notes the end of a call; ok if it was answered in time.
 func (p *ProbeCoordinator) CallEnded(ok bool) {
 	if ok {
 		p.consecutiveFailures = 0
@@ -86,58 +98,64 @@
 	}
 }
 
-// Tick is taken a few times a second. It returns what this member may try now.
-func (p *ProbeCoordinator) Tick(now time.Duration, storeID uint32, view *fleet.Snapshot, at time.Duration) ProbeAllowance {
-	if storeID != p.storeID { // the configuration names another one
+// Tick returns what this member may probe now. It is called a few times a second. Now is on the clock of this server, at
+// is the time of the view. Another storeID, after a reload of the settings, starts afresh.
+func (p *ProbeCoordinator) Tick(
+	now time.Duration, storeID uint32, view *fleet.Snapshot, at time.Duration,
+) ProbeAllowance {
+	if storeID != p.storeID {
 		*p = ProbeCoordinator{run: p.run, zone: p.zone, storeID: storeID}
 	}
+	group := p.group(view, at)
+	if p.state == StoreFailing || p.state == StoreProbing {
+		return p.tickUnhealthy(now, &group)
+	}
+	return p.tickHealthy(now, &group)
+}
+
+// probeGroup is what is known of the other members of a group.
+type probeGroup struct {
+	size      int             // this member included
+	unhealthy []*fleet.Member // that find the store failing
+	recovered int
+}
+
+// quorum returns how many members must find the store failing for it to be the cause.
+func (g *probeGroup) quorum() int { return max(minUnhealthyMembers, g.size/unhealthyQuorumDivisor) }
+
+// group returns the other members of this member's group whose load is recent.
+func (p *ProbeCoordinator) group(view *fleet.Snapshot, at time.Duration) probeGroup {
 	maxAge := fleet.Fresh(len(view.Members))
-	groupSize, recovered := 1, 0
-	var unhealthy []*fleet.Member // of the group, in trouble
+	group := probeGroup{size: 1}
 	for i := range view.Members {
 		member := &view.Members[i]
-		if member.Self || member.Load.StoreID != storeID || member.Zone != p.zone || !member.Serves(at, maxAge) {
+		if member.Self || member.Load.StoreID != p.storeID || member.Zone != p.zone || !member.Serves(at, maxAge) {
 			continue
 		}
-		groupSize++
+		group.size++
 		switch StoreState(member.Load.StoreState) {
 		case StoreFailing, StoreProbing:
-			unhealthy = append(unhealthy, member)
+			group.unhealthy = append(group.unhealthy, member)
 		case StoreRecovering:
-			recovered++
+			group.recovered++
+		case StoreHealthy:
 		}
 	}
-	quorum := max(minUnhealthyMembers, groupSize/unhealthyQuorumDivisor)
-	if p.state == StoreHealthy || p.state == StoreRecovering {
-		return p.tickHealthy(now, quorum, unhealthy)
-	}
-	p.unhealthyMembers = len(unhealthy) + 1
-	switch {
-	case p.successes > 0:
-		p.transition(now, StoreRecovering)
-		return ProbeUnlimited
-	case p.unhealthyMembers < quorum: // it may be this member's own
-		p.state = StoreFailing
-		return ProbeUnlimited
-	}
-	if p.holdsTurn(now, unhealthy) || recovered > 0 && p.rank(unhealthy) < verifiersPerRecovered*recovered {
-		return ProbeSingle
-	}
-	return ProbeNone
+	return group
 }
 
-// tickHealthy is the turn of a member whose calls succeed, or that makes none.
-func (p *ProbeCoordinator) tickHealthy(now time.Duration, quorum int, unhealthy []*fleet.Member) ProbeAllowance {
-	p.unhealthyMembers = len(unhealthy)
+// tickHealthy is the tick of a member whose calls succeed, or that makes none.
+func (p *ProbeCoordinator) tickHealthy(now time.Duration, group *probeGroup) ProbeAllowance {
+	p.unhealthyMembers = len(group.unhealthy)
 	allowance, threshold := ProbeUnlimited, failureThreshold
-	if p.state == StoreHealthy && len(unhealthy) >= quorum {
+	if p.state == StoreHealthy && len(group.unhealthy) >= group.quorum() {
 		allowance, threshold = ProbeCautious, warnedFailureThreshold
 	}
 	switch {
 	case p.consecutiveFailures >= threshold:
 		p.transition(now, StoreFailing)
 		p.roundSince = now
-		for _, member := range unhealthy {
+		for _, member := range group.unhealthy {
 			p.round = max(p.round, member.Load.ProbeRound)
 		}
 	case p.state == StoreRecovering && now-p.stateSince > recoveringDuration:
@@ -146,46 +164,82 @@
 	return allowance
 }
 
+// tickUnhealthy is the tick of a member whose calls fail.
+func (p *ProbeCoordinator) tickUnhealthy(now time.Duration, group *probeGroup) ProbeAllowance {
+	p.unhealthyMembers = len(group.unhealthy) + 1
+	if p.successes > 0 {
+		p.transition(now, StoreRecovering)
+		return ProbeUnlimited
+	}
+	if p.unhealthyMembers < group.quorum() { // the cause may be this member
+		p.state = StoreFailing
+		return ProbeUnlimited
+	}
+	if p.takeTurn(now, group.unhealthy) || p.verifies(group) {
+		return ProbeSingle
+	}
+	return ProbeNone
+}
+
+// transition changes the state and forgets the calls that led to it.
 func (p *ProbeCoordinator) transition(now time.Duration, state StoreState) {
-	p.state, p.stateSince, p.consecutiveFailures, p.successes = state, now, 0, 0
+	p.state, p.stateSince = state, now
+	p.consecutiveFailures, p.successes = 0, 0
 }
 
-// holdsTurn reports whether the turn is this member's. Turns are numbered; the number names one of those in trouble.
-func (p *ProbeCoordinator) holdsTurn(now time.Duration, unhealthy []*fleet.Member) bool {
+// takeTurn reports whether it is this member's turn to probe, and begins or ends the turn.
+func (p *ProbeCoordinator) takeTurn(now time.Duration, unhealthy []*fleet.Member) bool {
+	p.updateRound(now, unhealthy)
+	switch {
+	case !p.holdsRound(unhealthy):
+		p.state = StoreFailing
+		return false
+	case p.state != StoreProbing:
+		p.state, p.stateSince, p.successes = StoreProbing, now, 0
+	case now-p.stateSince > probeTurnDuration:
+		p.state = StoreFailing
+		p.startRound(now, p.round+1)
+		return false
+	}
+	return true
+}
+
+// updateRound takes the latest round that is published, and starts the next one if a round has timed out.
+func (p *ProbeCoordinator) updateRound(now time.Duration, unhealthy []*fleet.Member) {
 	for _, member := range unhealthy {
-		if member.Load.ProbeRound > p.round && member.Load.ProbeRound < maxProbeRound {
-			p.round, p.roundSince = member.Load.ProbeRound, now
+		if round := member.Load.ProbeRound; round > p.round && round < maxProbeRound {
+			p.startRound(now, round)
 		}
 	}
 	if now-p.roundSince > probeTurnTimeout {
-		p.round, p.roundSince = p.round+1, now
+		p.startRound(now, p.round+1)
 	}
-	ownHash, holder := mix(p.run^mix(p.round)), true
+}
+
+func (p *ProbeCoordinator) startRound(now time.Duration, round uint64) {
+	p.round, p.roundSince = round, now
+}
+
+// holdsRound reports whether the round names this member: whether it has the highest hash of the unhealthy members.
+func (p *ProbeCoordinator) holdsRound(unhealthy []*fleet.Member) bool {
+	seed := mix(p.round)
+	ownHash := mix(p.run ^ seed)
 	for _, member := range unhealthy {
-		if h := mix(member.Run ^ mix(p.round)); cmp.Compare(h, ownHash) > 0 {
-			holder = false
-			break
+		if mix(member.Run^seed) > ownHash {
+			return false
 		}
 	}
-	switch {
-	case !holder:
-		p.state = StoreFailing
-	case p.state != StoreProbing:
-		p.state, p.stateSince, p.successes = StoreProbing, now, 0
-	case now-p.stateSince > probeTurnDuration:
-		p.state, p.round, p.roundSince = StoreFailing, p.round+1, now
-		holder = false
-	}
-	return holder
+	return true
 }
 
-// rank is how many of those in trouble check before this member does.
-func (p *ProbeCoordinator) rank(unhealthy []*fleet.Member) (n int) {
-	ownHash := mix(p.run)
-	for _, member := range unhealthy {
+// verifies reports whether this member is one of those that verify a recovery: the first by a hash, some for each member
+// that has recovered.
+func (p *ProbeCoordinator) verifies(group *probeGroup) bool {
+	rank, ownHash := 0, mix(p.run)
+	for _, member := range group.unhealthy {
 		if mix(member.Run) < ownHash {
-			n++
+			rank++
 		}
 	}
-	return n
+	return rank < verifiersPerRecovered*group.recovered
 }
--- a/internal/overload/quota_manager.go
+++ b/internal/overload/quota_manager.go
@@ -6,104 +6,125 @@
 	"falldeal/internal/fleet"
 )
 
-// How a member goes about borrowing. All of these are ours; the page on the exchange has what was measured.
+// Tuning of quota leasing. The values are our own; docs/quota-leasing.md has the measurements.
 const (
-	// requestInterval is how long after a question the same need asks the next member.
-	requestInterval = 250 * time.Millisecond
-	// reserveDivisor is the part of its use on top that a member keeps for itself before it lends, and before it gives back.
-	reserveDivisor = 4
-	// usageTimeConstant is the time constant of the mean use.
-	usageTimeConstant = 2 * time.Second
-	// minRequestDivisor is the least that is asked for, as a part of the own share, and by how much a miss raises what is wanted.
-	minRequestDivisor = 4
-	// renewalLeadTime is how long before a loan ends another is asked for in its place.
-	renewalLeadTime = time.Second
-	// maxWantedFactor bounds what is wanted, in own shares: the rest of the fleet has needs as well.
-	maxWantedFactor = 8
-	// lenderCandidates are drawn from the view for a question; the one with the most to spare is asked.
-	lenderCandidates = 3
+	requestInterval   = 250 * time.Millisecond // between two requests
+	usageTimeConstant = 2 * time.Second        // of the mean number of calls in flight
+	renewalLeadTime   = time.Second            // before a lease expires, at which another one is requested
+	reserveDivisor    = 4                      // a member needs its mean usage and one part in so many on top
+	minRequestDivisor = 4                      // the smallest request, and the step after missed calls: Base by this
+	maxWantedFactor   = 8                      // Base times this is wanted at most, as other members have needs as well
+	lenderCandidates  = 3                      // drawn from the view for a request
 )
 
-// QuotaManager decides when a member asks whom for how much, and when it gives back: by what it uses and misses here, and by
-// what others have told of themselves. It belongs to one goroutine, the loop of the server.
+// QuotaManager decides when a member requests quota, of whom and how much, and when it returns quota: by its own usage
+// and missed calls, and by what others have published. It belongs to one goroutine.
 type QuotaManager struct {
 	*QuotaLedger
-	randomBelow  func(n int) int // draws a number below n
-	meanInFlight float64         // mean calls in hand
-	lastTick     time.Duration   // when use was last brought up to date
-	missedCalls  int             // calls that could not be made since then
+	randomBelow  func(n int) int
+	meanInFlight float64
+	lastTick     time.Duration
+	missedCalls  int // since the last tick
 	lastRequest  time.Duration
-	wantedQuota  Quota         // what would have been enough when calls were missed last
-	wantedUntil  time.Duration // and until when that counts
+	wantedQuota  Quota // that would have sufficed when calls were last missed
+	wantedUntil  time.Duration
 	started      bool
 }
 
-// NewQuotaManager begins with an escrow; pick draws numbers below its argument.
+// NewQuotaManager returns a manager of a ledger. RandomBelow draws a random number from 0 to below its argument.
 func NewQuotaManager(ledger *QuotaLedger, randomBelow func(n int) int) *QuotaManager {
 	return &QuotaManager{QuotaLedger: ledger, randomBelow: randomBelow}
 }
 
-// CallMissed notes that a call was left out, or a request refused, since no more calls may be in hand.
-func (s *QuotaManager) CallMissed() { s.missedCalls++ }
+// CallMissed notes that a call was skipped or a request rejected because the limit was reached.
+func (m *QuotaManager) CallMissed() { m.missedCalls++ }
 
-// MeanInFlight is the mean of the calls in hand, of late.
-func (s *QuotaManager) MeanInFlight() float64 { return s.meanInFlight }
+// MeanInFlight returns the mean number of calls in flight over the last seconds.
+func (m *QuotaManager) MeanInFlight() float64 { return m.meanInFlight }
 
-// neededQuota is what this member means to use: its use and a quarter, and for the length of a lease after it missed calls
-// more than it had then. A loan that was given back as soon as it helped would have to be asked for again at once.
-func (s *QuotaManager) neededQuota(now time.Duration) Quota {
-	needed := QuotaOf(s.meanInFlight * (reserveDivisor + 1) / reserveDivisor)
-	if now < s.wantedUntil {
-		needed = max(needed, s.wantedQuota)
+// Tick updates the usage and returns the messages to send: returns and at most one request. It is called a few times a
+// second. Now is on the clock of this server, at is the time of the view.
+func (m *QuotaManager) Tick(
+	now time.Duration, callsInFlight int, view *fleet.Snapshot, at time.Duration,
+) []Message {
+	m.updateUsage(now, callsInFlight)
+	m.noteMissedCalls(now)
+	needed := m.neededQuota(now)
+	messages := m.Return(now, Quota(callsInFlight)*quotaPerCall, needed)
+	if request, ok := m.requestMissing(now, needed, view, at); ok {
+		messages = append(messages, request)
 	}
-	return needed
+	return messages
+}
+
+// Receive handles a message of another member, and returns the answer to send if ok.
+func (m *QuotaManager) Receive(now time.Duration, message Message, callsInFlight int) (answer Message, ok bool) {
+	return m.HandleMessage(now, message, Quota(callsInFlight)*quotaPerCall, m.neededQuota(now))
 }
 
-// Tick is taken a few times a second. InFlight are the calls in hand now; view is what is known of the others, and at its
-// time. It returns what to say to others.
-func (s *QuotaManager) Tick(now time.Duration, callsInFlight int, view *fleet.Snapshot, at time.Duration) (messages []Message) {
-	if elapsed := now - s.lastTick; s.started && elapsed > 0 {
+func (m *QuotaManager) updateUsage(now time.Duration, callsInFlight int) {
+	if elapsed := now - m.lastTick; m.started && elapsed > 0 {
 		weight := min(float64(elapsed)/float64(usageTimeConstant), 1)
-		s.meanInFlight += weight * (float64(callsInFlight) - s.meanInFlight)
+		m.meanInFlight += weight * (float64(callsInFlight) - m.meanInFlight)
 	}
-	s.started, s.lastTick = true, now
-	if s.missedCalls > 0 {
-		s.wantedQuota = min(s.Limit(now)+s.terms.Base/minRequestDivisor, maxWantedFactor*s.terms.Base)
-		s.wantedUntil, s.missedCalls = now+s.terms.Lease, 0
+	m.started, m.lastTick = true, now
+}
+
+// noteMissedCalls raises what is wanted if calls were missed since the last tick.
+func (m *QuotaManager) noteMissedCalls(now time.Duration) {
+	if m.missedCalls == 0 {
+		return
 	}
-	needed := s.neededQuota(now)
-	messages = s.Return(now, Quota(1000*callsInFlight), needed)
-	if missing := needed - s.LimitUntil(now, now+renewalLeadTime); missing > 0 && now < s.wantedUntil && now-s.lastRequest >= requestInterval {
-		if lender, ok := s.chooseLender(view, at); ok {
-			if request, ok := s.RequestLease(now, lender, max(missing, s.terms.Base/minRequestDivisor)); ok {
-				s.lastRequest = now
-				messages = append(messages, request)
-			}
-		}
+	m.missedCalls = 0
+	m.wantedQuota = min(m.Limit(now)+m.terms.Base/minRequestDivisor, maxWantedFactor*m.terms.Base)
+	m.wantedUntil = now + m.terms.Lease
+}
+
+// neededQuota returns what this member expects to use: its mean usage with a reserve and, for the length of a lease
+// after missed calls, what would have sufficed then. Otherwise a lease would be returned as soon as it helps, and
+// requested again.
+func (m *QuotaManager) neededQuota(now time.Duration) Quota {
+	needed := QuotaOf(m.meanInFlight * (reserveDivisor + 1) / reserveDivisor)
+	if now < m.wantedUntil {
+		needed = max(needed, m.wantedQuota)
 	}
-	return messages
+	return needed
 }
 
-// Receive takes in a message and returns the answer, if there is one.
-func (s *QuotaManager) Receive(now time.Duration, message Message, callsInFlight int) (Message, bool) {
-	return s.HandleMessage(now, message, Quota(1000*callsInFlight), s.neededQuota(now))
+// requestMissing returns a request for what is missing to the needed quota, now or within the lead time of a renewal.
+func (m *QuotaManager) requestMissing(
+	now time.Duration, needed Quota, view *fleet.Snapshot, at time.Duration,
+) (request Message, ok bool) {
+	missing := needed - m.LimitUntil(now, now+renewalLeadTime)
+	if missing <= 0 || now >= m.wantedUntil || now-m.lastRequest < requestInterval {
+		return Message{}, false
+	}
+	lender, ok := m.chooseLender(view, at)
+	if !ok {
+		return Message{}, false
+	}
+	request, ok = m.RequestLease(now, lender, max(missing, m.terms.Base/minRequestDivisor))
+	if ok {
+		m.lastRequest = now
+	}
+	return request, ok
 }
 
-// chooseLender is who has told of the most calls to spare, of some that are drawn: if all asked the richest of all, it would
-// be asked by everybody at once.
-func (s *QuotaManager) chooseLender(view *fleet.Snapshot, at time.Duration) (lender ProcessID, ok bool) {
+// chooseLender returns the member with the most unused quota among a few that are drawn at random: if all borrowers
+// asked the one with the most of all, all would ask the same.
+func (m *QuotaManager) chooseLender(view *fleet.Snapshot, at time.Duration) (lender ProcessID, ok bool) {
 	if len(view.Members) == 0 {
-		return lender, false
+		return ProcessID{}, false
 	}
 	maxAge := fleet.Fresh(len(view.Members))
 	maxUnused := 0.0
 	for range lenderCandidates {
-		member := &view.Members[s.randomBelow(len(view.Members))]
+		member := &view.Members[m.randomBelow(len(view.Members))]
 		if member.Self || !member.Serves(at, maxAge) {
 			continue
 		}
 		if unused := member.Load.CallQuota - member.Load.MeanCalls; unused > maxUnused {
-			maxUnused, lender, ok = unused, ProcessID{member.Name, member.Run}, true
+			maxUnused, lender, ok = unused, processOf(member), true
 		}
 	}
 	return lender, ok
--- /dev/null
+++ b/internal/overload/rendezvous.go
@@ -0,0 +1,36 @@
+package overload
+
+import "falldeal/internal/fleet"
+
+// Members agree on who has a task by rendezvous hashing: each computes a hash of the task and every candidate, and the
+// highest has it. No message is needed, and when a candidate is lost only its own tasks move.
+
+// mix is the finalizer of splitmix64 (Steele, Lea, Flood 2014): every bit of the result depends on all bits of hash.
+func mix(hash uint64) uint64 {
+	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
+	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+	return hash ^ hash>>31
+}
+
+// acceptsWork reports whether a member is reached and takes work, however old its load is.
+func acceptsWork(member *fleet.Member) bool {
+	return member.Liveness == fleet.Alive && (member.State == fleet.Serving || member.State == fleet.Warming)
+}
+
+// processOf returns the process that a member runs as.
+func processOf(member *fleet.Member) ProcessID { return ProcessID{member.Name, member.Run} }
+
+// countingMember returns the index in the view of the member that counts the attempts of a request; -1 if there is none.
+func countingMember(fingerprint uint64, view *fleet.Snapshot) int {
+	bestHash, index := uint64(0), -1
+	for i := range view.Members {
+		member := &view.Members[i]
+		if !acceptsWork(member) {
+			continue
+		}
+		if hash := mix(fingerprint ^ member.Run); index < 0 || hash > bestHash {
+			bestHash, index = hash, i
+		}
+	}
+	return index
+}
--- a/internal/overload/retries.go
+++ b/internal/overload/retries.go
@@ -1,7 +1,6 @@
 package overload
 
 import (
-	"cmp"
 	"encoding/binary"
 	"math"
 	"slices"
@@ -12,25 +11,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Repeats are not marked, and a further try goes to another server, so that nobody sees both. What stays the same over
-// all tries of a request gives a fingerprint. Of all fingerprints the same small part is followed everywhere: each
-// server reports the tries of those to the member that the fingerprint itself names (rendezvous hashing over the
-// view), and that one counts how many tries there are for each request. Nothing is ever exchanged but a bounded number
-// of reports a second, and no clock is compared.
+// Retries are not marked, and the next attempt goes to another server, so that no server sees all attempts of a request.
+// What is the same in all of them gives a fingerprint. All members follow the same small sample of fingerprints and
+// report attempts of these to the member that rendezvous hashing names, which counts the attempts of each request. The
+// number of reports a second is bounded, and no clocks are compared.
 const (
-	targetReportRate       = 16              // a second by each server, at most about
-	minSampleDivisor       = 1               // of so many fingerprints one is followed
-	maxSampleDivisor       = 1 << 12         // at least
-	requestTrackingTime    = 8 * time.Second // for which a request's tries are counted together
-	maxTrackedRequests     = 4096            // requests whose tries are counted here
-	rejectionMemory        = 4 * time.Second // for which a refused request is remembered
-	maxRejections          = 4096
-	retryRatioTimeConstant = 5 * time.Second // time constant of what is counted
-	minCountedRequests     = 4.0             // requests, faded, below which nothing is said
-	maxReportAttempts      = 32              // tries in one message
+	targetReportRate  = 16 // attempts that each server reports a second, about
+	minSampleDivisor  = 1  // one fingerprint in so many is followed
+	maxSampleDivisor  = 1 << 12
+	maxReportAttempts = 32 // in one message
+	maxPending        = 4 * targetReportRate
+	minTickSeconds    = 0.1 // below which the rate of attempts is not taken from a tick
+
+	requestTrackingTime = 8 * time.Second // for which the attempts of a request are counted together
+	maxTrackedRequests  = 4096
+	rejectionMemory     = 4 * time.Second // for which a rejected request is remembered
+	maxRejections       = 4096
+
+	retryRatioTimeConstant = 5 * time.Second
+	minCountedRequests     = 4.0 // decayed, below which no ratio is given
 )
 
-// Fingerprint of a request: what is the same in all of its tries, and seldom the same in two requests.
+// Fingerprint returns a hash of what is the same in all attempts of a request and seldom the same in two requests. All
+// members compute the same fingerprint.
 func Fingerprint(class, key, idempotencyKey string, client int, rank, cost float64) uint64 {
 	var numbers [24]byte
 	binary.LittleEndian.PutUint64(numbers[:], uint64(client))
@@ -43,186 +46,177 @@
 	return mix(hash)
 }
 
-// mix is the end of splitmix64 (Steele, Lea, Flood 2014): every bit of the result depends on all of h.
-func mix(h uint64) uint64 {
-	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
-	h = (h ^ h>>27) * 0x94d049bb133111eb
-	return h ^ h>>31
-}
-
-// Report tells of tries, to the member that counts them.
+// Report names attempts to the member that counts them.
 type Report struct {
 	To       ProcessID
-	Attempts []uint64 // fingerprints; twice for two tries
+	Attempts []uint64 // fingerprints; one that occurs twice stands for two attempts
 }
 
-// trackedRequest is a request whose tries are counted.
+// trackedRequest is a request whose attempts this member counts.
 type trackedRequest struct {
 	expires  time.Duration
 	attempts int
 }
 
-// RetryCounter counts how many tries there are for each request, and remembers what was refused here. It belongs to one
-// goroutine.
+// RetryCounter counts the attempts of each request that this member is named for, and remembers what was rejected here.
+// It belongs to one goroutine.
 type RetryCounter struct {
-	sampleDivisor uint64 // of so many fingerprints one is followed here
-	pending       []uint64
-	arrivals      float64 // tries since the last turn
-	attemptRate   float64 // tries a second
+	sampleDivisor uint64
+	pending       []uint64 // fingerprints to report at the next tick
+	arrivals      float64  // attempts since the last tick
+	attemptRate   float64  // a second, mean
 	lastTick      time.Duration
 	started       bool
 
-	tracked        map[uint64]trackedRequest
-	trackingOrder  []uint64 // of counts, oldest first
-	requests       float64  // requests counted, faded, and all their tries
-	attempts       float64
-	rejected       map[uint64]time.Duration
-	rejectionOrder []uint64 // in order
+	tracked       map[uint64]trackedRequest
+	trackingOrder []uint64 // keys of tracked, oldest first
+	requests      float64  // counted here, decayed
+	attempts      float64  // of these, decayed
+
+	rejected       map[uint64]time.Duration // until when to remember it
+	rejectionOrder []uint64                 // keys of rejected, oldest first
 }
 
-// NewRetryCounter returns an empty count.
+// NewRetryCounter returns a counter that has counted nothing.
 func NewRetryCounter() *RetryCounter {
-	return &RetryCounter{sampleDivisor: minSampleDivisor, tracked: map[uint64]trackedRequest{}, rejected: map[uint64]time.Duration{}}
+	return &RetryCounter{
+		sampleDivisor: minSampleDivisor,
+		tracked:       map[uint64]trackedRequest{},
+		rejected:      map[uint64]time.Duration{},
+	}
 }
 
-// Arrived takes in a try, and reports whether it is known to be one of a request that was refused here.
-func (r *RetryCounter) Arrived(now time.Duration, fingerprint uint64) (known bool) {
-	r.arrivals++
-	if fingerprint%r.sampleDivisor == 0 && len(r.pending) < 4*targetReportRate {
-		r.pending = append(r.pending, fingerprint)
+// Arrived counts an attempt, and reports whether it is known to be a retry of a request that was rejected here.
+func (c *RetryCounter) Arrived(now time.Duration, fingerprint uint64) (knownRetry bool) {
+	c.arrivals++
+	if fingerprint%c.sampleDivisor == 0 && len(c.pending) < maxPending {
+		c.pending = append(c.pending, fingerprint)
 	}
-	expires, ok := r.rejected[fingerprint]
+	expires, ok := c.rejected[fingerprint]
 	return ok && now < expires
 }
 
-// Rejected notes that a try was refused in a way that has its caller try again.
-func (r *RetryCounter) Rejected(now time.Duration, fingerprint uint64) {
-	if _, ok := r.rejected[fingerprint]; !ok {
-		if len(r.rejectionOrder) >= maxRejections {
-			delete(r.rejected, r.rejectionOrder[0])
-			r.rejectionOrder = r.rejectionOrder[1:]
+// Rejected notes that an attempt was rejected in a way that makes its client retry.
+func (c *RetryCounter) Rejected(now time.Duration, fingerprint uint64) {
+	if _, ok := c.rejected[fingerprint]; !ok {
+		if len(c.rejectionOrder) >= maxRejections {
+			c.dropOldestRejection()
 		}
-		r.rejectionOrder = append(r.rejectionOrder, fingerprint)
+		c.rejectionOrder = append(c.rejectionOrder, fingerprint)
 	}
-	r.rejected[fingerprint] = now + rejectionMemory
+	c.rejected[fingerprint] = now + rejectionMemory
 }
 
-// Tick is taken once a second or so. It returns what to report to whom.
-func (r *RetryCounter) Tick(now time.Duration, view *fleet.Snapshot) (reports []Report) {
-	elapsed := now - r.lastTick
-	if r.started && elapsed > 0 {
-		decay := math.Exp(-float64(elapsed) / float64(retryRatioTimeConstant))
-		r.requests, r.attempts = r.requests*decay, r.attempts*decay
-		r.attemptRate += (1 - decay) * (r.arrivals/elapsed.Seconds() - r.attemptRate)
-	}
-	r.started, r.lastTick = true, now
-	for len(r.trackingOrder) > 0 && r.tracked[r.trackingOrder[0]].expires <= now {
-		delete(r.tracked, r.trackingOrder[0])
-		r.trackingOrder = r.trackingOrder[1:]
-	}
-	for len(r.rejectionOrder) > 0 && r.rejected[r.rejectionOrder[0]] <= now {
-		delete(r.rejected, r.rejectionOrder[0])
-		r.rejectionOrder = r.rejectionOrder[1:]
-	}
-	for _, fingerprint := range r.pending {
-		i := countingMember(fingerprint, view)
-		if i < 0 {
-			continue
-		}
-		member := &view.Members[i]
-		if member.Self {
-			r.count(now, fingerprint)
-			continue
-		}
-		to := ProcessID{member.Name, member.Run}
-		k := slices.IndexFunc(reports, func(x Report) bool { return x.To == to && len(x.Attempts) < maxReportAttempts })
-		if k < 0 {
-			k = len(reports)
-			reports = append(reports, Report{To: to})
-		}
-		reports[k].Attempts = append(reports[k].Attempts, fingerprint)
-	}
-	r.pending = r.pending[:0]
-	// The sample follows the load in powers of two, so that two servers with about the same load follow the same
-	// requests; one with more load follows a part of what the others do, and says less of each.
-	divisor := uint64(minSampleDivisor)
-	for r.arrivals > float64(divisor*targetReportRate)*max(elapsed.Seconds(), 0.1) && divisor < maxSampleDivisor {
-		divisor *= 2
-	}
-	if divisor > r.sampleDivisor || 4*divisor <= r.sampleDivisor {
-		r.sampleDivisor = divisor
-	}
-	r.arrivals = 0
+// Tick returns the reports to send. It is called once a second or so.
+func (c *RetryCounter) Tick(now time.Duration, view *fleet.Snapshot) []Report {
+	elapsed := now - c.lastTick
+	if c.started && elapsed > 0 {
+		c.updateRates(elapsed)
+	}
+	c.started, c.lastTick = true, now
+	c.dropExpired(now)
+	reports := c.takeReports(now, view)
+	c.adjustSample(elapsed)
+	c.arrivals = 0
 	return reports
 }
 
-// HandleReport takes in a report.
-func (r *RetryCounter) HandleReport(now time.Duration, attempts []uint64) {
+// HandleReport counts the attempts that another member reports.
+func (c *RetryCounter) HandleReport(now time.Duration, attempts []uint64) {
 	for _, fingerprint := range attempts[:min(len(attempts), maxReportAttempts)] {
-		r.count(now, fingerprint)
+		c.count(now, fingerprint)
 	}
 }
 
-func (r *RetryCounter) count(now time.Duration, fingerprint uint64) {
-	request, ok := r.tracked[fingerprint]
-	if !ok {
-		if len(r.trackingOrder) >= maxTrackedRequests {
-			return
-		}
-		r.trackingOrder = append(r.trackingOrder, fingerprint)
-		request.expires = now + requestTrackingTime
-		r.requests++
+// RetryRatio returns the part of the attempts counted here that are retries; 0 if too few requests were counted.
+func (c *RetryCounter) RetryRatio() float64 {
+	if c.requests < minCountedRequests {
+		return 0
 	}
-	request.attempts++
-	r.attempts++
-	r.tracked[fingerprint] = request
+	return max(1-c.requests/c.attempts, 0)
 }
 
-// RetryRatio is the part of all tries that are repeats, as counted here; 0 where too little was.
-func (r *RetryCounter) RetryRatio() float64 {
-	if r.requests < minCountedRequests {
-		return 0
+// AttemptRate returns the mean number of attempts that arrive here in a second.
+func (c *RetryCounter) AttemptRate() float64 { return c.attemptRate }
+
+// updateRates ages the counts and takes the arrivals since the last tick into the mean.
+func (c *RetryCounter) updateRates(elapsed time.Duration) {
+	factor := decayFactor(elapsed, retryRatioTimeConstant)
+	c.requests *= factor
+	c.attempts *= factor
+	c.attemptRate += (1 - factor) * (c.arrivals/elapsed.Seconds() - c.attemptRate)
+}
+
+func (c *RetryCounter) dropExpired(now time.Duration) {
+	for len(c.trackingOrder) > 0 && c.tracked[c.trackingOrder[0]].expires <= now {
+		delete(c.tracked, c.trackingOrder[0])
+		c.trackingOrder = c.trackingOrder[1:]
+	}
+	for len(c.rejectionOrder) > 0 && c.rejected[c.rejectionOrder[0]] <= now {
+		c.dropOldestRejection()
 	}
-	return max(1-r.requests/r.attempts, 0)
 }
 
-// AttemptRate is how many tries come here in a second.
-func (r *RetryCounter) AttemptRate() float64 { return r.attemptRate }
+func (c *RetryCounter) dropOldestRejection() {
+	delete(c.rejected, c.rejectionOrder[0])
+	c.rejectionOrder = c.rejectionOrder[1:]
+}
 
-// countingMember is the member that counts the tries of a request: the highest of all that serve by a hash of both; -1 = none.
-func countingMember(fingerprint uint64, view *fleet.Snapshot) int {
-	bestHash, index := uint64(0), -1
-	for i := range view.Members {
-		member := &view.Members[i]
-		if member.Liveness != fleet.Alive || member.State != fleet.Serving && member.State != fleet.Warming {
+// takeReports counts the pending attempts that this member is named for, and returns reports of the others.
+func (c *RetryCounter) takeReports(now time.Duration, view *fleet.Snapshot) (reports []Report) {
+	for _, fingerprint := range c.pending {
+		index := countingMember(fingerprint, view)
+		if index < 0 {
 			continue
 		}
-		if h := mix(fingerprint ^ member.Run); index < 0 || cmp.Less(bestHash, h) {
-			bestHash, index = h, i
+		if member := &view.Members[index]; member.Self {
+			c.count(now, fingerprint)
+		} else {
+			reports = addToReports(reports, processOf(member), fingerprint)
 		}
 	}
-	return index
+	c.pending = c.pending[:0]
+	return reports
 }
 
-// kindReport begins a report on the wire; a message of the lease exchange never does, as its first field is its kind.
-const kindReport = 0xff
-
-// AppendReport appends the tries of a report, eight bytes each.
-func AppendReport(b []byte, report Report) []byte {
-	b = append(b, kindReport)
-	for _, fingerprint := range report.Attempts {
-		b = binary.BigEndian.AppendUint64(b, fingerprint)
+// addToReports adds an attempt to the report to a process that has room for it, or to a new one.
+func addToReports(reports []Report, to ProcessID, fingerprint uint64) []Report {
+	index := slices.IndexFunc(reports, func(report Report) bool {
+		return report.To == to && len(report.Attempts) < maxReportAttempts
+	})
+	if index < 0 {
+		index = len(reports)
+		reports = append(reports, Report{To: to})
 	}
-	return b
+	reports[index].Attempts = append(reports[index].Attempts, fingerprint)
+	return reports
 }
 
-// ParseReport reads a report; ok is false for what is none.
-func ParseReport(b []byte) (attempts []uint64, ok bool) {
-	if len(b) < 1 || b[0] != kindReport || len(b)%8 != 1 || len(b) > 1+8*maxReportAttempts {
-		return nil, false
+// adjustSample makes the sample follow the load in powers of two, so that two servers with about the same load follow
+// the same requests. One with more load follows a part of what the others do, and reports less of each request.
+func (c *RetryCounter) adjustSample(elapsed time.Duration) {
+	divisor := uint64(minSampleDivisor)
+	seconds := max(elapsed.Seconds(), minTickSeconds)
+	for c.arrivals > float64(divisor*targetReportRate)*seconds && divisor < maxSampleDivisor {
+		divisor *= 2
+	}
+	if divisor > c.sampleDivisor || 4*divisor <= c.sampleDivisor {
+		c.sampleDivisor = divisor
 	}
-	for b = b[1:]; len(b) > 0; b = b[8:] {
-		attempts = append(attempts, binary.BigEndian.Uint64(b))
+}
+
+// count counts an attempt of a request; a request that there is no room for is not counted.
+func (c *RetryCounter) count(now time.Duration, fingerprint uint64) {
+	request, ok := c.tracked[fingerprint]
+	if !ok {
+		if len(c.trackingOrder) >= maxTrackedRequests {
+			return
+		}
+		c.trackingOrder = append(c.trackingOrder, fingerprint)
+		request.expires = now + requestTrackingTime
+		c.requests++
 	}
-	return attempts, true
+	request.attempts++
+	c.attempts++
+	c.tracked[fingerprint] = request
 }
