--- a/internal/overload/aggregation_test.go
+++ b/internal/overload/aggregation_test.go
@@ -12,147 +12,207 @@
 	"pgregory.net/rapid"
 )
 
-// zonedFleet is a fleet of n members in three zones that tell of their load as seldom as its size asks for.
+const (
+	zones      = 3
+	zonedCores = 4.0 // of each member of a zonedFleet, and its service rate
+)
+
+// zonedFleet is a fleet in three zones whose members publish their load as seldom as its size asks for.
 type zonedFleet struct {
-	members    int
+	random     *rand.Rand
+	now        time.Duration
+	load       fleet.Load // of each member
 	collectors []*Collector
-	loads      []fleet.Load
 	view       *fleet.View
 	dead       map[int]bool
-	misreport  func(i int, l *fleet.Load)
+	misreport  func(member int, load *fleet.Load)
 }
 
-func newZonedFleet(n int) *zonedFleet {
-	x := &zonedFleet{members: n, view: fleet.NewView("n0", fleet.Limits{Members: n}), dead: map[int]bool{}}
-	for i := range n {
-		x.collectors = append(x.collectors, NewCollector(ProcessID{fmt.Sprint("n", i), uint64(i + 1)}))
-		x.loads = append(x.loads, fleet.Load{Capacity: 4, ServiceRate: 4, Busy: 0.5, Attempts: 10, RetryRatio: 0.2, Demand: string([]byte{10, 60, 70})})
+func newZonedFleet(members int) *zonedFleet {
+	zoned := &zonedFleet{
+		random: rand.New(rand.NewPCG(1, 2)),
+		now:    time.Second,
+		load: fleet.Load{
+			Capacity:    zonedCores,
+			ServiceRate: zonedCores,
+			Busy:        0.5,
+			Attempts:    10,
+			RetryRatio:  0.2,
+			Demand:      string([]byte{10, 60, 70}),
+		},
+		view: fleet.NewView("n0", fleet.Limits{Members: members}),
+		dead: map[int]bool{},
 	}
-	return x
+	for member := range members {
+		self := ProcessID{fmt.Sprint("n", member), uint64(member + 1)}
+		zoned.collectors = append(zoned.collectors, NewCollector(self))
+	}
+	return zoned
 }
 
-// tick plays a second; one part in twenty is lost.
-func (x *zonedFleet) tick(now time.Duration, r *rand.Rand) {
-	for i := range x.collectors {
-		if x.dead[i] {
-			x.view.ObserveReach(now, fmt.Sprint("n", i), uint64(i+1), fleet.Lost)
+// run simulates some seconds and returns the aggregate of the fleet at the end of the last one.
+func (f *zonedFleet) run(t *testing.T, seconds int) Aggregate {
+	t.Helper()
+	for range seconds {
+		f.publishLoads()
+		f.sendPartials()
+		f.now += time.Second
+	}
+	at := f.now - time.Second
+	aggregate, includesSelf := AggregateView(f.view.Snapshot(at), at)
+	require.True(t, includesSelf)
+	return aggregate
+}
+
+func (f *zonedFleet) publishLoads() {
+	for member, collector := range f.collectors {
+		if f.dead[member] {
+			f.view.ObserveReach(f.now, collector.self.Name, collector.self.Run, fleet.Lost)
 			continue
 		}
-		l := x.loads[i]
-		l.Aggregate = x.collectors[i].Published()
-		if x.misreport != nil {
-			x.misreport(i, &l)
+		load := f.load
+		load.Aggregate = collector.Published()
+		if f.misreport != nil {
+			f.misreport(member, &load)
 		}
-		rec := fleet.Record{Name: fmt.Sprint("n", i), Run: uint64(i + 1), Seq: uint64(now), Up: now, State: fleet.Serving, Zone: fmt.Sprint("z", i%3), Load: l}
-		if l.Aggregate == "" && now > 2*time.Second && (int(now/time.Second)+i)%int(fleet.Period(x.members)/time.Second) != 0 {
+		if load.Aggregate == "" && !f.publishesNow(member) {
 			continue
 		}
-		x.view.Merge(now, 0, rec)
-		x.view.ObserveReach(now, rec.Name, rec.Run, fleet.Reached)
+		f.view.Merge(f.now, 0, fleet.Record{
+			Name:  collector.self.Name,
+			Run:   collector.self.Run,
+			Seq:   uint64(f.now),
+			Up:    f.now,
+			State: fleet.Serving,
+			Zone:  fmt.Sprint("z", member%zones),
+			Load:  load,
+		})
+		f.view.ObserveReach(f.now, collector.self.Name, collector.self.Run, fleet.Reached)
 	}
-	s := x.view.Snapshot(now)
-	for i, c := range x.collectors {
-		if x.dead[i] {
+}
+
+// publishesNow reports whether it is time for the load of a member that is not a collector.
+func (f *zonedFleet) publishesNow(member int) bool {
+	period := int(fleet.Period(len(f.collectors)) / time.Second)
+	return f.now <= 2*time.Second || (int(f.now/time.Second)+member)%period == 0
+}
+
+// sendPartials has all members tick and send their load to the collectors; one in twenty is lost.
+func (f *zonedFleet) sendPartials() {
+	snapshot := f.view.Snapshot(f.now)
+	for member, collector := range f.collectors {
+		if f.dead[member] {
 			continue
 		}
-		own := AggregateOf(&x.loads[i])
-		for _, to := range c.Tick(now, own, s) {
-			p, ok := ParsePartial(AppendPartial(nil, PartialAggregate{c.self, own}))
-			if ok && r.IntN(20) > 0 {
-				x.collectors[to.Run-1].Receive(now, p)
+		own := AggregateOf(&f.load)
+		for _, recipient := range collector.Tick(f.now, own, snapshot) {
+			partial, ok := ParsePartial(AppendPartial(nil, PartialAggregate{collector.self, own}))
+			if ok && f.random.IntN(20) > 0 {
+				f.collectors[recipient.Run-1].Receive(f.now, partial)
 			}
 		}
 	}
 }
 
-// In a fleet whose words are far apart all must know the sum of all within seconds, though parts are lost, collectors
-// die and one of them tells what it likes; and where a zone has nobody to sum it up, that must be known as not known.
-func TestZoneAggregates(t *testing.T) {
-	const n = 150
-	r := rand.New(rand.NewPCG(1, 2))
-	x := newZonedFleet(n)
-	now := time.Second
-	play := func(seconds int) Aggregate {
-		for range seconds {
-			x.tick(now, r)
-			now += time.Second
+// publishing returns the members that publish the aggregate of their zone.
+func (f *zonedFleet) publishing() (members []int) {
+	for member, collector := range f.collectors {
+		if collector.Published() != "" && !f.dead[member] {
+			members = append(members, member)
 		}
-		s, whole := AggregateView(x.view.Snapshot(now-time.Second), now-time.Second)
-		require.True(t, whole)
-		return s
 	}
-	exact := func(s Aggregate, live int, what string) {
-		require.InEpsilon(t, float64(live), float64(s.Members), 0.03, what)
-		require.InEpsilon(t, 4*float64(live), s.ServiceRate, 0.03, what)
-		require.InEpsilon(t, float64(live)*encodedDemandTotal(x.loads[0].Demand), s.Demand.Total(), 0.05, what)
-		require.InDelta(t, 0.5, s.Busy(), 0.01, what)
-		require.InDelta(t, 0.2, s.Retries/s.Attempts, 0.01, what)
-		require.LessOrEqual(t, s.Oldest, zoneAggregateMaxAge, what)
+	return members
+}
+
+// requireAggregate compares an aggregate with the load of so many members.
+func (f *zonedFleet) requireAggregate(t *testing.T, aggregate Aggregate, members int, when string) {
+	t.Helper()
+	require.InEpsilon(t, float64(members), float64(aggregate.Members), 0.03, when)
+	require.InEpsilon(t, zonedCores*float64(members), aggregate.ServiceRate, 0.03, when)
+	require.InEpsilon(t, float64(members)*encodedDemandTotal(f.load.Demand), aggregate.Demand.Total(), 0.05, when)
+	require.InDelta(t, 0.5, aggregate.Busy(), 0.01, when)
+	require.InDelta(t, 0.2, aggregate.Retries/aggregate.Attempts, 0.01, when)
+	require.LessOrEqual(t, aggregate.Oldest, zoneAggregateMaxAge, when)
+}
+
+// exaggerate makes an encoded aggregate as large as it can be.
+func exaggerate(load *fleet.Load) {
+	aggregate, err := ParseAggregate([]byte(load.Aggregate))
+	if err != nil {
+		return
 	}
-	exact(play(8), n, "at rest")
-	tellers := func() (all []int) {
-		for i, c := range x.collectors {
-			if c.Published() != "" && !x.dead[i] {
-				all = append(all, i)
-			}
-		}
-		return all
+	for _, field := range aggregate.floatFields() {
+		*field = 1e30
 	}
-	require.Len(t, tellers(), 3*collectorsPerZone)
-	for _, i := range tellers() {
-		x.dead[i] = true
+	aggregate.Members, aggregate.Demand[40] = maxPartials, 1e9
+	load.Aggregate = string(AppendAggregate(nil, &aggregate))
+}
+
+// In a fleet whose members publish seldom all know the aggregate of all within seconds, though partial aggregates are
+// lost, collectors die and one of them publishes nonsense; a zone without a collector is not known.
+func TestZoneAggregates(t *testing.T) {
+	const members, live = 150, 150 - zones*collectorsPerZone
+	zoned := newZonedFleet(members)
+	zoned.requireAggregate(t, zoned.run(t, 8), members, "at rest")
+	require.Len(t, zoned.publishing(), zones*collectorsPerZone)
+	for _, member := range zoned.publishing() {
+		zoned.dead[member] = true
 	}
-	exact(play(10), n-3*collectorsPerZone, "all collectors died")
-	require.Len(t, tellers(), 3*collectorsPerZone)
-
-	liar := tellers()[0]
-	x.misreport = func(i int, l *fleet.Load) {
-		if s, err := ParseAggregate([]byte(l.Aggregate)); err == nil && i == liar {
-			for _, v := range s.floatFields() {
-				*v = 1e30
-			}
-			s.Members, s.Demand[40] = maxPartials, 1e9
-			l.Aggregate = string(AppendAggregate(nil, &s))
+	zoned.requireAggregate(t, zoned.run(t, 10), live, "all collectors died")
+	require.Len(t, zoned.publishing(), zones*collectorsPerZone)
+
+	misreporting := zoned.publishing()[0]
+	zoned.misreport = func(member int, load *fleet.Load) {
+		if member == misreporting {
+			exaggerate(load)
 		}
 	}
-	s := play(3)
-	cores := 4.0 * float64(n-3*collectorsPerZone)
-	require.LessOrEqual(t, s.ServiceRate, cores/3*maxServiceRatePerCore+cores, "one zone is believed for what it can be at most")
-	require.LessOrEqual(t, s.Demand.Total(), maxDemandFactor*s.ServiceRate)
-	x.misreport = nil
-	for i := range n {
-		x.dead[i] = x.dead[i] || i%3 == 1
+	aggregate := zoned.run(t, 3)
+	cores := zonedCores * float64(live)
+	require.LessOrEqual(t, aggregate.ServiceRate, cores/zones*maxServiceRatePerCore+cores,
+		"one zone counts for what its members can do at most")
+	require.LessOrEqual(t, aggregate.Demand.Total(), maxDemandFactor*aggregate.ServiceRate)
+
+	zoned.misreport = nil
+	for member := range members {
+		zoned.dead[member] = zoned.dead[member] || member%zones == 1
 	}
-	s = play(10)
-	require.InEpsilon(t, float64(2*(n/3-collectorsPerZone)), float64(s.Members), 0.05, "a zone is gone")
-	small := viewOf(minMembersForCollectors-1, time.Second, func(int) fleet.Load { return x.loads[0] })
+	aggregate = zoned.run(t, 10)
+	remaining := 2 * (members/zones - collectorsPerZone)
+	require.InEpsilon(t, float64(remaining), float64(aggregate.Members), 0.05, "a zone is lost")
+
+	small := viewOf(minMembersForCollectors-1, time.Second, func(int) fleet.Load { return zoned.load })
 	require.Empty(t, NewCollector(ProcessID{"n0", 1}).Tick(time.Second, Aggregate{}, small))
 }
 
-// What is told of a sum must be read as it was, within the steps of the wire and the bounds of a record; nothing that a
-// stranger writes may break the reading, or come out as a figure that is none.
+// A decoded aggregate is what was encoded, within the steps of the encoding and the bounds of a record. No bytes of
+// another member break the decoding or come out as a field that is out of range.
 func TestAggregateEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Aggregate{Members: rapid.IntRange(0, maxPartials).Draw(t, "members"), Oldest: time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond}
-		for _, v := range s.floatFields() {
-			*v = rapid.Float64Range(0, 1e9).Draw(t, "figure")
+		aggregate := Aggregate{
+			Members: rapid.IntRange(0, maxPartials).Draw(t, "members"),
+			Oldest:  time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond,
+		}
+		for _, field := range aggregate.floatFields() {
+			*field = rapid.Float64Range(0, 1e9).Draw(t, "field")
 		}
-		for i := range s.Demand {
-			s.Demand[i] = rapid.Float64Range(1, 1e6).Draw(t, "offer")
+		for bin := range aggregate.Demand {
+			aggregate.Demand[bin] = rapid.Float64Range(1, 1e6).Draw(t, "work")
 		}
-		b := AppendAggregate(nil, &s)
-		require.LessOrEqual(t, len(b), fleet.MaxAggregate)
-		back, err := ParseAggregate(b)
+		encoded := AppendAggregate(nil, &aggregate)
+		require.LessOrEqual(t, len(encoded), fleet.MaxAggregate)
+		decoded, err := ParseAggregate(encoded)
 		require.NoError(t, err)
-		require.Equal(t, s.Members, back.Members)
-		require.Equal(t, s.Oldest, back.Oldest)
-		require.InEpsilon(t, s.Demand.Total(), back.Demand.Total(), 0.05)
+		require.Equal(t, aggregate.Members, decoded.Members)
+		require.Equal(t, aggregate.Oldest, decoded.Oldest)
+		require.InEpsilon(t, aggregate.Demand.Total(), decoded.Demand.Total(), 0.05)
+
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 120).Draw(t, "noise")
-		if got, err := ParseAggregate(noise); err == nil {
-			for _, v := range got.floatFields() {
-				require.True(t, *v >= 0 && *v < 1e39)
+		if decoded, err := ParseAggregate(noise); err == nil {
+			for _, field := range decoded.floatFields() {
+				require.True(t, *field >= 0 && *field < 1e39)
 			}
 		}
-		ParsePartial(append([]byte{kindPartial}, noise...))
+		ParsePartial(append([]byte{kindPartial}, noise...)) // must not panic
 	})
 }
--- a/internal/overload/attempt_age_test.go
+++ b/internal/overload/attempt_age_test.go
@@ -8,59 +8,100 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Of callers that wait for a few different times over all tries, later tries must be known and not be held for older than
-// they are; and where waits say nothing, nothing may be read into them.
+// firstTimeout draws how long the client of a first attempt waits.
+type firstTimeout func(random *rand.Rand) time.Duration
+
+func alwaysFourSeconds(*rand.Rand) time.Duration { return 4 * time.Second }
+
+func oneOfThree(random *rand.Rand) time.Duration {
+	return []time.Duration{4000 * time.Millisecond, 5800 * time.Millisecond, 480 * time.Millisecond}[random.IntN(3)]
+}
+
+func nearFourSeconds(random *rand.Rand) time.Duration {
+	return 4*time.Second - time.Duration(random.IntN(9))*time.Millisecond
+}
+
+func anyTimeout(random *rand.Rand) time.Duration {
+	return time.Duration(100+random.IntN(60000)) * time.Millisecond
+}
+
+// ageCounts says how many attempts were taken for what.
+type ageCounts struct {
+	first, firstTakenForLater int
+	later, laterKnown         int
+}
+
+// estimateAges plays requests whose clients limit the time over all attempts, and counts what the estimator finds. Check
+// is called for each later attempt.
+func estimateAges(
+	estimator *AgeEstimator, timeout firstTimeout, check func(age, estimate time.Duration),
+) (counts ageCounts) {
+	const requests, learning = 4000, 200
+	random := rand.New(rand.NewPCG(1, 9))
+	for request := range requests {
+		now := time.Duration(request) * 20 * time.Millisecond
+		first := timeout(random)
+		for age := time.Duration(0); age < first; age += time.Duration(30+random.IntN(1500)) * time.Millisecond {
+			estimate := estimator.Age(now, "preview", first-age)
+			if request < learning {
+				continue
+			}
+			counts.count(age, estimate)
+			if age > 0 {
+				check(age, estimate)
+			}
+			if random.IntN(2) == 0 {
+				break
+			}
+		}
+	}
+	return counts
+}
+
+func (c *ageCounts) count(age, estimate time.Duration) {
+	switch {
+	case age == 0 && estimate > 0:
+		c.firstTakenForLater++
+	case age == 0:
+		c.first++
+	default:
+		c.later++
+		if estimate > 0 {
+			c.laterKnown++
+		}
+	}
+}
+
+// If clients wait for a few different times over all attempts, later attempts are found and not taken for older than
+// they are; if the timeouts say nothing, nothing is read into them.
 func TestAgeEstimator(t *testing.T) {
-	const ms = time.Millisecond
-	for what, c := range map[string]struct {
-		wait      func(r *rand.Rand) time.Duration // of a first try
-		knows     float64                          // of later tries, at least
-		mayBeSure bool                             // one wait for all: the age is exact
+	for name, test := range map[string]struct {
+		timeout  firstTimeout
+		minKnown float64 // part of the later attempts
+		exact    bool    // the only timeout: the age is exact
 	}{
-		"one wait":            {func(*rand.Rand) time.Duration { return 4000 * ms }, 0.97, true},
-		"three waits":         {func(r *rand.Rand) time.Duration { return []time.Duration{4000 * ms, 5800 * ms, 480 * ms}[r.IntN(3)] }, 0.9, false},
-		"a little off":        {func(r *rand.Rand) time.Duration { return 4000*ms - time.Duration(r.IntN(9))*ms }, 0.95, false},
-		"waits all different": {func(r *rand.Rand) time.Duration { return time.Duration(100+r.IntN(60000)) * ms }, 0, false},
+		"one timeout":       {alwaysFourSeconds, 0.97, true},
+		"three timeouts":    {oneOfThree, 0.9, false},
+		"a little off":      {nearFourSeconds, 0.95, false},
+		"all are different": {anyTimeout, 0, false},
 	} {
-		r, p := rand.New(rand.NewPCG(1, 9)), NewAgeEstimator()
-		later, known, wrong, firsts := 0, 0, 0, 0
-		for i := range 4000 {
-			now := time.Duration(i) * 20 * ms
-			first := c.wait(r)
-			for age := time.Duration(0); age < first; age += time.Duration(30+r.IntN(1500)) * ms {
-				got := p.Age(now, "preview", first-age)
-				if i < 200 {
-					continue // it learns
-				}
-				switch {
-				case age == 0 && got > 0:
-					wrong++
-				case age == 0:
-					firsts++
-				default:
-					later++
-					if got > 0 {
-						known++
-					}
-					require.LessOrEqual(t, got, age+2*timeoutBucketWidth, what)
-					if c.mayBeSure && got > 0 {
-						require.InDelta(t, age, got, float64(2*timeoutBucketWidth), what)
-					}
-				}
-				if r.IntN(2) == 0 {
-					break
-				}
+		estimator := NewAgeEstimator()
+		counts := estimateAges(estimator, test.timeout, func(age, estimate time.Duration) {
+			require.LessOrEqual(t, estimate, age+2*timeoutBucketWidth, name)
+			if test.exact && estimate > 0 {
+				require.InDelta(t, age, estimate, float64(2*timeoutBucketWidth), name)
 			}
-		}
-		require.GreaterOrEqual(t, float64(known), c.knows*float64(later), what)
-		require.LessOrEqual(t, float64(wrong), 0.01*float64(firsts+wrong), what)
-		for _, w := range p.classes {
-			require.LessOrEqual(t, len(w.counts), maxTimeoutBuckets)
+		})
+		require.GreaterOrEqual(t, float64(counts.laterKnown), test.minKnown*float64(counts.later), name)
+		wrong := float64(counts.firstTakenForLater)
+		require.LessOrEqual(t, wrong, 0.01*(float64(counts.first)+wrong), name)
+		for _, histogram := range estimator.classes {
+			require.LessOrEqual(t, len(histogram.counts), maxTimeoutBuckets)
 		}
 	}
-	p := NewAgeEstimator()
-	for i := range 3 * maxEstimatedClasses {
-		p.Age(0, string(rune('a'+i)), time.Second)
+	estimator := NewAgeEstimator()
+	for class := range 3 * maxEstimatedClasses {
+		estimator.Age(0, string(rune('a'+class)), time.Second)
 	}
-	require.Len(t, p.classes, maxEstimatedClasses)
+	require.Len(t, estimator.classes, maxEstimatedClasses)
 }
--- /dev/null
+++ b/internal/overload/golden_shedding_test.go
@@ -0,0 +1,156 @@
+package overload
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// goldenReportCases are the fingerprints of reports; whom a report is for is not part of the frame.
+func goldenReportCases() []frameCase[[]uint64] {
+	full := make([]uint64, maxReportAttempts)
+	for i := range full {
+		full[i] = uint64(i) << 56
+	}
+	return []frameCase[[]uint64]{
+		{name: "no try", value: nil},
+		{name: "one try", value: []uint64{0x0102030405060708}},
+		{name: "two tries of one request and one of another", value: []uint64{math.MaxUint64, math.MaxUint64, 1}},
+		{name: "most tries", value: full},
+	}
+}
+
+// The encoding of reports stays as it is: the member that counts the attempts may be of another version.
+func TestGoldenReportsWritten(t *testing.T) {
+	requireGolden(t, goldenReports, writeFrames(goldenReportCases(), func(b []byte, attempts []uint64) []byte {
+		return AppendReport(b, Report{To: goldenLender, Attempts: attempts})
+	}))
+}
+
+func TestGoldenReportsRead(t *testing.T) {
+	requireRead(t, goldenReports, goldenReportCases(), func(b []byte) []uint64 {
+		require.True(t, IsSheddingMessage(b))
+		_, isPartial := ParsePartial(b)
+		require.False(t, isPartial)
+		attempts, ok := ParseReport(b)
+		require.True(t, ok)
+		return attempts
+	})
+}
+
+// demandOf returns the demand that is encoded with these steps, from the bin first on.
+func demandOf(first int, steps ...byte) (demand Demand) {
+	for i, step := range steps {
+		demand[first+i] = demandSteps[step]
+	}
+	return demand
+}
+
+func goldenDemandCases() []frameCase[Demand] {
+	var tooSmall, tooLarge, all Demand
+	tooSmall[3] = minPublishedDemand / 2
+	tooLarge[3] = 1e12
+	largest := demandOf(3, math.MaxUint8)
+	none := Demand{}
+	for i := range all {
+		all[i] = demandSteps[i+1]
+	}
+	return []frameCase[Demand]{
+		{name: "none", value: Demand{}},
+		{name: "first bin", value: demandOf(0, 1)},
+		{name: "last bin", value: demandOf(demandBins-1, 60)},
+		{name: "two bins and an empty one between", value: demandOf(10, 60, 0, 70)},
+		{name: "all bins", value: all},
+		{name: "too little to be told", value: tooSmall, read: &none},
+		{name: "more than can be told", value: tooLarge, read: &largest},
+	}
+}
+
+// The encoding of demand stays as it is: it is part of the load of members and of the aggregates of zones.
+func TestGoldenDemandsWritten(t *testing.T) {
+	requireGolden(t, goldenDemands, writeFrames(goldenDemandCases(), func(b []byte, demand Demand) []byte {
+		return demand.Append(b)
+	}))
+}
+
+func TestGoldenDemandsRead(t *testing.T) {
+	requireRead(t, goldenDemands, goldenDemandCases(), func(b []byte) (demand Demand) {
+		demand.addEncoded(string(b), 1)
+		return demand
+	})
+}
+
+func goldenAggregateCases() []frameCase[Aggregate] {
+	one := func(change func(aggregate *Aggregate)) Aggregate {
+		aggregate := Aggregate{Members: 1}
+		change(&aggregate)
+		return aggregate
+	}
+	fraction := one(func(aggregate *Aggregate) { aggregate.Oldest, aggregate.ServiceRate = 1999*time.Microsecond, 0.1 })
+	fractionRead := one(func(aggregate *Aggregate) {
+		aggregate.Oldest, aggregate.ServiceRate = time.Millisecond, float64(float32(0.1))
+	})
+	stale := one(func(aggregate *Aggregate) { aggregate.Stale, aggregate.Oldest = 9, -1 })
+	staleRead := one(func(*Aggregate) {})
+	return []frameCase[Aggregate]{
+		{name: "empty", value: Aggregate{}},
+		{name: "members", value: Aggregate{Members: 300}},
+		{name: "oldest", value: one(func(aggregate *Aggregate) { aggregate.Oldest = 1500 * time.Millisecond })},
+		{name: "pace", value: one(func(aggregate *Aggregate) { aggregate.ServiceRate = 6.75 })},
+		{name: "cores", value: one(func(aggregate *Aggregate) { aggregate.Cores = 7.5 })},
+		{name: "in use", value: one(func(aggregate *Aggregate) { aggregate.InUse = 4.25 })},
+		{name: "tries", value: one(func(aggregate *Aggregate) { aggregate.Attempts = 40.5 })},
+		{name: "again", value: one(func(aggregate *Aggregate) { aggregate.Retries = 8.125 })},
+		{name: "offers", value: one(func(aggregate *Aggregate) { aggregate.Demand = demandOf(10, 60, 0, 70) })},
+		{name: "all figures", value: Aggregate{
+			Members: maxPartials, Oldest: time.Hour, Demand: demandOf(0, 1, 2, 3), ServiceRate: 1024,
+			Cores: 2048, InUse: 512, Attempts: 4096.5, Retries: 256.25,
+		}},
+		{name: "fraction of a millisecond and of a float", value: fraction, read: &fractionRead},
+		{name: "stale members and a negative age are not told", value: stale, read: &staleRead},
+	}
+}
+
+// The encoding of aggregates stays as it is: the load that holds them spreads through a fleet of several versions.
+func TestGoldenAggregatesWritten(t *testing.T) {
+	requireGolden(t, goldenAggregates, writeFrames(goldenAggregateCases(), func(b []byte, aggregate Aggregate) []byte {
+		return AppendAggregate(b, &aggregate)
+	}))
+}
+
+func TestGoldenAggregatesRead(t *testing.T) {
+	requireRead(t, goldenAggregates, goldenAggregateCases(), func(b []byte) Aggregate {
+		aggregate, err := ParseAggregate(b)
+		require.NoError(t, err)
+		return aggregate
+	})
+}
+
+func goldenPartialCases() []frameCase[PartialAggregate] {
+	return []frameCase[PartialAggregate]{
+		{name: "nothing told", value: PartialAggregate{From: ProcessID{Name: "n1"}}},
+		{name: "all figures", value: PartialAggregate{From: goldenBorrower, Aggregate: Aggregate{
+			Members: 1, Oldest: 20 * time.Millisecond, Demand: demandOf(10, 60, 0, 70), ServiceRate: 6.75,
+			Cores: 7.5, InUse: 4.25, Attempts: 40.5, Retries: 8.125,
+		}}},
+		{name: "longest name", value: PartialAggregate{From: longProcess, Aggregate: Aggregate{Members: 1}}},
+	}
+}
+
+// The encoding of partial aggregates stays as it is: the collector may be of another version.
+func TestGoldenPartialsWritten(t *testing.T) {
+	requireGolden(t, goldenPartials, writeFrames(goldenPartialCases(), AppendPartial))
+}
+
+func TestGoldenPartialsRead(t *testing.T) {
+	requireRead(t, goldenPartials, goldenPartialCases(), func(b []byte) PartialAggregate {
+		require.True(t, IsSheddingMessage(b))
+		_, isReport := ParseReport(b)
+		require.False(t, isReport)
+		partial, ok := ParsePartial(b)
+		require.True(t, ok)
+		return partial
+	})
+}
--- /dev/null
+++ b/internal/overload/leasing_modelcheck_test.go
@@ -0,0 +1,237 @@
+package overload
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"falldeal/lab/modelcheck"
+
+	"github.com/stretchr/testify/require"
+)
+
+var modelCheckDepth = flag.Int("depth", 8, "steps to which the lease exchange is explored")
+
+const (
+	tick          = time.Second // of the model's clock
+	maxInTransit  = 3           // messages
+	plantedDepth  = 11          // steps within which a planted fault has to be found
+	storeCapacity = 4           // calls, the sum of Base over both members
+	borrower      = 0           // the member that requests leases; the other one grants them
+	lender        = 1
+	noMember      = -1 // made a call and has died
+)
+
+// leasingState is a state of two members that share a store.
+type leasingState struct {
+	now      time.Duration
+	ledgers  [2]*QuotaLedger
+	messages []Message // in transit
+	calls    []modelCall
+}
+
+// modelCall is a call that the store works on.
+type modelCall struct {
+	member    int
+	startedAt time.Duration
+}
+
+// leasingFault changes the ledger of a member after it has handled a message or restarted.
+type leasingFault func(state *leasingState, member int)
+
+func newLeasingState() leasingState {
+	state := leasingState{now: 100 * time.Second}
+	for member := range state.ledgers {
+		state.ledgers[member] = NewQuotaLedger(0, ProcessID{fmt.Sprint("n", member), 1}, testTerms)
+	}
+	return state
+}
+
+func (s leasingState) clone() leasingState {
+	for member, ledger := range s.ledgers {
+		copied := *ledger
+		copied.leasedOut, copied.leased = slices.Clone(ledger.leasedOut), slices.Clone(ledger.leased)
+		copied.pending = slices.Clone(ledger.pending)
+		s.ledgers[member] = &copied
+	}
+	s.messages, s.calls = slices.Clone(s.messages), slices.Clone(s.calls)
+	return s
+}
+
+// inFlight returns the quota that a member knows its calls to use. A process that was restarted does not know of the
+// calls of its predecessor.
+func (s *leasingState) inFlight(member int) (quota Quota) {
+	for _, call := range s.calls {
+		if call.member == member {
+			quota += quotaPerCall
+		}
+	}
+	return quota
+}
+
+// leasingSteps collects the steps that can be taken from a state.
+type leasingSteps struct {
+	from  leasingState
+	fault leasingFault
+	steps []modelcheck.Step[leasingState]
+}
+
+// nextSteps returns a function that lists the steps from a state.
+func nextSteps(fault leasingFault) func(leasingState) []modelcheck.Step[leasingState] {
+	return func(from leasingState) []modelcheck.Step[leasingState] {
+		next := leasingSteps{from: from, fault: fault}
+		next.add("wait", wait)
+		for member := range from.ledgers {
+			next.addMemberSteps(member)
+		}
+		for index := range from.messages {
+			next.addMessageSteps(index)
+		}
+		return next.steps
+	}
+}
+
+func (n *leasingSteps) add(name string, apply func(*leasingState)) {
+	state := n.from.clone()
+	apply(&state)
+	n.steps = append(n.steps, modelcheck.Step[leasingState]{Name: name, To: state})
+}
+
+func wait(state *leasingState) {
+	state.now += tick
+	state.calls = slices.DeleteFunc(state.calls, func(call modelCall) bool {
+		return state.now-call.startedAt >= testTerms.CallTime
+	})
+}
+
+// addMemberSteps adds what a member does by itself.
+func (n *leasingSteps) addMemberSteps(member int) {
+	ledger := n.from.ledgers[member]
+	if len(n.from.messages) < maxInTransit-1 && member == borrower {
+		n.add(fmt.Sprintf("%d requests", member), func(state *leasingState) {
+			if request, ok := state.ledgers[borrower].RequestLease(state.now, state.ledgers[lender].self, quotaPerCall); ok {
+				state.messages = append(state.messages, request)
+			}
+		})
+		n.add(fmt.Sprintf("%d returns", member), func(state *leasingState) {
+			returns := state.ledgers[member].Return(state.now, state.inFlight(member), 0)
+			state.messages = append(state.messages, returns...)
+		})
+	}
+	if n.from.inFlight(member)+quotaPerCall <= ledger.Limit(n.from.now) {
+		n.add(fmt.Sprintf("%d calls", member), func(state *leasingState) {
+			state.calls = append(state.calls, modelCall{member, state.now})
+		})
+	}
+	if ledger.self.Run == 1 && member == lender {
+		n.add(fmt.Sprintf("%d restarts", member), func(state *leasingState) {
+			state.restart(member)
+			n.fault(state, member)
+		})
+	}
+}
+
+// restart replaces the process of a member; its calls go on for a while.
+func (s *leasingState) restart(member int) {
+	s.ledgers[member] = NewQuotaLedger(s.now, ProcessID{s.ledgers[member].self.Name, 2}, testTerms)
+	for i, call := range s.calls {
+		if call.member == member {
+			abandoned := min(call.startedAt, s.now+testTerms.AbandonedCallTime-testTerms.CallTime)
+			s.calls[i] = modelCall{noMember, abandoned}
+		}
+	}
+}
+
+// addMessageSteps adds what can happen to a message: it arrives, it arrives and will again, or it is lost.
+func (n *leasingSteps) addMessageSteps(index int) {
+	message := n.from.messages[index]
+	for _, stays := range []bool{false, true} {
+		name := fmt.Sprintf("%d of %s arrives, stays %v", message.Kind, message.From.Name, stays)
+		n.add(name, func(state *leasingState) {
+			if !stays {
+				state.messages = slices.Delete(state.messages, index, index+1)
+			}
+			n.deliver(state, message)
+		})
+	}
+	n.add("lost", func(state *leasingState) { state.messages = slices.Delete(state.messages, index, index+1) })
+}
+
+func (n *leasingSteps) deliver(state *leasingState, message Message) {
+	for member, ledger := range state.ledgers {
+		if ledger.self != message.To {
+			continue
+		}
+		answer, ok := ledger.HandleMessage(state.now, message, state.inFlight(member), 0)
+		if ok && len(state.messages) < maxInTransit {
+			state.messages = append(state.messages, answer)
+		}
+		n.fault(state, member)
+	}
+}
+
+// stateKey returns the same text for states that differ only by the time at which they are reached.
+func stateKey(state leasingState) string {
+	key := ""
+	for _, ledger := range state.ledgers {
+		key += fmt.Sprint(ledger.self.Run, max(ledger.predecessorLeasesEnd-state.now, 0), ledger.lastNumber,
+			remainingLeases(ledger.leasedOut, state.now), remainingLeases(ledger.leased, state.now))
+		for _, request := range ledger.pending {
+			key += fmt.Sprint(request.number, request.sentAt-state.now)
+		}
+	}
+	for _, call := range state.calls {
+		key += fmt.Sprint(call.member, call.startedAt-state.now)
+	}
+	return key + fmt.Sprint(state.messages)
+}
+
+// remainingLeases returns the leases that have not expired, with the time that is left of each.
+func remainingLeases(leases []lease, now time.Duration) (remaining []lease) {
+	for _, unexpired := range leases {
+		if unexpired.expires -= now; unexpired.expires > 0 {
+			remaining = append(remaining, unexpired)
+		}
+	}
+	return remaining
+}
+
+func overcommitted(state leasingState) string {
+	if calls := len(state.calls); calls > storeCapacity {
+		return fmt.Sprintf("%d calls at a store that survives %d", calls, storeCapacity)
+	}
+	return ""
+}
+
+// The store never sees more calls than the sum of the quotas, whatever is lost, late, doubled or restarted; and the
+// model checker finds each fault that a careless change would bring.
+func TestLeasingModelCheck(t *testing.T) {
+	steps := nextSteps(func(*leasingState, int) {})
+	found := modelcheck.Visit(newLeasingState(), *modelCheckDepth, steps, stateKey, overcommitted)
+	require.Empty(t, found.Why, "%v", found.Steps)
+	t.Logf("%d states within %d steps, nothing broken", found.States, *modelCheckDepth)
+	for name, fault := range map[string]leasingFault{
+		"the lender goes on using what it has leased out": func(state *leasingState, member int) {
+			for i := range state.ledgers[member].leasedOut {
+				state.ledgers[member].leasedOut[i].expires = state.now
+			}
+		},
+		"reclaimed when the lease is over, not its calls": func(state *leasingState, member int) {
+			for i, granted := range state.ledgers[member].leasedOut {
+				state.ledgers[member].leasedOut[i].expires = min(granted.expires, state.now+testTerms.Lease)
+			}
+		},
+		"a restart forgets what was leased out": func(state *leasingState, member int) {
+			state.ledgers[member].predecessorLeasesEnd = 0
+		},
+		"a restart forgets the calls in flight": func(state *leasingState, member int) {
+			state.ledgers[member].predecessorCallsEnd = 0
+		},
+	} {
+		found := modelcheck.Visit(newLeasingState(), plantedDepth, nextSteps(fault), stateKey, overcommitted)
+		require.NotEmpty(t, found.Why, name)
+		t.Logf("planted: %s: found after %d states: %v", name, found.States, found.Steps)
+	}
+}
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -11,20 +11,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// probeSimulation is a group of members with one store that dies and comes back, whose words are late and sometimes lost.
+// probeSimulation is a group of members with one store that dies and comes back. The members' updates are late and
+// sometimes lost.
 type probeSimulation struct {
-	members      int
+	random       *rand.Rand
+	now          time.Duration
 	coordinators []*ProbeCoordinator
 	allowances   []ProbeAllowance
-	received     [][]fleet.Load // last words that each has heard of each
-	updates      []loadUpdate
 	alive        []bool
-	misreport    func(i int, l *fleet.Load)
-	random       *rand.Rand
-	now          time.Duration
-	calls        [][]probeCall // in hand
-	callCount    int
+	received     [][]fleet.Load // the last load that each member has received of each
+	updates      []loadUpdate   // in transit, by time of arrival
+	misreport    func(member int, load *fleet.Load)
+	calls        [][]probeCall // in flight, by member
 	inFlight     int
+	callCount    int
 }
 
 type loadUpdate struct {
@@ -38,169 +38,232 @@
 	ok     bool
 }
 
-func newProbeSimulation(n int, seed uint64) *probeSimulation {
-	x := &probeSimulation{members: n, random: rand.New(rand.NewPCG(seed, 7)), allowances: make([]ProbeAllowance, n), calls: make([][]probeCall, n)}
-	for i := range n {
-		x.coordinators = append(x.coordinators, NewProbeCoordinator(uint64(i+1), "z"))
-		x.received = append(x.received, make([]fleet.Load, n))
-		x.alive = append(x.alive, true)
+func newProbeSimulation(members int, seed uint64) *probeSimulation {
+	simulation := &probeSimulation{
+		random:     rand.New(rand.NewPCG(seed, 7)),
+		allowances: make([]ProbeAllowance, members),
+		calls:      make([][]probeCall, members),
 	}
-	return x
+	for member := range members {
+		simulation.coordinators = append(simulation.coordinators, NewProbeCoordinator(uint64(member+1), "z"))
+		simulation.received = append(simulation.received, make([]fleet.Load, members))
+		simulation.alive = append(simulation.alive, true)
+	}
+	return simulation
 }
 
-// run plays so long; the store answers if up. It returns the most calls in hand, and how many were made.
-func (x *probeSimulation) run(d time.Duration, up bool) (most, made int) {
+// run simulates a span of time in which the store answers or not. It returns the largest number of calls in flight, and
+// how many were made.
+func (s *probeSimulation) run(span time.Duration, storeAnswers bool) (maxInFlight, calls int) {
 	const step = 250 * time.Millisecond
-	begun := x.callCount
-	for end := x.now + d; x.now < end; x.now += step {
-		for len(x.updates) > 0 && x.updates[0].arrivesAt <= x.now {
-			w := x.updates[0]
-			x.updates = x.updates[1:]
-			if w.load.ProbeRound >= x.received[w.to][w.from].ProbeRound || w.load.StoreState != x.received[w.to][w.from].StoreState {
-				x.received[w.to][w.from] = w.load
+	callsBefore := s.callCount
+	for end := s.now + span; s.now < end; s.now += step {
+		s.receiveUpdates()
+		for member := range s.coordinators {
+			if s.alive[member] {
+				s.step(member, storeAnswers)
 			}
 		}
-		for i, p := range x.coordinators {
-			if !x.alive[i] {
-				continue
-			}
-			kept := x.calls[i][:0]
-			for _, c := range x.calls[i] {
-				if c.endsAt > x.now {
-					kept = append(kept, c)
-					continue
-				}
-				x.inFlight--
-				p.CallEnded(c.ok)
-			}
-			x.calls[i] = kept
-			was := p.State()
-			x.allowances[i] = p.Tick(x.now, 9, x.view(i), x.now)
-			if p.State() != was || x.random.IntN(8) == 0 {
-				x.publish(i)
-			}
-			x.startCalls(i, up)
+		maxInFlight = max(maxInFlight, s.inFlight)
+	}
+	return maxInFlight, s.callCount - callsBefore
+}
+
+// receiveUpdates delivers the updates that have arrived. One that has been overtaken is dropped.
+func (s *probeSimulation) receiveUpdates() {
+	for len(s.updates) > 0 && s.updates[0].arrivesAt <= s.now {
+		update := s.updates[0]
+		s.updates = s.updates[1:]
+		received := &s.received[update.to][update.from]
+		if update.load.ProbeRound >= received.ProbeRound || update.load.StoreState != received.StoreState {
+			*received = update.load
+		}
+	}
+}
+
+// step has a member end calls, tick, publish and make calls.
+func (s *probeSimulation) step(member int, storeAnswers bool) {
+	coordinator := s.coordinators[member]
+	s.endCalls(member)
+	before := coordinator.State()
+	s.allowances[member] = coordinator.Tick(s.now, 9, s.view(member), s.now)
+	if coordinator.State() != before || s.random.IntN(8) == 0 {
+		s.publish(member)
+	}
+	s.startCalls(member, storeAnswers)
+}
+
+func (s *probeSimulation) endCalls(member int) {
+	unfinished := s.calls[member][:0]
+	for _, call := range s.calls[member] {
+		if call.endsAt > s.now {
+			unfinished = append(unfinished, call)
+			continue
 		}
-		most = max(most, x.inFlight)
+		s.inFlight--
+		s.coordinators[member].CallEnded(call.ok)
 	}
-	return most, x.callCount - begun
+	s.calls[member] = unfinished
 }
 
-// startCalls makes the calls that a member with much to do makes.
-func (x *probeSimulation) startCalls(i int, up bool) {
-	limit := map[ProbeAllowance]int{ProbeUnlimited: 4, ProbeCautious: 4, ProbeSingle: 1}[x.allowances[i]]
-	if x.allowances[i] == ProbeUnlimited && x.coordinators[i].State() == StoreFailing {
-		limit = 1 // what its own breaker leaves, about
+// startCalls makes as many calls as a member with much to do may make.
+func (s *probeSimulation) startCalls(member int, storeAnswers bool) {
+	for len(s.calls[member]) < s.callLimit(member) {
+		call := probeCall{s.now + 2*time.Second, false}
+		if storeAnswers {
+			call = probeCall{s.now + 50*time.Millisecond, true}
+		}
+		s.calls[member] = append(s.calls[member], call)
+		s.inFlight++
+		s.callCount++
 	}
-	for len(x.calls[i]) < limit {
-		c := probeCall{x.now + 2*time.Second, false}
-		if up {
-			c = probeCall{x.now + 50*time.Millisecond, true}
+}
+
+func (s *probeSimulation) callLimit(member int) int {
+	switch s.allowances[member] {
+	case ProbeUnlimited:
+		if s.coordinators[member].State() == StoreFailing {
+			return 1 // about what the member's breaker lets through
 		}
-		x.calls[i] = append(x.calls[i], c)
-		x.inFlight++
-		x.callCount++
+		return 4
+	case ProbeCautious:
+		return 4
+	case ProbeSingle:
+		return 1
+	case ProbeNone:
 	}
+	return 0
 }
 
-// publish sends a member's word to all others, late by up to 1.5 s, and one in twenty not at all.
-func (x *probeSimulation) publish(i int) {
-	var l fleet.Load
-	x.coordinators[i].AddToLoad(&l)
-	if x.misreport != nil {
-		x.misreport(i, &l)
+// publish sends a member's load to all others, up to 1.5 s late, and one in twenty not at all.
+func (s *probeSimulation) publish(member int) {
+	var load fleet.Load
+	s.coordinators[member].AddToLoad(&load)
+	if s.misreport != nil {
+		s.misreport(member, &load)
 	}
-	at := x.now + time.Duration(x.random.IntN(1500))*time.Millisecond
-	k := len(x.updates)
-	for k > 0 && x.updates[k-1].arrivesAt > at {
-		k--
+	arrivesAt := s.now + time.Duration(s.random.IntN(1500))*time.Millisecond
+	position := len(s.updates)
+	for position > 0 && s.updates[position-1].arrivesAt > arrivesAt {
+		position--
 	}
-	var words []loadUpdate
-	for j := range x.members {
-		if j != i && x.random.IntN(20) > 0 {
-			words = append(words, loadUpdate{at, i, j, l})
+	var sent []loadUpdate
+	for recipient := range s.coordinators {
+		if recipient != member && s.random.IntN(20) > 0 {
+			sent = append(sent, loadUpdate{arrivesAt, member, recipient, load})
 		}
 	}
-	x.updates = append(x.updates[:k:k], append(words, x.updates[k:]...)...)
+	s.updates = append(s.updates[:position:position], append(sent, s.updates[position:]...)...)
 }
 
-func (x *probeSimulation) view(i int) *fleet.Snapshot {
-	s := &fleet.Snapshot{At: x.now}
-	for j := range x.members {
-		m := fleet.Member{Record: &fleet.Record{Name: fmt.Sprint("n", j), Run: uint64(j + 1), Zone: "z", State: fleet.Serving, Load: x.received[i][j]},
-			Liveness: fleet.Alive, Self: i == j, RecordedAt: x.now}
-		if !x.alive[j] {
-			m.Liveness = fleet.Silent
+// view is the view of a member by the updates that it has received.
+func (s *probeSimulation) view(observer int) *fleet.Snapshot {
+	view := &fleet.Snapshot{At: s.now}
+	for member, load := range s.received[observer] {
+		liveness := fleet.Alive
+		if !s.alive[member] {
+			liveness = fleet.Silent
 		}
-		s.Members = append(s.Members, m)
+		view.Members = append(view.Members, fleet.Member{
+			Record: &fleet.Record{
+				Name:  fmt.Sprint("n", member),
+				Run:   uint64(member + 1),
+				Zone:  "z",
+				State: fleet.Serving,
+				Load:  load,
+			},
+			Liveness:   liveness,
+			Self:       member == observer,
+			RecordedAt: s.now,
+		})
 	}
-	return s
+	return view
 }
 
-func (x *probeSimulation) count(s StoreState) (n int) {
-	for i, p := range x.coordinators {
-		if x.alive[i] && p.State() == s {
-			n++
+// kill ends a member's process; the store does not go on with its calls.
+func (s *probeSimulation) kill(member int) {
+	s.alive[member] = false
+	s.inFlight -= len(s.calls[member])
+}
+
+// count returns how many living members find the store in a state.
+func (s *probeSimulation) count(state StoreState) (members int) {
+	for member, coordinator := range s.coordinators {
+		if s.alive[member] && coordinator.State() == state {
+			members++
 		}
 	}
-	return n
+	return members
 }
 
-// Of a dead store a handful of calls may be in hand, whatever the number of members; who has the turn may die; and when
-// the store is back all must come to use it again, some at a time.
+func (s *probeSimulation) unhealthy() int { return s.count(StoreFailing) + s.count(StoreProbing) }
+
+// A dead store has a handful of calls in flight, whatever the number of members; the member whose turn it is may die;
+// and when the store is back all members come to use it again, some at a time.
 func TestDeadStoreProbedByTurns(t *testing.T) {
-	for _, n := range []int{3, 10, 50, 150} {
-		x := newProbeSimulation(n, uint64(n))
-		x.run(5*time.Second, true)
-		require.Equal(t, n, x.count(StoreHealthy))
-		x.run(15*time.Second, false)
-		require.Equal(t, n, x.count(StoreFailing)+x.count(StoreProbing), "%d members", n)
-		most, made := x.run(20*time.Second, false)
-		require.LessOrEqual(t, most, 4, "%d members", n)
-		require.Greater(t, made, 3, "%d members: it is tried", n)
-		for i, p := range x.coordinators {
-			if p.State() == StoreProbing && n > 3 {
-				x.alive[i] = false // in the middle of its turn
-				x.inFlight -= len(x.calls[i])
+	for _, members := range []int{3, 10, 50, 150} {
+		simulation := newProbeSimulation(members, uint64(members))
+		simulation.run(5*time.Second, true)
+		require.Equal(t, members, simulation.count(StoreHealthy))
+		simulation.run(15*time.Second, false)
+		require.Equal(t, members, simulation.unhealthy(), "%d members", members)
+		maxInFlight, calls := simulation.run(20*time.Second, false)
+		require.LessOrEqual(t, maxInFlight, 4, "%d members", members)
+		require.Greater(t, calls, 3, "%d members: it is probed", members)
+		for member, coordinator := range simulation.coordinators {
+			if coordinator.State() == StoreProbing && members > 3 {
+				simulation.kill(member)
 			}
 		}
-		most, made = x.run(20*time.Second, false)
-		require.LessOrEqual(t, most, 4, "%d members, after a loss", n)
-		require.Greater(t, made, 3, "%d members: the turn has gone on", n)
-		before, _ := x.run(time.Second, true)
-		require.LessOrEqual(t, before, 8, "%d members: not all at once", n)
-		x.run(25*time.Second, true)
-		require.Zero(t, x.count(StoreFailing)+x.count(StoreProbing), "%d members", n)
-		x.run(recoveringDuration+2*time.Second, true)
-		require.Zero(t, x.count(StoreRecovering))
+		maxInFlight, calls = simulation.run(20*time.Second, false)
+		require.LessOrEqual(t, maxInFlight, 4, "%d members, after a loss", members)
+		require.Greater(t, calls, 3, "%d members: the turn has passed on", members)
+		maxInFlight, _ = simulation.run(time.Second, true)
+		require.LessOrEqual(t, maxInFlight, 8, "%d members: not all at once", members)
+		simulation.run(25*time.Second, true)
+		require.Zero(t, simulation.unhealthy(), "%d members", members)
+		simulation.run(recoveringDuration+2*time.Second, true)
+		require.Zero(t, simulation.count(StoreRecovering))
 	}
 }
 
-// A member that says that a dead store is back, or that a store that is well has failed, must not decide it for the
-// others; nor one whose turns never end, or whose turns are numbered beyond all measure.
+// A member that publishes that a dead store has recovered, or that a healthy one fails, does not decide that for the
+// others; nor does one whose turns never end, or whose rounds are out of range.
 func TestMisreportingMemberIsContained(t *testing.T) {
-	for what, lie := range map[string]func(i int, l *fleet.Load){
-		"back":    func(i int, l *fleet.Load) { l.StoreState = uint8(StoreRecovering) },
-		"trying":  func(i int, l *fleet.Load) { l.StoreState = uint8(StoreProbing) },
-		"turns":   func(i int, l *fleet.Load) { l.StoreState, l.ProbeRound = uint8(StoreFailing), 1<<63 },
-		"trouble": func(i int, l *fleet.Load) { l.StoreState = uint8(StoreFailing) },
+	const members, misreporting = 30, 3
+	for name, misreport := range map[string]func(load *fleet.Load){
+		"recovering": func(load *fleet.Load) { load.StoreState = uint8(StoreRecovering) },
+		"probing":    func(load *fleet.Load) { load.StoreState = uint8(StoreProbing) },
+		"rounds":     func(load *fleet.Load) { load.StoreState, load.ProbeRound = uint8(StoreFailing), 1<<63 },
+		"failing":    func(load *fleet.Load) { load.StoreState = uint8(StoreFailing) },
 	} {
-		x := newProbeSimulation(30, 4)
-		x.misreport = func(i int, l *fleet.Load) {
-			if i == 3 {
-				lie(i, l)
+		simulation := newProbeSimulation(members, 4)
+		simulation.misreport = func(member int, load *fleet.Load) {
+			if member == misreporting {
+				misreport(load)
 			}
 		}
-		x.run(10*time.Second, true)
-		require.Equal(t, 30, x.count(StoreHealthy), what)
-		for i := range x.coordinators {
-			require.Equal(t, ProbeUnlimited, x.allowances[i], what)
+		simulation.run(10*time.Second, true)
+		require.Equal(t, members, simulation.count(StoreHealthy), name)
+		for member := range members {
+			require.Equal(t, ProbeUnlimited, simulation.allowances[member], name)
 		}
-		x.run(15*time.Second, false)
-		most, made := x.run(30*time.Second, false)
-		require.LessOrEqual(t, most, 4+verifiersPerRecovered, what)
-		require.Positive(t, made, what)
-		x.run(40*time.Second, true)
-		require.Zero(t, x.count(StoreFailing)+x.count(StoreProbing), what)
+		simulation.run(15*time.Second, false)
+		maxInFlight, calls := simulation.run(30*time.Second, false)
+		require.LessOrEqual(t, maxInFlight, 4+verifiersPerRecovered, name)
+		require.Positive(t, calls, name)
+		simulation.run(40*time.Second, true)
+		require.Zero(t, simulation.unhealthy(), name)
+	}
+}
+
+func TestProbeAllowanceString(t *testing.T) {
+	for allowance, want := range map[ProbeAllowance]string{
+		ProbeUnlimited: "unlimited",
+		ProbeCautious:  "cautious",
+		ProbeSingle:    "single",
+		ProbeNone:      "none",
+	} {
+		require.Equal(t, want, allowance.String())
 	}
 }
--- a/internal/overload/quota_manager_test.go
+++ b/internal/overload/quota_manager_test.go
@@ -11,75 +11,94 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A busy member among idle ones must come to have several times its share and keep it while it needs it, must give it
-// back soon after, and idle members must not ask at all.
-func TestQuotaMovesToBusyMember(t *testing.T) {
-	const n, look = 9, 250 * time.Millisecond
-	tm := Terms{Base: 4000, Reserved: 2000, Lease: 3 * second, CallTime: 4 * second, AbandonedCallTime: second / 5}
-	var all []*QuotaManager
-	view := fleet.NewView("n0", fleet.Limits{Members: n})
-	r := rand.New(rand.NewPCG(1, 1))
-	for i := range n {
-		all = append(all, NewQuotaManager(NewQuotaLedger(0, ProcessID{fmt.Sprint("n", i), 1}, tm), r.IntN))
+// quotaFleet is a number of members that lease quota from each other; the first one may be busy.
+type quotaFleet struct {
+	terms        Terms
+	managers     []*QuotaManager
+	view         *fleet.View
+	idleMessages int // sent by the idle members on their own
+}
+
+func newQuotaFleet(members int, terms Terms) *quotaFleet {
+	random := rand.New(rand.NewPCG(1, 1))
+	quotas := &quotaFleet{terms: terms, view: fleet.NewView("n0", fleet.Limits{Members: members})}
+	for i := range members {
+		ledger := NewQuotaLedger(0, ProcessID{fmt.Sprint("n", i), 1}, terms)
+		quotas.managers = append(quotas.managers, NewQuotaManager(ledger, random.IntN))
 	}
-	tell := func(now time.Duration) {
-		for i, x := range all {
-			name := fmt.Sprint("n", i)
-			view.Merge(now, 0, fleet.Record{Name: name, Run: 1, Seq: uint64(now), Up: now, State: fleet.Serving, Load: fleet.Load{CallQuota: 4, MeanCalls: x.MeanInFlight()}})
-			view.ObserveReach(now, name, 1, fleet.Reached)
-		}
+	return quotas
+}
+
+// run plays a span of time, and returns the lowest limit that the first member had in it.
+func (f *quotaFleet) run(from, to time.Duration, busy bool) Quota {
+	const interval = 250 * time.Millisecond
+	minLimit := Quota(1 << 40)
+	for now := from; now < to; now += interval {
+		f.publishLoads(now)
+		f.deliver(now, f.tick(now, busy))
+		minLimit = min(minLimit, f.managers[0].Limit(now))
 	}
-	asked := 0
-	play := func(from, to time.Duration, busy bool) (least Quota) {
-		least = 1 << 40
-		for now := from; now < to; now += look {
-			tell(now)
-			var sent []Message
-			for i, x := range all {
-				inHand := 0
-				if i == 0 && busy {
-					inHand = int(x.Limit(now) / 1000)
-					if inHand < 10 {
-						x.CallMissed()
-					}
-				}
-				out := x.Tick(now, inHand, view.Snapshot(now), now)
-				if i > 0 {
-					asked += len(out)
-				}
-				sent = append(sent, out...)
-			}
-			for len(sent) > 0 {
-				m := sent[0]
-				sent = sent[1:]
-				for _, x := range all {
-					if answer, ok := x.Receive(now, m, 0); ok {
-						sent = append(sent, answer)
-					}
-				}
+	return minLimit
+}
+
+func (f *quotaFleet) publishLoads(now time.Duration) {
+	for i, manager := range f.managers {
+		name := fmt.Sprint("n", i)
+		load := fleet.Load{CallQuota: f.terms.Base.Calls(), MeanCalls: manager.MeanInFlight()}
+		f.view.Merge(now, 0, fleet.Record{Name: name, Run: 1, Seq: uint64(now), Up: now, State: fleet.Serving, Load: load})
+		f.view.ObserveReach(now, name, 1, fleet.Reached)
+	}
+}
+
+func (f *quotaFleet) tick(now time.Duration, busy bool) (messages []Message) {
+	const wantedCalls = 10
+	for i, manager := range f.managers {
+		inFlight := 0
+		if i == 0 && busy {
+			inFlight = int(manager.Limit(now) / quotaPerCall)
+			if inFlight < wantedCalls {
+				manager.CallMissed()
 			}
-			least = min(least, all[0].Limit(now))
 		}
-		return least
+		sent := manager.Tick(now, inFlight, f.view.Snapshot(now), now)
+		if i > 0 {
+			f.idleMessages += len(sent)
+		}
+		messages = append(messages, sent...)
 	}
-	play(10*second, 20*second, true)
-	require.GreaterOrEqual(t, play(20*second, 60*second, true), 2*tm.Base, "while it needs them")
-	play(60*second, 75*second, false)
-	require.Equal(t, tm.Base, all[0].Limit(75*second))
-	for _, x := range all {
-		require.Zero(t, x.LeasedOut(75*second))
+	return messages
+}
+
+// deliver hands out messages, and the answers to them.
+func (f *quotaFleet) deliver(now time.Duration, messages []Message) {
+	for len(messages) > 0 {
+		message := messages[0]
+		messages = messages[1:]
+		for _, manager := range f.managers {
+			if answer, ok := manager.Receive(now, message, 0); ok {
+				messages = append(messages, answer)
+			}
+		}
 	}
-	require.Zero(t, asked)
 }
 
-func TestMessageRoundTrip(t *testing.T) {
-	m := Message{Kind: LeaseGrant, From: ProcessID{"n1", 7}, To: ProcessID{"n2", 1 << 60}, Number: 9, Amount: 250}
-	got, err := ParseMessage(AppendMessage(nil, m))
-	require.NoError(t, err)
-	require.Equal(t, m, got)
-	for _, b := range [][]byte{nil, []byte("noise"), make([]byte, MaxMessageSize+1), AppendMessage(nil, Message{Kind: 9, From: m.From, To: m.To}),
-		AppendMessage(nil, Message{Kind: LeaseRequest, To: m.To})} {
-		_, err := ParseMessage(b)
-		require.Error(t, err)
+// A busy member among idle ones gets several times its quota and keeps it while it needs it, and returns it soon after;
+// idle members do not request any.
+func TestQuotaMovesToBusyMember(t *testing.T) {
+	terms := Terms{
+		Base:              4000,
+		Reserved:          2000,
+		Lease:             3 * time.Second,
+		CallTime:          4 * time.Second,
+		AbandonedCallTime: time.Second / 5,
+	}
+	quotas := newQuotaFleet(9, terms)
+	quotas.run(10*time.Second, 20*time.Second, true)
+	require.GreaterOrEqual(t, quotas.run(20*time.Second, 60*time.Second, true), 2*terms.Base, "while it needs them")
+	quotas.run(60*time.Second, 75*time.Second, false)
+	require.Equal(t, terms.Base, quotas.managers[0].Limit(75*time.Second))
+	for _, manager := range quotas.managers {
+		require.Zero(t, manager.LeasedOut(75*time.Second))
 	}
+	require.Zero(t, quotas.idleMessages)
 }
--- /dev/null
+++ b/internal/overload/retries_test.go
@@ -0,0 +1,142 @@
+package overload
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"falldeal/internal/fleet"
+
+	"github.com/stretchr/testify/require"
+)
+
+// retrySimulation is a number of servers whose clients retry at another one, and that report attempts to each other.
+type retrySimulation struct {
+	random     *rand.Rand
+	counters   []*RetryCounter
+	retryRatio float64 // probability of a further attempt
+	lossRatio  float64 // of reports
+	dead       int     // the member that was lost; noMember until then
+	attempts   float64 // that reached a server
+	requests   float64 // of which at least one attempt did
+}
+
+func newRetrySimulation(members int, retryRatio, lossRatio float64) *retrySimulation {
+	simulation := &retrySimulation{
+		random:     rand.New(rand.NewPCG(5, uint64(members))),
+		retryRatio: retryRatio,
+		lossRatio:  lossRatio,
+		dead:       noMember,
+	}
+	for range members {
+		simulation.counters = append(simulation.counters, NewRetryCounter())
+	}
+	return simulation
+}
+
+// run simulates 20 seconds, with the loss of a member in the middle: what it has counted is lost, and what it would have
+// counted goes to others.
+func (s *retrySimulation) run(t *testing.T) {
+	t.Helper()
+	const end, lossAt, requestsPerMember, lost = 20 * time.Second, 10 * time.Second, 60, 2
+	for now := time.Second; now < end; now += time.Second {
+		if now == lossAt {
+			s.dead = lost
+			s.counters[lost] = NewRetryCounter()
+		}
+		for range requestsPerMember * len(s.counters) {
+			s.request(now)
+		}
+		for member := range s.counters {
+			s.sendReports(t, now, member)
+		}
+	}
+}
+
+// request plays all attempts of a request, each at a random server.
+func (s *retrySimulation) request(now time.Duration) {
+	fingerprint := Fingerprint("preview", "k", "", s.random.IntN(6), s.random.Float64(), s.random.Float64())
+	reached := false
+	for {
+		member := s.random.IntN(len(s.counters))
+		if member != s.dead {
+			reached = true
+			s.attempts++
+			s.counters[member].Arrived(now, fingerprint)
+		}
+		if s.random.Float64() >= s.retryRatio {
+			break
+		}
+	}
+	if reached {
+		s.requests++
+	}
+}
+
+// sendReports delivers the reports of a member, of which some are lost.
+func (s *retrySimulation) sendReports(t *testing.T, now time.Duration, member int) {
+	t.Helper()
+	reports := s.counters[member].Tick(now, s.view(now, member))
+	require.LessOrEqual(t, len(reports), 4*targetReportRate)
+	for _, report := range reports {
+		attempts, ok := ParseReport(AppendReport(nil, report))
+		require.True(t, ok)
+		require.Equal(t, report.Attempts, attempts)
+		if s.random.Float64() >= s.lossRatio {
+			s.counters[report.To.Run-1].HandleReport(now, attempts)
+		}
+	}
+}
+
+func (s *retrySimulation) view(now time.Duration, observer int) *fleet.Snapshot {
+	view := viewOf(len(s.counters), now, func(int) fleet.Load { return fleet.Load{} })
+	setObserver(view, observer)
+	for i := range view.Members {
+		if view.Members[i].Name == fmt.Sprint("n", s.dead) {
+			view.Members[i].Liveness = fleet.Dead
+		}
+	}
+	return view
+}
+
+// Retries that nobody marks are counted within a stated error by members that each see a part of them, though some
+// reports are lost and a member that counts dies.
+func TestRetryCounterAccuracy(t *testing.T) {
+	for _, test := range []struct {
+		members               int
+		retryRatio, lossRatio float64
+		maxError              float64
+	}{
+		{5, 0, 0, 0.01},
+		{5, 0.5, 0, 0.05},
+		{12, 0.3, 0, 0.05},
+		{12, 0.6, 0.05, 0.08},
+		{100, 0.4, 0, 0.05},
+	} {
+		simulation := newRetrySimulation(test.members, test.retryRatio, test.lossRatio)
+		simulation.run(t)
+		var attemptRate, counted float64
+		for _, counter := range simulation.counters {
+			attemptRate += counter.AttemptRate()
+			counted += counter.AttemptRate() * counter.RetryRatio()
+			require.LessOrEqual(t, len(counter.tracked), maxTrackedRequests)
+		}
+		exact := 1 - simulation.requests/simulation.attempts
+		require.InDelta(t, exact, counted/attemptRate, test.maxError,
+			"%d members, %.0f%% retries", test.members, 100*test.retryRatio)
+	}
+}
+
+// A rejected request is remembered for a while, and no more than a bounded number is.
+func TestRetryCounterRemembersRejections(t *testing.T) {
+	counter := NewRetryCounter()
+	require.False(t, counter.Arrived(0, 7))
+	counter.Rejected(0, 7)
+	require.True(t, counter.Arrived(rejectionMemory-1, 7))
+	require.False(t, counter.Arrived(rejectionMemory, 7))
+	for fingerprint := range uint64(3 * maxRejections) {
+		counter.Rejected(0, fingerprint)
+	}
+	require.Len(t, counter.rejected, maxRejections)
+}
