--- /dev/null
+++ b/internal/overload/attempt_age_test.go
@@ -0,0 +1,107 @@
+package overload
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// firstTimeout draws how long the client of a first attempt waits.
+type firstTimeout func(random *rand.Rand) time.Duration
+
+func alwaysFourSeconds(*rand.Rand) time.Duration { return 4 * time.Second }
+
+func oneOfThree(random *rand.Rand) time.Duration {
+	return []time.Duration{4000 * time.Millisecond, 5800 * time.Millisecond, 480 * time.Millisecond}[random.IntN(3)]
+}
+
+func nearFourSeconds(random *rand.Rand) time.Duration {
+	return 4*time.Second - time.Duration(random.IntN(9))*time.Millisecond
+}
+
+func anyTimeout(random *rand.Rand) time.Duration {
+	return time.Duration(100+random.IntN(60000)) * time.Millisecond
+}
+
+// ageCounts says how many attempts were taken for what.
+type ageCounts struct {
+	first, firstTakenForLater int
+	later, laterKnown         int
+}
+
+// estimateAges plays requests whose clients limit the time over all attempts, and counts what the estimator finds. Check
+// is called for each later attempt.
+func estimateAges(
+	estimator *AgeEstimator, timeout firstTimeout, check func(age, estimate time.Duration),
+) (counts ageCounts) {
+	const requests, learning = 4000, 200
+	random := rand.New(rand.NewPCG(1, 9))
+	for request := range requests {
+		now := time.Duration(request) * 20 * time.Millisecond
+		first := timeout(random)
+		for age := time.Duration(0); age < first; age += time.Duration(30+random.IntN(1500)) * time.Millisecond {
+			estimate := estimator.Age(now, "preview", first-age)
+			if request < learning {
+				continue
+			}
+			counts.count(age, estimate)
+			if age > 0 {
+				check(age, estimate)
+			}
+			if random.IntN(2) == 0 {
+				break
+			}
+		}
+	}
+	return counts
+}
+
+func (c *ageCounts) count(age, estimate time.Duration) {
+	switch {
+	case age == 0 && estimate > 0:
+		c.firstTakenForLater++
+	case age == 0:
+		c.first++
+	default:
+		c.later++
+		if estimate > 0 {
+			c.laterKnown++
+		}
+	}
+}
+
+// If clients wait for a few different times over all attempts, later attempts are found and not taken for older than
+// they are; if the timeouts say nothing, nothing is read into them.
+func TestAgeEstimator(t *testing.T) {
+	for name, test := range map[string]struct {
+		timeout  firstTimeout
+		minKnown float64 // part of the later attempts
+		exact    bool    // the only timeout: the age is exact
+	}{
+		"one timeout":       {alwaysFourSeconds, 0.97, true},
+		"three timeouts":    {oneOfThree, 0.9, false},
+		"a little off":      {nearFourSeconds, 0.95, false},
+		"all are different": {anyTimeout, 0, false},
+	} {
+		estimator := NewAgeEstimator()
+		counts := estimateAges(estimator, test.timeout, func(age, estimate time.Duration) {
+			require.LessOrEqual(t, estimate, age+2*timeoutBucketWidth, name)
+			if test.exact && estimate > 0 {
+				require.InDelta(t, age, estimate, float64(2*timeoutBucketWidth), name)
+			}
+		})
+		require.GreaterOrEqual(t, float64(counts.laterKnown), test.minKnown*float64(counts.later), name)
+		wrong := float64(counts.firstTakenForLater)
+		require.LessOrEqual(t, wrong, 0.01*(float64(counts.first)+wrong), name)
+		for _, histogram := range estimator.classes {
+			require.LessOrEqual(t, len(histogram.counts), maxTimeoutBuckets)
+		}
+	}
+	estimator := NewAgeEstimator()
+	for class := range 3 * maxEstimatedClasses {
+		estimator.Age(0, string(rune('a'+class)), time.Second)
+	}
+	require.Len(t, estimator.classes, maxEstimatedClasses)
+}
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -1,191 +1,245 @@
 package overload
 
 import (
-	"cmp"
 	"time"
 
 	"falldeal/internal/fleet"
 )
 
-// How a fleet tries a store that does not answer. All of these are ours; the page on probes has what was measured.
+// Tuning of coordinated probes. The values are our own; docs/probes.md has the measurements.
 const (
-	failsAlone  = 6                // failures in a row after which a member that nobody warned has trouble; as the breaker
-	failsWarned = 1                // and one that was warned by others
-	fewestAgree = 2                // members in trouble, at least, by which a store is taken to be the cause
-	agreePart   = 10               // and one in so many
-	turnFor     = 2 * time.Second  // that a member has the turn
-	turnLost    = 5 * time.Second  // after which a turn of which nothing is heard goes to the next
-	stepWidth   = 3                // members that check for each one that is back
-	backFor     = 30 * time.Second // for which a member says that it is back
-	mostTurns   = 1 << 40          // a greater number is nobody's
+	failureThreshold       = 6                // consecutive failures until a store counts as failing; as in the breaker
+	warnedFailureThreshold = 1                // the same after other members' warning
+	minUnhealthyMembers    = 2                // at least so many must be unhealthy for the store to be the cause
+	unhealthyQuorumDivisor = 10               // and one member in so many
+	probeTurnDuration      = 2 * time.Second  // of a member's turn
+	probeTurnTimeout       = 5 * time.Second  // after which a turn that nothing is heard of passes on
+	verifiersPerRecovered  = 3                // members that verify the store for each one that has recovered
+	recoveringDuration     = 30 * time.Second // for which a member publishes that it has recovered
+	maxProbeRound          = 1 << 40          // rounds from here on are not believed
 )
 
-// StoreState is how a member stands to its store, as it tells it.
+// StoreState is the state of a store as one member finds it, and publishes it.
 type StoreState uint8
 
+// The states of a store, as they are encoded.
 const (
-	StoreHealthy    StoreState = iota // as far as it knows
-	StoreFailing                      // its calls fail
-	StoreProbing                      // they do, and it has the turn to try
-	StoreRecovering                   // they did, and succeed again
+	StoreHealthy    StoreState = iota // as far as the member knows
+	StoreFailing                      // calls fail
+	StoreProbing                      // calls fail, and it is this member's turn to probe
+	StoreRecovering                   // calls succeed again
 )
 
-var storeStates = [...]string{"fine", "trouble", "trying", "back"}
+var storeStateNames = [...]string{"fine", "trouble", "trying", "back"}
 
-func (s StoreState) String() string { return storeStates[min(int(s), len(storeStates)-1)] }
+func (s StoreState) String() string { return storeStateNames[min(int(s), len(storeStateNames)-1)] }
 
-// ProbeAllowance is what a member may try of its store.
+// ProbeAllowance limits the calls that a member may make to probe its store.
 type ProbeAllowance uint8
 
+// The allowances.
 const (
-	ProbeUnlimited ProbeAllowance = iota // what it does alone
-	ProbeCautious                        // the first failure counts: others have warned
+	ProbeUnlimited ProbeAllowance = iota // as the member's own breaker allows
+	ProbeCautious                        // the same, but the first failure counts: other members have warned
 	ProbeSingle                          // one call at a time
 	ProbeNone
 )
 
-// ProbeCoordinator decides who tries a store that does not answer: one member at a time in each zone, by turns that go on when
-// whoever has one is lost, instead of each as often as its own breaker lets through. Whoever finds that the store answers
-// says so; then some others check, each for itself, and more for each that finds the same. So nobody can open or close
-// it for all. Members of one zone with one store are a group: a store that is slow from one zone only is tried, and
-// found, by that zone. It belongs to one goroutine.
+var probeAllowanceNames = [...]string{"unlimited", "cautious", "single", "none"}
+
+func (a ProbeAllowance) String() string {
+	return probeAllowanceNames[min(int(a), len(probeAllowanceNames)-1)]
+}
+
+// ProbeCoordinator decides which members probe a store that does not respond. Members of one zone with the same store
+// are a group, so that a store that is slow from one zone only is probed, and found again, by that zone.
+//
+// In a group one member probes at a time, in numbered rounds that pass on if the member is lost, instead of each as
+// often as its own breaker allows. A member whose probe succeeds publishes that; then some others verify it with probes
+// of their own, and more for each one that succeeds. So no single member can open or close the store for all.
+//
+// It belongs to one goroutine.
 type ProbeCoordinator struct {
-	run     uint64
-	zone    string
-	store   uint32
-	state   StoreState
-	since   time.Duration
-	fails   int // in a row
-	oks     int // since the trouble began
-	round   uint64
-	roundAt time.Duration // when that was heard of
-	agreed  int           // members of the group in trouble, this one included
-}
-
-// NewProbeCoordinator begins with a store that is taken to be well.
+	run                 uint64
+	zone                string
+	storeID             uint32
+	state               StoreState
+	stateSince          time.Duration
+	consecutiveFailures int
+	successes           int // since the state changed
+	round               uint64
+	roundSince          time.Duration // when this member learned of the round
+	unhealthyMembers    int           // of the group
+}
+
+// NewProbeCoordinator returns a coordinator for a process, with a store that is assumed to be healthy.
 func NewProbeCoordinator(run uint64, zone string) *ProbeCoordinator {
 	return &ProbeCoordinator{run: run, zone: zone}
 }
 
-// State is how this member stands to its store, and Agreed how many members of its group are in trouble.
-func (p *ProbeCoordinator) State() StoreState     { return p.state }
-func (p *ProbeCoordinator) UnhealthyMembers() int { return p.agreed }
+// State returns the state of the store as this member finds it.
+func (p *ProbeCoordinator) State() StoreState { return p.state }
 
-// AddToLoad adds to a word what others go by.
-func (p *ProbeCoordinator) AddToLoad(l *fleet.Load) {
-	l.StoreState, l.StoreID, l.ProbeRound = uint8(p.state), p.store, p.round
+// UnhealthyMembers returns how many members of the group find the store failing, with this one if it does.
+func (p *ProbeCoordinator) UnhealthyMembers() int { return p.unhealthyMembers }
+
+// AddToLoad adds what other members need for their decisions to the load that this one publishes.
+func (p *ProbeCoordinator) AddToLoad(load *fleet.Load) {
+	load.StoreState, load.StoreID, load.ProbeRound = uint8(p.state), p.storeID, p.round
 }
 
-// CallEnded notes that a call has ended; ok: with an answer in time.
+// CallEnded notes the end of a call; ok if it was answered in time.
 func (p *ProbeCoordinator) CallEnded(ok bool) {
 	if ok {
-		p.fails = 0
-		p.oks++
+		p.consecutiveFailures = 0
+		p.successes++
 	} else {
-		p.fails++
+		p.consecutiveFailures++
 	}
 }
 
-// Tick is taken a few times a second. It returns what this member may try now.
-func (p *ProbeCoordinator) Tick(now time.Duration, store uint32, view *fleet.Snapshot, at time.Duration) ProbeAllowance {
-	if store != p.store { // the configuration names another one
-		*p = ProbeCoordinator{run: p.run, zone: p.zone, store: store}
+// Tick returns what this member may probe now. It is called a few times a second. Now is on the clock of this server, at
+// is the time of the view. Another storeID, after a reload of the settings, starts afresh.
+func (p *ProbeCoordinator) Tick(
+	now time.Duration, storeID uint32, view *fleet.Snapshot, at time.Duration,
+) ProbeAllowance {
+	if storeID != p.storeID {
+		*p = ProbeCoordinator{run: p.run, zone: p.zone, storeID: storeID}
+	}
+	group := p.group(view, at)
+	if p.state == StoreFailing || p.state == StoreProbing {
+		return p.tickUnhealthy(now, &group)
 	}
-	fresh := fleet.Fresh(len(view.Members))
-	all, back := 1, 0
-	var ill []*fleet.Member // of the group, in trouble
+	return p.tickHealthy(now, &group)
+}
+
+// probeGroup is what is known of the other members of a group.
+type probeGroup struct {
+	size      int             // this member included
+	unhealthy []*fleet.Member // that find the store failing
+	recovered int
+}
+
+// quorum returns how many members must find the store failing for it to be the cause.
+func (g *probeGroup) quorum() int { return max(minUnhealthyMembers, g.size/unhealthyQuorumDivisor) }
+
+// group returns the other members of this member's group whose load is recent.
+func (p *ProbeCoordinator) group(view *fleet.Snapshot, at time.Duration) probeGroup {
+	maxAge := fleet.Fresh(len(view.Members))
+	group := probeGroup{size: 1}
 	for i := range view.Members {
-		m := &view.Members[i]
-		if m.Self || m.Load.StoreID != store || m.Zone != p.zone || !m.Serves(at, fresh) {
+		member := &view.Members[i]
+		if member.Self || member.Load.StoreID != p.storeID || member.Zone != p.zone || !member.Serves(at, maxAge) {
 			continue
 		}
-		all++
-		switch StoreState(m.Load.StoreState) {
+		group.size++
+		switch StoreState(member.Load.StoreState) {
 		case StoreFailing, StoreProbing:
-			ill = append(ill, m)
+			group.unhealthy = append(group.unhealthy, member)
 		case StoreRecovering:
-			back++
+			group.recovered++
+		case StoreHealthy:
 		}
 	}
-	quorum := max(fewestAgree, all/agreePart)
-	if p.state == StoreHealthy || p.state == StoreRecovering {
-		return p.well(now, quorum, ill)
+	return group
+}
+
+// tickHealthy is the tick of a member whose calls succeed, or that makes none.
+func (p *ProbeCoordinator) tickHealthy(now time.Duration, group *probeGroup) ProbeAllowance {
+	p.unhealthyMembers = len(group.unhealthy)
+	allowance, threshold := ProbeUnlimited, failureThreshold
+	if p.state == StoreHealthy && len(group.unhealthy) >= group.quorum() {
+		allowance, threshold = ProbeCautious, warnedFailureThreshold
 	}
-	p.agreed = len(ill) + 1
 	switch {
-	case p.oks > 0:
-		p.become(now, StoreRecovering)
+	case p.consecutiveFailures >= threshold:
+		p.transition(now, StoreFailing)
+		p.roundSince = now
+		for _, member := range group.unhealthy {
+			p.round = max(p.round, member.Load.ProbeRound)
+		}
+	case p.state == StoreRecovering && now-p.stateSince > recoveringDuration:
+		p.transition(now, StoreHealthy)
+	}
+	return allowance
+}
+
+// tickUnhealthy is the tick of a member whose calls fail.
+func (p *ProbeCoordinator) tickUnhealthy(now time.Duration, group *probeGroup) ProbeAllowance {
+	p.unhealthyMembers = len(group.unhealthy) + 1
+	if p.successes > 0 {
+		p.transition(now, StoreRecovering)
 		return ProbeUnlimited
-	case p.agreed < quorum: // it may be this member's own
+	}
+	if p.unhealthyMembers < group.quorum() { // the cause may be this member
 		p.state = StoreFailing
 		return ProbeUnlimited
 	}
-	if p.hasTurn(now, ill) || back > 0 && p.rank(ill) < stepWidth*back {
+	if p.takeTurn(now, group.unhealthy) || p.verifies(group) {
 		return ProbeSingle
 	}
 	return ProbeNone
 }
 
-// well is the turn of a member whose calls succeed, or that makes none.
-func (p *ProbeCoordinator) well(now time.Duration, quorum int, ill []*fleet.Member) ProbeAllowance {
-	p.agreed = len(ill)
-	leak, most := ProbeUnlimited, failsAlone
-	if p.state == StoreHealthy && len(ill) >= quorum {
-		leak, most = ProbeCautious, failsWarned
-	}
-	switch {
-	case p.fails >= most:
-		p.become(now, StoreFailing)
-		p.roundAt = now
-		for _, m := range ill {
-			p.round = max(p.round, m.Load.ProbeRound)
-		}
-	case p.state == StoreRecovering && now-p.since > backFor:
-		p.become(now, StoreHealthy)
-	}
-	return leak
+// transition changes the state and forgets the calls that led to it.
+func (p *ProbeCoordinator) transition(now time.Duration, state StoreState) {
+	p.state, p.stateSince = state, now
+	p.consecutiveFailures, p.successes = 0, 0
 }
 
-func (p *ProbeCoordinator) become(now time.Duration, s StoreState) {
-	p.state, p.since, p.fails, p.oks = s, now, 0, 0
+// takeTurn reports whether it is this member's turn to probe, and begins or ends the turn.
+func (p *ProbeCoordinator) takeTurn(now time.Duration, unhealthy []*fleet.Member) bool {
+	p.updateRound(now, unhealthy)
+	switch {
+	case !p.holdsRound(unhealthy):
+		p.state = StoreFailing
+		return false
+	case p.state != StoreProbing:
+		p.state, p.stateSince, p.successes = StoreProbing, now, 0
+	case now-p.stateSince > probeTurnDuration:
+		p.state = StoreFailing
+		p.startRound(now, p.round+1)
+		return false
+	}
+	return true
 }
 
-// hasTurn reports whether the turn is this member's. Turns are numbered; the number names one of those in trouble.
-func (p *ProbeCoordinator) hasTurn(now time.Duration, ill []*fleet.Member) bool {
-	for _, m := range ill {
-		if m.Load.ProbeRound > p.round && m.Load.ProbeRound < mostTurns {
-			p.round, p.roundAt = m.Load.ProbeRound, now
+// updateRound takes the latest round that is published, and starts the next one if a round has timed out.
+func (p *ProbeCoordinator) updateRound(now time.Duration, unhealthy []*fleet.Member) {
+	for _, member := range unhealthy {
+		if round := member.Load.ProbeRound; round > p.round && round < maxProbeRound {
+			p.startRound(now, round)
 		}
 	}
-	if now-p.roundAt > turnLost {
-		p.round, p.roundAt = p.round+1, now
+	if now-p.roundSince > probeTurnTimeout {
+		p.startRound(now, p.round+1)
 	}
-	mine, holder := mix(p.run^mix(p.round)), true
-	for _, m := range ill {
-		if h := mix(m.Run ^ mix(p.round)); cmp.Compare(h, mine) > 0 {
-			holder = false
-			break
+}
+
+func (p *ProbeCoordinator) startRound(now time.Duration, round uint64) {
+	p.round, p.roundSince = round, now
+}
+
+// holdsRound reports whether the round names this member: whether it has the highest hash of the unhealthy members.
+func (p *ProbeCoordinator) holdsRound(unhealthy []*fleet.Member) bool {
+	seed := mix(p.round)
+	ownHash := mix(p.run ^ seed)
+	for _, member := range unhealthy {
+		if mix(member.Run^seed) > ownHash {
+			return false
 		}
 	}
-	switch {
-	case !holder:
-		p.state = StoreFailing
-	case p.state != StoreProbing:
-		p.state, p.since, p.oks = StoreProbing, now, 0
-	case now-p.since > turnFor:
-		p.state, p.round, p.roundAt = StoreFailing, p.round+1, now
-		holder = false
-	}
-	return holder
+	return true
 }
 
-// rank is how many of those in trouble check before this member does.
-func (p *ProbeCoordinator) rank(ill []*fleet.Member) (n int) {
-	mine := mix(p.run)
-	for _, m := range ill {
-		if mix(m.Run) < mine {
-			n++
+// verifies reports whether this member is one of those that verify a recovery: the first by a hash, some for each member
+// that has recovered.
+func (p *ProbeCoordinator) verifies(group *probeGroup) bool {
+	rank, ownHash := 0, mix(p.run)
+	for _, member := range group.unhealthy {
+		if mix(member.Run) < ownHash {
+			rank++
 		}
 	}
-	return n
+	return rank < verifiersPerRecovered*group.recovered
 }
