--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -5,57 +5,57 @@
 // Change is one thing that differs between two snapshots, for the log.
 type Change struct {
 	Member   string // or zone; empty for the fleet as a whole
-	What     string // joined, restarted, forgotten, condition, version, config, zone, position
+	Kind     string // joined, restarted, forgotten, condition, version, config, zone, position
 	From, To string
 	Age      time.Duration // of the word that told it
 }
 
 // Changes returns what differs from old to s, in the order of names. How much members have to do is not among it.
-func (s *Snapshot) Changes(old *Snapshot) (all []Change) {
+func (s *Snapshot) Changes(previous *Snapshot) (changes []Change) {
 	i := 0
 	for j := range s.Members {
-		m := &s.Members[j]
-		for ; i < len(old.Members) && old.Members[i].Name < m.Name; i++ {
-			all = append(all, Change{Member: old.Members[i].Name, What: "forgotten", From: old.Members[i].Condition()})
+		member := &s.Members[j]
+		for ; i < len(previous.Members) && previous.Members[i].Name < member.Name; i++ {
+			changes = append(changes, Change{Member: previous.Members[i].Name, Kind: "forgotten", From: previous.Members[i].Condition()})
 		}
 		add := func(what, from, to string) {
 			if from != to {
-				all = append(all, Change{m.Name, what, from, to, m.Age(s.At)})
+				changes = append(changes, Change{member.Name, what, from, to, member.Age(s.At)})
 			}
 		}
-		if i == len(old.Members) || old.Members[i].Name > m.Name {
-			add("joined", "", m.Condition())
+		if i == len(previous.Members) || previous.Members[i].Name > member.Name {
+			add("joined", "", member.Condition())
 			continue
 		}
-		o := &old.Members[i]
+		before := &previous.Members[i]
 		i++
-		if o.Run != m.Run {
-			add("restarted", Process(o.Name, o.Run), Process(m.Name, m.Run))
+		if before.Run != member.Run {
+			add("restarted", Process(before.Name, before.Run), Process(member.Name, member.Run))
 		}
-		add("condition", o.Condition(), m.Condition())
-		if o.Seq > 0 {
-			add("version", o.Version, m.Version)
-			if o.Config != m.Config {
-				add("config", hex(o.Config), hex(m.Config))
+		add("condition", before.Condition(), member.Condition())
+		if before.Seq > 0 {
+			add("version", before.Version, member.Version)
+			if before.Config != member.Config {
+				add("config", formatDigest(before.Config), formatDigest(member.Config))
 			}
 		}
 	}
-	for ; i < len(old.Members); i++ {
-		all = append(all, Change{Member: old.Members[i].Name, What: "forgotten", From: old.Members[i].Condition()})
+	for ; i < len(previous.Members); i++ {
+		changes = append(changes, Change{Member: previous.Members[i].Name, Kind: "forgotten", From: previous.Members[i].Condition()})
 	}
 	for k := range s.Zones {
-		z := &s.Zones[k]
-		if was := old.find(z.Region, z.Zone); was != nil && was.Unreachable() != z.Unreachable() {
-			all = append(all, Change{z.Zone, "zone", light(was.Unreachable()), light(z.Unreachable()), 0})
+		zone := &s.Zones[k]
+		if before := previous.zoneNamed(zone.Region, zone.Zone); before != nil && before.Unreachable() != zone.Unreachable() {
+			changes = append(changes, Change{zone.Zone, "zone", describeReachability(before.Unreachable()), describeReachability(zone.Unreachable()), 0})
 		}
 	}
-	if old.Position != s.Position {
-		all = append(all, Change{"", "position", old.Position.String(), s.Position.String(), 0})
+	if previous.Position != s.Position {
+		changes = append(changes, Change{"", "position", previous.Position.String(), s.Position.String(), 0})
 	}
-	return all
+	return changes
 }
 
-func (s *Snapshot) find(region, zone string) *Zone {
+func (s *Snapshot) zoneNamed(region, zone string) *Zone {
 	for i := range s.Zones {
 		if z := &s.Zones[i]; z.Region == region && z.Zone == zone {
 			return z
@@ -64,14 +64,14 @@
 	return nil
 }
 
-func light(dark bool) string {
-	if dark {
+func describeReachability(unreachable bool) string {
+	if unreachable {
 		return "half or more silent"
 	}
 	return "reached"
 }
 
-func hex(v uint64) string {
+func formatDigest(v uint64) string {
 	const digits = "0123456789abcdef"
 	b := make([]byte, 16)
 	for i := range b {
--- a/internal/fleet/explore_test.go
+++ b/internal/fleet/explore_test.go
@@ -17,98 +17,98 @@
 
 // world is one state: two processes that live, unless the second has not been started, and all words ever told.
 type world struct {
-	now  time.Duration
-	live []*Self
-	said []Record
+	now       time.Duration
+	processes []*Self
+	updates   []Record
 }
 
 func (w *world) clone() *world {
-	c := &world{now: w.now, said: slices.Clone(w.said)}
-	for _, s := range w.live {
-		x := *s
-		x.rivals = maps.Clone(s.rivals)
-		c.live = append(c.live, &x)
+	clone := &world{now: w.now, updates: slices.Clone(w.updates)}
+	for _, s := range w.processes {
+		process := *s
+		process.rivals = maps.Clone(s.rivals)
+		clone.processes = append(clone.processes, &process)
 	}
-	return c
+	return clone
 }
 
 func (w *world) key() string {
-	k := fmt.Sprint(w.now, w.said)
-	for _, s := range w.live {
-		k += fmt.Sprint(s.rec, s.yielded, s.rivals)
+	k := fmt.Sprint(w.now, w.updates)
+	for _, s := range w.processes {
+		k += fmt.Sprint(s.record, s.released, s.rivals)
 	}
 	return k
 }
 
-// steps is all that may happen in a state. Plant may change what is heard.
-func steps(plant func(to *Self, r Record) Record) func(*world) []modelcheck.Step[*world] {
-	return func(from *world) (all []modelcheck.Step[*world]) {
+// nextSteps is all that may happen in a state. Plant may change what is heard.
+func nextSteps(alter func(to *Self, r Record) Record) func(*world) []modelcheck.Step[*world] {
+	return func(from *world) (next []modelcheck.Step[*world]) {
 		add := func(name string, do func(*world)) {
 			w := from.clone()
 			do(w)
-			all = append(all, modelcheck.Step[*world]{Name: name, To: w})
+			next = append(next, modelcheck.Step[*world]{Name: name, To: w})
 		}
-		add("wait", func(w *world) { w.now += yieldAfter })
-		for i := range from.live {
-			if !from.live[i].NameReleased() {
-				add(fmt.Sprintf("%d tells", i), func(w *world) { w.said = append(w.said, w.live[i].NextRecord(w.now)) })
+		add("wait", func(w *world) { w.now += conflictTimeout })
+		for i := range from.processes {
+			if !from.processes[i].NameReleased() {
+				add(fmt.Sprintf("%d tells", i), func(w *world) { w.updates = append(w.updates, w.processes[i].NextRecord(w.now)) })
 			}
-			for j := range from.said {
-				add(fmt.Sprintf("%d hears %d", i, j), func(w *world) { r := plant(w.live[i], w.said[j]); w.live[i].Receive(w.now, &r) })
+			for j := range from.updates {
+				add(fmt.Sprintf("%d hears %d", i, j), func(w *world) { r := alter(w.processes[i], w.updates[j]); w.processes[i].Receive(w.now, &r) })
 			}
 		}
-		return all
+		return next
 	}
 }
 
-func honest(_ *Self, r Record) Record { return r }
+func unchanged(_ *Self, r Record) Record { return r }
 
-func TestNamesExplored(t *testing.T) {
+func TestNameConflictsExplored(t *testing.T) {
 	self := func(run, inc uint64) *Self { return NewSelf(0, Place{Name: "n1", Run: run}, 0, inc) }
 	predecessor := self(1, 9)
 	old := []Record{predecessor.NextRecord(0), predecessor.NextRecord(time.Second), predecessor.LeaveRecord(2 * time.Second)}
-	lone := func() *world { return &world{live: []*Self{self(2, 5)}, said: slices.Clone(old)} }
-	twins := func() *world { return &world{live: []*Self{self(2, 9), self(3, 9)}, said: old[:1]} }
+	lone := func() *world { return &world{processes: []*Self{self(2, 5)}, updates: slices.Clone(old)} }
+	twins := func() *world { return &world{processes: []*Self{self(2, 9), self(3, 9)}, updates: old[:1]} }
 	leaves := func(w *world) string {
-		if len(w.live) == 1 && w.live[0].NameReleased() {
+		if len(w.processes) == 1 && w.processes[0].NameReleased() {
 			return "a process yields to one that is dead"
 		}
-		if len(w.live) == 2 && w.live[0].NameReleased() {
+		if len(w.processes) == 2 && w.processes[0].NameReleased() {
 			return "the earlier of two yields"
 		}
 		return ""
 	}
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		start *world
 		depth int
 	}{"a predecessor's words": {lone(), 9}, "two at once": {twins(), 6}} {
-		found := modelcheck.Visit(c.start, c.depth, steps(honest), (*world).key, leaves)
+		found := modelcheck.Visit(testCase.start, testCase.depth, nextSteps(unchanged), (*world).key, leaves)
 		require.Empty(t, found.Why, "%s: %v", name, found.Steps)
-		t.Logf("%s: %d states within %d steps", name, found.States, c.depth)
+		t.Logf("%s: %d states within %d steps", name, found.States, testCase.depth)
 	}
 
 	// Planted: a protocol without proof of life, in which any word of another process counts as one.
-	found := modelcheck.Visit(lone(), 9, steps(func(to *Self, r Record) Record { r.Supersedes = to.rec.Run; return r }), (*world).key, leaves)
+	found := modelcheck.Visit(lone(), 9, nextSteps(func(to *Self, r Record) Record { r.Supersedes = to.record.Run; return r }), (*world).key, leaves)
 	require.NotEmpty(t, found.Why)
 	t.Logf("planted fault found: %s, by %v", found.Why, found.Steps)
 
 	// From wherever two processes got to, once they hear one another one of them is left, and its word is the greatest.
-	modelcheck.Visit(twins(), 4, steps(honest), (*world).key, func(w *world) string {
-		c := w.clone()
+	modelcheck.Visit(twins(), 4, nextSteps(unchanged), (*world).key, func(w *world) string {
+		testCase := w.clone()
 		for range 8 {
-			for i, s := range c.live {
+			for i, s := range testCase.processes {
 				if !s.NameReleased() {
-					c.said = append(c.said, s.NextRecord(c.now))
+					testCase.updates = append(testCase.updates, s.NextRecord(testCase.now))
 				}
-				for _, r := range c.said[max(len(c.said)-3, 0):] {
-					c.live[1-i].Receive(c.now, &r)
+				for _, r := range testCase.updates[max(len(testCase.updates)-3, 0):] {
+					testCase.processes[1-i].Receive(testCase.now, &r)
 				}
 			}
-			c.now += time.Second
+			testCase.now += time.Second
 		}
-		require.True(t, !c.live[0].NameReleased() && c.live[1].NameReleased())
-		last := c.live[0].NextRecord(c.now)
-		for _, r := range c.said {
+		require.True(t, !testCase.processes[0].NameReleased() && testCase.processes[1].NameReleased())
+		last := testCase.processes[0].NextRecord(testCase.now)
+		for _, r := range testCase.updates {
 			require.True(t, r.Less(&last))
 		}
 		return ""
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -19,7 +19,7 @@
 var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
 
 const (
-	goldenWords   = "testdata/words.hex"
+	goldenUpdates = "testdata/words.hex"
 	goldenReport  = "testdata/report.json"
 	goldenChanges = "testdata/changes.txt"
 	goldenNames   = "testdata/names.txt"
@@ -52,8 +52,8 @@
 	return frames
 }
 
-// wordCase is a record as it is sent. Read is what the receiver makes of it, where that differs.
-type wordCase struct {
+// updateCase is a record as it is sent. Read is what the receiver makes of it, where that differs.
+type updateCase struct {
 	name   string
 	record Record
 	age    time.Duration
@@ -82,12 +82,12 @@
 // fieldAdded is a field of a version that is newer than this one.
 var fieldAdded = string(protowire.AppendString(protowire.AppendTag(nil, 99, protowire.BytesType), "added"))
 
-// goldenWordCases has every field by itself, all of them together, and the bounds of what is sent.
-func goldenWordCases() []wordCase {
-	field := func(name string, change func(r *Record)) wordCase {
-		return wordCase{name: name, record: minimalRecord(change)}
+// goldenUpdateCases has every field by itself, all of them together, and the bounds of what is sent.
+func goldenUpdateCases() []updateCase {
+	field := func(name string, change func(r *Record)) updateCase {
+		return updateCase{name: name, record: minimalRecord(change)}
 	}
-	cases := []wordCase{
+	cases := []updateCase{
 		{name: "all fields", record: goldenRecord(), age: 1500 * time.Millisecond},
 		field("least", func(*Record) {}),
 		field("incarnation", func(r *Record) { r.Incarnation = 1796147027278 }),
@@ -128,8 +128,8 @@
 }
 
 // goldenBoundCases are the records that are not read as they were written, and the longest texts.
-func goldenBoundCases() []wordCase {
-	return []wordCase{
+func goldenBoundCases() []updateCase {
+	return []updateCase{
 		{name: "greatest age", record: minimalRecord(func(*Record) {}), age: math.MaxInt64},
 		{name: "negative times and counts", record: minimalRecord(func(r *Record) {
 			r.Up, r.Stalled, r.Load.InFlight, r.Load.Capacity = -1, -1, -1, -1
@@ -152,46 +152,46 @@
 }
 
 // The words of members must stay as they are, field by field: members of several versions live in one fleet.
-func TestGoldenWordsWritten(t *testing.T) {
+func TestGoldenUpdatesWritten(t *testing.T) {
 	var got strings.Builder
-	for _, c := range goldenWordCases() {
-		fmt.Fprintf(&got, "%s: 0x%x\n", c.name, AppendUpdate(nil, &c.record, c.age))
+	for _, testCase := range goldenUpdateCases() {
+		fmt.Fprintf(&got, "%s: 0x%x\n", testCase.name, AppendUpdate(nil, &testCase.record, testCase.age))
 	}
-	requireGolden(t, goldenWords, got.String())
+	requireGolden(t, goldenUpdates, got.String())
 }
 
 // Words that were written before must still be read, each as the record and the age that it was.
-func TestGoldenWordsRead(t *testing.T) {
-	frames, cases := readFrames(t, goldenWords), goldenWordCases()
+func TestGoldenUpdatesRead(t *testing.T) {
+	frames, cases := readFrames(t, goldenUpdates), goldenUpdateCases()
 	require.Len(t, frames, len(cases))
-	for _, c := range cases {
-		require.Contains(t, frames, c.name)
-		got, age, err := ParseUpdate(frames[c.name])
-		require.NoError(t, err, c.name)
-		want := c.record
-		if c.read != nil {
-			c.read(&want)
+	for _, testCase := range cases {
+		require.Contains(t, frames, testCase.name)
+		got, age, err := ParseUpdate(frames[testCase.name])
+		require.NoError(t, err, testCase.name)
+		want := testCase.record
+		if testCase.read != nil {
+			testCase.read(&want)
 		}
-		require.Equal(t, want, got, c.name)
-		require.Equal(t, min(c.age, mostAge), age, c.name)
+		require.Equal(t, want, got, testCase.name)
+		require.Equal(t, min(testCase.age, maxUpdateAge), age, testCase.name)
 	}
 }
 
 // The first byte tells the kinds of messages apart, of which the other one is read by another package.
 func TestGoldenKinds(t *testing.T) {
-	require.Equal(t, 1, kindWord)
+	require.Equal(t, 1, kindUpdate)
 	require.Equal(t, 2, KindDirect)
 }
 
 // goldenSnapshot has members of every standing and state, two zones and one without a name.
 func goldenSnapshot() *Snapshot {
-	v := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
-	join := func(at time.Duration, r Record, reach Reach, found Evidence) {
-		v.Merge(at, 0, r)
+	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
+	join := func(at time.Duration, r Record, reach Reach, evidence Evidence) {
+		view.Merge(at, 0, r)
 		if reach != NeverMet {
-			v.ObserveReach(at, r.Name, r.Run, reach)
+			view.ObserveReach(at, r.Name, r.Run, reach)
 		}
-		v.RecordEvidence(r.Name, r.Run, found)
+		view.RecordEvidence(r.Name, r.Run, evidence)
 	}
 	record := func(name string, state State) Record {
 		return Record{Name: name, Run: 7, Incarnation: 3, Seq: 1, Region: "eu", Zone: "eu-b", Version: "1.2.3", State: state, Load: Load{Busy: -1}}
@@ -214,8 +214,8 @@
 	stalled := record("stalled", Serving)
 	stalled.Stalled = 4 * time.Second
 	join(95*time.Second, stalled, Reached, NoEvidence)
-	v.ObserveReach(94*time.Second, "no-word", 9, Reached)
-	return v.Snapshot(100 * time.Second)
+	view.ObserveReach(94*time.Second, "no-word", 9, Reached)
+	return view.Snapshot(100 * time.Second)
 }
 
 // The view that the console gives is read by scripts and by falldeal-fleet of other versions.
@@ -242,16 +242,16 @@
 
 // A process that knows nobody else reports no word of others, and a list of itself alone.
 func TestGoldenReportAlone(t *testing.T) {
-	v := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
-	v.Merge(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Busy: -1}})
-	got, err := json.MarshalIndent(v.Snapshot(0).Report(time.Second), "", "  ")
+	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
+	view.Merge(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Busy: -1}})
+	got, err := json.MarshalIndent(view.Snapshot(0).Report(time.Second), "", "  ")
 	require.NoError(t, err)
 	requireGolden(t, "testdata/report_alone.json", string(got)+"\n")
 }
 
 // The changes between two snapshots go to the log in these words.
 func TestGoldenChanges(t *testing.T) {
-	v := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
+	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
 	record := func(name string, run uint64) Record {
 		zone := "a"
 		if name == "n4" || name == "n5" {
@@ -260,27 +260,27 @@
 		return Record{Name: name, Run: run, Seq: 1, Zone: zone, Version: "1", Config: 0xab, State: Serving}
 	}
 	join := func(at time.Duration, r Record) {
-		v.Merge(at, 0, r)
-		v.ObserveReach(at, r.Name, r.Run, Reached)
+		view.Merge(at, 0, r)
+		view.ObserveReach(at, r.Name, r.Run, Reached)
 	}
 	for _, name := range []string{"n1", "n2", "n3", "n4"} {
 		join(time.Second, record(name, 1))
 	}
-	before := v.Snapshot(2 * time.Second)
+	before := view.Snapshot(2 * time.Second)
 	join(2*time.Second, record("n5", 1))
 	join(2*time.Second, record("n2", 2))
 	reconfigured := record("n3", 1)
 	reconfigured.Seq, reconfigured.Version, reconfigured.Config, reconfigured.State = 2, "2", 0xcd, Draining
 	join(2*time.Second, reconfigured)
 	for _, name := range []string{"n4", "n5"} {
-		v.ObserveReach(2*time.Second, name, 1, Lost)
+		view.ObserveReach(2*time.Second, name, 1, Lost)
 	}
-	v.ObserveReach(2*time.Second, "n2", 2, Lost)
-	after := v.Snapshot(3 * time.Second)
+	view.ObserveReach(2*time.Second, "n2", 2, Lost)
+	after := view.Snapshot(3 * time.Second)
 	var got strings.Builder
 	for _, changes := range [][]Change{after.Changes(before), before.Changes(after)} {
-		for _, c := range changes {
-			fmt.Fprintf(&got, "member=%q what=%q from=%q to=%q age=%s\n", c.Member, c.What, c.From, c.To, c.Age)
+		for _, change := range changes {
+			fmt.Fprintf(&got, "member=%q what=%q from=%q to=%q age=%s\n", change.Member, change.Kind, change.From, change.To, change.Age)
 		}
 		got.WriteString("---\n")
 	}
@@ -290,17 +290,17 @@
 // The numbers travel or are published as figures, the names stand in reports, logs and spans.
 func TestGoldenNames(t *testing.T) {
 	var got strings.Builder
-	for s := Starting; s <= Stopped; s++ {
-		fmt.Fprintf(&got, "state %d: %s\n", s, s)
+	for state := Starting; state <= Stopped; state++ {
+		fmt.Fprintf(&got, "state %d: %s\n", state, state)
 	}
 	fmt.Fprintf(&got, "state %d: %s\nstate %d: %s\n", 0, State(0), 200, State(200))
-	for s := Unmet; s <= Left; s++ {
-		fmt.Fprintf(&got, "standing %d: %s\n", s, s)
+	for state := Unmet; state <= Left; state++ {
+		fmt.Fprintf(&got, "standing %d: %s\n", state, state)
 	}
 	for p := Alone; p <= Partitioned; p++ {
 		fmt.Fprintf(&got, "position %d: %s\n", p, p)
 	}
-	fmt.Fprintf(&got, "zone reached: %s\nzone dark: %s\n", light(false), light(true))
+	fmt.Fprintf(&got, "zone reached: %s\nzone dark: %s\n", describeReachability(false), describeReachability(true))
 	fmt.Fprintf(&got, "process: %s\n", Process("n1", 0x1a2b))
 	fmt.Fprintf(&got, "agreement: %016x\n", goldenSnapshot().Agreement())
 	requireGolden(t, goldenNames, got.String())
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -93,8 +93,8 @@
 }
 
 // Less orders the words that go by one name: the newest incarnation, then the later process, then the later word.
-func (r *Record) Less(o *Record) bool {
-	return cmp.Or(cmp.Compare(r.Incarnation, o.Incarnation), cmp.Compare(r.Run, o.Run), cmp.Compare(r.Seq, o.Seq)) < 0
+func (r *Record) Less(other *Record) bool {
+	return cmp.Or(cmp.Compare(r.Incarnation, other.Incarnation), cmp.Compare(r.Run, other.Run), cmp.Compare(r.Seq, other.Seq)) < 0
 }
 
 // Process names the process of a record: the same name started again is another one.
@@ -104,18 +104,18 @@
 func Process(name string, run uint64) string { return fmt.Sprintf("%s/%016x", name, run) }
 
 // ParseProcess is the reverse of Process.
-func ParseProcess(s string) (name string, run uint64, err error) {
-	i := len(s) - 17
-	if i < 1 || s[i] != '/' {
-		return "", 0, fmt.Errorf("%.80q names no process of a fleet", s)
+func ParseProcess(process string) (name string, run uint64, err error) {
+	separator := len(process) - 17
+	if separator < 1 || process[separator] != '/' {
+		return "", 0, fmt.Errorf("%.80q names no process of a fleet", process)
 	}
-	run, err = strconv.ParseUint(s[i+1:], 16, 64)
-	return s[:i], run, err
+	run, err = strconv.ParseUint(process[separator+1:], 16, 64)
+	return process[:separator], run, err
 }
 
 // Urgent reports whether r says something else than o, its predecessor, apart from how much there is to do.
-func (r *Record) Urgent(o *Record) bool {
-	return r.Run != o.Run || r.Incarnation != o.Incarnation || r.State != o.State || (r.Stalled > 0) != (o.Stalled > 0) ||
-		r.Load.StoreState != o.Load.StoreState ||
-		r.Version != o.Version || r.Config != o.Config || r.Addr != o.Addr || r.Zone != o.Zone || r.Region != o.Region
+func (r *Record) Urgent(previous *Record) bool {
+	return r.Run != previous.Run || r.Incarnation != previous.Incarnation || r.State != previous.State || (r.Stalled > 0) != (previous.Stalled > 0) ||
+		r.Load.StoreState != previous.Load.StoreState ||
+		r.Version != previous.Version || r.Config != previous.Config || r.Addr != previous.Addr || r.Zone != previous.Zone || r.Region != previous.Region
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -96,25 +96,25 @@
 // Report puts the snapshot into words, as of now.
 func (s *Snapshot) Report(now time.Duration) Report {
 	n := len(s.Members)
-	r := Report{Self: s.Self, Position: s.Position.String(), LastReceivedMs: s.LastReceivedMs(now), PeriodMs: Period(n).Milliseconds(),
+	report := Report{Self: s.Self, Position: s.Position.String(), LastReceivedMs: s.LastReceivedMs(now), PeriodMs: Period(n).Milliseconds(),
 		FreshMs: Fresh(n).Milliseconds(), Total: s.Total.report(), Members: make([]MemberReport, 0, n)}
 	for i := range s.Members {
-		m := &s.Members[i]
-		r.Members = append(r.Members, MemberReport{Name: m.Name, Process: m.Process(), Incarnation: m.Incarnation, Region: m.Region,
-			Zone: m.Zone, Condition: m.Condition(), ReportedState: m.State.String(), AgeMs: m.Age(now).Milliseconds(),
-			SinceMs: max(now-m.Since, 0).Milliseconds(), Version: m.Version, Config: hex(m.Config), Addr: m.Addr, Cores: m.Load.Capacity,
-			Busy: m.Load.Busy, InFlight: m.Load.InFlight, CallQuota: m.Load.CallQuota, ShedRatio: m.Load.ShedRatio, MeanCalls: m.Load.MeanCalls,
-			ServiceRate: m.Load.ServiceRate, Attempts: m.Load.Attempts, RetryRatio: m.Load.RetryRatio, Threshold: m.Load.Threshold, StoreState: m.Load.StoreState,
-			ProbeRound: m.Load.ProbeRound, PublishesAggregate: m.Load.Aggregate != "", Self: m.Self})
+		member := &s.Members[i]
+		report.Members = append(report.Members, MemberReport{Name: member.Name, Process: member.Process(), Incarnation: member.Incarnation, Region: member.Region,
+			Zone: member.Zone, Condition: member.Condition(), ReportedState: member.State.String(), AgeMs: member.Age(now).Milliseconds(),
+			SinceMs: max(now-member.Since, 0).Milliseconds(), Version: member.Version, Config: formatDigest(member.Config), Addr: member.Addr, Cores: member.Load.Capacity,
+			Busy: member.Load.Busy, InFlight: member.Load.InFlight, CallQuota: member.Load.CallQuota, ShedRatio: member.Load.ShedRatio, MeanCalls: member.Load.MeanCalls,
+			ServiceRate: member.Load.ServiceRate, Attempts: member.Load.Attempts, RetryRatio: member.Load.RetryRatio, Threshold: member.Load.Threshold, StoreState: member.Load.StoreState,
+			ProbeRound: member.Load.ProbeRound, PublishesAggregate: member.Load.Aggregate != "", Self: member.Self})
 	}
 	for i := range s.Zones {
-		r.Zones = append(r.Zones, s.Zones[i].report())
+		report.Zones = append(report.Zones, s.Zones[i].report())
 	}
-	t := s.Aggregate(now, Fresh(n))
-	again := 0.0
-	if t.Attempts > t.Retries {
-		again = t.Retries / (t.Attempts - t.Retries)
+	total := s.Aggregate(now, Fresh(n))
+	retryRatio := 0.0
+	if total.Attempts > total.Retries {
+		retryRatio = total.Retries / (total.Attempts - total.Retries)
 	}
-	r.Fresh = AggregateReport{t.Members, t.Stale, t.Capacity, t.Busy, t.InFlight, t.Oldest.Milliseconds(), t.ServiceRate, t.Attempts, again, t.MinThreshold, t.MaxThreshold, t.CallQuota, t.MeanCalls}
-	return r
+	report.Fresh = AggregateReport{total.Members, total.Stale, total.Capacity, total.Busy, total.InFlight, total.Oldest.Milliseconds(), total.ServiceRate, total.Attempts, retryRatio, total.MinThreshold, total.MaxThreshold, total.CallQuota, total.MeanCalls}
+	return report
 }
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -6,23 +6,23 @@
 
 // Bounds by which a process tells of itself.
 const (
-	// stallAfter is how long the loop may say nothing before its process says that for it: the loop speaks each
+	// stallTimeout is how long the loop may say nothing before its process says that for it: the loop speaks each
 	// second, also at rest.
-	stallAfter = 3 * time.Second
-	// yieldAfter is how long proof of a living process with the same name must go on. A process that is being
+	stallTimeout = 3 * time.Second
+	// conflictTimeout is how long proof of a living process with the same name must go on. A process that is being
 	// replaced has told within that time that it is.
-	yieldAfter  = 3 * time.Second
-	mostRivals  = 8
-	leastPeriod = time.Second
-	// wordsPerSecond is how many words of others a member can take in and pass on within one packet of 1,400 bytes
+	conflictTimeout = 3 * time.Second
+	maxRivals       = 8
+	minPeriod       = time.Second
+	// updatesPerSecond is how many words of others a member can take in and pass on within one packet of 1,400 bytes
 	// to three others five times a second, when each word has to be passed on some eight times to reach all.
-	wordsPerSecond = 25
+	updatesPerSecond = 25
 )
 
 // Period is how often a member of a fleet of that size tells how much it has to do. It grows with the fleet, so that
 // what each member sends and reads does not. Changes of another kind are told at once.
 func Period(members int) time.Duration {
-	return max(leastPeriod, time.Duration(members)*time.Second/wordsPerSecond)
+	return max(minPeriod, time.Duration(members)*time.Second/updatesPerSecond)
 }
 
 // Fresh is how old a word may be in a fleet of that size and still pass for the newest: three were missed, one in fifty
@@ -39,110 +39,112 @@
 // another process that goes by the same name is either that of a predecessor, which is overtaken, or that of a
 // process that lives beside this one, and then the one that was started later yields.
 type Self struct {
-	rec      Record
-	start    time.Duration // on this process's clock
-	heard    time.Duration // the loop's last word
-	told     time.Duration // when a word was last told
-	silenced bool          // the last word told was that the loop stands still
-	replaced bool
-	yielded  bool
-	rivals   map[uint64]rival
+	record         Record
+	startedAt      time.Duration // on this process's clock
+	lastStatus     time.Duration // the loop's last word
+	lastPublished  time.Duration // when a word was last told
+	stallPublished bool          // the last word told was that the loop stands still
+	replaced       bool
+	released       bool
+	rivals         map[uint64]rival
 }
 
 // rival is a process that has shown that it lives: it raised itself above this one.
 type rival struct {
-	since, last time.Duration // of its proofs in a row
-	seq         uint64        // of the last one
+	firstProof, lastProof time.Duration // of its proofs in a row
+	lastSeq               uint64        // of the last one
 }
 
 // NewSelf begins at now, with an incarnation that goes by the system's clock: that of a predecessor is lower, unless
 // the clock was set back, which Heard makes good.
-func NewSelf(now time.Duration, p Place, config, incarnation uint64) *Self {
-	return &Self{start: now, heard: now, told: now, rivals: map[uint64]rival{}, rec: Record{Name: p.Name, Run: p.Run,
-		Incarnation: incarnation, Seq: 1, Addr: p.Addr, Region: p.Region, Zone: p.Zone, Version: p.Version, Config: config,
+func NewSelf(now time.Duration, place Place, config, incarnation uint64) *Self {
+	return &Self{startedAt: now, lastStatus: now, lastPublished: now, rivals: map[uint64]rival{}, record: Record{Name: place.Name, Run: place.Run,
+		Incarnation: incarnation, Seq: 1, Addr: place.Addr, Region: place.Region, Zone: place.Zone, Version: place.Version, Config: config,
 		State: Starting, Load: Load{Busy: -1}}}
 }
 
 // Record is the last word.
-func (s *Self) Record() Record { return s.rec }
+func (s *Self) Record() Record { return s.record }
 
 // NameReleased reports whether the name is another process's now. Then nothing more is told.
-func (s *Self) NameReleased() bool { return s.yielded }
+func (s *Self) NameReleased() bool { return s.released }
 
 // LoopStatus takes in what the loop said, and reports whether that is to be told at once.
-func (s *Self) LoopStatus(now time.Duration, st Status) bool {
-	s.heard, s.replaced = now, st.Replaced
-	if st.Replaced {
-		st.State = Stopped // as far as the fleet is concerned the newer process is the member
+func (s *Self) LoopStatus(now time.Duration, status Status) bool {
+	s.lastStatus, s.replaced = now, status.Replaced
+	if status.Replaced {
+		status.State = Stopped // as far as the fleet is concerned the newer process is the member
 	}
-	urgent := st.State != s.rec.State || s.silenced || st.Load.StoreState != s.rec.Load.StoreState
-	s.rec.State, s.rec.Load = st.State, st.Load
+	urgent := status.State != s.record.State || s.stallPublished || status.Load.StoreState != s.record.Load.StoreState
+	s.record.State, s.record.Load = status.State, status.Load
 	return urgent
 }
 
 // Reconfigured notes another digest of the configuration.
 func (s *Self) Reconfigured(config uint64) bool {
-	changed := s.rec.Config != config
-	s.rec.Config = config
+	changed := s.record.Config != config
+	s.record.Config = config
 	return changed
 }
 
 // Stalled reports whether the loop has been silent for too long, and its process has not said so yet.
-func (s *Self) Stalled(now time.Duration) bool { return now-s.heard > stallAfter && !s.silenced }
+func (s *Self) Stalled(now time.Duration) bool {
+	return now-s.lastStatus > stallTimeout && !s.stallPublished
+}
 
 // PublishDue reports whether it is time to tell again, in a fleet of that size. A loop that stands still tells nothing; its
 // process says so as often as the loop would have spoken, as any one word may miss a member.
 func (s *Self) PublishDue(now time.Duration, members int) bool {
 	period := Period(members)
-	if s.rec.Load.Aggregate != "" {
-		period = leastPeriod // it speaks for its zone
+	if s.record.Load.Aggregate != "" {
+		period = minPeriod // it speaks for its zone
 	}
-	return !s.yielded && (s.Stalled(now) || now-s.told >= period)
+	return !s.released && (s.Stalled(now) || now-s.lastPublished >= period)
 }
 
 // NextRecord makes the next word.
 func (s *Self) NextRecord(now time.Duration) Record {
-	s.rec.Seq++
-	s.silenced = now-s.heard > stallAfter
-	s.rec.Up, s.rec.Stalled = s.heard-s.start, 0
-	if s.silenced {
-		s.rec.Stalled = now - s.heard
+	s.record.Seq++
+	s.stallPublished = now-s.lastStatus > stallTimeout
+	s.record.Up, s.record.Stalled = s.lastStatus-s.startedAt, 0
+	if s.stallPublished {
+		s.record.Stalled = now - s.lastStatus
 	}
-	s.told = now
-	return s.rec
+	s.lastPublished = now
+	return s.record
 }
 
 // LeaveRecord makes the last word.
 func (s *Self) LeaveRecord(now time.Duration) Record {
-	s.rec.State, s.heard = Stopped, now
+	s.record.State, s.lastStatus = Stopped, now
 	return s.NextRecord(now)
 }
 
 // Receive takes in the word of another process that goes by this name, and reports whether this one has something new
 // to tell of itself: a higher incarnation, or that it has yielded.
-func (s *Self) Receive(now time.Duration, r *Record) (urgent bool) {
-	if r.Name != s.rec.Name || r.Run == s.rec.Run || s.yielded || s.replaced {
+func (s *Self) Receive(now time.Duration, record *Record) (urgent bool) {
+	if record.Name != s.record.Name || record.Run == s.record.Run || s.released || s.replaced {
 		return false
 	}
-	if r.Supersedes == s.rec.Run && r.State != Stopped {
-		known, ok := s.rivals[r.Run]
-		if !ok && len(s.rivals) >= mostRivals || r.Seq <= known.seq {
+	if record.Supersedes == s.record.Run && record.State != Stopped {
+		rival, ok := s.rivals[record.Run]
+		if !ok && len(s.rivals) >= maxRivals || record.Seq <= rival.lastSeq {
 			return false
 		}
-		if now-known.last > yieldAfter || !ok {
-			known.since = now
+		if now-rival.lastProof > conflictTimeout || !ok {
+			rival.firstProof = now
 		}
-		known.last, known.seq = now, r.Seq
-		s.rivals[r.Run] = known
-		if r.Run < s.rec.Run && now-known.since >= yieldAfter {
-			s.yielded = true
-			s.rec.State = Stopped
+		rival.lastProof, rival.lastSeq = now, record.Seq
+		s.rivals[record.Run] = rival
+		if record.Run < s.record.Run && now-rival.firstProof >= conflictTimeout {
+			s.released = true
+			s.record.State = Stopped
 			return true
 		}
 	}
-	if r.Incarnation < s.rec.Incarnation || r.Incarnation == s.rec.Incarnation && r.Run < s.rec.Run {
+	if record.Incarnation < s.record.Incarnation || record.Incarnation == s.record.Incarnation && record.Run < s.record.Run {
 		return false
 	}
-	s.rec.Incarnation, s.rec.Supersedes = r.Incarnation+1, r.Run
+	s.record.Incarnation, s.record.Supersedes = record.Incarnation+1, record.Run
 	return true
 }
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -43,7 +43,7 @@
 func (z *Zone) Reached() int { return z.Count[Alive] + z.Count[Suspect] }
 
 // Unreachable reports whether at least half of what was a zone is silent: that is more likely a cut than so many deaths.
-func (z *Zone) Unreachable() bool { return z.Known >= zoneLeast && 2*z.Count[Silent] >= z.Known }
+func (z *Zone) Unreachable() bool { return z.Known >= minZoneMembers && 2*z.Count[Silent] >= z.Known }
 
 // Position is how an observer stands to its fleet.
 type Position uint8
@@ -72,33 +72,33 @@
 
 // Snapshot returns what is known now.
 func (v *View) Snapshot(now time.Duration) *Snapshot {
-	s := &Snapshot{At: now, LastReceived: v.heard, Self: v.self, Members: make([]Member, 0, len(v.names))}
-	fresh := v.fresh()
+	snapshot := &Snapshot{At: now, LastReceived: v.lastReceived, Self: v.self, Members: make([]Member, 0, len(v.names))}
+	fresh := v.freshAge()
 	for _, name := range v.names {
-		e := v.entries[name]
-		m := Member{Record: e.rec, Liveness: e.standing(now, fresh), Self: name == v.self, RecordedAt: e.made, Since: e.met}
-		if c := e.current(); c != nil {
-			m.Since = c.since
+		entry := v.entries[name]
+		member := Member{Record: entry.record, Liveness: entry.liveness(now, fresh), Self: name == v.self, RecordedAt: entry.recordedAt, Since: entry.lastReached}
+		if current := entry.currentObservation(); current != nil {
+			member.Since = current.since
 		}
-		if m.Record == nil {
-			m.Record = &Record{Name: name}
-			m.RecordedAt = e.met
-			if len(e.runs) > 0 {
-				m.Record.Run = e.runs[len(e.runs)-1].run
+		if member.Record == nil {
+			member.Record = &Record{Name: name}
+			member.RecordedAt = entry.lastReached
+			if len(entry.observations) > 0 {
+				member.Record.Run = entry.observations[len(entry.observations)-1].run
 			}
 		}
-		if m.Self && m.Liveness != Left {
-			m.Liveness = Alive
-			if m.Stalled > 0 {
-				m.Liveness = Wedged
+		if member.Self && member.Liveness != Left {
+			member.Liveness = Alive
+			if member.Stalled > 0 {
+				member.Liveness = Wedged
 			}
 		}
-		s.Members = append(s.Members, m)
-		s.zone(m.Region, m.Zone).add(m.Liveness)
-		s.Total.add(m.Liveness)
+		snapshot.Members = append(snapshot.Members, member)
+		snapshot.zone(member.Region, member.Zone).add(member.Liveness)
+		snapshot.Total.add(member.Liveness)
 	}
-	s.Position = s.position(v.anyone)
-	return s
+	snapshot.Position = snapshot.position(v.everReceived)
+	return snapshot
 }
 
 func (s *Snapshot) zone(region, zone string) *Zone {
@@ -114,23 +114,23 @@
 	return &s.Zones[i]
 }
 
-func (z *Zone) add(s Liveness) {
-	z.Count[s]++
-	if s != Left {
+func (z *Zone) add(liveness Liveness) {
+	z.Count[liveness]++
+	if liveness != Left {
 		z.Known++
 	}
 }
 
 // position counts those that were heard of but not met as nothing: a word that still goes round says nothing of now.
 // Dead ones do not make an observer cut off, as their machines answer.
-func (s *Snapshot) position(anyone bool) Position {
-	t := &s.Total
-	switch lost := t.Count[Silent] + t.Count[Dead] + t.Count[Wedged]; {
-	case t.Count[Silent] > 0 && t.Count[Silent] >= t.Reached():
+func (s *Snapshot) position(everReceived bool) Position {
+	total := &s.Total
+	switch lost := total.Count[Silent] + total.Count[Dead] + total.Count[Wedged]; {
+	case total.Count[Silent] > 0 && total.Count[Silent] >= total.Reached():
 		return Partitioned
-	case !anyone:
+	case !everReceived:
 		return Alone
-	case lost+t.Count[Suspect] > 0:
+	case lost+total.Count[Suspect] > 0:
 		return PartiallyConnected
 	}
 	return FullyConnected
@@ -148,16 +148,16 @@
 // Agreement is a digest of what should be the same at all members that can reach one another: which processes are
 // alive, and what each says it does.
 func (s *Snapshot) Agreement() uint64 {
-	h := fnv.New64a()
-	var b []byte
+	digest := fnv.New64a()
+	var encoded []byte
 	for i := range s.Members {
-		if m := &s.Members[i]; m.Liveness == Alive || m.Liveness == Wedged {
-			b = append(b[:0], m.Process()...)
-			b = append(b, byte(m.State), byte(m.Liveness))
-			h.Write(b)
+		if member := &s.Members[i]; member.Liveness == Alive || member.Liveness == Wedged {
+			encoded = append(encoded[:0], member.Process()...)
+			encoded = append(encoded, byte(member.State), byte(member.Liveness))
+			digest.Write(encoded)
 		}
 	}
-	return h.Sum64()
+	return digest.Sum64()
 }
 
 // Aggregate is what members that serve have told, as far as it is fresh.
@@ -174,30 +174,30 @@
 }
 
 // Aggregate adds up the words of serving members that are no older than fresh.
-func (s *Snapshot) Aggregate(now, fresh time.Duration) (t Aggregate) {
+func (s *Snapshot) Aggregate(now, fresh time.Duration) (total Aggregate) {
 	for i := range s.Members {
-		m := &s.Members[i]
-		if !m.Serves(now, fresh) {
-			if m.Liveness == Alive && m.Age(now) > fresh {
-				t.Stale++
+		member := &s.Members[i]
+		if !member.Serves(now, fresh) {
+			if member.Liveness == Alive && member.Age(now) > fresh {
+				total.Stale++
 			}
 			continue
 		}
-		if t.Members++; m.Load.ServiceRate > 0 {
-			if t.ServiceRate == 0 {
-				t.MinThreshold = m.Load.Threshold
+		if total.Members++; member.Load.ServiceRate > 0 {
+			if total.ServiceRate == 0 {
+				total.MinThreshold = member.Load.Threshold
 			}
-			t.ServiceRate += m.Load.ServiceRate
-			t.Attempts += m.Load.Attempts
-			t.Retries += m.Load.Attempts * m.Load.RetryRatio
-			t.MinThreshold, t.MaxThreshold = min(t.MinThreshold, m.Load.Threshold), max(t.MaxThreshold, m.Load.Threshold)
+			total.ServiceRate += member.Load.ServiceRate
+			total.Attempts += member.Load.Attempts
+			total.Retries += member.Load.Attempts * member.Load.RetryRatio
+			total.MinThreshold, total.MaxThreshold = min(total.MinThreshold, member.Load.Threshold), max(total.MaxThreshold, member.Load.Threshold)
 		}
-		t.CallQuota += m.Load.CallQuota
-		t.MeanCalls += m.Load.MeanCalls
-		t.Capacity += m.Load.Capacity
-		t.Busy += m.Load.Capacity * max(m.Load.Busy, 0)
-		t.InFlight += m.Load.InFlight
-		t.Oldest = max(t.Oldest, m.Age(now))
+		total.CallQuota += member.Load.CallQuota
+		total.MeanCalls += member.Load.MeanCalls
+		total.Capacity += member.Load.Capacity
+		total.Busy += member.Load.Capacity * max(member.Load.Busy, 0)
+		total.InFlight += member.Load.InFlight
+		total.Oldest = max(total.Oldest, member.Age(now))
 	}
-	return t
+	return total
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -37,18 +37,18 @@
 	Left    // it said good-bye
 )
 
-var standingNames = [...]string{"heard of", "alive", "suspect", "wedged", "cut off", "dead", "left"}
+var livenessNames = [...]string{"heard of", "alive", "suspect", "wedged", "cut off", "dead", "left"}
 
-func (s Liveness) String() string { return standingNames[s] }
+func (liveness Liveness) String() string { return livenessNames[liveness] }
 
 // Bounds of a view.
 const (
-	leftKept  = 5 * time.Minute // a member that left is listed for that long
-	metKept   = 10 * time.Minute
-	driftPart = 2000 // clocks of two machines drift apart by less than one part in this many
-	mostRuns  = 4    // processes of one name whose reach is kept
-	// zoneLeast is the least number of members by which silence of a zone is told from that of a member.
-	zoneLeast = 2
+	leftRetention     = 5 * time.Minute // a member that left is listed for that long
+	unmetRetention    = 10 * time.Minute
+	clockDriftDivisor = 2000 // clocks of two machines drift apart by less than one part in this many
+	maxObservations   = 4    // processes of one name whose reach is kept
+	// minZoneMembers is the least number of members by which silence of a zone is told from that of a member.
+	minZoneMembers = 2
 )
 
 // Limits bound a view.
@@ -59,16 +59,16 @@
 
 // entry is what a view holds of one name.
 type entry struct {
-	rec  *Record // nil: no word yet
-	made time.Duration
-	base time.Duration // least (receipt - Up) of the process so far: when it started, at the latest
-	seen time.Duration // when base was last compared
-	runs []sight       // newest last
-	met  time.Duration // when any of its processes was last reached, or first heard of
+	record           *Record // nil: no word yet
+	recordedAt       time.Duration
+	startedAt        time.Duration // least (receipt - Up) of the process so far: when it started, at the latest
+	startEstimatedAt time.Duration // when base was last compared
+	observations     []observation // newest last
+	lastReached      time.Duration // when any of its processes was last reached, or first heard of
 }
 
-// sight is what was seen of one process.
-type sight struct {
+// observation is what was seen of one process.
+type observation struct {
 	run      uint64
 	reach    Reach
 	evidence Evidence
@@ -77,13 +77,13 @@
 
 // View is the state from which snapshots are made. It belongs to one goroutine.
 type View struct {
-	self    string
-	limits  Limits
-	entries map[string]*entry
-	names   []string // in order
-	heard   time.Duration
-	anyone  bool   // a word of another member was ever heard
-	dropped uint64 // names that there was no room for
+	self         string
+	limits       Limits
+	entries      map[string]*entry
+	names        []string // in order
+	lastReceived time.Duration
+	everReceived bool   // a word of another member was ever heard
+	dropped      uint64 // names that there was no room for
 }
 
 // NewView returns the view of the member called self: empty.
@@ -101,191 +101,191 @@
 // name. Joining is commutative and idempotent: what is known of a name at last is the greatest word by Less,
 // whatever the order in which words came. Only its age is an estimate. It is the least that is possible: time on the
 // way that nobody has counted is told from the member's own clock, as far as an earlier word came faster.
-func (v *View) Merge(now, age time.Duration, r Record) bool {
-	e := v.entry(now, r.Name)
-	if e == nil {
+func (v *View) Merge(now, age time.Duration, record Record) bool {
+	entry := v.entryFor(now, record.Name)
+	if entry == nil {
 		return false
 	}
-	if r.Name != v.self {
-		v.heard, v.anyone = max(v.heard, now), true
+	if record.Name != v.self {
+		v.lastReceived, v.everReceived = max(v.lastReceived, now), true
 	}
 	switch {
-	case e.rec == nil || e.rec.Run != r.Run && e.rec.Less(&r):
-		e.base = now - age - r.Up
-	case e.rec.Run == r.Run:
-		e.base = min(e.base+max(now-e.seen, 0)/driftPart, now-age-r.Up)
+	case entry.record == nil || entry.record.Run != record.Run && entry.record.Less(&record):
+		entry.startedAt = now - age - record.Up
+	case entry.record.Run == record.Run:
+		entry.startedAt = min(entry.startedAt+max(now-entry.startEstimatedAt, 0)/clockDriftDivisor, now-age-record.Up)
 	default:
 		return false // a process that has been overtaken
 	}
-	e.seen = now
-	made := min(now-age, e.base+r.Up)
-	if e.rec == nil || e.rec.Less(&r) {
-		e.rec, e.made = &r, made
+	entry.startEstimatedAt = now
+	recordedAt := min(now-age, entry.startedAt+record.Up)
+	if entry.record == nil || entry.record.Less(&record) {
+		entry.record, entry.recordedAt = &record, recordedAt
 		return true
 	}
-	if e.rec.Seq == r.Seq {
-		e.made = min(e.made, made)
+	if entry.record.Seq == record.Seq {
+		entry.recordedAt = min(entry.recordedAt, recordedAt)
 	}
 	return false
 }
 
 // Known returns the word in force of a name, or nil.
 func (v *View) Known(name string) *Record {
-	if e := v.entries[name]; e != nil {
-		return e.rec
+	if entry := v.entries[name]; entry != nil {
+		return entry.record
 	}
 	return nil
 }
 
 // SupersededBy returns the word that r falls short of, if that is another process's, and when it was made. Whoever told r
 // has to hear it: a process that has just started under a name, with a clock that was set back, raises itself then.
-func (v *View) SupersededBy(r *Record) (by *Record, made time.Duration) {
-	if e := v.entries[r.Name]; e != nil && e.rec != nil && e.rec.Run != r.Run && r.Less(e.rec) {
-		return e.rec, e.made
+func (v *View) SupersededBy(record *Record) (by *Record, recordedAt time.Duration) {
+	if entry := v.entries[record.Name]; entry != nil && entry.record != nil && entry.record.Run != record.Run && record.Less(entry.record) {
+		return entry.record, entry.recordedAt
 	}
 	return nil, 0
 }
 
 // ObserveReach notes what the failure detection says of a process.
 func (v *View) ObserveReach(now time.Duration, name string, run uint64, reach Reach) {
-	e := v.entry(now, name)
-	if e == nil {
+	entry := v.entryFor(now, name)
+	if entry == nil {
 		return
 	}
-	s := e.sight(run)
-	if s == nil {
-		if len(e.runs) >= mostRuns {
-			e.runs = slices.Delete(e.runs, 0, 1)
+	seen := entry.observationOf(run)
+	if seen == nil {
+		if len(entry.observations) >= maxObservations {
+			entry.observations = slices.Delete(entry.observations, 0, 1)
 		}
-		e.runs = append(e.runs, sight{run: run, since: now})
-		s = &e.runs[len(e.runs)-1]
+		entry.observations = append(entry.observations, observation{run: run, since: now})
+		seen = &entry.observations[len(entry.observations)-1]
 	}
-	if s.reach != reach {
-		s.reach, s.evidence, s.since = reach, NoEvidence, now
+	if seen.reach != reach {
+		seen.reach, seen.evidence, seen.since = reach, NoEvidence, now
 	}
 	if reach == Reached {
-		e.met = now
+		entry.lastReached = now
 	}
 }
 
 // RecordEvidence notes what a call to a lost process showed. It counts for as long as the process is lost.
-func (v *View) RecordEvidence(name string, run uint64, found Evidence) {
-	if e := v.entries[name]; e != nil {
-		if s := e.sight(run); s != nil && s.reach == Lost {
-			s.evidence = found
+func (v *View) RecordEvidence(name string, run uint64, evidence Evidence) {
+	if entry := v.entries[name]; entry != nil {
+		if seen := entry.observationOf(run); seen != nil && seen.reach == Lost {
+			seen.evidence = evidence
 		}
 	}
 }
 
 // Forget drops who has not been reached for long.
 func (v *View) Forget(now time.Duration) {
-	fresh := v.fresh()
+	fresh := v.freshAge()
 	for _, name := range slices.Clone(v.names) {
-		e := v.entries[name]
+		entry := v.entries[name]
 		if name == v.self {
 			continue
 		}
-		keep := v.limits.ForgetAfter
-		switch e.standing(now, fresh) {
+		retention := v.limits.ForgetAfter
+		switch entry.liveness(now, fresh) {
 		case Left:
-			keep = min(keep, leftKept)
+			retention = min(retention, leftRetention)
 		case Unmet:
-			keep = min(keep, metKept)
+			retention = min(retention, unmetRetention)
 		case Alive, Suspect, Wedged:
 			continue
 		}
-		if now-e.met > keep {
-			v.drop(name)
+		if now-entry.lastReached > retention {
+			v.remove(name)
 		}
 	}
 }
 
-func (v *View) drop(name string) {
+func (v *View) remove(name string) {
 	delete(v.entries, name)
 	if i, ok := slices.BinarySearch(v.names, name); ok {
 		v.names = slices.Delete(v.names, i, i+1)
 	}
 }
 
-// entry returns the entry of a name, a new one if there is room: strangers to the limit must not push out members,
+// entryFor returns the entry of a name, a new one if there is room: strangers to the limit must not push out members,
 // so only who is gone makes room.
-func (v *View) entry(now time.Duration, name string) *entry {
-	if e := v.entries[name]; e != nil {
-		return e
+func (v *View) entryFor(now time.Duration, name string) *entry {
+	if entry := v.entries[name]; entry != nil {
+		return entry
 	}
 	if len(v.names) >= v.limits.Members && !v.evict(now) {
 		v.dropped++
 		return nil
 	}
-	e := &entry{met: now}
-	v.entries[name] = e
+	entry := &entry{lastReached: now}
+	v.entries[name] = entry
 	i, _ := slices.BinarySearch(v.names, name)
 	v.names = slices.Insert(v.names, i, name)
-	return e
+	return entry
 }
 
 // evict drops the member that has been gone for longest.
 func (v *View) evict(now time.Duration) bool {
-	worst := ""
+	longestGone := ""
 	for _, name := range v.names {
-		if s := v.entries[name].standing(now, v.fresh()); name == v.self || s != Left && s != Dead {
+		if liveness := v.entries[name].liveness(now, v.freshAge()); name == v.self || liveness != Left && liveness != Dead {
 			continue
 		}
-		if worst == "" || v.entries[name].met < v.entries[worst].met {
-			worst = name
+		if longestGone == "" || v.entries[name].lastReached < v.entries[longestGone].lastReached {
+			longestGone = name
 		}
 	}
-	if worst != "" {
-		v.drop(worst)
+	if longestGone != "" {
+		v.remove(longestGone)
 	}
-	return worst != ""
+	return longestGone != ""
 }
 
-func (e *entry) sight(run uint64) *sight {
-	for i := range e.runs {
-		if e.runs[i].run == run {
-			return &e.runs[i]
+func (e *entry) observationOf(run uint64) *observation {
+	for i := range e.observations {
+		if e.observations[i].run == run {
+			return &e.observations[i]
 		}
 	}
 	return nil
 }
 
-// current is the sight of the process whose word is in force; where no word has come, of the one seen last.
-func (e *entry) current() *sight {
-	if e.rec != nil {
-		return e.sight(e.rec.Run)
+// currentObservation is the sight of the process whose word is in force; where no word has come, of the one seen last.
+func (e *entry) currentObservation() *observation {
+	if e.record != nil {
+		return e.observationOf(e.record.Run)
 	}
-	if len(e.runs) == 0 {
+	if len(e.observations) == 0 {
 		return nil
 	}
-	return &e.runs[len(e.runs)-1]
+	return &e.observations[len(e.observations)-1]
 }
 
-// fresh is how old the word of a member may be before it is overdue.
-func (v *View) fresh() time.Duration { return Fresh(len(v.names)) }
+// freshAge is how old the word of a member may be before it is overdue.
+func (v *View) freshAge() time.Duration { return Fresh(len(v.names)) }
 
-func (e *entry) standing(now, fresh time.Duration) Liveness {
-	s := e.current()
+func (e *entry) liveness(now, fresh time.Duration) Liveness {
+	current := e.currentObservation()
 	switch {
-	case e.rec != nil && e.rec.State == Stopped:
+	case e.record != nil && e.record.State == Stopped:
 		return Left
-	case s == nil:
+	case current == nil:
 		return Unmet
-	case s.reach == Reached && e.rec != nil && e.rec.Stalled > 0:
+	case current.reach == Reached && e.record != nil && e.record.Stalled > 0:
 		return Wedged
-	case s.reach == Reached && now-s.since > fresh && (e.rec == nil || now-e.made > fresh):
+	case current.reach == Reached && now-current.since > fresh && (e.record == nil || now-e.recordedAt > fresh):
 		return Suspect
-	case s.reach == Reached:
+	case current.reach == Reached:
 		return Alive
-	case s.reach != Lost:
+	case current.reach != Lost:
 		return Unmet
 	}
-	for i := range e.runs {
-		if e.runs[i].reach == Reached {
+	for i := range e.observations {
+		if e.observations[i].reach == Reached {
 			return Suspect // the next process of the name is there, and its word has not come yet
 		}
 	}
-	switch s.evidence {
+	switch current.evidence {
 	case ConnectionRefused:
 		return Dead
 	case ConnectionAccepted:
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -14,99 +14,99 @@
 // of a protobuf message. Numbers of fields are never used again for something else; fields that are not known are
 // kept as they came and passed on, so that two versions live in one fleet.
 const (
-	kindWord = 1
+	kindUpdate = 1
 	// KindDirect begins a message from one member to another, which is not passed on. What follows is another
 	// package's.
-	KindDirect = 2
-	headWord   = 5
-	mostAge    = time.Duration(math.MaxUint32) * time.Millisecond
+	KindDirect       = 2
+	updateHeaderSize = 5
+	maxUpdateAge     = time.Duration(math.MaxUint32) * time.Millisecond
 )
 
 const (
-	fName protowire.Number = iota + 1
-	fRun
-	fIncarnation
-	fOver
-	fSeq
-	fUp
-	fStalled
-	fAddr
-	fRegion
-	fZone
-	fVersion
-	fConfig
-	fState
-	fCapacity
-	fBusy
-	fInHand
-	fShare
-	fShed
-	fCalls
-	fPace
-	fOffer
-	fTries
-	fAgain
-	fCut
-	fStore
-	fStoreID
-	fRound
-	fSum
-	fieldsKnown
+	fieldName protowire.Number = iota + 1
+	fieldRun
+	fieldIncarnation
+	fieldSupersedes
+	fieldSeq
+	fieldUp
+	fieldStalled
+	fieldAddr
+	fieldRegion
+	fieldZone
+	fieldVersion
+	fieldConfig
+	fieldState
+	fieldCapacity
+	fieldBusy
+	fieldInFlight
+	fieldCallQuota
+	fieldShedRatio
+	fieldMeanCalls
+	fieldServiceRate
+	fieldDemand
+	fieldAttempts
+	fieldRetryRatio
+	fieldThreshold
+	fieldStoreState
+	fieldStoreID
+	fieldProbeRound
+	fieldAggregate
+	firstUnknownField
 )
 
 var (
-	errKind = errors.New("not a kind of message that is known")
-	errLong = errors.New("longer than a word of a member can be")
+	errUnknownKind = errors.New("not a kind of message that is known")
+	errTooLong     = errors.New("longer than a word of a member can be")
 )
 
 // AppendUpdate appends the word of r, which is that old.
-func AppendUpdate(b []byte, r *Record, age time.Duration) []byte {
-	b = append(b, kindWord)
-	b = binary.BigEndian.AppendUint32(b, uint32(min(max(age, 0), mostAge)/time.Millisecond))
+func AppendUpdate(b []byte, record *Record, age time.Duration) []byte {
+	b = append(b, kindUpdate)
+	b = binary.BigEndian.AppendUint32(b, uint32(min(max(age, 0), maxUpdateAge)/time.Millisecond))
 	text := func(n protowire.Number, s string) {
 		if s != "" {
 			b = protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), s)
 		}
 	}
-	whole := func(n protowire.Number, v uint64) {
+	varint := func(n protowire.Number, v uint64) {
 		if v != 0 {
 			b = protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
 		}
 	}
-	fixed := func(n protowire.Number, v uint64) {
+	fixed64 := func(n protowire.Number, v uint64) {
 		if v != 0 {
 			b = protowire.AppendFixed64(protowire.AppendTag(b, n, protowire.Fixed64Type), v)
 		}
 	}
-	text(fName, r.Name)
-	fixed(fRun, r.Run)
-	whole(fIncarnation, r.Incarnation)
-	fixed(fOver, r.Supersedes)
-	whole(fSeq, r.Seq)
-	whole(fUp, uint64(max(r.Up, 0)/time.Millisecond))
-	whole(fStalled, uint64(max(r.Stalled, 0)/time.Millisecond))
-	text(fAddr, r.Addr)
-	text(fRegion, r.Region)
-	text(fZone, r.Zone)
-	text(fVersion, r.Version)
-	fixed(fConfig, r.Config)
-	whole(fState, uint64(r.State))
-	whole(fCapacity, thousandths(r.Load.Capacity))
-	whole(fBusy, thousandths(r.Load.Busy+1)) // so that unknown, -1, is 0
-	whole(fInHand, uint64(max(r.Load.InFlight, 0)))
-	whole(fShare, thousandths(r.Load.CallQuota))
-	whole(fShed, thousandths(r.Load.ShedRatio))
-	whole(fCalls, thousandths(r.Load.MeanCalls))
-	whole(fPace, thousandths(r.Load.ServiceRate))
-	text(fOffer, r.Load.Demand)
-	whole(fTries, thousandths(r.Load.Attempts))
-	whole(fAgain, thousandths(r.Load.RetryRatio))
-	whole(fCut, thousandths(r.Load.Threshold))
-	whole(fStore, uint64(r.Load.StoreState))
-	whole(fStoreID, uint64(r.Load.StoreID))
-	whole(fRound, r.Load.ProbeRound)
-	text(fSum, r.Load.Aggregate)
-	return append(b, r.unknown...)
+	text(fieldName, record.Name)
+	fixed64(fieldRun, record.Run)
+	varint(fieldIncarnation, record.Incarnation)
+	fixed64(fieldSupersedes, record.Supersedes)
+	varint(fieldSeq, record.Seq)
+	varint(fieldUp, uint64(max(record.Up, 0)/time.Millisecond))
+	varint(fieldStalled, uint64(max(record.Stalled, 0)/time.Millisecond))
+	text(fieldAddr, record.Addr)
+	text(fieldRegion, record.Region)
+	text(fieldZone, record.Zone)
+	text(fieldVersion, record.Version)
+	fixed64(fieldConfig, record.Config)
+	varint(fieldState, uint64(record.State))
+	varint(fieldCapacity, thousandths(record.Load.Capacity))
+	varint(fieldBusy, thousandths(record.Load.Busy+1)) // so that unknown, -1, is 0
+	varint(fieldInFlight, uint64(max(record.Load.InFlight, 0)))
+	varint(fieldCallQuota, thousandths(record.Load.CallQuota))
+	varint(fieldShedRatio, thousandths(record.Load.ShedRatio))
+	varint(fieldMeanCalls, thousandths(record.Load.MeanCalls))
+	varint(fieldServiceRate, thousandths(record.Load.ServiceRate))
+	text(fieldDemand, record.Load.Demand)
+	varint(fieldAttempts, thousandths(record.Load.Attempts))
+	varint(fieldRetryRatio, thousandths(record.Load.RetryRatio))
+	varint(fieldThreshold, thousandths(record.Load.Threshold))
+	varint(fieldStoreState, uint64(record.Load.StoreState))
+	varint(fieldStoreID, uint64(record.Load.StoreID))
+	varint(fieldProbeRound, record.Load.ProbeRound)
+	text(fieldAggregate, record.Load.Aggregate)
+	return append(b, record.unknown...)
 }
 
 // thousandths of a figure that is not negative, as far as 32 bits hold them.
@@ -119,61 +119,61 @@
 
 // ParseUpdate reads one word. It keeps nothing of b. Whatever is not a whole word of a member is an error; nothing
 // that b holds makes it use more memory than MaxRecord.
-func ParseUpdate(b []byte) (r Record, age time.Duration, err error) {
+func ParseUpdate(b []byte) (record Record, age time.Duration, err error) {
 	switch {
-	case len(b) < headWord || b[0] != kindWord:
-		return r, 0, errKind
-	case len(b) > headWord+MaxRecord:
-		return r, 0, errLong
+	case len(b) < updateHeaderSize || b[0] != kindUpdate:
+		return record, 0, errUnknownKind
+	case len(b) > updateHeaderSize+MaxRecord:
+		return record, 0, errTooLong
 	}
 	age = time.Duration(binary.BigEndian.Uint32(b[1:])) * time.Millisecond
-	r.Load.Busy = -1
+	record.Load.Busy = -1
 	var unknown []byte
-	for rest := b[headWord:]; len(rest) > 0; {
-		num, typ, n := protowire.ConsumeTag(rest)
-		if n < 0 {
-			return r, 0, protowire.ParseError(n)
+	for rest := b[updateHeaderSize:]; len(rest) > 0; {
+		num, typ, tagSize := protowire.ConsumeTag(rest)
+		if tagSize < 0 {
+			return record, 0, protowire.ParseError(tagSize)
 		}
-		m := protowire.ConsumeFieldValue(num, typ, rest[n:])
-		if m < 0 {
-			return r, 0, protowire.ParseError(m)
+		valueSize := protowire.ConsumeFieldValue(num, typ, rest[tagSize:])
+		if valueSize < 0 {
+			return record, 0, protowire.ParseError(valueSize)
 		}
-		if num >= fieldsKnown {
-			unknown = append(unknown, rest[:n+m]...)
-		} else if err := r.field(num, typ, rest[n:n+m]); err != nil {
-			return r, 0, err
+		if num >= firstUnknownField {
+			unknown = append(unknown, rest[:tagSize+valueSize]...)
+		} else if err := record.field(num, typ, rest[tagSize:tagSize+valueSize]); err != nil {
+			return record, 0, err
 		}
-		rest = rest[n+m:]
+		rest = rest[tagSize+valueSize:]
 	}
-	r.unknown = string(unknown)
-	return r, age, r.check()
+	record.unknown = string(unknown)
+	return record, age, record.check()
 }
 
 func (r *Record) field(num protowire.Number, typ protowire.Type, value []byte) error {
 	wrong := func() error { return fmt.Errorf("field %d: type %d", num, typ) }
 	switch num {
-	case fName, fAddr, fRegion, fZone, fVersion:
+	case fieldName, fieldAddr, fieldRegion, fieldZone, fieldVersion:
 		if typ != protowire.BytesType {
 			return wrong()
 		}
 		s, _ := protowire.ConsumeBytes(value)
 		if len(s) > MaxText {
-			return errLong
+			return errTooLong
 		}
 		*r.text(num) = string(s)
 		return nil
-	case fOffer, fSum:
+	case fieldDemand, fieldAggregate:
 		s, _ := protowire.ConsumeBytes(value)
-		if typ != protowire.BytesType || len(s) > MaxAggregate || num == fOffer && len(s) > MaxDemand {
+		if typ != protowire.BytesType || len(s) > MaxAggregate || num == fieldDemand && len(s) > MaxDemand {
 			return wrong()
 		}
-		if num == fOffer {
+		if num == fieldDemand {
 			r.Load.Demand = string(s)
 		} else {
 			r.Load.Aggregate = string(s)
 		}
 		return nil
-	case fRun, fOver, fConfig:
+	case fieldRun, fieldSupersedes, fieldConfig:
 		if typ != protowire.Fixed64Type {
 			return wrong()
 		}
@@ -190,41 +190,41 @@
 	}
 	part := func() float64 { return float64(min(v, math.MaxUint32)) / 1000 }
 	switch num {
-	case fIncarnation:
+	case fieldIncarnation:
 		r.Incarnation = v
-	case fSeq:
+	case fieldSeq:
 		r.Seq = v
-	case fUp:
+	case fieldUp:
 		r.Up = ms()
-	case fStalled:
+	case fieldStalled:
 		r.Stalled = ms()
-	case fState:
+	case fieldState:
 		r.State = State(min(v, math.MaxUint8))
-	case fCapacity:
+	case fieldCapacity:
 		r.Load.Capacity = part()
-	case fBusy:
+	case fieldBusy:
 		r.Load.Busy = part() - 1
-	case fInHand:
+	case fieldInFlight:
 		r.Load.InFlight = int(min(v, math.MaxInt32))
-	case fShare:
+	case fieldCallQuota:
 		r.Load.CallQuota = part()
-	case fShed:
+	case fieldShedRatio:
 		r.Load.ShedRatio = min(part(), 1)
-	case fCalls:
+	case fieldMeanCalls:
 		r.Load.MeanCalls = part()
-	case fPace:
+	case fieldServiceRate:
 		r.Load.ServiceRate = part()
-	case fTries:
+	case fieldAttempts:
 		r.Load.Attempts = part()
-	case fAgain:
+	case fieldRetryRatio:
 		r.Load.RetryRatio = min(part(), 1)
-	case fCut:
+	case fieldThreshold:
 		r.Load.Threshold = part()
-	case fStore:
+	case fieldStoreState:
 		r.Load.StoreState = uint8(min(v, math.MaxUint8))
-	case fStoreID:
+	case fieldStoreID:
 		r.Load.StoreID = uint32(min(v, math.MaxUint32))
-	case fRound:
+	case fieldProbeRound:
 		r.Load.ProbeRound = v
 	}
 	return nil
@@ -232,13 +232,13 @@
 
 func (r *Record) text(num protowire.Number) *string {
 	switch num {
-	case fName:
+	case fieldName:
 		return &r.Name
-	case fAddr:
+	case fieldAddr:
 		return &r.Addr
-	case fRegion:
+	case fieldRegion:
 		return &r.Region
-	case fZone:
+	case fieldZone:
 		return &r.Zone
 	}
 	return &r.Version
@@ -246,9 +246,9 @@
 
 func (r *Record) fixed(num protowire.Number) *uint64 {
 	switch num {
-	case fRun:
+	case fieldRun:
 		return &r.Run
-	case fOver:
+	case fieldSupersedes:
 		return &r.Supersedes
 	}
 	return &r.Config
@@ -262,7 +262,7 @@
 	case r.Run == 0:
 		return errors.New("field 2: a word without a process")
 	case len(r.unknown) > MaxUnknown:
-		return errLong
+		return errTooLong
 	}
 	for _, s := range []string{r.Name, r.Addr, r.Region, r.Zone, r.Version} {
 		for _, c := range []byte(s) {
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -21,8 +21,8 @@
 
 const goldenFrames = "testdata/frames.hex"
 
-// longAgo is beyond the greatest age that a word can tell, so that the bytes do not depend on when a test runs.
-const longAgo = -100 * 24 * time.Hour
+// beforeMaxAge is beyond the greatest age that a word can tell, so that the bytes do not depend on when a test runs.
+const beforeMaxAge = -100 * 24 * time.Hour
 
 // requireGolden compares what the code produces now with a golden file.
 func requireGolden(t *testing.T, path, got string) {
@@ -64,40 +64,40 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
-	f, err := New(Config{Place: fleet.Place{Name: "n1", Addr: "10.0.0.1:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3", Run: 0x1a2b},
+	member, err := New(Config{Place: fleet.Place{Name: "n1", Addr: "10.0.0.1:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3", Run: 0x1a2b},
 		Listen: "10.0.0.1:7946", Limits: fleet.Limits{Members: 10, ForgetAfter: time.Hour}, ProbeInterval: time.Second, Size: 1}, log)
 	require.NoError(t, err)
-	return f
+	return member
 }
 
 // snapshotOf has the records as members that are alive, told so long ago that their age is the greatest.
-func snapshotOf(records []fleet.Record, standing fleet.Liveness) *fleet.Snapshot {
-	s := &fleet.Snapshot{Self: "n1"}
+func snapshotOf(records []fleet.Record, liveness fleet.Liveness) *fleet.Snapshot {
+	snapshot := &fleet.Snapshot{Self: "n1"}
 	for i := range records {
-		s.Members = append(s.Members, fleet.Member{Record: &records[i], Liveness: standing, RecordedAt: longAgo})
+		snapshot.Members = append(snapshot.Members, fleet.Member{Record: &records[i], Liveness: liveness, RecordedAt: beforeMaxAge})
 	}
-	return s
+	return snapshot
 }
 
 // sentFrames are the frames that a process hands to memberlist, by name.
 func sentFrames(t *testing.T) map[string][]byte {
-	f, records := newGoldenFleet(t), goldenRecords()
+	member, records := newGoldenFleet(t), goldenRecords()
 	frames := map[string][]byte{}
 	now := func() time.Duration { return 1500 * time.Millisecond }
-	frames["broadcast"] = (&word{records[0], 0, now}).Message()
+	frames["broadcast"] = (&recordUpdate{records[0], 0, now}).Message()
 
-	f.Send(&fleet.Member{Record: &records[0]}, []byte("payload"))
-	direct := <-f.direct
+	member.Send(&fleet.Member{Record: &records[0]}, []byte("payload"))
+	direct := <-member.directMessages
 	require.Equal(t, memberlist.Address{Addr: "10.0.0.2:7946", Name: "n2/0000000000000008"}, direct.to)
-	frames["message to one member"] = direct.b
-
-	f.snapshot.Store(snapshotOf(records, fleet.Alive))
-	frames["state for a newcomer"] = delegate{f}.LocalState(true)
-	f.snapshot.Store(snapshotOf(records[:1], fleet.Alive))
-	frames["state in a later exchange"] = delegate{f}.LocalState(false)
-	f.snapshot.Store(snapshotOf(records, fleet.Unmet))
-	frames["state without members that were met"] = delegate{f}.LocalState(true)
-	frames["metadata of a node"] = delegate{f}.NodeMeta(memberlist.MetaMaxSize)
+	frames["message to one member"] = direct.payload
+
+	member.snapshot.Store(snapshotOf(records, fleet.Alive))
+	frames["state for a newcomer"] = delegate{member}.LocalState(true)
+	member.snapshot.Store(snapshotOf(records[:1], fleet.Alive))
+	frames["state in a later exchange"] = delegate{member}.LocalState(false)
+	member.snapshot.Store(snapshotOf(records, fleet.Unmet))
+	frames["state without members that were met"] = delegate{member}.LocalState(true)
+	frames["metadata of a node"] = delegate{member}.NodeMeta(memberlist.MetaMaxSize)
 	return frames
 }
 
@@ -118,45 +118,45 @@
 
 // Frames that were written before must still be read.
 func TestGoldenFramesRead(t *testing.T) {
-	frames, records, f := readFrames(t, goldenFrames), goldenRecords(), newGoldenFleet(t)
+	frames, records, member := readFrames(t, goldenFrames), goldenRecords(), newGoldenFleet(t)
 	require.Len(t, frames, len(frameNames))
 
-	delegate{f}.NotifyMsg(frames["broadcast"])
-	requireWords(t, f, records[:1])
-	delegate{f}.MergeRemoteState(frames["state for a newcomer"], true)
-	requireWords(t, f, records)
-	delegate{f}.MergeRemoteState(frames["state in a later exchange"], false)
-	requireWords(t, f, records[:1])
-	delegate{f}.MergeRemoteState(frames["state without members that were met"], true)
-	requireWords(t, f, nil)
-
-	var heard []string
-	f.OnMessage(func(b []byte) { heard = append(heard, string(b)) })
-	delegate{f}.NotifyMsg(frames["message to one member"])
-	require.Equal(t, []string{"payload"}, heard)
-	requireWords(t, f, nil)
-	require.Zero(t, f.Counters.Malformed.Load())
+	delegate{member}.NotifyMsg(frames["broadcast"])
+	requireQueuedUpdates(t, member, records[:1])
+	delegate{member}.MergeRemoteState(frames["state for a newcomer"], true)
+	requireQueuedUpdates(t, member, records)
+	delegate{member}.MergeRemoteState(frames["state in a later exchange"], false)
+	requireQueuedUpdates(t, member, records[:1])
+	delegate{member}.MergeRemoteState(frames["state without members that were met"], true)
+	requireQueuedUpdates(t, member, nil)
+
+	var received []string
+	member.OnMessage(func(b []byte) { received = append(received, string(b)) })
+	delegate{member}.NotifyMsg(frames["message to one member"])
+	require.Equal(t, []string{"payload"}, received)
+	requireQueuedUpdates(t, member, nil)
+	require.Zero(t, member.Counters.Malformed.Load())
 }
 
-// requireWords takes the words that wait for the keeper, and compares their records.
-func requireWords(t *testing.T, f *Fleet, want []fleet.Record) {
+// requireQueuedUpdates takes the words that wait for the keeper, and compares their records.
+func requireQueuedUpdates(t *testing.T, f *Fleet, want []fleet.Record) {
 	t.Helper()
 	var got []fleet.Record
-	for len(f.words) > 0 {
-		got = append(got, (<-f.words).rec)
+	for len(f.updates) > 0 {
+		got = append(got, (<-f.updates).record)
 	}
 	require.Equal(t, want, got)
 }
 
 // What memberlist is told decides whether two members understand each other.
 func TestGoldenSettings(t *testing.T) {
-	c := newGoldenFleet(t).settings()
+	config := newGoldenFleet(t).memberlistConfig()
 	var got strings.Builder
-	fmt.Fprintf(&got, "name: %s\nadvertised: %s port %d\n", c.Name, c.AdvertiseAddr, c.AdvertisePort)
-	fmt.Fprintf(&got, "protocol: %d\ndelegate protocol: %d to %d, %d\n", c.ProtocolVersion,
-		c.DelegateProtocolMin, c.DelegateProtocolMax, c.DelegateProtocolVersion)
-	fmt.Fprintf(&got, "label: %q\ncompression: %v\nencryption: %v\n", c.Label, c.EnableCompression, c.Keyring != nil)
-	fmt.Fprintf(&got, "verifies what comes in: %v, and goes out: %v\n", c.GossipVerifyIncoming, c.GossipVerifyOutgoing)
+	fmt.Fprintf(&got, "name: %s\nadvertised: %s port %d\n", config.Name, config.AdvertiseAddr, config.AdvertisePort)
+	fmt.Fprintf(&got, "protocol: %d\ndelegate protocol: %d to %d, %d\n", config.ProtocolVersion,
+		config.DelegateProtocolMin, config.DelegateProtocolMax, config.DelegateProtocolVersion)
+	fmt.Fprintf(&got, "label: %q\ncompression: %v\nencryption: %v\n", config.Label, config.EnableCompression, config.Keyring != nil)
+	fmt.Fprintf(&got, "verifies what comes in: %v, and goes out: %v\n", config.GossipVerifyIncoming, config.GossipVerifyOutgoing)
 	requireGolden(t, "testdata/settings.txt", got.String())
 }
 
@@ -170,38 +170,38 @@
 	}
 }
 
-// goldenPublished has something of all that is published and does not depend on when a test runs: members told of
+// newGoldenPublishedFleet has something of all that is published and does not depend on when a test runs: members told of
 // themselves in what is the future, so that their age is 0, or so long ago that they are stale.
-func goldenPublished(t *testing.T) *Fleet {
-	f, records := newGoldenFleet(t), goldenRecords()
-	setCounters(&f.Counters)
-	s := snapshotOf(records, fleet.Alive)
-	s.Members[0].RecordedAt, s.Members[0].Since = time.Hour, time.Hour
-	s.Members[1].RecordedAt, s.Members[1].Since, s.Members[1].Liveness = time.Hour, time.Hour, fleet.Left
-	s.Zones = []fleet.Zone{{Region: "eu", Zone: "eu-a", Known: 1}}
-	s.Zones[0].Count[fleet.Alive] = 1
-	s.Total.Known = 28
-	for standing := fleet.Unmet; standing <= fleet.Left; standing++ {
-		s.Total.Count[standing] = int(standing) + 1
+func newGoldenPublishedFleet(t *testing.T) *Fleet {
+	member, records := newGoldenFleet(t), goldenRecords()
+	setCounters(&member.Counters)
+	snapshot := snapshotOf(records, fleet.Alive)
+	snapshot.Members[0].RecordedAt, snapshot.Members[0].Since = time.Hour, time.Hour
+	snapshot.Members[1].RecordedAt, snapshot.Members[1].Since, snapshot.Members[1].Liveness = time.Hour, time.Hour, fleet.Left
+	snapshot.Zones = []fleet.Zone{{Region: "eu", Zone: "eu-a", Known: 1}}
+	snapshot.Zones[0].Count[fleet.Alive] = 1
+	snapshot.Total.Known = 28
+	for liveness := fleet.Unmet; liveness <= fleet.Left; liveness++ {
+		snapshot.Total.Count[liveness] = int(liveness) + 1
 	}
-	f.snapshot.Store(s)
-	return f
+	member.snapshot.Store(snapshot)
+	return member
 }
 
 // The page of the console is read by scripts and by falldeal-fleet of other versions.
 func TestGoldenPage(t *testing.T) {
-	page := goldenPublished(t).Page()
+	page := newGoldenPublishedFleet(t).Page()
 	require.Equal(t, "GET /fleet", page.Pattern)
 	require.Equal(t, "application/json", page.Type)
 	requireGolden(t, "testdata/page.json", string(page.Do()))
 }
 
 // The figures go to the operators' statistics by these names.
-func TestGoldenFigures(t *testing.T) {
-	f := goldenPublished(t)
-	got := string(f.AppendMetrics([]byte("before:1|g\n")))
+func TestGoldenMetrics(t *testing.T) {
+	member := newGoldenPublishedFleet(t)
+	got := string(member.AppendMetrics([]byte("before:1|g\n")))
 	stale := snapshotOf(goldenRecords()[:1], fleet.Alive)
-	f.snapshot.Store(stale)
-	got += "---\n" + string(f.AppendMetrics(nil))
+	member.snapshot.Store(stale)
+	got += "---\n" + string(member.AppendMetrics(nil))
 	requireGolden(t, "testdata/figures.txt", got)
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -28,26 +28,26 @@
 
 // Bounds and times that an operator does not set.
 const (
-	tick        = 250 * time.Millisecond // between two looks of the keeper; a snapshot lacks no change for longer
-	loadTicks   = 64                     // what only tells of load is published one tick later for so many members
-	sumsWithin  = time.Second            // but not later than this where a sum of a zone has come
-	callEvery   = time.Second            // between two looks for members to call
-	callMore    = 256                    // and as much more for each so many members
-	forgetEvery = 10 * time.Second       // between two looks for members to forget
-	wordsWait   = 1024                   // words of others that wait for the keeper
-	directWait  = 256                    // messages to single members that wait to be sent
-	joinState   = 512 << 10              // bytes that a newcomer is told
-	syncWords   = 32                     // words of others in a later exchange
-	newsRepeats = 3                      // a word that changes something is passed on so many times the logarithm of the size
-	loadRepeats = 2                      // and one that only tells how much there is to do
-	fewMembers  = 10                     // a smaller fleet passes words on as often as one of that size: at less, one in five is missed
-	streamLimit = 2 * time.Second        // for a call to another process
-	leaveLimit  = 200 * time.Millisecond // for the good-bye to be told by the failure detection, too
-	leaveTold   = 8                      // members that are told of it at once
-	linesMost   = 64                     // lines of log for one publication
-	syncAtLeast = 15 * time.Second       // between two full exchanges with one other member
-	syncPerName = 100 * time.Millisecond // the same by the expected size: an exchange names everybody
-	deadKept    = 30 * time.Second       // a lost process is still gossiped to, so that it can object
+	tickInterval                = 250 * time.Millisecond // between two looks of the keeper; a snapshot lacks no change for longer
+	membersPerExtraTick         = 64                     // what only tells of load is published one tick later for so many members
+	maxAggregateDelay           = time.Second            // but not later than this where a sum of a zone has come
+	dialInterval                = time.Second            // between two looks for members to call
+	membersPerExtraDialInterval = 256                    // and as much more for each so many members
+	forgetInterval              = 10 * time.Second       // between two looks for members to forget
+	updateQueueLength           = 1024                   // words of others that wait for the keeper
+	directQueueLength           = 256                    // messages to single members that wait to be sent
+	maxJoinStateBytes           = 512 << 10              // bytes that a newcomer is told
+	updatesPerSync              = 32                     // words of others in a later exchange
+	changeRetransmitMultiplier  = 3                      // a word that changes something is passed on so many times the logarithm of the size
+	loadRetransmitMultiplier    = 2                      // and one that only tells how much there is to do
+	minRetransmitNodes          = 10                     // a smaller fleet passes words on as often as one of that size: at less, one in five is missed
+	streamTimeout               = 2 * time.Second        // for a call to another process
+	leaveTimeout                = 200 * time.Millisecond // for the good-bye to be told by the failure detection, too
+	maxLeaveRecipients          = 8                      // members that are told of it at once
+	maxChangeLines              = 64                     // lines of log for one publication
+	minSyncInterval             = 15 * time.Second       // between two full exchanges with one other member
+	syncIntervalPerMember       = 100 * time.Millisecond // the same by the expected size: an exchange names everybody
+	gossipToDeadTime            = 30 * time.Second       // a lost process is still gossiped to, so that it can object
 )
 
 // Config is what a process needs to take part.
@@ -81,39 +81,39 @@
 type Fleet struct {
 	Counters Counters
 
-	cfg     Config
-	log     logrus.FieldLogger
-	warn    *logging.Limiter
-	started time.Time
-	keyring *memberlist.Keyring
-	wire    *wire
-	news    memberlist.TransmitLimitedQueue // of words that change something, which go first
-	loads   memberlist.TransmitLimitedQueue // of the others
-
-	statuses chan fleet.Status
-	changes  chan Change
-	words    chan word
-	found    chan finding
-	calls    chan []target
-	direct   chan directed
-	hear     atomic.Pointer[func(b []byte)] // is handed messages to this member
-	snapshot atomic.Pointer[fleet.Snapshot]
-
-	mu     sync.Mutex
-	sights map[string]bool // processes that came (true) and went (false) since the keeper looked
+	config           Config
+	log              logrus.FieldLogger
+	warn             *logging.Limiter
+	startedAt        time.Time
+	keyring          *memberlist.Keyring
+	transport        *countingTransport
+	changeBroadcasts memberlist.TransmitLimitedQueue // of words that change something, which go first
+	loadBroadcasts   memberlist.TransmitLimitedQueue // of the others
+
+	statuses       chan fleet.Status
+	changes        chan Change
+	updates        chan recordUpdate
+	dialResults    chan dialResult
+	dialRounds     chan []dialTarget
+	directMessages chan directMessage
+	messageHandler atomic.Pointer[func(b []byte)] // is handed messages to this member
+	snapshot       atomic.Pointer[fleet.Snapshot]
+
+	mu             sync.Mutex
+	processReached map[string]bool // processes that came (true) and went (false) since the keeper looked
 
 	// The keeper's own.
-	view    *fleet.View
-	self    *fleet.Self
-	rejoin  *fleet.Rejoin
-	list    *memberlist.Memberlist
-	calling bool
-	left    bool
-	changed bool          // since the last snapshot, in more than load
-	summed  bool          // since then, a zone's sum has come
-	shown   time.Duration // when that was made
-	callAt  time.Duration // when to look next for members to call, and to forget
-	dropAt  time.Duration
+	view              *fleet.View
+	self              *fleet.Self
+	rejoin            *fleet.Rejoin
+	memberlist        *memberlist.Memberlist
+	dialing           bool
+	left              bool
+	changed           bool          // since the last snapshot, in more than load
+	aggregateReceived bool          // since then, a zone's sum has come
+	publishedAt       time.Duration // when that was made
+	nextDialAt        time.Duration // when to look next for members to call, and to forget
+	nextForgetAt      time.Duration
 }
 
 // Change is what a reload of the operators' file may change.
@@ -123,79 +123,81 @@
 	Digest uint64
 }
 
-// word is a record of another process, on its way to the keeper or to others.
-type word struct {
-	rec  fleet.Record
-	made time.Duration
-	now  func() time.Duration
+// recordUpdate is a record of another process, on its way to the keeper or to others.
+type recordUpdate struct {
+	record     fleet.Record
+	recordedAt time.Duration
+	now        func() time.Duration
 }
 
 // Name, Invalidates, Message and Finished make a word a broadcast: the newer word of a name replaces the older.
-func (w *word) Name() string { return w.rec.Name }
-func (w *word) Invalidates(o memberlist.Broadcast) bool {
-	other, ok := o.(*word)
-	return ok && other.rec.Name == w.rec.Name
+func (w *recordUpdate) Name() string { return w.record.Name }
+func (w *recordUpdate) Invalidates(older memberlist.Broadcast) bool {
+	other, ok := older.(*recordUpdate)
+	return ok && other.record.Name == w.record.Name
 }
-func (w *word) Message() []byte { return fleet.AppendUpdate(nil, &w.rec, w.now()-w.made) }
-func (w *word) Finished()       {}
+func (w *recordUpdate) Message() []byte {
+	return fleet.AppendUpdate(nil, &w.record, w.now()-w.recordedAt)
+}
+func (w *recordUpdate) Finished() {}
 
-type target struct {
+type dialTarget struct {
 	addr string
 	name string // empty for a seed
 	run  uint64
 }
 
-// directed is a message to one member.
-type directed struct {
-	to memberlist.Address
-	b  []byte
+// directMessage is a message to one member.
+type directMessage struct {
+	to      memberlist.Address
+	payload []byte
 }
 
-type finding struct {
-	target
-	found fleet.Evidence
+type dialResult struct {
+	dialTarget
+	evidence fleet.Evidence
 }
 
 // New returns a process's part in a fleet; nothing happens before Listen and Run. An error names the key of [fleet] at
 // fault.
-func New(cfg Config, logger logrus.FieldLogger) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, log: logger, warn: logging.NewLimiter(logger), started: time.Now(),
-		statuses: make(chan fleet.Status, 1), changes: make(chan Change, 1), words: make(chan word, wordsWait),
-		found: make(chan finding, 8), calls: make(chan []target, 1), direct: make(chan directed, directWait), sights: map[string]bool{},
-		view:   fleet.NewView(cfg.Place.Name, cfg.Limits),
-		rejoin: fleet.NewRejoin(cfg.Seeds, rand.New(rand.NewPCG(cfg.Seed, cfg.Place.Run)))}
-	f.self = fleet.NewSelf(0, cfg.Place, cfg.Digest, cfg.Incarnation)
-	f.news.NumNodes = func() int { return max(len(f.Snapshot().Members), fewMembers) }
-	f.loads.NumNodes = f.news.NumNodes
-	f.news.RetransmitMult, f.loads.RetransmitMult = newsRepeats, loadRepeats
-	if len(cfg.Keys) > 0 {
-		ring, err := memberlist.NewKeyring(cfg.Keys, cfg.Keys[0])
+func New(config Config, logger logrus.FieldLogger) (*Fleet, error) {
+	fleetMember := &Fleet{config: config, log: logger, warn: logging.NewLimiter(logger), startedAt: time.Now(),
+		statuses: make(chan fleet.Status, 1), changes: make(chan Change, 1), updates: make(chan recordUpdate, updateQueueLength),
+		dialResults: make(chan dialResult, 8), dialRounds: make(chan []dialTarget, 1), directMessages: make(chan directMessage, directQueueLength), processReached: map[string]bool{},
+		view:   fleet.NewView(config.Place.Name, config.Limits),
+		rejoin: fleet.NewRejoin(config.Seeds, rand.New(rand.NewPCG(config.Seed, config.Place.Run)))}
+	fleetMember.self = fleet.NewSelf(0, config.Place, config.Digest, config.Incarnation)
+	fleetMember.changeBroadcasts.NumNodes = func() int { return max(len(fleetMember.Snapshot().Members), minRetransmitNodes) }
+	fleetMember.loadBroadcasts.NumNodes = fleetMember.changeBroadcasts.NumNodes
+	fleetMember.changeBroadcasts.RetransmitMult, fleetMember.loadBroadcasts.RetransmitMult = changeRetransmitMultiplier, loadRetransmitMultiplier
+	if len(config.Keys) > 0 {
+		ring, err := memberlist.NewKeyring(config.Keys, config.Keys[0])
 		if err != nil {
 			return nil, fmt.Errorf("fleet.key_file: %w", err)
 		}
-		f.keyring = ring
+		fleetMember.keyring = ring
 	}
-	f.view.Merge(0, 0, f.self.Record())
-	f.snapshot.Store(f.view.Snapshot(0))
-	return f, nil
+	fleetMember.view.Merge(0, 0, fleetMember.self.Record())
+	fleetMember.snapshot.Store(fleetMember.view.Snapshot(0))
+	return fleetMember, nil
 }
 
 // Listen opens the sockets. Run does so where it was not called.
 func (f *Fleet) Listen() error {
-	transport := f.cfg.Transport
+	transport := f.config.Transport
 	if transport == nil {
-		t, err := listen(f.cfg.Listen, log.New(lines{f}, "", 0))
+		t, err := listen(f.config.Listen, log.New(logWriter{f}, "", 0))
 		if err != nil {
 			return fmt.Errorf("fleet.listen: %w", err)
 		}
 		transport = t
 	}
-	f.wire = &wire{NodeAwareTransport: transport, count: &f.Counters, seen: map[string]bool{}}
+	f.transport = &countingTransport{NodeAwareTransport: transport, counters: &f.Counters, answered: map[string]bool{}}
 	return nil
 }
 
 // Now is the time on this process's clock, by which snapshots go. It runs on while the process is stopped.
-func (f *Fleet) Now() time.Duration { return time.Since(f.started) }
+func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
 // Snapshot is what is known; it is never nil and never changes.
 func (f *Fleet) Snapshot() *fleet.Snapshot { return f.snapshot.Load() }
@@ -214,14 +216,14 @@
 // goroutine may call it; b is not used by the caller any more.
 func (f *Fleet) Send(to *fleet.Member, b []byte) {
 	select {
-	case f.direct <- directed{memberlist.Address{Addr: to.Addr, Name: to.Process()}, append([]byte{fleet.KindDirect}, b...)}:
+	case f.directMessages <- directMessage{memberlist.Address{Addr: to.Addr, Name: to.Process()}, append([]byte{fleet.KindDirect}, b...)}:
 	default:
 		f.Counters.Overflow.Add(1)
 	}
 }
 
 // OnMessage has messages to this member handed to hear, which must not block and must not keep b.
-func (f *Fleet) OnMessage(hear func(b []byte)) { f.hear.Store(&hear) }
+func (f *Fleet) OnMessage(handler func(b []byte)) { f.messageHandler.Store(&handler) }
 
 // sendDirect writes messages to single members, beside the keeper.
 func (f *Fleet) sendDirect(ctx context.Context) error {
@@ -229,9 +231,9 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-f.direct:
+		case d := <-f.directMessages:
 			f.Counters.Direct.Add(1)
-			if err := f.list.SendToAddress(d.to, d.b); err != nil {
+			if err := f.memberlist.SendToAddress(d.to, d.payload); err != nil {
 				f.warn.Warn("fleet direct", "a message to a member was not sent", err)
 			}
 		}
@@ -249,52 +251,52 @@
 
 // Run takes part until ctx ends, and then says good-bye.
 func (f *Fleet) Run(ctx context.Context) error {
-	if f.wire == nil {
+	if f.transport == nil {
 		if err := f.Listen(); err != nil {
 			return err
 		}
 	}
-	list, err := memberlist.Create(f.settings())
+	list, err := memberlist.Create(f.memberlistConfig())
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	f.list = list
+	f.memberlist = list
 	ctx, cancel := context.WithCancel(ctx)
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return f.callOthers(ctx) })
+	g.Go(func() error { return f.runDialRounds(ctx) })
 	g.Go(func() error { return f.sendDirect(ctx) })
 	g.Go(func() error {
 		defer cancel()
-		f.keep(ctx)
+		f.ownView(ctx)
 		return nil
 	})
 	return g.Wait()
 }
 
-func (f *Fleet) settings() *memberlist.Config {
-	c := memberlist.DefaultLANConfig()
-	c.Name = fleet.Process(f.cfg.Place.Name, f.cfg.Place.Run)
-	c.Transport = f.wire
-	host, port, _ := net.SplitHostPort(f.cfg.Place.Addr) // checked with the configuration
-	c.AdvertiseAddr = host
-	c.AdvertisePort, _ = strconv.Atoi(port)
-	c.BindAddr, c.BindPort = host, c.AdvertisePort
-	c.ProbeInterval, c.ProbeTimeout = f.cfg.ProbeInterval, f.cfg.ProbeInterval*2/5
-	c.GossipInterval, c.GossipToTheDeadTime = 200*time.Millisecond, deadKept
-	c.PushPullInterval = max(syncAtLeast, time.Duration(f.cfg.Size)*syncPerName)
-	c.TCPTimeout = streamLimit
-	c.EnableCompression = false // packets are small, and processor time is what there is least of
-	c.Keyring = f.keyring
-	c.Logger = log.New(lines{f}, "", 0)
-	c.Delegate, c.Events = delegate{f}, delegate{f}
-	return c
-}
-
-// keep is the goroutine that owns the view.
-func (f *Fleet) keep(ctx context.Context) {
-	timer := time.NewTicker(tick)
+func (f *Fleet) memberlistConfig() *memberlist.Config {
+	config := memberlist.DefaultLANConfig()
+	config.Name = fleet.Process(f.config.Place.Name, f.config.Place.Run)
+	config.Transport = f.transport
+	host, port, _ := net.SplitHostPort(f.config.Place.Addr) // checked with the configuration
+	config.AdvertiseAddr = host
+	config.AdvertisePort, _ = strconv.Atoi(port)
+	config.BindAddr, config.BindPort = host, config.AdvertisePort
+	config.ProbeInterval, config.ProbeTimeout = f.config.ProbeInterval, f.config.ProbeInterval*2/5
+	config.GossipInterval, config.GossipToTheDeadTime = 200*time.Millisecond, gossipToDeadTime
+	config.PushPullInterval = max(minSyncInterval, time.Duration(f.config.Size)*syncIntervalPerMember)
+	config.TCPTimeout = streamTimeout
+	config.EnableCompression = false // packets are small, and processor time is what there is least of
+	config.Keyring = f.keyring
+	config.Logger = log.New(logWriter{f}, "", 0)
+	config.Delegate, config.Events = delegate{f}, delegate{f}
+	return config
+}
+
+// ownView is the goroutine that owns the view.
+func (f *Fleet) ownView(ctx context.Context) {
+	timer := time.NewTicker(tickInterval)
 	defer timer.Stop()
-	f.tell()
+	f.publishRecord()
 	for {
 		select {
 		case <-ctx.Done():
@@ -302,138 +304,138 @@
 			return
 		case s := <-f.statuses:
 			if f.self.LoopStatus(f.Now(), s) {
-				f.tell()
+				f.publishRecord()
 			}
 			if s.Replaced && !f.left {
 				f.log.Info("fleet: a newer process takes this one's place")
 				f.leave()
 			}
 		case c := <-f.changes:
-			f.change(c)
-		case w := <-f.words:
-			f.joined(w)
-		case x := <-f.found:
+			f.applyReload(c)
+		case w := <-f.updates:
+			f.receiveUpdate(w)
+		case x := <-f.dialResults:
 			if x.name == "" && x.addr == "" {
-				f.calling = false
+				f.dialing = false
 			} else {
-				f.view.RecordEvidence(x.name, x.run, x.found)
+				f.view.RecordEvidence(x.name, x.run, x.evidence)
 				f.changed = true
 			}
 		case <-timer.C:
-			f.look()
+			f.maintain()
 		}
 	}
 }
 
-// look is what is done at each tick.
-func (f *Fleet) look() {
+// maintain is what is done at each tick.
+func (f *Fleet) maintain() {
 	if f.left {
 		return
 	}
 	now := f.Now()
 	f.mu.Lock()
-	for process, here := range f.sights {
+	for process, reached := range f.processReached {
 		if name, run, err := fleet.ParseProcess(process); err == nil {
 			reach := fleet.Lost
-			if here {
+			if reached {
 				reach = fleet.Reached
 			}
 			f.view.ObserveReach(now, name, run, reach)
 			f.changed = true
 		}
 	}
-	clear(f.sights)
+	clear(f.processReached)
 	f.mu.Unlock()
-	if now >= f.dropAt {
-		f.dropAt = now + forgetEvery
+	if now >= f.nextForgetAt {
+		f.nextForgetAt = now + forgetInterval
 		f.view.Forget(now)
 	}
 	if f.self.PublishDue(now, f.view.Size()) {
-		f.tell()
+		f.publishRecord()
 	}
-	wait := tick * time.Duration(1+f.view.Size()/loadTicks)
-	if f.summed {
-		wait = min(wait, sumsWithin)
+	wait := tickInterval * time.Duration(1+f.view.Size()/membersPerExtraTick)
+	if f.aggregateReceived {
+		wait = min(wait, maxAggregateDelay)
 	}
-	if f.changed || now-f.shown >= wait-tick/2 {
-		f.publish(now)
+	if f.changed || now-f.publishedAt >= wait-tickInterval/2 {
+		f.publishSnapshot(now)
 	}
-	if !f.calling && now >= f.callAt {
-		f.callAt = now + callEvery*time.Duration(1+f.view.Size()/callMore)
-		f.call(now)
+	if !f.dialing && now >= f.nextDialAt {
+		f.nextDialAt = now + dialInterval*time.Duration(1+f.view.Size()/membersPerExtraDialInterval)
+		f.startDialRound(now)
 	}
 }
 
-// tell passes the next word of this process on.
-func (f *Fleet) tell() {
+// publishRecord passes the next word of this process on.
+func (f *Fleet) publishRecord() {
 	if f.left {
 		return
 	}
 	now := f.Now()
-	r := f.self.NextRecord(now)
-	f.join(now, word{r, now - r.Stalled, f.Now})
+	record := f.self.NextRecord(now)
+	f.mergeUpdate(now, recordUpdate{record, now - record.Stalled, f.Now})
 }
 
-// join joins a word and, if it is news, passes it on.
-func (f *Fleet) join(now time.Duration, w word) bool {
-	was := f.view.Known(w.rec.Name)
-	if !f.view.Merge(now, now-w.made, w.rec) {
+// mergeUpdate joins a word and, if it is news, passes it on.
+func (f *Fleet) mergeUpdate(now time.Duration, update recordUpdate) bool {
+	previous := f.view.Known(update.record.Name)
+	if !f.view.Merge(now, now-update.recordedAt, update.record) {
 		return false
 	}
-	if was == nil || w.rec.Urgent(was) {
-		f.news.QueueBroadcast(&w)
+	if previous == nil || update.record.Urgent(previous) {
+		f.changeBroadcasts.QueueBroadcast(&update)
 		f.changed = true
 	} else {
-		f.summed = f.summed || w.rec.Load.Aggregate != ""
-		f.loads.QueueBroadcast(&w)
+		f.aggregateReceived = f.aggregateReceived || update.record.Load.Aggregate != ""
+		f.loadBroadcasts.QueueBroadcast(&update)
 	}
 	return true
 }
 
-// joined joins what another process told.
-func (f *Fleet) joined(w word) {
+// receiveUpdate joins what another process told.
+func (f *Fleet) receiveUpdate(update recordUpdate) {
 	if f.left {
 		return
 	}
 	now := f.Now()
 	f.Counters.Updates.Add(1)
-	if f.self.Receive(now, &w.rec) {
-		f.tell()
+	if f.self.Receive(now, &update.record) {
+		f.publishRecord()
 		if f.self.NameReleased() {
-			f.log.WithFields(logrus.Fields{"name": w.rec.Name, "by": w.rec.Addr}).
+			f.log.WithFields(logrus.Fields{"name": update.record.Name, "by": update.record.Addr}).
 				Error("another process goes by this name and was started before; this one leaves the fleet and serves alone")
-			f.publish(now)
+			f.publishSnapshot(now)
 			f.leave()
 			return
 		}
 	}
-	if f.join(now, w) {
+	if f.mergeUpdate(now, update) {
 		f.Counters.NewUpdates.Add(1)
-	} else if by, made := f.view.SupersededBy(&w.rec); by != nil {
-		f.news.QueueBroadcast(&word{*by, made, f.Now})
+	} else if newer, recordedAt := f.view.SupersededBy(&update.record); newer != nil {
+		f.changeBroadcasts.QueueBroadcast(&recordUpdate{*newer, recordedAt, f.Now})
 	}
 }
 
-func (f *Fleet) change(c Change) {
-	f.rejoin.Seeds(c.Seeds)
+func (f *Fleet) applyReload(c Change) {
+	f.rejoin.SetSeeds(c.Seeds)
 	if f.self.Reconfigured(c.Digest) {
-		f.tell()
+		f.publishRecord()
 	}
-	if err := f.rekey(c.Keys); err != nil {
+	if err := f.replaceKeys(c.Keys); err != nil {
 		f.log.WithError(err).Error("keys of the fleet not taken over; those in force stay")
 	}
 }
 
-// rekey puts other keys in force. The first one encrypts; all of them are understood.
-func (f *Fleet) rekey(keys [][]byte) error {
+// replaceKeys puts other keys in force. The first one encrypts; all of them are understood.
+func (f *Fleet) replaceKeys(keys [][]byte) error {
 	if len(keys) == 0 || f.keyring == nil {
 		if len(keys) != 0 || f.keyring != nil {
 			return errors.New("fleet.key_file: encryption is begun or ended by a start only")
 		}
 		return nil
 	}
-	for _, k := range keys {
-		if err := f.keyring.AddKey(k); err != nil {
+	for _, key := range keys {
+		if err := f.keyring.AddKey(key); err != nil {
 			return err
 		}
 	}
@@ -442,8 +444,8 @@
 	}
 	for _, old := range f.keyring.GetKeys() {
 		kept := false
-		for _, k := range keys {
-			kept = kept || string(k) == string(old)
+		for _, key := range keys {
+			kept = kept || string(key) == string(old)
 		}
 		if !kept {
 			if err := f.keyring.RemoveKey(old); err != nil {
@@ -454,25 +456,25 @@
 	return nil
 }
 
-// publish makes a snapshot, and logs what has changed since the last one.
-func (f *Fleet) publish(now time.Duration) {
-	s, old := f.view.Snapshot(now), f.Snapshot()
-	f.changed, f.summed, f.shown = false, false, now
-	changes := s.Changes(old)
-	for i, c := range changes {
-		if i == linesMost {
+// publishSnapshot makes a snapshot, and logs what has changed since the last one.
+func (f *Fleet) publishSnapshot(now time.Duration) {
+	snapshot, previous := f.view.Snapshot(now), f.Snapshot()
+	f.changed, f.aggregateReceived, f.publishedAt = false, false, now
+	changes := snapshot.Changes(previous)
+	for i, change := range changes {
+		if i == maxChangeLines {
 			f.log.WithField("more", len(changes)-i).Info("fleet: further changes at the same time")
 			break
 		}
-		line := f.log.WithFields(logrus.Fields{"what": c.What, "member": c.Member, "from": c.From, "to": c.To,
-			"age_ms": c.Age.Milliseconds(), "position": s.Position.String()})
-		if c.What == "position" {
+		line := f.log.WithFields(logrus.Fields{"what": change.Kind, "member": change.Member, "from": change.From, "to": change.To,
+			"age_ms": change.Age.Milliseconds(), "position": snapshot.Position.String()})
+		if change.Kind == "position" {
 			line.Warn("fleet")
 		} else {
 			line.Info("fleet")
 		}
 	}
-	f.snapshot.Store(s)
+	f.snapshot.Store(snapshot)
 }
 
 // leave says good-bye. It is called once, at the end or when the name is another's.
@@ -481,62 +483,62 @@
 		return
 	}
 	if !f.self.NameReleased() {
-		f.goodBye()
+		f.sendLeave()
 	}
 	f.left = true
-	if err := f.list.Leave(leaveLimit); err != nil {
+	if err := f.memberlist.Leave(leaveTimeout); err != nil {
 		f.log.WithError(err).Debug("fleet: nobody heard the good-bye")
 	}
-	if err := f.list.Shutdown(); err != nil {
+	if err := f.memberlist.Shutdown(); err != nil {
 		f.log.WithError(err).Warn("fleet: sockets not closed")
 	}
 }
 
-// goodBye makes the last word and sends it to some members at once: the process may be over before the next packet of
+// sendLeave makes the last word and sends it to some members at once: the process may be over before the next packet of
 // the ordinary kind goes out.
-func (f *Fleet) goodBye() {
+func (f *Fleet) sendLeave() {
 	now := f.Now()
-	r := f.self.LeaveRecord(now)
-	w := word{r, now, f.Now}
-	f.join(now, w)
-	s := f.Snapshot()
+	record := f.self.LeaveRecord(now)
+	update := recordUpdate{record, now, f.Now}
+	f.mergeUpdate(now, update)
+	snapshot := f.Snapshot()
 	sent := 0
-	for _, i := range rand.Perm(len(s.Members)) {
-		m := &s.Members[i]
-		if m.Self || m.Liveness != fleet.Alive || sent == leaveTold {
+	for _, i := range rand.Perm(len(snapshot.Members)) {
+		member := &snapshot.Members[i]
+		if member.Self || member.Liveness != fleet.Alive || sent == maxLeaveRecipients {
 			continue
 		}
 		sent++
-		if err := f.list.SendToAddress(memberlist.Address{Addr: m.Addr, Name: m.Process()}, w.Message()); err != nil {
+		if err := f.memberlist.SendToAddress(memberlist.Address{Addr: member.Addr, Name: member.Process()}, update.Message()); err != nil {
 			f.log.WithError(err).Debug("fleet: good-bye not sent")
 		}
 	}
 }
 
-// call has those called that are not reached, one round at a time.
-func (f *Fleet) call(now time.Duration) {
-	s := f.Snapshot()
-	var round []target
-	for _, addr := range f.rejoin.Next(now, s) {
-		t := target{addr: addr}
-		for i := range s.Members {
-			if m := &s.Members[i]; m.Addr == addr && m.Liveness != fleet.Left {
-				t.name, t.run = m.Name, m.Run
+// startDialRound has those called that are not reached, one round at a time.
+func (f *Fleet) startDialRound(now time.Duration) {
+	snapshot := f.Snapshot()
+	var round []dialTarget
+	for _, addr := range f.rejoin.NextDials(now, snapshot) {
+		target := dialTarget{addr: addr}
+		for i := range snapshot.Members {
+			if member := &snapshot.Members[i]; member.Addr == addr && member.Liveness != fleet.Left {
+				target.name, target.run = member.Name, member.Run
 			}
 		}
-		round = append(round, t)
+		round = append(round, target)
 	}
 	if len(round) > 0 {
-		f.calling = true
-		f.calls <- round
+		f.dialing = true
+		f.dialRounds <- round
 	}
 }
 
-// callOthers carries out calls, which take long where nobody answers, beside the keeper.
-func (f *Fleet) callOthers(ctx context.Context) error {
-	tell := func(x finding) {
+// runDialRounds carries out calls, which take long where nobody answers, beside the keeper.
+func (f *Fleet) runDialRounds(ctx context.Context) error {
+	report := func(x dialResult) {
 		select {
-		case f.found <- x:
+		case f.dialResults <- x:
 		case <-ctx.Done():
 		}
 	}
@@ -544,73 +546,73 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case round := <-f.calls:
-			for _, t := range round {
+		case round := <-f.dialRounds:
+			for _, target := range round {
 				f.Counters.Calls.Add(1)
-				f.wire.forget(t.addr)
-				if _, err := f.list.Join([]string{t.addr}); err != nil {
+				f.transport.beginDial(target.addr)
+				if _, err := f.memberlist.Join([]string{target.addr}); err != nil {
 					f.Counters.CallsFailed.Add(1)
-					tell(finding{t, f.wire.evidence(t.addr)})
+					report(dialResult{target, f.transport.dialEvidence(target.addr)})
 				}
 			}
-			tell(finding{}) // the round is over
+			report(dialResult{}) // the round is over
 		}
 	}
 }
 
 // delegate is what memberlist calls, from goroutines of its own. It must not block.
-type delegate struct{ f *Fleet }
+type delegate struct{ fleet *Fleet }
 
 func (d delegate) NodeMeta(int) []byte { return nil }
 
 func (d delegate) NotifyMsg(b []byte) {
 	if len(b) > 0 && b[0] == fleet.KindDirect {
-		if hear := d.f.hear.Load(); hear != nil {
-			(*hear)(b[1:])
+		if handler := d.fleet.messageHandler.Load(); handler != nil {
+			(*handler)(b[1:])
 		}
 		return
 	}
-	r, age, err := fleet.ParseUpdate(b)
+	record, age, err := fleet.ParseUpdate(b)
 	if err != nil {
-		d.f.Counters.Malformed.Add(1)
-		d.f.warn.Warn("fleet word", "a message of another member can't be read", err)
+		d.fleet.Counters.Malformed.Add(1)
+		d.fleet.warn.Warn("fleet word", "a message of another member can't be read", err)
 		return
 	}
 	select {
-	case d.f.words <- word{r, d.f.Now() - age, d.f.Now}:
+	case d.fleet.updates <- recordUpdate{record, d.fleet.Now() - age, d.fleet.Now}:
 	default:
-		d.f.Counters.Overflow.Add(1) // told again before long
+		d.fleet.Counters.Overflow.Add(1) // told again before long
 	}
 }
 
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	b := d.f.news.GetBroadcasts(overhead, limit)
-	for _, m := range b {
-		limit -= overhead + len(m)
+	broadcasts := d.fleet.changeBroadcasts.GetBroadcasts(overhead, limit)
+	for _, broadcast := range broadcasts {
+		limit -= overhead + len(broadcast)
 	}
-	return append(b, d.f.loads.GetBroadcasts(overhead, limit)...)
+	return append(broadcasts, d.fleet.loadBroadcasts.GetBroadcasts(overhead, limit)...)
 }
 
 // LocalState tells a newcomer of everybody, and others, now and then, of some.
 func (d delegate) LocalState(join bool) []byte {
-	s, now := d.f.Snapshot(), d.f.Now()
-	n, most := len(s.Members), syncWords
+	snapshot, now := d.fleet.Snapshot(), d.fleet.Now()
+	known, limit := len(snapshot.Members), updatesPerSync
 	if join {
-		most = n
+		limit = known
 	}
 	var b []byte
-	for i := range min(n, most) {
+	for i := range min(known, limit) {
 		if !join {
-			i = rand.IntN(n)
+			i = rand.IntN(known)
 		}
-		m := &s.Members[i]
-		if m.Seq == 0 || m.Liveness == fleet.Unmet {
+		member := &snapshot.Members[i]
+		if member.Seq == 0 || member.Liveness == fleet.Unmet {
 			continue // never told, or nothing that this process can vouch for
 		}
-		at := len(b)
-		b = fleet.AppendUpdate(append(b, 0, 0), m.Record, m.Age(now))
-		binary.BigEndian.PutUint16(b[at:], uint16(len(b)-at-2))
-		if len(b) > joinState {
+		start := len(b)
+		b = fleet.AppendUpdate(append(b, 0, 0), member.Record, member.Age(now))
+		binary.BigEndian.PutUint16(b[start:], uint16(len(b)-start-2))
+		if len(b) > maxJoinStateBytes {
 			break
 		}
 	}
@@ -621,7 +623,7 @@
 	for len(b) >= 2 {
 		n := int(binary.BigEndian.Uint16(b))
 		if len(b) < 2+n {
-			d.f.Counters.Malformed.Add(1)
+			d.fleet.Counters.Malformed.Add(1)
 			return
 		}
 		d.NotifyMsg(b[2 : 2+n])
@@ -629,12 +631,12 @@
 	}
 }
 
-func (d delegate) NotifyJoin(n *memberlist.Node)   { d.sight(n.Name, true) }
-func (d delegate) NotifyLeave(n *memberlist.Node)  { d.sight(n.Name, false) }
+func (d delegate) NotifyJoin(n *memberlist.Node)   { d.recordReached(n.Name, true) }
+func (d delegate) NotifyLeave(n *memberlist.Node)  { d.recordReached(n.Name, false) }
 func (d delegate) NotifyUpdate(n *memberlist.Node) {}
 
-func (d delegate) sight(process string, here bool) {
-	d.f.mu.Lock()
-	defer d.f.mu.Unlock()
-	d.f.sights[process] = here
+func (d delegate) recordReached(process string, reached bool) {
+	d.fleet.mu.Lock()
+	defer d.fleet.mu.Unlock()
+	d.fleet.processReached[process] = reached
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -16,102 +16,102 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// sockets is memberlist's transport, but that calls go out from the address that the process listens at: whoever
+// boundTransport is memberlist's transport, but that calls go out from the address that the process listens at: whoever
 // stands between two members can then tell who calls.
-type sockets struct {
+type boundTransport struct {
 	*memberlist.NetTransport
-	from net.IP
+	localIP net.IP
 }
 
-func listen(addr string, logger *log.Logger) (*sockets, error) {
+func listen(addr string, logger *log.Logger) (*boundTransport, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	n, err := strconv.Atoi(port)
+	portNumber, err := strconv.Atoi(port)
 	if err != nil {
 		return nil, err
 	}
-	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: n, Logger: logger})
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: portNumber, Logger: logger})
 	if err != nil {
 		return nil, err
 	}
-	return &sockets{t, net.ParseIP(host)}, nil
+	return &boundTransport{transport, net.ParseIP(host)}, nil
 }
 
-func (s *sockets) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
+func (s *boundTransport) DialAddressTimeout(target memberlist.Address, limit time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: limit}
-	if !s.from.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: s.from}
+	if !s.localIP.IsUnspecified() {
+		d.LocalAddr = &net.TCPAddr{IP: s.localIP}
 	}
-	return d.Dial("tcp", a.Addr)
+	return d.Dial("tcp", target.Addr)
 }
 
-func (s *sockets) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
+func (s *boundTransport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
 	return s.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
 }
 
-// wire counts what goes out, and notes what calls found.
-type wire struct {
+// countingTransport counts what goes out, and notes what calls found.
+type countingTransport struct {
 	memberlist.NodeAwareTransport
-	count *Counters
+	counters *Counters
 
-	mu   sync.Mutex
-	seen map[string]bool // addresses that calls are made to, and whether something came back
-	errs map[string]error
+	mu         sync.Mutex
+	answered   map[string]bool // addresses that calls are made to, and whether something came back
+	lastErrors map[string]error
 }
 
-func (w *wire) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	w.count.PacketsOut.Add(1)
-	w.count.BytesOut.Add(int64(len(b)))
-	return w.NodeAwareTransport.WriteToAddress(b, a)
+func (w *countingTransport) WriteToAddress(b []byte, target memberlist.Address) (time.Time, error) {
+	w.counters.PacketsOut.Add(1)
+	w.counters.BytesOut.Add(int64(len(b)))
+	return w.NodeAwareTransport.WriteToAddress(b, target)
 }
 
-func (w *wire) WriteTo(b []byte, addr string) (time.Time, error) {
+func (w *countingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return w.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (w *wire) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
-	c, err := w.NodeAwareTransport.DialAddressTimeout(a, limit)
+func (w *countingTransport) DialAddressTimeout(target memberlist.Address, limit time.Duration) (net.Conn, error) {
+	conn, err := w.NodeAwareTransport.DialAddressTimeout(target, limit)
 	if err != nil {
-		w.note(a.Addr, err)
+		w.recordError(target.Addr, err)
 		return nil, err
 	}
-	w.count.Streams.Add(1)
-	return &stream{Conn: c, wire: w, addr: a.Addr}, nil
+	w.counters.Streams.Add(1)
+	return &countingConn{Conn: conn, transport: w, addr: target.Addr}, nil
 }
 
-func (w *wire) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
+func (w *countingTransport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
 	return w.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
 }
 
-// note keeps the last error of an address that is being called.
-func (w *wire) note(addr string, err error) {
+// recordError keeps the last error of an address that is being called.
+func (w *countingTransport) recordError(addr string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, ok := w.seen[addr]; ok {
-		w.errs[addr] = err
+	if _, ok := w.answered[addr]; ok {
+		w.lastErrors[addr] = err
 	}
 }
 
-// forget begins a call to addr.
-func (w *wire) forget(addr string) {
+// beginDial begins a call to addr.
+func (w *countingTransport) beginDial(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.seen, w.errs = map[string]bool{addr: false}, map[string]error{}
+	w.answered, w.lastErrors = map[string]bool{addr: false}, map[string]error{}
 }
 
-// evidence is what the failed call to addr showed.
-func (w *wire) evidence(addr string) fleet.Evidence {
+// dialEvidence is what the failed call to addr showed.
+func (w *countingTransport) dialEvidence(addr string) fleet.Evidence {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	err := w.errs[addr]
+	err := w.lastErrors[addr]
 	var timeout net.Error
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED),
-		!w.seen[addr] && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)):
+		!w.answered[addr] && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)):
 		return fleet.ConnectionRefused
-	case errors.Is(err, errConnected):
+	case errors.Is(err, errNoAnswer):
 		return fleet.ConnectionAccepted
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return fleet.Unanswered
@@ -119,76 +119,76 @@
 	return fleet.NoEvidence
 }
 
-var errConnected = errors.New("connected, and nothing came back in time")
+var errNoAnswer = errors.New("connected, and nothing came back in time")
 
-// stream counts what is written, and notes how reading ended.
-type stream struct {
+// countingConn counts what is written, and notes how reading ended.
+type countingConn struct {
 	net.Conn
-	wire *wire
-	addr string
+	transport *countingTransport
+	addr      string
 }
 
-func (s *stream) Write(b []byte) (int, error) {
+func (s *countingConn) Write(b []byte) (int, error) {
 	n, err := s.Conn.Write(b)
-	s.wire.count.StreamBytes.Add(int64(n))
+	s.transport.counters.StreamBytes.Add(int64(n))
 	if err != nil {
-		s.wire.note(s.addr, err)
+		s.transport.recordError(s.addr, err)
 	}
 	return n, err
 }
 
-func (s *stream) Read(b []byte) (int, error) {
+func (s *countingConn) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	if n > 0 {
-		s.wire.mu.Lock()
-		if _, ok := s.wire.seen[s.addr]; ok {
-			s.wire.seen[s.addr] = true
+		s.transport.mu.Lock()
+		if _, ok := s.transport.answered[s.addr]; ok {
+			s.transport.answered[s.addr] = true
 		}
-		s.wire.mu.Unlock()
+		s.transport.mu.Unlock()
 	}
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		s.wire.note(s.addr, errConnected)
+		s.transport.recordError(s.addr, errNoAnswer)
 	} else if err != nil {
-		s.wire.note(s.addr, err)
+		s.transport.recordError(s.addr, err)
 	}
 	return n, err
 }
 
-// lines takes what memberlist logs. Packets of strangers are many, and only counted.
-type lines struct{ f *Fleet }
+// logWriter takes what memberlist logs. Packets of strangers are many, and only counted.
+type logWriter struct{ fleet *Fleet }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	text = strings.Replace(text, "memberlist: ", "", 1)
 	level, rest, ok := strings.Cut(strings.TrimPrefix(text, "["), "] ")
 	if !ok {
 		level, rest = "WARN", text
 	}
-	c := &l.f.Counters
+	counters := &l.fleet.Counters
 	switch {
 	case strings.Contains(rest, "ecrypt"), strings.Contains(rest, "label"):
-		c.ForeignPackets.Add(1)
-		l.f.warn.Warn("fleet stranger", rest, nil)
+		counters.ForeignPackets.Add(1)
+		l.fleet.warn.Warn("fleet stranger", rest, nil)
 		return len(b), nil
 	case strings.HasPrefix(rest, "Suspect "):
-		c.Suspicions.Add(1)
+		counters.Suspicions.Add(1)
 	case strings.HasPrefix(rest, "Refuting"):
-		c.Objections.Add(1)
+		counters.Objections.Add(1)
 	}
 	switch level {
 	case "ERR":
 		if strings.Contains(rest, "ecode") || strings.Contains(rest, "type") || strings.Contains(rest, "too short") {
-			c.Malformed.Add(1)
+			counters.Malformed.Add(1)
 		}
-		l.f.warn.Warn("fleet "+key(rest), rest, nil)
+		l.fleet.warn.Warn("fleet "+logLineKey(rest), rest, nil)
 	case "WARN":
-		l.f.warn.Warn("fleet "+key(rest), rest, nil)
+		l.fleet.warn.Warn("fleet "+logLineKey(rest), rest, nil)
 	default:
-		l.f.log.Debug("fleet: " + rest)
+		l.fleet.log.Debug("fleet: " + rest)
 	}
 	return len(b), nil
 }
 
-// key is the beginning of a line, by which lines of one kind are limited together.
-func key(text string) string { return text[:min(len(text), 20)] }
+// logLineKey is the beginning of a line, by which lines of one kind are limited together.
+func logLineKey(text string) string { return text[:min(len(text), 20)] }
