--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -1,67 +1,101 @@
 package fleet
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
-// Change is one thing that differs between two snapshots, for the log.
+// ChangeKind is what has changed. Its text stands in the log.
+type ChangeKind string
+
+// Kinds of changes.
+const (
+	MemberJoined     ChangeKind = "joined"
+	MemberRestarted  ChangeKind = "restarted"
+	MemberForgotten  ChangeKind = "forgotten"
+	ConditionChanged ChangeKind = "condition"
+	VersionChanged   ChangeKind = "version"
+	ConfigChanged    ChangeKind = "config"
+	ZoneChanged      ChangeKind = "zone"
+	PositionChanged  ChangeKind = "position"
+)
+
+// Change is one difference between two snapshots, for the log.
 type Change struct {
-	Member   string // or zone; empty for the fleet as a whole
-	Kind     string // joined, restarted, forgotten, condition, version, config, zone, position
+	Member   string // or a zone; empty for the observer's position
+	Kind     ChangeKind
 	From, To string
-	Age      time.Duration // of the word that told it
+	Age      time.Duration // of the record that reported it
 }
 
-// Changes returns what differs from old to s, in the order of names. How much members have to do is not among it.
+// Changes returns the differences from the previous snapshot to s, by member name. Load is left out.
 func (s *Snapshot) Changes(previous *Snapshot) (changes []Change) {
 	i := 0
 	for j := range s.Members {
 		member := &s.Members[j]
 		for ; i < len(previous.Members) && previous.Members[i].Name < member.Name; i++ {
-			changes = append(changes, Change{Member: previous.Members[i].Name, Kind: "forgotten", From: previous.Members[i].Condition()})
-		}
-		add := func(what, from, to string) {
-			if from != to {
-				changes = append(changes, Change{member.Name, what, from, to, member.Age(s.At)})
-			}
+			changes = append(changes, previous.Members[i].forgotten())
 		}
 		if i == len(previous.Members) || previous.Members[i].Name > member.Name {
-			add("joined", "", member.Condition())
+			changes = member.appendChange(changes, MemberJoined, "", member.Condition(), s.At)
 			continue
 		}
-		before := &previous.Members[i]
+		changes = member.appendChanges(changes, &previous.Members[i], s.At)
 		i++
-		if before.Run != member.Run {
-			add("restarted", Process(before.Name, before.Run), Process(member.Name, member.Run))
-		}
-		add("condition", before.Condition(), member.Condition())
-		if before.Seq > 0 {
-			add("version", before.Version, member.Version)
-			if before.Config != member.Config {
-				add("config", formatDigest(before.Config), formatDigest(member.Config))
-			}
-		}
 	}
 	for ; i < len(previous.Members); i++ {
-		changes = append(changes, Change{Member: previous.Members[i].Name, Kind: "forgotten", From: previous.Members[i].Condition()})
-	}
-	for k := range s.Zones {
-		zone := &s.Zones[k]
-		if before := previous.zoneNamed(zone.Region, zone.Zone); before != nil && before.Unreachable() != zone.Unreachable() {
-			changes = append(changes, Change{zone.Zone, "zone", describeReachability(before.Unreachable()), describeReachability(zone.Unreachable()), 0})
-		}
+		changes = append(changes, previous.Members[i].forgotten())
 	}
+	changes = s.appendZoneChanges(changes, previous)
 	if previous.Position != s.Position {
-		changes = append(changes, Change{"", "position", previous.Position.String(), s.Position.String(), 0})
+		changes = append(changes, Change{
+			Kind: PositionChanged, From: previous.Position.String(), To: s.Position.String(),
+		})
+	}
+	return changes
+}
+
+func (m *Member) forgotten() Change {
+	return Change{Member: m.Name, Kind: MemberForgotten, From: m.Condition()}
+}
+
+// appendChanges appends the differences from the same member in an earlier snapshot.
+func (m *Member) appendChanges(changes []Change, previous *Member, now time.Duration) []Change {
+	if previous.Run != m.Run {
+		changes = m.appendChange(changes, MemberRestarted, previous.Process(), m.Process(), now)
+	}
+	changes = m.appendChange(changes, ConditionChanged, previous.Condition(), m.Condition(), now)
+	if previous.Seq == 0 {
+		return changes // no record of it was received before
+	}
+	changes = m.appendChange(changes, VersionChanged, previous.Version, m.Version, now)
+	if previous.Config != m.Config {
+		changes = m.appendChange(changes, ConfigChanged, formatDigest(previous.Config), formatDigest(m.Config), now)
 	}
 	return changes
 }
 
-func (s *Snapshot) zoneNamed(region, zone string) *Zone {
+// appendChange appends a change where from and to differ.
+func (m *Member) appendChange(changes []Change, kind ChangeKind, from, to string, now time.Duration) []Change {
+	if from == to {
+		return changes
+	}
+	return append(changes, Change{Member: m.Name, Kind: kind, From: from, To: to, Age: m.Age(now)})
+}
+
+func (s *Snapshot) appendZoneChanges(changes []Change, previous *Snapshot) []Change {
 	for i := range s.Zones {
-		if z := &s.Zones[i]; z.Region == region && z.Zone == zone {
-			return z
+		zone := &s.Zones[i]
+		before := previous.zoneNamed(zone.Region, zone.Zone)
+		if before == nil || before.Unreachable() == zone.Unreachable() {
+			continue
 		}
+		changes = append(changes, Change{
+			Member: zone.Zone, Kind: ZoneChanged,
+			From: describeReachability(before.Unreachable()), To: describeReachability(zone.Unreachable()),
+		})
 	}
-	return nil
+	return changes
 }
 
 func describeReachability(unreachable bool) string {
@@ -71,11 +105,5 @@
 	return "reached"
 }
 
-func formatDigest(v uint64) string {
-	const digits = "0123456789abcdef"
-	b := make([]byte, 16)
-	for i := range b {
-		b[i] = digits[v>>(60-4*i)&15]
-	}
-	return string(b)
-}
+// formatDigest returns the digest of a configuration in hex digits.
+func formatDigest(digest uint64) string { return fmt.Sprintf("%016x", digest) }
--- /dev/null
+++ b/internal/fleet/golden_update_test.go
@@ -0,0 +1,169 @@
+package fleet
+
+import (
+	"encoding/hex"
+	"fmt"
+	"math"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"google.golang.org/protobuf/encoding/protowire"
+)
+
+const goldenUpdates = "testdata/words.hex"
+
+// readFrames reads a golden file of frames: a line for each, with its name and its bytes in hex digits.
+func readFrames(t *testing.T, path string) map[string][]byte {
+	t.Helper()
+	file, err := os.ReadFile(path)
+	require.NoError(t, err)
+	frames := map[string][]byte{}
+	for line := range strings.Lines(string(file)) {
+		name, digits, found := strings.Cut(strings.TrimSpace(line), ": 0x")
+		require.True(t, found, line)
+		require.NotContains(t, frames, name)
+		frames[name], err = hex.DecodeString(digits)
+		require.NoError(t, err, name)
+	}
+	return frames
+}
+
+// updateCase is a record as it is sent. Read changes it into what is received, where that differs.
+type updateCase struct {
+	name   string
+	record Record
+	age    time.Duration
+	read   func(r *Record)
+}
+
+// minimalRecord returns the smallest valid record, changed by change.
+func minimalRecord(change func(r *Record)) Record {
+	r := Record{Name: "n1", Run: 7, Load: Load{Busy: -1}}
+	change(&r)
+	return r
+}
+
+func goldenLoad() Load {
+	return Load{
+		Capacity: 7.5, Busy: 0.625, InFlight: 17, CallQuota: 3.25, ShedRatio: 0.125, MeanCalls: 2.5,
+		ServiceRate: 6.75, Demand: "\x0a\x3c\x00\x46", Attempts: 40.5, RetryRatio: 0.2, Threshold: 23.5,
+		StoreState: 2, StoreID: 0x89abcdef, ProbeRound: 77, Aggregate: "\x01\x02\xff",
+	}
+}
+
+func goldenRecord() Record {
+	return Record{
+		Name: "n1", Run: 0x0102030405060708, Incarnation: 1796147027278, Supersedes: 0x1112131415161718, Seq: 300,
+		Up: 90*time.Second + 5*time.Millisecond, Stalled: 4 * time.Second,
+		Addr: "10.0.0.1:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3",
+		Config: 0x2122232425262728, State: Serving, Load: goldenLoad(),
+	}
+}
+
+// fieldAdded is an encoded field of a newer version.
+var fieldAdded = string(protowire.AppendString(protowire.AppendTag(nil, 99, protowire.BytesType), "added"))
+
+// goldenUpdateCases has every field by itself, all of them together, and the bounds of what is sent. The names stand in
+// the golden file.
+func goldenUpdateCases() []updateCase {
+	field := func(name string, change func(r *Record)) updateCase {
+		return updateCase{name: name, record: minimalRecord(change)}
+	}
+	cases := []updateCase{
+		{name: "all fields", record: goldenRecord(), age: 1500 * time.Millisecond},
+		field("least", func(*Record) {}),
+		field("incarnation", func(r *Record) { r.Incarnation = 1796147027278 }),
+		field("over", func(r *Record) { r.Supersedes = 0x1112131415161718 }),
+		field("seq", func(r *Record) { r.Seq = 300 }),
+		field("up", func(r *Record) { r.Up = 90*time.Second + 5*time.Millisecond }),
+		field("stalled", func(r *Record) { r.Stalled = 4 * time.Second }),
+		field("addr", func(r *Record) { r.Addr = "10.0.0.1:7946" }),
+		field("region", func(r *Record) { r.Region = "eu" }),
+		field("zone", func(r *Record) { r.Zone = "eu-a" }),
+		field("version", func(r *Record) { r.Version = "1.2.3" }),
+		field("config", func(r *Record) { r.Config = 0x2122232425262728 }),
+		field("state starting", func(r *Record) { r.State = Starting }),
+		field("state warming", func(r *Record) { r.State = Warming }),
+		field("state serving", func(r *Record) { r.State = Serving }),
+		field("state draining", func(r *Record) { r.State = Draining }),
+		field("state gone", func(r *Record) { r.State = Stopped }),
+		field("state of a newer version", func(r *Record) { r.State = 200 }),
+		field("load capacity", func(r *Record) { r.Load.Capacity = 7.5 }),
+		field("load busy none", func(r *Record) { r.Load.Busy = 0 }),
+		field("load busy", func(r *Record) { r.Load.Busy = 0.625 }),
+		field("load in hand", func(r *Record) { r.Load.InFlight = 17 }),
+		field("load share", func(r *Record) { r.Load.CallQuota = 3.25 }),
+		field("load shed", func(r *Record) { r.Load.ShedRatio = 0.125 }),
+		field("load calls", func(r *Record) { r.Load.MeanCalls = 2.5 }),
+		field("load pace", func(r *Record) { r.Load.ServiceRate = 6.75 }),
+		field("load offer", func(r *Record) { r.Load.Demand = "\x0a\x3c\x00\x46" }),
+		field("load tries", func(r *Record) { r.Load.Attempts = 40.5 }),
+		field("load again", func(r *Record) { r.Load.RetryRatio = 0.2 }),
+		field("load cut", func(r *Record) { r.Load.Threshold = 23.5 }),
+		field("load store", func(r *Record) { r.Load.StoreState = 2 }),
+		field("load store id", func(r *Record) { r.Load.StoreID = 0x89abcdef }),
+		field("load round", func(r *Record) { r.Load.ProbeRound = 77 }),
+		field("load sum", func(r *Record) { r.Load.Aggregate = "\x01\x02\xff" }),
+		field("field of a newer version", func(r *Record) { r.unknown = fieldAdded }),
+	}
+	return append(cases, goldenBoundCases()...)
+}
+
+// goldenBoundCases are records that are not received as they were sent, and the longest texts.
+func goldenBoundCases() []updateCase {
+	return []updateCase{
+		{name: "greatest age", record: minimalRecord(func(*Record) {}), age: math.MaxInt64},
+		{name: "negative times and counts", record: minimalRecord(func(r *Record) {
+			r.Up, r.Stalled, r.Load.InFlight, r.Load.Capacity = -1, -1, -1, -1
+		}), read: func(r *Record) { *r = minimalRecord(func(*Record) {}) }},
+		{name: "less than a thousandth", record: minimalRecord(func(r *Record) {
+			r.Up, r.Load.Capacity, r.Load.ServiceRate = 1999*time.Microsecond, 0.0004, 0.0006
+		}), read: func(r *Record) { r.Up, r.Load.Capacity, r.Load.ServiceRate = time.Millisecond, 0, 0.001 }},
+		{name: "more than 32 bits of thousandths", record: minimalRecord(func(r *Record) {
+			r.Load.Capacity, r.Load.Threshold = 1e12, math.Inf(1)
+		}), read: func(r *Record) { r.Load.Capacity, r.Load.Threshold = 4294967.295, 4294967.295 }},
+		{name: "parts above one", record: minimalRecord(func(r *Record) {
+			r.Load.ShedRatio, r.Load.RetryRatio = 1.5, 2
+		}), read: func(r *Record) { r.Load.ShedRatio, r.Load.RetryRatio = 1, 1 }},
+		{name: "longest texts", record: minimalRecord(func(r *Record) {
+			long := strings.Repeat("x", MaxText)
+			r.Name, r.Addr, r.Region, r.Zone, r.Version = long, long, long, long, long
+			r.Load.Demand, r.Load.Aggregate = strings.Repeat("\xff", MaxDemand), strings.Repeat("\xff", MaxAggregate)
+		})},
+	}
+}
+
+// The encoding must stay as it is, field by field: members of several versions share a fleet.
+func TestGoldenUpdatesWritten(t *testing.T) {
+	var got strings.Builder
+	for _, testCase := range goldenUpdateCases() {
+		fmt.Fprintf(&got, "%s: 0x%x\n", testCase.name, AppendUpdate(nil, &testCase.record, testCase.age))
+	}
+	requireGolden(t, goldenUpdates, got.String())
+}
+
+// Updates that were written before must still be parsed, each into the same record and age.
+func TestGoldenUpdatesRead(t *testing.T) {
+	frames, cases := readFrames(t, goldenUpdates), goldenUpdateCases()
+	require.Len(t, frames, len(cases))
+	for _, testCase := range cases {
+		require.Contains(t, frames, testCase.name)
+		got, age, err := ParseUpdate(frames[testCase.name])
+		require.NoError(t, err, testCase.name)
+		want := testCase.record
+		if testCase.read != nil {
+			testCase.read(&want)
+		}
+		require.Equal(t, want, got, testCase.name)
+		require.Equal(t, min(testCase.age, maxUpdateAge), age, testCase.name)
+	}
+}
+
+// The first byte distinguishes the kinds of messages; those of the other kind are read by another package.
+func TestGoldenKinds(t *testing.T) {
+	require.Equal(t, 1, kindUpdate)
+	require.Equal(t, 2, KindDirect)
+}
--- /dev/null
+++ b/internal/fleet/nameconflict.go
@@ -0,0 +1,65 @@
+package fleet
+
+import "time"
+
+const (
+	// conflictTimeout is how long a rival must prove that it lives until this process releases the name. A process
+	// that is being replaced publishes that within this time.
+	conflictTimeout = 3 * time.Second
+	maxRivals       = 8
+)
+
+// rival is a process with the same name that has proved that it lives: its incarnation answers one of this process.
+type rival struct {
+	firstProof, lastProof time.Duration // of an unbroken series of proofs
+	lastSeq               uint64        // of the record that was the last proof
+}
+
+// Receive takes in the record of another process with this name, and returns whether this process has to publish at
+// once: a higher incarnation, or that it has released the name.
+//
+// The record is that of a predecessor, which is superseded by a higher incarnation, or that of a process that lives at
+// the same time. A predecessor that has ended can't answer a raise of the incarnation, a living rival does. Of two that
+// live, the one that was started later releases the name.
+func (s *Self) Receive(now time.Duration, record *Record) (urgent bool) {
+	if record.Name != s.record.Name || record.Run == s.record.Run || s.ownership != nameOwned {
+		return false
+	}
+	if record.Supersedes == s.record.Run && record.State != Stopped {
+		proof, recorded := s.recordProof(now, record)
+		if !recorded {
+			return false
+		}
+		if record.Run < s.record.Run && now-proof.firstProof >= conflictTimeout {
+			s.ownership = nameReleased
+			s.record.State = Stopped
+			return true
+		}
+	}
+	if s.outranks(record) {
+		return false
+	}
+	s.record.Incarnation, s.record.Supersedes = record.Incarnation+1, record.Run
+	return true
+}
+
+// recordProof notes that the process of the record lives. It returns false for a record that is no new proof, and where
+// there are too many rivals.
+func (s *Self) recordProof(now time.Duration, record *Record) (proof rival, recorded bool) {
+	proof, known := s.rivals[record.Run]
+	if !known && len(s.rivals) >= maxRivals || record.Seq <= proof.lastSeq {
+		return proof, false
+	}
+	if now-proof.lastProof > conflictTimeout || !known {
+		proof.firstProof = now
+	}
+	proof.lastProof, proof.lastSeq = now, record.Seq
+	s.rivals[record.Run] = proof
+	return proof, true
+}
+
+// outranks reports whether the records of this process are greater than that of the other one, by Record.Less.
+func (s *Self) outranks(other *Record) bool {
+	return other.Incarnation < s.record.Incarnation ||
+		other.Incarnation == s.record.Incarnation && other.Run < s.record.Run
+}
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -7,30 +7,44 @@
 	"time"
 )
 
-// Waits between calls to one address that is not reached, and how many are made at a time. The failure detection
-// forgets who has been lost for a while, so that somebody has to call.
 const (
-	initialDialDelay = time.Second
-	maxDialDelay     = 30 * time.Second
-	unmetDialDelay   = 3 * time.Second
+	initialDialDelay = time.Second      // doubled with each dial of an address
+	maxDialDelay     = 30 * time.Second // in a small fleet
+	unmetDialDelay   = 3 * time.Second  // least delay before a member that was never met is dialed
 	maxDialsAtOnce   = 2
 )
 
-// Rejoin decides whom to call: seeds that are not among those who are reached, and members that are lost, so that a
-// fleet which was cut in two finds together whichever side looks, also where two parts began apart and neither ever
-// heard of the other. It belongs to one goroutine.
+// Rejoin decides which addresses to dial: seeds that are not reached, and members that are lost. The failure detection
+// forgets members that have been lost for a while, so that a fleet which was partitioned would not merge again without
+// these dials; nor would two fleets that were started apart. It belongs to one goroutine.
 type Rejoin struct {
-	seedReached map[string]bool // addresses; whether one is near: this process's own, or that of a member that is reached
+	seedReached map[string]bool // by address; whether it is this process's own, or that of a reached member
 	random      *rand.Rand
-	schedules   map[string]*dialSchedule
+	schedules   map[string]*dialSchedule // by address
 }
 
+// dialSchedule is when an address is dialed next, and how long after that.
 type dialSchedule struct {
 	delay  time.Duration
 	nextAt time.Duration
 }
 
-// NewRejoin returns a Rejoin that spreads its calls by rnd.
+// dialCause is why an address is dialed.
+type dialCause uint8
+
+const (
+	dialUnmet dialCause = iota // it publishes records, and only the failure detection of this observer misses it
+	dialLost                   // every member of the fleet is likely to miss it, and to dial it
+)
+
+func (c dialCause) String() string {
+	if c == dialLost {
+		return "lost"
+	}
+	return "unmet"
+}
+
+// NewRejoin returns a Rejoin that draws its delays from random.
 func NewRejoin(seeds []string, random *rand.Rand) *Rejoin {
 	rejoin := &Rejoin{random: random, schedules: map[string]*dialSchedule{}}
 	rejoin.SetSeeds(seeds)
@@ -45,79 +59,104 @@
 	}
 }
 
-func (r *Rejoin) markSeedReached(addr string) {
-	if _, ok := r.seedReached[addr]; ok {
-		r.seedReached[addr] = true
+// NextDials returns the addresses to dial now, two at most. The delay between two dials of an address doubles, and half
+// of it is random, so that members do not dial in step; it starts anew once the address was reached. Its maximum grows
+// with the logarithm of the fleet's size: of a large fleet only some members need to dial one that is lost.
+func (r *Rejoin) NextDials(now time.Duration, snapshot *Snapshot) []string {
+	causes, reached := r.addressesToDial(now, snapshot)
+	r.dropSchedules(causes)
+	due := r.dueAddresses(now, causes, reached)
+	maxDelay := maxDialDelay * time.Duration(1+log2(len(snapshot.Members))/2)
+	for _, addr := range due {
+		schedule := r.schedules[addr]
+		schedule.nextAt = now + schedule.delay/2 + r.drawBelow(schedule.delay/2)
+		schedule.delay = min(2*schedule.delay, maxDelay)
 	}
+	return due
 }
 
-// NextDials returns the addresses to call now, two at most. Waits double, and half of each is drawn, so that a fleet does
-// not call at one instant; they begin anew once the address was reached. In a fleet of many only some need to call a
-// member that was lost: they wait longer by the logarithm of its size, so that all of them together do not call more
-// often in a larger fleet than it can bear.
-func (r *Rejoin) NextDials(now time.Duration, snapshot *Snapshot) []string {
-	wanted := map[string]bool{} // and whether others need the call as well
-	reached := 0
-	for addr := range r.seedReached {
-		r.seedReached[addr] = false
-	}
+// addressesToDial returns the addresses that are not reached, and how many other members are.
+func (r *Rejoin) addressesToDial(now time.Duration, snapshot *Snapshot) (causes map[string]dialCause, reached int) {
+	causes = map[string]dialCause{}
+	r.resetSeeds()
 	fresh := Fresh(len(snapshot.Members))
 	for i := range snapshot.Members {
-		switch member := &snapshot.Members[i]; {
+		member := &snapshot.Members[i]
+		switch {
 		case member.Self:
 			r.markSeedReached(member.Addr)
-		case member.Liveness == Alive || member.Liveness == Suspect:
+		case member.reached():
 			r.markSeedReached(member.Addr)
 			reached++
-		case member.Liveness == Unmet && member.Seq > 0 && member.Age(now) <= fresh && member.Addr != "":
-			wanted[member.Addr] = false // it speaks, and the failure detection here does not know of it
-		case member.Liveness == Silent || member.Liveness == Dead || member.Liveness == Wedged && member.Stalled == 0:
-			if member.Addr != "" {
-				wanted[member.Addr] = true
-			}
+		case member.Addr == "":
+		case member.Liveness == Unmet && member.Seq > 0 && member.Age(now) <= fresh:
+			causes[member.Addr] = dialUnmet
+		case member.lost():
+			causes[member.Addr] = dialLost
 		}
 	}
+	r.addUnreachedSeeds(causes)
+	return causes, reached
+}
+
+func (r *Rejoin) resetSeeds() {
+	for addr := range r.seedReached {
+		r.seedReached[addr] = false
+	}
+}
+
+func (r *Rejoin) addUnreachedSeeds(causes map[string]dialCause) {
 	for addr, reached := range r.seedReached {
 		if !reached {
-			wanted[addr] = true
+			causes[addr] = dialLost
 		}
 	}
+}
+
+func (r *Rejoin) markSeedReached(addr string) {
+	if _, ok := r.seedReached[addr]; ok {
+		r.seedReached[addr] = true
+	}
+}
+
+// dropSchedules forgets the delays of addresses that no longer need a dial.
+func (r *Rejoin) dropSchedules(causes map[string]dialCause) {
 	for addr := range r.schedules {
-		if _, ok := wanted[addr]; !ok {
+		if _, ok := causes[addr]; !ok {
 			delete(r.schedules, addr)
 		}
 	}
-	var due []string
-	maxDelay := maxDialDelay * time.Duration(1+log2(len(snapshot.Members))/2)
-	for addr, shared := range wanted {
+}
+
+// dueAddresses returns the addresses whose dial is due, the longest overdue first, and schedules those that are new.
+func (r *Rejoin) dueAddresses(now time.Duration, causes map[string]dialCause, reached int) (due []string) {
+	for addr, cause := range causes {
 		schedule := r.schedules[addr]
 		if schedule == nil {
-			// The first call waits, too, in a fleet of many: its loss is noticed by all at one instant. What is only
-			// missing here mostly comes by itself before long.
-			delay := unmetDialDelay + r.drawBelow(unmetDialDelay)
-			if shared {
-				delay = r.drawBelow(time.Duration(reached) * initialDialDelay / 4)
-			}
-			schedule = &dialSchedule{delay: initialDialDelay, nextAt: now + delay}
+			schedule = &dialSchedule{delay: initialDialDelay, nextAt: now + r.firstDelay(cause, reached)}
 			r.schedules[addr] = schedule
 		}
 		if now >= schedule.nextAt {
 			due = append(due, addr)
 		}
 	}
-	slices.SortFunc(due, func(addr, b string) int {
-		return cmp.Or(cmp.Compare(r.schedules[addr].nextAt, r.schedules[b].nextAt), cmp.Compare(addr, b))
+	slices.SortFunc(due, func(a, b string) int {
+		return cmp.Or(cmp.Compare(r.schedules[a].nextAt, r.schedules[b].nextAt), cmp.Compare(a, b))
 	})
-	due = due[:min(len(due), maxDialsAtOnce)]
-	for _, addr := range due {
-		schedule := r.schedules[addr]
-		schedule.nextAt = now + schedule.delay/2 + r.drawBelow(schedule.delay/2)
-		schedule.delay = min(2*schedule.delay, maxDelay)
+	return due[:min(len(due), maxDialsAtOnce)]
+}
+
+// firstDelay is the delay before the first dial of an address. All members notice a loss at one instant, so that the
+// delay is spread over a time that grows with their number. A member that is only unmet mostly joins by itself.
+func (r *Rejoin) firstDelay(cause dialCause, reached int) time.Duration {
+	unmetDelay := unmetDialDelay + r.drawBelow(unmetDialDelay) // drawn for either cause: the sequence of draws is fixed
+	if cause == dialLost {
+		return r.drawBelow(time.Duration(reached) * initialDialDelay / 4)
 	}
-	return due
+	return unmetDelay
 }
 
-// drawBelow draws a time below d.
+// drawBelow returns a random duration from 0 up to limit, exclusive.
 func (r *Rejoin) drawBelow(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -125,9 +164,9 @@
 	return time.Duration(r.random.Int64N(int64(limit)))
 }
 
-func log2(n int) (l int) {
+func log2(n int) (log int) {
 	for ; n > 1; n >>= 1 {
-		l++
+		log++
 	}
-	return l
+	return log
 }
--- /dev/null
+++ b/internal/fleet/rejoin_test.go
@@ -0,0 +1,38 @@
+package fleet
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Lost members and seeds must be dialed, but not all at once, and not ever faster; those that left must not be.
+func TestRejoin(t *testing.T) {
+	view := newTestView(100)
+	view.Merge(0, 0, Record{Name: "me", Run: 1, Seq: 1})
+	for i, state := range []State{Serving, Serving, Serving, Stopped} {
+		record := Record{Name: fmt.Sprintf("n%d", i), Run: 1, Seq: 1, State: state, Addr: fmt.Sprintf("a%d", i)}
+		view.Merge(0, 0, record)
+		view.ObserveReach(0, record.Name, 1, Lost)
+	}
+	rejoin := NewRejoin([]string{"seed"}, rand.New(rand.NewPCG(1, 1)))
+	dials, lastDial := map[string]int{}, map[string]time.Duration{}
+	for now := time.Duration(0); now < time.Hour; now += time.Second / 4 {
+		next := rejoin.NextDials(now, view.Snapshot(now))
+		require.LessOrEqual(t, len(next), maxDialsAtOnce)
+		for _, addr := range next {
+			dials[addr]++
+			require.LessOrEqual(t, now-lastDial[addr], 3*maxDialDelay)
+			lastDial[addr] = now
+		}
+	}
+	require.Len(t, dials, 4)
+	require.NotZero(t, dials["seed"])
+	require.Zero(t, dials["a3"])
+	for addr, n := range dials {
+		require.InDelta(t, 100, n, 60, addr)
+	}
+}
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Report is a snapshot as the console gives it, and as scripts read it. Times are in milliseconds; an age is at least
-// that. Fields are added, never renamed.
+// Report is a snapshot as the console returns it. Scripts read it: fields are added, never renamed. Times are in
+// milliseconds; an age is a lower bound.
 type Report struct {
 	Self           string           `json:"self"`
 	Position       string           `json:"position"`
-	LastReceivedMs int64            `json:"heard_ms"` // since the last word of another member; -1 = none
+	LastReceivedMs int64            `json:"heard_ms"` // since the last record of another member; -1 = none
 	PeriodMs       int64            `json:"period_ms"`
-	FreshMs        int64            `json:"fresh_ms"` // words older than that are overdue
+	FreshMs        int64            `json:"fresh_ms"` // older records are overdue
 	Members        []MemberReport   `json:"members"`
 	Zones          []ZoneReport     `json:"zones"`
 	Total          ZoneReport       `json:"total"`
@@ -17,17 +17,17 @@
 	Counters       map[string]int64 `json:"counters,omitempty"`
 }
 
-// MemberReport is a line of it.
+// MemberReport is one member in a report.
 type MemberReport struct {
 	Name               string  `json:"name"`
 	Process            string  `json:"process"`
 	Incarnation        uint64  `json:"incarnation"`
 	Region             string  `json:"region"`
 	Zone               string  `json:"zone"`
-	Condition          string  `json:"condition"` // what it says where it is reached, else what is made of it here
-	ReportedState      string  `json:"told"`      // what it said last
-	AgeMs              int64   `json:"age_ms"`    // of that
-	SinceMs            int64   `json:"since_ms"`  // it has been reached, or not, for that long
+	Condition          string  `json:"condition"` // its reported state where it is alive, else its liveness
+	ReportedState      string  `json:"told"`      // the last state that it reported
+	AgeMs              int64   `json:"age_ms"`    // of that state
+	SinceMs            int64   `json:"since_ms"`  // how long it has been reached, or not
 	Version            string  `json:"version"`
 	Config             string  `json:"config"`
 	Addr               string  `json:"addr"`
@@ -36,14 +36,14 @@
 	InFlight           int     `json:"in_hand"`
 	CallQuota          float64 `json:"share"`
 	ShedRatio          float64 `json:"shed"`
-	MeanCalls          float64 `json:"calls"`           // mean calls in hand at the store, of late
-	ServiceRate        float64 `json:"pace,omitempty"`  // seconds of work done in a second
-	Attempts           float64 `json:"tries,omitempty"` // read a second
-	RetryRatio         float64 `json:"again,omitempty"` // part of them that are repeats, as far as counted there
-	Threshold          float64 `json:"cut,omitempty"`   // what stands lower is refused while cores are short
-	StoreState         uint8   `json:"store,omitempty"` // how it stands to its store: 0 fine, 1 trouble, 2 trying for others, 3 back
-	ProbeRound         uint64  `json:"round,omitempty"` // the turn to try, as far as it knows
-	PublishesAggregate bool    `json:"sums,omitempty"`  // it tells the sum of its zone
+	MeanCalls          float64 `json:"calls"`           // recent mean of concurrent calls at the store
+	ServiceRate        float64 `json:"pace,omitempty"`  // seconds of work completed in a second
+	Attempts           float64 `json:"tries,omitempty"` // requests read in a second
+	RetryRatio         float64 `json:"again,omitempty"` // ratio of the attempts counted there that are retries
+	Threshold          float64 `json:"cut,omitempty"`   // requests of a lower rank are rejected while cores are short
+	StoreState         uint8   `json:"store,omitempty"` // of its store: 0 healthy, 1 failing, 2 trial requests, 3 back
+	ProbeRound         uint64  `json:"round,omitempty"` // latest round of trial requests that it knows of
+	PublishesAggregate bool    `json:"sums,omitempty"`  // it publishes the aggregate of its zone
 	Self               bool    `json:"self,omitempty"`
 }
 
@@ -62,30 +62,27 @@
 	Unreachable bool   `json:"dark"`
 }
 
-// AggregateReport is what fresh words of serving members add up to.
+// AggregateReport is an Aggregate in a report.
 type AggregateReport struct {
 	Members  int     `json:"members"`
-	Stale    int     `json:"stale"` // alive, and their words too old to count
+	Stale    int     `json:"stale"` // alive, with records too old to count
 	Cores    float64 `json:"cores"`
 	Busy     float64 `json:"busy"` // cores in use
 	InFlight int     `json:"in_hand"`
 	OldestMs int64   `json:"oldest_ms"`
 
-	ServiceRate  float64 `json:"pace,omitempty"`      // seconds of work that can be done in a second, as told by those that cut
-	Attempts     float64 `json:"tries,omitempty"`     // read a second
-	RetryRatio   float64 `json:"again,omitempty"`     // repeats for each first try
-	MinThreshold float64 `json:"cut_least,omitempty"` // where members cut, least and most; 0 = nowhere
+	// Of the members that report a service rate.
+	ServiceRate  float64 `json:"pace,omitempty"`      // seconds of work that they can complete in a second
+	Attempts     float64 `json:"tries,omitempty"`     // requests read in a second
+	RetryRatio   float64 `json:"again,omitempty"`     // retries for each first attempt
+	MinThreshold float64 `json:"cut_least,omitempty"` // extremes of their shedding thresholds; 0 = nothing is shed
 	MaxThreshold float64 `json:"cut_most,omitempty"`
-	CallQuota    float64 `json:"share,omitempty"` // calls that all may have in hand at stores in the mean, and have
-	MeanCalls    float64 `json:"calls,omitempty"`
-}
 
-func (z *Zone) report() ZoneReport {
-	return ZoneReport{z.Region, z.Zone, z.Known, z.Count[Alive], z.Count[Suspect], z.Count[Wedged], z.Count[Silent], z.Count[Dead],
-		z.Count[Left], z.Count[Unmet], z.Unreachable()}
+	CallQuota float64 `json:"share,omitempty"` // mean concurrent calls that all may have at stores
+	MeanCalls float64 `json:"calls,omitempty"` // and do have
 }
 
-// LastReceivedMs is how long ago a word of another member came last, in milliseconds; -1 = never.
+// LastReceivedMs is how long ago a record of another member was last received, in milliseconds; -1 = never.
 func (s *Snapshot) LastReceivedMs(now time.Duration) int64 {
 	if s.Position == Alone {
 		return -1
@@ -93,28 +90,97 @@
 	return (now - s.LastReceived).Milliseconds()
 }
 
-// Report puts the snapshot into words, as of now.
+// Report returns the snapshot with ages as of now.
 func (s *Snapshot) Report(now time.Duration) Report {
-	n := len(s.Members)
-	report := Report{Self: s.Self, Position: s.Position.String(), LastReceivedMs: s.LastReceivedMs(now), PeriodMs: Period(n).Milliseconds(),
-		FreshMs: Fresh(n).Milliseconds(), Total: s.Total.report(), Members: make([]MemberReport, 0, n)}
+	size := len(s.Members)
+	aggregate := s.Aggregate(now, Fresh(size))
+	report := Report{
+		Self:           s.Self,
+		Position:       s.Position.String(),
+		LastReceivedMs: s.LastReceivedMs(now),
+		PeriodMs:       Period(size).Milliseconds(),
+		FreshMs:        Fresh(size).Milliseconds(),
+		Members:        make([]MemberReport, 0, size),
+		Total:          s.Total.report(),
+		Fresh:          aggregate.report(),
+	}
 	for i := range s.Members {
-		member := &s.Members[i]
-		report.Members = append(report.Members, MemberReport{Name: member.Name, Process: member.Process(), Incarnation: member.Incarnation, Region: member.Region,
-			Zone: member.Zone, Condition: member.Condition(), ReportedState: member.State.String(), AgeMs: member.Age(now).Milliseconds(),
-			SinceMs: max(now-member.Since, 0).Milliseconds(), Version: member.Version, Config: formatDigest(member.Config), Addr: member.Addr, Cores: member.Load.Capacity,
-			Busy: member.Load.Busy, InFlight: member.Load.InFlight, CallQuota: member.Load.CallQuota, ShedRatio: member.Load.ShedRatio, MeanCalls: member.Load.MeanCalls,
-			ServiceRate: member.Load.ServiceRate, Attempts: member.Load.Attempts, RetryRatio: member.Load.RetryRatio, Threshold: member.Load.Threshold, StoreState: member.Load.StoreState,
-			ProbeRound: member.Load.ProbeRound, PublishesAggregate: member.Load.Aggregate != "", Self: member.Self})
+		report.Members = append(report.Members, s.Members[i].report(now))
 	}
 	for i := range s.Zones {
 		report.Zones = append(report.Zones, s.Zones[i].report())
 	}
-	total := s.Aggregate(now, Fresh(n))
-	retryRatio := 0.0
-	if total.Attempts > total.Retries {
-		retryRatio = total.Retries / (total.Attempts - total.Retries)
-	}
-	report.Fresh = AggregateReport{total.Members, total.Stale, total.Capacity, total.Busy, total.InFlight, total.Oldest.Milliseconds(), total.ServiceRate, total.Attempts, retryRatio, total.MinThreshold, total.MaxThreshold, total.CallQuota, total.MeanCalls}
 	return report
 }
+
+func (m *Member) report(now time.Duration) MemberReport {
+	return MemberReport{
+		Name:               m.Name,
+		Process:            m.Process(),
+		Incarnation:        m.Incarnation,
+		Region:             m.Region,
+		Zone:               m.Zone,
+		Condition:          m.Condition(),
+		ReportedState:      m.State.String(),
+		AgeMs:              m.Age(now).Milliseconds(),
+		SinceMs:            max(now-m.Since, 0).Milliseconds(),
+		Version:            m.Version,
+		Config:             formatDigest(m.Config),
+		Addr:               m.Addr,
+		Cores:              m.Load.Capacity,
+		Busy:               m.Load.Busy,
+		InFlight:           m.Load.InFlight,
+		CallQuota:          m.Load.CallQuota,
+		ShedRatio:          m.Load.ShedRatio,
+		MeanCalls:          m.Load.MeanCalls,
+		ServiceRate:        m.Load.ServiceRate,
+		Attempts:           m.Load.Attempts,
+		RetryRatio:         m.Load.RetryRatio,
+		Threshold:          m.Load.Threshold,
+		StoreState:         m.Load.StoreState,
+		ProbeRound:         m.Load.ProbeRound,
+		PublishesAggregate: m.Load.Aggregate != "",
+		Self:               m.Self,
+	}
+}
+
+func (z *Zone) report() ZoneReport {
+	return ZoneReport{
+		Region:      z.Region,
+		Zone:        z.Zone,
+		Known:       z.Known,
+		Alive:       z.Count[Alive],
+		Suspect:     z.Count[Suspect],
+		Wedged:      z.Count[Wedged],
+		Silent:      z.Count[Silent],
+		Dead:        z.Count[Dead],
+		Left:        z.Count[Left],
+		Unmet:       z.Count[Unmet],
+		Unreachable: z.Unreachable(),
+	}
+}
+
+func (a *Aggregate) report() AggregateReport {
+	return AggregateReport{
+		Members:      a.Members,
+		Stale:        a.Stale,
+		Cores:        a.Capacity,
+		Busy:         a.Busy,
+		InFlight:     a.InFlight,
+		OldestMs:     a.Oldest.Milliseconds(),
+		ServiceRate:  a.ServiceRate,
+		Attempts:     a.Attempts,
+		RetryRatio:   a.retriesPerFirstAttempt(),
+		MinThreshold: a.MinThreshold,
+		MaxThreshold: a.MaxThreshold,
+		CallQuota:    a.CallQuota,
+		MeanCalls:    a.MeanCalls,
+	}
+}
+
+func (a *Aggregate) retriesPerFirstAttempt() float64 {
+	if a.Attempts <= a.Retries {
+		return 0
+	}
+	return a.Retries / (a.Attempts - a.Retries)
+}
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -1,25 +1,26 @@
 package fleet
 
 import (
+	"cmp"
 	"hash/fnv"
 	"slices"
 	"strings"
 	"time"
 )
 
-// Member is one line of a snapshot. The record is shared and never changed.
+// Member is one member in a snapshot. Its record is shared and never changes.
 type Member struct {
 	*Record
 	Liveness   Liveness
 	Self       bool
-	RecordedAt time.Duration // when the record was told, at the latest; on the observer's clock
-	Since      time.Duration // of the reach that the standing goes by
+	RecordedAt time.Duration // latest possible time at which the record was published; on the observer's clock
+	Since      time.Duration // when its process was first reached, or first not reached, without a change since
 }
 
-// Age is how long ago the record was told, at least.
+// Age is the least age of the record.
 func (m *Member) Age(now time.Duration) time.Duration { return max(now-m.RecordedAt, 0) }
 
-// Condition is what the member tells of itself where it is reached, and else what the observer makes of it.
+// Condition is the state that a member reports where it is alive, and else the conclusion of the observer.
 func (m *Member) Condition() string {
 	if m.Liveness == Alive && m.State != 0 {
 		return m.State.String()
@@ -27,42 +28,62 @@
 	return m.Liveness.String()
 }
 
-// Serves reports whether the member is reached and takes work, by a word that is no older than fresh.
+// Serves reports whether the member is alive and accepts requests by a record that is no older than fresh.
 func (m *Member) Serves(now, fresh time.Duration) bool {
 	return m.Liveness == Alive && (m.State == Serving || m.State == Warming) && m.Age(now) <= fresh
 }
 
-// Zone sums up the members of one zone.
+func (m *Member) reached() bool { return m.Liveness == Alive || m.Liveness == Suspect }
+
+// lost reports whether the failure detection has lost the member. One whose loop stalls is reached.
+func (m *Member) lost() bool {
+	return m.Liveness == Silent || m.Liveness == Dead || m.Liveness == Wedged && m.Stalled == 0
+}
+
+// minZoneMembers is the number of members from which on a zone can be called unreachable, as against one member.
+const minZoneMembers = 2
+
+// Zone counts the members of one zone.
 type Zone struct {
 	Region, Zone string
-	Known        int // all but those that left
-	Count        [Left + 1]int
+	Known        int           // all but those that left
+	Count        [Left + 1]int // by Liveness
 }
 
-// Reached is how many of its members answer in some way.
+// Reached is how many of its members are reached.
 func (z *Zone) Reached() int { return z.Count[Alive] + z.Count[Suspect] }
 
-// Unreachable reports whether at least half of what was a zone is silent: that is more likely a cut than so many deaths.
+// Unreachable reports whether at least half of the zone is silent: a partition is likelier than so many failures.
 func (z *Zone) Unreachable() bool { return z.Known >= minZoneMembers && 2*z.Count[Silent] >= z.Known }
 
-// Position is how an observer stands to its fleet.
+func (z *Zone) add(liveness Liveness) {
+	z.Count[liveness]++
+	if liveness != Left {
+		z.Known++
+	}
+}
+
+// Position is how well an observer is connected to its fleet.
 type Position uint8
 
+// Positions of an observer. Their numbers are published as a metric.
 const (
-	Alone              Position = iota // no other member was ever heard
-	FullyConnected                     // everybody known is reached
-	PartiallyConnected                 // some are not, and most are
-	Partitioned                        // as many are silent as are reached, or more: this side must not speak for the fleet
+	Alone              Position = iota // no record of another member was ever received
+	FullyConnected                     // all known members are reached
+	PartiallyConnected                 // most of them are
+	Partitioned                        // as many are silent as are reached, or more: it must not act for the fleet
 )
 
-var positionNames = [...]string{"alone", "whole", "torn", "cut off"}
+var positionNames = [...]string{
+	Alone: "alone", FullyConnected: "whole", PartiallyConnected: "torn", Partitioned: "cut off",
+}
 
 func (p Position) String() string { return positionNames[p] }
 
-// Snapshot is a view at one instant. Nothing in it changes any more; any goroutine may read it.
+// Snapshot is a view at one instant. It never changes; any goroutine may read it.
 type Snapshot struct {
 	At           time.Duration // on the observer's clock
-	LastReceived time.Duration // when a word of another member came last; 0 = never
+	LastReceived time.Duration // when a record of another member was last received; 0 = never
 	Self         string
 	Position     Position
 	Members      []Member // by name
@@ -70,62 +91,87 @@
 	Total        Zone
 }
 
-// Snapshot returns what is known now.
+// Snapshot returns the view as of now.
 func (v *View) Snapshot(now time.Duration) *Snapshot {
-	snapshot := &Snapshot{At: now, LastReceived: v.lastReceived, Self: v.self, Members: make([]Member, 0, len(v.names))}
+	snapshot := &Snapshot{
+		At: now, LastReceived: v.lastReceived, Self: v.self, Members: make([]Member, 0, len(v.names)),
+	}
 	fresh := v.freshAge()
 	for _, name := range v.names {
-		entry := v.entries[name]
-		member := Member{Record: entry.record, Liveness: entry.liveness(now, fresh), Self: name == v.self, RecordedAt: entry.recordedAt, Since: entry.lastReached}
-		if current := entry.currentObservation(); current != nil {
-			member.Since = current.since
-		}
-		if member.Record == nil {
-			member.Record = &Record{Name: name}
-			member.RecordedAt = entry.lastReached
-			if len(entry.observations) > 0 {
-				member.Record.Run = entry.observations[len(entry.observations)-1].run
-			}
-		}
-		if member.Self && member.Liveness != Left {
-			member.Liveness = Alive
-			if member.Stalled > 0 {
-				member.Liveness = Wedged
-			}
-		}
-		snapshot.Members = append(snapshot.Members, member)
-		snapshot.zone(member.Region, member.Zone).add(member.Liveness)
-		snapshot.Total.add(member.Liveness)
+		snapshot.addMember(v.entries[name].member(now, fresh, name, v.self))
 	}
 	snapshot.Position = snapshot.position(v.everReceived)
 	return snapshot
 }
 
-func (s *Snapshot) zone(region, zone string) *Zone {
-	i, ok := slices.BinarySearchFunc(s.Zones, 0, func(z Zone, _ int) int {
-		if c := strings.Compare(z.Region, region); c != 0 {
-			return c
+// member is the entry as the member of that name in a snapshot of the member called self.
+func (e *entry) member(now, fresh time.Duration, name, self string) Member {
+	member := Member{
+		Record: e.record, Liveness: e.liveness(now, fresh), Self: name == self,
+		RecordedAt: e.recordedAt, Since: e.lastReached,
+	}
+	if current := e.currentObservation(); current != nil {
+		member.Since = current.since
+	}
+	if member.Record == nil {
+		member.Record = e.placeholderRecord(name)
+		member.RecordedAt = e.lastReached
+	}
+	if member.Self && member.Liveness != Left {
+		member.Liveness = Alive
+		if member.Stalled > 0 {
+			member.Liveness = Wedged
 		}
-		return strings.Compare(z.Zone, zone)
+	}
+	return member
+}
+
+// placeholderRecord stands for a record that was not received yet.
+func (e *entry) placeholderRecord(name string) *Record {
+	record := &Record{Name: name}
+	if len(e.observations) > 0 {
+		record.Run = e.observations[len(e.observations)-1].run
+	}
+	return record
+}
+
+func (s *Snapshot) addMember(member Member) {
+	s.Members = append(s.Members, member)
+	s.ensureZone(member.Region, member.Zone).add(member.Liveness)
+	s.Total.add(member.Liveness)
+}
+
+// findZone returns the index of a zone, or where it belongs.
+func (s *Snapshot) findZone(region, zone string) (index int, found bool) {
+	return slices.BinarySearchFunc(s.Zones, zone, func(known Zone, zone string) int {
+		return cmp.Or(strings.Compare(known.Region, region), strings.Compare(known.Zone, zone))
 	})
-	if !ok {
+}
+
+// ensureZone returns a zone, which it adds where it is new.
+func (s *Snapshot) ensureZone(region, zone string) *Zone {
+	i, found := s.findZone(region, zone)
+	if !found {
 		s.Zones = slices.Insert(s.Zones, i, Zone{Region: region, Zone: zone})
 	}
 	return &s.Zones[i]
 }
 
-func (z *Zone) add(liveness Liveness) {
-	z.Count[liveness]++
-	if liveness != Left {
-		z.Known++
+// zoneNamed returns a zone, or nil.
+func (s *Snapshot) zoneNamed(region, zone string) *Zone {
+	i, found := s.findZone(region, zone)
+	if !found {
+		return nil
 	}
+	return &s.Zones[i]
 }
 
-// position counts those that were heard of but not met as nothing: a word that still goes round says nothing of now.
-// Dead ones do not make an observer cut off, as their machines answer.
+// position does not count members that were never met: a record that is still passed on says nothing of the present.
+// Dead members do not make an observer partitioned, as their machines answer.
 func (s *Snapshot) position(everReceived bool) Position {
 	total := &s.Total
-	switch lost := total.Count[Silent] + total.Count[Dead] + total.Count[Wedged]; {
+	lost := total.Count[Silent] + total.Count[Dead] + total.Count[Wedged]
+	switch {
 	case total.Count[Silent] > 0 && total.Count[Silent] >= total.Reached():
 		return Partitioned
 	case !everReceived:
@@ -138,66 +184,28 @@
 
 // Find returns the member of that name, or nil.
 func (s *Snapshot) Find(name string) *Member {
-	i, ok := slices.BinarySearchFunc(s.Members, name, func(m Member, n string) int { return strings.Compare(m.Name, n) })
-	if !ok {
+	i, found := slices.BinarySearchFunc(s.Members, name, func(member Member, name string) int {
+		return strings.Compare(member.Name, name)
+	})
+	if !found {
 		return nil
 	}
 	return &s.Members[i]
 }
 
-// Agreement is a digest of what should be the same at all members that can reach one another: which processes are
-// alive, and what each says it does.
+// Agreement is a digest of what should be the same at all members that reach one another: which processes are alive,
+// and the state that each reports.
 func (s *Snapshot) Agreement() uint64 {
 	digest := fnv.New64a()
 	var encoded []byte
-	for i := range s.Members {
-		if member := &s.Members[i]; member.Liveness == Alive || member.Liveness == Wedged {
-			encoded = append(encoded[:0], member.Process()...)
-			encoded = append(encoded, byte(member.State), byte(member.Liveness))
-			digest.Write(encoded)
-		}
-	}
-	return digest.Sum64()
-}
-
-// Aggregate is what members that serve have told, as far as it is fresh.
-type Aggregate struct {
-	Members, Stale int // counted, and left out as too old
-	Capacity, Busy float64
-	InFlight       int
-	Oldest         time.Duration // age of the oldest word that counts
-
-	ServiceRate, Attempts, Retries float64 // what those that cut can do and read a second, and how many tries of these are repeats
-	MinThreshold, MaxThreshold     float64
-
-	CallQuota, MeanCalls float64 // calls that all may have in hand in the mean, and have
-}
-
-// Aggregate adds up the words of serving members that are no older than fresh.
-func (s *Snapshot) Aggregate(now, fresh time.Duration) (total Aggregate) {
 	for i := range s.Members {
 		member := &s.Members[i]
-		if !member.Serves(now, fresh) {
-			if member.Liveness == Alive && member.Age(now) > fresh {
-				total.Stale++
-			}
+		if member.Liveness != Alive && member.Liveness != Wedged {
 			continue
 		}
-		if total.Members++; member.Load.ServiceRate > 0 {
-			if total.ServiceRate == 0 {
-				total.MinThreshold = member.Load.Threshold
-			}
-			total.ServiceRate += member.Load.ServiceRate
-			total.Attempts += member.Load.Attempts
-			total.Retries += member.Load.Attempts * member.Load.RetryRatio
-			total.MinThreshold, total.MaxThreshold = min(total.MinThreshold, member.Load.Threshold), max(total.MaxThreshold, member.Load.Threshold)
-		}
-		total.CallQuota += member.Load.CallQuota
-		total.MeanCalls += member.Load.MeanCalls
-		total.Capacity += member.Load.Capacity
-		total.Busy += member.Load.Capacity * max(member.Load.Busy, 0)
-		total.InFlight += member.Load.InFlight
-		total.Oldest = max(total.Oldest, member.Age(now))
+		encoded = append(encoded[:0], member.Process()...)
+		encoded = append(encoded, byte(member.State), byte(member.Liveness))
+		digest.Write(encoded)
 	}
-	return total
+	return digest.Sum64()
 }
