--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -14,68 +12,71 @@
 	"falldeal/internal/fleet"
 
 	"github.com/sirupsen/logrus"
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
-// requireGoldenText compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGoldenText(t *testing.T, name, got string) {
+// newGoldenPublishedFleet has a value for all that is published, and nothing that depends on the time of a test: the
+// records are in the future, so that their age is 0, or so long ago that they are stale.
+func newGoldenPublishedFleet(t *testing.T) *Fleet {
 	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	member, records := newGoldenFleet(t), goldenRecords()
+	setCounters(&member.Counters)
+	snapshot := snapshotOf(records, fleet.Alive)
+	for i := range snapshot.Members {
+		snapshot.Members[i].RecordedAt, snapshot.Members[i].Since = time.Hour, time.Hour
 	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
+	snapshot.Members[1].Liveness = fleet.Left
+	snapshot.Zones = []fleet.Zone{{Region: "eu", Zone: "eu-a", Known: 1}}
+	snapshot.Zones[0].Count[fleet.Alive] = 1
+	snapshot.Total.Known = 28
+	for liveness := fleet.Unmet; liveness <= fleet.Left; liveness++ {
+		snapshot.Total.Count[liveness] = int(liveness) + 1
+	}
+	member.snapshot.Store(snapshot)
+	return member
+}
+
+// The page of the console is read by scripts and by falldeal-fleet of other versions.
+func TestGoldenPage(t *testing.T) {
+	page := newGoldenPublishedFleet(t).Page()
+	require.Equal(t, "GET /fleet", page.Pattern)
+	require.Equal(t, "application/json", page.Type)
+	requireGolden(t, "testdata/page.json", string(page.Do()))
 }
 
-// newAloneFleet returns a part in a fleet that no other member was heard of in, and whose counters all differ.
-func newAloneFleet(t *testing.T) *Fleet {
-	log, _ := test.NewNullLogger()
-	alone, err := New(Config{Place: fleet.Place{Name: "n3", Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Run: 7},
-		Digest: 0xabc, Limits: fleet.Limits{Members: 4}, Incarnation: 9}, log)
-	require.NoError(t, err)
-	counters := &alone.Counters
-	counters.PacketsOut.Store(1)
-	counters.BytesOut.Store(2)
-	counters.Streams.Store(3)
-	counters.StreamBytes.Store(4)
-	counters.Updates.Store(5)
-	counters.NewUpdates.Store(6)
-	counters.Malformed.Store(7)
-	counters.ForeignPackets.Store(8)
-	counters.Overflow.Store(9)
-	counters.Calls.Store(10)
-	counters.CallsFailed.Store(11)
-	counters.Direct.Store(12)
-	counters.Suspicions.Store(13)
-	counters.Objections.Store(14)
-	return alone
+// Operators collect the metrics by these names.
+func TestGoldenMetrics(t *testing.T) {
+	member := newGoldenPublishedFleet(t)
+	got := string(member.AppendMetrics([]byte("before:1|g\n")))
+	member.snapshot.Store(snapshotOf(goldenRecords()[:1], fleet.Alive))
+	got += "---\n" + string(member.AppendMetrics(nil))
+	requireGolden(t, "testdata/figures.txt", got)
 }
 
+// Values that depend on the time of a test.
 var (
-	changingLine = regexp.MustCompile(`(oldest_ms):\d+`)
-	changingKey  = regexp.MustCompile(`"(age_ms|since_ms|oldest_ms)":\d+`)
+	changingMetric = regexp.MustCompile(`(oldest_ms):\d+`)
+	changingKey    = regexp.MustCompile(`"(age_ms|since_ms|oldest_ms)":\d+`)
 )
 
-// Lines that this instance's part in a fleet adds to /metrics, in their order.
+// The metrics of a member that is alone, in their order.
 func TestGoldenMetricsOfAloneMember(t *testing.T) {
-	got := changingLine.ReplaceAllString(string(newAloneFleet(t).AppendMetrics(nil)), "$1:(time)")
-	requireGoldenText(t, "figures", got)
+	metrics := string(newAloneFleet(t).AppendMetrics(nil))
+	requireGolden(t, "testdata/figures.golden", changingMetric.ReplaceAllString(metrics, "$1:(time)"))
 }
 
-// The call /fleet of the console: its pattern, its type and its body.
+// The page of a member that is alone: its pattern, its type and its body.
 func TestGoldenPageOfAloneMember(t *testing.T) {
 	page := newAloneFleet(t).Page()
 	body := page.Do()
 	require.True(t, json.Valid(body))
-	got := fmt.Sprintf("%s\n%s\n%s", page.Pattern, page.Type, changingKey.ReplaceAll(body, []byte(`"$1":(time)`)))
-	requireGoldenText(t, "page", got)
+	fixed := changingKey.ReplaceAll(body, []byte(`"$1":(time)`))
+	got := fmt.Sprintf("%s\n%s\n%s", page.Pattern, page.Type, fixed)
+	requireGolden(t, "testdata/page.golden", got)
 	require.Equal(t, 1, strings.Count(got, `"counters"`))
 }
 
-// The lines that tell what changes in the fleet: another member joins, is met, drains, and starts again.
+// The log lines of changes in the fleet: another member joins, is reached, drains, and starts again.
 func TestGoldenChanges(t *testing.T) {
 	member := newAloneFleet(t)
 	var lines bytes.Buffer
@@ -83,9 +84,12 @@
 	log.SetOutput(&lines)
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true})
 	member.log = log
-	other := fleet.Record{Name: "n4", Run: 5, Seq: 1, Zone: "mechelen", Region: "belgium", Version: "1.2.3", Config: 0xabc, State: fleet.Serving}
-	merge := func(at time.Duration, rec fleet.Record) {
-		member.view.Merge(at, at, rec)
+	other := fleet.Record{
+		Name: "n4", Run: 5, Seq: 1, Zone: "mechelen", Region: "belgium", Version: "1.2.3", Config: 0xabc,
+		State: fleet.Serving,
+	}
+	merge := func(at time.Duration, record fleet.Record) {
+		member.view.Merge(at, at, record)
 		member.publishSnapshot(at)
 	}
 	merge(time.Second, other)
@@ -96,5 +100,5 @@
 	other.Run, other.Seq = 6, 1
 	merge(4*time.Second, other)
 	member.publishSnapshot(5 * time.Minute)
-	requireGoldenText(t, "changes", lines.String())
+	requireGolden(t, "testdata/changes.golden", lines.String())
 }
--- /dev/null
+++ b/internal/gossip/helpers_test.go
@@ -0,0 +1,101 @@
+package gossip
+
+import (
+	"flag"
+	"os"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"falldeal/internal/fleet"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
+
+// requireGolden compares what the code produces now, byte for byte, with a golden file.
+func requireGolden(t *testing.T, path, got string) {
+	t.Helper()
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got)
+}
+
+// newTestFleet returns a membership that has no sockets, does not run and logs nothing.
+func newTestFleet(t *testing.T, config Config) *Fleet {
+	t.Helper()
+	log, _ := test.NewNullLogger()
+	member, err := New(config, log)
+	require.NoError(t, err)
+	return member
+}
+
+// setCounters gives each counter another value.
+func setCounters(counters *Counters) {
+	for i, counter := range []*atomic.Int64{
+		&counters.PacketsOut, &counters.BytesOut, &counters.Streams, &counters.StreamBytes, &counters.Updates,
+		&counters.NewUpdates, &counters.Malformed, &counters.ForeignPackets, &counters.Overflow, &counters.Calls,
+		&counters.CallsFailed, &counters.Direct, &counters.Suspicions, &counters.Objections,
+	} {
+		counter.Store(int64(i + 1))
+	}
+}
+
+// beforeMaxAge is so long ago that the age is the greatest one in an update: bytes do not depend on the time of a test.
+const beforeMaxAge = -100 * 24 * time.Hour
+
+// snapshotOf has the records as members of that liveness. Their age is the greatest one.
+func snapshotOf(records []fleet.Record, liveness fleet.Liveness) *fleet.Snapshot {
+	snapshot := &fleet.Snapshot{Self: "n1"}
+	for i := range records {
+		snapshot.Members = append(snapshot.Members, fleet.Member{
+			Record: &records[i], Liveness: liveness, RecordedAt: beforeMaxAge,
+		})
+	}
+	return snapshot
+}
+
+func goldenRecords() []fleet.Record {
+	return []fleet.Record{
+		{
+			Name: "n2", Run: 8, Incarnation: 3, Seq: 4, Up: time.Minute,
+			Addr: "10.0.0.2:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3",
+			Config: 9, State: fleet.Serving, Load: fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 3},
+		},
+		{Name: "n3", Run: 9, Seq: 1, State: fleet.Stopped, Load: fleet.Load{Busy: -1}},
+	}
+}
+
+// newGoldenFleet returns the membership by which the golden files of frames, settings and the page are made.
+func newGoldenFleet(t *testing.T) *Fleet {
+	t.Helper()
+	return newTestFleet(t, Config{
+		Place: fleet.Place{
+			Name: "n1", Addr: "10.0.0.1:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3", Run: 0x1a2b,
+		},
+		Listen:        "10.0.0.1:7946",
+		Limits:        fleet.Limits{Members: 10, ForgetAfter: time.Hour},
+		ProbeInterval: time.Second,
+		Size:          1,
+	})
+}
+
+// newAloneFleet returns a membership that knows no other member, and whose counters all differ.
+func newAloneFleet(t *testing.T) *Fleet {
+	t.Helper()
+	member := newTestFleet(t, Config{
+		Place: fleet.Place{
+			Name: "n3", Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Run: 7,
+		},
+		Digest:      0xabc,
+		Limits:      fleet.Limits{Members: 4},
+		Incarnation: 9,
+	})
+	setCounters(&member.Counters)
+	return member
+}
--- /dev/null
+++ b/internal/gossip/memberlist.go
@@ -0,0 +1,42 @@
+package gossip
+
+import (
+	"log"
+	"net"
+	"strconv"
+	"time"
+
+	"falldeal/internal/fleet"
+
+	"github.com/hashicorp/memberlist"
+)
+
+const (
+	gossipInterval        = 200 * time.Millisecond
+	streamTimeout         = 2 * time.Second        // of a TCP connection to another process
+	minSyncInterval       = 15 * time.Second       // between two full exchanges with one other member
+	syncIntervalPerMember = 100 * time.Millisecond // the same by the expected size, as an exchange lists all members
+	gossipToDeadTime      = 30 * time.Second       // a lost process still receives gossip, so that it can refute
+)
+
+func (f *Fleet) memberlistConfig() *memberlist.Config {
+	host, port, _ := net.SplitHostPort(f.config.Place.Addr) // checked with the configuration
+	config := memberlist.DefaultLANConfig()
+	config.Name = fleet.Process(f.config.Place.Name, f.config.Place.Run)
+	config.Transport = f.transport
+	config.AdvertiseAddr = host
+	config.AdvertisePort, _ = strconv.Atoi(port)
+	config.BindAddr, config.BindPort = host, config.AdvertisePort
+	config.ProbeInterval = f.config.ProbeInterval
+	config.ProbeTimeout = f.config.ProbeInterval * 2 / 5
+	config.GossipInterval = gossipInterval
+	config.GossipToTheDeadTime = gossipToDeadTime
+	config.PushPullInterval = max(minSyncInterval, time.Duration(f.config.Size)*syncIntervalPerMember)
+	config.TCPTimeout = streamTimeout
+	config.EnableCompression = false // packets are small, and processor time is the scarcest resource
+	config.Keyring = f.keyring
+	config.Logger = log.New(logWriter{f}, "", 0)
+	config.Delegate = delegate{f}
+	config.Events = eventDelegate{&f.reach}
+	return config
+}
--- /dev/null
+++ b/internal/gossip/reach.go
@@ -0,0 +1,45 @@
+package gossip
+
+import (
+	"sync"
+
+	"falldeal/internal/fleet"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// reachChanges collects the latest result of the failure detection for each process. Memberlist's goroutines record
+// them, the owner of the view drains them.
+type reachChanges struct {
+	mu     sync.Mutex
+	latest map[string]fleet.Reach // by process, as fleet.Process writes it
+}
+
+func newReachChanges() reachChanges { return reachChanges{latest: map[string]fleet.Reach{}} }
+
+func (r *reachChanges) record(process string, reach fleet.Reach) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.latest[process] = reach
+}
+
+func (r *reachChanges) drain(apply func(process string, reach fleet.Reach)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for process, reach := range r.latest {
+		apply(process, reach)
+	}
+	clear(r.latest)
+}
+
+// eventDelegate receives memberlist's results of the failure detection.
+type eventDelegate struct{ reach *reachChanges }
+
+// NotifyJoin implements memberlist.EventDelegate.
+func (d eventDelegate) NotifyJoin(node *memberlist.Node) { d.reach.record(node.Name, fleet.Reached) }
+
+// NotifyLeave implements memberlist.EventDelegate.
+func (d eventDelegate) NotifyLeave(node *memberlist.Node) { d.reach.record(node.Name, fleet.Lost) }
+
+// NotifyUpdate implements memberlist.EventDelegate. No metadata of a node is used.
+func (d eventDelegate) NotifyUpdate(*memberlist.Node) {}
--- /dev/null
+++ b/internal/gossip/reload.go
@@ -0,0 +1,78 @@
+package gossip
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"slices"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// errEncryptionFixed is the error of a reload that adds the first key or removes the last one.
+var errEncryptionFixed = errors.New("fleet.key_file: encryption is begun or ended by a start only")
+
+// Change is the part of the operators' file that a reload may change.
+type Change struct {
+	Seeds  []string
+	Keys   [][]byte
+	Digest uint64 // of the configuration
+}
+
+// Reload applies a change of the operators' file. It never blocks: a change that was not taken yet is replaced. One
+// goroutine may call it.
+func (f *Fleet) Reload(change Change) { replaceLatest(f.changes, change) }
+
+// applyChange runs in the goroutine that owns the view.
+func (f *Fleet) applyChange(change Change) {
+	f.rejoin.SetSeeds(change.Seeds)
+	if f.self.Reconfigured(change.Digest) {
+		f.publishRecord()
+	}
+	if err := f.replaceKeys(change.Keys); err != nil {
+		f.log.WithError(err).Error("keys of the fleet not taken over; those in force stay")
+	}
+}
+
+// newKeyring returns nil where there are no keys.
+func newKeyring(keys [][]byte) (*memberlist.Keyring, error) {
+	if len(keys) == 0 {
+		return nil, nil
+	}
+	keyring, err := memberlist.NewKeyring(keys, keys[0])
+	if err != nil {
+		return nil, fmt.Errorf("fleet.key_file: %w", err)
+	}
+	return keyring, nil
+}
+
+// replaceKeys replaces the keys. The first one encrypts; all of them decrypt.
+func (f *Fleet) replaceKeys(keys [][]byte) error {
+	if (len(keys) == 0) != (f.keyring == nil) {
+		return errEncryptionFixed
+	}
+	if f.keyring == nil {
+		return nil
+	}
+	for _, key := range keys {
+		if err := f.keyring.AddKey(key); err != nil {
+			return err
+		}
+	}
+	if err := f.keyring.UseKey(keys[0]); err != nil {
+		return err
+	}
+	return f.removeOtherKeys(keys)
+}
+
+func (f *Fleet) removeOtherKeys(keys [][]byte) error {
+	for _, old := range f.keyring.GetKeys() {
+		if slices.ContainsFunc(keys, func(key []byte) bool { return bytes.Equal(key, old) }) {
+			continue
+		}
+		if err := f.keyring.RemoveKey(old); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/gossip/snapshot_test.go
@@ -0,0 +1,31 @@
+package gossip
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// A change must be published at the next tick, and load alone the later the larger the fleet is.
+func TestSnapshotDue(t *testing.T) {
+	for name, testCase := range map[string]struct {
+		unpublished unpublishedChanges
+		members     int
+		want        time.Duration // the first tick at which a snapshot is due
+	}{
+		"change":                       {unpublishedChanges{changed: true}, 1000, tickInterval},
+		"load in a small fleet":        {unpublishedChanges{}, 10, tickInterval},
+		"load in a large fleet":        {unpublishedChanges{}, 640, 11 * tickInterval},
+		"aggregate in a large fleet":   {unpublishedChanges{aggregate: true}, 640, maxAggregateDelay},
+		"aggregate in a smaller fleet": {unpublishedChanges{aggregate: true}, 64, 2 * tickInterval},
+	} {
+		t.Run(name, func(t *testing.T) {
+			now := tickInterval
+			for !testCase.unpublished.due(now, testCase.members) {
+				now += tickInterval
+			}
+			require.Equal(t, testCase.want, now)
+		})
+	}
+}
--- /dev/null
+++ b/internal/gossip/transport.go
@@ -0,0 +1,121 @@
+package gossip
+
+import (
+	"errors"
+	"log"
+	"net"
+	"strconv"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// boundTransport is memberlist's transport over sockets. It dials from the address at which the process listens, so
+// that a relay between two members can tell which one dials.
+type boundTransport struct {
+	*memberlist.NetTransport
+	localIP net.IP
+}
+
+func listen(addr string, logger *log.Logger) (*boundTransport, error) {
+	host, port, err := net.SplitHostPort(addr)
+	if err != nil {
+		return nil, err
+	}
+	portNumber, err := strconv.Atoi(port)
+	if err != nil {
+		return nil, err
+	}
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{host}, BindPort: portNumber, Logger: logger,
+	})
+	if err != nil {
+		return nil, err
+	}
+	return &boundTransport{transport, net.ParseIP(host)}, nil
+}
+
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t *boundTransport) DialAddressTimeout(target memberlist.Address, limit time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: limit}
+	if !t.localIP.IsUnspecified() {
+		dialer.LocalAddr = &net.TCPAddr{IP: t.localIP}
+	}
+	return dialer.Dial("tcp", target.Addr)
+}
+
+// DialTimeout implements memberlist.Transport.
+func (t *boundTransport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
+}
+
+// countingTransport counts what is sent, and follows the dial of the rejoin round.
+type countingTransport struct {
+	memberlist.NodeAwareTransport
+	counters *Counters
+	dial     dialObserver
+}
+
+// WriteToAddress implements memberlist.NodeAwareTransport.
+func (t *countingTransport) WriteToAddress(b []byte, target memberlist.Address) (time.Time, error) {
+	t.counters.PacketsOut.Add(1)
+	t.counters.BytesOut.Add(int64(len(b)))
+	return t.NodeAwareTransport.WriteToAddress(b, target)
+}
+
+// WriteTo implements memberlist.Transport.
+func (t *countingTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
+}
+
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t *countingTransport) DialAddressTimeout(target memberlist.Address, limit time.Duration) (net.Conn, error) {
+	conn, err := t.NodeAwareTransport.DialAddressTimeout(target, limit)
+	if err != nil {
+		t.dial.recordError(target.Addr, err)
+		return nil, err
+	}
+	t.counters.Streams.Add(1)
+	return &countingConn{Conn: conn, transport: t, addr: target.Addr}, nil
+}
+
+// DialTimeout implements memberlist.Transport.
+func (t *countingTransport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
+}
+
+// countingConn counts what is written, and records how reading and writing end.
+type countingConn struct {
+	net.Conn
+	transport *countingTransport
+	addr      string
+}
+
+// Write implements net.Conn.
+func (c *countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.transport.counters.StreamBytes.Add(int64(n))
+	if err != nil {
+		c.transport.dial.recordError(c.addr, err)
+	}
+	return n, err
+}
+
+// Read implements net.Conn.
+func (c *countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	if n > 0 {
+		c.transport.dial.recordAnswer(c.addr)
+	}
+	if isTimeout(err) {
+		c.transport.dial.recordError(c.addr, errNoAnswer)
+	} else if err != nil {
+		c.transport.dial.recordError(c.addr, err)
+	}
+	return n, err
+}
+
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
+}
