--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -7,127 +7,166 @@
 	"time"
 )
 
-// Waits between calls to one address that is not reached, and how many are made at a time. The failure detection
-// forgets who has been lost for a while, so that somebody has to call.
 const (
-	rejoinFirst = time.Second
-	rejoinMost  = 30 * time.Second
-	rejoinHeard = 3 * time.Second
-	rejoinAt    = 2
+	initialDialDelay = time.Second      // doubled with each dial of an address
+	maxDialDelay     = 30 * time.Second // in a small fleet
+	unmetDialDelay   = 3 * time.Second  // least delay before a member that was never met is dialed
+	maxDialsAtOnce   = 2
 )
 
-// Rejoin decides whom to call: seeds that are not among those who are reached, and members that are lost, so that a
-// fleet which was cut in two finds together whichever side looks, also where two parts began apart and neither ever
-// heard of the other. It belongs to one goroutine.
+// Rejoin decides which addresses to dial: seeds that are not reached, and members that are lost. The failure detection
+// forgets members that have been lost for a while, so that a fleet which was partitioned would not merge again without
+// these dials; nor would two fleets that were started apart. It belongs to one goroutine.
 type Rejoin struct {
-	seeds map[string]bool // addresses; whether one is near: this process's own, or that of a member that is reached
-	rand  *rand.Rand
-	calls map[string]*calls
+	seedReached map[string]bool // by address; whether it is this process's own, or that of a reached member
+	random      *rand.Rand
+	schedules   map[string]*dialSchedule // by address
 }
 
-type calls struct {
-	wait time.Duration
-	next time.Duration
+// dialSchedule is when an address is dialed next, and how long after that.
+type dialSchedule struct {
+	delay  time.Duration
+	nextAt time.Duration
 }
 
-// NewRejoin returns a Rejoin that spreads its calls by rnd.
-func NewRejoin(seeds []string, rnd *rand.Rand) *Rejoin {
-	r := &Rejoin{rand: rnd, calls: map[string]*calls{}}
-	r.Seeds(seeds)
-	return r
-}
+// dialCause is why an address is dialed.
+type dialCause uint8
+
+const (
+	dialUnmet dialCause = iota // it publishes records, and only the failure detection of this observer misses it
+	dialLost                   // every member of the fleet is likely to miss it, and to dial it
+)
 
-// Seeds replaces the seeds.
-func (r *Rejoin) Seeds(seeds []string) {
-	r.seeds = map[string]bool{}
-	for _, a := range seeds {
-		r.seeds[a] = false
+func (c dialCause) String() string {
+	if c == dialLost {
+		return "lost"
 	}
+	return "unmet"
+}
+
+// NewRejoin returns a Rejoin that draws its delays from random.
+func NewRejoin(seeds []string, random *rand.Rand) *Rejoin {
+	rejoin := &Rejoin{random: random, schedules: map[string]*dialSchedule{}}
+	rejoin.SetSeeds(seeds)
+	return rejoin
 }
 
-func (r *Rejoin) near(addr string) {
-	if _, ok := r.seeds[addr]; ok {
-		r.seeds[addr] = true
+// SetSeeds replaces the seeds.
+func (r *Rejoin) SetSeeds(seeds []string) {
+	r.seedReached = map[string]bool{}
+	for _, addr := range seeds {
+		r.seedReached[addr] = false
 	}
 }
 
-// Next returns the addresses to call now, two at most. Waits double, and half of each is drawn, so that a fleet does
-// not call at one instant; they begin anew once the address was reached. In a fleet of many only some need to call a
-// member that was lost: they wait longer by the logarithm of its size, so that all of them together do not call more
-// often in a larger fleet than it can bear.
-func (r *Rejoin) Next(now time.Duration, s *Snapshot) []string {
-	wanted := map[string]bool{} // and whether others need the call as well
-	reached := 0
-	for a := range r.seeds {
-		r.seeds[a] = false
+// NextDials returns the addresses to dial now, two at most. The delay between two dials of an address doubles, and half
+// of it is random, so that members do not dial in step; it starts anew once the address was reached. Its maximum grows
+// with the logarithm of the fleet's size: of a large fleet only some members need to dial one that is lost.
+func (r *Rejoin) NextDials(now time.Duration, snapshot *Snapshot) []string {
+	causes, reached := r.addressesToDial(now, snapshot)
+	r.dropSchedules(causes)
+	due := r.dueAddresses(now, causes, reached)
+	maxDelay := maxDialDelay * time.Duration(1+log2(len(snapshot.Members))/2)
+	for _, addr := range due {
+		schedule := r.schedules[addr]
+		schedule.nextAt = now + schedule.delay/2 + r.drawBelow(schedule.delay/2)
+		schedule.delay = min(2*schedule.delay, maxDelay)
 	}
-	fresh := Fresh(len(s.Members))
-	for i := range s.Members {
-		switch m := &s.Members[i]; {
-		case m.Self:
-			r.near(m.Addr)
-		case m.Liveness == Alive || m.Liveness == Suspect:
-			r.near(m.Addr)
+	return due
+}
+
+// addressesToDial returns the addresses that are not reached, and how many other members are.
+func (r *Rejoin) addressesToDial(now time.Duration, snapshot *Snapshot) (causes map[string]dialCause, reached int) {
+	causes = map[string]dialCause{}
+	r.resetSeeds()
+	fresh := Fresh(len(snapshot.Members))
+	for i := range snapshot.Members {
+		member := &snapshot.Members[i]
+		switch {
+		case member.Self:
+			r.markSeedReached(member.Addr)
+		case member.reached():
+			r.markSeedReached(member.Addr)
 			reached++
-		case m.Liveness == Unmet && m.Seq > 0 && m.Age(now) <= fresh && m.Addr != "":
-			wanted[m.Addr] = false // it speaks, and the failure detection here does not know of it
-		case m.Liveness == Silent || m.Liveness == Dead || m.Liveness == Wedged && m.Stalled == 0:
-			if m.Addr != "" {
-				wanted[m.Addr] = true
-			}
+		case member.Addr == "":
+		case member.Liveness == Unmet && member.Seq > 0 && member.Age(now) <= fresh:
+			causes[member.Addr] = dialUnmet
+		case member.lost():
+			causes[member.Addr] = dialLost
 		}
 	}
-	for a, near := range r.seeds {
-		if !near {
-			wanted[a] = true
+	r.addUnreachedSeeds(causes)
+	return causes, reached
+}
+
+func (r *Rejoin) resetSeeds() {
+	for addr := range r.seedReached {
+		r.seedReached[addr] = false
+	}
+}
+
+func (r *Rejoin) addUnreachedSeeds(causes map[string]dialCause) {
+	for addr, reached := range r.seedReached {
+		if !reached {
+			causes[addr] = dialLost
 		}
 	}
-	for a := range r.calls {
-		if _, ok := wanted[a]; !ok {
-			delete(r.calls, a)
+}
+
+func (r *Rejoin) markSeedReached(addr string) {
+	if _, ok := r.seedReached[addr]; ok {
+		r.seedReached[addr] = true
+	}
+}
+
+// dropSchedules forgets the delays of addresses that no longer need a dial.
+func (r *Rejoin) dropSchedules(causes map[string]dialCause) {
+	for addr := range r.schedules {
+		if _, ok := causes[addr]; !ok {
+			delete(r.schedules, addr)
 		}
 	}
-	var due []string
-	most := rejoinMost * time.Duration(1+log2(len(s.Members))/2)
-	for a, shared := range wanted {
-		c := r.calls[a]
-		if c == nil {
-			// The first call waits, too, in a fleet of many: its loss is noticed by all at one instant. What is only
-			// missing here mostly comes by itself before long.
-			first := rejoinHeard + r.spread(rejoinHeard)
-			if shared {
-				first = r.spread(time.Duration(reached) * rejoinFirst / 4)
-			}
-			c = &calls{wait: rejoinFirst, next: now + first}
-			r.calls[a] = c
+}
+
+// dueAddresses returns the addresses whose dial is due, the longest overdue first, and schedules those that are new.
+func (r *Rejoin) dueAddresses(now time.Duration, causes map[string]dialCause, reached int) (due []string) {
+	for addr, cause := range causes {
+		schedule := r.schedules[addr]
+		if schedule == nil {
+			schedule = &dialSchedule{delay: initialDialDelay, nextAt: now + r.firstDelay(cause, reached)}
+			r.schedules[addr] = schedule
 		}
-		if now >= c.next {
-			due = append(due, a)
+		if now >= schedule.nextAt {
+			due = append(due, addr)
 		}
 	}
 	slices.SortFunc(due, func(a, b string) int {
-		return cmp.Or(cmp.Compare(r.calls[a].next, r.calls[b].next), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(r.schedules[a].nextAt, r.schedules[b].nextAt), cmp.Compare(a, b))
 	})
-	due = due[:min(len(due), rejoinAt)]
-	for _, a := range due {
-		c := r.calls[a]
-		c.next = now + c.wait/2 + r.spread(c.wait/2)
-		c.wait = min(2*c.wait, most)
+	return due[:min(len(due), maxDialsAtOnce)]
+}
+
+// firstDelay is the delay before the first dial of an address. All members notice a loss at one instant, so that the
+// delay is spread over a time that grows with their number. A member that is only unmet mostly joins by itself.
+func (r *Rejoin) firstDelay(cause dialCause, reached int) time.Duration {
+	unmetDelay := unmetDialDelay + r.drawBelow(unmetDialDelay) // drawn for either cause: the sequence of draws is fixed
+	if cause == dialLost {
+		return r.drawBelow(time.Duration(reached) * initialDialDelay / 4)
 	}
-	return due
+	return unmetDelay
 }
 
-// spread draws a time below d.
-func (r *Rejoin) spread(d time.Duration) time.Duration {
-	if d <= 0 {
+// drawBelow returns a random duration from 0 up to limit, exclusive.
+func (r *Rejoin) drawBelow(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(r.rand.Int64N(int64(d)))
+	return time.Duration(r.random.Int64N(int64(limit)))
 }
 
-func log2(n int) (l int) {
+func log2(n int) (log int) {
 	for ; n > 1; n >>= 1 {
-		l++
+		log++
 	}
-	return l
+	return log
 }
