--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,21 +7,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWaitsDoubleWithinBounds(t *testing.T) {
-	b := New(10*time.Millisecond, 200*time.Millisecond, 7, 1)
+func TestDelaysDoubleWithinBounds(t *testing.T) {
+	delays := New(10*time.Millisecond, 200*time.Millisecond, 7, 1)
 	for range 2 {
-		for _, whole := range []time.Duration{10, 20, 40, 80, 160, 200, 200} {
-			whole *= time.Millisecond
-			got := b.Next()
-			require.LessOrEqual(t, got, whole)
-			require.GreaterOrEqual(t, got, whole/2)
+		for _, unjittered := range []time.Duration{10, 20, 40, 80, 160, 200, 200} {
+			unjittered *= time.Millisecond
+			got := delays.Next()
+			require.LessOrEqual(t, got, unjittered)
+			require.GreaterOrEqual(t, got, unjittered/2)
 		}
-		b.Reset()
+		delays.Reset()
 	}
 }
 
 // What is tried again follows from the seed, and from nothing else: a day that is played again is the same day.
-func TestSameSeedSameWaits(t *testing.T) {
+func TestSameSeedSameDelays(t *testing.T) {
 	a, b, c := New(10, 2000, 7, 1), New(10, 2000, 7, 1), New(10, 2000, 7, 2)
 	same := true
 	for range 10 {
@@ -34,7 +34,7 @@
 
 // A zone is cut off and 300 servers lose their store at one instant. Without jitter all of them would come back
 // within one instant at each attempt; with it no 20 ms see more than a fifth of them after the first few.
-func TestFleetDoesNotComeBackAtOnce(t *testing.T) {
+func TestJitterSpreadsReconnects(t *testing.T) {
 	const servers = 300
 	slots := map[time.Duration]int{}
 	for seed := range uint64(servers) {
--- a/internal/deadline/bench_test.go
+++ b/internal/deadline/bench_test.go
@@ -11,17 +11,17 @@
 func BenchmarkAddSweep(b *testing.B) {
 	for _, size := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
-			q, rng := New(), rand.New(rand.NewPCG(1, 1))
-			nothing := func() {}
+			queue, rng := New(), rand.New(rand.NewPCG(1, 1))
+			noop := func() {}
 			for i := range size {
-				q.Add(time.Duration(i), nothing)
+				queue.Add(time.Duration(i), noop)
 			}
 			now := time.Duration(0)
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Add(now+time.Duration(rng.IntN(size)), nothing)
+				queue.Add(now+time.Duration(rng.IntN(size)), noop)
 				now++
-				q.Sweep(now)
+				queue.Sweep(now)
 			}
 		})
 	}
@@ -31,13 +31,13 @@
 func BenchmarkCancel(b *testing.B) {
 	for _, size := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
-			q := New()
+			queue := New()
 			for i := range size {
-				q.Add(time.Duration(i), func() {})
+				queue.Add(time.Duration(i), func() {})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Cancel(q.Add(time.Duration(size/2), nil))
+				queue.Cancel(queue.Add(time.Duration(size/2), nil))
 			}
 		})
 	}
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/queue.go
@@ -11,71 +11,71 @@
 
 // Entry is one deadline in a Queue.
 type Entry struct {
-	at  time.Duration
-	seq uint64 // keeps equal times in order of entry
-	do  func()
+	dueAt    time.Duration
+	seq      uint64 // keeps equal times in order of entry
+	callback func()
 }
 
 // Queue holds deadlines by time, equal times in order of entry. It is not safe for use by several
 // goroutines at once.
 type Queue struct {
-	tree *btree.BTreeG[*Entry]
-	seq  uint64
+	entries *btree.BTreeG[*Entry]
+	lastSeq uint64
 }
 
 // New returns an empty Queue.
 func New() *Queue {
-	return &Queue{tree: btree.NewG(degree, func(a, b *Entry) bool {
-		return a.at < b.at || a.at == b.at && a.seq < b.seq
+	return &Queue{entries: btree.NewG(degree, func(a, b *Entry) bool {
+		return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.seq < b.seq
 	})}
 }
 
 // Add lets do be called by the first Sweep at or after the time at.
-func (q *Queue) Add(at time.Duration, do func()) *Entry {
-	q.seq++
-	e := &Entry{at: at, seq: q.seq, do: do}
-	q.tree.ReplaceOrInsert(e)
-	return e
+func (q *Queue) Add(at time.Duration, callback func()) *Entry {
+	q.lastSeq++
+	entry := &Entry{dueAt: at, seq: q.lastSeq, callback: callback}
+	q.entries.ReplaceOrInsert(entry)
+	return entry
 }
 
 // Cancel takes e out. A nil entry, and one that has been called, are passed over.
-func (q *Queue) Cancel(e *Entry) {
-	if e != nil {
-		q.tree.Delete(e)
+func (q *Queue) Cancel(entry *Entry) {
+	if entry != nil {
+		q.entries.Delete(entry)
 	}
 }
 
 // Next returns the earliest deadline.
 func (q *Queue) Next() (time.Duration, bool) {
-	e, ok := q.tree.Min()
+	entry, ok := q.entries.Min()
 	if !ok {
 		return 0, false
 	}
-	return e.at, true
+	return entry.dueAt, true
 }
 
 // Sweep calls what is due at now. What is added meanwhile waits for the next Sweep, so that a
 // deadline that renews itself in the past cannot hold up its owner.
 func (q *Queue) Sweep(now time.Duration) {
-	last := q.seq
+	lastSeq := q.lastSeq
 	for {
-		var due *Entry
-		q.tree.Ascend(func(e *Entry) bool {
-			if e.at > now {
+		var expired *Entry
+		q.entries.Ascend(func(entry *Entry) bool {
+			if entry.dueAt > now {
 				return false
 			}
-			if e.seq <= last {
-				due = e
+			if entry.seq <= lastSeq {
+				expired = entry
 			}
-			return due == nil
+			return expired == nil
 		})
-		if due == nil {
+		if expired == nil {
 			return
 		}
-		q.tree.Delete(due)
-		due.do()
+		q.entries.Delete(expired)
+		expired.callback()
 	}
 }
 
 // Len is how many deadlines are entered.
-func (q *Queue) Len() int { return q.tree.Len() }
+func (q *Queue) Len() int { return q.entries.Len() }
--- a/internal/msgpackrpc/cold_test.go
+++ b/internal/msgpackrpc/cold_test.go
@@ -12,52 +12,52 @@
 // A server starts cold into a full storm, and its agent comes up late: what is read before that is refused at
 // once, so that front ends can go elsewhere, and its connections go on once the agent is there. Then no more runs
 // than the crowd that a cold server survives, and all that was read is answered.
-func TestColdIntoAStorm(t *testing.T) {
-	const fronts, each = 20, maxOpen
+func TestColdStartUnderOverload(t *testing.T) {
+	const clients, callsPerClient = 20, maxOpenCalls
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	p := startLate(t, ln, "", `"ColdUs": 18000000`, `"ColdUs": 18000000000`) // it stays cold
-	p.expect("subscribe", "")
-	all := make([]*front, fronts)
-	for i := range all {
-		all[i] = p.dial()
-		for range each {
-			all[i].send("hires-crop", "x")
+	peers := startServerBeforeAgent(t, ln, "", `"ColdUs": 18000000`, `"ColdUs": 18000000000`) // it stays cold
+	peers.expectCommand("subscribe", "")
+	clientConns := make([]*testClient, clients)
+	for i := range clientConns {
+		clientConns[i] = peers.dial()
+		for range callsPerClient {
+			clientConns[i].sendRequest("hires-crop", "x")
 		}
 	}
-	for _, f := range all {
-		for call := range each {
-			f.expectAnswer(call+1, errRefused)
+	for _, client := range clientConns {
+		for call := range callsPerClient {
+			client.expectAnswer(call+1, codeOverloaded)
 		}
 	}
-	require.Empty(t, p.commands)
-	p.greet <- "booting"
-	p.quiet()
-	for _, f := range all {
-		for range each {
-			f.send("hires-crop", "x")
+	require.Empty(t, peers.commands)
+	peers.handshake <- "booting"
+	peers.expectNoCommand()
+	for _, client := range clientConns {
+		for range callsPerClient {
+			client.sendRequest("hires-crop", "x")
 		}
 	}
 	// Cores that look idle have more run, up to the crowd that a cold server survives: four fifths of 2 a core on
 	// 6 of them, and one. A warm server takes 13 by then.
 	for range 20 {
-		await(p, p.samples, "sample")
+		await(peers, peers.samples, "sample")
 	}
-	require.LessOrEqual(t, len(p.commands), 10)
+	require.LessOrEqual(t, len(peers.commands), 10)
 
 	// Then the agent works. Each front end gets its answers in some order.
 	answers := make(chan string)
-	for _, f := range all {
+	for _, client := range clientConns {
 		go func() {
-			for n := 0; n < each; {
-				v, err := f.in.next()
+			for n := 0; n < callsPerClient; {
+				value, err := client.decoder.next()
 				if err != nil {
 					answers <- err.Error()
 					return
 				}
-				list := v.(arrayValue)
-				if list[0] != int64(kindAnswer) {
+				list := value.(arrayValue)
+				if list[0] != int64(kindResponse) {
 					continue // it may be told to go once it is idle
 				}
 				n++
@@ -69,20 +69,20 @@
 			}
 		}()
 	}
-	got, ran := map[string]int{}, 0
-	for got["served"]+got[errRefused]+got[errFailed] < fronts*each {
+	outcomes, runs := map[string]int{}, 0
+	for outcomes["served"]+outcomes[codeOverloaded]+outcomes[codeInternal] < clients*callsPerClient {
 		select {
-		case c := <-p.commands:
-			require.Equal(t, "launch", c.Cmd)
-			ran++
-			p.tell("outcome", c.Req, "success", []byte("x"))
-		case word := <-answers:
-			require.Contains(t, []string{"served", errRefused, errFailed}, word)
-			got[word]++
-		case <-time.After(patience):
-			t.Fatalf("no more answers: %v", got)
+		case command := <-peers.commands:
+			require.Equal(t, "launch", command.Cmd)
+			runs++
+			peers.agentSends("outcome", command.Req, "success", []byte("x"))
+		case outcome := <-answers:
+			require.Contains(t, []string{"served", codeOverloaded, codeInternal}, outcome)
+			outcomes[outcome]++
+		case <-time.After(testTimeout):
+			t.Fatalf("no more answers: %v", outcomes)
 		}
 	}
-	require.Equal(t, ran, got["served"], "%v", got)
-	require.Positive(t, ran)
+	require.Equal(t, runs, outcomes["served"], "%v", outcomes)
+	require.Positive(t, runs)
 }
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -18,143 +18,143 @@
 )
 
 const (
-	maxOpen = 32              // requests open on one connection
-	outRoom = 4 * maxOpen     // messages that wait to be written on one connection
-	within  = 2 * time.Second // for the first message of a connection, and for the rest of one that has begun
+	maxOpenCalls       = 32               // requests open on one connection
+	writeQueueCapacity = 4 * maxOpenCalls // messages that wait to be written on one connection
+	messageTimeout     = 2 * time.Second  // for the first message of a connection, and for the rest of one that has begun
 
 	// Of a peer from which nothing more is taken some bytes are still read, and for a moment, until it has read what was
 	// written to it and closes: closing over unread bytes would take the last answers along. The moment is the
 	// protocol's for requests that cross a close.
-	lingerMost  = 50 * time.Millisecond
-	lingerBytes = 1 << 20
+	lingerTimeout  = 50 * time.Millisecond
+	maxLingerBytes = 1 << 20
 
-	finishBytes = maxOpen * maxFrame // read at a time of a peer that is to be closed: all that it may have open
+	maxDrainBytes = maxOpenCalls * maxFrame // read at a time of a peer that is to be closed: all that it may have open
 )
 
-// errFinished says that nothing more is to be read.
-var errFinished = errors.New("no more is read")
+// errReadPaused says that nothing more is to be read.
+var errReadPaused = errors.New("no more is read")
 
 // conn is one connection of a front end. Its reader and its outbox run in goroutines of their own;
 // the server's loop calls Answer, Closing, Finish, Resume, End and Close, none of which blocks.
 type conn struct {
 	*writequeue.Queue
-	net      net.Conn
-	in       frames // the reader's, like the next three
-	known    names
-	limited  bool // a read may take so long only
-	left     int  // of finishBytes
-	finish   atomic.Bool
-	again    chan struct{} // tells a reader that waits to read on; has room for one
-	once     sync.Once
-	shut     chan struct{} // closed by Close: nothing more is to be read
-	readDone chan struct{} // closed when nothing more is read
+	netConn     net.Conn
+	frames      frameReader // the reader's, like the next three
+	methods     methodCache
+	limited     bool // a read may take so long only
+	drainBudget int  // of maxDrainBytes
+	finish      atomic.Bool
+	resumed     chan struct{} // tells a reader that waits to read on; has room for one
+	closeOnce   sync.Once
+	closed      chan struct{} // closed by Close: nothing more is to be read
+	readDone    chan struct{} // closed when nothing more is read
 }
 
 func newConn(nc net.Conn) *conn {
-	c := &conn{Queue: writequeue.NewHalf(nc, outRoom), net: nc, again: make(chan struct{}, 1), shut: make(chan struct{}),
+	c := &conn{Queue: writequeue.NewHalf(nc, writeQueueCapacity), netConn: nc, resumed: make(chan struct{}, 1), closed: make(chan struct{}),
 		readDone: make(chan struct{})}
-	c.left = finishBytes
-	c.in = frames{from: c, begun: c.limit, late: true} // the first message has a limit from the start
+	c.drainBudget = maxDrainBytes
+	c.frames = frameReader{source: c, onPartial: c.setReadLimit, partial: true} // the first message has a limit from the start
 	return c
 }
 
 // serve reads until the connection has ended or is not to be read any more. What has come by then is all handed over: what
 // may be read once the connection is shut is left to linger.
-func (c *conn) serve(s *server.Server, ended func(error)) {
-	defer c.linger()
-	err := c.limit(true)
+func (c *conn) serve(srv *server.Server, ended func(error)) {
+	defer c.discardInput()
+	err := c.setReadLimit(true)
 	for {
 		if err == nil {
-			err = c.read(s)
+			err = c.readMessages(srv)
 		}
 		ended(err)
-		c.left = finishBytes
-		end := endOf(err)
-		if end == server.Disconnected {
+		c.drainBudget = maxDrainBytes
+		reason := endReason(err)
+		if reason == server.Disconnected {
 			c.Close()
 		}
-		s.ReadEnded(c, end)
-		if end != server.ReadPaused && end != server.ReadTimeout {
+		srv.ReadEnded(c, reason)
+		if reason != server.ReadPaused && reason != server.ReadTimeout {
 			return
 		}
 		select {
-		case <-c.again:
-		case <-c.shut:
+		case <-c.resumed:
+		case <-c.closed:
 			return
 		}
-		c.in.late = false // what has begun has its time once more
-		err = c.limit(false)
+		c.frames.partial = false // what has begun has its time once more
+		err = c.setReadLimit(false)
 	}
 }
 
-// read hands over messages until the connection ends. Broken framing ends it, and so does a message that
+// readMessages hands over messages until the connection ends. Broken framing ends it, and so does a message that
 // does not come to its end: a connection that says nothing takes the place of a front end.
-func (c *conn) read(s *server.Server) error {
+func (c *conn) readMessages(srv *server.Server) error {
 	for {
-		frame, err := c.in.next()
+		frame, err := c.frames.next()
 		if err != nil {
 			return err
 		}
-		m, err := parseMessage(frame)
+		msg, err := parseMessage(frame)
 		if err != nil {
-			return fmt.Errorf("%s: %w", c.net.RemoteAddr(), err)
+			return fmt.Errorf("%s: %w", c.netConn.RemoteAddr(), err)
 		}
-		if m.kind == kindNotification {
-			if id, ok := parseCancel(m); ok {
-				s.Cancel(c, id)
+		if msg.kind == kindNotification {
+			if id, ok := parseCancel(msg); ok {
+				srv.Cancel(c, id)
 			}
 			continue
 		}
-		if string(m.method) == methodHealth {
-			deep, err := parseProbe(m)
+		if string(msg.method) == methodHealth {
+			deep, err := parseHealthCheck(msg)
 			if err != nil {
-				s.RejectInvalid(c, m.id, err)
+				srv.RejectInvalid(c, msg.id, err)
 			} else {
-				s.HealthCheck(c, m.id, deep)
+				srv.HealthCheck(c, msg.id, deep)
 			}
 			continue
 		}
-		t, err := parseTry(m, &c.known)
+		attempt, err := parseRequest(msg, &c.methods)
 		if err != nil {
-			s.RejectInvalid(c, m.id, err)
+			srv.RejectInvalid(c, msg.id, err)
 			continue
 		}
-		s.Submit(c, m.id, t)
+		srv.Submit(c, msg.id, attempt)
 	}
 }
 
-// limit sets or lifts the limit on the time that a read may take.
-func (c *conn) limit(on bool) error {
+// setReadLimit sets or lifts the limit on the time that a read may take.
+func (c *conn) setReadLimit(on bool) error {
 	c.limited = on
 	var until time.Time
 	if on {
-		until = time.Now().Add(within)
+		until = time.Now().Add(messageTimeout)
 	}
-	err := c.net.SetReadDeadline(until)
+	err := c.netConn.SetReadDeadline(until)
 	if c.finish.Load() { // it may have been set in between
-		err = c.net.SetReadDeadline(passed)
+		err = c.netConn.SetReadDeadline(expiredDeadline)
 	}
 	return err
 }
 
-// passed is a time that is over.
-var passed = time.Unix(1, 0)
+// expiredDeadline is a time that is over.
+var expiredDeadline = time.Unix(1, 0)
 
 // PauseReading implements server.Peer.
 func (c *conn) PauseReading() {
 	c.finish.Store(true)
-	_ = c.net.SetReadDeadline(passed) // a connection that is closed has no reader any more
+	_ = c.netConn.SetReadDeadline(expiredDeadline) // a connection that is closed has no reader any more
 }
 
 // ResumeReading implements server.Peer.
 func (c *conn) ResumeReading() {
 	c.finish.Store(false)
-	c.goOn()
+	c.wakeReader()
 }
 
-func (c *conn) goOn() {
+func (c *conn) wakeReader() {
 	select {
-	case c.again <- struct{}{}:
+	case c.resumed <- struct{}{}:
 	default:
 	}
 }
@@ -162,9 +162,9 @@
 // TryClose implements server.Peer. Between its look at what has come and the end of the connection lies nothing but two calls
 // of the system, where all answers are written.
 func (c *conn) TryClose() bool {
-	if c.waits() {
+	if c.hasUnreadInput() {
 		c.finish.Store(true)
-		c.goOn()
+		c.wakeReader()
 		return false
 	}
 	c.CloseNow()
@@ -175,12 +175,12 @@
 // Close implements server.Peer.
 func (c *conn) Close() {
 	c.Queue.Close()
-	c.once.Do(func() { close(c.shut) })
+	c.closeOnce.Do(func() { close(c.closed) })
 }
 
-// waits reports whether something has come that was not read, be it the end of the connection.
-func (c *conn) waits() bool {
-	sc, ok := c.net.(syscall.Conn)
+// hasUnreadInput reports whether something has come that was not read, be it the end of the connection.
+func (c *conn) hasUnreadInput() bool {
+	sc, ok := c.netConn.(syscall.Conn)
 	return ok && readable(sc)
 }
 
@@ -200,20 +200,20 @@
 // Read implements io.Reader for the frames. A limit that has passed counts only where nothing is there to be read:
 // after a machine stood still, or while this process is behind, what came in time may wait beside it.
 func (c *conn) Read(b []byte) (int, error) {
-	n, err := c.net.Read(b)
+	n, err := c.netConn.Read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if c.finish.Load() && c.left <= 0 {
-		return 0, errFinished
+	if c.finish.Load() && c.drainBudget <= 0 {
+		return 0, errReadPaused
 	}
-	n, err = c.readNow(b)
+	n, err = c.readAvailable(b)
 	if n > 0 {
-		c.left -= n
-		return n, c.limit(c.limited)
+		c.drainBudget -= n
+		return n, c.setReadLimit(c.limited)
 	}
 	if err == nil && c.finish.Load() {
-		return 0, errFinished
+		return 0, errReadPaused
 	}
 	if err == nil {
 		err = os.ErrDeadlineExceeded
@@ -221,9 +221,9 @@
 	return 0, err
 }
 
-// readNow reads what is there, and returns 0 and no error where that is nothing.
-func (c *conn) readNow(b []byte) (n int, err error) {
-	sc, ok := c.net.(syscall.Conn)
+// readAvailable reads what is there, and returns 0 and no error where that is nothing.
+func (c *conn) readAvailable(b []byte) (n int, err error) {
+	sc, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return 0, nil
 	}
@@ -231,7 +231,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := c.net.SetReadDeadline(time.Time{}); err != nil {
+	if err := c.netConn.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
 	}
 	var readErr error
@@ -256,19 +256,19 @@
 	return n, nil
 }
 
-// linger reads on, for nobody, until the peer has closed its side or enough has come.
-func (c *conn) linger() {
-	if c.net.SetReadDeadline(time.Time{}) == nil {
-		_, _ = io.CopyN(io.Discard, c.net, lingerBytes)
+// discardInput reads on, for nobody, until the peer has closed its side or enough has come.
+func (c *conn) discardInput() {
+	if c.netConn.SetReadDeadline(time.Time{}) == nil {
+		_, _ = io.CopyN(io.Discard, c.netConn, maxLingerBytes)
 	}
 	close(c.readDone)
 }
 
 // Answer implements server.Peer.
-func (c *conn) Answer(call uint32, a server.Answer) { c.Send(appendAnswer(nil, call, a)) }
+func (c *conn) Answer(call uint32, answer server.Answer) { c.Send(encodeAnswer(nil, call, answer)) }
 
 // NotifyClosing implements server.Peer.
-func (c *conn) NotifyClosing() { c.Send(appendClosing(nil)) }
+func (c *conn) NotifyClosing() { c.Send(encodeClosing(nil)) }
 
 // MaxOpenCalls implements server.Peer.
-func (c *conn) MaxOpenCalls() int { return maxOpen }
+func (c *conn) MaxOpenCalls() int { return maxOpenCalls }
--- a/internal/msgpackrpc/conn_test.go
+++ b/internal/msgpackrpc/conn_test.go
@@ -13,94 +13,94 @@
 	"github.com/stretchr/testify/require"
 )
 
-func appendProbe(id uint32, fields map[string]string) []byte {
+func appendHealthCheck(id uint32, fields map[string]string) []byte {
 	b := appendUint(append(appendArray(nil, 4), kindRequest), id)
-	return appendFields(appendArray(appendText(b, methodHealth), 1), fields)
+	return appendFields(appendArray(appendString(b, methodHealth), 1), fields)
 }
 
 // Wrong requests are answered; a broken frame ends its own connection and no other.
-func TestWrongInput(t *testing.T) {
-	p := start(t)
-	f := p.dial()
-	f.send("poster", "x")
-	f.expectAnswer(1, errInvalid)
-	f.send("licence-order", "without once")
-	f.expectAnswer(2, errInvalid)
-	f.send("preview", "x", "kb", "-1")
-	f.expectAnswer(3, errInvalid)
-	run := f.send("preview", "x")
-	p.expect("launch", run)
-	f.send("preview", "same id", "id", run)
-	f.expectAnswer(5, errInvalid)
+func TestInvalidInputIsAnswered(t *testing.T) {
+	peers := startServer(t)
+	client := peers.dial()
+	client.sendRequest("poster", "x")
+	client.expectAnswer(1, codeInvalid)
+	client.sendRequest("licence-order", "without once")
+	client.expectAnswer(2, codeInvalid)
+	client.sendRequest("preview", "x", "kb", "-1")
+	client.expectAnswer(3, codeInvalid)
+	runID := client.sendRequest("preview", "x")
+	peers.expectCommand("launch", runID)
+	client.sendRequest("preview", "same id", "id", runID)
+	client.expectAnswer(5, codeInvalid)
 	for _, broken := range []string{"\xc1", "\x01", "\x94\x00\x01\xa1x\xc6\xff\xff\xff\xff"} {
-		g := p.dial()
-		g.write([]byte(broken))
-		g.expectEnd()
+		other := peers.dial()
+		other.write([]byte(broken))
+		other.expectConnectionEnd()
 	}
-	f.write(appendProbe(6, map[string]string{"deep": "1"}))
-	f.expectAnswer(6, "%!s(bool=true)")
-	p.tell("outcome", run, "success", []byte("served"))
-	f.expectAnswer(4, "served")
+	client.write(appendHealthCheck(6, map[string]string{"deep": "1"}))
+	client.expectAnswer(6, "%!s(bool=true)")
+	peers.agentSends("outcome", runID, "success", []byte("served"))
+	client.expectAnswer(4, "served")
 }
 
 // After cancelRequest nothing is owed, and what the run still tells does no harm.
-func TestCancel(t *testing.T) {
-	p := start(t)
-	f := p.dial()
-	run := f.send("preview", "x")
-	p.expect("launch", run)
-	cancel := appendText(append(appendArray(nil, 3), kindNotification), methodCancel)
-	f.write(appendUint(appendArray(cancel, 1), 1))
-	f.write(appendUint(appendArray(cancel, 1), 99)) // unknown
-	f.write(appendProbe(2, nil))
-	f.expectAnswer(2, "%!s(bool=true)")
-	p.tell("outcome", run, "interrupted", nil)
-	f.next = 2
-	next := f.send("preview", "y")
-	p.expect("launch", next)
-	p.tell("outcome", next, "success", []byte("y"))
-	f.expectAnswer(3, "y")
+func TestCancelledRequestGetsNoAnswer(t *testing.T) {
+	peers := startServer(t)
+	client := peers.dial()
+	runID := client.sendRequest("preview", "x")
+	peers.expectCommand("launch", runID)
+	cancel := appendString(append(appendArray(nil, 3), kindNotification), methodCancel)
+	client.write(appendUint(appendArray(cancel, 1), 1))
+	client.write(appendUint(appendArray(cancel, 1), 99)) // unknown
+	client.write(appendHealthCheck(2, nil))
+	client.expectAnswer(2, "%!s(bool=true)")
+	peers.agentSends("outcome", runID, "interrupted", nil)
+	client.lastCall = 2
+	next := client.sendRequest("preview", "y")
+	peers.expectCommand("launch", next)
+	peers.agentSends("outcome", next, "success", []byte("y"))
+	client.expectAnswer(3, "y")
 }
 
 // Front ends may take half of the descriptors: the connection idle for longest makes room.
 func TestConnectionLimit(t *testing.T) {
-	p := start(t, `"sockets": 1024`, `"sockets": 64`)
-	var all []*front
+	peers := startServer(t, `"sockets": 1024`, `"sockets": 64`)
+	var clients []*testClient
 	for i := range 25 { // 8 of 32 are spare
-		f := p.dial()
-		f.write(appendProbe(1, nil))
-		f.expectAnswer(1, "%!s(bool=true)")
+		client := peers.dial()
+		client.write(appendHealthCheck(1, nil))
+		client.expectAnswer(1, "%!s(bool=true)")
 		if i == 0 {
-			p.expect("launch", f.send("preview", "busy"))
+			peers.expectCommand("launch", client.sendRequest("preview", "busy"))
 		}
-		all = append(all, f)
+		clients = append(clients, client)
 	}
-	all[1].expectEnd()
-	all[2].write(appendProbe(2, nil))
-	all[2].expectAnswer(2, "%!s(bool=true)")
+	clients[1].expectConnectionEnd()
+	clients[2].write(appendHealthCheck(2, nil))
+	clients[2].expectAnswer(2, "%!s(bool=true)")
 }
 
 // Connections that say nothing, or begin a message and don't end it, must not keep front ends out. One that
 // has sent a whole message may be silent for as long as idle ones may.
-func TestSilentConnections(t *testing.T) {
-	p := start(t, `"IdleUs": 30000000`, `"IdleUs": 0`)
-	good, silent, half, later := p.dial(), p.dial(), p.dial(), p.dial()
-	for _, f := range []*front{good, later} {
-		f.write(appendProbe(1, nil))
-		f.expectAnswer(1, "%!s(bool=true)")
+func TestSilentConnectionsAreClosed(t *testing.T) {
+	peers := startServer(t, `"IdleUs": 30000000`, `"IdleUs": 0`)
+	active, silent, half, later := peers.dial(), peers.dial(), peers.dial(), peers.dial()
+	for _, client := range []*testClient{active, later} {
+		client.write(appendHealthCheck(1, nil))
+		client.expectAnswer(1, "%!s(bool=true)")
 	}
 	half.write([]byte("\x94\x00"))
 	later.write([]byte("\x94"))
-	for _, f := range []*front{silent, half, later} {
-		f.expectEnd()
+	for _, client := range []*testClient{silent, half, later} {
+		client.expectConnectionEnd()
 	}
-	good.write(appendProbe(2, nil))
-	good.expectAnswer(2, "%!s(bool=true)")
+	active.write(appendHealthCheck(2, nil))
+	active.expectAnswer(2, "%!s(bool=true)")
 }
 
 // What ended a connection is counted by its kind.
-func TestEnds(t *testing.T) {
-	for _, c := range []struct {
+func TestEndReasonOfError(t *testing.T) {
+	for _, test := range []struct {
 		err  error
 		want server.EndReason
 	}{
@@ -108,9 +108,9 @@
 		{&net.OpError{Op: "read", Err: syscall.ECONNRESET}, server.Disconnected},
 		{&net.OpError{Op: "read", Err: net.ErrClosed}, server.Disconnected},
 		{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}, server.ReadTimeout},
-		{errTooLong, server.MalformedInput},
-		{fmt.Errorf("%w: kind 7", errBroken), server.MalformedInput},
+		{errFrameTooLong, server.MalformedInput},
+		{fmt.Errorf("%w: kind 7", errNotRPCMessage), server.MalformedInput},
 	} {
-		require.Equal(t, c.want, endOf(c.err), "%v", c.err)
+		require.Equal(t, test.want, endReason(test.err), "%v", test.err)
 	}
 }
--- a/internal/msgpackrpc/encode.go
+++ b/internal/msgpackrpc/encode.go
@@ -11,29 +11,29 @@
 func appendMap(b []byte, n int) []byte   { return append(b, 0x80|byte(n)) }
 func appendNil(b []byte) []byte          { return append(b, 0xc0) }
 
-func appendBool(b []byte, v bool) []byte {
-	if v {
+func appendBool(b []byte, value bool) []byte {
+	if value {
 		return append(b, 0xc3)
 	}
 	return append(b, 0xc2)
 }
 
-func appendUint(b []byte, v uint32) []byte {
+func appendUint(b []byte, value uint32) []byte {
 	switch {
-	case v <= 0x7f:
-		return append(b, byte(v))
-	case v <= math.MaxUint8:
-		return append(b, 0xcc, byte(v))
-	case v <= math.MaxUint16:
-		return binary.BigEndian.AppendUint16(append(b, 0xcd), uint16(v))
+	case value <= 0x7f:
+		return append(b, byte(value))
+	case value <= math.MaxUint8:
+		return append(b, 0xcc, byte(value))
+	case value <= math.MaxUint16:
+		return binary.BigEndian.AppendUint16(append(b, 0xcd), uint16(value))
 	}
-	return binary.BigEndian.AppendUint32(append(b, 0xce), v)
+	return binary.BigEndian.AppendUint32(append(b, 0xce), value)
 }
 
-// appendText cuts what is longer than a text of 16 bits can be; nothing sent here comes near that.
-func appendText(b []byte, s string) []byte {
-	s = s[:min(len(s), math.MaxUint16)]
-	switch n := len(s); {
+// appendString cuts what is longer than a text of 16 bits can be; nothing sent here comes near that.
+func appendString(b []byte, text string) []byte {
+	text = text[:min(len(text), math.MaxUint16)]
+	switch n := len(text); {
 	case n <= 31:
 		b = append(b, 0xa0|byte(n))
 	case n <= math.MaxUint8:
@@ -41,11 +41,11 @@
 	default:
 		b = binary.BigEndian.AppendUint16(append(b, 0xda), uint16(n))
 	}
-	return append(b, s...)
+	return append(b, text...)
 }
 
-func appendBinary(b, v []byte) []byte {
-	switch n := len(v); {
+func appendBinary(b, data []byte) []byte {
+	switch n := len(data); {
 	case n <= math.MaxUint8:
 		b = append(b, 0xc4, byte(n))
 	case n <= math.MaxUint16:
@@ -53,5 +53,5 @@
 	default:
 		b = binary.BigEndian.AppendUint32(append(b, 0xc6), uint32(n))
 	}
-	return append(b, v...)
+	return append(b, data...)
 }
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -22,14 +22,14 @@
 var update = flag.Bool("update", false, "record the golden files anew")
 
 // goldenCase is one line of a golden file: the name of a form, and the form as text.
-type goldenCase struct{ name, form string }
+type goldenCase struct{ name, text string }
 
 // requireGolden compares cases with a file in testdata, which must hold just these, in this order.
 func requireGolden(t *testing.T, file string, cases []goldenCase) {
 	t.Helper()
 	var got strings.Builder
 	for _, c := range cases {
-		got.WriteString(c.name + ": " + c.form + "\n")
+		got.WriteString(c.name + ": " + c.text + "\n")
 	}
 	path := filepath.Join("testdata", file)
 	if *update {
@@ -61,7 +61,7 @@
 	body := func(n int) []byte { return bytes.Repeat([]byte{0xab}, n) }
 	reason := func(n int) string { return strings.Repeat("r", n) }
 	var cases []goldenCase
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		call   uint32
 		answer server.Answer
@@ -92,73 +92,73 @@
 		{"invalid, 255 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(255)}},
 		{"invalid, 256 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(256)}},
 	} {
-		cases = append(cases, goldenCase{c.name, hex.EncodeToString(appendAnswer(nil, c.call, c.answer))})
+		cases = append(cases, goldenCase{test.name, hex.EncodeToString(encodeAnswer(nil, test.call, test.answer))})
 	}
 	const head = 10 // bytes of a frame before its body
-	long := appendAnswer(nil, 1, server.Answer{Kind: server.Served, Body: body(65536)})
+	long := encodeAnswer(nil, 1, server.Answer{Kind: server.Served, Body: body(65536)})
 	cases = append(cases, goldenCase{"served, 65536 bytes, what comes before them", hex.EncodeToString(long[:head])},
-		goldenCase{"closing", hex.EncodeToString(appendClosing(nil))})
+		goldenCase{"closing", hex.EncodeToString(encodeClosing(nil))})
 	requireGolden(t, "answers.golden", cases)
 }
 
 // What a front end reads to the end of its connection while the server drains.
 func TestGoldenClose(t *testing.T) {
 	var cases []goldenCase
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
-		use  func(c *conn)
+		use  func(test *conn)
 	}{
-		{"drain with a request in hand", func(c *conn) {
-			c.NotifyClosing()
-			c.Answer(1, server.Answer{Kind: server.Served, Body: []byte("x")})
-			c.Answer(2, server.Answer{Kind: server.Rejected, RetryAfter: time.Second})
-			c.Close()
+		{"drain with a request in hand", func(test *conn) {
+			test.NotifyClosing()
+			test.Answer(1, server.Answer{Kind: server.Served, Body: []byte("x")})
+			test.Answer(2, server.Answer{Kind: server.Rejected, RetryAfter: time.Second})
+			test.Close()
 		}},
-		{"drain of an idle connection", func(c *conn) {
-			c.NotifyClosing()
-			require.True(t, c.TryClose())
+		{"drain of an idle connection", func(test *conn) {
+			test.NotifyClosing()
+			require.True(t, test.TryClose())
 		}},
-		{"close", func(c *conn) { c.Close() }},
+		{"close", func(test *conn) { test.Close() }},
 	} {
-		near, far := net.Pipe()
-		connection := newConn(near)
-		over := make(chan error, 1)
-		c.use(connection)
-		go func() { over <- connection.Run() }()
-		written, err := io.ReadAll(far)
-		require.NoError(t, err, c.name)
-		require.NoError(t, <-over, c.name)
-		cases = append(cases, goldenCase{c.name, strconv.Quote(hex.EncodeToString(written))})
+		local, remote := net.Pipe()
+		connection := newConn(local)
+		done := make(chan error, 1)
+		test.use(connection)
+		go func() { done <- connection.Run() }()
+		written, err := io.ReadAll(remote)
+		require.NoError(t, err, test.name)
+		require.NoError(t, <-done, test.name)
+		cases = append(cases, goldenCase{test.name, strconv.Quote(hex.EncodeToString(written))})
 	}
 	requireGolden(t, "close.golden", cases)
 }
 
-// cancelled is what was read of a cancelRequest; no number is told where it has none.
-type cancelled struct {
+// parsedCancel is what was read of a cancelRequest; no number is told where it has none.
+type parsedCancel struct {
 	call  uint32
 	found bool
 }
 
-// deepCheck is what was read of a health check.
-type deepCheck bool
+// parsedHealthCheck is what was read of a health check.
+type parsedHealthCheck bool
 
-// readFront reads a message as a connection does.
-func readFront(m message) (any, error) {
+// parseClientMessage reads a message as a connection does.
+func parseClientMessage(msg message) (any, error) {
 	switch {
-	case m.kind == kindNotification:
-		call, found := parseCancel(m)
-		return cancelled{call, found}, nil
-	case string(m.method) == methodHealth:
-		deep, err := parseProbe(m)
-		return deepCheck(deep), err
+	case msg.kind == kindNotification:
+		call, found := parseCancel(msg)
+		return parsedCancel{call, found}, nil
+	case string(msg.method) == methodHealth:
+		deep, err := parseHealthCheck(msg)
+		return parsedHealthCheck(deep), err
 	}
-	return parseTry(m, &names{})
+	return parseRequest(msg, &methodCache{})
 }
 
 // Every message from a front end, one frame a line, in hex digits.
 func TestGoldenRequests(t *testing.T) {
-	least := server.Attempt{ID: "9B1F03AA5C7E2D41", Class: "preview", Client: 2147483647, MemoryKB: 0.5, Body: []byte("x")}
-	crop, twice := least, least
+	minimal := server.Attempt{ID: "9B1F03AA5C7E2D41", Class: "preview", Client: 2147483647, MemoryKB: 0.5, Body: []byte("x")}
+	crop, twice := minimal, minimal
 	crop.Class, crop.Body = "hires-crop", []byte{}
 	twice.MemoryKB = 7
 	cases := []struct {
@@ -173,35 +173,35 @@
 			Timeout: 480 * time.Millisecond, Client: 4, CostHint: 12500 * time.Microsecond, MemoryKB: 24.5, Rank: 0.625, Body: []byte("\x00\xffbody\r\n")}},
 		{"request with the least fields", 0, 255, "hires-crop", crop},
 		{"request with a field twice and one unknown", 0, 256, "preview", twice},
-		{"request in the widest heads", 0, 4294967295, "preview", least},
-		{"health check", 0, 1, "alive", deepCheck(false)},
-		{"health check, deep", 0, 2, "alive", deepCheck(true)},
-		{"health check, not deep", 0, 3, "alive", deepCheck(false)},
-		{"cancel", 2, 0, "cancelRequest", cancelled{7, true}},
-		{"cancel of the largest number", 2, 0, "cancelRequest", cancelled{4294967295, true}},
-		{"cancel without a number", 2, 0, "cancelRequest", cancelled{}},
-		{"cancel of a text", 2, 0, "cancelRequest", cancelled{}},
-		{"unknown notification", 2, 0, "hello", cancelled{}},
+		{"request in the widest heads", 0, 4294967295, "preview", minimal},
+		{"health check", 0, 1, "alive", parsedHealthCheck(false)},
+		{"health check, deep", 0, 2, "alive", parsedHealthCheck(true)},
+		{"health check, not deep", 0, 3, "alive", parsedHealthCheck(false)},
+		{"cancel", 2, 0, "cancelRequest", parsedCancel{7, true}},
+		{"cancel of the largest number", 2, 0, "cancelRequest", parsedCancel{4294967295, true}},
+		{"cancel without a number", 2, 0, "cancelRequest", parsedCancel{}},
+		{"cancel of a text", 2, 0, "cancelRequest", parsedCancel{}},
+		{"unknown notification", 2, 0, "hello", parsedCancel{}},
 	}
 	frames := readGolden(t, "requests.golden", len(cases))
-	for _, c := range cases {
-		require.Contains(t, frames, c.name)
-		sent, err := hex.DecodeString(frames[c.name])
-		require.NoError(t, err, c.name)
-		m := parse(t, sent)
-		require.Equal(t, c.kind, m.kind, c.name)
-		require.Equal(t, c.call, m.id, c.name)
-		require.Equal(t, c.method, string(m.method), c.name)
-		got, err := readFront(m)
-		require.NoError(t, err, c.name)
-		require.Equal(t, c.want, got, c.name)
+	for _, test := range cases {
+		require.Contains(t, frames, test.name)
+		sent, err := hex.DecodeString(frames[test.name])
+		require.NoError(t, err, test.name)
+		msg := mustParse(t, sent)
+		require.Equal(t, test.kind, msg.kind, test.name)
+		require.Equal(t, test.call, msg.id, test.name)
+		require.Equal(t, test.method, string(msg.method), test.name)
+		got, err := parseClientMessage(msg)
+		require.NoError(t, err, test.name)
+		require.Equal(t, test.want, got, test.name)
 	}
 }
 
 // What is logged of a frame that ends its connection.
 func TestGoldenBrokenFrames(t *testing.T) {
 	var cases []goldenCase
-	for _, c := range []struct{ name, sent string }{
+	for _, test := range []struct{ name, sent string }{
 		{"byte that starts no value", "\xc1"},
 		{"too long", "\xc6\xff\xff\xff\xff"},
 		{"too deep", strings.Repeat("\x91", maxDepth+2)},
@@ -216,19 +216,19 @@
 		{"request of 5 parts", "\x95\x00\x01\xa1x\x90\xc0"},
 		{"notification of 4 parts", "\x94\x02\xa1x\x90\xc0"},
 	} {
-		frame, err := frameOf([]byte(c.sent), len(c.sent))
+		frame, err := readFrame([]byte(test.sent), len(test.sent))
 		if err == nil {
 			_, err = parseMessage(frame)
 		}
-		require.Error(t, err, c.name)
-		cases = append(cases, goldenCase{c.name, err.Error()})
+		require.Error(t, err, test.name)
+		cases = append(cases, goldenCase{test.name, err.Error()})
 	}
 	requireGolden(t, "broken.golden", cases)
 }
 
 // The reason that a front end is given for each wrong field of a request or health check.
 func TestGoldenWrongFields(t *testing.T) {
-	long := strings.Repeat("k", maxText+1)
+	long := strings.Repeat("k", maxKeyLength+1)
 	requests := []struct{ name, frame string }{
 		{"no method", "\x94\x00\x07\xc0\x92\x80\xc4\x00"},
 		{"no parameters", "\x94\x00\x07\xa1x\xc0"},
@@ -242,39 +242,39 @@
 		{"health check, fields that are no map", "\x94\x00\x07\xa5alive\x91\x01"},
 		{"health check, field that is no text", "\x94\x00\x07\xa5alive\x91\x81\xa4deep\xc3"},
 	}
-	for _, c := range []struct{ field, what, value string }{
-		{"id", "absent", absent}, {"id", "short", "9b1f"}, {"id", "no hex digits", "9b1f03aa5c7e2d4g"}, {"id", "long", long},
-		{"at", "absent", absent}, {"at", "negative", "-1"}, {"at", "too late", "4398046511105"},
+	for _, test := range []struct{ field, what, value string }{
+		{"id", "absent", absentField}, {"id", "short", "9b1f"}, {"id", "no hex digits", "9b1f03aa5c7e2d4g"}, {"id", "long", long},
+		{"at", "absent", absentField}, {"at", "negative", "-1"}, {"at", "too late", "4398046511105"},
 		{"wait", "empty", ""}, {"wait", "too long", "3600001"},
-		{"from", "absent", absent}, {"from", "too large", "2147483648"},
+		{"from", "absent", absentField}, {"from", "too large", "2147483648"},
 		{"cost", "no number", "x"}, {"cost", "too large", "1000000"},
-		{"kb", "absent", absent}, {"kb", "nothing", "0"}, {"kb", "too large", "2000"},
+		{"kb", "absent", absentField}, {"kb", "nothing", "0"}, {"kb", "too large", "2000"},
 		{"rank", "too large", "1"}, {"rank", "negative", "-0.1"},
 		{"once", "empty", ""}, {"once", "no hex digits", "x"},
 		{"tenant", "long", long}, {"key", "long", long},
 	} {
 		fields := maps.Clone(sampleFields())
-		if fields[c.field] = c.value; c.value == absent {
-			delete(fields, c.field)
+		if fields[test.field] = test.value; test.value == absentField {
+			delete(fields, test.field)
 		}
-		requests = append(requests, struct{ name, frame string }{c.field + ", " + c.what, string(appendRequest(7, "preview", fields, nil))})
+		requests = append(requests, struct{ name, frame string }{test.field + ", " + test.what, string(appendRequest(7, "preview", fields, nil))})
 	}
 	var cases []goldenCase
-	for _, c := range requests {
-		_, err := readFront(parse(t, []byte(c.frame)))
-		require.Error(t, err, c.name)
-		cases = append(cases, goldenCase{c.name, err.Error()})
+	for _, test := range requests {
+		_, err := parseClientMessage(mustParse(t, []byte(test.frame)))
+		require.Error(t, err, test.name)
+		cases = append(cases, goldenCase{test.name, err.Error()})
 	}
 	requireGolden(t, "fields.golden", cases)
 }
 
-// reason reads an answer to a request that was wrong, and returns why.
-func (f *front) reason() string {
+// expectInvalid reads an answer to a request that was wrong, and returns why.
+func (f *testClient) expectInvalid() string {
 	f.Helper()
-	v, err := f.in.next()
+	value, err := f.decoder.next()
 	require.NoError(f, err)
-	answer := v.(arrayValue)
-	require.Equal(f, arrayValue{int64(1), int64(f.next)}, answer[:2])
+	answer := value.(arrayValue)
+	require.Equal(f, arrayValue{int64(1), int64(f.lastCall)}, answer[:2])
 	require.Nil(f, answer[3])
 	fault := answer[2].(arrayValue)
 	require.Equal(f, "Invalid", fault[0])
@@ -286,32 +286,32 @@
 
 // The reason that a front end is given for a request that can be read and that the server does not take.
 func TestGoldenReasons(t *testing.T) {
-	p := start(t, append([]string{`"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 1, "QuotaPerS": 9}]`}, never...)...)
-	f := p.dial()
+	peers := startServer(t, append([]string{`"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 1, "QuotaPerS": 9}]`}, noIdleClose...)...)
+	client := peers.dial()
 	var cases []goldenCase
-	wrong := func(name, class, body string, change ...string) {
+	expectReason := func(name, class, body string, change ...string) {
 		t.Helper()
-		f.send(class, body, change...)
-		cases = append(cases, goldenCase{name, f.reason()})
+		client.sendRequest(class, body, change...)
+		cases = append(cases, goldenCase{name, client.expectInvalid()})
 	}
-	wrong("unknown class", "poster", "x")
-	wrong("unknown class of a long name", strings.Repeat("poster", 10), "x")
-	wrong("unknown tenant", "preview", "x", "tenant", "nobody")
-	wrong("no once", "licence-order", "x")
-	wrong("time long ago", "preview", "x", "at", "0")
-	wrong("wait of an hour", "preview", "x", "wait", "3600000")
-	run := f.send("licence-order", "x", "once", "ab12")
-	p.expect("launch", run)
-	wrong("other body", "licence-order", "y", "once", "ab12")
-	wrong("id in hand", "preview", "x", "id", run)
-	p.tell("outcome", run, "success", []byte("x"))
-	f.expectAnswer(7, "x")
-	wrong("id answered before", "preview", "x", "id", run)
-	open := f.next
-	for range maxOpen {
-		f.send("hires-crop", "x")
+	expectReason("unknown class", "poster", "x")
+	expectReason("unknown class of a long name", strings.Repeat("poster", 10), "x")
+	expectReason("unknown tenant", "preview", "x", "tenant", "nobody")
+	expectReason("no once", "licence-order", "x")
+	expectReason("time long ago", "preview", "x", "at", "0")
+	expectReason("wait of an hour", "preview", "x", "wait", "3600000")
+	runID := client.sendRequest("licence-order", "x", "once", "ab12")
+	peers.expectCommand("launch", runID)
+	expectReason("other body", "licence-order", "y", "once", "ab12")
+	expectReason("id in hand", "preview", "x", "id", runID)
+	peers.agentSends("outcome", runID, "success", []byte("x"))
+	client.expectAnswer(7, "x")
+	expectReason("id answered before", "preview", "x", "id", runID)
+	open := client.lastCall
+	for range maxOpenCalls {
+		client.sendRequest("hires-crop", "x")
 	}
-	wrong("too many open", "preview", "x")
-	require.Equal(t, open+maxOpen+1, f.next)
+	expectReason("too many open", "preview", "x")
+	require.Equal(t, open+maxOpenCalls+1, client.lastCall)
 	requireGolden(t, "reasons.golden", cases)
 }
--- a/internal/msgpackrpc/front.go
+++ b/internal/msgpackrpc/listener.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const acceptPause = 50 * time.Millisecond // after a failed accept
+const acceptRetryDelay = 50 * time.Millisecond // after a failed accept
 
 // Front is a listener for front ends; it implements server.Front.
 type Front struct {
@@ -25,32 +25,32 @@
 	slots chan struct{} // one for each connection that is open
 	log   *logging.Limiter
 
-	once sync.Once
-	shut chan struct{} // closed when no more connections are to come
+	closeOnce sync.Once
+	closing   chan struct{} // closed when no more connections are to come
 }
 
-func newFront(ln net.Listener, most int, log *logging.Limiter) *Front {
-	return &Front{ln: ln, slots: make(chan struct{}, most), log: log, shut: make(chan struct{})}
+func newFront(ln net.Listener, maxConns int, log *logging.Limiter) *Front {
+	return &Front{ln: ln, slots: make(chan struct{}, maxConns), log: log, closing: make(chan struct{})}
 }
 
 // Listen opens a Front on addr that accepts up to most connections at a time; further ones wait.
-func Listen(addr string, most int, log *logging.Limiter) (*Front, error) {
+func Listen(addr string, maxConns int, log *logging.Limiter) (*Front, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	return newFront(ln, most, log), nil
+	return newFront(ln, maxConns, log), nil
 }
 
 // Inherit opens a Front on a socket that listens already and was left open for this process.
-func Inherit(fd uintptr, most int, log *logging.Limiter) (*Front, error) {
+func Inherit(fd uintptr, maxConns int, log *logging.Limiter) (*Front, error) {
 	f := os.NewFile(fd, "inherited socket")
 	defer f.Close()
 	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("inherited socket %d: %w", fd, err)
 	}
-	return newFront(ln, most, log), nil
+	return newFront(ln, maxConns, log), nil
 }
 
 // Addr is where the Front listens.
@@ -58,26 +58,26 @@
 
 // Close has Serve accept what the machine has accepted already, and then close the listener.
 func (f *Front) Close() error {
-	f.once.Do(func() { close(f.shut) })
+	f.closeOnce.Do(func() { close(f.closing) })
 	if ln, ok := f.ln.(interface{ SetDeadline(time.Time) error }); ok {
-		return ln.SetDeadline(passed) // no Accept waits any more
+		return ln.SetDeadline(expiredDeadline) // no Accept waits any more
 	}
 	return f.ln.Close()
 }
 
-// waits reports whether a connection waits to be accepted.
-func (f *Front) waits() bool {
+// hasPendingConnection reports whether a connection waits to be accepted.
+func (f *Front) hasPendingConnection() bool {
 	sc, ok := f.ln.(syscall.Conn)
 	return ok && readable(sc)
 }
 
-// rest accepts what waits already: a request may have been written to it, and would be lost with the listener.
-func (f *Front) rest(ctx context.Context, g *errgroup.Group, s *server.Server) {
+// acceptPending accepts what waits already: a request may have been written to it, and would be lost with the listener.
+func (f *Front) acceptPending(ctx context.Context, g *errgroup.Group, srv *server.Server) {
 	ln, ok := f.ln.(interface{ SetDeadline(time.Time) error })
 	if !ok || ln.SetDeadline(time.Time{}) != nil {
 		return
 	}
-	for f.waits() {
+	for f.hasPendingConnection() {
 		select {
 		case f.slots <- struct{}{}:
 		case <-ctx.Done():
@@ -87,26 +87,26 @@
 		if err != nil {
 			return
 		}
-		f.start(ctx, g, newConn(nc), s)
+		f.startConn(ctx, g, newConn(nc), srv)
 	}
 }
 
 // Serve implements server.Front.
-func (f *Front) Serve(ctx context.Context, g *errgroup.Group, s *server.Server) error {
+func (f *Front) Serve(ctx context.Context, g *errgroup.Group, srv *server.Server) error {
 	defer f.ln.Close()
 	defer context.AfterFunc(ctx, func() { f.ln.Close() })()
 	for {
 		select {
 		case f.slots <- struct{}{}:
-		case <-f.shut:
-			f.rest(ctx, g, s)
+		case <-f.closing:
+			f.acceptPending(ctx, g, srv)
 			return nil
 		case <-ctx.Done():
 			return nil
 		}
 		nc, err := f.ln.Accept()
 		if err == nil {
-			f.start(ctx, g, newConn(nc), s)
+			f.startConn(ctx, g, newConn(nc), srv)
 			continue
 		}
 		<-f.slots
@@ -120,29 +120,29 @@
 		f.log.Warn("accept", "front end not accepted", err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(acceptPause):
+		case <-time.After(acceptRetryDelay):
 		}
 	}
 }
 
-func (f *Front) start(ctx context.Context, g *errgroup.Group, c *conn, s *server.Server) {
-	s.ConnectionOpened(c) // before Serve returns: then no connection is left that the server does not know
+func (f *Front) startConn(ctx context.Context, g *errgroup.Group, connection *conn, srv *server.Server) {
+	srv.ConnectionOpened(connection) // before Serve returns: then no connection is left that the server does not know
 	g.Go(func() error {
-		defer context.AfterFunc(ctx, c.Close)()
-		if c.Run() == nil { // the reader tells of a connection that broke
+		defer context.AfterFunc(ctx, connection.Close)()
+		if connection.Run() == nil { // the reader tells of a connection that broke
 			select {
-			case <-c.readDone:
-			case <-time.After(lingerMost):
+			case <-connection.readDone:
+			case <-time.After(lingerTimeout):
 			}
 		}
-		c.Close() // a reader that waits
-		c.net.Close()
+		connection.Close() // a reader that waits
+		connection.netConn.Close()
 		<-f.slots
 		return nil
 	})
 	g.Go(func() error {
-		c.serve(s, func(err error) {
-			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && !errors.Is(err, errFinished) {
+		connection.serve(srv, func(err error) {
+			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && !errors.Is(err, errReadPaused) {
 				f.log.Warn("front end", "connection of a front end ended", err)
 			}
 		})
@@ -150,11 +150,11 @@
 	})
 }
 
-// endOf tells why reading a connection ended.
-func endOf(err error) server.EndReason {
+// endReason tells why reading a connection ended.
+func endReason(err error) server.EndReason {
 	var broken net.Error
 	switch {
-	case errors.Is(err, errFinished):
+	case errors.Is(err, errReadPaused):
 		return server.ReadPaused
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return server.ReadTimeout
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -14,126 +14,126 @@
 // The kinds of message, and the names that have a meaning of their own.
 const (
 	kindRequest      = 0
-	kindAnswer       = 1
+	kindResponse     = 1
 	kindNotification = 2
 
 	methodHealth  = "alive"
 	methodCancel  = "cancelRequest"
 	methodClosing = "closing"
 
-	errRefused = "Overloaded"
-	errFailed  = "Internal"
-	errInvalid = "Invalid"
+	codeOverloaded = "Overloaded"
+	codeInternal   = "Internal"
+	codeInvalid    = "Invalid"
 )
 
 const (
-	maxWait   = time.Hour
-	maxAt     = 1 << 42 // milliseconds; in the year 2109
-	maxCost   = 1e6     // milliseconds
-	maxKB     = 2000
-	maxText   = 128 // of a key
-	idDigits  = 16
-	onceMost  = 64
-	maxCaller = math.MaxInt32
+	maxTimeout              = time.Hour
+	maxArrivalMillis        = 1 << 42 // milliseconds; in the year 2109
+	maxCostMillis           = 1e6     // milliseconds
+	maxMemoryKB             = 2000
+	maxKeyLength            = 128 // of a key
+	requestIDDigits         = 16
+	maxIdempotencyKeyDigits = 64
+	maxClient               = math.MaxInt32
 )
 
 // message is one frame from a front end. It refers to the bytes of the frame.
 type message struct {
-	kind   int64
-	id     uint32
-	method []byte // nil where it is no string
-	params cursor
-	count  int // of params; -1 where they are no array
+	kind       int64
+	id         uint32
+	method     []byte // nil where it is no string
+	params     cursor
+	paramCount int // of params; -1 where they are no array
 }
 
-// errBroken marks a frame after which the connection makes no sense any more.
-var errBroken = errors.New("no MessagePack-RPC message")
+// errNotRPCMessage marks a frame after which the connection makes no sense any more.
+var errNotRPCMessage = errors.New("no MessagePack-RPC message")
 
 // cursor reads one value after the other of a frame that is known to be whole.
 type cursor struct{ rest []byte }
 
-// head reads the head of the next value. What belongs to it follows.
-func (c *cursor) head() head {
-	h, ok, err := headOf(c.rest)
+// header reads the head of the next value. What belongs to it follows.
+func (c *cursor) header() valueHeader {
+	header, ok, err := parseHeader(c.rest)
 	if err != nil || !ok {
 		c.rest = nil // can't be in a whole frame
-		return head{kind: nilValue}
+		return valueHeader{kind: valueNil}
 	}
-	c.rest = c.rest[h.size:]
-	return h
+	c.rest = c.rest[header.size:]
+	return header
 }
 
 // payload passes over what follows the head h, and returns it.
-func (c *cursor) payload(h head) []byte {
-	n := min(h.payload(), len(c.rest))
+func (c *cursor) payload(header valueHeader) []byte {
+	n := min(header.payloadSize(), len(c.rest))
 	b := c.rest[:n:n]
 	c.rest = c.rest[n:]
 	return b
 }
 
 // skip passes over all that belongs to the value of the head h.
-func (c *cursor) skip(h head) {
-	c.payload(h)
-	for range h.values() {
-		c.skip(c.head())
+func (c *cursor) skip(header valueHeader) {
+	c.payload(header)
+	for range header.elements() {
+		c.skip(c.header())
 	}
 }
 
 // bytes reads the next value, and reports whether it is of that kind.
 func (c *cursor) bytes(kind valueKind) ([]byte, bool) {
-	h := c.head()
-	if h.kind != kind {
-		c.skip(h)
+	header := c.header()
+	if header.kind != kind {
+		c.skip(header)
 		return nil, false
 	}
-	return c.payload(h), true
+	return c.payload(header), true
 }
 
-// parseMessage takes a frame apart. An error wraps errBroken; what is only wrong about a request is
+// parseMessage takes a frame apart. An error wraps errNotRPCMessage; what is only wrong about a request is
 // found later, so that it can be answered.
 func parseMessage(frame []byte) (message, error) {
-	m := message{count: -1}
-	c := cursor{frame}
-	list := c.head()
-	if list.kind != arrayOf || list.n < 3 {
-		return m, fmt.Errorf("%w: want an array of 3 or 4", errBroken)
+	msg := message{paramCount: -1}
+	params := cursor{frame}
+	list := params.header()
+	if list.kind != valueArray || list.length < 3 {
+		return msg, fmt.Errorf("%w: want an array of 3 or 4", errNotRPCMessage)
 	}
-	kind := c.head()
-	if kind.kind != intValue || kind.v != kindRequest && kind.v != kindNotification {
-		return m, fmt.Errorf("%w: neither request nor notification", errBroken)
+	kind := params.header()
+	if kind.kind != valueInt || kind.value != kindRequest && kind.value != kindNotification {
+		return msg, fmt.Errorf("%w: neither request nor notification", errNotRPCMessage)
 	}
-	m.kind = kind.v
+	msg.kind = kind.value
 	parts := 3
-	if m.kind == kindRequest {
+	if msg.kind == kindRequest {
 		parts = 4
-		id := c.head()
-		if id.kind != intValue || id.v < 0 || id.v > math.MaxUint32 {
-			return m, fmt.Errorf("%w: a request without a number", errBroken)
+		id := params.header()
+		if id.kind != valueInt || id.value < 0 || id.value > math.MaxUint32 {
+			return msg, fmt.Errorf("%w: a request without a number", errNotRPCMessage)
 		}
-		m.id = uint32(id.v)
+		msg.id = uint32(id.value)
 	}
-	if list.n != parts {
-		return m, fmt.Errorf("%w: %d parts instead of %d", errBroken, list.n, parts)
+	if list.length != parts {
+		return msg, fmt.Errorf("%w: %d parts instead of %d", errNotRPCMessage, list.length, parts)
 	}
-	m.method, _ = c.bytes(textValue)
-	if params := c.head(); params.kind == arrayOf {
-		m.count = params.n
+	msg.method, _ = params.bytes(valueString)
+	if params := params.header(); params.kind == valueArray {
+		msg.paramCount = params.length
 	}
-	m.params = c
-	return m, nil
+	msg.params = params
+	return msg, nil
 }
 
 // The fields that have a meaning, in the order in which fields keeps them.
 const (
 	fieldID = iota
-	fieldAt
-	fieldWait
-	fieldFrom
-	fieldCost
-	fieldKB
+	fieldArrivedAt
+	fieldTimeout
+	fieldClient
+	fieldCostHint
+	fieldMemoryKB
 	fieldRank
-	fieldOnce
-	fieldKey
+	fieldIdempotencyKey
+	fieldSubject
 	fieldDeep
 	fieldTenant
 	fieldRetry
@@ -150,15 +150,15 @@
 }
 
 // readFields reads the next value of c, which has to be such a map.
-func readFields(c *cursor) (f fields) {
-	h := c.head()
-	if h.kind != mapOf {
+func readFields(params *cursor) (f fields) {
+	header := params.header()
+	if header.kind != valueMap {
 		f.err = errors.New("fields: want a map")
 		return f
 	}
-	for range h.n {
-		key, isKey := c.bytes(textValue)
-		value, isText := c.bytes(textValue)
+	for range header.length {
+		key, isKey := params.bytes(valueString)
+		value, isText := params.bytes(valueString)
 		if !isKey || !isText {
 			f.err = fmt.Errorf("field %.40s: want a string", key)
 			return f
@@ -178,168 +178,168 @@
 	}
 }
 
-func (f *fields) whole(field int, least, most int64) int64 {
-	v, err := strconv.ParseInt(string(f.values[field]), 10, 64)
-	if err != nil || v < least || v > most {
-		f.fail(field, fmt.Sprintf("a whole number from %d to %d", least, most))
-		return least
+func (f *fields) integer(field int, minValue, maxValue int64) int64 {
+	value, err := strconv.ParseInt(string(f.values[field]), 10, 64)
+	if err != nil || value < minValue || value > maxValue {
+		f.fail(field, fmt.Sprintf("a whole number from %d to %d", minValue, maxValue))
+		return minValue
 	}
-	return v
+	return value
 }
 
-// number reads a number that may be absent: 0.
-func (f *fields) number(field int, most float64) float64 {
+// decimal reads a number that may be absent: 0.
+func (f *fields) decimal(field int, limit float64) float64 {
 	if f.values[field] == nil {
 		return 0
 	}
-	v, err := strconv.ParseFloat(string(f.values[field]), 64)
-	if err != nil || !(v >= 0 && v < most) {
-		f.fail(field, fmt.Sprintf("a number from 0 to under %g", most))
+	value, err := strconv.ParseFloat(string(f.values[field]), 64)
+	if err != nil || !(value >= 0 && value < limit) {
+		f.fail(field, fmt.Sprintf("a number from 0 to under %g", limit))
 		return 0
 	}
-	return v
+	return value
 }
 
 // hex reads a word of hex digits, which goes into messages to others as it is.
-func (f *fields) hex(field, least, most int) string {
-	word := f.values[field]
-	ok := len(word) >= least && len(word) <= most
-	for _, c := range word {
-		ok = ok && (c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F')
+func (f *fields) hex(field, minDigits, maxDigits int) string {
+	digits := f.values[field]
+	ok := len(digits) >= minDigits && len(digits) <= maxDigits
+	for _, digit := range digits {
+		ok = ok && (digit >= '0' && digit <= '9' || digit >= 'a' && digit <= 'f' || digit >= 'A' && digit <= 'F')
 	}
 	if !ok {
-		f.fail(field, fmt.Sprintf("%d to %d hex digits", least, most))
+		f.fail(field, fmt.Sprintf("%d to %d hex digits", minDigits, maxDigits))
 		return ""
 	}
-	return string(word)
+	return string(digits)
 }
 
-// names keeps the methods that came on a connection, so that a known one takes no memory again.
-type names []string
+// methodCache keeps the methods that came on a connection, so that a known one takes no memory again.
+type methodCache []string
 
-const namesMost = 16 // kept; a site has a few classes
+const maxCachedMethods = 16 // kept; a site has a few classes
 
-func (n *names) of(method []byte) string {
+func (n *methodCache) intern(method []byte) string {
 	for _, known := range *n {
 		if known == string(method) {
 			return known
 		}
 	}
 	name := string(method)
-	if len(*n) < namesMost && len(name) <= maxText {
+	if len(*n) < maxCachedMethods && len(name) <= maxKeyLength {
 		*n = append(*n, name)
 	}
 	return name
 }
 
-// parseTry reads the parameters of a request; an error names the field at fault. Nothing of the Try refers to
+// parseRequest reads the parameters of a request; an error names the field at fault. Nothing of the Try refers to
 // the frame.
-func parseTry(m message, known *names) (server.Attempt, error) {
-	t := server.Attempt{Class: known.of(m.method)}
+func parseRequest(msg message, methods *methodCache) (server.Attempt, error) {
+	attempt := server.Attempt{Class: methods.intern(msg.method)}
 	switch {
-	case t.Class == "":
-		return t, errors.New("method: want a string")
-	case m.count != 2:
-		return t, errors.New("parameters: want [FIELDS, BODY]")
+	case attempt.Class == "":
+		return attempt, errors.New("method: want a string")
+	case msg.paramCount != 2:
+		return attempt, errors.New("parameters: want [FIELDS, BODY]")
 	}
-	f := readFields(&m.params)
-	if f.err != nil {
-		return t, f.err
+	params := readFields(&msg.params)
+	if params.err != nil {
+		return attempt, params.err
 	}
-	t.ID = f.hex(fieldID, idDigits, idDigits)
-	t.ArrivedAt = time.Duration(f.whole(fieldAt, 0, maxAt)) * time.Millisecond
-	if f.values[fieldWait] != nil {
-		t.Timeout = time.Duration(f.whole(fieldWait, 0, maxWait.Milliseconds())) * time.Millisecond
+	attempt.ID = params.hex(fieldID, requestIDDigits, requestIDDigits)
+	attempt.ArrivedAt = time.Duration(params.integer(fieldArrivedAt, 0, maxArrivalMillis)) * time.Millisecond
+	if params.values[fieldTimeout] != nil {
+		attempt.Timeout = time.Duration(params.integer(fieldTimeout, 0, maxTimeout.Milliseconds())) * time.Millisecond
 	}
-	t.Client = int(f.whole(fieldFrom, 0, maxCaller))
-	t.CostHint = time.Duration(f.number(fieldCost, maxCost) * float64(time.Millisecond))
-	if t.MemoryKB = f.number(fieldKB, maxKB); t.MemoryKB == 0 {
-		f.fail(fieldKB, "a number above 0")
+	attempt.Client = int(params.integer(fieldClient, 0, maxClient))
+	attempt.CostHint = time.Duration(params.decimal(fieldCostHint, maxCostMillis) * float64(time.Millisecond))
+	if attempt.MemoryKB = params.decimal(fieldMemoryKB, maxMemoryKB); attempt.MemoryKB == 0 {
+		params.fail(fieldMemoryKB, "a number above 0")
 	}
-	t.Rank = f.number(fieldRank, 1)
-	if f.values[fieldOnce] != nil {
-		t.IdempotencyKey = f.hex(fieldOnce, 1, onceMost)
+	attempt.Rank = params.decimal(fieldRank, 1)
+	if params.values[fieldIdempotencyKey] != nil {
+		attempt.IdempotencyKey = params.hex(fieldIdempotencyKey, 1, maxIdempotencyKeyDigits)
 	}
-	if t.Tenant = string(f.values[fieldTenant]); len(t.Tenant) > maxText {
-		f.fail(fieldTenant, fmt.Sprintf("up to %d bytes", maxText))
+	if attempt.Tenant = string(params.values[fieldTenant]); len(attempt.Tenant) > maxKeyLength {
+		params.fail(fieldTenant, fmt.Sprintf("up to %d bytes", maxKeyLength))
 	}
-	t.Retry = string(f.values[fieldRetry]) == "1"
-	if t.Subject = string(f.values[fieldKey]); len(t.Subject) > maxText {
-		f.fail(fieldKey, fmt.Sprintf("up to %d bytes", maxText))
+	attempt.Retry = string(params.values[fieldRetry]) == "1"
+	if attempt.Subject = string(params.values[fieldSubject]); len(attempt.Subject) > maxKeyLength {
+		params.fail(fieldSubject, fmt.Sprintf("up to %d bytes", maxKeyLength))
 	}
-	if f.err != nil {
-		return t, f.err
+	if params.err != nil {
+		return attempt, params.err
 	}
-	body, ok := m.params.bytes(binValue)
+	body, ok := msg.params.bytes(valueBinary)
 	if !ok || len(body) > maxBody {
-		return t, fmt.Errorf("body: want up to %d bytes of type bin", maxBody)
+		return attempt, fmt.Errorf("body: want up to %d bytes of type bin", maxBody)
 	}
-	t.Body = append(make([]byte, 0, len(body)), body...)
-	return t, nil
+	attempt.Body = append(make([]byte, 0, len(body)), body...)
+	return attempt, nil
 }
 
-// parseProbe reads the parameters of a health check.
-func parseProbe(m message) (deep bool, err error) {
-	if m.count != 1 {
+// parseHealthCheck reads the parameters of a health check.
+func parseHealthCheck(msg message) (deep bool, err error) {
+	if msg.paramCount != 1 {
 		return false, errors.New("parameters: want [FIELDS]")
 	}
-	f := readFields(&m.params)
-	return string(f.values[fieldDeep]) == "1", f.err
+	params := readFields(&msg.params)
+	return string(params.values[fieldDeep]) == "1", params.err
 }
 
 // parseCancel reads which request a front end stops waiting for.
-func parseCancel(m message) (uint32, bool) {
-	if string(m.method) != methodCancel || m.count != 1 {
+func parseCancel(msg message) (uint32, bool) {
+	if string(msg.method) != methodCancel || msg.paramCount != 1 {
 		return 0, false
 	}
-	id := m.params.head()
-	return uint32(id.v), id.kind == intValue && id.v >= 0 && id.v <= math.MaxUint32
+	id := msg.params.header()
+	return uint32(id.value), id.kind == valueInt && id.value >= 0 && id.value <= math.MaxUint32
 }
 
-func appendClosing(b []byte) []byte {
+func encodeClosing(b []byte) []byte {
 	b = append(appendArray(b, 3), kindNotification)
-	return appendArray(appendText(b, methodClosing), 0)
+	return appendArray(appendString(b, methodClosing), 0)
 }
 
-// answerRoom is what an answer takes besides the body.
-const answerRoom = 48
+// answerOverhead is what an answer takes besides the body.
+const answerOverhead = 48
 
-func appendAnswer(b []byte, id uint32, a server.Answer) []byte {
-	b = slices.Grow(b, answerRoom+len(a.Body))
-	b = appendUint(append(appendArray(b, 4), kindAnswer), id)
-	switch a.Kind {
+func encodeAnswer(b []byte, id uint32, answer server.Answer) []byte {
+	b = slices.Grow(b, answerOverhead+len(answer.Body))
+	b = appendUint(append(appendArray(b, 4), kindResponse), id)
+	switch answer.Kind {
 	case server.Served:
-		b = appendBinary(appendArray(appendNil(b), 2), a.Body)
+		b = appendBinary(appendArray(appendNil(b), 2), answer.Body)
 		return appendMap(b, 0)
 	case server.Healthy, server.Unhealthy:
-		b = appendBool(appendArray(appendNil(b), 2), a.Kind == server.Healthy)
+		b = appendBool(appendArray(appendNil(b), 2), answer.Kind == server.Healthy)
 		return appendMap(b, 0)
 	case server.Rejected:
-		return appendNil(appendRefusal(b, a))
+		return appendNil(appendRejection(b, answer))
 	case server.Invalid:
-		b = appendText(appendMap(appendText(appendArray(b, 2), errInvalid), 1), "reason")
-		return appendNil(appendText(b, a.Reason))
+		b = appendString(appendMap(appendString(appendArray(b, 2), codeInvalid), 1), "reason")
+		return appendNil(appendString(b, answer.Reason))
 	default:
-		b = appendMap(appendText(appendArray(b, 2), errFailed), 0)
+		b = appendMap(appendString(appendArray(b, 2), codeInternal), 0)
 		return appendNil(b)
 	}
 }
 
-func appendRefusal(b []byte, a server.Answer) []byte {
-	after := a.RetryAfter.Milliseconds()
+func appendRejection(b []byte, answer server.Answer) []byte {
+	after := answer.RetryAfter.Milliseconds()
 	n := 0
 	if after > 0 {
 		n++
 	}
-	if a.NoRetryElsewhere {
+	if answer.NoRetryElsewhere {
 		n++
 	}
-	b = appendMap(appendText(appendArray(b, 2), errRefused), n)
+	b = appendMap(appendString(appendArray(b, 2), codeOverloaded), n)
 	if after > 0 {
-		b = appendText(appendText(b, "after"), strconv.FormatInt(after, 10))
+		b = appendString(appendString(b, "after"), strconv.FormatInt(after, 10))
 	}
-	if a.NoRetryElsewhere {
-		b = appendText(appendText(b, "last"), "1")
+	if answer.NoRetryElsewhere {
+		b = appendString(appendString(b, "last"), "1")
 	}
 	return b
 }
--- a/internal/msgpackrpc/reference_test.go
+++ b/internal/msgpackrpc/reference_test.go
@@ -27,29 +27,29 @@
 
 // decoder reads values from a stream, each frame up to maxFrame bytes.
 type decoder struct {
-	in    *bufio.Reader
-	left  int // bytes that the frame may still have
-	items int // values that it may still have
+	source     *bufio.Reader
+	bytesLeft  int // bytes that the frame may still have
+	valuesLeft int // values that it may still have
 }
 
 // next reads one whole value. After an error the stream can't be read on.
 func (d *decoder) next() (any, error) {
-	d.left, d.items = maxFrame, maxItems
+	d.bytesLeft, d.valuesLeft = maxFrame, maxValues
 	return d.value(0)
 }
 
 func (d *decoder) take(n int) ([]byte, error) {
-	if n > d.left {
-		return nil, errTooLong
+	if n > d.bytesLeft {
+		return nil, errFrameTooLong
 	}
-	d.left -= n
+	d.bytesLeft -= n
 	b := make([]byte, n)
 	for read := 0; read < n; {
-		m, err := d.in.Read(b[read:])
+		count, err := d.source.Read(b[read:])
 		if err != nil {
 			return nil, err
 		}
-		read += m
+		read += count
 	}
 	return b, nil
 }
@@ -67,10 +67,10 @@
 
 func (d *decoder) value(depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, errTooDeep
+		return nil, errFrameTooDeep
 	}
-	if d.items--; d.items < 0 {
-		return nil, errTooFull
+	if d.valuesLeft--; d.valuesLeft < 0 {
+		return nil, errTooManyValues
 	}
 	tag, err := d.uint(1)
 	if err != nil {
@@ -80,11 +80,11 @@
 	case tag <= 0x7f:
 		return int64(tag), nil
 	case tag <= 0x8f:
-		return d.mapOf(int(tag&0x0f), depth)
+		return d.mapping(int(tag&0x0f), depth)
 	case tag <= 0x9f:
-		return d.arrayOf(int(tag&0x0f), depth)
+		return d.array(int(tag&0x0f), depth)
 	case tag <= 0xbf:
-		return d.text(int(tag & 0x1f))
+		return d.string(int(tag & 0x1f))
 	case tag >= 0xe0:
 		return int64(int8(tag)), nil
 	}
@@ -94,22 +94,22 @@
 	case 0xc2, 0xc3:
 		return tag == 0xc3, nil
 	case 0xca:
-		v, err := d.uint(4)
-		return float64(math.Float32frombits(uint32(v))), err
+		value, err := d.uint(4)
+		return float64(math.Float32frombits(uint32(value))), err
 	case 0xcb:
-		v, err := d.uint(8)
-		return math.Float64frombits(v), err
+		value, err := d.uint(8)
+		return math.Float64frombits(value), err
 	case 0xcc, 0xcd, 0xce, 0xcf:
-		v, err := d.uint(1 << (tag - 0xcc))
-		if v > math.MaxInt64 {
-			return v, err
+		value, err := d.uint(1 << (tag - 0xcc))
+		if value > math.MaxInt64 {
+			return value, err
 		}
-		return int64(v), err
+		return int64(value), err
 	case 0xd0, 0xd1, 0xd2, 0xd3:
 		size := 1 << (tag - 0xd0)
-		v, err := d.uint(size)
+		value, err := d.uint(size)
 		shift := 64 - 8*size
-		return int64(v<<shift) >> shift, err
+		return int64(value<<shift) >> shift, err
 	case 0xd4, 0xd5, 0xd6, 0xd7, 0xd8:
 		_, err := d.take(1 + 1<<(tag-0xd4))
 		return extValue{}, err
@@ -117,13 +117,13 @@
 	return d.sized(tag, depth)
 }
 
-// firsts are the tags whose lengths have 1 byte, for those of 1, 2 and 4; arrays and maps begin at 2.
-var firsts = [256]uint64{0xc4: 0xc4, 0xc5: 0xc4, 0xc6: 0xc4, 0xc7: 0xc7, 0xc8: 0xc7, 0xc9: 0xc7,
+// firstTags are the tags whose lengths have 1 byte, for those of 1, 2 and 4; arrays and maps begin at 2.
+var firstTags = [256]uint64{0xc4: 0xc4, 0xc5: 0xc4, 0xc6: 0xc4, 0xc7: 0xc7, 0xc8: 0xc7, 0xc9: 0xc7,
 	0xd9: 0xd9, 0xda: 0xd9, 0xdb: 0xd9, 0xdc: 0xdb, 0xdd: 0xdb, 0xde: 0xdd, 0xdf: 0xdd}
 
 // sized reads a value whose tag is followed by its length.
 func (d *decoder) sized(tag uint64, depth int) (any, error) {
-	first := firsts[tag]
+	first := firstTags[tag]
 	if first == 0 {
 		return nil, fmt.Errorf("byte %#x starts no value", tag)
 	}
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	if length > maxFrame {
-		return nil, errTooLong
+		return nil, errFrameTooLong
 	}
 	n := int(length)
 	switch first {
@@ -143,208 +143,208 @@
 		_, err := d.take(n + 1)
 		return extValue{}, err
 	case 0xd9:
-		return d.text(n)
+		return d.string(n)
 	case 0xdb:
-		return d.arrayOf(n, depth)
+		return d.array(n, depth)
 	default:
-		return d.mapOf(n, depth)
+		return d.mapping(n, depth)
 	}
 }
 
-func (d *decoder) text(n int) (any, error) {
+func (d *decoder) string(n int) (any, error) {
 	b, err := d.take(n)
 	return string(b), err
 }
 
-// arrayOf reads n values. Each takes a byte at least, so a count that can't fit is refused before
+// array reads n values. Each takes a byte at least, so a count that can't fit is refused before
 // memory is taken for it.
-func (d *decoder) arrayOf(n, depth int) (any, error) {
-	if n > d.left {
-		return nil, errTooLong
+func (d *decoder) array(n, depth int) (any, error) {
+	if n > d.bytesLeft {
+		return nil, errFrameTooLong
 	}
 	list := make(arrayValue, 0, min(n, 16))
 	for range n {
-		v, err := d.value(depth + 1)
+		value, err := d.value(depth + 1)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, v)
+		list = append(list, value)
 	}
 	return list, nil
 }
 
-func (d *decoder) mapOf(n, depth int) (any, error) {
-	if 2*n > d.left {
-		return nil, errTooLong
+func (d *decoder) mapping(n, depth int) (any, error) {
+	if 2*n > d.bytesLeft {
+		return nil, errFrameTooLong
 	}
 	list := make(mapValue, 0, min(n, 16))
 	for range n {
-		k, err := d.value(depth + 1)
+		key, err := d.value(depth + 1)
 		if err != nil {
 			return nil, err
 		}
-		v, err := d.value(depth + 1)
+		value, err := d.value(depth + 1)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, pair{k, v})
+		list = append(list, pair{key, value})
 	}
 	return list, nil
 }
 
-// plainMessage is one frame from a front end.
-type plainMessage struct {
+// referenceMessage is one frame from a front end.
+type referenceMessage struct {
 	kind   int64
 	id     uint32
 	method string
 	params arrayValue
 }
 
-// plainParseMessage takes a frame apart. An error wraps errBroken; what is only wrong about a request is
+// referenceParseMessage takes a frame apart. An error wraps errNotRPCMessage; what is only wrong about a request is
 // found later, so that it can be answered.
-func plainParseMessage(v any) (plainMessage, error) {
-	var m plainMessage
+func referenceParseMessage(v any) (referenceMessage, error) {
+	var msg referenceMessage
 	list, ok := v.(arrayValue)
 	if !ok || len(list) < 3 {
-		return m, fmt.Errorf("%w: want an array of 3 or 4", errBroken)
+		return msg, fmt.Errorf("%w: want an array of 3 or 4", errNotRPCMessage)
 	}
 	kind, ok := list[0].(int64)
 	if !ok || kind != kindRequest && kind != kindNotification {
-		return m, fmt.Errorf("%w: kind %v", errBroken, list[0])
+		return msg, fmt.Errorf("%w: kind %v", errNotRPCMessage, list[0])
 	}
-	m.kind = kind
+	msg.kind = kind
 	rest := list[1:]
 	if kind == kindRequest {
 		id, ok := rest[0].(int64)
 		if !ok || id < 0 || id > math.MaxUint32 || len(rest) != 3 {
-			return m, fmt.Errorf("%w: a request of %d parts with id %v", errBroken, len(list), rest[0])
+			return msg, fmt.Errorf("%w: a request of %d parts with id %v", errNotRPCMessage, len(list), rest[0])
 		}
-		m.id, rest = uint32(id), rest[1:]
+		msg.id, rest = uint32(id), rest[1:]
 	}
 	if len(rest) != 2 {
-		return m, fmt.Errorf("%w: a notification of %d parts", errBroken, len(list))
+		return msg, fmt.Errorf("%w: a notification of %d parts", errNotRPCMessage, len(list))
 	}
-	m.method, _ = rest[0].(string)
-	m.params, _ = rest[1].(arrayValue)
-	return m, nil
+	msg.method, _ = rest[0].(string)
+	msg.params, _ = rest[1].(arrayValue)
+	return msg, nil
 }
 
 // params is a map of strings to strings that keeps the first error, which names the field.
-type plainFields struct {
+type referenceFields struct {
 	values map[string]string
 	err    error
 }
 
-func plainFieldsOf(v any) *plainFields {
-	f := &plainFields{values: map[string]string{}}
+func referenceReadFields(v any) *referenceFields {
+	fields := &referenceFields{values: map[string]string{}}
 	list, ok := v.(mapValue)
 	if !ok {
-		f.err = errors.New("fields: want a map")
-		return f
+		fields.err = errors.New("fields: want a map")
+		return fields
 	}
-	for _, p := range list {
-		key, ok := p.key.(string)
-		value, isText := p.value.(string)
+	for _, entry := range list {
+		key, ok := entry.key.(string)
+		value, isText := entry.value.(string)
 		if !ok || !isText {
-			f.err = fmt.Errorf("field %v: want a string", p.key)
-			return f
+			fields.err = fmt.Errorf("field %v: want a string", entry.key)
+			return fields
 		}
-		f.values[key] = value
+		fields.values[key] = value
 	}
-	return f
+	return fields
 }
 
-func (f *plainFields) fail(name, want string) {
+func (f *referenceFields) fail(name, want string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: want %s, got %.40q", name, want, f.values[name])
 	}
 }
 
-func (f *plainFields) whole(name string, least, most int64) int64 {
-	v, err := strconv.ParseInt(f.values[name], 10, 64)
-	if err != nil || v < least || v > most {
-		f.fail(name, fmt.Sprintf("a whole number from %d to %d", least, most))
-		return least
+func (f *referenceFields) integer(name string, minValue, maxValue int64) int64 {
+	value, err := strconv.ParseInt(f.values[name], 10, 64)
+	if err != nil || value < minValue || value > maxValue {
+		f.fail(name, fmt.Sprintf("a whole number from %d to %d", minValue, maxValue))
+		return minValue
 	}
-	return v
+	return value
 }
 
-func (f *plainFields) number(name string, most float64) float64 {
-	v, err := strconv.ParseFloat(f.values[name], 64)
-	if err != nil || !(v >= 0 && v < most) {
-		f.fail(name, fmt.Sprintf("a number from 0 to under %g", most))
+func (f *referenceFields) decimal(name string, limit float64) float64 {
+	value, err := strconv.ParseFloat(f.values[name], 64)
+	if err != nil || !(value >= 0 && value < limit) {
+		f.fail(name, fmt.Sprintf("a number from 0 to under %g", limit))
 		return 0
 	}
-	return v
+	return value
 }
 
 // hex reads a word of hex digits, which goes into messages to others as it is.
-func (f *plainFields) hex(name string, least, most int) string {
-	word := f.values[name]
-	ok := len(word) >= least && len(word) <= most
-	for _, c := range []byte(word) {
-		ok = ok && (c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F')
+func (f *referenceFields) hex(name string, minDigits, maxDigits int) string {
+	digits := f.values[name]
+	ok := len(digits) >= minDigits && len(digits) <= maxDigits
+	for _, digit := range []byte(digits) {
+		ok = ok && (digit >= '0' && digit <= '9' || digit >= 'a' && digit <= 'f' || digit >= 'A' && digit <= 'F')
 	}
 	if !ok {
-		f.fail(name, fmt.Sprintf("%d to %d hex digits", least, most))
+		f.fail(name, fmt.Sprintf("%d to %d hex digits", minDigits, maxDigits))
 		return ""
 	}
-	return word
+	return digits
 }
 
-// plainParseTry reads the parameters of a request; an error names the field at fault.
-func plainParseTry(m plainMessage) (server.Attempt, error) {
-	t := server.Attempt{Class: m.method}
+// referenceParseRequest reads the parameters of a request; an error names the field at fault.
+func referenceParseRequest(msg referenceMessage) (server.Attempt, error) {
+	attempt := server.Attempt{Class: msg.method}
 	switch {
-	case m.method == "":
-		return t, errors.New("method: want a string")
-	case len(m.params) != 2:
-		return t, errors.New("parameters: want [FIELDS, BODY]")
-	}
-	f := plainFieldsOf(m.params[0])
-	if f.err != nil {
-		return t, f.err
-	}
-	t.ID = f.hex("id", idDigits, idDigits)
-	t.ArrivedAt = time.Duration(f.whole("at", 0, maxAt)) * time.Millisecond
-	t.Timeout = time.Duration(f.whole("wait", 0, maxWait.Milliseconds())) * time.Millisecond
-	t.Client = int(f.whole("from", 0, maxCaller))
-	t.CostHint = time.Duration(f.number("cost", maxCost) * float64(time.Millisecond))
-	if t.MemoryKB = f.number("kb", maxKB); t.MemoryKB == 0 {
-		f.fail("kb", "a number above 0")
-	}
-	t.Rank = f.number("rank", 1)
-	if _, ok := f.values["once"]; ok {
-		t.IdempotencyKey = f.hex("once", 1, onceMost)
-	}
-	if t.Subject = f.values["key"]; len(t.Subject) > maxText {
-		f.fail("key", fmt.Sprintf("up to %d bytes", maxText))
-	}
-	if f.err != nil {
-		return t, f.err
-	}
-	body, ok := m.params[1].(binaryValue)
+	case msg.method == "":
+		return attempt, errors.New("method: want a string")
+	case len(msg.params) != 2:
+		return attempt, errors.New("parameters: want [FIELDS, BODY]")
+	}
+	params := referenceReadFields(msg.params[0])
+	if params.err != nil {
+		return attempt, params.err
+	}
+	attempt.ID = params.hex("id", requestIDDigits, requestIDDigits)
+	attempt.ArrivedAt = time.Duration(params.integer("at", 0, maxArrivalMillis)) * time.Millisecond
+	attempt.Timeout = time.Duration(params.integer("wait", 0, maxTimeout.Milliseconds())) * time.Millisecond
+	attempt.Client = int(params.integer("from", 0, maxClient))
+	attempt.CostHint = time.Duration(params.decimal("cost", maxCostMillis) * float64(time.Millisecond))
+	if attempt.MemoryKB = params.decimal("kb", maxMemoryKB); attempt.MemoryKB == 0 {
+		params.fail("kb", "a number above 0")
+	}
+	attempt.Rank = params.decimal("rank", 1)
+	if _, ok := params.values["once"]; ok {
+		attempt.IdempotencyKey = params.hex("once", 1, maxIdempotencyKeyDigits)
+	}
+	if attempt.Subject = params.values["key"]; len(attempt.Subject) > maxKeyLength {
+		params.fail("key", fmt.Sprintf("up to %d bytes", maxKeyLength))
+	}
+	if params.err != nil {
+		return attempt, params.err
+	}
+	body, ok := msg.params[1].(binaryValue)
 	if !ok || len(body) > maxBody {
-		return t, fmt.Errorf("body: want up to %d bytes of type bin", maxBody)
+		return attempt, fmt.Errorf("body: want up to %d bytes of type bin", maxBody)
 	}
-	t.Body = body
-	return t, nil
+	attempt.Body = body
+	return attempt, nil
 }
 
-// plainParseProbe reads the parameters of a health check.
-func plainParseProbe(m plainMessage) (deep bool, err error) {
-	if len(m.params) != 1 {
+// referenceParseHealthCheck reads the parameters of a health check.
+func referenceParseHealthCheck(msg referenceMessage) (deep bool, err error) {
+	if len(msg.params) != 1 {
 		return false, errors.New("parameters: want [FIELDS]")
 	}
-	f := plainFieldsOf(m.params[0])
-	return f.values["deep"] == "1", f.err
+	params := referenceReadFields(msg.params[0])
+	return params.values["deep"] == "1", params.err
 }
 
-// plainParseCancel reads which request a front end stops waiting for.
-func plainParseCancel(m plainMessage) (uint32, bool) {
-	if m.method != methodCancel || len(m.params) != 1 {
+// referenceParseCancel reads which request a front end stops waiting for.
+func referenceParseCancel(msg referenceMessage) (uint32, bool) {
+	if msg.method != methodCancel || len(msg.params) != 1 {
 		return 0, false
 	}
-	id, ok := m.params[0].(int64)
+	id, ok := msg.params[0].(int64)
 	return uint32(id), ok && id >= 0 && id <= math.MaxUint32
 }
--- a/internal/msgpackrpc/rules_test.go
+++ b/internal/msgpackrpc/rules_test.go
@@ -13,179 +13,179 @@
 
 // Lost: what was read gets one final answer, bodies and replies pass unchanged, and neither a slow run
 // nor a broken link to the agent keeps an answer back.
-func TestLost(t *testing.T) {
-	p := start(t)
-	f := p.dial()
+func TestEveryRequestIsAnsweredOnce(t *testing.T) {
+	peers := startServer(t)
+	client := peers.dial()
 	body := "\x00\xff\r\n\"body"
-	id := f.send("preview", body)
-	c := p.expect("launch", id)
-	require.Equal(t, "preview", c.Method)
-	require.Equal(t, body, string(c.Payload))
+	id := client.sendRequest("preview", body)
+	launched := peers.expectCommand("launch", id)
+	require.Equal(t, "preview", launched.Method)
+	require.Equal(t, body, string(launched.Payload))
 
-	p.tell("request", id, "", []byte("call\r\n"))
-	call := await(p, p.calls, "call")
+	peers.agentSends("request", id, "", []byte("call\r\n"))
+	call := await(peers, peers.storeCalls, "call")
 	require.Equal(t, id+" call\r\n", call.id+" "+call.body)
 	fmt.Fprintf(call, "%s OK 7\r\nreply\r\n\r\n", id)
-	require.Equal(t, "reply\r\n", string(p.expect("deliver", id).Payload))
-	p.tell("outcome", id, "success", []byte(body))
-	f.expectAnswer(1, body)
+	require.Equal(t, "reply\r\n", string(peers.expectCommand("deliver", id).Payload))
+	peers.agentSends("outcome", id, "success", []byte(body))
+	client.expectAnswer(1, body)
 
 	// A run that does not end: its caller is answered in time, and only once.
-	slow := f.send("hires-crop", "slow", "wait", "150")
-	p.expect("launch", slow)
-	f.expectAnswer(2, errFailed)
-	p.tell("outcome", slow, "success", []byte("late"))
+	slowID := client.sendRequest("hires-crop", "slow", "wait", "150")
+	peers.expectCommand("launch", slowID)
+	client.expectAnswer(2, codeInternal)
+	peers.agentSends("outcome", slowID, "success", []byte("late"))
 
 	// The link breaks during a run. Its end, and a request of that time, are not lost.
-	run := f.send("hires-crop", "x")
-	p.expect("launch", run)
-	p.tell("request", run, "", nil) // proves that the launch was read
-	await(p, p.calls, "call")       // the server has read the notice once it calls
-	p.cut()
-	waiting := f.send("hires-crop", "y")
-	require.Equal(t, p.offset, p.expect("subscribe", "").Offset)
-	p.greet <- "steady"
-	p.expect("launch", waiting)
-	p.tell("outcome", run, "success", []byte("kept"))
-	f.expectAnswer(3, "kept")
-	p.tell("outcome", waiting, "failure", nil)
-	f.expectAnswer(4, errFailed)
+	runID := client.sendRequest("hires-crop", "x")
+	peers.expectCommand("launch", runID)
+	peers.agentSends("request", runID, "", nil) // proves that the launch was read
+	await(peers, peers.storeCalls, "call")      // the server has read the notice once it calls
+	peers.breakAgentLink()
+	waitingID := client.sendRequest("hires-crop", "y")
+	require.Equal(t, peers.lastOffset, peers.expectCommand("subscribe", "").Offset)
+	peers.handshake <- "steady"
+	peers.expectCommand("launch", waitingID)
+	peers.agentSends("outcome", runID, "success", []byte("kept"))
+	client.expectAnswer(3, "kept")
+	peers.agentSends("outcome", waitingID, "failure", nil)
+	client.expectAnswer(4, codeInternal)
 }
 
 // Duplicate: however often a keyed request comes within its window, it is run once, and its result
 // answers every try.
-func TestDuplicate(t *testing.T) {
-	p := start(t)
-	f := p.dial()
+func TestIdempotentRequestRunsOnce(t *testing.T) {
+	peers := startServer(t)
+	client := peers.dial()
 	once := []string{"once", "ab12"}
-	first, a := f.try("licence-order", "order", once...)
-	_, b := f.try("licence-order", "order", once...)
-	f.write(append(a, b...)) // both may be read in one turn
-	p.expect("launch", first)
-	f.send("licence-order", "order", once...) // during the run
-	p.quiet()
-	p.tell("outcome", first, "success", []byte("done"))
-	f.expectAnswer(1, "done")
-	f.expectAnswer(2, "done")
-	f.expectAnswer(3, "done")
-	g := p.dial()
-	g.send("licence-order", "order", once...) // after it
-	g.expectAnswer(1, "done")
-	p.quiet()
+	firstID, firstFrame := client.newRequest("licence-order", "order", once...)
+	_, secondFrame := client.newRequest("licence-order", "order", once...)
+	client.write(append(firstFrame, secondFrame...)) // both may be read in one turn
+	peers.expectCommand("launch", firstID)
+	client.sendRequest("licence-order", "order", once...) // during the run
+	peers.expectNoCommand()
+	peers.agentSends("outcome", firstID, "success", []byte("done"))
+	client.expectAnswer(1, "done")
+	client.expectAnswer(2, "done")
+	client.expectAnswer(3, "done")
+	other := peers.dial()
+	other.sendRequest("licence-order", "order", once...) // after it
+	other.expectAnswer(1, "done")
+	peers.expectNoCommand()
 
 	// A run that failed may have had its effect: no other try may run.
 	past := time.Now().Add(-time.Minute).UnixMilli() // longer than its window
-	failed := g.send("licence-order", "order", "once", "cd34", "at", fmt.Sprint(past))
-	p.expect("launch", failed)
-	p.tell("outcome", failed, "failure", nil)
-	g.expectAnswer(2, errFailed)
-	g.send("licence-order", "order", "once", "cd34", "at", fmt.Sprint(past+1000))
-	g.expectAnswer(3, errFailed)
+	failedID := other.sendRequest("licence-order", "order", "once", "cd34", "at", fmt.Sprint(past))
+	peers.expectCommand("launch", failedID)
+	peers.agentSends("outcome", failedID, "failure", nil)
+	other.expectAnswer(2, codeInternal)
+	other.sendRequest("licence-order", "order", "once", "cd34", "at", fmt.Sprint(past+1000))
+	other.expectAnswer(3, codeInternal)
 
 	// The window counts from the try that ran; past it the order is a new one.
-	again := g.send("licence-order", "order", "once", "cd34")
-	p.expect("launch", again)
+	repeatedID := other.sendRequest("licence-order", "order", "once", "cd34")
+	peers.expectCommand("launch", repeatedID)
 }
 
 // A newer process takes the place of this one: no connection is refused or left unread, what each has read it
 // answers, and a keyed request is run by one of them, whose result answers tries at both.
-func TestReplace(t *testing.T) {
+func TestReplacementAnswersEveryRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
 	path := filepath.Join(t.TempDir(), "s")
-	older := startAt(t, ln, path, `"stop_ms": 3200`, `"stop_ms": 3000000`)
-	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, patience, time.Millisecond)
-	f := older.dial()
-	run := f.send("licence-order", "a", "once", "aa")
-	older.expect("launch", run)
-	newer := startAt(t, ln, path)
-	newer.tries = 100 // ids are new with every try
+	older := startServerOn(t, ln, path, `"stop_ms": 3200`, `"stop_ms": 3000000`)
+	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, testTimeout, time.Millisecond)
+	client := older.dial()
+	runID := client.sendRequest("licence-order", "a", "once", "aa")
+	older.expectCommand("launch", runID)
+	newer := startServerOn(t, ln, path)
+	newer.attempts = 100 // ids are new with every try
 	older.server.Drain()
-	f.expectClosing()
-	g := newer.dial()
-	for g.closing() { // the older one took it just before
-		g.net.Close()
-		g = newer.dial()
+	client.expectClosing()
+	other := newer.dial()
+	for other.isClosing() { // the older one took it just before
+		other.netConn.Close()
+		other = newer.dial()
 	}
-	g.next = 1
-	g.send("licence-order", "a", "once", "aa")
-	newer.quiet()
-	older.tell("outcome", run, "success", []byte("done"))
-	f.expectAnswer(1, "done")
-	g.expectAnswer(2, "done")
+	other.lastCall = 1
+	other.sendRequest("licence-order", "a", "once", "aa")
+	newer.expectNoCommand()
+	older.agentSends("outcome", runID, "success", []byte("done"))
+	client.expectAnswer(1, "done")
+	other.expectAnswer(2, "done")
 
-	crossing := g.send("licence-order", "b", "once", "bb")
-	newer.expect("launch", crossing)
-	f.send("licence-order", "b", "once", "bb")
-	older.quiet()
-	newer.tell("outcome", crossing, "success", []byte("other"))
-	g.expectAnswer(3, "other")
-	f.expectAnswer(2, "other")
-	f.net.Close()
-	require.NoError(t, await(older, older.over, "end of the older process"))
+	crossingID := other.sendRequest("licence-order", "b", "once", "bb")
+	newer.expectCommand("launch", crossingID)
+	client.sendRequest("licence-order", "b", "once", "bb")
+	older.expectNoCommand()
+	newer.agentSends("outcome", crossingID, "success", []byte("other"))
+	other.expectAnswer(3, "other")
+	client.expectAnswer(2, "other")
+	client.netConn.Close()
+	require.NoError(t, await(older, older.serverDone, "end of the older process"))
 
-	g.send("licence-order", "a", "once", "aa")
-	g.expectAnswer(4, "done")
-	newer.quiet()
+	other.sendRequest("licence-order", "a", "once", "aa")
+	other.expectAnswer(4, "done")
+	newer.expectNoCommand()
 }
 
 // Drain: what was read is answered, what arrives after the grace is not run, and the server ends.
-func TestDrain(t *testing.T) {
-	p := start(t, `"stop_ms": 3200`, `"stop_ms": 60000`, `"StopSendingWithinUs": 2500000`, `"StopSendingWithinUs": 1`)
-	f := p.dial()
-	idle := p.dial()
-	run := f.send("preview", "x")
-	p.expect("launch", run)
-	p.server.Drain()
-	p.server.Drain()
-	f.expectClosing()
+func TestDrainAnswersRequestsInFlight(t *testing.T) {
+	peers := startServer(t, `"stop_ms": 3200`, `"stop_ms": 60000`, `"StopSendingWithinUs": 2500000`, `"StopSendingWithinUs": 1`)
+	client := peers.dial()
+	idle := peers.dial()
+	runID := client.sendRequest("preview", "x")
+	peers.expectCommand("launch", runID)
+	peers.server.Drain()
+	peers.server.Drain()
+	client.expectClosing()
 	idle.expectClosing()
-	idle.net.Close()
-	f.send("preview", "too late", "at", fmt.Sprint(time.Now().Add(time.Second).UnixMilli()))
-	f.expectAnswer(2, errRefused)
-	p.tell("outcome", run, "success", []byte("done"))
-	f.expectAnswer(1, "done")
-	require.Empty(t, p.commands)
-	f.net.Close()
-	require.NoError(t, await(p, p.over, "end of the server"))
-	_, err := net.Dial("tcp", p.addr)
+	idle.netConn.Close()
+	client.sendRequest("preview", "too late", "at", fmt.Sprint(time.Now().Add(time.Second).UnixMilli()))
+	client.expectAnswer(2, codeOverloaded)
+	peers.agentSends("outcome", runID, "success", []byte("done"))
+	client.expectAnswer(1, "done")
+	require.Empty(t, peers.commands)
+	client.netConn.Close()
+	require.NoError(t, await(peers, peers.serverDone, "end of the server"))
+	_, err := net.Dial("tcp", peers.addr)
 	require.Error(t, err)
 }
 
 // A front end that stays must not keep the process past its time.
 func TestDrainEndsInTime(t *testing.T) {
-	p := start(t, `"stop_ms": 3200`, `"stop_ms": 500`)
-	f := p.dial()
-	run := f.send("preview", "x")
-	p.expect("launch", run)
-	p.server.Drain()
-	v, err := f.in.next()
+	peers := startServer(t, `"stop_ms": 3200`, `"stop_ms": 500`)
+	client := peers.dial()
+	runID := client.sendRequest("preview", "x")
+	peers.expectCommand("launch", runID)
+	peers.server.Drain()
+	value, err := client.decoder.next()
 	require.NoError(t, err)
-	require.Equal(t, methodClosing, v.(arrayValue)[1])
-	f.expectAnswer(1, errFailed)
-	require.NoError(t, await(p, p.over, "end of the server"))
-	f.expectEnd()
+	require.Equal(t, methodClosing, value.(arrayValue)[1])
+	client.expectAnswer(1, codeInternal)
+	require.NoError(t, await(peers, peers.serverDone, "end of the server"))
+	client.expectConnectionEnd()
 }
 
 // Fall-over: no more runs at once than the crowd that a server survives, and no more than fit into
 // its memory, whatever is read.
-func TestFallOver(t *testing.T) {
-	for name, set := range map[string][]string{
+func TestConcurrencyStaysWithinLimits(t *testing.T) {
+	for name, replacements := range map[string][]string{
 		"crowd":  {`"Cpus": 6`, `"Cpus": 1`, `"FallMultiple": 5.0`, `"FallMultiple": 1.0`},
 		"memory": {`"MemoryKb": 43152.0`, `"MemoryKb": 700`}, // a run takes 392
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := start(t, set...)
-			f := p.dial()
+			peers := startServer(t, replacements...)
+			client := peers.dial()
 			for range 3 {
-				f.send("hires-crop", "x", "cost", "1")
+				client.sendRequest("hires-crop", "x", "cost", "1")
 			}
 			for call := 1; call <= 3; call++ {
-				c := await(p, p.commands, "launch")
-				p.quiet()
-				p.tell("outcome", c.Req, "success", []byte(c.Req))
-				f.expectAnswer(call, c.Req)
+				command := await(peers, peers.commands, "launch")
+				peers.expectNoCommand()
+				peers.agentSends("outcome", command.Req, "success", []byte(command.Req))
+				client.expectAnswer(call, command.Req)
 			}
 		})
 	}
--- a/lab/costs/main.go
+++ b/lab/costs/main.go
@@ -24,7 +24,7 @@
 	{"socket reads", []string{"net.(*conn).Read", "net.(*netFD).Read"}},
 	{"socket writes", []string{"net.(*conn).Write", "net.(*netFD).Write"}},
 	{"accepts", []string{"net.(*TCPListener).Accept"}},
-	{"codec", []string{"falldeal/internal/msgpackrpc.(*decoder)", "falldeal/internal/msgpackrpc.parse", "falldeal/internal/msgpackrpc.append",
+	{"codec", []string{"falldeal/internal/msgpackrpc.(*decoder)", "falldeal/internal/msgpackrpc.parse", "falldeal/internal/msgpackrpc.append", "falldeal/internal/msgpackrpc.encode",
 		"falldeal/internal/msgpackrpc.(*fields)", "falldeal/internal/msgpackrpc.fieldsOf", "falldeal/internal/msgpackrpc.(*frame",
 		"falldeal/internal/agent.(*parser)", "falldeal/internal/agent.append", "falldeal/internal/agent.launch", "falldeal/internal/agent.deliver",
 		"falldeal/internal/store.readReply", "falldeal/internal/store.append", "github.com/valyala/fastjson"}},
