--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,4 +1,4 @@
-// Package backoff says how long to wait before something that failed is tried again. It has no clock.
+// Package backoff computes the delays between retries: exponential backoff with equal jitter. It has no clock.
 package backoff
 
 import (
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Backoff yields waits that double. Half of each wait is drawn at random ("equal jitter"): what
-// struck a fleet at one instant must not be repeated by all of it at one instant, again and again. It belongs to
-// one goroutine.
+// Backoff yields delays that double from a minimum to a maximum. Up to half of each delay is taken off at random, so
+// that servers that failed together do not retry together. A Backoff belongs to one goroutine.
 type Backoff struct {
 	minDelay, maxDelay time.Duration
-	lastDelay          time.Duration // without its jitter
+	lastDelay          time.Duration // without its jitter; 0 after New and Reset
 	rng                *rand.Rand
 }
 
-// New returns a Backoff whose waits double from least up to most, and whose jitter follows from seed; purpose sets apart those of one server.
+// New returns a Backoff whose delays double from minDelay to maxDelay. The jitter is determined by seed and purpose:
+// the seed is the server's, and the purpose separates its Backoffs from each other.
 func New(minDelay, maxDelay time.Duration, seed, purpose uint64) *Backoff {
 	return &Backoff{minDelay: minDelay, maxDelay: maxDelay, rng: rand.New(rand.NewPCG(seed, purpose))}
 }
 
-// Next returns the wait after one more failure: more than half of the doubled wait and that at most.
+// Next returns the delay after one more failure, from half of the doubled delay up to the whole of it.
 func (b *Backoff) Next() time.Duration {
 	b.lastDelay = min(max(2*b.lastDelay, b.minDelay), b.maxDelay)
 	half := b.lastDelay / 2
 	return b.lastDelay - time.Duration(b.rng.Int64N(int64(half)+1))
 }
 
-// Reset is for a success: the next wait is short again.
+// Reset starts again from the minimum, after a success.
 func (b *Backoff) Reset() { b.lastDelay = 0 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// What is tried again follows from the seed, and from nothing else: a day that is played again is the same day.
+// Delays follow from seed and purpose alone, so that a simulation can be repeated.
 func TestSameSeedSameDelays(t *testing.T) {
 	a, b, c := New(10, 2000, 7, 1), New(10, 2000, 7, 1), New(10, 2000, 7, 2)
 	same := true
@@ -32,8 +32,8 @@
 	require.False(t, same)
 }
 
-// A zone is cut off and 300 servers lose their store at one instant. Without jitter all of them would come back
-// within one instant at each attempt; with it no 20 ms see more than a fifth of them after the first few.
+// A zone is partitioned and 300 servers lose their store at one instant. Without jitter all of them would reconnect
+// at the same time at each attempt; with it, no 20 ms see a fifth of them or more.
 func TestJitterSpreadsReconnects(t *testing.T) {
 	const servers = 300
 	slots := map[time.Duration]int{}
--- a/internal/deadline/bench_test.go
+++ b/internal/deadline/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkAddSweep enters a deadline and sweeps one, with so many in the queue.
+// BenchmarkAddSweep adds a deadline and sweeps one, with size others in the queue.
 func BenchmarkAddSweep(b *testing.B) {
 	for _, size := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkCancel takes out what was entered: a call that ends before its limit.
+// BenchmarkCancel cancels an entry that was just added: a call that ends before its deadline.
 func BenchmarkCancel(b *testing.B) {
 	for _, size := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
--- a/internal/deadline/queue.go
+++ b/internal/deadline/queue.go
@@ -1,4 +1,5 @@
-// Package deadline keeps everything that falls due in one sorted structure, which its owner sweeps.
+// Package deadline keeps the callbacks of an event loop in order of the times at which they are due. It has no clock
+// and no goroutine: its owner sweeps the queue.
 package deadline
 
 import (
@@ -7,17 +8,17 @@
 	"github.com/google/btree"
 )
 
-const degree = 16
+const degree = 16 // of the tree's nodes
 
 // Entry is one deadline in a Queue.
 type Entry struct {
 	dueAt    time.Duration
-	seq      uint64 // keeps equal times in order of entry
+	seq      uint64 // orders equal times by entry
 	callback func()
 }
 
-// Queue holds deadlines by time, equal times in order of entry. It is not safe for use by several
-// goroutines at once.
+// Queue holds deadlines in order of time, equal times in order of entry. Times are on the owner's clock. A Queue belongs
+// to one goroutine.
 type Queue struct {
 	entries *btree.BTreeG[*Entry]
 	lastSeq uint64
@@ -30,7 +31,7 @@
 	})}
 }
 
-// Add lets do be called by the first Sweep at or after the time at.
+// Add enters a callback for the first Sweep at or after the time at. The Entry is for Cancel.
 func (q *Queue) Add(at time.Duration, callback func()) *Entry {
 	q.lastSeq++
 	entry := &Entry{dueAt: at, seq: q.lastSeq, callback: callback}
@@ -38,15 +39,15 @@
 	return entry
 }
 
-// Cancel takes e out. A nil entry, and one that has been called, are passed over.
+// Cancel removes an entry. It does nothing for nil, and for an entry whose callback was called.
 func (q *Queue) Cancel(entry *Entry) {
 	if entry != nil {
 		q.entries.Delete(entry)
 	}
 }
 
-// Next returns the earliest deadline.
-func (q *Queue) Next() (time.Duration, bool) {
+// Next returns the earliest deadline; ok is false where there is none.
+func (q *Queue) Next() (at time.Duration, ok bool) {
 	entry, ok := q.entries.Min()
 	if !ok {
 		return 0, false
@@ -54,21 +55,13 @@
 	return entry.dueAt, true
 }
 
-// Sweep calls what is due at now. What is added meanwhile waits for the next Sweep, so that a
-// deadline that renews itself in the past cannot hold up its owner.
+// Sweep calls, in order, the callbacks that are due at now. An entry that a callback adds waits for the next Sweep, so
+// that a deadline that renews itself in the past can't keep its owner busy for ever; one that a callback cancels is not
+// called.
 func (q *Queue) Sweep(now time.Duration) {
 	lastSeq := q.lastSeq
 	for {
-		var expired *Entry
-		q.entries.Ascend(func(entry *Entry) bool {
-			if entry.dueAt > now {
-				return false
-			}
-			if entry.seq <= lastSeq {
-				expired = entry
-			}
-			return expired == nil
-		})
+		expired := q.firstExpired(now, lastSeq)
 		if expired == nil {
 			return
 		}
@@ -77,5 +70,19 @@
 	}
 }
 
-// Len is how many deadlines are entered.
+// firstExpired returns the first entry that is due at now and was added up to lastSeq, or nil.
+func (q *Queue) firstExpired(now time.Duration, lastSeq uint64) (expired *Entry) {
+	q.entries.Ascend(func(entry *Entry) bool {
+		if entry.dueAt > now {
+			return false
+		}
+		if entry.seq <= lastSeq {
+			expired = entry
+		}
+		return expired == nil
+	})
+	return expired
+}
+
+// Len returns the number of entries.
 func (q *Queue) Len() int { return q.entries.Len() }
--- a/internal/deadline/queue_test.go
+++ b/internal/deadline/queue_test.go
@@ -32,7 +32,7 @@
 	require.False(t, ok)
 }
 
-// A deadline that renews itself in the past must not hold up the sweep for ever, and one that is
+// A deadline that renews itself in the past must not keep the sweep going for ever, and one that is
 // cancelled by an earlier one of the same sweep must not be called.
 func TestSweepWhileQueueChanges(t *testing.T) {
 	queue := New()
--- a/internal/msgpackrpc/codec_test.go
+++ b/internal/msgpackrpc/codec_test.go
@@ -219,11 +219,11 @@
 		{server.Answer{Kind: server.Invalid, Reason: "field id"},
 			arrayValue{arrayValue{codeInvalid, mapValue{{"reason", "field id"}}}, nil}},
 	} {
-		value, err := decodeValue(encodeAnswer(nil, 70000, test.a))
+		value, err := decodeValue(encodeAnswer(70000, test.a))
 		require.NoError(t, err)
 		require.Equal(t, append(arrayValue{int64(kindResponse), int64(70000)}, test.want...), value)
 	}
-	value, err := decodeValue(encodeClosing(nil))
+	value, err := decodeValue(encodeClosing())
 	require.NoError(t, err)
 	require.Equal(t, arrayValue{int64(kindNotification), methodClosing, arrayValue{}}, value)
 }
@@ -232,7 +232,7 @@
 // a tree: what one takes the other takes, with the same meaning.
 func FuzzMessages(f *testing.F) {
 	f.Add(appendRequest(7, "preview", sampleFields(), []byte("body")), 3)
-	f.Add(append(encodeClosing(nil), "\xdf\xff\xff\xff\xff"...), 1)
+	f.Add(append(encodeClosing(), "\xdf\xff\xff\xff\xff"...), 1)
 	f.Add([]byte("\x94\x00\x01\xa5alive\x91\x81\xa4deep\xa11\x93\x02\xadcancelRequest\x91\x01"), 2)
 	f.Add([]byte("\xd8\x01................\xc7\x01\x05\x00\xca\x3f\x80\x00\x00\xd3\xff\xff\xff\xff\xff\xff\xff\xfe"), 5)
 	f.Fuzz(func(t *testing.T, b []byte, piece int) {
@@ -314,7 +314,7 @@
 			b.ReportAllocs()
 			answer := server.Answer{Kind: server.Served, Body: make([]byte, body)}
 			for b.Loop() {
-				encodeAnswer(nil, 7, answer)
+				encodeAnswer(7, answer)
 			}
 		})
 	}
--- a/internal/msgpackrpc/encode.go
+++ b/internal/msgpackrpc/encode.go
@@ -5,11 +5,12 @@
 	"math"
 )
 
-// Values are written by appending to a slice.
+// Each append function appends one MessagePack value to b, or the header of an array or map of up to 15 elements or
+// pairs, and returns the longer slice.
 
-func appendArray(b []byte, n int) []byte { return append(b, 0x90|byte(n)) }
-func appendMap(b []byte, n int) []byte   { return append(b, 0x80|byte(n)) }
-func appendNil(b []byte) []byte          { return append(b, 0xc0) }
+func appendArray(b []byte, elements int) []byte { return append(b, 0x90|byte(elements)) }
+func appendMap(b []byte, pairs int) []byte      { return append(b, 0x80|byte(pairs)) }
+func appendNil(b []byte) []byte                 { return append(b, 0xc0) }
 
 func appendBool(b []byte, value bool) []byte {
 	if value {
@@ -30,7 +31,7 @@
 	return binary.BigEndian.AppendUint32(append(b, 0xce), value)
 }
 
-// appendString cuts what is longer than a text of 16 bits can be; nothing sent here comes near that.
+// appendString truncates a text to math.MaxUint16 bytes; nothing that is sent comes near that.
 func appendString(b []byte, text string) []byte {
 	text = text[:min(len(text), math.MaxUint16)]
 	switch n := len(text); {
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -92,12 +92,12 @@
 		{"invalid, 255 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(255)}},
 		{"invalid, 256 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(256)}},
 	} {
-		cases = append(cases, goldenCase{test.name, hex.EncodeToString(encodeAnswer(nil, test.call, test.answer))})
+		cases = append(cases, goldenCase{test.name, hex.EncodeToString(encodeAnswer(test.call, test.answer))})
 	}
 	const head = 10 // bytes of a frame before its body
-	long := encodeAnswer(nil, 1, server.Answer{Kind: server.Served, Body: body(65536)})
+	long := encodeAnswer(1, server.Answer{Kind: server.Served, Body: body(65536)})
 	cases = append(cases, goldenCase{"served, 65536 bytes, what comes before them", hex.EncodeToString(long[:head])},
-		goldenCase{"closing", hex.EncodeToString(encodeClosing(nil))})
+		goldenCase{"closing", hex.EncodeToString(encodeClosing())})
 	requireGolden(t, "answers.golden", cases)
 }
 
@@ -190,7 +190,7 @@
 		require.NoError(t, err, test.name)
 		msg := mustParse(t, sent)
 		require.Equal(t, test.kind, msg.kind, test.name)
-		require.Equal(t, test.call, msg.id, test.name)
+		require.Equal(t, test.call, msg.call, test.name)
 		require.Equal(t, test.method, string(msg.method), test.name)
 		got, err := parseClientMessage(msg)
 		require.NoError(t, err, test.name)
--- a/internal/msgpackrpc/races_test.go
+++ b/internal/msgpackrpc/races_test.go
@@ -157,23 +157,23 @@
 			t.Parallel()
 			buffer := make([]byte, 10)
 			local, remote := loopbackConn(t)
-			require.NoError(t, local.setReadLimit(true))
+			require.NoError(t, local.input.setPartial(true))
 			_, err := remote.Write([]byte("abc"))
 			require.NoError(t, err)
 			waitForInput(t, local, 3)
 			interrupt.by(local)
-			n, err := local.Read(buffer)
+			n, err := local.input.Read(buffer)
 			require.NoError(t, err)
 			require.Equal(t, "abc", string(buffer[:n]))
 			interrupt.by(local) // and nothing has come since
-			_, err = local.Read(buffer)
+			_, err = local.input.Read(buffer)
 			require.ErrorIs(t, err, interrupt.err)
 
 			local, remote = loopbackConn(t)
 			interrupt.by(local)
 			remote.Close() // the other order: the end of the connection is no less an end
 			require.Eventually(t, func() bool {
-				_, err := local.Read(buffer)
+				_, err := local.input.Read(buffer)
 				return err == io.EOF
 			}, testTimeout, time.Millisecond)
 		})
@@ -190,19 +190,19 @@
 			buffer := make([]byte, 10)
 			local, remote := loopbackConn(t)
 			local.PauseReading()
-			_, err := local.Read(buffer)
+			_, err := local.input.Read(buffer)
 			require.ErrorIs(t, err, errReadPaused)
 			if first == "request" {
 				_, err := remote.Write([]byte("abc"))
 				require.NoError(t, err)
 				waitForInput(t, local, 3)
 				require.False(t, local.TryClose())
-				<-local.resumed
-				require.NoError(t, local.setReadLimit(false))
-				n, err := local.Read(buffer)
+				<-local.input.resumed
+				require.NoError(t, local.input.restart())
+				n, err := local.input.Read(buffer)
 				require.NoError(t, err)
 				require.Equal(t, "abc", string(buffer[:n]))
-				_, err = local.Read(buffer)
+				_, err = local.input.Read(buffer)
 				require.ErrorIs(t, err, errReadPaused)
 			}
 			local.Send([]byte("answer"))
--- a/internal/msgpackrpc/reference_test.go
+++ b/internal/msgpackrpc/reference_test.go
@@ -195,7 +195,7 @@
 // referenceMessage is one frame from a front end.
 type referenceMessage struct {
 	kind   int64
-	id     uint32
+	call   uint32
 	method string
 	params arrayValue
 }
@@ -219,7 +219,7 @@
 		if !ok || id < 0 || id > math.MaxUint32 || len(rest) != 3 {
 			return msg, fmt.Errorf("%w: a request of %d parts with id %v", errNotRPCMessage, len(list), rest[0])
 		}
-		msg.id, rest = uint32(id), rest[1:]
+		msg.call, rest = uint32(id), rest[1:]
 	}
 	if len(rest) != 2 {
 		return msg, fmt.Errorf("%w: a notification of %d parts", errNotRPCMessage, len(list))
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -1,4 +1,7 @@
-// Package writequeue writes to a connection what others queue, without ever holding them up.
+// Package writequeue writes queued messages to a connection, so that whoever queues them never blocks.
+//
+// The owner of a connection runs Run in a goroutine; any goroutine may call the other methods. A peer that does not
+// read is disconnected as soon as the queue is full or a write takes longer than 20 s.
 package writequeue
 
 import (
@@ -10,98 +13,109 @@
 
 const (
 	writeTimeout  = 20 * time.Second // a peer's machine may stand still for a while
-	maxBatchBytes = 8 << 10          // bytes from which on no further message joins a write
+	maxBatchBytes = 8 << 10          // from which on no further message joins a write
 )
 
-// Queue is the writing side of a connection.
+// Queue is the write side of a connection.
 type Queue struct {
 	conn           net.Conn
-	closeWriteOnly bool // only this side is closed at the end
+	closeWriteOnly bool // whether only the write side is closed at the end
 	pending        chan []byte
-	closeOnce      sync.Once
-	closing        chan struct{}
 	unwritten      atomic.Int64 // messages that were queued and are not written yet
-	endOnce        sync.Once
+
+	closeOnce sync.Once
+	closing   chan struct{} // closed by Close
+
+	closeConnOnce sync.Once
 }
 
-// New returns an Outbox for conn in which up to room messages may wait.
+// New returns a Queue for conn that holds up to capacity messages.
 func New(conn net.Conn, capacity int) *Queue {
 	return &Queue{conn: conn, pending: make(chan []byte, capacity), closing: make(chan struct{})}
 }
 
-// NewHalf returns one that closes the writing side alone, when all is written or that fails. Its owner closes the
-// connection once it has read what the peer sent meanwhile: one that is closed over unread bytes takes with it what
-// was written last.
+// NewHalf returns a Queue that at the end closes only the write side of conn. Its owner closes the connection once it
+// has read what the peer sent meanwhile: a connection that is closed over unread bytes is reset, and what was written
+// last is lost.
 func NewHalf(conn net.Conn, capacity int) *Queue {
 	queue := New(conn, capacity)
 	queue.closeWriteOnly = true
 	return queue
 }
 
-// Send queues b, which must not be changed any more. A peer that does not read loses the connection.
-func (o *Queue) Send(b []byte) {
-	o.unwritten.Add(1)
+// Send queues a message, which must not be changed any more. It never blocks: where the queue is full the connection is
+// closed.
+func (q *Queue) Send(b []byte) {
+	q.unwritten.Add(1)
 	select {
-	case o.pending <- b:
+	case q.pending <- b:
 	default:
-		o.closeConn()
+		q.closeConn()
 	}
 }
 
-// Abort closes the connection whatever waits, and whatever hangs on it.
-func (o *Queue) Abort() { o.conn.Close() }
-
-func (o *Queue) closeConn() {
-	o.endOnce.Do(func() {
-		if side, ok := o.conn.(interface{ CloseWrite() error }); !o.closeWriteOnly || !ok || side.CloseWrite() != nil {
-			o.conn.Close()
-		}
-	})
-}
+// Close has Run write what is queued and then close the connection. It may be called more than once.
+func (q *Queue) Close() { q.closeOnce.Do(func() { close(q.closing) }) }
 
-// CloseNow is Close for whoever calls Send: where nothing is left to be written, the connection is closed when it returns.
-func (o *Queue) CloseNow() {
-	if o.unwritten.Load() == 0 {
-		o.closeConn()
+// CloseNow is Close for the goroutine that calls Send: where all is written, the connection is closed on return.
+func (q *Queue) CloseNow() {
+	if q.unwritten.Load() == 0 {
+		q.closeConn()
 	}
-	o.Close()
+	q.Close()
 }
 
-// Close has Run write what waits and then close the connection. It may be called more than once.
-func (o *Queue) Close() { o.closeOnce.Do(func() { close(o.closing) }) }
+// Abort closes the connection at once, also where messages are queued or a write hangs.
+func (q *Queue) Abort() { q.conn.Close() }
 
-// Run writes, several messages at a time where they wait, until Close is called or the peer fails. The
-// connection is closed when it returns, or that side of it.
-func (o *Queue) Run() error {
-	defer o.closeConn()
+// Run writes messages, several at a time where they are queued, until Close is called or a write fails; it returns the
+// error of that write. When it returns, the connection is closed, or its write side.
+func (q *Queue) Run() error {
+	defer q.closeConn()
 	for {
 		select {
-		case b := <-o.pending:
-			if err := o.write(b); err != nil {
+		case b := <-q.pending:
+			if err := q.write(b); err != nil {
 				return err
 			}
-		case <-o.closing:
-			for len(o.pending) > 0 {
-				if err := o.write(<-o.pending); err != nil {
-					return err
-				}
-			}
-			return nil
+		case <-q.closing:
+			return q.flush()
 		}
 	}
 }
 
-// write writes b and what waits behind it. Most connections write little and seldom, so none has a
-// buffer of its own.
-func (o *Queue) write(b []byte) error {
-	written := int64(1)
-	for ; len(o.pending) > 0 && len(b) < maxBatchBytes; written++ {
-		b = append(b[:len(b):len(b)], <-o.pending...)
+// flush writes what is queued.
+func (q *Queue) flush() error {
+	for len(q.pending) > 0 {
+		if err := q.write(<-q.pending); err != nil {
+			return err
+		}
 	}
-	defer func() { o.unwritten.Add(-written) }()
-	if err := o.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+	return nil
+}
+
+// write writes b together with messages that are queued. The batch is put together in new memory: most connections
+// write little and seldom, so none keeps a buffer.
+func (q *Queue) write(b []byte) error {
+	messages := int64(1)
+	for ; len(q.pending) > 0 && len(b) < maxBatchBytes; messages++ {
+		b = append(b[:len(b):len(b)], <-q.pending...)
+	}
+	defer func() { q.unwritten.Add(-messages) }()
+	if err := q.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
-	_, err := o.conn.Write(b)
+	_, err := q.conn.Write(b)
 	return err
 }
+
+// closeConn closes the connection, or its write side where that is what the owner wants and the connection can do.
+func (q *Queue) closeConn() {
+	q.closeConnOnce.Do(func() {
+		half, ok := q.conn.(interface{ CloseWrite() error })
+		if q.closeWriteOnly && ok && half.CloseWrite() == nil {
+			return
+		}
+		q.conn.Close()
+	})
+}
--- a/internal/writequeue/queue_test.go
+++ b/internal/writequeue/queue_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Close comes after what was queued, so that the last answers of a drain go out.
+// What was queued before Close is written, so that the last answers of a drain go out.
 func TestCloseWritesQueuedMessages(t *testing.T) {
 	local, remote := net.Pipe()
 	queue := New(local, 4)
@@ -25,7 +25,7 @@
 	require.NoError(t, <-done)
 }
 
-// A peer that does not read loses its connection; queueing for it never blocks.
+// Send never blocks; a peer that does not read is disconnected.
 func TestPeerThatDoesNotReadIsDisconnected(t *testing.T) {
 	local, remote := net.Pipe()
 	queue := New(local, 4)
