--- a/internal/deadline/queue.go
+++ b/internal/deadline/queue.go
@@ -17,8 +17,8 @@
 	callback func()
 }
 
-// Queue holds deadlines in order of time, equal times in order of entry. Times are on the owner's clock. A Queue belongs
-// to one goroutine.
+// Queue holds deadlines in order of time, equal times in order of entry. Times are on the owner's clock. A Queue
+// belongs to one goroutine.
 type Queue struct {
 	entries *btree.BTreeG[*Entry]
 	lastSeq uint64
@@ -55,9 +55,9 @@
 	return entry.dueAt, true
 }
 
-// Sweep calls, in order, the callbacks that are due at now. An entry that a callback adds waits for the next Sweep, so
-// that a deadline that renews itself in the past can't keep its owner busy for ever; one that a callback cancels is not
-// called.
+// Sweep calls, in order, the callbacks that are due at now. An entry that a callback adds waits for the next Sweep,
+// so that a deadline that renews itself in the past can't keep its owner busy for ever; one that a callback cancels
+// is not called.
 func (q *Queue) Sweep(now time.Duration) {
 	lastSeq := q.lastSeq
 	for {
--- a/internal/msgpackrpc/cold_test.go
+++ b/internal/msgpackrpc/cold_start_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server starts cold into a full storm, and its agent comes up late: what is read before that is refused at
-// once, so that front ends can go elsewhere, and its connections go on once the agent is there. Then no more runs
-// than the crowd that a cold server survives, and all that was read is answered.
+// A server starts cold under overload, and its agent is late. What is read before the agent is there is rejected at
+// once, so that clients can go elsewhere, and the connections stay usable. Then no more runs at once than a cold
+// server survives, and all that was read is answered.
 func TestColdStartUnderOverload(t *testing.T) {
 	const clients, callsPerClient = 20, maxOpenCalls
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	peers := startServerBeforeAgent(t, ln, "", `"ColdUs": 18000000`, `"ColdUs": 18000000000`) // it stays cold
+	peers := startServerBeforeAgent(t, ln, "", `"ColdUs": 18000000`, `"ColdUs": 18000000000`) // stays cold
 	peers.expectCommand("subscribe", "")
 	clientConns := make([]*testClient, clients)
 	for i := range clientConns {
@@ -39,14 +39,14 @@
 			client.sendRequest("hires-crop", "x")
 		}
 	}
-	// Cores that look idle have more run, up to the crowd that a cold server survives: four fifths of 2 a core on
-	// 6 of them, and one. A warm server takes 13 by then.
+	// Idle cores raise the concurrency, up to the limit of a cold server: four fifths of 2 a core on 6 cores, and one.
+	// A warm server would run 13 by then.
 	for range 20 {
 		await(peers, peers.samples, "sample")
 	}
 	require.LessOrEqual(t, len(peers.commands), 10)
 
-	// Then the agent works. Each front end gets its answers in some order.
+	// Then the agent completes runs. Each client gets its answers in some order.
 	answers := make(chan string)
 	for _, client := range clientConns {
 		go func() {
@@ -58,7 +58,7 @@
 				}
 				list := value.(arrayValue)
 				if list[0] != int64(kindResponse) {
-					continue // it may be told to go once it is idle
+					continue // an idle connection may be closing
 				}
 				n++
 				if fault, failed := list[2].(arrayValue); failed {
--- a/internal/msgpackrpc/conn_test.go
+++ b/internal/msgpackrpc/conn_test.go
@@ -1,6 +1,7 @@
 package msgpackrpc
 
 import (
+	"bytes"
 	"fmt"
 	"io"
 	"net"
@@ -13,12 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func appendHealthCheck(id uint32, fields map[string]string) []byte {
-	b := appendUint(append(appendArray(nil, 4), kindRequest), id)
-	return appendFields(appendArray(appendString(b, methodHealth), 1), fields)
-}
-
-// Wrong requests are answered; a broken frame ends its own connection and no other.
+// Invalid requests are answered; a malformed frame ends its own connection and no other.
 func TestInvalidInputIsAnswered(t *testing.T) {
 	peers := startServer(t)
 	client := peers.dial()
@@ -37,23 +33,72 @@
 		other.write([]byte(broken))
 		other.expectConnectionEnd()
 	}
-	client.write(appendHealthCheck(6, map[string]string{"deep": "1"}))
-	client.expectAnswer(6, "%!s(bool=true)")
+	client.write(encodeHealthCheck(6, map[string]string{"deep": "1"}))
+	client.expectHealthy(6)
 	peers.agentSends("outcome", runID, "success", []byte("served"))
 	client.expectAnswer(4, "served")
 }
 
-// After cancelRequest nothing is owed, and what the run still tells does no harm.
+// A frame that is malformed or does not end costs its connection, but what was read before is still answered. The
+// connection was closed at once: requests that had been read were lost, and unread bytes reset the connection before
+// its answers were read.
+func TestBrokenFrameDoesNotLoseAnswers(t *testing.T) {
+	t.Parallel()
+	garbage := bytes.Repeat([]byte{0xc1}, 100<<10)
+	for name, broken := range map[string]func(client *testClient) []byte{
+		"garbage": func(*testClient) []byte { return garbage },
+		"half frame": func(client *testClient) []byte {
+			_, b := client.newRequest("preview", "half")
+			return b[:len(b)-1]
+		},
+		"same number": func(client *testClient) []byte {
+			client.lastCall = 0
+			_, b := client.newRequest("preview", "twice")
+			return b
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			peers := startServer(t, noIdleClose...)
+			client := peers.dial()
+			runID := client.sendRequest("preview", "x")
+			peers.expectCommand("launch", runID)
+			client.write(broken(client))
+			if name != "half frame" { // where more bytes would complete it
+				client.write(encodeHealthCheck(7, nil))
+			}
+			peers.expectNoCommand() // so that the server has read it
+			peers.agentSends("outcome", runID, "success", []byte("x"))
+			client.expectAnswer(1, "x")
+			client.expectConnectionEnd()
+		})
+		if name == "same number" {
+			continue // once the first is answered, its number is free
+		}
+		t.Run(name+" after the answer", func(t *testing.T) {
+			t.Parallel()
+			peers := startServer(t, noIdleClose...)
+			client := peers.dial()
+			runID := client.sendRequest("preview", "x")
+			peers.expectCommand("launch", runID)
+			peers.agentSends("outcome", runID, "success", []byte("x"))
+			client.expectAnswer(1, "x")
+			client.write(broken(client))
+			client.expectConnectionEnd()
+		})
+	}
+}
+
+// After cancelRequest no answer is sent, and later events of the run do no harm.
 func TestCancelledRequestGetsNoAnswer(t *testing.T) {
 	peers := startServer(t)
 	client := peers.dial()
 	runID := client.sendRequest("preview", "x")
 	peers.expectCommand("launch", runID)
-	cancel := appendString(append(appendArray(nil, 3), kindNotification), methodCancel)
-	client.write(appendUint(appendArray(cancel, 1), 1))
-	client.write(appendUint(appendArray(cancel, 1), 99)) // unknown
-	client.write(appendHealthCheck(2, nil))
-	client.expectAnswer(2, "%!s(bool=true)")
+	client.write(encodeCancel(1))
+	client.write(encodeCancel(99)) // unknown
+	client.write(encodeHealthCheck(2, nil))
+	client.expectHealthy(2)
 	peers.agentSends("outcome", runID, "interrupted", nil)
 	client.lastCall = 2
 	next := client.sendRequest("preview", "y")
@@ -62,43 +107,25 @@
 	client.expectAnswer(3, "y")
 }
 
-// Front ends may take half of the descriptors: the connection idle for longest makes room.
-func TestConnectionLimit(t *testing.T) {
-	peers := startServer(t, `"sockets": 1024`, `"sockets": 64`)
-	var clients []*testClient
-	for i := range 25 { // 8 of 32 are spare
-		client := peers.dial()
-		client.write(appendHealthCheck(1, nil))
-		client.expectAnswer(1, "%!s(bool=true)")
-		if i == 0 {
-			peers.expectCommand("launch", client.sendRequest("preview", "busy"))
-		}
-		clients = append(clients, client)
-	}
-	clients[1].expectConnectionEnd()
-	clients[2].write(appendHealthCheck(2, nil))
-	clients[2].expectAnswer(2, "%!s(bool=true)")
-}
-
-// Connections that say nothing, or begin a message and don't end it, must not keep front ends out. One that
-// has sent a whole message may be silent for as long as idle ones may.
+// Connections that send nothing, or begin a message and don't end it, must not keep other clients out. One that has
+// sent a whole message may be silent for as long as idle ones may.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	peers := startServer(t, `"IdleUs": 30000000`, `"IdleUs": 0`)
 	active, silent, half, later := peers.dial(), peers.dial(), peers.dial(), peers.dial()
 	for _, client := range []*testClient{active, later} {
-		client.write(appendHealthCheck(1, nil))
-		client.expectAnswer(1, "%!s(bool=true)")
+		client.write(encodeHealthCheck(1, nil))
+		client.expectHealthy(1)
 	}
 	half.write([]byte("\x94\x00"))
 	later.write([]byte("\x94"))
 	for _, client := range []*testClient{silent, half, later} {
 		client.expectConnectionEnd()
 	}
-	active.write(appendHealthCheck(2, nil))
-	active.expectAnswer(2, "%!s(bool=true)")
+	active.write(encodeHealthCheck(2, nil))
+	active.expectHealthy(2)
 }
 
-// What ended a connection is counted by its kind.
+// The ends of connections are counted by reason.
 func TestEndReasonOfError(t *testing.T) {
 	for _, test := range []struct {
 		err  error
--- /dev/null
+++ b/internal/msgpackrpc/drain_test.go
@@ -0,0 +1,284 @@
+package msgpackrpc
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Replacements in the sample configuration. With longStopTimeout a process that ends has ended by itself; with
+// briefDrainGrace what arrives after the start of a drain is rejected.
+var (
+	longStopTimeout = []string{`"stop_ms": 3200`, `"stop_ms": 3000000`}
+	briefDrainGrace = []string{`"StopSendingWithinUs": 2500000`, `"StopSendingWithinUs": 1`}
+)
+
+// A drain answers what was read, rejects what arrives after the grace, and ends the server.
+func TestDrainAnswersRequestsInFlight(t *testing.T) {
+	peers := startServer(t, append([]string{`"stop_ms": 3200`, `"stop_ms": 60000`}, briefDrainGrace...)...)
+	client := peers.dial()
+	idle := peers.dial()
+	runID := client.sendRequest("preview", "x")
+	peers.expectCommand("launch", runID)
+	peers.server.Drain()
+	peers.server.Drain()
+	client.expectClosing()
+	idle.expectClosing()
+	idle.netConn.Close()
+	client.sendRequest("preview", "too late", "at", fmt.Sprint(time.Now().Add(time.Second).UnixMilli()))
+	client.expectAnswer(2, codeOverloaded)
+	peers.agentSends("outcome", runID, "success", []byte("done"))
+	client.expectAnswer(1, "done")
+	require.Empty(t, peers.commands)
+	client.netConn.Close()
+	require.NoError(t, await(peers, peers.serverDone, "end of the server"))
+	_, err := net.Dial("tcp", peers.addr)
+	require.Error(t, err)
+}
+
+// A client that stays connected does not keep the process past its stop timeout.
+func TestDrainEndsInTime(t *testing.T) {
+	peers := startServer(t, `"stop_ms": 3200`, `"stop_ms": 500`)
+	client := peers.dial()
+	runID := client.sendRequest("preview", "x")
+	peers.expectCommand("launch", runID)
+	peers.server.Drain()
+	value, err := client.decoder.next()
+	require.NoError(t, err)
+	require.Equal(t, methodClosing, value.(arrayValue)[1])
+	client.expectAnswer(1, codeInternal)
+	require.NoError(t, await(peers, peers.serverDone, "end of the server"))
+	client.expectConnectionEnd()
+}
+
+// A drain closes the listener while the kernel has accepted a connection that the server has not, with a request on
+// it: the request is read and rejected. The connection was reset.
+func TestDrainAnswersConnectionsNotYetAccepted(t *testing.T) {
+	t.Parallel()
+	for _, acceptedBefore := range []bool{true, false} {
+		t.Run(fmt.Sprint("accepted before: ", acceptedBefore), func(t *testing.T) {
+			t.Parallel()
+			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			require.NoError(t, err)
+			defer ln.Close()
+			maxConns := 1
+			if acceptedBefore {
+				maxConns = 2
+			}
+			peers := startServerWithLimit(t, ln, "", maxConns, slices.Concat(longStopTimeout, briefDrainGrace)...)
+			peers.handshake <- "steady"
+			peers.expectCommand("subscribe", "")
+			peers.expectNoCommand() // so that the handshake is done
+			client := peers.dial()
+			runID := client.sendRequest("preview", "x")
+			peers.expectCommand("launch", runID) // and has the only slot
+			other := peers.dial()
+			if acceptedBefore {
+				other.write(encodeHealthCheck(1, nil))
+				other.expectHealthy(1)
+				other.lastCall = 1
+			}
+			late := []string{"at", fmt.Sprint(time.Now().Add(500 * time.Millisecond).UnixMilli())} // after the drain began
+			if !acceptedBefore {
+				other.sendRequest("preview", "y", late...)
+			}
+			peers.server.Drain()
+			client.expectClosing()
+			peers.expectNoCommand() // so that the listener is closed
+			if acceptedBefore {
+				other.sendRequest("preview", "y", late...)
+			}
+			peers.agentSends("outcome", runID, "success", []byte("x"))
+			client.expectAnswer(1, "x")
+			client.netConn.Close()
+			other.expectClosing()
+			other.expectAnswer(int(other.lastCall), codeOverloaded)
+			other.netConn.Close()
+			require.NoError(t, await(peers, peers.serverDone, "end of the server"))
+			require.Empty(t, peers.commands)
+		})
+	}
+}
+
+// inFlightEvent is what ends a request in flight, besides a drain.
+type inFlightEvent struct {
+	name         string
+	timeout      string // the request's, in milliseconds
+	trigger      func(client *testClient, runID string)
+	expectAnswer func(client *testClient)
+}
+
+var inFlightEvents = []inFlightEvent{
+	{
+		name:    "outcome",
+		timeout: "600000",
+		trigger: func(client *testClient, runID string) {
+			client.agentSends("outcome", runID, "success", []byte("x"))
+		},
+		expectAnswer: func(client *testClient) { client.expectAnswer(1, "x") },
+	},
+	{
+		name:         "cancel",
+		timeout:      "600000",
+		trigger:      func(client *testClient, _ string) { client.write(encodeCancel(1)) },
+		expectAnswer: func(*testClient) {},
+	},
+	{
+		name:         "disconnect",
+		timeout:      "600000",
+		trigger:      func(client *testClient, _ string) { client.netConn.Close() },
+		expectAnswer: func(*testClient) {},
+	},
+	{
+		name:         "deadline",
+		timeout:      "3000",
+		trigger:      func(*testClient, string) {},
+		expectAnswer: func(client *testClient) { client.expectAnswer(1, codeInternal) },
+	},
+}
+
+// A request in flight is answered, cancelled or timed out, or its client disconnects, before or after a drain begins:
+// it is answered once or not at all, and the process ends with its last connection, long before its stop timeout.
+func TestDrainEndsAfterRequestsInFlight(t *testing.T) {
+	t.Parallel()
+	for _, event := range inFlightEvents {
+		t.Run(event.name+", first "+event.name, func(t *testing.T) {
+			t.Parallel()
+			client, runID := startRunToDrain(t, event.timeout)
+			event.trigger(client, runID)
+			event.expectAnswer(client)
+			client.server.Drain()
+			client.server.Drain()
+			if event.name != "disconnect" {
+				client.expectClosing()
+			}
+			client.netConn.Close()
+			require.NoError(t, await(client.testPeers, client.serverDone, "end of the server"))
+		})
+		t.Run(event.name+", first drain", func(t *testing.T) {
+			t.Parallel()
+			client, runID := startRunToDrain(t, event.timeout)
+			client.server.Drain()
+			client.server.Drain()
+			if event.name == "deadline" {
+				client.expectAnswerAndClosing()
+			} else {
+				client.expectClosing()
+				event.trigger(client, runID)
+				event.expectAnswer(client)
+			}
+			client.netConn.Close()
+			require.NoError(t, await(client.testPeers, client.serverDone, "end of the server"))
+		})
+	}
+}
+
+// startRunToDrain starts a server and a run for a client's request with that timeout.
+func startRunToDrain(t *testing.T, timeout string) (client *testClient, runID string) {
+	t.Helper()
+	peers := startServer(t, slices.Concat(longStopTimeout, briefDrainGrace, noIdleClose)...)
+	client = peers.dial()
+	runID = client.sendRequest("preview", "x", "wait", timeout)
+	peers.expectCommand("launch", runID)
+	return client, runID
+}
+
+// expectAnswerAndClosing reads a response and the notification that the connection is closing, in either order: on a
+// slow machine a deadline may come before the drain.
+func (c *testClient) expectAnswerAndClosing() {
+	c.Helper()
+	var kinds []any
+	for range 2 {
+		value, err := c.decoder.next()
+		require.NoError(c, err)
+		kinds = append(kinds, value.(arrayValue)[0])
+	}
+	require.ElementsMatch(c, []any{int64(kindResponse), int64(kindNotification)}, kinds)
+}
+
+// A configuration with a longer drain grace is loaded before or after a drain begins, and then a request arrives: the
+// grace in force at the start of the drain counts.
+func TestReloadDuringDrainKeepsItsGrace(t *testing.T) {
+	t.Parallel()
+	for _, first := range []string{"reload", "drain"} {
+		t.Run(first, func(t *testing.T) {
+			t.Parallel()
+			peers := startServer(t, slices.Concat(longStopTimeout, briefDrainGrace, noIdleClose)...)
+			client := peers.dial()
+			client.write(encodeHealthCheck(1, nil))
+			client.expectHealthy(1)
+			client.lastCall = 1
+			longer := *peers.cfg
+			longer.Settings.DrainGrace = time.Hour
+			if first == "reload" {
+				peers.server.Reload(&longer, nil)
+			}
+			peers.server.Drain()
+			client.expectClosing()
+			if first == "drain" {
+				peers.server.Reload(&longer, nil)
+			}
+			afterDrain := fmt.Sprint(time.Now().Add(500 * time.Millisecond).UnixMilli())
+			runID := client.sendRequest("preview", "x", "at", afterDrain)
+			if first == "reload" {
+				peers.expectCommand("launch", runID)
+				peers.agentSends("outcome", runID, "success", []byte("x"))
+				client.expectAnswer(2, "x")
+				return
+			}
+			client.expectAnswer(2, codeOverloaded)
+			require.Empty(t, peers.commands)
+			client.netConn.Close()
+			require.NoError(t, await(peers, peers.serverDone, "end of the server"))
+		})
+	}
+}
+
+// A newer process replaces this one: no connection is rejected or left unread, each process answers what it has read,
+// and a request with an idempotency key is run by one of them, whose result answers attempts at both.
+func TestReplacementAnswersEveryRequest(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer ln.Close()
+	path := filepath.Join(t.TempDir(), "s")
+	older := startServerOn(t, ln, path, longStopTimeout...)
+	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, testTimeout, time.Millisecond)
+	client := older.dial()
+	runID := client.sendRequest("licence-order", "a", "once", "aa")
+	older.expectCommand("launch", runID)
+	newer := startServerOn(t, ln, path)
+	newer.attempts = 100 // so that its ids differ
+	older.server.Drain()
+	client.expectClosing()
+	other := newer.dial()
+	for other.isClosing() { // the older process had accepted it
+		other.netConn.Close()
+		other = newer.dial()
+	}
+	other.lastCall = 1
+	other.sendRequest("licence-order", "a", "once", "aa")
+	newer.expectNoCommand()
+	older.agentSends("outcome", runID, "success", []byte("done"))
+	client.expectAnswer(1, "done")
+	other.expectAnswer(2, "done")
+
+	crossingID := other.sendRequest("licence-order", "b", "once", "bb")
+	newer.expectCommand("launch", crossingID)
+	client.sendRequest("licence-order", "b", "once", "bb")
+	older.expectNoCommand()
+	newer.agentSends("outcome", crossingID, "success", []byte("other"))
+	other.expectAnswer(3, "other")
+	client.expectAnswer(2, "other")
+	client.netConn.Close()
+	require.NoError(t, await(older, older.serverDone, "end of the older process"))
+
+	other.sendRequest("licence-order", "a", "once", "aa")
+	other.expectAnswer(4, "done")
+	newer.expectNoCommand()
+}
--- /dev/null
+++ b/internal/msgpackrpc/errors_test.go
@@ -0,0 +1,71 @@
+package msgpackrpc
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Whoever handles an invalid request can tell which part and field is wrong without reading the text.
+func TestInvalidRequestIsAFieldError(t *testing.T) {
+	wrongID := sampleFields()
+	wrongID["id"] = "x"
+	for _, test := range []struct {
+		name  string
+		frame string
+		want  FieldError
+	}{
+		{"method", "\x94\x00\x07\xc0\x92\x80\xc4\x00", FieldError{Part: PartMethod, Problem: "want a string"}},
+		{"parameters", "\x94\x00\x07\xa1x\x91\x80", FieldError{Part: PartParameters, Problem: "want [FIELDS, BODY]"}},
+		{"fields", "\x94\x00\x07\xa1x\x92\x01\xc4\x00", FieldError{Part: PartFields, Problem: "want a map"}},
+		{"field that is no string", "\x94\x00\x07\xa1x\x92\x81\xa2id\x01\xc4\x00",
+			FieldError{Part: PartField, Field: "id", Problem: "want a string"}},
+		{"wrong value", string(encodeRequest(7, "preview", wrongID, nil)),
+			FieldError{Part: PartField, Field: "id", Problem: `want 16 to 16 hex digits, got "x"`}},
+		{"body", string(encodeRequest(7, "preview", sampleFields(), make([]byte, maxBody+1))),
+			FieldError{Part: PartBody, Problem: "want up to 2048 bytes of type bin"}},
+	} {
+		_, err := parseRequest(mustParse(t, []byte(test.frame)), &methodCache{})
+		var fieldError *FieldError
+		require.ErrorAs(t, err, &fieldError, test.name)
+		require.Equal(t, test.want, *fieldError, test.name)
+	}
+}
+
+// A malformed frame is a FrameError with its cause, and no FieldError.
+func TestMalformedFrameIsAFrameError(t *testing.T) {
+	for sent, cause := range map[string]error{
+		"\xc1":                                  errInvalidTag,
+		"\xc6\xff\xff\xff\xff":                  errFrameTooLong,
+		"\xdc\x20\x00":                          errFrameTooLong,
+		strings.Repeat("\x91", maxDepth+2):      errFrameTooDeep,
+		"\xdc\x00\x80":                          errTooManyValues,
+		"\xc0":                                  errNotRPCMessage,
+		"\x94\x01\x02\xc0\xc0":                  errNotRPCMessage,
+		"\x94\x00\xff\xa1x\x90":                 errNotRPCMessage,
+		"\x93\x00\x01\xa1x":                     errNotRPCMessage,
+		"\x94\x02\xa1x\x90\xc0":                 errNotRPCMessage,
+		"\x94\x00\x01\xa1x\xc6\xff\xff\xff\xff": errFrameTooLong,
+	} {
+		frame, err := readFrame([]byte(sent), len(sent))
+		if err == nil {
+			_, err = parseMessage(frame)
+		}
+		var frameError *FrameError
+		require.ErrorAs(t, err, &frameError, "%q", sent)
+		require.ErrorIs(t, err, cause, "%q", sent)
+		var fieldError *FieldError
+		require.NotErrorAs(t, err, &fieldError, "%q", sent)
+	}
+}
+
+// Each part has a name of its own in error texts.
+func TestRequestPartNames(t *testing.T) {
+	names := map[string]bool{}
+	for part := PartMethod; part <= PartBody; part++ {
+		names[part.String()] = true
+	}
+	require.Len(t, names, int(PartBody)+1)
+	require.NotContains(t, names, (PartBody + 1).String())
+}
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -21,7 +21,7 @@
 
 var update = flag.Bool("update", false, "record the golden files anew")
 
-// goldenCase is one line of a golden file: the name of a form, and the form as text.
+// goldenCase is one line of a golden file: a name, and the text that is recorded under it.
 type goldenCase struct{ name, text string }
 
 // requireGolden compares cases with a file in testdata, which must hold just these, in this order.
@@ -40,7 +40,7 @@
 	require.Equal(t, string(want), got.String())
 }
 
-// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
+// readGolden returns the texts of a file in testdata by name. It must have as many as the test has cases.
 func readGolden(t *testing.T, file string, count int) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", file))
@@ -56,7 +56,7 @@
 	return forms
 }
 
-// Every answer and notification to a front end, one frame a line, in hex digits.
+// Every response and notification to a client, one frame a line, in hex digits.
 func TestGoldenAnswers(t *testing.T) {
 	body := func(n int) []byte { return bytes.Repeat([]byte{0xab}, n) }
 	reason := func(n int) string { return strings.Repeat("r", n) }
@@ -101,7 +101,7 @@
 	requireGolden(t, "answers.golden", cases)
 }
 
-// What a front end reads to the end of its connection while the server drains.
+// What a client reads until the end of its connection while the server drains.
 func TestGoldenClose(t *testing.T) {
 	var cases []goldenCase
 	for _, test := range []struct {
@@ -133,7 +133,7 @@
 	requireGolden(t, "close.golden", cases)
 }
 
-// parsedCancel is what was read of a cancelRequest; no number is told where it has none.
+// parsedCancel is what was read of a cancelRequest; found is false where it has no call.
 type parsedCancel struct {
 	call  uint32
 	found bool
@@ -155,7 +155,7 @@
 	return parseRequest(msg, &methodCache{})
 }
 
-// Every message from a front end, one frame a line, in hex digits.
+// Every message from a client, one frame a line, in hex digits.
 func TestGoldenRequests(t *testing.T) {
 	minimal := server.Attempt{ID: "9B1F03AA5C7E2D41", Class: "preview", Client: 2147483647, MemoryKB: 0.5, Body: []byte("x")}
 	crop, twice := minimal, minimal
@@ -198,7 +198,7 @@
 	}
 }
 
-// What is logged of a frame that ends its connection.
+// What is logged of a malformed frame, which ends its connection.
 func TestGoldenBrokenFrames(t *testing.T) {
 	var cases []goldenCase
 	for _, test := range []struct{ name, sent string }{
@@ -226,7 +226,7 @@
 	requireGolden(t, "broken.golden", cases)
 }
 
-// The reason that a front end is given for each wrong field of a request or health check.
+// The reason that a client is sent for each wrong field of a request or health check.
 func TestGoldenWrongFields(t *testing.T) {
 	long := strings.Repeat("k", maxKeyLength+1)
 	requests := []struct{ name, frame string }{
@@ -236,7 +236,7 @@
 		{"fields that are no map", "\x94\x00\x07\xa1x\x92\x01\xc4\x00"},
 		{"field that is no text", "\x94\x00\x07\xa1x\x92\x81\xa2id\x01\xc4\x00"},
 		{"name that is no text", "\x94\x00\x07\xa1x\x92\x81\x01\xa2id\xc4\x00"},
-		{"body past the limit", string(appendRequest(7, "preview", sampleFields(), make([]byte, maxBody+1)))},
+		{"body past the limit", string(encodeRequest(7, "preview", sampleFields(), make([]byte, maxBody+1)))},
 		{"body that is a text", "\x94\x00\x07\xa1x\x92" + string(appendFields(nil, sampleFields())) + "\xa1b"},
 		{"health check without parameters", "\x94\x00\x07\xa5alive\x90"},
 		{"health check, fields that are no map", "\x94\x00\x07\xa5alive\x91\x01"},
@@ -257,7 +257,8 @@
 		if fields[test.field] = test.value; test.value == absentField {
 			delete(fields, test.field)
 		}
-		requests = append(requests, struct{ name, frame string }{test.field + ", " + test.what, string(appendRequest(7, "preview", fields, nil))})
+		frame := string(encodeRequest(7, "preview", fields, nil))
+		requests = append(requests, struct{ name, frame string }{test.field + ", " + test.what, frame})
 	}
 	var cases []goldenCase
 	for _, test := range requests {
@@ -268,25 +269,23 @@
 	requireGolden(t, "fields.golden", cases)
 }
 
-// expectInvalid reads an answer to a request that was wrong, and returns why.
-func (f *testClient) expectInvalid() string {
-	f.Helper()
-	value, err := f.decoder.next()
-	require.NoError(f, err)
-	answer := value.(arrayValue)
-	require.Equal(f, arrayValue{int64(1), int64(f.lastCall)}, answer[:2])
-	require.Nil(f, answer[3])
-	fault := answer[2].(arrayValue)
-	require.Equal(f, "Invalid", fault[0])
-	reasons := fault[1].(mapValue)
-	require.Len(f, reasons, 1)
-	require.Equal(f, "reason", reasons[0].key)
+// expectInvalid reads the response to the last request, which must be that it was invalid, and returns the reason.
+func (c *testClient) expectInvalid() string {
+	c.Helper()
+	fault, result := c.readResponse(int(c.lastCall))
+	require.Nil(c, result)
+	details := fault.(arrayValue)
+	require.Equal(c, "Invalid", details[0])
+	reasons := details[1].(mapValue)
+	require.Len(c, reasons, 1)
+	require.Equal(c, "reason", reasons[0].key)
 	return reasons[0].value.(string)
 }
 
-// The reason that a front end is given for a request that can be read and that the server does not take.
+// The reason that a client is sent for a request that is well-formed and that the server does not accept.
 func TestGoldenReasons(t *testing.T) {
-	peers := startServer(t, append([]string{`"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 1, "QuotaPerS": 9}]`}, noIdleClose...)...)
+	oneTenant := []string{`"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 1, "QuotaPerS": 9}]`}
+	peers := startServer(t, append(oneTenant, noIdleClose...)...)
 	client := peers.dial()
 	var cases []goldenCase
 	expectReason := func(name, class, body string, change ...string) {
--- a/internal/msgpackrpc/harness_test.go
+++ b/internal/msgpackrpc/harness_test.go
@@ -9,7 +9,6 @@
 	"io"
 	"net"
 	"os"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
@@ -24,18 +23,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-const testTimeout = 30 * time.Second // after which a test that hangs is given up
+// testTimeout is after how long a step of a test fails.
+const testTimeout = 30 * time.Second
+
+// noIdleClose keeps the server from closing idle connections, however slow the machine is.
+var noIdleClose = []string{`"IdleUs": 30000000`, `"IdleUs": 0`}
 
 // testPeers is an image server on real sockets, and a scripted peer on each of its links.
 type testPeers struct {
 	*testing.T
 	server     *server.Server
-	cfg        *config.Config // that it was started with; not to be changed
+	cfg        *config.Config // as the server was started; read only
 	addr       string
 	serverDone chan error
-	commands   chan agentCommand // what the agent is told, besides samples
-	samples    chan struct{}     // one for each sample, as far as they are waited for
-	handshake  chan string       // lets the agent greet on the next link, in that state
+	commands   chan agentCommand // to the agent, besides samples
+	samples    chan struct{}     // one for each sample while a test waits for it
+	handshake  chan string       // answers the next handshake, with that state
 	storeCalls chan storeCall
 
 	mu         sync.Mutex
@@ -51,13 +54,13 @@
 	Payload                 []byte
 }
 
-// storeCall is a call to the store, and where its reply goes.
+// storeCall is a call to the store, and the connection for its reply.
 type storeCall struct {
 	net.Conn
 	id, body string
 }
 
-// startServer runs an image server with the sample configuration, in which each old text is replaced.
+// startServer runs an image server with the sample configuration, in which replacements (old, new, old, new) are made.
 func startServer(t *testing.T, replacements ...string) *testPeers {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -65,7 +68,7 @@
 	return startServerOn(t, ln, "", replacements...)
 }
 
-// startServerOn runs one on a socket that listens already, as one of the processes that meet at path.
+// startServerOn is startServer on a socket that listens already, for one of the processes that hand over at path.
 func startServerOn(t *testing.T, ln net.Listener, path string, replacements ...string) *testPeers {
 	peers := startServerBeforeAgent(t, ln, path, replacements...)
 	peers.handshake <- "steady"
@@ -74,41 +77,37 @@
 	return peers
 }
 
-// startServerBeforeAgent runs one whose agent does not greet yet.
+// startServerBeforeAgent is startServerOn with an agent that does not answer the handshake yet.
 func startServerBeforeAgent(t *testing.T, ln net.Listener, path string, replacements ...string) *testPeers {
 	return startServerWithLimit(t, ln, path, 0, replacements...)
 }
 
-// startServerWithLimit runs one that accepts up to most connections at a time; 0 = as many as its configuration lets it.
+// startServerWithLimit is startServerBeforeAgent with at most maxConns connections at a time; 0 = the configured limit.
 func startServerWithLimit(t *testing.T, ln net.Listener, path string, maxConns int, replacements ...string) *testPeers {
-	peers := &testPeers{T: t, serverDone: make(chan error, 1), commands: make(chan agentCommand, 100), samples: make(chan struct{}),
-		handshake: make(chan string, 1), storeCalls: make(chan storeCall, 10)}
-	text, err := os.ReadFile("../config/testdata/config.json")
-	require.NoError(t, err)
-	// A machine that stands still for a while must not turn a test's requests into late ones.
-	replacements = append(replacements, `"AimUs": 1900000`, `"AimUs": 600000000`,
-		`"DeadlineUs": 7000000`, `"DeadlineUs": 600000000`, `"DeadlineUs": 5800000`, `"DeadlineUs": 600000000`)
-	cfg, err := config.Parse([]byte(strings.NewReplacer(replacements...).Replace(string(text))), func(string) string { return "" })
-	require.NoError(t, err)
+	cfg := sampleConfig(t, replacements...)
 	agent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	store, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	cfg.Agent, cfg.Store = agent.Addr().String(), store.Addr().String()
 	cfg.Handover, cfg.ReplacedStopTimeout = path, time.Hour
-	log, _ := test.NewNullLogger()
-	file, err := ln.(*net.TCPListener).File()
-	require.NoError(t, err)
-	defer file.Close()
-	fd, err := syscall.Dup(int(file.Fd()))
-	require.NoError(t, err)
 	if maxConns == 0 {
 		maxConns = cfg.Limits.FrontSockets()
 	}
-	listener, err := Inherit(uintptr(fd), maxConns, logging.NewLimiter(log))
+	log, _ := test.NewNullLogger()
+	listener, err := Inherit(duplicateDescriptor(t, ln), maxConns, logging.NewLimiter(log))
 	require.NoError(t, err)
-	peers.addr = listener.Addr().String()
-	peers.cfg, peers.server = cfg, server.New(cfg, log)
+	peers := &testPeers{
+		T:          t,
+		server:     server.New(cfg, log),
+		cfg:        cfg,
+		addr:       listener.Addr().String(),
+		serverDone: make(chan error, 1),
+		commands:   make(chan agentCommand, 100),
+		samples:    make(chan struct{}),
+		handshake:  make(chan string, 1),
+		storeCalls: make(chan storeCall, 10),
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { peers.serverDone <- peers.server.Run(ctx, listener) }()
 	go peers.serveAgent(agent)
@@ -117,6 +116,31 @@
 	return peers
 }
 
+// sampleConfig returns the sample configuration with replacements. Its deadlines are so long that a machine that stands
+// still for a while does not make a test's requests late, unless replacements change them.
+func sampleConfig(t *testing.T, replacements ...string) *config.Config {
+	t.Helper()
+	text, err := os.ReadFile("../config/testdata/config.json")
+	require.NoError(t, err)
+	replacements = append(replacements, `"AimUs": 1900000`, `"AimUs": 600000000`,
+		`"DeadlineUs": 7000000`, `"DeadlineUs": 600000000`, `"DeadlineUs": 5800000`, `"DeadlineUs": 600000000`)
+	replaced := strings.NewReplacer(replacements...).Replace(string(text))
+	cfg, err := config.Parse([]byte(replaced), func(string) string { return "" })
+	require.NoError(t, err)
+	return cfg
+}
+
+// duplicateDescriptor returns a descriptor of the listener's socket, which the caller owns.
+func duplicateDescriptor(t *testing.T, ln net.Listener) uintptr {
+	t.Helper()
+	file, err := ln.(*net.TCPListener).File()
+	require.NoError(t, err)
+	fd, err := syscall.Dup(int(file.Fd()))
+	require.NoError(t, err)
+	require.NoError(t, file.Close())
+	return uintptr(fd)
+}
+
 // serveAgent accepts the server's links, one after the other.
 func (p *testPeers) serveAgent(ln net.Listener) {
 	for {
@@ -155,7 +179,7 @@
 	}
 }
 
-// serveStore takes calls on whatever connection they come.
+// serveStore accepts calls on any number of connections.
 func (p *testPeers) serveStore(ln net.Listener) {
 	for {
 		storeConn, err := ln.Accept()
@@ -183,6 +207,7 @@
 	}
 }
 
+// await receives a value, or fails the test after testTimeout.
 func await[T any](peers *testPeers, from <-chan T, what string) (value T) {
 	peers.Helper()
 	select {
@@ -201,7 +226,7 @@
 	return command
 }
 
-// expectNoCommand lets the server take some turns of its sweep and reports a command that came by then.
+// expectNoCommand gives the server time to send a command, and fails the test where it did.
 func (p *testPeers) expectNoCommand() {
 	p.Helper()
 	for range 3 {
@@ -210,7 +235,7 @@
 	require.Empty(p, p.commands)
 }
 
-// agentSends sends a notice about a request.
+// agentSends sends an event of a run.
 func (p *testPeers) agentSends(command, requestID, result string, payload []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,94 +244,9 @@
 		requestID, result, base64.StdEncoding.EncodeToString(payload))
 }
 
-// breakAgentLink breaks the link to the agent; the next one waits for greet.
+// breakAgentLink closes the link to the agent; the next one waits for handshake.
 func (p *testPeers) breakAgentLink() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.agentConn.Close()
 }
-
-// testClient is a connection to the server.
-type testClient struct {
-	*testPeers
-	netConn  net.Conn
-	decoder  decoder
-	lastCall uint32
-}
-
-func (p *testPeers) dial() *testClient {
-	netConn, err := net.Dial("tcp", p.addr)
-	require.NoError(p, err)
-	p.Cleanup(func() { netConn.Close() })
-	require.NoError(p, netConn.SetDeadline(time.Now().Add(testTimeout)))
-	return &testClient{testPeers: p, netConn: netConn, decoder: decoder{source: bufio.NewReader(netConn)}}
-}
-
-func (f *testClient) write(b []byte) {
-	_, err := f.netConn.Write(b)
-	require.NoError(f, err)
-}
-
-const absentField = "\x00" // in place of a field's value
-
-// newRequest makes a request, with its fields changed as told: name, value, name, value.
-func (f *testClient) newRequest(method, body string, changes ...string) (id string, frame []byte) {
-	f.attempts++
-	f.lastCall++
-	fields := sampleFields()
-	delete(fields, "once")
-	id = fmt.Sprintf("%016x", f.attempts)
-	fields["id"], fields["wait"] = id, "600000"
-	fields["at"] = strconv.FormatInt(time.Now().UnixMilli(), 10)
-	for i := 0; i < len(changes); i += 2 {
-		if fields[changes[i]] = changes[i+1]; changes[i+1] == absentField {
-			delete(fields, changes[i])
-		}
-	}
-	return id, appendRequest(f.lastCall, method, fields, []byte(body))
-}
-
-// sendRequest writes a request and returns its id.
-func (f *testClient) sendRequest(method, body string, changes ...string) string {
-	id, frame := f.newRequest(method, body, changes...)
-	f.write(frame)
-	return id
-}
-
-// expectAnswer reads the next message, which must be the answer to a call: a body, or an error's name.
-func (f *testClient) expectAnswer(call int, want string) {
-	f.Helper()
-	value, err := f.decoder.next()
-	require.NoError(f, err)
-	list := value.(arrayValue)
-	require.Equal(f, arrayValue{int64(kindResponse), int64(call)}, list[:2])
-	if list[2] != nil {
-		require.Equal(f, want, list[2].(arrayValue)[0], "%v", list[2])
-		return
-	}
-	require.Equal(f, want, fmt.Sprintf("%s", list[3].(arrayValue)[0]))
-}
-
-// expectConnectionEnd reads the end of the connection.
-func (f *testClient) expectConnectionEnd() {
-	f.Helper()
-	value, err := f.decoder.next()
-	require.Error(f, err, "%v", value)
-	require.NotErrorIs(f, err, os.ErrDeadlineExceeded)
-}
-
-// expectClosing reads the notification that the connection is closing.
-func (f *testClient) expectClosing() {
-	f.Helper()
-	value, err := f.decoder.next()
-	require.NoError(f, err)
-	require.Equal(f, arrayValue{int64(kindNotification), methodClosing, arrayValue{}}, value)
-}
-
-// isClosing makes a health check on a new connection, and reports whether it is closing instead.
-func (f *testClient) isClosing() bool {
-	f.write(appendHealthCheck(1, nil))
-	value, err := f.decoder.next()
-	require.NoError(f, err)
-	return value.(arrayValue)[0] == int64(kindNotification)
-}
--- /dev/null
+++ b/internal/msgpackrpc/idempotency_test.go
@@ -0,0 +1,112 @@
+package msgpackrpc
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// However often a request with an idempotency key arrives within its window, it runs once, and its result answers
+// every attempt.
+func TestIdempotentRequestRunsOnce(t *testing.T) {
+	peers := startServer(t)
+	client := peers.dial()
+	once := []string{"once", "ab12"}
+	firstID, firstFrame := client.newRequest("licence-order", "order", once...)
+	_, secondFrame := client.newRequest("licence-order", "order", once...)
+	client.write(append(firstFrame, secondFrame...)) // both may be read at once
+	peers.expectCommand("launch", firstID)
+	client.sendRequest("licence-order", "order", once...) // during the run
+	peers.expectNoCommand()
+	peers.agentSends("outcome", firstID, "success", []byte("done"))
+	client.expectAnswer(1, "done")
+	client.expectAnswer(2, "done")
+	client.expectAnswer(3, "done")
+	other := peers.dial()
+	other.sendRequest("licence-order", "order", once...) // after it
+	other.expectAnswer(1, "done")
+	peers.expectNoCommand()
+
+	// A run that failed may have had its effect: no other attempt may run.
+	past := time.Now().Add(-time.Minute).UnixMilli() // longer than its window
+	failedID := other.sendRequest("licence-order", "order", "once", "cd34", "at", fmt.Sprint(past))
+	peers.expectCommand("launch", failedID)
+	peers.agentSends("outcome", failedID, "failure", nil)
+	other.expectAnswer(2, codeInternal)
+	other.sendRequest("licence-order", "order", "once", "cd34", "at", fmt.Sprint(past+1000))
+	other.expectAnswer(3, codeInternal)
+
+	// The window counts from the attempt that ran; after it the request is a new one.
+	repeatedID := other.sendRequest("licence-order", "order", "once", "cd34")
+	peers.expectCommand("launch", repeatedID)
+}
+
+// An attempt that arrives twice, on its connection or on another, before or after its answer, is run once and answered
+// once. After the answer it was taken for a new one, and was run and answered a second time.
+func TestDuplicateAttemptRunsOnce(t *testing.T) {
+	t.Parallel()
+	for _, place := range []string{"its connection", "another connection"} {
+		for _, early := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, before the answer: %v", place, early), func(t *testing.T) {
+				t.Parallel()
+				peers := startServer(t, append([]string{`"Idempotency": "safe"`, `"Idempotency": "unsafe"`}, noIdleClose...)...)
+				client := peers.dial()
+				id, frame := client.newRequest("preview", "x")
+				client.write(frame)
+				peers.expectCommand("launch", id)
+				end := func() {
+					peers.agentSends("outcome", id, "success", []byte("x"))
+					client.expectAnswer(1, "x")
+				}
+				if !early {
+					end()
+				}
+				other := client
+				if place != "its connection" {
+					other = peers.dial()
+				}
+				other.write(frame)
+				peers.expectNoCommand() // nothing runs
+				if early {
+					end()
+				}
+				if other == client {
+					client.expectConnectionEnd() // a call number was used twice
+				} else {
+					other.expectAnswer(1, codeInvalid)
+				}
+			})
+		}
+	}
+}
+
+// An idempotent request is retried before or after its run is lost with the agent: both attempts are answered as
+// failed, once, and nothing runs again.
+func TestRetryOfLostRunFails(t *testing.T) {
+	t.Parallel()
+	for _, first := range []string{"retry", "loss"} {
+		t.Run(first, func(t *testing.T) {
+			t.Parallel()
+			peers := startServer(t, noIdleClose...)
+			client, other := peers.dial(), peers.dial()
+			peers.expectCommand("launch", client.sendRequest("licence-order", "order", "once", "ab12"))
+			if first == "retry" {
+				other.sendRequest("licence-order", "order", "once", "ab12")
+				other.write(encodeHealthCheck(2, nil))
+				other.expectHealthy(2) // so that the retry has been read
+			}
+			peers.breakAgentLink()
+			peers.expectCommand("subscribe", "")
+			peers.handshake <- "booting" // the agent has just started
+			client.expectAnswer(1, codeInternal)
+			if first == "loss" {
+				other.sendRequest("licence-order", "order", "once", "ab12")
+			}
+			other.expectAnswer(1, codeInternal)
+			peers.expectCommand("subscribe", "")
+			peers.lastOffset = 0
+			peers.handshake <- "booting"
+			peers.expectNoCommand()
+		})
+	}
+}
--- a/internal/msgpackrpc/input.go
+++ b/internal/msgpackrpc/input.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// stop notes that reading has paused or ended.
+// stop notes that reading has paused or ended, as state says.
 func (in *input) stop(state readState) {
-	in.state.set(state)
+	in.state.transition(state, receivingMessage, awaitingMessage, draining)
 	in.drainBudget = maxDrainBytes
 }
 
--- a/internal/msgpackrpc/read_state.go
+++ b/internal/msgpackrpc/read_state.go
@@ -10,17 +10,16 @@
 //
 //	receivingMessage <-> awaitingMessage    by the reader, as messages begin and end
 //	either           ->  draining           by the server's loop: PauseReading
-//	any of these     ->  paused             by the reader, which reports the end of reading to the server
+//	any of these     ->  paused or ended    by the reader, which reports it to the server
 //	paused           ->  awaitingMessage    by the loop: ResumeReading
 //	paused           ->  draining           by the loop: TryClose, where input has arrived since
-//	any              ->  ended              by the reader
 type readState int32
 
 const (
 	receivingMessage readState = iota // the first message, or the rest of one that began: has messageTimeout
 	awaitingMessage                   // between messages, for as long as the client likes
 	draining                          // what has arrived is read, then reading pauses
-	paused                            // nothing is read until the server's loop resumes it or closes the connection
+	paused                            // nothing is read until the server's loop resumes reading or closes the connection
 	ended                             // no more is handed over
 )
 
@@ -63,9 +62,6 @@
 
 func (m *readStateMachine) current() readState { return readState(m.state.Load()) }
 
-// set changes the state, whatever it is.
-func (m *readStateMachine) set(to readState) { m.state.Store(int32(to)) }
-
 // transition changes the state where it is one of from, and leaves it alone otherwise.
 func (m *readStateMachine) transition(to readState, from ...readState) {
 	for {
--- /dev/null
+++ b/internal/msgpackrpc/testclient_test.go
@@ -0,0 +1,157 @@
+package msgpackrpc
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// testClient is a client's connection to the server.
+type testClient struct {
+	*testPeers
+	netConn  net.Conn
+	decoder  decoder
+	lastCall uint32
+}
+
+// dial opens a connection of a client.
+func (p *testPeers) dial() *testClient {
+	netConn, err := net.Dial("tcp", p.addr)
+	require.NoError(p, err)
+	p.Cleanup(func() { netConn.Close() })
+	require.NoError(p, netConn.SetDeadline(time.Now().Add(testTimeout)))
+	return &testClient{testPeers: p, netConn: netConn, decoder: decoder{source: bufio.NewReader(netConn)}}
+}
+
+func (c *testClient) write(b []byte) {
+	_, err := c.netConn.Write(b)
+	require.NoError(c, err)
+}
+
+const absentField = "\x00" // in place of a field's value
+
+// newRequest encodes a request whose fields are changed: name, value, name, value.
+func (c *testClient) newRequest(method, body string, changes ...string) (id string, frame []byte) {
+	c.attempts++
+	c.lastCall++
+	fields := sampleFields()
+	delete(fields, "once")
+	id = fmt.Sprintf("%016x", c.attempts)
+	fields["id"], fields["wait"] = id, "600000"
+	fields["at"] = strconv.FormatInt(time.Now().UnixMilli(), 10)
+	for i := 0; i < len(changes); i += 2 {
+		if fields[changes[i]] = changes[i+1]; changes[i+1] == absentField {
+			delete(fields, changes[i])
+		}
+	}
+	return id, encodeRequest(c.lastCall, method, fields, []byte(body))
+}
+
+// sendRequest writes a request and returns its id.
+func (c *testClient) sendRequest(method, body string, changes ...string) string {
+	id, frame := c.newRequest(method, body, changes...)
+	c.write(frame)
+	return id
+}
+
+// expectAnswer reads the next message, which must be the response to a call: a body, or the name of an error.
+func (c *testClient) expectAnswer(call int, want string) {
+	c.Helper()
+	fault, result := c.readResponse(call)
+	if fault != nil {
+		require.Equal(c, want, fault.(arrayValue)[0], "%v", fault)
+		return
+	}
+	require.Equal(c, want, fmt.Sprintf("%s", result.(arrayValue)[0]))
+}
+
+// expectHealthy reads the next message, which must be the response to a health check of a healthy server.
+func (c *testClient) expectHealthy(call int) {
+	c.Helper()
+	fault, result := c.readResponse(call)
+	require.Nil(c, fault)
+	require.Equal(c, arrayValue{true, mapValue{}}, result)
+}
+
+// readResponse reads the next message, which must be the response to a call, and returns its error and result.
+func (c *testClient) readResponse(call int) (fault, result any) {
+	c.Helper()
+	value, err := c.decoder.next()
+	require.NoError(c, err)
+	list := value.(arrayValue)
+	require.Len(c, list, 4)
+	require.Equal(c, arrayValue{int64(kindResponse), int64(call)}, list[:2])
+	return list[2], list[3]
+}
+
+// expectConnectionEnd reads the end of the connection.
+func (c *testClient) expectConnectionEnd() {
+	c.Helper()
+	value, err := c.decoder.next()
+	require.Error(c, err, "%v", value)
+	require.NotErrorIs(c, err, os.ErrDeadlineExceeded)
+}
+
+// expectClosing reads the notification that the connection is closing.
+func (c *testClient) expectClosing() {
+	c.Helper()
+	value, err := c.decoder.next()
+	require.NoError(c, err)
+	require.Equal(c, arrayValue{int64(kindNotification), methodClosing, arrayValue{}}, value)
+}
+
+// isClosing sends a health check on a new connection, and reports whether "closing" comes instead of a response.
+func (c *testClient) isClosing() bool {
+	c.write(encodeHealthCheck(1, nil))
+	value, err := c.decoder.next()
+	require.NoError(c, err)
+	return value.(arrayValue)[0] == int64(kindNotification)
+}
+
+// sampleFields returns the fields of a valid request.
+func sampleFields() map[string]string {
+	return map[string]string{
+		"id":   "9b1f03aa5c7e2d41",
+		"at":   "1764576000123",
+		"from": "4",
+		"wait": "480",
+		"cost": "12.50",
+		"kb":   "24.5",
+		"rank": "0.6250",
+		"once": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+		"key":  "7f3a",
+	}
+}
+
+// appendFields appends fields as a map of strings to strings.
+func appendFields(b []byte, fields map[string]string) []byte {
+	b = appendMap(b, len(fields))
+	for name, value := range fields {
+		b = appendString(appendString(b, name), value)
+	}
+	return b
+}
+
+// encodeRequest returns a request.
+func encodeRequest(call uint32, method string, fields map[string]string, body []byte) []byte {
+	b := appendUint(append(appendArray(nil, 4), kindRequest), call)
+	b = appendFields(appendArray(appendString(b, method), 2), fields)
+	return appendBinary(b, body)
+}
+
+// encodeHealthCheck returns a health check.
+func encodeHealthCheck(call uint32, fields map[string]string) []byte {
+	b := appendUint(append(appendArray(nil, 4), kindRequest), call)
+	return appendFields(appendArray(appendString(b, methodHealth), 1), fields)
+}
+
+// encodeCancel returns the notification that cancels a call.
+func encodeCancel(call uint32) []byte {
+	b := appendString(append(appendArray(nil, 3), kindNotification), methodCancel)
+	return appendUint(appendArray(b, 1), call)
+}
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -43,8 +43,8 @@
 	return queue
 }
 
-// Send queues a message, which must not be changed any more. It never blocks: where the queue is full the connection is
-// closed.
+// Send queues a message, which must not be changed any more. It never blocks: where the queue is full the connection
+// is closed.
 func (q *Queue) Send(b []byte) {
 	q.unwritten.Add(1)
 	select {
