--- a/internal/msgpackrpc/frame_test.go
+++ b/internal/msgpackrpc/frame_test.go
@@ -32,7 +32,8 @@
 // A frame that claims more than any may have ends the connection before memory is taken for it.
 func TestOversizedFramesAreRejected(t *testing.T) {
 	for _, encoded := range []string{"\xc1", "\xdd\xff\xff\xff\xff", "\xdf\xff\xff\xff\xff",
-		"\xc6\xff\xff\xff\xff", "\xdb\x7f\xff\xff\xff", "\xde\xff\xff", "\xc9\xff\xff\xff\xff", strings.Repeat("\x91", maxDepth+2),
+		"\xc6\xff\xff\xff\xff", "\xdb\x7f\xff\xff\xff", "\xde\xff\xff", "\xc9\xff\xff\xff\xff",
+		strings.Repeat("\x91", maxDepth+2),
 		"\xdc\x10\x00" + strings.Repeat("\xc0", 1<<12), "\xc5\xff\xff" + strings.Repeat("x", 1<<16),
 		"\xdc\x00\x80" + strings.Repeat("\xc0", 128)} {
 		for _, piece := range []int{1, 7, len(encoded)} {
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -3,12 +3,9 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"flag"
 	"io"
 	"maps"
 	"net"
-	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"testing"
@@ -19,43 +16,6 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
-
-// goldenCase is one line of a golden file: a name, and the text that is recorded under it.
-type goldenCase struct{ name, text string }
-
-// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
-func requireGolden(t *testing.T, file string, cases []goldenCase) {
-	t.Helper()
-	var got strings.Builder
-	for _, c := range cases {
-		got.WriteString(c.name + ": " + c.text + "\n")
-	}
-	path := filepath.Join("testdata", file)
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got.String())
-}
-
-// readGolden returns the texts of a file in testdata by name. It must have as many as the test has cases.
-func readGolden(t *testing.T, file string, count int) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", file))
-	require.NoError(t, err)
-	forms := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
-		require.True(t, found, line)
-		require.NotContains(t, forms, name)
-		forms[name] = form
-	}
-	require.Len(t, forms, count)
-	return forms
-}
-
 // Every response and notification to a client, one frame a line, in hex digits.
 func TestGoldenAnswers(t *testing.T) {
 	body := func(n int) []byte { return bytes.Repeat([]byte{0xab}, n) }
@@ -81,10 +41,12 @@
 		{"unhealthy", 2, server.Answer{Kind: server.Unhealthy}},
 		{"failed", 3, server.Answer{Kind: server.Failed}},
 		{"refused without advice", 4, server.Answer{Kind: server.Rejected}},
-		{"refused, stay away for less than a millisecond", 4, server.Answer{Kind: server.Rejected, RetryAfter: 999 * time.Microsecond}},
+		{"refused, stay away for less than a millisecond", 4,
+			server.Answer{Kind: server.Rejected, RetryAfter: 999 * time.Microsecond}},
 		{"refused, stay away", 4, server.Answer{Kind: server.Rejected, RetryAfter: 1250999 * time.Microsecond}},
 		{"refused for good", 4, server.Answer{Kind: server.Rejected, NoRetryElsewhere: true}},
-		{"refused for good, stay away", 4, server.Answer{Kind: server.Rejected, RetryAfter: 250 * time.Millisecond, NoRetryElsewhere: true}},
+		{"refused for good, stay away", 4,
+			server.Answer{Kind: server.Rejected, RetryAfter: 250 * time.Millisecond, NoRetryElsewhere: true}},
 		{"invalid without a reason", 5, server.Answer{Kind: server.Invalid}},
 		{"invalid", 5, server.Answer{Kind: server.Invalid, Reason: "field id"}},
 		{"invalid, 31 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(31)}},
@@ -157,20 +119,39 @@
 
 // Every message from a client, one frame a line, in hex digits.
 func TestGoldenRequests(t *testing.T) {
-	minimal := server.Attempt{ID: "9B1F03AA5C7E2D41", Class: "preview", Client: 2147483647, MemoryKB: 0.5, Body: []byte("x")}
+	minimal := server.Attempt{
+		ID:       "9B1F03AA5C7E2D41",
+		Class:    "preview",
+		Client:   2147483647,
+		MemoryKB: 0.5,
+		Body:     []byte("x"),
+	}
+	complete := server.Attempt{
+		ID:             "9b1f03aa5c7e2d41",
+		IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+		Subject:        "7f3a",
+		Class:          "preview",
+		Tenant:         "north",
+		Retry:          true,
+		ArrivedAt:      1764576000123 * time.Millisecond,
+		Timeout:        480 * time.Millisecond,
+		Client:         4,
+		CostHint:       12500 * time.Microsecond,
+		MemoryKB:       24.5,
+		Rank:           0.625,
+		Body:           []byte("\x00\xffbody\r\n"),
+	}
 	crop, twice := minimal, minimal
 	crop.Class, crop.Body = "hires-crop", []byte{}
 	twice.MemoryKB = 7
 	cases := []struct {
 		name   string
-		kind   int64
+		kind   messageKind
 		call   uint32
 		method string
 		want   any
 	}{
-		{"request with all fields", 0, 7, "preview", server.Attempt{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-			Subject: "7f3a", Class: "preview", Tenant: "north", Retry: true, ArrivedAt: 1764576000123 * time.Millisecond,
-			Timeout: 480 * time.Millisecond, Client: 4, CostHint: 12500 * time.Microsecond, MemoryKB: 24.5, Rank: 0.625, Body: []byte("\x00\xffbody\r\n")}},
+		{"request with all fields", 0, 7, "preview", complete},
 		{"request with the least fields", 0, 255, "hires-crop", crop},
 		{"request with a field twice and one unknown", 0, 256, "preview", twice},
 		{"request in the widest heads", 0, 4294967295, "preview", minimal},
@@ -243,7 +224,8 @@
 		{"health check, field that is no text", "\x94\x00\x07\xa5alive\x91\x81\xa4deep\xc3"},
 	}
 	for _, test := range []struct{ field, what, value string }{
-		{"id", "absent", absentField}, {"id", "short", "9b1f"}, {"id", "no hex digits", "9b1f03aa5c7e2d4g"}, {"id", "long", long},
+		{"id", "absent", absentField}, {"id", "short", "9b1f"}, {"id", "no hex digits", "9b1f03aa5c7e2d4g"},
+		{"id", "long", long},
 		{"at", "absent", absentField}, {"at", "negative", "-1"}, {"at", "too late", "4398046511105"},
 		{"wait", "empty", ""}, {"wait", "too long", "3600001"},
 		{"from", "absent", absentField}, {"from", "too large", "2147483648"},
--- a/internal/msgpackrpc/harness_test.go
+++ b/internal/msgpackrpc/harness_test.go
@@ -157,25 +157,30 @@
 			if command.Cmd != "sample" {
 				p.commands <- command
 			}
-			switch command.Cmd {
-			case "subscribe":
-				state := <-p.handshake
-				p.mu.Lock()
-				p.agentConn = agentConn
-				p.mu.Unlock()
-				elapsed := 3600000
-				if state == "booting" {
-					elapsed = 0
-				}
-				fmt.Fprintf(agentConn, `{"cmd":"greeting","result":%q,"elapsed_ms":%d}`+"\n", state, elapsed)
-			case "sample":
-				select {
-				case p.samples <- struct{}{}:
-				default:
-				}
-				fmt.Fprintf(agentConn, `{"cmd":"sampled","token":%q,"load":[0.1,0,0.1,1]}`+"\n", command.Token)
-			}
+			p.answerCommand(agentConn, command)
+		}
+	}
+}
+
+// answerCommand does what the agent does by itself: it answers the handshake once a test lets it, and samples.
+func (p *testPeers) answerCommand(agentConn net.Conn, command agentCommand) {
+	switch command.Cmd {
+	case "subscribe":
+		state := <-p.handshake
+		p.mu.Lock()
+		p.agentConn = agentConn
+		p.mu.Unlock()
+		elapsed := 3600000
+		if state == "booting" {
+			elapsed = 0
+		}
+		fmt.Fprintf(agentConn, `{"cmd":"greeting","result":%q,"elapsed_ms":%d}`+"\n", state, elapsed)
+	case "sample":
+		select {
+		case p.samples <- struct{}{}:
+		default:
 		}
+		fmt.Fprintf(agentConn, `{"cmd":"sampled","token":%q,"load":[0.1,0,0.1,1]}`+"\n", command.Token)
 	}
 }
 
@@ -190,23 +195,35 @@
 			defer storeConn.Close()
 			reader := bufio.NewReader(storeConn)
 			for {
-				line, err := reader.ReadString('\n')
-				call := storeCall{Conn: storeConn}
-				var wait, length int
-				if _, scanErr := fmt.Sscanf(line, "CALL %s %d %d\r\n", &call.id, &wait, &length); err != nil || scanErr != nil {
+				call, err := readStoreCall(reader)
+				if err != nil {
 					return
 				}
-				body := make([]byte, length+2)
-				if _, err := io.ReadFull(reader, body); err != nil {
-					return
-				}
-				call.body = strings.TrimSuffix(string(body), "\r\n")
+				call.Conn = storeConn
 				p.storeCalls <- call
 			}
 		}()
 	}
 }
 
+// readStoreCall reads one call.
+func readStoreCall(reader *bufio.Reader) (call storeCall, err error) {
+	line, err := reader.ReadString('\n')
+	if err != nil {
+		return call, err
+	}
+	var wait, length int
+	if _, err := fmt.Sscanf(line, "CALL %s %d %d\r\n", &call.id, &wait, &length); err != nil {
+		return call, err
+	}
+	body := make([]byte, length+len("\r\n"))
+	if _, err := io.ReadFull(reader, body); err != nil {
+		return call, err
+	}
+	call.body = strings.TrimSuffix(string(body), "\r\n")
+	return call, nil
+}
+
 // await receives a value, or fails the test after testTimeout.
 func await[T any](peers *testPeers, from <-chan T, what string) (value T) {
 	peers.Helper()
@@ -240,8 +257,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastOffset++
-	fmt.Fprintf(p.agentConn, `{"cmd":%q,"offset":%d,"req":%q,"result":%q,"elapsed_ms":5,"payload":%q}`+"\n", command, p.lastOffset,
-		requestID, result, base64.StdEncoding.EncodeToString(payload))
+	fmt.Fprintf(p.agentConn, `{"cmd":%q,"offset":%d,"req":%q,"result":%q,"elapsed_ms":5,"payload":%q}`+"\n",
+		command, p.lastOffset, requestID, result, base64.StdEncoding.EncodeToString(payload))
 }
 
 // breakAgentLink closes the link to the agent; the next one waits for handshake.
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -2,13 +2,28 @@
 
 import "math"
 
-// The kinds of message in MessagePack-RPC.
+// messageKind is the kind of a message in MessagePack-RPC, as on the wire.
+type messageKind byte
+
 const (
-	kindRequest      = 0
-	kindResponse     = 1
-	kindNotification = 2
+	kindRequest      messageKind = 0
+	kindResponse     messageKind = 1
+	kindNotification messageKind = 2
 )
 
+// String returns the name of the kind.
+func (k messageKind) String() string {
+	switch k {
+	case kindRequest:
+		return "request"
+	case kindResponse:
+		return "response"
+	case kindNotification:
+		return "notification"
+	}
+	return "unknown"
+}
+
 // The methods with a meaning of their own; any other method of a request is its class.
 const (
 	methodHealth  = "alive"
@@ -24,7 +39,7 @@
 
 // message is one frame from a client. It refers to the bytes of the frame.
 type message struct {
-	kind       int64
+	kind       messageKind
 	call       uint32 // of a request; chosen by the client
 	method     []byte // nil where it is no string
 	params     cursor
@@ -40,11 +55,11 @@
 	if list.kind != valueArray || list.length < notificationParts {
 		return msg, frameErrorf("%w: want an array of 3 or 4", errNotRPCMessage)
 	}
-	kind := parts.header()
-	if kind.kind != valueInt || kind.value != kindRequest && kind.value != kindNotification {
+	kind, ok := parts.uint32()
+	if !ok || kind != uint32(kindRequest) && kind != uint32(kindNotification) {
 		return msg, frameErrorf("%w: neither request nor notification", errNotRPCMessage)
 	}
-	msg.kind = kind.value
+	msg.kind = messageKind(kind)
 	wantParts := notificationParts
 	if msg.kind == kindRequest {
 		wantParts = requestParts
--- a/internal/msgpackrpc/reference_decoder_test.go
+++ b/internal/msgpackrpc/reference_decoder_test.go
@@ -111,8 +111,8 @@
 	return d.sized(tag, depth)
 }
 
-// firstTags maps a tag that is followed by a length to the tag of its group whose length has 1 byte; those of arrays and
-// maps, whose lengths have 2 or 4 bytes, are not in use.
+// firstTags holds, for a tag that is followed by a length, the tag from which the width of the length doubles, starting
+// with 1 byte. For arrays and maps, whose lengths have 2 or 4 bytes, that is the tag before their first.
 var firstTags = [256]uint64{0xc4: 0xc4, 0xc5: 0xc4, 0xc6: 0xc4, 0xc7: 0xc7, 0xc8: 0xc7, 0xc9: 0xc7,
 	0xd9: 0xd9, 0xda: 0xd9, 0xdb: 0xd9, 0xdc: 0xdb, 0xdd: 0xdb, 0xde: 0xdd, 0xdf: 0xdd}
 
--- a/internal/msgpackrpc/reference_parser_test.go
+++ b/internal/msgpackrpc/reference_parser_test.go
@@ -12,7 +12,7 @@
 
 // referenceMessage is one frame from a client.
 type referenceMessage struct {
-	kind   int64
+	kind   messageKind
 	call   uint32
 	method string
 	params arrayValue
@@ -27,12 +27,12 @@
 		return msg, fmt.Errorf("%w: want an array of 3 or 4", errNotRPCMessage)
 	}
 	kind, ok := list[0].(int64)
-	if !ok || kind != kindRequest && kind != kindNotification {
+	if !ok || kind != int64(kindRequest) && kind != int64(kindNotification) {
 		return msg, fmt.Errorf("%w: kind %v", errNotRPCMessage, list[0])
 	}
-	msg.kind = kind
+	msg.kind = messageKind(kind)
 	rest := list[1:]
-	if kind == kindRequest {
+	if msg.kind == kindRequest {
 		id, ok := rest[0].(int64)
 		if !ok || id < 0 || id > math.MaxUint32 || len(rest) != 3 {
 			return msg, fmt.Errorf("%w: a request of %d parts with id %v", errNotRPCMessage, len(list), rest[0])
--- a/internal/msgpackrpc/request_test.go
+++ b/internal/msgpackrpc/request_test.go
@@ -13,9 +13,19 @@
 func TestParseRequest(t *testing.T) {
 	got, err := parseRequest(mustParse(t, encodeRequest(7, "preview", sampleFields(), []byte{0, 255})), &methodCache{})
 	require.NoError(t, err)
-	require.Equal(t, server.Attempt{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Subject: "7f3a",
-		Class: "preview", ArrivedAt: 1764576000123 * time.Millisecond, Timeout: 480 * time.Millisecond, Client: 4,
-		CostHint: 12500 * time.Microsecond, MemoryKB: 24.5, Rank: 0.625, Body: []byte{0, 255}}, got)
+	require.Equal(t, server.Attempt{
+		ID:             "9b1f03aa5c7e2d41",
+		IdempotencyKey: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+		Subject:        "7f3a",
+		Class:          "preview",
+		ArrivedAt:      1764576000123 * time.Millisecond,
+		Timeout:        480 * time.Millisecond,
+		Client:         4,
+		CostHint:       12500 * time.Microsecond,
+		MemoryKB:       24.5,
+		Rank:           0.625,
+		Body:           []byte{0, 255},
+	}, got)
 }
 
 // The answer to an invalid request names the field, so that whoever sent it can find the fault.
--- a/internal/msgpackrpc/response.go
+++ b/internal/msgpackrpc/response.go
@@ -20,7 +20,7 @@
 // encodeAnswer returns the response to a call.
 func encodeAnswer(call uint32, answer server.Answer) []byte {
 	b := slices.Grow([]byte(nil), responseOverhead+len(answer.Body))
-	b = appendUint(append(appendArray(b, requestParts), kindResponse), call)
+	b = appendUint(append(appendArray(b, requestParts), byte(kindResponse)), call)
 	switch answer.Kind {
 	case server.Served:
 		b = appendBinary(appendArray(appendNil(b), 2), answer.Body)
@@ -61,6 +61,6 @@
 
 // encodeClosing returns the notification that no new request should come on the connection.
 func encodeClosing() []byte {
-	b := append(appendArray(nil, notificationParts), kindNotification)
+	b := append(appendArray(nil, notificationParts), byte(kindNotification))
 	return appendArray(appendString(b, methodClosing), 0)
 }
--- a/internal/msgpackrpc/testclient_test.go
+++ b/internal/msgpackrpc/testclient_test.go
@@ -139,19 +139,19 @@
 
 // encodeRequest returns a request.
 func encodeRequest(call uint32, method string, fields map[string]string, body []byte) []byte {
-	b := appendUint(append(appendArray(nil, 4), kindRequest), call)
+	b := appendUint(append(appendArray(nil, 4), byte(kindRequest)), call)
 	b = appendFields(appendArray(appendString(b, method), 2), fields)
 	return appendBinary(b, body)
 }
 
 // encodeHealthCheck returns a health check.
 func encodeHealthCheck(call uint32, fields map[string]string) []byte {
-	b := appendUint(append(appendArray(nil, 4), kindRequest), call)
+	b := appendUint(append(appendArray(nil, 4), byte(kindRequest)), call)
 	return appendFields(appendArray(appendString(b, methodHealth), 1), fields)
 }
 
 // encodeCancel returns the notification that cancels a call.
 func encodeCancel(call uint32) []byte {
-	b := appendString(append(appendArray(nil, 3), kindNotification), methodCancel)
+	b := appendString(append(appendArray(nil, 3), byte(kindNotification)), methodCancel)
 	return appendUint(appendArray(b, 1), call)
 }
