--- a/internal/server/relay.go
+++ b/internal/server/calls.go
@@ -10,36 +10,36 @@
 
 // Stage five, relay: calls of runs go to the store, and the replies back to the runs.
 
-func (s *Server) wantsCall(n agent.Notification) {
-	r := s.byWire[n.RequestID]
+func (s *Server) handleCallRequest(n agent.Notification) {
+	r := s.requestsByID[n.RequestID]
 	if r == nil || !r.running {
 		return
 	}
-	r.waits, r.offset = n.Payload, n.Offset
-	s.happened(admission.Event{Kind: admission.EventCallNeeded, ID: r.id})
+	r.callBody, r.callOffset = n.Payload, n.Offset
+	s.enqueueEvent(admission.Event{Kind: admission.EventCallNeeded, ID: r.id})
 }
 
 // callStore makes the call that r waits for. The limit counts from now, the way to the store included.
-func (s *Server) callStore(r *request, limit time.Duration) {
+func (s *Server) callStore(request *activeRequest, limit time.Duration) {
 	if limit <= 0 {
-		limit = s.cfg.Settings.Classes[r.class].Deadline
+		limit = s.config.Settings.Classes[request.class].Deadline
 	}
 	s.stats.Calls++
-	r.asked = s.clock.now
-	r.trail.calls++
-	r.trail.reply = "none yet"
-	s.store.Call(r.try.ID, s.clock.now+limit, r.waits)
+	request.callStartedAt = s.clock.now
+	request.trace.calls++
+	request.trace.lastReply = "none yet"
+	s.store.Call(request.attempt.ID, s.clock.now+limit, request.callBody)
 }
 
 // abandonCall gives up the call of r, whose answer nobody waits for.
-func (s *Server) hangUp(r *request) {
-	if s.store.Abandon(r.try.ID) {
+func (s *Server) abandonCall(r *activeRequest) {
+	if s.store.Abandon(r.attempt.ID) {
 		s.stats.CallsDropped++
 	}
 }
 
-// outcomes says what a reply proves about the call.
-var outcomes = [...]admission.Outcome{
+// replyOutcomes says what a reply proves about the call.
+var replyOutcomes = [...]admission.Outcome{
 	store.OK:                admission.OutcomeOK,
 	store.Rejected:          admission.OutcomeRejected,
 	store.Failed:            admission.OutcomeFailed,
@@ -50,10 +50,10 @@
 	store.Expired:           admission.OutcomeTimedOut,
 }
 
-func (s *Server) callEnded(id string, reply store.Reply, body []byte) {
-	s.probed(reply)
-	r := s.byWire[id]
-	if r == nil {
+func (s *Server) handleCallEnded(id string, reply store.Reply, body []byte) {
+	s.recordCallResult(reply)
+	request := s.requestsByID[id]
+	if request == nil {
 		return
 	}
 	switch reply {
@@ -71,8 +71,8 @@
 	default:
 		s.stats.CallsFailed++
 	}
-	r.trail.inCall += s.clock.now - r.asked
-	r.trail.reply = replyNames[outcomes[reply]]
-	s.happened(admission.Event{Kind: admission.EventCallDone, ID: r.id, Outcome: outcomes[reply],
-		Took: s.clock.now - r.asked})
+	request.trace.callTime += s.clock.now - request.callStartedAt
+	request.trace.lastReply = outcomeNames[replyOutcomes[reply]]
+	s.enqueueEvent(admission.Event{Kind: admission.EventCallDone, ID: request.id, Outcome: replyOutcomes[reply],
+		Took: s.clock.now - request.callStartedAt})
 }
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -12,15 +12,15 @@
 }
 
 func (c *clock) advance() time.Duration {
-	t := c.read()
-	unix := time.Duration(t.UnixNano())
+	reading := c.read()
+	unix := time.Duration(reading.UnixNano())
 	if !c.last.IsZero() && unix < c.now {
-		c.now += max(t.Sub(c.last), 0)
+		c.now += max(reading.Sub(c.last), 0)
 	}
 	c.now = max(c.now, unix)
-	c.skew, c.last = c.now-unix, t
+	c.skew, c.last = c.now-unix, reading
 	return c.now
 }
 
-// own turns a time on the Unix clock into one on this clock.
-func (c *clock) own(unix time.Duration) time.Duration { return unix + c.skew }
+// fromUnix turns a time on the Unix clock into one on this clock.
+func (c *clock) fromUnix(unix time.Duration) time.Duration { return unix + c.skew }
--- /dev/null
+++ b/internal/server/connections_test.go
@@ -0,0 +1,179 @@
+package server
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// referenceEvictionCandidate looks at every connection, as the table did before it kept them in order.
+func referenceEvictionCandidate(t *connectionTable) *connectionState {
+	var least *connectionState
+	for _, st := range t.states {
+		if len(st.openCalls) == 0 && (least == nil || st.kind() < least.kind() || st.kind() == least.kind() && st.lastUsed < least.lastUsed) {
+			least = st
+		}
+	}
+	return least
+}
+
+// Whatever happens to connections, and in whatever order, the table finds the one that a look at all of them
+// finds, and counts what is open.
+func TestConnectionTableAgainstReference(t *testing.T) {
+	for seed := range uint64(20) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		table, now := newConnectionTable(), time.Duration(0)
+		var all []*connectionState
+		for step := range 2000 {
+			now += time.Duration(rng.IntN(3)) // several may be of one instant
+			if len(all) == 0 || rng.IntN(8) == 0 {
+				all = append(all, table.add(&recordingConnection{}, now))
+				continue
+			}
+			i := rng.IntN(len(all))
+			state, call := all[i], uint32(rng.IntN(3))
+			switch rng.IntN(6) {
+			case 0:
+				table.markReceived(state, now)
+			case 1:
+				table.touch(state, now)
+			case 2:
+				table.openCall(state, call, &activeRequest{})
+			case 3:
+				table.closeCall(state, call)
+			case 4:
+				table.markNotified(state, now)
+			case 5:
+				if rng.IntN(3) == 0 {
+					table.remove(state)
+					all[i] = all[len(all)-1]
+					all = all[:len(all)-1]
+				}
+			}
+			open := 0
+			for _, st := range all {
+				open += len(st.openCalls)
+			}
+			require.Equal(t, open, table.openCalls)
+			require.Equal(t, len(all), table.size())
+			got, want := table.evictionCandidate(), referenceEvictionCandidate(&table)
+			if want == nil {
+				require.Nil(t, got, "seed %d, step %d", seed, step)
+			} else {
+				require.Equal(t, [2]any{want.kind(), want.lastUsed}, [2]any{got.kind(), got.lastUsed}, "seed %d, step %d", seed, step)
+			}
+		}
+	}
+}
+
+// Most front ends of a fleet reconnect at once: more connections than there may be. Each new one costs one that
+// is idle; those with an open request stay, and once there is no other the new one goes.
+func TestAllReconnectAtOnce(t *testing.T) {
+	server, do := newIdleServer(t)
+	limit := server.maxConnections()
+	var busy []*recordingConnection
+	for i := range limit {
+		p := &recordingConnection{}
+		server.ConnectionOpened(p)
+		do()
+		if i%2 == 0 {
+			busy = append(busy, p)
+			server.connections.openCall(server.connections.get(p), 1, &activeRequest{})
+		}
+	}
+	closed := 0
+	for range 2 * limit {
+		conn := &recordingConnection{}
+		server.ConnectionOpened(conn)
+		do()
+		require.LessOrEqual(t, server.connections.size(), limit)
+		if st := server.connections.get(conn); st.closing == closeStateOpen {
+			server.connections.openCall(st, 1, &activeRequest{})
+		} else {
+			require.Equal(t, []any{"close"}, conn.received)
+			closed++
+		}
+	}
+	require.Equal(t, 2*limit-(limit-len(busy)), closed)
+	for _, p := range busy {
+		require.Empty(t, p.received)
+	}
+}
+
+// What falls due is answered in the middle of a burst: a turn takes a bounded part of what waits, however much
+// comes meanwhile. Before there was a bound it took a thousand messages, and more on a slow core than an answer
+// has time.
+func TestBurstDoesNotDelayDeadlines(t *testing.T) {
+	server, _ := newIdleServer(t)
+	var repost func()
+	repost = func() { server.inbox <- repost } // the input never runs dry
+	for range inboxCapacity {
+		server.inbox <- func() {}
+	}
+	for range 10 {
+		(<-server.inbox)()
+		server.inbox <- repost
+	}
+	deadlineMet := false
+	server.deadlines.Add(server.clock.now, func() { deadlineMet = true })
+	server.turn()
+	require.True(t, deadlineMet)
+	require.GreaterOrEqual(t, len(server.inbox), inboxCapacity-maxEventsPerTurn)
+}
+
+// BenchmarkTurn is a turn that brings a health check, with connections that are idle meanwhile.
+func BenchmarkTurn(b *testing.B) {
+	for _, connections := range []int{10, 150, 500} {
+		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
+			s, runPosted := newIdleServer(b)
+			s.config.Limits.Sockets = 2 * (reservedConnections + connections)
+			for range connections {
+				s.ConnectionOpened(&countingConnection{})
+			}
+			p := &countingConnection{}
+			s.ConnectionOpened(p)
+			runPosted()
+			b.ReportAllocs()
+			for b.Loop() {
+				s.HealthCheck(p, 1, false)
+				s.turn()
+			}
+		})
+	}
+}
+
+// BenchmarkOpened is a connection that comes while the table is full.
+func BenchmarkOpened(b *testing.B) {
+	for _, connections := range []int{10, 150, 500} {
+		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
+			s, do := newIdleServer(b)
+			s.config.Limits.Sockets = 2 * (reservedConnections + connections)
+			b.ReportAllocs()
+			for b.Loop() {
+				s.ConnectionOpened(&countingConnection{})
+				do()
+			}
+		})
+	}
+}
+
+// countingConnection only counts, so that nothing grows while it is measured.
+type countingConnection struct {
+	answers int
+	server  *Server // that is told once nothing more is read; nil: nobody
+}
+
+func (p *countingConnection) Answer(uint32, Answer) { p.answers++ }
+func (p *countingConnection) NotifyClosing()        {}
+func (p *countingConnection) Close()                {}
+func (p *countingConnection) PauseReading() {
+	if p.server != nil {
+		p.server.ReadEnded(p, ReadPaused)
+	}
+}
+func (p *countingConnection) ResumeReading()    {}
+func (p *countingConnection) TryClose() bool    { return true }
+func (p *countingConnection) MaxOpenCalls() int { return 32 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -17,61 +17,61 @@
 	endMargin         = 120 * time.Millisecond
 	FinalWriteTimeout = 90 * time.Millisecond
 
-	// lastComers is how long before that the listeners are closed at the latest: what came in at the last moment, over
+	// listenerCloseLead is how long before that the listeners are closed at the latest: what came in at the last moment, over
 	// whatever way there is between the machines, is read and answered by the end. Front ends are promised 50 ms.
-	lastComers = 100 * time.Millisecond
+	listenerCloseLead = 100 * time.Millisecond
 )
 
 type drainState struct {
-	on       bool
-	replaced bool          // a newer process goes on
-	began    time.Duration // when the notice came
-	stopAt   time.Duration // when the loop ends at the latest
-	shutAt   time.Duration // when the listeners are closed: nothing that arrives later would be run
-	shutDone bool
+	started          bool
+	replaced         bool          // a newer process goes on
+	began            time.Duration // when the notice came
+	stopAt           time.Duration // when the loop ends at the latest
+	closeListenersAt time.Duration // when the listeners are closed: nothing that arrives later would be run
+	listenersClosed  bool
 }
 
 // Drain has the process leave. Where a newer one has joined to take its place, the image server goes on: no
 // front end is sent elsewhere, and only what this process still has keeps it. It may be called more than once.
 func (s *Server) Drain() {
 	s.post(func() {
-		if s.drain.on {
+		if s.drain.started {
 			return
 		}
-		replaced := s.newer != nil
+		replaced := s.successor != nil
 		s.log.WithField("replaced", replaced).Info("told to leave")
-		now, stop, shut := s.clock.now, s.cfg.StopTimeout, s.cfg.Settings.DrainGrace
+		now, stop, shut := s.clock.now, s.config.StopTimeout, s.config.Settings.DrainGrace
 		if replaced {
-			stop, shut = s.cfg.ReplacedStopTimeout, 0
+			stop, shut = s.config.ReplacedStopTimeout, 0
 			s.announcer.Silence()
 		} else {
 			s.announcer.Set(false)
 		}
-		s.drain = drainState{on: true, replaced: replaced, began: now, stopAt: now + max(stop-endMargin, 0)}
-		s.drain.shutAt = max(min(now+shut, s.drain.stopAt-lastComers), now)
-		s.happenedNotice()
-		for _, st := range s.peers.states {
-			s.tellClosing(st)
+		s.drain = drainState{started: true, replaced: replaced, began: now, stopAt: now + max(stop-endMargin, 0)}
+		s.drain.closeListenersAt = max(min(now+shut, s.drain.stopAt-listenerCloseLead), now)
+		s.enqueueDrainEvent()
+		for _, st := range s.connections.states {
+			s.notifyClosing(st)
 		}
-		s.tellFleet()
-		s.deadlines.Add(s.drain.shutAt, s.shut)
+		s.publishStatus()
+		s.deadlines.Add(s.drain.closeListenersAt, s.closeListeners)
 		s.deadlines.Add(s.drain.stopAt, func() {}) // so that the loop looks at the time
 	})
 }
 
-// happenedNotice has the controller know of the notice, be it later than that came.
-func (s *Server) happenedNotice() {
+// enqueueDrainEvent has the controller know of the notice, be it later than that came.
+func (s *Server) enqueueDrainEvent() {
 	d := &s.drain
-	s.happened(admission.Event{Kind: admission.EventDrain, StopAt: d.stopAt, Waited: s.clock.now - d.began, Replaced: d.replaced})
+	s.enqueueEvent(admission.Event{Kind: admission.EventDrain, StopAt: d.stopAt, Waited: s.clock.now - d.began, Replaced: d.replaced})
 }
 
-// shut closes the listeners: a refused connection tells a front end at once to go elsewhere.
-func (s *Server) shut() {
-	s.drain.shutDone = true
+// closeListeners closes the listeners: a refused connection tells a front end at once to go elsewhere.
+func (s *Server) closeListeners() {
+	s.drain.listenersClosed = true
 	s.openFronts() // so that those that do not accept yet end, too
 	for _, f := range s.fronts {
 		if err := f.Close(); err != nil {
-			s.warn.Warn("listener", "not closed", err)
+			s.warnings.Warn("listener", "not closed", err)
 		}
 	}
 }
@@ -79,28 +79,28 @@
 // finished reports whether a drain is over: all front ends have gone, or time is up. A newer process waits for the
 // ends of orders that run here, to answer those that try them again.
 func (s *Server) finished() bool {
-	return s.drain.on && (s.drain.shutDone && s.serving == 0 && s.peers.none() && !(s.drain.replaced && s.keys.runs()) ||
+	return s.drain.started && (s.drain.listenersClosed && s.servingFronts == 0 && s.connections.empty() && !(s.drain.replaced && s.idempotency.hasLocalRun()) ||
 		s.clock.now >= s.drain.stopAt)
 }
 
-// leave is the end of the loop: what was read by then is answered, and all answers are still written.
-func (s *Server) leave() {
+// shutDown is the end of the loop: what was read by then is answered, and all answers are still written.
+func (s *Server) shutDown() {
 	// Readers that waited for room hand over what they have read as it is made; a flood of it has an end.
-	for n := 2 * inRoom; n > 0 && len(s.in) > 0; n-- {
-		(<-s.in)()
+	for n := 2 * inboxCapacity; n > 0 && len(s.inbox) > 0; n-- {
+		(<-s.inbox)()
 	}
 	s.step()
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
 		switch r := s.requests[id]; {
 		case r == nil || r.answered:
-		case r.running || r.claims || s.keys.known(r) != nil && s.keys.known(r).ran:
+		case r.running || r.claiming || s.idempotency.lookup(r) != nil && s.idempotency.lookup(r).ran:
 			s.answer(r, Answer{Kind: Failed})
 		default:
 			s.answer(r, Answer{Kind: Rejected})
 		}
 	}
-	s.printStats()
-	for p := range s.peers.states {
+	s.logStats()
+	for p := range s.connections.states {
 		p.Close()
 	}
 }
--- a/internal/server/drill.go
+++ b/internal/server/faults.go
@@ -15,7 +15,7 @@
 // loop's input is full: it stands still already, or as good as.
 func (s *Server) StallLoop(d time.Duration) bool {
 	select {
-	case s.in <- func() {
+	case s.inbox <- func() {
 		s.log.WithField("for_ms", d.Milliseconds()).Warn("drill: the loop stands still")
 		time.Sleep(d)
 	}:
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -12,168 +12,168 @@
 // under it. What becomes of a run is told to the other, so that its result answers tries at both.
 
 const (
-	claimLimit = 500 * time.Millisecond // for the older process to answer a claim
-	dueSpare   = 20 * time.Millisecond  // a claim is given up this long before its request is due
+	claimTimeout       = 500 * time.Millisecond // for the older process to answer a claim
+	claimDeadlineSlack = 20 * time.Millisecond  // a claim is given up this long before its request is due
 )
 
-// partners are the other processes, nil where there is none.
-type partners struct {
-	older, newer *handover.Link
-	synced       bool                  // what the older one knows is known here
-	claims       map[string][]*request // that wait for the older one's word, by key
+// handoverState are the other processes, nil where there is none.
+type handoverState struct {
+	predecessor, successor *handover.Link
+	synced                 bool                        // what the older one knows is known here
+	claims                 map[string][]*activeRequest // that wait for the older one's word, by key
 }
 
 func (s *Server) handoverLoop() handover.Loop {
-	return handover.Loop{Post: s.post, OnPredecessor: s.joinedOlder, OnSuccessor: s.joinedNewer, OnMessage: s.partnerTold, OnEnd: s.partnerEnded}
+	return handover.Loop{Post: s.post, OnPredecessor: s.predecessorJoined, OnSuccessor: s.successorJoined, OnMessage: s.handlePeerMessage, OnEnd: s.peerEnded}
 }
 
-func (s *Server) joinedOlder(l *handover.Link) {
-	if s.older = l; l == nil {
-		s.sync()
+func (s *Server) predecessorJoined(l *handover.Link) {
+	if s.predecessor = l; l == nil {
+		s.markSynced()
 	}
 }
 
-func (s *Server) joinedNewer(l *handover.Link) {
+func (s *Server) successorJoined(link *handover.Link) {
 	s.log.Info("a newer process has joined")
-	s.newer = l
-	if s.drain.on {
+	s.successor = link
+	if s.drain.started {
 		s.announcer.Silence() // the newer one is to be listed, and not as leaving
 	}
-	s.tellFleet()
+	s.publishStatus()
 	var all []handover.Message
-	for _, e := range s.keys.entries {
-		all = append(all, e.all()...)
+	for _, e := range s.idempotency.entries {
+		all = append(all, e.messages()...)
 	}
-	l.Publish(append(all, handover.Message{Kind: handover.Synced})...)
-	for s.peers.size() > s.mostPeers() && s.makeRoom() {
+	link.Publish(append(all, handover.Message{Kind: handover.Synced})...)
+	for s.connections.size() > s.maxConnections() && s.evictIdle() {
 	}
 }
 
-// sync notes that nothing is left to learn before this process may serve.
-func (s *Server) sync() {
+// markSynced notes that nothing is left to learn before this process may serve.
+func (s *Server) markSynced() {
 	s.synced = true
-	s.serveOnceReady()
+	s.openFrontsWhenReady()
 }
 
-// serveOnceReady has front ends accepted as soon as their requests can be run.
-func (s *Server) serveOnceReady() {
-	if s.synced && s.ctl != nil {
+// openFrontsWhenReady has front ends accepted as soon as their requests can be run.
+func (s *Server) openFrontsWhenReady() {
+	if s.synced && s.controller != nil {
 		s.openFronts()
-		s.tellFleet()
+		s.publishStatus()
 	}
 }
 
-// tellPartners tells the other processes of a change to a key of this one.
-func (s *Server) tellPartners(m handover.Message) {
-	for _, l := range []*handover.Link{s.older, s.newer} {
+// publishKeyChange tells the other processes of a change to a key of this one.
+func (s *Server) publishKeyChange(m handover.Message) {
+	for _, l := range []*handover.Link{s.predecessor, s.successor} {
 		if l != nil {
 			l.Publish(m)
 		}
 	}
 }
 
-func (s *Server) partnerTold(l *handover.Link, m handover.Message) {
-	e := s.keys.entries[m.IdempotencyKey]
+func (s *Server) handlePeerMessage(link *handover.Link, m handover.Message) {
+	entry := s.idempotency.entries[m.IdempotencyKey]
 	switch m.Kind {
 	case handover.Synced:
-		s.sync()
+		s.markSynced()
 	case handover.Known:
-		if e == nil || e.from == l || s.keys.past(e, s.clock.now-s.clock.skew) {
-			s.adopt(l, m)
+		if entry == nil || entry.owner == link || s.idempotency.expired(entry, s.clock.now-s.clock.skew) {
+			s.adoptKey(link, m)
 		}
-		s.claimed(m.IdempotencyKey)
+		s.resumeClaimed(m.IdempotencyKey)
 	case handover.Claim:
-		if e != nil && !s.keys.past(e, m.At) {
-			l.Publish(e.all()...)
+		if entry != nil && !s.idempotency.expired(entry, m.At) {
+			link.Publish(entry.messages()...)
 			return
 		}
-		s.adopt(l, handover.Message{IdempotencyKey: m.IdempotencyKey, Digest: m.Digest, At: m.At + s.longestWindow()})
-		l.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: m.IdempotencyKey})
+		s.adoptKey(link, handover.Message{IdempotencyKey: m.IdempotencyKey, Digest: m.Digest, At: m.At + s.longestIdempotencyWindow()})
+		link.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: m.IdempotencyKey})
 	case handover.Grant:
-		s.claimed(m.IdempotencyKey)
-		if s.keys.entries[m.IdempotencyKey] == nil {
-			l.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: m.IdempotencyKey}) // nobody waits any more
+		s.resumeClaimed(m.IdempotencyKey)
+		if s.idempotency.entries[m.IdempotencyKey] == nil {
+			link.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: m.IdempotencyKey}) // nobody waits any more
 		}
 	case handover.Completed:
-		if e != nil && e.from == l {
-			s.partnerRan(e, m.OK, m.Body)
+		if entry != nil && entry.owner == link {
+			s.completePeerRun(entry, m.OK, m.Body)
 		}
 	case handover.Released:
-		if e != nil && e.from == l {
-			s.partnerRan(e, false, nil)
-			s.keys.drop(e)
+		if entry != nil && entry.owner == link {
+			s.completePeerRun(entry, false, nil)
+			s.idempotency.drop(entry)
 		}
 	}
 }
 
-// adopt enters a key that another process has.
-func (s *Server) adopt(l *handover.Link, m handover.Message) {
-	s.lastID++ // no request of this process has it
-	e := s.keys.adopt(l, m, s.lastID)
-	s.dropAfterWindow(e)
+// adoptKey enters a key that another process has.
+func (s *Server) adoptKey(l *handover.Link, m handover.Message) {
+	s.lastRequestID++ // no request of this process has it
+	e := s.idempotency.adopt(l, m, s.lastRequestID)
+	s.expireAfterWindow(e)
 }
 
-// partnerRan books the end of a run in another process.
-func (s *Server) partnerRan(e *keyEntry, ok bool, result []byte) {
-	for _, f := range s.keys.end(e, ok, result) {
-		s.reused(f, ok, result)
+// completePeerRun books the end of a run in another process.
+func (s *Server) completePeerRun(e *idempotencyEntry, ok bool, result []byte) {
+	for _, f := range s.idempotency.complete(e, ok, result) {
+		s.answerFromResult(f, ok, result)
 	}
 }
 
-// partnerEnded goes on alone. Whatever the other process had not told the end of may have had its effect.
-func (s *Server) partnerEnded(l *handover.Link) {
-	switch l {
-	case s.older:
+// peerEnded goes on alone. Whatever the other process had not told the end of may have had its effect.
+func (s *Server) peerEnded(link *handover.Link) {
+	switch link {
+	case s.predecessor:
 		s.log.Info("the older process has ended")
-		s.older = nil
-	case s.newer:
-		s.newer = nil
+		s.predecessor = nil
+	case s.successor:
+		s.successor = nil
 	}
-	for _, e := range s.keys.entries {
-		if e.from == l && !e.over {
-			s.partnerRan(e, false, nil)
+	for _, e := range s.idempotency.entries {
+		if e.owner == link && !e.completed {
+			s.completePeerRun(e, false, nil)
 		}
 	}
-	if s.older == nil {
-		s.sync()
-		for once := range s.claims {
-			s.claimed(once)
+	if s.predecessor == nil {
+		s.markSynced()
+		for key := range s.claims {
+			s.resumeClaimed(key)
 		}
 	}
 }
 
-// claim has r wait for the older process's word on its key.
-func (s *Server) claim(r *request) {
-	once := r.try.IdempotencyKey
-	s.claims[once] = append(s.claims[once], r)
-	r.claims = true
-	s.deadlines.Add(min(s.clock.now+claimLimit, s.due(r)-dueSpare), func() {
-		if r.claims && s.requests[r.id] == r {
+// claimKey has r wait for the older process's word on its key.
+func (s *Server) claimKey(request *activeRequest) {
+	key := request.attempt.IdempotencyKey
+	s.claims[key] = append(s.claims[key], request)
+	request.claiming = true
+	s.deadlines.Add(min(s.clock.now+claimTimeout, s.callerDeadline(request)-claimDeadlineSlack), func() {
+		if request.claiming && s.requests[request.id] == request {
 			s.stats.ClaimsLate++
-			s.answer(r, Answer{Kind: Failed}) // another try may have run
-			s.forget(r)
+			s.answer(request, Answer{Kind: Failed}) // another try may have run
+			s.removeRequest(request)
 		}
 	})
-	if len(s.claims[once]) == 1 {
+	if len(s.claims[key]) == 1 {
 		s.stats.Claims++
-		s.older.Publish(handover.Message{Kind: handover.Claim, IdempotencyKey: once, Digest: s.keys.digest(r.try), At: r.try.ArrivedAt})
+		s.predecessor.Publish(handover.Message{Kind: handover.Claim, IdempotencyKey: key, Digest: s.idempotency.bodyDigest(request.attempt), At: request.attempt.ArrivedAt})
 	}
 }
 
-// claimed goes on with the requests that waited for word on a key.
-func (s *Server) claimed(once string) {
-	waits := s.claims[once]
-	delete(s.claims, once)
-	for _, r := range waits {
-		r.claims = false
+// resumeClaimed goes on with the requests that waited for word on a key.
+func (s *Server) resumeClaimed(key string) {
+	waiting := s.claims[key]
+	delete(s.claims, key)
+	for _, r := range waiting {
+		r.claiming = false
 		if s.requests[r.id] == r {
-			s.enter(r)
+			s.submitToController(r)
 		}
 	}
 }
 
-func (s *Server) longestWindow() (longest time.Duration) {
-	for _, k := range s.cfg.Settings.Classes {
+func (s *Server) longestIdempotencyWindow() (longest time.Duration) {
+	for _, k := range s.config.Settings.Classes {
 		if k.Idempotency == admission.IdempotentByKey {
 			longest = max(longest, k.IdempotencyWindow)
 		}
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -18,119 +18,119 @@
 	OnMessage(func(b []byte))        // has messages to this member handed over
 }
 
-// tellEvery is how often the loop speaks: one that stands still is missed by that.
-const tellEvery = time.Second
+// publishInterval is how often the loop speaks: one that stands still is missed by that.
+const publishInterval = time.Second
 
-// member is this server as a member of a fleet; nil where it is in none, and then it costs nothing.
-type member struct {
-	fleet     Fleet
-	warmAt    time.Duration
-	answered  uint64 // requests of which the last word told
-	turnedOff uint64 // and those of them that were not served
-	sharing   *sharing
-	cutoff    *cutoff
-	probes    *probes
-	traced    func(what, from, to string, fields map[string]any) // nil: changes are only logged
+// fleetMember is this server as a member of a fleet; nil where it is in none, and then it costs nothing.
+type fleetMember struct {
+	fleet             Fleet
+	warmAt            time.Duration
+	publishedAnswers  uint64 // requests of which the last word told
+	publishedUnserved uint64 // and those of them that were not served
+	quota             *quotaLeasing
+	shedding          *loadShedding
+	probes            *storeProbes
+	onChange          func(what, from, to string, fields map[string]any) // nil: changes are only logged
 }
 
 // Trace has each change in the server's part of its fleet handed to traced as well, on the loop, with "" for the usual
 // state. It must not block. It is called after Join and before Run.
 func (s *Server) Trace(traced func(what, from, to string, fields map[string]any)) {
-	s.member.traced = traced
+	s.member.onChange = traced
 }
 
-// changed logs and traces that something went from one state to another; "" is the usual one.
-func (s *Server) changed(level logrus.Level, what, from, to string, fields logrus.Fields) {
-	if s.member.traced != nil {
-		s.member.traced(what, from, to, fields)
+// logChange logs and traces that something went from one state to another; "" is the usual one.
+func (s *Server) logChange(level logrus.Level, what, from, to string, fields logrus.Fields) {
+	if s.member.onChange != nil {
+		s.member.onChange(what, from, to, fields)
 	}
 	s.log.WithFields(fields).WithFields(logrus.Fields{"from": from, "to": to}).Log(level, what)
 }
 
 // JoinFleet has the server tell a fleet how it is. It is called before Run, and so are Share, Cutoff and EnableCoordinatedProbes.
 func (s *Server) JoinFleet(f Fleet) {
-	s.member = &member{fleet: f}
-	f.OnMessage(s.heardDirectly)
+	s.member = &fleetMember{fleet: f}
+	f.OnMessage(s.receiveMemberMessage)
 }
 
-// heardDirectly takes in a message of another member to this one. It is called from other goroutines and does not
+// receiveMemberMessage takes in a message of another member to this one. It is called from other goroutines and does not
 // block: what the loop is too far behind for is dropped.
-func (s *Server) heardDirectly(b []byte) {
-	m := s.member
-	c := m.cutoff
+func (s *Server) receiveMemberMessage(b []byte) {
+	member := s.member
+	c := member.shedding
 	var act func()
 	if tries, ok := overload.ParseReport(b); ok && c != nil {
 		act = func() { c.RetryCounter.HandleReport(s.clock.now, tries) }
 	} else if part, ok := overload.ParsePartial(b); ok && c != nil {
-		act = func() { c.Collector.Receive(m.fleet.Now(), part) }
-	} else if x, err := overload.ParseMessage(b); err == nil && m.sharing != nil {
-		act = func() { s.heardOfShare(x) }
+		act = func() { c.Collector.Receive(member.fleet.Now(), part) }
+	} else if x, err := overload.ParseMessage(b); err == nil && member.quota != nil {
+		act = func() { s.receiveQuotaMessage(x) }
 	} else {
 		if err != nil && !overload.IsSheddingMessage(b) {
-			s.warn.Warn("direct", "a message of another member can't be read", err)
+			s.warnings.Warn("direct", "a message of another member can't be read", err)
 		}
 		return // or about what is off here
 	}
 	select {
-	case s.in <- act:
+	case s.inbox <- act:
 	default:
 	}
 }
 
-// keepTelling tells the fleet now and each second from now on.
-func (s *Server) keepTelling() {
+// publishPeriodically tells the fleet now and each second from now on.
+func (s *Server) publishPeriodically() {
 	if s.member != nil {
-		s.tellFleet()
-		s.deadlines.Add(s.clock.now+tellEvery, s.keepTelling)
+		s.publishStatus()
+		s.deadlines.Add(s.clock.now+publishInterval, s.publishPeriodically)
 	}
 }
 
-// tellFleet tells the fleet how this server is: at once where that has changed.
-func (s *Server) tellFleet() {
-	m := s.member
-	if m == nil {
+// publishStatus tells the fleet how this server is: at once where that has changed.
+func (s *Server) publishStatus() {
+	member := s.member
+	if member == nil {
 		return
 	}
-	st := fleet.Status{State: s.memberState(), Replaced: s.newer != nil || s.drain.on && s.drain.replaced}
-	s.loadNow(&st.Load)
-	var all, off uint64
+	status := fleet.Status{State: s.memberState(), Replaced: s.successor != nil || s.drain.started && s.drain.replaced}
+	s.addCurrentLoad(&status.Load)
+	var all, unserved uint64
 	for _, a := range s.stats.Answers {
 		all += a.Served + a.Rejected + a.Failed
-		off += a.Rejected + a.Failed
+		unserved += a.Rejected + a.Failed
 	}
-	if all > m.answered {
-		st.Load.ShedRatio = float64(off-m.turnedOff) / float64(all-m.answered)
+	if all > member.publishedAnswers {
+		status.Load.ShedRatio = float64(unserved-member.publishedUnserved) / float64(all-member.publishedAnswers)
 	}
-	m.answered, m.turnedOff = all, off
-	m.fleet.Publish(st)
+	member.publishedAnswers, member.publishedUnserved = all, unserved
+	member.fleet.Publish(status)
 }
 
-// loadNow is how much this server has to do, but for what it turned away.
-func (s *Server) loadNow(l *fleet.Load) {
-	m := s.member
-	l.Capacity, l.Busy, l.InFlight, l.CallQuota = float64(s.cfg.Settings.Cores), -1, len(s.requests), s.cfg.Settings.MaxCallsInFlight
-	if s.clock.now-s.gaugesAt <= gaugesFresh {
-		l.Busy = s.gauges.CPUUtilization
+// addCurrentLoad is how much this server has to do, but for what it turned away.
+func (s *Server) addCurrentLoad(load *fleet.Load) {
+	member := s.member
+	load.Capacity, load.Busy, load.InFlight, load.CallQuota = float64(s.config.Settings.Cores), -1, len(s.requests), s.config.Settings.MaxCallsInFlight
+	if s.clock.now-s.gaugesAt <= gaugeMaxAge {
+		load.Busy = s.gauges.CPUUtilization
 	}
-	if m.sharing != nil {
-		l.MeanCalls = m.sharing.MeanInFlight()
-		if m.sharing.bound >= 0 {
-			l.CallQuota = m.sharing.bound.Calls()
+	if member.quota != nil {
+		load.MeanCalls = member.quota.MeanInFlight()
+		if member.quota.limit >= 0 {
+			load.CallQuota = member.quota.limit.Calls()
 		}
 	}
-	if m.cutoff != nil {
-		s.tellCutoff(l)
+	if member.shedding != nil {
+		s.addSheddingToLoad(load)
 	}
-	if m.probes != nil {
-		m.probes.AddToLoad(l)
+	if member.probes != nil {
+		member.probes.AddToLoad(load)
 	}
 }
 
 func (s *Server) memberState() fleet.State {
 	switch {
-	case s.drain.on || s.withdrawn:
+	case s.drain.started || s.deregistered:
 		return fleet.Draining
-	case s.ctl == nil || !s.opened:
+	case s.controller == nil || !s.opened:
 		return fleet.Starting
 	case s.clock.now < s.member.warmAt:
 		return fleet.Warming
@@ -138,8 +138,8 @@
 	return fleet.Serving
 }
 
-// printFleet logs what is known of the others beside the counters.
-func (s *Server) printFleet() {
+// logFleet logs what is known of the others beside the counters.
+func (s *Server) logFleet() {
 	if s.member != nil {
 		v := s.member.fleet.Snapshot()
 		s.log.WithFields(logrus.Fields{"position": v.Position.String(), "known": v.Total.Known, "reached": v.Total.Reached(),
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -10,23 +10,23 @@
 
 // What operators ask of a running server. These methods may be called from any goroutine.
 
-var errOver = errors.New("the server is leaving")
+var errDraining = errors.New("the server is leaving")
 
-// ask has the loop call f, and waits for what it returns.
-func ask[T any](ctx context.Context, s *Server, f func() T) (v T, err error) {
+// query has the loop call f, and waits for what it returns.
+func query[T any](ctx context.Context, server *Server, f func() T) (v T, err error) {
 	got := make(chan T, 1)
 	select {
-	case s.in <- func() { got <- f() }:
-	case <-s.ended:
-		return v, errOver
+	case server.inbox <- func() { got <- f() }:
+	case <-server.done:
+		return v, errDraining
 	case <-ctx.Done():
 		return v, ctx.Err()
 	}
 	select {
 	case v = <-got:
 		return v, nil
-	case <-s.ended:
-		return v, errOver
+	case <-server.done:
+		return v, errDraining
 	case <-ctx.Done():
 		return v, ctx.Err()
 	}
@@ -34,45 +34,45 @@
 
 // Ready reports whether this process serves and means to go on.
 func (s *Server) Ready(ctx context.Context) (bool, error) {
-	return ask(ctx, s, func() bool { return s.ctl != nil && s.opened && !s.drain.on && !s.withdrawn })
+	return query(ctx, s, func() bool { return s.controller != nil && s.opened && !s.drain.started && !s.deregistered })
 }
 
 // AppendMetrics appends the operators' figures.
 func (s *Server) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
-	return ask(ctx, s, func() []byte {
-		return stats.Metrics{Counters: &s.stats, Open: s.peers.opened}.Append(b)
+	return query(ctx, s, func() []byte {
+		return stats.Metrics{Counters: &s.stats, Open: s.connections.openCalls}.Append(b)
 	})
 }
 
 // Deregister has front ends sent away by bad health answers; what still arrives is answered as ever.
-func (s *Server) Deregister(ctx context.Context) error { return s.setWithdrawn(ctx, true) }
+func (s *Server) Deregister(ctx context.Context) error { return s.setDeregistered(ctx, true) }
 
 // Reregister ends what Withdraw began.
-func (s *Server) Reregister(ctx context.Context) error { return s.setWithdrawn(ctx, false) }
+func (s *Server) Reregister(ctx context.Context) error { return s.setDeregistered(ctx, false) }
 
-func (s *Server) setWithdrawn(ctx context.Context, on bool) error {
-	leaving, err := ask(ctx, s, func() bool {
-		if s.drain.on {
+func (s *Server) setDeregistered(ctx context.Context, deregistered bool) error {
+	leaving, err := query(ctx, s, func() bool {
+		if s.drain.started {
 			return true
 		}
-		if on != s.withdrawn {
-			s.log.WithField("withdrawn", on).Info("told by an operator whether front ends are welcome")
-			s.withdrawn = on
-			s.tellWithdrawn()
-			s.tellFleet()
+		if deregistered != s.deregistered {
+			s.log.WithField("withdrawn", deregistered).Info("told by an operator whether front ends are welcome")
+			s.deregistered = deregistered
+			s.enqueueRegistration()
+			s.publishStatus()
 		}
 		return false
 	})
 	if err == nil && leaving {
-		err = errOver
+		err = errDraining
 	}
 	return err
 }
 
-func (s *Server) tellWithdrawn() {
+func (s *Server) enqueueRegistration() {
 	kind := admission.EventReregister
-	if s.withdrawn {
+	if s.deregistered {
 		kind = admission.EventDeregister
 	}
-	s.happened(admission.Event{Kind: kind})
+	s.enqueueEvent(admission.Event{Kind: kind})
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -18,38 +18,38 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const inRoom = 1024 // messages that wait for the loop
-
-// request is one try from its intake until nothing more is to come about it.
-type request struct {
-	id     admission.RequestID
-	try    Attempt
-	class  int
-	tenant int
-	peer   Connection
-	call   uint32        // its number on that connection
-	window time.Duration // in which it may come again and must not run twice
-
-	answered bool // or nobody waits for an answer any more
-	running  bool // the agent was told to run it
-	claims   bool // it waits for word on its key
-	began    time.Duration
-
-	waits  []byte // body of the call that its run waits for
-	offset int64  // of the notice that asked for that call
-	asked  time.Duration
-	trail  trail
+const inboxCapacity = 1024 // messages that wait for the loop
+
+// activeRequest is one try from its intake until nothing more is to come about it.
+type activeRequest struct {
+	id                admission.RequestID
+	attempt           Attempt
+	class             int
+	tenant            int
+	connection        Connection
+	call              uint32        // its number on that connection
+	idempotencyWindow time.Duration // in which it may come again and must not run twice
+
+	answered  bool // or nobody waits for an answer any more
+	running   bool // the agent was told to run it
+	claiming  bool // it waits for word on its key
+	startedAt time.Duration
+
+	callBody      []byte // body of the call that its run waits for
+	callOffset    int64  // of the notice that asked for that call
+	callStartedAt time.Duration
+	trace         requestTrace
 }
 
 // Server is one image server. All of its state belongs to the loop; other goroutines hand functions
 // to it over a bounded channel.
 type Server struct {
-	cfg    *config.Config
-	log    logrus.FieldLogger
-	warn   *logging.Limiter
-	trails bool // a line for each request
-	in     chan func()
-	ended  chan struct{} // closed when the loop is over
+	config        *config.Config
+	log           logrus.FieldLogger
+	warnings      *logging.Limiter
+	traceRequests bool // a line for each request
+	inbox         chan func()
+	done          chan struct{} // closed when the loop is over
 
 	clock     clock
 	deadlines *deadline.Queue
@@ -58,59 +58,59 @@
 	announcer *announce.Announcer
 	stats     stats.Counters
 
-	ctl     *admission.Controller // nil until the agent is up
-	events  []admission.Event     // for the next step
-	actions []admission.Action
-
-	classes  map[string]int
-	tenants  map[string]int
-	mostWait time.Duration // longest deadline so far
-	requests map[admission.RequestID]*request
-	byWire   map[string]*request
-	spent    spentIDs
-	lastID   admission.RequestID
-	keys     keyTable
-	peers    peerTable
-	watch    idleWatch
-
-	good, stored bool // health, as the controller wants it answered
-	withdrawn    bool // by an operator
-	exercises    map[string]probe
-	lastToken    uint64
-	gauges       admission.Gauges
-	gaugesAt     time.Duration
-
-	fronts  []Front
-	serving int           // fronts that may still accept
-	open    chan struct{} // closed once they accept
-	opened  bool
-	drain   drainState
-	partners
-	member *member
+	controller *admission.Controller // nil until the agent is up
+	events     []admission.Event     // for the next step
+	actions    []admission.Action
+
+	classes       map[string]int
+	tenants       map[string]int
+	maxTimeout    time.Duration // longest deadline so far
+	requests      map[admission.RequestID]*activeRequest
+	requestsByID  map[string]*activeRequest
+	completed     completedIDs
+	lastRequestID admission.RequestID
+	idempotency   idempotencyTable
+	connections   connectionTable
+	idleTimer     idleTimer
+
+	healthy, healthCached bool // health, as the controller wants it answered
+	deregistered          bool // by an operator
+	deepChecks            map[string]healthCheck
+	lastCheckToken        uint64
+	gauges                admission.Gauges
+	gaugesAt              time.Duration
+
+	fronts        []Front
+	servingFronts int           // fronts that may still accept
+	accepting     chan struct{} // closed once they accept
+	opened        bool
+	drain         drainState
+	handoverState
+	member *fleetMember
 }
 
 // New returns a Server; nothing happens before Run.
 func New(cfg *config.Config, log logrus.FieldLogger) *Server {
-	s := &Server{cfg: cfg, log: log, warn: logging.NewLimiter(log), trails: debugs(log), in: make(chan func(), inRoom),
-		ended: make(chan struct{}), clock: clock{read: time.Now}, deadlines: deadline.New(),
-		classes: map[string]int{}, tenants: map[string]int{}, requests: map[admission.RequestID]*request{}, byWire: map[string]*request{},
-		open: make(chan struct{}), partners: partners{claims: map[string][]*request{}},
-		keys: newKeyTable(cfg.Limits.MemoryMB), peers: newPeerTable(), exercises: map[string]probe{},
-		watch:  idleWatch{limit: cfg.Settings.IdleTimeout},
-		gauges: unknownGauges}
+	server := &Server{config: cfg, log: log, warnings: logging.NewLimiter(log), traceRequests: debugEnabled(log), inbox: make(chan func(), inboxCapacity),
+		done: make(chan struct{}), clock: clock{read: time.Now}, deadlines: deadline.New(),
+		classes: map[string]int{}, tenants: map[string]int{}, requests: map[admission.RequestID]*activeRequest{}, requestsByID: map[string]*activeRequest{},
+		accepting: make(chan struct{}), handoverState: handoverState{claims: map[string][]*activeRequest{}},
+		idempotency: newIdempotencyTable(cfg.Limits.MemoryMB), connections: newConnectionTable(), deepChecks: map[string]healthCheck{},
+		idleTimer: idleTimer{timeout: cfg.Settings.IdleTimeout},
+		gauges:    unknownGauges}
 	for i := range cfg.Classes {
-		s.enlist(i)
+		server.addClass(i)
 	}
-	s.nameTenants()
-	s.admitWaits()
-	s.keys.tell = s.tellPartners
-	s.clock.advance()
-	s.agent = agent.New(cfg.Agent, cfg.Seed, s.post, s.agentNotice, s.warn)
-	s.agent.Watch(func() time.Duration { return s.clock.now }, s.runsLost)
-	s.store = store.New(cfg.Store, cfg.Limits.StoreSockets(), cfg.Seed, store.Loop{Post: s.post, Now: func() time.Duration { return s.clock.now },
-		Deadlines: s.deadlines}, s.callEnded, s.warn)
-	s.announcer = announce.New(cfg.Announce, cfg.Name, s.warn)
-	return s
+	server.indexTenants()
+	server.raiseMaxTimeout()
+	server.idempotency.publish = server.publishKeyChange
+	server.clock.advance()
+	server.agent = agent.New(cfg.Agent, cfg.Seed, server.post, server.handleAgentNotification, server.warnings)
+	server.agent.Watch(func() time.Duration { return server.clock.now }, server.handleRunsLost)
+	server.store = store.New(cfg.Store, cfg.Limits.StoreSockets(), cfg.Seed, store.Loop{Post: server.post, Now: func() time.Duration { return server.clock.now },
+		Deadlines: server.deadlines}, server.handleCallEnded, server.warnings)
+	server.announcer = announce.New(cfg.Announce, cfg.Name, server.warnings)
+	return server
 }
 
 // Run serves front ends until a drain is over or ctx ends.
@@ -119,20 +119,20 @@
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
 	s.fronts = fronts
-	s.serving = len(fronts)
-	for _, f := range fronts {
+	s.servingFronts = len(fronts)
+	for _, front := range fronts {
 		g.Go(func() error {
 			select {
-			case <-s.open:
+			case <-s.accepting:
 			case <-ctx.Done():
 				return nil
 			}
-			defer s.post(func() { s.serving-- })
-			return f.Serve(ctx, g, s)
+			defer s.post(func() { s.servingFronts-- })
+			return front.Serve(ctx, g, s)
 		})
 	}
-	if s.cfg.Handover != "" {
-		g.Go(func() error { return handover.Run(ctx, s.cfg.Handover, s.open, s.handoverLoop(), s.warn) })
+	if s.config.Handover != "" {
+		g.Go(func() error { return handover.Run(ctx, s.config.Handover, s.accepting, s.handoverLoop(), s.warnings) })
 	} else {
 		s.openFronts()
 	}
@@ -151,31 +151,31 @@
 func (s *Server) openFronts() {
 	if !s.opened {
 		s.opened = true
-		close(s.open)
+		close(s.accepting)
 	}
 }
 
 // post hands f to the loop. It blocks while the loop is behind, and gives up once that is over.
 func (s *Server) post(f func()) {
 	select {
-	case s.in <- f:
-	case <-s.ended:
+	case s.inbox <- f:
+	case <-s.done:
 	}
 }
 
-// turnMost is how many functions a turn takes from the input: what falls due and what was decided does not wait
+// maxEventsPerTurn is how many functions a turn takes from the input: what falls due and what was decided does not wait
 // for all that a burst has brought. At 10 us each it is a fraction of the 20 ms by which answers go out early.
-const turnMost = 128
+const maxEventsPerTurn = 128
 
 // loop takes turns until a drain is over or ctx ends.
 func (s *Server) loop(ctx context.Context) {
-	defer close(s.ended)
-	defer s.leave()
-	s.awaitAgent()
-	s.keepTelling()
-	s.keepSharing()
-	s.keepCutoff()
-	s.keepProbing()
+	defer close(s.done)
+	defer s.shutDown()
+	s.checkAgentUntilUp()
+	s.publishPeriodically()
+	s.tickQuota()
+	s.tickShedding()
+	s.tickProbes()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for !s.finished() {
@@ -187,7 +187,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-s.in:
+		case f := <-s.inbox:
 			s.clock.advance()
 			f()
 		case <-timer.C:
@@ -199,44 +199,44 @@
 // turn drains the input, sweeps the deadlines, has the controller take one step and carries out its actions.
 func (s *Server) turn() {
 	s.clock.advance()
-	for n := min(len(s.in), turnMost); n > 0; n-- {
-		(<-s.in)()
+	for n := min(len(s.inbox), maxEventsPerTurn); n > 0; n-- {
+		(<-s.inbox)()
 	}
 	s.clock.advance()
 	s.deadlines.Sweep(s.clock.now)
 	s.stats.Turns++
 	s.step()
-	s.closeLeaving()
-	s.watchIdle()
+	s.advanceClosing()
+	s.scheduleIdleCheck()
 }
 
 // step has the controller decide on what happened, and carries out its actions.
 func (s *Server) step() {
-	if s.ctl == nil || len(s.events) == 0 {
+	if s.controller == nil || len(s.events) == 0 {
 		return
 	}
-	s.actions = s.ctl.Step(s.clock.now, s.events, s.actions[:0])
+	s.actions = s.controller.Step(s.clock.now, s.events, s.actions[:0])
 	s.events = s.events[:0]
 	for _, a := range s.actions {
-		s.route(a)
+		s.dispatch(a)
 	}
 }
 
-// happened has the next step deal with e. Before there is a controller nothing can happen to it.
-func (s *Server) happened(e admission.Event) {
-	if s.ctl != nil {
+// enqueueEvent has the next step deal with e. Before there is a controller nothing can happen to it.
+func (s *Server) enqueueEvent(e admission.Event) {
+	if s.controller != nil {
 		s.events = append(s.events, e)
 	}
 }
 
 // Ended is closed when all has been answered, or time is up. What is left is to write the last answers,
 // for which there is FinalWriteTimeout.
-func (s *Server) Ended() <-chan struct{} { return s.ended }
+func (s *Server) Ended() <-chan struct{} { return s.done }
 
 // PrintStats logs the counters.
-func (s *Server) PrintStats() { s.post(s.printStats) }
+func (s *Server) PrintStats() { s.post(s.logStats) }
 
-func (s *Server) printStats() {
+func (s *Server) logStats() {
 	running := 0
 	for _, r := range s.requests {
 		if r.running {
@@ -244,6 +244,6 @@
 		}
 	}
 	s.stats.AgentLinks, s.stats.StoreLinks = s.agent.ConnectionsOpened(), s.store.ConnectionsOpened()
-	s.stats.Print(s.log, len(s.requests), running, s.keys.size(), s.peers.size())
-	s.printFleet()
+	s.stats.Print(s.log, len(s.requests), running, s.idempotency.size(), s.connections.size())
+	s.logFleet()
 }
