--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -8,37 +8,38 @@
 	"falldeal/internal/store"
 )
 
-// Stage five, relay: calls of runs go to the store, and the replies back to the runs.
+// Stage five, calls: calls of runs go to the store, and the replies back to the runs.
 
-func (s *Server) handleCallRequest(n agent.Notification) {
-	r := s.requestsByID[n.RequestID]
-	if r == nil || !r.running {
+// handleCallRequest notes the call that a run waits for; the controller decides on it.
+func (s *Server) handleCallRequest(notification agent.Notification) {
+	r := s.requests.byAttemptID[notification.RequestID]
+	if r == nil || !r.running() {
 		return
 	}
-	r.callBody, r.callOffset = n.Payload, n.Offset
-	s.enqueueEvent(admission.Event{Kind: admission.EventCallNeeded, ID: r.id})
+	r.callBody, r.callOffset = notification.Payload, notification.Offset
+	s.admission.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: r.id})
 }
 
-// callStore makes the call that r waits for. The limit counts from now, the way to the store included.
-func (s *Server) callStore(request *activeRequest, limit time.Duration) {
-	if limit <= 0 {
-		limit = s.config.Settings.Classes[request.class].Deadline
+// callStore makes the call that the run of r waits for. The timeout counts from now; 0 stands for the class's deadline.
+func (s *Server) callStore(r *activeRequest, timeout time.Duration) {
+	if timeout <= 0 {
+		timeout = s.config.Settings.Classes[r.class].Deadline
 	}
 	s.stats.Calls++
-	request.callStartedAt = s.clock.now
-	request.trace.calls++
-	request.trace.lastReply = "none yet"
-	s.store.Call(request.attempt.ID, s.clock.now+limit, request.callBody)
+	r.callStartedAt = s.clock.now
+	r.trace.calls++
+	r.trace.lastReply = "none yet"
+	s.store.Call(r.attempt.ID, s.clock.now+timeout, r.callBody)
 }
 
-// abandonCall gives up the call of r, whose answer nobody waits for.
+// abandonCall gives up the call of r, whose reply nobody waits for.
 func (s *Server) abandonCall(r *activeRequest) {
 	if s.store.Abandon(r.attempt.ID) {
 		s.stats.CallsDropped++
 	}
 }
 
-// replyOutcomes says what a reply proves about the call.
+// replyOutcomes gives what a reply proves about the call.
 var replyOutcomes = [...]admission.Outcome{
 	store.OK:                admission.OutcomeOK,
 	store.Rejected:          admission.OutcomeRejected,
@@ -50,16 +51,34 @@
 	store.Expired:           admission.OutcomeTimedOut,
 }
 
+// handleCallEnded takes in the end of a call. The run gets the body of a good reply; what becomes of a run whose call
+// went wrong is the controller's decision.
 func (s *Server) handleCallEnded(id string, reply store.Reply, body []byte) {
 	s.recordCallResult(reply)
-	request := s.requestsByID[id]
+	request := s.requests.byAttemptID[id]
 	if request == nil {
 		return
 	}
+	s.countReply(reply)
+	if reply == store.OK {
+		s.agent.Reply(id, body)
+	}
+	took := s.clock.now - request.callStartedAt
+	outcome := replyOutcomes[reply]
+	request.trace.callTime += took
+	request.trace.lastReply = outcomeNames[outcome]
+	s.admission.enqueue(admission.Event{
+		Kind:    admission.EventCallDone,
+		ID:      request.id,
+		Outcome: outcome,
+		Took:    took,
+	})
+}
+
+func (s *Server) countReply(reply store.Reply) {
 	switch reply {
 	case store.OK:
 		s.stats.CallsOK++
-		s.agent.Reply(id, body)
 	case store.Rejected:
 		s.stats.CallsBusy++
 	case store.Late, store.Expired:
@@ -71,8 +90,4 @@
 	default:
 		s.stats.CallsFailed++
 	}
-	request.trace.callTime += s.clock.now - request.callStartedAt
-	request.trace.lastReply = outcomeNames[replyOutcomes[reply]]
-	s.enqueueEvent(admission.Event{Kind: admission.EventCallDone, ID: request.id, Outcome: replyOutcomes[reply],
-		Took: s.clock.now - request.callStartedAt})
 }
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// clock gives the time that the controller sees: the Unix clock, except that it never goes back.
-// Should the system's clock be set back, it runs on at the pace of the monotonic one.
+// clock gives the time that the controller goes by: the Unix clock, except that it never goes back. If the system's
+// clock is set back, it goes on at the pace of the monotonic one. The loop owns it.
 type clock struct {
 	read func() time.Time
-	last time.Time
-	now  time.Duration
-	skew time.Duration // now is this far ahead of the Unix clock
+	last time.Time     // last reading
+	now  time.Duration // as of the last call of advance
+	skew time.Duration // how far now is ahead of the Unix clock
 }
 
+// advance reads the clock.
 func (c *clock) advance() time.Duration {
 	reading := c.read()
 	unix := time.Duration(reading.UnixNano())
@@ -24,3 +25,6 @@
 
 // fromUnix turns a time on the Unix clock into one on this clock.
 func (c *clock) fromUnix(unix time.Duration) time.Duration { return unix + c.skew }
+
+// unix returns the present on the Unix clock.
+func (c *clock) unix() time.Duration { return c.now - c.skew }
--- a/internal/server/completed.go
+++ b/internal/server/completed.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// completedIDs knows which tries were run or answered lately: one that comes again, as a stranger or a faulty front end may
-// repeat it, is neither run nor served a second time. It holds two generations; each is forgotten whole. A try that is
-// older than that is turned down for its age. It belongs to the loop.
+// completedIDs knows the attempts that were run or answered lately: one that comes again, as a stranger or a faulty
+// front end may send it, is neither run nor served a second time. It holds two generations, and forgets the older one
+// as a whole; an attempt that is older than that is turned down for its age. The loop owns it.
 type completedIDs struct {
 	current, previous map[string]struct{}
-	rotatedAt         time.Duration // when young was begun
+	rotatedAt         time.Duration // when current was begun
 }
 
-// add notes id at now, for keep at least and twice that at most.
-func (t *completedIDs) add(id string, now, keep time.Duration) {
-	if t.current == nil || now-t.rotatedAt > keep {
-		t.current, t.previous, t.rotatedAt = map[string]struct{}{}, t.current, now
+// add remembers an ID for retention at least, and for twice that at most.
+func (c *completedIDs) add(id string, now, retention time.Duration) {
+	if c.current == nil || now-c.rotatedAt > retention {
+		c.current, c.previous, c.rotatedAt = map[string]struct{}{}, c.current, now
 	}
-	t.current[id] = struct{}{}
+	c.current[id] = struct{}{}
 }
 
-func (t *completedIDs) contains(id string) bool {
-	_, young := t.current[id]
-	_, old := t.previous[id]
-	return young || old
+func (c *completedIDs) contains(id string) bool {
+	if _, ok := c.current[id]; ok {
+		return true
+	}
+	_, ok := c.previous[id]
+	return ok
 }
 
-func (t *completedIDs) size() int { return len(t.current) + len(t.previous) }
+func (c *completedIDs) size() int { return len(c.current) + len(c.previous) }
 
-// markCompleted notes that a try was run or answered.
+// markCompleted notes that a request was run or answered.
 func (s *Server) markCompleted(r *activeRequest) {
-	s.completed.add(r.attempt.ID, s.clock.now, s.maxArrivalAge())
+	s.completed.add(r.attempt.ID, s.clock.now, s.config.maxArrivalAge())
 }
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -13,7 +13,7 @@
 func referenceEvictionCandidate(t *connectionTable) *connectionState {
 	var least *connectionState
 	for _, st := range t.states {
-		if len(st.openCalls) == 0 && (least == nil || st.kind() < least.kind() || st.kind() == least.kind() && st.lastUsed < least.lastUsed) {
+		if len(st.openCalls) == 0 && (least == nil || st.kind < least.kind || st.kind == least.kind && st.lastUsed < least.lastUsed) {
 			least = st
 		}
 	}
@@ -25,7 +25,7 @@
 func TestConnectionTableAgainstReference(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		table, now := newConnectionTable(), time.Duration(0)
+		table, now := newConnectionTable(0), time.Duration(0)
 		var all []*connectionState
 		for step := range 2000 {
 			now += time.Duration(rng.IntN(3)) // several may be of one instant
@@ -63,7 +63,7 @@
 			if want == nil {
 				require.Nil(t, got, "seed %d, step %d", seed, step)
 			} else {
-				require.Equal(t, [2]any{want.kind(), want.lastUsed}, [2]any{got.kind(), got.lastUsed}, "seed %d, step %d", seed, step)
+				require.Equal(t, [2]any{want.kind, want.lastUsed}, [2]any{got.kind, got.lastUsed}, "seed %d, step %d", seed, step)
 			}
 		}
 	}
@@ -109,19 +109,19 @@
 func TestBurstDoesNotDelayDeadlines(t *testing.T) {
 	server, _ := newIdleServer(t)
 	var repost func()
-	repost = func() { server.inbox <- repost } // the input never runs dry
+	repost = func() { server.inbox.events <- task(repost) } // the input never runs dry
 	for range inboxCapacity {
-		server.inbox <- func() {}
+		server.inbox.events <- task(func() {})
 	}
 	for range 10 {
-		(<-server.inbox)()
-		server.inbox <- repost
+		(<-server.inbox.events).handle(server)
+		server.inbox.events <- task(repost)
 	}
 	deadlineMet := false
 	server.deadlines.Add(server.clock.now, func() { deadlineMet = true })
 	server.turn()
 	require.True(t, deadlineMet)
-	require.GreaterOrEqual(t, len(server.inbox), inboxCapacity-maxEventsPerTurn)
+	require.GreaterOrEqual(t, server.inbox.waiting(), inboxCapacity-maxEventsPerTurn)
 }
 
 // BenchmarkTurn is a turn that brings a health check, with connections that are idle meanwhile.
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -7,35 +7,29 @@
 	"falldeal/admission"
 )
 
-// Stage three, route: each action of the controller goes to the part that carries it out.
-
-const (
-	gaugeLeadTime = 4 * time.Millisecond // the gauges are asked for this long before a timer
-	gaugeMaxAge   = time.Second          // gauges older than that are unknown
-)
-
-var unknownGauges = admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
+// Stage three, dispatch: each action of the controller goes to the part that carries it out.
 
+// dispatch carries out an action.
 func (s *Server) dispatch(action admission.Action) {
 	switch action.Kind {
 	case admission.ActionHealth:
-		s.healthy, s.healthCached = action.Healthy, action.Cached
+		s.health.healthy, s.health.cached = action.Healthy, action.Cached
 		s.announcer.Set(action.Healthy)
-		return
 	case admission.ActionIdleTimeout:
-		s.idleTimer.timeout = action.Duration
-		return
+		s.connections.idleTimer.timeout = action.Duration
 	case admission.ActionWake:
 		s.scheduleWake(action.At)
-		return
 	case admission.ActionLog:
 		s.log.Info(action.Text)
-		return
-	}
-	request := s.requests[action.ID]
-	if request == nil {
-		return // it has ended meanwhile
+	default: // all others are about one request
+		if request := s.requests.byID[action.ID]; request != nil { // else it has ended in the meantime
+			s.dispatchRequest(request, action)
+		}
 	}
+}
+
+// dispatchRequest carries out an action on a request.
+func (s *Server) dispatchRequest(request *activeRequest, action admission.Action) {
 	switch action.Kind {
 	case admission.ActionRun:
 		s.startRun(request)
@@ -50,7 +44,7 @@
 	case admission.ActionRemember:
 		s.idempotency.retain(request)
 	case admission.ActionForget:
-		// An entry that no run has goes with its holder; one that a run has stays for its window.
+		// An entry without a run goes with its holder; one with a run stays for its window.
 	case admission.ActionReuse:
 		s.reuseResult(request)
 	default:
@@ -59,36 +53,15 @@
 	}
 }
 
-// scheduleWake sets a timer, and asks for the gauges in time for it.
+// scheduleWake has the controller step at that time, with gauges that are asked for shortly before.
 func (s *Server) scheduleWake(at time.Duration) {
-	if ask := at - gaugeLeadTime; ask > s.clock.now {
-		s.deadlines.Add(ask, s.agent.SampleGauges)
+	if sampleAt := at - gaugeLeadTime; sampleAt > s.clock.now {
+		s.deadlines.Add(sampleAt, s.agent.SampleGauges)
 	} else {
 		s.agent.SampleGauges()
 	}
 	s.deadlines.Add(at, func() {
-		g := s.gauges
-		if s.clock.now-s.gaugesAt > gaugeMaxAge {
-			g = unknownGauges
-		}
-		s.enqueueEvent(admission.Event{Kind: admission.EventTimer, Gauges: g})
+		gauges := s.gauges.latest(s.clock.now)
+		s.admission.enqueue(admission.Event{Kind: admission.EventTimer, Gauges: gauges})
 	})
 }
-
-// recordGauges notes the gauges, which come in the order of the settings.
-func (s *Server) recordGauges(load []float64) {
-	gauges := unknownGauges
-	for i, value := range load[:min(len(load), len(s.config.Gauges))] {
-		switch s.config.Gauges[i] {
-		case "core_use":
-			gauges.CPUUtilization = value
-		case "on_cores":
-			gauges.CPUDemand = value
-		case "heap_share":
-			gauges.MemoryUtilization = value
-		case "links":
-			gauges.Connections = value
-		}
-	}
-	s.gauges, s.gaugesAt = gauges, s.clock.now
-}
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -10,97 +10,152 @@
 
 // Drain: on SIGTERM everything that was read is answered, and the process ends in time.
 
-// endMargin is how long before the process is stopped its loop ends: the last answers, which the
-// controller gives a little earlier, are on their way by then. FinalWriteTimeout of it may pass until the process ends,
-// whatever still hangs on a socket.
 const (
-	endMargin         = 120 * time.Millisecond
+	// shutdownLead is how long before the process is stopped its loop ends: the last answers, which the controller gives
+	// a little earlier, are on their way by then.
+	shutdownLead = 120 * time.Millisecond
+	// FinalWriteTimeout is the part of that lead which may pass until the process ends, whatever is still unwritten.
 	FinalWriteTimeout = 90 * time.Millisecond
-
-	// listenerCloseLead is how long before that the listeners are closed at the latest: what came in at the last moment, over
-	// whatever way there is between the machines, is read and answered by the end. Front ends are promised 50 ms.
+	// listenerCloseLead is how long before the end of the loop the listeners are closed at the latest, so that what
+	// arrived at the last moment is read and answered. Front ends are promised 50 ms for the way between machines.
 	listenerCloseLead = 100 * time.Millisecond
 )
 
+// drainPhase is how far a drain has got.
+type drainPhase uint8
+
+const (
+	drainNotStarted      drainPhase = iota
+	drainAccepting                  // connections are still accepted: their requests can be run
+	drainListenersClosed            // they are refused, which sends front ends elsewhere at once
+)
+
+func (p drainPhase) String() string {
+	switch p {
+	case drainNotStarted:
+		return "not started"
+	case drainAccepting:
+		return "accepting"
+	case drainListenersClosed:
+		return "listeners closed"
+	}
+	return "unknown"
+}
+
+// drainState is the drain of this process. The loop owns it.
 type drainState struct {
-	started          bool
-	replaced         bool          // a newer process goes on
-	began            time.Duration // when the notice came
+	phase            drainPhase
+	replaced         bool          // a successor goes on
+	requestedAt      time.Duration // when SIGTERM came
+	closeListenersAt time.Duration // nothing that arrives later would be run
 	stopAt           time.Duration // when the loop ends at the latest
-	closeListenersAt time.Duration // when the listeners are closed: nothing that arrives later would be run
-	listenersClosed  bool
 }
 
-// Drain has the process leave. Where a newer one has joined to take its place, the image server goes on: no
-// front end is sent elsewhere, and only what this process still has keeps it. It may be called more than once.
-func (s *Server) Drain() {
-	s.post(func() {
-		if s.drain.started {
-			return
-		}
-		replaced := s.successor != nil
-		s.log.WithField("replaced", replaced).Info("told to leave")
-		now, stop, shut := s.clock.now, s.config.StopTimeout, s.config.Settings.DrainGrace
-		if replaced {
-			stop, shut = s.config.ReplacedStopTimeout, 0
-			s.announcer.Silence()
-		} else {
-			s.announcer.Set(false)
-		}
-		s.drain = drainState{started: true, replaced: replaced, began: now, stopAt: now + max(stop-endMargin, 0)}
-		s.drain.closeListenersAt = max(min(now+shut, s.drain.stopAt-listenerCloseLead), now)
-		s.enqueueDrainEvent()
-		for _, st := range s.connections.states {
-			s.notifyClosing(st)
-		}
-		s.publishStatus()
-		s.deadlines.Add(s.drain.closeListenersAt, s.closeListeners)
-		s.deadlines.Add(s.drain.stopAt, func() {}) // so that the loop looks at the time
-	})
+// started reports whether the process was told to end.
+func (d *drainState) started() bool { return d.phase != drainNotStarted }
+
+// newDrain returns a drain that starts now. The listeners close after grace, the process is stopped after stopTimeout.
+func newDrain(now, stopTimeout, grace time.Duration, replaced bool) drainState {
+	stopAt := now + max(stopTimeout-shutdownLead, 0)
+	return drainState{
+		phase:            drainAccepting,
+		replaced:         replaced,
+		requestedAt:      now,
+		closeListenersAt: max(min(now+grace, stopAt-listenerCloseLead), now),
+		stopAt:           stopAt,
+	}
 }
 
-// enqueueDrainEvent has the controller know of the notice, be it later than that came.
+// Drain has the process end once its work is done, or its time is up. If a successor has joined, the image server goes
+// on: no front end is sent elsewhere, and only the connections of this process keep it. Drain may be called more than
+// once, and from any goroutine.
+func (s *Server) Drain() { s.post(s.startDrain) }
+
+func (s *Server) startDrain() {
+	if s.drain.started() {
+		return
+	}
+	replaced := s.handover.successor != nil
+	s.log.WithField("replaced", replaced).Info("told to leave")
+	if replaced {
+		s.announcer.Silence()
+		s.drain = newDrain(s.clock.now, s.config.ReplacedStopTimeout, 0, true)
+	} else {
+		s.announcer.Set(false)
+		s.drain = newDrain(s.clock.now, s.config.StopTimeout, s.config.Settings.DrainGrace, false)
+	}
+	s.enqueueDrainEvent()
+	for _, state := range s.connections.states {
+		s.notifyClosing(state)
+	}
+	s.publishStatus()
+	s.deadlines.Add(s.drain.closeListenersAt, s.closeListeners)
+	s.deadlines.Add(s.drain.stopAt, func() {}) // wakes the loop, which checks whether it has finished
+}
+
+// enqueueDrainEvent tells the controller of the drain, which may have begun before there was a controller.
 func (s *Server) enqueueDrainEvent() {
-	d := &s.drain
-	s.enqueueEvent(admission.Event{Kind: admission.EventDrain, StopAt: d.stopAt, Waited: s.clock.now - d.began, Replaced: d.replaced})
+	s.admission.enqueue(admission.Event{
+		Kind:     admission.EventDrain,
+		StopAt:   s.drain.stopAt,
+		Waited:   s.clock.now - s.drain.requestedAt,
+		Replaced: s.drain.replaced,
+	})
 }
 
-// closeListeners closes the listeners: a refused connection tells a front end at once to go elsewhere.
+// closeListeners has new connections refused.
 func (s *Server) closeListeners() {
-	s.drain.listenersClosed = true
-	s.openFronts() // so that those that do not accept yet end, too
-	for _, f := range s.fronts {
-		if err := f.Close(); err != nil {
+	s.drain.phase = drainListenersClosed
+	s.listeners.open() // so that fronts that do not accept yet end, too
+	for _, front := range s.listeners.fronts {
+		if err := front.Close(); err != nil {
 			s.warnings.Warn("listener", "not closed", err)
 		}
 	}
 }
 
-// finished reports whether a drain is over: all front ends have gone, or time is up. A newer process waits for the
-// ends of orders that run here, to answer those that try them again.
+// finished reports whether the loop is to end.
 func (s *Server) finished() bool {
-	return s.drain.started && (s.drain.listenersClosed && s.servingFronts == 0 && s.connections.empty() && !(s.drain.replaced && s.idempotency.hasLocalRun()) ||
-		s.clock.now >= s.drain.stopAt)
+	if !s.drain.started() {
+		return false
+	}
+	return s.drained() || s.clock.now >= s.drain.stopAt
+}
+
+// drained reports whether all front ends have gone. A successor waits also for the results of runs under idempotency
+// keys, to answer their retries.
+func (s *Server) drained() bool {
+	if s.drain.phase != drainListenersClosed || s.listeners.serving != 0 || !s.connections.empty() {
+		return false
+	}
+	return !s.drain.replaced || !s.idempotency.hasLocalRun()
 }
 
 // shutDown is the end of the loop: what was read by then is answered, and all answers are still written.
 func (s *Server) shutDown() {
-	// Readers that waited for room hand over what they have read as it is made; a flood of it has an end.
-	for n := 2 * inboxCapacity; n > 0 && len(s.inbox) > 0; n-- {
-		(<-s.inbox)()
+	// Readers that wait for room in the inbox fill it as it is emptied; this has to end all the same.
+	for n := 2 * inboxCapacity; n > 0 && s.inbox.waiting() > 0; n-- {
+		s.handleWaiting(1)
 	}
 	s.step()
-	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
-		switch r := s.requests[id]; {
-		case r == nil || r.answered:
-		case r.running || r.claiming || s.idempotency.lookup(r) != nil && s.idempotency.lookup(r).ran:
-			s.answer(r, Answer{Kind: Failed})
-		default:
-			s.answer(r, Answer{Kind: Rejected})
+	for _, id := range slices.Sorted(maps.Keys(s.requests.byID)) {
+		if r := s.requests.byID[id]; r != nil && !r.answered {
+			s.answer(r, Answer{Kind: s.finalAnswer(r)})
 		}
 	}
 	s.logStats()
-	for p := range s.connections.states {
-		p.Close()
+	for c := range s.connections.states {
+		c.Close()
+	}
+}
+
+// finalAnswer is the answer to a request that has none when the loop ends: Rejected only if it can't have run.
+func (s *Server) finalAnswer(r *activeRequest) AnswerKind {
+	if r.state != requestQueued {
+		return Failed
+	}
+	if entry := s.idempotency.lookup(r); entry != nil && entry.hasRun() {
+		return Failed
 	}
+	return Rejected
 }
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -7,26 +7,35 @@
 
 	"falldeal/admission"
 	"falldeal/internal/agent"
+
+	"github.com/sirupsen/logrus"
 )
 
-// Stage four, send: runs go to the agent, and its notices come back.
+// Stage four, execute: runs go to the agent, and its notifications come back.
+
+// agentCheckInterval is how often the link is checked while the agent has not sent its handshake.
+const agentCheckInterval = time.Second
 
-// startRun has the agent run r. A keyed request whose run is on record is never run again, whatever the
-// controller believes.
+// startRun has the agent run a request. A request whose key has a run on record is never run again, whatever the
+// controller has decided.
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
 		s.warnings.Warn("second run", "second run of a keyed request prevented", nil)
-		s.enqueueEvent(admission.Event{Kind: admission.EventDone, ID: request.id, Outcome: admission.OutcomeNotStarted})
+		s.admission.enqueue(admission.Event{
+			Kind:    admission.EventDone,
+			ID:      request.id,
+			Outcome: admission.OutcomeNotStarted,
+		})
 		s.answer(request, Answer{Kind: Failed})
 		s.removeRequest(request)
 		return
 	}
 	s.stats.Runs++
-	request.running, request.startedAt = true, s.clock.now
+	request.state, request.startedAt = requestRunning, s.clock.now
 	s.idempotency.markRunning(request)
 	s.markCompleted(request)
 	s.agent.Launch(request.attempt.ID, request.attempt.Class, request.attempt.Body)
-	request.attempt.Body = nil // the link has it for as long as it is needed
+	request.attempt.Body = nil // the link keeps it for as long as it is needed
 }
 
 // skipCall lets a run go on without the call that it waits for.
@@ -36,13 +45,13 @@
 	s.agent.SkipCall(r.attempt.ID, r.callOffset)
 }
 
-// handleAgentNotification takes in what the agent tells.
+// handleAgentNotification takes in a notification of the agent.
 func (s *Server) handleAgentNotification(notification agent.Notification) {
 	switch notification.Kind {
 	case agent.Handshake:
 		s.handleHandshake(notification)
 	case agent.Gauges:
-		s.recordGauges(notification.Load)
+		s.gauges.record(s.clock.now, s.config.Gauges, notification.Load)
 	case agent.DeepCheckDone:
 		s.completeDeepCheck(notification.Token, notification.Result == agent.Success)
 	case agent.CallRequest:
@@ -51,66 +60,69 @@
 		s.handleOutcome(notification)
 	case agent.CommandRejected:
 		s.handleCommandRejected(notification)
+	case agent.Aside:
+		// Nothing here depends on it.
 	}
 }
 
-// agentCheckInterval is how often the link to an agent that has not greeted is looked at.
-const agentCheckInterval = time.Second
-
-// checkAgentUntilUp sees to it that a link which leads nowhere is replaced though nothing is asked on it yet.
+// checkAgentUntilUp checks the link each interval until the agent is up, so that a link which leads nowhere is replaced
+// though nothing is sent on it yet.
 func (s *Server) checkAgentUntilUp() {
-	if s.controller == nil {
+	if !s.admission.started() {
 		s.agent.Check()
 		s.deadlines.Add(s.clock.now+agentCheckInterval, s.checkAgentUntilUp)
 	}
 }
 
-// handleHandshake starts the controller: the agent is up, and its age tells whether it is warm. A greeting on
-// a later link changes nothing, since agent and image server live and die together.
+// handleHandshake starts the controller: the agent is up, and its age tells whether it is warm. A handshake on a later
+// link changes nothing, as agent and image server start and stop together.
 func (s *Server) handleHandshake(notification agent.Notification) {
-	if s.controller != nil {
+	if s.admission.started() {
 		return
 	}
-	set := s.config.Settings
-	set.WarmingUp = notification.Result == agent.Booting
-	ctl, err := admission.New(set, s.config.Seed, s.clock.now-notification.Elapsed)
+	settings := s.config.Settings
+	settings.WarmingUp = notification.Result == agent.Booting
+	startedAt := s.clock.now - notification.Elapsed
+	controller, err := admission.New(settings, s.config.Seed, startedAt)
 	if err != nil {
-		// The configuration was checked, so the check lacks something. Without decisions nothing is served.
+		// The configuration was checked, so that check is incomplete. Without a controller nothing is served.
 		s.log.WithError(err).Error("no controller for these settings")
 		return
 	}
-	s.log.WithFields(map[string]any{"state": notification.Result, "age": notification.Elapsed.String()}).Info("agent is up")
-	s.controller = ctl
+	s.log.WithFields(logrus.Fields{"state": notification.Result, "age": notification.Elapsed.String()}).Info("agent is up")
+	s.admission.controller = controller
 	s.openFrontsWhenReady()
-	if s.member != nil && set.WarmingUp {
-		s.member.warmAt = s.clock.now - notification.Elapsed + set.SlowStartTime
+	if s.member != nil && settings.WarmingUp {
+		s.member.warmAt = startedAt + settings.SlowStartTime
 	}
 	s.publishStatus()
-	s.enqueueEvent(admission.Event{Kind: admission.EventTimer, Gauges: unknownGauges}) // the first step
-	if s.deregistered {
+	s.admission.enqueue(admission.Event{Kind: admission.EventTimer, Gauges: unknownGauges}) // the first step
+	if s.health.deregistered {
 		s.enqueueRegistration()
 	}
-	if s.drain.started {
+	if s.drain.started() {
 		s.enqueueDrainEvent()
 	}
 }
 
-// handleRunsLost ends the runs in hand, of which the agent will not tell any more. They may have had their effect.
+// handleRunsLost ends all runs, of which the agent will report nothing any more. They may have had their effect.
 func (s *Server) handleRunsLost() {
-	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
-		if r := s.requests[id]; r != nil && r.running {
+	for _, id := range slices.Sorted(maps.Keys(s.requests.byID)) {
+		if r := s.requests.byID[id]; r != nil && r.running() {
 			s.stats.RunsInterrupted++
 			s.completeRun(r, admission.OutcomeFailed, nil)
 		}
 	}
 }
 
-// handleCommandRejected ends a run that the agent would not begin. Other refusals are about runs that have
+// handleCommandRejected ends a run that the agent would not begin. Other commands are rejected for runs that have
 // ended, whose outcome is on its way.
-func (s *Server) handleCommandRejected(n agent.Notification) {
+func (s *Server) handleCommandRejected(notification agent.Notification) {
 	s.stats.CommandsRejected++
-	s.warnings.Warn("agent "+n.Result, "agent did not carry out a command for "+n.RequestID, nil)
-	if r := s.requestsByID[n.RequestID]; r != nil && r.running && n.Result == "launch" {
+	message := "agent did not carry out a command for " + notification.RequestID
+	s.warnings.Warn("agent "+notification.Result, message, nil)
+	r := s.requests.byAttemptID[notification.RequestID]
+	if r != nil && r.running() && notification.Result == "launch" {
 		s.completeRun(r, admission.OutcomeNotStarted, nil)
 	}
 }
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -1,83 +1,79 @@
-// Package server is the image server round the decision module: one loop that owns the controller
-// and the state of every request. A request passes the stages take in, admit, route, send, relay and
-// book, each in a file of its own; keys and drain stand beside them.
 package server
 
 import (
 	"context"
-	"time"
 
 	"golang.org/x/sync/errgroup"
 )
 
-// Attempt is one try of a request as a front protocol has read it. Texts that go on to others (ID) hold
-// hex digits only.
-type Attempt struct {
-	ID             string
-	IdempotencyKey string // the same for all tries of one request; "" where there is no such thing
-	Subject        string // what a read is about
-	Class          string
-	Tenant         string        // "" where there is no such thing
-	Retry          bool          // marked as a further try
-	ArrivedAt      time.Duration // when it came to the machine, on the Unix clock
-	Timeout        time.Duration // how long its caller waits from then on; 0 = not told
-	Client         int
-	CostHint       time.Duration // work to expect; 0 = not told
-	MemoryKB       float64
-	Rank           float64
-	Body           []byte
-}
-
-// AnswerKind tells answers apart.
-type AnswerKind uint8
-
-// The kinds of Answer.
-const (
-	Served    AnswerKind = iota // with Body
-	Rejected                    // it never ran
-	Failed                      // it may have run
-	Invalid                     // the request was wrong, as Reason says; it never ran
-	Healthy                     // to a health check
-	Unhealthy                   // to a health check
-)
-
-// Answer is the one answer to a call.
-type Answer struct {
-	Kind             AnswerKind
-	Body             []byte
-	RetryAfter       time.Duration // Refused: how long to stay away; 0 = no advice
-	NoRetryElsewhere bool          // Refused: no other server should be tried
-	Reason           string        // Invalid
-}
-
-// Connection is a connection of a front end, in whatever protocol it speaks. The loop calls its methods,
-// none of which may block; the server knows a Connection from Opened to Closed.
+// Connection is a connection of a front end, in whatever protocol it speaks. The loop calls its methods, and none of
+// them may block. The server knows a Connection from ConnectionOpened until it calls Close, or is told by ReadEnded
+// that it was Disconnected.
 type Connection interface {
+	// Answer writes the answer to a call.
 	Answer(call uint32, a Answer)
-	NotifyClosing()    // no new request should come on this connection
-	PauseReading()     // read what has come by now and then wait; Closed tells when that is done
-	ResumeReading()    // read on, after Finished or Silent
-	TryClose() bool    // Close, unless something has come since Finished or Silent: then false, and that is read as by Finish
-	Close()            // after what was handed over is written
-	MaxOpenCalls() int // calls that may be open at once
+	// NotifyClosing asks the front end to send no new request on this connection.
+	NotifyClosing()
+	// PauseReading reads what has arrived by now and then waits; ReadEnded reports when that is done.
+	PauseReading()
+	// ResumeReading reads on after ReadPaused or ReadTimeout.
+	ResumeReading()
+	// TryClose closes the connection unless something has arrived since ReadPaused or ReadTimeout. In that case it
+	// returns false, and what arrived is read as by PauseReading.
+	TryClose() bool
+	// Close closes the connection once all answers handed over are written.
+	Close()
+	// MaxOpenCalls returns how many calls may be open at once.
+	MaxOpenCalls() int
 }
 
-// EndReason tells why a connection ended.
+// EndReason tells why reading from a connection ended. After all but Disconnected, answers may still be written, and
+// the server closes the Connection. After ReadTimeout and ReadPaused nothing is read until the server says so.
 type EndReason uint8
 
-// The kinds of End. After all but Left answers may still be written, and the server closes the Peer. After Silent and
-// Finished nothing is read until it is told what to do.
+// The reasons for the end of reading.
 const (
-	Disconnected   EndReason = iota // either side closed it, or the network did
-	ReadTimeout                     // no message came, or one that did not end
-	MalformedInput                  // what came is not of the protocol
-	ReadPaused                      // as asked for by Finish
+	Disconnected   EndReason = iota // either side closed the connection, or the network did
+	ReadTimeout                     // no message arrived, or one that did not end
+	MalformedInput                  // the input is not of the protocol
+	ReadPaused                      // PauseReading was called
 )
 
-// Front accepts front ends of one protocol and hands what they send to a Server.
+// String returns the reason in plain words.
+func (r EndReason) String() string {
+	switch r {
+	case Disconnected:
+		return "disconnected"
+	case ReadTimeout:
+		return "read timeout"
+	case MalformedInput:
+		return "malformed input"
+	case ReadPaused:
+		return "read paused"
+	}
+	return "unknown"
+}
+
+// Front accepts connections of one protocol and hands what they send to a Server.
 type Front interface {
 	// Serve returns once the listener is closed or ctx ends; connections run in g.
 	Serve(ctx context.Context, g *errgroup.Group, s *Server) error
-	// Close closes the listener; connections stay.
+	// Close closes the listener; connections stay open.
 	Close() error
 }
+
+// listenerSet holds the front listeners. The loop owns it, except for accepting, on which other goroutines wait.
+type listenerSet struct {
+	fronts    []Front
+	serving   int           // fronts that may still accept connections
+	accepting chan struct{} // closed once they may accept
+	opened    bool          // accepting is closed
+}
+
+// open lets the fronts accept connections. Further calls do nothing.
+func (l *listenerSet) open() {
+	if !l.opened {
+		l.opened = true
+		close(l.accepting)
+	}
+}
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -60,12 +60,12 @@
 	}
 	once := try
 	once.IdempotencyKey = "order 7"
-	server.logTrace(&activeRequest{attempt: once, class: 2, running: true, startedAt: at + 10*time.Millisecond}, answerNames[Served])
+	server.logTrace(&activeRequest{attempt: once, class: 2, state: requestRunning, startedAt: at + 10*time.Millisecond}, answerNames[Served])
 	for why := admission.ReasonCPU; why <= admission.ReasonBelowThreshold; why++ {
 		server.logTrace(&activeRequest{attempt: try, trace: requestTrace{reason: why.String()}}, answerNames[Rejected])
 	}
 	for reply := store.OK; int(reply) < len(replyOutcomes); reply++ {
-		server.logTrace(&activeRequest{attempt: try, running: true, startedAt: at, trace: requestTrace{calls: 3, callTime: 15 * time.Millisecond,
+		server.logTrace(&activeRequest{attempt: try, state: requestRunning, startedAt: at, trace: requestTrace{calls: 3, callTime: 15 * time.Millisecond,
 			lastReply: outcomeNames[replyOutcomes[reply]]}}, answerNames[Served])
 	}
 	requireGolden(t, "trail", lines.String())
@@ -82,7 +82,7 @@
 		server.Submit(conn, call, Attempt{ID: id, IdempotencyKey: id, Class: "licence-order", ArrivedAt: server.clock.now - 5*time.Millisecond, Timeout: 2 * time.Second, MemoryKB: 1})
 		do()
 		server.step()
-		return server.requestsByID[id]
+		return server.requests.byAttemptID[id]
 	}
 	server.fail(submit(1, "a1"))
 	submit(2, "a2")
@@ -115,24 +115,24 @@
 		}},
 		{"a wrong request", func(_ *testing.T, s *Server) { s.answerInvalid(&recordingConnection{}, 1, errTooManyOpenCalls) }},
 		{"an action that can't be carried out", func(_ *testing.T, s *Server) {
-			s.requests[1] = &activeRequest{}
+			s.requests.byID[1] = &activeRequest{}
 			s.dispatch(admission.Action{Kind: admission.ActionAdvertise, ID: 1})
 		}},
 		{"a report of the controller", func(_ *testing.T, s *Server) {
 			s.dispatch(admission.Action{Kind: admission.ActionLog, Text: "breaker drops calls: begins"})
 		}},
-		{"reload", func(_ *testing.T, s *Server) { s.Reload(s.config, nil) }},
+		{"reload", func(_ *testing.T, s *Server) { s.Reload(s.config.Config, nil) }},
 		{"reload of a file that is wrong", func(_ *testing.T, s *Server) {
 			s.Reload(nil, errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
 		}},
 		{"SIGTERM", func(_ *testing.T, s *Server) { s.Drain() }},
 		{"SIGTERM with a newer process", func(_ *testing.T, s *Server) {
-			s.successor = &handover.Link{}
+			s.handover.successor = &handover.Link{}
 			s.Drain()
 		}},
 		{"the older process ends", func(_ *testing.T, s *Server) {
-			s.predecessor = &handover.Link{}
-			s.peerEnded(s.predecessor)
+			s.handover.predecessor = &handover.Link{}
+			s.peerEnded(s.handover.predecessor)
 		}},
 		{"SIGUSR1", func(_ *testing.T, s *Server) {
 			s.stats = stats.Counters{Requests: 7}
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -3,97 +3,118 @@
 import (
 	"time"
 
-	"falldeal/admission"
 	"falldeal/internal/handover"
 )
 
-// Handover: two processes are one image server while the newer takes the place of the older. A keyed request
-// is run by one of them: the older one knows which, and the newer one claims a key before it runs a request
-// under it. What becomes of a run is told to the other, so that its result answers tries at both.
+// Handover: two processes are one image server while the successor takes the place of its predecessor. A request with
+// an idempotency key is run by one of them: the predecessor knows which, and the successor claims a key before it runs
+// a request under it. Each tells the other how its runs end, so that their results answer attempts at both.
 
 const (
-	claimTimeout       = 500 * time.Millisecond // for the older process to answer a claim
-	claimDeadlineSlack = 20 * time.Millisecond  // a claim is given up this long before its request is due
+	claimTimeout       = 500 * time.Millisecond // for the predecessor to answer a claim
+	claimDeadlineSlack = 20 * time.Millisecond  // a claim is given up this long before its caller does
 )
 
-// handoverState are the other processes, nil where there is none.
+// handoverState is what the loop knows of the other processes of this image server. The loop owns it.
 type handoverState struct {
-	predecessor, successor *handover.Link
-	synced                 bool                        // what the older one knows is known here
-	claims                 map[string][]*activeRequest // that wait for the older one's word, by key
+	predecessor *handover.Link // nil: there is none
+	successor   *handover.Link // nil: there is none
+	synced      bool           // the keys of the predecessor are known here
+	claims      map[string][]*activeRequest
+}
+
+func newHandoverState() handoverState { return handoverState{claims: map[string][]*activeRequest{}} }
+
+// paired reports whether two processes are this image server, and share its descriptors.
+func (h *handoverState) paired() bool { return h.predecessor != nil || h.successor != nil }
+
+// publish tells the other processes of a change to a key of this one.
+func (h *handoverState) publish(m handover.Message) {
+	for _, link := range []*handover.Link{h.predecessor, h.successor} {
+		if link != nil {
+			link.Publish(m)
+		}
+	}
+}
+
+// addClaim notes that r waits for the answer to the claim on its key, and reports whether it is the first to do so.
+func (h *handoverState) addClaim(r *activeRequest) (first bool) {
+	key := r.attempt.IdempotencyKey
+	h.claims[key] = append(h.claims[key], r)
+	return len(h.claims[key]) == 1
+}
+
+// takeClaims returns the requests that wait for the answer to the claim on a key, once.
+func (h *handoverState) takeClaims(key string) []*activeRequest {
+	waiting := h.claims[key]
+	delete(h.claims, key)
+	return waiting
 }
 
 func (s *Server) handoverLoop() handover.Loop {
-	return handover.Loop{Post: s.post, OnPredecessor: s.predecessorJoined, OnSuccessor: s.successorJoined, OnMessage: s.handlePeerMessage, OnEnd: s.peerEnded}
+	return handover.Loop{
+		Post:          s.post,
+		OnPredecessor: s.predecessorJoined,
+		OnSuccessor:   s.successorJoined,
+		OnMessage:     s.handlePeerMessage,
+		OnEnd:         s.peerEnded,
+	}
 }
 
-func (s *Server) predecessorJoined(l *handover.Link) {
-	if s.predecessor = l; l == nil {
+// predecessorJoined notes the predecessor; nil: there is none, and nothing to wait for.
+func (s *Server) predecessorJoined(link *handover.Link) {
+	s.handover.predecessor = link
+	if link == nil {
 		s.markSynced()
 	}
 }
 
+// successorJoined tells the successor of all keys, and gives up the connections above this process's half.
 func (s *Server) successorJoined(link *handover.Link) {
 	s.log.Info("a newer process has joined")
-	s.successor = link
-	if s.drain.started {
-		s.announcer.Silence() // the newer one is to be listed, and not as leaving
+	s.handover.successor = link
+	if s.drain.started() {
+		s.announcer.Silence() // the successor is to be listed, and not as draining
 	}
 	s.publishStatus()
-	var all []handover.Message
-	for _, e := range s.idempotency.entries {
-		all = append(all, e.messages()...)
+	var messages []handover.Message
+	for _, entry := range s.idempotency.entries {
+		messages = append(messages, entry.messages()...)
 	}
-	link.Publish(append(all, handover.Message{Kind: handover.Synced})...)
-	for s.connections.size() > s.maxConnections() && s.evictIdle() {
+	link.Publish(append(messages, handover.Message{Kind: handover.Synced})...)
+	for s.connections.size() > s.maxConnections() {
+		if !s.evictIdle() {
+			break
+		}
 	}
 }
 
-// markSynced notes that nothing is left to learn before this process may serve.
+// markSynced notes that all keys of the predecessor are known.
 func (s *Server) markSynced() {
-	s.synced = true
+	s.handover.synced = true
 	s.openFrontsWhenReady()
 }
 
-// openFrontsWhenReady has front ends accepted as soon as their requests can be run.
+// openFrontsWhenReady has connections accepted as soon as their requests can be run.
 func (s *Server) openFrontsWhenReady() {
-	if s.synced && s.controller != nil {
-		s.openFronts()
+	if s.handover.synced && s.admission.started() {
+		s.listeners.open()
 		s.publishStatus()
 	}
 }
 
-// publishKeyChange tells the other processes of a change to a key of this one.
-func (s *Server) publishKeyChange(m handover.Message) {
-	for _, l := range []*handover.Link{s.predecessor, s.successor} {
-		if l != nil {
-			l.Publish(m)
-		}
-	}
-}
-
+// handlePeerMessage takes in a message of the other process.
 func (s *Server) handlePeerMessage(link *handover.Link, m handover.Message) {
 	entry := s.idempotency.entries[m.IdempotencyKey]
 	switch m.Kind {
 	case handover.Synced:
 		s.markSynced()
 	case handover.Known:
-		if entry == nil || entry.owner == link || s.idempotency.expired(entry, s.clock.now-s.clock.skew) {
-			s.adoptKey(link, m)
-		}
-		s.resumeClaimed(m.IdempotencyKey)
+		s.handleKnown(link, m, entry)
 	case handover.Claim:
-		if entry != nil && !s.idempotency.expired(entry, m.At) {
-			link.Publish(entry.messages()...)
-			return
-		}
-		s.adoptKey(link, handover.Message{IdempotencyKey: m.IdempotencyKey, Digest: m.Digest, At: m.At + s.longestIdempotencyWindow()})
-		link.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: m.IdempotencyKey})
+		s.handleClaim(link, m, entry)
 	case handover.Grant:
-		s.resumeClaimed(m.IdempotencyKey)
-		if s.idempotency.entries[m.IdempotencyKey] == nil {
-			link.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: m.IdempotencyKey}) // nobody waits any more
-		}
+		s.handleGrant(link, m)
 	case handover.Completed:
 		if entry != nil && entry.owner == link {
 			s.completePeerRun(entry, m.OK, m.Body)
@@ -106,77 +127,104 @@
 	}
 }
 
-// adoptKey enters a key that another process has.
-func (s *Server) adoptKey(l *handover.Link, m handover.Message) {
-	s.lastRequestID++ // no request of this process has it
-	e := s.idempotency.adopt(l, m, s.lastRequestID)
-	s.expireAfterWindow(e)
+// handleKnown takes over a key that the other process has.
+func (s *Server) handleKnown(link *handover.Link, m handover.Message, entry *idempotencyEntry) {
+	if entry == nil || entry.owner == link || s.idempotency.expired(entry, s.clock.unix()) {
+		s.adoptKey(link, m)
+	}
+	s.resumeClaimed(m.IdempotencyKey)
+}
+
+// handleClaim grants the successor a key that is not known here, and leaves it alone from then on.
+func (s *Server) handleClaim(link *handover.Link, m handover.Message, entry *idempotencyEntry) {
+	if entry != nil && !s.idempotency.expired(entry, m.At) {
+		link.Publish(entry.messages()...)
+		return
+	}
+	windowEnd := m.At + s.config.longestIdempotencyWindow()
+	s.adoptKey(link, handover.Message{IdempotencyKey: m.IdempotencyKey, Digest: m.Digest, At: windowEnd})
+	link.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: m.IdempotencyKey})
+}
+
+// handleGrant goes on with the requests of a key, or gives it back if none is left.
+func (s *Server) handleGrant(link *handover.Link, m handover.Message) {
+	s.resumeClaimed(m.IdempotencyKey)
+	if s.idempotency.entries[m.IdempotencyKey] == nil {
+		link.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: m.IdempotencyKey})
+	}
+}
+
+// adoptKey adds a key that another process has.
+func (s *Server) adoptKey(link *handover.Link, m handover.Message) {
+	entry := s.idempotency.adopt(link, m, s.requests.nextID())
+	s.expireAfterWindow(entry)
 }
 
-// completePeerRun books the end of a run in another process.
+// completePeerRun notes the end of a run in another process, and answers the attempts that waited for it.
 func (s *Server) completePeerRun(e *idempotencyEntry, ok bool, result []byte) {
-	for _, f := range s.idempotency.complete(e, ok, result) {
-		s.answerFromResult(f, ok, result)
+	for _, retry := range s.idempotency.complete(e, ok, result) {
+		s.answerFromResult(retry, ok, result)
 	}
 }
 
-// peerEnded goes on alone. Whatever the other process had not told the end of may have had its effect.
+// peerEnded goes on alone. Runs of the other process whose end is not known may have had their effect.
 func (s *Server) peerEnded(link *handover.Link) {
 	switch link {
-	case s.predecessor:
+	case s.handover.predecessor:
 		s.log.Info("the older process has ended")
-		s.predecessor = nil
-	case s.successor:
-		s.successor = nil
+		s.handover.predecessor = nil
+	case s.handover.successor:
+		s.handover.successor = nil
 	}
-	for _, e := range s.idempotency.entries {
-		if e.owner == link && !e.completed {
-			s.completePeerRun(e, false, nil)
+	for _, entry := range s.idempotency.entries {
+		if entry.owner == link && entry.state != entryCompleted {
+			s.completePeerRun(entry, false, nil)
 		}
 	}
-	if s.predecessor == nil {
+	if s.handover.predecessor == nil {
 		s.markSynced()
-		for key := range s.claims {
+		for key := range s.handover.claims {
 			s.resumeClaimed(key)
 		}
 	}
 }
 
-// claimKey has r wait for the older process's word on its key.
+// mustClaim reports whether the predecessor has to be asked whether a request may run.
+func (s *Server) mustClaim(r *activeRequest) bool {
+	return s.config.hasKeys(r.class) && s.handover.predecessor != nil && s.idempotency.lookup(r) == nil
+}
+
+// claimKey has a request wait for the predecessor's answer to the claim on its key. Without one in time it fails, as
+// another attempt may have run.
 func (s *Server) claimKey(request *activeRequest) {
-	key := request.attempt.IdempotencyKey
-	s.claims[key] = append(s.claims[key], request)
-	request.claiming = true
-	s.deadlines.Add(min(s.clock.now+claimTimeout, s.callerDeadline(request)-claimDeadlineSlack), func() {
-		if request.claiming && s.requests[request.id] == request {
+	request.state = requestClaiming
+	first := s.handover.addClaim(request)
+	giveUpAt := min(s.clock.now+claimTimeout, s.callerDeadline(request)-claimDeadlineSlack)
+	s.deadlines.Add(giveUpAt, func() {
+		if request.state == requestClaiming && s.requests.contains(request) {
 			s.stats.ClaimsLate++
-			s.answer(request, Answer{Kind: Failed}) // another try may have run
+			s.answer(request, Answer{Kind: Failed})
 			s.removeRequest(request)
 		}
 	})
-	if len(s.claims[key]) == 1 {
-		s.stats.Claims++
-		s.predecessor.Publish(handover.Message{Kind: handover.Claim, IdempotencyKey: key, Digest: s.idempotency.bodyDigest(request.attempt), At: request.attempt.ArrivedAt})
+	if !first {
+		return
 	}
+	s.stats.Claims++
+	s.handover.predecessor.Publish(handover.Message{
+		Kind:           handover.Claim,
+		IdempotencyKey: request.attempt.IdempotencyKey,
+		Digest:         bodyDigest(&request.attempt),
+		At:             request.attempt.ArrivedAt,
+	})
 }
 
-// resumeClaimed goes on with the requests that waited for word on a key.
+// resumeClaimed goes on with the requests that waited for an answer to the claim on a key.
 func (s *Server) resumeClaimed(key string) {
-	waiting := s.claims[key]
-	delete(s.claims, key)
-	for _, r := range waiting {
-		r.claiming = false
-		if s.requests[r.id] == r {
+	for _, r := range s.handover.takeClaims(key) {
+		r.state = requestQueued
+		if s.requests.contains(r) {
 			s.submitToController(r)
 		}
 	}
 }
-
-func (s *Server) longestIdempotencyWindow() (longest time.Duration) {
-	for _, k := range s.config.Settings.Classes {
-		if k.Idempotency == admission.IdempotentByKey {
-			longest = max(longest, k.IdempotencyWindow)
-		}
-	}
-	return longest
-}
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -47,7 +47,7 @@
 	o.Submit(o.recordingConnection, o.lastCall, Attempt{ID: id, IdempotencyKey: key, Class: "licence-order", ArrivedAt: o.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	o.runPosted()
 	o.step()
-	return o.requestsByID[id]
+	return o.requests.byAttemptID[id]
 }
 
 // receive plays what the other process tells.
@@ -69,16 +69,16 @@
 	fixture := newHandoverFixture(t)
 	fixture.predecessorJoined(fixture.link)
 	fixture.receive(handover.Synced, handover.Message{})
-	require.True(t, fixture.opened)
-	digest := fixture.idempotency.bodyDigest(Attempt{})
+	require.True(t, fixture.listeners.opened)
+	digest := bodyDigest(&Attempt{})
 	windowEnd := fixture.clock.now + time.Minute
 
 	first, retry := fixture.submitKeyed("aa"), fixture.submitKeyed("aa")
 	fixture.expect("claim")
-	require.False(t, first.running)
+	require.False(t, first.running())
 	fixture.receive(handover.Grant, handover.Message{IdempotencyKey: "aa"})
-	require.True(t, first.running)
-	require.False(t, retry.running)
+	require.True(t, first.running())
+	require.False(t, retry.running())
 	fixture.expect("known")
 	fixture.completeRun(first, admission.OutcomeOK, nil)
 	fixture.expect("over")
@@ -88,7 +88,7 @@
 	b := fixture.submitKeyed("bb")
 	fixture.expect("claim")
 	fixture.receive(handover.Known, handover.Message{IdempotencyKey: "bb", Digest: digest, At: windowEnd})
-	require.False(t, b.running)
+	require.False(t, b.running())
 	require.Len(t, fixture.received, 2)
 	fixture.receive(handover.Completed, handover.Message{IdempotencyKey: "bb", OK: true, Body: []byte("x")})
 	require.Equal(t, Served, fixture.received[2])
@@ -105,7 +105,7 @@
 	fixture.expect("claim")
 	fixture.clock.now += claimTimeout
 	fixture.deadlines.Sweep(fixture.clock.now)
-	require.False(t, d.running)
+	require.False(t, d.running())
 	require.Equal(t, Failed, fixture.received[5])
 	fixture.receive(handover.Grant, handover.Message{IdempotencyKey: "dd"})
 	fixture.expect("free")
@@ -118,7 +118,7 @@
 	fixture.peerEnded(fixture.link)
 	fixture.step()
 	require.Equal(t, Failed, fixture.received[6])
-	require.True(t, f.running)
+	require.True(t, f.running())
 	require.Nil(t, fixture.submitKeyed("ee"))
 	require.Equal(t, Failed, fixture.received[7])
 	require.EqualValues(t, 2, fixture.stats.Runs)
@@ -129,7 +129,7 @@
 	fixture := newHandoverFixture(t)
 	over, running := fixture.submitKeyed("aa"), fixture.submitKeyed("bb")
 	fixture.completeRun(over, admission.OutcomeOK, []byte("x"))
-	require.True(t, running.running)
+	require.True(t, running.running())
 	fixture.successorJoined(fixture.link)
 	count := map[string]int{}
 	for count["synced"] == 0 {
@@ -138,11 +138,11 @@
 		count[cmd]++
 	}
 	require.Equal(t, map[string]int{"known": 2, "over": 1, "synced": 1}, count)
-	claim := handover.Message{IdempotencyKey: "cc", Digest: fixture.idempotency.bodyDigest(Attempt{}), At: fixture.clock.now}
+	claim := handover.Message{IdempotencyKey: "cc", Digest: bodyDigest(&Attempt{}), At: fixture.clock.now}
 	fixture.receive(handover.Claim, claim)
 	fixture.expect("grant")
 	c := fixture.submitKeyed("cc")
-	require.False(t, c.running)
+	require.False(t, c.running())
 	fixture.receive(handover.Completed, handover.Message{IdempotencyKey: "cc", OK: true})
 	require.Equal(t, []any{Served, Served}, fixture.received)
 	fixture.receive(handover.Claim, handover.Message{IdempotencyKey: "bb", At: fixture.clock.now})
@@ -155,7 +155,7 @@
 	fixture.receive(handover.Claim, claim)
 	fixture.expect("grant")
 	fixture.receive(handover.Released, handover.Message{IdempotencyKey: "dd"})
-	require.True(t, fixture.submitKeyed("dd").running)
+	require.True(t, fixture.submitKeyed("dd").running())
 	last := string(rune('a' + fixture.lastCall))
 	fixture.expect("known")
 
@@ -163,14 +163,14 @@
 	fixture.Drain()
 	fixture.runPosted()
 	fixture.step()
-	require.True(t, fixture.healthy)
-	require.True(t, fixture.drain.started)
+	require.True(t, fixture.health.healthy)
+	require.True(t, fixture.drain.started())
 	fixture.deadlines.Sweep(fixture.clock.now)
-	require.True(t, fixture.drain.listenersClosed)
+	require.Equal(t, drainListenersClosed, fixture.drain.phase)
 	require.False(t, fixture.finished()) // a front end is still there
 	fixture.removeConnection(fixture.connections.get(fixture.recordingConnection))
 	require.False(t, fixture.finished()) // the newer process is still to hear how the last order ends
-	fixture.completeRun(fixture.requestsByID[last], admission.OutcomeOK, nil)
+	fixture.completeRun(fixture.requests.byAttemptID[last], admission.OutcomeOK, nil)
 	fixture.expect("over")
 	require.True(t, fixture.finished())
 }
--- /dev/null
+++ b/internal/server/health.go
@@ -0,0 +1,76 @@
+package server
+
+import (
+	"strconv"
+	"time"
+)
+
+const (
+	deepCheckTimeout = 2 * time.Second // for the agent's work of a deep health check
+	maxDeepChecks    = 16              // deep health checks at work at once; further ones are answered without
+)
+
+// healthCheck is a health check of a front end that waits for its answer.
+type healthCheck struct {
+	connection Connection
+	call       uint32
+}
+
+// healthState is what health checks are answered by. The loop owns it.
+type healthState struct {
+	healthy      bool                   // the controller's last word
+	cached       bool                   // deep checks, too, are answered by that
+	deregistered bool                   // by an operator
+	deepChecks   map[string]healthCheck // at work at the agent, by token
+	lastToken    uint64
+}
+
+func newHealthState() healthState { return healthState{deepChecks: map[string]healthCheck{}} }
+
+// wantsDeepCheck reports whether a deep check is to be passed on to the agent.
+func (h *healthState) wantsDeepCheck() bool {
+	return h.healthy && !h.cached && len(h.deepChecks) < maxDeepChecks
+}
+
+// add notes a deep check, and returns its token.
+func (h *healthState) add(check healthCheck) string {
+	h.lastToken++
+	token := "x" + strconv.FormatUint(h.lastToken, 10)
+	h.deepChecks[token] = check
+	return token
+}
+
+// take returns the deep check of that token, once.
+func (h *healthState) take(token string) (check healthCheck, ok bool) {
+	check, ok = h.deepChecks[token]
+	delete(h.deepChecks, token)
+	return check, ok
+}
+
+// beginDeepCheck has the agent do work, whose success answers the check.
+func (s *Server) beginDeepCheck(check healthCheck) {
+	token := s.health.add(check)
+	s.stats.DeepChecks++
+	s.deadlines.Add(s.clock.now+deepCheckTimeout, func() { s.completeDeepCheck(token, false) })
+	if s.agent.DeepCheck(token) != nil {
+		s.completeDeepCheck(token, false)
+	}
+}
+
+// completeDeepCheck answers the deep check of that token, unless that was done before.
+func (s *Server) completeDeepCheck(token string, ok bool) {
+	if check, waits := s.health.take(token); waits {
+		s.answerHealthCheck(check, ok && s.health.healthy)
+	}
+}
+
+func (s *Server) answerHealthCheck(check healthCheck, healthy bool) {
+	if s.connections.get(check.connection) == nil {
+		return
+	}
+	kind := Unhealthy
+	if healthy {
+		kind = Healthy
+	}
+	check.connection.Answer(check.call, Answer{Kind: kind})
+}
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -10,58 +10,105 @@
 	"falldeal/internal/handover"
 )
 
-// Keys: which tries are of one request. A request with an effect runs once within its window, however
-// often it comes; its result answers the others.
+const (
+	// windowSlack allows for an attempt that was sent a little after the time it carries.
+	windowSlack = 50 * time.Millisecond
+	// resultMemoryDivisor: one byte in this many of the memory limit may hold results for reuse.
+	resultMemoryDivisor = 8
+)
+
+// entryState is how far the run of an idempotency key has got.
+type entryState uint8
 
 const (
-	windowSlack         = 50 * time.Millisecond // a try was written a little after its own time
-	resultMemoryDivisor = 8                     // one byte in this many of the memory limit may hold results for reuse
+	entryPending   entryState = iota // no attempt was run
+	entryRunning                     // the holder was run, and has not ended
+	entryCompleted                   // that run has ended
 )
 
-// idempotencyEntry is what is known of one request with an effect.
+func (s entryState) String() string {
+	switch s {
+	case entryPending:
+		return "pending"
+	case entryRunning:
+		return "running"
+	case entryCompleted:
+		return "completed"
+	}
+	return "unknown"
+}
+
+// idempotencyEntry is what is known of one request with a key: it runs once within its window, however often it is
+// tried, and its result answers the other attempts.
 type idempotencyEntry struct {
 	key       string
-	digest    uint64              // of what all its tries ask for
+	digest    uint64              // of the body that all its attempts carry
 	owner     *handover.Link      // the process that has the entry; nil: this one
-	holder    admission.RequestID // the try that has it
-	attempts  []*activeRequest    // that are in hand under it, in order of arrival
-	ran       bool                // the holder was run
-	completed bool                // that run has ended
-	reusable  bool                // and its result is kept
+	holder    admission.RequestID // the attempt that may run, or was run
+	attempts  []*activeRequest    // all active ones, in order of arrival
+	state     entryState
+	reusable  bool // the run succeeded, and result is retained
 	result    []byte
-	waiters   []*activeRequest // for that end
-	windowEnd time.Duration    // end of the window, on the Unix clock
+	waiters   []*activeRequest // attempts that wait for the end of the run
+	windowEnd time.Duration    // on the Unix clock
+}
+
+// hasRun reports whether an attempt was run.
+func (e *idempotencyEntry) hasRun() bool { return e.state != entryPending }
+
+// knownMessage tells another process of the entry.
+func (e *idempotencyEntry) knownMessage() handover.Message {
+	return handover.Message{Kind: handover.Known, IdempotencyKey: e.key, Digest: e.digest, At: e.windowEnd}
+}
+
+// messages tells another process of the entry and of the end of its run.
+func (e *idempotencyEntry) messages() []handover.Message {
+	messages := []handover.Message{e.knownMessage()}
+	if e.state == entryCompleted {
+		messages = append(messages, handover.Message{
+			Kind:           handover.Completed,
+			IdempotencyKey: e.key,
+			OK:             e.reusable,
+			Body:           e.result,
+		})
+	}
+	return messages
 }
 
+// idempotencyTable finds the attempts of one request by their key. The loop owns it.
 type idempotencyTable struct {
-	entries        map[string]*idempotencyEntry
-	byRequest      map[*activeRequest]*idempotencyEntry // of live requests
-	resultBytes    int                                  // of results
-	maxResultBytes int                                  // such bytes
-	publish        func(handover.Message)               // tells other processes of a change
+	entries        map[string]*idempotencyEntry         // by key
+	byRequest      map[*activeRequest]*idempotencyEntry // of active requests
+	resultBytes    int                                  // size of all retained results
+	maxResultBytes int
+	publish        func(handover.Message) // tells the other processes of a change
 }
 
-// newIdempotencyTable returns a table for a process that may take so much memory.
+// newIdempotencyTable returns a table for a process with that memory limit.
 func newIdempotencyTable(memoryMB int) idempotencyTable {
-	return idempotencyTable{entries: map[string]*idempotencyEntry{}, byRequest: map[*activeRequest]*idempotencyEntry{}, maxResultBytes: memoryMB << 20 / resultMemoryDivisor,
-		publish: func(handover.Message) {}}
+	return idempotencyTable{
+		entries:        map[string]*idempotencyEntry{},
+		byRequest:      map[*activeRequest]*idempotencyEntry{},
+		maxResultBytes: memoryMB << 20 / resultMemoryDivisor,
+		publish:        func(handover.Message) {},
+	}
 }
 
-// bodyDigest stands for what a try asks for. All tries of one request carry the same body; the class may have got
-// another name since the first. It means the same in every process.
-func (t *idempotencyTable) bodyDigest(try Attempt) uint64 {
-	sum := sha256.Sum256(try.Body)
+// bodyDigest identifies what an attempt asks for. All attempts of one request carry the same body, while their class
+// may have been renamed. The digest is the same in every process.
+func bodyDigest(attempt *Attempt) uint64 {
+	sum := sha256.Sum256(attempt.Body)
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// conflicts reports whether the key of r is that of a known request which asks for something else. The
-// result of that one is nothing for the sender of r.
+// conflicts reports whether the key of r is that of a known request with another body, whose result the sender of r
+// must not get.
 func (t *idempotencyTable) conflicts(r *activeRequest) bool {
 	e := t.lookup(r)
-	return e != nil && e.digest != t.bodyDigest(r.attempt)
+	return e != nil && e.digest != bodyDigest(&r.attempt)
 }
 
-// lookup returns the entry that r falls under, if there is one.
+// lookup returns the entry that r falls under, or nil.
 func (t *idempotencyTable) lookup(r *activeRequest) *idempotencyEntry {
 	if e := t.entries[r.attempt.IdempotencyKey]; e != nil && !t.expired(e, r.attempt.ArrivedAt) {
 		return e
@@ -69,75 +116,63 @@
 	return nil
 }
 
-// expired reports whether the window of e is over for a try that arrived at that time.
-func (t *idempotencyTable) expired(e *idempotencyEntry, at time.Duration) bool {
-	return e.ran && at > e.windowEnd+windowSlack
+// expired reports whether the window of e has ended for an attempt that arrived at that time.
+func (t *idempotencyTable) expired(e *idempotencyEntry, arrivedAt time.Duration) bool {
+	return e.hasRun() && arrivedAt > e.windowEnd+windowSlack
 }
 
 func (t *idempotencyTable) size() int { return len(t.entries) }
 
-// register enters r, and returns the try that it repeats, or 0 for a first try. Tries that were taken in
-// together know each other too.
+// register adds r, and returns the attempt that it retries, or 0 for a first one.
 func (t *idempotencyTable) register(request *activeRequest) admission.RequestID {
 	if e := t.lookup(request); e != nil {
 		t.addAttempt(e, request)
 		return e.holder
 	}
-	if past := t.entries[request.attempt.IdempotencyKey]; past != nil {
-		t.drop(past)
+	key := request.attempt.IdempotencyKey
+	if expired := t.entries[key]; expired != nil {
+		t.drop(expired)
 	}
-	e := &idempotencyEntry{key: request.attempt.IdempotencyKey, digest: t.bodyDigest(request.attempt)}
+	e := &idempotencyEntry{key: key, digest: bodyDigest(&request.attempt)}
 	t.addAttempt(e, request)
 	t.setHolder(e, request)
 	return 0
 }
 
-// addAttempt notes that r is one of the tries of e.
 func (t *idempotencyTable) addAttempt(e *idempotencyEntry, r *activeRequest) {
 	t.byRequest[r] = e
 	e.attempts = append(e.attempts, r)
 }
 
-// setHolder gives r the entry.
-func (t *idempotencyTable) setHolder(entry *idempotencyEntry, r *activeRequest) {
-	if entry.holder == r.id {
+// setHolder makes r the holder of an entry. The window is counted from its arrival.
+func (t *idempotencyTable) setHolder(e *idempotencyEntry, r *activeRequest) {
+	if e.holder == r.id {
 		return
 	}
-	entry.holder, entry.windowEnd = r.id, r.attempt.ArrivedAt+r.idempotencyWindow
-	t.entries[entry.key] = entry
-	t.publish(entry.knownMessage())
+	e.holder, e.windowEnd = r.id, r.attempt.ArrivedAt+r.idempotencyWindow
+	t.entries[e.key] = e
+	t.publish(e.knownMessage())
 }
 
-func (e *idempotencyEntry) knownMessage() handover.Message {
-	return handover.Message{Kind: handover.Known, IdempotencyKey: e.key, Digest: e.digest, At: e.windowEnd}
-}
-
-// messages is what there is to be told of e.
-func (e *idempotencyEntry) messages() []handover.Message {
-	if !e.completed {
-		return []handover.Message{e.knownMessage()}
-	}
-	return []handover.Message{e.knownMessage(), {Kind: handover.Completed, IdempotencyKey: e.key, OK: e.reusable, Body: e.result}}
-}
-
-// adopt enters, or renews, a key that another process has, as if holder had been run under it.
-func (t *idempotencyTable) adopt(from *handover.Link, message handover.Message, holder admission.RequestID) *idempotencyEntry {
-	entry := t.entries[message.IdempotencyKey]
-	if entry == nil || entry.owner != from {
+// adopt adds, or renews, a key that another process has, as if holder had been run under it.
+func (t *idempotencyTable) adopt(owner *handover.Link, m handover.Message, holder admission.RequestID) *idempotencyEntry {
+	entry := t.entries[m.IdempotencyKey]
+	if entry == nil || entry.owner != owner {
 		if entry != nil {
 			t.drop(entry)
 		}
-		entry = &idempotencyEntry{key: message.IdempotencyKey, owner: from, holder: holder, ran: true}
-		t.entries[message.IdempotencyKey] = entry
+		entry = &idempotencyEntry{key: m.IdempotencyKey, owner: owner, holder: holder}
+		t.entries[m.IdempotencyKey] = entry
 	}
 	t.resultBytes -= len(entry.result)
-	entry.digest, entry.windowEnd, entry.completed, entry.reusable, entry.result = message.Digest, message.At, false, false, nil
+	entry.digest, entry.windowEnd, entry.state = m.Digest, m.At, entryRunning
+	entry.reusable, entry.result = false, nil
 	return entry
 }
 
-// retain gives r the entry for as long as it is held, unless a run has it already.
+// retain makes r the holder of its entry, unless that has a run already.
 func (t *idempotencyTable) retain(r *activeRequest) {
-	if e := t.byRequest[r]; e != nil && !e.ran {
+	if e := t.byRequest[r]; e != nil && !e.hasRun() {
 		t.setHolder(e, r)
 	}
 }
@@ -145,50 +180,54 @@
 // mayRun reports whether a run of r would be the first within the window.
 func (t *idempotencyTable) mayRun(r *activeRequest) bool {
 	e := t.byRequest[r]
-	return e == nil || !e.ran
+	return e == nil || !e.hasRun()
 }
 
-// markRunning notes that r is run: from now on the entry is that of r.
+// markRunning notes that r is run: from now on the entry stays that of r.
 func (t *idempotencyTable) markRunning(r *activeRequest) {
 	if e := t.byRequest[r]; e != nil {
 		t.setHolder(e, r)
-		e.ran = true
+		e.state = entryRunning
 	}
 }
 
-// awaitResult has r wait for the run that it repeats. Where that is over, or never was, it says so.
-func (t *idempotencyTable) awaitResult(request *activeRequest) (result []byte, ok, over bool) {
-	entry := t.byRequest[request]
-	if entry == nil || !entry.ran || entry.completed {
-		if entry != nil && entry.reusable {
-			return entry.result, true, true
-		}
+// awaitResult has r wait for the run that it retries. If that has ended, or never was, it returns what is known of it
+// instead.
+func (t *idempotencyTable) awaitResult(r *activeRequest) (result []byte, ok, ended bool) {
+	e := t.byRequest[r]
+	switch {
+	case e == nil:
 		return nil, false, true
+	case e.state == entryRunning:
+		e.waiters = append(e.waiters, r)
+		return nil, false, false
 	}
-	entry.waiters = append(entry.waiters, request)
-	return nil, false, false
+	return e.result, e.reusable, true
 }
 
-// runEnded notes how the run of r ended, and returns the tries that waited for it.
+// runEnded notes the outcome of the run of r, and returns the attempts that waited for it.
 func (t *idempotencyTable) runEnded(r *activeRequest, outcome admission.Outcome, result []byte) []*activeRequest {
 	entry := t.byRequest[r]
-	if entry == nil || entry.holder != r.id || !entry.ran {
+	if entry == nil || entry.holder != r.id || !entry.hasRun() {
 		return nil
 	}
 	if outcome == admission.OutcomeNotStarted {
 		waiters := entry.waiters
-		entry.waiters, entry.ran = nil, false // nothing was run
+		entry.waiters, entry.state = nil, entryPending
 		return waiters
 	}
-	t.publish(handover.Message{Kind: handover.Completed, IdempotencyKey: entry.key, OK: outcome == admission.OutcomeOK, Body: result})
-	return t.complete(entry, outcome == admission.OutcomeOK, result)
+	ok := outcome == admission.OutcomeOK
+	t.publish(handover.Message{Kind: handover.Completed, IdempotencyKey: entry.key, OK: ok, Body: result})
+	return t.complete(entry, ok, result)
 }
 
-// complete notes the end of the run of e, and returns the tries that waited for it.
+// complete notes the end of the run of e, and returns the attempts that waited for it. The result is retained while
+// there is memory for it.
 func (t *idempotencyTable) complete(e *idempotencyEntry, ok bool, result []byte) []*activeRequest {
 	waiters := e.waiters
-	e.waiters, e.completed = nil, true
-	if e.reusable = ok && t.resultBytes+len(result) <= t.maxResultBytes; e.reusable {
+	e.waiters, e.state = nil, entryCompleted
+	e.reusable = ok && t.resultBytes+len(result) <= t.maxResultBytes
+	if e.reusable {
 		e.result = result
 		t.resultBytes += len(result)
 	}
@@ -198,39 +237,39 @@
 // hasLocalRun reports whether a run under any key has not ended in this process.
 func (t *idempotencyTable) hasLocalRun() bool {
 	for _, e := range t.byRequest {
-		if e.ran && !e.completed && e.owner == nil {
+		if e.state == entryRunning && e.owner == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// release notes that nothing more is to come about r. It returns an entry that has to stay until its
-// window is over; one that no run has goes with its holder.
-func (t *idempotencyTable) release(request *activeRequest) *idempotencyEntry {
-	entry := t.byRequest[request]
-	delete(t.byRequest, request)
+// release removes r. It returns an entry that has to stay until its window ends; one without a run goes with its last
+// attempt.
+func (t *idempotencyTable) release(r *activeRequest) *idempotencyEntry {
+	entry := t.byRequest[r]
+	delete(t.byRequest, r)
 	if entry == nil {
 		return nil
 	}
-	entry.attempts = slices.DeleteFunc(entry.attempts, func(other *activeRequest) bool { return other == request })
-	if entry.holder != request.id {
+	entry.attempts = slices.DeleteFunc(entry.attempts, func(other *activeRequest) bool { return other == r })
+	switch {
+	case entry.holder != r.id:
 		return nil
-	}
-	if !entry.ran {
-		// A try that comes before the controller has named an heir must not be taken for the first: both would run.
-		if len(entry.attempts) > 0 {
-			t.setHolder(entry, entry.attempts[0])
-			return nil
-		}
-		t.drop(entry)
-		t.publish(handover.Message{Kind: handover.Released, IdempotencyKey: entry.key})
+	case entry.hasRun():
+		return entry
+	case len(entry.attempts) > 0:
+		// An attempt that comes before the controller has named the next one must not be taken for the first: both
+		// would run.
+		t.setHolder(entry, entry.attempts[0])
 		return nil
 	}
-	return entry
+	t.drop(entry)
+	t.publish(handover.Message{Kind: handover.Released, IdempotencyKey: entry.key})
+	return nil
 }
 
-// drop forgets an entry and its result.
+// drop removes an entry and its result.
 func (t *idempotencyTable) drop(e *idempotencyEntry) {
 	if t.entries[e.key] == e {
 		delete(t.entries, e.key)
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -97,8 +97,8 @@
 	submit(2, "another")
 	require.Equal(t, []any{Invalid}, conn.received)
 	s.step()
-	r := s.requestsByID["b"]
-	require.True(t, r.running)
+	r := s.requests.byAttemptID["b"]
+	require.True(t, r.running())
 	s.completeRun(r, admission.OutcomeOK, []byte("result"))
 	submit(3, "another")
 	require.Equal(t, []any{Invalid, Served, Invalid}, conn.received)
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -9,75 +9,95 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Fleet is where the loop tells how this server is, and where it reads what is known of the others. Neither blocks.
+// Fleet is what the loop needs of the membership of a fleet. None of its methods blocks.
 type Fleet interface {
-	Publish(fleet.Status)
+	// Publish tells the other members the status of this one.
+	Publish(status fleet.Status)
+	// Snapshot returns what is known of the other members.
 	Snapshot() *fleet.Snapshot
-	Now() time.Duration              // the clock by which snapshots go; the system's clock does not move it
-	Send(to *fleet.Member, b []byte) // to one member; it may not arrive
-	OnMessage(func(b []byte))        // has messages to this member handed over
+	// Now is the clock by which snapshots go; changes of the system's clock do not move it.
+	Now() time.Duration
+	// Send sends a message to one member; it may be lost.
+	Send(to *fleet.Member, message []byte)
+	// OnMessage sets what is called, on any goroutine, with each message to this member.
+	OnMessage(handle func(message []byte))
 }
 
-// publishInterval is how often the loop speaks: one that stands still is missed by that.
+// publishInterval is how often the status is published: a member that stands still is noticed by its absence.
 const publishInterval = time.Second
 
-// fleetMember is this server as a member of a fleet; nil where it is in none, and then it costs nothing.
+// fleetMember is this server as a member of a fleet. Its fields are set before Run; the loop owns their state.
 type fleetMember struct {
 	fleet             Fleet
-	warmAt            time.Duration
-	publishedAnswers  uint64 // requests of which the last word told
-	publishedUnserved uint64 // and those of them that were not served
-	quota             *quotaLeasing
-	shedding          *loadShedding
-	probes            *storeProbes
-	onChange          func(what, from, to string, fields map[string]any) // nil: changes are only logged
+	warmAt            time.Duration // when the agent has warmed up
+	publishedAnswers  uint64        // requests answered as of the last status
+	publishedUnserved uint64        // and those of them that were not served
+	quota             *quotaLeasing // nil: off
+	shedding          *loadShedding // nil: off
+	probes            *storeProbes  // nil: off
+	onChange          func(what, from, to string, fields map[string]any)
 }
 
-// Trace has each change in the server's part of its fleet handed to traced as well, on the loop, with "" for the usual
-// state. It must not block. It is called after Join and before Run.
-func (s *Server) Trace(traced func(what, from, to string, fields map[string]any)) {
-	s.member.onChange = traced
+// JoinFleet has the server publish its status to a fleet. It is called before Run, and so are Trace and the Enable
+// methods that follow it.
+func (s *Server) JoinFleet(f Fleet) {
+	s.member = &fleetMember{fleet: f, onChange: func(string, string, string, map[string]any) {}}
+	f.OnMessage(s.receiveMemberMessage)
+}
+
+// Trace has each change in the server's part of its fleet handed to onChange as well as logged, on the loop, with "" for
+// the usual state. onChange must not block. Trace is called after JoinFleet and before Run.
+func (s *Server) Trace(onChange func(what, from, to string, fields map[string]any)) {
+	s.member.onChange = onChange
 }
 
 // logChange logs and traces that something went from one state to another; "" is the usual one.
 func (s *Server) logChange(level logrus.Level, what, from, to string, fields logrus.Fields) {
-	if s.member.onChange != nil {
-		s.member.onChange(what, from, to, fields)
-	}
+	s.member.onChange(what, from, to, fields)
 	s.log.WithFields(fields).WithFields(logrus.Fields{"from": from, "to": to}).Log(level, what)
 }
 
-// JoinFleet has the server tell a fleet how it is. It is called before Run, and so are Share, Cutoff and EnableCoordinatedProbes.
-func (s *Server) JoinFleet(f Fleet) {
-	s.member = &fleetMember{fleet: f}
-	f.OnMessage(s.receiveMemberMessage)
+// findProcess returns the member that a message to a process goes to, or nil if that process is not known.
+func findProcess(view *fleet.Snapshot, id overload.ProcessID) *fleet.Member {
+	if to := view.Find(id.Name); to != nil && to.Run == id.Run {
+		return to
+	}
+	return nil
 }
 
-// receiveMemberMessage takes in a message of another member to this one. It is called from other goroutines and does not
-// block: what the loop is too far behind for is dropped.
+// receiveMemberMessage takes in a message of another member. It is called from other goroutines and does not block:
+// what the loop is too far behind for is dropped.
 func (s *Server) receiveMemberMessage(b []byte) {
-	member := s.member
-	c := member.shedding
-	var act func()
-	if tries, ok := overload.ParseReport(b); ok && c != nil {
-		act = func() { c.RetryCounter.HandleReport(s.clock.now, tries) }
-	} else if part, ok := overload.ParsePartial(b); ok && c != nil {
-		act = func() { c.Collector.Receive(member.fleet.Now(), part) }
-	} else if x, err := overload.ParseMessage(b); err == nil && member.quota != nil {
-		act = func() { s.receiveQuotaMessage(x) }
-	} else {
-		if err != nil && !overload.IsSheddingMessage(b) {
-			s.warnings.Warn("direct", "a message of another member can't be read", err)
+	message, err := s.member.parseMessage(b)
+	if err != nil {
+		s.warnings.Warn("direct", "a message of another member can't be read", err)
+	}
+	if message != nil {
+		s.inbox.offer(message)
+	}
+}
+
+// parseMessage reads a message of another member. It returns nil for one about something that is off here.
+func (m *fleetMember) parseMessage(b []byte) (event, error) {
+	if m.shedding != nil {
+		if attempts, ok := overload.ParseReport(b); ok {
+			return &retryReportReceived{attempts}, nil
+		}
+		if partial, ok := overload.ParsePartial(b); ok {
+			return &partialReceived{partial}, nil
 		}
-		return // or about what is off here
 	}
-	select {
-	case s.inbox <- act:
-	default:
+	message, err := overload.ParseMessage(b)
+	switch {
+	case err == nil && m.quota != nil:
+		return &quotaMessageReceived{message}, nil
+	case err != nil && !overload.IsSheddingMessage(b):
+		return nil, err
 	}
+	return nil, nil
 }
 
-// publishPeriodically tells the fleet now and each second from now on.
+// publishPeriodically publishes the status now, and each interval from now on.
 func (s *Server) publishPeriodically() {
 	if s.member != nil {
 		s.publishStatus()
@@ -85,52 +105,64 @@
 	}
 }
 
-// publishStatus tells the fleet how this server is: at once where that has changed.
+// publishStatus publishes the status of this server.
 func (s *Server) publishStatus() {
-	member := s.member
-	if member == nil {
+	if s.member == nil {
 		return
 	}
-	status := fleet.Status{State: s.memberState(), Replaced: s.successor != nil || s.drain.started && s.drain.replaced}
+	status := fleet.Status{
+		State:    s.memberState(),
+		Replaced: s.handover.successor != nil || s.drain.started() && s.drain.replaced,
+	}
 	s.addCurrentLoad(&status.Load)
-	var all, unserved uint64
+	status.Load.ShedRatio = s.takeShedRatio()
+	s.member.fleet.Publish(status)
+}
+
+// takeShedRatio returns the part of the requests answered since the last status that were not served.
+func (s *Server) takeShedRatio() float64 {
+	var answers, unserved uint64
 	for _, a := range s.stats.Answers {
-		all += a.Served + a.Rejected + a.Failed
+		answers += a.Served + a.Rejected + a.Failed
 		unserved += a.Rejected + a.Failed
 	}
-	if all > member.publishedAnswers {
-		status.Load.ShedRatio = float64(unserved-member.publishedUnserved) / float64(all-member.publishedAnswers)
+	m := s.member
+	ratio := 0.0
+	if answers > m.publishedAnswers {
+		ratio = float64(unserved-m.publishedUnserved) / float64(answers-m.publishedAnswers)
 	}
-	member.publishedAnswers, member.publishedUnserved = all, unserved
-	member.fleet.Publish(status)
+	m.publishedAnswers, m.publishedUnserved = answers, unserved
+	return ratio
 }
 
-// addCurrentLoad is how much this server has to do, but for what it turned away.
+// addCurrentLoad fills in the load of this server, without ShedRatio.
 func (s *Server) addCurrentLoad(load *fleet.Load) {
-	member := s.member
-	load.Capacity, load.Busy, load.InFlight, load.CallQuota = float64(s.config.Settings.Cores), -1, len(s.requests), s.config.Settings.MaxCallsInFlight
-	if s.clock.now-s.gaugesAt <= gaugeMaxAge {
-		load.Busy = s.gauges.CPUUtilization
-	}
-	if member.quota != nil {
-		load.MeanCalls = member.quota.MeanInFlight()
-		if member.quota.limit >= 0 {
-			load.CallQuota = member.quota.limit.Calls()
+	load.Capacity = float64(s.config.Settings.Cores)
+	load.Busy = -1
+	load.InFlight = s.requests.size()
+	load.CallQuota = s.config.Settings.MaxCallsInFlight
+	if s.gauges.fresh(s.clock.now) {
+		load.Busy = s.gauges.values.CPUUtilization
+	}
+	if quota := s.quota(); quota != nil {
+		load.MeanCalls = quota.MeanInFlight()
+		if quota.known() {
+			load.CallQuota = quota.limit.Calls()
 		}
 	}
-	if member.shedding != nil {
+	if s.shedding() != nil {
 		s.addSheddingToLoad(load)
 	}
-	if member.probes != nil {
-		member.probes.AddToLoad(load)
+	if probes := s.probes(); probes != nil {
+		probes.AddToLoad(load)
 	}
 }
 
 func (s *Server) memberState() fleet.State {
 	switch {
-	case s.drain.started || s.deregistered:
+	case s.drain.started() || s.health.deregistered:
 		return fleet.Draining
-	case s.controller == nil || !s.opened:
+	case !s.admission.started() || !s.listeners.opened:
 		return fleet.Starting
 	case s.clock.now < s.member.warmAt:
 		return fleet.Warming
@@ -138,11 +170,16 @@
 	return fleet.Serving
 }
 
-// logFleet logs what is known of the others beside the counters.
+// logFleet logs what is known of the other members.
 func (s *Server) logFleet() {
-	if s.member != nil {
-		v := s.member.fleet.Snapshot()
-		s.log.WithFields(logrus.Fields{"position": v.Position.String(), "known": v.Total.Known, "reached": v.Total.Reached(),
-			"silent": v.Total.Count[fleet.Silent]}).Info("fleet")
+	if s.member == nil {
+		return
 	}
+	view := s.member.fleet.Snapshot()
+	s.log.WithFields(logrus.Fields{
+		"position": view.Position.String(),
+		"known":    view.Total.Known,
+		"reached":  view.Total.Reached(),
+		"silent":   view.Total.Count[fleet.Silent],
+	}).Info("fleet")
 }
--- a/internal/server/member_test.go
+++ b/internal/server/member_test.go
@@ -75,7 +75,7 @@
 	s.publishPeriodically()
 	require.Equal(t, fleet.Starting, fakeFleet.last.State)
 	require.Equal(t, 1, s.deadlines.Len())
-	s.synced = true
+	s.handover.synced = true
 	s.handleAgentNotification(agent.Notification{Kind: agent.Handshake, Result: agent.Booting, Elapsed: 0})
 	require.Equal(t, fleet.Warming, fakeFleet.last.State)
 	require.EqualValues(t, 6, fakeFleet.last.Load.Capacity)
@@ -89,10 +89,10 @@
 	require.InDelta(t, 0.5, fakeFleet.last.Load.ShedRatio, 1e-9)
 	s.publishStatus()
 	require.Zero(t, fakeFleet.last.Load.ShedRatio)
-	s.deregistered = true
+	s.health.deregistered = true
 	s.publishStatus()
 	require.Equal(t, fleet.Draining, fakeFleet.last.State)
-	s.deregistered = false
+	s.health.deregistered = false
 	publications := fakeFleet.publications
 	s.Drain()
 	runPosted()
@@ -121,7 +121,7 @@
 	s.EnableShedding(overload.ProcessID{Name: "n3", Run: 1})
 	s.handleAgentNotification(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	s.tickShedding()
-	require.True(t, s.member.shedding.Threshold().Full)
+	require.True(t, s.member.shedding.shedder.Threshold().Full)
 	var last *lastAnswerConnection
 	for i := range 40 { // the first ones find free cores
 		last = &lastAnswerConnection{}
@@ -137,5 +137,5 @@
 	require.Positive(t, fakeFleet.last.Load.Threshold)
 	fakeFleet.receive(overload.AppendReport(nil, overload.Report{Attempts: []uint64{1, 1, 2, 3, 4, 5}}))
 	runPosted()
-	require.Positive(t, s.member.shedding.RetryRatio())
+	require.Positive(t, s.member.shedding.retries.RetryRatio())
 }
--- a/internal/server/memory_test.go
+++ b/internal/server/memory_test.go
@@ -33,9 +33,9 @@
 // advance lets time go by: what falls due is done, and the gauges are those of a calm machine.
 func (d *simulatedDay) advance(by time.Duration) {
 	d.time = d.time.Add(by)
-	d.recordGauges([]float64{0.3, 1, 0.1, 20})
+	d.gauges.record(d.clock.now, d.config.Gauges, []float64{0.3, 1, 0.1, 20})
 	d.turn()
-	for len(d.events) > 0 {
+	for len(d.admission.events) > 0 {
 		d.turn()
 	}
 }
@@ -61,7 +61,7 @@
 		d.Cancel(conn, 1)
 	}
 	d.turn()
-	if r := d.requestsByID[id]; r != nil {
+	if r := d.requests.byAttemptID[id]; r != nil {
 		d.runs = append(d.runs, r)
 	}
 	if d.rng.IntN(2) == 0 {
@@ -111,8 +111,8 @@
 		day.advance(step / 2)
 		day.completeRuns()
 		day.advance(step / 2)
-		for name, n := range map[string]int{"requests": len(day.requests), "wire": len(day.requestsByID), "connections": len(day.connections.states),
-			"keys": day.idempotency.size(), "spent": day.completed.size(), "key holders": len(day.idempotency.byRequest), "checks": len(day.deepChecks), "deadlines": day.deadlines.Len(),
+		for name, n := range map[string]int{"requests": len(day.requests.byID), "wire": len(day.requests.byAttemptID), "connections": len(day.connections.states),
+			"keys": day.idempotency.size(), "spent": day.completed.size(), "key holders": len(day.idempotency.byRequest), "checks": len(day.health.deepChecks), "deadlines": day.deadlines.Len(),
 			"open": day.connections.openCalls} {
 			largest[name] = max(largest[name], n)
 		}
@@ -125,8 +125,8 @@
 		require.Less(t, atEnd-halfway, uint64(64<<10), "of %d KB in use", halfway>>10)
 	}
 	// 10 requests a second; answers within 2 s, keys for their window and the time that they may come late.
-	window := int(day.config.Settings.Classes[2].IdempotencyWindow/time.Second) + int(day.maxArrivalAge()/time.Second) + 2
-	for name, bound := range map[string]int{"requests": 10 * 2, "wire": 10 * 2, "spent": 10 * 2 * int(day.maxArrivalAge()/time.Second+1), "open": 10 * 2, "keys": 10 * window,
+	window := int(day.config.Settings.Classes[2].IdempotencyWindow/time.Second) + int(day.config.maxArrivalAge()/time.Second) + 2
+	for name, bound := range map[string]int{"requests": 10 * 2, "wire": 10 * 2, "spent": 10 * 2 * int(day.config.maxArrivalAge()/time.Second+1), "open": 10 * 2, "keys": 10 * window,
 		"key holders": 10 * 2, "connections": day.maxConnections(), "checks": maxDeepChecks, "deadlines": 10*window + 100} {
 		require.LessOrEqual(t, largest[name], bound, name)
 	}
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -8,71 +8,72 @@
 	"falldeal/internal/stats"
 )
 
-// What operators ask of a running server. These methods may be called from any goroutine.
+// What operators ask of a running server. The exported methods may be called from any goroutine.
 
+// errDraining answers operators once the process was told to end.
 var errDraining = errors.New("the server is leaving")
 
-// query has the loop call f, and waits for what it returns.
-func query[T any](ctx context.Context, server *Server, f func() T) (v T, err error) {
-	got := make(chan T, 1)
+// query has the loop call f, and waits for its result.
+func query[T any](ctx context.Context, s *Server, f func() T) (result T, err error) {
+	results := make(chan T, 1)
 	select {
-	case server.inbox <- func() { got <- f() }:
-	case <-server.done:
-		return v, errDraining
+	case s.inbox.events <- task(func() { results <- f() }):
+	case <-s.inbox.closed:
+		return result, errDraining
 	case <-ctx.Done():
-		return v, ctx.Err()
+		return result, ctx.Err()
 	}
 	select {
-	case v = <-got:
-		return v, nil
-	case <-server.done:
-		return v, errDraining
+	case result = <-results:
+		return result, nil
+	case <-s.inbox.closed:
+		return result, errDraining
 	case <-ctx.Done():
-		return v, ctx.Err()
+		return result, ctx.Err()
 	}
 }
 
-// Ready reports whether this process serves and means to go on.
+// Ready reports whether this process serves, and is to go on serving.
 func (s *Server) Ready(ctx context.Context) (bool, error) {
-	return query(ctx, s, func() bool { return s.controller != nil && s.opened && !s.drain.started && !s.deregistered })
+	return query(ctx, s, func() bool {
+		return s.admission.started() && s.listeners.opened && !s.drain.started() && !s.health.deregistered
+	})
 }
 
-// AppendMetrics appends the operators' figures.
+// AppendMetrics appends the metrics to b.
 func (s *Server) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
 	return query(ctx, s, func() []byte {
 		return stats.Metrics{Counters: &s.stats, Open: s.connections.openCalls}.Append(b)
 	})
 }
 
-// Deregister has front ends sent away by bad health answers; what still arrives is answered as ever.
+// Deregister has front ends sent away by bad health answers; requests that still arrive are served as before.
 func (s *Server) Deregister(ctx context.Context) error { return s.setDeregistered(ctx, true) }
 
-// Reregister ends what Withdraw began.
+// Reregister ends what Deregister began.
 func (s *Server) Reregister(ctx context.Context) error { return s.setDeregistered(ctx, false) }
 
 func (s *Server) setDeregistered(ctx context.Context, deregistered bool) error {
-	leaving, err := query(ctx, s, func() bool {
-		if s.drain.started {
-			return true
-		}
-		if deregistered != s.deregistered {
+	draining, err := query(ctx, s, func() bool {
+		if !s.drain.started() && deregistered != s.health.deregistered {
 			s.log.WithField("withdrawn", deregistered).Info("told by an operator whether front ends are welcome")
-			s.deregistered = deregistered
+			s.health.deregistered = deregistered
 			s.enqueueRegistration()
 			s.publishStatus()
 		}
-		return false
+		return s.drain.started()
 	})
-	if err == nil && leaving {
-		err = errDraining
+	if err == nil && draining {
+		return errDraining
 	}
 	return err
 }
 
+// enqueueRegistration tells the controller whether front ends are welcome.
 func (s *Server) enqueueRegistration() {
 	kind := admission.EventReregister
-	if s.deregistered {
+	if s.health.deregistered {
 		kind = admission.EventDeregister
 	}
-	s.enqueueEvent(admission.Event{Kind: kind})
+	s.admission.enqueue(admission.Event{Kind: kind})
 }
--- a/internal/server/operate_test.go
+++ b/internal/server/operate_test.go
@@ -14,9 +14,9 @@
 func newRunningServer(t *testing.T) *Server {
 	s, _ := newIdleServer(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s.openFronts()
+	s.listeners.open()
 	go s.loop(ctx)
-	t.Cleanup(func() { cancel(); <-s.done })
+	t.Cleanup(func() { cancel(); <-s.inbox.closed })
 	return s
 }
 
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -10,107 +10,136 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Sharing: the bound on calls in hand at the store moves between the members of a fleet. What is lent and borrowed is
-// decided in package overload; here its word becomes the bound that the controller holds to.
-
-// quotaInterval is how often the exchange takes a turn, and for how long ahead a bound has to hold.
-const quotaInterval = 250 * time.Millisecond
-
-// minCallLimit stands for no call at all: 0 would mean no bound.
-const minCallLimit = 0.001
+// Quota leasing: the limit on calls in flight at the store moves between the members of a fleet. Package overload
+// decides what is leased; here its result becomes the limit that the controller holds to.
+
+const (
+	// quotaInterval is how often leases are looked at. A limit holds for two intervals ahead.
+	quotaInterval = 250 * time.Millisecond
+	// minCallLimit stands for no call at all, as the controller takes 0 for no limit.
+	minCallLimit = 0.001
+	// unknownQuota is the limit before the first tick.
+	unknownQuota overload.Quota = -1
+)
 
+// quotaLeasing is the part of a fleet member that leases quota. The loop owns it.
 type quotaLeasing struct {
 	*overload.QuotaManager
-	reservedFraction float64        // part of the own share that is never lent
-	limit            overload.Quota // that it may have in hand; -1 = not known
+	reservedFraction float64        // part of the own quota that is never leased out
+	limit            overload.Quota // on calls in flight, as the controller knows it
 }
 
-// EnableQuotaLeasing has the server's share of the store move within its fleet, where its settings give it one. It is called after
-// Join and before Run. Self is this process as the fleet knows it; lease is how long a share is lent for, and keep the
-// part of the own that never is.
-func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, keep float64) {
-	base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
+// known reports whether a limit is in force.
+func (q *quotaLeasing) known() bool { return q.limit >= 0 }
+
+// EnableQuotaLeasing has the server's quota at the store move within its fleet, where its settings give it one. self is
+// this process as the fleet knows it, lease how long quota is leased for, and reservedFraction the part of the own quota
+// that never is. It is called after JoinFleet and before Run.
+func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedFraction float64) {
+	settings := s.config.Settings
+	base := overload.QuotaOf(settings.MaxCallsInFlight)
 	if base == 0 {
 		return
 	}
-	e := overload.NewQuotaLedger(s.member.fleet.Now(), self, overload.Terms{Base: base, Reserved: overload.Quota(keep * float64(base)),
-		Lease: lease, CallTime: s.maxTimeout + s.config.Settings.AbandonedCallTime, AbandonedCallTime: s.config.Settings.AbandonedCallTime})
-	r := rand.New(rand.NewPCG(s.config.Seed, self.Run))
-	s.member.quota = &quotaLeasing{QuotaManager: overload.NewQuotaManager(e, r.IntN), reservedFraction: keep, limit: -1}
+	ledger := overload.NewQuotaLedger(s.member.fleet.Now(), self, overload.Terms{
+		Base:              base,
+		Reserved:          overload.Quota(reservedFraction * float64(base)),
+		Lease:             lease,
+		CallTime:          s.config.maxTimeout + settings.AbandonedCallTime,
+		AbandonedCallTime: settings.AbandonedCallTime,
+	})
+	random := rand.New(rand.NewPCG(s.config.Seed, self.Run))
+	s.member.quota = &quotaLeasing{
+		QuotaManager:     overload.NewQuotaManager(ledger, random.IntN),
+		reservedFraction: reservedFraction,
+		limit:            unknownQuota,
+	}
 }
 
-// tickQuota takes a turn of the exchange, now and again from now on.
+// quota returns the quota leasing of the fleet, or nil where it is off.
+func (s *Server) quota() *quotaLeasing {
+	if s.member == nil {
+		return nil
+	}
+	return s.member.quota
+}
+
+// tickQuota looks at the leases now, and each interval from now on.
 func (s *Server) tickQuota() {
-	if s.member == nil || s.member.quota == nil {
+	quota := s.quota()
+	if quota == nil {
 		return
 	}
-	m := s.member
-	now := m.fleet.Now()
-	for _, x := range m.quota.Tick(now, s.store.InFlight(), m.fleet.Snapshot(), now) {
-		s.sendQuotaMessage(x)
+	now := s.member.fleet.Now()
+	for _, message := range quota.Tick(now, s.store.InFlight(), s.member.fleet.Snapshot(), now) {
+		s.sendQuotaMessage(message)
 	}
 	s.applyQuota(now)
 	s.deadlines.Add(s.clock.now+quotaInterval, s.tickQuota)
 }
 
-func (s *Server) receiveQuotaMessage(x overload.Message) {
-	m := s.member
-	now := m.fleet.Now()
-	answer, ok := m.quota.Receive(now, x, s.store.InFlight())
-	s.applyQuota(now) // what was lent is not used any more before the answer goes out
+// quotaMessageReceived is a message of another member about a lease.
+type quotaMessageReceived struct {
+	message overload.Message
+}
+
+func (e *quotaMessageReceived) handle(s *Server) {
+	now := s.member.fleet.Now()
+	reply, ok := s.member.quota.Receive(now, e.message, s.store.InFlight())
+	s.applyQuota(now) // what is leased out must not be used any more when the reply goes out
 	if ok {
-		s.sendQuotaMessage(answer)
+		s.sendQuotaMessage(reply)
 	}
 }
 
-func (s *Server) sendQuotaMessage(x overload.Message) {
-	if to := s.member.fleet.Snapshot().Find(x.To.Name); to != nil && to.Run == x.To.Run {
-		s.member.fleet.Send(to, overload.AppendMessage(nil, x))
+func (s *Server) sendQuotaMessage(message overload.Message) {
+	if to := findProcess(s.member.fleet.Snapshot(), message.To); to != nil {
+		s.member.fleet.Send(to, overload.AppendMessage(nil, message))
 	}
 }
 
-// applyQuota has the controller hold to what the member may have in hand until the next turn.
+// applyQuota has the controller hold to the quota that this member has until the next tick.
 func (s *Server) applyQuota(now time.Duration) {
 	quota := s.member.quota
-	bound := quota.LimitUntil(now, now+2*quotaInterval)
-	if bound == quota.limit || s.controller == nil {
+	limit := quota.LimitUntil(now, now+2*quotaInterval)
+	if limit == quota.limit || !s.admission.started() {
 		return
 	}
-	if quota.limit >= 0 {
+	if quota.known() {
 		base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
-		s.logChange(logrus.DebugLevel, "share of the store", quotaName(quota.limit, base), quotaName(bound, base), nil)
+		s.logChange(logrus.DebugLevel, "share of the store", quotaName(quota.limit, base), quotaName(limit, base), nil)
 	}
-	quota.limit = bound
+	quota.limit = limit
 	s.limitCalls()
 }
 
-// quotaName is a bound as changes tell it: that of the settings has no name.
-func quotaName(bound, base overload.Quota) string {
-	if bound == base {
+// quotaName is a limit as changes are logged: that of the settings has no name.
+func quotaName(limit, base overload.Quota) string {
+	if limit == base {
 		return ""
 	}
-	return strconv.FormatFloat(bound.Calls(), 'g', 4, 64)
+	return strconv.FormatFloat(limit.Calls(), 'g', 4, 64)
 }
 
-// limitCalls puts in force how many calls this server may have in hand in the mean: the share of its settings, what of
-// it moves, and one at a time while it tries a store for others.
+// limitCalls puts the limit on calls in flight in force: that of the settings, or of the leases, and 1 while this member
+// probes a store for the others.
 func (s *Server) limitCalls() {
-	set, member := s.config.Settings, s.member
-	if set.MaxCallsInFlight == 0 || s.controller == nil {
+	settings := s.config.Settings
+	if settings.MaxCallsInFlight == 0 || !s.admission.started() {
 		return
 	}
-	if member.quota != nil && member.quota.limit >= 0 {
-		set.MaxCallsInFlight = max(member.quota.limit.Calls(), minCallLimit)
+	if quota := s.quota(); quota != nil && quota.known() {
+		settings.MaxCallsInFlight = max(quota.limit.Calls(), minCallLimit)
 	}
-	if member.probes != nil && member.probes.allowance == overload.ProbeSingle {
-		set.MaxCallsInFlight = min(set.MaxCallsInFlight, 1)
+	if probes := s.probes(); probes != nil && probes.allowance == overload.ProbeSingle {
+		settings.MaxCallsInFlight = min(settings.MaxCallsInFlight, 1)
 	}
-	if err := s.controller.Reconfigure(set); err != nil {
+	if err := s.admission.controller.Reconfigure(settings); err != nil {
 		s.warnings.Warn("share", "a bound on calls was not taken over", err)
 	}
 }
 
-// rebaseQuota goes by the share of new settings.
+// rebaseQuota goes by the quota of new settings.
 func (s *Server) rebaseQuota() {
 	if s.member == nil {
 		return
@@ -122,13 +151,13 @@
 	}
 	base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
 	quota.SetBase(base, overload.Quota(quota.reservedFraction*float64(base)))
-	quota.limit = -1
+	quota.limit = unknownQuota
 	s.applyQuota(s.member.fleet.Now())
 }
 
-// recordMissedCall notes that a call was left out, or a request turned away, for want of a share.
+// recordMissedCall notes that a call was skipped, or a request rejected, for want of quota.
 func (s *Server) recordMissedCall() {
-	if s.member != nil && s.member.quota != nil {
-		s.member.quota.CallMissed()
+	if quota := s.quota(); quota != nil {
+		quota.CallMissed()
 	}
 }
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -51,7 +51,7 @@
 			s.step()
 			require.EqualValues(t, 1, s.stats.Runs)
 			for _, id := range []string{"b", "c"} {
-				if r := s.requestsByID[id]; r != nil && r.running {
+				if r := s.requests.byAttemptID[id]; r != nil && r.running() {
 					s.completeRun(r, admission.OutcomeOK, []byte("done"))
 				}
 			}
@@ -76,7 +76,7 @@
 	server.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	do()
 	server.step()
-	require.True(t, server.requestsByID["a"].running)
+	require.True(t, server.requests.byAttemptID["a"].running())
 	server.clock.now = server.drain.stopAt
 	require.True(t, server.finished())
 	server.Submit(p, 2, Attempt{ID: "b", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
@@ -145,7 +145,7 @@
 			submitIf("after")
 			turn()
 			for _, when := range testCase.comes {
-				s.completeRun(s.requestsByID[when], admission.OutcomeOK, nil)
+				s.completeRun(s.requests.byAttemptID[when], admission.OutcomeOK, nil)
 			}
 			turn()
 			if len(testCase.comes) > 0 {
@@ -169,7 +169,7 @@
 	server.post(func() { // room is made, and taken by one that waited
 		server.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	})
-	for len(server.inbox) < inboxCapacity {
+	for server.inbox.waiting() < inboxCapacity {
 		server.post(func() {})
 	}
 	server.shutDown()
@@ -227,7 +227,7 @@
 // A configuration with a longer time for arrivals comes during a drain: the notice was given under the old one.
 func TestReloadDuringDrain(t *testing.T) {
 	s, _, runPosted := newReadyServer(t)
-	fresh := *s.config
+	fresh := *s.config.Config
 	fresh.Settings.DrainGrace *= 2
 	s.Drain()
 	gracePeriod := s.config.Settings.DrainGrace
@@ -261,7 +261,7 @@
 	do()
 	server.step()
 	require.Empty(t, p.received)
-	require.True(t, server.requestsByID["a"].running)
+	require.True(t, server.requests.byAttemptID["a"].running())
 	stamped.ID, stamped.ArrivedAt = "b", stamped.ArrivedAt+time.Hour // one from the future is still wrong
 	server.Submit(p, 2, stamped)
 	do()
@@ -287,7 +287,7 @@
 		server.step()
 		require.Equal(t, []any{Failed, Failed}, p.received, first)
 		require.EqualValues(t, 1, server.stats.Runs, first)
-		require.Empty(t, server.requests, first)
+		require.Empty(t, server.requests.byID, first)
 	}
 }
 
@@ -297,7 +297,7 @@
 	s.Submit(conn, 1, keyedAttempt(s, "a"))
 	do()
 	s.step()
-	request := s.requestsByID["a"]
+	request := s.requests.byAttemptID["a"]
 	s.clock.now += s.config.Settings.Classes[2].IdempotencyWindow / 2
 	s.deadlines.Sweep(s.clock.now)
 	s.step()
@@ -309,7 +309,7 @@
 	s.completeRun(request, admission.OutcomeOK, []byte("done"))
 	require.Equal(t, []any{Failed, Served}, conn.received)
 	require.EqualValues(t, 1, s.stats.Runs)
-	s.clock.now += s.maxArrivalAge()
+	s.clock.now += s.config.maxArrivalAge()
 	s.deadlines.Sweep(s.clock.now)
 	require.Zero(t, s.idempotency.size())
 }
@@ -325,7 +325,7 @@
 	fixture.runPosted()
 	fixture.step()
 	fixture.deadlines.Sweep(fixture.clock.now)
-	fixture.servingFronts = 0
+	fixture.listeners.serving = 0
 	fixture.ReadEnded(fixture.recordingConnection, Disconnected)
 	fixture.runPosted()
 	require.False(t, fixture.finished())
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -1,23 +1,8 @@
 package server
 
-import (
-	"errors"
-	"strconv"
-	"time"
-)
-
-// Stage one, take in: what connections hand to the loop, and the state of the connections.
-
-const (
-	deepCheckTimeout = 2 * time.Second // for the work of a deep health check
-	maxDeepChecks    = 16              // such checks at work at once
-)
+import "errors"
 
-// healthCheck is a health check that waits for its work.
-type healthCheck struct {
-	connection Connection
-	call       uint32
-}
+// Stage one, receive: what connections hand to the loop.
 
 var (
 	errTooManyOpenCalls = errors.New("too many open requests on this connection")
@@ -25,143 +10,161 @@
 	errCompletedID      = errors.New("field id: a try of this id was answered or run before")
 )
 
+// The exported methods of this file may be called from any goroutine; they block while the loop is behind.
+
 // ConnectionOpened makes a connection known.
-func (s *Server) ConnectionOpened(p Connection) {
-	s.post(func() {
-		s.stats.Connections++
-		full := s.connections.size() >= s.maxConnections() && !s.evictIdle()
-		st := s.connections.add(p, s.clock.now)
-		if s.drain.started {
-			s.notifyClosing(st)
-		}
-		if full { // a request on it may have waited for its place for long
-			s.beginClose(st)
-		}
-	})
+func (s *Server) ConnectionOpened(c Connection) { s.inbox.put(&connectionOpened{c}) }
+
+// ReadEnded tells that nothing more is read from a connection, for now or for good. After Disconnected nobody waits for
+// answers on it; in all other cases what was read before is still answered.
+func (s *Server) ReadEnded(c Connection, reason EndReason) { s.inbox.put(&readEnded{c, reason}) }
+
+// Submit takes in a request.
+func (s *Server) Submit(c Connection, call uint32, a Attempt) {
+	s.inbox.put(&requestReceived{connection: c, call: call, attempt: a})
 }
 
-// ReadEnded tells that nothing more is read from a connection, for now or for good. Where it has ended, nobody waits for
-// answers on it; else what was read before is still answered.
-func (s *Server) ReadEnded(p Connection, why EndReason) {
-	s.post(func() {
-		state := s.connections.get(p)
-		switch {
-		case why == ReadTimeout && (state == nil || state.closing == closeStateOpen):
-			s.stats.ReadTimeouts++
-		case why == MalformedInput:
-			s.stats.MalformedInputs++
-		}
-		switch {
-		case state == nil:
-		case why == Disconnected:
-			s.removeConnection(state)
-		case why == MalformedInput:
-			s.connections.setCloseState(state, closeStateUnreadable)
-		default:
-			s.connections.setCloseState(state, closeStatePaused)
-			state.drainReads++
-			state.discardingInput = state.discardingInput || state.drainReads > maxDrainReads
-		}
-	})
+// RejectInvalid answers a request that can't be read.
+func (s *Server) RejectInvalid(c Connection, call uint32, err error) {
+	s.inbox.put(&invalidRequestReceived{c, call, err})
 }
 
-// Submit takes in a request.
-func (s *Server) Submit(conn Connection, call uint32, t Attempt) {
-	s.post(func() {
-		state := s.connections.get(conn)
-		if state == nil || state.discardingInput {
-			return // the connection is gone already
-		}
-		s.connections.markReceived(state, s.clock.now)
-		s.stats.Requests++
-		if state.closing != closeStateOpen {
-			s.notifyClosing(state) // it is in use after all
-		}
-		last := state.lastCall
-		state.lastCall = max(last, call)
-		switch {
-		case state.openCalls[call] != nil, call <= last && s.completed.contains(t.ID):
-			// Two calls of one number can't be told apart by the answer: that of the first goes out, or has gone.
+// Cancel tells that nobody waits for a call any more.
+func (s *Server) Cancel(c Connection, call uint32) { s.inbox.put(&callCancelled{c, call}) }
+
+// HealthCheck answers a health check the way the controller wants it: by its last word, or, for a deep one that it
+// leaves open, by whether the agent gets work done.
+func (s *Server) HealthCheck(c Connection, call uint32, deep bool) {
+	s.inbox.put(&healthCheckReceived{healthCheck{c, call}, deep})
+}
+
+// connectionOpened is a new connection.
+type connectionOpened struct {
+	connection Connection
+}
+
+func (e *connectionOpened) handle(s *Server) {
+	s.stats.Connections++
+	full := s.connections.size() >= s.maxConnections() && !s.evictIdle()
+	state := s.connections.add(e.connection, s.clock.now)
+	if s.drain.started() {
+		s.notifyClosing(state)
+	}
+	if full { // it goes like any other: a request on it may have waited for long to be read
+		s.beginClose(state)
+	}
+}
+
+// readEnded is the end of reading from a connection.
+type readEnded struct {
+	connection Connection
+	reason     EndReason
+}
+
+func (e *readEnded) handle(s *Server) {
+	state := s.connections.get(e.connection)
+	switch {
+	case e.reason == ReadTimeout && (state == nil || state.closing == closeStateOpen):
+		s.stats.ReadTimeouts++
+	case e.reason == MalformedInput:
+		s.stats.MalformedInputs++
+	}
+	if state == nil {
+		return
+	}
+	switch e.reason {
+	case Disconnected:
+		s.removeConnection(state)
+	case MalformedInput:
+		s.connections.setCloseState(state, closeStateUnreadable)
+	case ReadTimeout, ReadPaused:
+		s.connections.setCloseState(state, closeStatePaused)
+		state.drainReads++
+		if state.drainReads > maxDrainReads {
 			state.discardingInput = true
-			s.beginClose(state)
-		case len(state.openCalls) >= conn.MaxOpenCalls():
-			s.answerInvalid(conn, call, errTooManyOpenCalls)
-		case s.requestsByID[t.ID] != nil:
-			s.answerInvalid(conn, call, errDuplicateID)
-		case s.completed.contains(t.ID):
-			s.answerInvalid(conn, call, errCompletedID)
-		default:
-			s.admit(conn, call, t)
 		}
-	})
+	}
 }
 
-// RejectInvalid answers a request that can't be read.
-func (s *Server) RejectInvalid(p Connection, call uint32, err error) {
-	s.post(func() {
-		if st := s.connections.get(p); st != nil && !st.discardingInput {
-			s.stats.Requests++
-			s.answerInvalid(p, call, err)
-		}
-	})
+// requestReceived is a request that was read.
+type requestReceived struct {
+	connection Connection
+	call       uint32
+	attempt    Attempt
 }
 
-func (s *Server) answerInvalid(p Connection, call uint32, err error) {
-	s.stats.Invalid++
-	s.warnings.Warn("request", "wrong request from a front end", err)
-	p.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
+func (e *requestReceived) handle(s *Server) {
+	state := s.connections.get(e.connection)
+	if state == nil || state.discardingInput {
+		return
+	}
+	s.connections.markReceived(state, s.clock.now)
+	s.stats.Requests++
+	if state.closing != closeStateOpen {
+		s.notifyClosing(state) // the front end still uses it
+	}
+	lastCall := state.lastCall
+	state.lastCall = max(lastCall, e.call)
+	id := e.attempt.ID
+	switch {
+	case state.openCalls[e.call] != nil, e.call <= lastCall && s.completed.contains(id):
+		// An answer can't tell two calls of one number apart: that of the first goes out, or has gone.
+		state.discardingInput = true
+		s.beginClose(state)
+	case len(state.openCalls) >= e.connection.MaxOpenCalls():
+		s.answerInvalid(e.connection, e.call, errTooManyOpenCalls)
+	case s.requests.byAttemptID[id] != nil:
+		s.answerInvalid(e.connection, e.call, errDuplicateID)
+	case s.completed.contains(id):
+		s.answerInvalid(e.connection, e.call, errCompletedID)
+	default:
+		s.admit(e.connection, e.call, &e.attempt)
+	}
 }
 
-// Cancel tells that nobody waits for a call any more.
-func (s *Server) Cancel(p Connection, call uint32) {
-	s.post(func() {
-		if st := s.connections.get(p); st != nil && st.openCalls[call] != nil {
-			s.stats.Cancelled++
-			s.cancel(st.openCalls[call])
-		}
-	})
+// invalidRequestReceived is a request that can't be read.
+type invalidRequestReceived struct {
+	connection Connection
+	call       uint32
+	err        error
 }
 
-// HealthCheck answers a health check the way the controller wants it: from its last word, or, for a deep
-// one that it leaves open, by whether the agent gets work done. A flood of those is not passed on.
-func (s *Server) HealthCheck(conn Connection, call uint32, deep bool) {
-	s.post(func() {
-		st := s.connections.get(conn)
-		if st == nil || st.discardingInput {
-			return
-		}
-		s.connections.markReceived(st, s.clock.now)
-		s.stats.HealthChecks++
-		if !deep || s.healthCached || !s.healthy || len(s.deepChecks) >= maxDeepChecks {
-			s.answerHealthCheck(healthCheck{conn, call}, s.healthy)
-			return
-		}
-		s.lastCheckToken++
-		token := "x" + strconv.FormatUint(s.lastCheckToken, 10)
-		s.deepChecks[token] = healthCheck{conn, call}
-		s.stats.DeepChecks++
-		s.deadlines.Add(s.clock.now+deepCheckTimeout, func() { s.completeDeepCheck(token, false) })
-		if s.agent.DeepCheck(token) != nil {
-			s.completeDeepCheck(token, false)
-		}
-	})
+func (e *invalidRequestReceived) handle(s *Server) {
+	if state := s.connections.get(e.connection); state != nil && !state.discardingInput {
+		s.stats.Requests++
+		s.answerInvalid(e.connection, e.call, e.err)
+	}
 }
 
-// completeDeepCheck answers the health check that waits under token, if one still does.
-func (s *Server) completeDeepCheck(token string, ok bool) {
-	if p, waits := s.deepChecks[token]; waits {
-		delete(s.deepChecks, token)
-		s.answerHealthCheck(p, ok && s.healthy)
+// callCancelled is a front end's word that it no longer waits for a call.
+type callCancelled struct {
+	connection Connection
+	call       uint32
+}
+
+func (e *callCancelled) handle(s *Server) {
+	if state := s.connections.get(e.connection); state != nil && state.openCalls[e.call] != nil {
+		s.stats.Cancelled++
+		s.cancel(state.openCalls[e.call])
 	}
 }
 
-func (s *Server) answerHealthCheck(conn healthCheck, good bool) {
-	if s.connections.get(conn.connection) == nil {
+// healthCheckReceived is a health check that was read.
+type healthCheckReceived struct {
+	check healthCheck
+	deep  bool
+}
+
+func (e *healthCheckReceived) handle(s *Server) {
+	state := s.connections.get(e.check.connection)
+	if state == nil || state.discardingInput {
 		return
 	}
-	kind := Unhealthy
-	if good {
-		kind = Healthy
+	s.connections.markReceived(state, s.clock.now)
+	s.stats.HealthChecks++
+	if e.deep && s.health.wantsDeepCheck() {
+		s.beginDeepCheck(e.check)
+		return
 	}
-	conn.connection.Answer(conn.call, Answer{Kind: kind})
+	s.answerHealthCheck(e.check, s.health.healthy)
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -9,90 +9,98 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Reload takes over what a new configuration says of the peers' addresses and of the settings; err says why
-// there is none, and then all stays as it is. Runs go on either way.
-func (s *Server) Reload(fresh *config.Config, err error) {
-	s.post(func() {
-		if err == nil {
-			err = s.applyConfig(fresh)
-		}
-		if err != nil {
-			s.stats.ReloadsFailed++
-			s.log.WithError(err).Error("configuration not taken over; the one in force stays")
-			return
-		}
-		s.stats.Reloads++
-		s.log.WithFields(logrus.Fields{"agent": fresh.Agent, "store": fresh.Store, "announce": fresh.Announce, "classes": fresh.Classes}).
-			Info("addresses and settings taken over; other keys count from the next start")
-		s.agent.SetAddress(fresh.Agent)
-		s.store.SetAddress(fresh.Store)
-		s.announcer.SetAddress(fresh.Announce)
-	})
+// Reload takes over the peers' addresses and the settings of a new configuration. err says why there is none, and then
+// everything stays as it is. Runs go on either way. It may be called from any goroutine.
+func (s *Server) Reload(cfg *config.Config, err error) { s.inbox.put(&configurationLoaded{cfg, err}) }
+
+// configurationLoaded is a configuration that was read, or err.
+type configurationLoaded struct {
+	config *config.Config
+	err    error
+}
+
+func (e *configurationLoaded) handle(s *Server) {
+	err := e.err
+	if err == nil {
+		err = s.applyConfig(e.config)
+	}
+	if err != nil {
+		s.stats.ReloadsFailed++
+		s.log.WithError(err).Error("configuration not taken over; the one in force stays")
+		return
+	}
+	s.stats.Reloads++
+	s.log.WithFields(logrus.Fields{
+		"agent":    e.config.Agent,
+		"store":    e.config.Store,
+		"announce": e.config.Announce,
+		"classes":  e.config.Classes,
+	}).Info("addresses and settings taken over; other keys count from the next start")
+	s.agent.SetAddress(e.config.Agent)
+	s.store.SetAddress(e.config.Store)
+	s.announcer.SetAddress(e.config.Announce)
 }
 
 // applyConfig takes over new settings.
-func (s *Server) applyConfig(fresh *config.Config) error {
-	next, names := fresh.Settings, slices.Clone(s.config.Classes)
-	if s.drain.started {
-		next.DrainGrace = min(next.DrainGrace, s.config.Settings.DrainGrace) // the notice was given under that one
+func (s *Server) applyConfig(loaded *config.Config) error {
+	settings := loaded.Settings
+	if s.drain.started() {
+		// The drain began under the grace period in force, which may only become shorter.
+		settings.DrainGrace = min(settings.DrainGrace, s.config.Settings.DrainGrace)
 	}
-	next.Classes, names = mergeClasses(s.config.Settings.Classes, fresh.Settings.Classes, names, fresh.Classes)
-	if s.controller != nil {
-		if err := s.controller.Reconfigure(next); err != nil {
+	var names []string
+	settings.Classes, names = mergeClasses(s.config.Settings.Classes, loaded.Settings.Classes, s.config.Classes, loaded.Classes)
+	if s.admission.started() {
+		if err := s.admission.controller.Reconfigure(settings); err != nil {
 			return err
 		}
 	}
-	cfg := *s.config
-	cfg.Settings, cfg.Classes, cfg.Tenants, cfg.Gauges, cfg.ReplacedStopTimeout = next, names, fresh.Tenants, fresh.Gauges, fresh.ReplacedStopTimeout
-	s.config = &cfg
-	s.indexTenants()
+	merged := *s.config.Config
+	merged.Settings, merged.Classes = settings, names
+	merged.Tenants, merged.Gauges = loaded.Tenants, loaded.Gauges
+	merged.ReplacedStopTimeout = loaded.ReplacedStopTimeout
+	s.config.Config = &merged
+	s.config.indexTenants()
 	s.rebaseQuota()
-	s.raiseMaxTimeout()
-	for i, k := range next.Classes {
-		if !k.Removed {
-			s.addClass(i)
-		} else if s.classes[names[i]] == i {
-			// Front ends learn of it late, and what they have begun they may try again.
-			s.deadlines.Add(s.clock.now+s.maxArrivalAge(), func() { s.removeClass(i) })
+	s.config.raiseMaxTimeout()
+	s.updateClasses()
+	return nil
+}
+
+// updateClasses has requests of new classes taken in, and those of classes that are gone turned down later: front ends
+// learn of it late, and may retry what they have begun.
+func (s *Server) updateClasses() {
+	for i, class := range s.config.Settings.Classes {
+		name := s.config.Classes[i]
+		if !class.Removed {
+			s.config.addClass(i)
+			s.stats.Name(name)
+		} else if s.config.classes[name] == i {
+			s.deadlines.Add(s.clock.now+s.config.maxArrivalAge(), func() { s.config.removeClass(i) })
 		}
 	}
-	return nil
 }
 
-// mergeClasses gives each class of a new configuration the place that it has, or one behind the others. What
-// is in hand goes by places, so those of classes that are gone stay, and so does that of a class which may not
-// be repeated any more in the way it was.
-func mergeClasses(old, fresh []admission.Class, names, freshNames []string) ([]admission.Class, []string) {
-	all := slices.Clone(old)
-	for i := range all {
-		all[i].Removed = true
+// mergeClasses gives each class of a new configuration the index that it has, or one behind the others. Active requests
+// refer to indices, so those of classes that are gone stay, marked as removed, and so does that of a class whose
+// idempotency has changed.
+func mergeClasses(current, loaded []admission.Class, currentNames, loadedNames []string) ([]admission.Class, []string) {
+	classes, names := slices.Clone(current), slices.Clone(currentNames)
+	for i := range classes {
+		classes[i].Removed = true
 	}
-	for i, class := range fresh {
+	for i, class := range loaded {
 		at := -1
 		for j, name := range names {
-			if name == freshNames[i] && all[j].Idempotency == class.Idempotency {
+			if name == loadedNames[i] && classes[j].Idempotency == class.Idempotency {
 				at = j
 			}
 		}
 		if at < 0 {
-			all, names = append(all, class), append(names, freshNames[i])
+			classes, names = append(classes, class), append(names, loadedNames[i])
 		} else {
-			all[at] = class
+			classes[at] = class
 		}
 	}
-	return all, names
-}
-
-// addClass has requests of the class at place i taken in.
-func (s *Server) addClass(i int) {
-	name := s.config.Classes[i]
-	s.classes[name] = i
-	s.stats.Name(name)
-}
-
-// removeClass has them turned down, unless the class has come back.
-func (s *Server) removeClass(i int) {
-	if name := s.config.Classes[i]; s.config.Settings.Classes[i].Removed && s.classes[name] == i {
-		delete(s.classes, name)
-	}
+	return classes, names
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -26,12 +26,12 @@
 		s.Submit(p, calls, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: s.clock.now, Timeout: 2 * time.Second, MemoryKB: 1})
 		runPosted()
 		s.step()
-		return s.requestsByID[id]
+		return s.requests.byAttemptID[id]
 	}
 	old := submit("licence-order")
-	require.True(t, old.running)
+	require.True(t, old.running())
 
-	fresh := *s.config
+	fresh := *s.config.Config
 	fresh.Classes = []string{"poster", "preview", "hires-crop"}
 	set := s.config.Settings
 	set.Classes = []admission.Class{set.Classes[2], set.Classes[0], set.Classes[1]}
@@ -44,11 +44,11 @@
 	require.Equal(t, set.Cores, s.config.Settings.Cores)
 	require.Equal(t, "licence-order", s.config.Classes[old.class])
 	added := submit("poster")
-	require.True(t, added.running)
+	require.True(t, added.running())
 	require.Equal(t, 3, added.class)
 	late := submit("licence-order")
 	patient := submit("preview")
-	require.True(t, late.running)
+	require.True(t, late.running())
 	for _, r := range []*activeRequest{old, added, late, patient} {
 		s.completeRun(r, admission.OutcomeOK, nil)
 		got = append(got, r.connection.(*recordingConnection).received...)
@@ -58,10 +58,10 @@
 	require.EqualValues(t, 1, s.stats.Answers["poster"].Served)
 
 	// In the end a class that is gone is unknown, and one that comes back has its place again.
-	s.clock.now += s.maxArrivalAge()
+	s.clock.now += s.config.maxArrivalAge()
 	s.deadlines.Sweep(s.clock.now)
 	require.Nil(t, submit("licence-order"))
-	back := *s.config
+	back := *s.config.Config
 	back.Classes, back.Settings.Classes = fresh.Classes[:1], set.Classes[:1]
 	back.Classes = []string{"licence-order"}
 	s.Reload(&back, nil)
@@ -95,12 +95,12 @@
 		server.step()
 	}
 	submit(1, "licence-order")
-	fresh := *server.config
+	fresh := *server.config.Config
 	fresh.Classes = []string{"preview", "hires-crop", "order"}
 	server.Reload(&fresh, nil)
 	do()
 	submit(2, "order")
-	server.completeRun(server.requestsByID["b"], admission.OutcomeOK, nil)
+	server.completeRun(server.requests.byAttemptID["b"], admission.OutcomeOK, nil)
 	require.Equal(t, []any{Served, Served}, conn.received)
 	require.EqualValues(t, 1, server.stats.Runs)
 }
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -5,25 +5,32 @@
 	"falldeal/internal/agent"
 )
 
-// Stage six, book: answers go out, once each, and what has ended is struck off.
+// Stage six, respond: each request gets one answer, and is removed once it has ended.
 
-// answer gives r its one answer.
+// answer gives a request its one answer.
 func (s *Server) answer(request *activeRequest, a Answer) {
 	if request.answered {
 		return
 	}
 	s.markAnswered(request)
-	st := s.connections.get(request.connection)
-	if st == nil {
+	state := s.connections.get(request.connection)
+	if state == nil {
 		return
 	}
-	s.connections.touch(st, s.clock.now)
+	s.connections.touch(state, s.clock.now)
 	s.countAnswer(request.class, a.Kind)
 	s.logTrace(request, answerNames[a.Kind])
 	s.markCompleted(request)
 	request.connection.Answer(request.call, a)
 }
 
+// answerInvalid answers a wrong request.
+func (s *Server) answerInvalid(c Connection, call uint32, err error) {
+	s.stats.Invalid++
+	s.warnings.Warn("request", "wrong request from a front end", err)
+	c.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
+}
+
 // countAnswer counts an answer to a request of a class.
 func (s *Server) countAnswer(class int, kind AnswerKind) {
 	answers := s.stats.Name(s.config.Classes[class])
@@ -37,14 +44,15 @@
 	}
 }
 
-// markAnswered notes that no answer is owed to r any more.
+// markAnswered notes that no answer is owed to a request any more.
 func (s *Server) markAnswered(r *activeRequest) {
 	r.answered = true
-	if st := s.connections.get(r.connection); st != nil {
-		s.connections.closeCall(st, r.call)
+	if state := s.connections.get(r.connection); state != nil {
+		s.connections.closeCall(state, r.call)
 	}
 }
 
+// reject answers a request that the controller turns away.
 func (s *Server) reject(request *activeRequest, a admission.Action) {
 	request.trace.reason = a.Reason.String()
 	if a.Reason == admission.ReasonDependency {
@@ -52,25 +60,25 @@
 	}
 	s.recordRejection(request, a)
 	s.answer(request, Answer{Kind: Rejected, RetryAfter: a.RetryAfter, NoRetryElsewhere: a.NoRetryElsewhere})
-	if !request.running {
+	if !request.running() {
 		s.removeRequest(request)
 	}
 }
 
-// fail answers r with an error. Its run, if there is one, goes on to its end or next call.
+// fail answers a request with an error. Its run, if there is one, goes on to its end or next call.
 func (s *Server) fail(r *activeRequest) {
 	r.trace.reason = "given up"
 	s.answer(r, Answer{Kind: Failed})
 	s.abandonCall(r)
-	if !r.running {
+	if !r.running() {
 		s.removeRequest(r)
 	}
 }
 
-// handleOutcome books what the agent tells of the end of a run.
+// handleOutcome takes in the outcome of a run.
 func (s *Server) handleOutcome(notification agent.Notification) {
-	request := s.requestsByID[notification.RequestID]
-	if request == nil || !request.running {
+	request := s.requests.byAttemptID[notification.RequestID]
+	if request == nil || !request.running() {
 		return
 	}
 	switch notification.Result {
@@ -88,62 +96,75 @@
 	}
 }
 
-// completeRun ends the run of r, answers it where that is still owed, and those that repeat it.
-func (s *Server) completeRun(request *activeRequest, o admission.Outcome, result []byte) {
+// completeRun ends the run of a request, and answers that request and the retries that wait for its result.
+func (s *Server) completeRun(request *activeRequest, outcome admission.Outcome, result []byte) {
+	ok := outcome == admission.OutcomeOK
 	s.abandonCall(request)
 	s.agent.Forget(request.attempt.ID)
-	s.enqueueEvent(admission.Event{Kind: admission.EventDone, ID: request.id, Outcome: o, Took: s.clock.now - request.startedAt})
-	if o == admission.OutcomeOK {
+	s.enqueueDone(request, outcome)
+	s.answerResult(request, ok, result)
+	for _, retry := range s.idempotency.runEnded(request, outcome, result) {
+		s.answerFromResult(retry, ok, result)
+	}
+	s.removeRequest(request)
+}
+
+// enqueueDone tells the controller that a run, or the reuse of a result, has ended.
+func (s *Server) enqueueDone(request *activeRequest, outcome admission.Outcome) {
+	s.admission.enqueue(admission.Event{
+		Kind:    admission.EventDone,
+		ID:      request.id,
+		Outcome: outcome,
+		Took:    s.clock.now - request.startedAt,
+	})
+}
+
+// answerResult answers a request with the result of a run.
+func (s *Server) answerResult(request *activeRequest, ok bool, result []byte) {
+	if ok {
 		s.answer(request, Answer{Kind: Served, Body: result})
 	} else {
 		s.answer(request, Answer{Kind: Failed})
 	}
-	for _, f := range s.idempotency.runEnded(request, o, result) {
-		s.answerFromResult(f, o == admission.OutcomeOK, result)
-	}
-	s.removeRequest(request)
 }
 
-// reuseResult answers r with the result of the try that it repeats, now or when that has ended.
+// reuseResult answers a request with the result of the attempt that it retries, now or when that has ended.
 func (s *Server) reuseResult(r *activeRequest) {
 	r.startedAt = s.clock.now
-	if result, ok, over := s.idempotency.awaitResult(r); over {
+	if result, ok, ended := s.idempotency.awaitResult(r); ended {
 		s.answerFromResult(r, ok, result)
 	}
 }
 
+// answerFromResult ends a request that has waited for the run of another attempt.
 func (s *Server) answerFromResult(request *activeRequest, ok bool, result []byte) {
-	if s.requests[request.id] != request {
+	if !s.requests.contains(request) {
 		return // it has ended while it waited
 	}
 	outcome := admission.OutcomeFailed
 	if ok {
 		outcome = admission.OutcomeOK
 		s.stats.Reused++
-		s.answer(request, Answer{Kind: Served, Body: result})
-	} else {
-		s.answer(request, Answer{Kind: Failed})
 	}
-	s.enqueueEvent(admission.Event{Kind: admission.EventDone, ID: request.id, Outcome: outcome, Took: s.clock.now - request.startedAt})
+	s.answerResult(request, ok, result)
+	s.enqueueDone(request, outcome)
 	s.removeRequest(request)
 }
 
-// removeRequest strikes off a request of which nothing more is to come.
+// removeRequest removes a request to which nothing more can happen.
 func (s *Server) removeRequest(r *activeRequest) {
-	delete(s.requests, r.id)
-	delete(s.requestsByID, r.attempt.ID)
-	if e := s.idempotency.release(r); e != nil {
-		s.expireAfterWindow(e)
+	s.requests.remove(r)
+	if entry := s.idempotency.release(r); entry != nil {
+		s.expireAfterWindow(entry)
 	}
 }
 
-// expireAfterWindow has an entry dropped that a run has. Tries of its window are taken in for as long as their
-// time is plausible.
-func (s *Server) expireAfterWindow(e *idempotencyEntry) {
-	closes := e.windowEnd
-	s.deadlines.Add(s.clock.fromUnix(closes)+s.maxArrivalAge()+windowSlack, func() {
-		if e.windowEnd == closes {
-			s.idempotency.drop(e)
+// expireAfterWindow drops an entry that has a run once no attempt of its window can be taken in any more.
+func (s *Server) expireAfterWindow(entry *idempotencyEntry) {
+	windowEnd := entry.windowEnd
+	s.deadlines.Add(s.clock.fromUnix(windowEnd)+s.config.maxArrivalAge()+windowSlack, func() {
+		if entry.windowEnd == windowEnd {
+			s.idempotency.drop(entry)
 		}
 	})
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -40,8 +40,8 @@
 	log, _ := test.NewNullLogger()
 	s = New(cfg, log)
 	return s, func() {
-		for len(s.inbox) > 0 {
-			(<-s.inbox)()
+		for s.inbox.waiting() > 0 {
+			(<-s.inbox.events).handle(s)
 		}
 	}
 }
@@ -55,10 +55,10 @@
 	s.HealthCheck(conn, 2, true)
 	runPosted()
 	require.Equal(t, []any{Rejected, Unhealthy}, conn.received)
-	require.Empty(t, s.requests)
+	require.Empty(t, s.requests.byID)
 	s.Drain()
 	runPosted()
-	require.Empty(t, s.events) // they would keep the loop turning
+	require.Empty(t, s.admission.events) // they would keep the loop turning
 	require.Equal(t, []any{Rejected, Unhealthy, "closing"}, conn.received)
 }
 
@@ -67,16 +67,16 @@
 	server, do := newIdleServer(t)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
-	server.healthy, server.healthCached = true, true
+	server.health.healthy, server.health.cached = true, true
 	server.HealthCheck(conn, 1, true)
 	do()
 	require.Equal(t, []any{Healthy}, conn.received)
-	server.healthCached = false
+	server.health.cached = false
 	server.HealthCheck(conn, 2, false)
 	server.HealthCheck(conn, 3, true) // there is no link to the agent
 	do()
 	require.Equal(t, []any{Healthy, Healthy, Unhealthy}, conn.received)
-	server.deepChecks["x"] = healthCheck{conn, 4}
+	server.health.deepChecks["x"] = healthCheck{conn, 4}
 	server.completeDeepCheck("x", true)
 	server.completeDeepCheck("x", true) // the limit, which comes too late
 	require.Equal(t, []any{Healthy, Healthy, Unhealthy, Healthy}, conn.received)
@@ -87,7 +87,7 @@
 func TestIdleConnections(t *testing.T) {
 	s, runPosted := newIdleServer(t)
 	conn := &recordingConnection{}
-	s.idleTimer.timeout = time.Second
+	s.connections.idleTimer.timeout = time.Second
 	advance := func(d time.Duration) {
 		s.clock.now += d
 		s.deadlines.Sweep(s.clock.now)
@@ -122,7 +122,7 @@
 func TestIdleLimitShrinks(t *testing.T) {
 	server, do := newIdleServer(t)
 	conn := &recordingConnection{}
-	server.idleTimer.timeout = time.Hour
+	server.connections.idleTimer.timeout = time.Hour
 	server.ConnectionOpened(conn)
 	do()
 	server.scheduleIdleCheck()
@@ -136,19 +136,19 @@
 // Old gauges are worse than none: the controller would act on a load that is long gone.
 func TestGauges(t *testing.T) {
 	server, _ := newIdleServer(t)
-	server.recordGauges([]float64{0.5, 3, 0.25, 9, 7})
+	server.gauges.record(server.clock.now, server.config.Gauges, []float64{0.5, 3, 0.25, 9, 7})
 	want := admission.Gauges{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9}
 	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	timer := func() admission.Gauges {
-		server.events = nil
+		server.admission.events = nil
 		server.scheduleWake(server.clock.now)
 		server.deadlines.Sweep(server.clock.now)
-		return server.events[0].Gauges
+		return server.admission.events[0].Gauges
 	}
 	require.Equal(t, want, timer())
 	server.clock.now += gaugeMaxAge + 1
 	require.Equal(t, unknownGauges, timer())
-	server.recordGauges([]float64{0.5})
+	server.gauges.record(server.clock.now, server.config.Gauges, []float64{0.5})
 	require.Equal(t, admission.Gauges{CPUUtilization: 0.5, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}, timer())
 }
 
@@ -187,7 +187,7 @@
 		runPosted()
 	}
 	require.Equal(t, []any{Invalid, Invalid, Invalid, Invalid}, conn.received)
-	require.Empty(t, s.requests)
+	require.Empty(t, s.requests.byID)
 }
 
 // What a request carried is not kept for as long as its key: a long day would fill the memory with it.
@@ -199,13 +199,13 @@
 	server.Submit(p, 1, Attempt{ID: "ab", IdempotencyKey: "k", Class: "licence-order", ArrivedAt: server.clock.now, Timeout: time.Second, MemoryKB: 1, Body: []byte("x")})
 	do()
 	server.step()
-	r := server.requestsByID["ab"]
-	require.True(t, r.running)
+	r := server.requests.byAttemptID["ab"]
+	require.True(t, r.running())
 	require.Nil(t, r.attempt.Body)
 	server.completeRun(r, admission.OutcomeOK, nil)
-	require.Empty(t, server.requests)
+	require.Empty(t, server.requests.byID)
 	require.Equal(t, 1, server.idempotency.size())
-	server.clock.now += server.config.Settings.Classes[2].IdempotencyWindow + server.maxArrivalAge() + windowSlack
+	server.clock.now += server.config.Settings.Classes[2].IdempotencyWindow + server.config.maxArrivalAge() + windowSlack
 	server.deadlines.Sweep(server.clock.now)
 	require.Zero(t, server.idempotency.size())
 }
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -10,101 +10,135 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Cutoff: what the fleet as a whole has room for. Where it cuts is found in package overload, from what members tell;
-// here requests are put to it, and what it makes of them goes to the controller with the request.
+// Load shedding by what the fleet as a whole has capacity for. Package overload finds the threshold from what members
+// publish; here requests are put to it, and its verdict goes to the controller with the request.
 
 const (
-	sheddingInterval = 500 * time.Millisecond // between two looks at where the fleet cuts
-	ticksPerReport   = 2                      // of these looks, for one report of tries
+	sheddingInterval = 500 * time.Millisecond // between two looks at the threshold of the fleet
+	ticksPerReport   = 2                      // of these, between two reports of attempts
 )
 
+// loadShedding is the part of a fleet member that sheds load. The loop owns it.
 type loadShedding struct {
-	overload.Shedder
-	*overload.RetryCounter
-	*overload.Collector
-	*overload.AgeEstimator
-	ticks  int
-	logged overload.Threshold // of the last line of log
+	shedder   overload.Shedder
+	retries   *overload.RetryCounter
+	collector *overload.Collector
+	ages      *overload.AgeEstimator
+	ticks     int
+	logged    overload.Threshold // the last one that was logged
 }
 
-// fleetRanks are the words of package overload in those of the controller.
-var fleetRanks = [...]admission.FleetRank{overload.VerdictUnknown: admission.RankUnknown, overload.VerdictElsewhere: admission.RankElsewhere,
-	overload.VerdictFull: admission.RankFull, overload.VerdictBelowThreshold: admission.RankBelowThreshold}
+// fleetRanks gives the verdicts of package overload in the controller's terms.
+var fleetRanks = [...]admission.FleetRank{
+	overload.VerdictUnknown:        admission.RankUnknown,
+	overload.VerdictElsewhere:      admission.RankElsewhere,
+	overload.VerdictFull:           admission.RankFull,
+	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
+}
 
-// EnableShedding has requests judged by what the fleet has room for. Self is this process as the fleet knows it. It is called
-// after Join and before Run.
+// EnableShedding has requests judged by what the fleet has capacity for. self is this process as the fleet knows it. It
+// is called after JoinFleet and before Run.
 func (s *Server) EnableShedding(self overload.ProcessID) {
-	s.member.shedding = &loadShedding{RetryCounter: overload.NewRetryCounter(), Collector: overload.NewCollector(self),
-		AgeEstimator: overload.NewAgeEstimator()}
+	s.member.shedding = &loadShedding{
+		retries:   overload.NewRetryCounter(),
+		collector: overload.NewCollector(self),
+		ages:      overload.NewAgeEstimator(),
+	}
+}
+
+// shedding returns the load shedding of the fleet, or nil where it is off.
+func (s *Server) shedding() *loadShedding {
+	if s.member == nil {
+		return nil
+	}
+	return s.member.shedding
 }
 
-// classifyForShedding puts r to what the fleet has room for: its standing, how old it is where it is a repeat, and by how much its
-// caller should stay away for longer if it is refused. Nothing is asked of anybody: it goes by what was told before.
-func (s *Server) classifyForShedding(request *activeRequest, e *admission.Event) {
-	if s.member == nil || s.member.shedding == nil {
+// classifyForShedding adds to the event of a request what the fleet makes of it: its rank, its age where it is a retry,
+// and by how much its caller should stay away for longer if it is rejected. It goes by what was received before; nobody
+// is asked.
+func (s *Server) classifyForShedding(request *activeRequest, event *admission.Event) {
+	shedding := s.shedding()
+	if shedding == nil {
 		return
 	}
-	c, attempt := s.member.shedding, &request.attempt
+	attempt := &request.attempt
 	requestFingerprint := fingerprint(attempt)
-	e.SinceFirstAttempt = c.Age(s.clock.now, attempt.Class, attempt.Timeout)
-	again := c.Arrived(s.clock.now, requestFingerprint) || e.SinceFirstAttempt > 0
+	event.SinceFirstAttempt = shedding.ages.Age(s.clock.now, attempt.Class, attempt.Timeout)
+	retry := shedding.retries.Arrived(s.clock.now, requestFingerprint) || event.SinceFirstAttempt > 0
 	value, work := s.config.Settings.Classes[request.class].PriorityWeight, attempt.CostHint.Seconds()
 	if s.config.Settings.WeightPerWork {
 		value *= work
 	}
-	e.FleetRank, e.RetryJitter = fleetRanks[c.Classify(value, work, attempt.Rank, again)], c.RetryJitter(requestFingerprint)
+	event.FleetRank = fleetRanks[shedding.shedder.Classify(value, work, attempt.Rank, retry)]
+	event.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
 }
 
-func fingerprint(t *Attempt) uint64 {
-	return overload.Fingerprint(t.Class, t.Subject, t.IdempotencyKey, t.Client, t.Rank, t.CostHint.Seconds())
+func fingerprint(a *Attempt) uint64 {
+	return overload.Fingerprint(a.Class, a.Subject, a.IdempotencyKey, a.Client, a.Rank, a.CostHint.Seconds())
 }
 
-// recordRejection remembers what was refused and will come again, here or elsewhere.
+// recordRejection notes a request that will be retried, here or elsewhere.
 func (s *Server) recordRejection(r *activeRequest, a admission.Action) {
-	if s.member != nil && s.member.shedding != nil && !a.NoRetryElsewhere {
-		s.member.shedding.Rejected(s.clock.now, fingerprint(&r.attempt))
+	if shedding := s.shedding(); shedding != nil && !a.NoRetryElsewhere {
+		shedding.retries.Rejected(s.clock.now, fingerprint(&r.attempt))
 	}
 }
 
-// tickShedding looks where the fleet cuts, now and again from now on.
+// tickShedding finds the threshold of the fleet now, and each interval from now on.
 func (s *Server) tickShedding() {
-	if s.member == nil || s.member.shedding == nil {
+	shedding := s.shedding()
+	if shedding == nil {
 		return
 	}
-	member := s.member
-	shedding, at, view := member.shedding, member.fleet.Now(), member.fleet.Snapshot()
-	own := overload.LocalLoad{Cores: float64(s.config.Settings.Cores), Busy: -1, Attempts: shedding.AttemptRate(), Retries: shedding.RetryRatio()}
-	if s.controller != nil {
-		own.ServiceRate = s.controller.ServiceRate()
+	now, view := s.member.fleet.Now(), s.member.fleet.Snapshot()
+	threshold := shedding.shedder.Tick(s.clock.now, s.localLoad(shedding), view, now)
+	s.logThreshold(shedding, threshold)
+	s.sendPartials(shedding, view)
+	shedding.ticks++
+	if shedding.ticks%ticksPerReport == 0 {
+		s.sendRetryReports(shedding, view)
 	}
-	if s.clock.now-s.gaugesAt <= gaugeMaxAge {
-		own.Busy = s.gauges.CPUUtilization
+	s.deadlines.Add(s.clock.now+sheddingInterval, s.tickShedding)
+}
+
+// localLoad is the load of this server alone.
+func (s *Server) localLoad(shedding *loadShedding) overload.LocalLoad {
+	load := overload.LocalLoad{
+		Cores:    float64(s.config.Settings.Cores),
+		Busy:     -1,
+		Attempts: shedding.retries.AttemptRate(),
+		Retries:  shedding.retries.RetryRatio(),
 	}
-	cut := shedding.Shedder.Tick(s.clock.now, own, view, at)
-	if was, is := thresholdState(&shedding.logged), thresholdState(&cut); is != was {
-		s.logChange(logrus.InfoLevel, "cutoff of the fleet", was, is, logrus.Fields{"place": cut.Priority, "offered": cut.Offered,
-			"pace": cut.ServiceRate, "again": cut.RetryRatio, "members": cut.Members, "stale": cut.Stale, "oldest_ms": cut.Oldest.Milliseconds()})
-		shedding.logged = cut
+	if s.admission.started() {
+		load.ServiceRate = s.admission.controller.ServiceRate()
 	}
-	var l fleet.Load
-	s.addCurrentLoad(&l)
-	part := overload.PartialAggregate{From: shedding.Self(), Aggregate: overload.AggregateOf(&l)}
-	for _, p := range shedding.Collector.Tick(member.fleet.Now(), part.Aggregate, view) {
-		if to := view.Find(p.Name); to != nil && to.Run == p.Run {
-			member.fleet.Send(to, overload.AppendPartial(nil, part))
-		}
+	if s.gauges.fresh(s.clock.now) {
+		load.Busy = s.gauges.values.CPUUtilization
 	}
-	if shedding.ticks++; shedding.ticks%ticksPerReport == 0 {
-		for _, x := range shedding.RetryCounter.Tick(s.clock.now, view) {
-			if to := view.Find(x.To.Name); to != nil && to.Run == x.To.Run {
-				member.fleet.Send(to, overload.AppendReport(nil, x))
-			}
-		}
+	return load
+}
+
+// logThreshold logs a threshold if its state has changed.
+func (s *Server) logThreshold(shedding *loadShedding, threshold overload.Threshold) {
+	from, to := thresholdState(&shedding.logged), thresholdState(&threshold)
+	if from == to {
+		return
 	}
-	s.deadlines.Add(s.clock.now+sheddingInterval, s.tickShedding)
+	s.logChange(logrus.InfoLevel, "cutoff of the fleet", from, to, logrus.Fields{
+		"place":     threshold.Priority,
+		"offered":   threshold.Offered,
+		"pace":      threshold.ServiceRate,
+		"again":     threshold.RetryRatio,
+		"members":   threshold.Members,
+		"stale":     threshold.Stale,
+		"oldest_ms": threshold.Oldest.Milliseconds(),
+	})
+	shedding.logged = threshold
 }
 
-// thresholdState is what operators are told of: nothing is cut, the fleet is full, it comes out of that, or nobody knows.
+// thresholdState is the state of the fleet as operators see it: nothing is shed (""), the fleet is full, it recovers
+// from that, or it is not known.
 func thresholdState(threshold *overload.Threshold) string {
 	switch {
 	case !threshold.Known:
@@ -117,14 +151,54 @@
 	return ""
 }
 
-// addSheddingToLoad adds to a word what others need to find the cutoff.
+// sendPartials sends this server's part of the load of its zone to the members that add it up.
+func (s *Server) sendPartials(shedding *loadShedding, view *fleet.Snapshot) {
+	var load fleet.Load
+	s.addCurrentLoad(&load)
+	partial := overload.PartialAggregate{From: shedding.collector.Self(), Aggregate: overload.AggregateOf(&load)}
+	for _, id := range shedding.collector.Tick(s.member.fleet.Now(), partial.Aggregate, view) {
+		if to := findProcess(view, id); to != nil {
+			s.member.fleet.Send(to, overload.AppendPartial(nil, partial))
+		}
+	}
+}
+
+// sendRetryReports sends the attempts counted here to the members that count them for the fleet.
+func (s *Server) sendRetryReports(shedding *loadShedding, view *fleet.Snapshot) {
+	for _, report := range shedding.retries.Tick(s.clock.now, view) {
+		if to := findProcess(view, report.To); to != nil {
+			s.member.fleet.Send(to, overload.AppendReport(nil, report))
+		}
+	}
+}
+
+// retryReportReceived is a report of attempts by another member.
+type retryReportReceived struct {
+	attempts []uint64
+}
+
+func (e *retryReportReceived) handle(s *Server) {
+	s.member.shedding.retries.HandleReport(s.clock.now, e.attempts)
+}
+
+// partialReceived is another member's part of the load of the zone.
+type partialReceived struct {
+	partial overload.PartialAggregate
+}
+
+func (e *partialReceived) handle(s *Server) {
+	s.member.shedding.collector.Receive(s.member.fleet.Now(), e.partial)
+}
+
+// addSheddingToLoad adds what other members need to find the threshold.
 func (s *Server) addSheddingToLoad(load *fleet.Load) {
 	shedding := s.member.shedding
-	if s.controller != nil {
-		load.ServiceRate = s.controller.ServiceRate()
+	if s.admission.started() {
+		load.ServiceRate = s.admission.controller.ServiceRate()
 	}
-	offers := shedding.Demand()
-	load.Demand = string(offers.Append(nil))
-	load.Attempts, load.RetryRatio, load.Threshold = shedding.AttemptRate(), shedding.RetryRatio(), shedding.Threshold().Priority
-	load.Aggregate = shedding.Published()
+	demand := shedding.shedder.Demand()
+	load.Demand = string(demand.Append(nil))
+	load.Attempts, load.RetryRatio = shedding.retries.AttemptRate(), shedding.retries.RetryRatio()
+	load.Threshold = shedding.shedder.Threshold().Priority
+	load.Aggregate = shedding.collector.Published()
 }
--- a/internal/server/trace_test.go
+++ b/internal/server/trace_test.go
@@ -28,7 +28,7 @@
 		server.Submit(conn, call, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: server.clock.now - 5*time.Millisecond, Timeout: 2 * time.Second, MemoryKB: 1})
 		do()
 		server.step()
-		return server.requestsByID[id]
+		return server.requests.byAttemptID[id]
 	}
 	lines := func() (got []logrus.Fields) {
 		for _, e := range hook.AllEntries() {
