--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -26,19 +26,19 @@
 )
 
 // admit validates an attempt and puts it before the controller, or answers it.
-func (s *Server) admit(c Connection, call uint32, attempt *Attempt) {
+func (s *Server) admit(conn Connection, call uint32, attempt *Attempt) {
 	class, tenant, err := s.config.classify(attempt)
 	if err == nil {
 		err = s.normalizeTimes(attempt, class)
 	}
 	if err != nil {
-		s.answerInvalid(c, call, err)
+		s.answerInvalid(conn, call, err)
 		return
 	}
 	if !s.admission.started() {
 		// The agent is not up, so nothing can be run. No front end sends requests here before it is.
 		s.countAnswer(class, Rejected)
-		c.Answer(call, Answer{Kind: Rejected})
+		conn.Answer(call, Answer{Kind: Rejected})
 		return
 	}
 	request := &activeRequest{
@@ -46,12 +46,12 @@
 		attempt:           *attempt,
 		class:             class,
 		tenant:            tenant,
-		connection:        c,
+		connection:        conn,
 		call:              call,
 		idempotencyWindow: s.config.Settings.Classes[class].IdempotencyWindow,
 	}
 	s.requests.add(request)
-	s.connections.openCall(s.connections.get(c), call, request)
+	s.connections.openCall(s.connections.get(conn), call, request)
 	if s.mustClaim(request) {
 		s.claimKey(request)
 		return
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -12,24 +12,24 @@
 
 // handleCallRequest notes the call that a run waits for; the controller decides on it.
 func (s *Server) handleCallRequest(notification agent.Notification) {
-	r := s.requests.byAttemptID[notification.RequestID]
-	if r == nil || !r.running() {
+	request := s.requests.byAttemptID[notification.RequestID]
+	if request == nil || !request.running() {
 		return
 	}
-	r.callBody, r.callOffset = notification.Payload, notification.Offset
-	s.admission.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: r.id})
+	request.callBody, request.callOffset = notification.Payload, notification.Offset
+	s.admission.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: request.id})
 }
 
 // callStore makes the call that the run of r waits for. The timeout counts from now; 0 stands for the class's deadline.
-func (s *Server) callStore(r *activeRequest, timeout time.Duration) {
+func (s *Server) callStore(request *activeRequest, timeout time.Duration) {
 	if timeout <= 0 {
-		timeout = s.config.Settings.Classes[r.class].Deadline
+		timeout = s.config.Settings.Classes[request.class].Deadline
 	}
 	s.stats.Calls++
-	r.callStartedAt = s.clock.now
-	r.trace.calls++
-	r.trace.lastReply = "none yet"
-	s.store.Call(r.attempt.ID, s.clock.now+timeout, r.callBody)
+	request.callStartedAt = s.clock.now
+	request.trace.calls++
+	request.trace.lastReply = "none yet"
+	s.store.Call(request.attempt.ID, s.clock.now+timeout, request.callBody)
 }
 
 // abandonCall gives up the call of r, whose reply nobody waits for.
--- a/internal/server/configuration.go
+++ b/internal/server/configuration.go
@@ -17,13 +17,13 @@
 }
 
 func newConfiguration(cfg *config.Config) configuration {
-	c := configuration{Config: cfg, classes: map[string]int{}, tenants: map[string]int{}}
+	configured := configuration{Config: cfg, classes: map[string]int{}, tenants: map[string]int{}}
 	for i := range cfg.Classes {
-		c.addClass(i)
+		configured.addClass(i)
 	}
-	c.indexTenants()
-	c.raiseMaxTimeout()
-	return c
+	configured.indexTenants()
+	configured.raiseMaxTimeout()
+	return configured
 }
 
 // addClass has requests of the class with that index taken in.
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -12,9 +12,9 @@
 // referenceEvictionCandidate looks at every connection, as the table did before it kept them in order.
 func referenceEvictionCandidate(t *connectionTable) *connectionState {
 	var least *connectionState
-	for _, st := range t.states {
-		if len(st.openCalls) == 0 && (least == nil || st.kind < least.kind || st.kind == least.kind && st.lastUsed < least.lastUsed) {
-			least = st
+	for _, state := range t.states {
+		if len(state.openCalls) == 0 && (least == nil || state.kind < least.kind || state.kind == least.kind && state.lastUsed < least.lastUsed) {
+			least = state
 		}
 	}
 	return least
@@ -54,8 +54,8 @@
 				}
 			}
 			open := 0
-			for _, st := range all {
-				open += len(st.openCalls)
+			for _, state := range all {
+				open += len(state.openCalls)
 			}
 			require.Equal(t, open, table.openCalls)
 			require.Equal(t, len(all), table.size())
@@ -72,34 +72,34 @@
 // Most front ends of a fleet reconnect at once: more connections than there may be. Each new one costs one that
 // is idle; those with an open request stay, and once there is no other the new one goes.
 func TestAllReconnectAtOnce(t *testing.T) {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	limit := server.maxConnections()
 	var busy []*recordingConnection
 	for i := range limit {
-		p := &recordingConnection{}
-		server.ConnectionOpened(p)
-		do()
+		conn := &recordingConnection{}
+		server.ConnectionOpened(conn)
+		runPosted()
 		if i%2 == 0 {
-			busy = append(busy, p)
-			server.connections.openCall(server.connections.get(p), 1, &activeRequest{})
+			busy = append(busy, conn)
+			server.connections.openCall(server.connections.get(conn), 1, &activeRequest{})
 		}
 	}
 	closed := 0
 	for range 2 * limit {
 		conn := &recordingConnection{}
 		server.ConnectionOpened(conn)
-		do()
+		runPosted()
 		require.LessOrEqual(t, server.connections.size(), limit)
-		if st := server.connections.get(conn); st.closing == closeStateOpen {
-			server.connections.openCall(st, 1, &activeRequest{})
+		if state := server.connections.get(conn); state.closing == closeStateOpen {
+			server.connections.openCall(state, 1, &activeRequest{})
 		} else {
 			require.Equal(t, []any{"close"}, conn.received)
 			closed++
 		}
 	}
 	require.Equal(t, 2*limit-(limit-len(busy)), closed)
-	for _, p := range busy {
-		require.Empty(t, p.received)
+	for _, conn := range busy {
+		require.Empty(t, conn.received)
 	}
 }
 
@@ -128,18 +128,18 @@
 func BenchmarkTurn(b *testing.B) {
 	for _, connections := range []int{10, 150, 500} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
-			s, runPosted := newIdleServer(b)
-			s.config.Limits.Sockets = 2 * (reservedConnections + connections)
+			server, runPosted := newIdleServer(b)
+			server.config.Limits.Sockets = 2 * (reservedConnections + connections)
 			for range connections {
-				s.ConnectionOpened(&countingConnection{})
+				server.ConnectionOpened(&countingConnection{})
 			}
-			p := &countingConnection{}
-			s.ConnectionOpened(p)
+			conn := &countingConnection{}
+			server.ConnectionOpened(conn)
 			runPosted()
 			b.ReportAllocs()
 			for b.Loop() {
-				s.HealthCheck(p, 1, false)
-				s.turn()
+				server.HealthCheck(conn, 1, false)
+				server.turn()
 			}
 		})
 	}
@@ -149,12 +149,12 @@
 func BenchmarkOpened(b *testing.B) {
 	for _, connections := range []int{10, 150, 500} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
-			s, do := newIdleServer(b)
-			s.config.Limits.Sockets = 2 * (reservedConnections + connections)
+			server, runPosted := newIdleServer(b)
+			server.config.Limits.Sockets = 2 * (reservedConnections + connections)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.ConnectionOpened(&countingConnection{})
-				do()
+				server.ConnectionOpened(&countingConnection{})
+				runPosted()
 			}
 		})
 	}
@@ -166,14 +166,14 @@
 	server  *Server // that is told once nothing more is read; nil: nobody
 }
 
-func (p *countingConnection) Answer(uint32, Answer) { p.answers++ }
-func (p *countingConnection) NotifyClosing()        {}
-func (p *countingConnection) Close()                {}
-func (p *countingConnection) PauseReading() {
-	if p.server != nil {
-		p.server.ReadEnded(p, ReadPaused)
+func (conn *countingConnection) Answer(uint32, Answer) { conn.answers++ }
+func (conn *countingConnection) NotifyClosing()        {}
+func (conn *countingConnection) Close()                {}
+func (conn *countingConnection) PauseReading() {
+	if conn.server != nil {
+		conn.server.ReadEnded(conn, ReadPaused)
 	}
 }
-func (p *countingConnection) ResumeReading()    {}
-func (p *countingConnection) TryClose() bool    { return true }
-func (p *countingConnection) MaxOpenCalls() int { return 32 }
+func (conn *countingConnection) ResumeReading()    {}
+func (conn *countingConnection) TryClose() bool    { return true }
+func (conn *countingConnection) MaxOpenCalls() int { return 32 }
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -121,8 +121,8 @@
 	s.stats.CommandsRejected++
 	message := "agent did not carry out a command for " + notification.RequestID
 	s.warnings.Warn("agent "+notification.Result, message, nil)
-	r := s.requests.byAttemptID[notification.RequestID]
-	if r != nil && r.running() && notification.Result == "launch" {
-		s.completeRun(r, admission.OutcomeNotStarted, nil)
+	request := s.requests.byAttemptID[notification.RequestID]
+	if request != nil && request.running() && notification.Result == "launch" {
+		s.completeRun(request, admission.OutcomeNotStarted, nil)
 	}
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -73,14 +73,14 @@
 
 // The trail of requests that go their way: given up, in a call that has not ended, gone.
 func TestGoldenTraceOfRequests(t *testing.T) {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	lines := captureLog(server)
 	submit := func(call uint32, id string) *activeRequest {
 		server.Submit(conn, call, Attempt{ID: id, IdempotencyKey: id, Class: "licence-order", ArrivedAt: server.clock.now - 5*time.Millisecond, Timeout: 2 * time.Second, MemoryKB: 1})
-		do()
+		runPosted()
 		server.step()
 		return server.requests.byAttemptID[id]
 	}
@@ -89,7 +89,7 @@
 	server.handleCallRequest(agent.Notification{RequestID: "a2", Payload: []byte("x")})
 	server.step()
 	server.ReadEnded(conn, Disconnected)
-	do()
+	runPosted()
 	requireGolden(t, "trail_of_requests", lines.String())
 }
 
@@ -98,59 +98,61 @@
 	var got strings.Builder
 	for _, testCase := range []struct {
 		name string
-		act  func(t *testing.T, s *Server)
+		act  func(t *testing.T, server *Server)
 	}{
-		{"the agent is up", func(_ *testing.T, s *Server) {
-			s.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady, Elapsed: time.Minute})
+		{"the agent is up", func(_ *testing.T, server *Server) {
+			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady, Elapsed: time.Minute})
 		}},
-		{"the agent is booting", func(_ *testing.T, s *Server) {
-			s.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Booting, Elapsed: time.Second})
+		{"the agent is booting", func(_ *testing.T, server *Server) {
+			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Booting, Elapsed: time.Second})
 		}},
-		{"settings that no controller takes", func(_ *testing.T, s *Server) {
-			s.config.Settings.Cores = 0
-			s.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+		{"settings that no controller takes", func(_ *testing.T, server *Server) {
+			server.config.Settings.Cores = 0
+			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+		}},
+		{"a command that the agent did not carry out", func(_ *testing.T, server *Server) {
+			server.handleCommandRejected(agent.Notification{RequestID: "a1", Result: "launch"})
 		}},
-		{"a command that the agent did not carry out", func(_ *testing.T, s *Server) {
-			s.handleCommandRejected(agent.Notification{RequestID: "a1", Result: "launch"})
+		{"a wrong request", func(_ *testing.T, server *Server) {
+			server.answerInvalid(&recordingConnection{}, 1, errTooManyOpenCalls)
 		}},
-		{"a wrong request", func(_ *testing.T, s *Server) { s.answerInvalid(&recordingConnection{}, 1, errTooManyOpenCalls) }},
-		{"an action that can't be carried out", func(_ *testing.T, s *Server) {
-			s.requests.byID[1] = &activeRequest{}
-			s.dispatch(admission.Action{Kind: admission.ActionAdvertise, ID: 1})
+		{"an action that can't be carried out", func(_ *testing.T, server *Server) {
+			server.requests.byID[1] = &activeRequest{}
+			server.dispatch(admission.Action{Kind: admission.ActionAdvertise, ID: 1})
 		}},
-		{"a report of the controller", func(_ *testing.T, s *Server) {
-			s.dispatch(admission.Action{Kind: admission.ActionLog, Text: "breaker drops calls: begins"})
+		{"a report of the controller", func(_ *testing.T, server *Server) {
+			server.dispatch(admission.Action{Kind: admission.ActionLog, Text: "breaker drops calls: begins"})
 		}},
-		{"reload", func(_ *testing.T, s *Server) { s.Reload(s.config.Config, nil) }},
-		{"reload of a file that is wrong", func(_ *testing.T, s *Server) {
-			s.Reload(nil, errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
+		{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config, nil) }},
+		{"reload of a file that is wrong", func(_ *testing.T, server *Server) {
+			server.Reload(nil, errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
 		}},
-		{"SIGTERM", func(_ *testing.T, s *Server) { s.Drain() }},
-		{"SIGTERM with a newer process", func(_ *testing.T, s *Server) {
-			s.handover.successor = &handover.Link{}
-			s.Drain()
+		{"SIGTERM", func(_ *testing.T, server *Server) { server.Drain() }},
+		{"SIGTERM with a newer process", func(_ *testing.T, server *Server) {
+			server.handover.successor = &handover.Link{}
+			server.Drain()
 		}},
-		{"the older process ends", func(_ *testing.T, s *Server) {
-			s.handover.predecessor = &handover.Link{}
-			s.peerEnded(s.handover.predecessor)
+		{"the older process ends", func(_ *testing.T, server *Server) {
+			server.handover.predecessor = &handover.Link{}
+			server.peerEnded(server.handover.predecessor)
 		}},
-		{"SIGUSR1", func(_ *testing.T, s *Server) {
-			s.stats = stats.Counters{Requests: 7}
-			s.logStats()
+		{"SIGUSR1", func(_ *testing.T, server *Server) {
+			server.stats = stats.Counters{Requests: 7}
+			server.logStats()
 		}},
-		{"SIGUSR1 in a fleet", func(_ *testing.T, s *Server) {
-			s.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-			s.logFleet()
+		{"SIGUSR1 in a fleet", func(_ *testing.T, server *Server) {
+			server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+			server.logFleet()
 		}},
-		{"a message of another member that can't be read", func(_ *testing.T, s *Server) {
+		{"a message of another member that can't be read", func(_ *testing.T, server *Server) {
 			f := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})}
-			s.JoinFleet(f)
+			server.JoinFleet(f)
 			f.receive([]byte("noise"))
 		}},
-		{"a drill", func(t *testing.T, s *Server) { require.True(t, s.StallLoop(0)) }},
-		{"a change of state", func(_ *testing.T, s *Server) {
-			s.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-			s.logChange(logrus.InfoLevel, "what", "", "full", logrus.Fields{"place": 3})
+		{"a drill", func(t *testing.T, server *Server) { require.True(t, server.StallLoop(0)) }},
+		{"a change of state", func(_ *testing.T, server *Server) {
+			server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+			server.logChange(logrus.InfoLevel, "what", "", "full", logrus.Fields{"place": 3})
 		}},
 		{"the store fails, as this member finds it", func(_ *testing.T, server *Server) {
 			server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
@@ -172,10 +174,10 @@
 			server.tickShedding()
 		}},
 	} {
-		s, do := newIdleServer(t)
-		lines := captureLog(s)
-		testCase.act(t, s)
-		do()
+		server, runPosted := newIdleServer(t)
+		lines := captureLog(server)
+		testCase.act(t, server)
+		runPosted()
 		fmt.Fprintf(&got, "== %s\n%s", testCase.name, lines)
 	}
 	o := newHandoverFixture(t)
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -104,20 +104,20 @@
 }
 
 // handlePeerMessage takes in a message of the other process.
-func (s *Server) handlePeerMessage(link *handover.Link, m handover.Message) {
-	entry := s.idempotency.entries[m.IdempotencyKey]
-	switch m.Kind {
+func (s *Server) handlePeerMessage(link *handover.Link, message handover.Message) {
+	entry := s.idempotency.entries[message.IdempotencyKey]
+	switch message.Kind {
 	case handover.Synced:
 		s.markSynced()
 	case handover.Known:
-		s.handleKnown(link, m, entry)
+		s.handleKnown(link, message, entry)
 	case handover.Claim:
-		s.handleClaim(link, m, entry)
+		s.handleClaim(link, message, entry)
 	case handover.Grant:
-		s.handleGrant(link, m)
+		s.handleGrant(link, message)
 	case handover.Completed:
 		if entry != nil && entry.owner == link {
-			s.completePeerRun(entry, m.OK, m.Body)
+			s.completePeerRun(entry, message.OK, message.Body)
 		}
 	case handover.Released:
 		if entry != nil && entry.owner == link {
@@ -128,35 +128,35 @@
 }
 
 // handleKnown takes over a key that the other process has.
-func (s *Server) handleKnown(link *handover.Link, m handover.Message, entry *idempotencyEntry) {
+func (s *Server) handleKnown(link *handover.Link, message handover.Message, entry *idempotencyEntry) {
 	if entry == nil || entry.owner == link || s.idempotency.expired(entry, s.clock.unix()) {
-		s.adoptKey(link, m)
+		s.adoptKey(link, message)
 	}
-	s.resumeClaimed(m.IdempotencyKey)
+	s.resumeClaimed(message.IdempotencyKey)
 }
 
 // handleClaim grants the successor a key that is not known here, and leaves it alone from then on.
-func (s *Server) handleClaim(link *handover.Link, m handover.Message, entry *idempotencyEntry) {
-	if entry != nil && !s.idempotency.expired(entry, m.At) {
+func (s *Server) handleClaim(link *handover.Link, message handover.Message, entry *idempotencyEntry) {
+	if entry != nil && !s.idempotency.expired(entry, message.At) {
 		link.Publish(entry.messages()...)
 		return
 	}
-	windowEnd := m.At + s.config.longestIdempotencyWindow()
-	s.adoptKey(link, handover.Message{IdempotencyKey: m.IdempotencyKey, Digest: m.Digest, At: windowEnd})
-	link.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: m.IdempotencyKey})
+	windowEnd := message.At + s.config.longestIdempotencyWindow()
+	s.adoptKey(link, handover.Message{IdempotencyKey: message.IdempotencyKey, Digest: message.Digest, At: windowEnd})
+	link.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: message.IdempotencyKey})
 }
 
 // handleGrant goes on with the requests of a key, or gives it back if none is left.
-func (s *Server) handleGrant(link *handover.Link, m handover.Message) {
-	s.resumeClaimed(m.IdempotencyKey)
-	if s.idempotency.entries[m.IdempotencyKey] == nil {
-		link.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: m.IdempotencyKey})
+func (s *Server) handleGrant(link *handover.Link, message handover.Message) {
+	s.resumeClaimed(message.IdempotencyKey)
+	if s.idempotency.entries[message.IdempotencyKey] == nil {
+		link.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: message.IdempotencyKey})
 	}
 }
 
 // adoptKey adds a key that another process has.
-func (s *Server) adoptKey(link *handover.Link, m handover.Message) {
-	entry := s.idempotency.adopt(link, m, s.requests.nextID())
+func (s *Server) adoptKey(link *handover.Link, message handover.Message) {
+	entry := s.idempotency.adopt(link, message, s.requests.nextID())
 	s.expireAfterWindow(entry)
 }
 
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -27,16 +27,16 @@
 }
 
 func newHandoverFixture(t *testing.T) *handoverFixture {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	fixture := &handoverFixture{Server: server, recordingConnection: &recordingConnection{}, testing: t, runPosted: do}
+	fixture := &handoverFixture{Server: server, recordingConnection: &recordingConnection{}, testing: t, runPosted: runPosted}
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
 	require.NoError(t, there.SetDeadline(time.Now().Add(30*time.Second)))
 	fixture.link, fixture.published = &handover.Link{Queue: writequeue.New(here, 100)}, bufio.NewScanner(there)
 	go func() { _ = fixture.link.Run() }()
 	server.ConnectionOpened(fixture.recordingConnection)
-	do()
+	runPosted()
 	return fixture
 }
 
@@ -182,9 +182,9 @@
 	busy := fixture.submitKeyed("aa").connection
 	var idle []*recordingConnection
 	for range 2*(reservedConnections+3) - reservedConnections - 1 {
-		p := &recordingConnection{}
-		fixture.ConnectionOpened(p)
-		idle = append(idle, p)
+		conn := &recordingConnection{}
+		fixture.ConnectionOpened(conn)
+		idle = append(idle, conn)
 	}
 	fixture.runPosted()
 	fixture.successorJoined(fixture.link)
@@ -195,8 +195,8 @@
 	fixture.runPosted()
 	require.Equal(t, 4, fixture.connections.size())
 	closed := 0
-	for _, p := range idle {
-		closed += len(p.received)
+	for _, conn := range idle {
+		closed += len(conn.received)
 	}
 	require.Equal(t, len(idle)-2, closed)
 }
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -145,27 +145,27 @@
 }
 
 // setHolder makes r the holder of an entry. The window is counted from its arrival.
-func (t *idempotencyTable) setHolder(e *idempotencyEntry, r *activeRequest) {
-	if e.holder == r.id {
+func (t *idempotencyTable) setHolder(entry *idempotencyEntry, request *activeRequest) {
+	if entry.holder == request.id {
 		return
 	}
-	e.holder, e.windowEnd = r.id, r.attempt.ArrivedAt+r.idempotencyWindow
-	t.entries[e.key] = e
-	t.publish(e.knownMessage())
+	entry.holder, entry.windowEnd = request.id, request.attempt.ArrivedAt+request.idempotencyWindow
+	t.entries[entry.key] = entry
+	t.publish(entry.knownMessage())
 }
 
 // adopt adds, or renews, a key that another process has, as if holder had been run under it.
-func (t *idempotencyTable) adopt(owner *handover.Link, m handover.Message, holder admission.RequestID) *idempotencyEntry {
-	entry := t.entries[m.IdempotencyKey]
+func (t *idempotencyTable) adopt(owner *handover.Link, message handover.Message, holder admission.RequestID) *idempotencyEntry {
+	entry := t.entries[message.IdempotencyKey]
 	if entry == nil || entry.owner != owner {
 		if entry != nil {
 			t.drop(entry)
 		}
-		entry = &idempotencyEntry{key: m.IdempotencyKey, owner: owner, holder: holder}
-		t.entries[m.IdempotencyKey] = entry
+		entry = &idempotencyEntry{key: message.IdempotencyKey, owner: owner, holder: holder}
+		t.entries[message.IdempotencyKey] = entry
 	}
 	t.resultBytes -= len(entry.result)
-	entry.digest, entry.windowEnd, entry.state = m.Digest, m.At, entryRunning
+	entry.digest, entry.windowEnd, entry.state = message.Digest, message.At, entryRunning
 	entry.reusable, entry.result = false, nil
 	return entry
 }
@@ -193,22 +193,22 @@
 
 // awaitResult has r wait for the run that it retries. If that has ended, or never was, it returns what is known of it
 // instead.
-func (t *idempotencyTable) awaitResult(r *activeRequest) (result []byte, ok, ended bool) {
-	e := t.byRequest[r]
+func (t *idempotencyTable) awaitResult(request *activeRequest) (result []byte, ok, ended bool) {
+	entry := t.byRequest[request]
 	switch {
-	case e == nil:
+	case entry == nil:
 		return nil, false, true
-	case e.state == entryRunning:
-		e.waiters = append(e.waiters, r)
+	case entry.state == entryRunning:
+		entry.waiters = append(entry.waiters, request)
 		return nil, false, false
 	}
-	return e.result, e.reusable, true
+	return entry.result, entry.reusable, true
 }
 
 // runEnded notes the outcome of the run of r, and returns the attempts that waited for it.
-func (t *idempotencyTable) runEnded(r *activeRequest, outcome admission.Outcome, result []byte) []*activeRequest {
-	entry := t.byRequest[r]
-	if entry == nil || entry.holder != r.id || !entry.hasRun() {
+func (t *idempotencyTable) runEnded(request *activeRequest, outcome admission.Outcome, result []byte) []*activeRequest {
+	entry := t.byRequest[request]
+	if entry == nil || entry.holder != request.id || !entry.hasRun() {
 		return nil
 	}
 	if outcome == admission.OutcomeNotStarted {
@@ -223,12 +223,12 @@
 
 // complete notes the end of the run of e, and returns the attempts that waited for it. The result is retained while
 // there is memory for it.
-func (t *idempotencyTable) complete(e *idempotencyEntry, ok bool, result []byte) []*activeRequest {
-	waiters := e.waiters
-	e.waiters, e.state = nil, entryCompleted
-	e.reusable = ok && t.resultBytes+len(result) <= t.maxResultBytes
-	if e.reusable {
-		e.result = result
+func (t *idempotencyTable) complete(entry *idempotencyEntry, ok bool, result []byte) []*activeRequest {
+	waiters := entry.waiters
+	entry.waiters, entry.state = nil, entryCompleted
+	entry.reusable = ok && t.resultBytes+len(result) <= t.maxResultBytes
+	if entry.reusable {
+		entry.result = result
 		t.resultBytes += len(result)
 	}
 	return waiters
@@ -246,15 +246,15 @@
 
 // release removes r. It returns an entry that has to stay until its window ends; one without a run goes with its last
 // attempt.
-func (t *idempotencyTable) release(r *activeRequest) *idempotencyEntry {
-	entry := t.byRequest[r]
-	delete(t.byRequest, r)
+func (t *idempotencyTable) release(request *activeRequest) *idempotencyEntry {
+	entry := t.byRequest[request]
+	delete(t.byRequest, request)
 	if entry == nil {
 		return nil
 	}
-	entry.attempts = slices.DeleteFunc(entry.attempts, func(other *activeRequest) bool { return other == r })
+	entry.attempts = slices.DeleteFunc(entry.attempts, func(other *activeRequest) bool { return other == request })
 	switch {
-	case entry.holder != r.id:
+	case entry.holder != request.id:
 		return nil
 	case entry.hasRun():
 		return entry
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -19,25 +19,25 @@
 // counted from when that try came.
 func TestIdempotencyWindow(t *testing.T) {
 	keys := newIdempotencyTable(64)
-	a, b, c := keyedRequest(1, 0), keyedRequest(2, time.Second), keyedRequest(3, 2*time.Second)
-	require.Zero(t, keys.register(a))
-	require.Equal(t, a.id, keys.register(b))
-	require.Nil(t, keys.release(a)) // refused: b takes its place
-	keys.retain(b)
-	require.Equal(t, b.id, keys.register(c))
-	require.True(t, keys.mayRun(b))
-	keys.markRunning(b)
-	require.False(t, keys.mayRun(c))
-	_, _, over := keys.awaitResult(c)
+	first, second, third := keyedRequest(1, 0), keyedRequest(2, time.Second), keyedRequest(3, 2*time.Second)
+	require.Zero(t, keys.register(first))
+	require.Equal(t, first.id, keys.register(second))
+	require.Nil(t, keys.release(first)) // refused: b takes its place
+	keys.retain(second)
+	require.Equal(t, second.id, keys.register(third))
+	require.True(t, keys.mayRun(second))
+	keys.markRunning(second)
+	require.False(t, keys.mayRun(third))
+	_, _, over := keys.awaitResult(third)
 	require.False(t, over)
-	require.Equal(t, []*activeRequest{c}, keys.runEnded(b, admission.OutcomeOK, []byte("x")))
-	entry := keys.release(b)
+	require.Equal(t, []*activeRequest{third}, keys.runEnded(second, admission.OutcomeOK, []byte("x")))
+	entry := keys.release(second)
 	require.Equal(t, []byte("x"), entry.result)
 	require.Equal(t, 61*time.Second, entry.windowEnd)
-	require.Nil(t, keys.release(c))
+	require.Nil(t, keys.release(third))
 
 	inside, past := keyedRequest(4, 61*time.Second), keyedRequest(5, 62*time.Second)
-	require.Equal(t, b.id, keys.register(inside))
+	require.Equal(t, second.id, keys.register(inside))
 	result, ok, over := keys.awaitResult(inside)
 	require.Equal(t, "x true true", string(result)+" "+map[bool]string{true: "true"}[ok]+" "+map[bool]string{true: "true"}[over])
 	require.Zero(t, keys.register(past))
@@ -50,19 +50,19 @@
 // began may be run by a later try.
 func TestIdempotencyKeyWithoutRun(t *testing.T) {
 	keys := newIdempotencyTable(64)
-	a, second := keyedRequest(1, 0), keyedRequest(2, 0)
-	keys.register(a)
+	first, second := keyedRequest(1, 0), keyedRequest(2, 0)
+	keys.register(first)
 	keys.register(second)
-	keys.release(a)
+	keys.release(first)
 	_, ok, over := keys.awaitResult(second)
 	require.True(t, over)
 	require.False(t, ok)
 	keys.release(second)
-	c := keyedRequest(3, 0)
-	require.Zero(t, keys.register(c))
-	keys.markRunning(c)
-	keys.runEnded(c, admission.OutcomeNotStarted, nil)
-	require.Nil(t, keys.release(c))
+	third := keyedRequest(3, 0)
+	require.Zero(t, keys.register(third))
+	keys.markRunning(third)
+	keys.runEnded(third, admission.OutcomeNotStarted, nil)
+	require.Nil(t, keys.release(third))
 	require.Zero(t, keys.register(keyedRequest(4, 0)))
 }
 
@@ -70,11 +70,11 @@
 func TestIdempotencyResultMemory(t *testing.T) {
 	keys := newIdempotencyTable(64)
 	keys.resultBytes = keys.maxResultBytes
-	a, second := keyedRequest(1, 0), keyedRequest(2, 0)
-	keys.register(a)
-	keys.markRunning(a)
-	keys.runEnded(a, admission.OutcomeOK, []byte("x"))
-	require.Equal(t, a.id, keys.register(second))
+	first, second := keyedRequest(1, 0), keyedRequest(2, 0)
+	keys.register(first)
+	keys.markRunning(first)
+	keys.runEnded(first, admission.OutcomeOK, []byte("x"))
+	require.Equal(t, first.id, keys.register(second))
 	_, ok, over := keys.awaitResult(second)
 	require.True(t, over)
 	require.False(t, ok)
@@ -84,28 +84,28 @@
 // Whoever learns the key of a request must not get its result, nor a run under that key, by sending
 // something else with it.
 func TestIdempotencyKeyWithAnotherBody(t *testing.T) {
-	s, runPosted := newIdleServer(t)
-	s.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	server, runPosted := newIdleServer(t)
+	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	conn := &recordingConnection{}
-	s.ConnectionOpened(conn)
+	server.ConnectionOpened(conn)
 	submit := func(call uint32, body string) {
-		s.Submit(conn, call, Attempt{ID: string(rune('a' + call)), IdempotencyKey: "k", Class: "licence-order", ArrivedAt: s.clock.now,
+		server.Submit(conn, call, Attempt{ID: string(rune('a' + call)), IdempotencyKey: "k", Class: "licence-order", ArrivedAt: server.clock.now,
 			Timeout: time.Second, MemoryKB: 1, Body: []byte(body)})
 		runPosted()
 	}
 	submit(1, "order")
 	submit(2, "another")
 	require.Equal(t, []any{Invalid}, conn.received)
-	s.step()
-	r := s.requests.byAttemptID["b"]
+	server.step()
+	r := server.requests.byAttemptID["b"]
 	require.True(t, r.running())
-	s.completeRun(r, admission.OutcomeOK, []byte("result"))
+	server.completeRun(r, admission.OutcomeOK, []byte("result"))
 	submit(3, "another")
 	require.Equal(t, []any{Invalid, Served, Invalid}, conn.received)
 	submit(4, "order")
-	s.step()
+	server.step()
 	require.Equal(t, []any{Invalid, Served, Invalid, Served}, conn.received)
-	require.EqualValues(t, 1, s.stats.Runs)
+	require.EqualValues(t, 1, server.stats.Runs)
 }
 
 // BenchmarkKeys is the life of a key in a table of so many: taken, run, ended, found again, dropped.
--- a/internal/server/memory_test.go
+++ b/internal/server/memory_test.go
@@ -22,11 +22,11 @@
 }
 
 func newSimulatedDay(t testing.TB) *simulatedDay {
-	s, _ := newIdleServer(t)
-	d := &simulatedDay{Server: s, time: time.Now().Round(0), rng: rand.New(rand.NewPCG(3, 3))}
-	s.clock.read = func() time.Time { return d.time }
-	s.clock.advance()
-	s.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	server, _ := newIdleServer(t)
+	d := &simulatedDay{Server: server, time: time.Now().Round(0), rng: rand.New(rand.NewPCG(3, 3))}
+	server.clock.read = func() time.Time { return d.time }
+	server.clock.advance()
+	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	return d
 }
 
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -14,11 +14,11 @@
 var errDraining = errors.New("the server is leaving")
 
 // query has the loop call f, and waits for its result.
-func query[T any](ctx context.Context, s *Server, f func() T) (result T, err error) {
+func query[T any](ctx context.Context, server *Server, f func() T) (result T, err error) {
 	results := make(chan T, 1)
 	select {
-	case s.inbox.events <- task(func() { results <- f() }):
-	case <-s.inbox.closed:
+	case server.inbox.events <- task(func() { results <- f() }):
+	case <-server.inbox.closed:
 		return result, errDraining
 	case <-ctx.Done():
 		return result, ctx.Err()
@@ -26,7 +26,7 @@
 	select {
 	case result = <-results:
 		return result, nil
-	case <-s.inbox.closed:
+	case <-server.inbox.closed:
 		return result, errDraining
 	case <-ctx.Done():
 		return result, ctx.Err()
--- a/internal/server/operate_test.go
+++ b/internal/server/operate_test.go
@@ -12,12 +12,12 @@
 
 // newRunningServer lets the loop of an idle server take its turns.
 func newRunningServer(t *testing.T) *Server {
-	s, _ := newIdleServer(t)
+	server, _ := newIdleServer(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s.listeners.open()
-	go s.loop(ctx)
-	t.Cleanup(func() { cancel(); <-s.inbox.closed })
-	return s
+	server.listeners.open()
+	go server.loop(ctx)
+	t.Cleanup(func() { cancel(); <-server.inbox.closed })
+	return server
 }
 
 // Front ends that an operator sends away see bad health checks until they are asked back, while the requests
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -83,12 +83,12 @@
 	message overload.Message
 }
 
-func (e *quotaMessageReceived) handle(s *Server) {
-	now := s.member.fleet.Now()
-	reply, ok := s.member.quota.Receive(now, e.message, s.store.InFlight())
-	s.applyQuota(now) // what is leased out must not be used any more when the reply goes out
+func (e *quotaMessageReceived) handle(server *Server) {
+	now := server.member.fleet.Now()
+	reply, ok := server.member.quota.Receive(now, e.message, server.store.InFlight())
+	server.applyQuota(now) // what is leased out must not be used any more when the reply goes out
 	if ok {
-		s.sendQuotaMessage(reply)
+		server.sendQuotaMessage(reply)
 	}
 }
 
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -15,18 +15,18 @@
 // Events that cross in one turn of the loop, in both orders; docs/races.md lists them.
 
 // newReadyServer is a server whose agent is up, and a front end on it.
-func newReadyServer(t *testing.T) (s *Server, p *recordingConnection, do func()) {
-	s, do = newIdleServer(t)
-	s.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	p = &recordingConnection{}
-	s.ConnectionOpened(p)
-	do()
-	s.step()
-	return s, p, do
+func newReadyServer(t *testing.T) (server *Server, conn *recordingConnection, runPosted func()) {
+	server, runPosted = newIdleServer(t)
+	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	conn = &recordingConnection{}
+	server.ConnectionOpened(conn)
+	runPosted()
+	server.step()
+	return server, conn, runPosted
 }
 
-func keyedAttempt(s *Server, id string) Attempt {
-	return Attempt{ID: id, IdempotencyKey: "k", Class: "licence-order", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1}
+func keyedAttempt(server *Server, id string) Attempt {
+	return Attempt{ID: id, IdempotencyKey: "k", Class: "licence-order", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1}
 }
 
 // The first try of an order goes in the turn in which a third comes, while a second waits for the first: the third was
@@ -34,31 +34,31 @@
 func TestFirstAttemptCancelledAgainstThird(t *testing.T) {
 	for _, order := range []string{"before the third", "after the third"} {
 		t.Run(order, func(t *testing.T) {
-			s, conn, do := newReadyServer(t)
-			s.Submit(conn, 1, keyedAttempt(s, "a"))
-			s.Submit(conn, 2, keyedAttempt(s, "b"))
-			do()
+			server, conn, runPosted := newReadyServer(t)
+			server.Submit(conn, 1, keyedAttempt(server, "a"))
+			server.Submit(conn, 2, keyedAttempt(server, "b"))
+			runPosted()
 			if order == "before the third" {
-				s.Cancel(conn, 1)
+				server.Cancel(conn, 1)
 			}
 			other := &recordingConnection{}
-			s.ConnectionOpened(other)
-			s.Submit(other, 1, keyedAttempt(s, "c"))
+			server.ConnectionOpened(other)
+			server.Submit(other, 1, keyedAttempt(server, "c"))
 			if order == "after the third" {
-				s.Cancel(conn, 1)
+				server.Cancel(conn, 1)
 			}
-			do()
-			s.step()
-			require.EqualValues(t, 1, s.stats.Runs)
+			runPosted()
+			server.step()
+			require.EqualValues(t, 1, server.stats.Runs)
 			for _, id := range []string{"b", "c"} {
-				if r := s.requests.byAttemptID[id]; r != nil && r.running() {
-					s.completeRun(r, admission.OutcomeOK, []byte("done"))
+				if r := server.requests.byAttemptID[id]; r != nil && r.running() {
+					server.completeRun(r, admission.OutcomeOK, []byte("done"))
 				}
 			}
-			s.step()
+			server.step()
 			require.Equal(t, []any{Served}, conn.received)
 			require.Equal(t, []any{Served}, other.received)
-			require.EqualValues(t, 1, s.stats.Runs)
+			require.EqualValues(t, 1, server.stats.Runs)
 		})
 	}
 }
@@ -66,23 +66,23 @@
 // A request is read just as the loop of a drain ends: it is still answered, before the connection is closed. It was left
 // in the input, and lost. One that comes later finds the listener closed: that is some time before the end.
 func TestLastReadDuringShutdown(t *testing.T) {
-	server, p, do := newReadyServer(t)
+	server, conn, runPosted := newReadyServer(t)
 	server.config.StopTimeout = time.Second // shorter than the time in which arrivals may be run
 	server.Drain()
 	server.Drain() // a second SIGTERM
-	do()
+	runPosted()
 	server.step()
 	require.Equal(t, server.drain.stopAt-listenerCloseLead, server.drain.closeListenersAt)
-	server.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
-	do()
+	server.Submit(conn, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+	runPosted()
 	server.step()
 	require.True(t, server.requests.byAttemptID["a"].running())
 	server.clock.now = server.drain.stopAt
 	require.True(t, server.finished())
-	server.Submit(p, 2, Attempt{ID: "b", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+	server.Submit(conn, 2, Attempt{ID: "b", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	server.shutDown()
-	require.ElementsMatch(t, []any{"closing", Failed, Rejected, "close"}, p.received)
-	require.Equal(t, "close", p.received[3])
+	require.ElementsMatch(t, []any{"closing", Failed, Rejected, "close"}, conn.received)
+	require.Equal(t, "close", conn.received[3])
 }
 
 // A connection that is to be closed is found to be in use: something comes before it was read, between its last reading and
@@ -101,59 +101,59 @@
 		"without end":  {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, p, runPosted := newReadyServer(t)
+			server, conn, runPosted := newReadyServer(t)
 			calls := uint32(0)
 			submitIf := func(when string) {
 				if !slices.Contains(testCase.comes, when) {
 					return
 				}
 				calls++
-				s.Submit(p, calls, Attempt{ID: when, Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+				server.Submit(conn, calls, Attempt{ID: when, Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 			}
 			turn := func() {
 				runPosted()
-				s.step()
-				s.advanceClosing()
+				server.step()
+				server.advanceClosing()
 			}
-			s.beginClose(s.connections.get(p))
+			server.beginClose(server.connections.get(conn))
 			turn()
 			if name == "without end" {
-				p.failedCloses = 100
+				conn.failedCloses = 100
 				for range maxDrainReads {
-					require.False(t, s.connections.empty())
-					s.ReadEnded(p, ReadPaused)
+					require.False(t, server.connections.empty())
+					server.ReadEnded(conn, ReadPaused)
 					turn()
 				}
-				s.ReadEnded(p, ReadPaused)
+				server.ReadEnded(conn, ReadPaused)
 				turn()
-				require.Equal(t, shut, p.received[len(p.received)-1])
-				require.Len(t, p.received, maxDrainReads+2)
-				require.True(t, s.connections.empty())
+				require.Equal(t, shut, conn.received[len(conn.received)-1])
+				require.Len(t, conn.received, maxDrainReads+2)
+				require.True(t, server.connections.empty())
 				return
 			}
 			submitIf("before")
 			if name == "between" {
-				p.failedCloses = 1
+				conn.failedCloses = 1
 			}
-			s.ReadEnded(p, ReadPaused)
+			server.ReadEnded(conn, ReadPaused)
 			turn()
 			if name == "between" {
 				submitIf("between")
-				s.ReadEnded(p, ReadPaused)
+				server.ReadEnded(conn, ReadPaused)
 				turn()
 			}
 			submitIf("after")
 			turn()
 			for _, when := range testCase.comes {
-				s.completeRun(s.requests.byAttemptID[when], admission.OutcomeOK, nil)
+				server.completeRun(server.requests.byAttemptID[when], admission.OutcomeOK, nil)
 			}
 			turn()
 			if len(testCase.comes) > 0 {
-				s.ReadEnded(p, ReadPaused)
+				server.ReadEnded(conn, ReadPaused)
 				turn()
 			}
-			require.Equal(t, testCase.want, p.received)
-			require.True(t, s.connections.empty())
+			require.Equal(t, testCase.want, conn.received)
+			require.True(t, server.connections.empty())
 		})
 	}
 }
@@ -161,19 +161,19 @@
 // Readers wait for room in the input of the loop as that ends: what they have read is answered like what was in it. It was
 // left unread.
 func TestBlockedReadersDuringShutdown(t *testing.T) {
-	server, p, do := newReadyServer(t)
+	server, conn, runPosted := newReadyServer(t)
 	server.Drain()
-	do()
+	runPosted()
 	server.step()
 	server.clock.now = server.drain.stopAt
 	server.post(func() { // room is made, and taken by one that waited
-		server.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+		server.Submit(conn, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
 	})
 	for server.inbox.waiting() < inboxCapacity {
 		server.post(func() {})
 	}
 	server.shutDown()
-	require.Equal(t, []any{"closing", Rejected, "close"}, p.received)
+	require.Equal(t, []any{"closing", Rejected, "close"}, conn.received)
 }
 
 // The link to an agent that has not greeted is looked at, and no longer once it has: a server at rest has no timer for it.
@@ -197,7 +197,7 @@
 // controller heard of it.
 func TestDrainDuringAgentStart(t *testing.T) {
 	for _, drainFirst := range []bool{true, false} {
-		server, do := newIdleServer(t)
+		server, runPosted := newIdleServer(t)
 		server.config.StopTimeout = time.Minute
 		handshake := func() {
 			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
@@ -207,7 +207,7 @@
 			handshake()
 		}
 		server.Drain()
-		do()
+		runPosted()
 		server.step()
 		server.clock.now += 2 * time.Second
 		if drainFirst {
@@ -217,7 +217,7 @@
 		server.ConnectionOpened(conn)
 		server.clock.now += server.config.Settings.DrainGrace - time.Second
 		server.Submit(conn, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
-		do()
+		runPosted()
 		server.step()
 		require.Equal(t, []any{"closing", Rejected}, conn.received, "notice first: %v", drainFirst)
 		require.Zero(t, server.stats.Runs)
@@ -226,15 +226,15 @@
 
 // A configuration with a longer time for arrivals comes during a drain: the notice was given under the old one.
 func TestReloadDuringDrain(t *testing.T) {
-	s, _, runPosted := newReadyServer(t)
-	fresh := *s.config.Config
+	server, _, runPosted := newReadyServer(t)
+	fresh := *server.config.Config
 	fresh.Settings.DrainGrace *= 2
-	s.Drain()
-	gracePeriod := s.config.Settings.DrainGrace
-	s.Reload(&fresh, nil)
+	server.Drain()
+	gracePeriod := server.config.Settings.DrainGrace
+	server.Reload(&fresh, nil)
 	runPosted()
-	require.Equal(t, gracePeriod, s.config.Settings.DrainGrace)
-	require.EqualValues(t, 1, s.stats.Reloads)
+	require.Equal(t, gracePeriod, server.config.Settings.DrainGrace)
+	require.EqualValues(t, 1, server.stats.Reloads)
 }
 
 // A newer process joins while this one drains: it is to be listed, and this one must not report that it is not.
@@ -250,42 +250,42 @@
 
 // The clock is set back between the stamp of a request and its reading: it is no request from the future.
 func TestClockSetBackBeforeRequest(t *testing.T) {
-	server, p, do := newReadyServer(t)
+	server, conn, runPosted := newReadyServer(t)
 	at := time.Now()
 	server.clock.read = func() time.Time { return at }
 	server.clock.advance()
 	stamped := Attempt{ID: "a", Class: "preview", ArrivedAt: time.Duration(at.UnixNano()), Timeout: 3 * time.Second, MemoryKB: 1}
 	at = at.Round(0).Add(-time.Hour)
 	server.clock.advance()
-	server.Submit(p, 1, stamped)
-	do()
+	server.Submit(conn, 1, stamped)
+	runPosted()
 	server.step()
-	require.Empty(t, p.received)
+	require.Empty(t, conn.received)
 	require.True(t, server.requests.byAttemptID["a"].running())
 	stamped.ID, stamped.ArrivedAt = "b", stamped.ArrivedAt+time.Hour // one from the future is still wrong
-	server.Submit(p, 2, stamped)
-	do()
-	require.Equal(t, []any{Invalid}, p.received)
+	server.Submit(conn, 2, stamped)
+	runPosted()
+	require.Equal(t, []any{Invalid}, conn.received)
 }
 
 // All runs are lost with the agent: what waits for them is answered, once, and no order of theirs runs again.
 func TestRunsLostAgainstRetry(t *testing.T) {
 	for _, first := range []string{"repeat", "loss"} {
-		server, p, do := newReadyServer(t)
-		server.Submit(p, 1, keyedAttempt(server, "a"))
-		do()
+		server, conn, runPosted := newReadyServer(t)
+		server.Submit(conn, 1, keyedAttempt(server, "a"))
+		runPosted()
 		server.step()
 		if first == "loss" {
 			server.handleRunsLost()
 		}
-		server.Submit(p, 2, keyedAttempt(server, "b"))
-		do()
+		server.Submit(conn, 2, keyedAttempt(server, "b"))
+		runPosted()
 		server.step()
 		if first == "repeat" {
 			server.handleRunsLost()
 		}
 		server.step()
-		require.Equal(t, []any{Failed, Failed}, p.received, first)
+		require.Equal(t, []any{Failed, Failed}, conn.received, first)
 		require.EqualValues(t, 1, server.stats.Runs, first)
 		require.Empty(t, server.requests.byID, first)
 	}
@@ -293,25 +293,25 @@
 
 // The entry of an order runs out while its run goes on: the run keeps it until its end, and its end finds it.
 func TestIdempotencyWindowEndsDuringRun(t *testing.T) {
-	s, conn, do := newReadyServer(t)
-	s.Submit(conn, 1, keyedAttempt(s, "a"))
-	do()
-	s.step()
-	request := s.requests.byAttemptID["a"]
-	s.clock.now += s.config.Settings.Classes[2].IdempotencyWindow / 2
-	s.deadlines.Sweep(s.clock.now)
-	s.step()
-	require.Equal(t, []any{Failed}, conn.received) // in time, though it runs
-	s.Submit(conn, 2, keyedAttempt(s, "b"))        // within the window
-	do()
-	s.step()
-	s.clock.now += 10 * s.config.Settings.Classes[2].IdempotencyWindow
-	s.completeRun(request, admission.OutcomeOK, []byte("done"))
+	server, conn, runPosted := newReadyServer(t)
+	server.Submit(conn, 1, keyedAttempt(server, "a"))
+	runPosted()
+	server.step()
+	request := server.requests.byAttemptID["a"]
+	server.clock.now += server.config.Settings.Classes[2].IdempotencyWindow / 2
+	server.deadlines.Sweep(server.clock.now)
+	server.step()
+	require.Equal(t, []any{Failed}, conn.received)    // in time, though it runs
+	server.Submit(conn, 2, keyedAttempt(server, "b")) // within the window
+	runPosted()
+	server.step()
+	server.clock.now += 10 * server.config.Settings.Classes[2].IdempotencyWindow
+	server.completeRun(request, admission.OutcomeOK, []byte("done"))
 	require.Equal(t, []any{Failed, Served}, conn.received)
-	require.EqualValues(t, 1, s.stats.Runs)
-	s.clock.now += s.config.maxArrivalAge()
-	s.deadlines.Sweep(s.clock.now)
-	require.Zero(t, s.idempotency.size())
+	require.EqualValues(t, 1, server.stats.Runs)
+	server.clock.now += server.config.maxArrivalAge()
+	server.deadlines.Sweep(server.clock.now)
+	require.Zero(t, server.idempotency.size())
 }
 
 // The older process ends while an order that it ran has not ended, or just after: its result answers tries at the newer.
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -43,15 +43,15 @@
 	connection Connection
 }
 
-func (e *connectionOpened) handle(s *Server) {
-	s.stats.Connections++
-	full := s.connections.size() >= s.maxConnections() && !s.evictIdle()
-	state := s.connections.add(e.connection, s.clock.now)
-	if s.drain.started() {
-		s.notifyClosing(state)
+func (e *connectionOpened) handle(server *Server) {
+	server.stats.Connections++
+	full := server.connections.size() >= server.maxConnections() && !server.evictIdle()
+	state := server.connections.add(e.connection, server.clock.now)
+	if server.drain.started() {
+		server.notifyClosing(state)
 	}
 	if full { // it goes like any other: a request on it may have waited for long to be read
-		s.beginClose(state)
+		server.beginClose(state)
 	}
 }
 
@@ -61,24 +61,24 @@
 	reason     EndReason
 }
 
-func (e *readEnded) handle(s *Server) {
-	state := s.connections.get(e.connection)
+func (e *readEnded) handle(server *Server) {
+	state := server.connections.get(e.connection)
 	switch {
 	case e.reason == ReadTimeout && (state == nil || state.closing == closeStateOpen):
-		s.stats.ReadTimeouts++
+		server.stats.ReadTimeouts++
 	case e.reason == MalformedInput:
-		s.stats.MalformedInputs++
+		server.stats.MalformedInputs++
 	}
 	if state == nil {
 		return
 	}
 	switch e.reason {
 	case Disconnected:
-		s.removeConnection(state)
+		server.removeConnection(state)
 	case MalformedInput:
-		s.connections.setCloseState(state, closeStateUnreadable)
+		server.connections.setCloseState(state, closeStateUnreadable)
 	case ReadTimeout, ReadPaused:
-		s.connections.setCloseState(state, closeStatePaused)
+		server.connections.setCloseState(state, closeStatePaused)
 		state.drainReads++
 		if state.drainReads > maxDrainReads {
 			state.discardingInput = true
@@ -93,32 +93,32 @@
 	attempt    Attempt
 }
 
-func (e *requestReceived) handle(s *Server) {
-	state := s.connections.get(e.connection)
+func (e *requestReceived) handle(server *Server) {
+	state := server.connections.get(e.connection)
 	if state == nil || state.discardingInput {
 		return
 	}
-	s.connections.markReceived(state, s.clock.now)
-	s.stats.Requests++
+	server.connections.markReceived(state, server.clock.now)
+	server.stats.Requests++
 	if state.closing != closeStateOpen {
-		s.notifyClosing(state) // the front end still uses it
+		server.notifyClosing(state) // the front end still uses it
 	}
 	lastCall := state.lastCall
 	state.lastCall = max(lastCall, e.call)
 	id := e.attempt.ID
 	switch {
-	case state.openCalls[e.call] != nil, e.call <= lastCall && s.completed.contains(id):
+	case state.openCalls[e.call] != nil, e.call <= lastCall && server.completed.contains(id):
 		// An answer can't tell two calls of one number apart: that of the first goes out, or has gone.
 		state.discardingInput = true
-		s.beginClose(state)
+		server.beginClose(state)
 	case len(state.openCalls) >= e.connection.MaxOpenCalls():
-		s.answerInvalid(e.connection, e.call, errTooManyOpenCalls)
-	case s.requests.byAttemptID[id] != nil:
-		s.answerInvalid(e.connection, e.call, errDuplicateID)
-	case s.completed.contains(id):
-		s.answerInvalid(e.connection, e.call, errCompletedID)
+		server.answerInvalid(e.connection, e.call, errTooManyOpenCalls)
+	case server.requests.byAttemptID[id] != nil:
+		server.answerInvalid(e.connection, e.call, errDuplicateID)
+	case server.completed.contains(id):
+		server.answerInvalid(e.connection, e.call, errCompletedID)
 	default:
-		s.admit(e.connection, e.call, &e.attempt)
+		server.admit(e.connection, e.call, &e.attempt)
 	}
 }
 
@@ -129,10 +129,10 @@
 	err        error
 }
 
-func (e *invalidRequestReceived) handle(s *Server) {
-	if state := s.connections.get(e.connection); state != nil && !state.discardingInput {
-		s.stats.Requests++
-		s.answerInvalid(e.connection, e.call, e.err)
+func (e *invalidRequestReceived) handle(server *Server) {
+	if state := server.connections.get(e.connection); state != nil && !state.discardingInput {
+		server.stats.Requests++
+		server.answerInvalid(e.connection, e.call, e.err)
 	}
 }
 
@@ -142,10 +142,10 @@
 	call       uint32
 }
 
-func (e *callCancelled) handle(s *Server) {
-	if state := s.connections.get(e.connection); state != nil && state.openCalls[e.call] != nil {
-		s.stats.Cancelled++
-		s.cancel(state.openCalls[e.call])
+func (e *callCancelled) handle(server *Server) {
+	if state := server.connections.get(e.connection); state != nil && state.openCalls[e.call] != nil {
+		server.stats.Cancelled++
+		server.cancel(state.openCalls[e.call])
 	}
 }
 
@@ -155,16 +155,16 @@
 	deep  bool
 }
 
-func (e *healthCheckReceived) handle(s *Server) {
-	state := s.connections.get(e.check.connection)
+func (e *healthCheckReceived) handle(server *Server) {
+	state := server.connections.get(e.check.connection)
 	if state == nil || state.discardingInput {
 		return
 	}
-	s.connections.markReceived(state, s.clock.now)
-	s.stats.HealthChecks++
-	if e.deep && s.health.wantsDeepCheck() {
-		s.beginDeepCheck(e.check)
+	server.connections.markReceived(state, server.clock.now)
+	server.stats.HealthChecks++
+	if e.deep && server.health.wantsDeepCheck() {
+		server.beginDeepCheck(e.check)
 		return
 	}
-	s.answerHealthCheck(e.check, s.health.healthy)
+	server.answerHealthCheck(e.check, server.health.healthy)
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -19,26 +19,26 @@
 	err    error
 }
 
-func (e *configurationLoaded) handle(s *Server) {
+func (e *configurationLoaded) handle(server *Server) {
 	err := e.err
 	if err == nil {
-		err = s.applyConfig(e.config)
+		err = server.applyConfig(e.config)
 	}
 	if err != nil {
-		s.stats.ReloadsFailed++
-		s.log.WithError(err).Error("configuration not taken over; the one in force stays")
+		server.stats.ReloadsFailed++
+		server.log.WithError(err).Error("configuration not taken over; the one in force stays")
 		return
 	}
-	s.stats.Reloads++
-	s.log.WithFields(logrus.Fields{
+	server.stats.Reloads++
+	server.log.WithFields(logrus.Fields{
 		"agent":    e.config.Agent,
 		"store":    e.config.Store,
 		"announce": e.config.Announce,
 		"classes":  e.config.Classes,
 	}).Info("addresses and settings taken over; other keys count from the next start")
-	s.agent.SetAddress(e.config.Agent)
-	s.store.SetAddress(e.config.Store)
-	s.announcer.SetAddress(e.config.Announce)
+	server.agent.SetAddress(e.config.Agent)
+	server.store.SetAddress(e.config.Store)
+	server.announcer.SetAddress(e.config.Announce)
 }
 
 // applyConfig takes over new settings.
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -14,35 +14,35 @@
 // New settings count at once and for what comes: a class that is gone keeps what is under way and takes in
 // what its front ends, who hear of it late, still send; one that is new is served like any other.
 func TestReload(t *testing.T) {
-	s, runPosted := newIdleServer(t)
-	s.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	server, runPosted := newIdleServer(t)
+	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	calls := uint32(0)
 	var got []any
 	submit := func(class string) *activeRequest {
 		calls++
-		p := &recordingConnection{}
-		s.ConnectionOpened(p)
+		conn := &recordingConnection{}
+		server.ConnectionOpened(conn)
 		id := string(rune('a' + calls))
-		s.Submit(p, calls, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: s.clock.now, Timeout: 2 * time.Second, MemoryKB: 1})
+		server.Submit(conn, calls, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: server.clock.now, Timeout: 2 * time.Second, MemoryKB: 1})
 		runPosted()
-		s.step()
-		return s.requests.byAttemptID[id]
+		server.step()
+		return server.requests.byAttemptID[id]
 	}
 	old := submit("licence-order")
 	require.True(t, old.running())
 
-	fresh := *s.config.Config
+	fresh := *server.config.Config
 	fresh.Classes = []string{"poster", "preview", "hires-crop"}
-	set := s.config.Settings
+	set := server.config.Settings
 	set.Classes = []admission.Class{set.Classes[2], set.Classes[0], set.Classes[1]}
 	set.Cores++
 	set.Classes[1].Deadline = time.Second // front ends of before wait longer
 	fresh.Settings = set
-	s.Reload(&fresh, nil)
+	server.Reload(&fresh, nil)
 	runPosted()
-	require.Equal(t, []string{"preview", "hires-crop", "licence-order", "poster"}, s.config.Classes)
-	require.Equal(t, set.Cores, s.config.Settings.Cores)
-	require.Equal(t, "licence-order", s.config.Classes[old.class])
+	require.Equal(t, []string{"preview", "hires-crop", "licence-order", "poster"}, server.config.Classes)
+	require.Equal(t, set.Cores, server.config.Settings.Cores)
+	require.Equal(t, "licence-order", server.config.Classes[old.class])
 	added := submit("poster")
 	require.True(t, added.running())
 	require.Equal(t, 3, added.class)
@@ -50,28 +50,28 @@
 	patient := submit("preview")
 	require.True(t, late.running())
 	for _, r := range []*activeRequest{old, added, late, patient} {
-		s.completeRun(r, admission.OutcomeOK, nil)
+		server.completeRun(r, admission.OutcomeOK, nil)
 		got = append(got, r.connection.(*recordingConnection).received...)
 	}
 	require.Equal(t, []any{Served, Served, Served, Served}, got)
-	require.EqualValues(t, 2, s.stats.Answers["licence-order"].Served)
-	require.EqualValues(t, 1, s.stats.Answers["poster"].Served)
+	require.EqualValues(t, 2, server.stats.Answers["licence-order"].Served)
+	require.EqualValues(t, 1, server.stats.Answers["poster"].Served)
 
 	// In the end a class that is gone is unknown, and one that comes back has its place again.
-	s.clock.now += s.config.maxArrivalAge()
-	s.deadlines.Sweep(s.clock.now)
+	server.clock.now += server.config.maxArrivalAge()
+	server.deadlines.Sweep(server.clock.now)
 	require.Nil(t, submit("licence-order"))
-	back := *s.config.Config
+	back := *server.config.Config
 	back.Classes, back.Settings.Classes = fresh.Classes[:1], set.Classes[:1]
 	back.Classes = []string{"licence-order"}
-	s.Reload(&back, nil)
+	server.Reload(&back, nil)
 	runPosted()
 	require.Equal(t, 2, submit("licence-order").class)
 
-	s.Reload(nil, errors.New("no such key"))
+	server.Reload(nil, errors.New("no such key"))
 	runPosted()
-	require.EqualValues(t, 2, s.stats.Reloads)
-	require.EqualValues(t, 1, s.stats.ReloadsFailed)
+	require.EqualValues(t, 2, server.stats.Reloads)
+	require.EqualValues(t, 1, server.stats.ReloadsFailed)
 }
 
 // A class whose requests may not be repeated as before is another class to what is in hand.
@@ -84,21 +84,21 @@
 
 // When a class gets another name, a request that is tried again comes under the new one with the old key.
 func TestRetryUnderRenamedClass(t *testing.T) {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	submit := func(call uint32, class string) {
 		server.Submit(conn, call, Attempt{ID: string(rune('a' + call)), IdempotencyKey: "k", Class: class, ArrivedAt: server.clock.now, Timeout: time.Second,
 			MemoryKB: 1, Body: []byte("order")})
-		do()
+		runPosted()
 		server.step()
 	}
 	submit(1, "licence-order")
 	fresh := *server.config.Config
 	fresh.Classes = []string{"preview", "hires-crop", "order"}
 	server.Reload(&fresh, nil)
-	do()
+	runPosted()
 	submit(2, "order")
 	server.completeRun(server.requests.byAttemptID["b"], admission.OutcomeOK, nil)
 	require.Equal(t, []any{Served, Served}, conn.received)
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -8,7 +8,7 @@
 // Stage six, respond: each request gets one answer, and is removed once it has ended.
 
 // answer gives a request its one answer.
-func (s *Server) answer(request *activeRequest, a Answer) {
+func (s *Server) answer(request *activeRequest, answer Answer) {
 	if request.answered {
 		return
 	}
@@ -18,17 +18,17 @@
 		return
 	}
 	s.connections.touch(state, s.clock.now)
-	s.countAnswer(request.class, a.Kind)
-	s.logTrace(request, answerNames[a.Kind])
+	s.countAnswer(request.class, answer.Kind)
+	s.logTrace(request, answerNames[answer.Kind])
 	s.markCompleted(request)
-	request.connection.Answer(request.call, a)
+	request.connection.Answer(request.call, answer)
 }
 
 // answerInvalid answers a wrong request.
-func (s *Server) answerInvalid(c Connection, call uint32, err error) {
+func (s *Server) answerInvalid(conn Connection, call uint32, err error) {
 	s.stats.Invalid++
 	s.warnings.Warn("request", "wrong request from a front end", err)
-	c.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
+	conn.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
 }
 
 // countAnswer counts an answer to a request of a class.
@@ -53,25 +53,25 @@
 }
 
 // reject answers a request that the controller turns away.
-func (s *Server) reject(request *activeRequest, a admission.Action) {
-	request.trace.reason = a.Reason.String()
-	if a.Reason == admission.ReasonDependency {
+func (s *Server) reject(request *activeRequest, action admission.Action) {
+	request.trace.reason = action.Reason.String()
+	if action.Reason == admission.ReasonDependency {
 		s.recordMissedCall()
 	}
-	s.recordRejection(request, a)
-	s.answer(request, Answer{Kind: Rejected, RetryAfter: a.RetryAfter, NoRetryElsewhere: a.NoRetryElsewhere})
+	s.recordRejection(request, action)
+	s.answer(request, Answer{Kind: Rejected, RetryAfter: action.RetryAfter, NoRetryElsewhere: action.NoRetryElsewhere})
 	if !request.running() {
 		s.removeRequest(request)
 	}
 }
 
 // fail answers a request with an error. Its run, if there is one, goes on to its end or next call.
-func (s *Server) fail(r *activeRequest) {
-	r.trace.reason = "given up"
-	s.answer(r, Answer{Kind: Failed})
-	s.abandonCall(r)
-	if !r.running() {
-		s.removeRequest(r)
+func (s *Server) fail(request *activeRequest) {
+	request.trace.reason = "given up"
+	s.answer(request, Answer{Kind: Failed})
+	s.abandonCall(request)
+	if !request.running() {
+		s.removeRequest(request)
 	}
 }
 
@@ -129,10 +129,10 @@
 }
 
 // reuseResult answers a request with the result of the attempt that it retries, now or when that has ended.
-func (s *Server) reuseResult(r *activeRequest) {
-	r.startedAt = s.clock.now
-	if result, ok, ended := s.idempotency.awaitResult(r); ended {
-		s.answerFromResult(r, ok, result)
+func (s *Server) reuseResult(request *activeRequest) {
+	request.startedAt = s.clock.now
+	if result, ok, ended := s.idempotency.awaitResult(request); ended {
+		s.answerFromResult(request, ok, result)
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -47,7 +47,7 @@
 
 // New returns a Server; nothing happens before Run.
 func New(cfg *config.Config, log logrus.FieldLogger) *Server {
-	s := &Server{
+	server := &Server{
 		log:           log,
 		warnings:      logging.NewLimiter(log),
 		traceRequests: debugEnabled(log),
@@ -64,12 +64,12 @@
 		handover:      newHandoverState(),
 	}
 	for _, name := range cfg.Classes {
-		s.stats.Name(name)
+		server.stats.Name(name)
 	}
-	s.idempotency.publish = s.handover.publish
-	s.clock.advance()
-	s.connectPeers(cfg)
-	return s
+	server.idempotency.publish = server.handover.publish
+	server.clock.advance()
+	server.connectPeers(cfg)
+	return server
 }
 
 // connectPeers creates the links to the other processes; nothing is sent before Run.
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -19,62 +19,64 @@
 	closeAttempts, failedCloses int // calls of End, and how many of them find that something has come
 }
 
-func (p *recordingConnection) Answer(call uint32, a Answer) { p.received = append(p.received, a.Kind) }
-func (p *recordingConnection) NotifyClosing()               { p.received = append(p.received, "closing") }
-func (p *recordingConnection) Close()                       { p.received = append(p.received, "close") }
-func (p *recordingConnection) PauseReading()                { p.received = append(p.received, "close") }
-func (p *recordingConnection) ResumeReading()               { p.received = append(p.received, "resume") }
-func (p *recordingConnection) TryClose() bool {
-	p.received = append(p.received, "end")
-	p.closeAttempts++
-	return p.closeAttempts > p.failedCloses
+func (conn *recordingConnection) Answer(call uint32, a Answer) {
+	conn.received = append(conn.received, a.Kind)
 }
-func (p *recordingConnection) MaxOpenCalls() int { return 2 }
+func (conn *recordingConnection) NotifyClosing() { conn.received = append(conn.received, "closing") }
+func (conn *recordingConnection) Close()         { conn.received = append(conn.received, "close") }
+func (conn *recordingConnection) PauseReading()  { conn.received = append(conn.received, "close") }
+func (conn *recordingConnection) ResumeReading() { conn.received = append(conn.received, "resume") }
+func (conn *recordingConnection) TryClose() bool {
+	conn.received = append(conn.received, "end")
+	conn.closeAttempts++
+	return conn.closeAttempts > conn.failedCloses
+}
+func (conn *recordingConnection) MaxOpenCalls() int { return 2 }
 
 // newIdleServer returns a server that does not run; do carries out what was posted to it.
-func newIdleServer(t testing.TB) (s *Server, do func()) {
+func newIdleServer(t testing.TB) (server *Server, runPosted func()) {
 	text, err := os.ReadFile("../config/testdata/config.json")
 	require.NoError(t, err)
 	cfg, err := config.Parse(text, func(string) string { return "" })
 	require.NoError(t, err)
 	log, _ := test.NewNullLogger()
-	s = New(cfg, log)
-	return s, func() {
-		for s.inbox.waiting() > 0 {
-			(<-s.inbox.events).handle(s)
+	server = New(cfg, log)
+	return server, func() {
+		for server.inbox.waiting() > 0 {
+			(<-server.inbox.events).handle(server)
 		}
 	}
 }
 
 // Before the agent is up nothing can be run: requests are refused and health is bad.
 func TestBeforeAgentIsUp(t *testing.T) {
-	s, runPosted := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	conn := &recordingConnection{}
-	s.ConnectionOpened(conn)
-	s.Submit(conn, 1, Attempt{ID: "ab", Class: "preview", ArrivedAt: s.clock.now})
-	s.HealthCheck(conn, 2, true)
+	server.ConnectionOpened(conn)
+	server.Submit(conn, 1, Attempt{ID: "ab", Class: "preview", ArrivedAt: server.clock.now})
+	server.HealthCheck(conn, 2, true)
 	runPosted()
 	require.Equal(t, []any{Rejected, Unhealthy}, conn.received)
-	require.Empty(t, s.requests.byID)
-	s.Drain()
+	require.Empty(t, server.requests.byID)
+	server.Drain()
 	runPosted()
-	require.Empty(t, s.admission.events) // they would keep the loop turning
+	require.Empty(t, server.admission.events) // they would keep the loop turning
 	require.Equal(t, []any{Rejected, Unhealthy, "closing"}, conn.received)
 }
 
 // A deep check asks the agent only where the controller leaves the answer open.
 func TestDeepCheck(t *testing.T) {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	server.health.healthy, server.health.cached = true, true
 	server.HealthCheck(conn, 1, true)
-	do()
+	runPosted()
 	require.Equal(t, []any{Healthy}, conn.received)
 	server.health.cached = false
 	server.HealthCheck(conn, 2, false)
 	server.HealthCheck(conn, 3, true) // there is no link to the agent
-	do()
+	runPosted()
 	require.Equal(t, []any{Healthy, Healthy, Unhealthy}, conn.received)
 	server.health.deepChecks["x"] = healthCheck{conn, 4}
 	server.completeDeepCheck("x", true)
@@ -85,26 +87,26 @@
 // Idle connections are told to go, and closed where they don't; busy ones stay. Nothing is looked for before it
 // can be due: a server at rest has no timer for it.
 func TestIdleConnections(t *testing.T) {
-	s, runPosted := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	conn := &recordingConnection{}
-	s.connections.idleTimer.timeout = time.Second
+	server.connections.idleTimer.timeout = time.Second
 	advance := func(d time.Duration) {
-		s.clock.now += d
-		s.deadlines.Sweep(s.clock.now)
-		s.scheduleIdleCheck()
+		server.clock.now += d
+		server.deadlines.Sweep(server.clock.now)
+		server.scheduleIdleCheck()
 	}
-	s.scheduleIdleCheck()
-	_, ticks := s.deadlines.Next()
+	server.scheduleIdleCheck()
+	_, ticks := server.deadlines.Next()
 	require.False(t, ticks)
-	s.ConnectionOpened(conn)
+	server.ConnectionOpened(conn)
 	runPosted()
-	s.scheduleIdleCheck()
-	st := s.connections.get(conn)
-	s.connections.openCall(st, 1, &activeRequest{})
+	server.scheduleIdleCheck()
+	state := server.connections.get(conn)
+	server.connections.openCall(state, 1, &activeRequest{})
 	advance(2 * time.Second)
 	advance(0)
 	require.Empty(t, conn.received)
-	s.connections.closeCall(st, 1)
+	server.connections.closeCall(state, 1)
 	advance(minIdleCheckInterval)
 	advance(minIdleCheckInterval)
 	require.Equal(t, []any{"closing"}, conn.received)
@@ -112,19 +114,19 @@
 	require.Equal(t, []any{"closing"}, conn.received)
 	advance(2 * minIdleCheckInterval)
 	require.Equal(t, []any{"closing", "close"}, conn.received)
-	require.Zero(t, s.connections.size())
+	require.Zero(t, server.connections.size())
 	advance(0)
-	_, ticks = s.deadlines.Next()
+	_, ticks = server.deadlines.Next()
 	require.False(t, ticks)
 }
 
 // The limit on idle time may become shorter while a look is set for much later.
 func TestIdleLimitShrinks(t *testing.T) {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	conn := &recordingConnection{}
 	server.connections.idleTimer.timeout = time.Hour
 	server.ConnectionOpened(conn)
-	do()
+	runPosted()
 	server.scheduleIdleCheck()
 	server.dispatch(admission.Action{Kind: admission.ActionIdleTimeout, Duration: time.Second})
 	server.scheduleIdleCheck()
@@ -171,11 +173,11 @@
 // Times that can't be are wrong requests: the controller would take an old one for hours spent unread and
 // answer health checks badly, and one ahead of the clock would open the window of a key anew.
 func TestImplausibleTimes(t *testing.T) {
-	s, runPosted := newIdleServer(t)
-	s.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	server, runPosted := newIdleServer(t)
+	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	conn := &recordingConnection{}
-	s.ConnectionOpened(conn)
-	now, deadline := s.clock.now, s.config.Settings.Classes[0].Deadline
+	server.ConnectionOpened(conn)
+	now, deadline := server.clock.now, server.config.Settings.Classes[0].Deadline
 	for i, try := range []Attempt{
 		{ArrivedAt: now + maxClockLead + time.Second, Timeout: time.Second},
 		{ArrivedAt: 0, Timeout: time.Second},
@@ -183,21 +185,21 @@
 		{ArrivedAt: now, Timeout: deadline + 1},
 	} {
 		try.ID, try.Class, try.MemoryKB = "ab", "preview", 1
-		s.Submit(conn, uint32(i), try)
+		server.Submit(conn, uint32(i), try)
 		runPosted()
 	}
 	require.Equal(t, []any{Invalid, Invalid, Invalid, Invalid}, conn.received)
-	require.Empty(t, s.requests.byID)
+	require.Empty(t, server.requests.byID)
 }
 
 // What a request carried is not kept for as long as its key: a long day would fill the memory with it.
 func TestBodiesAreNotRetained(t *testing.T) {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	p := &recordingConnection{}
-	server.ConnectionOpened(p)
-	server.Submit(p, 1, Attempt{ID: "ab", IdempotencyKey: "k", Class: "licence-order", ArrivedAt: server.clock.now, Timeout: time.Second, MemoryKB: 1, Body: []byte("x")})
-	do()
+	conn := &recordingConnection{}
+	server.ConnectionOpened(conn)
+	server.Submit(conn, 1, Attempt{ID: "ab", IdempotencyKey: "k", Class: "licence-order", ArrivedAt: server.clock.now, Timeout: time.Second, MemoryKB: 1, Body: []byte("x")})
+	runPosted()
 	server.step()
 	r := server.requests.byAttemptID["ab"]
 	require.True(t, r.running())
@@ -213,26 +215,26 @@
 // A full table closes first what never sent anything of use, then what was told to go, then what has been idle for
 // longest, and never a connection with an open request.
 func TestFullConnectionTable(t *testing.T) {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	server.config.Limits.Sockets = 2 * (reservedConnections + 4)
 	busy, quiet, silent, notified := &recordingConnection{}, &recordingConnection{}, &recordingConnection{}, &recordingConnection{}
-	for _, p := range []*recordingConnection{busy, quiet, silent, notified} {
-		server.ConnectionOpened(p)
+	for _, conn := range []*recordingConnection{busy, quiet, silent, notified} {
+		server.ConnectionOpened(conn)
 	}
-	do()
+	runPosted()
 	server.connections.openCall(server.connections.get(busy), 1, &activeRequest{})
 	server.HealthCheck(quiet, 1, false)
 	server.HealthCheck(notified, 1, false)
-	do()
+	runPosted()
 	server.clock.now++
 	server.notifyClosing(server.connections.get(notified))
 	server.connections.touch(server.connections.get(silent), server.clock.now) // the last that came
 	openBusy := func() *recordingConnection {
 		conn := &recordingConnection{}
 		server.ConnectionOpened(conn)
-		do()
-		if st := server.connections.get(conn); st != nil {
-			server.connections.openCall(st, 1, &activeRequest{})
+		runPosted()
+		if state := server.connections.get(conn); state != nil {
+			server.connections.openCall(state, 1, &activeRequest{})
 		}
 		return conn
 	}
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -177,8 +177,8 @@
 	attempts []uint64
 }
 
-func (e *retryReportReceived) handle(s *Server) {
-	s.member.shedding.retries.HandleReport(s.clock.now, e.attempts)
+func (e *retryReportReceived) handle(server *Server) {
+	server.member.shedding.retries.HandleReport(server.clock.now, e.attempts)
 }
 
 // partialReceived is another member's part of the load of the zone.
@@ -186,8 +186,8 @@
 	partial overload.PartialAggregate
 }
 
-func (e *partialReceived) handle(s *Server) {
-	s.member.shedding.collector.Receive(s.member.fleet.Now(), e.partial)
+func (e *partialReceived) handle(server *Server) {
+	server.member.shedding.collector.Receive(server.member.fleet.Now(), e.partial)
 }
 
 // addSheddingToLoad adds what other members need to find the threshold.
--- a/internal/server/trace_test.go
+++ b/internal/server/trace_test.go
@@ -16,7 +16,7 @@
 // A request is followed by its id: each image server that had a try of it says how it ended and where the time
 // went. One whose caller has gone leaves its line too; nothing is said twice, and nothing at a lesser level.
 func TestRequestTrace(t *testing.T) {
-	server, do := newIdleServer(t)
+	server, runPosted := newIdleServer(t)
 	log, hook := test.NewNullLogger()
 	log.SetLevel(logrus.DebugLevel)
 	server.log, server.traceRequests = log, debugEnabled(log)
@@ -26,7 +26,7 @@
 	server.ConnectionOpened(conn)
 	submit := func(call uint32, id, class string) *activeRequest {
 		server.Submit(conn, call, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: server.clock.now - 5*time.Millisecond, Timeout: 2 * time.Second, MemoryKB: 1})
-		do()
+		runPosted()
 		server.step()
 		return server.requests.byAttemptID[id]
 	}
@@ -60,7 +60,7 @@
 
 	submit(3, "cc", "preview")
 	server.ReadEnded(conn, Disconnected)
-	do()
+	runPosted()
 	got = lines()
 	require.Len(t, got, 1)
 	require.Equal(t, "gone", got[0]["end"])
