--- /dev/null
+++ b/internal/server/execute_test.go
@@ -0,0 +1,33 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"falldeal/admission"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The body of a request is not retained for as long as its idempotency key: over a long day that would fill the memory.
+func TestBodiesAreNotRetained(t *testing.T) {
+	server, runPosted := newIdleServer(t)
+	startAgent(server)
+	conn := &recordingConnection{}
+	server.ConnectionOpened(conn)
+	attempt := keyedAttempt(server, "ab", "k")
+	attempt.Timeout, attempt.Body = time.Second, []byte("x")
+	server.Submit(conn, 1, attempt)
+	runPosted()
+	server.step()
+	request := server.requests.byAttemptID["ab"]
+	require.True(t, request.running())
+	require.Nil(t, request.attempt.Body)
+	server.completeRun(request, admission.OutcomeOK, nil)
+	require.Empty(t, server.requests.byID)
+	require.Equal(t, 1, server.idempotency.size())
+	window := server.config.Settings.Classes[2].IdempotencyWindow
+	server.clock.now += window + server.config.maxArrivalAge() + windowSlack
+	server.deadlines.Sweep(server.clock.now)
+	require.Zero(t, server.idempotency.size())
+}
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -38,7 +38,7 @@
 	require.Equal(t, string(want), got)
 }
 
-// captureLog has s log to the buffer that is returned, as a process does whose standard error is a file, but for the time.
+// captureLog has server log to the returned buffer, as a process does whose standard error is a file, without times.
 func captureLog(server *Server) *bytes.Buffer {
 	var lines bytes.Buffer
 	log := logrus.New()
@@ -49,37 +49,49 @@
 	return &lines
 }
 
-// The line of a request at the level debug: by how it ended, why, and how its last call did.
+// The line of a request at log level debug: by how it ended, why, and how its last call ended.
 func TestGoldenRequestTrace(t *testing.T) {
 	server, _ := newIdleServer(t)
 	lines := captureLog(server)
 	at := server.clock.now - 40*time.Millisecond
-	try := Attempt{ID: "a1", Class: "licence-order", Client: 2, ArrivedAt: at, Timeout: 2 * time.Second, CostHint: 70 * time.Millisecond}
+	attempt := Attempt{
+		ID:        "a1",
+		Class:     "licence-order",
+		Client:    2,
+		ArrivedAt: at,
+		Timeout:   2 * time.Second,
+		CostHint:  70 * time.Millisecond,
+	}
 	for _, kind := range []AnswerKind{Served, Rejected, Failed, Invalid} {
-		server.logTrace(&activeRequest{attempt: try, class: 2}, answerNames[kind])
+		server.logTrace(&activeRequest{attempt: attempt, class: 2}, answerNames[kind])
 	}
-	once := try
-	once.IdempotencyKey = "order 7"
-	server.logTrace(&activeRequest{attempt: once, class: 2, state: requestRunning, startedAt: at + 10*time.Millisecond}, answerNames[Served])
-	for why := admission.ReasonCPU; why <= admission.ReasonBelowThreshold; why++ {
-		server.logTrace(&activeRequest{attempt: try, trace: requestTrace{reason: why.String()}}, answerNames[Rejected])
+	keyed := attempt
+	keyed.IdempotencyKey = "order 7"
+	running := &activeRequest{attempt: keyed, class: 2, state: requestRunning, startedAt: at + 10*time.Millisecond}
+	server.logTrace(running, answerNames[Served])
+	for reason := admission.ReasonCPU; reason <= admission.ReasonBelowThreshold; reason++ {
+		server.logTrace(&activeRequest{attempt: attempt, trace: requestTrace{reason: reason.String()}}, answerNames[Rejected])
 	}
 	for reply := store.OK; int(reply) < len(replyOutcomes); reply++ {
-		server.logTrace(&activeRequest{attempt: try, state: requestRunning, startedAt: at, trace: requestTrace{calls: 3, callTime: 15 * time.Millisecond,
-			lastReply: outcomeNames[replyOutcomes[reply]]}}, answerNames[Served])
+		trace := requestTrace{calls: 3, callTime: 15 * time.Millisecond, lastReply: outcomeNames[replyOutcomes[reply]]}
+		request := &activeRequest{attempt: attempt, state: requestRunning, startedAt: at, trace: trace}
+		server.logTrace(request, answerNames[Served])
 	}
 	requireGolden(t, "trail", lines.String())
 }
 
-// The trail of requests that go their way: given up, in a call that has not ended, gone.
+// The lines of requests on their way: given up, with a call in flight, and cancelled.
 func TestGoldenTraceOfRequests(t *testing.T) {
 	server, runPosted := newIdleServer(t)
-	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	startAgent(server)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	lines := captureLog(server)
 	submit := func(call uint32, id string) *activeRequest {
-		server.Submit(conn, call, Attempt{ID: id, IdempotencyKey: id, Class: "licence-order", ArrivedAt: server.clock.now - 5*time.Millisecond, Timeout: 2 * time.Second, MemoryKB: 1})
+		attempt := keyedAttempt(server, id, id)
+		attempt.ArrivedAt -= 5 * time.Millisecond
+		attempt.Timeout = 2 * time.Second
+		server.Submit(conn, call, attempt)
 		runPosted()
 		server.step()
 		return server.requests.byAttemptID[id]
@@ -93,111 +105,129 @@
 	requireGolden(t, "trail_of_requests", lines.String())
 }
 
-// Lines that operators are told to look for.
+// goldenLogCases are what the lines of TestGoldenLog are logged for.
+var goldenLogCases = []struct {
+	name string
+	act  func(t *testing.T, server *Server)
+}{
+	{"the agent is up", func(_ *testing.T, server *Server) {
+		server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady, Elapsed: time.Minute})
+	}},
+	{"the agent is booting", func(_ *testing.T, server *Server) {
+		server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Booting, Elapsed: time.Second})
+	}},
+	{"settings that no controller takes", func(_ *testing.T, server *Server) {
+		server.config.Settings.Cores = 0
+		startAgent(server)
+	}},
+	{"a command that the agent did not carry out", func(_ *testing.T, server *Server) {
+		server.handleCommandRejected(agent.Notification{RequestID: "a1", Result: "launch"})
+	}},
+	{"a wrong request", func(_ *testing.T, server *Server) {
+		server.answerInvalid(&recordingConnection{}, 1, errTooManyOpenCalls)
+	}},
+	{"an action that can't be carried out", func(_ *testing.T, server *Server) {
+		server.requests.byID[1] = &activeRequest{}
+		server.dispatch(admission.Action{Kind: admission.ActionAdvertise, ID: 1})
+	}},
+	{"a report of the controller", func(_ *testing.T, server *Server) {
+		server.dispatch(admission.Action{Kind: admission.ActionLog, Text: "breaker drops calls: begins"})
+	}},
+	{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config, nil) }},
+	{"reload of a file that is wrong", func(_ *testing.T, server *Server) {
+		server.Reload(nil, errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
+	}},
+	{"SIGTERM", func(_ *testing.T, server *Server) { server.Drain() }},
+	{"SIGTERM with a newer process", func(_ *testing.T, server *Server) {
+		server.handover.successor = &handover.Link{}
+		server.Drain()
+	}},
+	{"the older process ends", func(_ *testing.T, server *Server) {
+		server.handover.predecessor = &handover.Link{}
+		server.peerEnded(server.handover.predecessor)
+	}},
+	{"SIGUSR1", func(_ *testing.T, server *Server) {
+		server.stats = stats.Counters{Requests: 7}
+		server.logStats()
+	}},
+	{"SIGUSR1 in a fleet", func(_ *testing.T, server *Server) {
+		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+		server.logFleet()
+	}},
+	{"a message of another member that can't be read", func(_ *testing.T, server *Server) {
+		f := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})}
+		server.JoinFleet(f)
+		f.receive([]byte("noise"))
+	}},
+	{"a drill", func(t *testing.T, server *Server) { require.True(t, server.StallLoop(0)) }},
+	{"a change of state", func(_ *testing.T, server *Server) {
+		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+		server.logChange(logrus.InfoLevel, "what", "", "full", logrus.Fields{"place": 3})
+	}},
+	{"the store fails, as this member finds it", func(_ *testing.T, server *Server) {
+		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+		server.EnableCoordinatedProbes(1, "mechelen")
+		server.tickProbes() // learns which store it is
+		for range 100 {
+			server.recordCallResult(store.ConnectionBroken)
+		}
+		server.tickProbes()
+	}},
+	{"the fleet is full", func(_ *testing.T, server *Server) {
+		f := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4}), now: time.Second}
+		f.view.Merge(f.now, 0, fleet.Record{Name: "n4", Run: 7, Seq: 1, State: fleet.Serving,
+			Load: fleet.Load{Capacity: 30, ServiceRate: 100, Demand: string([]byte{40, 250, 250})}})
+		f.view.ObserveReach(f.now, "n4", 7, fleet.Reached)
+		server.JoinFleet(f)
+		server.EnableShedding(overload.ProcessID{Name: "n3", Run: 1})
+		startAgent(server)
+		server.tickShedding()
+	}},
+}
+
+// Log lines that operators are told to look for.
 func TestGoldenLog(t *testing.T) {
 	var got strings.Builder
-	for _, testCase := range []struct {
-		name string
-		act  func(t *testing.T, server *Server)
-	}{
-		{"the agent is up", func(_ *testing.T, server *Server) {
-			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady, Elapsed: time.Minute})
-		}},
-		{"the agent is booting", func(_ *testing.T, server *Server) {
-			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Booting, Elapsed: time.Second})
-		}},
-		{"settings that no controller takes", func(_ *testing.T, server *Server) {
-			server.config.Settings.Cores = 0
-			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-		}},
-		{"a command that the agent did not carry out", func(_ *testing.T, server *Server) {
-			server.handleCommandRejected(agent.Notification{RequestID: "a1", Result: "launch"})
-		}},
-		{"a wrong request", func(_ *testing.T, server *Server) {
-			server.answerInvalid(&recordingConnection{}, 1, errTooManyOpenCalls)
-		}},
-		{"an action that can't be carried out", func(_ *testing.T, server *Server) {
-			server.requests.byID[1] = &activeRequest{}
-			server.dispatch(admission.Action{Kind: admission.ActionAdvertise, ID: 1})
-		}},
-		{"a report of the controller", func(_ *testing.T, server *Server) {
-			server.dispatch(admission.Action{Kind: admission.ActionLog, Text: "breaker drops calls: begins"})
-		}},
-		{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config, nil) }},
-		{"reload of a file that is wrong", func(_ *testing.T, server *Server) {
-			server.Reload(nil, errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
-		}},
-		{"SIGTERM", func(_ *testing.T, server *Server) { server.Drain() }},
-		{"SIGTERM with a newer process", func(_ *testing.T, server *Server) {
-			server.handover.successor = &handover.Link{}
-			server.Drain()
-		}},
-		{"the older process ends", func(_ *testing.T, server *Server) {
-			server.handover.predecessor = &handover.Link{}
-			server.peerEnded(server.handover.predecessor)
-		}},
-		{"SIGUSR1", func(_ *testing.T, server *Server) {
-			server.stats = stats.Counters{Requests: 7}
-			server.logStats()
-		}},
-		{"SIGUSR1 in a fleet", func(_ *testing.T, server *Server) {
-			server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-			server.logFleet()
-		}},
-		{"a message of another member that can't be read", func(_ *testing.T, server *Server) {
-			f := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})}
-			server.JoinFleet(f)
-			f.receive([]byte("noise"))
-		}},
-		{"a drill", func(t *testing.T, server *Server) { require.True(t, server.StallLoop(0)) }},
-		{"a change of state", func(_ *testing.T, server *Server) {
-			server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-			server.logChange(logrus.InfoLevel, "what", "", "full", logrus.Fields{"place": 3})
-		}},
-		{"the store fails, as this member finds it", func(_ *testing.T, server *Server) {
-			server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-			server.EnableCoordinatedProbes(1, "mechelen")
-			server.tickProbes() // it has learnt which store that is
-			for range 100 {
-				server.recordCallResult(store.ConnectionBroken)
-			}
-			server.tickProbes()
-		}},
-		{"the fleet is full", func(_ *testing.T, server *Server) {
-			f := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4}), now: time.Second}
-			f.view.Merge(f.now, 0, fleet.Record{Name: "n4", Run: 7, Seq: 1, State: fleet.Serving,
-				Load: fleet.Load{Capacity: 30, ServiceRate: 100, Demand: string([]byte{40, 250, 250})}})
-			f.view.ObserveReach(f.now, "n4", 7, fleet.Reached)
-			server.JoinFleet(f)
-			server.EnableShedding(overload.ProcessID{Name: "n3", Run: 1})
-			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-			server.tickShedding()
-		}},
-	} {
+	for _, testCase := range goldenLogCases {
 		server, runPosted := newIdleServer(t)
 		lines := captureLog(server)
 		testCase.act(t, server)
 		runPosted()
 		fmt.Fprintf(&got, "== %s\n%s", testCase.name, lines)
 	}
-	o := newHandoverFixture(t)
-	lines := captureLog(o.Server)
-	o.successorJoined(o.link)
+	fixture := newHandoverFixture(t)
+	lines := captureLog(fixture.Server)
+	fixture.successorJoined(fixture.link)
 	fmt.Fprintf(&got, "== a newer process joins\n%s", lines)
 	fmt.Fprintf(&got, "== asked while it leaves\n%v\n", errDraining)
 	requireGolden(t, "log", got.String())
 }
 
-// Names of states in the lines that tell changes, and the reasons for which a request is answered as wrong.
+// Names of states in log lines of changes, and the reasons of invalid requests.
 func TestGoldenNames(t *testing.T) {
 	var got strings.Builder
 	for state := overload.StoreHealthy; state <= overload.StoreRecovering; state++ {
 		fmt.Fprintf(&got, "store %d %q\n", state, storeStateName(state))
 	}
-	for _, cut := range []overload.Threshold{{}, {Known: true}, {Known: true, Priority: 3}, {Known: true, Full: true, Priority: 3}} {
-		fmt.Fprintf(&got, "cutoff known %t, full %t, place %v: %q\n", cut.Known, cut.Full, cut.Priority, thresholdState(&cut))
+	for _, threshold := range []overload.Threshold{
+		{},
+		{Known: true},
+		{Known: true, Priority: 3},
+		{Known: true, Full: true, Priority: 3},
+	} {
+		fmt.Fprintf(&got, "cutoff known %t, full %t, place %v: %q\n",
+			threshold.Known, threshold.Full, threshold.Priority, thresholdState(&threshold))
 	}
-	for _, err := range []error{errTooManyOpenCalls, errDuplicateID, errCompletedID, errArrivalTime, errTimeout, errUnknownTenant, errMissingIdempotencyKey, errKeyConflict} {
+	for _, err := range []error{
+		errTooManyOpenCalls,
+		errDuplicateID,
+		errCompletedID,
+		errArrivalTime,
+		errTimeout,
+		errUnknownTenant,
+		errMissingIdempotencyKey,
+		errKeyConflict,
+	} {
 		fmt.Fprintf(&got, "wrong request: %v\n", err)
 	}
 	requireGolden(t, "names", got.String())
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -115,14 +115,9 @@
 		s.handleClaim(link, message, entry)
 	case handover.Grant:
 		s.handleGrant(link, message)
-	case handover.Completed:
+	case handover.Completed, handover.Released:
 		if entry != nil && entry.owner == link {
-			s.completePeerRun(entry, message.OK, message.Body)
-		}
-	case handover.Released:
-		if entry != nil && entry.owner == link {
-			s.completePeerRun(entry, false, nil)
-			s.idempotency.drop(entry)
+			s.handlePeerRunEnded(entry, message)
 		}
 	}
 }
@@ -154,6 +149,16 @@
 	}
 }
 
+// handlePeerRunEnded takes in the result of a run in the other process, or drops a key that it has given back.
+func (s *Server) handlePeerRunEnded(entry *idempotencyEntry, message handover.Message) {
+	if message.Kind == handover.Released {
+		s.completePeerRun(entry, false, nil)
+		s.idempotency.drop(entry)
+		return
+	}
+	s.completePeerRun(entry, message.OK, message.Body)
+}
+
 // adoptKey adds a key that another process has.
 func (s *Server) adoptKey(link *handover.Link, message handover.Message) {
 	entry := s.idempotency.adopt(link, message, s.requests.nextID())
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -8,18 +8,17 @@
 	"time"
 
 	"falldeal/admission"
-	"falldeal/internal/agent"
 	"falldeal/internal/handover"
 	"falldeal/internal/writequeue"
 
 	"github.com/stretchr/testify/require"
 )
 
-// handoverFixture is a server that is up, whose partner is played by the test.
+// handoverFixture is a server that is up, with one connection; the test plays the other process of the handover.
 type handoverFixture struct {
 	*Server
 	*recordingConnection
-	testing   *testing.T
+	t         *testing.T
 	runPosted func()
 	link      *handover.Link
 	published *bufio.Scanner
@@ -28,8 +27,13 @@
 
 func newHandoverFixture(t *testing.T) *handoverFixture {
 	server, runPosted := newIdleServer(t)
-	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	fixture := &handoverFixture{Server: server, recordingConnection: &recordingConnection{}, testing: t, runPosted: runPosted}
+	startAgent(server)
+	fixture := &handoverFixture{
+		Server:              server,
+		recordingConnection: &recordingConnection{},
+		t:                   t,
+		runPosted:           runPosted,
+	}
 	here, there := net.Pipe()
 	t.Cleanup(func() { here.Close(); there.Close() })
 	require.NoError(t, there.SetDeadline(time.Now().Add(30*time.Second)))
@@ -40,31 +44,31 @@
 	return fixture
 }
 
-// submitKeyed sends a try of a keyed request and has the controller decide on it.
-func (o *handoverFixture) submitKeyed(key string) *activeRequest {
-	o.lastCall++
-	id := string(rune('a' + o.lastCall))
-	o.Submit(o.recordingConnection, o.lastCall, Attempt{ID: id, IdempotencyKey: key, Class: "licence-order", ArrivedAt: o.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
-	o.runPosted()
-	o.step()
-	return o.requests.byAttemptID[id]
+// submitKeyed sends an attempt with an idempotency key, and lets the controller decide on it.
+func (f *handoverFixture) submitKeyed(key string) *activeRequest {
+	f.lastCall++
+	id := string(rune('a' + f.lastCall))
+	f.Submit(f.recordingConnection, f.lastCall, keyedAttempt(f.Server, id, key))
+	f.runPosted()
+	f.step()
+	return f.requests.byAttemptID[id]
 }
 
-// receive plays what the other process tells.
-func (o *handoverFixture) receive(kind handover.Kind, m handover.Message) {
+// receive handles a message of the other process.
+func (f *handoverFixture) receive(kind handover.Kind, m handover.Message) {
 	m.Kind = kind
-	o.handlePeerMessage(o.link, m)
-	o.step()
+	f.handlePeerMessage(f.link, m)
+	f.step()
 }
 
-// expect reads what the other process is told.
-func (o *handoverFixture) expect(cmd string) {
-	o.testing.Helper()
-	require.True(o.testing, o.published.Scan(), "%v", o.published.Err())
-	require.Contains(o.testing, o.published.Text(), `{"cmd":"`+cmd+`"`)
+// expect reads the next message to the other process, which must be that command.
+func (f *handoverFixture) expect(cmd string) {
+	f.t.Helper()
+	require.True(f.t, f.published.Scan(), "%v", f.published.Err())
+	require.Contains(f.t, f.published.Text(), `{"cmd":"`+cmd+`"`)
 }
 
-// The newer process runs nothing under a key before the older one has said that it may.
+// The successor runs nothing under a key before the predecessor has granted it.
 func TestSuccessorClaimsKeys(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	fixture.predecessorJoined(fixture.link)
@@ -82,53 +86,53 @@
 	fixture.expect("known")
 	fixture.completeRun(first, admission.OutcomeOK, nil)
 	fixture.expect("over")
-	require.Equal(t, []any{Served, Served}, fixture.received)
+	require.Equal(t, []any{Served, Served}, fixture.recorded)
 
-	// One that the older process has is answered with what that tells of its end.
-	b := fixture.submitKeyed("bb")
+	// A key that the predecessor has: its result is the answer.
+	known := fixture.submitKeyed("bb")
 	fixture.expect("claim")
 	fixture.receive(handover.Known, handover.Message{IdempotencyKey: "bb", Digest: digest, At: windowEnd})
-	require.False(t, b.running())
-	require.Len(t, fixture.received, 2)
+	require.False(t, known.running())
+	require.Len(t, fixture.recorded, 2)
 	fixture.receive(handover.Completed, handover.Message{IdempotencyKey: "bb", OK: true, Body: []byte("x")})
-	require.Equal(t, Served, fixture.received[2])
-	fixture.submitKeyed("bb") // not claimed any more
-	require.Equal(t, Served, fixture.received[3])
+	require.Equal(t, Served, fixture.recorded[2])
+	fixture.submitKeyed("bb") // no further claim
+	require.Equal(t, Served, fixture.recorded[3])
 
-	// A key under another body is nobody's.
+	// A known key with another body.
 	fixture.receive(handover.Known, handover.Message{IdempotencyKey: "cc", Digest: digest + 1, At: windowEnd})
 	fixture.submitKeyed("cc")
-	require.Equal(t, Invalid, fixture.received[4])
+	require.Equal(t, Invalid, fixture.recorded[4])
 
-	// Without an answer nothing is run, and a grant that comes too late is given back.
-	d := fixture.submitKeyed("dd")
+	// A claim without an answer in time: nothing is run, and a late grant is given back.
+	unanswered := fixture.submitKeyed("dd")
 	fixture.expect("claim")
 	fixture.clock.now += claimTimeout
 	fixture.deadlines.Sweep(fixture.clock.now)
-	require.False(t, d.running())
-	require.Equal(t, Failed, fixture.received[5])
+	require.False(t, unanswered.running())
+	require.Equal(t, Failed, fixture.recorded[5])
 	fixture.receive(handover.Grant, handover.Message{IdempotencyKey: "dd"})
 	fixture.expect("free")
 
-	// When the older process has ended, its runs may have had their effect; what it did not know may run.
+	// After the end of the predecessor its runs may have had their effect; what it did not know may run.
 	fixture.receive(handover.Known, handover.Message{IdempotencyKey: "ee", Digest: digest, At: windowEnd})
 	fixture.submitKeyed("ee")
-	f := fixture.submitKeyed("ff")
+	unknown := fixture.submitKeyed("ff")
 	fixture.expect("claim")
 	fixture.peerEnded(fixture.link)
 	fixture.step()
-	require.Equal(t, Failed, fixture.received[6])
-	require.True(t, f.running())
+	require.Equal(t, Failed, fixture.recorded[6])
+	require.True(t, unknown.running())
 	require.Nil(t, fixture.submitKeyed("ee"))
-	require.Equal(t, Failed, fixture.received[7])
+	require.Equal(t, Failed, fixture.recorded[7])
 	require.EqualValues(t, 2, fixture.stats.Runs)
 }
 
-// The older process tells all it knows, grants what it does not know, and from then on leaves that alone.
+// The predecessor publishes all keys that it knows, grants those that it does not, and leaves these alone from then on.
 func TestPredecessorGrantsKeys(t *testing.T) {
 	fixture := newHandoverFixture(t)
-	over, running := fixture.submitKeyed("aa"), fixture.submitKeyed("bb")
-	fixture.completeRun(over, admission.OutcomeOK, []byte("x"))
+	completed, running := fixture.submitKeyed("aa"), fixture.submitKeyed("bb")
+	fixture.completeRun(completed, admission.OutcomeOK, []byte("x"))
 	require.True(t, running.running())
 	fixture.successorJoined(fixture.link)
 	count := map[string]int{}
@@ -141,16 +145,16 @@
 	claim := handover.Message{IdempotencyKey: "cc", Digest: bodyDigest(&Attempt{}), At: fixture.clock.now}
 	fixture.receive(handover.Claim, claim)
 	fixture.expect("grant")
-	c := fixture.submitKeyed("cc")
-	require.False(t, c.running())
+	granted := fixture.submitKeyed("cc")
+	require.False(t, granted.running())
 	fixture.receive(handover.Completed, handover.Message{IdempotencyKey: "cc", OK: true})
-	require.Equal(t, []any{Served, Served}, fixture.received)
+	require.Equal(t, []any{Served, Served}, fixture.recorded)
 	fixture.receive(handover.Claim, handover.Message{IdempotencyKey: "bb", At: fixture.clock.now})
 	fixture.expect("known")
 	fixture.completeRun(running, admission.OutcomeFailed, nil)
 	fixture.expect("over")
 
-	// What the newer one gave back may be run here.
+	// What the successor gave back may be run here.
 	claim.IdempotencyKey = "dd"
 	fixture.receive(handover.Claim, claim)
 	fixture.expect("grant")
@@ -159,7 +163,7 @@
 	last := string(rune('a' + fixture.lastCall))
 	fixture.expect("known")
 
-	// SIGTERM is no drain now: nobody is sent elsewhere, and new connections are the newer one's.
+	// SIGTERM with a successor: no front end is sent elsewhere, and new connections are the successor's.
 	fixture.Drain()
 	fixture.runPosted()
 	fixture.step()
@@ -169,13 +173,13 @@
 	require.Equal(t, drainListenersClosed, fixture.drain.phase)
 	require.False(t, fixture.finished()) // a front end is still there
 	fixture.removeConnection(fixture.connections.get(fixture.recordingConnection))
-	require.False(t, fixture.finished()) // the newer process is still to hear how the last order ends
+	require.False(t, fixture.finished()) // the successor still waits for the last result
 	fixture.completeRun(fixture.requests.byAttemptID[last], admission.OutcomeOK, nil)
 	fixture.expect("over")
 	require.True(t, fixture.finished())
 }
 
-// The two processes share the descriptors of one: the older gives up idle connections, and none that is busy.
+// Two processes share the descriptors of one: the predecessor closes idle connections, and none that is busy.
 func TestSharedDescriptors(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	fixture.config.Limits.Sockets = 4 * (reservedConnections + 3) // 3 connections for each of two
@@ -196,7 +200,7 @@
 	require.Equal(t, 4, fixture.connections.size())
 	closed := 0
 	for _, conn := range idle {
-		closed += len(conn.received)
+		closed += len(conn.recorded)
 	}
 	require.Equal(t, len(idle)-2, closed)
 }
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -155,7 +155,9 @@
 }
 
 // adopt adds, or renews, a key that another process has, as if holder had been run under it.
-func (t *idempotencyTable) adopt(owner *handover.Link, message handover.Message, holder admission.RequestID) *idempotencyEntry {
+func (t *idempotencyTable) adopt(
+	owner *handover.Link, message handover.Message, holder admission.RequestID,
+) *idempotencyEntry {
 	entry := t.entries[message.IdempotencyKey]
 	if entry == nil || entry.owner != owner {
 		if entry != nil {
--- /dev/null
+++ b/internal/server/idle_test.go
@@ -0,0 +1,61 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"falldeal/admission"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The front ends of idle connections are told that they close, and connections that stay are closed; busy ones remain.
+// A server without connections has no timer for this.
+func TestIdleConnections(t *testing.T) {
+	server, runPosted := newIdleServer(t)
+	conn := &recordingConnection{}
+	server.connections.idleTimer.timeout = time.Second
+	advance := func(d time.Duration) {
+		server.clock.now += d
+		server.deadlines.Sweep(server.clock.now)
+		server.scheduleIdleCheck()
+	}
+	server.scheduleIdleCheck()
+	_, ticks := server.deadlines.Next()
+	require.False(t, ticks)
+	server.ConnectionOpened(conn)
+	runPosted()
+	server.scheduleIdleCheck()
+	state := server.connections.get(conn)
+	server.connections.openCall(state, 1, &activeRequest{})
+	advance(2 * time.Second)
+	advance(0)
+	require.Empty(t, conn.recorded)
+	server.connections.closeCall(state, 1)
+	advance(minIdleCheckInterval)
+	advance(minIdleCheckInterval)
+	require.Equal(t, []any{"closing"}, conn.recorded)
+	advance(closeGracePeriod - minIdleCheckInterval)
+	require.Equal(t, []any{"closing"}, conn.recorded)
+	advance(2 * minIdleCheckInterval)
+	require.Equal(t, []any{"closing", "pause"}, conn.recorded)
+	require.Zero(t, server.connections.size())
+	advance(0)
+	_, ticks = server.deadlines.Next()
+	require.False(t, ticks)
+}
+
+// The limit on idle time may become shorter while the next check is scheduled for much later.
+func TestIdleLimitShrinks(t *testing.T) {
+	server, runPosted := newIdleServer(t)
+	conn := &recordingConnection{}
+	server.connections.idleTimer.timeout = time.Hour
+	server.ConnectionOpened(conn)
+	runPosted()
+	server.scheduleIdleCheck()
+	server.dispatch(admission.Action{Kind: admission.ActionIdleTimeout, Duration: time.Second})
+	server.scheduleIdleCheck()
+	server.clock.now += time.Second
+	server.deadlines.Sweep(server.clock.now)
+	require.Equal(t, []any{"closing"}, conn.recorded)
+}
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -45,8 +45,8 @@
 	f.OnMessage(s.receiveMemberMessage)
 }
 
-// Trace has each change in the server's part of its fleet handed to onChange as well as logged, on the loop, with "" for
-// the usual state. onChange must not block. Trace is called after JoinFleet and before Run.
+// Trace has each change in the server's part of its fleet handed to onChange as well as logged, on the loop, with ""
+// for the usual state. onChange must not block. Trace is called after JoinFleet and before Run.
 func (s *Server) Trace(onChange func(what, from, to string, fields map[string]any)) {
 	s.member.onChange = onChange
 }
--- a/internal/server/memory_test.go
+++ b/internal/server/memory_test.go
@@ -26,11 +26,11 @@
 	d := &simulatedDay{Server: server, time: time.Now().Round(0), rng: rand.New(rand.NewPCG(3, 3))}
 	server.clock.read = func() time.Time { return d.time }
 	server.clock.advance()
-	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	startAgent(server)
 	return d
 }
 
-// advance lets time go by: what falls due is done, and the gauges are those of a calm machine.
+// advance lets time pass: deadlines are swept, with the gauges of a machine at rest.
 func (d *simulatedDay) advance(by time.Duration) {
 	d.time = d.time.Add(by)
 	d.gauges.record(d.clock.now, d.config.Gauges, []float64{0.3, 1, 0.1, 20})
@@ -40,18 +40,28 @@
 	}
 }
 
-// submit sends a request that has never been seen: new id, key, order, front end and connection.
+// submit sends a request of its own: ID, key, body, client and connection are new.
 func (d *simulatedDay) submit() {
 	d.requestCount++
 	conn := &countingConnection{server: d.Server}
 	id := fmt.Sprintf("%016x", d.requestCount)
-	try := Attempt{ID: id, Subject: id, Class: d.config.Classes[d.rng.IntN(3)], ArrivedAt: time.Duration(d.time.UnixNano()), Timeout: 2 * time.Second,
-		Client: d.requestCount, CostHint: 10 * time.Millisecond, MemoryKB: 4, Rank: 0.5, Body: make([]byte, 200)}
-	if try.Class == "licence-order" {
-		try.IdempotencyKey = id
+	attempt := Attempt{
+		ID:        id,
+		Subject:   id,
+		Class:     d.config.Classes[d.rng.IntN(3)],
+		ArrivedAt: time.Duration(d.time.UnixNano()),
+		Timeout:   2 * time.Second,
+		Client:    d.requestCount,
+		CostHint:  10 * time.Millisecond,
+		MemoryKB:  4,
+		Rank:      0.5,
+		Body:      make([]byte, 200),
+	}
+	if attempt.Class == "licence-order" {
+		attempt.IdempotencyKey = id
 	}
 	d.ConnectionOpened(conn)
-	d.Submit(conn, 1, try)
+	d.Submit(conn, 1, attempt)
 	switch d.rng.IntN(10) {
 	case 0:
 		d.RejectInvalid(conn, 2, errArrivalTime)
@@ -69,8 +79,8 @@
 	}
 }
 
-// completeRuns ends what the agent works on, in one of the ways that it may; some of it asks for a call first, which the
-// store, whom nobody reaches here, never answers.
+// completeRuns ends all runs, in one of the possible ways; some ask for a call first, which the store, that can't be
+// reached here, never answers.
 func (d *simulatedDay) completeRuns() {
 	for _, request := range d.runs {
 		notification := agent.Notification{RequestID: request.attempt.ID, Result: agent.Success, Payload: make([]byte, 100)}
@@ -89,7 +99,22 @@
 	d.runs = d.runs[:0]
 }
 
-// liveHeap is the memory in use once all garbage has gone.
+// tableSizes returns the sizes of all tables that grow with requests or connections.
+func (d *simulatedDay) tableSizes() map[string]int {
+	return map[string]int{
+		"requests":         len(d.requests.byID),
+		"attempt IDs":      len(d.requests.byAttemptID),
+		"connections":      len(d.connections.states),
+		"idempotency keys": d.idempotency.size(),
+		"keyed requests":   len(d.idempotency.byRequest),
+		"completed IDs":    d.completed.size(),
+		"deep checks":      len(d.health.deepChecks),
+		"deadlines":        d.deadlines.Len(),
+		"open calls":       d.connections.openCalls,
+	}
+}
+
+// liveHeap returns the memory in use without garbage.
 func liveHeap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -98,9 +123,8 @@
 	return m.HeapAlloc
 }
 
-// 45 minutes in which nothing comes twice: ids, keys, orders, front ends and connections are ever new. Each table
-// has an end, and the memory of the last quarter is that of the second. A leak of eight bytes a request would
-// come to over 100 MemoryKB.
+// 45 minutes in which nothing comes twice: IDs, keys, bodies, clients and connections are always new. Each table is
+// bounded, and the memory at the end is that at half-time: a leak of eight bytes a request would be more than 100 KB.
 func TestMemoryIsBoundedOverLongRun(t *testing.T) {
 	const length, step = 45 * time.Minute, 100 * time.Millisecond
 	day := newSimulatedDay(t)
@@ -111,10 +135,8 @@
 		day.advance(step / 2)
 		day.completeRuns()
 		day.advance(step / 2)
-		for name, n := range map[string]int{"requests": len(day.requests.byID), "wire": len(day.requests.byAttemptID), "connections": len(day.connections.states),
-			"keys": day.idempotency.size(), "spent": day.completed.size(), "key holders": len(day.idempotency.byRequest), "checks": len(day.health.deepChecks), "deadlines": day.deadlines.Len(),
-			"open": day.connections.openCalls} {
-			largest[name] = max(largest[name], n)
+		for name, size := range day.tableSizes() {
+			largest[name] = max(largest[name], size)
 		}
 		if at == length/2 {
 			halfway = liveHeap()
@@ -124,10 +146,20 @@
 	if atEnd > halfway {
 		require.Less(t, atEnd-halfway, uint64(64<<10), "of %d KB in use", halfway>>10)
 	}
-	// 10 requests a second; answers within 2 s, keys for their window and the time that they may come late.
-	window := int(day.config.Settings.Classes[2].IdempotencyWindow/time.Second) + int(day.config.maxArrivalAge()/time.Second) + 2
-	for name, bound := range map[string]int{"requests": 10 * 2, "wire": 10 * 2, "spent": 10 * 2 * int(day.config.maxArrivalAge()/time.Second+1), "open": 10 * 2, "keys": 10 * window,
-		"key holders": 10 * 2, "connections": day.maxConnections(), "checks": maxDeepChecks, "deadlines": 10*window + 100} {
+	// 10 requests a second; answers within 2 s, keys for their window and the time by which attempts may be late.
+	maxArrivalAge := int(day.config.maxArrivalAge() / time.Second)
+	window := int(day.config.Settings.Classes[2].IdempotencyWindow/time.Second) + maxArrivalAge + 2
+	for name, bound := range map[string]int{
+		"requests":         10 * 2,
+		"attempt IDs":      10 * 2,
+		"connections":      day.maxConnections(),
+		"idempotency keys": 10 * window,
+		"keyed requests":   10 * 2,
+		"completed IDs":    10 * 2 * (maxArrivalAge + 1),
+		"deep checks":      maxDeepChecks,
+		"deadlines":        10*window + 100,
+		"open calls":       10 * 2,
+	} {
 		require.LessOrEqual(t, largest[name], bound, name)
 	}
 	require.EqualValues(t, day.requestCount, day.stats.Requests-day.stats.Invalid)
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -33,8 +33,8 @@
 func (q *quotaLeasing) known() bool { return q.limit >= 0 }
 
 // EnableQuotaLeasing has the server's quota at the store move within its fleet, where its settings give it one. self is
-// this process as the fleet knows it, lease how long quota is leased for, and reservedFraction the part of the own quota
-// that never is. It is called after JoinFleet and before Run.
+// this process as the fleet knows it, lease how long quota is leased for, and reservedFraction the part of the own
+// quota that never is. It is called after JoinFleet and before Run.
 func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedFraction float64) {
 	settings := s.config.Settings
 	base := overload.QuotaOf(settings.MaxCallsInFlight)
@@ -121,8 +121,8 @@
 	return strconv.FormatFloat(limit.Calls(), 'g', 4, 64)
 }
 
-// limitCalls puts the limit on calls in flight in force: that of the settings, or of the leases, and 1 while this member
-// probes a store for the others.
+// limitCalls puts the limit on calls in flight in force: that of the settings, or of the leases, and 1 while this
+// member probes a store for the others.
 func (s *Server) limitCalls() {
 	settings := s.config.Settings
 	if settings.MaxCallsInFlight == 0 || !s.admission.started() {
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -14,36 +14,21 @@
 
 // Events that cross in one turn of the loop, in both orders; docs/races.md lists them.
 
-// newReadyServer is a server whose agent is up, and a front end on it.
-func newReadyServer(t *testing.T) (server *Server, conn *recordingConnection, runPosted func()) {
-	server, runPosted = newIdleServer(t)
-	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	conn = &recordingConnection{}
-	server.ConnectionOpened(conn)
-	runPosted()
-	server.step()
-	return server, conn, runPosted
-}
-
-func keyedAttempt(server *Server, id string) Attempt {
-	return Attempt{ID: id, IdempotencyKey: "k", Class: "licence-order", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1}
-}
-
-// The first try of an order goes in the turn in which a third comes, while a second waits for the first: the third was
-// taken for a first one beside the second, and both ran.
+// The first attempt of a request is cancelled in the turn in which a third arrives, while a second waits for the first.
+// The third was taken for a first one beside the second, and both ran.
 func TestFirstAttemptCancelledAgainstThird(t *testing.T) {
 	for _, order := range []string{"before the third", "after the third"} {
 		t.Run(order, func(t *testing.T) {
 			server, conn, runPosted := newReadyServer(t)
-			server.Submit(conn, 1, keyedAttempt(server, "a"))
-			server.Submit(conn, 2, keyedAttempt(server, "b"))
+			server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
+			server.Submit(conn, 2, keyedAttempt(server, "b", "k"))
 			runPosted()
 			if order == "before the third" {
 				server.Cancel(conn, 1)
 			}
 			other := &recordingConnection{}
 			server.ConnectionOpened(other)
-			server.Submit(other, 1, keyedAttempt(server, "c"))
+			server.Submit(other, 1, keyedAttempt(server, "c", "k"))
 			if order == "after the third" {
 				server.Cancel(conn, 1)
 			}
@@ -56,15 +41,15 @@
 				}
 			}
 			server.step()
-			require.Equal(t, []any{Served}, conn.received)
-			require.Equal(t, []any{Served}, other.received)
+			require.Equal(t, []any{Served}, conn.recorded)
+			require.Equal(t, []any{Served}, other.recorded)
 			require.EqualValues(t, 1, server.stats.Runs)
 		})
 	}
 }
 
-// A request is read just as the loop of a drain ends: it is still answered, before the connection is closed. It was left
-// in the input, and lost. One that comes later finds the listener closed: that is some time before the end.
+// A request is read just as the loop of a drain ends: it is answered before the connection closes. It was left in the
+// inbox, and lost. Later requests find the listener closed, which happens some time before the end.
 func TestLastReadDuringShutdown(t *testing.T) {
 	server, conn, runPosted := newReadyServer(t)
 	server.config.StopTimeout = time.Second // shorter than the time in which arrivals may be run
@@ -73,42 +58,43 @@
 	runPosted()
 	server.step()
 	require.Equal(t, server.drain.stopAt-listenerCloseLead, server.drain.closeListenersAt)
-	server.Submit(conn, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+	server.Submit(conn, 1, newAttempt(server, "a", "preview"))
 	runPosted()
 	server.step()
 	require.True(t, server.requests.byAttemptID["a"].running())
 	server.clock.now = server.drain.stopAt
 	require.True(t, server.finished())
-	server.Submit(conn, 2, Attempt{ID: "b", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+	server.Submit(conn, 2, newAttempt(server, "b", "preview"))
 	server.shutDown()
-	require.ElementsMatch(t, []any{"closing", Failed, Rejected, "close"}, conn.received)
-	require.Equal(t, "close", conn.received[3])
+	require.ElementsMatch(t, []any{"closing", Failed, Rejected, "close"}, conn.recorded)
+	require.Equal(t, "close", conn.recorded[3])
 }
 
-// A connection that is to be closed is found to be in use: something comes before it was read, between its last reading and
-// the close, or while what came has no answer yet. All of it is answered, and then the connection goes. One on which
-// messages come without an end goes as well.
+// A connection that is to be closed turns out to be in use: a request arrives before the input was drained, between
+// that and the close, or while an answer is owed. All requests are answered before the connection closes.
 func TestMessageDuringClose(t *testing.T) {
-	const finish, shut = "close", "close" // as peer notes them
+	const pause, closed = "pause", "close" // as recordingConnection records them
 	for name, testCase := range map[string]struct {
-		comes []string
-		want  []any
+		arrivals []string // when a request arrives
+		want     []any
 	}{
-		"nothing":      {nil, []any{finish, "end", shut}},
-		"before":       {[]string{"before"}, []any{finish, "closing", "resume", Served, finish, "end", shut}},
-		"between":      {[]string{"between"}, []any{finish, "end", "closing", "resume", Served, finish, "end", shut}},
-		"while in use": {[]string{"before", "after"}, []any{finish, "closing", "resume", Served, Served, finish, "end", shut}},
-		"without end":  {},
+		"nothing": {nil, []any{pause, "end", closed}},
+		"before":  {[]string{"before"}, []any{pause, "closing", "resume", Served, pause, "end", closed}},
+		"between": {[]string{"between"}, []any{pause, "end", "closing", "resume", Served, pause, "end", closed}},
+		"while in use": {
+			[]string{"before", "after"},
+			[]any{pause, "closing", "resume", Served, Served, pause, "end", closed},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server, conn, runPosted := newReadyServer(t)
 			calls := uint32(0)
-			submitIf := func(when string) {
-				if !slices.Contains(testCase.comes, when) {
+			arrive := func(when string) {
+				if !slices.Contains(testCase.arrivals, when) {
 					return
 				}
 				calls++
-				server.Submit(conn, calls, Attempt{ID: when, Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+				server.Submit(conn, calls, newAttempt(server, when, "preview"))
 			}
 			turn := func() {
 				runPosted()
@@ -117,66 +103,75 @@
 			}
 			server.beginClose(server.connections.get(conn))
 			turn()
-			if name == "without end" {
-				conn.failedCloses = 100
-				for range maxDrainReads {
-					require.False(t, server.connections.empty())
-					server.ReadEnded(conn, ReadPaused)
-					turn()
-				}
-				server.ReadEnded(conn, ReadPaused)
-				turn()
-				require.Equal(t, shut, conn.received[len(conn.received)-1])
-				require.Len(t, conn.received, maxDrainReads+2)
-				require.True(t, server.connections.empty())
-				return
-			}
-			submitIf("before")
+			arrive("before")
 			if name == "between" {
 				conn.failedCloses = 1
 			}
 			server.ReadEnded(conn, ReadPaused)
 			turn()
 			if name == "between" {
-				submitIf("between")
+				arrive("between")
 				server.ReadEnded(conn, ReadPaused)
 				turn()
 			}
-			submitIf("after")
+			arrive("after")
 			turn()
-			for _, when := range testCase.comes {
+			for _, when := range testCase.arrivals {
 				server.completeRun(server.requests.byAttemptID[when], admission.OutcomeOK, nil)
 			}
 			turn()
-			if len(testCase.comes) > 0 {
+			if len(testCase.arrivals) > 0 {
 				server.ReadEnded(conn, ReadPaused)
 				turn()
 			}
-			require.Equal(t, testCase.want, conn.received)
+			require.Equal(t, testCase.want, conn.recorded)
 			require.True(t, server.connections.empty())
 		})
 	}
 }
 
-// Readers wait for room in the input of the loop as that ends: what they have read is answered like what was in it. It was
-// left unread.
+// A connection that is to be closed gets input without end: it is closed after a bounded number of reads.
+func TestEndlessInputDuringClose(t *testing.T) {
+	server, conn, runPosted := newReadyServer(t)
+	turn := func() {
+		runPosted()
+		server.step()
+		server.advanceClosing()
+	}
+	server.beginClose(server.connections.get(conn))
+	turn()
+	conn.failedCloses = 100
+	for range maxDrainReads {
+		require.False(t, server.connections.empty())
+		server.ReadEnded(conn, ReadPaused)
+		turn()
+	}
+	server.ReadEnded(conn, ReadPaused)
+	turn()
+	require.Equal(t, "close", conn.recorded[len(conn.recorded)-1])
+	require.Len(t, conn.recorded, maxDrainReads+2)
+	require.True(t, server.connections.empty())
+}
+
+// Readers wait for room in the inbox as the loop ends: the requests they have read are answered like those in the
+// inbox. They were left unread.
 func TestBlockedReadersDuringShutdown(t *testing.T) {
 	server, conn, runPosted := newReadyServer(t)
 	server.Drain()
 	runPosted()
 	server.step()
 	server.clock.now = server.drain.stopAt
-	server.post(func() { // room is made, and taken by one that waited
-		server.Submit(conn, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+	server.post(func() { // a reader that waited takes the room that this event leaves
+		server.Submit(conn, 1, newAttempt(server, "a", "preview"))
 	})
 	for server.inbox.waiting() < inboxCapacity {
 		server.post(func() {})
 	}
 	server.shutDown()
-	require.Equal(t, []any{"closing", Rejected, "close"}, conn.received)
+	require.Equal(t, []any{"closing", Rejected, "close"}, conn.recorded)
 }
 
-// The link to an agent that has not greeted is looked at, and no longer once it has: a server at rest has no timer for it.
+// The link to the agent is checked until the handshake, and no longer: an idle server has no timer for it.
 func TestAgentIsCheckedUntilHandshake(t *testing.T) {
 	server, _ := newIdleServer(t)
 	server.checkAgentUntilUp()
@@ -193,14 +188,14 @@
 	require.Zero(t, server.deadlines.Len())
 }
 
-// SIGTERM comes while the agent boots: the time in which arrivals may be run counts from the notice, not from when the
-// controller heard of it.
+// SIGTERM arrives while the agent boots: the time in which new requests may be run counts from the signal, not from
+// when the controller learned of it.
 func TestDrainDuringAgentStart(t *testing.T) {
 	for _, drainFirst := range []bool{true, false} {
 		server, runPosted := newIdleServer(t)
 		server.config.StopTimeout = time.Minute
 		handshake := func() {
-			server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+			startAgent(server)
 			server.step()
 		}
 		if !drainFirst {
@@ -216,28 +211,28 @@
 		conn := &recordingConnection{}
 		server.ConnectionOpened(conn)
 		server.clock.now += server.config.Settings.DrainGrace - time.Second
-		server.Submit(conn, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+		server.Submit(conn, 1, newAttempt(server, "a", "preview"))
 		runPosted()
 		server.step()
-		require.Equal(t, []any{"closing", Rejected}, conn.received, "notice first: %v", drainFirst)
+		require.Equal(t, []any{"closing", Rejected}, conn.recorded, "drain first: %v", drainFirst)
 		require.Zero(t, server.stats.Runs)
 	}
 }
 
-// A configuration with a longer time for arrivals comes during a drain: the notice was given under the old one.
+// A configuration with a longer grace period arrives during a drain: the one under which the drain began stays.
 func TestReloadDuringDrain(t *testing.T) {
 	server, _, runPosted := newReadyServer(t)
-	fresh := *server.config.Config
-	fresh.Settings.DrainGrace *= 2
+	loaded := *server.config.Config
+	loaded.Settings.DrainGrace *= 2
 	server.Drain()
 	gracePeriod := server.config.Settings.DrainGrace
-	server.Reload(&fresh, nil)
+	server.Reload(&loaded, nil)
 	runPosted()
 	require.Equal(t, gracePeriod, server.config.Settings.DrainGrace)
 	require.EqualValues(t, 1, server.stats.Reloads)
 }
 
-// A newer process joins while this one drains: it is to be listed, and this one must not report that it is not.
+// A successor joins while this process drains: the successor is to be listed, so this process stops its reports.
 func TestSuccessorJoinsDuringDrain(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	fixture.Drain()
@@ -248,73 +243,75 @@
 	fixture.expect("synced")
 }
 
-// The clock is set back between the stamp of a request and its reading: it is no request from the future.
+// The clock is set back after a request was stamped and before it is read: that is no request from the future.
 func TestClockSetBackBeforeRequest(t *testing.T) {
 	server, conn, runPosted := newReadyServer(t)
 	at := time.Now()
 	server.clock.read = func() time.Time { return at }
 	server.clock.advance()
-	stamped := Attempt{ID: "a", Class: "preview", ArrivedAt: time.Duration(at.UnixNano()), Timeout: 3 * time.Second, MemoryKB: 1}
+	stamped := newAttempt(server, "a", "preview")
+	stamped.ArrivedAt = time.Duration(at.UnixNano())
 	at = at.Round(0).Add(-time.Hour)
 	server.clock.advance()
 	server.Submit(conn, 1, stamped)
 	runPosted()
 	server.step()
-	require.Empty(t, conn.received)
+	require.Empty(t, conn.recorded)
 	require.True(t, server.requests.byAttemptID["a"].running())
 	stamped.ID, stamped.ArrivedAt = "b", stamped.ArrivedAt+time.Hour // one from the future is still wrong
 	server.Submit(conn, 2, stamped)
 	runPosted()
-	require.Equal(t, []any{Invalid}, conn.received)
+	require.Equal(t, []any{Invalid}, conn.recorded)
 }
 
-// All runs are lost with the agent: what waits for them is answered, once, and no order of theirs runs again.
+// All runs are lost with the agent: each request that waits for them gets one answer, and none runs again.
 func TestRunsLostAgainstRetry(t *testing.T) {
-	for _, first := range []string{"repeat", "loss"} {
+	for _, first := range []string{"retry", "loss"} {
 		server, conn, runPosted := newReadyServer(t)
-		server.Submit(conn, 1, keyedAttempt(server, "a"))
+		server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
 		runPosted()
 		server.step()
 		if first == "loss" {
 			server.handleRunsLost()
 		}
-		server.Submit(conn, 2, keyedAttempt(server, "b"))
+		server.Submit(conn, 2, keyedAttempt(server, "b", "k"))
 		runPosted()
 		server.step()
-		if first == "repeat" {
+		if first == "retry" {
 			server.handleRunsLost()
 		}
 		server.step()
-		require.Equal(t, []any{Failed, Failed}, conn.received, first)
+		require.Equal(t, []any{Failed, Failed}, conn.recorded, first)
 		require.EqualValues(t, 1, server.stats.Runs, first)
 		require.Empty(t, server.requests.byID, first)
 	}
 }
 
-// The entry of an order runs out while its run goes on: the run keeps it until its end, and its end finds it.
+// The window of a key ends while its run goes on: the entry stays until the run has ended, and its result is found.
 func TestIdempotencyWindowEndsDuringRun(t *testing.T) {
 	server, conn, runPosted := newReadyServer(t)
-	server.Submit(conn, 1, keyedAttempt(server, "a"))
+	server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
 	runPosted()
 	server.step()
 	request := server.requests.byAttemptID["a"]
 	server.clock.now += server.config.Settings.Classes[2].IdempotencyWindow / 2
 	server.deadlines.Sweep(server.clock.now)
 	server.step()
-	require.Equal(t, []any{Failed}, conn.received)    // in time, though it runs
-	server.Submit(conn, 2, keyedAttempt(server, "b")) // within the window
+	require.Equal(t, []any{Failed}, conn.recorded)         // in time, though it runs
+	server.Submit(conn, 2, keyedAttempt(server, "b", "k")) // within the window
 	runPosted()
 	server.step()
 	server.clock.now += 10 * server.config.Settings.Classes[2].IdempotencyWindow
 	server.completeRun(request, admission.OutcomeOK, []byte("done"))
-	require.Equal(t, []any{Failed, Served}, conn.received)
+	require.Equal(t, []any{Failed, Served}, conn.recorded)
 	require.EqualValues(t, 1, server.stats.Runs)
 	server.clock.now += server.config.maxArrivalAge()
 	server.deadlines.Sweep(server.clock.now)
 	require.Zero(t, server.idempotency.size())
 }
 
-// The older process ends while an order that it ran has not ended, or just after: its result answers tries at the newer.
+// The predecessor drains while a request that it runs has not ended: it waits for the result, which answers retries at
+// the successor.
 func TestPredecessorEndsDuringItsRun(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	run := fixture.submitKeyed("aa")
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -48,8 +48,9 @@
 		// The drain began under the grace period in force, which may only become shorter.
 		settings.DrainGrace = min(settings.DrainGrace, s.config.Settings.DrainGrace)
 	}
-	var names []string
-	settings.Classes, names = mergeClasses(s.config.Settings.Classes, loaded.Settings.Classes, s.config.Classes, loaded.Classes)
+	current := s.config.Settings.Classes
+	classes, names := mergeClasses(current, loaded.Settings.Classes, s.config.Classes, loaded.Classes)
+	settings.Classes = classes
 	if s.admission.started() {
 		if err := s.admission.controller.Reconfigure(settings); err != nil {
 			return err
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -36,6 +36,25 @@
 	Unhealthy                   // to a health check
 )
 
+// String returns the kind in plain words.
+func (k AnswerKind) String() string {
+	switch k {
+	case Served:
+		return "served"
+	case Rejected:
+		return "rejected"
+	case Failed:
+		return "failed"
+	case Invalid:
+		return "invalid"
+	case Healthy:
+		return "healthy"
+	case Unhealthy:
+		return "unhealthy"
+	}
+	return "unknown"
+}
+
 // Answer is the one answer to a call.
 type Answer struct {
 	Kind             AnswerKind
--- /dev/null
+++ b/internal/server/shedding_test.go
@@ -0,0 +1,64 @@
+package server
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"falldeal/internal/agent"
+	"falldeal/internal/fleet"
+	"falldeal/internal/overload"
+
+	"github.com/stretchr/testify/require"
+)
+
+// lastAnswerConnection keeps its last answer.
+type lastAnswerConnection struct {
+	recordingConnection
+	answer Answer
+}
+
+func (c *lastAnswerConnection) Answer(_ uint32, a Answer) { c.answer = a }
+
+// Requests must be classified by their own priority and work, those that a full fleet has no capacity for must be
+// rejected for good while cores are short, and the demand on this server must be published.
+func TestRequestsAreShed(t *testing.T) {
+	server, runPosted := newIdleServer(t)
+	fakeFleet := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4}), now: time.Second}
+	fakeFleet.view.Merge(fakeFleet.now, 0, fleet.Record{
+		Name:  "n4",
+		Run:   7,
+		Seq:   1,
+		State: fleet.Serving,
+		Load:  fleet.Load{Capacity: 30, ServiceRate: 100, Demand: string([]byte{40, 250, 250})},
+	})
+	fakeFleet.view.ObserveReach(fakeFleet.now, "n4", 7, fleet.Reached)
+	server.JoinFleet(fakeFleet)
+	server.EnableShedding(overload.ProcessID{Name: "n3", Run: 1})
+	server.handleAgentNotification(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	server.tickShedding()
+	require.True(t, server.member.shedding.shedder.Threshold().Full)
+	var last *lastAnswerConnection
+	for i := range 40 { // the first ones find free cores
+		last = &lastAnswerConnection{}
+		server.ConnectionOpened(last)
+		server.Submit(last, 1, Attempt{
+			ID:        fmt.Sprint(i),
+			Class:     "preview",
+			Subject:   "k",
+			Timeout:   time.Second,
+			ArrivedAt: server.clock.now,
+			CostHint:  90 * time.Millisecond,
+		})
+		runPosted()
+		server.turn()
+	}
+	require.Equal(t, Answer{Kind: Rejected, NoRetryElsewhere: true}, last.answer)
+	server.publishStatus()
+	require.NotEmpty(t, fakeFleet.last.Load.Demand)
+	require.Positive(t, fakeFleet.last.Load.ServiceRate)
+	require.Positive(t, fakeFleet.last.Load.Threshold)
+	fakeFleet.receive(overload.AppendReport(nil, overload.Report{Attempts: []uint64{1, 1, 2, 3, 4, 5}}))
+	runPosted()
+	require.Positive(t, server.member.shedding.retries.RetryRatio())
+}
--- a/internal/server/trace_test.go
+++ b/internal/server/trace_test.go
@@ -13,19 +13,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request is followed by its id: each image server that had a try of it says how it ended and where the time
-// went. One whose caller has gone leaves its line too; nothing is said twice, and nothing at a lesser level.
+// A request can be followed by its ID: each image server that had an attempt of it logs how it ended and where the time
+// went, once; also for one whose caller has gone. Nothing is logged at other levels.
 func TestRequestTrace(t *testing.T) {
 	server, runPosted := newIdleServer(t)
 	log, hook := test.NewNullLogger()
 	log.SetLevel(logrus.DebugLevel)
 	server.log, server.traceRequests = log, debugEnabled(log)
 	require.True(t, server.traceRequests)
-	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	startAgent(server)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	submit := func(call uint32, id, class string) *activeRequest {
-		server.Submit(conn, call, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: server.clock.now - 5*time.Millisecond, Timeout: 2 * time.Second, MemoryKB: 1})
+		attempt := newAttempt(server, id, class)
+		attempt.IdempotencyKey, attempt.Timeout = id, 2*time.Second
+		attempt.ArrivedAt -= 5 * time.Millisecond
+		server.Submit(conn, call, attempt)
 		runPosted()
 		server.step()
 		return server.requests.byAttemptID[id]
@@ -47,12 +50,24 @@
 	server.clock.now += 10 * time.Millisecond
 	server.completeRun(served, admission.OutcomeOK, nil)
 	server.cancel(served)
-	require.Equal(t, []logrus.Fields{{"id": "aa", "class": "licence-order", "from": 0, "end": "served", "after_ms": int64(35),
-		"wait_ms": int64(2000), "cost_ms": int64(0), "once": "aa", "held_ms": int64(5), "run_ms": int64(30), "calls": 1,
-		"in_call_ms": int64(20), "call": "ok"}}, lines())
+	require.Equal(t, []logrus.Fields{{
+		"id":         "aa",
+		"class":      "licence-order",
+		"from":       0,
+		"end":        "served",
+		"after_ms":   int64(35),
+		"wait_ms":    int64(2000),
+		"cost_ms":    int64(0),
+		"once":       "aa",
+		"held_ms":    int64(5),
+		"run_ms":     int64(30),
+		"calls":      1,
+		"in_call_ms": int64(20),
+		"call":       "ok",
+	}}, lines())
 
-	refused := submit(2, "bb", "preview")
-	server.reject(refused, admission.Action{Reason: admission.ReasonMemory})
+	rejected := submit(2, "bb", "preview")
+	server.reject(rejected, admission.Action{Reason: admission.ReasonMemory})
 	got := lines()
 	require.Len(t, got, 1)
 	require.Equal(t, "refused", got[0]["end"])
@@ -65,6 +80,6 @@
 	require.Len(t, got, 1)
 	require.Equal(t, "gone", got[0]["end"])
 
-	quiet, _ := test.NewNullLogger()
-	require.False(t, debugEnabled(quiet))
+	infoLog, _ := test.NewNullLogger()
+	require.False(t, debugEnabled(infoLog))
 }
