--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -115,7 +115,7 @@
 	s.admission.enqueue(event)
 }
 
-// cancel notes that nobody waits for a request any more. Its run goes on; if there is none, it is removed.
+// cancel ends the wait for a request whose caller has gone. A run goes on; without one, the request is removed.
 func (s *Server) cancel(request *activeRequest) {
 	if request.answered {
 		return
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -10,7 +10,7 @@
 
 // Stage five, calls: calls of runs go to the store, and the replies back to the runs.
 
-// handleCallRequest notes the call that a run waits for; the controller decides on it.
+// handleCallRequest records the call that a run waits for; the controller decides on it.
 func (s *Server) handleCallRequest(notification agent.Notification) {
 	request := s.requests.byAttemptID[notification.RequestID]
 	if request == nil || !request.running() {
@@ -51,7 +51,7 @@
 	store.Expired:           admission.OutcomeTimedOut,
 }
 
-// handleCallEnded takes in the end of a call. The run gets the body of a good reply; what becomes of a run whose call
+// handleCallEnded handles the end of a call. The run gets the body of a good reply; what becomes of a run whose call
 // went wrong is the controller's decision.
 func (s *Server) handleCallEnded(id string, reply store.Reply, body []byte) {
 	s.recordCallResult(reply)
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clock gives the time that the controller goes by: the Unix clock, except that it never goes back. If the system's
-// clock is set back, it goes on at the pace of the monotonic one. The loop owns it.
+// clock is the clock of the loop and the controller: the Unix clock, except that it never goes back. While the system's
+// clock is set back, it advances with the monotonic one. The loop owns it.
 type clock struct {
 	read func() time.Time
 	last time.Time     // last reading
--- a/internal/server/completed.go
+++ b/internal/server/completed.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// completedIDs knows the attempts that were run or answered lately: one that comes again, as a stranger or a faulty
-// front end may send it, is neither run nor served a second time. It holds two generations, and forgets the older one
-// as a whole; an attempt that is older than that is turned down for its age. The loop owns it.
+// completedIDs holds the IDs of attempts that were run or answered lately: one that is sent again, by a stranger or a
+// faulty front end, is neither run nor served a second time. It holds two generations, and forgets the older one
+// as a whole; an older attempt is rejected for its arrival time. The loop owns it.
 type completedIDs struct {
 	current, previous map[string]struct{}
 	rotatedAt         time.Duration // when current was begun
@@ -28,7 +28,7 @@
 
 func (c *completedIDs) size() int { return len(c.current) + len(c.previous) }
 
-// markCompleted notes that a request was run or answered.
+// markCompleted records that a request was run or answered.
 func (s *Server) markCompleted(r *activeRequest) {
 	s.completed.add(r.attempt.ID, s.clock.now, s.config.maxArrivalAge())
 }
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// connectionKind sorts the connections without an open call by how little would be lost with them.
+// connectionKind sorts the connections without an open call by how little would be lost with one, least first.
 type connectionKind uint8
 
 const (
-	silentConnection  connectionKind = iota // nothing that can be read has come on it
-	closingConnection                       // its front end was told that it closes
-	activeConnection                        // a request or a health check has come on it
+	silentConnection  connectionKind = iota // nothing that could be read was received on it
+	closingConnection                       // its front end was notified that it closes
+	activeConnection                        // a request or a health check was received on it
 	connectionKinds                         // number of kinds
 )
 
@@ -35,10 +35,10 @@
 	kind            connectionKind
 	openCalls       map[uint32]*activeRequest
 	lastCall        uint32        // highest number of a request so far
-	lastUsed        time.Duration // when a message last came or went, or its front end was told that it closes
+	lastUsed        time.Duration // when a message was last received or sent
 	closing         closeState
 	drainReads      int  // how often reading has been paused since it began to close
-	discardingInput bool // what comes on it is passed over
+	discardingInput bool // its input is discarded
 
 	idleList    *list.List // the list of its kind; nil while it has an open call, or closes
 	idleElement *list.Element
@@ -69,7 +69,7 @@
 // empty reports whether there is no connection at all.
 func (t *connectionTable) empty() bool { return len(t.states) == 0 }
 
-// get returns the state of a connection, or nil once it is gone.
+// get returns the state of a connection, or nil after its removal.
 func (t *connectionTable) get(c Connection) *connectionState { return t.states[c] }
 
 func (t *connectionTable) add(c Connection, now time.Duration) *connectionState {
@@ -79,7 +79,7 @@
 	return state
 }
 
-// remove forgets a connection, and leaves its open calls in its state.
+// remove removes a connection, and leaves its open calls in its state.
 func (t *connectionTable) remove(state *connectionState) {
 	t.removeFromIdle(state)
 	t.openCalls -= len(state.openCalls)
@@ -89,7 +89,7 @@
 	}
 }
 
-// setCloseState notes how far the closing of a connection has got.
+// setCloseState records how far the closing of a connection has got.
 func (t *connectionTable) setCloseState(state *connectionState, closing closeState) {
 	if state.closing == closeStateOpen {
 		t.closing = append(t.closing, state)
@@ -98,13 +98,13 @@
 	state.closing = closing
 }
 
-// touch notes that a message came or went.
+// touch records that a message was received or sent.
 func (t *connectionTable) touch(state *connectionState, now time.Duration) {
 	state.lastUsed = now
 	t.addToIdle(state)
 }
 
-// markReceived notes a message that can be read.
+// markReceived records a message that could be read.
 func (t *connectionTable) markReceived(state *connectionState, now time.Duration) {
 	if state.kind == silentConnection {
 		state.kind = activeConnection
@@ -112,7 +112,7 @@
 	t.touch(state, now)
 }
 
-// markNotified notes that the front end was told that the connection closes.
+// markNotified records that the front end was notified that the connection closes.
 func (t *connectionTable) markNotified(state *connectionState, now time.Duration) {
 	state.kind = closingConnection
 	t.touch(state, now)
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -7,7 +7,7 @@
 	"falldeal/admission"
 )
 
-// Stage three, dispatch: each action of the controller goes to the part that carries it out.
+// Stage three, dispatch: each action of the controller is handed to the part that carries it out.
 
 // dispatch carries out an action.
 func (s *Server) dispatch(action admission.Action) {
@@ -44,7 +44,7 @@
 	case admission.ActionRemember:
 		s.idempotency.retain(request)
 	case admission.ActionForget:
-		// An entry without a run goes with its holder; one with a run stays for its window.
+		// An entry without a run is dropped with its last attempt; one with a run stays for its window.
 	case admission.ActionReuse:
 		s.reuseResult(request)
 	default:
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -45,13 +45,13 @@
 // drainState is the drain of this process. The loop owns it.
 type drainState struct {
 	phase            drainPhase
-	replaced         bool          // a successor goes on
-	requestedAt      time.Duration // when SIGTERM came
+	replaced         bool          // a successor serves on
+	requestedAt      time.Duration // when SIGTERM was received
 	closeListenersAt time.Duration // nothing that arrives later would be run
 	stopAt           time.Duration // when the loop ends at the latest
 }
 
-// started reports whether the process was told to end.
+// started reports whether the process has received SIGTERM.
 func (d *drainState) started() bool { return d.phase != drainNotStarted }
 
 // newDrain returns a drain that starts now. The listeners close after grace, the process is stopped after stopTimeout.
@@ -66,9 +66,9 @@
 	}
 }
 
-// Drain has the process end once its work is done, or its time is up. If a successor has joined, the image server goes
-// on: no front end is sent elsewhere, and only the connections of this process keep it. Drain may be called more than
-// once, and from any goroutine.
+// Drain ends the process once its work is done, or its time is up. If a successor has joined, the image server serves
+// on: no front end is sent elsewhere, and this process only waits for its own connections to end. Drain may be called
+// more than once, and from any goroutine.
 func (s *Server) Drain() { s.post(s.startDrain) }
 
 func (s *Server) startDrain() {
@@ -93,7 +93,7 @@
 	s.deadlines.Add(s.drain.stopAt, func() {}) // wakes the loop, which checks whether it has finished
 }
 
-// enqueueDrainEvent tells the controller of the drain, which may have begun before there was a controller.
+// enqueueDrainEvent notifies the controller of the drain, which may have begun before there was a controller.
 func (s *Server) enqueueDrainEvent() {
 	s.admission.enqueue(admission.Event{
 		Kind:     admission.EventDrain,
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -45,7 +45,7 @@
 	s.agent.SkipCall(r.attempt.ID, r.callOffset)
 }
 
-// handleAgentNotification takes in a notification of the agent.
+// handleAgentNotification handles a notification of the agent.
 func (s *Server) handleAgentNotification(notification agent.Notification) {
 	switch notification.Kind {
 	case agent.Handshake:
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -7,8 +7,8 @@
 )
 
 // Connection is a connection of a front end, in whatever protocol it speaks. The loop calls its methods, and none of
-// them may block. The server knows a Connection from ConnectionOpened until it calls Close, or is told by ReadEnded
-// that it was Disconnected.
+// them may block. The server knows a Connection from ConnectionOpened until it calls Close, or until ReadEnded with
+// Disconnected.
 type Connection interface {
 	// Answer writes the answer to a call.
 	Answer(call uint32, a Answer)
@@ -27,7 +27,7 @@
 	MaxOpenCalls() int
 }
 
-// EndReason tells why reading from a connection ended. After all but Disconnected, answers may still be written, and
+// EndReason is why reading from a connection ended. After all but Disconnected, answers may still be written, and
 // the server closes the Connection. After ReadTimeout and ReadPaused nothing is read until the server says so.
 type EndReason uint8
 
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -22,8 +22,7 @@
 // fresh reports whether the reading is recent enough to act on.
 func (g *gaugeReading) fresh(now time.Duration) bool { return now-g.at <= gaugeMaxAge }
 
-// latest returns the reading if it is fresh, and unknown gauges if not: the controller would act on a load that is long
-// gone.
+// latest returns the reading if it is fresh, and unknown gauges if not: the controller must not act on an old load.
 func (g *gaugeReading) latest(now time.Duration) admission.Gauges {
 	if !g.fresh(now) {
 		return unknownGauges
--- a/internal/server/gauges_test.go
+++ b/internal/server/gauges_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Old gauges count as unknown: the controller would act on a load that is long gone.
+// Old gauges count as unknown: the controller must not act on an old load.
 func TestGauges(t *testing.T) {
 	server, _ := newIdleServer(t)
 	server.gauges.record(server.clock.now, server.config.Gauges, []float64{0.5, 3, 0.25, 9, 7})
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -8,7 +8,7 @@
 
 // Handover: two processes are one image server while the successor takes the place of its predecessor. A request with
 // an idempotency key is run by one of them: the predecessor knows which, and the successor claims a key before it runs
-// a request under it. Each tells the other how its runs end, so that their results answer attempts at both.
+// a request under it. Each notifies the other of the ends of its runs, so that their results answer attempts at both.
 
 const (
 	claimTimeout       = 500 * time.Millisecond // for the predecessor to answer a claim
@@ -28,7 +28,7 @@
 // paired reports whether two processes are this image server, and share its descriptors.
 func (h *handoverState) paired() bool { return h.predecessor != nil || h.successor != nil }
 
-// publish tells the other processes of a change to a key of this one.
+// publish notifies the other processes of a change to a key of this one.
 func (h *handoverState) publish(m handover.Message) {
 	for _, link := range []*handover.Link{h.predecessor, h.successor} {
 		if link != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// addClaim notes that r waits for the answer to the claim on its key, and reports whether it is the first to do so.
+// addClaim records that r waits for the answer to the claim on its key, and reports whether it is the first to do so.
 func (h *handoverState) addClaim(r *activeRequest) (first bool) {
 	key := r.attempt.IdempotencyKey
 	h.claims[key] = append(h.claims[key], r)
@@ -61,7 +61,7 @@
 	}
 }
 
-// predecessorJoined notes the predecessor; nil: there is none, and nothing to wait for.
+// predecessorJoined records the predecessor; nil: there is none, and nothing to wait for.
 func (s *Server) predecessorJoined(link *handover.Link) {
 	s.handover.predecessor = link
 	if link == nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// successorJoined tells the successor of all keys, and gives up the connections above this process's half.
+// successorJoined publishes all keys to the successor, and closes idle connections above this process's half.
 func (s *Server) successorJoined(link *handover.Link) {
 	s.log.Info("a newer process has joined")
 	s.handover.successor = link
@@ -89,7 +89,7 @@
 	}
 }
 
-// markSynced notes that all keys of the predecessor are known.
+// markSynced records that all keys of the predecessor are known.
 func (s *Server) markSynced() {
 	s.handover.synced = true
 	s.openFrontsWhenReady()
@@ -103,7 +103,7 @@
 	}
 }
 
-// handlePeerMessage takes in a message of the other process.
+// handlePeerMessage handles a message of the other process.
 func (s *Server) handlePeerMessage(link *handover.Link, message handover.Message) {
 	entry := s.idempotency.entries[message.IdempotencyKey]
 	switch message.Kind {
@@ -122,7 +122,7 @@
 	}
 }
 
-// handleKnown takes over a key that the other process has.
+// handleKnown adopts a key that the other process has.
 func (s *Server) handleKnown(link *handover.Link, message handover.Message, entry *idempotencyEntry) {
 	if entry == nil || entry.owner == link || s.idempotency.expired(entry, s.clock.unix()) {
 		s.adoptKey(link, message)
@@ -141,7 +141,7 @@
 	link.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: message.IdempotencyKey})
 }
 
-// handleGrant goes on with the requests of a key, or gives it back if none is left.
+// handleGrant resumes the requests of a key, or gives the key back if none is left.
 func (s *Server) handleGrant(link *handover.Link, message handover.Message) {
 	s.resumeClaimed(message.IdempotencyKey)
 	if s.idempotency.entries[message.IdempotencyKey] == nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// handlePeerRunEnded takes in the result of a run in the other process, or drops a key that it has given back.
+// handlePeerRunEnded handles the result of a run in the other process, or drops a key that it has given back.
 func (s *Server) handlePeerRunEnded(entry *idempotencyEntry, message handover.Message) {
 	if message.Kind == handover.Released {
 		s.completePeerRun(entry, false, nil)
@@ -165,14 +165,15 @@
 	s.expireAfterWindow(entry)
 }
 
-// completePeerRun notes the end of a run in another process, and answers the attempts that waited for it.
+// completePeerRun records the end of a run in another process, and answers the attempts that waited for it.
 func (s *Server) completePeerRun(e *idempotencyEntry, ok bool, result []byte) {
 	for _, retry := range s.idempotency.complete(e, ok, result) {
 		s.answerFromResult(retry, ok, result)
 	}
 }
 
-// peerEnded goes on alone. Runs of the other process whose end is not known may have had their effect.
+// peerEnded handles the end of the other process. Its runs whose end is not known may have had their effect, so
+// attempts that wait for them fail.
 func (s *Server) peerEnded(link *handover.Link) {
 	switch link {
 	case s.handover.predecessor:
@@ -224,7 +225,7 @@
 	})
 }
 
-// resumeClaimed goes on with the requests that waited for an answer to the claim on a key.
+// resumeClaimed resumes the requests that waited for an answer to the claim on a key.
 func (s *Server) resumeClaimed(key string) {
 	for _, r := range s.handover.takeClaims(key) {
 		r.state = requestQueued
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -18,8 +18,8 @@
 
 // healthState is what health checks are answered by. The loop owns it.
 type healthState struct {
-	healthy      bool                   // the controller's last word
-	cached       bool                   // deep checks, too, are answered by that
+	healthy      bool                   // as the controller last decided
+	cached       bool                   // answer deep checks by that, too
 	deregistered bool                   // by an operator
 	deepChecks   map[string]healthCheck // at work at the agent, by token
 	lastToken    uint64
@@ -32,7 +32,7 @@
 	return h.healthy && !h.cached && len(h.deepChecks) < maxDeepChecks
 }
 
-// add notes a deep check, and returns its token.
+// add records a deep check, and returns its token.
 func (h *healthState) add(check healthCheck) string {
 	h.lastToken++
 	token := "x" + strconv.FormatUint(h.lastToken, 10)
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -50,7 +50,7 @@
 // countingConnection only counts its answers, so that nothing grows while it is measured.
 type countingConnection struct {
 	answers int
-	server  *Server // that is told once nothing more is read; nil: nobody
+	server  *Server // notified when reading has paused; nil: none
 }
 
 func (c *countingConnection) Answer(uint32, Answer) { c.answers++ }
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -56,12 +56,12 @@
 // hasRun reports whether an attempt was run.
 func (e *idempotencyEntry) hasRun() bool { return e.state != entryPending }
 
-// knownMessage tells another process of the entry.
+// knownMessage announces the entry to another process.
 func (e *idempotencyEntry) knownMessage() handover.Message {
 	return handover.Message{Kind: handover.Known, IdempotencyKey: e.key, Digest: e.digest, At: e.windowEnd}
 }
 
-// messages tells another process of the entry and of the end of its run.
+// messages announces the entry, and the end of its run, to another process.
 func (e *idempotencyEntry) messages() []handover.Message {
 	messages := []handover.Message{e.knownMessage()}
 	if e.state == entryCompleted {
@@ -81,7 +81,7 @@
 	byRequest      map[*activeRequest]*idempotencyEntry // of active requests
 	resultBytes    int                                  // size of all retained results
 	maxResultBytes int
-	publish        func(handover.Message) // tells the other processes of a change
+	publish        func(handover.Message) // notifies the other processes of a change
 }
 
 // newIdempotencyTable returns a table for a process with that memory limit.
@@ -185,7 +185,7 @@
 	return e == nil || !e.hasRun()
 }
 
-// markRunning notes that r is run: from now on the entry stays that of r.
+// markRunning records that r is run: from now on the entry stays that of r.
 func (t *idempotencyTable) markRunning(r *activeRequest) {
 	if e := t.byRequest[r]; e != nil {
 		t.setHolder(e, r)
@@ -193,8 +193,8 @@
 	}
 }
 
-// awaitResult has r wait for the run that it retries. If that has ended, or never was, it returns what is known of it
-// instead.
+// awaitResult has a request wait for the run that it retries. If that has ended, or never was, it returns the result
+// instead; ok reports whether there is one.
 func (t *idempotencyTable) awaitResult(request *activeRequest) (result []byte, ok, ended bool) {
 	entry := t.byRequest[request]
 	switch {
@@ -207,7 +207,7 @@
 	return entry.result, entry.reusable, true
 }
 
-// runEnded notes the outcome of the run of r, and returns the attempts that waited for it.
+// runEnded records the outcome of the run of a request, and returns the attempts that waited for it.
 func (t *idempotencyTable) runEnded(request *activeRequest, outcome admission.Outcome, result []byte) []*activeRequest {
 	entry := t.byRequest[request]
 	if entry == nil || entry.holder != request.id || !entry.hasRun() {
@@ -223,8 +223,8 @@
 	return t.complete(entry, ok, result)
 }
 
-// complete notes the end of the run of e, and returns the attempts that waited for it. The result is retained while
-// there is memory for it.
+// complete records the end of the run of an entry, and returns the attempts that waited for it. The result is retained
+// while there is memory for it.
 func (t *idempotencyTable) complete(entry *idempotencyEntry, ok bool, result []byte) []*activeRequest {
 	waiters := entry.waiters
 	entry.waiters, entry.state = nil, entryCompleted
@@ -246,8 +246,8 @@
 	return false
 }
 
-// release removes r. It returns an entry that has to stay until its window ends; one without a run goes with its last
-// attempt.
+// release removes a request. It returns an entry that has to stay until its window ends; one without a run is dropped
+// with its last attempt.
 func (t *idempotencyTable) release(request *activeRequest) *idempotencyEntry {
 	entry := t.byRequest[request]
 	delete(t.byRequest, request)
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -8,18 +8,18 @@
 
 const (
 	minIdleCheckInterval = 100 * time.Millisecond // between two checks for idle connections
-	closeGracePeriod     = 2 * time.Second        // for a front end to close a connection after it was told to
+	closeGracePeriod     = 2 * time.Second        // for a front end to close a connection after its notification
 )
 
 // idleTimer is the next check for idle connections. The loop owns it.
 type idleTimer struct {
-	timeout time.Duration // front ends of connections idle for longer are told that they close; 0 = never
+	timeout time.Duration // connections idle for longer are notified that they close; 0 = never
 	entry   *deadline.Entry
 	at      time.Duration
 }
 
-// closeIdle tells the front ends of connections that have been idle for too long that they close, and closes those that
-// did not go.
+// closeIdle notifies connections that have been idle for too long that they close, and closes those that stay open
+// after that.
 func (s *Server) closeIdle() {
 	s.connections.idleTimer.entry = nil
 	for kind := range connectionKinds {
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The front ends of idle connections are told that they close, and connections that stay are closed; busy ones remain.
+// Idle connections are notified that they close, and closed if they stay open after that; busy ones remain.
 // A server without connections has no timer for this.
 func TestIdleConnections(t *testing.T) {
 	server, runPosted := newIdleServer(t)
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// turn handles events from the inbox, sweeps the deadlines and lets the controller take one step. Input goes before
-// deadlines: after a pause of the process, what arrived meanwhile still counts as in time.
+// turn handles events from the inbox, sweeps the deadlines and lets the controller take one step. Input is handled
+// before deadlines: after a pause of the process, what arrived meanwhile still counts as in time.
 func (s *Server) turn() {
 	s.clock.advance()
 	s.handleWaiting(maxEventsPerTurn)
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -9,9 +9,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Fleet is what the loop needs of the membership of a fleet. None of its methods blocks.
+// Fleet is the membership of a fleet, as the loop uses it. None of its methods blocks.
 type Fleet interface {
-	// Publish tells the other members the status of this one.
+	// Publish sends the status of this member to the others.
 	Publish(status fleet.Status)
 	// Snapshot returns what is known of the other members.
 	Snapshot() *fleet.Snapshot
@@ -51,7 +51,7 @@
 	s.member.onChange = onChange
 }
 
-// logChange logs and traces that something went from one state to another; "" is the usual one.
+// logChange logs and traces the change of something from one state to another; "" is the usual state.
 func (s *Server) logChange(level logrus.Level, what, from, to string, fields logrus.Fields) {
 	s.member.onChange(what, from, to, fields)
 	s.log.WithFields(fields).WithFields(logrus.Fields{"from": from, "to": to}).Log(level, what)
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// receiveMemberMessage takes in a message of another member. It is called from other goroutines and does not block:
-// what the loop is too far behind for is dropped.
+// receiveMemberMessage receives a message of another member. It is called from other goroutines and does not block:
+// messages that find the inbox full are dropped.
 func (s *Server) receiveMemberMessage(b []byte) {
 	message, err := s.member.parseMessage(b)
 	if err != nil {
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -10,7 +10,7 @@
 
 // What operators ask of a running server. The exported methods may be called from any goroutine.
 
-// errDraining answers operators once the process was told to end.
+// errDraining answers operators once a drain has started.
 var errDraining = errors.New("the server is leaving")
 
 // query has the loop call f, and waits for its result.
@@ -69,7 +69,7 @@
 	return err
 }
 
-// enqueueRegistration tells the controller whether front ends are welcome.
+// enqueueRegistration notifies the controller that the server was deregistered, or registered again.
 func (s *Server) enqueueRegistration() {
 	kind := admission.EventReregister
 	if s.health.deregistered {
--- a/internal/server/operate_test.go
+++ b/internal/server/operate_test.go
@@ -62,7 +62,7 @@
 	require.NoError(t, err)
 	require.Contains(t, string(figures), "app.backend_calls:1|c\napp.inflight:1|g\n")
 
-	// A process that was told to end is not registered again.
+	// A process that drains is not registered again.
 	server.Drain()
 	require.ErrorIs(t, server.Reregister(ctx), errDraining)
 	require.False(t, ready())
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -45,7 +45,7 @@
 	return s.member.probes
 }
 
-// recordCallResult notes how a call ended.
+// recordCallResult records how a call ended.
 func (s *Server) recordCallResult(reply store.Reply) {
 	if probes := s.probes(); probes != nil && reply != store.Void {
 		probes.CallEnded(reply == store.OK)
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// rebaseQuota goes by the quota of new settings.
+// rebaseQuota takes over the quota of new settings.
 func (s *Server) rebaseQuota() {
 	if s.member == nil {
 		return
@@ -155,7 +155,7 @@
 	s.applyQuota(s.member.fleet.Now())
 }
 
-// recordMissedCall notes that a call was skipped, or a request rejected, for want of quota.
+// recordMissedCall records that a call was skipped, or a request rejected, for want of quota.
 func (s *Server) recordMissedCall() {
 	if quota := s.quota(); quota != nil {
 		quota.CallMissed()
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Stage one, receive: what connections hand to the loop.
+// Stage one, receive: connections put what they read into the inbox.
 
 var (
 	errTooManyOpenCalls = errors.New("too many open requests on this connection")
@@ -15,11 +15,11 @@
 // ConnectionOpened makes a connection known.
 func (s *Server) ConnectionOpened(c Connection) { s.inbox.put(&connectionOpened{c}) }
 
-// ReadEnded tells that nothing more is read from a connection, for now or for good. After Disconnected nobody waits for
-// answers on it; in all other cases what was read before is still answered.
+// ReadEnded reports that nothing more is read from a connection, for now or for good. After Disconnected nobody waits
+// for answers on it; in all other cases what was read before is still answered.
 func (s *Server) ReadEnded(c Connection, reason EndReason) { s.inbox.put(&readEnded{c, reason}) }
 
-// Submit takes in a request.
+// Submit receives a request.
 func (s *Server) Submit(c Connection, call uint32, a Attempt) {
 	s.inbox.put(&requestReceived{connection: c, call: call, attempt: a})
 }
@@ -29,11 +29,11 @@
 	s.inbox.put(&invalidRequestReceived{c, call, err})
 }
 
-// Cancel tells that nobody waits for a call any more.
+// Cancel reports that nobody waits for a call any more.
 func (s *Server) Cancel(c Connection, call uint32) { s.inbox.put(&callCancelled{c, call}) }
 
-// HealthCheck answers a health check the way the controller wants it: by its last word, or, for a deep one that it
-// leaves open, by whether the agent gets work done.
+// HealthCheck answers a health check as the controller last decided, or, for a deep one that it leaves open, by whether
+// the agent completes some work.
 func (s *Server) HealthCheck(c Connection, call uint32, deep bool) {
 	s.inbox.put(&healthCheckReceived{healthCheck{c, call}, deep})
 }
@@ -50,7 +50,7 @@
 	if server.drain.started() {
 		server.notifyClosing(state)
 	}
-	if full { // it goes like any other: a request on it may have waited for long to be read
+	if full { // closed like any other: a request on it may have waited for long to be read
 		server.beginClose(state)
 	}
 }
@@ -108,7 +108,7 @@
 	id := e.attempt.ID
 	switch {
 	case state.openCalls[e.call] != nil, e.call <= lastCall && server.completed.contains(id):
-		// An answer can't tell two calls of one number apart: that of the first goes out, or has gone.
+		// Two calls of one number can't be told apart by their answers: only the first one gets its answer.
 		state.discardingInput = true
 		server.beginClose(state)
 	case len(state.openCalls) >= e.connection.MaxOpenCalls():
@@ -136,7 +136,7 @@
 	}
 }
 
-// callCancelled is a front end's word that it no longer waits for a call.
+// callCancelled is the notification of a front end that it no longer waits for a call.
 type callCancelled struct {
 	connection Connection
 	call       uint32
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// updateClasses has requests of new classes taken in, and those of classes that are gone turned down later: front ends
-// learn of it late, and may retry what they have begun.
+// updateClasses accepts requests of new classes, and rejects those of removed ones later: front ends learn of it late,
+// and may retry what they have begun.
 func (s *Server) updateClasses() {
 	for i, class := range s.config.Settings.Classes {
 		name := s.config.Classes[i]
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -23,7 +23,7 @@
 	Body           []byte
 }
 
-// AnswerKind tells answers apart.
+// AnswerKind is what an Answer says.
 type AnswerKind uint8
 
 // The kinds of Answer.
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// markAnswered notes that no answer is owed to a request any more.
+// markAnswered records that no answer is owed to a request any more.
 func (s *Server) markAnswered(r *activeRequest) {
 	r.answered = true
 	if state := s.connections.get(r.connection); state != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// handleOutcome takes in the outcome of a run.
+// handleOutcome handles the outcome of a run.
 func (s *Server) handleOutcome(notification agent.Notification) {
 	request := s.requests.byAttemptID[notification.RequestID]
 	if request == nil || !request.running() {
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -78,7 +78,7 @@
 	return overload.Fingerprint(a.Class, a.Subject, a.IdempotencyKey, a.Client, a.Rank, a.CostHint.Seconds())
 }
 
-// recordRejection notes a request that will be retried, here or elsewhere.
+// recordRejection records a request that will be retried, here or elsewhere.
 func (s *Server) recordRejection(r *activeRequest, a admission.Action) {
 	if shedding := s.shedding(); shedding != nil && !a.NoRetryElsewhere {
 		shedding.retries.Rejected(s.clock.now, fingerprint(&r.attempt))
