--- a/internal/permit/modelcheck_test.go
+++ b/internal/permit/modelcheck_test.go
@@ -202,7 +202,7 @@
 // granted. The model checker must find planted faults.
 func TestModelCheckPermits(t *testing.T) {
 	start := modelState{serving: [2]bool{true, true}, incarnation: [2]uint64{1, 1}}
-	visit := func(planted fault) modelcheck.Found {
+	visit := func(planted fault) modelcheck.Result {
 		return modelcheck.Visit(start, modelDepth, nextSteps(planted), stateKey(planted), violation(planted))
 	}
 	found := visit(noFault)
--- /dev/null
+++ b/internal/server/quota.go
@@ -0,0 +1,163 @@
+package server
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"time"
+
+	"falldeal/internal/overload"
+
+	"github.com/sirupsen/logrus"
+)
+
+// Quota leasing: the limit on calls in flight at the store moves between the members of a fleet. Package overload
+// decides what is leased; here its result becomes the limit that the controller holds to.
+
+const (
+	// quotaInterval is how often leases are looked at. A limit holds for two intervals ahead.
+	quotaInterval = 250 * time.Millisecond
+	// minCallLimit stands for no call at all, as the controller takes 0 for no limit.
+	minCallLimit = 0.001
+	// unknownQuota is the limit before the first tick.
+	unknownQuota overload.Quota = -1
+)
+
+// quotaLeasing is the part of a fleet member that leases quota. The loop owns it.
+type quotaLeasing struct {
+	*overload.QuotaManager
+	reservedFraction float64        // part of the own quota that is never leased out
+	limit            overload.Quota // on calls in flight, as the controller knows it
+}
+
+// known reports whether a limit is in force.
+func (q *quotaLeasing) known() bool { return q.limit >= 0 }
+
+// EnableQuotaLeasing has the server's quota at the store move within its fleet, where its settings give it one. self is
+// this process as the fleet knows it, lease how long quota is leased for, and reservedFraction the part of the own
+// quota that never is. It is called after JoinFleet and before Run.
+func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedFraction float64) {
+	settings := s.config.Settings
+	base := overload.QuotaOf(settings.MaxCallsInFlight)
+	if base == 0 {
+		return
+	}
+	ledger := overload.NewQuotaLedger(s.member.fleet.Now(), self, overload.Terms{
+		Base:              base,
+		Reserved:          overload.Quota(reservedFraction * float64(base)),
+		Lease:             lease,
+		CallTime:          s.config.maxTimeout + settings.AbandonedCallTime,
+		AbandonedCallTime: settings.AbandonedCallTime,
+	})
+	random := rand.New(rand.NewPCG(s.config.Seed, self.Run))
+	s.member.quota = &quotaLeasing{
+		QuotaManager:     overload.NewQuotaManager(ledger, random.IntN),
+		reservedFraction: reservedFraction,
+		limit:            unknownQuota,
+	}
+}
+
+// quota returns the quota leasing of the fleet, or nil where it is off.
+func (s *Server) quota() *quotaLeasing {
+	if s.member == nil {
+		return nil
+	}
+	return s.member.quota
+}
+
+// tickQuota looks at the leases now, and each interval from now on.
+func (s *Server) tickQuota() {
+	quota := s.quota()
+	if quota == nil {
+		return
+	}
+	now := s.member.fleet.Now()
+	for _, message := range quota.Tick(now, s.store.InFlight(), s.member.fleet.Snapshot(), now) {
+		s.sendQuotaMessage(message)
+	}
+	s.applyQuota(now)
+	s.deadlines.Add(s.clock.now+quotaInterval, s.tickQuota)
+}
+
+// quotaMessageReceived is a message of another member about a lease.
+type quotaMessageReceived struct {
+	message overload.Message
+}
+
+func (e *quotaMessageReceived) handle(server *Server) {
+	now := server.member.fleet.Now()
+	reply, ok := server.member.quota.Receive(now, e.message, server.store.InFlight())
+	server.applyQuota(now) // what is leased out must not be used any more when the reply goes out
+	if ok {
+		server.sendQuotaMessage(reply)
+	}
+}
+
+func (s *Server) sendQuotaMessage(message overload.Message) {
+	if to := findProcess(s.member.fleet.Snapshot(), message.To); to != nil {
+		s.member.fleet.Send(to, overload.AppendMessage(nil, message))
+	}
+}
+
+// applyQuota has the controller hold to the quota that this member has until the next tick.
+func (s *Server) applyQuota(now time.Duration) {
+	quota := s.member.quota
+	limit := quota.LimitUntil(now, now+2*quotaInterval)
+	if limit == quota.limit || !s.admission.started() {
+		return
+	}
+	if quota.known() {
+		base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
+		s.logChange(logrus.DebugLevel, "share of the store", quotaName(quota.limit, base), quotaName(limit, base), nil)
+	}
+	quota.limit = limit
+	s.limitCalls()
+}
+
+// quotaName is a limit as changes are logged: that of the settings has no name.
+func quotaName(limit, base overload.Quota) string {
+	if limit == base {
+		return ""
+	}
+	return strconv.FormatFloat(limit.Calls(), 'g', 4, 64)
+}
+
+// limitCalls puts the limit on calls in flight in force: that of the settings, or of the leases, and 1 while this
+// member probes a store for the others.
+func (s *Server) limitCalls() {
+	settings := s.config.Settings
+	if settings.MaxCallsInFlight == 0 || !s.admission.started() {
+		return
+	}
+	if quota := s.quota(); quota != nil && quota.known() {
+		settings.MaxCallsInFlight = max(quota.limit.Calls(), minCallLimit)
+	}
+	if probes := s.probes(); probes != nil && probes.allowance == overload.ProbeSingle {
+		settings.MaxCallsInFlight = min(settings.MaxCallsInFlight, 1)
+	}
+	if err := s.admission.controller.Reconfigure(settings); err != nil {
+		s.warnings.Warn("share", "a bound on calls was not taken over", err)
+	}
+}
+
+// rebaseQuota takes over the quota of new settings.
+func (s *Server) rebaseQuota() {
+	if s.member == nil {
+		return
+	}
+	quota := s.member.quota
+	if quota == nil {
+		s.limitCalls()
+		return
+	}
+	base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
+	quota.SetBase(base, overload.Quota(quota.reservedFraction*float64(base)))
+	quota.limit = unknownQuota
+	s.applyQuota(s.member.fleet.Now())
+}
+
+// recordMissedCall records that a call was skipped, or a request rejected, for want of quota.
+func (s *Server) recordMissedCall() {
+	if quota := s.quota(); quota != nil {
+		quota.CallMissed()
+	}
+}
