--- /dev/null
+++ b/admission/advice_test.go
@@ -0,0 +1,72 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+// Half of a fleet's clients ask one server for the same subjects. Reading alone then takes its CPU, and advice of a tenth
+// of a second does not change when a client returns that comes every few seconds.
+func TestRetryAfterCoversClientInterval(t *testing.T) {
+	refusal := func(clients int, waited, work time.Duration) *Action {
+		s := testSettings()
+		s.Clients = clients
+		controller := start(t, s)
+		now := time.Duration(0)
+		var last *Action
+		for id := RequestID(1); id <= 400; id++ {
+			now += 50 * ms // 20 requests a second
+			e := req(id, 1)
+			e.Waited, e.CostHint = waited, work
+			if a := find(controller.Step(now, []Event{e, {Kind: EventTimer, Gauges: calmGauges}}, nil), ActionReject, id); a != nil {
+				last = a
+			}
+		}
+		if last == nil {
+			t.Fatalf("%d callers: nothing refused", clients)
+		}
+		return last
+	}
+	// 150 callers with 20 requests a second come every 7.5 s, so they are sent off for as long as they heed, and
+	// those whose time is over hear so too, beside the wish to try nowhere else.
+	late := refusal(150, 900*ms, time.Second)
+	if late.Reason != ReasonTooLate || !late.NoRetryElsewhere || late.RetryAfter != time.Second {
+		t.Errorf("%+v", *late)
+	}
+	// Ten come every half second.
+	if a := refusal(10, 900*ms, time.Second); a.RetryAfter < 400*ms || a.RetryAfter > 600*ms {
+		t.Errorf("%+v", *a)
+	}
+	// One caller that sends all of them would leave the server idle: the advice is as it was.
+	if a := refusal(1, 900*ms, time.Second); a.RetryAfter != 0 {
+		t.Errorf("%+v", *a)
+	}
+	// Where reading is in time it is as it was as well.
+	if a := refusal(150, 0, 3*time.Second); a.RetryAfter >= time.Second {
+		t.Errorf("%+v", *a)
+	}
+}
+
+func TestIdleTimeoutIsShortForRareClients(t *testing.T) {
+	for callers, closed := range map[int]bool{5: false, 1000: true} {
+		settings := testSettings()
+		settings.Clients = callers
+		controller := start(t, settings)
+		for i := range 1000 { // 10 requests a second
+			controller.Step(time.Duration(i)*100*ms, []Event{req(RequestID(i+1), 0)}, nil)
+			controller.Step(time.Duration(i)*100*ms+50*ms, []Event{{Kind: EventDone, ID: RequestID(i + 1)}}, nil)
+		}
+		if got := controller.idleTimeout < settings.IdleTimeout; got != closed {
+			t.Errorf("%d callers: idle limit %v", callers, controller.idleTimeout)
+		}
+	}
+}
+
+func TestCreditIsDividedAmongClients(t *testing.T) {
+	s := testSettings()
+	s.Advert, s.Clients = AdvertCredit, 1000
+	c, _ := New(s, 1, 0)
+	if a := want(t, c.Step(0, nil, nil), ActionAdvertise, 0); a.Value <= 0 || a.Value*1000 > maxRunsPerCore*2*float64(s.Cores) {
+		t.Errorf("credit %v", a.Value)
+	}
+}
--- /dev/null
+++ b/admission/breaker_test.go
@@ -0,0 +1,77 @@
+package admission
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestDropRatioByHand(t *testing.T) {
+	for _, x := range []struct{ total, accepts, want float64 }{
+		{0, 0, 0}, {5, 0, 0}, {6, 0, 1.0 / 7}, {100, 100, 0}, {100, 60, 5.0 / 101}, {100, 0, 95.0 / 101}, {35, 10, 15.0 / 36},
+	} {
+		if got := dropRatio(x.total, x.accepts, BreakerProtectedCalls); math.Abs(got-x.want) > 1e-12 {
+			t.Errorf("dropRatio(%v, %v) = %v, want %v", x.total, x.accepts, got, x.want)
+		}
+	}
+}
+
+func TestBreakerRecoversAndIdleWindowForgets(t *testing.T) {
+	controller := start(t, testSettings())
+	for range 100 {
+		controller.recordOutcome(OutcomeFailed)
+	}
+	if d := controller.dropProbability(); math.Abs(d-95.0/101) > 1e-9 {
+		t.Fatalf("drop chance %v after 100 failures", d)
+	}
+	for range 200 {
+		controller.recordOutcome(OutcomeOK)
+	}
+	if d := controller.dropProbability(); d != 0 {
+		t.Fatalf("drop chance %v after recovery", d)
+	}
+	for range 500 {
+		controller.recordOutcome(OutcomeFailed)
+	}
+	controller.advanceTime(breakerWindow + time.Second)
+	if d := controller.dropProbability(); d != 0 {
+		t.Fatalf("drop chance %v after an idle window", d)
+	}
+}
+
+// While a fleet coordinates its probes, the breaker lets through what the fleet allows: no call on a server that does not
+// probe, and the first calls on one that does, however long calls took before the store went away.
+func TestProtectedCallsFollowFleet(t *testing.T) {
+	calls := func(protect float64) (n int) {
+		controller := start(t, testSettings())
+		controller.callTime, controller.bestCallTime = movingAverage{0.03, true}, 0.03
+		if protect > 0 {
+			controller.callTime.value = 1.9
+		}
+		for range 4 {
+			controller.recordOutcome(OutcomeTimedOut)
+		}
+		controller.SetProtectedCalls(protect)
+		for id := RequestID(1); id < 4; id++ {
+			controller.Step(controller.now+1, []Event{req(id, 3)}, nil)
+			as := controller.Step(controller.now+1, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+			if find(as, ActionCall, id) != nil {
+				n++
+			} else if find(as, ActionSkipCall, id) == nil {
+				t.Errorf("request %d neither calls nor goes on", id)
+			}
+		}
+		return n
+	}
+	c := start(t, testSettings())
+	c.SetProtectedCalls(-1)
+	if a := want(t, c.Step(0, []Event{req(1, 1)}, nil), ActionReject, 1); a.Reason != ReasonDependency {
+		t.Errorf("a request that would fail at its call: %+v", *a)
+	}
+	if n := calls(-1); n != 0 {
+		t.Errorf("%d calls by one whose turn it is not", n)
+	}
+	if n := calls(BreakerProtectedCalls); n != 3 {
+		t.Errorf("%d calls of 3 within what is protected", n)
+	}
+}
--- /dev/null
+++ b/admission/calls_test.go
@@ -0,0 +1,229 @@
+package admission
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestDroppedCallIsSkippedOrFails(t *testing.T) {
+	for class, kind := range map[int]ActionKind{1: ActionFail, 3: ActionSkipCall} {
+		s := testSettings()
+		c := start(t, s)
+		want(t, c.Step(0, []Event{req(1, class)}, nil), ActionRun, 1)
+		for range 100000 {
+			c.recordOutcome(OutcomeFailed)
+		}
+		as := c.Step(ms, []Event{{Kind: EventCallNeeded, ID: 1}}, nil)
+		want(t, as, kind, 1)
+		wantNone(t, as, ActionReject, 1)
+	}
+}
+
+func TestCallRetriedOnlyIfItNeverRan(t *testing.T) {
+	for _, test := range []struct {
+		class     int
+		outcome   Outcome
+		wantRetry bool
+	}{{0, OutcomeFailed, true}, {1, OutcomeFailed, false}, {1, OutcomeAborted, false}, {1, OutcomeTimedOut, false}, {1, OutcomeUnreachable, true},
+		{2, OutcomeRejected, true}, {2, OutcomeFailed, false}} {
+		c := start(t, testSettings())
+		want(t, startToCall(t, c, 1, test.class), ActionCall, 1)
+		actions := c.Step(10*ms, []Event{{Kind: EventCallDone, ID: 1, Outcome: test.outcome, Took: 9 * ms}}, nil)
+		actions = c.Step(300*ms, nil, actions)
+		if got := find(actions, ActionCall, 1) != nil; got != test.wantRetry {
+			t.Errorf("class %d, outcome %d: repeated %v, want %v", test.class, test.outcome, got, test.wantRetry)
+		}
+		if !test.wantRetry {
+			want(t, actions, ActionFail, 1)
+		}
+	}
+}
+
+func TestCallsInFlightStayBelowLimit(t *testing.T) {
+	settings := testSettings()
+	settings.MaxCallsInFlight = 3
+	c := start(t, settings)
+	out := 0
+	for id := RequestID(1); id <= 6; id++ {
+		c.Step(0, []Event{req(id, 0)}, nil)
+		as := c.Step(0, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+		for _, a := range as {
+			if a.Kind == ActionCall {
+				out++
+			}
+		}
+	}
+	if out == 0 || float64(out) > safeCallRatio*settings.MaxCallsInFlight {
+		t.Fatalf("%d calls in hand of a share of %v", out, settings.MaxCallsInFlight)
+	}
+}
+
+func TestCallsShrinkWhileSlowAndGrowBack(t *testing.T) {
+	controller := start(t, testSettings())
+	controller.callTime = movingAverage{0.05, true}
+	for range 100 {
+		controller.adjustCallLimit()
+	}
+	high := controller.callLimit()
+	controller.callTime.value = 0.5
+	for range 40 {
+		controller.adjustCallLimit()
+	}
+	low := controller.callLimit()
+	controller.callTime.value = 0.05
+	for range 100 {
+		controller.adjustCallLimit()
+	}
+	if low >= high/1.5 || controller.callLimit() < high*0.99 || low < minCallLimitRatio*controller.settings.MaxCallsInFlight*0.99 {
+		t.Errorf("bound %v, then %v while slow, then %v", high, low, controller.callLimit())
+	}
+}
+
+func TestFractionalCallLimitHoldsInTheMean(t *testing.T) {
+	settings := testSettings()
+	settings.MaxCallsInFlight, settings.Dependency = 1.95, DependencyShared
+	controller := start(t, settings)
+	controller.callTime, controller.callLimitRatio = movingAverage{0.05, true}, 0.7
+	controller.callsInFlight = 1
+	if controller.callTimeout(time.Second) <= 0 {
+		t.Error("no second call though the mean is far under the bound")
+	}
+	controller.callSeconds.add(controller.now, controller.callLimit()*settings.CallsWindow.Seconds()+0.1, 0)
+	controller.callCredit = -0.1
+	if controller.callTimeout(time.Second) > 0 {
+		t.Error("a second call though the mean is over the bound")
+	}
+	controller.callsInFlight = 0
+	if controller.callTimeout(time.Second) <= 0 {
+		t.Error("no call at all")
+	}
+	controller.settings.MaxCallsInFlight = 0.3
+	if got := controller.callTimeout(3 * time.Second); got > 0 {
+		t.Errorf("a call of %v though the share is used up", got)
+	}
+}
+
+// In a fleet of 300 each server may have a tenth of a call in flight. While the store is slow, one call takes far more than
+// that, and what is overdrawn has to be paid back: it used to be forgotten after 1.5 s, and the fleet had three times the
+// calls in flight that it may have.
+func TestFractionalCallLimitHoldsForLongCalls(t *testing.T) {
+	s := testSettings()
+	s.MaxCallsInFlight = 0.2
+	controller := start(t, s)
+	controller.callLimitRatio = minCallLimitRatio
+	const step = 10 * ms
+	var inHand, total time.Duration
+	var ends time.Duration
+	for now := step; now <= 60*time.Second; now += step {
+		controller.advanceTime(now)
+		total += step
+		if controller.callsInFlight == 1 {
+			inHand += step
+			if now >= ends {
+				controller.callsInFlight = 0
+			}
+		} else if controller.callTimeout(time.Second) > 0 {
+			controller.callsInFlight, ends = 1, now+300*ms
+		}
+	}
+	if mean, limit := inHand.Seconds()/total.Seconds(), controller.callLimit(); mean > 1.2*limit || mean < 0.8*limit {
+		t.Errorf("%.3f calls in hand in the mean, with a bound of %.3f", mean, limit)
+	}
+}
+
+// A request that would have to wait until overdrawn calls are paid back is rejected before it runs: an idempotent request
+// that fails at its call has run, and no retry of it may.
+func TestOverdrawnCallsCountAsWaiting(t *testing.T) {
+	settings := testSettings()
+	settings.MaxCallsInFlight = 0.2
+	controller := start(t, settings)
+	controller.callLimitRatio, controller.callTime = minCallLimitRatio, movingAverage{0.3, true}
+	controller.callCredit = 0.01
+	if w := controller.callWait(); w != 0 {
+		t.Errorf("a wait of %v with nothing overdrawn", w)
+	}
+	controller.callCredit = -0.2
+	if w, want := controller.callWait().Seconds(), 0.2/controller.callLimit(); math.Abs(w-want) > 1e-6 {
+		t.Errorf("a wait of %v s, want %v", w, want)
+	}
+	// One runs all the same, so that a recovery is noticed. It waits for its call, and no further one runs in vain.
+	want(t, controller.Step(controller.now+1, []Event{req(1, 1)}, nil), ActionRun, 1)
+	controller.Step(controller.now+1, []Event{{Kind: EventCallNeeded, ID: 1}}, nil)
+	as := controller.Step(controller.now+1, []Event{req(2, 1)}, nil)
+	if a := want(t, as, ActionReject, 2); a.Reason != ReasonDependency {
+		t.Errorf("refused since %v", a.Reason)
+	}
+	settings.MaxCallsInFlight = 20 // with whole calls the bound itself admits the next one
+	controller = start(t, settings)
+	controller.callTime, controller.callCredit = movingAverage{0.3, true}, -1
+	if w := controller.callWait(); w != 0 {
+		t.Errorf("a wait of %v though calls are free", w)
+	}
+}
+
+func TestCallLimitStaysBelowWhatIsSurvived(t *testing.T) {
+	c := start(t, testSettings())
+	c.callLimitRatio, c.callTime = 5, movingAverage{0.5, true}
+	for c.callsInFlight = 0; c.callTimeout(10*time.Second) == 10*time.Second; c.callsInFlight++ {
+		if float64(c.callsInFlight) > c.settings.MaxCallsInFlight {
+			t.Fatalf("an uncut call beside %d of a share of %v", c.callsInFlight, c.settings.MaxCallsInFlight)
+		}
+	}
+}
+
+func TestFractionalCallLimitIsNotUsedInOneBurst(t *testing.T) {
+	settings := testSettings()
+	settings.MaxCallsInFlight, settings.AbandonedCallTime = 0.5, 0
+	controller := start(t, settings)
+	controller.advanceTime(20 * time.Second) // a long time without a call saves nothing up
+	controller.callsInFlight = 1
+	controller.advanceTime(21 * time.Second)
+	controller.callsInFlight = 0
+	if got := controller.callTimeout(time.Second); got > 0 {
+		t.Errorf("a call of %v right after one of 1 s on a share of %v", got, settings.MaxCallsInFlight)
+	}
+	controller.advanceTime(23 * time.Second)
+	if got := controller.callTimeout(time.Second); got > 0 {
+		t.Errorf("a call of %v after 2 s, though one of 1 s takes 4 s of a bound of %v", got, controller.callLimit())
+	}
+	controller.advanceTime(24*time.Second + 100*ms)
+	if controller.callTimeout(time.Second) <= 0 {
+		t.Error("no call though the last one is paid back")
+	}
+}
+
+// While the dependency is slow, calls are scarce: requests that may go on without theirs do so at once and leave them to
+// requests that may not, instead of being rejected, or of delaying the others until both are late.
+func TestCallsThatWouldWaitTooLongAreSkipped(t *testing.T) {
+	settings := testSettings()
+	settings.MemoryKB, settings.Cores = 1e6, 12
+	for _, controller := range []struct {
+		took  float64 // seconds that a call takes of late
+		skips bool
+	}{{0.01, false}, {1, true}} {
+		ctl := start(t, settings)
+		for id := RequestID(1); id <= 5; id++ { // more than may call at once
+			startToCall(t, ctl, id, 1)
+		}
+		if ctl.awaitingCallCount == 0 {
+			t.Fatal("no call waits")
+		}
+		ctl.callTime = movingAverage{controller.took, true}
+		actions := startToCall(t, ctl, 7, 3)
+		if got := find(actions, ActionSkipCall, 7) != nil; got != controller.skips {
+			t.Errorf("calls take %v s: skipped is %v", controller.took, got)
+		}
+		for id := RequestID(1); id <= 5; id++ {
+			wantNone(t, actions, ActionSkipCall, id)
+			wantNone(t, actions, ActionFail, id)
+		}
+	}
+}
+
+// startToCall brings request id of class to its call within the first millisecond.
+func startToCall(t *testing.T, c *Controller, id RequestID, class int) []Action {
+	t.Helper()
+	want(t, c.Step(0, []Event{req(id, class)}, nil), ActionRun, id)
+	return c.Step(ms, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+}
--- /dev/null
+++ b/admission/drain_test.go
@@ -0,0 +1,66 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDrainRunsNothingLateAndAnswersAll(t *testing.T) {
+	controller := start(t, testSettings())
+	actions := controller.Step(0, []Event{req(1, 0), {Kind: EventDrain, StopAt: 3 * time.Second}}, nil)
+	want(t, actions, ActionRun, 1)
+	actions = controller.Step(1200*ms, []Event{req(2, 0)}, nil)
+	want(t, actions, ActionReject, 2)
+	wantNone(t, actions, ActionRun, 2)
+	actions = nil
+	for now := 1200 * ms; now < 3*time.Second; now += 5 * ms {
+		actions = controller.Step(now, nil, actions)
+	}
+	want(t, actions, ActionFail, 1)
+}
+
+func TestDrainAdvertisesNoCapacity(t *testing.T) {
+	for advert, value := range map[Advert]float64{AdvertLevel: 1, AdvertCredit: 0, AdvertWeight: 0} {
+		s := testSettings()
+		s.Advert = advert
+		c := start(t, s)
+		as := c.Step(200*ms, []Event{{Kind: EventDrain, StopAt: 5 * time.Second}}, nil)
+		if a := want(t, as, ActionAdvertise, 0); a.Value != value {
+			t.Errorf("advert %d: value %v, want %v", advert, a.Value, value)
+		}
+		if a := want(t, as, ActionHealth, 0); a.Healthy || !a.Cached {
+			t.Errorf("health %+v", *a)
+		}
+	}
+}
+
+func TestAnswersByDeadlineWithoutAnyOutcome(t *testing.T) {
+	controller := start(t, testSettings())
+	var actions []Action
+	for id := RequestID(1); id <= 40; id++ {
+		actions = controller.Step(0, []Event{req(id, int(id)%4)}, actions)
+	}
+	for now := time.Duration(0); now <= 6*time.Second; now += 5 * ms {
+		actions = controller.Step(now, nil, actions)
+	}
+	for id := RequestID(1); id <= 40; id++ {
+		if find(actions, ActionReject, id) == nil && find(actions, ActionFail, id) == nil {
+			t.Errorf("request %d has no answer though the work hangs", id)
+		}
+	}
+}
+
+// A process that another one replaces answers what it has read, but the server goes on: no client is sent elsewhere.
+func TestReplacedServerKeepsItsHealth(t *testing.T) {
+	controller := start(t, testSettings())
+	actions := controller.Step(0, []Event{req(1, 0), {Kind: EventDrain, StopAt: 3 * time.Second, Replaced: true}}, nil)
+	want(t, actions, ActionRun, 1)
+	if find(actions, ActionHealth, 0) != nil {
+		t.Error("health changed though the server stays")
+	}
+	actions = nil
+	for now := time.Duration(0); now < 3*time.Second; now += 5 * ms {
+		actions = controller.Step(now, nil, actions)
+	}
+	want(t, actions, ActionFail, 1)
+}
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -72,7 +72,7 @@
 	for _, test := range []struct {
 		name  string
 		enter func(*Controller)
-		leave func(*Controller)
+		clear func(*Controller)
 	}{
 		{"calls dropped", func(c *Controller) { c.protectedCalls = -1 }, func(c *Controller) { c.protectedCalls = BreakerProtectedCalls }},
 		{"calls bounded", func(c *Controller) { c.callLimitRatio = minCallLimitRatio }, func(c *Controller) { c.callLimitRatio = maxCallLimitRatio }},
@@ -82,7 +82,7 @@
 	} {
 		controller := start(t, testSettings())
 		fmt.Fprintf(&got, "%s\n", test.name)
-		for _, change := range []func(*Controller){test.enter, test.leave} {
+		for _, change := range []func(*Controller){test.enter, test.clear} {
 			controller.now += 2 * reportInterval
 			controller.actions = nil
 			change(controller)
--- /dev/null
+++ b/admission/idempotency_test.go
@@ -0,0 +1,48 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+func TestIdempotentRequestRunsOneTime(t *testing.T) {
+	controller := start(t, testSettings())
+	actions := controller.Step(0, []Event{req(1, 1)}, nil)
+	want(t, actions, ActionRemember, 1)
+	want(t, actions, ActionRun, 1)
+	again := req(2, 1)
+	again.RetryOf = 1
+	actions = controller.Step(ms, []Event{again}, nil)
+	want(t, actions, ActionReuse, 2)
+	wantNone(t, actions, ActionRun, 2)
+	controller.Step(200*ms, []Event{{Kind: EventDone, ID: 1, Took: 200 * ms}, {Kind: EventDone, ID: 2, Took: 200 * ms}}, nil)
+	again.ID = 3
+	want(t, controller.Step(time.Second, []Event{again}, nil), ActionReuse, 3)
+}
+
+func TestFollowerIsPromotedWhenLeaderIsCancelled(t *testing.T) {
+	s := testSettings()
+	s.Cores = 1
+	controller := start(t, s)
+	want(t, controller.Step(0, []Event{req(9, 0)}, nil), ActionRun, 9)
+	controller.Step(0, []Event{req(1, 1)}, nil)
+	if controller.requests[1] == nil || controller.requests[1].state != queued {
+		t.Skip("request 1 is not held under these settings")
+	}
+	again := req(2, 1)
+	again.RetryOf = 1
+	wantNone(t, controller.Step(ms, []Event{again}, nil), ActionReuse, 2)
+	as := controller.Step(2*ms, []Event{{Kind: EventCancelled, ID: 1}}, nil)
+	as = controller.Step(100*ms, []Event{{Kind: EventDone, ID: 9, Took: 100 * ms}}, as)
+	want(t, as, ActionRemember, 2)
+	want(t, as, ActionRun, 2)
+}
+
+func TestNoMemoryForKeyMeansNoRun(t *testing.T) {
+	s := testSettings()
+	s.KeyMemoryKB = s.MemoryKB
+	c := start(t, s)
+	as := c.Step(0, []Event{req(1, 1)}, nil)
+	want(t, as, ActionReject, 1)
+	wantNone(t, as, ActionRun, 1)
+}
--- /dev/null
+++ b/admission/limits_test.go
@@ -0,0 +1,35 @@
+package admission
+
+import (
+	"testing"
+)
+
+func TestMemoryAndConcurrencyLimitsHold(t *testing.T) {
+	settings := testSettings()
+	settings.WarmingUp, settings.MemoryKB = true, 300
+	controller := start(t, settings)
+	for id := RequestID(1); id <= 300; id++ {
+		controller.Step(0, []Event{req(id, 0)}, nil)
+		if controller.memoryKB > settings.MemoryKB {
+			t.Fatalf("%v kB in use of %v", controller.memoryKB, settings.MemoryKB)
+		}
+	}
+	if limit := float64(settings.Cores) * (1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio); float64(controller.running) > limit {
+		t.Fatalf("%d runs, a cold server survives %v", controller.running, limit)
+	}
+}
+
+func TestRunsAwaitingCallsCountAsConcurrency(t *testing.T) {
+	settings := testSettings()
+	settings.WarmingUp, settings.MemoryKB, settings.MaxCallsInFlight, settings.Dependency = true, 1e6, 0, DependencyTier
+	controller := start(t, settings)
+	for id := RequestID(1); id <= 60; id++ {
+		as := controller.Step(0, []Event{req(id, 0)}, nil)
+		if find(as, ActionRun, id) != nil {
+			controller.Step(0, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+		}
+	}
+	if limit := float64(settings.Cores) * (1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio); controller.running == 0 || float64(controller.running) > limit {
+		t.Errorf("%d runs might come back to the cores at once, a cold server survives %v", controller.running, limit)
+	}
+}
--- /dev/null
+++ b/admission/reporting_test.go
@@ -0,0 +1,27 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+func TestConditionChangesAreLoggedSeldom(t *testing.T) {
+	controller := start(t, testSettings())
+	lines := map[string]int{}
+	for i := range 200 { // 20 s, the state flips at each sweep
+		now := time.Duration(i+1) * sweepInterval
+		controller.callLimitRatio = []float64{minCallLimitRatio, maxCallLimitRatio}[i%2]
+		for _, a := range controller.Step(now, nil, nil) {
+			if a.Kind == ActionLog {
+				lines[a.Text]++
+			}
+		}
+	}
+	if n := lines["bound on calls at its least: begins"]; n == 0 || n > 4 {
+		t.Errorf("log lines %v", lines)
+	}
+	as := controller.Step(21*time.Second, []Event{{Kind: EventDrain, StopAt: 25 * time.Second}}, nil)
+	if a := want(t, as, ActionLog, 0); a.Text != "drain begins" {
+		t.Errorf("log line %q", a.Text)
+	}
+}
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -17,7 +17,7 @@
 	attemptRunning
 	attemptAwaitingCall
 	attemptCalling
-	attemptOver
+	attemptCompleted
 )
 
 // attempt is what the random server knows of one attempt.
@@ -54,7 +54,7 @@
 	drainStartedAt time.Duration               // 0: none
 	log            []Action
 	lastID         RequestID
-	lastKeyed      map[int]RequestID // by class
+	lastIdempotent map[int]RequestID // by class
 }
 
 // drawRequest draws a new request, or a retry of one that is remembered.
@@ -65,12 +65,12 @@
 		CostHint: time.Duration(s.rng.IntN(300)) * ms, Retry: s.rng.IntN(4) == 0, Waited: time.Duration(s.rng.IntN(50)) * ms}
 	origin := int(s.lastID)
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && s.rng.IntN(2) == 0 {
-		if leader, ok := s.lastKeyed[class]; ok && s.keys[leader] > s.now {
+		if leader, ok := s.lastIdempotent[class]; ok && s.keys[leader] > s.now {
 			event.RetryOf, origin = leader, s.attempts[leader].origin
 		}
 	}
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && event.RetryOf == 0 {
-		s.lastKeyed[class] = event.ID
+		s.lastIdempotent[class] = event.ID
 	}
 	deadline := s.now - event.Waited + s.settings.Classes[class].Deadline
 	if s.settings.SendsDeadlines {
@@ -88,7 +88,7 @@
 	var events []Event
 	live := s.live[:0]
 	for _, id := range s.live {
-		if s.attempts[id].phase == attemptOver {
+		if s.attempts[id].phase == attemptCompleted {
 			continue
 		}
 		live = append(live, id)
@@ -107,7 +107,7 @@
 // progress draws what happens next to one attempt.
 func (s *randomServer) progress(events []Event, id RequestID, current *attempt) []Event {
 	done := func(outcome Outcome, took time.Duration) []Event {
-		current.phase, current.answered = attemptOver, true
+		current.phase, current.answered = attemptCompleted, true
 		return append(events, Event{Kind: EventDone, ID: id, Outcome: outcome, Took: took})
 	}
 	atCall := current.phase == attemptAwaitingCall || current.phase == attemptCalling
@@ -128,7 +128,7 @@
 		case atCall:
 			return done(OutcomeCancelled, 0)
 		case current.phase != attemptRunning:
-			current.phase = attemptOver
+			current.phase = attemptCompleted
 		}
 	case atCall && current.answered:
 		return done(OutcomeCancelled, 0)
@@ -215,7 +215,7 @@
 	}
 	current.answered = true
 	if !current.hasStarted() {
-		current.phase = attemptOver
+		current.phase = attemptCompleted
 	}
 }
 
@@ -256,7 +256,7 @@
 func (s *randomServer) check() {
 	memoryKB, callsInFlight := 0.0, 0
 	for _, current := range s.attempts {
-		if current.phase == attemptOver {
+		if current.phase == attemptCompleted {
 			continue
 		}
 		if !current.answered && s.now > current.deadline+s.settings.AnswerGrace {
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	server := &randomServer{t: t, settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[RequestID]*attempt{},
-		keys: map[RequestID]time.Duration{}, runs: map[int]int{}, lastKeyed: map[int]RequestID{}}
+		keys: map[RequestID]time.Duration{}, runs: map[int]int{}, lastIdempotent: map[int]RequestID{}}
 	stopAt := time.Duration(0)
 	for i := 0; i < 1500 && (stopAt == 0 || server.now < stopAt); i++ {
 		server.now += time.Duration(1+server.rng.IntN(15)) * ms // late timers, uneven batches
@@ -345,7 +345,7 @@
 	return variants
 }
 
-func TestRulesOverRandomSequences(t *testing.T) {
+func TestRulesHoldForRandomEvents(t *testing.T) {
 	for i, settings := range settingsVariants() {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprint(i, "-", seed), func(t *testing.T) { playRandom(t, settings, seed) })
--- /dev/null
+++ b/admission/scheduler_test.go
@@ -0,0 +1,65 @@
+package admission
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestRoughHintsDoNotStretchEstimates(t *testing.T) {
+	var field linearFit
+	for i := range 400 { // true time 0.3, hints between 0.1 and 0.9
+		field.add([]float64{0.1, 0.3, 0.9}[i%3], 0.3, 0.1)
+	}
+	if got := field.valueAt(0.9); math.Abs(got-0.3) > 0.01 {
+		t.Errorf("a hint of 0.9 is taken for %v", got)
+	}
+	field = linearFit{}
+	for i := range 400 { // good hints
+		x := []float64{0.1, 0.3, 0.9}[i%3]
+		field.add(x, 2*x, 0.1)
+	}
+	if got := field.valueAt(0.9); math.Abs(got-1.8) > 0.01 {
+		t.Errorf("a good hint of 0.9 is taken for %v", got)
+	}
+}
+
+func TestHungServerRejectsAndRunsTrials(t *testing.T) {
+	controller := start(t, testSettings())
+	var as []Action
+	for i := range 400 { // 4 s of arrivals, no run ends
+		as = controller.Step(time.Duration(i)*10*ms, []Event{req(RequestID(i+1), 0)}, nil)
+	}
+	want(t, as, ActionReject, 400)
+	controller.Step(4100*ms, nil, nil)
+	if controller.queuedCount > 2*controller.settings.Cores {
+		t.Errorf("%d requests held by a hung server", controller.queuedCount)
+	}
+}
+
+func TestServerLateForAllStillRunsTrials(t *testing.T) {
+	for _, cores := range []int{1, 2, 6} {
+		s := testSettings()
+		s.Cores = cores
+		c := start(t, s)
+		c.speed.primary, c.callTime = 1e-6, movingAverage{9, true}
+		want(t, c.Step(0, []Event{req(1, 0)}, nil), ActionRun, 1)
+	}
+}
+
+func TestTooLateRequestsExpireWithoutFreeCore(t *testing.T) {
+	controller := start(t, testSettings())
+	var as []Action
+	for id := RequestID(1); id <= 12; id++ {
+		as = controller.Step(0, []Event{req(id, 0)}, as)
+	}
+	if controller.queuedCount == 0 {
+		t.Fatal("nothing held")
+	}
+	for now := time.Duration(0); now <= 2100*ms; now += 10 * ms { // no run ends
+		controller.Step(now, nil, nil)
+	}
+	if controller.queuedCount != 0 {
+		t.Errorf("%d held after their aim", controller.queuedCount)
+	}
+}
--- a/admission/large_test.go
+++ b/admission/settings_test.go
@@ -7,7 +7,47 @@
 	"time"
 )
 
-// Settings and traffic that large fleets of small servers bring; none needs the bench.
+func TestInvalidSettings(t *testing.T) {
+	for field, change := range map[string]func(*Settings){
+		"Cores": func(s *Settings) { s.Cores = 0 }, "Classes": func(s *Settings) { s.Classes = nil },
+		"MemoryKB": func(s *Settings) { s.MemoryKB = 0 }, "ColdFor": func(s *Settings) { s.SlowStartTime = -1 },
+		"Classes[1]": func(s *Settings) { s.Classes[1].LatencyObjective = 0 }, "Tick": func(s *Settings) { s.Tick = -1 },
+	} {
+		s := testSettings()
+		change(&s)
+		if _, err := New(s, 1, 0); err == nil || !strings.Contains(err.Error(), field) {
+			t.Errorf("%s: error %v", field, err)
+		}
+	}
+}
+
+// New settings leave running requests alone, and the memory in use is counted again by them.
+func TestReconfigure(t *testing.T) {
+	controller := start(t, testSettings())
+	want(t, controller.Step(0, []Event{req(1, 1)}, nil), ActionRun, 1)
+	settings := testSettings()
+	settings.Classes[1].Removed = true
+	settings.Classes = append(settings.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1})
+	settings.RunningMemoryFactor, settings.KeyMemoryKB, settings.CallsWindow = 8, 20, time.Second
+	if err := controller.Reconfigure(settings); err != nil {
+		t.Fatal(err)
+	}
+	if controller.memoryKB != 8*10+20 {
+		t.Errorf("memory %v after new settings", controller.memoryKB)
+	}
+	want(t, controller.Step(100*ms, []Event{req(2, 4)}, nil), ActionRun, 2)
+	controller.Step(200*ms, []Event{{Kind: EventDone, ID: 1, Took: 200 * ms}, {Kind: EventDone, ID: 2, Took: 100 * ms}}, nil)
+	if controller.running != 0 || controller.memoryKB != 20 {
+		t.Errorf("%d runs and memory %v after all ended", controller.running, controller.memoryKB)
+	}
+	if controller.Reconfigure(testSettings()) == nil {
+		t.Error("a class of requests that may be in hand was left out")
+	}
+	settings.Cores = 0
+	if controller.Reconfigure(settings) == nil || controller.settings.Cores == 0 {
+		t.Error("settings that make no sense were taken over")
+	}
+}
 
 func TestSettingsOfLargeFleetsAreServed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
@@ -73,7 +113,7 @@
 	}
 }
 
-func TestSharesThatAreNoNumbersAreNamed(t *testing.T) {
+func TestInvalidCallLimitIsNamed(t *testing.T) {
 	for _, v := range []float64{math.NaN(), -1} {
 		s := testSettings()
 		s.MaxCallsInFlight = v
@@ -82,32 +122,3 @@
 		}
 	}
 }
-
-// What a server keeps must not grow with the callers, subjects and keys that it meets over weeks.
-func TestStateStaysBoundedOverManyCallersAndKeys(t *testing.T) {
-	s := testSettings()
-	s.Cores, s.MaxCallsInFlight = 2, 0.5
-	controller := start(t, s)
-	largest := 0
-	var actions []Action
-	for id := RequestID(1); id <= 100000; id++ {
-		now := time.Duration(id) * 100 * ms
-		e := req(id, int(id)%4)
-		e.Client, e.HasSubject, e.Tenant, e.Retry = int(id), true, int(id)%9, id%7 == 0
-		events := []Event{e}
-		for _, a := range actions { // what ran in the last batch is done in this one
-			if a.Kind == ActionRun {
-				events = append(events, Event{Kind: EventDone, ID: a.ID, Took: 100 * ms})
-			}
-		}
-		actions = controller.Step(now, events, actions[:0])
-		size := len(controller.requests) + len(controller.keys) + len(controller.deadlines.items) + len(controller.callQueue.items)
-		for i := range controller.classes {
-			size += len(controller.classes[i].queue)
-		}
-		largest = max(largest, size)
-	}
-	if largest > 500 {
-		t.Errorf("%d things kept at once for 10 requests a second", largest)
-	}
-}
--- /dev/null
+++ b/admission/state_test.go
@@ -0,0 +1,49 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+// The state of a controller does not grow with the clients, subjects and keys that it meets over weeks.
+func TestStateIsBoundedForManyClientsAndKeys(t *testing.T) {
+	s := testSettings()
+	s.Cores, s.MaxCallsInFlight = 2, 0.5
+	controller := start(t, s)
+	largest := 0
+	var actions []Action
+	for id := RequestID(1); id <= 100000; id++ {
+		now := time.Duration(id) * 100 * ms
+		e := req(id, int(id)%4)
+		e.Client, e.HasSubject, e.Tenant, e.Retry = int(id), true, int(id)%9, id%7 == 0
+		events := []Event{e}
+		for _, a := range actions { // what ran in the last batch is done in this one
+			if a.Kind == ActionRun {
+				events = append(events, Event{Kind: EventDone, ID: a.ID, Took: 100 * ms})
+			}
+		}
+		actions = controller.Step(now, events, actions[:0])
+		size := len(controller.requests) + len(controller.keys) + len(controller.deadlines.items) + len(controller.callQueue.items)
+		for i := range controller.classes {
+			size += len(controller.classes[i].queue)
+		}
+		largest = max(largest, size)
+	}
+	if largest > 500 {
+		t.Errorf("%d things kept at once for 10 requests a second", largest)
+	}
+}
+
+func TestUnexpectedEventsChangeNothing(t *testing.T) {
+	controller := start(t, testSettings())
+	for _, k := range []EventKind{EventDone, EventCancelled, EventCallNeeded, EventCallDone} {
+		controller.Step(0, []Event{{Kind: k, ID: 99}}, nil)
+	}
+	want(t, startToCall(t, controller, 1, 0), ActionCall, 1)
+	ev := Event{Kind: EventCallDone, ID: 1, Took: ms}
+	controller.Step(2*ms, []Event{ev, ev, {Kind: EventCallNeeded, ID: 5}}, nil)
+	controller.Step(3*ms, []Event{{Kind: EventDone, ID: 1}, {Kind: EventDone, ID: 1}, req(2, 77)}, nil)
+	if len(controller.requests) != 0 || controller.running != 0 || controller.onCPU != 0 || controller.memoryKB != 0 || controller.callsInFlight != 0 {
+		t.Fatalf("left over: %d jobs, %d runs, %d on cores, %v kB", len(controller.requests), controller.running, controller.onCPU, controller.memoryKB)
+	}
+}
--- a/admission/rest_test.go
+++ b/admission/timers_test.go
@@ -7,52 +7,42 @@
 	"time"
 )
 
-var calm = Gauges{CPUUtilization: 0.02, CPUDemand: 0, MemoryUtilization: 0.1, Connections: 20}
-
-// wakes steps c at the times that it asks for, up to until, and returns how often that was.
-func wakes(c *Controller, until time.Duration, g Gauges) (n int) {
-	for ; c.timerAt <= until; n++ {
-		c.Step(c.timerAt, []Event{{Kind: EventTimer, Gauges: g}}, nil)
-	}
-	return n
-}
-
-// A server of a large fleet has nothing to do for most of the time. It used to wake up ten times a second for
-// that, with two more turns for the gauges each time.
-func TestAServerAtRestSleeps(t *testing.T) {
+// A server of a large fleet is idle for most of the time. It used to wake up ten times a second all the same, with two
+// more wakes for the gauges each time.
+func TestIdleServerSkipsSweeps(t *testing.T) {
 	controller := start(t, testSettings())
-	controller.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
-	n := wakes(controller, 10*time.Second, calm)
+	controller.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+	n := stepAtTimers(controller, 10*time.Second, calmGauges)
 	if n < 9 || n > 12 {
 		t.Errorf("%d wakes in ten seconds at rest", n)
 	}
 	// While the share recovers it is awake.
 	controller.admitProbability = 0.3 // of which the sweeps left out so far make up for some
-	controller.Step(controller.timerAt, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
-	if n = wakes(controller, controller.now+2*time.Second, calm); n < 19 {
+	controller.Step(controller.timerAt, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+	if n = stepAtTimers(controller, controller.now+2*time.Second, calmGauges); n < 19 {
 		t.Errorf("%d wakes in two seconds of recovery", n)
 	}
 	// And while something is in hand.
 	controller.Step(controller.now+1, []Event{req(1, 1)}, nil)
-	if n = wakes(controller, controller.now+time.Second, calm); n < 9 {
+	if n = stepAtTimers(controller, controller.now+time.Second, calmGauges); n < 9 {
 		t.Errorf("%d wakes in a second with a run", n)
 	}
 }
 
-// What is left out at rest is made up for: a controller that is woken only when it asks acts as one that is woken
-// for every sweep, and its state is the same.
-func TestRestChangesNoDecision(t *testing.T) {
+// Skipped sweeps are made up for: a controller that is woken only when it asks acts as one that is woken for every sweep,
+// and its state is the same.
+func TestSkippedSweepsChangeNoDecision(t *testing.T) {
 	for seed := range uint64(30) {
 		sleeps, sweeps := start(t, testSettings()), start(t, testSettings())
 		rng := rand.New(rand.NewPCG(seed, 5))
 		now, id := time.Duration(0), RequestID(0)
-		sleeps.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
-		sweeps.Step(1, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
+		sleeps.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+		sweeps.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
 		for round := range 20 {
 			now += time.Duration(rng.IntN(60)+1) * 100 * ms
-			wakes(sleeps, now, calm)
+			stepAtTimers(sleeps, now, calmGauges)
 			for sweeps.sweepAt <= now {
-				sweeps.Step(sweeps.sweepAt, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
+				sweeps.Step(sweeps.sweepAt, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
 			}
 			now = max(sweeps.now, sleeps.now) + 50*ms // within a sweep
 			id++
@@ -63,7 +53,7 @@
 			for _, events := range script {
 				a := sleeps.Step(now, events, nil)
 				b := sweeps.Step(now, events, nil)
-				if got, want := deeds(a), deeds(b); got != want {
+				if got, want := withoutWakes(a), withoutWakes(b); got != want {
 					t.Fatalf("seed %d, round %d: %s, and without rest %s", seed, round, got, want)
 				}
 				now += 10 * ms
@@ -71,33 +61,27 @@
 			// Both see the end of the recovery awake.
 			for range 40 {
 				now += 100 * ms
-				sleeps.Step(now, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
-				sweeps.Step(now, []Event{{Kind: EventTimer, Gauges: calm}}, nil)
+				sleeps.Step(now, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+				sweeps.Step(now, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
 			}
-			if got, want := state6(sleeps), state6(sweeps); got != want {
+			if got, want := sweptState(sleeps), sweptState(sweeps); got != want {
 				t.Fatalf("seed %d, round %d: %s, and without rest %s", seed, round, got, want)
 			}
 		}
 	}
 }
 
-// deeds are the actions but for wakes.
-func deeds(as []Action) (s string) {
-	for _, a := range as {
-		if a.Kind != ActionWake {
-			s += fmt.Sprintf("%+v; ", a)
-		}
+// stepAtTimers steps c at the times that it asks for, up to until, and returns how often that was.
+func stepAtTimers(c *Controller, until time.Duration, g Gauges) (n int) {
+	for ; c.timerAt <= until; n++ {
+		c.Step(c.timerAt, []Event{{Kind: EventTimer, Gauges: g}}, nil)
 	}
-	return s
+	return n
 }
 
-// state6 is what sweeps change, rounded.
-func state6(c *Controller) string {
-	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.admitProbability, c.callLimitRatio, c.bestCallTime,
-		c.runLimit, c.readWait.value, c.idleTimeout)
-}
+var calmGauges = Gauges{CPUUtilization: 0.02, CPUDemand: 0, MemoryUtilization: 0.1, Connections: 20}
 
-// BenchmarkStep is a step that takes in one request and ends another, with so many in hand.
+// BenchmarkStep is a step that receives one request and ends another, with so many in flight.
 func BenchmarkStep(b *testing.B) {
 	for _, inHand := range []int{0, 10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("held=%d", inHand), func(b *testing.B) {
@@ -123,3 +107,19 @@
 		})
 	}
 }
+
+// withoutWakes formats all actions but ActionWake.
+func withoutWakes(actions []Action) (text string) {
+	for _, action := range actions {
+		if action.Kind != ActionWake {
+			text += fmt.Sprintf("%+v; ", action)
+		}
+	}
+	return text
+}
+
+// sweptState formats what sweeps change, rounded.
+func sweptState(c *Controller) string {
+	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.admitProbability, c.callLimitRatio, c.bestCallTime,
+		c.runLimit, c.readWait.value, c.idleTimeout)
+}
