--- a/internal/msgpackrpc/message_test.go
+++ b/internal/msgpackrpc/message_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"fmt"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -59,6 +60,14 @@
 // tree: both accept the same input, with the same meaning.
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeRequest(7, "preview", sampleFields(), []byte("body")), 3)
+	optional := sampleFields()
+	for _, absent := range []string{"wait", "cost", "rank", "once", "key"} {
+		delete(optional, absent)
+	}
+	optional["tenant"], optional["retry"] = "north", "1"
+	f.Add(encodeRequest(7, "preview", optional, nil), 4)
+	optional["tenant"] = strings.Repeat("t", maxKeyLength+1)
+	f.Add(encodeRequest(7, "preview", optional, nil), 4)
 	f.Add(append(encodeClosing(), "\xdf\xff\xff\xff\xff"...), 1)
 	f.Add([]byte("\x94\x00\x01\xa5alive\x91\x81\xa4deep\xa11\x93\x02\xadcancelRequest\x91\x01"), 2)
 	f.Add([]byte("\xd8\x01................\xc7\x01\x05\x00\xca\x3f\x80\x00\x00\xd3\xff\xff\xff\xff\xff\xff\xff\xfe"), 5)
--- a/internal/msgpackrpc/reference_parser_test.go
+++ b/internal/msgpackrpc/reference_parser_test.go
@@ -88,7 +88,11 @@
 }
 
 func (f *referenceFields) decimal(name string, limit float64) float64 {
-	value, err := strconv.ParseFloat(f.values[name], 64)
+	text, ok := f.values[name]
+	if !ok {
+		return 0
+	}
+	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(value >= 0 && value < limit) {
 		f.fail(name, fmt.Sprintf("a number from 0 to under %g", limit))
 		return 0
@@ -110,7 +114,7 @@
 	return digits
 }
 
-// referenceParseRequest reads the parameters of a request; an error names the field at fault.
+// referenceParseRequest reads the parameters of a request; an error names the wrong field.
 func referenceParseRequest(msg referenceMessage) (server.Attempt, error) {
 	attempt := server.Attempt{Class: msg.method}
 	switch {
@@ -125,7 +129,9 @@
 	}
 	attempt.ID = params.hex("id", requestIDDigits, requestIDDigits)
 	attempt.ArrivedAt = time.Duration(params.integer("at", 0, maxArrivalMillis)) * time.Millisecond
-	attempt.Timeout = time.Duration(params.integer("wait", 0, maxTimeout.Milliseconds())) * time.Millisecond
+	if _, ok := params.values["wait"]; ok {
+		attempt.Timeout = time.Duration(params.integer("wait", 0, maxTimeout.Milliseconds())) * time.Millisecond
+	}
 	attempt.Client = int(params.integer("from", 0, maxClient))
 	attempt.CostHint = time.Duration(params.decimal("cost", maxCostMillis) * float64(time.Millisecond))
 	if attempt.MemoryKB = params.decimal("kb", maxMemoryKB); attempt.MemoryKB == 0 {
@@ -135,6 +141,10 @@
 	if _, ok := params.values["once"]; ok {
 		attempt.IdempotencyKey = params.hex("once", 1, maxIdempotencyKeyDigits)
 	}
+	attempt.Retry = params.values["retry"] == "1"
+	if attempt.Tenant = params.values["tenant"]; len(attempt.Tenant) > maxKeyLength {
+		params.fail("tenant", fmt.Sprintf("up to %d bytes", maxKeyLength))
+	}
 	if attempt.Subject = params.values["key"]; len(attempt.Subject) > maxKeyLength {
 		params.fail("key", fmt.Sprintf("up to %d bytes", maxKeyLength))
 	}
