--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"falldeal/internal/commandtest"
+	"falldeal/lab/commandtest"
 	"falldeal/internal/fleet"
 
 	"github.com/stretchr/testify/require"
--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"falldeal/internal/commandtest"
+	"falldeal/lab/commandtest"
 	"falldeal/lab/history"
 
 	"github.com/stretchr/testify/require"
--- a/cmd/falldeal/golden_test.go
+++ b/cmd/falldeal/golden_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"falldeal/internal/commandtest"
+	"falldeal/lab/commandtest"
 
 	"github.com/stretchr/testify/require"
 )
--- a/cmd/falldeal/start_test.go
+++ b/cmd/falldeal/start_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"falldeal/internal/commandtest"
+	"falldeal/lab/commandtest"
 
 	"github.com/stretchr/testify/require"
 )
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"falldeal/internal/commandtest"
+	"falldeal/lab/commandtest"
 )
 
 func TestMain(m *testing.M) { commandtest.Main(m, main) }
