--- a/admission/idempotency_test.go
+++ b/admission/idempotency_test.go
@@ -21,21 +21,23 @@
 }
 
 func TestFollowerIsPromotedWhenLeaderIsCancelled(t *testing.T) {
-	s := testSettings()
-	s.Cores = 1
-	controller := start(t, s)
-	want(t, controller.Step(0, []Event{req(9, 0)}, nil), ActionRun, 9)
+	settings := testSettings()
+	settings.Cores = 1
+	controller := start(t, settings)
+	want(t, controller.Step(0, []Event{req(8, 0)}, nil), ActionRun, 8)
+	want(t, controller.Step(0, []Event{req(9, 0)}, nil), ActionRun, 9) // no more run at a time
 	controller.Step(0, []Event{req(1, 1)}, nil)
 	if controller.requests[1] == nil || controller.requests[1].state != queued {
-		t.Skip("request 1 is not held under these settings")
+		t.Fatal("request 1 is not queued")
 	}
-	again := req(2, 1)
-	again.RetryOf = 1
-	wantNone(t, controller.Step(ms, []Event{again}, nil), ActionReuse, 2)
-	as := controller.Step(2*ms, []Event{{Kind: EventCancelled, ID: 1}}, nil)
-	as = controller.Step(100*ms, []Event{{Kind: EventDone, ID: 9, Took: 100 * ms}}, as)
-	want(t, as, ActionRemember, 2)
-	want(t, as, ActionRun, 2)
+	retry := req(2, 1)
+	retry.RetryOf = 1
+	wantNone(t, controller.Step(ms, []Event{retry}, nil), ActionReuse, 2)
+	actions := controller.Step(2*ms, []Event{{Kind: EventCancelled, ID: 1}}, nil)
+	ended := []Event{{Kind: EventDone, ID: 8, Took: 100 * ms}, {Kind: EventDone, ID: 9, Took: 100 * ms}}
+	actions = controller.Step(100*ms, ended, actions)
+	want(t, actions, ActionRemember, 2)
+	want(t, actions, ActionRun, 2)
 }
 
 func TestNoMemoryForKeyMeansNoRun(t *testing.T) {
