--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -121,7 +121,7 @@
 		return
 	}
 	s.markAnswered(request)
-	s.logTrace(request, "gone")
+	s.logTrace(request, endCancelled)
 	s.abandonCall(request)
 	s.admission.enqueue(admission.Event{Kind: admission.EventCancelled, ID: request.id})
 	if !request.running() {
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -28,7 +28,7 @@
 	s.stats.Calls++
 	request.callStartedAt = s.clock.now
 	request.trace.calls++
-	request.trace.lastReply = "none yet"
+	request.trace.lastReply = noReplyYet
 	s.store.Call(request.attempt.ID, s.clock.now+timeout, request.callBody)
 }
 
@@ -87,7 +87,7 @@
 		s.stats.CallsUnreachable++
 	case store.ConnectionBroken:
 		s.stats.CallsBroken++
-	default:
+	case store.Failed, store.Void:
 		s.stats.CallsFailed++
 	}
 }
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -13,6 +13,9 @@
 
 // Stage four, execute: runs go to the agent, and its notifications come back.
 
+// launchCommand is the name by which the agent rejects a command to begin a run.
+const launchCommand = "launch"
+
 // agentCheckInterval is how often the link is checked while the agent has not sent its handshake.
 const agentCheckInterval = time.Second
 
@@ -122,7 +125,7 @@
 	message := "agent did not carry out a command for " + notification.RequestID
 	s.warnings.Warn("agent "+notification.Result, message, nil)
 	request := s.requests.byAttemptID[notification.RequestID]
-	if request != nil && request.running() && notification.Result == "launch" {
+	if request != nil && request.running() && notification.Result == launchCommand {
 		s.completeRun(request, admission.OutcomeNotStarted, nil)
 	}
 }
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -11,6 +11,14 @@
 	gaugeMaxAge   = time.Second          // older gauges count as unknown
 )
 
+// Names of gauges in the configuration; the agent sends their values in the order of these names.
+const (
+	gaugeCPUUtilization    = "core_use"
+	gaugeCPUDemand         = "on_cores"
+	gaugeMemoryUtilization = "heap_share"
+	gaugeConnections       = "links"
+)
+
 var unknownGauges = admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 
 // gaugeReading is the last reading of the agent's gauges. The loop owns it.
@@ -30,18 +38,18 @@
 	return g.values
 }
 
-// record takes over a reading. Names are those of the configuration, in the order of the values.
+// record takes over a reading: values of the gauges of these names, of which some may be missing at the end.
 func (g *gaugeReading) record(now time.Duration, names []string, values []float64) {
 	gauges := unknownGauges
 	for i, value := range values[:min(len(values), len(names))] {
 		switch names[i] {
-		case "core_use":
+		case gaugeCPUUtilization:
 			gauges.CPUUtilization = value
-		case "on_cores":
+		case gaugeCPUDemand:
 			gauges.CPUDemand = value
-		case "heap_share":
+		case gaugeMemoryUtilization:
 			gauges.MemoryUtilization = value
-		case "links":
+		case gaugeConnections:
 			gauges.Connections = value
 		}
 	}
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -35,10 +35,20 @@
 		runPosted:           runPosted,
 	}
 	here, there := net.Pipe()
-	t.Cleanup(func() { here.Close(); there.Close() })
 	require.NoError(t, there.SetDeadline(time.Now().Add(30*time.Second)))
-	fixture.link, fixture.published = &handover.Link{Queue: writequeue.New(here, 100)}, bufio.NewScanner(there)
-	go func() { _ = fixture.link.Run() }()
+	fixture.link = &handover.Link{Queue: writequeue.New(here, 100)}
+	fixture.published = bufio.NewScanner(there)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = fixture.link.Run() // ends with an error where the test has left messages unread
+	}()
+	t.Cleanup(func() {
+		here.Close()
+		there.Close()
+		fixture.link.Close()
+		<-ended
+	})
 	server.ConnectionOpened(fixture.recordingConnection)
 	runPosted()
 	return fixture
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -70,6 +70,13 @@
 	require.Equal(t, "close", conn.recorded[3])
 }
 
+// closingTurn is the part of a turn that closes connections.
+func closingTurn(server *Server, runPosted func()) {
+	runPosted()
+	server.step()
+	server.advanceClosing()
+}
+
 // A connection that is to be closed turns out to be in use: a request arrives before the input was drained, between
 // that and the close, or while an answer is owed. All requests are answered before the connection closes.
 func TestMessageDuringClose(t *testing.T) {
@@ -96,11 +103,7 @@
 				calls++
 				server.Submit(conn, calls, newAttempt(server, when, "preview"))
 			}
-			turn := func() {
-				runPosted()
-				server.step()
-				server.advanceClosing()
-			}
+			turn := func() { closingTurn(server, runPosted) }
 			server.beginClose(server.connections.get(conn))
 			turn()
 			arrive("before")
@@ -133,11 +136,7 @@
 // A connection that is to be closed gets input without end: it is closed after a bounded number of reads.
 func TestEndlessInputDuringClose(t *testing.T) {
 	server, conn, runPosted := newReadyServer(t)
-	turn := func() {
-		runPosted()
-		server.step()
-		server.advanceClosing()
-	}
+	turn := func() { closingTurn(server, runPosted) }
 	server.beginClose(server.connections.get(conn))
 	turn()
 	conn.failedCloses = 100
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -39,7 +39,7 @@
 		answers.Served++
 	case Rejected:
 		answers.Rejected++
-	default:
+	default: // Failed; no other kind is counted
 		answers.Failed++
 	}
 }
@@ -67,7 +67,7 @@
 
 // fail answers a request with an error. Its run, if there is one, goes on to its end or next call.
 func (s *Server) fail(request *activeRequest) {
-	request.trace.reason = "given up"
+	request.trace.reason = reasonGivenUp
 	s.answer(request, Answer{Kind: Failed})
 	s.abandonCall(request)
 	if !request.running() {
@@ -90,7 +90,7 @@
 	case agent.Interrupted:
 		s.stats.RunsInterrupted++
 		s.completeRun(request, admission.OutcomeCancelled, nil)
-	default:
+	default: // agent.Nothing: the codec lets no other result pass
 		s.stats.RunsNotStarted++
 		s.completeRun(request, admission.OutcomeNotStarted, nil)
 	}
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -20,6 +20,13 @@
 	lastReply string        // how the last call ended
 }
 
+// Texts of traces that are no name of an answer, a reason of the controller or an outcome.
+const (
+	endCancelled  = "gone"     // the caller went before there was an answer
+	reasonGivenUp = "given up" // the controller gave up a request that may have run
+	noReplyYet    = "none yet" // a call is in flight
+)
+
 // answerNames gives how a request ended, by its answer.
 var answerNames = [...]string{Served: "served", Rejected: "refused", Failed: "failed", Invalid: "invalid"}
 
