--- a/internal/overload/aggregation_test.go
+++ b/internal/overload/aggregation_test.go
@@ -216,3 +216,17 @@
 		ParsePartial(append([]byte{kindPartial}, noise...)) // must not panic
 	})
 }
+
+// An aggregate of a zone counts while it is recent; then the members of the zone are stale.
+func TestZoneAggregateExpires(t *testing.T) {
+	const members = minMembersForCollectors
+	encoded := string(AppendAggregate(nil, &Aggregate{Members: members, ServiceRate: 1}))
+	view := viewOf(members, time.Second, func(int) fleet.Load { return fleet.Load{Capacity: 4, Aggregate: encoded} })
+	recent, _ := AggregateView(view, time.Second+zoneAggregateMaxAge)
+	require.Equal(t, members, recent.Members)
+	require.Zero(t, recent.Stale)
+	require.Equal(t, zoneAggregateMaxAge, recent.Oldest)
+	expired, _ := AggregateView(view, time.Second+zoneAggregateMaxAge+1)
+	require.Zero(t, expired.Members)
+	require.Equal(t, members, expired.Stale)
+}
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -267,3 +267,28 @@
 		require.Equal(t, want, allowance.String())
 	}
 }
+
+// A member takes a later round that others publish, unless it is out of range, and starts the next one when nothing is
+// heard of a round for too long.
+func TestProbeRounds(t *testing.T) {
+	const own, published = 5, 7
+	for _, test := range []struct {
+		name      string
+		published uint64
+		elapsed   time.Duration
+		want      uint64
+	}{
+		{"earlier", own - 1, 0, own},
+		{"later", published, 0, published},
+		{"the last in range", maxProbeRound - 1, 0, maxProbeRound - 1},
+		{"out of range", maxProbeRound, 0, own},
+		{"not timed out", 0, probeTurnTimeout, own},
+		{"timed out", 0, probeTurnTimeout + 1, own + 1},
+	} {
+		coordinator := NewProbeCoordinator(1, "z")
+		coordinator.startRound(0, own)
+		member := fleet.Member{Record: &fleet.Record{Load: fleet.Load{ProbeRound: test.published}}}
+		coordinator.updateRound(test.elapsed, []*fleet.Member{&member})
+		require.Equal(t, test.want, coordinator.round, test.name)
+	}
+}
--- a/internal/overload/quota_manager_test.go
+++ b/internal/overload/quota_manager_test.go
@@ -102,3 +102,22 @@
 	}
 	require.Zero(t, quotas.idleMessages)
 }
+
+// A member does not request quota of itself, nor of one that has nothing unused.
+func TestChooseLender(t *testing.T) {
+	const self, full, free = 0, 1, 2
+	view := viewOf(3, time.Second, func(member int) fleet.Load {
+		return map[int]fleet.Load{self: {CallQuota: 9}, full: {CallQuota: 4, MeanCalls: 4}, free: {CallQuota: 4}}[member]
+	})
+	for _, test := range []struct {
+		drawn int
+		ok    bool
+	}{{self, false}, {full, false}, {free, true}} {
+		manager := NewQuotaManager(NewQuotaLedger(0, processOf(&view.Members[self]), testTerms), func(int) int { return test.drawn })
+		lender, ok := manager.chooseLender(view, time.Second)
+		require.Equal(t, test.ok, ok, "member %d", test.drawn)
+		if ok {
+			require.Equal(t, processOf(&view.Members[free]), lender)
+		}
+	}
+}
--- a/internal/overload/shedding_test.go
+++ b/internal/overload/shedding_test.go
@@ -187,3 +187,23 @@
 		require.Equal(t, want, verdict.String())
 	}
 }
+
+// The fleet is full from a higher demand on than the one down to which it stays so.
+func TestFullHasHysteresis(t *testing.T) {
+	const between = (overloadEnterRatio + overloadExitRatio) / 2
+	for _, test := range []struct {
+		name             string
+		wasFull, full    bool
+		demandMultiplier float64
+	}{
+		{"below both", true, false, overloadExitRatio * 0.99},
+		{"between, not full before", false, false, between},
+		{"between, full before", true, true, between},
+		{"above both", false, true, overloadEnterRatio * 1.01},
+	} {
+		shedder := Shedder{threshold: Threshold{Known: true, Full: test.wasFull}}
+		total := Aggregate{Members: 1, ServiceRate: serverCapacity}
+		total.Demand[20] = test.demandMultiplier * serverCapacity
+		require.Equal(t, test.full, shedder.nextThreshold(&total).Full, test.name)
+	}
+}
--- a/internal/overload/wire_test.go
+++ b/internal/overload/wire_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+	"google.golang.org/protobuf/encoding/protowire"
 )
 
 // What is encoded is decoded as it was, and what is not a message is an error.
@@ -35,3 +36,17 @@
 		require.Equal(t, want, kind.String())
 	}
 }
+
+// A field of the wrong type is an error, also where its bytes could be read as the right one and a right one follows.
+func TestParseMessageRejectsWrongTypes(t *testing.T) {
+	message := Message{Kind: LeaseGrant, From: ProcessID{"n1", 7}, To: ProcessID{"n2", 8}, Number: 9, Amount: 250}
+	encoded := AppendMessage(nil, message)
+	for _, field := range []protowire.Number{fieldFrom, fieldTo} {
+		_, err := ParseMessage(append(appendVarint(nil, field, 0), encoded...))
+		require.ErrorIs(t, err, errInvalidMessage, "field %d", field)
+	}
+	for _, field := range []protowire.Number{fieldKind, fieldFromRun, fieldToRun, fieldNumber, fieldAmount} {
+		_, err := ParseMessage(append(appendString(nil, field, "x"), encoded...))
+		require.ErrorIs(t, err, errInvalidMessage, "field %d", field)
+	}
+}
