--- /dev/null
+++ b/admission/timers_test.go
@@ -0,0 +1,125 @@
+package admission
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// A server of a large fleet is idle for most of the time. It used to wake up ten times a second all the same, with two
+// more wakes for the gauges each time.
+func TestIdleServerSkipsSweeps(t *testing.T) {
+	controller := start(t, testSettings())
+	controller.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+	n := stepAtTimers(controller, 10*time.Second, calmGauges)
+	if n < 9 || n > 12 {
+		t.Errorf("%d wakes in ten seconds at rest", n)
+	}
+	// While the share recovers it is awake.
+	controller.admitProbability = 0.3 // of which the sweeps left out so far make up for some
+	controller.Step(controller.timerAt, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+	if n = stepAtTimers(controller, controller.now+2*time.Second, calmGauges); n < 19 {
+		t.Errorf("%d wakes in two seconds of recovery", n)
+	}
+	// And while something is in hand.
+	controller.Step(controller.now+1, []Event{req(1, 1)}, nil)
+	if n = stepAtTimers(controller, controller.now+time.Second, calmGauges); n < 9 {
+		t.Errorf("%d wakes in a second with a run", n)
+	}
+}
+
+// Skipped sweeps are made up for: a controller that is woken only when it asks acts as one that is woken for every sweep,
+// and its state is the same.
+func TestSkippedSweepsChangeNoDecision(t *testing.T) {
+	for seed := range uint64(30) {
+		sleeps, sweeps := start(t, testSettings()), start(t, testSettings())
+		rng := rand.New(rand.NewPCG(seed, 5))
+		now, id := time.Duration(0), RequestID(0)
+		sleeps.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+		sweeps.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+		for round := range 20 {
+			now += time.Duration(rng.IntN(60)+1) * 100 * ms
+			stepAtTimers(sleeps, now, calmGauges)
+			for sweeps.sweepAt <= now {
+				sweeps.Step(sweeps.sweepAt, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+			}
+			now = max(sweeps.now, sleeps.now) + 50*ms // within a sweep
+			id++
+			class := 1 + rng.IntN(3)
+			script := [][]Event{{req(id, class)}, {{Kind: EventCallNeeded, ID: id}},
+				{{Kind: EventCallDone, ID: id, Outcome: OutcomeOK, Took: time.Duration(rng.IntN(40)) * ms}},
+				{{Kind: EventDone, ID: id, Outcome: OutcomeOK, Took: 30 * ms}}}
+			for _, events := range script {
+				a := sleeps.Step(now, events, nil)
+				b := sweeps.Step(now, events, nil)
+				if got, want := withoutWakes(a), withoutWakes(b); got != want {
+					t.Fatalf("seed %d, round %d: %s, and without rest %s", seed, round, got, want)
+				}
+				now += 10 * ms
+			}
+			// Both see the end of the recovery awake.
+			for range 40 {
+				now += 100 * ms
+				sleeps.Step(now, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+				sweeps.Step(now, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+			}
+			if got, want := sweptState(sleeps), sweptState(sweeps); got != want {
+				t.Fatalf("seed %d, round %d: %s, and without rest %s", seed, round, got, want)
+			}
+		}
+	}
+}
+
+// stepAtTimers steps c at the times that it asks for, up to until, and returns how often that was.
+func stepAtTimers(c *Controller, until time.Duration, g Gauges) (n int) {
+	for ; c.timerAt <= until; n++ {
+		c.Step(c.timerAt, []Event{{Kind: EventTimer, Gauges: g}}, nil)
+	}
+	return n
+}
+
+var calmGauges = Gauges{CPUUtilization: 0.02, CPUDemand: 0, MemoryUtilization: 0.1, Connections: 20}
+
+// BenchmarkStep is a step that receives one request and ends another, with so many in flight.
+func BenchmarkStep(b *testing.B) {
+	for _, inHand := range []int{0, 10, 100, 1000, 10000} {
+		b.Run(fmt.Sprintf("held=%d", inHand), func(b *testing.B) {
+			s := testSettings()
+			s.MemoryKB, s.Cores = 1e9, 64
+			for i := range s.Classes {
+				s.Classes[i].LatencyObjective, s.Classes[i].Deadline = time.Hour, time.Hour
+			}
+			controller := start(b, s)
+			now, id := time.Duration(1), RequestID(0)
+			for range inHand {
+				id++
+				controller.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 0, MemoryKB: 1, CostHint: time.Microsecond}}, nil)
+			}
+			var actions []Action
+			b.ReportAllocs()
+			for b.Loop() {
+				id++
+				now += 100 * time.Microsecond
+				actions = controller.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 3, MemoryKB: 1, CostHint: time.Microsecond},
+					{Kind: EventCancelled, ID: id}}, actions[:0])
+			}
+		})
+	}
+}
+
+// withoutWakes formats all actions but ActionWake.
+func withoutWakes(actions []Action) (text string) {
+	for _, action := range actions {
+		if action.Kind != ActionWake {
+			text += fmt.Sprintf("%+v; ", action)
+		}
+	}
+	return text
+}
+
+// sweptState formats what sweeps change, rounded.
+func sweptState(c *Controller) string {
+	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.admitProbability, c.callLimitRatio, c.bestCallTime,
+		c.runLimit, c.readWait.value, c.idleTimeout)
+}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -1,59 +1,20 @@
 package agent
 
 import (
-	"flag"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"falldeal/internal/logging"
 	"falldeal/internal/writequeue"
+	"falldeal/lab/golden"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
-
-// goldenCase is one line of a golden file: the name of a form, and the form as text.
-type goldenCase struct{ name, form string }
-
-// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
-func requireGolden(t *testing.T, file string, cases []goldenCase) {
-	t.Helper()
-	var got strings.Builder
-	for _, c := range cases {
-		got.WriteString(c.name + ": " + c.form + "\n")
-	}
-	path := filepath.Join("testdata", file)
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got.String())
-}
-
-// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
-func readGolden(t *testing.T, file string, count int) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", file))
-	require.NoError(t, err)
-	forms := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
-		require.True(t, found, line)
-		require.NotContains(t, forms, name)
-		forms[name] = form
-	}
-	require.Len(t, forms, count)
-	return forms
-}
-
 const (
 	goldenAddr    = "agent:1"
 	goldenRequest = "9b1f03aa5c7e2d41"
@@ -64,69 +25,70 @@
 	return New(goldenAddr, 1, func(do func()) { do() }, func(Notification) {}, logging.NewLimiter(log))
 }
 
-// linesOn returns what is written to a connection of l while use makes use of it.
-func linesOn(t *testing.T, l *Link, use func(w *writequeue.Queue)) []string {
+// linesWritten returns the lines that link writes to a connection during scenario.
+func linesWritten(t *testing.T, link *Link, scenario func(queue *writequeue.Queue)) []string {
 	t.Helper()
-	near, far := net.Pipe()
-	w := writequeue.New(near, outRoom)
-	l.opened(goldenAddr, w)
-	use(w)
-	w.Close()
-	over := make(chan error, 1)
-	go func() { over <- w.Run() }()
-	text, err := io.ReadAll(far)
+	local, remote := net.Pipe()
+	queue := writequeue.New(local, writeQueueSize)
+	link.handleOpened(goldenAddr, queue)
+	scenario(queue)
+	queue.Close()
+	writerDone := make(chan error, 1)
+	go func() { writerDone <- queue.Run() }()
+	text, err := io.ReadAll(remote)
 	require.NoError(t, err)
-	require.NoError(t, <-over)
+	require.NoError(t, <-writerDone)
 	require.True(t, strings.HasSuffix(string(text), "\n"))
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
 
-func nameLines(t *testing.T, names, lines []string) []goldenCase {
+func nameLines(t *testing.T, names, lines []string) []golden.Case {
 	t.Helper()
 	require.Len(t, lines, len(names), "%q", lines)
-	var cases []goldenCase
+	var cases []golden.Case
 	for i, name := range names {
-		cases = append(cases, goldenCase{name, lines[i]})
+		cases = append(cases, golden.Case{Name: name, Form: lines[i]})
 	}
 	return cases
 }
 
 // Every command, as a link writes it, on a first connection and on one that follows it.
 func TestGoldenCommands(t *testing.T) {
-	l := newGoldenLink()
-	first := linesOn(t, l, func(w *writequeue.Queue) {
-		l.handle(w, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
-		l.handle(w, Notification{Kind: Gauges, Token: "1"})
-		l.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
-		l.Launch("00000000000000aa", "né\"<\\>\n", nil)
-		l.Reply(goldenRequest, []byte("reply\r\n"))
-		l.handle(w, Notification{Kind: Aside, Offset: 7})
-		l.SkipCall("00000000000000aa", 7)
-		l.SampleGauges()
-		require.NoError(t, l.DeepCheck("x1"))
+	link := newGoldenLink()
+	first := linesWritten(t, link, func(queue *writequeue.Queue) {
+		link.handleNotification(queue, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
+		link.handleNotification(queue, Notification{Kind: Gauges, Token: "1"})
+		link.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
+		link.Launch("00000000000000aa", "né\"<\\>\n", nil)
+		link.Reply(goldenRequest, []byte("reply\r\n"))
+		link.handleNotification(queue, Notification{Kind: Aside, Offset: 7})
+		link.SkipCall("00000000000000aa", 7)
+		link.SampleGauges()
+		require.NoError(t, link.DeepCheck("x1"))
 	})
-	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch", "launch of an odd class without a payload",
-		"deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
-	second := linesOn(t, l, func(w *writequeue.Queue) {
-		l.handle(w, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
-		l.handle(w, Notification{Kind: Gauges, Token: "8"})
+	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch",
+		"launch of an odd class without a payload", "deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
+	second := linesWritten(t, link, func(queue *writequeue.Queue) {
+		link.handleNotification(queue, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
+		link.handleNotification(queue, Notification{Kind: Gauges, Token: "8"})
 	})
 	cases = append(cases, nameLines(t, []string{"subscribe after a break", "sample after a break", "launch sent again",
 		"second launch sent again", "deliver sent again", "forgo sent again"}, second)...)
-	requireGolden(t, "commands.golden", cases)
+	golden.Require(t, "commands.golden", cases)
 }
 
 // Every kind of message from the agent, with each of its results.
-func TestGoldenNotices(t *testing.T) {
+func TestGoldenNotifications(t *testing.T) {
 	cases := []struct {
 		name string
 		want Notification
 	}{
 		{"greeting of one that boots", Notification{Kind: Handshake, Result: Booting}},
 		{"greeting of one that runs", Notification{Kind: Handshake, Result: Steady, Elapsed: 3600000500 * time.Microsecond}},
-		{"outcome success", Notification{Kind: Outcome, Offset: 7, RequestID: goldenRequest, Result: Success, Elapsed: 40250 * time.Microsecond,
-			Payload: []byte{0, 255, '\r', '\n'}}},
-		{"outcome failure", Notification{Kind: Outcome, Offset: 8, RequestID: goldenRequest, Result: Failure, Elapsed: 5 * time.Millisecond}},
+		{"outcome success", Notification{Kind: Outcome, Offset: 7, RequestID: goldenRequest, Result: Success,
+			Elapsed: 40250 * time.Microsecond, Payload: []byte{0, 255, '\r', '\n'}}},
+		{"outcome failure", Notification{Kind: Outcome, Offset: 8, RequestID: goldenRequest, Result: Failure,
+			Elapsed: 5 * time.Millisecond}},
 		{"outcome interrupted", Notification{Kind: Outcome, Offset: 9, RequestID: goldenRequest, Result: Interrupted}},
 		{"outcome nothing", Notification{Kind: Outcome, Offset: 10, RequestID: goldenRequest, Result: Nothing}},
 		{"request", Notification{Kind: CallRequest, Offset: 4294967296, RequestID: goldenRequest, Payload: []byte("call\r\n")}},
@@ -138,23 +100,23 @@
 		{"refusal of an exercise", Notification{Kind: CommandRejected, Token: "x3", Result: "exercise"}},
 		{"aside", Notification{Kind: Aside, Offset: 11, Result: "so it goes"}},
 	}
-	lines := readGolden(t, "notices.golden", len(cases))
-	var p parser
-	for _, c := range cases {
-		require.Contains(t, lines, c.name)
-		got, err := p.parse([]byte(lines[c.name] + "\n"))
-		require.NoError(t, err, c.name)
+	lines := golden.Read(t, "notices.golden", len(cases))
+	lineParser := newParser()
+	for _, test := range cases {
+		require.Contains(t, lines, test.name)
+		got, err := lineParser.Parse([]byte(lines[test.name] + "\n"))
+		require.NoError(t, err, test.name)
 		if len(got.Payload) == 0 {
 			got.Payload = nil
 		}
-		require.Equal(t, c.want, got, c.name)
+		require.Equal(t, test.want, got, test.name)
 	}
 }
 
 // What is logged of lines that are no messages.
 func TestGoldenErrors(t *testing.T) {
-	var cases []goldenCase
-	for _, c := range []struct{ name, line string }{
+	var cases []golden.Case
+	for _, test := range []struct{ name, line string }{
 		{"unknown kind", `{"cmd":"news"}`},
 		{"no kind", `{}`},
 		{"negative time", `{"cmd":"greeting","result":"steady","elapsed_ms":-1}`},
@@ -165,10 +127,10 @@
 		{"unknown state", `{"cmd":"greeting","result":"asleep"}`},
 		{"aside with a negative offset", `{"cmd":"aside","offset":-1}`},
 	} {
-		var p parser
-		_, err := p.parse([]byte(c.line))
-		require.Error(t, err, c.name)
-		cases = append(cases, goldenCase{c.name, err.Error()})
+		lineParser := newParser()
+		_, err := lineParser.Parse([]byte(test.line))
+		require.Error(t, err, test.name)
+		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
 	}
-	requireGolden(t, "errors.golden", cases)
+	golden.Require(t, "errors.golden", cases)
 }
--- /dev/null
+++ b/internal/agent/partition_test.go
@@ -0,0 +1,38 @@
+package agent
+
+import (
+	"fmt"
+	"testing"
+
+	"falldeal/lab/fakes"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The agent moves during a partition: the dial to the old address hangs, and is not waited for. What was to be run
+// meanwhile is run at the new address, once, though all notifications come in one burst.
+func TestAddressChangeDuringPartition(t *testing.T) {
+	unresponsive, err := fakes.NewUnresponsiveListener()
+	require.NoError(t, err)
+	t.Cleanup(unresponsive.Close)
+	remote := newRemoteAgentAt(t, unresponsive.Addr, listen(t))
+	remote.Launch("a", "preview", nil)
+	remote.Launch("b", "preview", nil)
+	remote.SetAddress(remote.listener.Addr().String())
+	remote.accept(0)
+	remote.sendHandshake(1)
+	remote.expect(`{"cmd":"sample","token":"3"}`)
+	remote.sendSampled("3")
+	remote.expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`)
+	remote.expect(`{"cmd":"launch","req":"b","method":"preview","payload":""}`)
+	// All at once, and some of it twice.
+	_, err = fmt.Fprint(remote.conn, `{"cmd":"outcome","offset":1,"req":"a","result":"success"}`+"\n"+
+		`{"cmd":"outcome","offset":2,"req":"b","result":"success"}`+"\n"+
+		`{"cmd":"outcome","offset":1,"req":"a","result":"success"}`+"\n"+`{"cmd":"aside","offset":3}`+"\n")
+	require.NoError(t, err)
+	for range 4 {
+		remote.runPosted()
+	}
+	require.Equal(t, []string{"greeting", "sampled", "outcomea", "outcomeb", "aside"}, remote.notifications)
+	require.Empty(t, remote.unacknowledged)
+}
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -14,87 +12,93 @@
 	"falldeal/internal/fleet"
 
 	"github.com/sirupsen/logrus"
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
-// requireGoldenText compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGoldenText(t *testing.T, name, got string) {
+// newGoldenPublishedFleet has a value for all that is published, and nothing that depends on the time of a test: the
+// records are in the future, so that their age is 0, or so long ago that they are stale.
+func newGoldenPublishedFleet(t *testing.T) *Fleet {
 	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	member, records := newGoldenFleet(t), goldenRecords()
+	setCounters(&member.Counters)
+	snapshot := snapshotOf(records, fleet.Alive)
+	for i := range snapshot.Members {
+		snapshot.Members[i].RecordedAt, snapshot.Members[i].Since = time.Hour, time.Hour
 	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
+	snapshot.Members[1].Liveness = fleet.Left
+	snapshot.Zones = []fleet.Zone{{Region: "eu", Zone: "eu-a", Known: 1}}
+	snapshot.Zones[0].Count[fleet.Alive] = 1
+	snapshot.Total.Known = 28
+	for liveness := fleet.Unmet; liveness <= fleet.Left; liveness++ {
+		snapshot.Total.Count[liveness] = int(liveness) + 1
+	}
+	member.snapshot.Store(snapshot)
+	return member
+}
+
+// The page of the console is read by scripts and by falldeal-fleet of other versions.
+func TestGoldenPage(t *testing.T) {
+	page := newGoldenPublishedFleet(t).Page()
+	require.Equal(t, "GET /fleet", page.Pattern)
+	require.Equal(t, "application/json", page.Type)
+	requireGolden(t, "testdata/page.json", string(page.Do()))
 }
 
-// quiet returns a part in a fleet that no other member was heard of in, and whose counters all differ.
-func quiet(t *testing.T) *Fleet {
-	log, _ := test.NewNullLogger()
-	f, err := New(Config{Place: fleet.Place{Name: "n3", Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Run: 7},
-		Digest: 0xabc, Limits: fleet.Limits{Members: 4}, Incarnation: 9}, log)
-	require.NoError(t, err)
-	c := &f.Counters
-	c.PacketsOut.Store(1)
-	c.BytesOut.Store(2)
-	c.Streams.Store(3)
-	c.StreamBytes.Store(4)
-	c.Updates.Store(5)
-	c.NewUpdates.Store(6)
-	c.Malformed.Store(7)
-	c.ForeignPackets.Store(8)
-	c.Overflow.Store(9)
-	c.Calls.Store(10)
-	c.CallsFailed.Store(11)
-	c.Direct.Store(12)
-	c.Suspicions.Store(13)
-	c.Objections.Store(14)
-	return f
+// Operators collect the metrics by these names.
+func TestGoldenMetrics(t *testing.T) {
+	member := newGoldenPublishedFleet(t)
+	got := string(member.AppendMetrics([]byte("before:1|g\n")))
+	member.snapshot.Store(snapshotOf(goldenRecords()[:1], fleet.Alive))
+	got += "---\n" + string(member.AppendMetrics(nil))
+	requireGolden(t, "testdata/figures.txt", got)
 }
 
+// Values that depend on the time of a test.
 var (
-	passingLine = regexp.MustCompile(`(oldest_ms):\d+`)
-	passingKey  = regexp.MustCompile(`"(age_ms|since_ms|oldest_ms)":\d+`)
+	changingMetric = regexp.MustCompile(`(oldest_ms):\d+`)
+	changingKey    = regexp.MustCompile(`"(age_ms|since_ms|oldest_ms)":\d+`)
 )
 
-// Lines that this instance's part in a fleet adds to /metrics, in their order.
-func TestGoldenFiguresOfAQuietFleet(t *testing.T) {
-	got := passingLine.ReplaceAllString(string(quiet(t).AppendMetrics(nil)), "$1:(time)")
-	requireGoldenText(t, "figures", got)
+// The metrics of a member that is alone, in their order.
+func TestGoldenMetricsOfAloneMember(t *testing.T) {
+	metrics := string(newAloneFleet(t).AppendMetrics(nil))
+	requireGolden(t, "testdata/figures.golden", changingMetric.ReplaceAllString(metrics, "$1:(time)"))
 }
 
-// The call /fleet of the console: its pattern, its type and its body.
-func TestGoldenPageOfAQuietFleet(t *testing.T) {
-	page := quiet(t).Page()
+// The page of a member that is alone: its pattern, its type and its body.
+func TestGoldenPageOfAloneMember(t *testing.T) {
+	page := newAloneFleet(t).Page()
 	body := page.Do()
 	require.True(t, json.Valid(body))
-	got := fmt.Sprintf("%s\n%s\n%s", page.Pattern, page.Type, passingKey.ReplaceAll(body, []byte(`"$1":(time)`)))
-	requireGoldenText(t, "page", got)
+	fixed := changingKey.ReplaceAll(body, []byte(`"$1":(time)`))
+	got := fmt.Sprintf("%s\n%s\n%s", page.Pattern, page.Type, fixed)
+	requireGolden(t, "testdata/page.golden", got)
 	require.Equal(t, 1, strings.Count(got, `"counters"`))
 }
 
-// The lines that tell what changes in the fleet: another member joins, is met, drains, and starts again.
+// The log lines of changes in the fleet: another member joins, is reached, drains, and starts again.
 func TestGoldenChanges(t *testing.T) {
-	f := quiet(t)
+	member := newAloneFleet(t)
 	var lines bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&lines)
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true})
-	f.log = log
-	other := fleet.Record{Name: "n4", Run: 5, Seq: 1, Zone: "mechelen", Region: "belgium", Version: "1.2.3", Config: 0xabc, State: fleet.Serving}
-	heard := func(at time.Duration, rec fleet.Record) {
-		f.view.Merge(at, at, rec)
-		f.publish(at)
+	member.log = log
+	other := fleet.Record{
+		Name: "n4", Run: 5, Seq: 1, Zone: "mechelen", Region: "belgium", Version: "1.2.3", Config: 0xabc,
+		State: fleet.Serving,
+	}
+	merge := func(at time.Duration, record fleet.Record) {
+		member.view.Merge(at, at, record)
+		member.publishSnapshot(at)
 	}
-	heard(time.Second, other)
-	f.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
-	f.publish(2 * time.Second)
+	merge(time.Second, other)
+	member.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
+	member.publishSnapshot(2 * time.Second)
 	other.Seq, other.State, other.Version, other.Config = 2, fleet.Draining, "1.2.4", 0xdef
-	heard(3*time.Second, other)
+	merge(3*time.Second, other)
 	other.Run, other.Seq = 6, 1
-	heard(4*time.Second, other)
-	f.publish(5 * time.Minute)
-	requireGoldenText(t, "changes", lines.String())
+	merge(4*time.Second, other)
+	member.publishSnapshot(5 * time.Minute)
+	requireGolden(t, "testdata/changes.golden", lines.String())
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -24,7 +24,8 @@
 	{"known", Message{Kind: Known, IdempotencyKey: "ab12", Digest: 0xfedcba9876543210, At: 1796147027278 * time.Millisecond}},
 	{"known, digest without leading zeros", Message{Kind: Known, IdempotencyKey: "00ff", Digest: 0x1a, At: 1}},
 	{"known, greatest numbers", Message{Kind: Known, IdempotencyKey: "ab12", Digest: math.MaxUint64, At: math.MaxInt64}},
-	{"over, success with a result", Message{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"result")}},
+	{"over, success with a result",
+		Message{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"result")}},
 	{"over, success with an empty result", Message{Kind: Completed, IdempotencyKey: "ab12", OK: true}},
 	{"over, failure", Message{Kind: Completed, IdempotencyKey: "ab12"}},
 	{"free", Message{Kind: Released, IdempotencyKey: "ab12"}},
@@ -55,18 +56,19 @@
 	lines := bytes.SplitAfter(file, []byte("\n"))
 	require.Len(t, lines, len(goldenCases)+1, "a line for each case, and nothing after the last")
 	require.Empty(t, lines[len(goldenCases)])
-	var p parser
-	for i, c := range goldenCases {
-		got, err := p.parse(lines[i])
-		require.NoError(t, err, c.name)
-		require.Equal(t, c.message, got, c.name)
+	lineParser := newParser()
+	for i, golden := range goldenCases {
+		got, err := lineParser.Parse(lines[i])
+		require.NoError(t, err, golden.name)
+		require.Equal(t, golden.message, got, golden.name)
 	}
 }
 
 // A field that a newer process has added must be passed over.
 func TestGoldenMessageWithAddedField(t *testing.T) {
-	var p parser
-	got, err := p.parse([]byte(`{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"))
+	lineParser := newParser()
+	const line = `{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"
+	got, err := lineParser.Parse([]byte(line))
 	require.NoError(t, err)
 	require.Equal(t, Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1}, got)
 }
@@ -75,7 +77,7 @@
 func TestGoldenSocketNames(t *testing.T) {
 	dir, err := os.MkdirTemp("", "handover") // short: the path of a socket is limited
 	require.NoError(t, err)
-	defer os.RemoveAll(dir)
+	t.Cleanup(func() { require.NoError(t, os.RemoveAll(dir)) })
 	older, listener, err := join(filepath.Join(dir, "socket"))
 	require.NoError(t, err)
 	require.Nil(t, older)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging keeps log lines that repeat from filling the log.
+// Package logging limits the rate of log lines, so that a fault which repeats does not fill the log.
 package logging
 
 import (
@@ -9,49 +9,57 @@
 )
 
 const (
-	every = 5 * time.Second // least time between two lines under one key
-	most  = 256             // keys remembered; past that all are forgotten at once
+	minInterval = 5 * time.Second // between two lines under one key
+	maxKeys     = 256             // that are remembered; beyond that all are forgotten at once
 )
 
-// Limiter passes one line a key on to a logger, then counts instead for some time.
+// Limiter passes at most one line in minInterval under each key on to a logger, and counts the lines that it suppresses.
+// It is safe for concurrent use.
 type Limiter struct {
-	log  logrus.FieldLogger
-	mu   sync.Mutex
-	seen map[string]*seen
-	now  func() time.Time
+	log logrus.FieldLogger
+	now func() time.Time
+
+	mu      sync.Mutex
+	records map[string]*record // guarded by mu
 }
 
-type seen struct {
-	at     time.Time
-	missed int
+// record is what a Limiter remembers of a key.
+type record struct {
+	loggedAt   time.Time // when a line was passed on
+	suppressed int       // lines since then
 }
 
-// NewLimiter returns a Limiter before log.
+// NewLimiter returns a Limiter that passes lines on to log.
 func NewLimiter(log logrus.FieldLogger) *Limiter {
-	return &Limiter{log: log, seen: map[string]*seen{}, now: time.Now}
+	return &Limiter{log: log, records: map[string]*record{}, now: time.Now}
 }
 
-// Warn logs text and err, unless a line under the same key went out a short while ago. The next
-// line that goes out tells how many did not.
+// Warn logs text and err, which may be nil, unless a line under the same key was logged less than minInterval ago. The
+// next line under the key has the number of suppressed ones in the field not_logged.
 func (l *Limiter) Warn(key, text string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	s := l.seen[key]
-	if s != nil && now.Sub(s.at) < every {
-		s.missed++
+	last := l.records[key]
+	if last != nil && now.Sub(last.loggedAt) < minInterval {
+		last.suppressed++
 		return
 	}
 	entry := l.log.WithField("about", key)
-	if s != nil && s.missed > 0 {
-		entry = entry.WithField("not_logged", s.missed)
+	if last != nil && last.suppressed > 0 {
+		entry = entry.WithField("not_logged", last.suppressed)
 	}
 	if err != nil {
 		entry = entry.WithError(err)
 	}
-	if len(l.seen) >= most {
-		clear(l.seen)
-	}
-	l.seen[key] = &seen{at: now}
+	l.remember(key, now)
 	entry.Warn(text)
 }
+
+// remember starts to count suppressed lines under a key. The caller holds mu.
+func (l *Limiter) remember(key string, now time.Time) {
+	if len(l.records) >= maxKeys {
+		clear(l.records)
+	}
+	l.records[key] = &record{loggedAt: now}
+}
--- /dev/null
+++ b/internal/overload/quota_manager.go
@@ -0,0 +1,131 @@
+package overload
+
+import (
+	"time"
+
+	"falldeal/internal/fleet"
+)
+
+// Tuning of quota leasing. The values are our own; docs/quota-leasing.md has the measurements.
+const (
+	requestInterval   = 250 * time.Millisecond // between two requests
+	usageTimeConstant = 2 * time.Second        // of the mean number of calls in flight
+	renewalLeadTime   = time.Second            // before a lease expires, at which another one is requested
+	reserveDivisor    = 4                      // a member needs its mean usage and one part in so many on top
+	minRequestDivisor = 4                      // the smallest request, and the step after missed calls: Base by this
+	maxWantedFactor   = 8                      // Base times this is wanted at most, as other members have needs as well
+	lenderCandidates  = 3                      // drawn from the view for a request
+)
+
+// QuotaManager decides when a member requests quota, of whom and how much, and when it returns quota: by its own usage
+// and missed calls, and by what others have published. It belongs to one goroutine.
+type QuotaManager struct {
+	*QuotaLedger
+	randomBelow  func(n int) int
+	meanInFlight float64
+	lastTick     time.Duration
+	missedCalls  int // since the last tick
+	lastRequest  time.Duration
+	wantedQuota  Quota // that would have sufficed when calls were last missed
+	wantedUntil  time.Duration
+	started      bool
+}
+
+// NewQuotaManager returns a manager of a ledger. RandomBelow draws a random number from 0 to below its argument.
+func NewQuotaManager(ledger *QuotaLedger, randomBelow func(n int) int) *QuotaManager {
+	return &QuotaManager{QuotaLedger: ledger, randomBelow: randomBelow}
+}
+
+// CallMissed notes that a call was skipped or a request rejected because the limit was reached.
+func (m *QuotaManager) CallMissed() { m.missedCalls++ }
+
+// MeanInFlight returns the mean number of calls in flight over the last seconds.
+func (m *QuotaManager) MeanInFlight() float64 { return m.meanInFlight }
+
+// Tick updates the usage and returns the messages to send: returns and at most one request. It is called a few times a
+// second. Now is on the clock of this server, at is the time of the view.
+func (m *QuotaManager) Tick(
+	now time.Duration, callsInFlight int, view *fleet.Snapshot, at time.Duration,
+) []Message {
+	m.updateUsage(now, callsInFlight)
+	m.noteMissedCalls(now)
+	needed := m.neededQuota(now)
+	messages := m.Return(now, Quota(callsInFlight)*quotaPerCall, needed)
+	if request, ok := m.requestMissing(now, needed, view, at); ok {
+		messages = append(messages, request)
+	}
+	return messages
+}
+
+// Receive handles a message of another member, and returns the answer to send if ok.
+func (m *QuotaManager) Receive(now time.Duration, message Message, callsInFlight int) (answer Message, ok bool) {
+	return m.HandleMessage(now, message, Quota(callsInFlight)*quotaPerCall, m.neededQuota(now))
+}
+
+func (m *QuotaManager) updateUsage(now time.Duration, callsInFlight int) {
+	if elapsed := now - m.lastTick; m.started && elapsed > 0 {
+		weight := min(float64(elapsed)/float64(usageTimeConstant), 1)
+		m.meanInFlight += weight * (float64(callsInFlight) - m.meanInFlight)
+	}
+	m.started, m.lastTick = true, now
+}
+
+// noteMissedCalls raises what is wanted if calls were missed since the last tick.
+func (m *QuotaManager) noteMissedCalls(now time.Duration) {
+	if m.missedCalls == 0 {
+		return
+	}
+	m.missedCalls = 0
+	m.wantedQuota = min(m.Limit(now)+m.terms.Base/minRequestDivisor, maxWantedFactor*m.terms.Base)
+	m.wantedUntil = now + m.terms.Lease
+}
+
+// neededQuota returns what this member expects to use: its mean usage with a reserve and, for the length of a lease
+// after missed calls, what would have sufficed then. Otherwise a lease would be returned as soon as it helps, and
+// requested again.
+func (m *QuotaManager) neededQuota(now time.Duration) Quota {
+	needed := QuotaOf(m.meanInFlight * (reserveDivisor + 1) / reserveDivisor)
+	if now < m.wantedUntil {
+		needed = max(needed, m.wantedQuota)
+	}
+	return needed
+}
+
+// requestMissing returns a request for what is missing to the needed quota, now or within the lead time of a renewal.
+func (m *QuotaManager) requestMissing(
+	now time.Duration, needed Quota, view *fleet.Snapshot, at time.Duration,
+) (request Message, ok bool) {
+	missing := needed - m.LimitUntil(now, now+renewalLeadTime)
+	if missing <= 0 || now >= m.wantedUntil || now-m.lastRequest < requestInterval {
+		return Message{}, false
+	}
+	lender, ok := m.chooseLender(view, at)
+	if !ok {
+		return Message{}, false
+	}
+	request, ok = m.RequestLease(now, lender, max(missing, m.terms.Base/minRequestDivisor))
+	if ok {
+		m.lastRequest = now
+	}
+	return request, ok
+}
+
+// chooseLender returns the member with the most unused quota among a few that are drawn at random: if all borrowers
+// asked the one with the most of all, all would ask the same.
+func (m *QuotaManager) chooseLender(view *fleet.Snapshot, at time.Duration) (lender ProcessID, ok bool) {
+	if len(view.Members) == 0 {
+		return ProcessID{}, false
+	}
+	maxAge := fleet.Fresh(len(view.Members))
+	maxUnused := 0.0
+	for range lenderCandidates {
+		member := &view.Members[m.randomBelow(len(view.Members))]
+		if member.Self || !member.Serves(at, maxAge) {
+			continue
+		}
+		if unused := member.Load.CallQuota - member.Load.MeanCalls; unused > maxUnused {
+			maxUnused, lender, ok = unused, processOf(member), true
+		}
+	}
+	return lender, ok
+}
--- /dev/null
+++ b/internal/server/connections_test.go
@@ -0,0 +1,73 @@
+package server
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// referenceEvictionCandidate finds the eviction candidate by looking at every connection.
+func referenceEvictionCandidate(t *connectionTable) *connectionState {
+	var candidate *connectionState
+	for _, state := range t.states {
+		if len(state.openCalls) > 0 {
+			continue
+		}
+		if candidate == nil || state.kind < candidate.kind ||
+			state.kind == candidate.kind && state.lastUsed < candidate.lastUsed {
+			candidate = state
+		}
+	}
+	return candidate
+}
+
+// Whatever happens to connections, in whatever order, the table finds the same eviction candidate as a look at all of
+// them, and counts the open calls.
+func TestConnectionTableAgainstReference(t *testing.T) {
+	for seed := range uint64(20) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		table, now := newConnectionTable(0), time.Duration(0)
+		var all []*connectionState
+		for step := range 2000 {
+			now += time.Duration(rng.IntN(3)) // several may be of one instant
+			if len(all) == 0 || rng.IntN(8) == 0 {
+				all = append(all, table.add(&recordingConnection{}, now))
+				continue
+			}
+			i := rng.IntN(len(all))
+			state, call := all[i], uint32(rng.IntN(3))
+			switch rng.IntN(6) {
+			case 0:
+				table.markReceived(state, now)
+			case 1:
+				table.touch(state, now)
+			case 2:
+				table.openCall(state, call, &activeRequest{})
+			case 3:
+				table.closeCall(state, call)
+			case 4:
+				table.markNotified(state, now)
+			case 5:
+				if rng.IntN(3) == 0 {
+					table.remove(state)
+					all[i] = all[len(all)-1]
+					all = all[:len(all)-1]
+				}
+			}
+			open := 0
+			for _, state := range all {
+				open += len(state.openCalls)
+			}
+			require.Equal(t, open, table.openCalls)
+			require.Equal(t, len(all), table.size())
+			got, want := table.evictionCandidate(), referenceEvictionCandidate(&table)
+			if want == nil {
+				require.Nil(t, got, "seed %d, step %d", seed, step)
+			} else {
+				require.Equal(t, [2]any{want.kind, want.lastUsed}, [2]any{got.kind, got.lastUsed}, "seed %d, step %d", seed, step)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/dispatch.go
@@ -0,0 +1,67 @@
+package server
+
+import (
+	"fmt"
+	"time"
+
+	"falldeal/admission"
+)
+
+// Stage three, dispatch: each action of the controller is handed to the part that carries it out.
+
+// dispatch carries out an action.
+func (s *Server) dispatch(action admission.Action) {
+	switch action.Kind {
+	case admission.ActionHealth:
+		s.health.healthy, s.health.cached = action.Healthy, action.Cached
+		s.announcer.Set(action.Healthy)
+	case admission.ActionIdleTimeout:
+		s.connections.idleTimer.timeout = action.Duration
+	case admission.ActionWake:
+		s.scheduleWake(action.At)
+	case admission.ActionLog:
+		s.log.Info(action.Text)
+	default: // all others are about one request
+		if request := s.requests.byID[action.ID]; request != nil { // else it has ended in the meantime
+			s.dispatchRequest(request, action)
+		}
+	}
+}
+
+// dispatchRequest carries out an action on a request.
+func (s *Server) dispatchRequest(request *activeRequest, action admission.Action) {
+	switch action.Kind {
+	case admission.ActionRun:
+		s.startRun(request)
+	case admission.ActionReject:
+		s.reject(request, action)
+	case admission.ActionFail:
+		s.fail(request)
+	case admission.ActionCall:
+		s.callStore(request, action.Timeout)
+	case admission.ActionSkipCall:
+		s.skipCall(request)
+	case admission.ActionRemember:
+		s.idempotency.retain(request)
+	case admission.ActionForget:
+		// An entry without a run is dropped with its last attempt; one with a run stays for its window.
+	case admission.ActionReuse:
+		s.reuseResult(request)
+	default:
+		// Stop and Advertise need settings that the configuration does not admit.
+		s.warnings.Warn("action", fmt.Sprintf("action %d can't be carried out", action.Kind), nil)
+	}
+}
+
+// scheduleWake has the controller step at that time, with gauges that are asked for shortly before.
+func (s *Server) scheduleWake(at time.Duration) {
+	if sampleAt := at - gaugeLeadTime; sampleAt > s.clock.now {
+		s.deadlines.Add(sampleAt, s.agent.SampleGauges)
+	} else {
+		s.agent.SampleGauges()
+	}
+	s.deadlines.Add(at, func() {
+		gauges := s.gauges.latest(s.clock.now)
+		s.admission.enqueue(admission.Event{Kind: admission.EventTimer, Gauges: gauges})
+	})
+}
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -3,180 +3,234 @@
 import (
 	"time"
 
-	"falldeal/admission"
 	"falldeal/internal/handover"
 )
 
-// Handover: two processes are one image server while the newer takes the place of the older. A keyed request
-// is run by one of them: the older one knows which, and the newer one claims a key before it runs a request
-// under it. What becomes of a run is told to the other, so that its result answers tries at both.
+// Handover: two processes are one image server while the successor takes the place of its predecessor. A request with
+// an idempotency key is run by one of them: the predecessor knows which, and the successor claims a key before it runs
+// a request under it. Each notifies the other of the ends of its runs, so that their results answer attempts at both.
 
 const (
-	claimLimit = 500 * time.Millisecond // for the older process to answer a claim
-	dueSpare   = 20 * time.Millisecond  // a claim is given up this long before its request is due
+	claimTimeout       = 500 * time.Millisecond // for the predecessor to answer a claim
+	claimDeadlineSlack = 20 * time.Millisecond  // a claim is given up this long before its caller does
 )
 
-// partners are the other processes, nil where there is none.
-type partners struct {
-	older, newer *handover.Link
-	synced       bool                  // what the older one knows is known here
-	claims       map[string][]*request // that wait for the older one's word, by key
+// handoverState is what the loop knows of the other processes of this image server. The loop owns it.
+type handoverState struct {
+	predecessor *handover.Link // nil: there is none
+	successor   *handover.Link // nil: there is none
+	synced      bool           // the keys of the predecessor are known here
+	claims      map[string][]*activeRequest
+}
+
+func newHandoverState() handoverState { return handoverState{claims: map[string][]*activeRequest{}} }
+
+// paired reports whether two processes are this image server, and share its descriptors.
+func (h *handoverState) paired() bool { return h.predecessor != nil || h.successor != nil }
+
+// publish notifies the other processes of a change to a key of this one.
+func (h *handoverState) publish(m handover.Message) {
+	for _, link := range []*handover.Link{h.predecessor, h.successor} {
+		if link != nil {
+			link.Publish(m)
+		}
+	}
+}
+
+// addClaim records that r waits for the answer to the claim on its key, and reports whether it is the first to do so.
+func (h *handoverState) addClaim(r *activeRequest) (first bool) {
+	key := r.attempt.IdempotencyKey
+	h.claims[key] = append(h.claims[key], r)
+	return len(h.claims[key]) == 1
+}
+
+// takeClaims returns the requests that wait for the answer to the claim on a key, once.
+func (h *handoverState) takeClaims(key string) []*activeRequest {
+	waiting := h.claims[key]
+	delete(h.claims, key)
+	return waiting
 }
 
 func (s *Server) handoverLoop() handover.Loop {
-	return handover.Loop{Post: s.post, OnPredecessor: s.joinedOlder, OnSuccessor: s.joinedNewer, OnMessage: s.partnerTold, OnEnd: s.partnerEnded}
+	return handover.Loop{
+		Post:          s.post,
+		OnPredecessor: s.predecessorJoined,
+		OnSuccessor:   s.successorJoined,
+		OnMessage:     s.handlePeerMessage,
+		OnEnd:         s.peerEnded,
+	}
 }
 
-func (s *Server) joinedOlder(l *handover.Link) {
-	if s.older = l; l == nil {
-		s.sync()
+// predecessorJoined records the predecessor; nil: there is none, and nothing to wait for.
+func (s *Server) predecessorJoined(link *handover.Link) {
+	s.handover.predecessor = link
+	if link == nil {
+		s.markSynced()
 	}
 }
 
-func (s *Server) joinedNewer(l *handover.Link) {
+// successorJoined publishes all keys to the successor, and closes idle connections above this process's half.
+func (s *Server) successorJoined(link *handover.Link) {
 	s.log.Info("a newer process has joined")
-	s.newer = l
-	if s.drain.on {
-		s.announcer.Silence() // the newer one is to be listed, and not as leaving
+	s.handover.successor = link
+	if s.drain.started() {
+		s.announcer.Silence() // the successor is to be listed, and not as draining
 	}
-	s.tellFleet()
-	var all []handover.Message
-	for _, e := range s.keys.entries {
-		all = append(all, e.all()...)
+	s.publishStatus()
+	var messages []handover.Message
+	for _, entry := range s.idempotency.entries {
+		messages = append(messages, entry.messages()...)
 	}
-	l.Publish(append(all, handover.Message{Kind: handover.Synced})...)
-	for s.peers.size() > s.mostPeers() && s.makeRoom() {
+	link.Publish(append(messages, handover.Message{Kind: handover.Synced})...)
+	for s.connections.size() > s.maxConnections() {
+		if !s.evictIdle() {
+			break
+		}
 	}
 }
 
-// sync notes that nothing is left to learn before this process may serve.
-func (s *Server) sync() {
-	s.synced = true
-	s.serveOnceReady()
-}
-
-// serveOnceReady has front ends accepted as soon as their requests can be run.
-func (s *Server) serveOnceReady() {
-	if s.synced && s.ctl != nil {
-		s.openFronts()
-		s.tellFleet()
-	}
+// markSynced records that all keys of the predecessor are known.
+func (s *Server) markSynced() {
+	s.handover.synced = true
+	s.openFrontsWhenReady()
 }
 
-// tellPartners tells the other processes of a change to a key of this one.
-func (s *Server) tellPartners(m handover.Message) {
-	for _, l := range []*handover.Link{s.older, s.newer} {
-		if l != nil {
-			l.Publish(m)
-		}
+// openFrontsWhenReady has connections accepted as soon as their requests can be run.
+func (s *Server) openFrontsWhenReady() {
+	if s.handover.synced && s.admission.started() {
+		s.listeners.open()
+		s.publishStatus()
 	}
 }
 
-func (s *Server) partnerTold(l *handover.Link, m handover.Message) {
-	e := s.keys.entries[m.IdempotencyKey]
-	switch m.Kind {
+// handlePeerMessage handles a message of the other process.
+func (s *Server) handlePeerMessage(link *handover.Link, message handover.Message) {
+	entry := s.idempotency.entries[message.IdempotencyKey]
+	switch message.Kind {
 	case handover.Synced:
-		s.sync()
+		s.markSynced()
 	case handover.Known:
-		if e == nil || e.from == l || s.keys.past(e, s.clock.now-s.clock.skew) {
-			s.adopt(l, m)
-		}
-		s.claimed(m.IdempotencyKey)
+		s.handleKnown(link, message, entry)
 	case handover.Claim:
-		if e != nil && !s.keys.past(e, m.At) {
-			l.Publish(e.all()...)
-			return
-		}
-		s.adopt(l, handover.Message{IdempotencyKey: m.IdempotencyKey, Digest: m.Digest, At: m.At + s.longestWindow()})
-		l.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: m.IdempotencyKey})
+		s.handleClaim(link, message, entry)
 	case handover.Grant:
-		s.claimed(m.IdempotencyKey)
-		if s.keys.entries[m.IdempotencyKey] == nil {
-			l.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: m.IdempotencyKey}) // nobody waits any more
-		}
-	case handover.Completed:
-		if e != nil && e.from == l {
-			s.partnerRan(e, m.OK, m.Body)
-		}
-	case handover.Released:
-		if e != nil && e.from == l {
-			s.partnerRan(e, false, nil)
-			s.keys.drop(e)
+		s.handleGrant(link, message)
+	case handover.Completed, handover.Released:
+		if entry != nil && entry.owner == link {
+			s.handlePeerRunEnded(entry, message)
 		}
 	}
 }
 
-// adopt enters a key that another process has.
-func (s *Server) adopt(l *handover.Link, m handover.Message) {
-	s.lastID++ // no request of this process has it
-	e := s.keys.adopt(l, m, s.lastID)
-	s.dropAfterWindow(e)
+// handleKnown adopts a key that the other process has.
+func (s *Server) handleKnown(link *handover.Link, message handover.Message, entry *idempotencyEntry) {
+	if entry == nil || entry.owner == link || s.idempotency.expired(entry, s.clock.unix()) {
+		s.adoptKey(link, message)
+	}
+	s.resumeClaimed(message.IdempotencyKey)
+}
+
+// handleClaim grants the successor a key that is not known here, and leaves it alone from then on.
+func (s *Server) handleClaim(link *handover.Link, message handover.Message, entry *idempotencyEntry) {
+	if entry != nil && !s.idempotency.expired(entry, message.At) {
+		link.Publish(entry.messages()...)
+		return
+	}
+	windowEnd := message.At + s.config.longestIdempotencyWindow()
+	s.adoptKey(link, handover.Message{IdempotencyKey: message.IdempotencyKey, Digest: message.Digest, At: windowEnd})
+	link.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: message.IdempotencyKey})
+}
+
+// handleGrant resumes the requests of a key, or gives the key back if none is left.
+func (s *Server) handleGrant(link *handover.Link, message handover.Message) {
+	s.resumeClaimed(message.IdempotencyKey)
+	if s.idempotency.entries[message.IdempotencyKey] == nil {
+		link.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: message.IdempotencyKey})
+	}
 }
 
-// partnerRan books the end of a run in another process.
-func (s *Server) partnerRan(e *keyEntry, ok bool, result []byte) {
-	for _, f := range s.keys.end(e, ok, result) {
-		s.reused(f, ok, result)
+// handlePeerRunEnded handles the result of a run in the other process, or drops a key that it has given back.
+func (s *Server) handlePeerRunEnded(entry *idempotencyEntry, message handover.Message) {
+	if message.Kind == handover.Released {
+		s.completePeerRun(entry, false, nil)
+		s.idempotency.drop(entry)
+		return
 	}
+	s.completePeerRun(entry, message.OK, message.Body)
 }
 
-// partnerEnded goes on alone. Whatever the other process had not told the end of may have had its effect.
-func (s *Server) partnerEnded(l *handover.Link) {
-	switch l {
-	case s.older:
+// adoptKey adds a key that another process has.
+func (s *Server) adoptKey(link *handover.Link, message handover.Message) {
+	entry := s.idempotency.adopt(link, message, s.requests.nextID())
+	s.expireAfterWindow(entry)
+}
+
+// completePeerRun records the end of a run in another process, and answers the attempts that waited for it.
+func (s *Server) completePeerRun(e *idempotencyEntry, ok bool, result []byte) {
+	for _, retry := range s.idempotency.complete(e, ok, result) {
+		s.answerFromResult(retry, ok, result)
+	}
+}
+
+// peerEnded handles the end of the other process. Its runs whose end is not known may have had their effect, so
+// attempts that wait for them fail.
+func (s *Server) peerEnded(link *handover.Link) {
+	switch link {
+	case s.handover.predecessor:
 		s.log.Info("the older process has ended")
-		s.older = nil
-	case s.newer:
-		s.newer = nil
+		s.handover.predecessor = nil
+	case s.handover.successor:
+		s.handover.successor = nil
 	}
-	for _, e := range s.keys.entries {
-		if e.from == l && !e.over {
-			s.partnerRan(e, false, nil)
+	for _, entry := range s.idempotency.entries {
+		if entry.owner == link && entry.state != entryCompleted {
+			s.completePeerRun(entry, false, nil)
 		}
 	}
-	if s.older == nil {
-		s.sync()
-		for once := range s.claims {
-			s.claimed(once)
+	if s.handover.predecessor == nil {
+		s.markSynced()
+		for key := range s.handover.claims {
+			s.resumeClaimed(key)
 		}
 	}
 }
 
-// claim has r wait for the older process's word on its key.
-func (s *Server) claim(r *request) {
-	once := r.try.IdempotencyKey
-	s.claims[once] = append(s.claims[once], r)
-	r.claims = true
-	s.deadlines.Add(min(s.clock.now+claimLimit, s.due(r)-dueSpare), func() {
-		if r.claims && s.requests[r.id] == r {
-			s.stats.ClaimsLate++
-			s.answer(r, Answer{Kind: Failed}) // another try may have run
-			s.forget(r)
-		}
-	})
-	if len(s.claims[once]) == 1 {
-		s.stats.Claims++
-		s.older.Publish(handover.Message{Kind: handover.Claim, IdempotencyKey: once, Digest: s.keys.digest(r.try), At: r.try.ArrivedAt})
-	}
+// mustClaim reports whether the predecessor has to be asked whether a request may run.
+func (s *Server) mustClaim(r *activeRequest) bool {
+	return s.config.hasKeys(r.class) && s.handover.predecessor != nil && s.idempotency.lookup(r) == nil
 }
 
-// claimed goes on with the requests that waited for word on a key.
-func (s *Server) claimed(once string) {
-	waits := s.claims[once]
-	delete(s.claims, once)
-	for _, r := range waits {
-		r.claims = false
-		if s.requests[r.id] == r {
-			s.enter(r)
+// claimKey has a request wait for the predecessor's answer to the claim on its key. Without one in time it fails, as
+// another attempt may have run.
+func (s *Server) claimKey(request *activeRequest) {
+	request.state = requestClaiming
+	first := s.handover.addClaim(request)
+	giveUpAt := min(s.clock.now+claimTimeout, s.callerDeadline(request)-claimDeadlineSlack)
+	s.deadlines.Add(giveUpAt, func() {
+		if request.state == requestClaiming && s.requests.contains(request) {
+			s.stats.ClaimsLate++
+			s.answer(request, Answer{Kind: Failed})
+			s.removeRequest(request)
 		}
+	})
+	if !first {
+		return
 	}
+	s.stats.Claims++
+	s.handover.predecessor.Publish(handover.Message{
+		Kind:           handover.Claim,
+		IdempotencyKey: request.attempt.IdempotencyKey,
+		Digest:         bodyDigest(&request.attempt),
+		At:             request.attempt.ArrivedAt,
+	})
 }
 
-func (s *Server) longestWindow() (longest time.Duration) {
-	for _, k := range s.cfg.Settings.Classes {
-		if k.Idempotency == admission.IdempotentByKey {
-			longest = max(longest, k.IdempotencyWindow)
+// resumeClaimed resumes the requests that waited for an answer to the claim on a key.
+func (s *Server) resumeClaimed(key string) {
+	for _, r := range s.handover.takeClaims(key) {
+		r.state = requestQueued
+		if s.requests.contains(r) {
+			s.submitToController(r)
 		}
 	}
-	return longest
 }
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -14,322 +14,318 @@
 
 // Events that cross in one turn of the loop, in both orders; docs/races.md lists them.
 
-// up is a server whose agent is up, and a front end on it.
-func up(t *testing.T) (s *Server, p *peer, do func()) {
-	s, do = idle(t)
-	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	p = &peer{}
-	s.ConnectionOpened(p)
-	do()
-	s.step()
-	return s, p, do
-}
-
-func order(s *Server, id string) Attempt {
-	return Attempt{ID: id, IdempotencyKey: "k", Class: "licence-order", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1}
-}
-
-// The first try of an order goes in the turn in which a third comes, while a second waits for the first: the third was
-// taken for a first one beside the second, and both ran.
-func TestFirstTryGoesAgainstAThird(t *testing.T) {
-	for _, goes := range []string{"before the third", "after the third"} {
-		t.Run(goes, func(t *testing.T) {
-			s, p, do := up(t)
-			s.Submit(p, 1, order(s, "a"))
-			s.Submit(p, 2, order(s, "b"))
-			do()
-			if goes == "before the third" {
-				s.Cancel(p, 1)
+// The first attempt of a request is cancelled in the turn in which a third arrives, while a second waits for the first.
+// The third was taken for a first one beside the second, and both ran.
+func TestFirstAttemptCancelledAgainstThird(t *testing.T) {
+	for _, order := range []string{"before the third", "after the third"} {
+		t.Run(order, func(t *testing.T) {
+			server, conn, runPosted := newReadyServer(t)
+			server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
+			server.Submit(conn, 2, keyedAttempt(server, "b", "k"))
+			runPosted()
+			if order == "before the third" {
+				server.Cancel(conn, 1)
 			}
-			q := &peer{}
-			s.ConnectionOpened(q)
-			s.Submit(q, 1, order(s, "c"))
-			if goes == "after the third" {
-				s.Cancel(p, 1)
+			other := &recordingConnection{}
+			server.ConnectionOpened(other)
+			server.Submit(other, 1, keyedAttempt(server, "c", "k"))
+			if order == "after the third" {
+				server.Cancel(conn, 1)
 			}
-			do()
-			s.step()
-			require.EqualValues(t, 1, s.stats.Runs)
+			runPosted()
+			server.step()
+			require.EqualValues(t, 1, server.stats.Runs)
 			for _, id := range []string{"b", "c"} {
-				if r := s.byWire[id]; r != nil && r.running {
-					s.finish(r, admission.OutcomeOK, []byte("done"))
+				if r := server.requests.byAttemptID[id]; r != nil && r.running() {
+					server.completeRun(r, admission.OutcomeOK, []byte("done"))
 				}
 			}
-			s.step()
-			require.Equal(t, []any{Served}, p.got)
-			require.Equal(t, []any{Served}, q.got)
-			require.EqualValues(t, 1, s.stats.Runs)
+			server.step()
+			require.Equal(t, []any{Served}, conn.recorded)
+			require.Equal(t, []any{Served}, other.recorded)
+			require.EqualValues(t, 1, server.stats.Runs)
 		})
 	}
 }
 
-// A request is read just as the loop of a drain ends: it is still answered, before the connection is closed. It was left
-// in the input, and lost. One that comes later finds the listener closed: that is some time before the end.
-func TestLastReadAgainstTheEnd(t *testing.T) {
-	s, p, do := up(t)
-	s.cfg.StopTimeout = time.Second // shorter than the time in which arrivals may be run
-	s.Drain()
-	s.Drain() // a second SIGTERM
-	do()
-	s.step()
-	require.Equal(t, s.drain.stopAt-lastComers, s.drain.shutAt)
-	s.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
-	do()
-	s.step()
-	require.True(t, s.byWire["a"].running)
-	s.clock.now = s.drain.stopAt
-	require.True(t, s.finished())
-	s.Submit(p, 2, Attempt{ID: "b", Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
-	s.leave()
-	require.ElementsMatch(t, []any{"closing", Failed, Rejected, "close"}, p.got)
-	require.Equal(t, "close", p.got[3])
+// A request is read just as the loop of a drain ends: it is answered before the connection closes. It was left in the
+// inbox, and lost. Later requests find the listener closed, which happens some time before the end.
+func TestLastReadDuringShutdown(t *testing.T) {
+	server, conn, runPosted := newReadyServer(t)
+	server.config.StopTimeout = time.Second // shorter than the time in which arrivals may be run
+	server.Drain()
+	server.Drain() // a second SIGTERM
+	runPosted()
+	server.step()
+	require.Equal(t, server.drain.stopAt-listenerCloseLead, server.drain.closeListenersAt)
+	server.Submit(conn, 1, newAttempt(server, "a", "preview"))
+	runPosted()
+	server.step()
+	require.True(t, server.requests.byAttemptID["a"].running())
+	server.clock.now = server.drain.stopAt
+	require.True(t, server.finished())
+	server.Submit(conn, 2, newAttempt(server, "b", "preview"))
+	server.shutDown()
+	require.ElementsMatch(t, []any{"closing", Failed, Rejected, "close"}, conn.recorded)
+	require.Equal(t, "close", conn.recorded[3])
 }
 
-// A connection that is to be closed is found to be in use: something comes before it was read, between its last reading and
-// the close, or while what came has no answer yet. All of it is answered, and then the connection goes. One on which
-// messages come without an end goes as well.
-func TestMessageAgainstTheClose(t *testing.T) {
-	const finish, shut = "close", "close" // as peer notes them
-	for name, c := range map[string]struct {
-		comes []string
-		want  []any
+// closingTurn is the part of a turn that closes connections.
+func closingTurn(server *Server, runPosted func()) {
+	runPosted()
+	server.step()
+	server.advanceClosing()
+}
+
+// A connection that is to be closed turns out to be in use: a request arrives before the input was drained, between
+// that and the close, or while an answer is owed. All requests are answered before the connection closes.
+func TestMessageDuringClose(t *testing.T) {
+	const pause, closed = "pause", "close" // as recordingConnection records them
+	for name, testCase := range map[string]struct {
+		arrivals []string // when a request arrives
+		want     []any
 	}{
-		"nothing":      {nil, []any{finish, "end", shut}},
-		"before":       {[]string{"before"}, []any{finish, "closing", "resume", Served, finish, "end", shut}},
-		"between":      {[]string{"between"}, []any{finish, "end", "closing", "resume", Served, finish, "end", shut}},
-		"while in use": {[]string{"before", "after"}, []any{finish, "closing", "resume", Served, Served, finish, "end", shut}},
-		"without end":  {},
+		"nothing": {nil, []any{pause, "end", closed}},
+		"before":  {[]string{"before"}, []any{pause, "closing", "resume", Served, pause, "end", closed}},
+		"between": {[]string{"between"}, []any{pause, "end", "closing", "resume", Served, pause, "end", closed}},
+		"while in use": {
+			[]string{"before", "after"},
+			[]any{pause, "closing", "resume", Served, Served, pause, "end", closed},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, p, do := up(t)
+			server, conn, runPosted := newReadyServer(t)
 			calls := uint32(0)
-			come := func(when string) {
-				if !slices.Contains(c.comes, when) {
+			arrive := func(when string) {
+				if !slices.Contains(testCase.arrivals, when) {
 					return
 				}
 				calls++
-				s.Submit(p, calls, Attempt{ID: when, Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
-			}
-			turn := func() {
-				do()
-				s.step()
-				s.closeLeaving()
+				server.Submit(conn, calls, newAttempt(server, when, "preview"))
 			}
-			s.dropPeer(s.peers.of(p))
+			turn := func() { closingTurn(server, runPosted) }
+			server.beginClose(server.connections.get(conn))
 			turn()
-			if name == "without end" {
-				p.comes = 100
-				for range looksMost {
-					require.False(t, s.peers.none())
-					s.ReadEnded(p, ReadPaused)
-					turn()
-				}
-				s.ReadEnded(p, ReadPaused)
-				turn()
-				require.Equal(t, shut, p.got[len(p.got)-1])
-				require.Len(t, p.got, looksMost+2)
-				require.True(t, s.peers.none())
-				return
-			}
-			come("before")
+			arrive("before")
 			if name == "between" {
-				p.comes = 1
+				conn.failedCloses = 1
 			}
-			s.ReadEnded(p, ReadPaused)
+			server.ReadEnded(conn, ReadPaused)
 			turn()
 			if name == "between" {
-				come("between")
-				s.ReadEnded(p, ReadPaused)
+				arrive("between")
+				server.ReadEnded(conn, ReadPaused)
 				turn()
 			}
-			come("after")
+			arrive("after")
 			turn()
-			for _, when := range c.comes {
-				s.finish(s.byWire[when], admission.OutcomeOK, nil)
+			for _, when := range testCase.arrivals {
+				server.completeRun(server.requests.byAttemptID[when], admission.OutcomeOK, nil)
 			}
 			turn()
-			if len(c.comes) > 0 {
-				s.ReadEnded(p, ReadPaused)
+			if len(testCase.arrivals) > 0 {
+				server.ReadEnded(conn, ReadPaused)
 				turn()
 			}
-			require.Equal(t, c.want, p.got)
-			require.True(t, s.peers.none())
+			require.Equal(t, testCase.want, conn.recorded)
+			require.True(t, server.connections.empty())
 		})
 	}
 }
 
-// Readers wait for room in the input of the loop as that ends: what they have read is answered like what was in it. It was
-// left unread.
-func TestReadersThatWaitAgainstTheEnd(t *testing.T) {
-	s, p, do := up(t)
-	s.Drain()
-	do()
-	s.step()
-	s.clock.now = s.drain.stopAt
-	s.post(func() { // room is made, and taken by one that waited
-		s.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
+// A connection that is to be closed gets input without end: it is closed after a bounded number of reads.
+func TestEndlessInputDuringClose(t *testing.T) {
+	server, conn, runPosted := newReadyServer(t)
+	turn := func() { closingTurn(server, runPosted) }
+	server.beginClose(server.connections.get(conn))
+	turn()
+	conn.failedCloses = 100
+	for range maxDrainReads {
+		require.False(t, server.connections.empty())
+		server.ReadEnded(conn, ReadPaused)
+		turn()
+	}
+	server.ReadEnded(conn, ReadPaused)
+	turn()
+	require.Equal(t, "close", conn.recorded[len(conn.recorded)-1])
+	require.Len(t, conn.recorded, maxDrainReads+2)
+	require.True(t, server.connections.empty())
+}
+
+// Readers wait for room in the inbox as the loop ends: the requests they have read are answered like those in the
+// inbox. They were left unread.
+func TestBlockedReadersDuringShutdown(t *testing.T) {
+	server, conn, runPosted := newReadyServer(t)
+	server.Drain()
+	runPosted()
+	server.step()
+	server.clock.now = server.drain.stopAt
+	server.post(func() { // a reader that waited takes the room that this event leaves
+		server.Submit(conn, 1, newAttempt(server, "a", "preview"))
 	})
-	for len(s.in) < inRoom {
-		s.post(func() {})
+	for server.inbox.waiting() < inboxCapacity {
+		server.post(func() {})
 	}
-	s.leave()
-	require.Equal(t, []any{"closing", Rejected, "close"}, p.got)
+	server.shutDown()
+	require.Equal(t, []any{"closing", Rejected, "close"}, conn.recorded)
 }
 
-// The link to an agent that has not greeted is looked at, and no longer once it has: a server at rest has no timer for it.
-func TestAgentThatDoesNotGreetIsLookedAt(t *testing.T) {
-	s, _ := idle(t)
-	s.awaitAgent()
+// The link to the agent is checked until the handshake, and no longer: an idle server has no timer for it.
+func TestAgentIsCheckedUntilHandshake(t *testing.T) {
+	server, _ := newIdleServer(t)
+	server.checkAgentUntilUp()
 	for range 3 {
-		at, ok := s.deadlines.Next()
+		at, ok := server.deadlines.Next()
 		require.True(t, ok)
-		require.Equal(t, s.clock.now+bootCheck, at)
-		s.clock.now = at
-		s.deadlines.Sweep(at)
+		require.Equal(t, server.clock.now+agentCheckInterval, at)
+		server.clock.now = at
+		server.deadlines.Sweep(at)
 	}
-	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Booting})
-	s.clock.now += bootCheck
-	s.deadlines.Sweep(s.clock.now)
-	require.Zero(t, s.deadlines.Len())
+	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Booting})
+	server.clock.now += agentCheckInterval
+	server.deadlines.Sweep(server.clock.now)
+	require.Zero(t, server.deadlines.Len())
 }
 
-// SIGTERM comes while the agent boots: the time in which arrivals may be run counts from the notice, not from when the
-// controller heard of it.
-func TestNoticeAgainstTheAgentsStart(t *testing.T) {
-	for _, early := range []bool{true, false} {
-		s, do := idle(t)
-		s.cfg.StopTimeout = time.Minute
-		greet := func() {
-			s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-			s.step()
+// SIGTERM arrives while the agent boots: the time in which new requests may be run counts from the signal, not from
+// when the controller learned of it.
+func TestDrainDuringAgentStart(t *testing.T) {
+	for _, drainFirst := range []bool{true, false} {
+		server, runPosted := newIdleServer(t)
+		server.config.StopTimeout = time.Minute
+		handshake := func() {
+			startAgent(server)
+			server.step()
 		}
-		if !early {
-			greet()
+		if !drainFirst {
+			handshake()
 		}
-		s.Drain()
-		do()
-		s.step()
-		s.clock.now += 2 * time.Second
-		if early {
-			greet()
+		server.Drain()
+		runPosted()
+		server.step()
+		server.clock.now += 2 * time.Second
+		if drainFirst {
+			handshake()
 		}
-		p := &peer{}
-		s.ConnectionOpened(p)
-		s.clock.now += s.cfg.Settings.DrainGrace - time.Second
-		s.Submit(p, 1, Attempt{ID: "a", Class: "preview", ArrivedAt: s.clock.now, Timeout: 3 * time.Second, MemoryKB: 1})
-		do()
-		s.step()
-		require.Equal(t, []any{"closing", Rejected}, p.got, "notice first: %v", early)
-		require.Zero(t, s.stats.Runs)
+		conn := &recordingConnection{}
+		server.ConnectionOpened(conn)
+		server.clock.now += server.config.Settings.DrainGrace - time.Second
+		server.Submit(conn, 1, newAttempt(server, "a", "preview"))
+		runPosted()
+		server.step()
+		require.Equal(t, []any{"closing", Rejected}, conn.recorded, "drain first: %v", drainFirst)
+		require.Zero(t, server.stats.Runs)
 	}
 }
 
-// A configuration with a longer time for arrivals comes during a drain: the notice was given under the old one.
-func TestReloadAgainstADrain(t *testing.T) {
-	s, _, do := up(t)
-	fresh := *s.cfg
-	fresh.Settings.DrainGrace *= 2
-	s.Drain()
-	was := s.cfg.Settings.DrainGrace
-	s.Reload(&fresh, nil)
-	do()
-	require.Equal(t, was, s.cfg.Settings.DrainGrace)
-	require.EqualValues(t, 1, s.stats.Reloads)
+// A configuration with a longer grace period arrives during a drain: the one under which the drain began stays.
+func TestReloadDuringDrain(t *testing.T) {
+	server, _, runPosted := newReadyServer(t)
+	loaded := *server.config.Config
+	loaded.Settings.DrainGrace *= 2
+	server.Drain()
+	gracePeriod := server.config.Settings.DrainGrace
+	server.Reload(&loaded, nil)
+	runPosted()
+	require.Equal(t, gracePeriod, server.config.Settings.DrainGrace)
+	require.EqualValues(t, 1, server.stats.Reloads)
 }
 
-// A newer process joins while this one drains: it is to be listed, and this one must not report that it is not.
-func TestNewerJoinsAgainstADrain(t *testing.T) {
-	o := withPartner(t)
-	o.Drain()
-	o.do()
-	o.joinedNewer(o.link)
-	o.announcer.Set(false)
-	require.True(t, o.announcer.Silent())
-	o.expect("synced")
+// A successor joins while this process drains: the successor is to be listed, so this process stops its reports.
+func TestSuccessorJoinsDuringDrain(t *testing.T) {
+	fixture := newHandoverFixture(t)
+	fixture.Drain()
+	fixture.runPosted()
+	fixture.successorJoined(fixture.link)
+	fixture.announcer.Set(false)
+	require.True(t, fixture.announcer.Silent())
+	fixture.expect("synced")
 }
 
-// The clock is set back between the stamp of a request and its reading: it is no request from the future.
-func TestClockSetBackAgainstARequest(t *testing.T) {
-	s, p, do := up(t)
+// The clock is set back after a request was stamped and before it is read: that is no request from the future.
+func TestClockSetBackBeforeRequest(t *testing.T) {
+	server, conn, runPosted := newReadyServer(t)
 	at := time.Now()
-	s.clock.read = func() time.Time { return at }
-	s.clock.advance()
-	stamped := Attempt{ID: "a", Class: "preview", ArrivedAt: time.Duration(at.UnixNano()), Timeout: 3 * time.Second, MemoryKB: 1}
+	server.clock.read = func() time.Time { return at }
+	server.clock.advance()
+	stamped := newAttempt(server, "a", "preview")
+	stamped.ArrivedAt = time.Duration(at.UnixNano())
 	at = at.Round(0).Add(-time.Hour)
-	s.clock.advance()
-	s.Submit(p, 1, stamped)
-	do()
-	s.step()
-	require.Empty(t, p.got)
-	require.True(t, s.byWire["a"].running)
+	server.clock.advance()
+	server.Submit(conn, 1, stamped)
+	runPosted()
+	server.step()
+	require.Empty(t, conn.recorded)
+	require.True(t, server.requests.byAttemptID["a"].running())
 	stamped.ID, stamped.ArrivedAt = "b", stamped.ArrivedAt+time.Hour // one from the future is still wrong
-	s.Submit(p, 2, stamped)
-	do()
-	require.Equal(t, []any{Invalid}, p.got)
+	server.Submit(conn, 2, stamped)
+	runPosted()
+	require.Equal(t, []any{Invalid}, conn.recorded)
 }
 
-// All runs are lost with the agent: what waits for them is answered, once, and no order of theirs runs again.
-func TestRunsLostAgainstARepeat(t *testing.T) {
-	for _, first := range []string{"repeat", "loss"} {
-		s, p, do := up(t)
-		s.Submit(p, 1, order(s, "a"))
-		do()
-		s.step()
+// All runs are lost with the agent: each request that waits for them gets one answer, and none runs again.
+func TestRunsLostAgainstRetry(t *testing.T) {
+	for _, first := range []string{"retry", "loss"} {
+		server, conn, runPosted := newReadyServer(t)
+		server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
+		runPosted()
+		server.step()
 		if first == "loss" {
-			s.runsLost()
+			server.handleRunsLost()
 		}
-		s.Submit(p, 2, order(s, "b"))
-		do()
-		s.step()
-		if first == "repeat" {
-			s.runsLost()
+		server.Submit(conn, 2, keyedAttempt(server, "b", "k"))
+		runPosted()
+		server.step()
+		if first == "retry" {
+			server.handleRunsLost()
 		}
-		s.step()
-		require.Equal(t, []any{Failed, Failed}, p.got, first)
-		require.EqualValues(t, 1, s.stats.Runs, first)
-		require.Empty(t, s.requests, first)
+		server.step()
+		require.Equal(t, []any{Failed, Failed}, conn.recorded, first)
+		require.EqualValues(t, 1, server.stats.Runs, first)
+		require.Empty(t, server.requests.byID, first)
 	}
 }
 
-// The entry of an order runs out while its run goes on: the run keeps it until its end, and its end finds it.
-func TestWindowAgainstARun(t *testing.T) {
-	s, p, do := up(t)
-	s.Submit(p, 1, order(s, "a"))
-	do()
-	s.step()
-	r := s.byWire["a"]
-	s.clock.now += s.cfg.Settings.Classes[2].IdempotencyWindow / 2
-	s.deadlines.Sweep(s.clock.now)
-	s.step()
-	require.Equal(t, []any{Failed}, p.got) // in time, though it runs
-	s.Submit(p, 2, order(s, "b"))          // within the window
-	do()
-	s.step()
-	s.clock.now += 10 * s.cfg.Settings.Classes[2].IdempotencyWindow
-	s.finish(r, admission.OutcomeOK, []byte("done"))
-	require.Equal(t, []any{Failed, Served}, p.got)
-	require.EqualValues(t, 1, s.stats.Runs)
-	s.clock.now += s.lateMost()
-	s.deadlines.Sweep(s.clock.now)
-	require.Zero(t, s.keys.size())
+// The window of a key ends while its run goes on: the entry stays until the run has ended, and its result is found.
+func TestIdempotencyWindowEndsDuringRun(t *testing.T) {
+	server, conn, runPosted := newReadyServer(t)
+	server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
+	runPosted()
+	server.step()
+	request := server.requests.byAttemptID["a"]
+	server.clock.now += server.config.Settings.Classes[2].IdempotencyWindow / 2
+	server.deadlines.Sweep(server.clock.now)
+	server.step()
+	require.Equal(t, []any{Failed}, conn.recorded)         // in time, though it runs
+	server.Submit(conn, 2, keyedAttempt(server, "b", "k")) // within the window
+	runPosted()
+	server.step()
+	server.clock.now += 10 * server.config.Settings.Classes[2].IdempotencyWindow
+	server.completeRun(request, admission.OutcomeOK, []byte("done"))
+	require.Equal(t, []any{Failed, Served}, conn.recorded)
+	require.EqualValues(t, 1, server.stats.Runs)
+	server.clock.now += server.config.maxArrivalAge()
+	server.deadlines.Sweep(server.clock.now)
+	require.Zero(t, server.idempotency.size())
 }
 
-// The older process ends while an order that it ran has not ended, or just after: its result answers tries at the newer.
-func TestEndOfTheOlderAgainstItsRun(t *testing.T) {
-	o := withPartner(t)
-	run := o.order("aa")
-	o.joinedNewer(o.link)
-	o.expect("known")
-	o.expect("synced")
-	o.Drain()
-	o.do()
-	o.step()
-	o.deadlines.Sweep(o.clock.now)
-	o.serving = 0
-	o.ReadEnded(o.peer, Disconnected)
-	o.do()
-	require.False(t, o.finished())
-	o.finish(run, admission.OutcomeOK, []byte("done"))
-	o.expect(string(handover.Completed))
-	require.True(t, o.finished())
+// The predecessor drains while a request that it runs has not ended: it waits for the result, which answers retries at
+// the successor.
+func TestPredecessorEndsDuringItsRun(t *testing.T) {
+	fixture := newHandoverFixture(t)
+	run := fixture.submitKeyed("aa")
+	fixture.successorJoined(fixture.link)
+	fixture.expect("known")
+	fixture.expect("synced")
+	fixture.Drain()
+	fixture.runPosted()
+	fixture.step()
+	fixture.deadlines.Sweep(fixture.clock.now)
+	fixture.listeners.serving = 0
+	fixture.ReadEnded(fixture.recordingConnection, Disconnected)
+	fixture.runPosted()
+	require.False(t, fixture.finished())
+	fixture.completeRun(run, admission.OutcomeOK, []byte("done"))
+	fixture.expect(string(handover.Completed))
+	require.True(t, fixture.finished())
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -6,101 +6,112 @@
 	"time"
 
 	"falldeal/admission"
-	"falldeal/internal/agent"
 
 	"github.com/stretchr/testify/require"
 )
 
-// New settings count at once and for what comes: a class that is gone keeps what is under way and takes in
-// what its front ends, who hear of it late, still send; one that is new is served like any other.
-func TestRetune(t *testing.T) {
-	s, do := idle(t)
-	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	n := uint32(0)
-	var got []any
-	submit := func(class string) *request {
-		n++
-		p := &peer{}
-		s.ConnectionOpened(p)
-		id := string(rune('a' + n))
-		s.Submit(p, n, Attempt{ID: id, IdempotencyKey: id, Class: class, ArrivedAt: s.clock.now, Timeout: 2 * time.Second, MemoryKB: 1})
-		do()
-		s.step()
-		return s.byWire[id]
+// submitOnNewConnection submits a request on a connection of its own, and lets the controller decide on it.
+func submitOnNewConnection(server *Server, runPosted func(), call uint32, class string) *activeRequest {
+	conn := &recordingConnection{}
+	server.ConnectionOpened(conn)
+	id := string(rune('a' + call))
+	attempt := newAttempt(server, id, class)
+	attempt.IdempotencyKey, attempt.Timeout = id, 2*time.Second
+	server.Submit(conn, call, attempt)
+	runPosted()
+	server.step()
+	return server.requests.byAttemptID[id]
+}
+
+// New settings count at once for what arrives: a class that is gone keeps its active requests and takes in those that
+// front ends, which learn of it late, still send; a new one is served like any other.
+func TestReload(t *testing.T) {
+	server, runPosted := newIdleServer(t)
+	startAgent(server)
+	calls := uint32(0)
+	submit := func(class string) *activeRequest {
+		calls++
+		return submitOnNewConnection(server, runPosted, calls, class)
 	}
+	var got []any
 	old := submit("licence-order")
-	require.True(t, old.running)
+	require.True(t, old.running())
 
-	fresh := *s.cfg
-	fresh.Classes = []string{"poster", "preview", "hires-crop"}
-	set := s.cfg.Settings
-	set.Classes = []admission.Class{set.Classes[2], set.Classes[0], set.Classes[1]}
-	set.Cores++
-	set.Classes[1].Deadline = time.Second // front ends of before wait longer
-	fresh.Settings = set
-	s.Reload(&fresh, nil)
-	do()
-	require.Equal(t, []string{"preview", "hires-crop", "licence-order", "poster"}, s.cfg.Classes)
-	require.Equal(t, set.Cores, s.cfg.Settings.Cores)
-	require.Equal(t, "licence-order", s.cfg.Classes[old.class])
+	loaded := *server.config.Config
+	loaded.Classes = []string{"poster", "preview", "hires-crop"}
+	settings := server.config.Settings
+	settings.Classes = []admission.Class{settings.Classes[2], settings.Classes[0], settings.Classes[1]}
+	settings.Cores++
+	settings.Classes[1].Deadline = time.Second // front ends that have not learned of it wait longer
+	loaded.Settings = settings
+	server.Reload(&loaded, nil)
+	runPosted()
+	require.Equal(t, []string{"preview", "hires-crop", "licence-order", "poster"}, server.config.Classes)
+	require.Equal(t, settings.Cores, server.config.Settings.Cores)
+	require.Equal(t, "licence-order", server.config.Classes[old.class])
 	added := submit("poster")
-	require.True(t, added.running)
+	require.True(t, added.running())
 	require.Equal(t, 3, added.class)
 	late := submit("licence-order")
 	patient := submit("preview")
-	require.True(t, late.running)
-	for _, r := range []*request{old, added, late, patient} {
-		s.finish(r, admission.OutcomeOK, nil)
-		got = append(got, r.peer.(*peer).got...)
+	require.True(t, late.running())
+	for _, request := range []*activeRequest{old, added, late, patient} {
+		server.completeRun(request, admission.OutcomeOK, nil)
+		got = append(got, request.connection.(*recordingConnection).recorded...)
 	}
 	require.Equal(t, []any{Served, Served, Served, Served}, got)
-	require.EqualValues(t, 2, s.stats.Answers["licence-order"].Served)
-	require.EqualValues(t, 1, s.stats.Answers["poster"].Served)
+	require.EqualValues(t, 2, server.stats.Answers["licence-order"].Served)
+	require.EqualValues(t, 1, server.stats.Answers["poster"].Served)
 
-	// In the end a class that is gone is unknown, and one that comes back has its place again.
-	s.clock.now += s.lateMost()
-	s.deadlines.Sweep(s.clock.now)
+	// In the end a class that is gone is unknown, and one that comes back has its index again.
+	server.clock.now += server.config.maxArrivalAge()
+	server.deadlines.Sweep(server.clock.now)
 	require.Nil(t, submit("licence-order"))
-	back := *s.cfg
-	back.Classes, back.Settings.Classes = fresh.Classes[:1], set.Classes[:1]
+	back := *server.config.Config
+	back.Classes, back.Settings.Classes = loaded.Classes[:1], settings.Classes[:1]
 	back.Classes = []string{"licence-order"}
-	s.Reload(&back, nil)
-	do()
+	server.Reload(&back, nil)
+	runPosted()
 	require.Equal(t, 2, submit("licence-order").class)
 
-	s.Reload(nil, errors.New("no such key"))
-	do()
-	require.EqualValues(t, 2, s.stats.Reloads)
-	require.EqualValues(t, 1, s.stats.ReloadsFailed)
+	server.Reload(nil, errors.New("no such key"))
+	runPosted()
+	require.EqualValues(t, 2, server.stats.Reloads)
+	require.EqualValues(t, 1, server.stats.ReloadsFailed)
 }
 
-// A class whose requests may not be repeated as before is another class to what is in hand.
-func TestClassChangesItsKind(t *testing.T) {
-	all, names := placeClasses([]admission.Class{{Idempotency: admission.IdempotentByKey}}, []admission.Class{{Idempotency: admission.Safe}},
-		[]string{"order"}, []string{"order"})
-	require.Equal(t, []admission.Class{{Idempotency: admission.IdempotentByKey, Removed: true}, {Idempotency: admission.Safe}}, all)
+// A class whose idempotency has changed is another class to active requests.
+func TestClassIdempotencyChanges(t *testing.T) {
+	current := []admission.Class{{Idempotency: admission.IdempotentByKey}}
+	loaded := []admission.Class{{Idempotency: admission.Safe}}
+	classes, names := mergeClasses(current, loaded, []string{"order"}, []string{"order"})
+	require.Equal(t, []admission.Class{
+		{Idempotency: admission.IdempotentByKey, Removed: true},
+		{Idempotency: admission.Safe},
+	}, classes)
 	require.Equal(t, []string{"order", "order"}, names)
 }
 
-// When a class gets another name, a request that is tried again comes under the new one with the old key.
-func TestTriedAgainUnderAnotherName(t *testing.T) {
-	s, do := idle(t)
-	s.greeted(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
-	p := &peer{}
-	s.ConnectionOpened(p)
+// When a class is renamed, a retry arrives under the new name with the old key.
+func TestRetryUnderRenamedClass(t *testing.T) {
+	server, runPosted := newIdleServer(t)
+	startAgent(server)
+	conn := &recordingConnection{}
+	server.ConnectionOpened(conn)
 	submit := func(call uint32, class string) {
-		s.Submit(p, call, Attempt{ID: string(rune('a' + call)), IdempotencyKey: "k", Class: class, ArrivedAt: s.clock.now, Timeout: time.Second,
-			MemoryKB: 1, Body: []byte("order")})
-		do()
-		s.step()
+		attempt := newAttempt(server, string(rune('a'+call)), class)
+		attempt.IdempotencyKey, attempt.Timeout, attempt.Body = "k", time.Second, []byte("order")
+		server.Submit(conn, call, attempt)
+		runPosted()
+		server.step()
 	}
 	submit(1, "licence-order")
-	fresh := *s.cfg
-	fresh.Classes = []string{"preview", "hires-crop", "order"}
-	s.Reload(&fresh, nil)
-	do()
+	loaded := *server.config.Config
+	loaded.Classes = []string{"preview", "hires-crop", "order"}
+	server.Reload(&loaded, nil)
+	runPosted()
 	submit(2, "order")
-	s.finish(s.byWire["b"], admission.OutcomeOK, nil)
-	require.Equal(t, []any{Served, Served}, p.got)
-	require.EqualValues(t, 1, s.stats.Runs)
+	server.completeRun(server.requests.byAttemptID["b"], admission.OutcomeOK, nil)
+	require.Equal(t, []any{Served, Served}, conn.recorded)
+	require.EqualValues(t, 1, server.stats.Runs)
 }
--- /dev/null
+++ b/internal/server/respond.go
@@ -0,0 +1,170 @@
+package server
+
+import (
+	"falldeal/admission"
+	"falldeal/internal/agent"
+)
+
+// Stage six, respond: each request gets one answer, and is removed once it has ended.
+
+// answer gives a request its one answer.
+func (s *Server) answer(request *activeRequest, answer Answer) {
+	if request.answered {
+		return
+	}
+	s.markAnswered(request)
+	state := s.connections.get(request.connection)
+	if state == nil {
+		return
+	}
+	s.connections.touch(state, s.clock.now)
+	s.countAnswer(request.class, answer.Kind)
+	s.logTrace(request, answerNames[answer.Kind])
+	s.markCompleted(request)
+	request.connection.Answer(request.call, answer)
+}
+
+// answerInvalid answers a wrong request.
+func (s *Server) answerInvalid(conn Connection, call uint32, err error) {
+	s.stats.Invalid++
+	s.warnings.Warn("request", "wrong request from a front end", err)
+	conn.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
+}
+
+// countAnswer counts an answer to a request of a class.
+func (s *Server) countAnswer(class int, kind AnswerKind) {
+	answers := s.stats.Name(s.config.Classes[class])
+	switch kind {
+	case Served:
+		answers.Served++
+	case Rejected:
+		answers.Rejected++
+	default: // Failed; no other kind is counted
+		answers.Failed++
+	}
+}
+
+// markAnswered records that no answer is owed to a request any more.
+func (s *Server) markAnswered(r *activeRequest) {
+	r.answered = true
+	if state := s.connections.get(r.connection); state != nil {
+		s.connections.closeCall(state, r.call)
+	}
+}
+
+// reject answers a request that the controller turns away.
+func (s *Server) reject(request *activeRequest, action admission.Action) {
+	request.trace.reason = action.Reason.String()
+	if action.Reason == admission.ReasonDependency {
+		s.recordMissedCall()
+	}
+	s.recordRejection(request, action)
+	s.answer(request, Answer{Kind: Rejected, RetryAfter: action.RetryAfter, NoRetryElsewhere: action.NoRetryElsewhere})
+	if !request.running() {
+		s.removeRequest(request)
+	}
+}
+
+// fail answers a request with an error. Its run, if there is one, goes on to its end or next call.
+func (s *Server) fail(request *activeRequest) {
+	request.trace.reason = reasonGivenUp
+	s.answer(request, Answer{Kind: Failed})
+	s.abandonCall(request)
+	if !request.running() {
+		s.removeRequest(request)
+	}
+}
+
+// handleOutcome handles the outcome of a run.
+func (s *Server) handleOutcome(notification agent.Notification) {
+	request := s.requests.byAttemptID[notification.RequestID]
+	if request == nil || !request.running() {
+		return
+	}
+	switch notification.Result {
+	case agent.Success:
+		s.completeRun(request, admission.OutcomeOK, notification.Payload)
+	case agent.Failure:
+		s.stats.RunsFailed++
+		s.completeRun(request, admission.OutcomeFailed, nil)
+	case agent.Interrupted:
+		s.stats.RunsInterrupted++
+		s.completeRun(request, admission.OutcomeCancelled, nil)
+	default: // agent.Nothing: the codec lets no other result pass
+		s.stats.RunsNotStarted++
+		s.completeRun(request, admission.OutcomeNotStarted, nil)
+	}
+}
+
+// completeRun ends the run of a request, and answers that request and the retries that wait for its result.
+func (s *Server) completeRun(request *activeRequest, outcome admission.Outcome, result []byte) {
+	ok := outcome == admission.OutcomeOK
+	s.abandonCall(request)
+	s.agent.Forget(request.attempt.ID)
+	s.enqueueDone(request, outcome)
+	s.answerResult(request, ok, result)
+	for _, retry := range s.idempotency.runEnded(request, outcome, result) {
+		s.answerFromResult(retry, ok, result)
+	}
+	s.removeRequest(request)
+}
+
+// enqueueDone tells the controller that a run, or the reuse of a result, has ended.
+func (s *Server) enqueueDone(request *activeRequest, outcome admission.Outcome) {
+	s.admission.enqueue(admission.Event{
+		Kind:    admission.EventDone,
+		ID:      request.id,
+		Outcome: outcome,
+		Took:    s.clock.now - request.startedAt,
+	})
+}
+
+// answerResult answers a request with the result of a run.
+func (s *Server) answerResult(request *activeRequest, ok bool, result []byte) {
+	if ok {
+		s.answer(request, Answer{Kind: Served, Body: result})
+	} else {
+		s.answer(request, Answer{Kind: Failed})
+	}
+}
+
+// reuseResult answers a request with the result of the attempt that it retries, now or when that has ended.
+func (s *Server) reuseResult(request *activeRequest) {
+	request.startedAt = s.clock.now
+	if result, ok, ended := s.idempotency.awaitResult(request); ended {
+		s.answerFromResult(request, ok, result)
+	}
+}
+
+// answerFromResult ends a request that has waited for the run of another attempt.
+func (s *Server) answerFromResult(request *activeRequest, ok bool, result []byte) {
+	if !s.requests.contains(request) {
+		return // it has ended while it waited
+	}
+	outcome := admission.OutcomeFailed
+	if ok {
+		outcome = admission.OutcomeOK
+		s.stats.Reused++
+	}
+	s.answerResult(request, ok, result)
+	s.enqueueDone(request, outcome)
+	s.removeRequest(request)
+}
+
+// removeRequest removes a request to which nothing more can happen.
+func (s *Server) removeRequest(r *activeRequest) {
+	s.requests.remove(r)
+	if entry := s.idempotency.release(r); entry != nil {
+		s.expireAfterWindow(entry)
+	}
+}
+
+// expireAfterWindow drops an entry that has a run once no attempt of its window can be taken in any more.
+func (s *Server) expireAfterWindow(entry *idempotencyEntry) {
+	windowEnd := entry.windowEnd
+	s.deadlines.Add(s.clock.fromUnix(windowEnd)+s.config.maxArrivalAge()+windowSlack, func() {
+		if entry.windowEnd == windowEnd {
+			s.idempotency.drop(entry)
+		}
+	})
+}
--- a/lab/costs/parts.go
+++ b/lab/costs/parts.go
@@ -43,7 +43,8 @@
 	}},
 	{name: "codec", prefixes: []string{
 		"falldeal/internal/msgpackrpc.(*decoder)", "falldeal/internal/msgpackrpc.parse",
-		"falldeal/internal/msgpackrpc.append", "falldeal/internal/msgpackrpc.(*fields)",
+		"falldeal/internal/msgpackrpc.append", "falldeal/internal/msgpackrpc.encode",
+		"falldeal/internal/msgpackrpc.(*fields)",
 		"falldeal/internal/msgpackrpc.fieldsOf", "falldeal/internal/msgpackrpc.(*frame",
 		"falldeal/internal/agent.(*parser)", "falldeal/internal/agent.append", "falldeal/internal/agent.launch",
 		"falldeal/internal/agent.deliver", "falldeal/internal/store.readReply", "falldeal/internal/store.append",
