--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -12,8 +12,8 @@
 	"strings"
 	"testing"
 
-	"falldeal/lab/commandtest"
 	"falldeal/internal/fleet"
+	"falldeal/lab/commandtest"
 
 	"github.com/stretchr/testify/require"
 )
