--- a/internal/msgpackrpc/drain_test.go
+++ b/internal/msgpackrpc/drain_test.go
@@ -31,7 +31,8 @@
 	client.expectClosing()
 	idle.expectClosing()
 	idle.netConn.Close()
-	client.sendRequest("preview", "too late", "at", fmt.Sprint(time.Now().Add(time.Second).UnixMilli()))
+	peers.expectNoCommand() // so that the turn in which the drain began is over: what comes in it is in time
+	client.sendRequest("preview", "too late", "at", fmt.Sprint(time.Now().Add(500*time.Millisecond).UnixMilli()))
 	client.expectAnswer(2, codeOverloaded)
 	peers.agentSends("outcome", runID, "success", []byte("done"))
 	client.expectAnswer(1, "done")
@@ -224,6 +225,7 @@
 			if first == "drain" {
 				peers.server.Reload(&longer, nil)
 			}
+			peers.expectNoCommand() // so that the turn in which the drain began is over
 			afterDrain := fmt.Sprint(time.Now().Add(500 * time.Millisecond).UnixMilli())
 			runID := client.sendRequest("preview", "x", "at", afterDrain)
 			if first == "reload" {
