--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -37,7 +37,7 @@
 			changes = append(changes, previous.Members[i].forgotten())
 		}
 		if i == len(previous.Members) || previous.Members[i].Name > member.Name {
-			changes = member.appendChange(changes, MemberJoined, "", member.Condition(), s.At)
+			changes = append(changes, member.change(MemberJoined, "", member.Condition(), s.At))
 			continue
 		}
 		changes = member.appendChanges(changes, &previous.Members[i], s.At)
@@ -62,25 +62,26 @@
 // appendChanges appends the differences from the same member in an earlier snapshot.
 func (m *Member) appendChanges(changes []Change, previous *Member, now time.Duration) []Change {
 	if previous.Run != m.Run {
-		changes = m.appendChange(changes, MemberRestarted, previous.Process(), m.Process(), now)
+		changes = append(changes, m.change(MemberRestarted, previous.Process(), m.Process(), now))
+	}
+	if from, to := previous.Condition(), m.Condition(); from != to {
+		changes = append(changes, m.change(ConditionChanged, from, to, now))
 	}
-	changes = m.appendChange(changes, ConditionChanged, previous.Condition(), m.Condition(), now)
 	if previous.Seq == 0 {
 		return changes // no record of it was received before
 	}
-	changes = m.appendChange(changes, VersionChanged, previous.Version, m.Version, now)
+	if previous.Version != m.Version {
+		changes = append(changes, m.change(VersionChanged, previous.Version, m.Version, now))
+	}
 	if previous.Config != m.Config {
-		changes = m.appendChange(changes, ConfigChanged, formatDigest(previous.Config), formatDigest(m.Config), now)
+		from, to := formatDigest(previous.Config), formatDigest(m.Config)
+		changes = append(changes, m.change(ConfigChanged, from, to, now))
 	}
 	return changes
 }
 
-// appendChange appends a change where from and to differ.
-func (m *Member) appendChange(changes []Change, kind ChangeKind, from, to string, now time.Duration) []Change {
-	if from == to {
-		return changes
-	}
-	return append(changes, Change{Member: m.Name, Kind: kind, From: from, To: to, Age: m.Age(now)})
+func (m *Member) change(kind ChangeKind, from, to string, now time.Duration) Change {
+	return Change{Member: m.Name, Kind: kind, From: from, To: to, Age: m.Age(now)}
 }
 
 func (s *Snapshot) appendZoneChanges(changes []Change, previous *Snapshot) []Change {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -1,9 +1,9 @@
 package fleet
 
 import (
-	"cmp"
 	"hash/fnv"
 	"slices"
+	"sort"
 	"strings"
 	"time"
 )
@@ -94,36 +94,42 @@
 // Snapshot returns the view as of now.
 func (v *View) Snapshot(now time.Duration) *Snapshot {
 	snapshot := &Snapshot{
-		At: now, LastReceived: v.lastReceived, Self: v.self, Members: make([]Member, 0, len(v.names)),
+		At: now, LastReceived: v.lastReceived, Self: v.self, Members: make([]Member, len(v.names)),
 	}
 	fresh := v.freshAge()
-	for _, name := range v.names {
-		snapshot.addMember(v.entries[name].member(now, fresh, name, v.self))
+	for i, name := range v.names {
+		member := &snapshot.Members[i]
+		member.Self = name == v.self
+		v.entries[name].describe(member, name, now, fresh)
+		snapshot.ensureZone(member.Region, member.Zone).add(member.Liveness)
+		snapshot.Total.add(member.Liveness)
 	}
 	snapshot.Position = snapshot.position(v.everReceived)
 	return snapshot
 }
 
-// member is the entry as the member of that name in a snapshot of the member called self.
-func (e *entry) member(now, fresh time.Duration, name, self string) Member {
-	member := Member{
-		Record: e.record, Liveness: e.liveness(now, fresh), Self: name == self,
-		RecordedAt: e.recordedAt, Since: e.lastReached,
+// describe sets the member of that name from its entry.
+func (e *entry) describe(member *Member, name string, now, fresh time.Duration) {
+	member.Record, member.RecordedAt = e.record, e.recordedAt
+	if e.record == nil {
+		member.Record, member.RecordedAt = e.placeholderRecord(name), e.lastReached
 	}
+	member.Since = e.lastReached
 	if current := e.currentObservation(); current != nil {
 		member.Since = current.since
 	}
-	if member.Record == nil {
-		member.Record = e.placeholderRecord(name)
-		member.RecordedAt = e.lastReached
-	}
+	member.Liveness = e.liveness(now, fresh)
 	if member.Self && member.Liveness != Left {
-		member.Liveness = Alive
-		if member.Stalled > 0 {
-			member.Liveness = Wedged
-		}
+		member.Liveness = selfLiveness(member.Record)
+	}
+}
+
+// selfLiveness is the liveness of the observer itself, which its own failure detection says nothing of.
+func selfLiveness(record *Record) Liveness {
+	if record.Stalled > 0 {
+		return Wedged
 	}
-	return member
+	return Alive
 }
 
 // placeholderRecord stands for a record that was not received yet.
@@ -135,16 +141,14 @@
 	return record
 }
 
-func (s *Snapshot) addMember(member Member) {
-	s.Members = append(s.Members, member)
-	s.ensureZone(member.Region, member.Zone).add(member.Liveness)
-	s.Total.add(member.Liveness)
-}
-
 // findZone returns the index of a zone, or where it belongs.
 func (s *Snapshot) findZone(region, zone string) (index int, found bool) {
-	return slices.BinarySearchFunc(s.Zones, zone, func(known Zone, zone string) int {
-		return cmp.Or(strings.Compare(known.Region, region), strings.Compare(known.Zone, zone))
+	return sort.Find(len(s.Zones), func(i int) int {
+		known := &s.Zones[i]
+		if order := strings.Compare(region, known.Region); order != 0 {
+			return order
+		}
+		return strings.Compare(zone, known.Zone)
 	})
 }
 
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -46,7 +46,7 @@
 // table would move each record to the heap.
 func (r *Record) decodeField(number protowire.Number, wireType protowire.Type, value []byte) error {
 	kind := fieldKinds[number]
-	if wireType != kind.wireType() {
+	if wireType != wireTypes[kind] {
 		return &fieldError{number, wireType}
 	}
 	switch kind {
--- a/internal/fleet/update_encode.go
+++ b/internal/fleet/update_encode.go
@@ -47,30 +47,28 @@
 	return appendText(b, fieldAggregate, load.Aggregate)
 }
 
-// Fields whose value is empty or zero are not sent.
+// Fields whose value is empty or zero are not sent. Most fields of a record are, so that the check for that is apart
+// from the encoding, small enough to be inlined.
 
 func appendText(b []byte, number protowire.Number, text string) []byte {
 	if text == "" {
 		return b
 	}
-	b = protowire.AppendTag(b, number, protowire.BytesType)
-	return protowire.AppendString(b, text)
+	return encodeText(b, number, text)
 }
 
 func appendFixed64(b []byte, number protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return b
 	}
-	b = protowire.AppendTag(b, number, protowire.Fixed64Type)
-	return protowire.AppendFixed64(b, value)
+	return encodeFixed64(b, number, value)
 }
 
 func appendVarint(b []byte, number protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return b
 	}
-	b = protowire.AppendTag(b, number, protowire.VarintType)
-	return protowire.AppendVarint(b, value)
+	return encodeVarint(b, number, value)
 }
 
 func appendDuration(b []byte, number protowire.Number, value time.Duration) []byte {
@@ -78,6 +76,28 @@
 }
 
 func appendThousandths(b []byte, number protowire.Number, value float64) []byte {
+	if value == 0 {
+		return b
+	}
+	return encodeThousandths(b, number, value)
+}
+
+func encodeText(b []byte, number protowire.Number, text string) []byte {
+	b = protowire.AppendTag(b, number, protowire.BytesType)
+	return protowire.AppendString(b, text)
+}
+
+func encodeFixed64(b []byte, number protowire.Number, value uint64) []byte {
+	b = protowire.AppendTag(b, number, protowire.Fixed64Type)
+	return protowire.AppendFixed64(b, value)
+}
+
+func encodeVarint(b []byte, number protowire.Number, value uint64) []byte {
+	b = protowire.AppendTag(b, number, protowire.VarintType)
+	return protowire.AppendVarint(b, value)
+}
+
+func encodeThousandths(b []byte, number protowire.Number, value float64) []byte {
 	return appendVarint(b, number, thousandths(value))
 }
 
--- a/internal/fleet/update_fields.go
+++ b/internal/fleet/update_fields.go
@@ -73,16 +73,15 @@
 
 func (k fieldKind) String() string { return fieldKindNames[k] }
 
-func (k fieldKind) wireType() protowire.Type {
-	switch k {
-	case textField, opaqueField:
-		return protowire.BytesType
-	case fixed64Field:
-		return protowire.Fixed64Type
-	case varintField, durationField, thousandthsField, ratioField:
-		return protowire.VarintType
-	}
-	return -1
+// wireTypes has the encoding of each kind.
+var wireTypes = [...]protowire.Type{
+	textField:        protowire.BytesType,
+	opaqueField:      protowire.BytesType,
+	fixed64Field:     protowire.Fixed64Type,
+	varintField:      protowire.VarintType,
+	durationField:    protowire.VarintType,
+	thousandthsField: protowire.VarintType,
+	ratioField:       protowire.VarintType,
 }
 
 // fieldKinds has the kind of each known field.
