--- a/internal/fleet/nameconflict_test.go
+++ b/internal/fleet/nameconflict_test.go
@@ -43,7 +43,7 @@
 	})
 	t.Run("one that is being replaced", func(t *testing.T) {
 		replaced, successor := newTestSelf(1, 100), newTestSelf(2, 100)
-		replaced.LoopStatus(0, Status{State: Serving, Replaced: true})
+		replaced.SetStatus(0, Status{State: Serving, Replaced: true})
 		exchangeRecords(replaced, successor)
 		require.False(t, successor.NameReleased())
 	})
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -11,7 +11,7 @@
 	initialDialDelay = time.Second      // doubled with each dial of an address
 	maxDialDelay     = 30 * time.Second // in a small fleet
 	unmetDialDelay   = 3 * time.Second  // least delay before a member that was never met is dialed
-	maxDialsAtOnce   = 2
+	maxDialsPerRound = 2
 )
 
 // Rejoin decides which addresses to dial: seeds that are not reached, and members that are lost. The failure detection
@@ -143,7 +143,7 @@
 	slices.SortFunc(due, func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.schedules[a].nextAt, r.schedules[b].nextAt), cmp.Compare(a, b))
 	})
-	return due[:min(len(due), maxDialsAtOnce)]
+	return due[:min(len(due), maxDialsPerRound)]
 }
 
 // firstDelay is the delay before the first dial of an address. All members notice a loss at one instant, so that the
--- a/internal/fleet/rejoin_test.go
+++ b/internal/fleet/rejoin_test.go
@@ -22,7 +22,7 @@
 	dials, lastDial := map[string]int{}, map[string]time.Duration{}
 	for now := time.Duration(0); now < time.Hour; now += time.Second / 4 {
 		next := rejoin.NextDials(now, view.Snapshot(now))
-		require.LessOrEqual(t, len(next), maxDialsAtOnce)
+		require.LessOrEqual(t, len(next), maxDialsPerRound)
 		for _, addr := range next {
 			dials[addr]++
 			require.LessOrEqual(t, now-lastDial[addr], 3*maxDialDelay)
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -57,8 +57,8 @@
 // NameReleased reports whether the name has been given up to another process. Nothing more is published then.
 func (s *Self) NameReleased() bool { return s.ownership == nameReleased }
 
-// LoopStatus takes in a report of the loop, and returns whether it is to be published at once.
-func (s *Self) LoopStatus(now time.Duration, status Status) (urgent bool) {
+// SetStatus takes in a report of the loop, and returns whether it is to be published at once.
+func (s *Self) SetStatus(now time.Duration, status Status) (urgent bool) {
 	s.lastStatus = now
 	s.setReplaced(status.Replaced)
 	if status.Replaced {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Reconfigured sets the digest of the configuration, and returns whether it has changed.
-func (s *Self) Reconfigured(config uint64) (changed bool) {
+// SetConfig sets the digest of the configuration, and returns whether it has changed.
+func (s *Self) SetConfig(config uint64) (changed bool) {
 	changed = s.record.Config != config
 	s.record.Config = config
 	return changed
--- a/internal/fleet/self_test.go
+++ b/internal/fleet/self_test.go
@@ -10,7 +10,7 @@
 // A stalled loop must be published, and nothing that it reported before may pass for current.
 func TestStalledLoop(t *testing.T) {
 	self := NewSelf(0, Place{Name: "n1", Run: 1}, 0, 1)
-	self.LoopStatus(time.Second, Status{State: Serving})
+	self.SetStatus(time.Second, Status{State: Serving})
 	require.Zero(t, self.NextRecord(time.Second).Stalled)
 	require.False(t, self.PublishDue(3*time.Second/2, 5))
 	require.True(t, self.PublishDue(2*time.Second, 5))
@@ -22,6 +22,6 @@
 	require.False(t, self.PublishDue(5*time.Second+time.Second/2, 5))
 	require.True(t, self.PublishDue(6*time.Second, 5), "it is published again: any one update may miss a member")
 	require.Positive(t, self.NextRecord(6*time.Second).Stalled)
-	require.True(t, self.LoopStatus(time.Hour, Status{State: Serving}), "and so is its end")
+	require.True(t, self.SetStatus(time.Hour, Status{State: Serving}), "and so is its end")
 	require.Zero(t, self.NextRecord(time.Hour).Stalled)
 }
--- a/internal/gossip/counters.go
+++ b/internal/gossip/counters.go
@@ -7,9 +7,9 @@
 	PacketsOut, BytesOut, Streams, StreamBytes atomic.Int64 // sent by this process
 	Updates, NewUpdates                        atomic.Int64 // received, and those that were newer than what was known
 	Malformed, ForeignPackets, Overflow        atomic.Int64 // dropped: malformed; of another key; too many at once
-	Calls, CallsFailed                         atomic.Int64 // dials to members and seeds that were not reached
+	Dials, DialsFailed                         atomic.Int64 // dials to members and seeds that were not reached
 	Direct                                     atomic.Int64 // messages to single members that were sent
-	Suspicions, Objections                     atomic.Int64 // raised by this process; refuted by this process
+	Suspicions, Refutations                    atomic.Int64 // raised by this process; refuted by this process
 }
 
 // values returns the counters by the names under which they are published.
@@ -24,10 +24,10 @@
 		"spoilt":           c.Malformed.Load(),
 		"strangers":        c.ForeignPackets.Load(),
 		"overflow":         c.Overflow.Load(),
-		"calls":            c.Calls.Load(),
-		"calls_failed":     c.CallsFailed.Load(),
+		"calls":            c.Dials.Load(),
+		"calls_failed":     c.DialsFailed.Load(),
 		"direct":           c.Direct.Load(),
 		"suspicions":       c.Suspicions.Load(),
-		"objections":       c.Objections.Load(),
+		"objections":       c.Refutations.Load(),
 	}
 }
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -39,8 +39,8 @@
 func setCounters(counters *Counters) {
 	for i, counter := range []*atomic.Int64{
 		&counters.PacketsOut, &counters.BytesOut, &counters.Streams, &counters.StreamBytes, &counters.Updates,
-		&counters.NewUpdates, &counters.Malformed, &counters.ForeignPackets, &counters.Overflow, &counters.Calls,
-		&counters.CallsFailed, &counters.Direct, &counters.Suspicions, &counters.Objections,
+		&counters.NewUpdates, &counters.Malformed, &counters.ForeignPackets, &counters.Overflow, &counters.Dials,
+		&counters.DialsFailed, &counters.Direct, &counters.Suspicions, &counters.Refutations,
 	} {
 		counter.Store(int64(i + 1))
 	}
--- a/internal/gossip/logwriter.go
+++ b/internal/gossip/logwriter.go
@@ -50,7 +50,7 @@
 	case strings.HasPrefix(text, "Suspect "):
 		counters.Suspicions.Add(1)
 	case strings.HasPrefix(text, "Refuting"):
-		counters.Objections.Add(1)
+		counters.Refutations.Add(1)
 	}
 	if level == levelError && isMalformedPacket(text) {
 		counters.Malformed.Add(1)
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -77,10 +77,10 @@
 
 func (f *Fleet) dialAll(ctx context.Context, round []dialTarget) {
 	for _, target := range round {
-		f.Counters.Calls.Add(1)
+		f.Counters.Dials.Add(1)
 		f.transport.dial.begin(target.addr)
 		if _, err := f.memberlist.Join([]string{target.addr}); err != nil {
-			f.Counters.CallsFailed.Add(1)
+			f.Counters.DialsFailed.Add(1)
 			f.reportDial(ctx, dialResult{target: target, evidence: f.transport.dial.evidence()})
 		}
 	}
--- a/internal/gossip/reload.go
+++ b/internal/gossip/reload.go
@@ -26,7 +26,7 @@
 // applyChange runs in the goroutine that owns the view.
 func (f *Fleet) applyChange(change Change) {
 	f.rejoin.SetSeeds(change.Seeds)
-	if f.self.Reconfigured(change.Digest) {
+	if f.self.SetConfig(change.Digest) {
 		f.publishRecord()
 	}
 	if err := f.replaceKeys(change.Keys); err != nil {
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -37,7 +37,7 @@
 }
 
 func (f *Fleet) applyStatus(status fleet.Status) {
-	if f.self.LoopStatus(f.Now(), status) {
+	if f.self.SetStatus(f.Now(), status) {
 		f.publishRecord()
 	}
 	if status.Replaced && !f.left {
