--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -124,7 +124,7 @@
 	require.GreaterOrEqual(t, len(s.in), inRoom-turnMost)
 }
 
-// BenchmarkShedderTick is a turn that brings a health check, with connections that are idle meanwhile.
+// BenchmarkTurn is a turn that brings a health check, with connections that are idle meanwhile.
 func BenchmarkTurn(b *testing.B) {
 	for _, connections := range []int{10, 150, 500} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
