--- a/lab/costs/parts.go
+++ b/lab/costs/parts.go
@@ -42,12 +42,12 @@
 		"net.(*TCPListener).Accept",
 	}},
 	{name: "codec", prefixes: []string{
-		"falldeal/internal/msgpackrpc.(*decoder)", "falldeal/internal/msgpackrpc.parse",
+		"falldeal/internal/msgpackrpc.(*cursor)", "falldeal/internal/msgpackrpc.(*scanner)",
+		"falldeal/internal/msgpackrpc.(*fields)", "falldeal/internal/msgpackrpc.(*frame",
+		"falldeal/internal/msgpackrpc.readFields", "falldeal/internal/msgpackrpc.parse",
 		"falldeal/internal/msgpackrpc.append", "falldeal/internal/msgpackrpc.encode",
-		"falldeal/internal/msgpackrpc.(*fields)",
-		"falldeal/internal/msgpackrpc.fieldsOf", "falldeal/internal/msgpackrpc.(*frame",
-		"falldeal/internal/agent.(*parser)", "falldeal/internal/agent.append", "falldeal/internal/agent.launch",
-		"falldeal/internal/agent.deliver", "falldeal/internal/store.readReply", "falldeal/internal/store.append",
+		"falldeal/internal/agent.decode", "falldeal/internal/agent.encode",
+		"falldeal/internal/store.readReply", "falldeal/internal/store.parse", "falldeal/internal/store.append",
 		"github.com/valyala/fastjson",
 	}},
 	{name: "deadlines and timers", prefixes: []string{
