--- a/lab/clients/attempt.go
+++ b/lab/clients/attempt.go
@@ -46,7 +46,7 @@
 			conn = f.redial(target, conn)
 		}
 	}
-	// The body tells the fake agent how much work the request is.
+	// The fake agent takes the work of the request from its body.
 	answers, ok := conn.send(pending.class.Name, fields, []byte(strconv.FormatInt(int64(pending.work), 10)))
 	if !ok {
 		f.forget(target, conn)
--- a/lab/clients/clients.go
+++ b/lab/clients/clients.go
@@ -29,7 +29,7 @@
 type Policy struct {
 	RouteByKey      bool // by a hash of the request's key; else round robin
 	MaxAttempts     int  // for each request; 0 = no limit
-	HonorRetryAfter bool // avoids servers as they ask, and does not retry elsewhere where told not to
+	HonorRetryAfter bool // avoids servers that ask for it, and does not retry a rejection that forbids it
 }
 
 // Workload is the load of a number of front ends.
--- a/lab/clients/clients_test.go
+++ b/lab/clients/clients_test.go
@@ -20,8 +20,11 @@
 		failure, result any
 		want            answer
 	}{
-		"served":            {nil, []any{[]byte("body")}, answer{outcome: history.OutcomeServed}},
-		"served, degraded":  {nil, []any{[]byte(fakes.DegradedResult)}, answer{outcome: history.OutcomeServed, degraded: true}},
+		"served": {nil, []any{[]byte("body")}, answer{outcome: history.OutcomeServed}},
+		"served, degraded": {
+			nil, []any{[]byte(fakes.DegradedResult)},
+			answer{outcome: history.OutcomeServed, degraded: true},
+		},
 		"another error":     {[]any{"Timeout"}, nil, answer{outcome: history.OutcomeFailed}},
 		"error of no shape": {"oops", nil, answer{outcome: history.OutcomeFailed}},
 		"rejected":          {[]any{"Overloaded"}, nil, answer{outcome: history.OutcomeRejected}},
--- a/lab/costs/main.go
+++ b/lab/costs/main.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	spent, total := split(parsed)
+	spent, total := splitByPart(parsed)
 	fmt.Fprintf(w, "%s: %.2f s of processor time\n", path, total.Seconds())
 	for i := range parts {
 		printRow(w, parts[i].name, spent, total)
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// split returns the processor time of each part, and of all.
-func split(parsed *profile.Profile) (spent map[string]time.Duration, total time.Duration) {
+// splitByPart returns the processor time of each part, and of all.
+func splitByPart(parsed *profile.Profile) (spent map[string]time.Duration, total time.Duration) {
 	spent = map[string]time.Duration{}
 	for _, sample := range parsed.Sample {
 		cpu := time.Duration(sample.Value[len(sample.Value)-1]) // the last value is in ns
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -20,8 +20,8 @@
 // Agent is a fake render farm agent. Its exported fields are set before Serve and not changed after it. Its methods
 // may be called from any goroutine.
 type Agent struct {
-	State string        // of the greeting: booting or steady
-	Age   time.Duration // of the agent, as the greeting reports it
+	State string        // of the handshake: booting or steady
+	Age   time.Duration // of the agent, as the handshake reports it
 	Load  [4]float64    // what samples are answered with; computed from Cores where they are set
 	// PlanRun decides what becomes of a run. Nil: every run succeeds at once, without a call.
 	PlanRun func(l Launch) RunPlan
@@ -94,26 +94,26 @@
 	switch cmd.Name {
 	case commandSample:
 		a.send(notification{Name: notificationSampled, Token: cmd.Token, Load: a.sample()})
-	case commandExercise:
-		a.send(notification{Name: notificationExercised, Token: cmd.Token, Result: string(RunSucceeded)})
+	case commandDeepCheck:
+		a.send(notification{Name: notificationDeepChecked, Token: cmd.Token, Result: string(RunSucceeded)})
 	case commandLaunch:
 		if a.runs[cmd.Req] == nil {
 			a.startRun(&run{launch: Launch{RequestID: cmd.Req, Class: cmd.Method, Body: cmd.Payload}})
 		}
-	case commandDeliver, commandForgo:
+	case commandReply, commandSkipCall:
 		a.resumeRun(cmd)
 	default:
 		conn.Close() // the protocol ends a connection on an unknown command
 	}
 }
 
-// subscribe makes conn the agent's connection, greets it and sends it the notifications after offset.
+// subscribe makes conn the agent's connection and sends it the handshake and the notifications after offset.
 func (a *Agent) subscribe(conn net.Conn, offset int) {
 	if a.runs == nil {
 		a.runs = map[string]*run{}
 	}
 	a.conn, a.encoder = conn, json.NewEncoder(conn)
-	a.send(notification{Name: notificationGreeting, Result: a.State, Elapsed: float64(a.Age.Milliseconds())})
+	a.send(notification{Name: notificationHandshake, Result: a.State, Elapsed: float64(a.Age.Milliseconds())})
 	for _, n := range a.backlog {
 		if n.Offset > offset {
 			a.send(n)
--- a/lab/fakes/agent_run.go
+++ b/lab/fakes/agent_run.go
@@ -50,7 +50,7 @@
 		return
 	}
 	resumed.awaitingCall = false
-	if cmd.Name == commandForgo {
+	if cmd.Name == commandSkipCall {
 		resumed.launch.Body = []byte(DegradedResult)
 	}
 	a.execute(resumed)
@@ -75,7 +75,7 @@
 	})
 }
 
-// CompleteRequest tells the agent that a request has its final answer or that its client has given up. A run of it
+// CompleteRequest informs the agent that a request has its final answer or that its client has given up. A run of it
 // that waits for a call ends as interrupted.
 func (a *Agent) CompleteRequest(id string) {
 	a.mu.Lock()
--- a/lab/fakes/agent_test.go
+++ b/lab/fakes/agent_test.go
@@ -39,7 +39,7 @@
 	t.Cleanup(func() { conn.Close() })
 	client := &agentClient{conn: conn, decoder: json.NewDecoder(conn)}
 	client.send(t, command{Name: commandSubscribe, Offset: offset})
-	require.Equal(t, notificationGreeting, client.receive(t).Name)
+	require.Equal(t, notificationHandshake, client.receive(t).Name)
 	return client
 }
 
@@ -68,14 +68,14 @@
 		"call answered": {
 			call: []byte("SELECT"),
 			resume: func(t *testing.T, _ *Agent, client *agentClient) {
-				client.send(t, command{Name: commandDeliver, Req: "a"})
+				client.send(t, command{Name: commandReply, Req: "a"})
 			},
 			want: notification{Result: "success", Payload: []byte("body")},
 		},
 		"call skipped": {
 			call: []byte("SELECT"),
 			resume: func(t *testing.T, _ *Agent, client *agentClient) {
-				client.send(t, command{Name: commandForgo, Req: "a"})
+				client.send(t, command{Name: commandSkipCall, Req: "a"})
 			},
 			want: notification{Result: "success", Payload: []byte(DegradedResult)},
 		},
--- a/lab/fakes/protocol.go
+++ b/lab/fakes/protocol.go
@@ -6,10 +6,10 @@
 const (
 	commandSubscribe commandName = "subscribe"
 	commandSample    commandName = "sample"
-	commandExercise  commandName = "exercise"
+	commandDeepCheck commandName = "exercise"
 	commandLaunch    commandName = "launch"
-	commandDeliver   commandName = "deliver"
-	commandForgo     commandName = "forgo"
+	commandReply     commandName = "deliver"
+	commandSkipCall  commandName = "forgo"
 )
 
 // command is one command of an image server; which fields are set depends on its name.
@@ -26,11 +26,11 @@
 type notificationName string
 
 const (
-	notificationGreeting  notificationName = "greeting"
-	notificationSampled   notificationName = "sampled"
-	notificationExercised notificationName = "exercised"
-	notificationRequest   notificationName = "request"
-	notificationOutcome   notificationName = "outcome"
+	notificationHandshake   notificationName = "greeting"
+	notificationSampled     notificationName = "sampled"
+	notificationDeepChecked notificationName = "exercised"
+	notificationRequest     notificationName = "request"
+	notificationOutcome     notificationName = "outcome"
 )
 
 // notification is one message of the agent to an image server; which fields are set depends on its name.
--- a/lab/faults/stream.go
+++ b/lab/faults/stream.go
@@ -10,8 +10,8 @@
 
 const (
 	streamBufferBytes = 16 << 10
-	// streamPace is how often a throttled stream carries a chunk, and a partitioned one looks whether it may go on.
-	streamPace = 20 * time.Millisecond
+	// streamInterval is how often a throttled stream carries a chunk, and a partitioned one looks whether it may go on.
+	streamInterval = 20 * time.Millisecond
 )
 
 // streamCopy relays one direction of a stream.
@@ -53,8 +53,8 @@
 		}
 		part := len(chunk)
 		if rule.Partition || rule.BytesPerSecond > 0 {
-			time.Sleep(streamPace)
-			part = min(part, int(float64(rule.BytesPerSecond)*streamPace.Seconds())+1)
+			time.Sleep(streamInterval)
+			part = min(part, int(float64(rule.BytesPerSecond)*streamInterval.Seconds())+1)
 		}
 		if s.relay.ctx.Err() != nil {
 			return false
--- a/lab/fleetlab/dependencies.go
+++ b/lab/fleetlab/dependencies.go
@@ -144,7 +144,7 @@
 	return agent.ReadRequest(work, l.options.Cores)
 }
 
-// CompleteAttempt tells the agent of a member that an attempt has its answer or is abandoned.
+// CompleteAttempt informs the agent of a member that an attempt has its answer or is abandoned.
 func (l *Lab) CompleteAttempt(server, attemptID string) {
 	if agent := l.runningAgent(server); agent != nil {
 		agent.CompleteRequest(attemptID)
--- a/lab/fleetlab/script.go
+++ b/lab/fleetlab/script.go
@@ -131,7 +131,7 @@
 // applyFaults starts and ends the faults that are due.
 func (l *Lab) applyFaults() error {
 	now := l.Log.Now()
-	starting, ending, script := l.dueFaults(now)
+	starting, ending, script := l.advanceScript(now)
 	if affectLinks(starting) || affectLinks(ending) {
 		if err := l.Relay.SetRules(script.RulesAt(now)); err != nil {
 			return fmt.Errorf("rules between processes: %w", err)
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// dueFaults advances the faults of the script. It returns those that start, those that end, and the whole script.
-func (l *Lab) dueFaults(now time.Duration) (starting, ending []faults.Fault, script faults.Script) {
+// advanceScript advances the faults of the script. It returns those that start, those that end, and the whole script.
+func (l *Lab) advanceScript(now time.Duration) (starting, ending []faults.Fault, script faults.Script) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, scripted := range l.script {
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -18,8 +18,8 @@
 	RuleSingleAnswer = "one answer"
 	// RuleDeadline: an attempt has its final answer by its deadline, while its server lives and its client waits.
 	RuleDeadline = "in time"
-	// RuleRunsOnce: a request with an idempotency key runs once within the window.
-	RuleRunsOnce = "runs once"
+	// RuleIdempotency: a request with an idempotency key runs once within the window.
+	RuleIdempotency = "runs once"
 	// RuleStoreCalls: the stores never have more calls in flight than they survive.
 	RuleStoreCalls = "store"
 	// RuleNoFalseDeath: no member is reported dead whose process has lived for longer than viewLag.
@@ -163,7 +163,7 @@
 	}
 	key := started.sent.IdempotencyKey
 	if at, ran := c.runs[key]; ran && event.At-at <= c.rules.IdempotencyWindow {
-		c.fail(RuleRunsOnce, event, "order %s began %v before as well", key, (event.At - at).Round(time.Millisecond))
+		c.fail(RuleIdempotency, event, "order %s began %v before as well", key, (event.At - at).Round(time.Millisecond))
 	}
 	c.runs[key] = event.At
 }
--- a/lab/history/check_test.go
+++ b/lab/history/check_test.go
@@ -46,11 +46,14 @@
 	require.Empty(t, Check(good, rules))
 	for rule, added := range map[string][]Event{
 		RuleSingleAnswer: {{At: 3 * time.Second, Kind: AttemptAnswered, AttemptID: "a", Server: "n1", Detail: "failed"}},
-		RuleDeadline: {{At: 11 * time.Second, Kind: AttemptSent, AttemptID: "e", Server: "n1", Deadline: 12 * time.Second},
-			{At: 13 * time.Second, Kind: AttemptAnswered, AttemptID: "e", Server: "n1", Detail: "served"}},
-		RuleRunsOnce: {
+		RuleDeadline: {
+			{At: 11 * time.Second, Kind: AttemptSent, AttemptID: "e", Server: "n1", Deadline: 12 * time.Second},
+			{At: 13 * time.Second, Kind: AttemptAnswered, AttemptID: "e", Server: "n1", Detail: "served"},
+		},
+		RuleIdempotency: {
 			keyed(7*time.Second, "f", "n2", 9*time.Second),
-			{At: 8 * time.Second, Kind: RunStarted, AttemptID: "f", Server: "n2"}},
+			{At: 8 * time.Second, Kind: RunStarted, AttemptID: "f", Server: "n2"},
+		},
 		RuleStoreCalls: {
 			{At: 2 * time.Second, Kind: CallStarted, AttemptID: "x"},
 			{At: 3 * time.Second, Kind: CallEnded, AttemptID: "x"},
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -17,8 +17,8 @@
 	ProcessChanged   = "process"  // Server; Detail is the ProcessState
 	FaultChanged     = "fault"    // Detail names the fault; Count is 1 at its start and 0 at its end
 	ViewChanged      = "view"     // Server reports the condition Detail of Member
-	// RequestCompleted has Class, Client, Latency, Value, ValueServed and Work. Detail is the Outcome, Count the number of
-	// attempts.
+	// RequestCompleted has Class, Client, Latency, Value, ValueServed and Work. Detail is the Outcome, Count the
+	// number of attempts.
 	RequestCompleted = "request"
 )
 
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -4,11 +4,11 @@
 
 // A recovery is judged by the ratio of value served, by the arrival of requests, against that before the fault.
 const (
-	recoveryWindow = 2 * time.Second // over which the ratio is taken
-	recoveryHold   = 4 * time.Second // for which the ratio has to stay up
-	recoveryRatio  = 0.95            // of the ratio before the fault
-	recoveryStep   = 250 * time.Millisecond
-	baselineWindow = 6 * time.Second // before the fault
+	recoveryWindow  = 2 * time.Second // over which the ratio is taken
+	recoveryMinimum = 4 * time.Second // for which the ratio has to stay up
+	recoveryRatio   = 0.95            // of the ratio before the fault
+	recoveryStep    = 250 * time.Millisecond
+	baselineWindow  = 6 * time.Second // before the fault
 )
 
 // RecoveryTime is how long after the end of a fault, which lasted from from to to, the service was back at 95% of the
@@ -23,7 +23,7 @@
 			continue
 		}
 		held += recoveryStep
-		if held >= recoveryHold {
+		if held >= recoveryMinimum {
 			return at - held + recoveryStep - to, true
 		}
 	}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -19,14 +19,14 @@
 
 // Plan is a closed loop: each client has one connection and one request in flight on it, until Requests were sent.
 type Plan struct {
-	Addr         string
-	Clients      int
-	Requests     int           // of all clients together
-	Classes      []string      // sent round robin by each client
-	KeyedClasses []string      // those of Classes whose requests carry an idempotency key
-	BodyBytes    int           // size of a request's body
-	Timeout      time.Duration // of a request
-	CostHint     time.Duration // processor time that a request claims to take
+	Addr              string
+	Clients           int
+	Requests          int           // of all clients together
+	Classes           []string      // sent round robin by each client
+	IdempotentClasses []string      // those of Classes whose requests carry an idempotency key
+	BodyBytes         int           // size of a request's body
+	Timeout           time.Duration // of a request
+	CostHint          time.Duration // processor time that a request claims to take
 }
 
 // Report counts answers.
--- a/lab/load/rpc.go
+++ b/lab/load/rpc.go
@@ -38,7 +38,7 @@
 		"wait": strconv.FormatInt(p.Timeout.Milliseconds(), 10),
 		"cost": strconv.FormatFloat(float64(p.CostHint)/float64(time.Millisecond), 'f', 2, 64),
 	}
-	if slices.Contains(p.KeyedClasses, class) {
+	if slices.Contains(p.IdempotentClasses, class) {
 		fields["once"] = fmt.Sprintf("%032x", id)
 	} else {
 		fields["key"] = fmt.Sprintf("%016x", id%subjectKeys)
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -105,11 +105,11 @@
 func TestServedThroughFakes(t *testing.T) {
 	srv := newTestServer(t)
 	report := srv.run(t, Plan{
-		Clients:      8,
-		Requests:     300,
-		Classes:      []string{"preview", "hires-crop", "licence-order"},
-		KeyedClasses: []string{"licence-order"},
-		BodyBytes:    2048,
+		Clients:           8,
+		Requests:          300,
+		Classes:           []string{"preview", "hires-crop", "licence-order"},
+		IdempotentClasses: []string{"licence-order"},
+		BodyBytes:         2048,
 	})
 	require.Equal(t, Report{Served: 300}, report)
 }
