--- a/internal/agent/connection.go
+++ b/internal/agent/connection.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// A connection that brought nothing for maxSilence, though minUnansweredSamples were sent meanwhile, leads nowhere:
-	// the agent answers each at once. The count is for a process that was stopped, for which time has passed and answers
+	// A connection that brought nothing for maxSilence, though minUnansweredSamples were sent meanwhile, is taken for
+	// broken: the agent answers each at once. The count is for a process that was stopped, for which time has passed and answers
 	// wait unread.
 	maxSilence           = 2 * time.Second
 	minUnansweredSamples = 3
@@ -139,8 +139,8 @@
 	}
 }
 
-// Check gives up a connection that brings nothing, for another to be opened. SampleGauges does the same; before the first
-// handshake nobody samples.
+// Check gives up a connection that brings nothing, for another to be opened. SampleGauges does the same, but is not
+// called before the first handshake.
 func (l *Link) Check() {
 	if l.now == nil || l.current == nil || !l.current.isSilent(l.now()) {
 		return
--- a/internal/agent/connection_test.go
+++ b/internal/agent/connection_test.go
@@ -2,9 +2,13 @@
 
 import (
 	"fmt"
+	"io"
+	"net"
 	"testing"
 	"time"
 
+	"falldeal/internal/writequeue"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -46,3 +50,41 @@
 	require.False(t, known.matches(0))
 	require.True(t, newIncarnation(time.Second).matches(0)) // too young to be told apart
 }
+
+// requireClosed has a queue write what waits, and requires that it was closed before.
+func requireClosed(t *testing.T, queue *writequeue.Queue, remote net.Conn) {
+	t.Helper()
+	written := make(chan error, 1)
+	go func() {
+		_, err := io.Copy(io.Discard, remote)
+		written <- err
+	}()
+	require.NoError(t, queue.Run())
+	require.NoError(t, <-written)
+}
+
+// A connection to an address that has been replaced is closed and counts for nothing; one that a newer connection has
+// replaced is closed, and neither its notifications nor its end count.
+func TestReplacedConnection(t *testing.T) {
+	link := newGoldenLink()
+	var queues [3]*writequeue.Queue
+	var remotes [3]net.Conn
+	for i := range queues {
+		local, remote := net.Pipe()
+		queues[i], remotes[i] = writequeue.New(local, writeQueueSize), remote
+	}
+	link.handleOpened("agent:2", queues[0])
+	require.Equal(t, disconnected, link.state())
+	require.Zero(t, link.ConnectionsOpened())
+	requireClosed(t, queues[0], remotes[0])
+
+	link.handleOpened(goldenAddr, queues[1])
+	link.handleOpened(goldenAddr, queues[2])
+	requireClosed(t, queues[1], remotes[1])
+	link.handleNotification(queues[1], Notification{Kind: Handshake, Result: Steady})
+	require.Zero(t, link.current.unansweredSamples)
+	link.handleClosed(queues[1])
+	require.Equal(t, synchronizing, link.state())
+	link.handleClosed(queues[2])
+	require.Equal(t, disconnected, link.state())
+}
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// A connection without a handshake leads nowhere, or the agent boots: at the timeout another is opened, and the agent sends
+// A connection without a handshake is broken, or the agent boots: at the timeout another is opened, and the agent sends
 // its handshake on that. One whose handshake comes at the last moment stays.
 func TestSilenceRacesFirstHandshake(t *testing.T) {
 	for _, late := range []bool{false, true} {
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -175,3 +175,28 @@
 	require.Equal(t, listener.Addr().String(), receive(t, handler.opened))
 	require.Empty(t, handler.failed)
 }
+
+// The connection to an address that was replaced ends by itself after DrainTimeout.
+func TestReplacedConnectionDrains(t *testing.T) {
+	first, second := listen(t), listen(t)
+	link := New(first.Addr().String(), testConfig)
+	handler := newRecorder()
+	startLink(t, link, handler)
+	require.Equal(t, first.Addr().String(), receive(t, handler.opened))
+	firstQueue := receive(t, handler.queues)
+	start := time.Now()
+	link.SetAddress(second.Addr().String())
+	require.Same(t, firstQueue, receive(t, handler.closed))
+	require.GreaterOrEqual(t, time.Since(start), DrainTimeout)
+	require.Empty(t, handler.failed)
+}
+
+// The address in force is not dialed again where it is set again.
+func TestSameAddressIsNoChange(t *testing.T) {
+	link := New("agent:1", testConfig)
+	require.Equal(t, "agent:1", receive(t, link.addresses.C()))
+	link.SetAddress("agent:1")
+	require.Empty(t, link.addresses.C())
+	link.SetAddress("agent:2")
+	require.Equal(t, "agent:2", receive(t, link.addresses.C()))
+}
--- a/internal/store/dial.go
+++ b/internal/store/dial.go
@@ -18,9 +18,9 @@
 // dial is one attempt to open a connection.
 type dial struct {
 	address string
-	delay   time.Duration // before the attempt
-	ctx     context.Context
-	cancel  context.CancelFunc // by the loop, or at the end of Run
+	delay   time.Duration      // before the attempt
+	ctx     context.Context    // stands here as the loop cancels what a goroutine of Run carries out
+	cancel  context.CancelFunc // of ctx, at the end of Run too
 }
 
 // open waits for the delay, and dials.
--- /dev/null
+++ b/internal/store/dial_test.go
@@ -0,0 +1,63 @@
+package store
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"falldeal/internal/deadline"
+	"falldeal/internal/logging"
+	"falldeal/internal/writequeue"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/require"
+)
+
+// newLinkWithoutRun returns a Link with room for one connection, whose dials are left to the test.
+func newLinkWithoutRun() *Link {
+	log, _ := test.NewNullLogger()
+	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }, Deadlines: deadline.New()}
+	return New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
+}
+
+// A call that is abandoned cancels its dial, which does not wait for its timeout then.
+func TestAbandonCancelsDial(t *testing.T) {
+	link := newLinkWithoutRun()
+	link.Call("ab", time.Hour, nil)
+	request := <-link.dialRequests
+	require.NoError(t, request.ctx.Err())
+	require.True(t, link.Abandon("ab"))
+	require.ErrorIs(t, request.ctx.Err(), context.Canceled)
+}
+
+// A new address cancels the dials to the old one. A connection that was opened for all that is closed and not counted, and
+// its place goes to a dial to the new address.
+func TestAddressChangeCancelsDial(t *testing.T) {
+	link := newLinkWithoutRun()
+	link.Call("ab", time.Hour, nil)
+	request := <-link.dialRequests
+	link.SetAddress("store:2")
+	require.ErrorIs(t, request.ctx.Err(), context.Canceled)
+	require.Empty(t, link.dialRequests) // the one place is still taken
+	local, _ := net.Pipe()
+	queue := writequeue.New(local, writeQueueSize)
+	link.handleOpened(request, queue)
+	require.NoError(t, queue.Run()) // returns as the queue was closed
+	require.Zero(t, link.ConnectionsOpened())
+	require.Equal(t, "store:2", (<-link.dialRequests).address)
+}
+
+// An idle connection that is used again is not closed at the timeout of its idle time.
+func TestUsedConnectionIsNotIdle(t *testing.T) {
+	link := newLinkWithoutRun()
+	link.Call("ab", time.Hour, nil)
+	local, _ := net.Pipe()
+	queue := writequeue.New(local, writeQueueSize)
+	link.handleOpened(<-link.dialRequests, queue)
+	link.handleReply(queue, replyFrame{requestID: "ab", reply: Rejected})
+	link.Call("cd", time.Hour, nil)
+	link.loop.Deadlines.Sweep(idleTimeout)
+	require.Len(t, link.connections, 1)
+	require.Equal(t, 1, link.InFlight())
+}
