--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -5,162 +5,176 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
 	"os/signal"
 	"path/filepath"
 	"slices"
 	"strings"
-	"sync"
 	"syscall"
 	"text/tabwriter"
 	"time"
 
-	"falldeal/lab/clients"
 	"falldeal/lab/faults"
-	"falldeal/lab/fleetlab"
 	"falldeal/lab/history"
 )
 
-// rules are those of every play of this program.
-var rules = history.Rules{Slack: 200 * time.Millisecond, IdempotencyWindow: fleetlab.IdempotencyWindow}
+const (
+	// settlingTime is the time from the start of a fault to when its effect is measured.
+	settlingTime = 8 * time.Second
 
-// settled is how long after the beginning of a fault its effect is looked at.
-const settled = 8 * time.Second
+	maxComparedViolations = 3 // printed of each run
 
-// parts of the handling of overload by a fleet, as flags name them.
-var parts = []string{"shares", "cutoff", "probes"}
+	minOptimalValue = 1e-9 // keeps a ratio to the optimum finite
+)
+
+// comparisonColumns are the heads of the columns behind the seed and the features.
+var comparisonColumns = []string{
+	"worth served", "of a central policy", "served whole", "refused", "tries each", "calls", "in hand, mean", "most",
+	"time over the bound", "even", "at a mute store, calls a second", "in hand, most", "back at 95% after", "broken",
+}
+
+// errNoRequest reports a run whose load was empty.
+var errNoRequest = errors.New("no request was made")
+
+// comparedRun is what came of one of the two runs with a seed.
+type comparedRun struct {
+	opts       *options
+	enabled    bool // opts.features were on
+	events     []history.Event
+	cores      float64 // of all agents
+	requests   *history.RequestSummary
+	violations int
+}
+
+// valueRatio is the part of the requests' value that was served.
+func (r *comparedRun) valueRatio() float64 { return r.requests.ValueServed / r.requests.Value }
 
-// compare plays the same days, seed by seed, with a part of the fleet's overload handling off and on.
-func compare(a *asked, out io.Writer) error {
+// compare runs the same load and script, seed by seed, with opts.features off and on.
+func compare(opts *options, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	dir := a.o.Dir
-	if dir == "" {
-		var err error
-		if dir, err = os.MkdirTemp("", "falldeal-lab-"); err != nil {
-			return err
-		}
+	dir, err := dirOrNew(opts.lab.Dir)
+	if err != nil {
+		return err
 	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "seed\t"+strings.Join(a.with, "+")+"\tworth served\tof a central policy\tserved whole\trefused\ttries each\tcalls\tin hand, mean\tmost\ttime over the bound\teven\tat a mute store, calls a second\tin hand, most\tback at 95% after\tbroken\t")
-	var gains []float64
-	broken := 0
-	for _, name := range a.with {
-		if !slices.Contains(parts, name) {
-			return fmt.Errorf("flag --with: %q is none of %s", name, strings.Join(parts, ", "))
-		}
+	if err := checkFeatures(opts.features); err != nil {
+		return err
 	}
-	for k := range a.compare {
-		var worth [2]float64
-		for on := range 2 {
-			b := *a
-			b.o.Seed = a.o.Seed + uint64(k)
-			if on == 1 {
-				b.o.QuotaLeasing = b.o.QuotaLeasing || slices.Contains(a.with, "shares")
-				b.o.CoordinatedProbes = b.o.CoordinatedProbes || slices.Contains(a.with, "probes")
-				b.o.Shedding = b.o.Shedding || slices.Contains(a.with, "cutoff")
-			}
-			b.o.Dir = filepath.Join(dir, fmt.Sprintf("seed%d-%d", b.o.Seed, on))
-			events, cores, err := one(ctx, &b)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	columns := append([]string{"seed", strings.Join(opts.features, "+")}, comparisonColumns...)
+	fmt.Fprintln(table, strings.Join(columns, "\t")+"\t")
+	var gains []float64
+	violations := 0
+	for k := range opts.compare {
+		var ratios [2]float64
+		for i, enabled := range []bool{false, true} {
+			result, err := runCompared(ctx, opts, out, dir, opts.lab.Seed+uint64(k), enabled)
 			if err != nil {
 				return err
 			}
-			s := history.SummarizeRequests(events)[""]
-			if s == nil {
-				return errors.New("no request was made")
-			}
-			wrong := history.Check(events, rules)
-			n := len(wrong)
-			for _, w := range wrong[:min(n, 3)] {
-				fmt.Fprintln(out, "broken:", w)
-			}
-			broken += n
-			store := history.SummarizeStores(events, b.o.Slots*len(b.o.Zones))
-			worth[on] = s.ValueServed / s.Value
-			rate, most := history.StoreLoadDuringFault(events, faults.KindUnresponsiveStore, settled)
-			back := "-"
-			if from, to, ok := history.FirstFault(events); ok {
-				if d, ok := history.RecoveryTime(events, from, to); ok {
-					back = d.String()
-				} else {
-					back = "never"
-				}
-			}
-			fmt.Fprintf(t, "%d\t%s\t%.4f\t%.3f\t%.3f\t%d\t%.2f\t%d\t%.2f\t%d\t%.4f\t%.3f\t%.1f\t%d\t%s\t%d\t\n", b.o.Seed, []string{"off", "on"}[on], worth[on],
-				s.ValueServed/max(history.OptimalValue(events, cores*a.for_.Seconds()), 1e-9),
-				float64(s.ServedInFull)/float64(s.Requests), s.Rejected, float64(s.Attempts)/float64(s.Requests), store.Calls, store.MeanInFlight, store.MaxInFlight,
-				store.OverBoundRatio, history.RejectionFairness(events), rate, most, back, n)
+			result.print(table)
+			violations += result.violations
+			ratios[i] = result.valueRatio()
 		}
-		gains = append(gains, worth[1]-worth[0])
+		gains = append(gains, ratios[1]-ratios[0])
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	slices.Sort(gains)
-	fmt.Fprintf(out, "gain in worth served: %+.4f / %+.4f / %+.4f (least, median, most of %d seeds)\n", gains[0], gains[len(gains)/2],
-		gains[len(gains)-1], len(gains))
-	if broken > 0 {
-		return fmt.Errorf("%d rules broken", broken)
+	fmt.Fprintf(out, "gain in worth served: %+.4f / %+.4f / %+.4f (least, median, most of %d seeds)\n",
+		gains[0], gains[len(gains)/2], gains[len(gains)-1], len(gains))
+	if violations > 0 {
+		return violationsError(violations)
+	}
+	return nil
+}
+
+func checkFeatures(features []string) error {
+	for _, name := range features {
+		if !slices.Contains(overloadFeatures, name) {
+			return fmt.Errorf("flag --with: %q is none of %s", name, strings.Join(overloadFeatures, ", "))
+		}
 	}
 	return nil
 }
 
-// one plays one day and returns what happened.
-func one(ctx context.Context, a *asked) (events []history.Event, cores float64, err error) {
-	l, err := open(a)
+// runCompared runs a fleet with a seed, in a folder of its own below dir, and prints violations of the rules.
+func runCompared(
+	ctx context.Context, base *options, out io.Writer, dir string, seed uint64, enabled bool,
+) (*comparedRun, error) {
+	opts := *base
+	opts.lab.Seed = seed
+	subdir := fmt.Sprintf("seed%d-0", seed)
+	if enabled {
+		opts.enableFeatures()
+		subdir = fmt.Sprintf("seed%d-1", seed)
+	}
+	opts.lab.Dir = filepath.Join(dir, subdir)
+	events, cores, err := runScript(ctx, &opts)
+	if err != nil {
+		return nil, err
+	}
+	requests := history.SummarizeRequests(events)[""]
+	if requests == nil {
+		return nil, errNoRequest
+	}
+	return &comparedRun{
+		opts: &opts, enabled: enabled, events: events, cores: cores, requests: requests,
+		violations: printViolations(out, events, maxComparedViolations),
+	}, nil
+}
+
+// enableFeatures turns the features on that are to be compared.
+func (o *options) enableFeatures() {
+	lab := &o.lab
+	lab.QuotaLeasing = lab.QuotaLeasing || slices.Contains(o.features, featureQuotaLeasing)
+	lab.CoordinatedProbes = lab.CoordinatedProbes || slices.Contains(o.features, featureCoordinatedProbes)
+	lab.Shedding = lab.Shedding || slices.Contains(o.features, featureShedding)
+}
+
+// runScript runs a fleet under load and the script, if one is named, and returns what happened.
+func runScript(ctx context.Context, opts *options) (events []history.Event, cores float64, err error) {
+	lab, err := openLab(opts)
 	if err != nil {
 		return nil, 0, err
 	}
-	defer l.Close()
-	if err := addScript(l, a.script, ""); err != nil {
+	defer lab.Close()
+	if err := addScript(lab, opts.scriptPath, ""); err != nil {
 		return nil, 0, err
 	}
-	if err := l.StartMembers(); err != nil {
+	if err := lab.StartMembers(); err != nil {
 		return nil, 0, err
 	}
-	err = drive(ctx, l, a, func(context.Context) {})
-	return l.Log.Events(), l.TotalCores(), err
+	err = runLoad(ctx, lab, opts, nil)
+	return lab.Log.Events(), lab.TotalCores(), err
 }
 
-// addScript adds the faults of a file, or of a text where no file is named.
-func addScript(l *fleetlab.Lab, path, text string) error {
-	if path != "" {
-		b, err := os.ReadFile(path)
-		if err != nil {
-			return err
-		}
-		text = string(b)
-	}
-	script, err := faults.Parse([]byte(text), l.Locations())
-	if err != nil {
-		return fmt.Errorf("script %s: %w", path, err)
+// print prints the row of a run.
+func (r *comparedRun) print(table io.Writer) {
+	state := "off"
+	if r.enabled {
+		state = "on"
 	}
-	for _, f := range script.Faults {
-		if err := l.AddFault(f); err != nil {
-			return err
-		}
-	}
-	return nil
+	store := history.SummarizeStores(r.events, r.opts.lab.Slots*len(r.opts.lab.Zones))
+	faultRate, faultMax := history.StoreLoadDuringFault(r.events, faults.KindUnresponsiveStore, settlingTime)
+	optimum := max(history.OptimalValue(r.events, r.cores*r.opts.duration.Seconds()), minOptimalValue)
+	requests := float64(r.requests.Requests)
+	fmt.Fprintf(table, "%d\t%s\t%.4f\t%.3f\t%.3f\t%d\t%.2f\t%d\t%.2f\t%d\t%.4f\t%.3f\t%.1f\t%d\t%s\t%d\t\n",
+		r.opts.lab.Seed, state, r.valueRatio(), r.requests.ValueServed/optimum,
+		float64(r.requests.ServedInFull)/requests, r.requests.Rejected, float64(r.requests.Attempts)/requests,
+		store.Calls, store.MeanInFlight, store.MaxInFlight, store.OverBoundRatio,
+		history.RejectionFairness(r.events), faultRate, faultMax, recoveryTime(r.events), r.violations)
 }
 
-// drive has front ends send for as long as asked, while the script is played.
-func drive(ctx context.Context, l *fleetlab.Lab, a *asked, beside func(context.Context)) error {
-	a.plan.Classes, a.plan.Seed, a.plan.RequestsPerSecond, a.plan.ReadRequest = a.o.Classes, a.o.Seed, a.load*l.Capacity(), l.ReadRequest
-	a.plan.AttemptCompleted = l.CompleteAttempt
-	playing, end := context.WithCancel(ctx)
-	defer end()
-	var wg sync.WaitGroup
-	var failed error
-	wg.Add(2)
-	go func() { defer wg.Done(); failed = l.RunScript(playing) }()
-	go func() { defer wg.Done(); beside(playing) }()
-	for l.Log.Now() < 10*time.Second && len(l.Servers(0)()) < len(l.Members) && ctx.Err() == nil {
-		time.Sleep(50 * time.Millisecond) // all are listed, or are not going to be
+// recoveryTime returns how long after the first fault service was back, "never", or "-" for a run without a fault.
+func recoveryTime(events []history.Event) string {
+	from, to, found := history.FirstFault(events)
+	if !found {
+		return "-"
+	}
+	after, recovered := history.RecoveryTime(events, from, to)
+	if !recovered {
+		return "never"
 	}
-	loaded, cancel := context.WithTimeout(ctx, a.for_)
-	defer cancel()
-	clients.Run(loaded, a.plan, l.Servers(a.lag), l.Log)
-	end()
-	wg.Wait()
-	return failed
+	return after.String()
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -33,8 +33,9 @@
 
 // fullSample is the sample with a value for every key that is read.
 func fullSample(t *testing.T) map[string]any {
+	t.Helper()
 	var root map[string]any
-	require.NoError(t, json.Unmarshal([]byte(read(t)), &root))
+	require.NoError(t, json.Unmarshal([]byte(readSample(t)), &root))
 	root["console"] = "127.0.0.1:15000"
 	root["settings"].(map[string]any)["Tenants"] = []any{map[string]any{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}}
 	return root
@@ -42,6 +43,7 @@
 
 // replaced returns the full sample with the value at path, such as settings.Lanes[0].Name, given as JSON text.
 func replaced(t *testing.T, path, value string) []byte {
+	t.Helper()
 	const placeholder = "@value@"
 	root := fullSample(t)
 	steps := strings.Split(strings.NewReplacer("[", ".", "]", "").Replace(path), ".")
@@ -50,23 +52,25 @@
 		parent = child(t, parent, step)
 	}
 	last := steps[len(steps)-1]
-	switch p := parent.(type) {
+	switch container := parent.(type) {
 	case map[string]any:
-		p[last] = placeholder
+		container[last] = placeholder
 		if value == absent {
-			delete(p, last)
+			delete(container, last)
 		}
 	case []any:
 		i, err := strconv.Atoi(last)
 		require.NoError(t, err)
-		p[i] = placeholder
+		container[i] = placeholder
 	}
 	text, err := json.Marshal(root)
 	require.NoError(t, err)
 	return []byte(strings.Replace(string(text), strconv.Quote(placeholder), value, 1))
 }
 
+// child returns the member or element of that name.
 func child(t *testing.T, parent any, step string) any {
+	t.Helper()
 	if object, ok := parent.(map[string]any); ok {
 		require.Contains(t, object, step)
 		return object[step]
@@ -76,18 +80,18 @@
 	return parent.([]any)[i]
 }
 
-// leaves returns the path of every value in v, objects and lists among them, in the order of their names.
-func leaves(path string, v any) (paths []string) {
+// leaves returns the path of every value in one, objects and lists among them, in the order of their names.
+func leaves(path string, value any) (paths []string) {
 	if path != "" {
 		paths = append(paths, path)
 	}
-	switch v := v.(type) {
+	switch container := value.(type) {
 	case map[string]any:
-		for name, member := range v {
+		for name, member := range container {
 			paths = append(paths, leaves(strings.TrimPrefix(path+"."+name, "."), member)...)
 		}
 	case []any:
-		for i, item := range v {
+		for i, item := range container {
 			paths = append(paths, leaves(fmt.Sprintf("%s[%d]", path, i), item)...)
 		}
 	}
@@ -95,7 +99,7 @@
 	return paths
 }
 
-// outcome is the message of an error, or what stands for none.
+// outcome returns the message of an error, or that there is none.
 func outcome(err error) string {
 	if err == nil {
 		return "accepted"
@@ -103,17 +107,27 @@
 	return err.Error()
 }
 
+// keyOutcome is outcome for an error that must name a key.
+func keyOutcome(t *testing.T, err error) string {
+	t.Helper()
+	if err != nil {
+		var keyError *KeyError
+		require.ErrorAs(t, err, &keyError)
+	}
+	return outcome(err)
+}
+
 // Every key is read: with a value of the wrong type the message names it. Without the key it has a default or is missed.
 func TestGoldenWrongTypeOfEveryKey(t *testing.T) {
 	var got strings.Builder
 	for _, path := range leaves("", fullSample(t)) {
 		for _, value := range []string{"{}", "[]", `"word"`, "true", "7.5", "null"} {
-			_, err := Parse(replaced(t, path, value), none)
-			fmt.Fprintf(&got, "%s = %s\n\t%s\n", path, value, outcome(err))
+			_, err := Parse(replaced(t, path, value), noEnvironment)
+			fmt.Fprintf(&got, "%s = %s\n\t%s\n", path, value, keyOutcome(t, err))
 		}
 		if !strings.HasSuffix(path, "]") {
-			_, err := Parse(replaced(t, path, absent), none)
-			fmt.Fprintf(&got, "%s is absent\n\t%s\n", path, outcome(err))
+			_, err := Parse(replaced(t, path, absent), noEnvironment)
+			fmt.Fprintf(&got, "%s is absent\n\t%s\n", path, keyOutcome(t, err))
 		}
 	}
 	requireGolden(t, "types", got.String())
@@ -122,7 +136,7 @@
 // A value of the right type that makes no sense.
 func TestGoldenWrongValues(t *testing.T) {
 	var got strings.Builder
-	for _, c := range []struct{ path, value string }{
+	for _, test := range []struct{ path, value string }{
 		{"name", `""`},
 		{"listen", `""`},
 		{"listen", `"localhost:5050"`},
@@ -196,8 +210,8 @@
 		{"settings.Lanes[2].Idempotency", `"unsafe"`},
 		{"settings.Tenants", `[3]`},
 	} {
-		_, err := Parse(replaced(t, c.path, c.value), none)
-		fmt.Fprintf(&got, "%s = %s\n\t%s\n", c.path, c.value, outcome(err))
+		_, err := Parse(replaced(t, test.path, test.value), noEnvironment)
+		fmt.Fprintf(&got, "%s = %s\n\t%s\n", test.path, test.value, keyOutcome(t, err))
 	}
 	requireGolden(t, "values", got.String())
 }
@@ -205,21 +219,28 @@
 // What is wrong with the whole, or with what the environment sets.
 func TestGoldenLoad(t *testing.T) {
 	dir := t.TempDir()
-	in := func(name string) string {
+	inDirectory := func(name string) string {
 		if strings.HasSuffix(name, ".json") {
 			return filepath.Join(dir, name)
 		}
 		return name
 	}
-	for name, text := range map[string]string{"good.json": string(replaced(t, "name", `"n3"`)), "word.json": "word",
-		"list.json": "[]", "cut.json": `{"name": "n3",`, "empty.json": "", "none.json": "{}", "bad.json": string(replaced(t, "stop_ms", "0"))} {
-		require.NoError(t, os.WriteFile(in(name), []byte(text), 0o600))
+	for name, text := range map[string]string{
+		"good.json":  string(replaced(t, "name", `"n3"`)),
+		"word.json":  "word",
+		"list.json":  "[]",
+		"cut.json":   `{"name": "n3",`,
+		"empty.json": "",
+		"none.json":  "{}",
+		"bad.json":   string(replaced(t, "stop_ms", "0")),
+	} {
+		require.NoError(t, os.WriteFile(inDirectory(name), []byte(text), 0o600))
 	}
 	for _, name := range []string{envPath, envName, envListen, envConsole, envInherited} {
 		t.Setenv(name, "")
 	}
 	var got strings.Builder
-	for _, c := range []struct{ path, variable, value string }{
+	for _, test := range []struct{ path, variable, value string }{
 		{"", envName, ""},
 		{"", envPath, "absent.json"},
 		{"absent.json", envName, ""},
@@ -238,13 +259,13 @@
 		{"good.json", envInherited, "70000"},
 		{"good.json", envInherited, "3"},
 	} {
-		t.Setenv(c.variable, in(c.value))
-		_, err := Load(in(c.path))
-		fmt.Fprintf(&got, "Load %q with %s=%q\n\t%s\n", c.path, c.variable, c.value, outcome(err))
-		t.Setenv(c.variable, "")
+		t.Setenv(test.variable, inDirectory(test.value))
+		_, err := Load(inDirectory(test.path))
+		fmt.Fprintf(&got, "Load %q with %s=%q\n\t%s\n", test.path, test.variable, test.value, outcome(err))
+		t.Setenv(test.variable, "")
 	}
 	for _, path := range []string{"", "absent.json", "word.json", "list.json", "none.json", "good.json"} {
-		digest, err := Digest(in(path))
+		digest, err := Digest(inDirectory(path))
 		fmt.Fprintf(&got, "Digest %q\n\t%016x, %s\n", path, digest, outcome(err))
 	}
 	for _, text := range []string{"word", "7", "{}", `{"Lanes": [{"AimUs": "soon"}]}`, `{"Lanes": [{}]}`} {
@@ -256,7 +277,7 @@
 
 // A key that was given and is missing from the file that is to be taken over.
 func TestGoldenSuccessor(t *testing.T) {
-	inForce, err := Parse(replaced(t, "name", `"n3"`), none)
+	inForce, err := Parse(replaced(t, "name", `"n3"`), noEnvironment)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "next.json")
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -3,20 +3,49 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strconv"
 	"time"
 
 	"github.com/valyala/fastjson"
 )
 
-// object reads the members of a JSON object. It keeps the first error, which names the key at fault
-// by its path. Members that are absent or null read as zero.
+// maxInteger is the largest number up to which a float64 holds every integer.
+const maxInteger = 1 << 53
+
+// object reads the members of a JSON object. Members that are absent or null read as zero. All objects of one document
+// share the first failure.
 type object struct {
 	value *fastjson.Value
 	path  string
-	err   *error
+	first **KeyError
+}
+
+// newObject returns the object at the root of a document.
+func newObject(value *fastjson.Value) object {
+	return object{value: value, first: new(*KeyError)}
+}
+
+// failure returns the first failure in the document as a *KeyError, or nil.
+func (o object) failure() error {
+	if *o.first == nil {
+		return nil
+	}
+	return *o.first
+}
+
+// fail records that the member of that name is at fault.
+func (o object) fail(name string, err error) {
+	if *o.first == nil {
+		*o.first = &KeyError{Key: o.key(name), Err: err}
+	}
+}
+
+func (o object) failf(name, format string, args ...any) {
+	o.fail(name, fmt.Errorf(format, args...))
 }
 
+// key returns the path of a member.
 func (o object) key(name string) string {
 	if o.path == "" {
 		return name
@@ -24,169 +53,168 @@
 	return o.path + "." + name
 }
 
-func (o object) fail(name, format string, args ...any) {
-	if *o.err == nil {
-		*o.err = fmt.Errorf("%s: %s", o.key(name), fmt.Sprintf(format, args...))
-	}
-}
+// elementName returns the name of an element of a list.
+func elementName(name string, i int) string { return name + "[" + strconv.Itoa(i) + "]" }
 
-// get returns the member of that type, or nil.
-func (o object) get(name string, want ...fastjson.Type) *fastjson.Value {
-	v := o.value.Get(name)
-	if v == nil || v.Type() == fastjson.TypeNull {
+// get returns the member if it has one of the types, or nil.
+func (o object) get(name string, types ...fastjson.Type) *fastjson.Value {
+	member := o.value.Get(name)
+	if member == nil || member.Type() == fastjson.TypeNull {
 		return nil
 	}
-	for _, t := range want {
-		if v.Type() == t {
-			return v
-		}
+	if slices.Contains(types, member.Type()) {
+		return member
 	}
-	o.fail(name, "want a value of type %v, got %v", want[0], v.Type())
+	o.failf(name, "want a value of type %v, got %v", types[0], member.Type())
 	return nil
 }
 
+func (o object) child(name string, value *fastjson.Value) object {
+	return object{value: value, path: o.key(name), first: o.first}
+}
+
 func (o object) object(name string) object {
-	return object{value: o.get(name, fastjson.TypeObject), path: o.key(name), err: o.err}
+	return o.child(name, o.get(name, fastjson.TypeObject))
 }
 
 func (o object) objects(name string) []object {
 	var list []object
-	for i, v := range o.list(name) {
-		at := name + "[" + strconv.Itoa(i) + "]"
-		if v.Type() != fastjson.TypeObject {
-			o.fail(at, "want an object, got %v", v.Type())
+	for i, item := range o.list(name) {
+		itemName := elementName(name, i)
+		if item.Type() != fastjson.TypeObject {
+			o.failf(itemName, "want an object, got %v", item.Type())
 		}
-		list = append(list, object{value: v, path: o.key(at), err: o.err})
+		list = append(list, o.child(itemName, item))
 	}
 	return list
 }
 
-// eachKey calls f with the path of every key. The objects of a list count as one, whose keys are those that
-// all of them have.
-func (o object) eachKey(f func(key string)) {
-	o.value.GetObject().Visit(func(k []byte, v *fastjson.Value) {
-		name := string(k)
-		f(o.key(name))
-		switch v.Type() {
-		case fastjson.TypeObject:
-			object{value: v, path: o.key(name)}.eachKey(f)
-		case fastjson.TypeArray:
-			had := map[string]int{}
-			for _, item := range v.GetArray() {
-				object{value: item, path: o.key(name) + "[]"}.eachKey(func(key string) { had[key]++ })
-			}
-			for key, n := range had {
-				if n == len(v.GetArray()) {
-					f(key)
-				}
-			}
+// visitKeys calls visit with the path of every key. The objects of a list count as one, whose keys are those that all of
+// them have.
+func (o object) visitKeys(visit func(key string)) {
+	o.value.GetObject().Visit(func(key []byte, member *fastjson.Value) {
+		name := string(key)
+		visit(o.key(name))
+		if member.Type() == fastjson.TypeObject {
+			o.child(name, member).visitKeys(visit)
+		}
+		if member.Type() == fastjson.TypeArray {
+			o.child(name+"[]", nil).visitCommonKeys(member.GetArray(), visit)
 		}
 	})
 }
 
+// visitCommonKeys calls visit with the path of every key that all items of a list have.
+func (o object) visitCommonKeys(items []*fastjson.Value, visit func(key string)) {
+	counts := map[string]int{}
+	for _, item := range items {
+		o.value = item
+		o.visitKeys(func(key string) { counts[key]++ })
+	}
+	for key, n := range counts {
+		if n == len(items) {
+			visit(key)
+		}
+	}
+}
+
 func (o object) list(name string) []*fastjson.Value {
-	if v := o.get(name, fastjson.TypeArray); v != nil {
-		return v.GetArray()
+	if member := o.get(name, fastjson.TypeArray); member != nil {
+		return member.GetArray()
 	}
 	return nil
 }
 
 func (o object) text(name string) string {
-	if v := o.get(name, fastjson.TypeString); v != nil {
-		return string(v.GetStringBytes())
+	if member := o.get(name, fastjson.TypeString); member != nil {
+		return string(member.GetStringBytes())
 	}
 	return ""
 }
 
 func (o object) number(name string) float64 {
-	v := o.get(name, fastjson.TypeNumber)
-	if v == nil {
+	member := o.get(name, fastjson.TypeNumber)
+	if member == nil {
 		return 0
 	}
-	f := v.GetFloat64()
-	if math.IsNaN(f) || math.IsInf(f, 0) {
-		o.fail(name, "want a finite number, got %v", v)
+	number := member.GetFloat64()
+	if math.IsNaN(number) || math.IsInf(number, 0) {
+		o.failf(name, "want a finite number, got %v", member)
 		return 0
 	}
-	return f
+	return number
 }
 
 // hex reads a number that is written as a string of up to 16 hex digits.
 func (o object) hex(name string) uint64 {
-	word := o.text(name)
-	if word == "" {
+	text := o.text(name)
+	if text == "" {
 		return 0
 	}
-	v, err := strconv.ParseUint(word, 16, 64)
+	number, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		o.fail(name, "want up to 16 hex digits, got %.40q", word)
+		o.failf(name, "want up to 16 hex digits, got %.40q", text)
 	}
-	return v
+	return number
 }
 
-func (o object) whole(name string) int64 {
-	v := o.number(name)
-	if v != math.Trunc(v) || math.Abs(v) > 1<<53 {
-		o.fail(name, "want a whole number, got %v", v)
+func (o object) integer(name string) int64 {
+	number := o.number(name)
+	if number != math.Trunc(number) || math.Abs(number) > maxInteger {
+		o.failf(name, "want a whole number, got %v", number)
 		return 0
 	}
-	return int64(v)
+	return int64(number)
 }
 
-// us reads a time in microseconds.
-func (o object) us(name string) time.Duration {
-	v := o.whole(name)
-	if v > math.MaxInt64/1000 || v < math.MinInt64/1000 {
-		o.fail(name, "%d microseconds are too many", v)
+// microseconds reads a time in microseconds.
+func (o object) microseconds(name string) time.Duration {
+	count := o.integer(name)
+	if count > math.MaxInt64/1000 || count < math.MinInt64/1000 {
+		o.failf(name, "%d microseconds are too many", count)
 		return 0
 	}
-	return time.Duration(v) * time.Microsecond
+	return time.Duration(count) * time.Microsecond
 }
 
-func (o object) flag(name string) bool {
-	v := o.get(name, fastjson.TypeTrue, fastjson.TypeFalse)
-	return v != nil && v.GetBool()
+func (o object) boolean(name string) bool {
+	member := o.get(name, fastjson.TypeTrue, fastjson.TypeFalse)
+	return member != nil && member.GetBool()
 }
 
 func (o object) numbers(name string) []float64 {
-	var list []float64
-	for i, v := range o.list(name) {
-		if v.Type() != fastjson.TypeNumber {
-			o.fail(fmt.Sprintf("%s[%d]", name, i), "want a number, got %v", v.Type())
-		}
-		list = append(list, v.GetFloat64())
-	}
-	return list
+	get := func(item *fastjson.Value) float64 { return item.GetFloat64() }
+	return elements(o, name, "a number", get, fastjson.TypeNumber)
 }
 
-func (o object) flags(name string) []bool {
-	var list []bool
-	for i, v := range o.list(name) {
-		if t := v.Type(); t != fastjson.TypeTrue && t != fastjson.TypeFalse {
-			o.fail(fmt.Sprintf("%s[%d]", name, i), "want true or false, got %v", t)
-		}
-		list = append(list, v.GetBool())
-	}
-	return list
+func (o object) booleans(name string) []bool {
+	get := func(item *fastjson.Value) bool { return item.GetBool() }
+	return elements(o, name, "true or false", get, fastjson.TypeTrue, fastjson.TypeFalse)
 }
 
 func (o object) texts(name string) []string {
-	var list []string
-	for i, v := range o.list(name) {
-		if v.Type() != fastjson.TypeString {
-			o.fail(fmt.Sprintf("%s[%d]", name, i), "want a string, got %v", v.Type())
+	get := func(item *fastjson.Value) string { return string(item.GetStringBytes()) }
+	return elements(o, name, "a string", get, fastjson.TypeString)
+}
+
+// elements reads a list whose items have one of the types. An item of another type is a failure, and reads as zero.
+func elements[T any](o object, name, want string, get func(*fastjson.Value) T, types ...fastjson.Type) []T {
+	var list []T
+	for i, item := range o.list(name) {
+		if !slices.Contains(types, item.Type()) {
+			o.failf(elementName(name, i), "want %s, got %v", want, item.Type())
 		}
-		list = append(list, string(v.GetStringBytes()))
+		list = append(list, get(item))
 	}
 	return list
 }
 
-// named reads a word that stands for a value of T.
-func named[T any](o object, name string, words map[string]T) T {
-	word := o.text(name)
-	v, ok := words[word]
+// enum reads a text that stands for a value of T.
+func enum[T any](o object, name string, values map[string]T) T {
+	text := o.text(name)
+	value, ok := values[text]
 	if !ok {
-		o.fail(name, "unknown value %q", word)
+		o.failf(name, "unknown value %q", text)
 	}
-	return v
+	return value
 }
--- a/internal/msgpackrpc/conn_test.go
+++ b/internal/msgpackrpc/conn_test.go
@@ -1,6 +1,7 @@
 package msgpackrpc
 
 import (
+	"bytes"
 	"fmt"
 	"io"
 	"net"
@@ -13,94 +14,120 @@
 	"github.com/stretchr/testify/require"
 )
 
-func appendProbe(id uint32, fields map[string]string) []byte {
-	b := appendUint(append(appendArray(nil, 4), kindRequest), id)
-	return appendFields(appendArray(appendText(b, methodHealth), 1), fields)
-}
-
-// Wrong requests are answered; a broken frame ends its own connection and no other.
-func TestWrongInput(t *testing.T) {
-	p := start(t)
-	f := p.dial()
-	f.send("poster", "x")
-	f.expectAnswer(1, errInvalid)
-	f.send("licence-order", "without once")
-	f.expectAnswer(2, errInvalid)
-	f.send("preview", "x", "kb", "-1")
-	f.expectAnswer(3, errInvalid)
-	run := f.send("preview", "x")
-	p.expect("launch", run)
-	f.send("preview", "same id", "id", run)
-	f.expectAnswer(5, errInvalid)
+// Invalid requests are answered; a malformed frame ends its own connection and no other.
+func TestInvalidInputIsAnswered(t *testing.T) {
+	peers := startServer(t)
+	client := peers.dial()
+	client.sendRequest("poster", "x")
+	client.expectAnswer(1, codeInvalid)
+	client.sendRequest("licence-order", "without once")
+	client.expectAnswer(2, codeInvalid)
+	client.sendRequest("preview", "x", "kb", "-1")
+	client.expectAnswer(3, codeInvalid)
+	runID := client.sendRequest("preview", "x")
+	peers.expectCommand("launch", runID)
+	client.sendRequest("preview", "same id", "id", runID)
+	client.expectAnswer(5, codeInvalid)
 	for _, broken := range []string{"\xc1", "\x01", "\x94\x00\x01\xa1x\xc6\xff\xff\xff\xff"} {
-		g := p.dial()
-		g.write([]byte(broken))
-		g.expectEnd()
+		other := peers.dial()
+		other.write([]byte(broken))
+		other.expectConnectionEnd()
 	}
-	f.write(appendProbe(6, map[string]string{"deep": "1"}))
-	f.expectAnswer(6, "%!s(bool=true)")
-	p.tell("outcome", run, "success", []byte("served"))
-	f.expectAnswer(4, "served")
-}
-
-// After cancelRequest nothing is owed, and what the run still tells does no harm.
-func TestCancel(t *testing.T) {
-	p := start(t)
-	f := p.dial()
-	run := f.send("preview", "x")
-	p.expect("launch", run)
-	cancel := appendText(append(appendArray(nil, 3), kindNotification), methodCancel)
-	f.write(appendUint(appendArray(cancel, 1), 1))
-	f.write(appendUint(appendArray(cancel, 1), 99)) // unknown
-	f.write(appendProbe(2, nil))
-	f.expectAnswer(2, "%!s(bool=true)")
-	p.tell("outcome", run, "interrupted", nil)
-	f.next = 2
-	next := f.send("preview", "y")
-	p.expect("launch", next)
-	p.tell("outcome", next, "success", []byte("y"))
-	f.expectAnswer(3, "y")
+	client.write(encodeHealthCheck(6, map[string]string{"deep": "1"}))
+	client.expectHealthy(6)
+	peers.agentSends("outcome", runID, "success", []byte("served"))
+	client.expectAnswer(4, "served")
 }
 
-// Front ends may take half of the descriptors: the connection idle for longest makes room.
-func TestConnectionLimit(t *testing.T) {
-	p := start(t, `"sockets": 1024`, `"sockets": 64`)
-	var all []*front
-	for i := range 25 { // 8 of 32 are spare
-		f := p.dial()
-		f.write(appendProbe(1, nil))
-		f.expectAnswer(1, "%!s(bool=true)")
-		if i == 0 {
-			p.expect("launch", f.send("preview", "busy"))
+// A frame that is malformed or does not end costs its connection, but what was read before is still answered. The
+// connection was closed at once: requests that had been read were lost, and unread bytes reset the connection before
+// its answers were read.
+func TestBrokenFrameDoesNotLoseAnswers(t *testing.T) {
+	t.Parallel()
+	garbage := bytes.Repeat([]byte{0xc1}, 100<<10)
+	for name, broken := range map[string]func(client *testClient) []byte{
+		"garbage": func(*testClient) []byte { return garbage },
+		"half frame": func(client *testClient) []byte {
+			_, b := client.newRequest("preview", "half")
+			return b[:len(b)-1]
+		},
+		"same number": func(client *testClient) []byte {
+			client.lastCall = 0
+			_, b := client.newRequest("preview", "twice")
+			return b
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			peers := startServer(t, noIdleClose...)
+			client := peers.dial()
+			runID := client.sendRequest("preview", "x")
+			peers.expectCommand("launch", runID)
+			client.write(broken(client))
+			if name != "half frame" { // where more bytes would complete it
+				client.write(encodeHealthCheck(7, nil))
+			}
+			peers.expectNoCommand() // so that the server has read it
+			peers.agentSends("outcome", runID, "success", []byte("x"))
+			client.expectAnswer(1, "x")
+			client.expectConnectionEnd()
+		})
+		if name == "same number" {
+			continue // once the first is answered, its number is free
 		}
-		all = append(all, f)
+		t.Run(name+" after the answer", func(t *testing.T) {
+			t.Parallel()
+			peers := startServer(t, noIdleClose...)
+			client := peers.dial()
+			runID := client.sendRequest("preview", "x")
+			peers.expectCommand("launch", runID)
+			peers.agentSends("outcome", runID, "success", []byte("x"))
+			client.expectAnswer(1, "x")
+			client.write(broken(client))
+			client.expectConnectionEnd()
+		})
 	}
-	all[1].expectEnd()
-	all[2].write(appendProbe(2, nil))
-	all[2].expectAnswer(2, "%!s(bool=true)")
 }
 
-// Connections that say nothing, or begin a message and don't end it, must not keep front ends out. One that
-// has sent a whole message may be silent for as long as idle ones may.
-func TestSilentConnections(t *testing.T) {
-	p := start(t, `"IdleUs": 30000000`, `"IdleUs": 0`)
-	good, silent, half, later := p.dial(), p.dial(), p.dial(), p.dial()
-	for _, f := range []*front{good, later} {
-		f.write(appendProbe(1, nil))
-		f.expectAnswer(1, "%!s(bool=true)")
+// After cancelRequest no answer is sent, and later events of the run do no harm.
+func TestCancelledRequestGetsNoAnswer(t *testing.T) {
+	peers := startServer(t)
+	client := peers.dial()
+	runID := client.sendRequest("preview", "x")
+	peers.expectCommand("launch", runID)
+	client.write(encodeCancel(1))
+	client.write(encodeCancel(99)) // unknown
+	client.write(encodeHealthCheck(2, nil))
+	client.expectHealthy(2)
+	peers.agentSends("outcome", runID, "interrupted", nil)
+	client.lastCall = 2
+	next := client.sendRequest("preview", "y")
+	peers.expectCommand("launch", next)
+	peers.agentSends("outcome", next, "success", []byte("y"))
+	client.expectAnswer(3, "y")
+}
+
+// Connections that send nothing, or begin a message and don't end it, must not keep other clients out. One that has
+// sent a whole message may be silent for as long as idle ones may.
+func TestSilentConnectionsAreClosed(t *testing.T) {
+	peers := startServer(t, `"IdleUs": 30000000`, `"IdleUs": 0`)
+	active, silent, half, later := peers.dial(), peers.dial(), peers.dial(), peers.dial()
+	for _, client := range []*testClient{active, later} {
+		client.write(encodeHealthCheck(1, nil))
+		client.expectHealthy(1)
 	}
 	half.write([]byte("\x94\x00"))
 	later.write([]byte("\x94"))
-	for _, f := range []*front{silent, half, later} {
-		f.expectEnd()
+	for _, client := range []*testClient{silent, half, later} {
+		client.expectConnectionEnd()
 	}
-	good.write(appendProbe(2, nil))
-	good.expectAnswer(2, "%!s(bool=true)")
+	active.write(encodeHealthCheck(2, nil))
+	active.expectHealthy(2)
 }
 
-// What ended a connection is counted by its kind.
-func TestEnds(t *testing.T) {
-	for _, c := range []struct {
+// The ends of connections are counted by reason.
+func TestEndReasonOfError(t *testing.T) {
+	for _, test := range []struct {
 		err  error
 		want server.EndReason
 	}{
@@ -108,9 +135,9 @@
 		{&net.OpError{Op: "read", Err: syscall.ECONNRESET}, server.Disconnected},
 		{&net.OpError{Op: "read", Err: net.ErrClosed}, server.Disconnected},
 		{&net.OpError{Op: "read", Err: os.ErrDeadlineExceeded}, server.ReadTimeout},
-		{errTooLong, server.MalformedInput},
-		{fmt.Errorf("%w: kind 7", errBroken), server.MalformedInput},
+		{errFrameTooLong, server.MalformedInput},
+		{fmt.Errorf("%w: kind 7", errNotRPCMessage), server.MalformedInput},
 	} {
-		require.Equal(t, c.want, endOf(c.err), "%v", c.err)
+		require.Equal(t, test.want, endReason(test.err), "%v", test.err)
 	}
 }
--- /dev/null
+++ b/internal/overload/quota_manager_test.go
@@ -0,0 +1,104 @@
+package overload
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"falldeal/internal/fleet"
+
+	"github.com/stretchr/testify/require"
+)
+
+// quotaFleet is a number of members that lease quota from each other; the first one may be busy.
+type quotaFleet struct {
+	terms        Terms
+	managers     []*QuotaManager
+	view         *fleet.View
+	idleMessages int // sent by the idle members on their own
+}
+
+func newQuotaFleet(members int, terms Terms) *quotaFleet {
+	random := rand.New(rand.NewPCG(1, 1))
+	quotas := &quotaFleet{terms: terms, view: fleet.NewView("n0", fleet.Limits{Members: members})}
+	for i := range members {
+		ledger := NewQuotaLedger(0, ProcessID{fmt.Sprint("n", i), 1}, terms)
+		quotas.managers = append(quotas.managers, NewQuotaManager(ledger, random.IntN))
+	}
+	return quotas
+}
+
+// run plays a span of time, and returns the lowest limit that the first member had in it.
+func (f *quotaFleet) run(from, to time.Duration, busy bool) Quota {
+	const interval = 250 * time.Millisecond
+	minLimit := Quota(1 << 40)
+	for now := from; now < to; now += interval {
+		f.publishLoads(now)
+		f.deliver(now, f.tick(now, busy))
+		minLimit = min(minLimit, f.managers[0].Limit(now))
+	}
+	return minLimit
+}
+
+func (f *quotaFleet) publishLoads(now time.Duration) {
+	for i, manager := range f.managers {
+		name := fmt.Sprint("n", i)
+		load := fleet.Load{CallQuota: f.terms.Base.Calls(), MeanCalls: manager.MeanInFlight()}
+		f.view.Merge(now, 0, fleet.Record{Name: name, Run: 1, Seq: uint64(now), Up: now, State: fleet.Serving, Load: load})
+		f.view.ObserveReach(now, name, 1, fleet.Reached)
+	}
+}
+
+func (f *quotaFleet) tick(now time.Duration, busy bool) (messages []Message) {
+	const wantedCalls = 10
+	for i, manager := range f.managers {
+		inFlight := 0
+		if i == 0 && busy {
+			inFlight = int(manager.Limit(now) / quotaPerCall)
+			if inFlight < wantedCalls {
+				manager.CallMissed()
+			}
+		}
+		sent := manager.Tick(now, inFlight, f.view.Snapshot(now), now)
+		if i > 0 {
+			f.idleMessages += len(sent)
+		}
+		messages = append(messages, sent...)
+	}
+	return messages
+}
+
+// deliver hands out messages, and the answers to them.
+func (f *quotaFleet) deliver(now time.Duration, messages []Message) {
+	for len(messages) > 0 {
+		message := messages[0]
+		messages = messages[1:]
+		for _, manager := range f.managers {
+			if answer, ok := manager.Receive(now, message, 0); ok {
+				messages = append(messages, answer)
+			}
+		}
+	}
+}
+
+// A busy member among idle ones gets several times its quota and keeps it while it needs it, and returns it soon after;
+// idle members do not request any.
+func TestQuotaMovesToBusyMember(t *testing.T) {
+	terms := Terms{
+		Base:              4000,
+		Reserved:          2000,
+		Lease:             3 * time.Second,
+		CallTime:          4 * time.Second,
+		AbandonedCallTime: time.Second / 5,
+	}
+	quotas := newQuotaFleet(9, terms)
+	quotas.run(10*time.Second, 20*time.Second, true)
+	require.GreaterOrEqual(t, quotas.run(20*time.Second, 60*time.Second, true), 2*terms.Base, "while it needs them")
+	quotas.run(60*time.Second, 75*time.Second, false)
+	require.Equal(t, terms.Base, quotas.managers[0].Limit(75*time.Second))
+	for _, manager := range quotas.managers {
+		require.Zero(t, manager.LeasedOut(75*time.Second))
+	}
+	require.Zero(t, quotas.idleMessages)
+}
--- /dev/null
+++ b/internal/overload/shedding_test.go
@@ -0,0 +1,189 @@
+package overload
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"falldeal/internal/fleet"
+
+	"github.com/stretchr/testify/require"
+)
+
+const serverCapacity = 4.0 // seconds of work a second, and cores, of a simulated server
+
+// sheddingSimulation is a number of servers that get random requests and shed what is below the threshold.
+type sheddingSimulation struct {
+	random    *rand.Rand
+	shedders  []*Shedder
+	loads     []fleet.Load // as published
+	misreport func(member int, load *fleet.Load)
+	admitted  []float64 // work of each server in the last step, in seconds a second
+	shed      []float64
+}
+
+func newSheddingSimulation(servers int, misreport func(member int, load *fleet.Load)) *sheddingSimulation {
+	simulation := &sheddingSimulation{
+		random:    rand.New(rand.NewPCG(3, uint64(servers))),
+		loads:     make([]fleet.Load, servers),
+		misreport: misreport,
+	}
+	for range servers {
+		simulation.shedders = append(simulation.shedders, &Shedder{})
+	}
+	return simulation
+}
+
+// run simulates a span of time with so many requests a second at all servers together.
+func (s *sheddingSimulation) run(span time.Duration, requestRate float64) {
+	const step = 500 * time.Millisecond
+	for now := step; now < span; now += step {
+		s.tick(now)
+		s.admitted, s.shed = make([]float64, len(s.shedders)), make([]float64, len(s.shedders))
+		for range int(requestRate * step.Seconds()) {
+			s.request(step)
+		}
+		s.publishLoads()
+	}
+}
+
+func (s *sheddingSimulation) tick(now time.Duration) {
+	view := viewOf(len(s.shedders), now, func(member int) fleet.Load { return s.loads[member] })
+	for member, shedder := range s.shedders {
+		setObserver(view, member)
+		own := LocalLoad{ServiceRate: serverCapacity, Cores: serverCapacity, Busy: s.loads[member].Busy}
+		shedder.Tick(now, own, view, now)
+	}
+}
+
+// request has a random server classify a random request.
+func (s *sheddingSimulation) request(step time.Duration) {
+	member, work := s.random.IntN(len(s.shedders)), 0.02+0.1*s.random.ExpFloat64()
+	verdict := s.shedders[member].Classify(1+2*s.random.Float64(), work, s.random.Float64(), false)
+	if verdict == VerdictBelowThreshold {
+		s.shed[member] += work / step.Seconds()
+	} else {
+		s.admitted[member] += work / step.Seconds()
+	}
+}
+
+func (s *sheddingSimulation) publishLoads() {
+	for member, shedder := range s.shedders {
+		demand := shedder.Demand()
+		s.loads[member] = fleet.Load{
+			Capacity:    serverCapacity,
+			ServiceRate: serverCapacity,
+			Busy:        min(s.admitted[member]/serverCapacity, 1),
+			Demand:      string(demand.Append(nil)),
+		}
+		if s.misreport != nil {
+			s.misreport(member, &s.loads[member])
+		}
+	}
+}
+
+// One member of the simulation misreports its load.
+const misreporting = 3
+
+func reportTenfoldDemand(member int, load *fleet.Load) {
+	if member == misreporting {
+		load.Demand = tenfold(load.Demand)
+	}
+}
+
+func reportNoDemand(member int, load *fleet.Load) {
+	if member == misreporting {
+		load.Demand = ""
+	}
+}
+
+func reportThousandfoldServiceRate(member int, load *fleet.Load) {
+	if member == misreporting {
+		load.ServiceRate *= 1000
+	}
+}
+
+// tenfold makes encoded demand ten times as large.
+func tenfold(encoded string) string {
+	steps := []byte(encoded)
+	for i := 1; i < len(steps); i++ {
+		if steps[i] > 0 {
+			steps[i] += byte(math.Round(demandStepsPerDoubling * math.Log2(10)))
+		}
+	}
+	return string(steps)
+}
+
+// A fleet with capacity sheds nothing, and a full one admits about its capacity, with about the same threshold at all
+// servers. One server that misreports its load neither starves the others nor floods them.
+func TestShedderAdmitsCapacity(t *testing.T) {
+	const servers, meanWork = 12, 0.12
+	for _, test := range []struct {
+		name                     string
+		load                     float64 // of the capacity
+		misreport                func(member int, load *fleet.Load)
+		minAdmitted, maxAdmitted float64 // of the capacity
+	}{
+		{"at a tenth", 0.1, nil, 0.07, 0.13},
+		{"at 80%", 0.8, nil, 0.7, 0.9},
+		{"at 150%", 1.5, nil, 0.85, 1.15},
+		{"at 300%", 3, nil, 0.85, 1.15},
+		{"demand ten times too high at 80%", 0.8, reportTenfoldDemand, 0.7, 0.9},
+		{"demand ten times too high at 150%", 1.5, reportTenfoldDemand, 0.75, 1.15},
+		{"demand too low", 1.5, reportNoDemand, 0.85, 1.25},
+		{"a service rate a thousand times too high", 1.5, reportThousandfoldServiceRate, 0.85, 1.5},
+	} {
+		simulation := newSheddingSimulation(servers, test.misreport)
+		simulation.run(20*time.Second, test.load*servers*serverCapacity/meanWork)
+		admitted := sum(simulation.admitted) / (servers * serverCapacity)
+		inRange := admitted > test.minAdmitted && admitted < test.maxAdmitted
+		require.True(t, inRange, "%s: %.2f of the capacity is admitted", test.name, admitted)
+		if test.load < 1 && test.misreport == nil {
+			require.Zero(t, sum(simulation.shed), test.name)
+		}
+		first := simulation.shedders[0].Threshold()
+		for _, shedder := range simulation.shedders {
+			require.True(t, shedder.Threshold().Known, test.name)
+			require.InDelta(t, first.Priority, shedder.Threshold().Priority, 4, test.name)
+		}
+	}
+}
+
+// Without other members, with old updates only, or partitioned from most members, the verdict is unknown.
+func TestShedderUnknownWithoutPeers(t *testing.T) {
+	full := func(int) fleet.Load {
+		return fleet.Load{Capacity: serverCapacity, ServiceRate: serverCapacity, Demand: string([]byte{10, 120, 120, 120})}
+	}
+	var shedder Shedder
+	verdictOf := func(view *fleet.Snapshot, at time.Duration) Verdict {
+		shedder.Tick(at, LocalLoad{ServiceRate: serverCapacity, Cores: serverCapacity, Busy: 1}, view, at)
+		return shedder.Classify(1, 5, 0, false)
+	}
+	view := viewOf(4, time.Second, full)
+	require.Equal(t, VerdictBelowThreshold, verdictOf(view, time.Second))
+	require.Equal(t, VerdictUnknown, verdictOf(view, time.Second+fleet.Fresh(4)+1), "updates are old")
+	require.Equal(t, 3, shedder.Threshold().Stale)
+	require.Equal(t, VerdictBelowThreshold, verdictOf(view, time.Second))
+	partitioned := *view
+	partitioned.Position = fleet.Partitioned
+	require.Equal(t, VerdictUnknown, verdictOf(&partitioned, time.Second))
+	require.Equal(t, VerdictUnknown, verdictOf(viewOf(1, time.Second, full), time.Second))
+	for _, invalid := range []struct{ value, work, rank float64 }{
+		{0, 1, 0}, {1, 0, 0}, {math.NaN(), 1, 0}, {1, math.Inf(1), 2}, {1, 1, math.NaN()}, {1e300, 1e-300, 1},
+	} {
+		shedder.Classify(invalid.value, invalid.work, invalid.rank, true) // must not panic
+	}
+}
+
+func TestVerdictString(t *testing.T) {
+	for verdict, want := range map[Verdict]string{
+		VerdictUnknown:            "unknown",
+		VerdictElsewhere:          "elsewhere",
+		VerdictFull:               "full",
+		VerdictBelowThreshold:     "below threshold",
+		VerdictBelowThreshold + 1: "unknown",
+	} {
+		require.Equal(t, want, verdict.String())
+	}
+}
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -1,83 +1,85 @@
 package permit
 
-import (
-	"errors"
-	"fmt"
-	"maps"
-	"slices"
+import "fmt"
+
+// Domain is the part of the fleet for which a limit is counted separately.
+type Domain string
+
+// The domains of a Limit.
+const (
+	WholeFleet Domain = "" // one count for all instances that the limit selects
+	PerZone    Domain = "zone"
+	PerRegion  Domain = "region"
 )
 
-// Check reports rules that make no sense.
+// Limit bounds how many instances may be unavailable at once, by permit or lost. An instance that several limits select
+// has to satisfy all of them.
+type Limit struct {
+	Region, Zone        string  // the instances it selects; empty: any
+	Per                 Domain  // in which they are counted
+	MaxUnavailable      int     // instances; 0: MaxUnavailableRatio holds
+	MaxUnavailableRatio float64 // of the instances in the domain, 0 to 1
+}
+
+// Rules are set by operators. Only a version above the one in force replaces it.
+type Rules struct {
+	Version uint64
+	Limits  []Limit
+	Margin  float64 // part of the remaining capacity that the load must not take, 0 up to but not including 1
+}
+
+// Check returns a *KeyError for rules that make no sense.
 func (r *Rules) Check() error {
 	if !(r.Margin >= 0 && r.Margin < 1) {
-		return fmt.Errorf("margin: %v is not between 0 and 1", r.Margin)
+		return keyErrorf("margin", "%v is not between 0 and 1", r.Margin)
 	}
 	if len(r.Limits) == 0 {
-		return errors.New("limits: none")
+		return keyErrorf("limits", "none")
 	}
-	for i, l := range r.Limits {
-		switch {
-		case l.Each != "" && l.Each != "zone" && l.Each != "region":
-			return fmt.Errorf("limits[%d].each: %q is neither zone nor region", i, l.Each)
-		case l.MaxOut < 0 || (l.MaxOut > 0) == (l.MaxRatio > 0):
-			return fmt.Errorf("limits[%d]: wants one of out and share", i)
-		case !(l.MaxRatio >= 0 && l.MaxRatio <= 1):
-			return fmt.Errorf("limits[%d].share: %v is not between 0 and 1", i, l.MaxRatio)
+	for i := range r.Limits {
+		if err := r.Limits[i].check(fmt.Sprintf("limits[%d]", i)); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// scope is the part of the fleet in which an instance counts for a limit; ok is false where it counts for none.
-func (l *Limit) scope(p Place) (name string, ok bool) {
-	if l.Region != "" && l.Region != p.Region || l.Zone != "" && l.Zone != p.Zone {
-		return "", false
+// check returns a *KeyError for a limit that makes no sense. Key is that of the limit.
+func (l *Limit) check(key string) error {
+	switch l.Per {
+	case WholeFleet, PerZone, PerRegion:
+	default:
+		return keyErrorf(key+".each", "%q is neither zone nor region", l.Per)
 	}
-	switch l.Each {
-	case "zone":
-		return p.Region + "/" + p.Zone, true
-	case "region":
-		return p.Region, true
+	if l.MaxUnavailable < 0 || (l.MaxUnavailable > 0) == (l.MaxUnavailableRatio > 0) {
+		return keyErrorf(key, "wants one of out and share")
 	}
-	return "all", true
+	if !(l.MaxUnavailableRatio >= 0 && l.MaxUnavailableRatio <= 1) {
+		return keyErrorf(key+".share", "%v is not between 0 and 1", l.MaxUnavailableRatio)
+	}
+	return nil
 }
 
-// most is how many of n may be out. A share is rounded down, so that it is never passed.
-func (l *Limit) most(n int) int {
-	if l.MaxOut > 0 {
-		return l.MaxOut
+// domainOf returns the domain in which an instance is counted. ok is false where the limit does not select it.
+func (l *Limit) domainOf(instance Instance) (domain string, ok bool) {
+	if l.Region != "" && l.Region != instance.Region || l.Zone != "" && l.Zone != instance.Zone {
+		return "", false
 	}
-	return int(l.MaxRatio * float64(n))
+	switch l.Per {
+	case PerZone:
+		return instance.Region + "/" + instance.Zone, true
+	case PerRegion:
+		return instance.Region, true
+	case WholeFleet:
+	}
+	return "all", true
 }
 
-// holds says which limit would not hold with those out; empty: all do. Only scopes that one of the names is in count: what
-// is over its limit elsewhere, by losses, holds up nobody here.
-func (r *Rules) holds(places map[string]Place, out map[string]bool, names []string) string {
-	for i := range r.Limits {
-		l := &r.Limits[i]
-		all, gone, asked := map[string]int{}, map[string]int{}, map[string]bool{}
-		for name, p := range places {
-			if scope, ok := l.scope(p); ok {
-				all[scope]++
-				if out[name] {
-					gone[scope]++
-				}
-			}
-		}
-		for _, name := range names {
-			if scope, ok := l.scope(places[name]); ok {
-				asked[scope] = true
-			}
-		}
-		for _, scope := range slices.Sorted(maps.Keys(asked)) {
-			most := l.most(all[scope])
-			if most == 0 {
-				return fmt.Sprintf("limits[%d]: of %d in %s none may ever go", i, all[scope], scope)
-			}
-			if gone[scope] > most {
-				return fmt.Sprintf("limits[%d]: %d of %d in %s would be out or lost, and %d may be", i, gone[scope], all[scope], scope, most)
-			}
-		}
+// maxUnavailable returns how many of so many instances may be unavailable. A ratio is rounded down, so that it is never
+// exceeded.
+func (l *Limit) maxUnavailable(instances int) int {
+	if l.MaxUnavailable > 0 {
+		return l.MaxUnavailable
 	}
-	return ""
+	return int(l.MaxUnavailableRatio * float64(instances))
 }
--- a/internal/release/judge.go
+++ b/internal/release/judge.go
@@ -1,170 +1,117 @@
-// Package release decides how a release goes on. This first piece judges a new version against the old one while both
-// serve the same zones and classes at the same time. It has no I/O, clock or chance.
+// Package release decides how the rollout of a new version goes on. So far it holds the canary analysis: it compares
+// the new version (the canary) with the old one (the baseline) while both serve the same zones and classes. It has no
+// I/O, clock or randomness.
 package release
 
 import (
+	"errors"
 	"fmt"
 	"math"
-	"slices"
 )
 
-// Group is a part of the traffic that is compared by itself: a new version may be bad in one class only.
-type Group struct{ Zone, Class, What string } // What: failed, late, poorer, crashed
+// maxGroups bounds what a Judge keeps.
+const maxGroups = 512
 
-// Block is what one group saw over the same time from instances of the old version and of the new one.
+// Errors of Judge.Observe.
+var (
+	ErrInvalidBlock  = errors.New("counts more wrong than there were")
+	ErrTooManyGroups = fmt.Errorf("more than %d groups", maxGroups)
+)
+
+// Group is a part of the traffic that is compared separately: a new version may be bad in one class only. Metric is what
+// went wrong: failed, late, poorer, crashed.
+type Group struct{ Zone, Class, Metric string }
+
+// Block counts the requests of one group over the same time at instances of both versions.
 type Block struct {
-	Old, OldBad int // requests, and those of them that went wrong
-	New, NewBad int
+	Old, OldBad int // of the baseline: requests, and those of them that went wrong
+	New, NewBad int // of the canary
+}
+
+// valid reports whether the counts are possible.
+func (b *Block) valid() bool {
+	return b.OldBad >= 0 && b.OldBad <= b.Old && b.NewBad >= 0 && b.NewBad <= b.New
 }
 
 // Verdict is what is known of a new version so far.
 type Verdict uint8
 
+// The verdicts.
 const (
-	Inconclusive Verdict = iota // too little was seen; never 'good'
-	Passed                      // enough was seen, and it is no worse by as much as counts
-	Rejected
+	Inconclusive Verdict = iota // too few requests so far
+	Passed                      // enough requests, and it is not worse by MinEffect
+	Rejected                    // it is worse
 )
 
 func (v Verdict) String() string { return [...]string{"can't tell", "good", "bad"}[v] }
 
-// Terms bound the judgement.
-type Terms struct {
-	FalseHaltRate float64 // chance to halt a version that is no worse, over the whole of a release and however often it is looked at
-	MinEffect     float64 // by how much a share that goes wrong must be higher to count: 0.02 is two in a hundred
-	MinRequests   int     // requests of the new version, in each group that has any, before it can be good
-	FalsePassRate float64 // chance to call a version good that is worse by Counts, in each group
-}
-
-// Bounds and priors.
-const (
-	mostGroups = 512
-	bisections = 50
-	prior      = 0.5 // beta prior on each share before anything was seen (Jeffreys)
-)
-
-// evidence is a group's: the logarithms of two e-processes, and what was seen so far.
-type evidence struct {
-	worse float64 // that the new version is worse than the old one
-	fine  float64 // that it is not worse by Counts
-	old   [2]float64
-	new   [2]float64 // good and bad
-}
-
 // Judge compares two versions block by block with e-processes: products of e-variables for two binomials (Turner, Ly and
-// Grünwald, 2021), whose chance ever to pass 1/a under the hypothesis they speak against is at most a, however often they
-// are looked at (Ville's inequality). So the chance of a wrong halt holds for the whole release, without a fixed number of
-// looks. Groups are joined by their mean, which is an e-process again. It belongs to one goroutine.
+// Grünwald, 2021). The chance that one ever exceeds 1/a under the hypothesis that it speaks against is at most a, however
+// often it is looked at (Ville's inequality), so that the rate of false halts holds for the whole rollout without a fixed
+// number of looks. Groups are combined by their mean, which is an e-process again.
+//
+// A Judge is not safe for concurrent use.
 type Judge struct {
-	terms  Terms
-	groups map[Group]*evidence
-	order  []Group
+	criteria Criteria
+	groups   map[Group]*evidence
+	order    []Group // in which they were first observed
 }
 
-// NewJudge begins with nothing seen.
-func NewJudge(t Terms) (*Judge, error) {
-	switch {
-	case !(t.FalseHaltRate > 0 && t.FalseHaltRate < 1):
-		return nil, fmt.Errorf("wrong: %v is not between 0 and 1", t.FalseHaltRate)
-	case !(t.FalsePassRate > 0 && t.FalsePassRate < 1):
-		return nil, fmt.Errorf("sure: %v is not between 0 and 1", t.FalsePassRate)
-	case !(t.MinEffect > 0 && t.MinEffect < 1):
-		return nil, fmt.Errorf("counts: %v is not between 0 and 1", t.MinEffect)
-	case t.MinRequests < 1:
-		return nil, fmt.Errorf("least: %d", t.MinRequests)
+// NewJudge returns a Judge that has observed nothing. Criteria that bound nothing are an error.
+func NewJudge(criteria Criteria) (*Judge, error) {
+	if err := criteria.check(); err != nil {
+		return nil, err
 	}
-	return &Judge{terms: t, groups: map[Group]*evidence{}}, nil
+	return &Judge{criteria: criteria, groups: map[Group]*evidence{}}, nil
 }
 
-// Observe takes in a block. One that makes no sense is an error, and changes nothing.
-func (j *Judge) Observe(g Group, b Block) error {
-	if b.Old < 0 || b.New < 0 || b.OldBad < 0 || b.NewBad < 0 || b.OldBad > b.Old || b.NewBad > b.New {
-		return fmt.Errorf("%v: %+v counts more wrong than there were", g, b)
-	}
-	e := j.groups[g]
-	if e == nil {
-		if len(j.groups) >= mostGroups {
-			return fmt.Errorf("%v: more than %d groups", g, mostGroups)
-		}
-		e = &evidence{}
-		j.groups[g] = e
-		j.order = append(j.order, g)
+// Observe adds a block. It returns an error that wraps ErrInvalidBlock or ErrTooManyGroups where it changed nothing.
+func (j *Judge) Observe(group Group, block Block) error {
+	if !block.valid() {
+		return fmt.Errorf("%v: %+v %w", group, block, ErrInvalidBlock)
 	}
-	if b.Old > 0 && b.New > 0 { // one side alone compares nothing
-		po, pn := share(e.old), share(e.new)
-		// Against 'no worse': what was seen before is the alternative, where it is worse by as much as counts.
-		if worse := max(pn, po+j.terms.MinEffect/2); worse < 1 {
-			e.worse += logE(b, po, worse, 0)
-		}
-		// Against 'worse by Counts': the alternative is that both are alike.
-		if same := (po*float64(b.Old) + pn*float64(b.New)) / float64(b.Old+b.New); same > 0 && same < 1 {
-			e.fine += logE(b, same, same, j.terms.MinEffect)
-		}
+	observed, err := j.evidenceOf(group)
+	if err != nil {
+		return err
 	}
-	e.old[0] += float64(b.Old - b.OldBad)
-	e.old[1] += float64(b.OldBad)
-	e.new[0] += float64(b.New - b.NewBad)
-	e.new[1] += float64(b.NewBad)
+	observed.add(block, j.criteria.MinEffect)
 	return nil
 }
 
-func share(seen [2]float64) float64 { return (seen[1] + prior) / (seen[0] + seen[1] + 2*prior) }
-
-// logE is the logarithm of the e-variable of a block for shares po and pn, against the hypothesis that the new share is
-// that of the old one plus apart, whatever that is: the ratio to the point of the hypothesis that is nearest to the
-// alternative (its reverse information projection).
-func logE(b Block, po, pn, apart float64) float64 {
-	no, nn := float64(b.Old), float64(b.New)
-	low, high := 1e-9, 1-apart-1e-9
-	for range bisections { // the divergence is convex along the border, so that its slope has one zero
-		q := (low + high) / 2
-		if no*(q-po)/(q*(1-q))+nn*(q+apart-pn)/((q+apart)*(1-q-apart)) > 0 {
-			high = q
-		} else {
-			low = q
-		}
+// evidenceOf returns the evidence of a group, which may be a new one.
+func (j *Judge) evidenceOf(group Group) (*evidence, error) {
+	if known, ok := j.groups[group]; ok {
+		return known, nil
 	}
-	q := (low + high) / 2
-	ko, kn := float64(b.OldBad), float64(b.NewBad)
-	ll := func(p, k, n float64) float64 {
-		p = min(max(p, 1e-12), 1-1e-12)
-		return k*math.Log(p) + (n-k)*math.Log(1-p)
+	if len(j.groups) >= maxGroups {
+		return nil, fmt.Errorf("%v: %w", group, ErrTooManyGroups)
 	}
-	return ll(po, ko, no) + ll(pn, kn, nn) - ll(q, ko, no) - ll(q+apart, kn, nn)
+	added := &evidence{}
+	j.groups[group] = added
+	j.order = append(j.order, group)
+	return added, nil
 }
 
-// Verdict says what is known, and of which group it is said: the worst one.
+// Verdict returns what is known so far, and the group with the strongest evidence against the new version.
 func (j *Judge) Verdict() (Verdict, Group) {
 	if len(j.order) == 0 {
 		return Inconclusive, Group{}
 	}
-	worst, most, good := j.order[0], math.Inf(-1), true
-	logs := make([]float64, 0, len(j.order))
-	for _, g := range j.order {
-		e := j.groups[g]
-		logs = append(logs, e.worse)
-		if e.worse > most {
-			worst, most = g, e.worse
-		}
-		if e.new[0]+e.new[1] < float64(j.terms.MinRequests) || e.fine < math.Log(1/j.terms.FalsePassRate) {
-			good = false
+	worst, highest, passed := j.order[0], math.Inf(-1), true
+	logsWorse := make([]float64, 0, len(j.order))
+	for _, group := range j.order {
+		observed := j.groups[group]
+		logsWorse = append(logsWorse, observed.logWorse)
+		if observed.logWorse > highest {
+			worst, highest = group, observed.logWorse
 		}
+		passed = passed && observed.passes(j.criteria)
 	}
 	switch {
-	case logMean(logs) >= math.Log(1/j.terms.FalseHaltRate):
+	case logMean(logsWorse) >= math.Log(1/j.criteria.FalseHaltRate):
 		return Rejected, worst
-	case good:
+	case passed:
 		return Passed, worst
 	}
 	return Inconclusive, worst
 }
-
-// logMean is the logarithm of the mean of numbers that are given by theirs.
-func logMean(logs []float64) float64 {
-	most := slices.Max(logs)
-	sum := 0.0
-	for _, l := range logs {
-		sum += math.Exp(l - most)
-	}
-	return most + math.Log(sum/float64(len(logs)))
-}
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -2,25 +2,29 @@
 
 import "time"
 
-// clock gives the time that the controller sees: the Unix clock, except that it never goes back.
-// Should the system's clock be set back, it runs on at the pace of the monotonic one.
+// clock is the clock of the loop and the controller: the Unix clock, except that it never goes back. While the system's
+// clock is set back, it advances with the monotonic one. The loop owns it.
 type clock struct {
 	read func() time.Time
-	last time.Time
-	now  time.Duration
-	skew time.Duration // now is this far ahead of the Unix clock
+	last time.Time     // last reading
+	now  time.Duration // as of the last call of advance
+	skew time.Duration // how far now is ahead of the Unix clock
 }
 
+// advance reads the clock.
 func (c *clock) advance() time.Duration {
-	t := c.read()
-	unix := time.Duration(t.UnixNano())
+	reading := c.read()
+	unix := time.Duration(reading.UnixNano())
 	if !c.last.IsZero() && unix < c.now {
-		c.now += max(t.Sub(c.last), 0)
+		c.now += max(reading.Sub(c.last), 0)
 	}
 	c.now = max(c.now, unix)
-	c.skew, c.last = c.now-unix, t
+	c.skew, c.last = c.now-unix, reading
 	return c.now
 }
 
-// own turns a time on the Unix clock into one on this clock.
-func (c *clock) own(unix time.Duration) time.Duration { return unix + c.skew }
+// fromUnix turns a time on the Unix clock into one on this clock.
+func (c *clock) fromUnix(unix time.Duration) time.Duration { return unix + c.skew }
+
+// unix returns the present on the Unix clock.
+func (c *clock) unix() time.Duration { return c.now - c.skew }
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -8,71 +8,72 @@
 	"falldeal/internal/stats"
 )
 
-// What operators ask of a running server. These methods may be called from any goroutine.
+// What operators ask of a running server. The exported methods may be called from any goroutine.
 
-var errOver = errors.New("the server is leaving")
+// errDraining answers operators once a drain has started.
+var errDraining = errors.New("the server is leaving")
 
-// ask has the loop call f, and waits for what it returns.
-func ask[T any](ctx context.Context, s *Server, f func() T) (v T, err error) {
-	got := make(chan T, 1)
+// query has the loop call f, and waits for its result.
+func query[T any](ctx context.Context, server *Server, f func() T) (result T, err error) {
+	results := make(chan T, 1)
 	select {
-	case s.in <- func() { got <- f() }:
-	case <-s.ended:
-		return v, errOver
+	case server.inbox.events <- task(func() { results <- f() }):
+	case <-server.inbox.closed:
+		return result, errDraining
 	case <-ctx.Done():
-		return v, ctx.Err()
+		return result, ctx.Err()
 	}
 	select {
-	case v = <-got:
-		return v, nil
-	case <-s.ended:
-		return v, errOver
+	case result = <-results:
+		return result, nil
+	case <-server.inbox.closed:
+		return result, errDraining
 	case <-ctx.Done():
-		return v, ctx.Err()
+		return result, ctx.Err()
 	}
 }
 
-// Ready reports whether this process serves and means to go on.
+// Ready reports whether this process serves, and is to go on serving.
 func (s *Server) Ready(ctx context.Context) (bool, error) {
-	return ask(ctx, s, func() bool { return s.ctl != nil && s.opened && !s.drain.on && !s.withdrawn })
+	return query(ctx, s, func() bool {
+		return s.admission.started() && s.listeners.opened && !s.drain.started() && !s.health.deregistered
+	})
 }
 
-// AppendMetrics appends the operators' figures.
+// AppendMetrics appends the metrics to b.
 func (s *Server) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
-	return ask(ctx, s, func() []byte {
-		return stats.Metrics{Counters: &s.stats, Open: s.peers.opened}.Append(b)
+	return query(ctx, s, func() []byte {
+		return stats.Metrics{Counters: &s.stats, Open: s.connections.openCalls}.Append(b)
 	})
 }
 
-// Deregister has front ends sent away by bad health answers; what still arrives is answered as ever.
-func (s *Server) Deregister(ctx context.Context) error { return s.setWithdrawn(ctx, true) }
+// Deregister has front ends sent away by bad health answers; requests that still arrive are served as before.
+func (s *Server) Deregister(ctx context.Context) error { return s.setDeregistered(ctx, true) }
 
-// Reregister ends what Withdraw began.
-func (s *Server) Reregister(ctx context.Context) error { return s.setWithdrawn(ctx, false) }
+// Reregister ends what Deregister began.
+func (s *Server) Reregister(ctx context.Context) error { return s.setDeregistered(ctx, false) }
 
-func (s *Server) setWithdrawn(ctx context.Context, on bool) error {
-	leaving, err := ask(ctx, s, func() bool {
-		if s.drain.on {
-			return true
-		}
-		if on != s.withdrawn {
-			s.log.WithField("withdrawn", on).Info("told by an operator whether front ends are welcome")
-			s.withdrawn = on
-			s.tellWithdrawn()
-			s.tellFleet()
+func (s *Server) setDeregistered(ctx context.Context, deregistered bool) error {
+	draining, err := query(ctx, s, func() bool {
+		if !s.drain.started() && deregistered != s.health.deregistered {
+			s.log.WithField("withdrawn", deregistered).Info("told by an operator whether front ends are welcome")
+			s.health.deregistered = deregistered
+			s.enqueueRegistration()
+			s.publishStatus()
 		}
-		return false
+		return s.drain.started()
 	})
-	if err == nil && leaving {
-		err = errOver
+	if err == nil && draining {
+		return errDraining
 	}
 	return err
 }
 
-func (s *Server) tellWithdrawn() {
+// enqueueRegistration notifies the controller that the server was deregistered, or registered again.
+func (s *Server) enqueueRegistration() {
 	kind := admission.EventReregister
-	if s.withdrawn {
+	if s.health.deregistered {
 		kind = admission.EventDeregister
 	}
-	s.happened(admission.Event{Kind: kind})
+	s.admission.enqueue(admission.Event{Kind: kind})
 }
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -11,56 +11,73 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Probes in common: who tries a store that does not answer is decided in package overload; here its word becomes what
-// the controller's breaker lets through.
+// Coordinated probes: the members of a fleet take turns to try a store that does not answer. Package overload decides
+// whose turn it is; here its allowance becomes what the controller's breaker lets through.
 
-const probeEvery = 250 * time.Millisecond // between two looks at whose turn it is
+// probeInterval is how often the turns are looked at.
+const probeInterval = 250 * time.Millisecond
 
-type probes struct {
+// storeProbes is the part of a fleet member that probes the store. The loop owns it.
+type storeProbes struct {
 	*overload.ProbeCoordinator
-	leak overload.ProbeAllowance // in force at the controller
+	allowance overload.ProbeAllowance // in force at the controller
 }
 
-// protects is how many calls a window the breaker never drops.
-var protects = [...]float64{overload.ProbeUnlimited: admission.BreakerProtectedCalls, overload.ProbeCautious: 0, overload.ProbeSingle: 1, overload.ProbeNone: -1}
+// protectedCalls gives how many calls a window the breaker never drops.
+var protectedCalls = [...]float64{
+	overload.ProbeUnlimited: admission.BreakerProtectedCalls,
+	overload.ProbeCautious:  0,
+	overload.ProbeSingle:    1,
+	overload.ProbeNone:      -1,
+}
 
-// EnableCoordinatedProbes has a store that does not answer tried by turns within the fleet. Run is this process as the fleet knows
-// it. It is called after Join and before Run.
+// EnableCoordinatedProbes has a store that does not answer tried by turns within the fleet. run is this process as the
+// fleet knows it. It is called after JoinFleet and before Run.
 func (s *Server) EnableCoordinatedProbes(run uint64, zone string) {
-	s.member.probes = &probes{ProbeCoordinator: overload.NewProbeCoordinator(run, zone)}
+	s.member.probes = &storeProbes{ProbeCoordinator: overload.NewProbeCoordinator(run, zone)}
+}
+
+// probes returns the coordinated probes of the fleet, or nil where they are off.
+func (s *Server) probes() *storeProbes {
+	if s.member == nil {
+		return nil
+	}
+	return s.member.probes
 }
 
-// probed notes how a call ended.
-func (s *Server) probed(reply store.Reply) {
-	if s.member != nil && s.member.probes != nil && reply != store.Void {
-		s.member.probes.CallEnded(reply == store.OK)
+// recordCallResult records how a call ended.
+func (s *Server) recordCallResult(reply store.Reply) {
+	if probes := s.probes(); probes != nil && reply != store.Void {
+		probes.CallEnded(reply == store.OK)
 	}
 }
 
-// keepProbing looks whose turn it is, now and again from now on.
-func (s *Server) keepProbing() {
-	if s.member == nil || s.member.probes == nil {
+// tickProbes looks whose turn it is now, and each interval from now on.
+func (s *Server) tickProbes() {
+	probes := s.probes()
+	if probes == nil {
 		return
 	}
-	m := s.member.probes
-	was, at := m.State(), s.member.fleet.Now()
-	leak := m.Tick(s.clock.now, uint32(xxhash.Sum64String(s.cfg.Store)), s.member.fleet.Snapshot(), at)
-	if s.ctl != nil && leak != m.leak {
-		m.leak = leak
-		s.ctl.SetProtectedCalls(protects[leak])
-		s.boundCalls()
+	before, now := probes.State(), s.member.fleet.Now()
+	storeHash := uint32(xxhash.Sum64String(s.config.Store))
+	allowance := probes.Tick(s.clock.now, storeHash, s.member.fleet.Snapshot(), now)
+	if s.admission.started() && allowance != probes.allowance {
+		probes.allowance = allowance
+		s.admission.controller.SetProtectedCalls(protectedCalls[allowance])
+		s.limitCalls()
 	}
-	if now := m.State(); now != was {
-		s.changed(logrus.InfoLevel, "store, as this member finds it", storeName(was), storeName(now), logrus.Fields{"agree": m.UnhealthyMembers()})
-		s.tellFleet()
+	if after := probes.State(); after != before {
+		s.logChange(logrus.InfoLevel, "store, as this member finds it", storeStateName(before), storeStateName(after),
+			logrus.Fields{"agree": probes.UnhealthyMembers()})
+		s.publishStatus()
 	}
-	s.deadlines.Add(s.clock.now+probeEvery, s.keepProbing)
+	s.deadlines.Add(s.clock.now+probeInterval, s.tickProbes)
 }
 
-// storeName is a state as changes tell it: the usual one has no name.
-func storeName(st overload.StoreState) string {
-	if st == overload.StoreHealthy {
+// storeStateName is a state as changes are logged: the usual one has no name.
+func storeStateName(state overload.StoreState) string {
+	if state == overload.StoreHealthy {
 		return ""
 	}
-	return st.String()
+	return state.String()
 }
