--- a/cmd/falldeal-lab/model.go
+++ b/cmd/falldeal-lab/model.go
@@ -16,13 +16,12 @@
 
 // modelFaultFactors are the kinds of faults in the model with how many times it multiplies arrivals or calls' times. ""
 // stands for no fault.
-var modelFaultFactors = map[string]float64{"burst": 1.6, "lost": 1, "mute": 1, "slow": 8, "": 1}
+var modelFaultFactors = map[model.FaultKind]float64{
+	model.FaultBurst: 1.6, model.FaultZoneLost: 1, model.FaultStoresUnresponsive: 1, model.FaultStoresSlow: 8, "": 1,
+}
 
-// Zones of a fault in the model.
-const (
-	allZones = -1
-	lostZone = 1
-)
+// lostZone is the zone of a model.FaultZoneLost. The other faults are of all zones.
+const lostZone = 1
 
 // runModel runs models of fleets with the real decision code, under each overload strategy, and prints a comparison.
 func runModel(opts *options, out io.Writer) error {
@@ -30,7 +29,8 @@
 	if servers < 1 || servers > maxModelServers {
 		return fmt.Errorf("flag --members: %d is not between 1 and %d", servers, maxModelServers)
 	}
-	factor, known := modelFaultFactors[opts.fault.Kind]
+	kind := model.FaultKind(opts.fault.Kind)
+	factor, known := modelFaultFactors[kind]
 	if !known {
 		return fmt.Errorf("flag --kind: %q is none of burst, lost, mute and slow", opts.fault.Kind)
 	}
@@ -38,12 +38,12 @@
 	settings.Servers, settings.FrontEnds = servers, max(minModelFrontEnds, servers/2)
 	settings.LoadRatio, settings.Duration, settings.Seed = opts.loadRatio, opts.duration, opts.lab.Seed
 	settings.HonorRetryAfterRatio = opts.honorRetryAfterRatio
-	if opts.fault.Kind != "" {
-		zone := allZones
-		if opts.fault.Kind == "lost" {
+	if kind != "" {
+		zone := model.AllZones
+		if kind == model.FaultZoneLost {
 			zone = lostZone
 		}
-		settings.Faults = []model.Fault{{Kind: opts.fault.Kind, Zone: zone, Start: opts.duration * 3 / 10,
+		settings.Faults = []model.Fault{{Kind: kind, Zone: zone, Start: opts.duration * 3 / 10,
 			Duration: modelFaultTime, Factor: factor}}
 	}
 	start := time.Now()
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -1,7 +1,6 @@
 package model
 
 import (
-	"cmp"
 	"fmt"
 	"io"
 	"runtime"
@@ -9,105 +8,115 @@
 	"text/tabwriter"
 	"time"
 
-	"falldeal/lab/history"
-
 	"golang.org/x/sync/errgroup"
 )
 
-// Strategy is one way for a fleet to go about overload.
+// Strategy is one way in which a fleet handles overload.
 type Strategy struct {
 	Name string
-	Set  func(o *Options)
+	Set  func(opts *Options)
 }
 
-// Strategies are those that are compared.
+// Strategies are the ones to compare. The first is the baseline.
 var Strategies = []Strategy{
-	{"off", func(o *Options) {}},
-	{"cutoff, by words", func(o *Options) { o.Shedding, o.Aggregates = true, false }},
-	{"cutoff, by sums", func(o *Options) { o.Shedding, o.Aggregates = true, true }},
-	{"cutoff and probes", func(o *Options) { o.Shedding, o.Aggregates, o.CoordinatedProbes = true, true, true }},
+	{"off", func(*Options) {}},
+	{"cutoff, by words", func(opts *Options) { opts.Shedding, opts.Aggregates = true, false }},
+	{"cutoff, by sums", func(opts *Options) { opts.Shedding, opts.Aggregates = true, true }},
+	{"cutoff and probes", func(opts *Options) {
+		opts.Shedding, opts.Aggregates, opts.CoordinatedProbes = true, true, true
+	}},
 }
 
-// Result is what came of one day.
-type Result struct {
-	Strategy                                     string
-	Seed                                         uint64
-	ValueRatio, OptimalRatio, AttemptsPerRequest float64 // share of the worth served, and of that of a policy that sees all; tries for each request
-	RecoveryTime                                 time.Duration
-	HasRecovered                                 bool // service came back to 95% of what it was before
-	LateRatio                                    float64
-	StoreCallRate                                float64 // calls a second at stores that are mute
-	MaxStoreCalls                                int     // in hand at once at mute stores
-	Requests                                     int
-}
+// comparisonHeader names the columns of Compare.
+const comparisonHeader = "way\tworth served\tgained: least\tmedian\tmost\tof a central policy\ttries each\tlate\t" +
+	"back at 95% after: median\tmost\tnever\tcalls/s at mute stores\tin hand there\t"
 
-// Evaluate sums up a day whose trouble is the first fault of its options.
-func Evaluate(o Options, events []history.Event) Result {
-	r := Result{Seed: o.Seed}
-	s := history.SummarizeRequests(events)[""]
-	if s == nil {
-		return r
+// Compare simulates a fleet with each strategy and so many seeds, counted up from that of opts, on all cores. It prints a
+// line for each strategy: means over the seeds, and the least, median and most of the value that is gained over the first
+// strategy, seed by seed. The results are in the order of the strategies, and in that of the seeds within each.
+func Compare(out io.Writer, opts Options, seeds int, strategies []Strategy) ([]Result, error) {
+	results, err := runAll(opts, seeds, strategies)
+	if err != nil {
+		return nil, err
 	}
-	r.Requests, r.ValueRatio, r.AttemptsPerRequest = s.Requests, s.ValueServed/s.Value, float64(s.Attempts)/float64(s.Requests)
-	r.LateRatio = float64(s.Late) / float64(s.Requests)
-	r.OptimalRatio = s.ValueServed / max(history.OptimalValue(events, TotalCores(o)*o.Duration.Seconds()), 1e-9)
-	if len(o.Faults) > 0 {
-		f := o.Faults[0]
-		r.RecoveryTime, r.HasRecovered = history.RecoveryTime(events, f.Start, f.Start+f.Duration)
-		r.StoreCallRate, r.MaxStoreCalls = history.StoreLoadDuringFault(events, f.Kind, 4*time.Second)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, comparisonHeader)
+	baseline := results[:seeds]
+	for i, strategy := range strategies {
+		summary := summarize(results[i*seeds:(i+1)*seeds], baseline)
+		summary.print(table, strategy.Name)
 	}
-	return r
+	return results, table.Flush()
 }
 
-// Compare plays a day with so many seeds in each of some ways, on all cores, and prints a line for each way: the mean of
-// the seeds, with the least and the most of the worth that is gained over the first way, seed by seed.
-func Compare(out io.Writer, o Options, seeds int, ways []Strategy) ([]Result, error) {
-	results := make([]Result, len(ways)*seeds)
-	var g errgroup.Group
-	g.SetLimit(runtime.GOMAXPROCS(0))
-	for i, w := range ways {
-		for k := range seeds {
-			g.Go(func() error {
-				p := o
-				p.Seed = o.Seed + uint64(k)
-				w.Set(&p)
-				r := Evaluate(p, Run(p))
-				r.Strategy = w.Name
-				results[i*seeds+k] = r
+// runAll simulates and evaluates each strategy with each seed.
+func runAll(opts Options, seeds int, strategies []Strategy) ([]Result, error) {
+	results := make([]Result, len(strategies)*seeds)
+	var group errgroup.Group
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for i, strategy := range strategies {
+		for seed := range seeds {
+			group.Go(func() error {
+				simulated := opts
+				simulated.Seed = opts.Seed + uint64(seed)
+				strategy.Set(&simulated)
+				result := Evaluate(simulated, Run(simulated))
+				result.Strategy = strategy.Name
+				results[i*seeds+seed] = result
 				return nil
 			})
 		}
 	}
-	if err := g.Wait(); err != nil {
-		return nil, err
-	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "way\tworth served\tgained: least\tmedian\tmost\tof a central policy\ttries each\tlate\tback at 95% after: median\tmost\tnever\tcalls/s at mute stores\tin hand there\t")
-	for i, w := range ways {
-		all := results[i*seeds : (i+1)*seeds]
-		var worth, central, tries, late, rate float64
-		var gains []float64
-		var back []time.Duration
-		never, most := 0, 0
-		for k, r := range all {
-			worth, central, tries, late, rate = worth+r.ValueRatio, central+r.OptimalRatio, tries+r.AttemptsPerRequest, late+r.LateRatio, rate+r.StoreCallRate
-			gains = append(gains, r.ValueRatio-results[k].ValueRatio)
-			most = max(most, r.MaxStoreCalls)
-			if r.HasRecovered {
-				back = append(back, r.RecoveryTime)
-			} else {
-				never++
-			}
-		}
-		slices.Sort(gains)
-		slices.SortFunc(back, cmp.Compare)
-		after, last := "-", "-"
-		if len(back) > 0 {
-			after, last = back[len(back)/2].String(), back[len(back)-1].String()
+	return results, group.Wait()
+}
+
+// strategySummary sums up the results of one strategy.
+type strategySummary struct {
+	count         int
+	sum           Result    // of the fields that are printed as means
+	gains         []float64 // of ValueRatio over the baseline, sorted
+	recoveryTimes []time.Duration
+	neverBack     int
+	maxStoreCalls int
+}
+
+// summarize sums up results. Those of the baseline have the same seeds in the same order.
+func summarize(results, baseline []Result) *strategySummary {
+	summary := &strategySummary{count: len(results)}
+	for i := range results {
+		result := &results[i]
+		summary.sum.ValueRatio += result.ValueRatio
+		summary.sum.OptimalRatio += result.OptimalRatio
+		summary.sum.AttemptsPerRequest += result.AttemptsPerRequest
+		summary.sum.LateRatio += result.LateRatio
+		summary.sum.StoreCallRate += result.StoreCallRate
+		summary.maxStoreCalls = max(summary.maxStoreCalls, result.MaxStoreCalls)
+		summary.gains = append(summary.gains, result.ValueRatio-baseline[i].ValueRatio)
+		if result.HasRecovered {
+			summary.recoveryTimes = append(summary.recoveryTimes, result.RecoveryTime)
+		} else {
+			summary.neverBack++
 		}
-		n := float64(seeds)
-		fmt.Fprintf(t, "%s\t%.4f\t%+.4f\t%+.4f\t%+.4f\t%.3f\t%.2f\t%.3f\t%s\t%s\t%d\t%.1f\t%d\t\n", w.Name, worth/n, gains[0], gains[len(gains)/2], gains[len(gains)-1],
-			central/n, tries/n, late/n, after, last, never, rate/n, most)
 	}
-	return results, t.Flush()
+	slices.Sort(summary.gains)
+	slices.Sort(summary.recoveryTimes)
+	return summary
+}
+
+func (s *strategySummary) print(out io.Writer, name string) {
+	n := float64(s.count)
+	median, longest := s.recovery()
+	fmt.Fprintf(out, "%s\t%.4f\t%+.4f\t%+.4f\t%+.4f\t%.3f\t%.2f\t%.3f\t%s\t%s\t%d\t%.1f\t%d\t\n",
+		name, s.sum.ValueRatio/n, s.gains[0], s.gains[len(s.gains)/2], s.gains[len(s.gains)-1],
+		s.sum.OptimalRatio/n, s.sum.AttemptsPerRequest/n, s.sum.LateRatio/n, median, longest, s.neverBack,
+		s.sum.StoreCallRate/n, s.maxStoreCalls)
+}
+
+// recovery returns the median and the longest recovery time as they are printed.
+func (s *strategySummary) recovery() (median, longest string) {
+	times := s.recoveryTimes
+	if len(times) == 0 {
+		return "-", "-"
+	}
+	return times[len(times)/2].String(), times[len(times)-1].String()
 }
--- /dev/null
+++ b/lab/model/probing.go
@@ -0,0 +1,55 @@
+package model
+
+import (
+	"falldeal/admission"
+	"falldeal/internal/fleet"
+	"falldeal/internal/overload"
+)
+
+// modelStoreID stands for the store in the coordination of probes: all zones use the same one.
+const modelStoreID = 7
+
+// protectedCalls gives how many calls a window the breaker never drops.
+var protectedCalls = [...]float64{
+	overload.ProbeUnlimited: admission.BreakerProtectedCalls,
+	overload.ProbeCautious:  0,
+	overload.ProbeSingle:    1,
+	overload.ProbeNone:      -1,
+}
+
+func (s *server) startProbes() {
+	s.probes, s.probeAllowance = nil, overload.ProbeUnlimited
+	if !s.sim.opts.CoordinatedProbes {
+		return
+	}
+	s.probes = overload.NewProbeCoordinator(s.processRun(), zoneName(s.zone))
+	s.repeat(probeInterval, s.updateProbes)
+}
+
+// updateProbes takes over the allowance that the coordination of probes gives, and publishes a change of the store's state.
+func (s *server) updateProbes() {
+	stateBefore := s.probes.State()
+	var allowance overload.ProbeAllowance
+	s.withSnapshot(func(snapshot *fleet.Snapshot) {
+		allowance = s.probes.Tick(s.sim.now, modelStoreID, snapshot, s.sim.now)
+	})
+	s.setProbeAllowance(allowance)
+	if s.probes.State() != stateBefore {
+		s.publish()
+	}
+}
+
+func (s *server) setProbeAllowance(allowance overload.ProbeAllowance) {
+	if allowance == s.probeAllowance {
+		return
+	}
+	s.probeAllowance = allowance
+	s.controller.SetProtectedCalls(protectedCalls[allowance])
+	settings := s.sim.settings
+	if allowance == overload.ProbeSingle {
+		settings.MaxCallsInFlight = min(settings.MaxCallsInFlight, 1)
+	}
+	if err := s.controller.Reconfigure(settings); err != nil {
+		panic(err) // the settings are this package's own
+	}
+}
--- /dev/null
+++ b/lab/model/processing.go
@@ -0,0 +1,127 @@
+package model
+
+import (
+	"strconv"
+	"time"
+
+	"falldeal/admission"
+	"falldeal/lab/history"
+)
+
+// requestMemoryKB is the memory of a request before it runs.
+const requestMemoryKB = 24
+
+// receive takes in an attempt of a request. It is read first, which takes time of the cores.
+func (s *server) receive(request *request, deadline time.Duration, answer func(response)) {
+	s.lastAttempt++
+	attempt := &attempt{
+		id: s.lastAttempt, request: request, arrivedAt: s.sim.now, deadline: deadline, answer: answer,
+	}
+	s.attempts[attempt.id] = attempt
+	s.unread = append(s.unread, attempt)
+	s.collectCompleted()
+	s.readNext()
+	s.cores.scheduleCompletion()
+}
+
+// readNext begins to read as many attempts at a time as there are cores.
+func (s *server) readNext() {
+	for len(s.unread) > 0 && s.reading < s.sim.opts.Cores {
+		attempt := s.unread[0]
+		s.unread = s.unread[1:]
+		s.reading++
+		readWork := time.Duration(history.ReadCostRatio * float64(s.sim.meanWork))
+		s.addCoreTask("r"+strconv.FormatUint(uint64(attempt.id), 10), attempt, readWork)
+	}
+}
+
+func (s *server) addCoreTask(name string, attempt *attempt, work time.Duration) {
+	s.coreTasks[name] = attempt
+	s.cores.Add(name, work)
+}
+
+// collectCompleted takes what was read and what has run from the cores.
+func (s *server) collectCompleted() {
+	for _, name := range s.cores.Advance(s.sim.now) {
+		attempt := s.coreTasks[name]
+		delete(s.coreTasks, name)
+		if attempt.state != attemptReading {
+			s.finish(attempt, admission.OutcomeOK)
+			continue
+		}
+		s.reading--
+		s.readNext()
+		s.submit(attempt)
+	}
+}
+
+// submit passes an attempt that was read to the controller.
+func (s *server) submit(attempt *attempt) {
+	attempt.state = attemptQueued
+	if s.sim.now >= attempt.deadline {
+		delete(s.attempts, attempt.id)
+		attempt.respond(response{outcome: history.OutcomeFailed})
+		return
+	}
+	request := attempt.request
+	event := admission.Event{
+		Kind: admission.EventRequest, ID: attempt.id, Class: request.classIndex, Client: request.client,
+		MemoryKB: requestMemoryKB, CostHint: request.work, HasSubject: !request.class.IdempotentByKey,
+		Rank: request.rank, Deadline: attempt.deadline, Waited: s.sim.now - attempt.arrivedAt,
+	}
+	if s.shedding != nil {
+		s.shedding.classify(s.sim.now, attempt, &event)
+	}
+	s.enqueue(event)
+}
+
+// admit begins the run of an attempt, with its call to the store if it needs one.
+func (s *server) admit(attempt *attempt) {
+	attempt.admittedAt = s.sim.now
+	if !s.sim.settings.Classes[attempt.request.classIndex].CallsDependency {
+		s.run(attempt)
+		return
+	}
+	attempt.state = attemptWaitingForCall
+	s.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: attempt.id})
+}
+
+// run has the cores work on an attempt.
+func (s *server) run(attempt *attempt) {
+	attempt.state = attemptRunning
+	s.addCoreTask(strconv.FormatUint(uint64(attempt.id), 10), attempt, attempt.request.work)
+}
+
+// finish ends the run of an attempt.
+func (s *server) finish(attempt *attempt, outcome admission.Outcome) {
+	delete(s.attempts, attempt.id)
+	attempt.dropCall()
+	s.enqueue(admission.Event{
+		Kind: admission.EventDone, ID: attempt.id, Outcome: outcome, Took: s.sim.now - attempt.admittedAt,
+	})
+	if outcome == admission.OutcomeOK {
+		attempt.respond(response{outcome: history.OutcomeServed, degraded: attempt.degraded})
+	} else {
+		attempt.respond(response{outcome: history.OutcomeFailed})
+	}
+}
+
+// callEnded takes in the end of an attempt's call.
+func (s *server) callEnded(attempt *attempt, outcome admission.Outcome) {
+	if !s.up || s.attempts[attempt.id] != attempt {
+		return
+	}
+	attempt.call = nil
+	succeeded := outcome == admission.OutcomeOK
+	if s.probes != nil {
+		s.probes.CallEnded(succeeded)
+	}
+	if succeeded {
+		s.collectCompleted()
+		s.run(attempt)
+		s.cores.scheduleCompletion()
+	}
+	s.enqueue(admission.Event{
+		Kind: admission.EventCallDone, ID: attempt.id, Outcome: outcome, Took: s.sim.now - attempt.calledAt,
+	})
+}
--- /dev/null
+++ b/lab/model/settings.go
@@ -0,0 +1,47 @@
+package model
+
+import (
+	"time"
+
+	"falldeal/admission"
+	"falldeal/lab/clients"
+)
+
+const (
+	answerGrace            = 100 * time.Millisecond // after a deadline, for an answer under way
+	defaultIdempotencyTime = 5 * time.Second
+	keyedIdempotencyTime   = 17457 * time.Millisecond
+)
+
+// admissionSettings are those of the controller of every server.
+func admissionSettings(opts *Options) admission.Settings {
+	settings := admission.Settings{
+		Cores: opts.Cores, FleetSize: opts.Servers, Clients: opts.FrontEnds,
+		MemoryKB: 60000, RunningMemoryFactor: 8, KeyMemoryKB: 4,
+		Dependency: admission.DependencyShared, MaxCallsInFlight: opts.SlotsPerServer,
+		CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * time.Millisecond,
+		SlowStartSpeedRatio: 0.25, SlowStartTime: opts.WarmupTime,
+		MaxConcurrencyPerCore: 5, ConcurrencyWindow: 3 * time.Second,
+		AnswerGrace: answerGrace, DrainGrace: 2500 * time.Millisecond, IdleTimeout: 30 * time.Second,
+		MaxRetryAfter: time.Second, SendsRetryAfter: true, SendsCancellations: true, SendsDeadlines: true,
+		RegistryFollowsHealth: true, Tick: 5 * time.Millisecond, OverQuotaValueRatio: 0.1,
+	}
+	for i := range opts.Classes {
+		settings.Classes = append(settings.Classes, admissionClass(&opts.Classes[i]))
+	}
+	return settings
+}
+
+func admissionClass(class *clients.Class) admission.Class {
+	settings := admission.Class{
+		LatencyObjective: class.LatencyObjective, Deadline: class.Timeout, PriorityWeight: class.Value,
+		CallsDependency: class.Name != classWithoutCalls, IdempotencyWindow: defaultIdempotencyTime,
+	}
+	if class.IdempotentByKey {
+		settings.Idempotency, settings.IdempotencyWindow = admission.IdempotentByKey, keyedIdempotencyTime
+	}
+	if class.DegradedValueRatio > 0 {
+		settings.DegradedValueRatio = class.DegradedValueRatio
+	}
+	return settings
+}
--- /dev/null
+++ b/lab/model/shedding.go
@@ -0,0 +1,92 @@
+package model
+
+import (
+	"time"
+
+	"falldeal/admission"
+	"falldeal/internal/fleet"
+	"falldeal/internal/overload"
+)
+
+// shedding is the part of a server that sheds load together with the fleet.
+type shedding struct {
+	shedder   overload.Shedder
+	ages      *overload.AgeEstimator
+	retries   *overload.RetryCounter
+	collector *overload.Collector // of the aggregates of zones
+}
+
+// fleetRanks gives the controller's rank for each verdict.
+var fleetRanks = [...]admission.FleetRank{
+	overload.VerdictUnknown:        admission.RankUnknown,
+	overload.VerdictElsewhere:      admission.RankElsewhere,
+	overload.VerdictFull:           admission.RankFull,
+	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
+}
+
+func (s *server) startShedding() {
+	s.shedding = nil
+	if !s.sim.opts.Shedding {
+		return
+	}
+	s.shedding = &shedding{
+		ages:      overload.NewAgeEstimator(),
+		retries:   overload.NewRetryCounter(),
+		collector: overload.NewCollector(s.processID()),
+	}
+	s.repeat(sheddingInterval, s.updateShedding)
+}
+
+func (s *server) processID() overload.ProcessID {
+	return overload.ProcessID{Name: s.name, Run: s.processRun()}
+}
+
+// classify adds the fleet's view of an attempt to the event that submits it.
+func (s *shedding) classify(now time.Duration, attempt *attempt, event *admission.Event) {
+	request := attempt.request
+	name, work := request.class.Name, request.work.Seconds()
+	attempt.fingerprint = overload.Fingerprint(name, "", "", request.client, request.rank, work)
+	event.SinceFirstAttempt = s.ages.Age(now, name, attempt.deadline-attempt.arrivedAt)
+	knownRetry := s.retries.Arrived(now, attempt.fingerprint) || event.SinceFirstAttempt > 0
+	event.FleetRank = fleetRanks[s.shedder.Classify(request.class.Value, work, request.rank, knownRetry)]
+	event.RetryJitter = s.shedder.RetryJitter(attempt.fingerprint)
+}
+
+func (s *shedding) addToLoad(load *fleet.Load) {
+	demand := s.shedder.Demand()
+	load.Demand = string(demand.Append(nil))
+	load.Attempts, load.RetryRatio = s.retries.AttemptRate(), s.retries.RetryRatio()
+	load.Threshold = s.shedder.Threshold().Priority
+	load.Aggregate = s.collector.Published()
+}
+
+// updateShedding updates the threshold and exchanges retries and aggregates with the other servers.
+func (s *server) updateShedding() {
+	s.collectCompleted()
+	retries := s.shedding.retries
+	local := overload.LocalLoad{
+		ServiceRate: s.controller.ServiceRate(), Cores: float64(s.sim.opts.Cores), Busy: s.cores.Utilization(),
+		Attempts: retries.AttemptRate(), Retries: retries.RetryRatio(),
+	}
+	s.withSnapshot(func(snapshot *fleet.Snapshot) {
+		s.shedding.shedder.Tick(s.sim.now, local, snapshot, s.sim.now)
+		for _, report := range retries.Tick(s.sim.now, snapshot) {
+			s.sim.send(report.To.Run, func(to *server) {
+				to.shedding.retries.HandleReport(s.sim.now, report.Attempts)
+			})
+		}
+		if s.sim.opts.Aggregates {
+			s.sendAggregate(snapshot)
+		}
+	})
+	s.cores.scheduleCompletion()
+}
+
+func (s *server) sendAggregate(snapshot *fleet.Snapshot) {
+	var load fleet.Load
+	s.addToLoad(&load)
+	partial := overload.PartialAggregate{From: s.processID(), Aggregate: overload.AggregateOf(&load)}
+	for _, recipient := range s.shedding.collector.Tick(s.sim.now, partial.Aggregate, snapshot) {
+		s.sim.send(recipient.Run, func(to *server) { to.shedding.collector.Receive(s.sim.now, partial) })
+	}
+}
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -9,135 +9,159 @@
 	"falldeal/lab/workerpool"
 )
 
-// A store falls when it has too many calls in hand for so long, is down for a while, and comes back cold.
+// A store crashes when it has had too many calls in flight for some time, is down for a while, and warms up after that.
 const (
-	fallAfter = time.Second
-	fallDown  = 3 * time.Second
-	coldShare = 0.1 // of its speed
+	crashTolerance      = time.Second
+	crashDowntime       = 3 * time.Second
+	coldStoreSpeedRatio = 0.1
 )
 
 // store is the store of one zone.
 type store struct {
-	sim     *Simulation
-	zone    int
-	slots   *workerpool.Pool
-	places  int
-	fall    workerpool.CrashModel
-	born    time.Duration // when it came up last, cold
-	mute    bool
-	hand    map[string]*call
-	hung    int
-	last    int
-	armedAt time.Duration
+	sim          *Simulation
+	zone         int
+	slotCount    int
+	slots        *scheduledPool
+	crash        workerpool.CrashModel
+	startedAt    time.Duration
+	unresponsive bool
+	calls        map[string]*call // in slots, by ID
+	unanswered   int              // calls in flight since the store was unresponsive
+	lastCall     int
 }
 
-// call is one call in a store's hands.
+// call is one call of a server to a store.
 type call struct {
-	st      *store
+	store   *store
 	id      string
-	by      *server
-	j       *job
-	over    bool // nobody waits for it
-	dropped bool
+	server  *server
+	attempt *attempt
+	ended   bool // its outcome is on its way to the server
+	dropped bool // the server has given it up
 }
 
-func newStore(s *Simulation, zone int) *store {
-	each := (s.opt.Servers + s.opt.Zones - 1 - zone) / s.opt.Zones
-	places := max(int(s.opt.SlotsPerServer*float64(each)), 1)
-	return &store{sim: s, zone: zone, places: places, hand: map[string]*call{}, born: -s.opt.WarmupTime, fall: workerpool.CrashModel{Tolerance: fallAfter, Downtime: fallDown},
-		slots: workerpool.NewPool(workerpool.Curve{Workers: places, Speed: 1, Knee: 1, SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3, ColdSpeedRatio: coldShare, WarmupTime: s.opt.WarmupTime}, -s.opt.WarmupTime)}
+func newStore(sim *Simulation, zone int) *store {
+	serversOfZone := (sim.opts.Servers + sim.opts.Zones - 1 - zone) / sim.opts.Zones
+	slotCount := max(int(sim.opts.SlotsPerServer*float64(serversOfZone)), 1)
+	startedAt := -sim.opts.WarmupTime // it is warm at the start of the simulation
+	curve := workerpool.Curve{
+		Workers: slotCount, Speed: 1, Knee: 1, SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3,
+		ColdSpeedRatio: coldStoreSpeedRatio, WarmupTime: sim.opts.WarmupTime,
+	}
+	store := &store{
+		sim: sim, zone: zone, slotCount: slotCount, startedAt: startedAt, calls: map[string]*call{},
+		crash: workerpool.CrashModel{Tolerance: crashTolerance, Downtime: crashDowntime},
+	}
+	store.slots = &scheduledPool{
+		Pool: workerpool.NewPool(curve, startedAt), sim: sim, schedule: sim.schedule, collect: store.collectCompleted,
+	}
+	return store
 }
 
-func (st *store) note(kind string) {
-	st.sim.log(history.Event{Kind: kind, Server: strconv.Itoa(st.zone), Count: st.slots.InFlight() + st.hung})
+// recordCalls records the start or the end of a call.
+func (s *store) recordCalls(kind string) {
+	s.sim.record(history.Event{Kind: kind, Server: zoneName(s.zone), Count: s.slots.InFlight() + s.unanswered})
 }
 
-// begin takes a call, for limit at most.
-func (st *store) begin(by *server, j *job, limit time.Duration) *call {
-	s := st.sim
-	st.last++
-	c := &call{st: st, id: strconv.Itoa(st.last), by: by, j: j}
-	s.at(s.now+limit, func() { c.end(admission.OutcomeTimedOut) })
-	if st.mute {
-		st.hung++
-		st.note(history.CallStarted)
-		s.at(s.now+limit, func() { // it stays until its time is up
-			st.hung--
-			st.note(history.CallEnded)
-		})
-		return c
+// begin starts a call that times out after timeout.
+func (s *store) begin(server *server, attempt *attempt, timeout time.Duration) *call {
+	s.lastCall++
+	call := &call{store: s, id: strconv.Itoa(s.lastCall), server: server, attempt: attempt}
+	s.sim.schedule(s.sim.now+timeout, func() { call.end(admission.OutcomeTimedOut) })
+	switch {
+	case s.unresponsive:
+		s.hold(timeout)
+	case s.crash.IsDown(s.sim.now):
+		s.sim.schedule(s.sim.now+2*networkDelay, func() { call.end(admission.OutcomeFailed) })
+	default:
+		s.process(call)
 	}
-	if st.fall.IsDown(s.now) {
-		s.at(s.now+2*way, func() { c.end(admission.OutcomeFailed) })
-		return c
+	return call
+}
+
+// hold keeps a call in flight without an answer until its timeout.
+func (s *store) hold(timeout time.Duration) {
+	s.unanswered++
+	s.recordCalls(history.CallStarted)
+	s.sim.schedule(s.sim.now+timeout, func() {
+		s.unanswered--
+		s.recordCalls(history.CallEnded)
+	})
+}
+
+// process adds a call to the slots, and crashes the store where that is too much.
+func (s *store) process(call *call) {
+	s.collectCompleted()
+	s.calls[call.id] = call
+	s.slots.Add(call.id, s.sim.opts.CallTime)
+	s.recordCalls(history.CallStarted)
+	s.crash.MaxInFlight = s.maxInFlight()
+	if s.crash.Observe(s.sim.now, s.slots.InFlight()) {
+		s.crashNow()
 	}
-	st.advance()
-	st.hand[c.id] = c
-	st.slots.Add(c.id, s.opt.CallTime)
-	st.note(history.CallStarted)
-	warm := min(float64(s.now-st.born)/float64(max(s.opt.WarmupTime, 1)), 1)
-	st.fall.MaxInFlight = int(s.opt.StoreCrashMultiple * float64(st.places) * (coldShare + (1-coldShare)*warm))
-	if st.fall.Observe(s.now, st.slots.InFlight()) {
-		st.restart(s.now + fallDown)
-		for i := range st.last + 1 {
-			if x := st.hand[strconv.Itoa(i)]; x != nil {
-				st.slots.Cancel(x.id)
-				delete(st.hand, x.id)
-				st.note(history.CallEnded)
-				x.end(admission.OutcomeFailed)
-			}
+	s.slots.scheduleCompletion()
+}
+
+// maxInFlight returns how many calls in flight the store bears: fewer while it warms up.
+func (s *store) maxInFlight() int {
+	warmth := min(float64(s.sim.now-s.startedAt)/float64(max(s.sim.opts.WarmupTime, 1)), 1)
+	speedRatio := coldStoreSpeedRatio + (1-coldStoreSpeedRatio)*warmth
+	return int(s.sim.opts.StoreCrashMultiple * float64(s.slotCount) * speedRatio)
+}
+
+// crashNow fails the calls in flight, in the order in which they began, and schedules the restart.
+func (s *store) crashNow() {
+	s.restart(s.sim.now + crashDowntime)
+	for number := range s.lastCall + 1 {
+		call := s.calls[strconv.Itoa(number)]
+		if call == nil {
+			continue
 		}
-		s.log(history.Event{Kind: history.FaultChanged, Detail: "fall of store " + strconv.Itoa(st.zone), Count: 1})
+		s.slots.Cancel(call.id)
+		delete(s.calls, call.id)
+		s.recordCalls(history.CallEnded)
+		call.end(admission.OutcomeFailed)
 	}
-	st.arm()
-	return c
+	s.sim.record(history.Event{
+		Kind: history.FaultChanged, Detail: "fall of store " + zoneName(s.zone), Count: 1,
+	})
 }
 
-func (st *store) advance() {
-	for _, id := range st.slots.Advance(st.sim.now) {
-		c := st.hand[id]
-		delete(st.hand, id)
-		st.note(history.CallEnded)
-		c.end(admission.OutcomeOK)
+func (s *store) collectCompleted() {
+	for _, id := range s.slots.Advance(s.sim.now) {
+		call := s.calls[id]
+		delete(s.calls, id)
+		s.recordCalls(history.CallEnded)
+		call.end(admission.OutcomeOK)
 	}
 }
 
-// restart has it be cold at that time.
-func (st *store) restart(at time.Duration) {
-	st.sim.at(at, func() {
-		st.advance()
-		st.slots.Restart(st.sim.now)
-		st.born = st.sim.now
-		st.arm()
+// restart has the store warm up from a time on.
+func (s *store) restart(at time.Duration) {
+	s.sim.schedule(at, func() {
+		s.collectCompleted()
+		s.slots.Restart(s.sim.now)
+		s.startedAt = s.sim.now
+		s.slots.scheduleCompletion()
 	})
 }
 
-func (st *store) arm() {
-	at, ok := st.slots.NextCompletion()
-	if !ok || st.armedAt > st.sim.now && st.armedAt <= at {
-		return
-	}
-	st.armedAt = at
-	st.sim.at(at, func() {
-		if st.armedAt == at {
-			st.armedAt = 0
-			st.advance()
-			st.arm()
-		}
-	})
+// setSlowdown has calls take factor times as long from now on.
+func (s *store) setSlowdown(factor float64) {
+	s.collectCompleted()
+	s.slots.SetSlowdown(s.sim.now, factor)
+	s.slots.scheduleCompletion()
 }
 
-// end tells the server how its call ended, once; what is in a slot stays there until it is done.
-func (c *call) end(o admission.Outcome) {
-	if c.over || c.dropped {
+// end reports the outcome to the server, once. A call in a slot stays there until it completes.
+func (c *call) end(outcome admission.Outcome) {
+	if c.ended || c.dropped {
 		return
 	}
-	c.over = true
-	c.st.sim.at(c.st.sim.now+way, func() {
+	c.ended = true
+	c.store.sim.schedule(c.store.sim.now+networkDelay, func() {
 		if !c.dropped {
-			c.by.called(c.j, o)
+			c.server.callEnded(c.attempt, outcome)
 		}
 	})
 }
-
-func (c *call) drop() { c.dropped = true }
