--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -22,17 +22,14 @@
 
 func (s *Simulation) beginFault(fault *Fault) {
 	s.recordFault(fault, 1)
-	for zone, store := range s.stores {
-		if !fault.affects(zone) {
-			continue
-		}
+	for _, store := range s.affectedStores(fault) {
 		switch fault.Kind {
 		case FaultStoresUnresponsive:
 			store.unresponsive = true
 		case FaultStoresSlow:
 			store.setSlowdown(fault.Factor)
 		case FaultZoneLost:
-			s.killZone(zone)
+			s.killZone(store.zone)
 		case FaultBurst: // arrivalRate looks at it
 		}
 	}
@@ -40,10 +37,7 @@
 
 func (s *Simulation) endFault(fault *Fault) {
 	s.recordFault(fault, 0)
-	for zone, store := range s.stores {
-		if !fault.affects(zone) {
-			continue
-		}
+	for _, store := range s.affectedStores(fault) {
 		switch fault.Kind {
 		case FaultStoresUnresponsive:
 			store.unresponsive = false
@@ -51,12 +45,22 @@
 		case FaultStoresSlow:
 			store.setSlowdown(1)
 		case FaultZoneLost:
-			s.restartZone(zone)
+			s.restartZone(store.zone)
 		case FaultBurst: // arrivalRate looks at it
 		}
 	}
 }
 
+// affectedStores returns the stores of the zones of a fault.
+func (s *Simulation) affectedStores(fault *Fault) (affected []*store) {
+	for zone, store := range s.stores {
+		if fault.affects(zone) {
+			affected = append(affected, store)
+		}
+	}
+	return affected
+}
+
 func (s *Simulation) killZone(zone int) {
 	for _, server := range s.servers {
 		if server.zone == zone {
