--- /dev/null
+++ b/lab/schedule/agreement.go
@@ -0,0 +1,54 @@
+package schedule
+
+import (
+	"fmt"
+	"time"
+
+	"falldeal/internal/fleet"
+)
+
+const pollInterval = 100 * time.Millisecond
+
+// CheckAgreement returns nil if every live member sees just the live ones as alive, each with its own state, and otherwise
+// an error that says what is wrong.
+func (c *Cluster) CheckAgreement() error {
+	live := c.LiveMembers()
+	var first uint64
+	for i, member := range live {
+		snapshot := member.Fleet.Snapshot()
+		if snapshot.Position == fleet.Partitioned || len(live) > 1 && snapshot.Position == fleet.Alone {
+			return fmt.Errorf("%s holds itself for %v", member.Name, snapshot.Position)
+		}
+		if alive := countAlive(snapshot); alive != len(live) {
+			return fmt.Errorf("%s sees %d alive of %d", member.Name, alive, len(live))
+		}
+		if agreement := snapshot.Agreement(); i == 0 {
+			first = agreement
+		} else if agreement != first {
+			return fmt.Errorf("%s and %s see different things", live[0].Name, member.Name)
+		}
+	}
+	return nil
+}
+
+// countAlive counts the members whose process is seen to run, be it wedged.
+func countAlive(snapshot *fleet.Snapshot) (alive int) {
+	for i := range snapshot.Members {
+		if liveness := snapshot.Members[i].Liveness; liveness == fleet.Alive || liveness == fleet.Wedged {
+			alive++
+		}
+	}
+	return alive
+}
+
+// WaitUntil waits until check returns nil, and returns how long that took. After limit it returns the last error.
+func WaitUntil(limit time.Duration, check func() error) (time.Duration, error) {
+	start := time.Now()
+	for {
+		err := check()
+		if err == nil || time.Since(start) > limit {
+			return time.Since(start), err
+		}
+		time.Sleep(pollInterval)
+	}
+}
--- a/lab/schedule/heartbeat.go
+++ b/lab/schedule/heartbeat.go
@@ -8,74 +8,93 @@
 	"falldeal/lab/memnet"
 )
 
-// Heartbeats is the plain way to compare with: each member sends each other one a datagram of its state each second,
-// and calls lost whom it has not heard for Missed seconds. On the same network in memory.
+// Heartbeats is the plain failure detection to compare with: at each interval every member sends every other one a
+// datagram with its state, and holds a member lost from which it has received none for MissedLimit intervals. It runs on
+// the same in-memory network.
 type Heartbeats struct {
 	Interval     time.Duration
-	MissedLimit  int // beats
-	PayloadBytes int // of a beat
+	MissedLimit  int // heartbeats
+	PayloadBytes int // of a heartbeat
 }
 
-// HeartbeatMember is one member of a fleet that knows itself by heartbeats.
+// HeartbeatMember is one member of a fleet with heartbeats. Its goroutine owns its fields until Stop returns.
 type HeartbeatMember struct {
-	host          *memnet.Host
-	heard         map[string]time.Time
-	lost          map[string]bool
-	FalseRemovals int // times it called somebody lost
-	cancel        context.CancelFunc
-	ended         chan struct{}
+	FalseRemovals int // times that it held a member lost
+
+	settings     Heartbeats
+	host         *memnet.Host
+	peers        []string // addresses
+	lastReceived map[string]time.Time
+	lost         map[string]bool
+	cancel       context.CancelFunc
+	ended        chan struct{}
 }
 
-// Start starts a member among addrs; its own is addrs[i].
-func (h Heartbeats) Start(n *memnet.Network, addrs []string, i int) *HeartbeatMember {
+// Start starts a member among addrs. Its own address is addrs[i].
+func (h Heartbeats) Start(network *memnet.Network, addrs []string, i int) *HeartbeatMember {
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &HeartbeatMember{host: n.Host(addrs[i]), heard: map[string]time.Time{}, lost: map[string]bool{}, cancel: cancel, ended: make(chan struct{})}
-	go func() {
-		defer close(b.ended)
-		t := time.NewTicker(h.Interval)
-		defer t.Stop()
-		beat := make([]byte, h.PayloadBytes)
-		for _, a := range addrs {
-			b.heard[a] = time.Now()
+	member := &HeartbeatMember{
+		settings: h, host: network.Host(addrs[i]),
+		lastReceived: map[string]time.Time{}, lost: map[string]bool{},
+		cancel: cancel, ended: make(chan struct{}),
+	}
+	member.peers = append(append(member.peers, addrs[:i]...), addrs[i+1:]...)
+	go member.run(ctx)
+	return member
+}
+
+func (m *HeartbeatMember) run(ctx context.Context) {
+	defer close(m.ended)
+	ticker := time.NewTicker(m.settings.Interval)
+	defer ticker.Stop()
+	payload := make([]byte, m.settings.PayloadBytes)
+	for _, peer := range m.peers {
+		m.lastReceived[peer] = time.Now()
+	}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case packet := <-m.host.PacketCh():
+			m.received(packet.From.String())
+		case <-ticker.C:
+			m.sendAndCheck(payload)
 		}
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case p := <-b.host.PacketCh():
-				from := p.From.String()
-				b.heard[from] = time.Now()
-				delete(b.lost, from)
-			case <-t.C:
-				for j, a := range addrs {
-					if j == i {
-						continue
-					}
-					_, _ = b.host.WriteTo(beat, a)
-					if time.Since(b.heard[a]) > time.Duration(h.MissedLimit)*h.Interval && !b.lost[a] {
-						b.lost[a] = true
-						b.FalseRemovals++
-					}
-				}
-			}
+	}
+}
+
+func (m *HeartbeatMember) received(peer string) {
+	m.lastReceived[peer] = time.Now()
+	delete(m.lost, peer)
+}
+
+// sendAndCheck sends a heartbeat to every peer, and marks the silent ones as lost.
+func (m *HeartbeatMember) sendAndCheck(payload []byte) {
+	limit := time.Duration(m.settings.MissedLimit) * m.settings.Interval
+	for _, peer := range m.peers {
+		_, _ = m.host.WriteTo(payload, peer) // a datagram may be lost anyway
+		if time.Since(m.lastReceived[peer]) > limit && !m.lost[peer] {
+			m.lost[peer] = true
+			m.FalseRemovals++
 		}
-	}()
-	return b
+	}
 }
 
-// Stop ends the member without a word.
-func (b *HeartbeatMember) Stop() {
-	b.host.Kill()
-	b.cancel()
-	<-b.ended
+// Stop ends the member without a message to the others.
+func (m *HeartbeatMember) Stop() {
+	m.host.Kill()
+	m.cancel()
+	<-m.ended
 }
 
-// MinMissedHeartbeats is the least number of beats that have to be missed for fewer than one false removal an hour in a fleet of n,
-// when a share of them is lost: what plain heartbeats pay for loss in time to detect.
-func MinMissedHeartbeats(n int, loss float64) int {
-	if loss <= 0 {
+// MinMissedHeartbeats returns the least number of heartbeats that have to be missed for fewer than one false removal an
+// hour in a fleet of n with a heartbeat a second, where lossRatio of them are lost: what plain heartbeats pay for loss in
+// time to detect a failure.
+func MinMissedHeartbeats(n int, lossRatio float64) int {
+	if lossRatio <= 0 {
 		return 1
 	}
-	pairs := float64(n) * float64(n-1) * 3600
-	return int(math.Ceil(math.Log(1/pairs) / math.Log(loss)))
+	const heartbeatsPerHour = 3600
+	received := float64(n) * float64(n-1) * heartbeatsPerHour
+	return int(math.Ceil(math.Log(1/received) / math.Log(lossRatio)))
 }
--- a/lab/schedule/measure_test.go
+++ b/lab/schedule/measure_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Measurements by command; docs/membership.md has what they gave.
+// Measurements, taken on request only; docs/membership.md has the results.
 //
 //	go test ./lab/schedule -run Measure -measure -v -timeout 1h
 var (
@@ -24,180 +24,248 @@
 	staged  = flag.Int("staged", 0, "members started a second in the measurement of cost; 0: all at one instant")
 )
 
-func eachSize(t *testing.T, do func(t *testing.T, n int)) {
+const (
+	joinLimit   = 10 * time.Minute
+	detectLimit = 10 * time.Minute
+)
+
+// plainHeartbeats are the ones to compare with.
+var plainHeartbeats = Heartbeats{Interval: time.Second, MissedLimit: 4, PayloadBytes: 120}
+
+// measuredLossRatios are the losses of datagrams that are measured.
+var measuredLossRatios = []float64{0, 0.05, 0.2, 0.4}
+
+// forEachSize takes a measurement with fleets of each size, if measurements are asked for.
+func forEachSize(t *testing.T, take func(t *testing.T, n int)) {
+	t.Helper()
 	if !*measure {
-		t.Skip("taken by command: -measure")
+		t.Skip("taken on request: -measure")
 	}
 	var n int
 	for rest := *sizes; rest != ""; {
-		got, err := fmt.Sscanf(rest, "%d,%s", &n, &rest)
-		if got == 0 {
+		parsed, err := fmt.Sscanf(rest, "%d,%s", &n, &rest)
+		if parsed == 0 {
 			require.NoError(t, err)
 		}
-		t.Run(fmt.Sprint(n), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { do(t, n) }) })
-		if got < 2 {
+		t.Run(fmt.Sprint(n), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { take(t, n) }) })
+		if parsed < 2 {
 			break
 		}
 	}
 }
 
-func cpu() time.Duration {
-	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+// cpuTime returns the processor time that this process has used.
+func cpuTime() time.Duration {
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // it fails only for a bad argument
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestMeasureCost takes what membership costs at rest: packets, bytes and processor time of this machine a second, for
-// each member, beside plain heartbeats to all; and what the joining of all at one instant costs.
+// TestMeasureCost measures the cost of membership at rest: packets, bytes and processor time of this machine a second, for
+// each member, beside plain heartbeats to all; and the cost of a start of all members at the same instant.
 func TestMeasureCost(t *testing.T) {
-	const rest = 30 * time.Second
-	eachSize(t, func(t *testing.T, n int) {
-		c := New(n, 1)
-		defer c.Stop()
-		used := cpu()
-		for i := range c.Members {
-			c.Start(i, fleet.Serving)
-			if *staged > 0 && i%*staged == 0 {
-				time.Sleep(time.Second)
-			}
-		}
-		d, err := WaitUntil(10*time.Minute, c.CheckAgreement)
-		require.NoError(t, err)
-		t.Logf("%4d members joined: agreed after %v; %v of processor time each", n, d.Round(time.Second/10), ((cpu() - used) / time.Duration(n)).Round(10*time.Microsecond))
-		time.Sleep(rest)
-		packets, bytes, streams := c.sent()
-		used = cpu()
-		time.Sleep(rest)
-		p, b, s := c.sent()
-		each := func(v int64) float64 { return float64(v) / float64(n) / rest.Seconds() }
-		var oldest, mean time.Duration
-		members := c.Members[0].Fleet.Snapshot().Members
-		for i := range members {
-			age := members[i].Age(c.Members[0].Fleet.Now())
-			oldest, mean = max(oldest, age), mean+age/time.Duration(n)
-		}
-		t.Logf("%4d members, SWIM: %.1f packets, %.0f bytes, %.0f bytes by stream, %.0f us a second each; words are %v old in the mean, %v at most",
-			n, each(p-packets), each(b-bytes), each(s-streams), each(int64(cpu()-used))/1000, mean.Round(time.Second/10), oldest.Round(time.Second/10))
-	})
-	eachSize(t, func(t *testing.T, n int) {
-		net := memnet.New(1)
-		var addrs []string
-		for i := range n {
-			addrs = append(addrs, fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255))
-		}
-		var all []*HeartbeatMember
-		for i := range n {
-			all = append(all, Heartbeats{Interval: time.Second, MissedLimit: 4, PayloadBytes: 120}.Start(net, addrs, i))
-		}
-		time.Sleep(2*time.Second + time.Second/2)
-		used := cpu()
-		time.Sleep(5 * time.Second)
-		t.Logf("%4d members, heartbeats to all: %d packets, %d bytes, %.0f us a second each", n, n-1, (n-1)*120, float64((cpu()-used).Microseconds())/float64(n)/5)
-		for _, b := range all {
-			b.Stop()
-		}
-		time.Sleep(time.Second)
-	})
+	forEachSize(t, measureMembershipCost)
+	forEachSize(t, measureHeartbeatCost)
 }
 
-func (c *Cluster) sent() (packets, bytes, streams int64) {
-	for _, m := range c.Members {
-		if m.Fleet != nil {
-			packets += m.Fleet.Counters.PacketsOut.Load()
-			bytes += m.Fleet.Counters.BytesOut.Load()
-			streams += m.Fleet.Counters.StreamBytes.Load()
+func measureMembershipCost(t *testing.T, n int) {
+	const interval = 30 * time.Second
+	cluster := New(n, 1)
+	defer cluster.Stop()
+	measureJoin(t, cluster)
+	time.Sleep(interval)
+	before, cpuBefore := cluster.traffic(), cpuTime()
+	time.Sleep(interval)
+	after := cluster.traffic()
+	perSecond := func(total int64) float64 { return float64(total) / float64(n) / interval.Seconds() }
+	mean, oldest := cluster.recordAges()
+	t.Logf("%4d members, SWIM: %.1f packets, %.0f bytes, %.0f bytes by stream, %.0f us a second each; "+
+		"records are %v old in the mean, %v at most",
+		n, perSecond(after.packets-before.packets), perSecond(after.bytes-before.bytes),
+		perSecond(after.streamBytes-before.streamBytes), perSecond(int64(cpuTime()-cpuBefore))/1000,
+		mean.Round(time.Second/10), oldest.Round(time.Second/10))
+}
+
+// measureJoin starts all members and waits until they agree.
+func measureJoin(t *testing.T, cluster *Cluster) {
+	t.Helper()
+	n := len(cluster.Members)
+	cpuBefore := cpuTime()
+	for i := range cluster.Members {
+		cluster.Start(i, fleet.Serving)
+		if *staged > 0 && i%*staged == 0 {
+			time.Sleep(time.Second)
 		}
 	}
-	return packets, bytes, streams
+	took, err := WaitUntil(joinLimit, cluster.CheckAgreement)
+	require.NoError(t, err)
+	t.Logf("%4d members joined: agreed after %v; %v of processor time each",
+		n, took.Round(time.Second/10), ((cpuTime() - cpuBefore) / time.Duration(n)).Round(10*time.Microsecond))
 }
 
-// TestMeasureDetection takes, at each loss, how long it takes until one and until all others see that a process was
-// killed, and how many views wrongly lose a member that lives, for each member and hour.
+// traffic is what members have sent.
+type traffic struct{ packets, bytes, streamBytes int64 }
+
+// traffic adds up what the live members have sent.
+func (c *Cluster) traffic() (sum traffic) {
+	for _, member := range c.LiveMembers() {
+		counters := &member.Fleet.Counters
+		sum.packets += counters.PacketsOut.Load()
+		sum.bytes += counters.BytesOut.Load()
+		sum.streamBytes += counters.StreamBytes.Load()
+	}
+	return sum
+}
+
+// recordAges returns the mean and the greatest age of the records that the first member has.
+func (c *Cluster) recordAges() (mean, oldest time.Duration) {
+	observer := c.Members[0].Fleet
+	members := observer.Snapshot().Members
+	for i := range members {
+		age := members[i].Age(observer.Now())
+		oldest, mean = max(oldest, age), mean+age/time.Duration(len(c.Members))
+	}
+	return mean, oldest
+}
+
+func measureHeartbeatCost(t *testing.T, n int) {
+	const interval = 5 * time.Second
+	members := startHeartbeats(memnet.New(1), n)
+	time.Sleep(2*time.Second + time.Second/2)
+	cpuBefore := cpuTime()
+	time.Sleep(interval)
+	cpuUsed := cpuTime() - cpuBefore
+	t.Logf("%4d members, heartbeats to all: %d packets, %d bytes, %.0f us a second each",
+		n, n-1, (n-1)*plainHeartbeats.PayloadBytes, float64(cpuUsed.Microseconds())/float64(n)/interval.Seconds())
+	stopHeartbeats(members)
+}
+
+// startHeartbeats starts n members with plain heartbeats.
+func startHeartbeats(network *memnet.Network, n int) (members []*HeartbeatMember) {
+	var addrs []string
+	for i := range n {
+		addrs = append(addrs, fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255))
+	}
+	for i := range n {
+		members = append(members, plainHeartbeats.Start(network, addrs, i))
+	}
+	return members
+}
+
+// stopHeartbeats stops members, waits for the packets under way and returns the number of false removals.
+func stopHeartbeats(members []*HeartbeatMember) (falseRemovals int) {
+	for _, member := range members {
+		member.Stop()
+		falseRemovals += member.FalseRemovals
+	}
+	time.Sleep(time.Second)
+	return falseRemovals
+}
+
+// TestMeasureDetection measures, for each loss, how long it takes until one and until all others see that a process was
+// killed, and how often a view wrongly loses a member that runs, for each member and hour.
 func TestMeasureDetection(t *testing.T) {
+	for _, lossRatio := range measuredLossRatios {
+		forEachSize(t, func(t *testing.T, n int) { measureDetection(t, n, lossRatio) })
+	}
+}
+
+func measureDetection(t *testing.T, n int, lossRatio float64) {
+	t.Helper()
 	const quiet, kills = 2 * time.Minute, 5
-	for _, loss := range []float64{0, 0.05, 0.2, 0.4} {
-		eachSize(t, func(t *testing.T, n int) {
-			c := New(n, 3)
-			defer c.Stop()
-			for i := range c.Members {
-				c.Start(i, fleet.Serving)
-			}
-			_, err := WaitUntil(10*time.Minute, c.CheckAgreement)
-			require.NoError(t, err)
-			c.Network.SetRule(func(string, string) memnet.Fault {
-				return memnet.Fault{LossRatio: loss, Delay: time.Millisecond, Jitter: time.Millisecond}
-			})
-			wrong, gone := 0, map[[2]int]bool{}
-			for begun := time.Now(); time.Since(begun) < quiet; time.Sleep(time.Second / 4) {
-				for i, m := range c.Members {
-					s := m.Fleet.Snapshot()
-					for j := range c.Members {
-						x := s.Find(c.Members[j].Name)
-						lost := x == nil || x.Liveness == fleet.Silent || x.Liveness == fleet.Dead
-						if lost && !gone[[2]int{i, j}] {
-							wrong++
-						}
-						gone[[2]int{i, j}] = lost
-					}
+	cluster := New(n, 3)
+	defer cluster.Stop()
+	cluster.startAll()
+	_, err := WaitUntil(joinLimit, cluster.CheckAgreement)
+	require.NoError(t, err)
+	cluster.Network.SetRule(func(string, string) memnet.Fault {
+		return memnet.Fault{LossRatio: lossRatio, Delay: time.Millisecond, Jitter: time.Millisecond}
+	})
+	falseRemovals := cluster.countFalseRemovals(quiet)
+	var byOne, byAll []time.Duration
+	for i := range kills {
+		one, all := cluster.measureKill(t, cluster.Members[maxSeeds+i])
+		byOne, byAll = append(byOne, one), append(byAll, all)
+	}
+	slices.Sort(byAll)
+	t.Logf("%4d members, %2.0f%% loss: false removals %d in %v (%.2f for each member and hour); "+
+		"a death seen by one: %v; by all: %v",
+		n, 100*lossRatio, falseRemovals, quiet, float64(falseRemovals)/float64(n)/quiet.Hours(),
+		quantiles(byOne), quantiles(byAll))
+}
+
+// lostIn reports whether a member is lost in a view.
+func lostIn(view *fleet.Snapshot, name string) bool {
+	member := view.Find(name)
+	return member == nil || member.Liveness == fleet.Silent || member.Liveness == fleet.Dead
+}
+
+// downIn reports whether a member is lost or wedged in a view.
+func downIn(view *fleet.Snapshot, name string) bool {
+	return lostIn(view, name) || view.Find(name).Liveness == fleet.Wedged
+}
+
+// countFalseRemovals counts how often a view loses a member within a time in which all run.
+func (c *Cluster) countFalseRemovals(duration time.Duration) (removals int) {
+	type pair struct{ observer, member int }
+	lostBefore := map[pair]bool{}
+	for start := time.Now(); time.Since(start) < duration; time.Sleep(observeInterval) {
+		for i, observer := range c.Members {
+			view := observer.Fleet.Snapshot()
+			for k, member := range c.Members {
+				lost := lostIn(view, member.Name)
+				if lost && !lostBefore[pair{i, k}] {
+					removals++
 				}
+				lostBefore[pair{i, k}] = lost
 			}
-			var first, all []time.Duration
-			for k := range kills {
-				victim := c.Members[3+k] // not a seed
-				victim.Kill()
-				begun := time.Now()
-				var one time.Duration
-				d, err := WaitUntil(10*time.Minute, func() error {
-					seen, live := 0, c.LiveMembers()
-					for _, m := range live {
-						if x := m.Fleet.Snapshot().Find(victim.Name); x == nil || x.Liveness == fleet.Silent || x.Liveness == fleet.Dead || x.Liveness == fleet.Wedged {
-							seen++
-						}
-					}
-					if seen > 0 && one == 0 {
-						one = time.Since(begun)
-					}
-					if seen < len(live) {
-						return fmt.Errorf("%d of %d see it", seen, len(live))
-					}
-					return nil
-				})
-				require.NoError(t, err)
-				first, all = append(first, one), append(all, d)
-			}
-			slices.Sort(all)
-			t.Logf("%4d members, %2.0f%% loss: false removals %d in %v (%.2f for each member and hour); a death seen by one: %v; by all: %v",
-				n, 100*loss, wrong, quiet, float64(wrong)/float64(n)/quiet.Hours(), quantiles(first), quantiles(all))
-		})
+		}
 	}
+	return removals
+}
+
+// measureKill kills a member, and returns how long it takes until one and until all others see it.
+func (c *Cluster) measureKill(t *testing.T, victim *Member) (byOne, byAll time.Duration) {
+	t.Helper()
+	victim.Kill()
+	start := time.Now()
+	byAll, err := WaitUntil(detectLimit, func() error {
+		seen, live := 0, c.LiveMembers()
+		for _, observer := range live {
+			if downIn(observer.Fleet.Snapshot(), victim.Name) {
+				seen++
+			}
+		}
+		if seen > 0 && byOne == 0 {
+			byOne = time.Since(start)
+		}
+		if seen < len(live) {
+			return fmt.Errorf("%d of %d see it", seen, len(live))
+		}
+		return nil
+	})
+	require.NoError(t, err)
+	return byOne, byAll
 }
 
-// TestMeasureHeartbeats takes the same for plain heartbeats, with as many beats missed as keep false removals below one
-// an hour for the whole fleet.
+// TestMeasureHeartbeats measures the same for plain heartbeats, with as many missed ones as keep false removals below one
+// an hour in the whole fleet.
 func TestMeasureHeartbeats(t *testing.T) {
-	for _, loss := range []float64{0, 0.05, 0.2, 0.4} {
-		eachSize(t, func(t *testing.T, n int) {
-			t.Logf("%4d members, %2.0f%% loss: heartbeats need %d missed beats for fewer than one false removal an hour", n, 100*loss, MinMissedHeartbeats(n, loss))
+	for _, lossRatio := range measuredLossRatios {
+		forEachSize(t, func(t *testing.T, n int) {
+			t.Logf("%4d members, %2.0f%% loss: heartbeats need %d missed beats for fewer than one false removal an hour",
+				n, 100*lossRatio, MinMissedHeartbeats(n, lossRatio))
 		})
 	}
-	eachSize(t, func(t *testing.T, n int) {
-		net := memnet.New(1)
-		net.SetRule(func(string, string) memnet.Fault { return memnet.Fault{LossRatio: 0.2, Delay: time.Millisecond} })
-		var addrs []string
-		for i := range n {
-			addrs = append(addrs, fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255))
-		}
-		var all []*HeartbeatMember
-		for i := range n {
-			all = append(all, Heartbeats{Interval: time.Second, MissedLimit: 4, PayloadBytes: 120}.Start(net, addrs, i))
-		}
+	forEachSize(t, func(t *testing.T, n int) {
+		network := memnet.New(1)
+		network.SetRule(func(string, string) memnet.Fault {
+			return memnet.Fault{LossRatio: 0.2, Delay: time.Millisecond}
+		})
+		members := startHeartbeats(network, n)
 		time.Sleep(30 * time.Second)
-		wrong := 0
-		for _, b := range all {
-			b.Stop()
-			wrong += b.FalseRemovals
-		}
-		t.Logf("%4d members, 20%% loss, 4 missed beats: %d false removals in 30 s (%.1f for each member and hour)", n, wrong, float64(wrong)/float64(n)*120)
-		time.Sleep(time.Second)
+		falseRemovals := stopHeartbeats(members)
+		t.Logf("%4d members, 20%% loss, 4 missed beats: %d false removals in 30 s (%.1f for each member and hour)",
+			n, falseRemovals, float64(falseRemovals)/float64(n)*120)
 	})
 }
--- a/lab/schedule/seeded_faults_test.go
+++ b/lab/schedule/seeded_faults_test.go
@@ -3,7 +3,6 @@
 import (
 	"flag"
 	"fmt"
-	"slices"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -15,77 +14,90 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 1000, "schedules of faults to play")
-	firstSeed = flag.Uint64("first", 1, "seed of the first one")
-	members   = flag.Int("members", 0, "members of each fleet; 0 = drawn, 5 to 12")
+	scheduleCount = flag.Int("schedules", 1000, "schedules of faults to run")
+	firstSeed     = flag.Uint64("first", 1, "seed of the first schedule")
+	memberCount   = flag.Int("members", 0, "members of each fleet; 0 = drawn, 5 to 12")
 )
 
-// healedWithin is how long after the last fault all live members agree. Calls to lost members are 30 s apart at most
-// and a half; the rest is for the words to go round.
-const healedWithin = 60 * time.Second
-
-// Whatever goes wrong between members, once it is over all of them see the same fleet. Until then nobody is called
-// dead whose process lives, and what is known of a name never goes back.
+// After any faults between members all of them must see the same fleet. Meanwhile no member may be declared dead whose
+// process runs, and what is known of a name must never go back.
 func TestSchedules(t *testing.T) {
 	var mu sync.Mutex
-	var took []time.Duration
-	t.Cleanup(func() { t.Logf("%d schedules, agreed after: %v", len(took), quantiles(took)) })
-	for s := range *schedules {
-		seed := *firstSeed + uint64(s)
+	var recoveryTimes []time.Duration
+	t.Cleanup(func() {
+		t.Logf("%d schedules, agreed after: %v", len(recoveryTimes), quantiles(recoveryTimes))
+	})
+	for i := range *scheduleCount {
+		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				n := *members
-				c := New(5, seed)
-				if n == 0 {
-					n = 5 + c.Rand.IntN(8)
-				}
-				c = New(n, seed)
-				defer c.Stop()
-				for i := range c.Members {
-					c.Start(i, fleet.Serving)
-				}
-				_, err := WaitUntil(healedWithin, c.CheckAgreement)
-				require.NoError(t, err, "at first")
-				faults := c.DrawFaults()
-				last := map[[2]string]fleet.Record{}
-				c.InjectFaults(faults, func() { c.watch(t, last) })
-				d, err := WaitUntil(healedWithin, c.CheckAgreement)
-				require.NoErrorf(t, err, "after %+v", faults)
+				took := runSchedule(t, seed)
 				mu.Lock()
 				defer mu.Unlock()
-				took = append(took, d)
+				recoveryTimes = append(recoveryTimes, took)
 			})
 		})
 	}
 }
 
-// watch checks what must hold at any time.
-func (c *Cluster) watch(t *testing.T, last map[[2]string]fleet.Record) {
-	for _, m := range c.LiveMembers() {
-		s := m.Fleet.Snapshot()
-		for i := range s.Members {
-			x := &s.Members[i]
-			at := [2]string{m.Name + fmt.Sprint(m.Run), x.Name}
-			was := last[at]
-			require.Falsef(t, x.Record.Less(&was), "%s knows less of %s than before", m.Name, x.Name)
-			last[at] = *x.Record
-			if x.Liveness == fleet.Dead {
-				for _, o := range c.LiveMembers() {
-					require.Falsef(t, o.Name == x.Name && o.Run == x.Run, "%s calls %s dead, which lives", m.Name, x.Name)
-				}
+// runSchedule injects the faults that a seed draws, and returns how long after them all members agreed.
+func runSchedule(t *testing.T, seed uint64) time.Duration {
+	t.Helper()
+	cluster := New(clusterSize(seed), seed)
+	defer cluster.Stop()
+	cluster.startAll()
+	_, err := WaitUntil(recoveryLimit, cluster.CheckAgreement)
+	require.NoError(t, err, "at first")
+	faults := cluster.DrawFaults()
+	known := knownRecords{}
+	cluster.InjectFaults(faults, func() { cluster.requireInvariants(t, known) })
+	took, err := WaitUntil(recoveryLimit, cluster.CheckAgreement)
+	require.NoErrorf(t, err, "after %+v", faults)
+	return took
+}
+
+// clusterSize returns the number of members for a seed.
+func clusterSize(seed uint64) int {
+	if *memberCount != 0 {
+		return *memberCount
+	}
+	return 5 + New(5, seed).Rand.IntN(8)
+}
+
+// observation is what the process of an observer knows of a name.
+type observation struct {
+	observer string
+	run      uint64
+	name     string
+}
+
+// knownRecords are the last records that each process was seen to have.
+type knownRecords map[observation]fleet.Record
+
+// requireInvariants checks what must hold at any time, and updates known.
+func (c *Cluster) requireInvariants(t *testing.T, known knownRecords) {
+	t.Helper()
+	for _, observer := range c.LiveMembers() {
+		snapshot := observer.Fleet.Snapshot()
+		for i := range snapshot.Members {
+			member := &snapshot.Members[i]
+			key := observation{observer: observer.Name, run: observer.Run, name: member.Name}
+			before := known[key]
+			require.Falsef(t, member.Less(&before), "%s knows less of %s than before", observer.Name, member.Name)
+			known[key] = *member.Record
+			if member.Liveness == fleet.Dead {
+				c.requireNotRunning(t, observer, member)
 			}
 		}
 	}
 }
 
-func quantiles(d []time.Duration) string {
-	if len(d) == 0 {
-		return "none"
-	}
-	sorted := slices.Sorted(slices.Values(d))
-	at := func(q float64) time.Duration {
-		return sorted[int(q*float64(len(sorted)-1))].Round(100 * time.Millisecond)
+// requireNotRunning requires that no live process is the one that the observer sees as dead.
+func (c *Cluster) requireNotRunning(t *testing.T, observer *Member, dead *fleet.Member) {
+	t.Helper()
+	for _, live := range c.LiveMembers() {
+		require.Falsef(t, live.Name == dead.Name && live.Run == dead.Run,
+			"%s declares %s dead, which runs", observer.Name, dead.Name)
 	}
-	return fmt.Sprintf("least %v, median %v, 90%% %v, 99%% %v, most %v", at(0), at(0.5), at(0.9), at(0.99), at(1))
 }
