--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -111,7 +111,7 @@
 // publish publishes the server's record, at once where it is urgent and else as often as the size of the fleet allows.
 func (s *server) publish() {
 	record := s.currentRecord()
-	if !s.publishDue(record) {
+	if !s.shouldPublish(record) {
 		return
 	}
 	s.recordSequence++
@@ -119,7 +119,8 @@
 	s.updates = append(s.updates, update{at: s.sim.now, record: *record})
 }
 
-func (s *server) publishDue(record *fleet.Record) bool {
+// shouldPublish reports whether a record may be published now: the period is over, or it is urgent.
+func (s *server) shouldPublish(record *fleet.Record) bool {
 	if len(s.updates) == 0 {
 		return true
 	}
--- a/lab/model/probing.go
+++ b/lab/model/probing.go
@@ -23,7 +23,7 @@
 		return
 	}
 	s.probes = overload.NewProbeCoordinator(s.processRun(), zoneName(s.zone))
-	s.repeat(probeInterval, s.updateProbes)
+	s.every(probeInterval, s.updateProbes)
 }
 
 // updateProbes takes over the allowance that the coordination of probes gives, and publishes a change of the store's state.
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -62,7 +62,7 @@
 	s.unread, s.reading = nil, 0
 	s.startShedding()
 	s.startProbes()
-	s.repeat(publishInterval, s.publish)
+	s.every(publishInterval, s.publish)
 	s.step()
 }
 
@@ -101,8 +101,8 @@
 	})
 }
 
-// repeat has something done at an interval, from a random time within the first one, while the process runs.
-func (s *server) repeat(interval time.Duration, do func()) {
+// every has something done at an interval, from a random time within the first one, while the process runs.
+func (s *server) every(interval time.Duration, do func()) {
 	var next func()
 	next = func() {
 		do()
--- a/lab/model/settings.go
+++ b/lab/model/settings.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	answerGrace            = 100 * time.Millisecond // after a deadline, for an answer under way
-	defaultIdempotencyTime = 5 * time.Second
-	keyedIdempotencyTime   = 17457 * time.Millisecond
+	answerGrace              = 100 * time.Millisecond // after a deadline, for an answer under way
+	defaultIdempotencyWindow = 5 * time.Second
+	idempotencyWindowByKey   = 17457 * time.Millisecond
 )
 
 // admissionSettings are those of the controller of every server.
@@ -35,10 +35,10 @@
 func admissionClass(class *clients.Class) admission.Class {
 	settings := admission.Class{
 		LatencyObjective: class.LatencyObjective, Deadline: class.Timeout, PriorityWeight: class.Value,
-		CallsDependency: class.Name != classWithoutCalls, IdempotencyWindow: defaultIdempotencyTime,
+		CallsDependency: class.Name != classWithoutCalls, IdempotencyWindow: defaultIdempotencyWindow,
 	}
 	if class.IdempotentByKey {
-		settings.Idempotency, settings.IdempotencyWindow = admission.IdempotentByKey, keyedIdempotencyTime
+		settings.Idempotency, settings.IdempotencyWindow = admission.IdempotentByKey, idempotencyWindowByKey
 	}
 	if class.DegradedValueRatio > 0 {
 		settings.DegradedValueRatio = class.DegradedValueRatio
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -34,7 +34,7 @@
 		retries:   overload.NewRetryCounter(),
 		collector: overload.NewCollector(s.processID()),
 	}
-	s.repeat(sheddingInterval, s.updateShedding)
+	s.every(sheddingInterval, s.updateShedding)
 }
 
 func (s *server) processID() overload.ProcessID {
