--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLateReaderIsUnhealthyAtMostHalfOfTheTime(t *testing.T) {
+func TestLateReaderIsUnhealthyHalfOfTheTime(t *testing.T) {
 	controller := start(t, testSettings())
 	off, answers := time.Duration(0), 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -20,7 +20,7 @@
 		SlowStartSpeedRatio: 0.2, SlowStartTime: 10 * time.Second, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 1500 * ms, AnswerGrace: 60 * ms,
 		DrainGrace: time.Second, MaxRetryAfter: time.Second, SendsRetryAfter: true, SendsCancellations: true,
 		IdleTimeout: 30 * time.Second, Tick: 5 * ms,
-		Weights: Weights{WholeRun: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}, OverQuotaValueRatio: 0.05}
+		Weights: Weights{WholeRun: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}, ExcessValueRatio: 0.05}
 }
 
 func start(t testing.TB, s Settings) *Controller {
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -28,7 +28,7 @@
 		tenant.valueFactor = 1
 		if i < len(c.settings.Tenants) && c.settings.Tenants[i].QuotaPerSecond > 0 {
 			quota := c.settings.Tenants[i].QuotaPerSecond / float64(max(c.settings.FleetSize, 1))
-			tenant.valueFactor = min(1, max(quota/max(rate, 1e-9), c.settings.OverQuotaValueRatio))
+			tenant.valueFactor = min(1, max(quota/max(rate, 1e-9), c.settings.ExcessValueRatio))
 		}
 	}
 }
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestMemoryAndConcurrencyLimitsHold(t *testing.T) {
+func TestMemoryAndConcurrencyLimits(t *testing.T) {
 	settings := testSettings()
 	settings.WarmingUp, settings.MemoryKB = true, 300
 	controller := start(t, settings)
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -345,7 +345,7 @@
 	return variants
 }
 
-func TestRulesHoldForRandomEvents(t *testing.T) {
+func TestRulesForRandomEvents(t *testing.T) {
 	for i, settings := range settingsVariants() {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprint(i, "-", seed), func(t *testing.T) { playRandom(t, settings, seed) })
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -110,5 +110,5 @@
 	Tick                  time.Duration // least time between two batches
 	Weights               Weights
 	WeightPerWork         bool    // PriorityWeight counts per unit of work, not per request
-	OverQuotaValueRatio   float64 // part of the value of requests over a tenant's quota
+	ExcessValueRatio      float64 // part of the value of requests over a tenant's quota
 }
--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -162,7 +162,7 @@
 	fmt.Fprintf(table, "%d\t%s\t%.4f\t%.3f\t%.3f\t%d\t%.2f\t%d\t%.2f\t%d\t%.4f\t%.3f\t%.1f\t%d\t%s\t%d\t\n",
 		r.opts.lab.Seed, state, r.valueRatio(), r.requests.ValueServed/optimum,
 		float64(r.requests.ServedInFull)/requests, r.requests.Rejected, float64(r.requests.Attempts)/requests,
-		store.Calls, store.MeanInFlight, store.MaxInFlight, store.OverBoundRatio,
+		store.Calls, store.MeanInFlight, store.MaxInFlight, store.OverloadedTimeRatio,
 		history.RejectionFairness(r.events), faultRate, faultMax, recoveryTime(r.events), r.violations)
 }
 
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -161,8 +161,8 @@
 func (d *detection) countViews(conditions ...string) int {
 	count := 0
 	for _, observer := range d.lab.Members {
-		count += countReported(observer, func(seen *fleet.MemberReport) bool {
-			return slices.Contains(conditions, seen.Condition)
+		count += countReported(observer, func(observed *fleet.MemberReport) bool {
+			return slices.Contains(conditions, observed.Condition)
 		})
 	}
 	return count
@@ -175,15 +175,15 @@
 		if observer == member || !observer.Running() {
 			continue
 		}
-		count += countReported(observer, func(seen *fleet.MemberReport) bool {
-			return seen.Name == member.Name && slices.Contains(conditions, seen.Condition)
+		count += countReported(observer, func(observed *fleet.MemberReport) bool {
+			return observed.Name == member.Name && slices.Contains(conditions, observed.Condition)
 		})
 	}
 	return count
 }
 
 // countReported counts the members that an observer reports and that match. One that does not answer reports none.
-func countReported(observer *fleetlab.Member, match func(seen *fleet.MemberReport) bool) int {
+func countReported(observer *fleetlab.Member, match func(observed *fleet.MemberReport) bool) int {
 	report, err := observer.FleetReport()
 	if err != nil {
 		return 0
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -84,7 +84,7 @@
 		RegistryFollowsHealth: family.boolean("ListFollows"),
 		IdleTimeout:           family.microseconds("IdleUs"),
 		Tick:                  root.microseconds("TickUs"),
-		OverQuotaValueRatio:   root.number("OverShareWorth"),
+		ExcessValueRatio:      root.number("OverShareWorth"),
 		WeightPerWork:         root.text("ValueBy") == "work",
 		Weights: admission.Weights{
 			WholeRun:    mix.number("Whole"),
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -16,12 +16,12 @@
 type nameOwnership uint8
 
 const (
-	nameOwned      nameOwnership = iota
-	nameHandedOver               // to a newer process that replaces this one
-	nameReleased                 // to an earlier process of the same name, for good
+	nameOwned       nameOwnership = iota
+	nameTransferred               // to a newer process that replaces this one
+	nameReleased                  // to an earlier process of the same name, for good
 )
 
-var ownershipNames = [...]string{nameOwned: "owned", nameHandedOver: "handed over", nameReleased: "released"}
+var ownershipNames = [...]string{nameOwned: "owned", nameTransferred: "handed over", nameReleased: "released"}
 
 func (o nameOwnership) String() string { return ownershipNames[o] }
 
@@ -74,7 +74,7 @@
 	switch {
 	case s.ownership == nameReleased:
 	case replaced:
-		s.ownership = nameHandedOver
+		s.ownership = nameTransferred
 	default:
 		s.ownership = nameOwned
 	}
--- a/internal/fleet/update_test.go
+++ b/internal/fleet/update_test.go
@@ -34,7 +34,7 @@
 }
 
 // An update must be received whole, with the fields that a newer version has added.
-func TestUpdatesKeepUnknownFields(t *testing.T) {
+func TestUpdatesPreserveUnknownFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record := drawRecord(t)
 		encoded := AppendUpdate(nil, &record, 1500*time.Millisecond)
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -147,7 +147,7 @@
 }
 
 // Of two processes that are started at the same time one waits, at the lock, until the other has taken the place.
-func TestJoinWaitsForLock(t *testing.T) {
+func TestJoinBlocksOnLock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	unlock := acquireLock(path + ".lock")
 	found := make(chan bool, 1)
--- a/internal/msgpackrpc/cold_start_test.go
+++ b/internal/msgpackrpc/cold_start_test.go
@@ -12,7 +12,7 @@
 // A server starts cold under overload, and its agent is late. What is read before the agent is there is rejected at
 // once, so that clients can go elsewhere, and the connections stay usable. Then no more runs at once than a cold
 // server survives, and all that was read is answered.
-func TestColdStartUnderOverload(t *testing.T) {
+func TestSlowStartUnderOverload(t *testing.T) {
 	const clients, callsPerClient = 20, maxOpenCalls
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -48,7 +48,7 @@
 	if c.Run() == nil { // an error is reported by the reader
 		select {
 		case <-c.input.done:
-		case <-time.After(lingerTimeout):
+		case <-time.After(closeReadTimeout):
 		}
 	}
 	c.Close() // for a paused reader
@@ -161,7 +161,7 @@
 // the unread input and the end of the connection.
 func (c *conn) TryClose() bool {
 	if c.input.hasUnread() {
-		c.input.drainAgain()
+		c.input.drainMore()
 		return false
 	}
 	c.CloseNow()
--- a/internal/msgpackrpc/input.go
+++ b/internal/msgpackrpc/input.go
@@ -18,12 +18,12 @@
 
 	// After the last answer some input is still read and discarded, until the client has read its answers and closes:
 	// closing over unread bytes resets the connection, and the answers are lost.
-	lingerTimeout  = 50 * time.Millisecond // the protocol's time for requests that cross a close
-	maxLingerBytes = 1 << 20
+	closeReadTimeout  = 50 * time.Millisecond // the protocol's time for requests that cross a close
+	maxCloseReadBytes = 1 << 20
 )
 
 // input is the read side of a connection. Its methods belong to the reading goroutine, but for pause, resume,
-// drainAgain and hasUnread, which the server's loop calls.
+// drainMore and hasUnread, which the server's loop calls.
 type input struct {
 	netConn net.Conn
 	state   readStateMachine
@@ -90,8 +90,8 @@
 	in.wake()
 }
 
-// drainAgain has a paused reader read what has arrived since.
-func (in *input) drainAgain() {
+// drainMore has a paused reader read what has arrived since.
+func (in *input) drainMore() {
 	in.state.transition(draining, receivingMessage, awaitingMessage, paused)
 	in.wake()
 }
@@ -189,7 +189,7 @@
 // discard reads and discards input until the client has closed its side or enough has come.
 func (in *input) discard() {
 	if in.netConn.SetReadDeadline(time.Time{}) == nil {
-		_, _ = io.CopyN(io.Discard, in.netConn, maxLingerBytes)
+		_, _ = io.CopyN(io.Discard, in.netConn, maxCloseReadBytes)
 	}
 	close(in.done)
 }
--- a/internal/msgpackrpc/read_state_test.go
+++ b/internal/msgpackrpc/read_state_test.go
@@ -24,7 +24,7 @@
 			map[readState]readState{receivingMessage: draining, awaitingMessage: draining}},
 		{"resume", func(_ *testing.T, in *input) { in.resume() },
 			map[readState]readState{draining: awaitingMessage, paused: awaitingMessage}},
-		{"drain again", func(_ *testing.T, in *input) { in.drainAgain() },
+		{"drain again", func(_ *testing.T, in *input) { in.drainMore() },
 			map[readState]readState{receivingMessage: draining, awaitingMessage: draining, paused: draining}},
 		{"reader pauses", func(_ *testing.T, in *input) { in.stop(paused) },
 			map[readState]readState{receivingMessage: paused, awaitingMessage: paused, draining: paused}},
--- a/internal/overload/quota_manager.go
+++ b/internal/overload/quota_manager.go
@@ -10,7 +10,7 @@
 const (
 	requestInterval   = 250 * time.Millisecond // between two requests
 	usageTimeConstant = 2 * time.Second        // of the mean number of calls in flight
-	renewalLeadTime   = time.Second            // before a lease expires, at which another one is requested
+	renewalMargin     = time.Second            // before a lease expires, at which another one is requested
 	reserveDivisor    = 4                      // a member needs its mean usage and one part in so many on top
 	minRequestDivisor = 4                      // the smallest request, and the step after missed calls: Base by this
 	maxWantedFactor   = 8                      // Base times this is wanted at most, as other members have needs as well
@@ -95,7 +95,7 @@
 func (m *QuotaManager) requestMissing(
 	now time.Duration, needed Quota, view *fleet.Snapshot, at time.Duration,
 ) (request Message, ok bool) {
-	missing := needed - m.LimitUntil(now, now+renewalLeadTime)
+	missing := needed - m.LimitUntil(now, now+renewalMargin)
 	if missing <= 0 || now >= m.wantedUntil || now-m.lastRequest < requestInterval {
 		return Message{}, false
 	}
--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -75,15 +75,15 @@
 			inForce, cancel := context.WithCancel(ctx)
 			replace = cancel
 			group.Go(func() error {
-				l.keepConnected(ctx, inForce, address, handler)
+				l.maintainConnection(ctx, inForce, address, handler)
 				return nil
 			})
 		}
 	}
 }
 
-// keepConnected opens connections to address, one after the other, until inForce ends.
-func (l *Link) keepConnected(ctx, inForce context.Context, address string, handler Handler) {
+// maintainConnection opens connections to address, one after the other, until inForce ends.
+func (l *Link) maintainConnection(ctx, inForce context.Context, address string, handler Handler) {
 	delays := backoff.New(l.config.MinBackoff, l.config.MaxBackoff, l.config.Seed, l.config.Purpose)
 	for inForce.Err() == nil {
 		start := time.Now()
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -121,7 +121,7 @@
 }
 
 // What is queued when the context ends is written before the connection is closed.
-func TestServeWritesWhatWaits(t *testing.T) {
+func TestServeWritesQueuedMessages(t *testing.T) {
 	local, remote := net.Pipe()
 	queue := writequeue.New(local, 4)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -17,12 +17,12 @@
 	errKeyConflict           = errors.New("field once: known with another body")
 )
 
-// maxClockLead and arrivalSlack bound the arrival time of a request: a little ahead of this clock, and behind it for as
+// maxClockAhead and arrivalSlack bound the arrival time of a request: a little ahead of this clock, and behind it for as
 // long as a caller waits and a machine may stand still. The controller takes the difference for time spent unread, and
 // idempotency windows are counted from it.
 const (
-	maxClockLead = time.Second
-	arrivalSlack = time.Second
+	maxClockAhead = time.Second
+	arrivalSlack  = time.Second
 )
 
 // admit validates an attempt and puts it before the controller, or answers it.
@@ -61,11 +61,11 @@
 
 // normalizeTimes checks the times of an attempt of that class, and fills in its timeout where it has none.
 func (s *Server) normalizeTimes(attempt *Attempt, class int) error {
-	if at := s.clock.fromUnix(attempt.ArrivedAt); at > s.clock.now+maxClockLead && attempt.ArrivedAt <= s.clock.now {
+	if at := s.clock.fromUnix(attempt.ArrivedAt); at > s.clock.now+maxClockAhead && attempt.ArrivedAt <= s.clock.now {
 		attempt.ArrivedAt -= s.clock.skew // stamped before the clock was set back
 	}
 	at := s.clock.fromUnix(attempt.ArrivedAt)
-	if at > s.clock.now+maxClockLead || at < s.clock.now-s.config.maxArrivalAge() {
+	if at > s.clock.now+maxClockAhead || at < s.clock.now-s.config.maxArrivalAge() {
 		return errArrivalTime
 	}
 	if attempt.Timeout == 0 {
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// callerDeadline is when the caller of r gives up.
-func (s *Server) callerDeadline(r *activeRequest) time.Duration {
+// clientDeadline is when the caller of r gives up.
+func (s *Server) clientDeadline(r *activeRequest) time.Duration {
 	return s.clock.fromUnix(r.attempt.ArrivedAt) + r.attempt.Timeout
 }
 
@@ -96,7 +96,7 @@
 		CostHint:   attempt.CostHint,
 		HasSubject: attempt.Subject != "",
 		Rank:       attempt.Rank,
-		Deadline:   s.callerDeadline(request),
+		Deadline:   s.clientDeadline(request),
 		Waited:     max(s.clock.now-s.clock.fromUnix(attempt.ArrivedAt), 0),
 	}
 	if s.config.hasKeys(request.class) {
--- a/internal/server/admit_test.go
+++ b/internal/server/admit_test.go
@@ -32,7 +32,7 @@
 	server.ConnectionOpened(conn)
 	now, deadline := server.clock.now, server.config.Settings.Classes[0].Deadline
 	for i, attempt := range []Attempt{
-		{ArrivedAt: now + maxClockLead + time.Second, Timeout: time.Second},
+		{ArrivedAt: now + maxClockAhead + time.Second, Timeout: time.Second},
 		{ArrivedAt: 0, Timeout: time.Second},
 		{ArrivedAt: now - deadline - arrivalSlack - time.Second, Timeout: time.Second},
 		{ArrivedAt: now, Timeout: deadline + 1},
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -55,7 +55,7 @@
 
 // scheduleWake has the controller step at that time, with gauges that are asked for shortly before.
 func (s *Server) scheduleWake(at time.Duration) {
-	if sampleAt := at - gaugeLeadTime; sampleAt > s.clock.now {
+	if sampleAt := at - gaugeRequestMargin; sampleAt > s.clock.now {
 		s.deadlines.Add(sampleAt, s.agent.SampleGauges)
 	} else {
 		s.agent.SampleGauges()
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -11,14 +11,14 @@
 // Drain: on SIGTERM everything that was read is answered, and the process ends in time.
 
 const (
-	// shutdownLead is how long before the process is stopped its loop ends: the last answers, which the controller gives
+	// shutdownMargin is how long before the process is stopped its loop ends: the last answers, which the controller gives
 	// a little earlier, are on their way by then.
-	shutdownLead = 120 * time.Millisecond
+	shutdownMargin = 120 * time.Millisecond
 	// FinalWriteTimeout is the part of that lead which may pass until the process ends, whatever is still unwritten.
 	FinalWriteTimeout = 90 * time.Millisecond
-	// listenerCloseLead is how long before the end of the loop the listeners are closed at the latest, so that what
+	// listenerCloseMargin is how long before the end of the loop the listeners are closed at the latest, so that what
 	// arrived at the last moment is read and answered. Front ends are promised 50 ms for the way between machines.
-	listenerCloseLead = 100 * time.Millisecond
+	listenerCloseMargin = 100 * time.Millisecond
 )
 
 // drainPhase is how far a drain has got.
@@ -56,12 +56,12 @@
 
 // newDrain returns a drain that starts now. The listeners close after grace, the process is stopped after stopTimeout.
 func newDrain(now, stopTimeout, grace time.Duration, replaced bool) drainState {
-	stopAt := now + max(stopTimeout-shutdownLead, 0)
+	stopAt := now + max(stopTimeout-shutdownMargin, 0)
 	return drainState{
 		phase:            drainAccepting,
 		replaced:         replaced,
 		requestedAt:      now,
-		closeListenersAt: max(min(now+grace, stopAt-listenerCloseLead), now),
+		closeListenersAt: max(min(now+grace, stopAt-listenerCloseMargin), now),
 		stopAt:           stopAt,
 	}
 }
--- a/internal/server/execute_test.go
+++ b/internal/server/execute_test.go
@@ -15,7 +15,7 @@
 	startAgent(server)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
-	attempt := keyedAttempt(server, "ab", "k")
+	attempt := attemptWithKey(server, "ab", "k")
 	attempt.Timeout, attempt.Body = time.Second, []byte("x")
 	server.Submit(conn, 1, attempt)
 	runPosted()
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	gaugeLeadTime = 4 * time.Millisecond // gauges are asked for this long before the controller needs them
-	gaugeMaxAge   = time.Second          // older gauges count as unknown
+	gaugeRequestMargin = 4 * time.Millisecond // gauges are asked for this long before the controller needs them
+	gaugeMaxAge        = time.Second          // older gauges count as unknown
 )
 
 // Names of gauges in the configuration; the agent sends their values in the order of these names.
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -88,7 +88,7 @@
 	server.ConnectionOpened(conn)
 	lines := captureLog(server)
 	submit := func(call uint32, id string) *activeRequest {
-		attempt := keyedAttempt(server, id, id)
+		attempt := attemptWithKey(server, id, id)
 		attempt.ArrivedAt -= 5 * time.Millisecond
 		attempt.Timeout = 2 * time.Second
 		server.Submit(conn, call, attempt)
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -205,7 +205,7 @@
 func (s *Server) claimKey(request *activeRequest) {
 	request.state = requestClaiming
 	first := s.handover.addClaim(request)
-	giveUpAt := min(s.clock.now+claimTimeout, s.callerDeadline(request)-claimDeadlineSlack)
+	giveUpAt := min(s.clock.now+claimTimeout, s.clientDeadline(request)-claimDeadlineSlack)
 	s.deadlines.Add(giveUpAt, func() {
 		if request.state == requestClaiming && s.requests.contains(request) {
 			s.stats.ClaimsLate++
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -58,7 +58,7 @@
 func (f *handoverFixture) submitKeyed(key string) *activeRequest {
 	f.lastCall++
 	id := string(rune('a' + f.lastCall))
-	f.Submit(f.recordingConnection, f.lastCall, keyedAttempt(f.Server, id, key))
+	f.Submit(f.recordingConnection, f.lastCall, attemptWithKey(f.Server, id, key))
 	f.runPosted()
 	f.step()
 	return f.requests.byAttemptID[id]
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -86,8 +86,8 @@
 	return Attempt{ID: id, Class: class, ArrivedAt: server.clock.now, Timeout: 3 * time.Second, MemoryKB: 1}
 }
 
-// keyedAttempt returns an attempt with an idempotency key that arrives now.
-func keyedAttempt(server *Server, id, key string) Attempt {
+// attemptWithKey returns an attempt with an idempotency key that arrives now.
+func attemptWithKey(server *Server, id, key string) Attempt {
 	attempt := newAttempt(server, id, "licence-order")
 	attempt.IdempotencyKey = key
 	return attempt
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keyedRequest returns a request with the idempotency key "k" that arrived at that time.
-func keyedRequest(id int, at time.Duration) *activeRequest {
+// requestWithKey returns a request with the idempotency key "k" that arrived at that time.
+func requestWithKey(id int, at time.Duration) *activeRequest {
 	return &activeRequest{
 		id:                admission.RequestID(id),
 		attempt:           Attempt{IdempotencyKey: "k", ArrivedAt: at},
@@ -23,7 +23,7 @@
 // window, counted from the arrival of the attempt that was run.
 func TestIdempotencyWindow(t *testing.T) {
 	keys := newIdempotencyTable(64)
-	first, second, third := keyedRequest(1, 0), keyedRequest(2, time.Second), keyedRequest(3, 2*time.Second)
+	first, second, third := requestWithKey(1, 0), requestWithKey(2, time.Second), requestWithKey(3, 2*time.Second)
 	require.Zero(t, keys.register(first))
 	require.Equal(t, first.id, keys.register(second))
 	require.Nil(t, keys.release(first)) // rejected: second takes its place
@@ -40,7 +40,7 @@
 	require.Equal(t, 61*time.Second, entry.windowEnd)
 	require.Nil(t, keys.release(third))
 
-	inside, past := keyedRequest(4, 61*time.Second), keyedRequest(5, 62*time.Second)
+	inside, past := requestWithKey(4, 61*time.Second), requestWithKey(5, 62*time.Second)
 	require.Equal(t, second.id, keys.register(inside))
 	result, ok, ended := keys.awaitResult(inside)
 	require.Equal(t, "x true true", fmt.Sprintf("%s %t %t", result, ok, ended))
@@ -54,7 +54,7 @@
 // later attempt.
 func TestIdempotencyKeyWithoutRun(t *testing.T) {
 	keys := newIdempotencyTable(64)
-	first, second := keyedRequest(1, 0), keyedRequest(2, 0)
+	first, second := requestWithKey(1, 0), requestWithKey(2, 0)
 	keys.register(first)
 	keys.register(second)
 	keys.release(first)
@@ -62,19 +62,19 @@
 	require.True(t, ended)
 	require.False(t, ok)
 	keys.release(second)
-	third := keyedRequest(3, 0)
+	third := requestWithKey(3, 0)
 	require.Zero(t, keys.register(third))
 	keys.markRunning(third)
 	keys.runEnded(third, admission.OutcomeNotStarted, nil)
 	require.Nil(t, keys.release(third))
-	require.Zero(t, keys.register(keyedRequest(4, 0)))
+	require.Zero(t, keys.register(requestWithKey(4, 0)))
 }
 
 // Results are dropped before they fill the memory; the record of the run stays.
 func TestIdempotencyResultMemory(t *testing.T) {
 	keys := newIdempotencyTable(64)
 	keys.resultBytes = keys.maxResultBytes
-	first, second := keyedRequest(1, 0), keyedRequest(2, 0)
+	first, second := requestWithKey(1, 0), requestWithKey(2, 0)
 	keys.register(first)
 	keys.markRunning(first)
 	keys.runEnded(first, admission.OutcomeOK, []byte("x"))
@@ -92,7 +92,7 @@
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	submit := func(call uint32, body string) {
-		attempt := keyedAttempt(server, string(rune('a'+call)), "k")
+		attempt := attemptWithKey(server, string(rune('a'+call)), "k")
 		attempt.Timeout, attempt.Body = time.Second, []byte(body)
 		server.Submit(conn, call, attempt)
 		runPosted()
--- a/internal/server/memory_test.go
+++ b/internal/server/memory_test.go
@@ -125,7 +125,7 @@
 
 // 45 minutes in which nothing comes twice: IDs, keys, bodies, clients and connections are always new. Each table is
 // bounded, and the memory at the end is that at half-time: a leak of eight bytes a request would be more than 100 KB.
-func TestMemoryIsBoundedOverLongRun(t *testing.T) {
+func TestMemoryIsBoundedInLongRun(t *testing.T) {
 	const length, step = 45 * time.Minute, 100 * time.Millisecond
 	day := newSimulatedDay(t)
 	var halfway, atEnd uint64
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -20,15 +20,15 @@
 	for _, order := range []string{"before the third", "after the third"} {
 		t.Run(order, func(t *testing.T) {
 			server, conn, runPosted := newReadyServer(t)
-			server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
-			server.Submit(conn, 2, keyedAttempt(server, "b", "k"))
+			server.Submit(conn, 1, attemptWithKey(server, "a", "k"))
+			server.Submit(conn, 2, attemptWithKey(server, "b", "k"))
 			runPosted()
 			if order == "before the third" {
 				server.Cancel(conn, 1)
 			}
 			other := &recordingConnection{}
 			server.ConnectionOpened(other)
-			server.Submit(other, 1, keyedAttempt(server, "c", "k"))
+			server.Submit(other, 1, attemptWithKey(server, "c", "k"))
 			if order == "after the third" {
 				server.Cancel(conn, 1)
 			}
@@ -57,7 +57,7 @@
 	server.Drain() // a second SIGTERM
 	runPosted()
 	server.step()
-	require.Equal(t, server.drain.stopAt-listenerCloseLead, server.drain.closeListenersAt)
+	require.Equal(t, server.drain.stopAt-listenerCloseMargin, server.drain.closeListenersAt)
 	server.Submit(conn, 1, newAttempt(server, "a", "preview"))
 	runPosted()
 	server.step()
@@ -267,13 +267,13 @@
 func TestRunsLostAgainstRetry(t *testing.T) {
 	for _, first := range []string{"retry", "loss"} {
 		server, conn, runPosted := newReadyServer(t)
-		server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
+		server.Submit(conn, 1, attemptWithKey(server, "a", "k"))
 		runPosted()
 		server.step()
 		if first == "loss" {
 			server.handleRunsLost()
 		}
-		server.Submit(conn, 2, keyedAttempt(server, "b", "k"))
+		server.Submit(conn, 2, attemptWithKey(server, "b", "k"))
 		runPosted()
 		server.step()
 		if first == "retry" {
@@ -289,15 +289,15 @@
 // The window of a key ends while its run goes on: the entry stays until the run has ended, and its result is found.
 func TestIdempotencyWindowEndsDuringRun(t *testing.T) {
 	server, conn, runPosted := newReadyServer(t)
-	server.Submit(conn, 1, keyedAttempt(server, "a", "k"))
+	server.Submit(conn, 1, attemptWithKey(server, "a", "k"))
 	runPosted()
 	server.step()
 	request := server.requests.byAttemptID["a"]
 	server.clock.now += server.config.Settings.Classes[2].IdempotencyWindow / 2
 	server.deadlines.Sweep(server.clock.now)
 	server.step()
-	require.Equal(t, []any{Failed}, conn.recorded)         // in time, though it runs
-	server.Submit(conn, 2, keyedAttempt(server, "b", "k")) // within the window
+	require.Equal(t, []any{Failed}, conn.recorded)           // in time, though it runs
+	server.Submit(conn, 2, attemptWithKey(server, "b", "k")) // within the window
 	runPosted()
 	server.step()
 	server.clock.now += 10 * server.config.Settings.Classes[2].IdempotencyWindow
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -33,8 +33,8 @@
 	return "Reply(" + strconv.Itoa(int(r)) + ")"
 }
 
-// replyWords are the words of the protocol.
-var replyWords = map[string]Reply{"OK": OK, "BUSY": Rejected, "ERR": Failed, "LATE": Late, "VOID": Void}
+// replyCodes are the words of the protocol.
+var replyCodes = map[string]Reply{"OK": OK, "BUSY": Rejected, "ERR": Failed, "LATE": Late, "VOID": Void}
 
 const (
 	maxLine = 128      // bytes, without its end
@@ -91,7 +91,7 @@
 	if !terminated || len(line) > maxLine || len(fields) < 2 || len(fields) > 3 || len(fields[0]) == 0 {
 		return replyFrame{}, 0, fmt.Errorf("%w: %.80q", ErrMalformedReply, line)
 	}
-	reply, known := replyWords[string(fields[1])]
+	reply, known := replyCodes[string(fields[1])]
 	hasLength := len(fields) == 3
 	if !known || (reply == OK) != hasLength {
 		return replyFrame{}, 0, fmt.Errorf("%w: %.80q", ErrMalformedReply, line)
--- a/lab/fakes/agent_test.go
+++ b/lab/fakes/agent_test.go
@@ -124,7 +124,7 @@
 }
 
 // Runs and reads must share the cores: two of 50 ms on one core take 100 ms.
-func TestAgentSharesCores(t *testing.T) {
+func TestAgentDividesCores(t *testing.T) {
 	started := time.Now()
 	now := func() time.Duration { return time.Since(started) }
 	agent := &Agent{
--- a/lab/fleetlab/dependencies.go
+++ b/lab/fleetlab/dependencies.go
@@ -74,7 +74,7 @@
 		Knee:              2,
 		SlowdownPerExcess: 0.1,
 		MinSpeedRatio:     0.4,
-		ColdSpeedRatio:    0.25,
+		WarmupStartRatio:  0.25,
 	}
 	state := "steady"
 	if m.starts > 0 {
--- a/lab/history/check_test.go
+++ b/lab/history/check_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keyed is the sending of an attempt with the idempotency key o1.
-func keyed(at time.Duration, id, server string, deadline time.Duration) Event {
+// withKey is the sending of an attempt with the idempotency key o1.
+func withKey(at time.Duration, id, server string, deadline time.Duration) Event {
 	return Event{
 		At: at, Kind: AttemptSent, AttemptID: id, IdempotencyKey: "o1", Server: server, Deadline: deadline,
 	}
@@ -23,7 +23,7 @@
 	good := []Event{
 		{At: 0, Kind: ProcessChanged, Server: "n1", Detail: "started"},
 		{At: 0, Kind: ProcessChanged, Server: "n2", Detail: "started"},
-		keyed(1*time.Second, "a", "n1", 4*time.Second),
+		withKey(1*time.Second, "a", "n1", 4*time.Second),
 		{At: 1 * time.Second, Kind: AttemptSent, AttemptID: "b", Server: "n2", Deadline: 4 * time.Second},
 		{At: 2 * time.Second, Kind: RunStarted, AttemptID: "a", Server: "n1"},
 		{At: 2 * time.Second, Kind: CallStarted, AttemptID: "a"},
@@ -36,7 +36,7 @@
 		{At: 8 * time.Second, Kind: AttemptAnswered, AttemptID: "c", Server: "n1", Detail: "failed"}, // late: paused
 		{At: 9 * time.Second, Kind: ProcessChanged, Server: "n2", Detail: "killed"},
 		{At: 10 * time.Second, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"},
-		keyed(30*time.Second, "d", "n1", 33*time.Second),
+		withKey(30*time.Second, "d", "n1", 33*time.Second),
 		{At: 30 * time.Second, Kind: RunStarted, AttemptID: "d", Server: "n1"}, // after the idempotency window
 		{At: 31 * time.Second, Kind: AttemptAnswered, AttemptID: "d", Server: "n1", Detail: "served"},
 		{At: 32 * time.Second, Kind: ProcessChanged, Server: "n2", Detail: "started"},
@@ -51,7 +51,7 @@
 			{At: 13 * time.Second, Kind: AttemptAnswered, AttemptID: "e", Server: "n1", Detail: "served"},
 		},
 		RuleIdempotency: {
-			keyed(7*time.Second, "f", "n2", 9*time.Second),
+			withKey(7*time.Second, "f", "n2", 9*time.Second),
 			{At: 8 * time.Second, Kind: RunStarted, AttemptID: "f", Server: "n2"},
 		},
 		RuleStoreCalls: {
--- a/lab/history/plot.go
+++ b/lab/history/plot.go
@@ -16,7 +16,7 @@
 	plotHeight      = 11 * vg.Centimeter
 	seriesWidth     = 1.5 // points
 	faultWidth      = 4   // points
-	legendRoom      = 1.3 // factor on the height of the Y axis
+	legendHeight    = 1.3 // factor on the height of the Y axis
 	faultColorStart = 4   // index of the first fault's color
 )
 
@@ -35,7 +35,7 @@
 		return err
 	}
 	figure.Legend.Top = true
-	figure.Y.Max *= legendRoom
+	figure.Y.Max *= legendHeight
 	return figure.Save(plotWidth, plotHeight, path)
 }
 
--- a/lab/history/stores.go
+++ b/lab/history/stores.go
@@ -7,16 +7,16 @@
 
 // StoreSummary is the load on all stores together.
 type StoreSummary struct {
-	Calls          int
-	MaxInFlight    int     // calls at one instant
-	MeanInFlight   float64 // calls, averaged over the time
-	OverBoundRatio float64 // of the time, with more calls in flight than a bound
+	Calls               int
+	MaxInFlight         int     // calls at one instant
+	MeanInFlight        float64 // calls, averaged over the time
+	OverloadedTimeRatio float64 // of the time, with more calls in flight than a bound
 }
 
 // SummarizeStores sums up the calls of a history, from the first to the last of them.
 func SummarizeStores(events []Event, bound int) (summary StoreSummary) {
 	inFlight, last := 0, time.Duration(0)
-	var inFlightTime, overTime, total time.Duration
+	var inFlightTime, overloadedTime, total time.Duration
 	for i := range events {
 		event := &events[i]
 		if event.Kind != CallStarted && event.Kind != CallEnded {
@@ -27,7 +27,7 @@
 			total += elapsed
 			inFlightTime += time.Duration(inFlight) * elapsed
 			if inFlight > bound {
-				overTime += elapsed
+				overloadedTime += elapsed
 			}
 		}
 		last = event.At
@@ -40,7 +40,7 @@
 		summary.MaxInFlight = max(summary.MaxInFlight, inFlight)
 	}
 	summary.MeanInFlight = float64(inFlightTime) / float64(max(total, 1))
-	summary.OverBoundRatio = float64(overTime) / float64(max(total, 1))
+	summary.OverloadedTimeRatio = float64(overloadedTime) / float64(max(total, 1))
 	return summary
 }
 
--- a/lab/history/summary_test.go
+++ b/lab/history/summary_test.go
@@ -66,7 +66,7 @@
 		{At: 4 * time.Second, Kind: CallEnded},
 		{At: 5 * time.Second, Kind: FaultChanged, Detail: "mute *"},
 	}
-	want := StoreSummary{Calls: 3, MaxInFlight: 2, MeanInFlight: 1.5, OverBoundRatio: 0.5}
+	want := StoreSummary{Calls: 3, MaxInFlight: 2, MeanInFlight: 1.5, OverloadedTimeRatio: 0.5}
 	require.Equal(t, want, SummarizeStores(events, 1))
 
 	rate, maxInFlight := StoreLoadDuringFault(events, "mute", 2*time.Second)
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -69,7 +69,7 @@
 func (s *server) newCores(warmingUp bool) *scheduledPool {
 	curve := workerpool.Curve{
 		Workers: s.sim.opts.Cores, Speed: coreSpeed(s.number), Knee: 2,
-		SlowdownPerExcess: 0.1, MinSpeedRatio: 0.4, ColdSpeedRatio: 0.25,
+		SlowdownPerExcess: 0.1, MinSpeedRatio: 0.4, WarmupStartRatio: 0.25,
 	}
 	if warmingUp {
 		curve.WarmupTime = s.sim.opts.WarmupTime
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -11,9 +11,9 @@
 
 // A store crashes when it has had too many calls in flight for some time, is down for a while, and warms up after that.
 const (
-	crashTolerance      = time.Second
-	crashDowntime       = 3 * time.Second
-	coldStoreSpeedRatio = 0.1
+	crashTolerance        = time.Second
+	crashDowntime         = 3 * time.Second
+	storeWarmupStartRatio = 0.1
 )
 
 // store is the store of one zone.
@@ -46,7 +46,7 @@
 	startedAt := -sim.opts.WarmupTime // it is warm at the start of the simulation
 	curve := workerpool.Curve{
 		Workers: slotCount, Speed: 1, Knee: 1, SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3,
-		ColdSpeedRatio: coldStoreSpeedRatio, WarmupTime: sim.opts.WarmupTime,
+		WarmupStartRatio: storeWarmupStartRatio, WarmupTime: sim.opts.WarmupTime,
 	}
 	store := &store{
 		sim: sim, zone: zone, slotCount: slotCount, startedAt: startedAt, calls: map[string]*call{},
@@ -105,7 +105,7 @@
 // maxInFlight returns how many calls in flight the store bears: fewer while it warms up.
 func (s *store) maxInFlight() int {
 	warmth := min(float64(s.sim.now-s.startedAt)/float64(max(s.sim.opts.WarmupTime, 1)), 1)
-	speedRatio := coldStoreSpeedRatio + (1-coldStoreSpeedRatio)*warmth
+	speedRatio := storeWarmupStartRatio + (1-storeWarmupStartRatio)*warmth
 	return int(s.sim.opts.StoreCrashMultiple * float64(s.slotCount) * speedRatio)
 }
 
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -62,13 +62,13 @@
 }
 
 // expand returns the states one step away that were not seen before, and marks them as seen.
-func (n *node[S]) expand(seen map[string]bool, next func(S) []Step[S], key func(S) string) (reached []*node[S]) {
+func (n *node[S]) expand(visited map[string]bool, next func(S) []Step[S], key func(S) string) (reached []*node[S]) {
 	for _, step := range next(n.state) {
 		id := key(step.To)
-		if seen[id] {
+		if visited[id] {
 			continue
 		}
-		seen[id] = true
+		visited[id] = true
 		reached = append(reached, &node[S]{state: step.To, from: n, step: step.Name})
 	}
 	return reached
--- a/lab/workerpool/pool.go
+++ b/lab/workerpool/pool.go
@@ -33,8 +33,8 @@
 	SlowdownPerExcess float64 // ratio of the speed lost for each item per worker above Knee
 	MinSpeedRatio     float64 // of Speed, however many are in flight
 
-	ColdSpeedRatio float64       // of Speed, right after the start
-	WarmupTime     time.Duration // over which the speed rises from ColdSpeedRatio to full
+	WarmupStartRatio float64       // of Speed, right after the start
+	WarmupTime       time.Duration // over which the speed rises from WarmupStartRatio to full
 }
 
 // speedRatio is the ratio of Speed that is left with n items in flight, at an age of the pool.
@@ -44,7 +44,7 @@
 		ratio = max(1-c.SlowdownPerExcess*excess, c.MinSpeedRatio)
 	}
 	if c.WarmupTime > 0 && age < c.WarmupTime {
-		ratio *= c.ColdSpeedRatio + (1-c.ColdSpeedRatio)*float64(age)/float64(c.WarmupTime)
+		ratio *= c.WarmupStartRatio + (1-c.WarmupStartRatio)*float64(age)/float64(c.WarmupTime)
 	}
 	return ratio
 }
--- a/lab/workerpool/pool_test.go
+++ b/lab/workerpool/pool_test.go
@@ -27,7 +27,7 @@
 			10, 4 * time.Second,
 		},
 		"cold, half the speed on average": {
-			Curve{Workers: 1, Speed: 1, Knee: 1, ColdSpeedRatio: 0, WarmupTime: 200 * time.Millisecond},
+			Curve{Workers: 1, Speed: 1, Knee: 1, WarmupStartRatio: 0, WarmupTime: 200 * time.Millisecond},
 			1, 200 * time.Millisecond,
 		},
 	} {
