--- a/internal/msgpackrpc/listener.go
+++ b/internal/msgpackrpc/listener.go
@@ -17,7 +17,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const acceptRetryDelay = 50 * time.Millisecond // after a failed Accept
+const (
+	acceptRetryDelay     = 50 * time.Millisecond // after a failed Accept
+	pendingAcceptTimeout = 50 * time.Millisecond // of an Accept for which a connection was pending
+)
 
 // Front is a listener for clients; it implements server.Front.
 type Front struct {
@@ -56,11 +59,20 @@
 // Addr returns the address of the listener.
 func (f *Front) Addr() net.Addr { return f.ln.Addr() }
 
-// Close has Serve accept the connections that the kernel has accepted already, and then close the listener.
-func (f *Front) Close() error {
-	f.closeOnce.Do(func() { close(f.closing) })
+// Close has Serve accept the connections that the kernel has accepted already, and then close the listener. Further calls
+// do nothing.
+func (f *Front) Close() (err error) {
+	f.closeOnce.Do(func() {
+		err = f.interruptAccept() // first, as Serve lifts the deadline to accept pending connections
+		close(f.closing)
+	})
+	return err
+}
+
+// interruptAccept ends an Accept that waits.
+func (f *Front) interruptAccept() error {
 	if ln, ok := f.ln.(interface{ SetDeadline(time.Time) error }); ok {
-		return ln.SetDeadline(expiredDeadline) // no Accept waits any more
+		return ln.SetDeadline(expiredDeadline)
 	}
 	return f.ln.Close()
 }
@@ -108,7 +120,7 @@
 // with the listener.
 func (f *Front) acceptPending(ctx context.Context, g *errgroup.Group, srv *server.Server) {
 	ln, ok := f.ln.(interface{ SetDeadline(time.Time) error })
-	if !ok || ln.SetDeadline(time.Time{}) != nil {
+	if !ok {
 		return
 	}
 	for f.hasPendingConnection() {
@@ -117,7 +129,15 @@
 		case <-ctx.Done():
 			return
 		}
+		// A newer process that shares the socket may accept the connection first, so Accept must not wait for ever.
+		if ln.SetDeadline(time.Now().Add(pendingAcceptTimeout)) != nil {
+			return
+		}
 		netConn, err := f.ln.Accept()
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			<-f.slots
+			continue
+		}
 		if err != nil {
 			return
 		}
