--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -1,31 +1,14 @@
 package admission
 
 import (
-	"flag"
 	"fmt"
 	"math"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/require"
+	"falldeal/lab/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // The full message for every field of the settings that can be at fault.
 func TestGoldenSettingsErrors(t *testing.T) {
 	var got strings.Builder
@@ -63,7 +46,7 @@
 		fmt.Fprintf(&got, "%s\n\tNew: %v\n", test.name, err)
 		fmt.Fprintf(&got, "\tRetune: %v\n", start(t, testSettings()).Reconfigure(s))
 	}
-	requireGolden(t, "settings", got.String())
+	golden.RequireText(t, "settings", got.String())
 }
 
 // The lines for the operators' log: every state that begins and ends, and the notice.
@@ -94,7 +77,7 @@
 		fmt.Fprintf(&got, "notice, replaced %t\n", replaced)
 		logged(&got, start(t, testSettings()).Step(ms, []Event{{Kind: EventDrain, StopAt: 3000 * ms, Replaced: replaced}}, nil))
 	}
-	requireGolden(t, "reports", got.String())
+	golden.RequireText(t, "reports", got.String())
 }
 
 func logged(got *strings.Builder, actions []Action) {
@@ -111,5 +94,5 @@
 	for why := ReasonCPU; why <= ReasonBelowThreshold; why++ {
 		fmt.Fprintf(&got, "%d %s\n", why, why)
 	}
-	requireGolden(t, "reasons", got.String())
+	golden.RequireText(t, "reasons", got.String())
 }
--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -14,6 +14,7 @@
 
 	"falldeal/internal/fleet"
 	"falldeal/lab/commandtest"
+	"falldeal/lab/golden"
 
 	"github.com/stretchr/testify/require"
 )
@@ -83,7 +84,7 @@
 		output = strings.ReplaceAll(output, dir, "(folder)")
 		fmt.Fprintf(&got, "== falldeal-fleet %q\n%s\n", args, output)
 	}
-	commandtest.RequireGolden(t, "commands", got.String())
+	golden.RequireText(t, "commands", got.String())
 }
 
 // reports are those of several instances, by the names of their consoles in the golden file.
@@ -149,5 +150,5 @@
 			fmt.Fprintf(&got, "== %s: %s\n%s\n", console, args, strings.ReplaceAll(output, addr, "(address)"))
 		}
 	}
-	commandtest.RequireGolden(t, "answers", got.String())
+	golden.RequireText(t, "answers", got.String())
 }
--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"falldeal/lab/commandtest"
+	"falldeal/lab/golden"
 	"falldeal/lab/history"
 
 	"github.com/stretchr/testify/require"
@@ -117,7 +118,7 @@
 	} {
 		fmt.Fprintf(&got, "== falldeal-lab %s\n%s\n", args, commandtest.Run(t, dir, nil, "", strings.Fields(args)...))
 	}
-	commandtest.RequireGolden(t, "commands", varying.Replace(got.String()))
+	golden.RequireText(t, "commands", varying.Replace(got.String()))
 }
 
 // What a fault command sends to a fleet that runs.
@@ -131,5 +132,5 @@
 	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 " +
 		"--for 5s --lab " + fleet.Listener.Addr().String()
 	require.NoError(t, run(strings.Fields(args), &bytes.Buffer{}))
-	commandtest.RequireGolden(t, "fault", got.String()+"\n")
+	golden.RequireText(t, "fault", got.String()+"\n")
 }
--- a/cmd/falldeal/golden_test.go
+++ b/cmd/falldeal/golden_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"falldeal/lab/commandtest"
+	"falldeal/lab/golden"
 
 	"github.com/stretchr/testify/require"
 )
@@ -72,5 +73,5 @@
 		output := commandtest.Run(t, dir, strings.Fields(test.env), "", strings.Fields(test.args)...)
 		fmt.Fprintf(&got, "== %s falldeal %s\n%s\n", test.env, test.args, output)
 	}
-	commandtest.RequireGolden(t, "commands", varying.Replace(got.String()))
+	golden.RequireText(t, "commands", varying.Replace(got.String()))
 }
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"falldeal/lab/commandtest"
+	"falldeal/lab/golden"
 )
 
 func TestMain(m *testing.M) { commandtest.Main(m, main) }
@@ -37,5 +38,5 @@
 		fmt.Fprintf(&got, "== %s\n%s\n", test.name, commandtest.Run(t, t.TempDir(), nil, test.input))
 	}
 	fmt.Fprintf(&got, "== flags are ignored\n%s\n", commandtest.Run(t, t.TempDir(), nil, "", "--help"))
-	commandtest.RequireGolden(t, "conversations", got.String())
+	golden.RequireText(t, "conversations", got.String())
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,23 +10,11 @@
 	"strings"
 	"testing"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // absent in place of a value removes the key.
 const absent = ""
 
@@ -130,7 +117,7 @@
 			fmt.Fprintf(&got, "%s is absent\n\t%s\n", path, keyOutcome(t, err))
 		}
 	}
-	requireGolden(t, "types", got.String())
+	golden.RequireText(t, "types", got.String())
 }
 
 // A value of the right type that makes no sense.
@@ -213,7 +200,7 @@
 		_, err := Parse(replaced(t, test.path, test.value), noEnvironment)
 		fmt.Fprintf(&got, "%s = %s\n\t%s\n", test.path, test.value, keyOutcome(t, err))
 	}
-	requireGolden(t, "values", got.String())
+	golden.RequireText(t, "values", got.String())
 }
 
 // What is wrong with the whole, or with what the environment sets.
@@ -272,7 +259,7 @@
 		_, err := Settings([]byte(text))
 		fmt.Fprintf(&got, "Settings %s\n\t%s\n", text, outcome(err))
 	}
-	requireGolden(t, "load", strings.ReplaceAll(got.String(), dir, "(folder)"))
+	golden.RequireText(t, "load", strings.ReplaceAll(got.String(), dir, "(folder)"))
 }
 
 // A key that was given and is missing from the file that is to be taken over.
@@ -290,5 +277,5 @@
 		_, err := inForce.Successor(path)
 		fmt.Fprintf(&got, "%s is absent\n\t%s\n", key, outcome(err))
 	}
-	requireGolden(t, "successor", strings.ReplaceAll(got.String(), dir, "(folder)"))
+	golden.RequireText(t, "successor", strings.ReplaceAll(got.String(), dir, "(folder)"))
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -4,35 +4,19 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
 	"falldeal/internal/fleet"
+	"falldeal/lab/golden"
 
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // drainingInstance answers every call with an error, as a server does that drains to stop.
 type drainingInstance struct{}
 
@@ -97,7 +81,7 @@
 			fmt.Fprintf(&got, "== %s: %s %s\n%s\n", console.state, call.method, call.path, response)
 		}
 	}
-	requireGolden(t, "calls", got.String())
+	golden.RequireText(t, "calls", got.String())
 }
 
 // snapshot returns one with a member of every liveness in every state.
@@ -141,5 +125,5 @@
 		require.NoError(t, err)
 		fmt.Fprintf(&got, "%s\n", text)
 	}
-	requireGolden(t, "fleet", got.String())
+	golden.RequireText(t, "fleet", got.String())
 }
--- a/internal/operators/golden_test.go
+++ b/internal/operators/golden_test.go
@@ -1,7 +1,6 @@
 package operators
 
 import (
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -9,23 +8,11 @@
 	"strings"
 	"testing"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // Addresses and names that a table fleet must have; a case adds lines, or replaces one of these.
 const (
 	listenLine = "listen = \"10.0.0.1:7946\"\n"
@@ -166,7 +153,7 @@
 			requireKey(t, err)
 		}
 	}
-	requireGolden(t, "errors", strings.ReplaceAll(got.String(), dir, "(folder)"))
+	golden.RequireText(t, "errors", strings.ReplaceAll(got.String(), dir, "(folder)"))
 }
 
 // shown returns a file on one line, with the minimal file abbreviated.
@@ -202,5 +189,5 @@
 		_, err := Load(filepath.Join(dir, path))
 		fmt.Fprintf(&got, "Load %q\n\t%s\n", path, outcome(err))
 	}
-	requireGolden(t, "load", strings.ReplaceAll(got.String(), dir, "(folder)"))
+	golden.RequireText(t, "load", strings.ReplaceAll(got.String(), dir, "(folder)"))
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -3,10 +3,7 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -19,25 +16,12 @@
 	"falldeal/internal/overload"
 	"falldeal/internal/stats"
 	"falldeal/internal/store"
+	"falldeal/lab/golden"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // captureLog has server log to the returned buffer, as a process does whose standard error is a file, without times.
 func captureLog(server *Server) *bytes.Buffer {
 	var lines bytes.Buffer
@@ -77,7 +61,7 @@
 		request := &activeRequest{attempt: attempt, state: requestRunning, startedAt: at, trace: trace}
 		server.logTrace(request, answerNames[Served])
 	}
-	requireGolden(t, "trail", lines.String())
+	golden.RequireText(t, "trail", lines.String())
 }
 
 // The lines of requests on their way: given up, with a call in flight, and cancelled.
@@ -102,7 +86,7 @@
 	server.step()
 	server.ReadEnded(conn, Disconnected)
 	runPosted()
-	requireGolden(t, "trail_of_requests", lines.String())
+	golden.RequireText(t, "trail_of_requests", lines.String())
 }
 
 // goldenLogCases are what the lines of TestGoldenLog are logged for.
@@ -200,7 +184,7 @@
 	fixture.successorJoined(fixture.link)
 	fmt.Fprintf(&got, "== a newer process joins\n%s", lines)
 	fmt.Fprintf(&got, "== asked while it leaves\n%v\n", errDraining)
-	requireGolden(t, "log", got.String())
+	golden.RequireText(t, "log", got.String())
 }
 
 // Names of states in log lines of changes, and the reasons of invalid requests.
@@ -230,5 +214,5 @@
 	} {
 		fmt.Fprintf(&got, "wrong request: %v\n", err)
 	}
-	requireGolden(t, "names", got.String())
+	golden.RequireText(t, "names", got.String())
 }
--- a/internal/stats/golden_test.go
+++ b/internal/stats/golden_test.go
@@ -2,29 +2,13 @@
 
 import (
 	"bytes"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 
+	"falldeal/lab/golden"
+
 	"github.com/sirupsen/logrus"
-	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// requireGolden compares got, all cases of a table, byte for byte with the golden file of that name.
-func requireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // The line that SIGUSR1 and the end of a process print: all names of counters, each with its own value.
 func TestGoldenPrint(t *testing.T) {
 	counters := Counters{
@@ -45,5 +29,5 @@
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true})
 	counters.Print(log, 36, 37, 38, 39)
 	new(Counters).Print(log, 0, 0, 0, 0)
-	requireGolden(t, "print", got.String())
+	golden.RequireText(t, "print", got.String())
 }
--- a/lab/commandtest/commandtest.go
+++ b/lab/commandtest/commandtest.go
@@ -1,14 +1,12 @@
-// Package commandtest runs a command's own test binary as that command, and compares what it writes with golden files.
+// Package commandtest runs a command's own test binary as that command.
 // Only tests import it.
 package commandtest
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -18,8 +16,6 @@
 // ProgramVariable is the environment variable that, if it is not empty, has a test binary be the command.
 const ProgramVariable = "FALLDEAL_TEST_AS_PROGRAM"
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // Main is a command's TestMain: it runs the tests, or program where ProgramVariable says so.
 func Main(m *testing.M, program func()) {
 	if os.Getenv(ProgramVariable) != "" {
@@ -29,18 +25,6 @@
 	os.Exit(m.Run())
 }
 
-// RequireGolden compares got byte for byte with testdata/NAME.golden.
-func RequireGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // Run runs the command with args in the folder dir and returns its exit code and what it wrote. Of the variables that
 // configure a server it has those of env only.
 func Run(t *testing.T, dir string, env []string, input string, args ...string) string {
--- a/lab/golden/golden.go
+++ b/lab/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what a test produces with files in its testdata folder, one named form a line.
+// Package golden compares what a test produces with files in its testdata folder: whole texts, or one named form a line.
 package golden
 
 import (
@@ -18,6 +18,24 @@
 	separator = ": "
 )
 
+// RequireText compares got with testdata/NAME.golden byte for byte.
+func RequireText(t *testing.T, name, got string) {
+	t.Helper()
+	requireFile(t, name+".golden", got)
+}
+
+// requireFile compares got with a file in testdata, which it writes first where -update was given.
+func requireFile(t *testing.T, file, got string) {
+	t.Helper()
+	path := filepath.Join(folder, file)
+	if *update {
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(want), got)
+}
+
 // Case is one line of a golden file: the name of a form, and the form as text without a line break.
 type Case struct{ Name, Form string }
 
@@ -28,13 +46,7 @@
 	for _, golden := range cases {
 		got.WriteString(golden.Name + separator + golden.Form + "\n")
 	}
-	path := filepath.Join(folder, file)
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got.String())
+	requireFile(t, file, got.String())
 }
 
 // Read returns the forms of a file in testdata by name. It must have as many as the test has cases.
