--- /dev/null
+++ b/admission/recorded_events_test.go
@@ -0,0 +1,207 @@
+package admission
+
+import (
+	"slices"
+	"time"
+)
+
+// nextEvents advances the clock and returns the events of the next batch.
+func (s *recordedServer) nextEvents(step int) []Event {
+	s.advanceClock()
+	var events []Event
+	s.live = slices.DeleteFunc(s.live, func(request *recordedRequest) bool { return request.phase == attemptCompleted })
+	for _, request := range s.live {
+		events = s.progress(events, request)
+	}
+	for load := s.episode.load; load > 0; load-- {
+		if s.rng.Float64() < load {
+			events = append(events, s.arrival())
+		}
+	}
+	if s.now >= s.wakeAt {
+		events = append(events, Event{Kind: EventTimer, Gauges: s.episode.gauges(s)})
+	}
+	return s.unusualEvents(events, step)
+}
+
+// advanceClock lets time pass until the next step: mostly some milliseconds, seldom none, or as long as a machine may
+// stand still.
+func (s *recordedServer) advanceClock() {
+	switch s.rng.IntN(500) {
+	case 0:
+		s.now += time.Duration(s.rng.IntN(4000)) * ms
+	case 1, 2, 3:
+	default:
+		s.now += time.Duration(1 + s.rng.Int64N(int64(s.episode.longestStep)))
+	}
+}
+
+// unusualEvents adds a drain, operators' events, and events that a controller has to ignore.
+func (s *recordedServer) unusualEvents(events []Event, step int) []Event {
+	if step == s.drainStep || step == s.drainStep+20 {
+		events = append(events, Event{Kind: EventDrain, StopAt: s.now + 1500*ms, Replaced: s.rng.IntN(2) == 0,
+			Waited: time.Duration(s.rng.IntN(30)) * ms})
+	}
+	switch s.rng.IntN(400) {
+	case 0:
+		events = append(events, Event{Kind: EventDeregister})
+	case 1, 2:
+		events = append(events, Event{Kind: EventReregister})
+	case 3:
+		events = append(events, Event{Kind: EventDone, ID: s.lastID + 7, Outcome: OutcomeNotStarted})
+	case 4:
+		events = append(events, Event{Kind: EventCancelled, ID: s.lastID + 7})
+	case 5:
+		events = append(events, Event{Kind: EventCallNeeded, ID: s.lastID + 7})
+	case 6:
+		events = append(events, Event{Kind: EventCallDone, ID: s.lastID + 7, Took: ms})
+	case 7:
+		if len(events) > 0 {
+			events = append(events, events[s.rng.IntN(len(events))]) // the same again
+		}
+	}
+	return events
+}
+
+// arrival draws a request: a new one, a retry, or one with an odd field.
+func (s *recordedServer) arrival() Event {
+	s.lastID++
+	request := &recordedRequest{id: s.lastID, class: s.rng.IntN(len(s.settings.Classes)),
+		work: time.Duration(1+s.rng.IntN(200)) * ms}
+	event := Event{Kind: EventRequest, ID: request.id, Class: request.class, Tenant: s.rng.IntN(4) - s.rng.IntN(40)/39,
+		MemoryKB: 0.25 * float64(1+s.rng.IntN(80)), FleetRank: s.episode.fleetRanks[s.rng.IntN(len(s.episode.fleetRanks))]}
+	if s.rng.IntN(4) > 0 {
+		event.CostHint = request.work
+	}
+	event.Waited = time.Duration(s.rng.IntN(10)) * ms
+	if s.episode.lateReading {
+		event.Waited = time.Duration(s.rng.IntN(2500)) * ms
+	}
+	if s.rng.IntN(3) == 0 {
+		event.Deadline = s.now + time.Duration(s.rng.IntN(4000))*ms
+	}
+	if s.rng.Float64() < s.episode.retryRatio {
+		s.makeRetry(&event)
+	}
+	switch s.rng.IntN(300) {
+	case 0:
+		event.Class = -1 + (len(s.settings.Classes)+1)*s.rng.IntN(2) // no such class
+	case 1:
+		if len(s.live) > 0 {
+			event.ID = s.live[s.rng.IntN(len(s.live))].id // known already
+			return event
+		}
+	}
+	s.live = append(s.live, request)
+	return event
+}
+
+func (s *recordedServer) makeRetry(event *Event) {
+	event.Retry = true
+	event.RetryJitter = time.Duration(s.rng.IntN(300)) * ms
+	if s.rng.IntN(2) == 0 {
+		event.SinceFirstAttempt = time.Duration(s.rng.IntN(1500)) * ms
+	}
+	switch s.rng.IntN(4) {
+	case 0, 1:
+		if len(s.remembered) > 0 {
+			event.RetryOf = s.remembered[max(0, len(s.remembered)-1-s.rng.IntN(12))]
+		}
+	case 2:
+		if len(s.live) > 0 {
+			event.RetryOf = s.live[s.rng.IntN(len(s.live))].id
+		}
+	}
+}
+
+// progress returns what happened to a request since the last step.
+func (s *recordedServer) progress(events []Event, request *recordedRequest) []Event {
+	if !request.answered && s.rng.Float64() < s.episode.cancelledRatio {
+		request.answered = true
+		events = append(events, Event{Kind: EventCancelled, ID: request.id})
+		if request.phase == attemptWaiting || request.phase == attemptJoined {
+			request.phase = attemptCompleted
+		}
+	}
+	atCall := request.phase == attemptCalling || request.phase == attemptAwaitingCall
+	switch {
+	case request.phase == attemptRunning && request.stopped, atCall && request.answered:
+		return s.endRun(events, request, OutcomeCancelled)
+	case request.endsAt == 0 || s.now < request.endsAt:
+	case request.phase == attemptRunning && request.callsAhead > 0:
+		request.callsAhead--
+		request.phase, request.endsAt = attemptAwaitingCall, 0
+		return append(events, Event{Kind: EventCallNeeded, ID: request.id})
+	case request.phase == attemptRunning || request.phase == attemptJoined:
+		outcome := OutcomeOK
+		if s.rng.IntN(20) == 0 {
+			outcome = []Outcome{OutcomeFailed, OutcomeCancelled}[s.rng.IntN(2)]
+		}
+		return s.endRun(events, request, outcome)
+	case request.phase == attemptCalling:
+		return s.endCall(events, request)
+	}
+	return events
+}
+
+func (s *recordedServer) endRun(events []Event, request *recordedRequest, outcome Outcome) []Event {
+	request.phase = attemptCompleted
+	return append(events, Event{Kind: EventDone, ID: request.id, Outcome: outcome, Took: s.now - request.startedAt})
+}
+
+func (s *recordedServer) endCall(events []Event, request *recordedRequest) []Event {
+	outcome := s.episode.callOutcomes[s.rng.IntN(len(s.episode.callOutcomes))]
+	request.phase, request.endsAt = attemptAwaitingCall, 0
+	if outcome == OutcomeOK {
+		request.phase, request.endsAt = attemptRunning, s.now+request.work/4
+	}
+	return append(events, Event{Kind: EventCallDone, ID: request.id, Outcome: outcome, Took: s.now - request.calledAt})
+}
+
+// carryOut carries out an action.
+func (s *recordedServer) carryOut(action *Action) {
+	switch action.Kind {
+	case ActionWake:
+		s.wakeAt = action.At
+		return
+	case ActionRemember:
+		s.remembered = append(s.remembered, action.ID)
+		return
+	case ActionForget, ActionHealth, ActionAdvertise, ActionIdleTimeout, ActionLog:
+		return
+	case ActionRun, ActionStop, ActionReject, ActionFail, ActionCall, ActionSkipCall, ActionReuse:
+	}
+	for _, request := range s.live {
+		if request.id == action.ID {
+			s.carryOutFor(request, action)
+		}
+	}
+}
+
+// carryOutFor carries out an action that is about one request.
+func (s *recordedServer) carryOutFor(request *recordedRequest, action *Action) {
+	switch action.Kind {
+	case ActionRun:
+		request.phase, request.startedAt = attemptRunning, s.now
+		request.endsAt = s.now + request.work*time.Duration(2+s.rng.IntN(5))/4
+		if s.settings.Classes[request.class].CallsDependency {
+			request.callsAhead = 1 + s.rng.IntN(6)/5 - s.rng.IntN(4)/3
+		}
+	case ActionReuse:
+		request.phase, request.startedAt = attemptJoined, s.now
+		request.endsAt = s.now + time.Duration(s.rng.IntN(100))*ms
+	case ActionStop:
+		request.stopped = true
+	case ActionReject, ActionFail:
+		request.answered = true
+		if request.phase == attemptWaiting || request.phase == attemptJoined {
+			request.phase = attemptCompleted
+		}
+	case ActionCall:
+		request.phase, request.calledAt = attemptCalling, s.now
+		request.endsAt = s.now + min(s.episode.callTime*time.Duration(2+s.rng.IntN(4))/4, action.Timeout)
+	case ActionSkipCall:
+		request.phase, request.endsAt = attemptRunning, s.now+request.work/4
+	default: // not about one request
+	}
+}
--- /dev/null
+++ b/admission/recorded_run_test.go
@@ -0,0 +1,161 @@
+package admission
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+const (
+	recordedSeeds        = 96
+	recordedStepsPerSeed = 2500
+
+	// recordedDigest is the digest of all actions of the recorded runs. A change of it is a change of what is decided.
+	recordedDigest = "cc4e9efe391454f1889593192d24a55fe731184594758bf367f8e2721993781b"
+)
+
+// recordedAction has the figures of an action that belong to the digest. Its form is independent of that of Action.
+type recordedAction struct {
+	Kind       uint8
+	ID         uint64
+	Reason     uint8
+	RetryAfter int64
+	NoRetry    bool
+	Timeout    int64
+	Duration   int64
+	Healthy    bool
+	Cached     bool
+	Value      uint64 // bits
+	At         int64
+}
+
+// recordAction returns the form of an action for the digest. Texts for operators are not part of it.
+func recordAction(action *Action) recordedAction {
+	return recordedAction{
+		Kind:       uint8(action.Kind),
+		ID:         uint64(action.ID),
+		Reason:     uint8(action.Reason),
+		RetryAfter: int64(action.RetryAfter),
+		NoRetry:    action.NoRetryElsewhere,
+		Timeout:    int64(action.Timeout),
+		Duration:   int64(action.Duration),
+		Healthy:    action.Healthy,
+		Cached:     action.Cached,
+		Value:      math.Float64bits(action.Value),
+		At:         int64(action.At),
+	}
+}
+
+// recordedCoverage counts what occurred in the recorded runs.
+type recordedCoverage struct {
+	steps        int
+	actions      map[ActionKind]int
+	reasons      map[Reason]int
+	events       map[EventKind]int
+	outcomes     map[Outcome]int
+	ranks        map[FleetRank]int
+	reconfigured int
+	keptSettings int // Reconfigure returned an error
+}
+
+func newRecordedCoverage() *recordedCoverage {
+	return &recordedCoverage{actions: map[ActionKind]int{}, reasons: map[Reason]int{}, events: map[EventKind]int{},
+		outcomes: map[Outcome]int{}, ranks: map[FleetRank]int{}}
+}
+
+func (r *recordedCoverage) countEvent(event *Event) {
+	r.events[event.Kind]++
+	switch event.Kind {
+	case EventRequest:
+		r.ranks[event.FleetRank]++
+	case EventDone, EventCallDone:
+		r.outcomes[event.Outcome]++
+	case EventCancelled, EventCallNeeded, EventDrain, EventTimer, EventDeregister, EventReregister: // nothing more
+	}
+}
+
+func (r *recordedCoverage) countAction(action *Action) {
+	r.actions[action.Kind]++
+	if action.Kind == ActionReject {
+		r.reasons[action.Reason]++
+	}
+}
+
+// record adds what one step decided to the digest.
+func record(t *testing.T, digest hash.Hash, now time.Duration, actions []Action) {
+	t.Helper()
+	require.NoError(t, binary.Write(digest, binary.LittleEndian, [2]int64{int64(now), int64(len(actions))}))
+	for i := range actions {
+		require.NoError(t, binary.Write(digest, binary.LittleEndian, recordAction(&actions[i])))
+	}
+}
+
+// The decisions of a controller on seeded events of every kind, under settings of every kind, stay what they were
+// when they were recorded. A change of the code that is to change no decision leaves the digest as it is.
+func TestRecordedRun(t *testing.T) {
+	digest := sha256.New()
+	coverage := newRecordedCoverage()
+	for seed := range uint64(recordedSeeds) {
+		playRecorded(t, seed, digest, coverage)
+	}
+	requireCoverage(t, coverage)
+	require.Equal(t, recordedDigest, hex.EncodeToString(digest.Sum(nil)))
+}
+
+// playRecorded runs a controller on the events that follow from seed.
+func playRecorded(t *testing.T, seed uint64, digest hash.Hash, coverage *recordedCoverage) {
+	t.Helper()
+	const stream = 17
+	server := newRecordedServer(t, rand.New(rand.NewPCG(seed, stream)), seed)
+	var actions []Action
+	for step := range recordedStepsPerSeed {
+		server.operate(step, coverage)
+		events := server.nextEvents(step)
+		for i := range events {
+			coverage.countEvent(&events[i])
+		}
+		actions = server.controller.Step(server.now, events, actions[:0])
+		record(t, digest, server.now, actions)
+		for i := range actions {
+			coverage.countAction(&actions[i])
+			server.carryOut(&actions[i])
+		}
+		if step%16 == 0 {
+			rate := math.Float64bits(server.controller.ServiceRate())
+			require.NoError(t, binary.Write(digest, binary.LittleEndian, rate))
+		}
+		coverage.steps++
+	}
+}
+
+// requireCoverage checks that the recorded runs are no empty exercise.
+func requireCoverage(t *testing.T, coverage *recordedCoverage) {
+	t.Helper()
+	const least = 20 // of each kind
+	require.GreaterOrEqual(t, coverage.steps, 100_000)
+	for kind := ActionRun; kind <= ActionLog; kind++ {
+		assert.GreaterOrEqualf(t, coverage.actions[kind], least, "action %v", kind)
+	}
+	for reason := ReasonCPU; reason <= ReasonBelowThreshold; reason++ {
+		assert.GreaterOrEqualf(t, coverage.reasons[reason], least, "reason %v", reason)
+	}
+	for kind := EventRequest; kind <= EventReregister; kind++ {
+		assert.GreaterOrEqualf(t, coverage.events[kind], least, "event %v", kind)
+	}
+	for outcome := OutcomeOK; outcome <= OutcomeNotStarted; outcome++ {
+		assert.GreaterOrEqualf(t, coverage.outcomes[outcome], least, "outcome %v", outcome)
+	}
+	for rank := RankUnknown; rank <= RankBelowThreshold; rank++ {
+		assert.GreaterOrEqualf(t, coverage.ranks[rank], least, "rank %v", rank)
+	}
+	assert.GreaterOrEqual(t, coverage.reconfigured, least)
+	assert.GreaterOrEqual(t, coverage.keptSettings, least)
+}
