--- a/admission/accounting.go
+++ b/admission/accounting.go
@@ -178,5 +178,5 @@
 // setHealth puts a health state in force and has checks answered by it.
 func (c *Controller) setHealth(unhealthy, answerHealthy bool) {
 	c.unhealthy, c.healthChangedAt = unhealthy, c.now
-	c.emit(Action{Kind: ActionHealth, Healthy: answerHealthy, Cached: true})
+	c.emit(Action{Kind: ActionHealth, Health: HealthAnswer{Healthy: answerHealthy, Cached: true}})
 }
--- a/admission/action.go
+++ b/admission/action.go
@@ -16,11 +16,11 @@
 	ActionRemember                      // remember it for Duration, so that retries are recognised
 	ActionForget                        // forget it
 	ActionReuse                         // answer it with the result of the request that it retries
-	ActionHealth                        // answer health checks by Healthy, without a deep check if Cached
+	ActionHealth                        // answer health checks in this way
 	ActionAdvertise                     // send Value along with answers from now on
 	ActionIdleTimeout                   // close connections that are idle for Duration
 	ActionWake                          // send an EventTimer at At
-	ActionLog                           // log Text for the operators
+	ActionLog                           // log a change of a condition for the operators
 )
 
 func (k ActionKind) String() string {
@@ -46,21 +46,29 @@
 	return [...]string{"cores behind", "calls behind", "too late", "memory full", "leaving", "below the cutoff"}[r]
 }
 
-// Action is something that the server is to do, in the order given. Only the fields of its kind are set.
+// Action is something that the server is to do, in the order given. Beside Kind and ID only the part of its kind is
+// set.
 type Action struct {
-	Kind ActionKind
-	ID   RequestID
+	Kind      ActionKind
+	ID        RequestID       // of the request that it is about; 0 for those that are about the server
+	Rejection Rejection       // ActionReject
+	Timeout   time.Duration   // ActionCall
+	Duration  time.Duration   // ActionRemember, ActionIdleTimeout
+	Health    HealthAnswer    // ActionHealth
+	Value     float64         // ActionAdvertise
+	At        time.Duration   // ActionWake
+	Condition ConditionChange // ActionLog
+}
 
-	// ActionReject.
+// Rejection is what a client is told of a request that did not run.
+type Rejection struct {
 	Reason           Reason
 	RetryAfter       time.Duration // how long the client is to avoid this server; 0: no advice
 	NoRetryElsewhere bool          // the client is asked not to try other servers
+}
 
-	Timeout  time.Duration // ActionCall
-	Duration time.Duration // ActionRemember, ActionIdleTimeout
-	Healthy  bool          // ActionHealth
-	Cached   bool          // ActionHealth
-	Value    float64       // ActionAdvertise
-	At       time.Duration // ActionWake
-	Text     string        // ActionLog
+// HealthAnswer is how health checks are answered.
+type HealthAnswer struct {
+	Healthy bool
+	Cached  bool // without a check of the agent
 }
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -24,12 +24,12 @@
 	if c.requests[event.ID] != nil {
 		return
 	}
-	if event.Class < 0 || event.Class >= len(c.classes) {
+	if event.Arrival.Class < 0 || event.Arrival.Class >= len(c.classes) {
 		c.emit(Action{Kind: ActionReject, ID: event.ID})
 		return
 	}
 	req := c.newRequest(event)
-	c.estimateWork(req, event.CostHint)
+	c.estimateWork(req, event.Arrival.CostHint)
 	c.requests[req.id] = req
 	c.memoryKB += req.memoryKB
 	retries := 0.0
@@ -40,8 +40,8 @@
 	}
 	c.arrivals.add(c.now, 1, retries)
 	c.deadlines.push(c.answerDeadline(req), deadline{deadlineAnswer, req, req.id})
-	c.readWait.add(max(event.Waited, 0).Seconds(), readWaitGain)
-	if event.RetryOf != 0 && c.handleRetry(req, event.RetryOf) {
+	c.readWait.add(max(event.Arrival.Waited, 0).Seconds(), readWaitGain)
+	if event.Arrival.RetryOf != 0 && c.handleRetry(req, event.Arrival.RetryOf) {
 		return
 	}
 	c.admit(req)
@@ -50,17 +50,19 @@
 // newRequest sets the times by which a request is useful. The latency objective counts from its first
 // attempt; how long ago that was is seldom known.
 func (c *Controller) newRequest(event *Event) *request {
-	class := &c.settings.Classes[event.Class]
-	req := &request{id: event.ID, class: event.Class, tenant: event.Tenant, memoryKB: max(event.MemoryKB, 0),
-		retry: event.Retry, fleetRank: event.FleetRank, retryJitter: event.RetryJitter}
+	arrival := &event.Arrival
+	class := &c.settings.Classes[arrival.Class]
+	req := &request{id: event.ID, class: arrival.Class, tenant: arrival.Tenant,
+		memoryKB: max(arrival.MemoryKB, 0),
+		retry:    arrival.Retry, fleetRank: arrival.FleetRank, retryJitter: arrival.RetryJitter}
 	if req.tenant < 0 || req.tenant >= len(c.tenants) {
 		req.tenant = 0
 	}
-	req.arrivedAt = c.now - max(event.Waited, 0)
-	req.firstAttemptAt = req.arrivedAt - event.SinceFirstAttempt
+	req.arrivedAt = c.now - max(arrival.Waited, 0)
+	req.firstAttemptAt = req.arrivedAt - arrival.SinceFirstAttempt
 	req.deadline = req.arrivedAt + class.Deadline
-	if event.Deadline > 0 {
-		req.deadline = event.Deadline
+	if arrival.Deadline > 0 {
+		req.deadline = arrival.Deadline
 	}
 	objective := class.LatencyObjective
 	if req.retry {
@@ -186,7 +188,7 @@
 		storm = reason == ReasonBelowThreshold || reason == ReasonCPU && req.fleetRank != RankElsewhere
 	}
 	noRetry := reason == ReasonDependency || reason == ReasonTooLate || storm
-	c.emit(Action{Kind: ActionReject, ID: req.id, Reason: reason, NoRetryElsewhere: noRetry,
-		RetryAfter: c.rejectionDelay(req, reason, noRetry)})
+	c.emit(Action{Kind: ActionReject, ID: req.id, Rejection: Rejection{Reason: reason,
+		RetryAfter: c.rejectionDelay(req, reason, noRetry), NoRetryElsewhere: noRetry}})
 	c.release(req)
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -27,7 +27,7 @@
 func TestRetriesHaveShorterObjective(t *testing.T) {
 	c := start(t, testSettings())
 	again := req(1, 0)
-	again.Retry = true
+	again.Arrival.Retry = true
 	c.Step(0, []Event{again}, nil)
 	if got := c.requests[1].objective; got >= 2*time.Second {
 		t.Errorf("a further try has its whole aim of %v left", got)
@@ -46,18 +46,18 @@
 		prepare(controller, &e)
 		return want(t, controller.Step(0, []Event{e}, nil), ActionReject, 1)
 	}
-	if a := refusal(func(*Controller, *Event) {}); a.NoRetryElsewhere || a.RetryAfter <= 0 {
+	if a := refusal(func(*Controller, *Event) {}); a.Rejection.NoRetryElsewhere || a.Rejection.RetryAfter <= 0 {
 		t.Errorf("trouble of this server alone: %+v", *a)
 	}
 	for _, marks := range []bool{true, false} {
 		storm := func(c *Controller, _ *Event) {
 			c.settings.MarksRetries, c.arrivals.primary, c.arrivals.secondary = marks, 10, 9
 		}
-		if a := refusal(storm); !a.NoRetryElsewhere {
+		if a := refusal(storm); !a.Rejection.NoRetryElsewhere {
 			t.Errorf("in a storm the caller is sent on (tries marked: %v)", marks)
 		}
 	}
-	if a := refusal(func(_ *Controller, e *Event) { e.Waited = 1500 * ms }); !a.NoRetryElsewhere {
+	if a := refusal(func(_ *Controller, e *Event) { e.Arrival.Waited = 1500 * ms }); !a.Rejection.NoRetryElsewhere {
 		t.Error("a request whose aim is nearly over is sent on")
 	}
 }
@@ -73,7 +73,7 @@
 		{RankFull, false, true, ReasonCPU}, {RankBelowThreshold, false, true, ReasonBelowThreshold}} {
 		controller := start(t, testSettings())
 		event := req(1, 0)
-		event.FleetRank = test.rank
+		event.Arrival.FleetRank = test.rank
 		want(t, controller.Step(0, []Event{event}, nil), ActionRun, 1)
 		for id := RequestID(100); id < 110; id++ {
 			controller.Step(0, []Event{req(id, 0)}, nil)
@@ -83,7 +83,7 @@
 			controller.arrivals.primary, controller.arrivals.secondary = 10, 9
 		}
 		event.ID = 2
-		if a := want(t, controller.Step(0, []Event{event}, nil), ActionReject, 2); a.NoRetryElsewhere != test.end || a.Reason != test.why || test.end == (a.RetryAfter > 0) {
+		if a := want(t, controller.Step(0, []Event{event}, nil), ActionReject, 2); a.Rejection.NoRetryElsewhere != test.end || a.Rejection.Reason != test.why || test.end == (a.Rejection.RetryAfter > 0) {
 			t.Errorf("%+v: %+v", test, *a)
 		}
 	}
@@ -130,12 +130,12 @@
 		var last *Action
 		for id := RequestID(1); id <= 60; id++ {
 			e := req(id, 0)
-			e.Retry = marks
+			e.Arrival.Retry = marks
 			if a := find(controller.Step(0, []Event{e}, nil), ActionReject, id); a != nil {
 				last = a
 			}
 		}
-		if last == nil || !last.NoRetryElsewhere {
+		if last == nil || !last.Rejection.NoRetryElsewhere {
 			t.Errorf("marks %v: %+v after 60 arrivals that are nearly all refused", marks, last)
 		}
 	}
@@ -152,21 +152,21 @@
 		}
 		controller.Step(10*ms, events, nil)
 		e := req(99, 0)
-		e.SinceFirstAttempt, e.RetryJitter = age, spread
+		e.Arrival.SinceFirstAttempt, e.Arrival.RetryJitter = age, spread
 		as := controller.Step(20*ms, []Event{e}, nil)
 		return find(as, ActionReject, 99) == nil, find(as, ActionReject, 99)
 	}
 	if ran, _ := first(0, 0); !ran {
 		t.Error("a first try that can be in time is not taken")
 	}
-	if ran, a := first(1900*ms, 0); ran || !a.NoRetryElsewhere {
+	if ran, a := first(1900*ms, 0); ran || !a.Rejection.NoRetryElsewhere {
 		t.Errorf("a try that can't be in time any more: %v %+v", ran, a)
 	}
 	c := start(t, testSettings())
 	for id := RequestID(1); id <= 400; id++ {
 		e := req(id, 0)
-		e.RetryJitter = time.Duration(id) * 10 * ms
-		if a := find(c.Step(10*ms, []Event{e}, nil), ActionReject, id); a != nil && !a.NoRetryElsewhere && (a.RetryAfter < min(e.RetryJitter, time.Second) || a.RetryAfter > time.Second) {
+		e.Arrival.RetryJitter = time.Duration(id) * 10 * ms
+		if a := find(c.Step(10*ms, []Event{e}, nil), ActionReject, id); a != nil && !a.Rejection.NoRetryElsewhere && (a.Rejection.RetryAfter < min(e.Arrival.RetryJitter, time.Second) || a.Rejection.RetryAfter > time.Second) {
 			t.Fatalf("%+v", *a)
 		}
 	}
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -17,8 +17,8 @@
 		for id := RequestID(1); id <= 400; id++ {
 			now += 50 * ms // 20 requests a second
 			e := req(id, 1)
-			e.Waited, e.CostHint = waited, work
-			if a := find(controller.Step(now, []Event{e, {Kind: EventTimer, Gauges: calmGauges}}, nil), ActionReject, id); a != nil {
+			e.Arrival.Waited, e.Arrival.CostHint = waited, work
+			if a := find(controller.Step(now, []Event{e, TimerFired(calmGauges)}, nil), ActionReject, id); a != nil {
 				last = a
 			}
 		}
@@ -30,19 +30,19 @@
 	// 150 callers with 20 requests a second come every 7.5 s, so they are sent off for as long as they heed, and
 	// those whose time is over hear so too, beside the wish to try nowhere else.
 	late := refusal(150, 900*ms, time.Second)
-	if late.Reason != ReasonTooLate || !late.NoRetryElsewhere || late.RetryAfter != time.Second {
+	if late.Rejection.Reason != ReasonTooLate || !late.Rejection.NoRetryElsewhere || late.Rejection.RetryAfter != time.Second {
 		t.Errorf("%+v", *late)
 	}
 	// Ten come every half second.
-	if a := refusal(10, 900*ms, time.Second); a.RetryAfter < 400*ms || a.RetryAfter > 600*ms {
+	if a := refusal(10, 900*ms, time.Second); a.Rejection.RetryAfter < 400*ms || a.Rejection.RetryAfter > 600*ms {
 		t.Errorf("%+v", *a)
 	}
 	// One caller that sends all of them would leave the server idle: the advice is as it was.
-	if a := refusal(1, 900*ms, time.Second); a.RetryAfter != 0 {
+	if a := refusal(1, 900*ms, time.Second); a.Rejection.RetryAfter != 0 {
 		t.Errorf("%+v", *a)
 	}
 	// Where reading is in time it is as it was as well.
-	if a := refusal(150, 0, 3*time.Second); a.RetryAfter >= time.Second {
+	if a := refusal(150, 0, 3*time.Second); a.Rejection.RetryAfter >= time.Second {
 		t.Errorf("%+v", *a)
 	}
 }
@@ -54,7 +54,7 @@
 		controller := start(t, settings)
 		for i := range 1000 { // 10 requests a second
 			controller.Step(time.Duration(i)*100*ms, []Event{req(RequestID(i+1), 0)}, nil)
-			controller.Step(time.Duration(i)*100*ms+50*ms, []Event{{Kind: EventDone, ID: RequestID(i + 1)}}, nil)
+			controller.Step(time.Duration(i)*100*ms+50*ms, []Event{RunCompleted(RequestID(i+1), Completion{})}, nil)
 		}
 		if got := controller.idleTimeout < settings.IdleTimeout; got != closed {
 			t.Errorf("%d callers: idle limit %v", callers, controller.idleTimeout)
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -54,7 +54,7 @@
 		controller.SetProtectedCalls(protect)
 		for id := RequestID(1); id < 4; id++ {
 			controller.Step(controller.now+1, []Event{req(id, 3)}, nil)
-			as := controller.Step(controller.now+1, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+			as := controller.Step(controller.now+1, []Event{CallNeeded(id)}, nil)
 			if find(as, ActionCall, id) != nil {
 				n++
 			} else if find(as, ActionSkipCall, id) == nil {
@@ -65,7 +65,7 @@
 	}
 	c := start(t, testSettings())
 	c.SetProtectedCalls(-1)
-	if a := want(t, c.Step(0, []Event{req(1, 1)}, nil), ActionReject, 1); a.Reason != ReasonDependency {
+	if a := want(t, c.Step(0, []Event{req(1, 1)}, nil), ActionReject, 1); a.Rejection.Reason != ReasonDependency {
 		t.Errorf("a request that would fail at its call: %+v", *a)
 	}
 	if n := calls(-1); n != 0 {
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -163,13 +163,14 @@
 	if req == nil || req.state != calling {
 		return
 	}
-	c.recordOutcome(event.Outcome)
+	outcome := event.Completion.Outcome
+	c.recordOutcome(outcome)
 	c.callsInFlight--
-	if event.Outcome == OutcomeTimedOut || event.Outcome == OutcomeAborted {
+	if outcome == OutcomeTimedOut || outcome == OutcomeAborted {
 		c.trackAbandonedCall()
 	}
-	c.callTime.add(event.Took.Seconds(), callGain)
-	if event.Outcome == OutcomeOK {
+	c.callTime.add(event.Completion.Took.Seconds(), callGain)
+	if outcome == OutcomeOK {
 		c.resume(req)
 		return
 	}
@@ -177,7 +178,7 @@
 	req.state, req.callNeededAt = awaitingCall, c.now
 	c.awaitingCallCount++
 	class := &c.settings.Classes[req.class]
-	mayRetry := event.Outcome.NeverRan() || class.Idempotency == Safe && event.Outcome != OutcomeTimedOut
+	mayRetry := outcome.NeverRan() || class.Idempotency == Safe && outcome != OutcomeTimedOut
 	switch {
 	case req.answered:
 	case mayRetry && req.callAttempts < maxCallAttempts && c.now+callBackoff < req.usefulUntil:
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -14,7 +14,7 @@
 		for range 100000 {
 			c.recordOutcome(OutcomeFailed)
 		}
-		as := c.Step(ms, []Event{{Kind: EventCallNeeded, ID: 1}}, nil)
+		as := c.Step(ms, []Event{CallNeeded(1)}, nil)
 		want(t, as, kind, 1)
 		wantNone(t, as, ActionReject, 1)
 	}
@@ -29,7 +29,7 @@
 		{2, OutcomeRejected, true}, {2, OutcomeFailed, false}} {
 		c := start(t, testSettings())
 		want(t, startToCall(t, c, 1, test.class), ActionCall, 1)
-		actions := c.Step(10*ms, []Event{{Kind: EventCallDone, ID: 1, Outcome: test.outcome, Took: 9 * ms}}, nil)
+		actions := c.Step(10*ms, []Event{CallCompleted(1, Completion{Outcome: test.outcome, Took: 9 * ms})}, nil)
 		actions = c.Step(300*ms, nil, actions)
 		if got := find(actions, ActionCall, 1) != nil; got != test.wantRetry {
 			t.Errorf("class %d, outcome %d: repeated %v, want %v", test.class, test.outcome, got, test.wantRetry)
@@ -47,7 +47,7 @@
 	out := 0
 	for id := RequestID(1); id <= 6; id++ {
 		c.Step(0, []Event{req(id, 0)}, nil)
-		as := c.Step(0, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+		as := c.Step(0, []Event{CallNeeded(id)}, nil)
 		for _, a := range as {
 			if a.Kind == ActionCall {
 				out++
@@ -149,10 +149,10 @@
 	}
 	// One runs all the same, so that a recovery is noticed. It waits for its call, and no further one runs in vain.
 	want(t, controller.Step(controller.now+1, []Event{req(1, 1)}, nil), ActionRun, 1)
-	controller.Step(controller.now+1, []Event{{Kind: EventCallNeeded, ID: 1}}, nil)
+	controller.Step(controller.now+1, []Event{CallNeeded(1)}, nil)
 	as := controller.Step(controller.now+1, []Event{req(2, 1)}, nil)
-	if a := want(t, as, ActionReject, 2); a.Reason != ReasonDependency {
-		t.Errorf("refused since %v", a.Reason)
+	if a := want(t, as, ActionReject, 2); a.Rejection.Reason != ReasonDependency {
+		t.Errorf("refused since %v", a.Rejection.Reason)
 	}
 	settings.MaxCallsInFlight = 20 // with whole calls the bound itself admits the next one
 	controller = start(t, settings)
@@ -225,5 +225,5 @@
 func startToCall(t *testing.T, c *Controller, id RequestID, class int) []Action {
 	t.Helper()
 	want(t, c.Step(0, []Event{req(id, class)}, nil), ActionRun, id)
-	return c.Step(ms, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+	return c.Step(ms, []Event{CallNeeded(id)}, nil)
 }
--- /dev/null
+++ b/admission/condition.go
@@ -0,0 +1,38 @@
+package admission
+
+// Condition is a state of a server that operators are told of when it begins and when it ends.
+type Condition uint8
+
+// The kinds of Condition.
+const (
+	ConditionBreaker   Condition = iota // the circuit breaker drops calls to the dependency
+	ConditionCallLimit                  // the limit on calls in flight is at its minimum
+	ConditionAdmission                  // the admit probability is reduced
+	ConditionMemory                     // the memory limit is reached, and requests are rejected
+	ConditionHealth                     // health checks are answered badly
+	ConditionDrain                      // the process drains; it has no end that is reported
+	conditionCount
+)
+
+// ConditionChange is the begin or the end of a Condition.
+type ConditionChange struct {
+	Condition Condition
+	Active    bool
+}
+
+// String returns the text of a condition.
+func (c Condition) String() string {
+	return [...]string{"breaker drops calls", "bound on calls at its least", "admitted share lowered",
+		"memory full, requests refused", "unwell: requests wait long to be read", "drain"}[c]
+}
+
+// String returns the text that stands in logs.
+func (c ConditionChange) String() string {
+	switch {
+	case c.Condition == ConditionDrain:
+		return c.Condition.String() + " begins"
+	case c.Active:
+		return c.Condition.String() + ": begins"
+	}
+	return c.Condition.String() + ": ends"
+}
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -15,7 +15,7 @@
 	c.advanceTime(now)
 	if !c.initialized {
 		c.initialized = true
-		c.emit(Action{Kind: ActionHealth, Healthy: true, Cached: true})
+		c.emit(Action{Kind: ActionHealth, Health: HealthAnswer{Healthy: true, Cached: true}})
 		c.advertiseCredit()
 	}
 	c.catchUpSweeps()
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -18,16 +18,16 @@
 	if c.draining {
 		return
 	}
-	c.draining, c.drainStartedAt, c.stopAt = true, c.now-event.Waited, event.StopAt
+	c.draining, c.drainStartedAt, c.stopAt = true, c.now-event.Drain.Waited, event.Drain.StopAt
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		req := c.requests[id]
 		c.deadlines.push(c.answerDeadline(req), deadline{deadlineAnswer, req, id})
 	}
-	c.emit(Action{Kind: ActionLog, Text: "drain begins"})
-	if event.Replaced {
+	c.emit(Action{Kind: ActionLog, Condition: ConditionChange{ConditionDrain, true}})
+	if event.Drain.Replaced {
 		return
 	}
-	c.emit(Action{Kind: ActionHealth, Healthy: false, Cached: true})
+	c.emit(Action{Kind: ActionHealth, Health: HealthAnswer{Healthy: false, Cached: true}})
 	switch c.settings.Advert {
 	case AdvertOff:
 	case AdvertLevel:
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -7,7 +7,7 @@
 
 func TestDrainRunsNothingLateAndAnswersAll(t *testing.T) {
 	controller := start(t, testSettings())
-	actions := controller.Step(0, []Event{req(1, 0), {Kind: EventDrain, StopAt: 3 * time.Second}}, nil)
+	actions := controller.Step(0, []Event{req(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second})}, nil)
 	want(t, actions, ActionRun, 1)
 	actions = controller.Step(1200*ms, []Event{req(2, 0)}, nil)
 	want(t, actions, ActionReject, 2)
@@ -24,11 +24,11 @@
 		s := testSettings()
 		s.Advert = advert
 		c := start(t, s)
-		as := c.Step(200*ms, []Event{{Kind: EventDrain, StopAt: 5 * time.Second}}, nil)
+		as := c.Step(200*ms, []Event{DrainStarted(DrainSignal{StopAt: 5 * time.Second})}, nil)
 		if a := want(t, as, ActionAdvertise, 0); a.Value != value {
 			t.Errorf("advert %d: value %v, want %v", advert, a.Value, value)
 		}
-		if a := want(t, as, ActionHealth, 0); a.Healthy || !a.Cached {
+		if a := want(t, as, ActionHealth, 0); a.Health.Healthy || !a.Health.Cached {
 			t.Errorf("health %+v", *a)
 		}
 	}
@@ -53,7 +53,7 @@
 // A process that another one replaces answers what it has read, but the server goes on: no client is sent elsewhere.
 func TestReplacedServerKeepsItsHealth(t *testing.T) {
 	controller := start(t, testSettings())
-	actions := controller.Step(0, []Event{req(1, 0), {Kind: EventDrain, StopAt: 3 * time.Second, Replaced: true}}, nil)
+	actions := controller.Step(0, []Event{req(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second, Replaced: true})}, nil)
 	want(t, actions, ActionRun, 1)
 	if find(actions, ActionHealth, 0) != nil {
 		t.Error("health changed though the server stays")
--- a/admission/event.go
+++ b/admission/event.go
@@ -30,7 +30,7 @@
 	EventCancelled                   // nobody waits for this request any more
 	EventCallNeeded                  // a running request waits for a call to the dependency
 	EventCallDone                    // such a call has ended
-	EventDrain                       // this server is to stop at StopAt
+	EventDrain                       // this process is to stop
 	EventTimer                       // the time of an ActionWake has come; Gauges are set
 	EventDeregister                  // operators want clients elsewhere; the process stays
 	EventReregister                  // operators want clients back
@@ -73,35 +73,74 @@
 	Connections       float64 // open connections
 }
 
-// Event is something that happened to a server. Only the fields of its kind are set.
+// Event is something that happened to a server. Beside Kind and ID only the part of its kind is set. The constructors,
+// from RequestArrived on, set what belongs to a kind.
 type Event struct {
-	Kind EventKind
-	ID   RequestID
+	Kind       EventKind
+	ID         RequestID   // of the request that it is about; 0 for those that are about the server
+	Arrival    Arrival     // EventRequest
+	Completion Completion  // EventDone, EventCallDone
+	Drain      DrainSignal // EventDrain
+	Gauges     Gauges      // EventTimer
+}
 
-	// EventRequest.
-	Class             int
-	Tenant            int
-	Client            int           // number of the client
+// Arrival is what is known of a request that was read.
+type Arrival struct {
+	Class             int           // index into Settings.Classes
+	Tenant            int           // index into Settings.Tenants
 	MemoryKB          float64       // memory while queued
 	CostHint          time.Duration // expected work on a standard core; 0: unknown
-	HasSubject        bool          // it names the subject of a read
 	Retry             bool          // it is marked as a retry
 	RetryOf           RequestID     // the remembered request that it retries; 0: none
-	Rank              float64       // its place among all requests by value, 0 to 1
-	Deadline          time.Duration // when its client gives up; 0: not known
 	FleetRank         FleetRank
+	Deadline          time.Duration // when its client gives up; 0: not known
+	Waited            time.Duration // since it reached the machine
 	SinceFirstAttempt time.Duration // from the first attempt of its client to this one; 0: none, or not known
 	RetryJitter       time.Duration // added to advice to stay away, so that clients don't return at one instant
+}
 
-	Waited time.Duration // EventRequest: since it reached the machine; EventDrain: since the signal
-
-	// EventDone and EventCallDone.
+// Completion is the end of a run, of the reuse of a result, or of a call.
+type Completion struct {
 	Outcome Outcome
-	Took    time.Duration
+	Took    time.Duration // since it was started
+}
 
-	// EventDrain.
+// DrainSignal is the request that a process stops.
+type DrainSignal struct {
+	Waited   time.Duration // since the signal
 	StopAt   time.Duration // when the process ends
 	Replaced bool          // another process of this server goes on: health stays
+}
+
+// RequestArrived is an EventRequest.
+func RequestArrived(id RequestID, arrival Arrival) Event {
+	return Event{Kind: EventRequest, ID: id, Arrival: arrival}
+}
 
-	Gauges Gauges // EventTimer
+// RunCompleted is an EventDone.
+func RunCompleted(id RequestID, completion Completion) Event {
+	return Event{Kind: EventDone, ID: id, Completion: completion}
 }
+
+// RequestCancelled is an EventCancelled.
+func RequestCancelled(id RequestID) Event { return Event{Kind: EventCancelled, ID: id} }
+
+// CallNeeded is an EventCallNeeded.
+func CallNeeded(id RequestID) Event { return Event{Kind: EventCallNeeded, ID: id} }
+
+// CallCompleted is an EventCallDone.
+func CallCompleted(id RequestID, completion Completion) Event {
+	return Event{Kind: EventCallDone, ID: id, Completion: completion}
+}
+
+// DrainStarted is an EventDrain.
+func DrainStarted(signal DrainSignal) Event { return Event{Kind: EventDrain, Drain: signal} }
+
+// TimerFired is an EventTimer.
+func TimerFired(gauges Gauges) Event { return Event{Kind: EventTimer, Gauges: gauges} }
+
+// ServerDeregistered is an EventDeregister.
+func ServerDeregistered() Event { return Event{Kind: EventDeregister} }
+
+// ServerReregistered is an EventReregister.
+func ServerReregistered() Event { return Event{Kind: EventReregister} }
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -75,7 +75,7 @@
 	}
 	for _, replaced := range []bool{false, true} {
 		fmt.Fprintf(&got, "notice, replaced %t\n", replaced)
-		logged(&got, start(t, testSettings()).Step(ms, []Event{{Kind: EventDrain, StopAt: 3000 * ms, Replaced: replaced}}, nil))
+		logged(&got, start(t, testSettings()).Step(ms, []Event{DrainStarted(DrainSignal{StopAt: 3000 * ms, Replaced: replaced})}, nil))
 	}
 	golden.RequireText(t, "reports", got.String())
 }
@@ -83,7 +83,7 @@
 func logged(got *strings.Builder, actions []Action) {
 	for _, a := range actions {
 		if a.Kind == ActionLog {
-			fmt.Fprintf(got, "\t%s\n", a.Text)
+			fmt.Fprintf(got, "\t%s\n", a.Condition.String())
 		}
 	}
 }
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -10,7 +10,7 @@
 	off, answers := time.Duration(0), 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
 		e := req(RequestID(now+1), 0)
-		e.Waited = 900 * ms
+		e.Arrival.Waited = 900 * ms
 		for _, a := range controller.Step(now, []Event{e}, nil) {
 			if a.Kind == ActionHealth {
 				answers++
@@ -29,9 +29,9 @@
 	if controller.unhealthy || controller.readWait.value > 0.2 {
 		t.Errorf("unwell %v, wait %v s, though nothing comes any more", controller.unhealthy, controller.readWait.value)
 	}
-	controller.Step(20*time.Second, []Event{{Kind: EventDrain, StopAt: 25 * time.Second}}, nil)
+	controller.Step(20*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
 	e := req(1, 0)
-	e.Waited = 5 * time.Second
+	e.Arrival.Waited = 5 * time.Second
 	as := controller.Step(21*time.Second, []Event{e}, nil)
 	as = controller.Step(23*time.Second, nil, as)
 	wantNone(t, as, ActionHealth, 0)
@@ -40,20 +40,20 @@
 // A server that operators have deregistered stays so until they take it back, whatever the load; requests are run meanwhile.
 func TestDeregisteredUntilReregistered(t *testing.T) {
 	controller := start(t, testSettings())
-	if want(t, controller.Step(time.Second, []Event{{Kind: EventDeregister}}, nil), ActionHealth, 0).Healthy {
+	if want(t, controller.Step(time.Second, []Event{ServerDeregistered()}, nil), ActionHealth, 0).Health.Healthy {
 		t.Error("health is not bad after EventDeregister")
 	}
 	for now := 1100 * ms; now < 5*time.Second; now += 100 * ms {
-		if find(controller.Step(now, []Event{{Kind: EventTimer}}, nil), ActionHealth, 0) != nil {
+		if find(controller.Step(now, []Event{TimerFired(Gauges{})}, nil), ActionHealth, 0) != nil {
 			t.Error("health changed by itself")
 		}
 	}
 	want(t, controller.Step(5*time.Second, []Event{req(1, 0)}, nil), ActionRun, 1)
-	if !want(t, controller.Step(6*time.Second, []Event{{Kind: EventReregister}}, nil), ActionHealth, 0).Healthy {
+	if !want(t, controller.Step(6*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0).Health.Healthy {
 		t.Error("health is not good after Restore")
 	}
-	controller.Step(7*time.Second, []Event{{Kind: EventDrain, StopAt: 9 * time.Second}}, nil)
-	if find(controller.Step(7*time.Second, []Event{{Kind: EventReregister}}, nil), ActionHealth, 0) != nil {
+	controller.Step(7*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 9 * time.Second})}, nil)
+	if find(controller.Step(7*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0) != nil {
 		t.Error("a server that leaves came back")
 	}
 }
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -18,7 +18,7 @@
 		Tenants: []Tenant{{ServiceRatio: 0.6, QuotaPerSecond: 300}, {ServiceRatio: 0.4, QuotaPerSecond: 200}},
 		Halt:    HaltDrop, Dependency: DependencyShared, MaxCallsInFlight: 6, CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * ms,
 		SlowStartSpeedRatio: 0.2, SlowStartTime: 10 * time.Second, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 1500 * ms, AnswerGrace: 60 * ms,
-		DrainGrace: time.Second, MaxRetryAfter: time.Second, SendsRetryAfter: true, SendsCancellations: true,
+		DrainGrace: time.Second, MaxRetryAfter: time.Second, SendsRetryAfter: true,
 		IdleTimeout: 30 * time.Second, Tick: 5 * ms,
 		Weights: Weights{WholeRun: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}, ExcessValueRatio: 0.05}
 }
@@ -34,7 +34,7 @@
 }
 
 func req(id RequestID, class int) Event {
-	return Event{Kind: EventRequest, ID: id, Class: class, MemoryKB: 10, CostHint: 100 * ms}
+	return RequestArrived(id, Arrival{Class: class, MemoryKB: 10, CostHint: 100 * ms})
 }
 
 func find(as []Action, kind ActionKind, id RequestID) *Action {
--- a/admission/idempotency_test.go
+++ b/admission/idempotency_test.go
@@ -11,11 +11,11 @@
 	want(t, actions, ActionRemember, 1)
 	want(t, actions, ActionRun, 1)
 	again := req(2, 1)
-	again.RetryOf = 1
+	again.Arrival.RetryOf = 1
 	actions = controller.Step(ms, []Event{again}, nil)
 	want(t, actions, ActionReuse, 2)
 	wantNone(t, actions, ActionRun, 2)
-	controller.Step(200*ms, []Event{{Kind: EventDone, ID: 1, Took: 200 * ms}, {Kind: EventDone, ID: 2, Took: 200 * ms}}, nil)
+	controller.Step(200*ms, []Event{RunCompleted(1, Completion{Took: 200 * ms}), RunCompleted(2, Completion{Took: 200 * ms})}, nil)
 	again.ID = 3
 	want(t, controller.Step(time.Second, []Event{again}, nil), ActionReuse, 3)
 }
@@ -31,10 +31,10 @@
 		t.Fatal("request 1 is not queued")
 	}
 	retry := req(2, 1)
-	retry.RetryOf = 1
+	retry.Arrival.RetryOf = 1
 	wantNone(t, controller.Step(ms, []Event{retry}, nil), ActionReuse, 2)
-	actions := controller.Step(2*ms, []Event{{Kind: EventCancelled, ID: 1}}, nil)
-	ended := []Event{{Kind: EventDone, ID: 8, Took: 100 * ms}, {Kind: EventDone, ID: 9, Took: 100 * ms}}
+	actions := controller.Step(2*ms, []Event{RequestCancelled(1)}, nil)
+	ended := []Event{RunCompleted(8, Completion{Took: 100 * ms}), RunCompleted(9, Completion{Took: 100 * ms})}
 	actions = controller.Step(100*ms, ended, actions)
 	want(t, actions, ActionRemember, 2)
 	want(t, actions, ActionRun, 2)
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -26,7 +26,7 @@
 	for id := RequestID(1); id <= 60; id++ {
 		as := controller.Step(0, []Event{req(id, 0)}, nil)
 		if find(as, ActionRun, id) != nil {
-			controller.Step(0, []Event{{Kind: EventCallNeeded, ID: id}}, nil)
+			controller.Step(0, []Event{CallNeeded(id)}, nil)
 		}
 	}
 	if limit := float64(settings.Cores) * (1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio); controller.running == 0 || float64(controller.running) > limit {
--- a/admission/recorded_events_test.go
+++ b/admission/recorded_events_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	if s.now >= s.wakeAt {
-		events = append(events, Event{Kind: EventTimer, Gauges: s.episode.gauges(s)})
+		events = append(events, TimerFired(s.episode.gauges(s)))
 	}
 	return s.unusualEvents(events, step)
 }
@@ -39,22 +39,22 @@
 // unusualEvents adds a drain, operators' events, and events that a controller has to ignore.
 func (s *recordedServer) unusualEvents(events []Event, step int) []Event {
 	if step == s.drainStep || step == s.drainStep+20 {
-		events = append(events, Event{Kind: EventDrain, StopAt: s.now + 1500*ms, Replaced: s.rng.IntN(2) == 0,
-			Waited: time.Duration(s.rng.IntN(30)) * ms})
+		events = append(events, DrainStarted(DrainSignal{StopAt: s.now + 1500*ms, Replaced: s.rng.IntN(2) == 0,
+			Waited: time.Duration(s.rng.IntN(30)) * ms}))
 	}
 	switch s.rng.IntN(400) {
 	case 0:
-		events = append(events, Event{Kind: EventDeregister})
+		events = append(events, ServerDeregistered())
 	case 1, 2:
-		events = append(events, Event{Kind: EventReregister})
+		events = append(events, ServerReregistered())
 	case 3:
-		events = append(events, Event{Kind: EventDone, ID: s.lastID + 7, Outcome: OutcomeNotStarted})
+		events = append(events, RunCompleted(s.lastID+7, Completion{Outcome: OutcomeNotStarted}))
 	case 4:
-		events = append(events, Event{Kind: EventCancelled, ID: s.lastID + 7})
+		events = append(events, RequestCancelled(s.lastID+7))
 	case 5:
-		events = append(events, Event{Kind: EventCallNeeded, ID: s.lastID + 7})
+		events = append(events, CallNeeded(s.lastID+7))
 	case 6:
-		events = append(events, Event{Kind: EventCallDone, ID: s.lastID + 7, Took: ms})
+		events = append(events, CallCompleted(s.lastID+7, Completion{Took: ms}))
 	case 7:
 		if len(events) > 0 {
 			events = append(events, events[s.rng.IntN(len(events))]) // the same again
@@ -68,24 +68,24 @@
 	s.lastID++
 	request := &recordedRequest{id: s.lastID, class: s.rng.IntN(len(s.settings.Classes)),
 		work: time.Duration(1+s.rng.IntN(200)) * ms}
-	event := Event{Kind: EventRequest, ID: request.id, Class: request.class, Tenant: s.rng.IntN(4) - s.rng.IntN(40)/39,
-		MemoryKB: 0.25 * float64(1+s.rng.IntN(80)), FleetRank: s.episode.fleetRanks[s.rng.IntN(len(s.episode.fleetRanks))]}
+	event := RequestArrived(request.id, Arrival{Class: request.class, Tenant: s.rng.IntN(4) - s.rng.IntN(40)/39,
+		MemoryKB: 0.25 * float64(1+s.rng.IntN(80)), FleetRank: s.episode.fleetRanks[s.rng.IntN(len(s.episode.fleetRanks))]})
 	if s.rng.IntN(4) > 0 {
-		event.CostHint = request.work
+		event.Arrival.CostHint = request.work
 	}
-	event.Waited = time.Duration(s.rng.IntN(10)) * ms
+	event.Arrival.Waited = time.Duration(s.rng.IntN(10)) * ms
 	if s.episode.lateReading {
-		event.Waited = time.Duration(s.rng.IntN(2500)) * ms
+		event.Arrival.Waited = time.Duration(s.rng.IntN(2500)) * ms
 	}
 	if s.rng.IntN(3) == 0 {
-		event.Deadline = s.now + time.Duration(s.rng.IntN(4000))*ms
+		event.Arrival.Deadline = s.now + time.Duration(s.rng.IntN(4000))*ms
 	}
 	if s.rng.Float64() < s.episode.retryRatio {
 		s.makeRetry(&event)
 	}
 	switch s.rng.IntN(300) {
 	case 0:
-		event.Class = -1 + (len(s.settings.Classes)+1)*s.rng.IntN(2) // no such class
+		event.Arrival.Class = -1 + (len(s.settings.Classes)+1)*s.rng.IntN(2) // no such class
 	case 1:
 		if len(s.live) > 0 {
 			event.ID = s.live[s.rng.IntN(len(s.live))].id // known already
@@ -97,19 +97,19 @@
 }
 
 func (s *recordedServer) makeRetry(event *Event) {
-	event.Retry = true
-	event.RetryJitter = time.Duration(s.rng.IntN(300)) * ms
+	event.Arrival.Retry = true
+	event.Arrival.RetryJitter = time.Duration(s.rng.IntN(300)) * ms
 	if s.rng.IntN(2) == 0 {
-		event.SinceFirstAttempt = time.Duration(s.rng.IntN(1500)) * ms
+		event.Arrival.SinceFirstAttempt = time.Duration(s.rng.IntN(1500)) * ms
 	}
 	switch s.rng.IntN(4) {
 	case 0, 1:
 		if len(s.remembered) > 0 {
-			event.RetryOf = s.remembered[max(0, len(s.remembered)-1-s.rng.IntN(12))]
+			event.Arrival.RetryOf = s.remembered[max(0, len(s.remembered)-1-s.rng.IntN(12))]
 		}
 	case 2:
 		if len(s.live) > 0 {
-			event.RetryOf = s.live[s.rng.IntN(len(s.live))].id
+			event.Arrival.RetryOf = s.live[s.rng.IntN(len(s.live))].id
 		}
 	}
 }
@@ -118,7 +118,7 @@
 func (s *recordedServer) progress(events []Event, request *recordedRequest) []Event {
 	if !request.answered && s.rng.Float64() < s.episode.cancelledRatio {
 		request.answered = true
-		events = append(events, Event{Kind: EventCancelled, ID: request.id})
+		events = append(events, RequestCancelled(request.id))
 		if request.phase == attemptWaiting || request.phase == attemptJoined {
 			request.phase = attemptCompleted
 		}
@@ -131,7 +131,7 @@
 	case request.phase == attemptRunning && request.callsAhead > 0:
 		request.callsAhead--
 		request.phase, request.endsAt = attemptAwaitingCall, 0
-		return append(events, Event{Kind: EventCallNeeded, ID: request.id})
+		return append(events, CallNeeded(request.id))
 	case request.phase == attemptRunning || request.phase == attemptJoined:
 		outcome := OutcomeOK
 		if s.rng.IntN(20) == 0 {
@@ -146,7 +146,7 @@
 
 func (s *recordedServer) endRun(events []Event, request *recordedRequest, outcome Outcome) []Event {
 	request.phase = attemptCompleted
-	return append(events, Event{Kind: EventDone, ID: request.id, Outcome: outcome, Took: s.now - request.startedAt})
+	return append(events, RunCompleted(request.id, Completion{Outcome: outcome, Took: s.now - request.startedAt}))
 }
 
 func (s *recordedServer) endCall(events []Event, request *recordedRequest) []Event {
@@ -155,7 +155,7 @@
 	if outcome == OutcomeOK {
 		request.phase, request.endsAt = attemptRunning, s.now+request.work/4
 	}
-	return append(events, Event{Kind: EventCallDone, ID: request.id, Outcome: outcome, Took: s.now - request.calledAt})
+	return append(events, CallCompleted(request.id, Completion{Outcome: outcome, Took: s.now - request.calledAt}))
 }
 
 // carryOut carries out an action.
--- a/admission/recorded_run_test.go
+++ b/admission/recorded_run_test.go
@@ -42,13 +42,13 @@
 	return recordedAction{
 		Kind:       uint8(action.Kind),
 		ID:         uint64(action.ID),
-		Reason:     uint8(action.Reason),
-		RetryAfter: int64(action.RetryAfter),
-		NoRetry:    action.NoRetryElsewhere,
+		Reason:     uint8(action.Rejection.Reason),
+		RetryAfter: int64(action.Rejection.RetryAfter),
+		NoRetry:    action.Rejection.NoRetryElsewhere,
 		Timeout:    int64(action.Timeout),
 		Duration:   int64(action.Duration),
-		Healthy:    action.Healthy,
-		Cached:     action.Cached,
+		Healthy:    action.Health.Healthy,
+		Cached:     action.Health.Cached,
 		Value:      math.Float64bits(action.Value),
 		At:         int64(action.At),
 	}
@@ -75,9 +75,9 @@
 	r.events[event.Kind]++
 	switch event.Kind {
 	case EventRequest:
-		r.ranks[event.FleetRank]++
+		r.ranks[event.Arrival.FleetRank]++
 	case EventDone, EventCallDone:
-		r.outcomes[event.Outcome]++
+		r.outcomes[event.Completion.Outcome]++
 	case EventCancelled, EventCallNeeded, EventDrain, EventTimer, EventDeregister, EventReregister: // nothing more
 	}
 }
@@ -85,7 +85,7 @@
 func (r *recordedCoverage) countAction(action *Action) {
 	r.actions[action.Kind]++
 	if action.Kind == ActionReject {
-		r.reasons[action.Reason]++
+		r.reasons[action.Rejection.Reason]++
 	}
 }
 
--- a/admission/reporting.go
+++ b/admission/reporting.go
@@ -6,40 +6,26 @@
 
 const reportInterval = 5 * time.Second // least time between two log lines about one condition; ours
 
-// The conditions that are reported.
-const (
-	conditionBreaker = iota
-	conditionCallLimit
-	conditionAdmission
-	conditionMemory
-	conditionHealth
-	conditionCount
-)
-
-// condition is what was reported last of a condition, and when.
-type condition struct {
+// conditionState is what was reported last of a condition, and when.
+type conditionState struct {
 	active     bool
 	reportedAt time.Duration
 }
 
 func (c *Controller) reportConditions() {
-	c.reportCondition(conditionBreaker, c.dropProbability() > 0, "breaker drops calls")
-	c.reportCondition(conditionCallLimit, c.callLimitRatio <= minCallLimitRatio, "bound on calls at its least")
-	c.reportCondition(conditionAdmission, c.admitProbability <= admitDecrease, "admitted share lowered")
-	c.reportCondition(conditionMemory, c.memoryKB > c.memoryLimit(), "memory full, requests refused")
-	c.reportCondition(conditionHealth, c.unhealthy, "unwell: requests wait long to be read")
+	c.reportCondition(ConditionBreaker, c.dropProbability() > 0)
+	c.reportCondition(ConditionCallLimit, c.callLimitRatio <= minCallLimitRatio)
+	c.reportCondition(ConditionAdmission, c.admitProbability <= admitDecrease)
+	c.reportCondition(ConditionMemory, c.memoryKB > c.memoryLimit())
+	c.reportCondition(ConditionHealth, c.unhealthy)
 }
 
 // reportCondition logs that a condition begins or ends, once per reportInterval at most.
-func (c *Controller) reportCondition(index int, active bool, text string) {
-	last := &c.conditions[index]
+func (c *Controller) reportCondition(condition Condition, active bool) {
+	last := &c.conditions[condition]
 	if active == last.active || c.now < last.reportedAt+reportInterval && last.reportedAt > 0 {
 		return
 	}
 	last.active, last.reportedAt = active, max(c.now, 1)
-	change := ": ends"
-	if active {
-		change = ": begins"
-	}
-	c.emit(Action{Kind: ActionLog, Text: text + change})
+	c.emit(Action{Kind: ActionLog, Condition: ConditionChange{condition, active}})
 }
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -13,15 +13,15 @@
 		controller.callLimitRatio = []float64{minCallLimitRatio, maxCallLimitRatio}[i%2]
 		for _, a := range controller.Step(now, nil, nil) {
 			if a.Kind == ActionLog {
-				lines[a.Text]++
+				lines[a.Condition.String()]++
 			}
 		}
 	}
 	if n := lines["bound on calls at its least: begins"]; n == 0 || n > 4 {
 		t.Errorf("log lines %v", lines)
 	}
-	as := controller.Step(21*time.Second, []Event{{Kind: EventDrain, StopAt: 25 * time.Second}}, nil)
-	if a := want(t, as, ActionLog, 0); a.Text != "drain begins" {
-		t.Errorf("log line %q", a.Text)
+	as := controller.Step(21*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
+	if a := want(t, as, ActionLog, 0); a.Condition.String() != "drain begins" {
+		t.Errorf("log line %q", a.Condition.String())
 	}
 }
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -55,30 +55,31 @@
 	log            []Action
 	lastID         RequestID
 	lastIdempotent map[int]RequestID // by class
+	sendsDeadlines bool              // requests carry the deadlines of their clients
 }
 
 // drawRequest draws a new request, or a retry of one that is remembered.
 func (s *randomServer) drawRequest() Event {
 	s.lastID++
 	class := s.rng.IntN(len(s.settings.Classes))
-	event := Event{Kind: EventRequest, ID: s.lastID, Class: class, Tenant: s.rng.IntN(2), MemoryKB: 5 + 20*s.rng.Float64(),
-		CostHint: time.Duration(s.rng.IntN(300)) * ms, Retry: s.rng.IntN(4) == 0, Waited: time.Duration(s.rng.IntN(50)) * ms}
+	event := RequestArrived(s.lastID, Arrival{Class: class, Tenant: s.rng.IntN(2), MemoryKB: 5 + 20*s.rng.Float64(),
+		CostHint: time.Duration(s.rng.IntN(300)) * ms, Retry: s.rng.IntN(4) == 0, Waited: time.Duration(s.rng.IntN(50)) * ms})
 	origin := int(s.lastID)
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && s.rng.IntN(2) == 0 {
 		if leader, ok := s.lastIdempotent[class]; ok && s.keys[leader] > s.now {
-			event.RetryOf, origin = leader, s.attempts[leader].origin
+			event.Arrival.RetryOf, origin = leader, s.attempts[leader].origin
 		}
 	}
-	if s.settings.Classes[class].Idempotency == IdempotentByKey && event.RetryOf == 0 {
+	if s.settings.Classes[class].Idempotency == IdempotentByKey && event.Arrival.RetryOf == 0 {
 		s.lastIdempotent[class] = event.ID
 	}
-	deadline := s.now - event.Waited + s.settings.Classes[class].Deadline
-	if s.settings.SendsDeadlines {
+	deadline := s.now - event.Arrival.Waited + s.settings.Classes[class].Deadline
+	if s.sendsDeadlines {
 		deadline = s.now + time.Duration(s.rng.IntN(3000))*ms
-		event.Deadline = deadline
+		event.Arrival.Deadline = deadline
 	}
-	s.attempts[event.ID] = &attempt{class: class, arrivedAt: s.now - event.Waited, deadline: max(deadline, s.now),
-		origin: origin, memoryKB: event.MemoryKB}
+	s.attempts[event.ID] = &attempt{class: class, arrivedAt: s.now - event.Arrival.Waited, deadline: max(deadline, s.now),
+		origin: origin, memoryKB: event.Arrival.MemoryKB}
 	s.live = append(s.live, event.ID)
 	return event
 }
@@ -108,7 +109,7 @@
 func (s *randomServer) progress(events []Event, id RequestID, current *attempt) []Event {
 	done := func(outcome Outcome, took time.Duration) []Event {
 		current.phase, current.answered = attemptCompleted, true
-		return append(events, Event{Kind: EventDone, ID: id, Outcome: outcome, Took: took})
+		return append(events, RunCompleted(id, Completion{Outcome: outcome, Took: took}))
 	}
 	atCall := current.phase == attemptAwaitingCall || current.phase == attemptCalling
 	switch roll := s.rng.IntN(40); {
@@ -118,12 +119,12 @@
 		return append(events, s.endCall(id, current))
 	case current.phase == attemptRunning && roll < 2 && !current.answered:
 		current.phase, current.callsThatRan = attemptAwaitingCall, 0
-		return append(events, Event{Kind: EventCallNeeded, ID: id})
+		return append(events, CallNeeded(id))
 	case current.phase == attemptRunning && roll < 6:
 		return done(Outcome(s.rng.IntN(2)), 100*ms)
 	case roll == 39 && !current.answered:
 		current.cancelled, current.answered = true, true
-		events = append(events, Event{Kind: EventCancelled, ID: id})
+		events = append(events, RequestCancelled(id))
 		switch {
 		case atCall:
 			return done(OutcomeCancelled, 0)
@@ -147,7 +148,7 @@
 	if outcome == OutcomeOK {
 		current.phase = attemptRunning
 	}
-	return Event{Kind: EventCallDone, ID: id, Outcome: outcome, Took: 20 * ms}
+	return CallCompleted(id, Completion{Outcome: outcome, Took: 20 * ms})
 }
 
 // carryOut carries out actions and checks that each is allowed.
@@ -283,25 +284,26 @@
 }
 
 // playRandom has a controller decide on random events, the last of them in a drain, and returns its actions.
-func playRandom(t *testing.T, settings Settings, seed uint64) []Action {
+func playRandom(t *testing.T, variant settingsVariant, seed uint64) []Action {
 	t.Helper()
+	settings := variant.settings
 	controller, err := New(settings, seed, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &randomServer{t: t, settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[RequestID]*attempt{},
-		keys: map[RequestID]time.Duration{}, runs: map[int]int{}, lastIdempotent: map[int]RequestID{}}
+		keys: map[RequestID]time.Duration{}, runs: map[int]int{}, lastIdempotent: map[int]RequestID{}, sendsDeadlines: variant.sendsDeadlines}
 	stopAt := time.Duration(0)
 	for i := 0; i < 1500 && (stopAt == 0 || server.now < stopAt); i++ {
 		server.now += time.Duration(1+server.rng.IntN(15)) * ms // late timers, uneven batches
 		events := server.drawEvents()
 		if i == 1200 {
 			server.drainStartedAt, stopAt = server.now, server.now+2500*ms
-			events = append(events, Event{Kind: EventDrain, StopAt: stopAt})
+			events = append(events, DrainStarted(DrainSignal{StopAt: stopAt}))
 		}
 		if i%12 == 0 {
 			gauges := Gauges{CPUUtilization: server.rng.Float64(), CPUDemand: 12 * server.rng.Float64()}
-			events = append(events, Event{Kind: EventTimer, Gauges: gauges})
+			events = append(events, TimerFired(gauges))
 		}
 		actions := controller.Step(server.now, events, nil)
 		server.carryOut(actions)
@@ -316,12 +318,18 @@
 	return server.log
 }
 
-func settingsVariants() []Settings {
-	var variants []Settings
+// settingsVariant is what a random server is like.
+type settingsVariant struct {
+	settings       Settings
+	sendsDeadlines bool
+}
+
+func settingsVariants() []settingsVariant {
+	var variants []settingsVariant
 	for i := range 12 {
 		settings := testSettings()
 		settings.Halt, settings.Advert, settings.Dependency = Halt(i%3), Advert(i%4), Dependency(i%3)
-		settings.WarmingUp, settings.SendsDeadlines = i%2 == 0, i%5 < 2
+		settings.WarmingUp = i%2 == 0
 		if settings.Dependency != DependencyShared {
 			settings.MaxCallsInFlight = 0
 		}
@@ -334,28 +342,28 @@
 		if i == 7 {
 			settings.MaxCallsInFlight = 0.4
 		}
-		variants = append(variants, settings)
+		variants = append(variants, settingsVariant{settings, i%5 < 2})
 	}
 	for i, calls := range []float64{0.05, 0.4, 0.9} { // small servers of large fleets
 		settings := testSettings()
 		settings.Cores, settings.MaxCallsInFlight, settings.Clients, settings.FleetSize = 1+i%2, calls, 1000, 300
 		settings.MarksRetries, settings.Advert, settings.MemoryKB = i == 1, Advert(i+1), 1500
-		variants = append(variants, settings)
+		variants = append(variants, settingsVariant{settings: settings})
 	}
 	return variants
 }
 
 func TestRulesForRandomEvents(t *testing.T) {
-	for i, settings := range settingsVariants() {
+	for i, variant := range settingsVariants() {
 		for seed := range uint64(4) {
-			t.Run(fmt.Sprint(i, "-", seed), func(t *testing.T) { playRandom(t, settings, seed) })
+			t.Run(fmt.Sprint(i, "-", seed), func(t *testing.T) { playRandom(t, variant, seed) })
 		}
 	}
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	for i, settings := range settingsVariants() {
-		if !reflect.DeepEqual(playRandom(t, settings, 5), playRandom(t, settings, 5)) {
+	for i, variant := range settingsVariants() {
+		if !reflect.DeepEqual(playRandom(t, variant, 5), playRandom(t, variant, 5)) {
 			t.Fatalf("variant %d acts differently on the same events", i)
 		}
 	}
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -66,17 +66,17 @@
 	if req == nil || req.state < joined {
 		return
 	}
-	if event.Outcome == OutcomeOK && req.state == running {
+	if event.Completion.Outcome == OutcomeOK && req.state == running {
 		class := &c.classes[req.class]
-		class.cpuTime.add(req.work, (event.Took - req.callTime).Seconds(), estimateGain)
+		class.cpuTime.add(req.work, (event.Completion.Took - req.callTime).Seconds(), estimateGain)
 		class.callsPerRun.add(float64(req.callAttempts), estimateGain)
 		class.meanLatency.add((c.now - req.arrivedAt - req.callTime).Seconds(), latencyGain)
 		c.speed.add(c.busyTime, req.work, 0)
 	}
-	if event.Outcome == OutcomeCancelled && !req.answered {
+	if event.Completion.Outcome == OutcomeCancelled && !req.answered {
 		c.emit(Action{Kind: ActionFail, ID: req.id})
 	}
-	noResult := event.Outcome == OutcomeCancelled || event.Outcome == OutcomeFailed
+	noResult := event.Completion.Outcome == OutcomeCancelled || event.Completion.Outcome == OutcomeFailed
 	if noResult && c.settings.Classes[req.class].Idempotency == Safe && req.remembered {
 		c.forgetKey(req)
 	}
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -103,10 +103,7 @@
 	IdleTimeout           time.Duration // after which clients close idle connections; 0: not known
 	MaxRetryAfter         time.Duration // longest advice to stay away that clients heed
 	SendsRetryAfter       bool          // such advice is passed on
-	SendsCancellations    bool          // EventCancelled is sent
-	SendsDeadlines        bool          // requests carry a deadline
 	MarksRetries          bool          // retries are marked
-	RegistryFollowsHealth bool          // the registry of servers follows health checks
 	Tick                  time.Duration // least time between two batches
 	Weights               Weights
 	WeightPerWork         bool    // PriorityWeight counts per unit of work, not per request
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -36,7 +36,7 @@
 		t.Errorf("memory %v after new settings", controller.memoryKB)
 	}
 	want(t, controller.Step(100*ms, []Event{req(2, 4)}, nil), ActionRun, 2)
-	controller.Step(200*ms, []Event{{Kind: EventDone, ID: 1, Took: 200 * ms}, {Kind: EventDone, ID: 2, Took: 100 * ms}}, nil)
+	controller.Step(200*ms, []Event{RunCompleted(1, Completion{Took: 200 * ms}), RunCompleted(2, Completion{Took: 100 * ms})}, nil)
 	if controller.running != 0 || controller.memoryKB != 20 {
 		t.Errorf("%d runs and memory %v after all ended", controller.running, controller.memoryKB)
 	}
@@ -82,11 +82,10 @@
 	for id := RequestID(1); id <= 400; id++ {
 		now := time.Duration(id) * 50 * ms
 		event := req(id, int(id)%4)
-		event.Client = int(id)
-		events := []Event{event, {Kind: EventTimer, Gauges: Gauges{-1, -1, -1, -1}}}
+		events := []Event{event, TimerFired(Gauges{-1, -1, -1, -1})}
 		for other := RequestID(1); other < id; other++ { // in order, so that a failure repeats
 			if at, ok := startedAt[other]; ok && now > at+100*ms {
-				events = append(events, Event{Kind: EventDone, ID: other, Took: now - at})
+				events = append(events, RunCompleted(other, Completion{Took: now - at}))
 				delete(startedAt, other)
 			}
 		}
@@ -101,7 +100,7 @@
 	runs := 0
 	for _, action := range actions {
 		if math.IsNaN(action.Value) || math.IsInf(action.Value, 0) || action.Value < 0 ||
-			action.Duration < 0 || action.Timeout < 0 || action.RetryAfter < 0 {
+			action.Duration < 0 || action.Timeout < 0 || action.Rejection.RetryAfter < 0 {
 			t.Errorf("%s: action %+v", name, action)
 		}
 		if action.Kind == ActionRun {
--- a/admission/state.go
+++ b/admission/state.go
@@ -149,10 +149,10 @@
 	drainStartedAt  time.Duration
 	stopAt          time.Duration // when the process ends
 
-	conditions [conditionCount]condition // as last reported to the operators
-	timerAt    time.Duration             // of the last ActionWake
-	sweepAt    time.Duration             // of the next sweep
-	idle       bool                      // sweeps are skipped
+	conditions [conditionCount]conditionState // as last reported to the operators
+	timerAt    time.Duration                  // of the last ActionWake
+	sweepAt    time.Duration                  // of the next sweep
+	idle       bool                           // sweeps are skipped
 }
 
 // New returns a controller for a server that starts at now. The error names the field of settings that cannot
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -15,11 +15,11 @@
 	for id := RequestID(1); id <= 100000; id++ {
 		now := time.Duration(id) * 100 * ms
 		e := req(id, int(id)%4)
-		e.Client, e.HasSubject, e.Tenant, e.Retry = int(id), true, int(id)%9, id%7 == 0
+		e.Arrival.Tenant, e.Arrival.Retry = int(id)%9, id%7 == 0
 		events := []Event{e}
 		for _, a := range actions { // what ran in the last batch is done in this one
 			if a.Kind == ActionRun {
-				events = append(events, Event{Kind: EventDone, ID: a.ID, Took: 100 * ms})
+				events = append(events, RunCompleted(a.ID, Completion{Took: 100 * ms}))
 			}
 		}
 		actions = controller.Step(now, events, actions[:0])
@@ -40,9 +40,9 @@
 		controller.Step(0, []Event{{Kind: k, ID: 99}}, nil)
 	}
 	want(t, startToCall(t, controller, 1, 0), ActionCall, 1)
-	ev := Event{Kind: EventCallDone, ID: 1, Took: ms}
-	controller.Step(2*ms, []Event{ev, ev, {Kind: EventCallNeeded, ID: 5}}, nil)
-	controller.Step(3*ms, []Event{{Kind: EventDone, ID: 1}, {Kind: EventDone, ID: 1}, req(2, 77)}, nil)
+	ev := CallCompleted(1, Completion{Took: ms})
+	controller.Step(2*ms, []Event{ev, ev, CallNeeded(5)}, nil)
+	controller.Step(3*ms, []Event{RunCompleted(1, Completion{}), RunCompleted(1, Completion{}), req(2, 77)}, nil)
 	if len(controller.requests) != 0 || controller.running != 0 || controller.onCPU != 0 || controller.memoryKB != 0 || controller.callsInFlight != 0 {
 		t.Fatalf("left over: %d jobs, %d runs, %d on cores, %v kB", len(controller.requests), controller.running, controller.onCPU, controller.memoryKB)
 	}
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -11,14 +11,14 @@
 // more wakes for the gauges each time.
 func TestIdleServerSkipsSweeps(t *testing.T) {
 	controller := start(t, testSettings())
-	controller.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+	controller.Step(1, []Event{TimerFired(calmGauges)}, nil)
 	n := stepAtTimers(controller, 10*time.Second, calmGauges)
 	if n < 9 || n > 12 {
 		t.Errorf("%d wakes in ten seconds at rest", n)
 	}
 	// While the share recovers it is awake.
 	controller.admitProbability = 0.3 // of which the sweeps left out so far make up for some
-	controller.Step(controller.timerAt, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+	controller.Step(controller.timerAt, []Event{TimerFired(calmGauges)}, nil)
 	if n = stepAtTimers(controller, controller.now+2*time.Second, calmGauges); n < 19 {
 		t.Errorf("%d wakes in two seconds of recovery", n)
 	}
@@ -36,20 +36,20 @@
 		sleeps, sweeps := start(t, testSettings()), start(t, testSettings())
 		rng := rand.New(rand.NewPCG(seed, 5))
 		now, id := time.Duration(0), RequestID(0)
-		sleeps.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
-		sweeps.Step(1, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+		sleeps.Step(1, []Event{TimerFired(calmGauges)}, nil)
+		sweeps.Step(1, []Event{TimerFired(calmGauges)}, nil)
 		for round := range 20 {
 			now += time.Duration(rng.IntN(60)+1) * 100 * ms
 			stepAtTimers(sleeps, now, calmGauges)
 			for sweeps.sweepAt <= now {
-				sweeps.Step(sweeps.sweepAt, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+				sweeps.Step(sweeps.sweepAt, []Event{TimerFired(calmGauges)}, nil)
 			}
 			now = max(sweeps.now, sleeps.now) + 50*ms // within a sweep
 			id++
 			class := 1 + rng.IntN(3)
-			script := [][]Event{{req(id, class)}, {{Kind: EventCallNeeded, ID: id}},
-				{{Kind: EventCallDone, ID: id, Outcome: OutcomeOK, Took: time.Duration(rng.IntN(40)) * ms}},
-				{{Kind: EventDone, ID: id, Outcome: OutcomeOK, Took: 30 * ms}}}
+			script := [][]Event{{req(id, class)}, {CallNeeded(id)},
+				{CallCompleted(id, Completion{Outcome: OutcomeOK, Took: time.Duration(rng.IntN(40)) * ms})},
+				{RunCompleted(id, Completion{Outcome: OutcomeOK, Took: 30 * ms})}}
 			for _, events := range script {
 				a := sleeps.Step(now, events, nil)
 				b := sweeps.Step(now, events, nil)
@@ -61,8 +61,8 @@
 			// Both see the end of the recovery awake.
 			for range 40 {
 				now += 100 * ms
-				sleeps.Step(now, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
-				sweeps.Step(now, []Event{{Kind: EventTimer, Gauges: calmGauges}}, nil)
+				sleeps.Step(now, []Event{TimerFired(calmGauges)}, nil)
+				sweeps.Step(now, []Event{TimerFired(calmGauges)}, nil)
 			}
 			if got, want := sweptState(sleeps), sweptState(sweeps); got != want {
 				t.Fatalf("seed %d, round %d: %s, and without rest %s", seed, round, got, want)
@@ -74,7 +74,7 @@
 // stepAtTimers steps c at the times that it asks for, up to until, and returns how often that was.
 func stepAtTimers(c *Controller, until time.Duration, g Gauges) (n int) {
 	for ; c.timerAt <= until; n++ {
-		c.Step(c.timerAt, []Event{{Kind: EventTimer, Gauges: g}}, nil)
+		c.Step(c.timerAt, []Event{TimerFired(g)}, nil)
 	}
 	return n
 }
@@ -94,15 +94,15 @@
 			now, id := time.Duration(1), RequestID(0)
 			for range inHand {
 				id++
-				controller.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 0, MemoryKB: 1, CostHint: time.Microsecond}}, nil)
+				controller.Step(now, []Event{RequestArrived(id, Arrival{Class: 0, MemoryKB: 1, CostHint: time.Microsecond})}, nil)
 			}
 			var actions []Action
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
 				now += 100 * time.Microsecond
-				actions = controller.Step(now, []Event{{Kind: EventRequest, ID: id, Class: 3, MemoryKB: 1, CostHint: time.Microsecond},
-					{Kind: EventCancelled, ID: id}}, actions[:0])
+				actions = controller.Step(now, []Event{RequestArrived(id, Arrival{Class: 3, MemoryKB: 1, CostHint: time.Microsecond}),
+					RequestCancelled(id)}, actions[:0])
 			}
 		})
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -78,10 +78,7 @@
 		CacheTTL:              family.microseconds("FreshForUs"),
 		MaxRetryAfter:         limits.microseconds("MaxRetryAfterUs"),
 		SendsRetryAfter:       limits.boolean("RetryAfter"),
-		SendsCancellations:    family.boolean("TellsGone"),
-		SendsDeadlines:        family.boolean("PassesDeadline"),
 		MarksRetries:          root.object("ClientHabits").boolean("MarksRetry"),
-		RegistryFollowsHealth: family.boolean("ListFollows"),
 		IdleTimeout:           family.microseconds("IdleUs"),
 		Tick:                  root.microseconds("TickUs"),
 		ExcessValueRatio:      root.number("OverShareWorth"),
@@ -93,6 +90,9 @@
 			WorstTenant: mix.number("WorstTenant"),
 		},
 	}
+	for _, unused := range []string{"TellsGone", "PassesDeadline", "ListFollows"} {
+		family.boolean(unused) // must be valid all the same
+	}
 	var ok bool
 	if settings.Classes, ok = readClasses(root, settings.Dependency); ok {
 		settings.Tenants = readTenants(root)
--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -85,19 +85,14 @@
 // submitToController puts a request before the controller, unless its key is that of another request.
 func (s *Server) submitToController(request *activeRequest) {
 	attempt := &request.attempt
-	event := admission.Event{
-		Kind:       admission.EventRequest,
-		ID:         request.id,
-		Class:      request.class,
-		Tenant:     request.tenant,
-		Retry:      attempt.Retry,
-		Client:     attempt.Client,
-		MemoryKB:   attempt.MemoryKB,
-		CostHint:   attempt.CostHint,
-		HasSubject: attempt.Subject != "",
-		Rank:       attempt.Rank,
-		Deadline:   s.clientDeadline(request),
-		Waited:     max(s.clock.now-s.clock.fromUnix(attempt.ArrivedAt), 0),
+	arrival := admission.Arrival{
+		Class:    request.class,
+		Tenant:   request.tenant,
+		Retry:    attempt.Retry,
+		MemoryKB: attempt.MemoryKB,
+		CostHint: attempt.CostHint,
+		Deadline: s.clientDeadline(request),
+		Waited:   max(s.clock.now-s.clock.fromUnix(attempt.ArrivedAt), 0),
 	}
 	if s.config.hasKeys(request.class) {
 		if s.idempotency.conflicts(request) {
@@ -106,13 +101,13 @@
 			s.answerInvalid(request.connection, request.call, errKeyConflict)
 			return
 		}
-		event.RetryOf = s.idempotency.register(request)
-		if event.RetryOf != 0 {
+		arrival.RetryOf = s.idempotency.register(request)
+		if arrival.RetryOf != 0 {
 			s.stats.Retries++
 		}
 	}
-	s.classifyForShedding(request, &event)
-	s.admission.enqueue(event)
+	s.classifyForShedding(request, &arrival)
+	s.admission.enqueue(admission.RequestArrived(request.id, arrival))
 }
 
 // cancel ends the wait for a request whose caller has gone. A run goes on; without one, the request is removed.
@@ -123,7 +118,7 @@
 	s.markAnswered(request)
 	s.logTrace(request, endCancelled)
 	s.abandonCall(request)
-	s.admission.enqueue(admission.Event{Kind: admission.EventCancelled, ID: request.id})
+	s.admission.enqueue(admission.RequestCancelled(request.id))
 	if !request.running() {
 		s.removeRequest(request)
 	}
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -17,7 +17,7 @@
 		return
 	}
 	request.callBody, request.callOffset = notification.Payload, notification.Offset
-	s.admission.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: request.id})
+	s.admission.enqueue(admission.CallNeeded(request.id))
 }
 
 // callStore makes the call that the run of r waits for. The timeout counts from now; 0 stands for the class's deadline.
@@ -67,12 +67,7 @@
 	outcome := replyOutcomes[reply]
 	request.trace.callTime += took
 	request.trace.lastReply = outcomeNames[outcome]
-	s.admission.enqueue(admission.Event{
-		Kind:    admission.EventCallDone,
-		ID:      request.id,
-		Outcome: outcome,
-		Took:    took,
-	})
+	s.admission.enqueue(admission.CallCompleted(request.id, admission.Completion{Outcome: outcome, Took: took}))
 }
 
 func (s *Server) countReply(reply store.Reply) {
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -13,14 +13,14 @@
 func (s *Server) dispatch(action admission.Action) {
 	switch action.Kind {
 	case admission.ActionHealth:
-		s.health.healthy, s.health.cached = action.Healthy, action.Cached
-		s.announcer.Set(action.Healthy)
+		s.health.healthy, s.health.cached = action.Health.Healthy, action.Health.Cached
+		s.announcer.Set(action.Health.Healthy)
 	case admission.ActionIdleTimeout:
 		s.connections.idleTimer.timeout = action.Duration
 	case admission.ActionWake:
 		s.scheduleWake(action.At)
 	case admission.ActionLog:
-		s.log.Info(action.Text)
+		s.log.Info(action.Condition.String())
 	default: // all others are about one request
 		if request := s.requests.byID[action.ID]; request != nil { // else it has ended in the meantime
 			s.dispatchRequest(request, action)
@@ -34,7 +34,7 @@
 	case admission.ActionRun:
 		s.startRun(request)
 	case admission.ActionReject:
-		s.reject(request, action)
+		s.reject(request, action.Rejection)
 	case admission.ActionFail:
 		s.fail(request)
 	case admission.ActionCall:
@@ -62,6 +62,6 @@
 	}
 	s.deadlines.Add(at, func() {
 		gauges := s.gauges.latest(s.clock.now)
-		s.admission.enqueue(admission.Event{Kind: admission.EventTimer, Gauges: gauges})
+		s.admission.enqueue(admission.TimerFired(gauges))
 	})
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -95,12 +95,11 @@
 
 // enqueueDrainEvent notifies the controller of the drain, which may have begun before there was a controller.
 func (s *Server) enqueueDrainEvent() {
-	s.admission.enqueue(admission.Event{
-		Kind:     admission.EventDrain,
+	s.admission.enqueue(admission.DrainStarted(admission.DrainSignal{
 		StopAt:   s.drain.stopAt,
 		Waited:   s.clock.now - s.drain.requestedAt,
 		Replaced: s.drain.replaced,
-	})
+	}))
 }
 
 // closeListeners has new connections refused.
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -24,11 +24,7 @@
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
 		s.warnings.Warn("second run", "second run of a keyed request prevented", nil)
-		s.admission.enqueue(admission.Event{
-			Kind:    admission.EventDone,
-			ID:      request.id,
-			Outcome: admission.OutcomeNotStarted,
-		})
+		s.admission.enqueue(admission.RunCompleted(request.id, admission.Completion{Outcome: admission.OutcomeNotStarted}))
 		s.answer(request, Answer{Kind: Failed})
 		s.removeRequest(request)
 		return
@@ -99,7 +95,7 @@
 		s.member.warmAt = startedAt + settings.SlowStartTime
 	}
 	s.publishStatus()
-	s.admission.enqueue(admission.Event{Kind: admission.EventTimer, Gauges: unknownGauges}) // the first step
+	s.admission.enqueue(admission.TimerFired(unknownGauges)) // the first step
 	if s.health.deregistered {
 		s.enqueueRegistration()
 	}
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -115,7 +115,8 @@
 		server.dispatch(admission.Action{Kind: admission.ActionAdvertise, ID: 1})
 	}},
 	{"a report of the controller", func(_ *testing.T, server *Server) {
-		server.dispatch(admission.Action{Kind: admission.ActionLog, Text: "breaker drops calls: begins"})
+		server.dispatch(admission.Action{Kind: admission.ActionLog, Condition: admission.ConditionChange{
+			Condition: admission.ConditionBreaker, Active: true}})
 	}},
 	{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config, nil) }},
 	{"reload of a file that is wrong", func(_ *testing.T, server *Server) {
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -71,9 +71,9 @@
 
 // enqueueRegistration notifies the controller that the server was deregistered, or registered again.
 func (s *Server) enqueueRegistration() {
-	kind := admission.EventReregister
 	if s.health.deregistered {
-		kind = admission.EventDeregister
+		s.admission.enqueue(admission.ServerDeregistered())
+		return
 	}
-	s.admission.enqueue(admission.Event{Kind: kind})
+	s.admission.enqueue(admission.ServerReregistered())
 }
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -53,13 +53,13 @@
 }
 
 // reject answers a request that the controller turns away.
-func (s *Server) reject(request *activeRequest, action admission.Action) {
-	request.trace.reason = action.Reason.String()
-	if action.Reason == admission.ReasonDependency {
+func (s *Server) reject(request *activeRequest, rejection admission.Rejection) {
+	request.trace.reason = rejection.Reason.String()
+	if rejection.Reason == admission.ReasonDependency {
 		s.recordMissedCall()
 	}
-	s.recordRejection(request, action)
-	s.answer(request, Answer{Kind: Rejected, RetryAfter: action.RetryAfter, NoRetryElsewhere: action.NoRetryElsewhere})
+	s.recordRejection(request, rejection)
+	s.answer(request, Answer{Kind: Rejected, RetryAfter: rejection.RetryAfter, NoRetryElsewhere: rejection.NoRetryElsewhere})
 	if !request.running() {
 		s.removeRequest(request)
 	}
@@ -111,12 +111,10 @@
 
 // enqueueDone tells the controller that a run, or the reuse of a result, has ended.
 func (s *Server) enqueueDone(request *activeRequest, outcome admission.Outcome) {
-	s.admission.enqueue(admission.Event{
-		Kind:    admission.EventDone,
-		ID:      request.id,
+	s.admission.enqueue(admission.RunCompleted(request.id, admission.Completion{
 		Outcome: outcome,
 		Took:    s.clock.now - request.startedAt,
-	})
+	}))
 }
 
 // answerResult answers a request with the result of a run.
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -57,21 +57,21 @@
 // classifyForShedding adds to the event of a request what the fleet makes of it: its rank, its age where it is a retry,
 // and by how much its caller should stay away for longer if it is rejected. It goes by what was received before; nobody
 // is asked.
-func (s *Server) classifyForShedding(request *activeRequest, event *admission.Event) {
+func (s *Server) classifyForShedding(request *activeRequest, arrival *admission.Arrival) {
 	shedding := s.shedding()
 	if shedding == nil {
 		return
 	}
 	attempt := &request.attempt
 	requestFingerprint := fingerprint(attempt)
-	event.SinceFirstAttempt = shedding.ages.Age(s.clock.now, attempt.Class, attempt.Timeout)
-	retry := shedding.retries.Arrived(s.clock.now, requestFingerprint) || event.SinceFirstAttempt > 0
+	arrival.SinceFirstAttempt = shedding.ages.Age(s.clock.now, attempt.Class, attempt.Timeout)
+	retry := shedding.retries.Arrived(s.clock.now, requestFingerprint) || arrival.SinceFirstAttempt > 0
 	value, work := s.config.Settings.Classes[request.class].PriorityWeight, attempt.CostHint.Seconds()
 	if s.config.Settings.WeightPerWork {
 		value *= work
 	}
-	event.FleetRank = fleetRanks[shedding.shedder.Classify(value, work, attempt.Rank, retry)]
-	event.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
+	arrival.FleetRank = fleetRanks[shedding.shedder.Classify(value, work, attempt.Rank, retry)]
+	arrival.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
 }
 
 func fingerprint(a *Attempt) uint64 {
@@ -79,8 +79,8 @@
 }
 
 // recordRejection records a request that will be retried, here or elsewhere.
-func (s *Server) recordRejection(r *activeRequest, a admission.Action) {
-	if shedding := s.shedding(); shedding != nil && !a.NoRetryElsewhere {
+func (s *Server) recordRejection(r *activeRequest, rejection admission.Rejection) {
+	if shedding := s.shedding(); shedding != nil && !rejection.NoRetryElsewhere {
 		shedding.retries.Rejected(s.clock.now, fingerprint(&r.attempt))
 	}
 }
--- a/internal/server/trace_test.go
+++ b/internal/server/trace_test.go
@@ -67,7 +67,7 @@
 	}}, lines())
 
 	rejected := submit(2, "bb", "preview")
-	server.reject(rejected, admission.Action{Reason: admission.ReasonMemory})
+	server.reject(rejected, admission.Rejection{Reason: admission.ReasonMemory})
 	got := lines()
 	require.Len(t, got, 1)
 	require.Equal(t, "refused", got[0]["end"])
--- a/lab/model/actions.go
+++ b/lab/model/actions.go
@@ -15,7 +15,7 @@
 func (s *server) perform(action *admission.Action) {
 	switch action.Kind {
 	case admission.ActionHealth:
-		s.healthy = action.Healthy
+		s.healthy = action.Health.Healthy
 	case admission.ActionWake:
 		s.schedule(action.At, s.wake)
 	default: // of an attempt, or without a meaning in the model
@@ -28,13 +28,10 @@
 // wake passes the controller its timer event with the gauges of now.
 func (s *server) wake() {
 	s.collectCompleted()
-	s.enqueue(admission.Event{
-		Kind: admission.EventTimer,
-		Gauges: admission.Gauges{
-			CPUUtilization: s.cores.Utilization(), CPUDemand: float64(s.cores.InFlight()),
-			MemoryUtilization: modelMemoryUtilization, Connections: modelConnections,
-		},
-	})
+	s.enqueue(admission.TimerFired(admission.Gauges{
+		CPUUtilization: s.cores.Utilization(), CPUDemand: float64(s.cores.InFlight()),
+		MemoryUtilization: modelMemoryUtilization, Connections: modelConnections,
+	}))
 	s.cores.scheduleCompletion()
 }
 
@@ -49,20 +46,20 @@
 		attempt.degraded = true
 		s.run(attempt)
 	case admission.ActionReject:
-		s.reject(attempt, action)
+		s.reject(attempt, action.Rejection)
 	case admission.ActionFail:
 		s.fail(attempt)
 	default: // the model runs to their end what the agent could stop, and has no keys, registry or log
 	}
 }
 
-func (s *server) reject(attempt *attempt, action *admission.Action) {
-	if s.shedding != nil && !action.NoRetryElsewhere {
+func (s *server) reject(attempt *attempt, rejection admission.Rejection) {
+	if s.shedding != nil && !rejection.NoRetryElsewhere {
 		s.shedding.retries.Rejected(s.sim.now, attempt.fingerprint)
 	}
 	delete(s.attempts, attempt.id)
 	attempt.respond(response{
-		outcome: history.OutcomeRejected, retryAfter: action.RetryAfter, noRetryElsewhere: action.NoRetryElsewhere,
+		outcome: history.OutcomeRejected, retryAfter: rejection.RetryAfter, noRetryElsewhere: rejection.NoRetryElsewhere,
 	})
 }
 
--- a/lab/model/processing.go
+++ b/lab/model/processing.go
@@ -64,15 +64,14 @@
 		return
 	}
 	request := attempt.request
-	event := admission.Event{
-		Kind: admission.EventRequest, ID: attempt.id, Class: request.classIndex, Client: request.client,
-		MemoryKB: requestMemoryKB, CostHint: request.work, HasSubject: !request.class.IdempotentByKey,
-		Rank: request.rank, Deadline: attempt.deadline, Waited: s.sim.now - attempt.arrivedAt,
+	arrival := admission.Arrival{
+		Class: request.classIndex, MemoryKB: requestMemoryKB, CostHint: request.work,
+		Deadline: attempt.deadline, Waited: s.sim.now - attempt.arrivedAt,
 	}
 	if s.shedding != nil {
-		s.shedding.classify(s.sim.now, attempt, &event)
+		s.shedding.classify(s.sim.now, attempt, &arrival)
 	}
-	s.enqueue(event)
+	s.enqueue(admission.RequestArrived(attempt.id, arrival))
 }
 
 // admit begins the run of an attempt, with its call to the store if it needs one.
@@ -83,7 +82,7 @@
 		return
 	}
 	attempt.state = attemptWaitingForCall
-	s.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: attempt.id})
+	s.enqueue(admission.CallNeeded(attempt.id))
 }
 
 // run has the cores work on an attempt.
@@ -96,9 +95,9 @@
 func (s *server) finish(attempt *attempt, outcome admission.Outcome) {
 	delete(s.attempts, attempt.id)
 	attempt.dropCall()
-	s.enqueue(admission.Event{
-		Kind: admission.EventDone, ID: attempt.id, Outcome: outcome, Took: s.sim.now - attempt.admittedAt,
-	})
+	s.enqueue(admission.RunCompleted(attempt.id, admission.Completion{
+		Outcome: outcome, Took: s.sim.now - attempt.admittedAt,
+	}))
 	if outcome == admission.OutcomeOK {
 		attempt.respond(response{outcome: history.OutcomeServed, degraded: attempt.degraded})
 	} else {
@@ -121,7 +120,7 @@
 		s.run(attempt)
 		s.cores.scheduleCompletion()
 	}
-	s.enqueue(admission.Event{
-		Kind: admission.EventCallDone, ID: attempt.id, Outcome: outcome, Took: s.sim.now - attempt.calledAt,
-	})
+	s.enqueue(admission.CallCompleted(attempt.id, admission.Completion{
+		Outcome: outcome, Took: s.sim.now - attempt.calledAt,
+	}))
 }
--- a/lab/model/settings.go
+++ b/lab/model/settings.go
@@ -23,8 +23,7 @@
 		SlowStartSpeedRatio: 0.25, SlowStartTime: opts.WarmupTime,
 		MaxConcurrencyPerCore: 5, ConcurrencyWindow: 3 * time.Second,
 		AnswerGrace: answerGrace, DrainGrace: 2500 * time.Millisecond, IdleTimeout: 30 * time.Second,
-		MaxRetryAfter: time.Second, SendsRetryAfter: true, SendsCancellations: true, SendsDeadlines: true,
-		RegistryFollowsHealth: true, Tick: 5 * time.Millisecond, ExcessValueRatio: 0.1,
+		MaxRetryAfter: time.Second, SendsRetryAfter: true, Tick: 5 * time.Millisecond, ExcessValueRatio: 0.1,
 	}
 	for i := range opts.Classes {
 		settings.Classes = append(settings.Classes, admissionClass(&opts.Classes[i]))
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -41,15 +41,15 @@
 	return overload.ProcessID{Name: s.name, Run: s.processRun()}
 }
 
-// classify adds the fleet's view of an attempt to the event that submits it.
-func (s *shedding) classify(now time.Duration, attempt *attempt, event *admission.Event) {
+// classify adds the fleet's view of an attempt to what its controller is told of it.
+func (s *shedding) classify(now time.Duration, attempt *attempt, arrival *admission.Arrival) {
 	request := attempt.request
 	name, work := request.class.Name, request.work.Seconds()
 	attempt.fingerprint = overload.Fingerprint(name, "", "", request.client, request.rank, work)
-	event.SinceFirstAttempt = s.ages.Age(now, name, attempt.deadline-attempt.arrivedAt)
-	knownRetry := s.retries.Arrived(now, attempt.fingerprint) || event.SinceFirstAttempt > 0
-	event.FleetRank = fleetRanks[s.shedder.Classify(request.class.Value, work, request.rank, knownRetry)]
-	event.RetryJitter = s.shedder.RetryJitter(attempt.fingerprint)
+	arrival.SinceFirstAttempt = s.ages.Age(now, name, attempt.deadline-attempt.arrivedAt)
+	knownRetry := s.retries.Arrived(now, attempt.fingerprint) || arrival.SinceFirstAttempt > 0
+	arrival.FleetRank = fleetRanks[s.shedder.Classify(request.class.Value, work, request.rank, knownRetry)]
+	arrival.RetryJitter = s.shedder.RetryJitter(attempt.fingerprint)
 }
 
 func (s *shedding) addToLoad(load *fleet.Load) {
--- a/wire/append.go
+++ b/wire/append.go
@@ -38,11 +38,25 @@
 
 // AppendAction appends the line of an action of node. The action's kind must be one of package admission's.
 func AppendAction(b []byte, node int, action admission.Action) []byte {
-	b = append(append(b, actionVerbs[action.Kind]...), ' ')
-	b = strconv.AppendInt(b, int64(node), 10)
+	if action.Kind == admission.ActionLog {
+		return appendRemark(b, node, action.Condition.String())
+	}
+	b = appendVerb(b, actionVerbs[action.Kind], node)
 	return append(appendArguments(b, &action), '\n')
 }
 
+// appendRemark appends the line of a text for the operators.
+func appendRemark(b []byte, node int, text string) []byte {
+	b = append(appendVerb(b, actionVerbs[admission.ActionLog], node), ' ')
+	return append(append(b, oneLine(text)...), '\n')
+}
+
+// appendVerb appends the first word of a line and the node that it is about.
+func appendVerb(b []byte, verb string, node int) []byte {
+	b = append(append(b, verb...), ' ')
+	return strconv.AppendInt(b, int64(node), 10)
+}
+
 // appendArguments appends the fields behind the verb and the node, each after a space.
 func appendArguments(b []byte, action *admission.Action) []byte {
 	switch action.Kind {
@@ -50,14 +64,14 @@
 		admission.ActionForget, admission.ActionReuse:
 		return appendID(b, action.ID)
 	case admission.ActionReject:
-		b = appendMicroseconds(appendID(b, action.ID), action.RetryAfter)
-		return appendFlag(b, action.NoRetryElsewhere)
+		b = appendMicroseconds(appendID(b, action.ID), action.Rejection.RetryAfter)
+		return appendFlag(b, action.Rejection.NoRetryElsewhere)
 	case admission.ActionCall:
 		return appendMicroseconds(appendID(b, action.ID), action.Timeout)
 	case admission.ActionRemember:
 		return appendMicroseconds(appendID(b, action.ID), action.Duration)
 	case admission.ActionHealth:
-		return appendFlag(appendFlag(b, action.Healthy), action.Cached)
+		return appendFlag(appendFlag(b, action.Health.Healthy), action.Health.Cached)
 	case admission.ActionAdvertise:
 		return strconv.AppendFloat(append(b, ' '), action.Value, 'g', advertPrecision, 64)
 	case admission.ActionIdleTimeout:
@@ -65,8 +79,7 @@
 	case admission.ActionWake:
 		const roundUp = time.Microsecond - 1 // a timer must not fire before its time
 		return append(appendMicroseconds(b, action.At+roundUp), " "+timerName...)
-	case admission.ActionLog:
-		return append(append(b, ' '), oneLine(action.Text)...)
+	case admission.ActionLog: // has a line of its own: see appendRemark
 	}
 	return b
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -63,17 +63,17 @@
 		{"stop", admission.Action{Kind: admission.ActionStop, ID: largest}},
 		{"refuse without advice", admission.Action{Kind: admission.ActionReject, ID: 7}},
 		{"refuse with a time to stay away",
-			admission.Action{Kind: admission.ActionReject, ID: 7, RetryAfter: 1234567890 * time.Nanosecond}},
-		{"refuse for good", admission.Action{Kind: admission.ActionReject, ID: 7, NoRetryElsewhere: true}},
+			admission.Action{Kind: admission.ActionReject, ID: 7, Rejection: admission.Rejection{RetryAfter: 1234567890 * time.Nanosecond}}},
+		{"refuse for good", admission.Action{Kind: admission.ActionReject, ID: 7, Rejection: admission.Rejection{NoRetryElsewhere: true}}},
 		{"fail", admission.Action{Kind: admission.ActionFail, ID: largest}},
 		{"call", admission.Action{Kind: admission.ActionCall, ID: 7, Timeout: 1234567890 * time.Nanosecond}},
 		{"skip", admission.Action{Kind: admission.ActionSkipCall, ID: largest}},
 		{"keep", admission.Action{Kind: admission.ActionRemember, ID: 7, Duration: 1234567890 * time.Nanosecond}},
 		{"forget", admission.Action{Kind: admission.ActionForget, ID: largest}},
 		{"reuse", admission.Action{Kind: admission.ActionReuse, ID: largest}},
-		{"health good", admission.Action{Kind: admission.ActionHealth, Healthy: true}},
+		{"health good", admission.Action{Kind: admission.ActionHealth, Health: admission.HealthAnswer{Healthy: true}}},
 		{"health bad", admission.Action{Kind: admission.ActionHealth}},
-		{"health good, for stored answers", admission.Action{Kind: admission.ActionHealth, Healthy: true, Cached: true}},
+		{"health good, for stored answers", admission.Action{Kind: admission.ActionHealth, Health: admission.HealthAnswer{Healthy: true, Cached: true}}},
 		{"advertise nothing", admission.Action{Kind: admission.ActionAdvertise}},
 		{"advertise a fraction", admission.Action{Kind: admission.ActionAdvertise, Value: 1.0 / 3}},
 		{"advertise little", admission.Action{Kind: admission.ActionAdvertise, Value: 0.0000123456789}},
@@ -81,10 +81,10 @@
 		{"idle limit", admission.Action{Kind: admission.ActionIdleTimeout, Duration: 1234567890 * time.Nanosecond}},
 		{"wake at a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567 * time.Microsecond}},
 		{"wake within a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567*time.Microsecond + 1}},
-		{"log", admission.Action{Kind: admission.ActionLog, Text: "one\r\ntwo\nthree"}},
 	} {
 		cases = append(cases, goldenCase{test.name, trimNewline(t, AppendAction(nil, 12, test.action))})
 	}
+	cases = append(cases, goldenCase{"log", trimNewline(t, appendRemark(nil, 12, "one\r\ntwo\nthree"))})
 	cases = append(cases, goldenCase{"broken", trimNewline(t, AppendBroken(nil, 12, errors.New("one\r\ntwo")))})
 	requireGolden(t, "actions.golden", cases)
 }
@@ -108,8 +108,8 @@
 		return eventCase{name, Message{Kind: MessageEvent, Node: 3, Line: 2, Event: event}}
 	}
 	timer := func(cpuUtilization, cpuDemand, memoryUtilization, connections float64) admission.Event {
-		return admission.Event{Kind: admission.EventTimer, Gauges: admission.Gauges{CPUUtilization: cpuUtilization,
-			CPUDemand: cpuDemand, MemoryUtilization: memoryUtilization, Connections: connections}}
+		return admission.TimerFired(admission.Gauges{CPUUtilization: cpuUtilization,
+			CPUDemand: cpuDemand, MemoryUtilization: memoryUtilization, Connections: connections})
 	}
 	cases := []eventCase{
 		{"create", Message{Kind: MessageCreate, Node: 3, Line: 2, Seed: 1<<64 - 1,
@@ -117,15 +117,15 @@
 		{"create with a negative seed", Message{Kind: MessageCreate, Node: 3, Line: 2, Seed: 1<<64 - 5,
 			Settings: []byte("{}")}},
 		{"retire", Message{Kind: MessageRetire, Node: 3, Line: 2}},
-		withEvent("order", admission.Event{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5,
-			Tenant: 1, CostHint: 12 * time.Millisecond, HasSubject: true, Retry: true, RetryOf: 1422162698119961, Rank: 0.625,
-			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2}),
+		withEvent("order", admission.RequestArrived(3233622311735748, admission.Arrival{MemoryKB: 24.5,
+			Tenant: 1, CostHint: 12 * time.Millisecond, Retry: true, RetryOf: 1422162698119961,
+			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2})),
 		withEvent("order that mutates",
-			admission.Event{Kind: admission.EventRequest, ID: 8, Client: 1, MemoryKB: 2, Class: 1}),
-		withEvent("order that tells little", admission.Event{Kind: admission.EventRequest, ID: 1<<64 - 1}),
-		withEvent("dropped", admission.Event{Kind: admission.EventCancelled, ID: 7}),
-		withEvent("wants call", admission.Event{Kind: admission.EventCallNeeded, ID: 7}),
-		withEvent("notice", admission.Event{Kind: admission.EventDrain, StopAt: 11912250 * microsecond}),
+			admission.RequestArrived(8, admission.Arrival{MemoryKB: 2, Class: 1})),
+		withEvent("order that tells little", admission.RequestArrived(1<<64-1, admission.Arrival{})),
+		withEvent("dropped", admission.RequestCancelled(7)),
+		withEvent("wants call", admission.CallNeeded(7)),
+		withEvent("notice", admission.DrainStarted(admission.DrainSignal{StopAt: 11912250 * microsecond})),
 		withEvent("elapsed", timer(0.62, 3, 0.41, 120)),
 		withEvent("elapsed with some gauges", timer(-1, 0, -1, 5)),
 		withEvent("elapsed without gauges", timer(-1, -1, -1, -1)),
@@ -144,10 +144,9 @@
 		{"moot", admission.OutcomeNotStarted},
 	} {
 		cases = append(cases,
-			withEvent("done, "+ending.name, admission.Event{Kind: admission.EventDone, ID: 5, Outcome: ending.outcome,
-				Took: 9 * microsecond}),
-			withEvent("call result, "+ending.name, admission.Event{Kind: admission.EventCallDone, ID: 5,
-				Outcome: ending.outcome, Took: 9 * microsecond}))
+			withEvent("done, "+ending.name, admission.RunCompleted(5, admission.Completion{Outcome: ending.outcome,
+				Took: 9 * microsecond})),
+			withEvent("call result, "+ending.name, admission.CallCompleted(5, admission.Completion{Outcome: ending.outcome, Took: 9 * microsecond})))
 	}
 	lines := readGolden(t, "events.golden", len(cases))
 	for _, test := range cases {
--- a/wire/parse.go
+++ b/wire/parse.go
@@ -18,37 +18,40 @@
 	},
 	"RETIRE": func(_ *fieldReader, message *Message) { message.Kind = MessageRetire },
 	"ORDER":  eventParser(parseRequest),
-	"DONE": eventParser(func(line *fieldReader, event *admission.Event) {
-		event.Kind, event.ID = admission.EventDone, line.id("Xid")
-		event.Outcome = line.outcome("Disposition")
-		event.Took = line.duration("WaitTimeUs")
+	"DONE": eventParser(func(line *fieldReader) admission.Event {
+		id := line.id("Xid")
+		var completion admission.Completion
+		completion.Outcome = line.outcome("Disposition")
+		completion.Took = line.duration("WaitTimeUs")
+		return admission.RunCompleted(id, completion)
 	}),
-	"DROPPED": eventParser(func(line *fieldReader, event *admission.Event) {
-		event.Kind, event.ID = admission.EventCancelled, line.id("Xid")
+	"DROPPED": eventParser(func(line *fieldReader) admission.Event {
+		return admission.RequestCancelled(line.id("Xid"))
 	}),
-	"WANTS_CALL": eventParser(func(line *fieldReader, event *admission.Event) {
-		event.Kind, event.ID = admission.EventCallNeeded, line.id("Xid")
+	"WANTS_CALL": eventParser(func(line *fieldReader) admission.Event {
+		return admission.CallNeeded(line.id("Xid"))
 	}),
-	"CALL_RESULT": eventParser(func(line *fieldReader, event *admission.Event) {
-		event.Kind, event.ID = admission.EventCallDone, line.id("Xid")
-		event.Took = line.duration("WaitTimeUs")
-		event.Outcome = line.outcome("Disposition")
+	"CALL_RESULT": eventParser(func(line *fieldReader) admission.Event {
+		id := line.id("Xid")
+		var completion admission.Completion
+		completion.Took = line.duration("WaitTimeUs")
+		completion.Outcome = line.outcome("Disposition")
+		return admission.CallCompleted(id, completion)
 	}),
-	"NOTICE": eventParser(func(line *fieldReader, event *admission.Event) {
-		event.Kind, event.StopAt = admission.EventDrain, line.duration("DeadlineUs")
+	"NOTICE": eventParser(func(line *fieldReader) admission.Event {
+		return admission.DrainStarted(admission.DrainSignal{StopAt: line.duration("DeadlineUs")})
 	}),
-	"ELAPSED": eventParser(func(line *fieldReader, event *admission.Event) {
-		event.Kind = admission.EventTimer
+	"ELAPSED": eventParser(func(line *fieldReader) admission.Event {
 		line.next() // the name of the timer; a node has only one
-		event.Gauges = line.gauges("Feedback")
+		return admission.TimerFired(line.gauges("Feedback"))
 	}),
 }
 
 // eventParser returns a parser of messages that carry an event.
-func eventParser(parse func(line *fieldReader, event *admission.Event)) messageParser {
+func eventParser(parse func(line *fieldReader) admission.Event) messageParser {
 	return func(line *fieldReader, message *Message) {
 		message.Kind = MessageEvent
-		parse(line, &message.Event)
+		message.Event = parse(line)
 	}
 }
 
@@ -67,19 +70,21 @@
 	return nil
 }
 
-func parseRequest(line *fieldReader, event *admission.Event) {
-	event.Kind, event.ID = admission.EventRequest, line.id("Xid")
-	event.Client = int(line.integer("By"))
-	event.MemoryKB = line.float("MemKb")
-	event.Tenant = int(line.integer("Owner"))
-	event.CostHint = line.duration("PredictedUs")
-	key := line.next()
-	event.HasSubject = key != unset && key != ""
-	event.Retry = line.flag("Repeat")
-	line.flag("Mutates") // checked, but not used
-	event.RetryOf = line.id("Forerunner")
-	event.Rank = line.float("Prio")
-	event.Deadline = line.duration("DeadlineUs")
-	event.Waited = line.duration("WaitedUs")
-	event.Class = int(line.integer("Kind"))
+// parseRequest reads all fields of a request. Those that decide nothing are checked all the same.
+func parseRequest(line *fieldReader) admission.Event {
+	var arrival admission.Arrival
+	id := line.id("Xid")
+	line.integer("By") // the number of the client
+	arrival.MemoryKB = line.float("MemKb")
+	arrival.Tenant = int(line.integer("Owner"))
+	arrival.CostHint = line.duration("PredictedUs")
+	line.next() // the subject of a read
+	arrival.Retry = line.flag("Repeat")
+	line.flag("Mutates")
+	arrival.RetryOf = line.id("Forerunner")
+	line.float("Prio")
+	arrival.Deadline = line.duration("DeadlineUs")
+	arrival.Waited = line.duration("WaitedUs")
+	arrival.Class = int(line.integer("Kind"))
+	return admission.RequestArrived(id, arrival)
 }
--- a/wire/reader_test.go
+++ b/wire/reader_test.go
@@ -23,23 +23,20 @@
 	}
 	switch event.Kind {
 	case admission.EventRequest:
-		key := "-"
-		if event.HasSubject {
-			key = "acct/x"
-		}
-		return fmt.Sprintf("ORDER %d %d %d %g %d %d %s %d 0 %d %g %d %d %d", node, event.ID, event.Client, event.MemoryKB,
-			event.Tenant, event.CostHint/microsecond, key, bit[event.Retry], event.RetryOf, event.Rank,
-			event.Deadline/microsecond, event.Waited/microsecond, event.Class)
+		arrival := &event.Arrival
+		return fmt.Sprintf("ORDER %d %d 17 %g %d %d acct/x %d 0 %d 0.625 %d %d %d", node, event.ID, arrival.MemoryKB,
+			arrival.Tenant, arrival.CostHint/microsecond, bit[arrival.Retry], arrival.RetryOf,
+			arrival.Deadline/microsecond, arrival.Waited/microsecond, arrival.Class)
 	case admission.EventDone:
-		return fmt.Sprintf("DONE %d %d %s %d", node, event.ID, names[event.Outcome], event.Took/microsecond)
+		return fmt.Sprintf("DONE %d %d %s %d", node, event.ID, names[event.Completion.Outcome], event.Completion.Took/microsecond)
 	case admission.EventCancelled:
 		return fmt.Sprintf("DROPPED %d %d", node, event.ID)
 	case admission.EventCallNeeded:
 		return fmt.Sprintf("WANTS_CALL %d %d", node, event.ID)
 	case admission.EventCallDone:
-		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, event.ID, event.Took/microsecond, names[event.Outcome])
+		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, event.ID, event.Completion.Took/microsecond, names[event.Completion.Outcome])
 	case admission.EventDrain:
-		return fmt.Sprintf("NOTICE %d %d", node, event.StopAt/microsecond)
+		return fmt.Sprintf("NOTICE %d %d", node, event.Drain.StopAt/microsecond)
 	case admission.EventTimer:
 		return fmt.Sprintf("ELAPSED %d w core_use:%g,on_cores:%g,heap_share:%g,links:%g,unknown:7", node,
 			event.Gauges.CPUUtilization, event.Gauges.CPUDemand, event.Gauges.MemoryUtilization, event.Gauges.Connections)
@@ -50,19 +47,19 @@
 
 func TestReadEvents(t *testing.T) {
 	events := []admission.Event{
-		{Kind: admission.EventRequest, ID: 3233622311735748, Client: 17, MemoryKB: 24.5, Tenant: 1,
-			CostHint: 12000 * microsecond, HasSubject: true, Retry: true, RetryOf: 1422162698119961, Rank: 0.625,
-			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2},
-		{Kind: admission.EventCancelled, ID: 7},
-		{Kind: admission.EventCallNeeded, ID: 7},
-		{Kind: admission.EventDrain, StopAt: 11912250 * microsecond},
-		{Kind: admission.EventTimer, Gauges: admission.Gauges{
-			CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}},
+		admission.RequestArrived(3233622311735748, admission.Arrival{MemoryKB: 24.5, Tenant: 1,
+			CostHint: 12000 * microsecond, Retry: true, RetryOf: 1422162698119961,
+			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2}),
+		admission.RequestCancelled(7),
+		admission.CallNeeded(7),
+		admission.DrainStarted(admission.DrainSignal{StopAt: 11912250 * microsecond}),
+		admission.TimerFired(admission.Gauges{
+			CPUUtilization: 0.62, CPUDemand: 3, MemoryUtilization: 0.41, Connections: 120}),
 	}
 	for _, outcome := range outcomes {
 		events = append(events,
-			admission.Event{Kind: admission.EventDone, ID: 5, Outcome: outcome, Took: 9 * microsecond},
-			admission.Event{Kind: admission.EventCallDone, ID: 5, Outcome: outcome, Took: 9 * microsecond})
+			admission.RunCompleted(5, admission.Completion{Outcome: outcome, Took: 9 * microsecond}),
+			admission.CallCompleted(5, admission.Completion{Outcome: outcome, Took: 9 * microsecond}))
 	}
 	for _, event := range events {
 		line := eventLine(3, event)
--- a/wire/settings_test.go
+++ b/wire/settings_test.go
@@ -29,7 +29,6 @@
 	require.InDelta(t, 0.5, settings.Classes[1].DegradedValueRatio, 0)
 	require.Equal(t, 16101*time.Millisecond, settings.Classes[1].IdempotencyWindow)
 	require.InDelta(t, 158, settings.Tenants[0].QuotaPerSecond, 0)
-	require.False(t, settings.SendsDeadlines)
 	renamed, err := ParseSettings([]byte(strings.ReplaceAll(sampleSettings, "NAME", "other")))
 	require.NoError(t, err)
 	require.Equal(t, settings, renamed, "names of classes and tenants change the settings")
@@ -41,6 +40,9 @@
 		{"[true, false]", "[true]"},
 		{"[0.0, 0.5]", "[0.1, 0.2, 0.3]"},
 		{"11,", `"x",`},
+		{`"Cpus": 6`, `"Cpus": 6, "TellsGone": 1`},
+		{`"Cpus": 6`, `"Cpus": 6, "PassesDeadline": 1`},
+		{`"Cpus": 6`, `"Cpus": 6, "ListFollows": 1`},
 	} {
 		_, err := ParseSettings([]byte(strings.Replace(sampleSettings, test.good, test.bad, 1)))
 		require.Error(t, err, "%s in place of %s", test.bad, test.good)
