--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -104,10 +104,10 @@
 		},
 		Zones: []fleet.ZoneReport{
 			{Region: "belgium", Zone: "mechelen", Known: 1, Alive: 1},
-			{Region: "belgium", Zone: "zaventem", Known: 21, Alive: 1, Suspect: 2, Wedged: 3, Silent: 4, Dead: 5, Left: 6,
-				Unmet: 7, Unreachable: true},
+			{Region: "belgium", Zone: "zaventem", Known: 21, Alive: 1, Suspect: 2, Stalled: 3, Unreachable: 4, Failed: 5, Left: 6,
+				Unconfirmed: 7, MostlyUnreachable: true},
 		},
-		Total: fleet.ZoneReport{Known: 22, Alive: 2, Suspect: 2, Wedged: 3, Silent: 4, Dead: 5, Left: 6, Unmet: 7},
+		Total: fleet.ZoneReport{Known: 22, Alive: 2, Suspect: 2, Stalled: 3, Unreachable: 4, Failed: 5, Left: 6, Unconfirmed: 7},
 		Fresh: fleet.AggregateReport{Members: 2, Stale: 1, Cores: 8.5, Busy: 3, InFlight: 12, OldestMs: 1100},
 	}
 	full := whole
--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -219,7 +219,7 @@
 	if err != nil {
 		return // the server reads the same file next and logs the error
 	}
-	m.fleet.Reload(gossip.Change{Seeds: file.Fleet.Seeds, Keys: file.Fleet.Keys, Digest: digest})
+	m.fleet.Reload(gossip.ReloadableConfig{Seeds: file.Fleet.Seeds, Keys: file.Fleet.Keys, Digest: digest})
 	m.log.WithFields(logrus.Fields{"seeds": len(file.Fleet.Seeds), "keys": len(file.Fleet.Keys)}).
 		Info("operators' file: seeds and keys taken over; other keys count from the next start")
 }
--- a/cmd/falldeal-fleet/status.go
+++ b/cmd/falldeal-fleet/status.go
@@ -47,7 +47,7 @@
 	if fresh.MaxThreshold > 0 {
 		threshold = fmt.Sprintf("the fleet is full: cut below place %.1f to %.1f (%.3g to %.3g earned for a second of work)",
 			fresh.MinThreshold, fresh.MaxThreshold,
-			overload.WeightAt(fresh.MinThreshold), overload.WeightAt(fresh.MaxThreshold))
+			overload.ValuePerSecondAt(fresh.MinThreshold), overload.ValuePerSecondAt(fresh.MaxThreshold))
 	}
 	fmt.Fprintf(out, "overload: %s; %.0f tries a second, %.2f repeats for each first one (budget %.2f); "+
 		"%.1f s of work can be done in a second\n",
@@ -94,14 +94,14 @@
 	fmt.Fprintln(table, "REGION\tZONE\tKNOWN\tALIVE\tSUSPECT\tWEDGED\tCUT OFF\tDEAD\tLEFT\t")
 	for _, zone := range append(report.Zones, report.Total) {
 		mark := ""
-		if zone.Unreachable {
+		if zone.MostlyUnreachable {
 			mark = "half or more silent"
 		}
 		if zone.Zone == "" {
 			zone.Region = "all"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", zone.Region, zone.Zone,
-			zone.Known, zone.Alive, zone.Suspect, zone.Wedged, zone.Silent, zone.Dead, zone.Left, mark)
+			zone.Known, zone.Alive, zone.Suspect, zone.Stalled, zone.Unreachable, zone.Failed, zone.Left, mark)
 	}
 	return table.Flush()
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -92,7 +92,7 @@
 		Zones: []fleet.Zone{{Region: "belgium", Zone: "mechelen", Known: 4, Count: count}},
 		Total: fleet.Zone{Known: 11, Count: count},
 	}
-	for liveness := fleet.Unmet; liveness <= fleet.Left; liveness++ {
+	for liveness := fleet.Unconfirmed; liveness <= fleet.Left; liveness++ {
 		for state := fleet.Starting; state <= fleet.Stopped+1; state++ {
 			n := len(view.Members)
 			record := &fleet.Record{Name: fmt.Sprintf("n%02d", n), Run: uint64(n + 1), Incarnation: uint64(n + 2),
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -88,12 +88,12 @@
 	for i := range s.Zones {
 		zone := &s.Zones[i]
 		before := previous.zoneNamed(zone.Region, zone.Zone)
-		if before == nil || before.Unreachable() == zone.Unreachable() {
+		if before == nil || before.MostlyUnreachable() == zone.MostlyUnreachable() {
 			continue
 		}
 		changes = append(changes, Change{
 			Member: zone.Zone, Kind: ZoneChanged,
-			From: describeReachability(before.Unreachable()), To: describeReachability(zone.Unreachable()),
+			From: describeReachability(before.MostlyUnreachable()), To: describeReachability(zone.MostlyUnreachable()),
 		})
 	}
 	return changes
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -37,7 +37,7 @@
 	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
 	merge := func(at time.Duration, r Record, reach Reach, evidence Evidence) {
 		view.Merge(at, 0, r)
-		if reach != NeverMet {
+		if reach != NeverReached {
 			view.ObserveReach(at, r.Name, r.Run, reach)
 		}
 		view.RecordEvidence(r.Name, r.Run, evidence)
@@ -61,7 +61,7 @@
 	merge(97*time.Second, record("draining", Draining), Reached, NoEvidence)
 	merge(96*time.Second, record("newer-state", 200), Reached, NoEvidence)
 	merge(96*time.Second, record("gone", Stopped), Lost, NoEvidence)
-	merge(96*time.Second, record("heard-of", Serving), NeverMet, NoEvidence)
+	merge(96*time.Second, record("heard-of", Serving), NeverReached, NoEvidence)
 	merge(50*time.Second, record("suspect", Serving), Reached, NoEvidence)
 	merge(95*time.Second, record("silent", Serving), Lost, Unanswered)
 	merge(95*time.Second, record("dead", Serving), Lost, ConnectionRefused)
@@ -150,7 +150,7 @@
 		fmt.Fprintf(&got, "state %d: %s\n", state, state)
 	}
 	fmt.Fprintf(&got, "state %d: %s\nstate %d: %s\n", 0, State(0), 200, State(200))
-	for state := Unmet; state <= Left; state++ {
+	for state := Unconfirmed; state <= Left; state++ {
 		fmt.Fprintf(&got, "standing %d: %s\n", state, state)
 	}
 	for p := Alone; p <= Partitioned; p++ {
--- a/internal/fleet/liveness.go
+++ b/internal/fleet/liveness.go
@@ -10,9 +10,9 @@
 
 // Results of the failure detection.
 const (
-	NeverMet Reach = iota // known by records that others passed on only
-	Reached               // it answers this observer or one that probed for it, or it may still refute a suspicion
-	Lost                  // it did not answer, and did not refute the suspicion in time
+	NeverReached Reach = iota // known by records that others passed on only
+	Reached                   // it answers this observer or one that probed for it, or it may still refute a suspicion
+	Lost                      // it did not answer, and did not refute the suspicion in time
 )
 
 // Evidence is the result of a dial to the address of a lost process. Its loss alone says only that nothing comes back.
@@ -31,18 +31,18 @@
 
 // Conclusions about a member.
 const (
-	Unmet   Liveness = iota // known by records that others passed on only
-	Alive                   // it is reached
-	Suspect                 // it is reached, but its record is overdue, or its next process has not published yet
-	Wedged                  // its process is there and does not work: it is stopped, or its loop stalls
-	Silent                  // partitioned from this observer; it may be well
-	Dead                    // its machine answers that it is not there
-	Left                    // it published that it stops
+	Unconfirmed Liveness = iota // known by records that others passed on only
+	Alive                       // it is reached
+	Suspect                     // it is reached, but its record is overdue, or its next process has not published yet
+	Stalled                     // its process is there and does not work: it is stopped, or its loop stalls
+	Unreachable                 // partitioned from this observer; it may be well
+	Failed                      // its machine answers that it is not there
+	Left                        // it published that it stops
 )
 
 var livenessNames = [...]string{
-	Unmet: "heard of", Alive: "alive", Suspect: "suspect", Wedged: "wedged",
-	Silent: "cut off", Dead: "dead", Left: "left",
+	Unconfirmed: "heard of", Alive: "alive", Suspect: "suspect", Stalled: "wedged",
+	Unreachable: "cut off", Failed: "dead", Left: "left",
 }
 
 func (l Liveness) String() string { return livenessNames[l] }
@@ -109,22 +109,22 @@
 	}
 	current := e.currentObservation()
 	if current == nil {
-		return Unmet
+		return Unconfirmed
 	}
 	switch current.reach {
 	case Reached:
 		return e.livenessReached(now, fresh, current)
 	case Lost:
 		return e.livenessLost(current)
-	default: // NeverMet
-		return Unmet
+	default: // NeverReached
+		return Unconfirmed
 	}
 }
 
 func (e *entry) livenessReached(now, fresh time.Duration, current *observation) Liveness {
 	switch {
 	case e.record != nil && e.record.Stalled > 0:
-		return Wedged
+		return Stalled
 	case now-current.since > fresh && (e.record == nil || now-e.recordedAt > fresh):
 		return Suspect
 	}
@@ -139,10 +139,10 @@
 	}
 	switch current.evidence {
 	case ConnectionRefused:
-		return Dead
+		return Failed
 	case ConnectionAccepted:
-		return Wedged
+		return Stalled
 	default: // NoEvidence, Unanswered
-		return Silent
+		return Unreachable
 	}
 }
--- a/internal/fleet/period.go
+++ b/internal/fleet/period.go
@@ -19,5 +19,5 @@
 	return max(minPeriod, time.Duration(members)*time.Second/updatesPerSecond)
 }
 
-// Fresh is the greatest age at which a record counts as current in a fleet of that size.
-func Fresh(members int) time.Duration { return missedPeriods*Period(members) + propagationTime }
+// MaxFreshAge is the greatest age at which a record counts as current in a fleet of that size.
+func MaxFreshAge(members int) time.Duration { return missedPeriods*Period(members) + propagationTime }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -9,11 +9,11 @@
 
 // Bounds of one record in bytes. An update beyond them is rejected.
 const (
-	MaxText      = 64  // of a name, an address, a region, a zone or a version
-	MaxUnknown   = 192 // of all fields that this version does not know
-	MaxDemand    = 52  // of Load.Demand
-	MaxAggregate = 96  // of Load.Aggregate
-	MaxRecord    = 820 // of a whole encoded record
+	MaxText       = 64  // of a name, an address, a region, a zone or a version
+	MaxUnknown    = 192 // of all fields that this version does not know
+	MaxDemand     = 52  // of Load.Demand
+	MaxAggregate  = 96  // of Load.Aggregate
+	MaxRecordSize = 820 // of a whole encoded record
 )
 
 // State is the state that a member reports of itself.
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -79,7 +79,7 @@
 func (r *Rejoin) addressesToDial(now time.Duration, snapshot *Snapshot) (causes map[string]dialCause, reached int) {
 	causes = map[string]dialCause{}
 	r.resetSeeds()
-	fresh := Fresh(len(snapshot.Members))
+	fresh := MaxFreshAge(len(snapshot.Members))
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
 		switch {
@@ -89,7 +89,7 @@
 			r.markSeedReached(member.Addr)
 			reached++
 		case member.Addr == "":
-		case member.Liveness == Unmet && member.Seq > 0 && member.Age(now) <= fresh:
+		case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= fresh:
 			causes[member.Addr] = dialUnmet
 		case member.lost():
 			causes[member.Addr] = dialLost
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -49,17 +49,17 @@
 
 // ZoneReport counts the members of a zone.
 type ZoneReport struct {
-	Region      string `json:"region,omitempty"`
-	Zone        string `json:"zone,omitempty"`
-	Known       int    `json:"known"`
-	Alive       int    `json:"alive"`
-	Suspect     int    `json:"suspect"`
-	Wedged      int    `json:"wedged"`
-	Silent      int    `json:"cut_off"`
-	Dead        int    `json:"dead"`
-	Left        int    `json:"left"`
-	Unmet       int    `json:"heard_of"`
-	Unreachable bool   `json:"dark"`
+	Region            string `json:"region,omitempty"`
+	Zone              string `json:"zone,omitempty"`
+	Known             int    `json:"known"`
+	Alive             int    `json:"alive"`
+	Suspect           int    `json:"suspect"`
+	Stalled           int    `json:"wedged"`
+	Unreachable       int    `json:"cut_off"`
+	Failed            int    `json:"dead"`
+	Left              int    `json:"left"`
+	Unconfirmed       int    `json:"heard_of"`
+	MostlyUnreachable bool   `json:"dark"`
 }
 
 // AggregateReport is an Aggregate in a report.
@@ -93,13 +93,13 @@
 // Report returns the snapshot with ages as of now.
 func (s *Snapshot) Report(now time.Duration) Report {
 	size := len(s.Members)
-	aggregate := s.Aggregate(now, Fresh(size))
+	aggregate := s.Aggregate(now, MaxFreshAge(size))
 	report := Report{
 		Self:           s.Self,
 		Position:       s.Position.String(),
 		LastReceivedMs: s.LastReceivedMs(now),
 		PeriodMs:       Period(size).Milliseconds(),
-		FreshMs:        Fresh(size).Milliseconds(),
+		FreshMs:        MaxFreshAge(size).Milliseconds(),
 		Members:        make([]MemberReport, 0, size),
 		Total:          s.Total.report(),
 		Fresh:          aggregate.report(),
@@ -146,17 +146,17 @@
 
 func (z *Zone) report() ZoneReport {
 	return ZoneReport{
-		Region:      z.Region,
-		Zone:        z.Zone,
-		Known:       z.Known,
-		Alive:       z.Count[Alive],
-		Suspect:     z.Count[Suspect],
-		Wedged:      z.Count[Wedged],
-		Silent:      z.Count[Silent],
-		Dead:        z.Count[Dead],
-		Left:        z.Count[Left],
-		Unmet:       z.Count[Unmet],
-		Unreachable: z.Unreachable(),
+		Region:            z.Region,
+		Zone:              z.Zone,
+		Known:             z.Known,
+		Alive:             z.Count[Alive],
+		Suspect:           z.Count[Suspect],
+		Stalled:           z.Count[Stalled],
+		Unreachable:       z.Count[Unreachable],
+		Failed:            z.Count[Failed],
+		Left:              z.Count[Left],
+		Unconfirmed:       z.Count[Unconfirmed],
+		MostlyUnreachable: z.MostlyUnreachable(),
 	}
 }
 
--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -29,13 +29,13 @@
 // retention is how long a member is retained after it was last reached. It is not bounded for those that are there.
 func (v *View) retention(liveness Liveness) (retention time.Duration, bounded bool) {
 	switch liveness {
-	case Alive, Suspect, Wedged:
+	case Alive, Suspect, Stalled:
 		return 0, false
 	case Left:
 		return min(v.limits.ForgetAfter, leftRetention), true
-	case Unmet:
+	case Unconfirmed:
 		return min(v.limits.ForgetAfter, unmetRetention), true
-	default: // Silent, Dead
+	default: // Unreachable, Failed
 		return v.limits.ForgetAfter, true
 	}
 }
@@ -46,7 +46,7 @@
 	fresh := v.freshAge()
 	for _, name := range v.names {
 		entry := v.entries[name]
-		if liveness := entry.liveness(now, fresh); name == v.self || liveness != Left && liveness != Dead {
+		if liveness := entry.liveness(now, fresh); name == v.self || liveness != Left && liveness != Failed {
 			continue
 		}
 		if longestGone == "" || entry.lastReached < v.entries[longestGone].lastReached {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -37,7 +37,7 @@
 
 // lost reports whether the failure detection has lost the member. One whose loop stalls is reached.
 func (m *Member) lost() bool {
-	return m.Liveness == Silent || m.Liveness == Dead || m.Liveness == Wedged && m.Stalled == 0
+	return m.Liveness == Unreachable || m.Liveness == Failed || m.Liveness == Stalled && m.Stalled == 0
 }
 
 // minZoneMembers is the number of members from which on a zone can be called unreachable, as against one member.
@@ -53,8 +53,10 @@
 // Reached is how many of its members are reached.
 func (z *Zone) Reached() int { return z.Count[Alive] + z.Count[Suspect] }
 
-// Unreachable reports whether at least half of the zone is silent: a partition is likelier than so many failures.
-func (z *Zone) Unreachable() bool { return z.Known >= minZoneMembers && 2*z.Count[Silent] >= z.Known }
+// MostlyUnreachable reports whether at least half of the zone is silent: a partition is likelier than so many failures.
+func (z *Zone) MostlyUnreachable() bool {
+	return z.Known >= minZoneMembers && 2*z.Count[Unreachable] >= z.Known
+}
 
 func (z *Zone) add(liveness Liveness) {
 	z.Count[liveness]++
@@ -127,7 +129,7 @@
 // selfLiveness is the liveness of the observer itself, which its own failure detection says nothing of.
 func selfLiveness(record *Record) Liveness {
 	if record.Stalled > 0 {
-		return Wedged
+		return Stalled
 	}
 	return Alive
 }
@@ -171,12 +173,12 @@
 }
 
 // position does not count members that were never met: a record that is still passed on says nothing of the present.
-// Dead members do not make an observer partitioned, as their machines answer.
+// Failed members do not make an observer partitioned, as their machines answer.
 func (s *Snapshot) position(everReceived bool) Position {
 	total := &s.Total
-	lost := total.Count[Silent] + total.Count[Dead] + total.Count[Wedged]
+	lost := total.Count[Unreachable] + total.Count[Failed] + total.Count[Stalled]
 	switch {
-	case total.Count[Silent] > 0 && total.Count[Silent] >= total.Reached():
+	case total.Count[Unreachable] > 0 && total.Count[Unreachable] >= total.Reached():
 		return Partitioned
 	case !everReceived:
 		return Alone
@@ -204,7 +206,7 @@
 	var encoded []byte
 	for i := range s.Members {
 		member := &s.Members[i]
-		if member.Liveness != Alive && member.Liveness != Wedged {
+		if member.Liveness != Alive && member.Liveness != Stalled {
 			continue
 		}
 		encoded = append(encoded[:0], member.Process()...)
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -51,7 +51,7 @@
 			snapshot := testCase.view().Snapshot(2 * time.Second)
 			unreachable := 0
 			for i := range snapshot.Zones {
-				if snapshot.Zones[i].Unreachable() {
+				if snapshot.Zones[i].MostlyUnreachable() {
 					unreachable++
 				}
 			}
@@ -93,11 +93,11 @@
 	snapshot := view.Snapshot(now)
 	fmt.Println("position:", snapshot.Position)
 	for _, zone := range snapshot.Zones {
-		fmt.Println(zone.Zone, "reached", zone.Reached(), "of", zone.Known, "unreachable:", zone.Unreachable())
+		fmt.Println(zone.Zone, "reached", zone.Reached(), "of", zone.Known, "unreachable:", zone.MostlyUnreachable())
 	}
 	n2 := snapshot.Find("n2")
 	fmt.Println(n2.Name, n2.Condition(), "reported", n2.State, n2.Age(now), "ago")
-	fresh := snapshot.Aggregate(now, Fresh(9))
+	fresh := snapshot.Aggregate(now, MaxFreshAge(9))
 	fmt.Printf("fresh: %.0f cores at %d members\n", fresh.Capacity, fresh.Members)
 	// Output:
 	// position: torn
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -10,12 +10,12 @@
 )
 
 // ParseUpdate returns the record and the age of one update. It keeps no reference to b, and uses no more memory than
-// MaxRecord whatever b holds. An error means that b is not a whole update that a member can have sent.
+// MaxRecordSize whatever b holds. An error means that b is not a whole update that a member can have sent.
 func ParseUpdate(b []byte) (record Record, age time.Duration, err error) {
 	switch {
 	case len(b) < updateHeaderSize || b[0] != kindUpdate:
 		return record, 0, errUnknownKind
-	case len(b) > updateHeaderSize+MaxRecord:
+	case len(b) > updateHeaderSize+MaxRecordSize:
 		return record, 0, errTooLong
 	}
 	age = time.Duration(binary.BigEndian.Uint32(b[1:])) * time.Millisecond
--- a/internal/fleet/update_test.go
+++ b/internal/fleet/update_test.go
@@ -55,7 +55,7 @@
 	good := AppendUpdate(nil, &record, time.Second)
 	f.Add(good)
 	f.Add(good[:len(good)-1])
-	f.Add(append(good, make([]byte, MaxRecord)...))
+	f.Add(append(good, make([]byte, MaxRecordSize)...))
 	f.Add(protowire.AppendBytes(protowire.AppendTag(good, 99, protowire.BytesType), make([]byte, MaxUnknown)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		parsed, age, err := ParseUpdate(b)
@@ -77,7 +77,7 @@
 		"empty":                      nil,
 		"truncated":                  good[:len(good)-1],
 		"of another kind":            append([]byte{9}, good[1:]...),
-		"too long":                   append(good, make([]byte, MaxRecord)...),
+		"too long":                   append(good, make([]byte, MaxRecordSize)...),
 		"too much unknown":           tooMuchUnknown,
 		"name of control characters": encode(Record{Name: "a\nb", Run: 7}),
 		"no name":                    encode(Record{Run: 7}),
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -125,7 +125,7 @@
 }
 
 // freshAge is the greatest age of a record that is not overdue.
-func (v *View) freshAge() time.Duration { return Fresh(len(v.names)) }
+func (v *View) freshAge() time.Duration { return MaxFreshAge(len(v.names)) }
 
 // entryFor returns the entry of a name. A new one is made if there is room: new names must not displace members, so
 // that only one that left or is dead makes room. It returns nil if there is none.
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -93,14 +93,14 @@
 		"partitioned":           {Lost, Unanswered, Record{State: Serving}, "cut off"},
 		"lost, not dialed":      {Lost, NoEvidence, Record{State: Serving}, "cut off"},
 		"left":                  {Lost, ConnectionRefused, Record{State: Stopped}, "left"},
-		"known by records only": {NeverMet, NoEvidence, Record{State: Serving}, "heard of"},
+		"known by records only": {NeverReached, NoEvidence, Record{State: Serving}, "heard of"},
 		"newer state":           {Reached, NoEvidence, Record{State: 77}, "state(77)"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := newTestView(10)
 			testCase.record.Name, testCase.record.Run, testCase.record.Seq = "n1", 1, 1
 			view.Merge(0, 0, testCase.record)
-			if testCase.reach != NeverMet {
+			if testCase.reach != NeverReached {
 				view.ObserveReach(0, "n1", 1, testCase.reach)
 			}
 			view.RecordEvidence("n1", 1, testCase.evidence)
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -65,7 +65,7 @@
 			i = rand.IntN(known)
 		}
 		member := &snapshot.Members[i]
-		if member.Seq == 0 || member.Liveness == fleet.Unmet {
+		if member.Seq == 0 || member.Liveness == fleet.Unconfirmed {
 			continue // no record was received, or none that this process can vouch for
 		}
 		b = appendPrefixedUpdate(b, member, member.Age(now))
--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -52,7 +52,7 @@
 
 	// Events for the goroutine that owns the view.
 	statuses    chan fleet.Status
-	changes     chan Change
+	changes     chan ReloadableConfig
 	updates     chan recordUpdate
 	dialResults chan dialResult
 	reach       reachChanges
@@ -89,7 +89,7 @@
 		startedAt:      time.Now(),
 		keyring:        keyring,
 		statuses:       make(chan fleet.Status, 1),
-		changes:        make(chan Change, 1),
+		changes:        make(chan ReloadableConfig, 1),
 		updates:        make(chan recordUpdate, updateQueueLength),
 		dialResults:    make(chan dialResult, dialResultQueueLength),
 		reach:          newReachChanges(),
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -29,7 +29,7 @@
 	snapshot.Zones = []fleet.Zone{{Region: "eu", Zone: "eu-a", Known: 1}}
 	snapshot.Zones[0].Count[fleet.Alive] = 1
 	snapshot.Total.Known = 28
-	for liveness := fleet.Unmet; liveness <= fleet.Left; liveness++ {
+	for liveness := fleet.Unconfirmed; liveness <= fleet.Left; liveness++ {
 		snapshot.Total.Count[liveness] = int(liveness) + 1
 	}
 	member.snapshot.Store(snapshot)
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -49,7 +49,7 @@
 	frames["state for a newcomer"] = delegate{member}.LocalState(true)
 	member.snapshot.Store(snapshotOf(records[:1], fleet.Alive))
 	frames["state in a later exchange"] = delegate{member}.LocalState(false)
-	member.snapshot.Store(snapshotOf(records, fleet.Unmet))
+	member.snapshot.Store(snapshotOf(records, fleet.Unconfirmed))
 	frames["state without members that were met"] = delegate{member}.LocalState(true)
 	frames["metadata of a node"] = delegate{member}.NodeMeta(memberlist.MetaMaxSize)
 	return frames
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -35,7 +35,7 @@
 // AppendMetrics appends the metrics of the fleet in the format of the server's own. Any goroutine may call it.
 func (f *Fleet) AppendMetrics(b []byte) []byte {
 	snapshot, now := f.Snapshot(), f.Now()
-	aggregate := snapshot.Aggregate(now, fleet.Fresh(len(snapshot.Members)))
+	aggregate := snapshot.Aggregate(now, fleet.MaxFreshAge(len(snapshot.Members)))
 	count := &snapshot.Total.Count
 	for _, metric := range []struct {
 		name  string
@@ -44,9 +44,9 @@
 		{"known", int64(snapshot.Total.Known)},
 		{"alive", int64(count[fleet.Alive])},
 		{"suspect", int64(count[fleet.Suspect])},
-		{"wedged", int64(count[fleet.Wedged])},
-		{"cut_off", int64(count[fleet.Silent])},
-		{"dead", int64(count[fleet.Dead])},
+		{"wedged", int64(count[fleet.Stalled])},
+		{"cut_off", int64(count[fleet.Unreachable])},
+		{"dead", int64(count[fleet.Failed])},
 		{"left", int64(count[fleet.Left])},
 		{"stale", int64(aggregate.Stale)},
 		{"position", int64(snapshot.Position)},
--- a/internal/gossip/reload.go
+++ b/internal/gossip/reload.go
@@ -12,8 +12,8 @@
 // errEncryptionFixed is the error of a reload that adds the first key or removes the last one.
 var errEncryptionFixed = errors.New("fleet.key_file: encryption is begun or ended by a start only")
 
-// Change is the part of the operators' file that a reload may change.
-type Change struct {
+// ReloadableConfig is the part of the operators' file that a reload may change.
+type ReloadableConfig struct {
 	Seeds  []string
 	Keys   [][]byte
 	Digest uint64 // of the configuration
@@ -21,10 +21,10 @@
 
 // Reload applies a change of the operators' file. It never blocks: a change that was not taken yet is replaced. One
 // goroutine may call it.
-func (f *Fleet) Reload(change Change) { replaceLatest(f.changes, change) }
+func (f *Fleet) Reload(change ReloadableConfig) { replaceLatest(f.changes, change) }
 
 // applyChange runs in the goroutine that owns the view.
-func (f *Fleet) applyChange(change Change) {
+func (f *Fleet) applyChange(change ReloadableConfig) {
 	f.rejoin.SetSeeds(change.Seeds)
 	if f.self.SetConfig(change.Digest) {
 		f.publishRecord()
--- a/internal/overload/aggregation.go
+++ b/internal/overload/aggregation.go
@@ -45,7 +45,7 @@
 
 // aggregateMembers sums up the load of all members but this one.
 func aggregateMembers(view *fleet.Snapshot, at time.Duration) (total Aggregate) {
-	maxAge := min(fleet.Fresh(len(view.Members)), loadMaxAge)
+	maxAge := min(fleet.MaxFreshAge(len(view.Members)), loadMaxAge)
 	for i := range view.Members {
 		member := &view.Members[i]
 		switch {
--- a/internal/overload/demand.go
+++ b/internal/overload/demand.go
@@ -33,8 +33,10 @@
 	return min(priority, maxPriority)
 }
 
-// WeightAt returns the highest value for a second of work that a request of this priority can have.
-func WeightAt(priority float64) float64 { return math.Exp2(priority/binsPerOctave + lowestExponent) }
+// ValuePerSecondAt returns the highest value for a second of work that a request of this priority can have.
+func ValuePerSecondAt(priority float64) float64 {
+	return math.Exp2(priority/binsPerOctave + lowestExponent)
+}
 
 // Demand is the work that is requested, by bin of priority, in seconds of work a second.
 type Demand [demandBins]float64
--- a/internal/overload/golden_agreement_test.go
+++ b/internal/overload/golden_agreement_test.go
@@ -21,7 +21,7 @@
 			Region: "eu",
 			Zone:   fmt.Sprint("z", member%2),
 			State:  fleet.Serving,
-			Load:   fleet.Load{Busy: -1, StoreState: uint8(StoreFailing), StoreID: 5},
+			Load:   fleet.Load{Busy: -1, StoreState: uint8(StoreUnresponsive), StoreID: 5},
 		})
 		view.ObserveReach(time.Second, name, run, fleet.Reached)
 	}
@@ -115,6 +115,6 @@
 	} {
 		priority := Priority(request.value, request.work, request.rank)
 		fmt.Fprintf(out, "place value=%v work=%v rank=%v: %.6f, worth at most %.6f\n",
-			request.value, request.work, request.rank, priority, WeightAt(priority))
+			request.value, request.work, request.rank, priority, ValuePerSecondAt(priority))
 	}
 }
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -15,9 +15,9 @@
 	maxPendingRequests = 4
 )
 
-// Terms are the rules of a fleet for one store. All members must have the same ones but for Base and Reserved: a member
+// LeaseTerms are the rules of a fleet for one store. All members must have the same ones but for Base and Reserved: a member
 // with a shorter Lease or CallTime than others would reclaim quota too early.
-type Terms struct {
+type LeaseTerms struct {
 	Base              Quota         // of this member by its settings; the store bears the sum over all members
 	Reserved          Quota         // part of Base that is never leased out, and all that a process uses after its start
 	Lease             time.Duration // of a lease, from before it is requested
@@ -57,7 +57,7 @@
 // Two cases are not covered: a process that is suspended between reading its limit and writing a call, which adds that
 // one call, and a store that works on a call for longer than CallTime.
 type QuotaLedger struct {
-	terms                Terms
+	terms                LeaseTerms
 	self                 ProcessID
 	predecessorCallsEnd  time.Duration
 	predecessorLeasesEnd time.Duration
@@ -68,7 +68,7 @@
 }
 
 // NewQuotaLedger returns the ledger of a process that starts now.
-func NewQuotaLedger(now time.Duration, self ProcessID, terms Terms) *QuotaLedger {
+func NewQuotaLedger(now time.Duration, self ProcessID, terms LeaseTerms) *QuotaLedger {
 	ledger := &QuotaLedger{terms: terms, self: self}
 	ledger.predecessorCallsEnd = now + withClockDrift(terms.AbandonedCallTime)
 	ledger.predecessorLeasesEnd = now + ledger.reclaimDelay()
--- a/internal/overload/leasing_test.go
+++ b/internal/overload/leasing_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testTerms = Terms{
+var testTerms = LeaseTerms{
 	Base:              2000,
 	Reserved:          1000,
 	Lease:             2 * time.Second,
--- a/internal/overload/messages.go
+++ b/internal/overload/messages.go
@@ -28,29 +28,29 @@
 // QuotaOf returns the quota for a number of calls, rounded down; 0 for a negative number.
 func QuotaOf(calls float64) Quota { return Quota(math.Floor(max(calls, 0) * quotaPerCall)) }
 
-// Kind is the kind of a message of quota leasing.
-type Kind uint8
+// MessageKind is the kind of a message of quota leasing.
+type MessageKind uint8
 
 // The kinds of messages, as they are encoded.
 const (
-	LeaseRequest Kind = iota + 1 // asks for Amount or less
-	LeaseGrant                   // grants Amount for a lease from the time of the request; 0 = nothing
-	LeaseReturn                  // gives back the lease of this Number
+	LeaseRequest MessageKind = iota + 1 // asks for Amount or less
+	LeaseGrant                          // grants Amount for a lease from the time of the request; 0 = nothing
+	LeaseReturn                         // gives back the lease of this Number
 )
 
-var kindNames = [...]string{"invalid", "lease request", "lease grant", "lease return"}
+var messageKindNames = [...]string{"invalid", "lease request", "lease grant", "lease return"}
 
-func (k Kind) String() string {
-	if int(k) >= len(kindNames) {
-		return kindNames[0]
+func (k MessageKind) String() string {
+	if int(k) >= len(messageKindNames) {
+		return messageKindNames[0]
 	}
-	return kindNames[k]
+	return messageKindNames[k]
 }
 
 // Message is a message of quota leasing from one process to another. Messages may be lost, delayed, duplicated or
 // reordered, and none has to be answered.
 type Message struct {
-	Kind     Kind
+	Kind     MessageKind
 	From, To ProcessID
 	Number   uint64 // of the request, counted by the process that sent it
 	Amount   Quota
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -24,10 +24,10 @@
 
 // The states of a store, as they are encoded.
 const (
-	StoreHealthy    StoreState = iota // as far as the member knows
-	StoreFailing                      // calls fail
-	StoreProbing                      // calls fail, and it is this member's turn to probe
-	StoreRecovering                   // calls succeed again
+	StoreHealthy      StoreState = iota // as far as the member knows
+	StoreUnresponsive                   // calls fail
+	StoreProbing                        // calls fail, and it is this member's turn to probe
+	StoreRecovering                     // calls succeed again
 )
 
 var storeStateNames = [...]string{"fine", "trouble", "trying", "back"}
@@ -107,7 +107,7 @@
 		*p = ProbeCoordinator{run: p.run, zone: p.zone, storeID: storeID}
 	}
 	group := p.group(view, at)
-	if p.state == StoreFailing || p.state == StoreProbing {
+	if p.state == StoreUnresponsive || p.state == StoreProbing {
 		return p.tickUnhealthy(now, &group)
 	}
 	return p.tickHealthy(now, &group)
@@ -125,7 +125,7 @@
 
 // group returns the other members of this member's group whose load is recent.
 func (p *ProbeCoordinator) group(view *fleet.Snapshot, at time.Duration) probeGroup {
-	maxAge := fleet.Fresh(len(view.Members))
+	maxAge := fleet.MaxFreshAge(len(view.Members))
 	group := probeGroup{size: 1}
 	for i := range view.Members {
 		member := &view.Members[i]
@@ -134,7 +134,7 @@
 		}
 		group.size++
 		switch StoreState(member.Load.StoreState) {
-		case StoreFailing, StoreProbing:
+		case StoreUnresponsive, StoreProbing:
 			group.unhealthy = append(group.unhealthy, member)
 		case StoreRecovering:
 			group.recovered++
@@ -153,7 +153,7 @@
 	}
 	switch {
 	case p.consecutiveFailures >= threshold:
-		p.transition(now, StoreFailing)
+		p.transition(now, StoreUnresponsive)
 		p.roundSince = now
 		for _, member := range group.unhealthy {
 			p.round = max(p.round, member.Load.ProbeRound)
@@ -172,7 +172,7 @@
 		return ProbeUnlimited
 	}
 	if p.unhealthyMembers < group.quorum() { // the cause may be this member
-		p.state = StoreFailing
+		p.state = StoreUnresponsive
 		return ProbeUnlimited
 	}
 	if p.takeTurn(now, group.unhealthy) || p.verifies(group) {
@@ -192,12 +192,12 @@
 	p.updateRound(now, unhealthy)
 	switch {
 	case !p.holdsRound(unhealthy):
-		p.state = StoreFailing
+		p.state = StoreUnresponsive
 		return false
 	case p.state != StoreProbing:
 		p.state, p.stateSince, p.successes = StoreProbing, now, 0
 	case now-p.stateSince > probeTurnDuration:
-		p.state = StoreFailing
+		p.state = StoreUnresponsive
 		p.startRound(now, p.round+1)
 		return false
 	}
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -122,7 +122,7 @@
 func (s *probeSimulation) callLimit(member int) int {
 	switch s.allowances[member] {
 	case ProbeUnlimited:
-		if s.coordinators[member].State() == StoreFailing {
+		if s.coordinators[member].State() == StoreUnresponsive {
 			return 1 // about what the member's breaker lets through
 		}
 		return 4
@@ -162,7 +162,7 @@
 	for member, load := range s.received[observer] {
 		liveness := fleet.Alive
 		if !s.alive[member] {
-			liveness = fleet.Silent
+			liveness = fleet.Unreachable
 		}
 		view.Members = append(view.Members, fleet.Member{
 			Record: &fleet.Record{
@@ -196,7 +196,7 @@
 	return members
 }
 
-func (s *probeSimulation) unhealthy() int { return s.count(StoreFailing) + s.count(StoreProbing) }
+func (s *probeSimulation) unhealthy() int { return s.count(StoreUnresponsive) + s.count(StoreProbing) }
 
 // A dead store has a handful of calls in flight, whatever the number of members; the member whose turn it is may die;
 // and when the store is back all members come to use it again, some at a time.
@@ -234,8 +234,8 @@
 	for name, misreport := range map[string]func(load *fleet.Load){
 		"recovering": func(load *fleet.Load) { load.StoreState = uint8(StoreRecovering) },
 		"probing":    func(load *fleet.Load) { load.StoreState = uint8(StoreProbing) },
-		"rounds":     func(load *fleet.Load) { load.StoreState, load.ProbeRound = uint8(StoreFailing), 1<<63 },
-		"failing":    func(load *fleet.Load) { load.StoreState = uint8(StoreFailing) },
+		"rounds":     func(load *fleet.Load) { load.StoreState, load.ProbeRound = uint8(StoreUnresponsive), 1<<63 },
+		"failing":    func(load *fleet.Load) { load.StoreState = uint8(StoreUnresponsive) },
 	} {
 		simulation := newProbeSimulation(members, 4)
 		simulation.misreport = func(member int, load *fleet.Load) {
--- a/internal/overload/quota_manager.go
+++ b/internal/overload/quota_manager.go
@@ -116,7 +116,7 @@
 	if len(view.Members) == 0 {
 		return ProcessID{}, false
 	}
-	maxAge := fleet.Fresh(len(view.Members))
+	maxAge := fleet.MaxFreshAge(len(view.Members))
 	maxUnused := 0.0
 	for range lenderCandidates {
 		member := &view.Members[m.randomBelow(len(view.Members))]
--- a/internal/overload/quota_manager_test.go
+++ b/internal/overload/quota_manager_test.go
@@ -13,13 +13,13 @@
 
 // quotaFleet is a number of members that lease quota from each other; the first one may be busy.
 type quotaFleet struct {
-	terms        Terms
+	terms        LeaseTerms
 	managers     []*QuotaManager
 	view         *fleet.View
 	idleMessages int // sent by the idle members on their own
 }
 
-func newQuotaFleet(members int, terms Terms) *quotaFleet {
+func newQuotaFleet(members int, terms LeaseTerms) *quotaFleet {
 	random := rand.New(rand.NewPCG(1, 1))
 	quotas := &quotaFleet{terms: terms, view: fleet.NewView("n0", fleet.Limits{Members: members})}
 	for i := range members {
@@ -85,7 +85,7 @@
 // A busy member among idle ones gets several times its quota and keeps it while it needs it, and returns it soon after;
 // idle members do not request any.
 func TestQuotaMovesToBusyMember(t *testing.T) {
-	terms := Terms{
+	terms := LeaseTerms{
 		Base:              4000,
 		Reserved:          2000,
 		Lease:             3 * time.Second,
--- a/internal/overload/retries_test.go
+++ b/internal/overload/retries_test.go
@@ -94,7 +94,7 @@
 	setObserver(view, observer)
 	for i := range view.Members {
 		if view.Members[i].Name == fmt.Sprint("n", s.dead) {
-			view.Members[i].Liveness = fleet.Dead
+			view.Members[i].Liveness = fleet.Failed
 		}
 	}
 	return view
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -35,8 +35,8 @@
 // The verdicts on a request.
 const (
 	VerdictUnknown        Verdict = iota // nothing is known of other members: this server decides by its own load
-	VerdictElsewhere                     // the fleet has capacity: if this server rejects the request, another runs it
-	VerdictFull                          // the fleet is full and over its retry budget: a rejected client should not retry
+	VerdictHasCapacity                   // the fleet has capacity: if this server rejects the request, another runs it
+	VerdictFleetFull                     // the fleet is full and over its retry budget: a rejected client should not retry
 	VerdictBelowThreshold                // the request is below the threshold: no member runs it while cores are short
 )
 
@@ -49,11 +49,11 @@
 	return verdictNames[v]
 }
 
-// Threshold is the state of the fleet as one member sees it.
-type Threshold struct {
+// SheddingState is what a member knows of the load of its fleet, and the shedding threshold that follows from it.
+type SheddingState struct {
 	Known           bool // there are recent updates, and this member is not partitioned from most others
 	Full            bool
-	Priority        float64       // requests of lower priority are below the threshold; 0 = none are
+	Threshold       float64       // requests of lower priority are below the threshold; 0 = none are
 	Offered         float64       // demand of the fleet, corrected for retries, in seconds of work a second
 	ServiceRate     float64       // that the fleet completes, in seconds of work a second
 	RetryRatio      float64       // retries for each first attempt in the fleet
@@ -72,7 +72,7 @@
 	knownRetries float64 // decayed; part of attempts
 	lastTick     time.Duration
 	started      bool
-	threshold    Threshold
+	state        SheddingState
 }
 
 // RetryJitter returns the time to add to the Retry-After of a rejected request. It lies within the threshold's Window
@@ -80,11 +80,11 @@
 func (s *Shedder) RetryJitter(fingerprint uint64) time.Duration {
 	const mantissaBits = 53
 	fraction := float64(fingerprint>>(64-mantissaBits)) / (1 << mantissaBits)
-	return time.Duration(float64(s.threshold.Window) * fraction)
+	return time.Duration(float64(s.state.Window) * fraction)
 }
 
-// Threshold returns the result of the last Tick.
-func (s *Shedder) Threshold() Threshold { return s.threshold }
+// State returns the result of the last Tick.
+func (s *Shedder) State() SheddingState { return s.state }
 
 // Classify counts a request that arrived at this server and returns the fleet's verdict on it. Work is in seconds; a
 // request without valid work or value is neither counted nor known.
@@ -100,19 +100,19 @@
 	} else {
 		s.demand[int(priority)] += work
 	}
-	return s.threshold.classify(priority)
+	return s.state.classify(priority)
 }
 
-func (t *Threshold) classify(priority float64) Verdict {
+func (s *SheddingState) classify(priority float64) Verdict {
 	switch {
-	case !t.Known:
+	case !s.Known:
 		return VerdictUnknown
-	case priority < t.Priority:
+	case priority < s.Threshold:
 		return VerdictBelowThreshold
-	case t.Full && t.OverRetryBudget:
-		return VerdictFull
+	case s.Full && s.OverRetryBudget:
+		return VerdictFleetFull
 	}
-	return VerdictElsewhere
+	return VerdictHasCapacity
 }
 
 // Demand returns the demand at this server.
@@ -146,19 +146,19 @@
 
 // Tick finds the threshold anew from what other members have published. It is called a few times a second. Now is on the
 // clock of this server, at is the time of the view.
-func (s *Shedder) Tick(now time.Duration, own LocalLoad, view *fleet.Snapshot, at time.Duration) Threshold {
+func (s *Shedder) Tick(now time.Duration, own LocalLoad, view *fleet.Snapshot, at time.Duration) SheddingState {
 	s.decay(now)
 	total, includesSelf := AggregateView(view, at)
 	if total.Members == 0 || view.Position == fleet.Partitioned || view.Position == fleet.Alone {
-		s.threshold = Threshold{Stale: total.Stale}
-		return s.threshold
+		s.state = SheddingState{Stale: total.Stale}
+		return s.state
 	}
 	if !includesSelf {
 		ownAggregate := own.aggregate(s.Demand())
 		total.add(&ownAggregate)
 	}
-	s.threshold = s.nextThreshold(&total)
-	return s.threshold
+	s.state = s.nextState(&total)
+	return s.state
 }
 
 // decay ages what was counted since the last tick.
@@ -177,14 +177,14 @@
 	return math.Exp(-float64(elapsed) / float64(timeConstant))
 }
 
-// nextThreshold returns the threshold for the load of the whole fleet, of which it corrects the demand for retries.
-func (s *Shedder) nextThreshold(total *Aggregate) Threshold {
-	previous := &s.threshold
+// nextState returns the threshold for the load of the whole fleet, of which it corrects the demand for retries.
+func (s *Shedder) nextState(total *Aggregate) SheddingState {
+	previous := &s.state
 	firstAttempts := total.Attempts - total.Retries
 	if firstAttempts > 0 {
 		total.Demand.scale(s.firstAttemptRatio(total.Retries / total.Attempts))
 	}
-	next := Threshold{
+	next := SheddingState{
 		Known:       true,
 		Offered:     total.Demand.Total(),
 		ServiceRate: total.ServiceRate,
@@ -199,13 +199,13 @@
 	next.Full = next.Offered > previous.fullRatio()*total.ServiceRate
 	if !next.Full {
 		// The threshold falls in steps, as the clients that were rejected come back now.
-		next.Priority = max(previous.Priority-thresholdDecayStep, 0)
+		next.Threshold = max(previous.Threshold-thresholdDecayStep, 0)
 		return next
 	}
 	next.OverRetryBudget = next.RetryRatio > RetryBudget
-	next.Priority = total.Demand.thresholdFor(total.ServiceRate * total.capacityFactor())
+	next.Threshold = total.Demand.thresholdFor(total.ServiceRate * total.capacityFactor())
 	if previous.Full {
-		next.Priority = previous.Priority + thresholdGain*(next.Priority-previous.Priority)
+		next.Threshold = previous.Threshold + thresholdGain*(next.Threshold-previous.Threshold)
 	}
 	return next
 }
@@ -219,17 +219,17 @@
 }
 
 // fullRatio returns the ratio of demand to service rate above which the fleet is full next.
-func (t *Threshold) fullRatio() float64 {
-	if t.Full {
+func (s *SheddingState) fullRatio() float64 {
+	if s.Full {
 		return overloadExitRatio
 	}
 	return overloadEnterRatio
 }
 
 // retryWindow returns how long the free capacity needs for the work of the retries.
-func (t *Threshold) retryWindow() time.Duration {
-	retryWork := t.Offered * t.RetryRatio * demandTimeConstant.Seconds()
-	free := max(t.ServiceRate-t.Offered, minFreeCapacityRatio*t.ServiceRate)
+func (s *SheddingState) retryWindow() time.Duration {
+	retryWork := s.Offered * s.RetryRatio * demandTimeConstant.Seconds()
+	free := max(s.ServiceRate-s.Offered, minFreeCapacityRatio*s.ServiceRate)
 	return time.Duration(min(retryWork/max(free, minDivisor), maxRetryWindow.Seconds()) * float64(time.Second))
 }
 
--- a/internal/overload/shedding_test.go
+++ b/internal/overload/shedding_test.go
@@ -142,10 +142,10 @@
 		if test.load < 1 && test.misreport == nil {
 			require.Zero(t, sum(simulation.shed), test.name)
 		}
-		first := simulation.shedders[0].Threshold()
+		first := simulation.shedders[0].State()
 		for _, shedder := range simulation.shedders {
-			require.True(t, shedder.Threshold().Known, test.name)
-			require.InDelta(t, first.Priority, shedder.Threshold().Priority, 4, test.name)
+			require.True(t, shedder.State().Known, test.name)
+			require.InDelta(t, first.Threshold, shedder.State().Threshold, 4, test.name)
 		}
 	}
 }
@@ -162,8 +162,8 @@
 	}
 	view := viewOf(4, time.Second, full)
 	require.Equal(t, VerdictBelowThreshold, verdictOf(view, time.Second))
-	require.Equal(t, VerdictUnknown, verdictOf(view, time.Second+fleet.Fresh(4)+1), "updates are old")
-	require.Equal(t, 3, shedder.Threshold().Stale)
+	require.Equal(t, VerdictUnknown, verdictOf(view, time.Second+fleet.MaxFreshAge(4)+1), "updates are old")
+	require.Equal(t, 3, shedder.State().Stale)
 	require.Equal(t, VerdictBelowThreshold, verdictOf(view, time.Second))
 	partitioned := *view
 	partitioned.Position = fleet.Partitioned
@@ -179,8 +179,8 @@
 func TestVerdictString(t *testing.T) {
 	for verdict, want := range map[Verdict]string{
 		VerdictUnknown:            "unknown",
-		VerdictElsewhere:          "elsewhere",
-		VerdictFull:               "full",
+		VerdictHasCapacity:        "elsewhere",
+		VerdictFleetFull:          "full",
 		VerdictBelowThreshold:     "below threshold",
 		VerdictBelowThreshold + 1: "unknown",
 	} {
@@ -201,9 +201,9 @@
 		{"between, full before", true, true, between},
 		{"above both", false, true, overloadEnterRatio * 1.01},
 	} {
-		shedder := Shedder{threshold: Threshold{Known: true, Full: test.wasFull}}
+		shedder := Shedder{state: SheddingState{Known: true, Full: test.wasFull}}
 		total := Aggregate{Members: 1, ServiceRate: serverCapacity}
 		total.Demand[20] = test.demandMultiplier * serverCapacity
-		require.Equal(t, test.full, shedder.nextThreshold(&total).Full, test.name)
+		require.Equal(t, test.full, shedder.nextState(&total).Full, test.name)
 	}
 }
--- a/internal/overload/wire.go
+++ b/internal/overload/wire.go
@@ -104,7 +104,7 @@
 func (m *Message) setNumber(field protowire.Number, number uint64) {
 	switch field {
 	case fieldKind:
-		m.Kind = Kind(min(number, math.MaxUint8))
+		m.Kind = MessageKind(min(number, math.MaxUint8))
 	case fieldFromRun:
 		m.From.Run = number
 	case fieldToRun:
--- a/internal/overload/wire_test.go
+++ b/internal/overload/wire_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestKindString(t *testing.T) {
-	for kind, want := range map[Kind]string{
+	for kind, want := range map[MessageKind]string{
 		0:               "invalid",
 		LeaseRequest:    "lease request",
 		LeaseGrant:      "lease grant",
--- a/internal/permit/acquire_test.go
+++ b/internal/permit/acquire_test.go
@@ -152,7 +152,7 @@
 		return view.Instances[rapid.IntRange(0, len(view.Instances)-1).Draw(t, label)].Name
 	}
 	command := Command{
-		Kind:       Kind(rapid.IntRange(1, 8).Draw(t, "kind")),
+		Kind:       CommandKind(rapid.IntRange(1, 8).Draw(t, "kind")),
 		Owner:      "op",
 		Names:      []string{drawName("who")},
 		Seq:        rapid.Uint64Range(0, 3).Draw(t, "seq"),
--- a/internal/permit/command.go
+++ b/internal/permit/command.go
@@ -13,22 +13,22 @@
 	Capacity  map[string]float64 // seconds of work per second that each instance can do; 0 where it is absent
 }
 
-// Kind is the type of a Command. Its numbers are part of the replicated log.
-type Kind uint8
+// CommandKind is the type of a Command. Its numbers are part of the replicated log.
+type CommandKind uint8
 
 // The kinds of Command.
 const (
-	Acquire   Kind = iota + 1 // Owner wants permits for all of Names or none
-	Departed                  // the instance reports that it has begun to go
-	Recovered                 // the instance reports that it serves and is warm
-	Release                   // the instance gives back its permit of Epoch, which it no longer knows when it reports so
-	WriteOff                  // Owner releases the permit of an instance, for Reason
-	Halt                      // no permit is granted until Resume
+	Acquire   CommandKind = iota + 1 // Owner wants permits for all of Names or none
+	Departed                         // the instance reports that it has begun to go
+	Recovered                        // the instance reports that it serves and is warm
+	Release                          // the instance gives back its permit of Epoch, which it no longer knows when it reports so
+	WriteOff                         // Owner releases the permit of an instance, for Reason
+	Halt                             // no permit is granted until Resume
 	Resume
 	SetRules
 )
 
-var kindNames = [...]string{
+var commandKindNames = [...]string{
 	Acquire:   "ask",
 	Departed:  "went",
 	Recovered: "seen",
@@ -39,16 +39,16 @@
 	SetRules:  "rules",
 }
 
-func (k Kind) String() string {
-	if int(k) < len(kindNames) {
-		return kindNames[k]
+func (k CommandKind) String() string {
+	if int(k) < len(commandKindNames) {
+		return commandKindNames[k]
 	}
 	return fmt.Sprintf("command(%d)", uint8(k))
 }
 
 // Command is one entry of the replicated log. The comment of a field lists the kinds that use it.
 type Command struct {
-	Kind         Kind
+	Kind         CommandKind
 	Owner        string // who proposed it
 	Reason       string
 	Names        []string          // of instances: one or more for Acquire, exactly one for the others
@@ -71,7 +71,7 @@
 // Decision is the result of a command, as the log of decisions keeps it.
 type Decision struct {
 	Epoch  uint64
-	Kind   Kind
+	Kind   CommandKind
 	Owner  string
 	Names  []string
 	Reason string // at most maxReasonBytes
--- a/internal/permit/golden_test.go
+++ b/internal/permit/golden_test.go
@@ -29,7 +29,7 @@
 	for kind := Acquire; kind <= SetRules; kind++ {
 		fmt.Fprintf(&got, "%d: %s\n", kind, kind)
 	}
-	fmt.Fprintf(&got, "%d: %q\n%d: %s\n", 0, Kind(0), 200, Kind(200))
+	fmt.Fprintf(&got, "%d: %q\n%d: %s\n", 0, CommandKind(0), 200, CommandKind(200))
 	requireGolden(t, "testdata/kinds.txt", got.String())
 }
 
@@ -69,7 +69,7 @@
 }
 
 // goldenReport is a report of n0 about itself.
-func goldenReport(kind Kind, incarnation, seq uint64) Command {
+func goldenReport(kind CommandKind, incarnation, seq uint64) Command {
 	const name = "n0"
 	return Command{
 		Kind:         kind,
--- a/internal/permit/modelcheck_test.go
+++ b/internal/permit/modelcheck_test.go
@@ -21,7 +21,7 @@
 )
 
 // expiration stands in the log for time that went by. Only expiringPermits makes something of it.
-const expiration Kind = 100
+const expiration CommandKind = 100
 
 // modelDepth is the number of steps that are explored.
 const modelDepth = 9
@@ -71,7 +71,7 @@
 }
 
 // report appends a report of instance i about itself.
-func (m *modelState) report(kind Kind, i int) {
+func (m *modelState) report(kind CommandKind, i int) {
 	name := modelNames[i]
 	m.log = append(m.log, Command{
 		Kind:         kind,
--- a/internal/permit/state_test.go
+++ b/internal/permit/state_test.go
@@ -10,7 +10,7 @@
 func TestRelease(t *testing.T) {
 	view := newFleetView(4)
 	names := []string{"n0"}
-	report := func(kind Kind, incarnation, seq uint64) Command {
+	report := func(kind CommandKind, incarnation, seq uint64) Command {
 		return Command{Kind: kind, Names: names, Incarnations: map[string]uint64{"n0": incarnation}, Seq: seq}
 	}
 	release := func(owner string, epoch uint64) Command {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -193,14 +193,14 @@
 	for state := overload.StoreHealthy; state <= overload.StoreRecovering; state++ {
 		fmt.Fprintf(&got, "store %d %q\n", state, storeStateName(state))
 	}
-	for _, threshold := range []overload.Threshold{
+	for _, threshold := range []overload.SheddingState{
 		{},
 		{Known: true},
-		{Known: true, Priority: 3},
-		{Known: true, Full: true, Priority: 3},
+		{Known: true, Threshold: 3},
+		{Known: true, Full: true, Threshold: 3},
 	} {
 		fmt.Fprintf(&got, "cutoff known %t, full %t, place %v: %q\n",
-			threshold.Known, threshold.Full, threshold.Priority, thresholdState(&threshold))
+			threshold.Known, threshold.Full, threshold.Threshold, thresholdState(&threshold))
 	}
 	for _, err := range []error{
 		errTooManyOpenCalls,
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -180,6 +180,6 @@
 		"position": view.Position.String(),
 		"known":    view.Total.Known,
 		"reached":  view.Total.Reached(),
-		"silent":   view.Total.Count[fleet.Silent],
+		"silent":   view.Total.Count[fleet.Unreachable],
 	}).Info("fleet")
 }
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -41,7 +41,7 @@
 	if base == 0 {
 		return
 	}
-	ledger := overload.NewQuotaLedger(s.member.fleet.Now(), self, overload.Terms{
+	ledger := overload.NewQuotaLedger(s.member.fleet.Now(), self, overload.LeaseTerms{
 		Base:              base,
 		Reserved:          overload.Quota(reservedFraction * float64(base)),
 		Lease:             lease,
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -25,14 +25,14 @@
 	collector *overload.Collector
 	ages      *overload.AgeEstimator
 	ticks     int
-	logged    overload.Threshold // the last one that was logged
+	logged    overload.SheddingState // the last one that was logged
 }
 
 // fleetRanks gives the verdicts of package overload in the controller's terms.
 var fleetRanks = [...]admission.FleetRank{
 	overload.VerdictUnknown:        admission.RankUnknown,
-	overload.VerdictElsewhere:      admission.RankElsewhere,
-	overload.VerdictFull:           admission.RankFull,
+	overload.VerdictHasCapacity:    admission.RankElsewhere,
+	overload.VerdictFleetFull:      admission.RankFull,
 	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
 }
 
@@ -120,13 +120,13 @@
 }
 
 // logThreshold logs a threshold if its state has changed.
-func (s *Server) logThreshold(shedding *loadShedding, threshold overload.Threshold) {
+func (s *Server) logThreshold(shedding *loadShedding, threshold overload.SheddingState) {
 	from, to := thresholdState(&shedding.logged), thresholdState(&threshold)
 	if from == to {
 		return
 	}
 	s.logChange(logrus.InfoLevel, "cutoff of the fleet", from, to, logrus.Fields{
-		"place":     threshold.Priority,
+		"place":     threshold.Threshold,
 		"offered":   threshold.Offered,
 		"pace":      threshold.ServiceRate,
 		"again":     threshold.RetryRatio,
@@ -139,13 +139,13 @@
 
 // thresholdState is the state of the fleet as operators see it: nothing is shed (""), the fleet is full, it recovers
 // from that, or it is not known.
-func thresholdState(threshold *overload.Threshold) string {
+func thresholdState(threshold *overload.SheddingState) string {
 	switch {
 	case !threshold.Known:
 		return "unknown"
 	case threshold.Full:
 		return "full"
-	case threshold.Priority > 0:
+	case threshold.Threshold > 0:
 		return "sinking"
 	}
 	return ""
@@ -199,6 +199,6 @@
 	demand := shedding.shedder.Demand()
 	load.Demand = string(demand.Append(nil))
 	load.Attempts, load.RetryRatio = shedding.retries.AttemptRate(), shedding.retries.RetryRatio()
-	load.Threshold = shedding.shedder.Threshold().Priority
+	load.Threshold = shedding.shedder.State().Threshold
 	load.Aggregate = shedding.collector.Published()
 }
--- a/internal/server/shedding_test.go
+++ b/internal/server/shedding_test.go
@@ -37,7 +37,7 @@
 	server.EnableShedding(overload.ProcessID{Name: "n3", Run: 1})
 	server.handleAgentNotification(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
 	server.tickShedding()
-	require.True(t, server.member.shedding.shedder.Threshold().Full)
+	require.True(t, server.member.shedding.shedder.State().Full)
 	var last *lastAnswerConnection
 	for i := range 40 { // the first ones find free cores
 		last = &lastAnswerConnection{}
--- a/lab/fleetlab/harness_test.go
+++ b/lab/fleetlab/harness_test.go
@@ -137,7 +137,7 @@
 		observed[member.Name] = member.Condition
 	}
 	for _, zone := range report.Zones {
-		observed["zone "+zone.Zone] = map[bool]string{true: "dark", false: "lit"}[zone.Unreachable]
+		observed["zone "+zone.Zone] = map[bool]string{true: "dark", false: "lit"}[zone.MostlyUnreachable]
 	}
 	return observed, nil
 }
--- a/lab/fleetlab/overload_test.go
+++ b/lab/fleetlab/overload_test.go
@@ -114,7 +114,7 @@
 func (l *Lab) allUseStores(members []string) bool {
 	notInUse := func(m fleet.MemberReport) bool {
 		state := overload.StoreState(m.StoreState)
-		return slices.Contains(members, m.Name) && (state == overload.StoreFailing || state == overload.StoreProbing)
+		return slices.Contains(members, m.Name) && (state == overload.StoreUnresponsive || state == overload.StoreProbing)
 	}
 	for _, name := range members {
 		report, err := l.FindMember(name).FleetReport()
--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -66,13 +66,13 @@
 	}
 	member := fleet.Member{
 		Record:   &fleet.Record{Name: s.name, Zone: zoneName(s.zone), Run: s.starts + 1},
-		Liveness: fleet.Unmet,
+		Liveness: fleet.Unconfirmed,
 	}
 	if len(s.updates) > 0 && s.updates[0].at <= published {
 		member.Record, member.RecordedAt, member.Liveness = &s.updates[0].record, s.updates[0].at, fleet.Alive
 	}
 	if !s.up && s.sim.now-s.upChangedAt > failureDetectionTime {
-		member.Liveness = fleet.Dead
+		member.Liveness = fleet.Failed
 	}
 	return member
 }
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -19,8 +19,8 @@
 // fleetRanks gives the controller's rank for each verdict.
 var fleetRanks = [...]admission.FleetRank{
 	overload.VerdictUnknown:        admission.RankUnknown,
-	overload.VerdictElsewhere:      admission.RankElsewhere,
-	overload.VerdictFull:           admission.RankFull,
+	overload.VerdictHasCapacity:    admission.RankElsewhere,
+	overload.VerdictFleetFull:      admission.RankFull,
 	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
 }
 
@@ -56,7 +56,7 @@
 	demand := s.shedder.Demand()
 	load.Demand = string(demand.Append(nil))
 	load.Attempts, load.RetryRatio = s.retries.AttemptRate(), s.retries.RetryRatio()
-	load.Threshold = s.shedder.Threshold().Priority
+	load.Threshold = s.shedder.State().Threshold
 	load.Aggregate = s.collector.Published()
 }
 
--- a/lab/schedule/agreement.go
+++ b/lab/schedule/agreement.go
@@ -34,7 +34,7 @@
 // countAlive counts the members whose process is seen to run, be it wedged.
 func countAlive(snapshot *fleet.Snapshot) (alive int) {
 	for i := range snapshot.Members {
-		if liveness := snapshot.Members[i].Liveness; liveness == fleet.Alive || liveness == fleet.Wedged {
+		if liveness := snapshot.Members[i].Liveness; liveness == fleet.Alive || liveness == fleet.Stalled {
 			alive++
 		}
 	}
--- a/lab/schedule/helpers_test.go
+++ b/lab/schedule/helpers_test.go
@@ -60,7 +60,7 @@
 func requireNoneDead(t *testing.T, observer *Member) {
 	t.Helper()
 	for _, member := range observer.Fleet.Snapshot().Members {
-		require.NotEqual(t, fleet.Dead, member.Liveness, "%s of %s", observer.Name, member.Name)
+		require.NotEqual(t, fleet.Failed, member.Liveness, "%s of %s", observer.Name, member.Name)
 	}
 }
 
--- a/lab/schedule/measure_test.go
+++ b/lab/schedule/measure_test.go
@@ -197,12 +197,12 @@
 // lostIn reports whether a member is lost in a view.
 func lostIn(view *fleet.Snapshot, name string) bool {
 	member := view.Find(name)
-	return member == nil || member.Liveness == fleet.Silent || member.Liveness == fleet.Dead
+	return member == nil || member.Liveness == fleet.Unreachable || member.Liveness == fleet.Failed
 }
 
 // downIn reports whether a member is lost or wedged in a view.
 func downIn(view *fleet.Snapshot, name string) bool {
-	return lostIn(view, name) || view.Find(name).Liveness == fleet.Wedged
+	return lostIn(view, name) || view.Find(name).Liveness == fleet.Stalled
 }
 
 // countFalseRemovals counts how often a view loses a member within a time in which all run.
--- a/lab/schedule/scenarios_test.go
+++ b/lab/schedule/scenarios_test.go
@@ -40,7 +40,7 @@
 	time.Sleep(30 * time.Second)
 	for i, member := range cluster.Members {
 		if i != 1 {
-			require.NotEqual(t, fleet.Dead, member.Fleet.Snapshot().Find("n1").Liveness)
+			require.NotEqual(t, fleet.Failed, member.Fleet.Snapshot().Find("n1").Liveness)
 		}
 	}
 	cluster.heal()
--- a/lab/schedule/seeded_faults_test.go
+++ b/lab/schedule/seeded_faults_test.go
@@ -86,7 +86,7 @@
 			before := known[key]
 			require.Falsef(t, member.Less(&before), "%s knows less of %s than before", observer.Name, member.Name)
 			known[key] = *member.Record
-			if member.Liveness == fleet.Dead {
+			if member.Liveness == fleet.Failed {
 				c.requireNotRunning(t, observer, member)
 			}
 		}
