--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"falldeal/admission"
 	"falldeal/internal/fleet"
 )
 
@@ -51,6 +52,21 @@
 	return probeAllowanceNames[min(int(a), len(probeAllowanceNames)-1)]
 }
 
+// ProtectedCalls returns the number of calls in each window of the circuit breaker that it never drops: what the
+// breaker is set to while the allowance is in force. A negative number has the breaker drop every call.
+func (a ProbeAllowance) ProtectedCalls() float64 {
+	switch a {
+	case ProbeUnlimited:
+		return admission.BreakerProtectedCalls
+	case ProbeCautious:
+		return 0
+	case ProbeSingle:
+		return 1
+	default: // ProbeNone
+		return -1
+	}
+}
+
 // ProbeCoordinator decides which members probe a store that does not respond. Members of one zone with the same store
 // are a group, so that a store that is slow from one zone only is probed, and found again, by that zone.
 //
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"falldeal/admission"
 	"falldeal/internal/fleet"
 
 	"github.com/stretchr/testify/require"
@@ -292,3 +293,11 @@
 		require.Equal(t, test.want, coordinator.round, test.name)
 	}
 }
+
+// While an allowance is in force the breaker protects just the calls that it stands for.
+func TestProtectedCallsOfAllowances(t *testing.T) {
+	require.InDelta(t, admission.BreakerProtectedCalls, ProbeUnlimited.ProtectedCalls(), 0)
+	require.InDelta(t, 0, ProbeCautious.ProtectedCalls(), 0, "the first failure counts")
+	require.InDelta(t, 1, ProbeSingle.ProtectedCalls(), 0)
+	require.Negative(t, ProbeNone.ProtectedCalls(), "no call is made")
+}
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"falldeal/admission"
 	"falldeal/internal/overload"
 	"falldeal/internal/store"
 
@@ -23,14 +22,6 @@
 	allowance overload.ProbeAllowance // in force at the controller
 }
 
-// protectedCalls gives how many calls a window the breaker never drops.
-var protectedCalls = [...]float64{
-	overload.ProbeUnlimited: admission.BreakerProtectedCalls,
-	overload.ProbeCautious:  0,
-	overload.ProbeSingle:    1,
-	overload.ProbeNone:      -1,
-}
-
 // EnableCoordinatedProbes has a store that does not answer tried by turns within the fleet. run is this process as the
 // fleet knows it. It is called after JoinFleet and before Run.
 func (s *Server) EnableCoordinatedProbes(run uint64, zone string) {
@@ -63,7 +54,7 @@
 	allowance := probes.Tick(s.clock.now, storeHash, s.member.fleet.Snapshot(), now)
 	if s.admission.started() && allowance != probes.allowance {
 		probes.allowance = allowance
-		s.admission.controller.SetProtectedCalls(protectedCalls[allowance])
+		s.admission.controller.SetProtectedCalls(allowance.ProtectedCalls())
 		s.limitCalls()
 	}
 	if after := probes.State(); after != before {
--- a/lab/model/probing.go
+++ b/lab/model/probing.go
@@ -1,7 +1,6 @@
 package model
 
 import (
-	"falldeal/admission"
 	"falldeal/internal/fleet"
 	"falldeal/internal/overload"
 )
@@ -9,14 +8,6 @@
 // modelStoreID stands for the store in the coordination of probes: all zones use the same one.
 const modelStoreID = 7
 
-// protectedCalls gives how many calls a window the breaker never drops.
-var protectedCalls = [...]float64{
-	overload.ProbeUnlimited: admission.BreakerProtectedCalls,
-	overload.ProbeCautious:  0,
-	overload.ProbeSingle:    1,
-	overload.ProbeNone:      -1,
-}
-
 func (s *server) startProbes() {
 	s.probes, s.probeAllowance = nil, overload.ProbeUnlimited
 	if !s.sim.opts.CoordinatedProbes {
@@ -44,7 +35,7 @@
 		return
 	}
 	s.probeAllowance = allowance
-	s.controller.SetProtectedCalls(protectedCalls[allowance])
+	s.controller.SetProtectedCalls(allowance.ProtectedCalls())
 	settings := s.sim.settings
 	if allowance == overload.ProbeSingle {
 		settings.MaxCallsInFlight = min(settings.MaxCallsInFlight, 1)
