--- a/internal/overload/golden_agreement_test.go
+++ b/internal/overload/golden_agreement_test.go
@@ -98,7 +98,7 @@
 				coordinator.CallEnded(false)
 			}
 			coordinator.Tick(time.Second, store, view, time.Second)
-			coordinator.round = round
+			coordinator.round.number = round
 			var load fleet.Load
 			if allowance := coordinator.Tick(time.Second, store, view, time.Second); allowance == ProbeSingle {
 				coordinator.AddToLoad(&load)
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -283,14 +283,13 @@
 		{"later", published, 0, published},
 		{"the last in range", maxProbeRound - 1, 0, maxProbeRound - 1},
 		{"out of range", maxProbeRound, 0, own},
-		{"not timed out", 0, probeTurnTimeout, own},
-		{"timed out", 0, probeTurnTimeout + 1, own + 1},
+		{"not timed out", 0, probeRoundTimeout, own},
+		{"timed out", 0, probeRoundTimeout + 1, own + 1},
 	} {
-		coordinator := NewProbeCoordinator(1, "z")
-		coordinator.startRound(0, own)
+		round := probeRound{number: own}
 		member := fleet.Member{Record: &fleet.Record{Load: fleet.Load{ProbeRound: test.published}}}
-		coordinator.updateRound(test.elapsed, []*fleet.Member{&member})
-		require.Equal(t, test.want, coordinator.round, test.name)
+		round.update(test.elapsed, []*fleet.Member{&member})
+		require.Equal(t, test.want, round.number, test.name)
 	}
 }
 
