--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -1,7 +1,6 @@
 package overload
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
@@ -25,23 +24,6 @@
 	AbandonedCallTime time.Duration // that the store may go on with a call after its process has died
 }
 
-// lease is quota that is granted to or received from a peer.
-type lease struct {
-	peer    ProcessID
-	number  uint64
-	amount  Quota
-	expires time.Duration // granted: reclaimed then without a return; received: no new call begins under it from then on
-}
-
-func (l *lease) is(peer ProcessID, number uint64) bool { return l.peer == peer && l.number == number }
-
-// pendingRequest is a request without an answer.
-type pendingRequest struct {
-	peer   ProcessID
-	number uint64
-	sentAt time.Duration
-}
-
 // QuotaLedger keeps the quota of one member at a store: its own, what it has leased to other members and what it has
 // leased from them. It belongs to one goroutine.
 //
@@ -59,12 +41,12 @@
 type QuotaLedger struct {
 	terms                LeaseTerms
 	self                 ProcessID
-	predecessorCallsEnd  time.Duration
-	predecessorLeasesEnd time.Duration
-	lastNumber           uint64
-	leasedOut            []lease
-	leased               []lease
-	pending              []pendingRequest
+	predecessorCallsEnd  time.Duration // by when the calls of an earlier process of this member must be over
+	predecessorLeasesEnd time.Duration // by when what it had leased out must be back
+	lastNumber           uint64        // of a request
+	leasedOut            leaseList
+	leased               leaseList
+	pending              pendingRequests
 }
 
 // NewQuotaLedger returns the ledger of a process that starts now.
@@ -104,46 +86,29 @@
 }
 
 // Leased returns the quota that this member has leased from others and may use now.
-func (l *QuotaLedger) Leased(now time.Duration) Quota { return unexpiredQuota(now, l.leased) }
+func (l *QuotaLedger) Leased(now time.Duration) Quota { return l.leased.unexpired(now) }
 
 // LeasedOut returns the quota that others have leased from this member.
-func (l *QuotaLedger) LeasedOut(now time.Duration) Quota { return unexpiredQuota(now, l.leasedOut) }
-
-func unexpiredQuota(now time.Duration, leases []lease) (total Quota) {
-	for i := range leases {
-		if now < leases[i].expires {
-			total += leases[i].amount
-		}
-	}
-	return total
-}
+func (l *QuotaLedger) LeasedOut(now time.Duration) Quota { return l.leasedOut.unexpired(now) }
 
 // dropExpired forgets what has expired. A received lease stays until its calls must be over, so that it is returned.
 func (l *QuotaLedger) dropExpired(now time.Duration) {
-	l.leasedOut = slices.DeleteFunc(l.leasedOut, func(granted lease) bool {
-		return now >= granted.expires
-	})
-	l.leased = slices.DeleteFunc(l.leased, func(received lease) bool {
-		return now >= received.expires+l.terms.CallTime
-	})
-	l.pending = slices.DeleteFunc(l.pending, func(request pendingRequest) bool {
-		return now >= request.sentAt+l.terms.Lease
-	})
+	l.leasedOut = l.leasedOut.withoutExpired(now, 0)
+	l.leased = l.leased.withoutExpired(now, l.terms.CallTime)
+	l.pending = l.pending.withoutTimedOut(now, l.terms.Lease)
 }
 
 // RequestLease returns a request for quota to send to a lender. Ok is false if there are too many leases or requests, or
 // one to this lender is pending.
 func (l *QuotaLedger) RequestLease(now time.Duration, lender ProcessID, amount Quota) (request Message, ok bool) {
 	l.dropExpired(now)
-	if amount <= 0 || len(l.pending) >= maxPendingRequests || len(l.leased) >= maxLeases {
-		return Message{}, false
-	}
-	if slices.ContainsFunc(l.pending, func(r pendingRequest) bool { return r.peer == lender }) {
+	if amount <= 0 || len(l.pending) >= maxPendingRequests || len(l.leased) >= maxLeases || l.pending.has(lender) {
 		return Message{}, false
 	}
 	l.lastNumber++
 	l.pending = append(l.pending, pendingRequest{lender, l.lastNumber, now})
-	return Message{Kind: LeaseRequest, From: l.self, To: lender, Number: l.lastNumber, Amount: amount}, true
+	request = Message{Kind: LeaseRequest, From: l.self, To: lender, Number: l.lastNumber, Amount: amount}
+	return request, true
 }
 
 // HandleMessage handles a message of another member, and returns the answer to send if ok. InFlight is the quota that
@@ -161,9 +126,7 @@
 	case LeaseGrant:
 		l.receiveGrant(message)
 	case LeaseReturn:
-		l.leasedOut = slices.DeleteFunc(l.leasedOut, func(granted lease) bool {
-			return granted.is(message.From, message.Number)
-		})
+		l.leasedOut = l.leasedOut.without(message.From, message.Number)
 	}
 	return Message{}, false
 }
@@ -175,9 +138,7 @@
 	if now < l.predecessorLeasesEnd || len(l.leasedOut) >= maxLeases {
 		return answer, true
 	}
-	if slices.ContainsFunc(l.leasedOut, func(granted lease) bool {
-		return granted.peer == request.From && granted.number >= request.Number
-	}) {
+	if l.leasedOut.hasAnswered(request.From, request.Number) {
 		return Message{}, false
 	}
 	free := l.terms.Base - l.LeasedOut(now) - max(l.terms.Reserved, used)
@@ -188,41 +149,44 @@
 	return answer, true
 }
 
-// receiveGrant takes a grant that answers a pending request.
+// receiveGrant takes a grant that answers a pending request. The lease is counted from before the request was sent.
 func (l *QuotaLedger) receiveGrant(grant Message) {
-	index := slices.IndexFunc(l.pending, func(r pendingRequest) bool {
-		return r.peer == grant.From && r.number == grant.Number
-	})
-	if index < 0 {
+	request, ok := l.pending.take(grant.From, grant.Number)
+	if !ok || grant.Amount <= 0 {
 		return
 	}
-	expires := l.pending[index].sentAt + l.terms.Lease
-	l.pending = slices.Delete(l.pending, index, index+1)
-	if grant.Amount > 0 {
-		l.leased = append(l.leased, lease{grant.From, grant.Number, grant.Amount, expires})
-	}
+	expires := request.sentAt + l.terms.Lease
+	l.leased = append(l.leased, lease{grant.From, grant.Number, grant.Amount, expires})
 }
 
 // Return gives up leases that have expired or are not needed, and returns the messages that say so. Those that expire
 // last go first, as far as the limit stays at what is in flight and needed.
 func (l *QuotaLedger) Return(now time.Duration, inFlight, needed Quota) (returns []Message) {
 	l.dropExpired(now)
-	slices.SortFunc(l.leased, func(a, b lease) int {
-		return cmp.Or(cmp.Compare(a.expires, b.expires), a.peer.compare(b.peer))
-	})
-	used := max(inFlight, needed)
+	l.leased.sortByExpiry()
 	for i := len(l.leased) - 1; i >= 0; i-- {
-		candidate := l.leased[i]
-		limit := l.Limit(now)
-		returnable := inFlight <= limit // an expired one that no call is left of
-		if now < candidate.expires {
-			returnable = limit-candidate.amount >= used
-		}
-		if returnable {
-			l.leased = slices.Delete(l.leased, i, i+1)
-			returns = append(returns, Message{Kind: LeaseReturn, From: l.self, To: candidate.peer,
-				Number: candidate.number, Amount: candidate.amount})
+		received := l.leased[i]
+		if !l.returnable(now, &received, inFlight, needed) {
+			continue
 		}
+		l.leased = slices.Delete(l.leased, i, i+1)
+		returns = append(returns, Message{
+			Kind:   LeaseReturn,
+			From:   l.self,
+			To:     received.peer,
+			Number: received.number,
+			Amount: received.amount,
+		})
 	}
 	return returns
 }
+
+// returnable reports whether a received lease can be returned: if it has expired once no call is left of it, else if the
+// limit without it suffices.
+func (l *QuotaLedger) returnable(now time.Duration, received *lease, inFlight, needed Quota) bool {
+	limit := l.Limit(now)
+	if now >= received.expires {
+		return inFlight <= limit
+	}
+	return limit-received.amount >= max(inFlight, needed)
+}
