--- a/internal/overload/messages.go
+++ b/internal/overload/messages.go
@@ -28,6 +28,9 @@
 // QuotaOf returns the quota for a number of calls, rounded down; 0 for a negative number.
 func QuotaOf(calls float64) Quota { return Quota(math.Floor(max(calls, 0) * quotaPerCall)) }
 
+// quotaOfCalls returns the quota that so many calls in flight use.
+func quotaOfCalls(calls int) Quota { return Quota(calls) * quotaPerCall }
+
 // MessageKind is the kind of a message of quota leasing.
 type MessageKind uint8
 
--- a/internal/overload/quota_manager.go
+++ b/internal/overload/quota_manager.go
@@ -6,10 +6,8 @@
 	"falldeal/internal/fleet"
 )
 
-// Tuning of quota leasing. The values are our own; docs/quota-leasing.md has the measurements.
 const (
-	requestInterval   = 250 * time.Millisecond // between two requests
-	usageTimeConstant = 2 * time.Second        // of the mean number of calls in flight
+	requestInterval   = 250 * time.Millisecond // between two requests of a member
 	renewalMargin     = time.Second            // before a lease expires, at which another one is requested
 	reserveDivisor    = 4                      // a member needs its mean usage and one part in so many on top
 	minRequestDivisor = 4                      // the smallest request, and the step after missed calls: Base by this
@@ -17,18 +15,19 @@
 	lenderCandidates  = 3                      // drawn from the view for a request
 )
 
-// QuotaManager decides when a member requests quota, of whom and how much, and when it returns quota: by its own usage
-// and missed calls, and by what others have published. It belongs to one goroutine.
+// QuotaManager decides when a member requests quota, of whom and how much, and when it returns quota.
+//
+// A member needs its mean usage with a reserve, and while calls were missed within the last lease, what would have
+// sufficed for them. It returns what it does not need. After missed calls it requests what its limit is short of that
+// need, or will be when the next leases expire, of the member with the most unused quota among a few drawn ones.
+//
+// It belongs to one goroutine.
 type QuotaManager struct {
 	*QuotaLedger
-	randomBelow  func(n int) int
-	meanInFlight float64
-	lastTick     time.Duration
-	missedCalls  int // since the last tick
-	lastRequest  time.Duration
-	wantedQuota  Quota // that would have sufficed when calls were last missed
-	wantedUntil  time.Duration
-	started      bool
+	randomBelow func(n int) int
+	usage       callUsage
+	missed      missedQuota
+	lastRequest time.Duration
 }
 
 // NewQuotaManager returns a manager of a ledger. RandomBelow draws a random number from 0 to below its argument.
@@ -37,20 +36,20 @@
 }
 
 // CallMissed notes that a call was skipped or a request rejected because the limit was reached.
-func (m *QuotaManager) CallMissed() { m.missedCalls++ }
+func (m *QuotaManager) CallMissed() { m.missed.calls++ }
 
 // MeanInFlight returns the mean number of calls in flight over the last seconds.
-func (m *QuotaManager) MeanInFlight() float64 { return m.meanInFlight }
+func (m *QuotaManager) MeanInFlight() float64 { return m.usage.mean }
 
 // Tick updates the usage and returns the messages to send: returns and at most one request. It is called a few times a
 // second. Now is on the clock of this server, at is the time of the view.
 func (m *QuotaManager) Tick(
 	now time.Duration, callsInFlight int, view *fleet.Snapshot, at time.Duration,
 ) []Message {
-	m.updateUsage(now, callsInFlight)
-	m.noteMissedCalls(now)
+	m.usage.measure(now, callsInFlight)
+	m.missed.update(now, m.Limit(now), &m.terms)
 	needed := m.neededQuota(now)
-	messages := m.Return(now, Quota(callsInFlight)*quotaPerCall, needed)
+	messages := m.Return(now, quotaOfCalls(callsInFlight), needed)
 	if request, ok := m.requestMissing(now, needed, view, at); ok {
 		messages = append(messages, request)
 	}
@@ -59,44 +58,24 @@
 
 // Receive handles a message of another member, and returns the answer to send if ok.
 func (m *QuotaManager) Receive(now time.Duration, message Message, callsInFlight int) (answer Message, ok bool) {
-	return m.HandleMessage(now, message, Quota(callsInFlight)*quotaPerCall, m.neededQuota(now))
+	return m.HandleMessage(now, message, quotaOfCalls(callsInFlight), m.neededQuota(now))
 }
 
-func (m *QuotaManager) updateUsage(now time.Duration, callsInFlight int) {
-	if elapsed := now - m.lastTick; m.started && elapsed > 0 {
-		weight := min(float64(elapsed)/float64(usageTimeConstant), 1)
-		m.meanInFlight += weight * (float64(callsInFlight) - m.meanInFlight)
-	}
-	m.started, m.lastTick = true, now
-}
-
-// noteMissedCalls raises what is wanted if calls were missed since the last tick.
-func (m *QuotaManager) noteMissedCalls(now time.Duration) {
-	if m.missedCalls == 0 {
-		return
-	}
-	m.missedCalls = 0
-	m.wantedQuota = min(m.Limit(now)+m.terms.Base/minRequestDivisor, maxWantedFactor*m.terms.Base)
-	m.wantedUntil = now + m.terms.Lease
-}
-
-// neededQuota returns what this member expects to use: its mean usage with a reserve and, for the length of a lease
-// after missed calls, what would have sufficed then. Otherwise a lease would be returned as soon as it helps, and
-// requested again.
+// neededQuota returns what this member expects to use.
 func (m *QuotaManager) neededQuota(now time.Duration) Quota {
-	needed := QuotaOf(m.meanInFlight * (reserveDivisor + 1) / reserveDivisor)
-	if now < m.wantedUntil {
-		needed = max(needed, m.wantedQuota)
+	needed := QuotaOf(m.usage.mean * (reserveDivisor + 1) / reserveDivisor)
+	if m.missed.isWanted(now) {
+		needed = max(needed, m.missed.wanted)
 	}
 	return needed
 }
 
-// requestMissing returns a request for what is missing to the needed quota, now or within the lead time of a renewal.
+// requestMissing returns a request for what is missing to the needed quota, now or by the time of a renewal.
 func (m *QuotaManager) requestMissing(
 	now time.Duration, needed Quota, view *fleet.Snapshot, at time.Duration,
 ) (request Message, ok bool) {
 	missing := needed - m.LimitUntil(now, now+renewalMargin)
-	if missing <= 0 || now >= m.wantedUntil || now-m.lastRequest < requestInterval {
+	if missing <= 0 || !m.missed.isWanted(now) || now-m.lastRequest < requestInterval {
 		return Message{}, false
 	}
 	lender, ok := m.chooseLender(view, at)
@@ -124,7 +103,9 @@
 			continue
 		}
 		if unused := member.Load.CallQuota - member.Load.MeanCalls; unused > maxUnused {
-			maxUnused, lender, ok = unused, processOf(member), true
+			maxUnused = unused
+			lender = processOf(member)
+			ok = true
 		}
 	}
 	return lender, ok
