--- /dev/null
+++ b/internal/overload/verdict.go
@@ -0,0 +1,21 @@
+package overload
+
+// Verdict is the fleet's view of a request.
+type Verdict uint8
+
+// The verdicts on a request.
+const (
+	VerdictUnknown        Verdict = iota // nothing is known of other members: this server decides by its own load
+	VerdictHasCapacity                   // the fleet has capacity: if this server rejects the request, another runs it
+	VerdictFleetFull                     // the fleet is full and over its retry budget: a rejected client should not retry
+	VerdictBelowThreshold                // the request is below the threshold: no member runs it while cores are short
+)
+
+var verdictNames = [...]string{"unknown", "elsewhere", "full", "below threshold"}
+
+func (v Verdict) String() string {
+	if int(v) >= len(verdictNames) {
+		return verdictNames[VerdictUnknown]
+	}
+	return verdictNames[v]
+}
