--- a/internal/overload/aggregation.go
+++ b/internal/overload/aggregation.go
@@ -6,12 +6,11 @@
 	"falldeal/internal/fleet"
 )
 
-// Bounds on what is believed and for how long. The values are our own; docs/load-shedding.md has the measurements.
+// Bounds on what is believed and for how long.
 const (
 	maxServiceRatePerCore = 4.0             // seconds of work a second
 	maxDemandFactor       = 4.0             // demand to service rate: rejecting a request costs a quarter of running it
 	loadMaxAge            = 8 * time.Second // of the load of a single member, whatever the size of the fleet
-	zoneAggregateMaxAge   = 5 * time.Second // of the aggregate of a zone, the way through the fleet included
 )
 
 // Aggregate is the sum of the load of several members.
@@ -65,14 +64,16 @@
 func AggregateOf(load *fleet.Load) (aggregate Aggregate) {
 	aggregate.Members = 1
 	aggregate.ServiceRate = boundedServiceRate(load.ServiceRate, load.Capacity)
-	factor, demand := 1.0, encodedDemandTotal(load.Demand)
-	if demand > maxDemandFactor*aggregate.ServiceRate {
+	factor := 1.0
+	if demand := encodedDemandTotal(load.Demand); demand > maxDemandFactor*aggregate.ServiceRate {
 		factor = maxDemandFactor * aggregate.ServiceRate / demand
 	}
 	aggregate.Demand.addEncoded(load.Demand, factor)
-	aggregate.Attempts, aggregate.Retries = load.Attempts, load.Attempts*min(load.RetryRatio, 1)
+	aggregate.Attempts = load.Attempts
+	aggregate.Retries = load.Attempts * min(load.RetryRatio, 1)
 	if load.Busy >= 0 {
-		aggregate.Cores, aggregate.InUse = load.Capacity, load.Capacity*min(load.Busy, 1)
+		aggregate.Cores = load.Capacity
+		aggregate.InUse = load.Capacity * min(load.Busy, 1)
 	}
 	return aggregate
 }
@@ -115,69 +116,3 @@
 		a.Demand.scale(maxDemandFactor * a.ServiceRate / demand)
 	}
 }
-
-// zoneAggregate is what is known of one zone.
-type zoneAggregate struct {
-	region, zone string
-	serving      int       // members that take work, by the view
-	cores        float64   // of these, as they have published at any time: a machine does not change
-	best         Aggregate // of the collector that counted the most members
-	found        bool
-	age          time.Duration // of best
-}
-
-// aggregateZones sums up the aggregates of all zones. The members of a zone without a recent one count as stale.
-func aggregateZones(view *fleet.Snapshot, at time.Duration) (total Aggregate) {
-	var zones []zoneAggregate
-	for i := range view.Members {
-		member := &view.Members[i]
-		if !acceptsWork(member) {
-			continue
-		}
-		index := indexOfZone(zones, member)
-		if index < 0 {
-			index = len(zones)
-			zones = append(zones, zoneAggregate{region: member.Region, zone: member.Zone})
-		}
-		zones[index].addMember(member, at)
-	}
-	for i := range zones {
-		zones[i].addTo(&total)
-	}
-	return total
-}
-
-// indexOfZone returns the index of a member's zone; -1 if it is not among zones.
-func indexOfZone(zones []zoneAggregate, member *fleet.Member) int {
-	for i := range zones {
-		if zones[i].zone == member.Zone && zones[i].region == member.Region {
-			return i
-		}
-	}
-	return -1
-}
-
-// addMember counts a member of the zone and takes its aggregate if it is a better one.
-func (z *zoneAggregate) addMember(member *fleet.Member, at time.Duration) {
-	z.serving++
-	z.cores += member.Load.Capacity
-	if member.Load.Aggregate == "" || member.Age(at) > zoneAggregateMaxAge {
-		return
-	}
-	aggregate, err := ParseAggregate([]byte(member.Load.Aggregate))
-	if err == nil && (!z.found || aggregate.Members > z.best.Members) {
-		z.best, z.found, z.age = aggregate, true, member.Age(at)
-	}
-}
-
-// addTo adds the zone to the total of the fleet.
-func (z *zoneAggregate) addTo(total *Aggregate) {
-	if !z.found {
-		total.Stale += z.serving
-		return
-	}
-	z.best.Oldest += z.age
-	z.best.clamp(z.serving, z.cores)
-	total.add(&z.best)
-	total.Stale += z.serving - z.best.Members
-}
--- a/internal/overload/collector.go
+++ b/internal/overload/collector.go
@@ -1,7 +1,6 @@
 package overload
 
 import (
-	"slices"
 	"time"
 
 	"falldeal/internal/fleet"
@@ -9,15 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// In a large fleet the load of a member spreads by gossip too slowly to shed by: its age is 12 s at 300 members and two
-// minutes at 3,000. There each member sends its load directly to the collectors of its zone each second. These add up
-// the zone and publish the aggregate in their own load each second, so that every member knows one aggregate for each
-// zone that is two to three seconds old at any size.
-//
-// Collectors are chosen by a hash over the view, without an election. A lost one is replaced as soon as the view shows
-// it, and the other goes on meanwhile. Views that differ make a third collector, which does no harm.
 const (
-	minMembersForCollectors = 50 // in a smaller fleet all go by the load of each member
+	minMembersForCollectors = 50 // in a smaller fleet all go by the published load of each member
 	collectorsPerZone       = 2
 	collectInterval         = time.Second     // between two partial aggregates, and two publications
 	partialMaxAge           = 3 * time.Second // two were missed
@@ -30,7 +22,17 @@
 	Aggregate Aggregate // of one member
 }
 
-// Collector is a member's part in the aggregation of its zone. It belongs to one goroutine.
+// Collector is a member's part in the aggregation of its zone.
+//
+// In a large fleet the load of a member spreads by gossip too slowly to shed by: its age grows with the number of
+// members, to minutes. There each member sends its load directly to the collectors of its zone each second. These add up
+// the zone and publish the aggregate in their own load each second, so that every member knows one aggregate for each
+// zone that is a few seconds old at any size.
+//
+// Collectors are chosen by rendezvous hashing over the view, without an election. A lost one is replaced as soon as the
+// view shows it, and the other goes on meanwhile. Views that differ make a third collector, which does no harm.
+//
+// It belongs to one goroutine.
 type Collector struct {
 	self      ProcessID
 	partials  map[ProcessID]receivedPartial
@@ -98,7 +100,8 @@
 
 // collect adds up the partial aggregates that are recent, and this member's own.
 func (c *Collector) collect(now time.Duration, own Aggregate) Aggregate {
-	total, ages := own, time.Duration(0)
+	total := own
+	ages := time.Duration(0)
 	for from, partial := range c.partials {
 		age := now - partial.receivedAt
 		if age > partialMaxAge {
@@ -120,31 +123,13 @@
 	if self == nil {
 		return nil
 	}
-	type candidate struct {
-		hash    uint64
-		process ProcessID
-	}
-	var best []candidate // highest hash first; of equal ones the first in the view
 	seed := xxhash.Sum64String(self.Region + "/" + self.Zone)
+	chosen := highestHashes{limit: collectorsPerZone}
 	for i := range view.Members {
 		member := &view.Members[i]
-		if member.Zone != self.Zone || member.Region != self.Region || !acceptsWork(member) {
-			continue
-		}
-		hash := mix(seed ^ member.Run)
-		if len(best) == collectorsPerZone && hash <= best[collectorsPerZone-1].hash {
-			continue
-		}
-		position := slices.IndexFunc(best, func(other candidate) bool { return hash > other.hash })
-		if position < 0 {
-			position = len(best)
+		if inZone(member, self.Region, self.Zone) && acceptsWork(member) {
+			chosen.offer(mix(seed^member.Run), processOf(member))
 		}
-		best = slices.Insert(best, position, candidate{hash, processOf(member)})
-		best = best[:min(len(best), collectorsPerZone)]
-	}
-	var chosen []ProcessID
-	for _, candidate := range best {
-		chosen = append(chosen, candidate.process)
 	}
-	return chosen
+	return chosen.processes()
 }
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -14,8 +14,8 @@
 	maxPendingRequests = 4
 )
 
-// LeaseTerms are the rules of a fleet for one store. All members must have the same ones but for Base and Reserved: a member
-// with a shorter Lease or CallTime than others would reclaim quota too early.
+// LeaseTerms are the rules of a fleet for one store. All members must have the same ones but for Base and Reserved: a
+// member with a shorter Lease or CallTime than others would reclaim quota too early.
 type LeaseTerms struct {
 	Base              Quota         // of this member by its settings; the store bears the sum over all members
 	Reserved          Quota         // part of Base that is never leased out, and all that a process uses after its start
@@ -58,7 +58,10 @@
 }
 
 // SetBase changes the quota of this member after a reload of its settings. Leases stay as they are.
-func (l *QuotaLedger) SetBase(base, reserved Quota) { l.terms.Base, l.terms.Reserved = base, reserved }
+func (l *QuotaLedger) SetBase(base, reserved Quota) {
+	l.terms.Base = base
+	l.terms.Reserved = reserved
+}
 
 // reclaimDelay returns how long after a grant the quota is used again without a return.
 func (l *QuotaLedger) reclaimDelay() time.Duration {
--- a/internal/overload/shedding_state.go
+++ b/internal/overload/shedding_state.go
@@ -48,9 +48,9 @@
 	return VerdictHasCapacity
 }
 
-// next returns the state that follows s for a load of the whole fleet. The threshold approaches its new value in part,
-// as members that see a little less or more than others would oscillate otherwise. Once the fleet has capacity again, it
-// falls in steps, as the clients that were rejected come back then.
+// next returns the state that follows s for a load of the whole fleet. While the fleet is full the threshold moves a
+// part of the way to its new value at each tick. Once the fleet has capacity again it falls in steps, as the clients
+// that were rejected come back then.
 func (s *SheddingState) next(total *Aggregate) SheddingState {
 	next := SheddingState{
 		Known:       true,
