--- a/cmd/falldeal-fleet/query.go
+++ b/cmd/falldeal-fleet/query.go
@@ -41,7 +41,8 @@
 		return err
 	}
 	command := flags.Arg(0)
-	if flags.NArg() != 1 || command != "members" && command != "status" {
+	known := command == "members" || command == "status"
+	if flags.NArg() != 1 || !known {
 		flags.Usage()
 		return fmt.Errorf("fleet: unknown command %q", command)
 	}
--- a/internal/fleet/liveness.go
+++ b/internal/fleet/liveness.go
@@ -47,6 +47,9 @@
 
 func (l Liveness) String() string { return livenessNames[l] }
 
+// ended reports whether the process of the member has ended.
+func (l Liveness) ended() bool { return l == Left || l == Failed }
+
 // maxObservations is the number of processes of one name that are observed.
 const maxObservations = 4
 
@@ -125,12 +128,17 @@
 	switch {
 	case e.record != nil && e.record.Stalled > 0:
 		return Stalled
-	case now-current.since > fresh && (e.record == nil || now-e.recordedAt > fresh):
+	case now-current.since > fresh && e.overdue(now, fresh):
 		return Suspect
 	}
 	return Alive
 }
 
+// overdue reports whether no record was received, or the last one is older than fresh.
+func (e *entry) overdue(now, fresh time.Duration) bool {
+	return e.record == nil || now-e.recordedAt > fresh
+}
+
 func (e *entry) livenessLost(current *observation) Liveness {
 	for i := range e.observations {
 		if e.observations[i].reach == Reached {
--- a/internal/fleet/nameconflict.go
+++ b/internal/fleet/nameconflict.go
@@ -36,10 +36,11 @@
 			return true
 		}
 	}
-	if s.outranks(record) {
+	if record.Less(&s.record) {
 		return false
 	}
-	s.record.Incarnation, s.record.Supersedes = record.Incarnation+1, record.Run
+	s.record.Incarnation = record.Incarnation + 1
+	s.record.Supersedes = record.Run
 	return true
 }
 
@@ -47,19 +48,15 @@
 // there are too many rivals.
 func (s *Self) recordProof(now time.Duration, record *Record) (proof rival, recorded bool) {
 	proof, known := s.rivals[record.Run]
-	if !known && len(s.rivals) >= maxRivals || record.Seq <= proof.lastSeq {
+	full := !known && len(s.rivals) >= maxRivals
+	if full || record.Seq <= proof.lastSeq {
 		return proof, false
 	}
 	if now-proof.lastProof > conflictTimeout || !known {
 		proof.firstProof = now
 	}
-	proof.lastProof, proof.lastSeq = now, record.Seq
+	proof.lastProof = now
+	proof.lastSeq = record.Seq
 	s.rivals[record.Run] = proof
 	return proof, true
 }
-
-// outranks reports whether the records of this process are greater than that of the other one, by Record.Less.
-func (s *Self) outranks(other *Record) bool {
-	return other.Incarnation < s.record.Incarnation ||
-		other.Incarnation == s.record.Incarnation && other.Run < s.record.Run
-}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -32,6 +32,9 @@
 	Starting: "starting", Warming: "warming", Serving: "serving", Draining: "draining", Stopped: "gone",
 }
 
+// acceptsRequests reports whether a member in the state accepts requests.
+func (s State) acceptsRequests() bool { return s == Serving || s == Warming }
+
 func (s State) String() string {
 	if s >= Starting && int(s) < len(stateNames) {
 		return stateNames[s]
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	initialDialDelay = time.Second      // doubled with each dial of an address
-	maxDialDelay     = 30 * time.Second // in a small fleet
-	unmetDialDelay   = 3 * time.Second  // least delay before a member that was never met is dialed
-	maxDialsPerRound = 2
+	initialDialDelay     = time.Second      // doubled with each dial of an address
+	maxDialDelay         = 30 * time.Second // in a small fleet
+	unconfirmedDialDelay = 3 * time.Second  // least delay before a member that was never reached is dialed
+	maxDialsPerRound     = 2
 )
 
 // Rejoin decides which addresses to dial: seeds that are not reached, and members that are lost. The failure detection
@@ -33,15 +33,15 @@
 type dialCause uint8
 
 const (
-	dialUnmet dialCause = iota // it publishes records, and only the failure detection of this observer misses it
-	dialLost                   // every member of the fleet is likely to miss it, and to dial it
+	dialUnconfirmed dialCause = iota // it publishes records, and only the failure detection of this observer misses it
+	dialLost                         // every member of the fleet is likely to miss it, and to dial it
 )
 
 func (c dialCause) String() string {
 	if c == dialLost {
 		return "lost"
 	}
-	return "unmet"
+	return "unconfirmed"
 }
 
 // NewRejoin returns a Rejoin that draws its delays from random.
@@ -90,7 +90,7 @@
 			reached++
 		case member.Addr == "":
 		case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= fresh:
-			causes[member.Addr] = dialUnmet
+			causes[member.Addr] = dialUnconfirmed
 		case member.lost():
 			causes[member.Addr] = dialLost
 		}
@@ -147,13 +147,13 @@
 }
 
 // firstDelay is the delay before the first dial of an address. All members notice a loss at one instant, so that the
-// delay is spread over a time that grows with their number. A member that is only unmet mostly joins by itself.
+// delay is spread over a time that grows with their number. An unconfirmed member mostly joins by itself.
 func (r *Rejoin) firstDelay(cause dialCause, reached int) time.Duration {
-	unmetDelay := unmetDialDelay + r.drawBelow(unmetDialDelay) // drawn for either cause: the sequence of draws is fixed
+	unconfirmedDelay := unconfirmedDialDelay + r.drawBelow(unconfirmedDialDelay) // drawn for either cause: the sequence of draws is fixed
 	if cause == dialLost {
 		return r.drawBelow(time.Duration(reached) * initialDialDelay / 4)
 	}
-	return unmetDelay
+	return unconfirmedDelay
 }
 
 // drawBelow returns a random duration from 0 up to limit, exclusive.
--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -7,8 +7,8 @@
 
 // How long members are retained that are not expected to come back, where Limits.ForgetAfter is not shorter.
 const (
-	leftRetention  = 5 * time.Minute
-	unmetRetention = 10 * time.Minute
+	leftRetention        = 5 * time.Minute
+	unconfirmedRetention = 10 * time.Minute
 )
 
 // Forget removes members that have not been reached for long.
@@ -34,7 +34,7 @@
 	case Left:
 		return min(v.limits.ForgetAfter, leftRetention), true
 	case Unconfirmed:
-		return min(v.limits.ForgetAfter, unmetRetention), true
+		return min(v.limits.ForgetAfter, unconfirmedRetention), true
 	default: // Unreachable, Failed
 		return v.limits.ForgetAfter, true
 	}
@@ -42,21 +42,21 @@
 
 // evict removes the member that left or died longest ago, and returns whether there was one.
 func (v *View) evict(now time.Duration) bool {
-	longestGone := ""
+	longestEnded := ""
 	fresh := v.freshAge()
 	for _, name := range v.names {
 		entry := v.entries[name]
-		if liveness := entry.liveness(now, fresh); name == v.self || liveness != Left && liveness != Failed {
+		if name == v.self || !entry.liveness(now, fresh).ended() {
 			continue
 		}
-		if longestGone == "" || entry.lastReached < v.entries[longestGone].lastReached {
-			longestGone = name
+		if longestEnded == "" || entry.lastReached < v.entries[longestEnded].lastReached {
+			longestEnded = name
 		}
 	}
-	if longestGone == "" {
+	if longestEnded == "" {
 		return false
 	}
-	v.remove(longestGone)
+	v.remove(longestEnded)
 	return true
 }
 
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -66,7 +66,8 @@
 	}
 	urgent = status.State != s.record.State || s.stallPublished ||
 		status.Load.StoreState != s.record.Load.StoreState
-	s.record.State, s.record.Load = status.State, status.Load
+	s.record.State = status.State
+	s.record.Load = status.Load
 	return urgent
 }
 
@@ -99,14 +100,18 @@
 	if s.record.Load.Aggregate != "" {
 		period = minPeriod // it publishes for its whole zone
 	}
-	return !s.NameReleased() && (s.Stalled(now) || now-s.lastPublished >= period)
+	if s.NameReleased() {
+		return false
+	}
+	return s.Stalled(now) || now-s.lastPublished >= period
 }
 
 // NextRecord advances to the next record and returns it.
 func (s *Self) NextRecord(now time.Duration) Record {
 	s.record.Seq++
 	s.stallPublished = s.loopStalled(now)
-	s.record.Up, s.record.Stalled = s.lastStatus-s.startedAt, 0
+	s.record.Up = s.lastStatus - s.startedAt
+	s.record.Stalled = 0
 	if s.stallPublished {
 		s.record.Stalled = now - s.lastStatus
 	}
@@ -116,6 +121,7 @@
 
 // LeaveRecord returns the last record of the process, in state Stopped.
 func (s *Self) LeaveRecord(now time.Duration) Record {
-	s.record.State, s.lastStatus = Stopped, now
+	s.record.State = Stopped
+	s.lastStatus = now
 	return s.NextRecord(now)
 }
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -28,16 +28,27 @@
 	return m.Liveness.String()
 }
 
+// AcceptsRequests reports whether the member is alive and accepts requests by its last record, however old that is.
+func (m *Member) AcceptsRequests() bool { return m.Liveness == Alive && m.State.acceptsRequests() }
+
 // Serves reports whether the member is alive and accepts requests by a record that is no older than fresh.
 func (m *Member) Serves(now, fresh time.Duration) bool {
-	return m.Liveness == Alive && (m.State == Serving || m.State == Warming) && m.Age(now) <= fresh
+	return m.AcceptsRequests() && m.Age(now) <= fresh
 }
 
 func (m *Member) reached() bool { return m.Liveness == Alive || m.Liveness == Suspect }
 
-// lost reports whether the failure detection has lost the member. One whose loop stalls is reached.
+// lost reports whether the failure detection has lost the member. One that reports itself that its loop stalls is
+// reached.
 func (m *Member) lost() bool {
-	return m.Liveness == Unreachable || m.Liveness == Failed || m.Liveness == Stalled && m.Stalled == 0
+	switch m.Liveness {
+	case Unreachable, Failed:
+		return true
+	case Stalled:
+		return m.Stalled == 0
+	default:
+		return false
+	}
 }
 
 // minZoneMembers is the number of members from which on a zone can be called unreachable, as against one member.
@@ -112,9 +123,11 @@
 
 // describe sets the member of that name from its entry.
 func (e *entry) describe(member *Member, name string, now, fresh time.Duration) {
-	member.Record, member.RecordedAt = e.record, e.recordedAt
+	member.Record = e.record
+	member.RecordedAt = e.recordedAt
 	if e.record == nil {
-		member.Record, member.RecordedAt = e.placeholderRecord(name), e.lastReached
+		member.Record = e.placeholderRecord(name)
+		member.RecordedAt = e.lastReached
 	}
 	member.Since = e.lastReached
 	if current := e.currentObservation(); current != nil {
@@ -177,8 +190,9 @@
 func (s *Snapshot) position(everReceived bool) Position {
 	total := &s.Total
 	lost := total.Count[Unreachable] + total.Count[Failed] + total.Count[Stalled]
+	unreachable := total.Count[Unreachable]
 	switch {
-	case total.Count[Unreachable] > 0 && total.Count[Unreachable] >= total.Reached():
+	case unreachable > 0 && unreachable >= total.Reached():
 		return Partitioned
 	case !everReceived:
 		return Alone
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -47,7 +47,8 @@
 		return false
 	}
 	if record.Name != v.self {
-		v.lastReceived, v.everReceived = max(v.lastReceived, now), true
+		v.lastReceived = max(v.lastReceived, now)
+		v.everReceived = true
 	}
 	return entry.merge(now, age, &record)
 }
@@ -67,7 +68,8 @@
 	e.startEstimatedAt = now
 	recordedAt := min(now-age, e.startedAt+record.Up)
 	if newer {
-		e.record, e.recordedAt = record, recordedAt
+		e.record = record
+		e.recordedAt = recordedAt
 		return true
 	}
 	if e.record.Seq == record.Seq {
@@ -106,7 +108,9 @@
 	}
 	observed := entry.observe(now, run)
 	if observed.reach != reach {
-		observed.reach, observed.evidence, observed.since = reach, NoEvidence, now
+		observed.reach = reach
+		observed.evidence = NoEvidence
+		observed.since = now
 	}
 	if reach == Reached {
 		entry.lastReached = now
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -51,8 +51,10 @@
 
 func (q *broadcastQueues) init(members func() int) {
 	nodes := func() int { return max(members(), minRetransmitNodes) }
-	q.changes.NumNodes, q.changes.RetransmitMult = nodes, changeRetransmitMultiplier
-	q.loads.NumNodes, q.loads.RetransmitMult = nodes, loadRetransmitMultiplier
+	q.changes.NumNodes = nodes
+	q.changes.RetransmitMult = changeRetransmitMultiplier
+	q.loads.NumNodes = nodes
+	q.loads.RetransmitMult = loadRetransmitMultiplier
 }
 
 // next returns the messages for a packet with room for limit bytes, where each message takes overhead bytes more.
--- a/internal/gossip/dialobserver.go
+++ b/internal/gossip/dialobserver.go
@@ -25,7 +25,9 @@
 func (o *dialObserver) begin(addr string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.addr, o.answered, o.lastError = addr, false, nil
+	o.addr = addr
+	o.answered = false
+	o.lastError = nil
 }
 
 // recordError keeps the last error of the address that is followed.
--- a/internal/gossip/memberlist.go
+++ b/internal/gossip/memberlist.go
@@ -26,7 +26,8 @@
 	config.Transport = f.transport
 	config.AdvertiseAddr = host
 	config.AdvertisePort, _ = strconv.Atoi(port)
-	config.BindAddr, config.BindPort = host, config.AdvertisePort
+	config.BindAddr = host
+	config.BindPort = config.AdvertisePort
 	config.ProbeInterval = f.config.ProbeInterval
 	config.ProbeTimeout = f.config.ProbeInterval * 2 / 5
 	config.GossipInterval = gossipInterval
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -48,7 +48,8 @@
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
 		if member.Addr == addr && member.Liveness != fleet.Left {
-			target.name, target.run = member.Name, member.Run
+			target.name = member.Name
+			target.run = member.Run
 		}
 	}
 	return target
--- a/internal/overload/collector.go
+++ b/internal/overload/collector.go
@@ -127,7 +127,7 @@
 	chosen := highestHashes{limit: collectorsPerZone}
 	for i := range view.Members {
 		member := &view.Members[i]
-		if inZone(member, self.Region, self.Zone) && acceptsWork(member) {
+		if inZone(member, self.Region, self.Zone) && member.AcceptsRequests() {
 			chosen.offer(mix(seed^member.Run), processOf(member))
 		}
 	}
--- a/internal/overload/rendezvous.go
+++ b/internal/overload/rendezvous.go
@@ -16,11 +16,6 @@
 	return hash ^ hash>>31
 }
 
-// acceptsWork reports whether a member is reached and takes work, however old its load is.
-func acceptsWork(member *fleet.Member) bool {
-	return member.Liveness == fleet.Alive && (member.State == fleet.Serving || member.State == fleet.Warming)
-}
-
 // processOf returns the process that a member runs as.
 func processOf(member *fleet.Member) ProcessID { return ProcessID{member.Name, member.Run} }
 
@@ -65,7 +60,7 @@
 	bestHash, index := uint64(0), -1
 	for i := range view.Members {
 		member := &view.Members[i]
-		if !acceptsWork(member) {
+		if !member.AcceptsRequests() {
 			continue
 		}
 		if hash := mix(fingerprint ^ member.Run); index < 0 || hash > bestHash {
--- a/internal/overload/shedding_wire.go
+++ b/internal/overload/shedding_wire.go
@@ -29,7 +29,10 @@
 // IsSheddingMessage reports whether a message between members is one of load shedding: a report of attempts, or a
 // partial aggregate.
 func IsSheddingMessage(b []byte) bool {
-	return len(b) > 0 && (b[0] == kindReport || b[0] == kindPartial)
+	if len(b) == 0 {
+		return false
+	}
+	return b[0] == kindReport || b[0] == kindPartial
 }
 
 // AppendReport appends the attempts of an encoded report to b. The recipient is not part of it.
@@ -98,7 +101,8 @@
 	if !ok {
 		return aggregate, errInvalidAggregate
 	}
-	aggregate.Members, aggregate.Oldest = int(members), time.Duration(age)*time.Millisecond
+	aggregate.Members = int(members)
+	aggregate.Oldest = time.Duration(age) * time.Millisecond
 	for _, field := range aggregate.floatFields() {
 		if *field, b, ok = consumeFloat(b); !ok {
 			return aggregate, errInvalidAggregate
--- a/internal/overload/zone_aggregate.go
+++ b/internal/overload/zone_aggregate.go
@@ -24,7 +24,7 @@
 	var zones []zoneAggregate
 	for i := range view.Members {
 		member := &view.Members[i]
-		if !acceptsWork(member) {
+		if !member.AcceptsRequests() {
 			continue
 		}
 		index := indexOfZone(zones, member)
@@ -58,7 +58,10 @@
 		return
 	}
 	aggregate, err := ParseAggregate([]byte(member.Load.Aggregate))
-	if err == nil && (!z.found || aggregate.Members > z.best.Members) {
+	if err != nil {
+		return
+	}
+	if !z.found || aggregate.Members > z.best.Members {
 		z.best = aggregate
 		z.found = true
 		z.age = member.Age(at)
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -26,10 +26,11 @@
 // process does not, nor one of the permitted process from before its departure. An instance that restarts in a loop is
 // never reported as warm.
 func (p *Permit) checkRecovered(incarnation, seq uint64) error {
+	reportedAfterDeparture := p.Departed && seq > p.departedSeq
 	switch {
 	case incarnation < p.Incarnation:
 		return &InstanceError{Name: p.Name, Err: ErrEarlierIncarnation}
-	case incarnation == p.Incarnation && (!p.Departed || seq <= p.departedSeq):
+	case incarnation == p.Incarnation && !reportedAfterDeparture:
 		return &InstanceError{Name: p.Name, Err: ErrNotDeparted}
 	}
 	return nil
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -60,9 +60,16 @@
 	return nil
 }
 
+// selects reports whether an instance counts for the limit.
+func (l *Limit) selects(instance Instance) bool {
+	inRegion := l.Region == "" || l.Region == instance.Region
+	inZone := l.Zone == "" || l.Zone == instance.Zone
+	return inRegion && inZone
+}
+
 // domainOf returns the domain in which an instance is counted. ok is false where the limit does not select it.
 func (l *Limit) domainOf(instance Instance) (domain string, ok bool) {
-	if l.Region != "" && l.Region != instance.Region || l.Zone != "" && l.Zone != instance.Zone {
+	if !l.selects(instance) {
 		return "", false
 	}
 	switch l.Per {
--- a/internal/permit/state.go
+++ b/internal/permit/state.go
@@ -111,7 +111,8 @@
 		return &InstanceError{Name: name, Err: ErrNoPermit}
 	}
 	if !permit.Departed || command.Seq < permit.departedSeq {
-		permit.Departed, permit.departedSeq = true, command.Seq
+		permit.Departed = true
+		permit.departedSeq = command.Seq
 		s.permits[name] = permit
 	}
 	return nil
