--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -16,11 +16,42 @@
 
 // Rejoin decides which addresses to dial: seeds that are not reached, and members that are lost. The failure detection
 // forgets members that have been lost for a while, so that a fleet which was partitioned would not merge again without
-// these dials; nor would two fleets that were started apart. It belongs to one goroutine.
+// these dials; nor would two fleets that were started apart.
+//
+// Each address has a schedule of its own. The first dial is delayed at random over a time that grows with the number of
+// members that notice the loss; then the delay between two dials doubles up to a maximum, and half of it is random, so
+// that members do not dial in step. The schedule starts anew once the address was reached.
+//
+// It belongs to one goroutine.
 type Rejoin struct {
-	seedReached map[string]bool // by address; whether it is this process's own, or that of a reached member
-	random      *rand.Rand
-	schedules   map[string]*dialSchedule // by address
+	seeds     seedSet
+	random    *rand.Rand
+	schedules map[string]*dialSchedule // by address
+}
+
+// seedSet is the seeds by address, and whether each is this process's own address or that of a reached member.
+type seedSet map[string]bool
+
+func newSeedSet(addresses []string) seedSet {
+	seeds := seedSet{}
+	for _, addr := range addresses {
+		seeds[addr] = false
+	}
+	return seeds
+}
+
+// reset marks all seeds as not reached.
+func (s seedSet) reset() {
+	for addr := range s {
+		s[addr] = false
+	}
+}
+
+// markReached marks an address as reached if it is a seed.
+func (s seedSet) markReached(addr string) {
+	if _, ok := s[addr]; ok {
+		s[addr] = true
+	}
 }
 
 // dialSchedule is when an address is dialed next, and how long after that.
@@ -46,47 +77,49 @@
 
 // NewRejoin returns a Rejoin that draws its delays from random.
 func NewRejoin(seeds []string, random *rand.Rand) *Rejoin {
-	rejoin := &Rejoin{random: random, schedules: map[string]*dialSchedule{}}
-	rejoin.SetSeeds(seeds)
-	return rejoin
+	return &Rejoin{seeds: newSeedSet(seeds), random: random, schedules: map[string]*dialSchedule{}}
 }
 
 // SetSeeds replaces the seeds.
-func (r *Rejoin) SetSeeds(seeds []string) {
-	r.seedReached = map[string]bool{}
-	for _, addr := range seeds {
-		r.seedReached[addr] = false
-	}
-}
+func (r *Rejoin) SetSeeds(seeds []string) { r.seeds = newSeedSet(seeds) }
 
-// NextDials returns the addresses to dial now, two at most. The delay between two dials of an address doubles, and half
-// of it is random, so that members do not dial in step; it starts anew once the address was reached. Its maximum grows
-// with the logarithm of the fleet's size: of a large fleet only some members need to dial one that is lost.
+// NextDials returns the addresses to dial now: those whose dial is the longest overdue, two at most.
 func (r *Rejoin) NextDials(now time.Duration, snapshot *Snapshot) []string {
 	causes, reached := r.addressesToDial(now, snapshot)
 	r.dropSchedules(causes)
-	due := r.dueAddresses(now, causes, reached)
-	maxDelay := maxDialDelay * time.Duration(1+log2(len(snapshot.Members))/2)
+	r.addSchedules(now, causes, reached)
+	due := r.dueAddresses(now)
+	maxDelay := maxDialDelayOf(len(snapshot.Members))
 	for _, addr := range due {
-		schedule := r.schedules[addr]
-		schedule.nextAt = now + schedule.delay/2 + r.drawBelow(schedule.delay/2)
-		schedule.delay = min(2*schedule.delay, maxDelay)
+		r.postpone(r.schedules[addr], now, maxDelay)
 	}
 	return due
 }
 
+// maxDialDelayOf returns the maximum delay between two dials of an address in a fleet of that size. It grows with the
+// logarithm of the size: of a large fleet only some members need to dial one that is lost.
+func maxDialDelayOf(members int) time.Duration {
+	return maxDialDelay * time.Duration(1+log2(members)/2)
+}
+
+// postpone schedules the next dial of an address that is dialed now.
+func (r *Rejoin) postpone(schedule *dialSchedule, now, maxDelay time.Duration) {
+	schedule.nextAt = now + schedule.delay/2 + r.drawBelow(schedule.delay/2)
+	schedule.delay = min(2*schedule.delay, maxDelay)
+}
+
 // addressesToDial returns the addresses that are not reached, and how many other members are.
 func (r *Rejoin) addressesToDial(now time.Duration, snapshot *Snapshot) (causes map[string]dialCause, reached int) {
 	causes = map[string]dialCause{}
-	r.resetSeeds()
+	r.seeds.reset()
 	fresh := MaxFreshAge(len(snapshot.Members))
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
 		switch {
 		case member.Self:
-			r.markSeedReached(member.Addr)
+			r.seeds.markReached(member.Addr)
 		case member.reached():
-			r.markSeedReached(member.Addr)
+			r.seeds.markReached(member.Addr)
 			reached++
 		case member.Addr == "":
 		case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= fresh:
@@ -95,28 +128,12 @@
 			causes[member.Addr] = dialLost
 		}
 	}
-	r.addUnreachedSeeds(causes)
-	return causes, reached
-}
-
-func (r *Rejoin) resetSeeds() {
-	for addr := range r.seedReached {
-		r.seedReached[addr] = false
-	}
-}
-
-func (r *Rejoin) addUnreachedSeeds(causes map[string]dialCause) {
-	for addr, reached := range r.seedReached {
-		if !reached {
+	for addr, seedReached := range r.seeds {
+		if !seedReached {
 			causes[addr] = dialLost
 		}
 	}
-}
-
-func (r *Rejoin) markSeedReached(addr string) {
-	if _, ok := r.seedReached[addr]; ok {
-		r.seedReached[addr] = true
-	}
+	return causes, reached
 }
 
 // dropSchedules forgets the delays of addresses that no longer need a dial.
@@ -128,14 +145,18 @@
 	}
 }
 
-// dueAddresses returns the addresses whose dial is due, the longest overdue first, and schedules those that are new.
-func (r *Rejoin) dueAddresses(now time.Duration, causes map[string]dialCause, reached int) (due []string) {
+// addSchedules schedules the first dial of addresses that are new.
+func (r *Rejoin) addSchedules(now time.Duration, causes map[string]dialCause, reached int) {
 	for addr, cause := range causes {
-		schedule := r.schedules[addr]
-		if schedule == nil {
-			schedule = &dialSchedule{delay: initialDialDelay, nextAt: now + r.firstDelay(cause, reached)}
-			r.schedules[addr] = schedule
+		if r.schedules[addr] == nil {
+			r.schedules[addr] = &dialSchedule{delay: initialDialDelay, nextAt: now + r.firstDelay(cause, reached)}
 		}
+	}
+}
+
+// dueAddresses returns the addresses whose dial is due, the longest overdue first.
+func (r *Rejoin) dueAddresses(now time.Duration) (due []string) {
+	for addr, schedule := range r.schedules {
 		if now >= schedule.nextAt {
 			due = append(due, addr)
 		}
@@ -149,7 +170,8 @@
 // firstDelay is the delay before the first dial of an address. All members notice a loss at one instant, so that the
 // delay is spread over a time that grows with their number. An unconfirmed member mostly joins by itself.
 func (r *Rejoin) firstDelay(cause dialCause, reached int) time.Duration {
-	unconfirmedDelay := unconfirmedDialDelay + r.drawBelow(unconfirmedDialDelay) // drawn for either cause: the sequence of draws is fixed
+	// Drawn for either cause, so that the sequence of draws does not depend on it.
+	unconfirmedDelay := unconfirmedDialDelay + r.drawBelow(unconfirmedDialDelay)
 	if cause == dialLost {
 		return r.drawBelow(time.Duration(reached) * initialDialDelay / 4)
 	}
