--- a/cmd/falldeal-fleet/query.go
+++ b/cmd/falldeal-fleet/query.go
@@ -65,7 +65,7 @@
 	default:
 		err = printStatus(out, &report)
 	}
-	if err == nil && *check && report.Position != fleet.FullyConnected.String() {
+	if err == nil && *check && report.Position != fleet.FullyConnected.ReportName() {
 		return fmt.Errorf("the fleet as seen by %s: %s", report.Self, report.Position)
 	}
 	return err
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -118,7 +118,7 @@
 	full.Counters = map[string]int64{"words": 3}
 	reports := []fleet.Report{full, alone.Report(10 * time.Second), {}}
 	for position := fleet.Alone; position <= fleet.Partitioned; position++ {
-		reports = append(reports, fleet.Report{Position: position.String()})
+		reports = append(reports, fleet.Report{Position: position.ReportName()})
 	}
 	for _, r := range reports {
 		text, err := json.MarshalIndent(r, "", " ")
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -96,7 +96,7 @@
 	aggregate := s.Aggregate(now, MaxFreshAge(size))
 	report := Report{
 		Self:           s.Self,
-		Position:       s.Position.String(),
+		Position:       s.Position.ReportName(),
 		LastReceivedMs: s.LastReceivedMs(now),
 		PeriodMs:       Period(size).Milliseconds(),
 		FreshMs:        MaxFreshAge(size).Milliseconds(),
@@ -120,8 +120,8 @@
 		Incarnation:        m.Incarnation,
 		Region:             m.Region,
 		Zone:               m.Zone,
-		Condition:          m.Condition(),
-		ReportedState:      m.State.String(),
+		Condition:          m.reportedCondition(),
+		ReportedState:      m.State.reportName(),
 		AgeMs:              m.Age(now).Milliseconds(),
 		SinceMs:            max(now-m.Since, 0).Milliseconds(),
 		Version:            m.Version,
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -22,12 +22,15 @@
 
 // Condition is the state that a member reports where it is alive, and else the conclusion of the observer.
 func (m *Member) Condition() string {
-	if m.Liveness == Alive && m.State != 0 {
+	if m.reportsState() {
 		return m.State.String()
 	}
 	return m.Liveness.String()
 }
 
+// reportsState reports whether the member is alive and has published its state.
+func (m *Member) reportsState() bool { return m.Liveness == Alive && m.State != 0 }
+
 // AcceptsRequests reports whether the member is alive and accepts requests by its last record, however old that is.
 func (m *Member) AcceptsRequests() bool { return m.Liveness == Alive && m.State.acceptsRequests() }
 
