--- a/internal/overload/retries_test.go
+++ b/internal/overload/retries_test.go
@@ -94,7 +94,7 @@
 	setObserver(view, observer)
 	for i := range view.Members {
 		if view.Members[i].Name == fmt.Sprint("n", s.dead) {
-			view.Members[i].Liveness = fleet.Dead
+			view.Members[i].Liveness = fleet.Failed
 		}
 	}
 	return view
@@ -120,7 +120,7 @@
 		for _, counter := range simulation.counters {
 			attemptRate += counter.AttemptRate()
 			counted += counter.AttemptRate() * counter.RetryRatio()
-			require.LessOrEqual(t, len(counter.tracked), maxTrackedRequests)
+			require.LessOrEqual(t, len(counter.tally.tracked.expires), maxTrackedRequests)
 		}
 		exact := 1 - simulation.requests/simulation.attempts
 		require.InDelta(t, exact, counted/attemptRate, test.maxError,
@@ -138,5 +138,5 @@
 	for fingerprint := range uint64(3 * maxRejections) {
 		counter.Rejected(0, fingerprint)
 	}
-	require.Len(t, counter.rejected, maxRejections)
+	require.Len(t, counter.rejected.expires, maxRejections)
 }
