--- a/internal/agent/connection.go
+++ b/internal/agent/connection.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// Check gives up a connection that brings nothing, for another to be opened. SampleGauges does the same, but is not
+// CheckLiveness gives up a connection that brings nothing, for another to be opened. SampleGauges does the same, but is not
 // called before the first handshake.
-func (l *Link) Check() {
+func (l *Link) CheckLiveness() {
 	if l.now == nil || l.current == nil || !l.current.isSilent(l.now()) {
 		return
 	}
@@ -174,7 +174,7 @@
 	case Gauges:
 		l.handleSample(notification.Token)
 	case Outcome, CallRequest:
-		l.Forget(notification.RequestID)
+		l.DiscardCommands(notification.RequestID)
 	case DeepCheckDone, CommandRejected, Aside: // nothing about the link
 	}
 	l.onNotification(notification)
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -80,16 +80,16 @@
 	l.sendCommand(command{requestID: requestID, line: encodeSkipCall(requestID, offset)})
 }
 
-// Forget drops the commands about a request, which need not be sent again: a notification about it proves that they
+// DiscardCommands drops the commands about a request, which need not be sent again: a notification about it proves that they
 // were read, or nobody wants them any more.
-func (l *Link) Forget(requestID string) { l.unacknowledged.removeRequest(requestID) }
+func (l *Link) DiscardCommands(requestID string) { l.unacknowledged.removeRequest(requestID) }
 
 // SampleGauges asks for the gauges, and replaces a connection that brings nothing.
 func (l *Link) SampleGauges() {
 	if l.state() == ready {
 		l.sendSample()
 	}
-	l.Check()
+	l.CheckLiveness()
 }
 
 // DeepCheck asks for the work of a deep health check, whose end names the token. Its error is ErrNotConnected.
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -15,7 +15,7 @@
 			remote := newRemoteAgent(t)
 			remote.accept(0)
 			remote.now += handshakeTimeout - 1 // a booting agent may take its time
-			remote.Check()
+			remote.CheckLiveness()
 			require.NotNil(t, remote.current)
 			remote.sendHandshake(3600000)
 			remote.sendSampled(remote.expectSample())
@@ -54,15 +54,15 @@
 		remote.accept(0)
 		remote.now += handshakeTimeout - 1
 		if late {
-			remote.Check()
+			remote.CheckLiveness()
 			remote.now++
-			remote.Check()
+			remote.CheckLiveness()
 			require.Nil(t, remote.current)
 			remote.accept(0)
 		}
 		remote.sendHandshake(0)
 		remote.now++
-		remote.Check()
+		remote.CheckLiveness()
 		require.NotNil(t, remote.current)
 		remote.sendSampled(remote.expectSample())
 		require.Equal(t, ready, remote.state())
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -27,8 +27,8 @@
 
 const (
 	idle      state = iota // nothing to report yet
-	reporting              // from the first Set on
-	silenced               // another process reports
+	reporting              // from the first SetAccepting on
+	stopped                // another process reports
 )
 
 func (s state) String() string {
@@ -37,14 +37,14 @@
 		return "idle"
 	case reporting:
 		return "reporting"
-	case silenced:
-		return "silenced"
+	case stopped:
+		return "stopped"
 	default:
 		return "state(" + strconv.Itoa(int(s)) + ")"
 	}
 }
 
-// Announcer repeats the newest report, from the first Set on. Its methods but Run belong to one goroutine and never block.
+// Announcer repeats the newest report, from the first SetAccepting on. Its methods but Run belong to one goroutine and never block.
 type Announcer struct {
 	name    string
 	log     *logging.Limiter
@@ -64,8 +64,8 @@
 	return &Announcer{name: name, log: log, current: report{address: address}, reports: latest.New[report]()}
 }
 
-// Set changes what is reported, at once.
-func (a *Announcer) Set(accepting bool) {
+// SetAccepting changes what is reported, at once.
+func (a *Announcer) SetAccepting(accepting bool) {
 	a.current.accepting = accepting
 	if a.state == idle {
 		a.state = reporting
@@ -79,17 +79,17 @@
 	a.publish()
 }
 
-// Silence ends all reports: another process makes them.
-func (a *Announcer) Silence() {
-	if a.state == silenced {
+// Stop ends all reports: another process makes them.
+func (a *Announcer) Stop() {
+	if a.state == stopped {
 		return
 	}
-	a.state = silenced
+	a.state = stopped
 	a.reports.Set(report{accepting: a.current.accepting})
 }
 
-// Silent reports whether reports have ended.
-func (a *Announcer) Silent() bool { return a.state == silenced }
+// Stopped reports whether reports have ended.
+func (a *Announcer) Stopped() bool { return a.state == stopped }
 
 func (a *Announcer) publish() {
 	if a.state == reporting {
--- a/internal/msgpackrpc/harness_test.go
+++ b/internal/msgpackrpc/harness_test.go
@@ -95,7 +95,7 @@
 		maxConns = cfg.Limits.FrontSockets()
 	}
 	log, _ := test.NewNullLogger()
-	listener, err := Inherit(duplicateDescriptor(t, ln), maxConns, logging.NewLimiter(log))
+	listener, err := ListenInherited(duplicateDescriptor(t, ln), maxConns, logging.NewLimiter(log))
 	require.NoError(t, err)
 	peers := &testPeers{
 		T:          t,
--- a/internal/msgpackrpc/listener_test.go
+++ b/internal/msgpackrpc/listener_test.go
@@ -28,11 +28,11 @@
 }
 
 // serveListener serves clients of a running server on a listener of its own, with so many connections at a time.
-func serveListener(t *testing.T, ln net.Listener, maxConns int) (*testPeers, *Front, <-chan error) {
+func serveListener(t *testing.T, ln net.Listener, maxConns int) (*testPeers, *Listener, <-chan error) {
 	t.Helper()
 	peers := startServer(t, noIdleClose...)
 	log, _ := test.NewNullLogger()
-	front := newFront(ln, maxConns, logging.NewLimiter(log))
+	front := newListener(ln, maxConns, logging.NewLimiter(log))
 	group, ctx := errgroup.WithContext(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- front.Serve(ctx, group, peers.server) }()
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -83,9 +83,9 @@
 }
 
 // listen opens the socket for front ends, or takes over the one that was left open for this process.
-func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Front, error) {
+func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Listener, error) {
 	if conf.InheritedFD != 0 {
-		return msgpackrpc.Inherit(conf.InheritedFD, conf.Limits.FrontSockets(), log)
+		return msgpackrpc.ListenInherited(conf.InheritedFD, conf.Limits.FrontSockets(), log)
 	}
 	return msgpackrpc.Listen(conf.Listen, conf.Limits.FrontSockets(), log)
 }
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -44,8 +44,8 @@
 	store.OK:                admission.OutcomeOK,
 	store.Rejected:          admission.OutcomeRejected,
 	store.Failed:            admission.OutcomeFailed,
-	store.Late:              admission.OutcomeTimedOut,
-	store.Void:              admission.OutcomeNotStarted,
+	store.TimedOut:          admission.OutcomeTimedOut,
+	store.NotStarted:        admission.OutcomeNotStarted,
 	store.ConnectionRefused: admission.OutcomeUnreachable,
 	store.ConnectionBroken:  admission.OutcomeAborted,
 	store.Expired:           admission.OutcomeTimedOut,
@@ -53,7 +53,7 @@
 
 // handleCallEnded handles the end of a call. The run gets the body of a good reply; what becomes of a run whose call
 // went wrong is the controller's decision.
-func (s *Server) handleCallEnded(id string, reply store.Reply, body []byte) {
+func (s *Server) handleCallEnded(id string, reply store.Result, body []byte) {
 	s.recordCallResult(reply)
 	request := s.requests.byAttemptID[id]
 	if request == nil {
@@ -75,19 +75,19 @@
 	})
 }
 
-func (s *Server) countReply(reply store.Reply) {
+func (s *Server) countReply(reply store.Result) {
 	switch reply {
 	case store.OK:
 		s.stats.CallsOK++
 	case store.Rejected:
 		s.stats.CallsBusy++
-	case store.Late, store.Expired:
+	case store.TimedOut, store.Expired:
 		s.stats.CallsLate++
 	case store.ConnectionRefused:
 		s.stats.CallsUnreachable++
 	case store.ConnectionBroken:
 		s.stats.CallsBroken++
-	case store.Failed, store.Void:
+	case store.Failed, store.NotStarted:
 		s.stats.CallsFailed++
 	}
 }
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -14,7 +14,7 @@
 	switch action.Kind {
 	case admission.ActionHealth:
 		s.health.healthy, s.health.cached = action.Healthy, action.Cached
-		s.announcer.Set(action.Healthy)
+		s.announcer.SetAccepting(action.Healthy)
 	case admission.ActionIdleTimeout:
 		s.connections.idleTimer.timeout = action.Duration
 	case admission.ActionWake:
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -78,10 +78,10 @@
 	replaced := s.handover.successor != nil
 	s.log.WithField("replaced", replaced).Info("told to leave")
 	if replaced {
-		s.announcer.Silence()
+		s.announcer.Stop()
 		s.drain = newDrain(s.clock.now, s.config.ReplacedStopTimeout, 0, true)
 	} else {
-		s.announcer.Set(false)
+		s.announcer.SetAccepting(false)
 		s.drain = newDrain(s.clock.now, s.config.StopTimeout, s.config.Settings.DrainGrace, false)
 	}
 	s.enqueueDrainEvent()
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -72,7 +72,7 @@
 // though nothing is sent on it yet.
 func (s *Server) checkAgentUntilUp() {
 	if !s.admission.started() {
-		s.agent.Check()
+		s.agent.CheckLiveness()
 		s.deadlines.Add(s.clock.now+agentCheckInterval, s.checkAgentUntilUp)
 	}
 }
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -74,7 +74,7 @@
 	s.log.Info("a newer process has joined")
 	s.handover.successor = link
 	if s.drain.started() {
-		s.announcer.Silence() // the successor is to be listed, and not as draining
+		s.announcer.Stop() // the successor is to be listed, and not as draining
 	}
 	s.publishStatus()
 	var messages []handover.Message
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -46,8 +46,8 @@
 }
 
 // recordCallResult records how a call ended.
-func (s *Server) recordCallResult(reply store.Reply) {
-	if probes := s.probes(); probes != nil && reply != store.Void {
+func (s *Server) recordCallResult(reply store.Result) {
+	if probes := s.probes(); probes != nil && reply != store.NotStarted {
 		probes.CallEnded(reply == store.OK)
 	}
 }
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -237,8 +237,8 @@
 	fixture.Drain()
 	fixture.runPosted()
 	fixture.successorJoined(fixture.link)
-	fixture.announcer.Set(false)
-	require.True(t, fixture.announcer.Silent())
+	fixture.announcer.SetAccepting(false)
+	require.True(t, fixture.announcer.Stopped())
 	fixture.expect("synced")
 }
 
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -100,7 +100,7 @@
 func (s *Server) completeRun(request *activeRequest, outcome admission.Outcome, result []byte) {
 	ok := outcome == admission.OutcomeOK
 	s.abandonCall(request)
-	s.agent.Forget(request.attempt.ID)
+	s.agent.DiscardCommands(request.attempt.ID)
 	s.enqueueDone(request, outcome)
 	s.answerResult(request, ok, result)
 	for _, retry := range s.idempotency.runEnded(request, outcome, result) {
--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -127,7 +127,7 @@
 	} else {
 		l.closeConnection(conn)
 	}
-	l.onReply(frame.requestID, frame.reply, frame.body)
+	l.onResult(frame.requestID, frame.result, frame.body)
 }
 
 // handleUnsolicitedReply has no further call made on a connection. The one that it carries may still be answered.
@@ -149,6 +149,6 @@
 	if broken := conn.call; broken != nil {
 		l.log.Warn("store", "connection to the store broke during a call", err)
 		l.endCall(broken)
-		l.onReply(broken.requestID, ConnectionBroken, nil)
+		l.onResult(broken.requestID, ConnectionBroken, nil)
 	}
 }
--- a/internal/store/dial.go
+++ b/internal/store/dial.go
@@ -68,7 +68,7 @@
 		l.log.Warn("store", "no connection to the store", err)
 		if refused := l.takeWaiting(); refused != nil {
 			l.endCall(refused)
-			l.onReply(refused.requestID, ConnectionRefused, nil)
+			l.onResult(refused.requestID, ConnectionRefused, nil)
 		}
 	}
 	l.adjustDials()
--- a/internal/store/dial_test.go
+++ b/internal/store/dial_test.go
@@ -18,7 +18,7 @@
 func newLinkWithoutRun() *Link {
 	log, _ := test.NewNullLogger()
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }, Deadlines: deadline.New()}
-	return New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
+	return New("store:1", 1, 1, loop, func(string, Result, []byte) {}, logging.NewLimiter(log))
 }
 
 // A call that is abandoned cancels its dial, which does not wait for its timeout then.
@@ -55,7 +55,7 @@
 	local, _ := net.Pipe()
 	queue := writequeue.New(local, writeQueueSize)
 	link.handleOpened(<-link.dialRequests, queue)
-	link.handleReply(queue, replyFrame{requestID: "ab", reply: Rejected})
+	link.handleReply(queue, replyFrame{requestID: "ab", result: Rejected})
 	link.Call("cd", time.Hour, nil)
 	link.loop.Deadlines.Sweep(idleTimeout)
 	require.Len(t, link.connections, 1)
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// Reply is how a call ended.
-type Reply uint8
+// Result is how a call ended.
+type Result uint8
 
-// The kinds of Reply. The last three are found out by the Link and not sent by the store.
+// The kinds of Result. The last three are found out by the Link and not sent by the store.
 const (
-	OK                Reply = iota //nolint:varnamelen // the protocol's word; with a body
-	Rejected                       // turned away: it never ran
-	Failed                         // failed, and may have had its effect
-	Late                           // out of time, or its run has ended; it may have had its effect
-	Void                           // no run waits for it: it never ran
-	ConnectionRefused              // no connection to the store: it never ran
-	ConnectionBroken               // the connection broke meanwhile; it may have had its effect
-	Expired                        // given up at its deadline; it may have had its effect
+	OK                Result = iota //nolint:varnamelen // the protocol's word; with a body
+	Rejected                        // turned away: it never ran
+	Failed                          // failed, and may have had its effect
+	TimedOut                        // out of time, or its run has ended; it may have had its effect
+	NotStarted                      // no run waits for it: it never ran
+	ConnectionRefused               // no connection to the store: it never ran
+	ConnectionBroken                // the connection broke meanwhile; it may have had its effect
+	Expired                         // given up at its deadline; it may have had its effect
 )
 
-func (r Reply) String() string {
-	names := [...]string{"OK", "Rejected", "Failed", "Late", "Void", "ConnectionRefused", "ConnectionBroken", "Expired"}
+func (r Result) String() string {
+	names := [...]string{"OK", "Rejected", "Failed", "TimedOut", "NotStarted", "ConnectionRefused", "ConnectionBroken", "Expired"}
 	if int(r) < len(names) {
 		return names[r]
 	}
-	return "Reply(" + strconv.Itoa(int(r)) + ")"
+	return "Result(" + strconv.Itoa(int(r)) + ")"
 }
 
 // replyCodes are the words of the protocol.
-var replyCodes = map[string]Reply{"OK": OK, "BUSY": Rejected, "ERR": Failed, "LATE": Late, "VOID": Void}
+var replyCodes = map[string]Result{"OK": OK, "BUSY": Rejected, "ERR": Failed, "LATE": TimedOut, "VOID": NotStarted}
 
 const (
 	maxLine = 128      // bytes, without its end
@@ -48,7 +48,7 @@
 // replyFrame is one reply as the store sends it.
 type replyFrame struct {
 	requestID string
-	reply     Reply
+	result    Result
 	body      []byte // with OK alone
 }
 
@@ -74,7 +74,7 @@
 		return replyFrame{}, err
 	}
 	frame, bodyLength, err := parseReplyLine(line)
-	if err != nil || frame.reply != OK {
+	if err != nil || frame.result != OK {
 		return frame, err
 	}
 	frame.body, err = readBody(reader, bodyLength)
@@ -91,9 +91,9 @@
 	if !terminated || len(line) > maxLine || len(fields) < 2 || len(fields) > 3 || len(fields[0]) == 0 {
 		return replyFrame{}, 0, fmt.Errorf("%w: %.80q", ErrMalformedReply, line)
 	}
-	reply, known := replyCodes[string(fields[1])]
+	result, known := replyCodes[string(fields[1])]
 	hasLength := len(fields) == 3
-	if !known || (reply == OK) != hasLength {
+	if !known || (result == OK) != hasLength {
 		return replyFrame{}, 0, fmt.Errorf("%w: %.80q", ErrMalformedReply, line)
 	}
 	if hasLength {
@@ -101,7 +101,7 @@
 			return replyFrame{}, 0, err
 		}
 	}
-	return replyFrame{requestID: string(fields[0]), reply: reply}, bodyLength, nil
+	return replyFrame{requestID: string(fields[0]), result: result}, bodyLength, nil
 }
 
 func parseBodyLength(text []byte) (int, error) {
--- a/internal/store/frame_test.go
+++ b/internal/store/frame_test.go
@@ -15,13 +15,13 @@
 	reader := bufio.NewReader(strings.NewReader(text))
 	for _, want := range []struct {
 		requestID string
-		reply     Reply
+		result    Result
 		body      string
-	}{{"ab", OK, "\r\nhi"}, {"cd", Rejected, ""}, {"ab", Failed, ""}, {"ab", Late, ""}, {"ef", Void, ""}, {"ab", OK, ""}} {
+	}{{"ab", OK, "\r\nhi"}, {"cd", Rejected, ""}, {"ab", Failed, ""}, {"ab", TimedOut, ""}, {"ef", NotStarted, ""}, {"ab", OK, ""}} {
 		frame, err := readReply(reader)
 		require.NoError(t, err)
 		require.Equal(t, want.requestID, frame.requestID)
-		require.Equal(t, want.reply, frame.reply)
+		require.Equal(t, want.result, frame.result)
 		require.Equal(t, want.body, string(frame.body))
 	}
 	_, err := readReply(reader)
@@ -42,7 +42,7 @@
 	require.Equal(t, "OK", OK.String())
 	require.Equal(t, "ConnectionRefused", ConnectionRefused.String())
 	require.Equal(t, "Expired", Expired.String())
-	require.Equal(t, "Reply(8)", (Expired + 1).String())
+	require.Equal(t, "Result(8)", (Expired + 1).String())
 }
 
 func TestCommandEncoding(t *testing.T) {
@@ -60,7 +60,7 @@
 			if err != nil {
 				return
 			}
-			if frame.requestID == "" || frame.reply > Void || frame.reply != OK && frame.body != nil {
+			if frame.requestID == "" || frame.result > NotStarted || frame.result != OK && frame.body != nil {
 				t.Errorf("read %+v", frame)
 			}
 		}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -27,7 +27,7 @@
 func TestGoldenCalls(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return time.Second }, Deadlines: deadline.New()}
-	link := New("store:1", 1, 1, loop, func(string, Reply, []byte) {}, logging.NewLimiter(log))
+	link := New("store:1", 1, 1, loop, func(string, Result, []byte) {}, logging.NewLimiter(log))
 	local, remote := net.Pipe()
 	queue := writequeue.New(local, writeQueueSize)
 	var cases []golden.Case
@@ -44,10 +44,10 @@
 	link.Call(goldenRequest, 1250*time.Millisecond, []byte("\x00\xffbody\r\n"))
 	link.handleOpened(<-link.dialRequests, queue)
 	written("call")
-	link.handleReply(queue, replyFrame{requestID: goldenRequest, reply: OK})
+	link.handleReply(queue, replyFrame{requestID: goldenRequest, result: OK})
 	link.Call(goldenOther, time.Second+999*time.Microsecond, nil)
 	written("call of less than a millisecond without a body")
-	link.handleReply(queue, replyFrame{requestID: goldenOther, reply: Rejected})
+	link.handleReply(queue, replyFrame{requestID: goldenOther, result: Rejected})
 	link.Call(goldenRequest, time.Hour+time.Second, []byte(strings.Repeat("x", 100)))
 	written("call of an hour")
 	require.True(t, link.Abandon(goldenRequest))
@@ -62,16 +62,16 @@
 // Every kind of reply.
 func TestGoldenReplies(t *testing.T) {
 	cases := []struct {
-		name  string
-		reply Reply
-		body  string
+		name   string
+		result Result
+		body   string
 	}{
 		{"OK", OK, "\x00\xff\r\nbody"},
 		{"OK without a body", OK, ""},
 		{"BUSY", Rejected, ""},
 		{"ERR", Failed, ""},
-		{"LATE", Late, ""},
-		{"VOID", Void, ""},
+		{"LATE", TimedOut, ""},
+		{"VOID", NotStarted, ""},
 	}
 	replies := golden.Read(t, "replies.golden", len(cases))
 	for _, test := range cases {
@@ -82,7 +82,7 @@
 		frame, err := readReply(reader)
 		require.NoError(t, err, test.name)
 		require.Equal(t, goldenRequest, frame.requestID, test.name)
-		require.Equal(t, test.reply, frame.reply, test.name)
+		require.Equal(t, test.result, frame.result, test.name)
 		require.Equal(t, test.body, string(frame.body), test.name)
 		_, err = reader.ReadByte()
 		require.ErrorIs(t, err, io.EOF, test.name)
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -26,10 +26,10 @@
 // comes, then costs that call and no other. Connections are opened as calls need them, used again while that is soon,
 // and closed otherwise. Its methods but Run belong to the goroutine of the loop.
 type Link struct {
-	address string // in force
-	loop    Loop
-	onReply func(requestID string, reply Reply, body []byte)
-	log     *logging.Limiter
+	address  string // in force
+	loop     Loop
+	onResult func(requestID string, result Result, body []byte)
+	log      *logging.Limiter
 
 	calls   map[string]*call // in flight, by request
 	waiting []*call          // for a connection, in order
@@ -56,13 +56,13 @@
 }
 
 // New returns a Link to the store at address over up to maxConnections connections that reports the end of each call to
-// onReply, within the loop. The jitter of its dials follows from seed.
+// onResult, within the loop. The jitter of its dials follows from seed.
 func New(address string, maxConnections int, seed uint64, loop Loop,
-	onReply func(requestID string, reply Reply, body []byte), log *logging.Limiter) *Link {
+	onResult func(requestID string, result Result, body []byte), log *logging.Limiter) *Link {
 	return &Link{
 		address:        address,
 		loop:           loop,
-		onReply:        onReply,
+		onResult:       onResult,
 		log:            log,
 		calls:          map[string]*call{},
 		maxConnections: maxConnections,
@@ -101,7 +101,7 @@
 	added := &call{requestID: requestID, body: body, deadline: deadline}
 	added.deadlineTimer = l.loop.Deadlines.Add(deadline, func() {
 		l.Abandon(requestID)
-		l.onReply(requestID, Expired, nil)
+		l.onResult(requestID, Expired, nil)
 	})
 	l.calls[requestID] = added
 	if conn := l.takeIdle(requestID); conn != nil {
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -39,13 +39,13 @@
 	return fake
 }
 
-func (l *fakeLoop) record(requestID string, reply Reply, body []byte) {
-	l.outcomes = append(l.outcomes, outcome(requestID, reply, string(body)))
+func (l *fakeLoop) record(requestID string, result Result, body []byte) {
+	l.outcomes = append(l.outcomes, outcome(requestID, result, string(body)))
 }
 
 // outcome is the end of a call as text.
-func outcome(requestID string, reply Reply, body string) string {
-	return fmt.Sprintf("%s %s %s", requestID, reply, body)
+func outcome(requestID string, result Result, body string) string {
+	return fmt.Sprintf("%s %s %s", requestID, result, body)
 }
 
 // runPosted runs the next function that the Link hands to its loop.
