--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"falldeal/internal/server"
+	"falldeal/lab/golden"
 
 	"github.com/stretchr/testify/require"
 )
@@ -20,7 +21,7 @@
 func TestGoldenAnswers(t *testing.T) {
 	body := func(n int) []byte { return bytes.Repeat([]byte{0xab}, n) }
 	reason := func(n int) string { return strings.Repeat("r", n) }
-	var cases []goldenCase
+	var cases []golden.Case
 	for _, test := range []struct {
 		name   string
 		call   uint32
@@ -54,18 +55,18 @@
 		{"invalid, 255 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(255)}},
 		{"invalid, 256 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(256)}},
 	} {
-		cases = append(cases, goldenCase{test.name, hex.EncodeToString(encodeAnswer(test.call, test.answer))})
+		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(encodeAnswer(test.call, test.answer))})
 	}
 	const head = 10 // bytes of a frame before its body
 	long := encodeAnswer(1, server.Answer{Kind: server.Served, Body: body(65536)})
-	cases = append(cases, goldenCase{"served, 65536 bytes, what comes before them", hex.EncodeToString(long[:head])},
-		goldenCase{"closing", hex.EncodeToString(encodeClosing())})
-	requireGolden(t, "answers.golden", cases)
+	cases = append(cases, golden.Case{Name: "served, 65536 bytes, what comes before them", Form: hex.EncodeToString(long[:head])},
+		golden.Case{Name: "closing", Form: hex.EncodeToString(encodeClosing())})
+	golden.Require(t, "answers.golden", cases)
 }
 
 // What a client reads until the end of its connection while the server drains.
 func TestGoldenClose(t *testing.T) {
-	var cases []goldenCase
+	var cases []golden.Case
 	for _, test := range []struct {
 		name string
 		use  func(test *conn)
@@ -90,9 +91,9 @@
 		written, err := io.ReadAll(remote)
 		require.NoError(t, err, test.name)
 		require.NoError(t, <-done, test.name)
-		cases = append(cases, goldenCase{test.name, strconv.Quote(hex.EncodeToString(written))})
+		cases = append(cases, golden.Case{Name: test.name, Form: strconv.Quote(hex.EncodeToString(written))})
 	}
-	requireGolden(t, "close.golden", cases)
+	golden.Require(t, "close.golden", cases)
 }
 
 // parsedCancel is what was read of a cancelRequest; found is false where it has no call.
@@ -164,7 +165,7 @@
 		{"cancel of a text", 2, 0, "cancelRequest", parsedCancel{}},
 		{"unknown notification", 2, 0, "hello", parsedCancel{}},
 	}
-	frames := readGolden(t, "requests.golden", len(cases))
+	frames := golden.Read(t, "requests.golden", len(cases))
 	for _, test := range cases {
 		require.Contains(t, frames, test.name)
 		sent, err := hex.DecodeString(frames[test.name])
@@ -181,7 +182,7 @@
 
 // What is logged of a malformed frame, which ends its connection.
 func TestGoldenBrokenFrames(t *testing.T) {
-	var cases []goldenCase
+	var cases []golden.Case
 	for _, test := range []struct{ name, sent string }{
 		{"byte that starts no value", "\xc1"},
 		{"too long", "\xc6\xff\xff\xff\xff"},
@@ -202,9 +203,9 @@
 			_, err = parseMessage(frame)
 		}
 		require.Error(t, err, test.name)
-		cases = append(cases, goldenCase{test.name, err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
 	}
-	requireGolden(t, "broken.golden", cases)
+	golden.Require(t, "broken.golden", cases)
 }
 
 // The reason that a client is sent for each wrong field of a request or health check.
@@ -242,13 +243,13 @@
 		frame := string(encodeRequest(7, "preview", fields, nil))
 		requests = append(requests, struct{ name, frame string }{test.field + ", " + test.what, frame})
 	}
-	var cases []goldenCase
+	var cases []golden.Case
 	for _, test := range requests {
 		_, err := parseClientMessage(mustParse(t, []byte(test.frame)))
 		require.Error(t, err, test.name)
-		cases = append(cases, goldenCase{test.name, err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
 	}
-	requireGolden(t, "fields.golden", cases)
+	golden.Require(t, "fields.golden", cases)
 }
 
 // expectInvalid reads the response to the last request, which must be that it was invalid, and returns the reason.
@@ -269,11 +270,11 @@
 	oneTenant := []string{`"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 1, "QuotaPerS": 9}]`}
 	peers := startServer(t, append(oneTenant, noIdleClose...)...)
 	client := peers.dial()
-	var cases []goldenCase
+	var cases []golden.Case
 	expectReason := func(name, class, body string, change ...string) {
 		t.Helper()
 		client.sendRequest(class, body, change...)
-		cases = append(cases, goldenCase{name, client.expectInvalid()})
+		cases = append(cases, golden.Case{Name: name, Form: client.expectInvalid()})
 	}
 	expectReason("unknown class", "poster", "x")
 	expectReason("unknown class of a long name", strings.Repeat("poster", 10), "x")
@@ -294,5 +295,5 @@
 	}
 	expectReason("too many open", "preview", "x")
 	require.Equal(t, open+maxOpenCalls+1, client.lastCall)
-	requireGolden(t, "reasons.golden", cases)
+	golden.Require(t, "reasons.golden", cases)
 }
--- a/lab/golden/golden.go
+++ b/lab/golden/golden.go
@@ -1,7 +1,9 @@
-// Package golden compares what a test produces with files in its testdata folder: whole texts, or one named form a line.
+// Package golden compares what a test produces with files in its testdata folder: whole texts, named texts one a line, or
+// named binary forms one a line. With the flag -update a test records its files anew instead.
 package golden
 
 import (
+	"encoding/hex"
 	"flag"
 	"os"
 	"path/filepath"
@@ -14,22 +16,25 @@
 var update = flag.Bool("update", false, "record the golden files anew")
 
 const (
-	folder    = "testdata"
-	separator = ": "
+	folder        = "testdata"
+	textExtension = ".golden"
+	separator     = ": "
+	hexPrefix     = "0x"
+	fileMode      = 0o600
 )
 
 // RequireText compares got with testdata/NAME.golden byte for byte.
 func RequireText(t *testing.T, name, got string) {
 	t.Helper()
-	requireFile(t, name+".golden", got)
+	RequireFile(t, name+textExtension, got)
 }
 
-// requireFile compares got with a file in testdata, which it writes first where -update was given.
-func requireFile(t *testing.T, file, got string) {
+// RequireFile compares got with a file in testdata byte for byte.
+func RequireFile(t *testing.T, file, got string) {
 	t.Helper()
 	path := filepath.Join(folder, file)
 	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(got), fileMode))
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -46,7 +51,7 @@
 	for _, golden := range cases {
 		got.WriteString(golden.Name + separator + golden.Form + "\n")
 	}
-	requireFile(t, file, got.String())
+	RequireFile(t, file, got.String())
 }
 
 // Read returns the forms of a file in testdata by name. It must have as many as the test has cases.
@@ -64,3 +69,34 @@
 	require.Len(t, forms, count)
 	return forms
 }
+
+// Frame is one line of a golden file of binary forms: the name of a form, and its bytes, which the file has as 0x and hex
+// digits.
+type Frame struct {
+	Name  string
+	Bytes []byte
+}
+
+// RequireFrames compares frames with a file in testdata, which must hold just these, in this order.
+func RequireFrames(t *testing.T, file string, frames []Frame) {
+	t.Helper()
+	var cases []Case
+	for _, frame := range frames {
+		cases = append(cases, Case{Name: frame.Name, Form: hexPrefix + hex.EncodeToString(frame.Bytes)})
+	}
+	Require(t, file, cases)
+}
+
+// ReadFrames returns the bytes of the frames of a file in testdata by name. It must have as many as the test has cases.
+func ReadFrames(t *testing.T, file string, count int) map[string][]byte {
+	t.Helper()
+	frames := map[string][]byte{}
+	for name, form := range Read(t, file, count) {
+		digits, found := strings.CutPrefix(form, hexPrefix)
+		require.True(t, found, name)
+		frame, err := hex.DecodeString(digits)
+		require.NoError(t, err, name)
+		frames[name] = frame
+	}
+	return frames
+}
