--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -7,6 +7,7 @@
 	"errors"
 	"time"
 
+	"falldeal/internal/backoff"
 	"falldeal/internal/logging"
 	"falldeal/internal/reconnect"
 )
@@ -15,7 +16,7 @@
 	writeQueueSize = 4096 // commands that wait to be written
 	minBackoff     = 10 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
-	backoffPurpose = 0xa6e27 // sets the agent's jitter apart from that of other links of one server
+	jitterStream   = 0xa6e27 // sets the agent's jitter apart from that of other links of one server
 )
 
 // ErrNotConnected reports that no connection to the agent takes commands at present.
@@ -41,8 +42,15 @@
 // New returns a Link to the agent at address that calls onNotification, within the loop, with each notification once.
 // The jitter of its reconnecting follows from seed.
 func New(address string, seed uint64, post func(func()), onNotification func(Notification), log *logging.Limiter) *Link {
-	config := reconnect.Config{MinBackoff: minBackoff, MaxBackoff: maxBackoff, Seed: seed, Purpose: backoffPurpose,
-		WriteQueueSize: writeQueueSize}
+	config := reconnect.Config{
+		Backoff: backoff.Config{
+			BaseDelay: minBackoff,
+			MaxDelay:  maxBackoff,
+			Seed:      seed,
+			Stream:    jitterStream,
+		},
+		WriteQueueSize: writeQueueSize,
+	}
 	return &Link{connections: reconnect.New(address, config), post: post, onNotification: onNotification, log: log}
 }
 
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestDelaysDoubleWithinBounds(t *testing.T) {
-	delays := New(10*time.Millisecond, 200*time.Millisecond, 7, 1)
+	delays := New(Config{BaseDelay: 10 * time.Millisecond, MaxDelay: 200 * time.Millisecond, Seed: 7, Stream: 1})
 	for range 2 {
 		for _, unjittered := range []time.Duration{10, 20, 40, 80, 160, 200, 200} {
 			unjittered *= time.Millisecond
@@ -22,7 +22,10 @@
 
 // Delays follow from seed and purpose alone, so that a simulation can be repeated.
 func TestSameSeedSameDelays(t *testing.T) {
-	a, b, c := New(10, 2000, 7, 1), New(10, 2000, 7, 1), New(10, 2000, 7, 2)
+	config := Config{BaseDelay: 10, MaxDelay: 2000, Seed: 7, Stream: 1}
+	otherStream := config
+	otherStream.Stream = 2
+	a, b, c := New(config), New(config), New(otherStream)
 	same := true
 	for range 10 {
 		next := a.Next()
@@ -38,7 +41,8 @@
 	const servers = 300
 	slots := map[time.Duration]int{}
 	for seed := range uint64(servers) {
-		b, at := New(10*time.Millisecond, 200*time.Millisecond, seed, 1), time.Duration(0)
+		b := New(Config{BaseDelay: 10 * time.Millisecond, MaxDelay: 200 * time.Millisecond, Seed: seed, Stream: 1})
+		var at time.Duration
 		for at < 400*time.Millisecond {
 			at += b.Next()
 		}
--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -12,13 +12,13 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what a Link does not find out by itself.
+// Config is what a Link does not find out by itself. No field has a default.
 type Config struct {
-	MinBackoff     time.Duration // before the first dial after a failure
-	MaxBackoff     time.Duration // before the next ones; a connection that lasts for longer counts as a success
-	Seed           uint64        // of the jitter
-	Purpose        uint64        // sets the jitter apart from that of other links with the same seed
-	WriteQueueSize int           // messages that may wait to be written
+	// Backoff sets the delays between dials. A connection that lasts for longer than Backoff.MaxDelay counts as a
+	// success, and the next delay is the first again.
+	Backoff backoff.Config
+	// WriteQueueSize is how many messages may wait to be written on a connection.
+	WriteQueueSize int
 }
 
 // Handler deals with the connections of a Link. Its methods are called on goroutines of Run, those for one connection
@@ -43,9 +43,9 @@
 
 // New returns a Link to address, which Run opens.
 func New(address string, config Config) *Link {
-	l := &Link{config: config, addresses: latest.New[string]()}
-	l.SetAddress(address)
-	return l
+	link := &Link{config: config, addresses: latest.New[string]()}
+	link.SetAddress(address)
+	return link
 }
 
 // Address returns the address in force.
@@ -61,36 +61,45 @@
 	l.addresses.Set(address)
 }
 
-// Run keeps a connection open to the address in force until ctx ends, and all its connections with that.
+// Run keeps a connection open to the address in force until ctx ends, and all its connections with that. It returns nil.
 func (l *Link) Run(ctx context.Context, handler Handler) error {
-	group, ctx := errgroup.WithContext(ctx)
+	var group errgroup.Group
 	replace := func() {} // ends the use of the address in force so far
 	defer func() { replace() }()
 	for {
 		select {
 		case <-ctx.Done():
-			return group.Wait()
+			_ = group.Wait() // its functions return no error
+			return nil
 		case address := <-l.addresses.C():
 			replace()
 			inForce, cancel := context.WithCancel(ctx)
 			replace = cancel
+			peer := &peer{address: address, config: l.config, handler: handler}
 			group.Go(func() error {
-				l.maintainConnection(ctx, inForce, address, handler)
+				peer.maintainConnection(ctx, inForce)
 				return nil
 			})
 		}
 	}
 }
 
-// maintainConnection opens connections to address, one after the other, until inForce ends.
-func (l *Link) maintainConnection(ctx, inForce context.Context, address string, handler Handler) {
-	delays := backoff.New(l.config.MinBackoff, l.config.MaxBackoff, l.config.Seed, l.config.Purpose)
+// peer is one address of a Link, for as long as it is in force. It belongs to a goroutine of Run.
+type peer struct {
+	address string
+	config  Config
+	handler Handler
+}
+
+// maintainConnection opens connections, one after the other, until inForce ends.
+func (p *peer) maintainConnection(ctx, inForce context.Context) {
+	delays := backoff.New(p.config.Backoff)
 	for inForce.Err() == nil {
 		start := time.Now()
-		if err := l.connect(ctx, inForce, address, handler); err != nil && inForce.Err() == nil {
-			handler.Failed(err)
+		if err := p.connect(ctx, inForce); err != nil && inForce.Err() == nil {
+			p.handler.Failed(err)
 		}
-		if time.Since(start) > l.config.MaxBackoff {
+		if time.Since(start) > p.config.Backoff.MaxDelay {
 			delays.Reset()
 		}
 		select {
@@ -100,9 +109,10 @@
 	}
 }
 
-// connect serves one connection from its dial to its end, within DrainTimeout after that of inForce.
-func (l *Link) connect(ctx, inForce context.Context, address string, handler Handler) error {
-	conn, err := Dial(inForce, "tcp", address, DialTimeout)
+// connect serves one connection from its dial to its end. After that of inForce it ends within DrainTimeout, and at the
+// end of ctx at once.
+func (p *peer) connect(ctx, inForce context.Context) error {
+	conn, err := Dial(inForce, "tcp", p.address, DialTimeout)
 	if err != nil {
 		return err
 	}
@@ -111,11 +121,11 @@
 		_ = conn.SetReadDeadline(time.Now().Add(DrainTimeout))
 	})
 	defer stop()
-	queue := writequeue.New(conn, l.config.WriteQueueSize)
+	queue := writequeue.New(conn, p.config.WriteQueueSize)
 	err = Serve(ctx, queue, func() error {
-		handler.Opened(address, queue)
-		return handler.Read(conn, queue)
+		p.handler.Opened(p.address, queue)
+		return p.handler.Read(conn, queue)
 	})
-	handler.Closed(queue)
+	p.handler.Closed(queue)
 	return err
 }
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"falldeal/internal/backoff"
 	"falldeal/internal/writequeue"
 
 	"github.com/stretchr/testify/require"
@@ -85,8 +86,15 @@
 	})
 }
 
-var testConfig = Config{MinBackoff: time.Millisecond, MaxBackoff: 4 * time.Millisecond, Seed: 1, Purpose: 2,
-	WriteQueueSize: 4}
+var testConfig = Config{
+	Backoff: backoff.Config{
+		BaseDelay: time.Millisecond,
+		MaxDelay:  4 * time.Millisecond,
+		Seed:      1,
+		Stream:    2,
+	},
+	WriteQueueSize: 4,
+}
 
 // A peer that cannot be reached is told apart from one that fails later, and the text is that of the dial.
 func TestUnreachableError(t *testing.T) {
--- a/internal/store/dial.go
+++ b/internal/store/dial.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	minBackoff     = 10 * time.Millisecond
-	maxBackoff     = 200 * time.Millisecond
-	backoffPurpose = 0x5702e // sets the store's jitter apart from that of other links of one server
+	minBackoff   = 10 * time.Millisecond
+	maxBackoff   = 200 * time.Millisecond
+	jitterStream = 0x5702e // sets the store's jitter apart from that of other links of one server
 )
 
 // dial is one attempt to open a connection.
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -68,7 +68,12 @@
 		maxConnections: maxConnections,
 		connections:    map[*writequeue.Queue]*connection{},
 		dialRequests:   make(chan *dial, maxConnections),
-		backoff:        backoff.New(minBackoff, maxBackoff, seed, backoffPurpose),
+		backoff: backoff.New(backoff.Config{
+			BaseDelay: minBackoff,
+			MaxDelay:  maxBackoff,
+			Seed:      seed,
+			Stream:    jitterStream,
+		}),
 	}
 }
 
