--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -9,40 +9,128 @@
 	"github.com/valyala/fastjson"
 )
 
-// Request IDs are hex digits and tokens are our own, so neither needs an escape.
+// Command is a kind of command to the agent.
+type Command uint8
+
+// The commands.
+const (
+	CommandUnknown   Command = iota // the agent has named one that there is not
+	CommandSubscribe                // send the numbered notifications after an offset
+	CommandLaunch                   // run a request
+	CommandReply                    // hand a run the reply to its call
+	CommandSkipCall                 // let a run go on without its call
+	CommandSample                   // report the gauges
+	CommandDeepCheck                // do the work of a deep health check
+)
+
+// String returns the name of the command in log lines.
+func (c Command) String() string {
+	switch c {
+	case CommandSubscribe:
+		return "subscribe"
+	case CommandLaunch:
+		return "launch"
+	case CommandReply:
+		return "reply"
+	case CommandSkipCall:
+		return "skip call"
+	case CommandSample:
+		return "sample"
+	case CommandDeepCheck:
+		return "deep check"
+	default: // CommandUnknown
+		return "unknown"
+	}
+}
+
+// The names of commands in the protocol.
+const (
+	nameSubscribe = "subscribe"
+	nameLaunch    = "launch"
+	nameReply     = "deliver"
+	nameSkipCall  = "forgo"
+	nameSample    = "sample"
+	nameDeepCheck = "exercise"
+)
+
+// commandNamed returns the command of a name in the protocol.
+func commandNamed(name []byte) Command {
+	switch string(name) {
+	case nameSubscribe:
+		return CommandSubscribe
+	case nameLaunch:
+		return CommandLaunch
+	case nameReply:
+		return CommandReply
+	case nameSkipCall:
+		return CommandSkipCall
+	case nameSample:
+		return CommandSample
+	case nameDeepCheck:
+		return CommandDeepCheck
+	default:
+		return CommandUnknown
+	}
+}
+
+// Each encode function returns a command as a line. Request IDs are hex digits and tokens are the Link's or the server's
+// own, so neither needs an escape.
+
+const (
+	endOfObject      = "}\n"
+	requestSeparator = `","` + fieldRequest + `":"`
+)
 
-const endOfObject = "}\n"
+// beginCommand returns the object of a command up to the end of its name, which is not closed yet.
+func beginCommand(name string) []byte { return []byte(`{"` + fieldKind + `":"` + name) }
 
 // encodeSubscribe asks for all numbered notifications after offset.
 func encodeSubscribe(offset int64) []byte {
-	return append(strconv.AppendInt([]byte(`{"cmd":"subscribe","offset":`), offset, 10), endOfObject...)
+	return appendOffset(beginCommand(nameSubscribe), offset)
 }
 
 func encodeLaunch(requestID, class string, payload []byte) []byte {
 	var arena fastjson.Arena
-	b := append([]byte(`{"cmd":"launch","req":"`), requestID...)
-	b = arena.NewString(class).MarshalTo(append(b, `","method":`...))
-	return append(jsonlines.AppendBase64(b, "payload", payload), endOfObject...)
+	b := appendRequest(beginCommand(nameLaunch), requestID)
+	b = append(b, `","method":`...)
+	b = arena.NewString(class).MarshalTo(b)
+	b = jsonlines.AppendBase64(b, fieldPayload, payload)
+	return append(b, endOfObject...)
 }
 
 func encodeReply(requestID string, payload []byte) []byte {
-	b := append([]byte(`{"cmd":"deliver","req":"`), requestID...)
-	return append(jsonlines.AppendBase64(append(b, '"'), "payload", payload), endOfObject...)
+	b := appendRequest(beginCommand(nameReply), requestID)
+	b = append(b, '"')
+	b = jsonlines.AppendBase64(b, fieldPayload, payload)
+	return append(b, endOfObject...)
 }
 
 func encodeSkipCall(requestID string, offset int64) []byte {
-	b := append([]byte(`{"cmd":"forgo","req":"`), requestID...)
-	return append(strconv.AppendInt(append(b, `","offset":`...), offset, 10), endOfObject...)
+	return appendOffset(appendRequest(beginCommand(nameSkipCall), requestID), offset)
 }
 
 func encodeSample(sequence int64) []byte {
-	return encodeWithToken("sample", strconv.FormatInt(sequence, 10))
+	return appendToken(beginCommand(nameSample), strconv.FormatInt(sequence, 10))
 }
 
-func encodeDeepCheck(token string) []byte { return encodeWithToken("exercise", token) }
+func encodeDeepCheck(token string) []byte { return appendToken(beginCommand(nameDeepCheck), token) }
+
+// appendRequest begins the field that names a request, up to the end of its value.
+func appendRequest(b []byte, requestID string) []byte {
+	return append(append(b, requestSeparator...), requestID...)
+}
+
+// appendOffset ends a command with an offset, and appendToken with a token.
+func appendOffset(b []byte, offset int64) []byte {
+	b = append(b, `","`+fieldOffset+`":`...)
+	b = strconv.AppendInt(b, offset, 10)
+	return append(b, endOfObject...)
+}
 
-func encodeWithToken(name, token string) []byte {
-	return []byte(`{"cmd":"` + name + `","token":"` + token + `"` + endOfObject)
+func appendToken(b []byte, token string) []byte {
+	b = append(b, `","`+fieldToken+`":"`...)
+	b = append(b, token...)
+	return append(append(b, '"'), endOfObject...)
 }
 
 // command is a line to the agent that is sent again after a break, until the agent is known to have read it.
@@ -68,14 +156,14 @@
 	*c = slices.DeleteFunc(*c, func(sent command) bool { return sent.requestID == requestID })
 }
 
-func (c commandLog) hasNonIdempotent() bool {
-	return slices.ContainsFunc(c, func(sent command) bool { return sent.nonIdempotent })
+func (c *commandLog) hasNonIdempotent() bool {
+	return slices.ContainsFunc(*c, func(sent command) bool { return sent.nonIdempotent })
 }
 
-// lines returns all commands as they go on the wire.
-func (c commandLog) lines() []byte {
+// lines returns all commands as they go on the wire, nil where there are none.
+func (c *commandLog) lines() []byte {
 	var lines []byte
-	for _, sent := range c {
+	for _, sent := range *c {
 		lines = append(lines, sent.line...)
 	}
 	return lines
--- a/internal/agent/connection.go
+++ b/internal/agent/connection.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"net"
 	"strconv"
 	"time"
 
@@ -9,26 +8,31 @@
 )
 
 const (
-	// A connection that brought nothing for maxSilence, though minUnansweredSamples were sent meanwhile, is taken for
-	// broken: the agent answers each at once. The count is for a process that was stopped, for which time has passed and answers
-	// wait unread.
+	// A connection that takes commands and brought nothing for maxSilence, though minUnansweredSamples were sent
+	// meanwhile, is taken for broken: the agent answers each at once. The count is for a process that was stopped, for
+	// which time has passed and answers wait unread.
 	maxSilence           = 2 * time.Second
 	minUnansweredSamples = 3
 
-	// handshakeTimeout is how long a connection may wait for its handshake: an agent that boots sends it once it is up,
-	// and takes a new connection as well. A third of what a server may take to be ready on the platform.
+	// handshakeTimeout is how long a connection may bring nothing before it takes commands: an agent that boots sends its
+	// handshake once it is up, and takes a new connection as well.
 	handshakeTimeout = 10 * time.Second
 )
 
-// connectionState is how far a connection has come. It only moves on.
+// connectionState is how far a connection has come. It only moves on:
+//
+//	disconnected  -> synchronizing  when a connection is opened, which subscribes to the missed notifications
+//	synchronizing -> ready          when the sample that follows the handshake is answered: all of them are in by then
+//	any           -> disconnected   when the connection ends or is given up
 type connectionState uint8
 
 const (
-	disconnected  connectionState = iota
-	synchronizing                 // until the first sample is answered: missed notifications are in by then
-	ready                         // takes commands
+	disconnected connectionState = iota
+	synchronizing
+	ready // takes commands
 )
 
+// String returns the name of the state.
 func (s connectionState) String() string {
 	switch s {
 	case disconnected:
@@ -42,15 +46,17 @@
 	}
 }
 
-// replayState is whether the notifications of a connection follow those of the one before.
+// replayState is whether the notifications of a connection follow those of the one before. The first numbered one decides
+// it: replayPending becomes replayContiguous or replayGap, and stays that.
 type replayState uint8
 
 const (
-	replayPending    replayState = iota // none with a number has come
+	replayPending    replayState = iota // no numbered one has come
 	replayContiguous                    // the first was the next to that read last
 	replayGap                           // some before the first are lost
 )
 
+// String returns the name of the state.
 func (s replayState) String() string {
 	switch s {
 	case replayPending:
@@ -64,7 +70,7 @@
 	}
 }
 
-// connection is the open connection to the agent.
+// connection is the open connection to the agent. It belongs to the loop.
 type connection struct {
 	queue             *writequeue.Queue
 	state             connectionState
@@ -73,27 +79,33 @@
 	unansweredSamples int           // samples sent since then
 }
 
-// connectionHandler hands what happens on connections to the loop.
-type connectionHandler struct{ link *Link }
-
-func (h connectionHandler) Opened(address string, queue *writequeue.Queue) {
-	h.link.post(func() { h.link.handleOpened(address, queue) })
-}
-
-func (h connectionHandler) Read(conn net.Conn, queue *writequeue.Queue) error {
-	return newParser().ReadEach(conn, func(notification Notification) {
-		h.link.post(func() { h.link.handleNotification(queue, notification) })
-	})
+// noteReceived notes at now that the agent still answers.
+func (c *connection) noteReceived(now time.Duration) {
+	c.unansweredSamples = 0
+	c.lastReceived = now
 }
 
-func (h connectionHandler) Closed(queue *writequeue.Queue) {
-	h.link.post(func() { h.link.handleClosed(queue) })
+// noteOffset notes the offset of a new numbered notification, of which the one before had the offset last.
+func (c *connection) noteOffset(offset, last int64) {
+	if c.replay != replayPending {
+		return
+	}
+	c.replay = replayContiguous
+	if offset > last+1 {
+		c.replay = replayGap
+	}
 }
 
-func (h connectionHandler) Failed(err error) {
-	h.link.log.Warn("agent", "link to the agent broke; opening it again", err)
+// isSilent reports whether the connection is to be taken for broken at now.
+func (c *connection) isSilent(now time.Duration) bool {
+	silence := now - c.lastReceived
+	if c.state != ready {
+		return silence >= handshakeTimeout
+	}
+	return c.unansweredSamples >= minUnansweredSamples && silence >= maxSilence
 }
 
+// state returns how far the current connection has come.
 func (l *Link) state() connectionState {
 	if l.current == nil {
 		return disconnected
@@ -101,26 +113,6 @@
 	return l.current.state
 }
 
-func (l *Link) handleOpened(address string, queue *writequeue.Queue) {
-	if address != l.connections.Address() {
-		queue.Close() // the address has been replaced meanwhile
-		return
-	}
-	if l.current != nil {
-		l.current.queue.Close() // after what it has still to write
-	}
-	l.connectionsOpened++
-	l.current = &connection{queue: queue, state: synchronizing}
-	l.noteReceived()
-	queue.Send(encodeSubscribe(l.lastOffset))
-}
-
-func (l *Link) handleClosed(queue *writequeue.Queue) {
-	if l.isCurrent(queue) {
-		l.current = nil
-	}
-}
-
 func (l *Link) isCurrent(queue *writequeue.Queue) bool {
 	return l.current != nil && l.current.queue == queue
 }
@@ -130,117 +122,3 @@
 	l.current.queue.Abort()
 	l.current = nil
 }
-
-// noteReceived notes that the agent still answers on the current connection.
-func (l *Link) noteReceived() {
-	l.current.unansweredSamples = 0
-	if l.now != nil {
-		l.current.lastReceived = l.now()
-	}
-}
-
-// CheckLiveness gives up a connection that brings nothing, for another to be opened. SampleGauges does the same, but is not
-// called before the first handshake.
-func (l *Link) CheckLiveness() {
-	if l.now == nil || l.current == nil || !l.current.isSilent(l.now()) {
-		return
-	}
-	l.log.Warn("agent silent", "the link to the agent is open and brings nothing; opening another", nil)
-	l.abortConnection()
-}
-
-func (c *connection) isSilent(now time.Duration) bool {
-	silence := now - c.lastReceived
-	if c.state != ready {
-		return silence >= handshakeTimeout
-	}
-	return c.unansweredSamples >= minUnansweredSamples && silence >= maxSilence
-}
-
-// handleNotification takes a notification in the loop. One that was read on an earlier connection is dropped.
-func (l *Link) handleNotification(queue *writequeue.Queue, notification Notification) {
-	if !l.isCurrent(queue) {
-		return
-	}
-	l.noteReceived()
-	if notification.isNumbered() && !l.advanceOffset(notification.Offset) {
-		return
-	}
-	switch notification.Kind {
-	case Handshake:
-		if !l.handleHandshake(notification.Elapsed) {
-			return
-		}
-	case Gauges:
-		l.handleSample(notification.Token)
-	case Outcome, CallRequest:
-		l.DiscardCommands(notification.RequestID)
-	case DeepCheckDone, CommandRejected, Aside: // nothing about the link
-	}
-	l.onNotification(notification)
-}
-
-// advanceOffset notes the offset of a notification, and reports whether it is a new one.
-func (l *Link) advanceOffset(offset int64) bool {
-	if offset <= l.lastOffset {
-		return false
-	}
-	if l.current.replay == replayPending {
-		l.current.replay = replayContiguous
-		if offset > l.lastOffset+1 {
-			l.current.replay = replayGap
-		}
-	}
-	l.lastOffset = offset
-	return true
-}
-
-// handleHandshake begins to synchronize, and reports whether the agent is the one that was connected before. One that was
-// restarted knows of no run and numbers its notifications anew: the next connection asks for them from the first.
-func (l *Link) handleHandshake(age time.Duration) (sameAgent bool) {
-	if l.agent.isKnown() && !l.agent.matches(age) {
-		l.agent, l.lastOffset = newIncarnation(age), 0
-		l.log.Warn("agent restarted", "the agent was started anew; its runs are lost", nil)
-		l.abortConnection()
-		l.reportLoss()
-		return false
-	}
-	if !l.agent.isKnown() {
-		l.agent = newIncarnation(age)
-	}
-	// All notifications that were missed come before the answer to this sample. Only then is it known which of the
-	// unacknowledged commands still make sense.
-	l.sendSample()
-	return true
-}
-
-// handleSample acknowledges the commands sent before the sample: the agent reads in order. The first answer on a connection
-// has it take commands, beginning with those that the last one may have lost.
-func (l *Link) handleSample(token string) {
-	sequence, err := strconv.ParseInt(token, 10, 64)
-	if err != nil {
-		return
-	}
-	if l.current.state == ready {
-		l.unacknowledged.acknowledge(sequence)
-		if l.unacknowledged.hasNonIdempotent() {
-			l.sendSample() // it was sent after the sample
-		}
-		return
-	}
-	l.current.state = ready
-	if l.current.replay == replayGap {
-		l.log.Warn("agent gap", "the agent no longer has all notices; runs in hand are given up", nil)
-		l.reportLoss()
-	}
-	if lines := l.unacknowledged.lines(); len(lines) > 0 {
-		l.current.queue.Send(lines) // in one message: the write queue may have no place for so many
-	}
-}
-
-// reportLoss tells the loop that the outcome of runs in flight will not come.
-func (l *Link) reportLoss() {
-	if l.onLost != nil {
-		l.onLost()
-	}
-}
--- a/internal/agent/connection_test.go
+++ b/internal/agent/connection_test.go
@@ -81,7 +81,7 @@
 	link.handleOpened(goldenAddr, queues[1])
 	link.handleOpened(goldenAddr, queues[2])
 	requireClosed(t, queues[1], remotes[1])
-	link.handleNotification(queues[1], Notification{Kind: Handshake, Result: Steady})
+	link.handleNotification(queues[1], Handshake{State: Steady})
 	require.Zero(t, link.current.unansweredSamples)
 	link.handleClosed(queues[1])
 	require.Equal(t, synchronizing, link.state())
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -22,7 +22,9 @@
 
 func newGoldenLink() *Link {
 	log, _ := test.NewNullLogger()
-	return New(goldenAddr, 1, func(do func()) { do() }, func(Notification) {}, logging.NewLimiter(log))
+	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }}
+	handler := Handler{OnNotification: func(Notification) {}, OnLost: func() {}}
+	return New(Config{Address: goldenAddr, Seed: 1}, loop, handler, logging.NewLimiter(log))
 }
 
 // linesWritten returns the lines that link writes to a connection during scenario.
@@ -56,12 +58,12 @@
 func TestGoldenCommands(t *testing.T) {
 	link := newGoldenLink()
 	first := linesWritten(t, link, func(queue *writequeue.Queue) {
-		link.handleNotification(queue, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
-		link.handleNotification(queue, Notification{Kind: Gauges, Token: "1"})
+		link.handleNotification(queue, Handshake{State: Steady, Age: time.Hour})
+		link.handleNotification(queue, sampleAnswer{sequence: 1})
 		link.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
 		link.Launch("00000000000000aa", "né\"<\\>\n", nil)
 		link.Reply(goldenRequest, []byte("reply\r\n"))
-		link.handleNotification(queue, Notification{Kind: Aside, Offset: 7})
+		link.handleNotification(queue, Remark{Offset: 7})
 		link.SkipCall("00000000000000aa", 7)
 		link.SampleGauges()
 		require.NoError(t, link.DeepCheck("x1"))
@@ -69,8 +71,8 @@
 	cases := nameLines(t, []string{"subscribe from the first", "sample after the greeting", "launch",
 		"launch of an odd class without a payload", "deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
 	second := linesWritten(t, link, func(queue *writequeue.Queue) {
-		link.handleNotification(queue, Notification{Kind: Handshake, Result: Steady, Elapsed: time.Hour})
-		link.handleNotification(queue, Notification{Kind: Gauges, Token: "8"})
+		link.handleNotification(queue, Handshake{State: Steady, Age: time.Hour})
+		link.handleNotification(queue, sampleAnswer{sequence: 8})
 	})
 	cases = append(cases, nameLines(t, []string{"subscribe after a break", "sample after a break", "launch sent again",
 		"second launch sent again", "deliver sent again", "forgo sent again"}, second)...)
@@ -83,22 +85,21 @@
 		name string
 		want Notification
 	}{
-		{"greeting of one that boots", Notification{Kind: Handshake, Result: Booting}},
-		{"greeting of one that runs", Notification{Kind: Handshake, Result: Steady, Elapsed: 3600000500 * time.Microsecond}},
-		{"outcome success", Notification{Kind: Outcome, Offset: 7, RequestID: goldenRequest, Result: Success,
-			Elapsed: 40250 * time.Microsecond, Payload: []byte{0, 255, '\r', '\n'}}},
-		{"outcome failure", Notification{Kind: Outcome, Offset: 8, RequestID: goldenRequest, Result: Failure,
-			Elapsed: 5 * time.Millisecond}},
-		{"outcome interrupted", Notification{Kind: Outcome, Offset: 9, RequestID: goldenRequest, Result: Interrupted}},
-		{"outcome nothing", Notification{Kind: Outcome, Offset: 10, RequestID: goldenRequest, Result: Nothing}},
-		{"request", Notification{Kind: CallRequest, Offset: 4294967296, RequestID: goldenRequest, Payload: []byte("call\r\n")}},
-		{"sampled", Notification{Kind: Gauges, Token: "12", Load: []float64{0.625, 3, 0.41, 120}}},
-		{"sampled with gauges that are not known", Notification{Kind: Gauges, Token: "13", Load: []float64{-1, -1, 0.5}}},
-		{"exercised success", Notification{Kind: DeepCheckDone, Token: "x1", Result: Success, Elapsed: 2 * time.Millisecond}},
-		{"exercised failure", Notification{Kind: DeepCheckDone, Token: "x2", Result: Failure}},
-		{"refusal of a launch", Notification{Kind: CommandRejected, RequestID: goldenRequest, Result: "launch"}},
-		{"refusal of an exercise", Notification{Kind: CommandRejected, Token: "x3", Result: "exercise"}},
-		{"aside", Notification{Kind: Aside, Offset: 11, Result: "so it goes"}},
+		{"greeting of one that boots", Handshake{State: Booting}},
+		{"greeting of one that runs", Handshake{State: Steady, Age: 3600000500 * time.Microsecond}},
+		{"outcome success", RunOutcome{Offset: 7, RequestID: goldenRequest, Result: RunSucceeded,
+			Payload: []byte{0, 255, '\r', '\n'}}},
+		{"outcome failure", RunOutcome{Offset: 8, RequestID: goldenRequest, Result: RunFailed}},
+		{"outcome interrupted", RunOutcome{Offset: 9, RequestID: goldenRequest, Result: RunInterrupted}},
+		{"outcome nothing", RunOutcome{Offset: 10, RequestID: goldenRequest, Result: RunNotStarted}},
+		{"request", CallRequest{Offset: 4294967296, RequestID: goldenRequest, Payload: []byte("call\r\n")}},
+		{"sampled", sampleAnswer{sequence: 12, values: []float64{0.625, 3, 0.41, 120}}},
+		{"sampled with gauges that are not known", sampleAnswer{sequence: 13, values: []float64{-1, -1, 0.5}}},
+		{"exercised success", DeepCheckOutcome{Token: "x1", Succeeded: true}},
+		{"exercised failure", DeepCheckOutcome{Token: "x2"}},
+		{"refusal of a launch", CommandRejection{RequestID: goldenRequest, Command: CommandLaunch}},
+		{"refusal of an exercise", CommandRejection{Command: CommandDeepCheck}},
+		{"aside", Remark{Offset: 11}},
 	}
 	lines := golden.Read(t, "notices.golden", len(cases))
 	lineParser := newParser()
@@ -106,9 +107,6 @@
 		require.Contains(t, lines, test.name)
 		got, err := lineParser.Parse([]byte(lines[test.name] + "\n"))
 		require.NoError(t, err, test.name)
-		if len(got.Payload) == 0 {
-			got.Payload = nil
-		}
 		require.Equal(t, test.want, got, test.name)
 	}
 }
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -1,5 +1,11 @@
 // Package agent holds the link to the agent that runs requests: its protocol, reconnecting, and what makes sure that
 // neither a command nor a notification is lost when a connection breaks.
+//
+// The agent numbers its notifications about runs and keeps the last 4,000. Each new connection subscribes to those after
+// the last that was read, so a break loses none unless more than that came meanwhile; those that come twice are dropped.
+// Commands have no number. A Link keeps each until the agent is known to have read it, by the answer to a sample that was
+// sent later on the same connection or by a notification about the same request, and sends the rest again on the next
+// connection, once the missed notifications are in.
 package agent
 
 import (
@@ -22,53 +28,71 @@
 // ErrNotConnected reports that no connection to the agent takes commands at present.
 var ErrNotConnected = errors.New("no link to the agent")
 
-// Link is the link to the agent. Its methods but Run belong to the goroutine of the loop that post hands functions to.
+// Config is what a Link is made with.
+type Config struct {
+	Address string
+	Gauges  []string // names of the gauges, in the order in which the agent reports them
+	Seed    uint64   // of the jitter of reconnecting
+}
+
+// Loop is what a Link needs of the event loop that owns it.
+type Loop struct {
+	Post func(func())         // hands a function to the loop; called on any goroutine
+	Now  func() time.Duration // the loop's clock; called on the loop
+}
+
+// Handler is what a Link calls, on the loop.
+type Handler struct {
+	// OnNotification takes each notification once, in the order in which they were read.
+	OnNotification func(Notification)
+	// OnLost is called where notifications are lost for good, and so the outcome of all runs in flight: the agent no
+	// longer had them at the end of a break, or was restarted.
+	OnLost func()
+}
+
+// Link is the link to the agent. Its methods but Run are called on the loop, and none of them blocks.
 type Link struct {
-	connections    *reconnect.Link
-	post           func(func()) // hands a function to the loop
-	onNotification func(Notification)
-	onLost         func()               // notifications have been lost for good
-	now            func() time.Duration // the loop's clock; nil: silent connections stay
-	log            *logging.Limiter
+	connections *reconnect.Link
+	loop        Loop
+	handler     Handler
+	gauges      []string // names, in the order in force
+	log         *logging.Limiter
 
 	current           *connection // nil: disconnected
 	connectionsOpened uint64
 	agent             incarnation
-	lastOffset        int64 // of the last notification read
+	lastOffset        int64 // of the last numbered notification read
 	lastSequence      int64 // counts commands and samples; a sample's number is its token
 	unacknowledged    commandLog
 }
 
-// New returns a Link to the agent at address that calls onNotification, within the loop, with each notification once.
-// The jitter of its reconnecting follows from seed.
-func New(address string, seed uint64, post func(func()), onNotification func(Notification), log *logging.Limiter) *Link {
-	config := reconnect.Config{
+// New returns a Link that calls handler. Nothing is sent before Run.
+func New(config Config, loop Loop, handler Handler, log *logging.Limiter) *Link {
+	connections := reconnect.New(config.Address, reconnect.Config{
 		Backoff: backoff.Config{
 			BaseDelay: minBackoff,
 			MaxDelay:  maxBackoff,
-			Seed:      seed,
+			Seed:      config.Seed,
 			Stream:    jitterStream,
 		},
 		WriteQueueSize: writeQueueSize,
-	}
-	return &Link{connections: reconnect.New(address, config), post: post, onNotification: onNotification, log: log}
+	})
+	return &Link{connections: connections, loop: loop, handler: handler, gauges: config.Gauges, log: log}
 }
 
-// Watch has open connections replaced that bring nothing. now is the loop's clock. onLost is called within the loop
-// where notifications are lost for good, and so the outcome of runs in flight: the agent keeps the last 4,000
-// notifications, and none where it was restarted.
-func (l *Link) Watch(now func() time.Duration, onLost func()) { l.now, l.onLost = now, onLost }
+// Run keeps a connection open to the address in force until ctx ends, on a goroutine of its own. It returns nil.
+func (l *Link) Run(ctx context.Context) error { return l.connections.Run(ctx, connectionHandler{l}) }
 
 // SetAddress has a connection opened to another address. The present one is used until that is open.
 func (l *Link) SetAddress(address string) { l.connections.SetAddress(address) }
 
+// SetGauges changes the names of the gauges, in the order in which the agent reports them.
+func (l *Link) SetGauges(names []string) { l.gauges = names }
+
 // ConnectionsOpened returns how many connections have been opened.
 func (l *Link) ConnectionsOpened() uint64 { return l.connectionsOpened }
 
-// Run keeps a connection open to the address in force until ctx ends.
-func (l *Link) Run(ctx context.Context) error { return l.connections.Run(ctx, connectionHandler{l}) }
-
-// Launch runs a request.
+// Launch runs a request. It is sent once a connection takes commands, and again after a break.
 func (l *Link) Launch(requestID, class string, payload []byte) {
 	l.sendCommand(command{requestID: requestID, line: encodeLaunch(requestID, class, payload)})
 }
@@ -88,11 +112,12 @@
 	l.sendCommand(command{requestID: requestID, line: encodeSkipCall(requestID, offset)})
 }
 
-// DiscardCommands drops the commands about a request, which need not be sent again: a notification about it proves that they
-// were read, or nobody wants them any more.
+// DiscardCommands has the commands about a request not sent again: a notification about it proves that they were read,
+// or nobody wants them any more.
 func (l *Link) DiscardCommands(requestID string) { l.unacknowledged.removeRequest(requestID) }
 
-// SampleGauges asks for the gauges, and replaces a connection that brings nothing.
+// SampleGauges asks for the gauges, whose GaugeSample is handed to the Handler, and replaces a connection that brings
+// nothing. It is called periodically, at each sweep.
 func (l *Link) SampleGauges() {
 	if l.state() == ready {
 		l.sendSample()
@@ -100,7 +125,8 @@
 	l.CheckLiveness()
 }
 
-// DeepCheck asks for the work of a deep health check, whose end names the token. Its error is ErrNotConnected.
+// DeepCheck asks for the work of a deep health check, whose DeepCheckOutcome names the token. It is not sent again after
+// a break. Its error is ErrNotConnected.
 func (l *Link) DeepCheck(token string) error {
 	if l.state() != ready {
 		return ErrNotConnected
@@ -109,6 +135,16 @@
 	return nil
 }
 
+// CheckLiveness gives up a connection that brings nothing, for another to be opened. SampleGauges does the same, but is
+// not called before the first handshake.
+func (l *Link) CheckLiveness() {
+	if l.current == nil || !l.current.isSilent(l.loop.Now()) {
+		return
+	}
+	l.log.Warn("agent silent", "the link to the agent is open and brings nothing; opening another", nil)
+	l.abortConnection()
+}
+
 // sendCommand numbers a command and sends it, now or once a connection takes commands.
 func (l *Link) sendCommand(added command) {
 	l.lastSequence++
@@ -119,6 +155,7 @@
 	}
 }
 
+// sendSample asks for the gauges, and so whether the commands sent before were read.
 func (l *Link) sendSample() {
 	l.lastSequence++
 	l.current.unansweredSamples++
--- a/internal/agent/notification.go
+++ b/internal/agent/notification.go
@@ -1,127 +1,177 @@
 package agent
 
 import (
-	"errors"
-	"fmt"
-	"math"
-	"slices"
+	"strconv"
 	"time"
+)
 
-	"falldeal/internal/jsonlines"
+// Notification is a message from the agent: a Handshake, RunOutcome, CallRequest, GaugeSample, DeepCheckOutcome,
+// CommandRejection or Remark. There are no others.
+type Notification interface{ isNotification() }
 
-	"github.com/valyala/fastjson"
-)
+// Handshake is the first message on each connection.
+type Handshake struct {
+	State State
+	Age   time.Duration // since the agent was started
+}
 
-// Kind tells notifications apart, in the words of the protocol.
-type Kind string
+// RunOutcome reports that a run has ended.
+type RunOutcome struct {
+	Offset    int64 // in the sequence of numbered notifications, from 1
+	RequestID string
+	Result    RunResult
+	Payload   []byte // of a run that succeeded
+}
 
-// The kinds of Notification.
-const (
-	Handshake       Kind = "greeting"  // first on each connection
-	Outcome         Kind = "outcome"   // a run has ended
-	CallRequest     Kind = "request"   // a run waits for a call
-	Gauges          Kind = "sampled"   // answers a sample
-	DeepCheckDone   Kind = "exercised" // the work of a deep health check has ended
-	CommandRejected Kind = "refusal"   // a command was not carried out
-	Aside           Kind = "aside"     // of no consequence
-)
+// CallRequest reports that a run waits for a call.
+type CallRequest struct {
+	Offset    int64 // in the sequence of numbered notifications, from 1
+	RequestID string
+	Payload   []byte
+}
 
-// The results of an Outcome or DeepCheckDone, and the states in a Handshake.
-const (
-	Success     = "success"
-	Failure     = "failure"
-	Interrupted = "interrupted"
-	Nothing     = "nothing"
-	Booting     = "booting"
-	Steady      = "steady"
-)
+// GaugeSample answers SampleGauges.
+type GaugeSample struct{ Load Load }
 
-// unknownGauge stands for a gauge without a number.
-const unknownGauge = -1
-
-// maxElapsedMilliseconds is some three years, well within a time.Duration.
-const maxElapsedMilliseconds = 1e11
-
-// Notification is one line from the agent. Only the fields that its kind has are set.
-type Notification struct {
-	Kind      Kind
-	Offset    int64  // Outcome, CallRequest, Aside: numbers them without a gap, from 1
-	RequestID string // Outcome, CallRequest, CommandRejected
-	Result    string
-	Elapsed   time.Duration // Handshake: age of the agent; otherwise how long a run or check took
-	Payload   []byte        // Outcome, CallRequest
-	Token     string        // Gauges, DeepCheckDone: that of the command
-	Load      []float64     // Gauges; negative where not known
+// DeepCheckOutcome reports that the work of a deep health check has ended.
+type DeepCheckOutcome struct {
+	Token     string // that of the check
+	Succeeded bool
 }
 
-// isNumbered reports whether the notification counts in the sequence of offsets.
-func (n *Notification) isNumbered() bool {
-	return n.Offset > 0 && (n.Kind == Outcome || n.Kind == CallRequest || n.Kind == Aside)
+// CommandRejection reports that a command was not carried out.
+type CommandRejection struct {
+	RequestID string // empty for a command about no request
+	Command   Command
 }
 
-func newParser() *jsonlines.Parser[Notification] { return jsonlines.NewParser(decodeNotification) }
+// Remark is numbered and otherwise of no consequence.
+type Remark struct {
+	Offset int64 // in the sequence of numbered notifications, from 1; 0: not numbered
+}
 
-func decodeNotification(object *fastjson.Value) (Notification, error) {
-	elapsed, err := decodeElapsed(object)
-	if err != nil {
-		return Notification{}, err
-	}
-	notification := Notification{
-		Kind:      Kind(jsonlines.Text(object, "cmd")),
-		Offset:    object.GetInt64("offset"),
-		RequestID: jsonlines.Text(object, "req"),
-		Result:    jsonlines.Text(object, "result"),
-		Elapsed:   elapsed,
-		Token:     jsonlines.Text(object, "token"),
+func (Handshake) isNotification()        {}
+func (RunOutcome) isNotification()       {}
+func (CallRequest) isNotification()      {}
+func (GaugeSample) isNotification()      {}
+func (DeepCheckOutcome) isNotification() {}
+func (CommandRejection) isNotification() {}
+func (Remark) isNotification()           {}
+func (sampleAnswer) isNotification()     {}
+
+// sampleAnswer is a GaugeSample as it was read: the Link names its values, by the order in force.
+type sampleAnswer struct {
+	sequence int64 // of the sample, or unknownSample
+	values   []float64
+}
+
+// unknownSample is the sequence of an answer whose token is none that a Link sends.
+const unknownSample = -1
+
+// offsetOf returns the place of a notification in the sequence of numbered ones, which has no gap; ok is false where it is
+// not numbered.
+func offsetOf(notification Notification) (offset int64, ok bool) {
+	switch numbered := notification.(type) {
+	case RunOutcome:
+		offset = numbered.Offset
+	case CallRequest:
+		offset = numbered.Offset
+	case Remark:
+		offset = numbered.Offset
+	default: // the other kinds are never numbered
 	}
-	switch notification.Kind {
-	case Outcome, CallRequest:
-		err = decodeRunEvent(object, &notification)
-	case Handshake:
-		if notification.Result != Booting && notification.Result != Steady {
-			err = fmt.Errorf("greeting: unknown state %.40q", notification.Result)
-		}
-	case Gauges:
-		notification.Load = decodeLoad(object)
-	case DeepCheckDone, CommandRejected: // nothing more to read
-	case Aside:
-		if notification.Offset < 0 {
-			err = errors.New("aside: negative offset")
-		}
+	return offset, offset > 0
+}
+
+// State is how far the agent has started.
+type State uint8
+
+// The states of an agent.
+const (
+	Booting State = iota // its caches are cold
+	Steady
+)
+
+// String returns the name of the state in log lines.
+func (s State) String() string {
+	switch s {
+	case Booting:
+		return "booting"
+	case Steady:
+		return "steady"
 	default:
-		err = fmt.Errorf("unknown notice %.40q", string(notification.Kind))
+		return "State(" + strconv.Itoa(int(s)) + ")"
 	}
-	return notification, err
 }
 
-func decodeElapsed(object *fastjson.Value) (time.Duration, error) {
-	milliseconds := object.GetFloat64("elapsed_ms")
-	if math.IsNaN(milliseconds) || milliseconds < 0 || milliseconds > maxElapsedMilliseconds {
-		return 0, fmt.Errorf("elapsed_ms: %v", milliseconds)
+// RunResult is how a run ended.
+type RunResult uint8
+
+// The results of a run.
+const (
+	RunSucceeded   RunResult = iota
+	RunFailed                // it may have had its effect
+	RunInterrupted           // stopped before its end
+	RunNotStarted            // it had no effect
+)
+
+// String returns the name of the result.
+func (r RunResult) String() string {
+	switch r {
+	case RunSucceeded:
+		return "succeeded"
+	case RunFailed:
+		return "failed"
+	case RunInterrupted:
+		return "interrupted"
+	case RunNotStarted:
+		return "not started"
+	default:
+		return "RunResult(" + strconv.Itoa(int(r)) + ")"
 	}
-	return time.Duration(milliseconds * float64(time.Millisecond)), nil
 }
 
-// decodeRunEvent checks an Outcome or CallRequest, and reads its payload.
-func decodeRunEvent(object *fastjson.Value, notification *Notification) (err error) {
-	if notification.Offset <= 0 || notification.RequestID == "" {
-		return fmt.Errorf("%s: want an offset and a req", notification.Kind)
-	}
-	results := [...]string{Success, Failure, Interrupted, Nothing}
-	if notification.Kind == Outcome && !slices.Contains(results[:], notification.Result) {
-		return fmt.Errorf("outcome: unknown result %.40q", notification.Result)
-	}
-	notification.Payload, err = jsonlines.Base64(object, "payload")
-	return err
+// Load is a reading of the agent's gauges. A value that is not known is UnknownGauge.
+type Load struct {
+	CPUUtilization    float64 // part of the cores in use, from 0 to 1
+	CPUDemand         float64 // cores asked for
+	MemoryUtilization float64 // part of the memory in use, from 0 to 1
+	Connections       float64 // open ones
 }
 
-func decodeLoad(object *fastjson.Value) (load []float64) {
-	for _, gauge := range object.GetArray("load") {
-		value, err := gauge.Float64()
-		if err != nil || math.IsNaN(value) {
-			value = unknownGauge
+// UnknownGauge is the value of a gauge that the agent has not reported.
+const UnknownGauge = -1
+
+var unknownLoad = Load{
+	CPUUtilization:    UnknownGauge,
+	CPUDemand:         UnknownGauge,
+	MemoryUtilization: UnknownGauge,
+	Connections:       UnknownGauge,
+}
+
+// The names of gauges in the settings.
+const (
+	gaugeCPUUtilization    = "core_use"
+	gaugeCPUDemand         = "on_cores"
+	gaugeMemoryUtilization = "heap_share"
+	gaugeConnections       = "links"
+)
+
+// newLoad returns the reading of the gauges of these names. Values may be missing at the end; those of unknown names are
+// ignored.
+func newLoad(names []string, values []float64) Load {
+	load := unknownLoad
+	for i, value := range values[:min(len(values), len(names))] {
+		switch names[i] {
+		case gaugeCPUUtilization:
+			load.CPUUtilization = value
+		case gaugeCPUDemand:
+			load.CPUDemand = value
+		case gaugeMemoryUtilization:
+			load.MemoryUtilization = value
+		case gaugeConnections:
+			load.Connections = value
 		}
-		load = append(load, value)
 	}
 	return load
 }
--- a/internal/agent/notification_test.go
+++ b/internal/agent/notification_test.go
@@ -1,11 +1,12 @@
 package agent
 
 import (
-	"slices"
+	"fmt"
 	"testing"
 	"time"
 
 	"falldeal/internal/jsonlines"
+	"falldeal/internal/writequeue"
 
 	"github.com/stretchr/testify/require"
 )
@@ -16,20 +17,20 @@
 		want Notification
 	}{
 		{`{"cmd":"greeting","result":"steady","elapsed_ms":12.5}`,
-			Notification{Kind: Handshake, Result: Steady, Elapsed: 12500 * time.Microsecond}},
+			Handshake{State: Steady, Age: 12500 * time.Microsecond}},
 		{`{"cmd":"outcome","offset":7,"req":"ab","result":"success","elapsed_ms":40,"payload":"AP8="}`,
-			Notification{Kind: Outcome, Offset: 7, RequestID: "ab", Result: Success, Elapsed: 40 * time.Millisecond,
-				Payload: []byte{0, 255}}},
+			RunOutcome{Offset: 7, RequestID: "ab", Result: RunSucceeded, Payload: []byte{0, 255}}},
 		{`{"cmd":"request","offset":8,"req":"ab","payload":"aGk="}`,
-			Notification{Kind: CallRequest, Offset: 8, RequestID: "ab", Payload: []byte("hi")}},
+			CallRequest{Offset: 8, RequestID: "ab", Payload: []byte("hi")}},
 		{`{"cmd":"sampled","token":"4","load":[0.5,null,nan,2]}`,
-			Notification{Kind: Gauges, Token: "4", Load: []float64{0.5, -1, -1, 2}}},
+			sampleAnswer{sequence: 4, values: []float64{0.5, -1, -1, 2}}},
+		{`{"cmd":"sampled","token":"x4","load":[]}`, sampleAnswer{sequence: unknownSample}},
 		{`{"cmd":"exercised","token":"x1","result":"failure"}`,
-			Notification{Kind: DeepCheckDone, Token: "x1", Result: Failure}},
+			DeepCheckOutcome{Token: "x1"}},
 		{`{"cmd":"refusal","result":"launch","req":"ab"}`,
-			Notification{Kind: CommandRejected, RequestID: "ab", Result: "launch"}},
+			CommandRejection{RequestID: "ab", Command: CommandLaunch}},
 		{`{"cmd":"aside","offset":9,"result":"so it goes","new":{}}`,
-			Notification{Kind: Aside, Offset: 9, Result: "so it goes"}},
+			Remark{Offset: 9}},
 	} {
 		lineParser := newParser()
 		notification, err := lineParser.Parse([]byte(test.line))
@@ -38,6 +39,61 @@
 	}
 }
 
+// Values are named in the order of the settings. Those that are missing or not a number are not known, and those of gauges
+// that have no meaning here are passed over.
+func TestLoad(t *testing.T) {
+	names := []string{"core_use", "on_cores", "heap_share", "links"}
+	for _, test := range []struct {
+		names  []string
+		values []float64
+		want   Load
+	}{
+		{names, nil, Load{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}},
+		{names, []float64{0.5}, Load{CPUUtilization: 0.5, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}},
+		{names, []float64{0.5, 3, 0.25, 9, 7},
+			Load{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9}},
+		{[]string{"links", "odd", "core_use"}, []float64{9, 7, 0.5},
+			Load{CPUUtilization: 0.5, CPUDemand: -1, MemoryUtilization: -1, Connections: 9}},
+	} {
+		require.Equal(t, test.want, newLoad(test.names, test.values))
+	}
+}
+
+// The Load of a sample follows the order of gauges in force when it is handled.
+func TestGaugeOrderChanges(t *testing.T) {
+	var received []Notification
+	link := newGoldenLink()
+	link.handler.OnNotification = func(notification Notification) { received = append(received, notification) }
+	link.SetGauges([]string{"links"})
+	linesWritten(t, link, func(queue *writequeue.Queue) {
+		link.handleNotification(queue, Handshake{State: Steady})
+		link.handleNotification(queue, sampleAnswer{sequence: 1, values: []float64{3}})
+		link.SetGauges([]string{"on_cores"})
+		link.handleNotification(queue, sampleAnswer{sequence: 1, values: []float64{3}})
+	})
+	require.Equal(t, []Notification{
+		Handshake{State: Steady},
+		GaugeSample{Load{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: 3}},
+		GaugeSample{Load{CPUUtilization: -1, CPUDemand: 3, MemoryUtilization: -1, Connections: -1}},
+	}, received)
+}
+
+func TestEnumNames(t *testing.T) {
+	require.Equal(t, "booting steady State(2)", fmt.Sprint(Booting, " ", Steady, " ", Steady+1))
+	require.Equal(t, "succeeded failed interrupted not started RunResult(4)",
+		fmt.Sprint(RunSucceeded, " ", RunFailed, " ", RunInterrupted, " ", RunNotStarted, " ", RunNotStarted+1))
+}
+
+// Each command that the agent may reject has a name in the log.
+func TestCommandNames(t *testing.T) {
+	for name, want := range map[string]string{
+		"subscribe": "subscribe", "launch": "launch", "deliver": "reply", "forgo": "skip call", "sample": "sample",
+		"exercise": "deep check", "odd": "unknown", "": "unknown",
+	} {
+		require.Equal(t, want, commandNamed([]byte(name)).String())
+	}
+}
+
 func TestParseRejectsInvalidLines(t *testing.T) {
 	for _, line := range []string{"", "{", "[]", "7", `{"cmd":"outcome"}`, `{"cmd":"news"}`,
 		`{"cmd":"outcome","offset":1,"req":"ab","result":"odd"}`,
@@ -60,8 +116,21 @@
 		if err != nil {
 			return
 		}
-		mayHaveAnyOffset := []Kind{Gauges, Handshake, DeepCheckDone, CommandRejected}
-		if notification.Elapsed < 0 || notification.Offset < 0 && !slices.Contains(mayHaveAnyOffset, notification.Kind) {
+		valid := true
+		switch notification := notification.(type) {
+		case Handshake:
+			valid = notification.Age >= 0 && notification.State <= Steady
+		case RunOutcome:
+			valid = notification.Offset > 0 && notification.RequestID != "" && notification.Result <= RunNotStarted
+		case CallRequest:
+			valid = notification.Offset > 0 && notification.RequestID != ""
+		case Remark:
+			valid = notification.Offset >= 0
+		case sampleAnswer, DeepCheckOutcome, CommandRejection: // of any content
+		default:
+			valid = false
+		}
+		if !valid {
 			t.Errorf("read %+v", notification)
 		}
 	})
--- a/internal/agent/remote_test.go
+++ b/internal/agent/remote_test.go
@@ -48,8 +48,12 @@
 	t.Helper()
 	remote := &remoteAgent{T: t, listener: listener, posted: make(chan func(), 100)}
 	log, _ := test.NewNullLogger()
-	remote.Link = New(address, 1, func(do func()) { remote.posted <- do }, remote.record, logging.NewLimiter(log))
-	remote.Watch(func() time.Duration { return remote.now }, func() { remote.lossesReported++ })
+	loop := Loop{
+		Post: func(do func()) { remote.posted <- do },
+		Now:  func() time.Duration { return remote.now },
+	}
+	handler := Handler{OnNotification: remote.record, OnLost: func() { remote.lossesReported++ }}
+	remote.Link = New(Config{Address: address, Seed: 1}, loop, handler, logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = remote.Link.Run(ctx) }()
@@ -57,7 +61,22 @@
 }
 
 func (r *remoteAgent) record(notification Notification) {
-	r.notifications = append(r.notifications, string(notification.Kind)+notification.RequestID)
+	var text string
+	switch notification := notification.(type) {
+	case Handshake:
+		text = nameHandshake
+	case GaugeSample:
+		text = nameGaugeSample
+	case RunOutcome:
+		text = nameRunOutcome + notification.RequestID
+	case CallRequest:
+		text = nameCallRequest + notification.RequestID
+	case Remark:
+		text = nameRemark
+	default:
+		text = fmt.Sprintf("%T", notification)
+	}
+	r.notifications = append(r.notifications, text)
 }
 
 // runPosted runs the next function that the Link hands to its loop.
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -11,12 +11,12 @@
 // Stage five, calls: calls of runs go to the store, and the replies back to the runs.
 
 // handleCallRequest records the call that a run waits for; the controller decides on it.
-func (s *Server) handleCallRequest(notification agent.Notification) {
-	request := s.requests.byAttemptID[notification.RequestID]
+func (s *Server) handleCallRequest(call agent.CallRequest) {
+	request := s.requests.byAttemptID[call.RequestID]
 	if request == nil || !request.running() {
 		return
 	}
-	request.callBody, request.callOffset = notification.Payload, notification.Offset
+	request.callBody, request.callOffset = call.Payload, call.Offset
 	s.admission.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: request.id})
 }
 
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -13,9 +13,6 @@
 
 // Stage four, execute: runs go to the agent, and its notifications come back.
 
-// launchCommand is the name by which the agent rejects a command to begin a run.
-const launchCommand = "launch"
-
 // agentCheckInterval is how often the link is checked while the agent has not sent its handshake.
 const agentCheckInterval = time.Second
 
@@ -50,20 +47,20 @@
 
 // handleAgentNotification handles a notification of the agent.
 func (s *Server) handleAgentNotification(notification agent.Notification) {
-	switch notification.Kind {
+	switch notification := notification.(type) {
 	case agent.Handshake:
 		s.handleHandshake(notification)
-	case agent.Gauges:
-		s.gauges.record(s.clock.now, s.config.Gauges, notification.Load)
-	case agent.DeepCheckDone:
-		s.completeDeepCheck(notification.Token, notification.Result == agent.Success)
+	case agent.GaugeSample:
+		s.gauges.record(s.clock.now, notification.Load)
+	case agent.DeepCheckOutcome:
+		s.completeDeepCheck(notification.Token, notification.Succeeded)
 	case agent.CallRequest:
 		s.handleCallRequest(notification)
-	case agent.Outcome:
+	case agent.RunOutcome:
 		s.handleOutcome(notification)
-	case agent.CommandRejected:
+	case agent.CommandRejection:
 		s.handleCommandRejected(notification)
-	case agent.Aside:
+	case agent.Remark:
 		// Nothing here depends on it.
 	}
 }
@@ -79,20 +76,20 @@
 
 // handleHandshake starts the controller: the agent is up, and its age tells whether it is warm. A handshake on a later
 // link changes nothing, as agent and image server start and stop together.
-func (s *Server) handleHandshake(notification agent.Notification) {
+func (s *Server) handleHandshake(handshake agent.Handshake) {
 	if s.admission.started() {
 		return
 	}
 	settings := s.config.Settings
-	settings.WarmingUp = notification.Result == agent.Booting
-	startedAt := s.clock.now - notification.Elapsed
+	settings.WarmingUp = handshake.State == agent.Booting
+	startedAt := s.clock.now - handshake.Age
 	controller, err := admission.New(settings, s.config.Seed, startedAt)
 	if err != nil {
 		// The configuration was checked, so that check is incomplete. Without a controller nothing is served.
 		s.log.WithError(err).Error("no controller for these settings")
 		return
 	}
-	s.log.WithFields(logrus.Fields{"state": notification.Result, "age": notification.Elapsed.String()}).Info("agent is up")
+	s.log.WithFields(logrus.Fields{"state": handshake.State.String(), "age": handshake.Age.String()}).Info("agent is up")
 	s.admission.controller = controller
 	s.openFrontsWhenReady()
 	if s.member != nil && settings.WarmingUp {
@@ -120,12 +117,12 @@
 
 // handleCommandRejected ends a run that the agent would not begin. Other commands are rejected for runs that have
 // ended, whose outcome is on its way.
-func (s *Server) handleCommandRejected(notification agent.Notification) {
+func (s *Server) handleCommandRejected(rejection agent.CommandRejection) {
 	s.stats.CommandsRejected++
-	message := "agent did not carry out a command for " + notification.RequestID
-	s.warnings.Warn("agent "+notification.Result, message, nil)
-	request := s.requests.byAttemptID[notification.RequestID]
-	if request != nil && request.running() && notification.Result == launchCommand {
+	message := "agent did not carry out a command for " + rejection.RequestID
+	s.warnings.Warn("agent "+rejection.Command.String(), message, nil)
+	request := s.requests.byAttemptID[rejection.RequestID]
+	if request != nil && request.running() && rejection.Command == agent.CommandLaunch {
 		s.completeRun(request, admission.OutcomeNotStarted, nil)
 	}
 }
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"falldeal/admission"
+	"falldeal/internal/agent"
 )
 
 const (
@@ -11,14 +12,6 @@
 	gaugeMaxAge        = time.Second          // older gauges count as unknown
 )
 
-// Names of gauges in the configuration; the agent sends their values in the order of these names.
-const (
-	gaugeCPUUtilization    = "core_use"
-	gaugeCPUDemand         = "on_cores"
-	gaugeMemoryUtilization = "heap_share"
-	gaugeConnections       = "links"
-)
-
 var unknownGauges = admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 
 // gaugeReading is the last reading of the agent's gauges. The loop owns it.
@@ -38,20 +31,13 @@
 	return g.values
 }
 
-// record takes over a reading: values of the gauges of these names, of which some may be missing at the end.
-func (g *gaugeReading) record(now time.Duration, names []string, values []float64) {
-	gauges := unknownGauges
-	for i, value := range values[:min(len(values), len(names))] {
-		switch names[i] {
-		case gaugeCPUUtilization:
-			gauges.CPUUtilization = value
-		case gaugeCPUDemand:
-			gauges.CPUDemand = value
-		case gaugeMemoryUtilization:
-			gauges.MemoryUtilization = value
-		case gaugeConnections:
-			gauges.Connections = value
-		}
+// record takes over a reading. Gauges that the agent has not reported are negative in both types.
+func (g *gaugeReading) record(now time.Duration, load agent.Load) {
+	g.at = now
+	g.values = admission.Gauges{
+		CPUUtilization:    load.CPUUtilization,
+		CPUDemand:         load.CPUDemand,
+		MemoryUtilization: load.MemoryUtilization,
+		Connections:       load.Connections,
 	}
-	g.values, g.at = gauges, now
 }
--- a/internal/server/gauges_test.go
+++ b/internal/server/gauges_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"falldeal/admission"
+	"falldeal/internal/agent"
 
 	"github.com/stretchr/testify/require"
 )
@@ -11,7 +12,8 @@
 // Old gauges count as unknown: the controller must not act on an old load.
 func TestGauges(t *testing.T) {
 	server, _ := newIdleServer(t)
-	server.gauges.record(server.clock.now, server.config.Gauges, []float64{0.5, 3, 0.25, 9, 7})
+	server.gauges.record(server.clock.now,
+		agent.Load{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9})
 	want := admission.Gauges{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9}
 	startAgent(server)
 	timer := func() admission.Gauges {
@@ -23,6 +25,8 @@
 	require.Equal(t, want, timer())
 	server.clock.now += gaugeMaxAge + 1
 	require.Equal(t, unknownGauges, timer())
-	server.gauges.record(server.clock.now, server.config.Gauges, []float64{0.5})
+	server.gauges.record(server.clock.now,
+		agent.Load{CPUUtilization: 0.5, CPUDemand: agent.UnknownGauge, MemoryUtilization: agent.UnknownGauge,
+			Connections: agent.UnknownGauge})
 	require.Equal(t, admission.Gauges{CPUUtilization: 0.5, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}, timer())
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -82,7 +82,7 @@
 	}
 	server.fail(submit(1, "a1"))
 	submit(2, "a2")
-	server.handleCallRequest(agent.Notification{RequestID: "a2", Payload: []byte("x")})
+	server.handleCallRequest(agent.CallRequest{RequestID: "a2", Payload: []byte("x")})
 	server.step()
 	server.ReadEnded(conn, Disconnected)
 	runPosted()
@@ -95,17 +95,17 @@
 	act  func(t *testing.T, server *Server)
 }{
 	{"the agent is up", func(_ *testing.T, server *Server) {
-		server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady, Elapsed: time.Minute})
+		server.handleHandshake(agent.Handshake{State: agent.Steady, Age: time.Minute})
 	}},
 	{"the agent is booting", func(_ *testing.T, server *Server) {
-		server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Booting, Elapsed: time.Second})
+		server.handleHandshake(agent.Handshake{State: agent.Booting, Age: time.Second})
 	}},
 	{"settings that no controller takes", func(_ *testing.T, server *Server) {
 		server.config.Settings.Cores = 0
 		startAgent(server)
 	}},
 	{"a command that the agent did not carry out", func(_ *testing.T, server *Server) {
-		server.handleCommandRejected(agent.Notification{RequestID: "a1", Result: "launch"})
+		server.handleCommandRejected(agent.CommandRejection{RequestID: "a1", Command: agent.CommandLaunch})
 	}},
 	{"a wrong request", func(_ *testing.T, server *Server) {
 		server.answerInvalid(&recordingConnection{}, 1, errTooManyOpenCalls)
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -78,7 +78,7 @@
 
 // startAgent lets the agent of a server report that it is up and warm.
 func startAgent(server *Server) {
-	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	server.handleHandshake(agent.Handshake{State: agent.Steady})
 }
 
 // newAttempt returns an attempt that arrives now.
--- a/internal/server/member_test.go
+++ b/internal/server/member_test.go
@@ -39,7 +39,7 @@
 	require.Equal(t, fleet.Starting, fakeFleet.last.State)
 	require.Equal(t, 1, server.deadlines.Len())
 	server.handover.synced = true
-	server.handleAgentNotification(agent.Notification{Kind: agent.Handshake, Result: agent.Booting, Elapsed: 0})
+	server.handleAgentNotification(agent.Handshake{State: agent.Booting})
 	require.Equal(t, fleet.Warming, fakeFleet.last.State)
 	require.InDelta(t, 6, fakeFleet.last.Load.Capacity, 0)
 	server.member.warmAt = server.clock.now
--- a/internal/server/memory_test.go
+++ b/internal/server/memory_test.go
@@ -33,7 +33,8 @@
 // advance lets time pass: deadlines are swept, with the gauges of a machine at rest.
 func (d *simulatedDay) advance(by time.Duration) {
 	d.time = d.time.Add(by)
-	d.gauges.record(d.clock.now, d.config.Gauges, []float64{0.3, 1, 0.1, 20})
+	d.gauges.record(d.clock.now,
+		agent.Load{CPUUtilization: 0.3, CPUDemand: 1, MemoryUtilization: 0.1, Connections: 20})
 	d.turn()
 	for len(d.admission.events) > 0 {
 		d.turn()
@@ -83,17 +84,17 @@
 // reached here, never answers.
 func (d *simulatedDay) completeRuns() {
 	for _, request := range d.runs {
-		notification := agent.Notification{RequestID: request.attempt.ID, Result: agent.Success, Payload: make([]byte, 100)}
+		run := agent.RunOutcome{RequestID: request.attempt.ID, Result: agent.RunSucceeded, Payload: make([]byte, 100)}
 		switch d.rng.IntN(8) {
 		case 0:
-			notification.Result = agent.Failure
+			run.Result = agent.RunFailed
 		case 1:
-			notification.Result = agent.Interrupted
+			run.Result = agent.RunInterrupted
 		case 2:
-			d.handleCallRequest(agent.Notification{RequestID: request.attempt.ID, Payload: []byte("call")})
+			d.handleCallRequest(agent.CallRequest{RequestID: request.attempt.ID, Payload: []byte("call")})
 			d.turn()
 		}
-		d.handleOutcome(notification)
+		d.handleOutcome(run)
 		d.turn()
 	}
 	d.runs = d.runs[:0]
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -20,7 +20,7 @@
 	fakeFleet.view.ObserveReach(0, "n4", 7, fleet.Reached)
 	server.JoinFleet(fakeFleet)
 	server.EnableQuotaLeasing(overload.ProcessID{Name: "n3", Run: 1}, 2*time.Second, 0.5)
-	server.handleAgentNotification(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	server.handleAgentNotification(agent.Handshake{State: agent.Steady})
 	quota := server.member.quota
 	tickAt := func(now time.Duration) overload.Quota {
 		fakeFleet.now = now
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -181,7 +181,7 @@
 		server.clock.now = at
 		server.deadlines.Sweep(at)
 	}
-	server.handleHandshake(agent.Notification{Kind: agent.Handshake, Result: agent.Booting})
+	server.handleHandshake(agent.Handshake{State: agent.Booting})
 	server.clock.now += agentCheckInterval
 	server.deadlines.Sweep(server.clock.now)
 	require.Zero(t, server.deadlines.Len())
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -61,6 +61,7 @@
 	merged.Tenants, merged.Gauges = loaded.Tenants, loaded.Gauges
 	merged.ReplacedStopTimeout = loaded.ReplacedStopTimeout
 	s.config.Config = &merged
+	s.agent.SetGauges(loaded.Gauges)
 	s.config.indexTenants()
 	s.rebaseQuota()
 	s.config.raiseMaxTimeout()
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -76,21 +76,21 @@
 }
 
 // handleOutcome handles the outcome of a run.
-func (s *Server) handleOutcome(notification agent.Notification) {
-	request := s.requests.byAttemptID[notification.RequestID]
+func (s *Server) handleOutcome(run agent.RunOutcome) {
+	request := s.requests.byAttemptID[run.RequestID]
 	if request == nil || !request.running() {
 		return
 	}
-	switch notification.Result {
-	case agent.Success:
-		s.completeRun(request, admission.OutcomeOK, notification.Payload)
-	case agent.Failure:
+	switch run.Result {
+	case agent.RunSucceeded:
+		s.completeRun(request, admission.OutcomeOK, run.Payload)
+	case agent.RunFailed:
 		s.stats.RunsFailed++
 		s.completeRun(request, admission.OutcomeFailed, nil)
-	case agent.Interrupted:
+	case agent.RunInterrupted:
 		s.stats.RunsInterrupted++
 		s.completeRun(request, admission.OutcomeCancelled, nil)
-	default: // agent.Nothing: the codec lets no other result pass
+	case agent.RunNotStarted:
 		s.stats.RunsNotStarted++
 		s.completeRun(request, admission.OutcomeNotStarted, nil)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -75,8 +75,11 @@
 // connectPeers creates the links to the other processes; nothing is sent before Run.
 func (s *Server) connectPeers(cfg *config.Config) {
 	now := func() time.Duration { return s.clock.now }
-	s.agent = agent.New(cfg.Agent, cfg.Seed, s.post, s.handleAgentNotification, s.warnings)
-	s.agent.Watch(now, s.handleRunsLost)
+	s.agent = agent.New(
+		agent.Config{Address: cfg.Agent, Gauges: cfg.Gauges, Seed: cfg.Seed},
+		agent.Loop{Post: s.post, Now: now},
+		agent.Handler{OnNotification: s.handleAgentNotification, OnLost: s.handleRunsLost},
+		s.warnings)
 	loop := store.Loop{Post: s.post, Now: now, Deadlines: s.deadlines}
 	s.store = store.New(cfg.Store, cfg.Limits.StoreSockets(), cfg.Seed, loop, s.handleCallEnded, s.warnings)
 	s.announcer = announce.New(cfg.Announce, cfg.Name, s.warnings)
--- a/internal/server/shedding_test.go
+++ b/internal/server/shedding_test.go
@@ -35,7 +35,7 @@
 	fakeFleet.view.ObserveReach(fakeFleet.now, "n4", 7, fleet.Reached)
 	server.JoinFleet(fakeFleet)
 	server.EnableShedding(overload.ProcessID{Name: "n3", Run: 1})
-	server.handleAgentNotification(agent.Notification{Kind: agent.Handshake, Result: agent.Steady})
+	server.handleAgentNotification(agent.Handshake{State: agent.Steady})
 	server.tickShedding()
 	require.True(t, server.member.shedding.shedder.Threshold().Full)
 	var last *lastAnswerConnection
--- a/internal/server/trace_test.go
+++ b/internal/server/trace_test.go
@@ -43,7 +43,7 @@
 		return got
 	}
 	served := submit(1, "aa", "licence-order")
-	server.handleCallRequest(agent.Notification{RequestID: "aa", Payload: []byte("x")})
+	server.handleCallRequest(agent.CallRequest{RequestID: "aa", Payload: []byte("x")})
 	server.step()
 	server.clock.now += 20 * time.Millisecond
 	server.handleCallEnded("aa", store.OK, nil)
