--- a/internal/store/dial.go
+++ b/internal/store/dial.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	minBackoff     = 10 * time.Millisecond
-	maxBackoff     = 200 * time.Millisecond
-	backoffPurpose = 0x5702e // sets the store's jitter apart from that of other links of one server
+	minBackoff   = 10 * time.Millisecond
+	maxBackoff   = 200 * time.Millisecond
+	jitterStream = 0x5702e // sets the store's jitter apart from that of other links of one server
 )
 
 // dial is one attempt to open a connection.
@@ -68,7 +68,7 @@
 		l.log.Warn("store", "no connection to the store", err)
 		if refused := l.takeWaiting(); refused != nil {
 			l.endCall(refused)
-			l.onReply(refused.requestID, ConnectionRefused, nil)
+			l.onResult(refused.requestID, ConnectionRefused, nil)
 		}
 	}
 	l.adjustDials()
