--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -156,7 +156,7 @@
 		state = "on"
 	}
 	store := history.SummarizeStores(r.events, r.opts.lab.Slots*len(r.opts.lab.Zones))
-	faultRate, faultMax := history.StoreLoadDuringFault(r.events, faults.KindUnresponsiveStore, settlingTime)
+	faultRate, faultMax := history.StoreLoadDuringFault(r.events, string(faults.KindUnresponsiveStore), settlingTime)
 	optimum := max(history.OptimalValue(r.events, r.cores*r.opts.duration.Seconds()), minOptimalValue)
 	requests := float64(r.requests.Requests)
 	fmt.Fprintf(table, "%d\t%s\t%.4f\t%.3f\t%.3f\t%d\t%.2f\t%d\t%.2f\t%d\t%.4f\t%.3f\t%.1f\t%d\t%s\t%d\t\n",
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -16,6 +16,7 @@
 	"falldeal/internal/fleet"
 	"falldeal/lab/faults"
 	"falldeal/lab/fleetlab"
+	"falldeal/lab/history"
 )
 
 const (
@@ -29,7 +30,9 @@
 )
 
 // removedConditions are those in which a member gets no requests.
-var removedConditions = []string{"cut off", "dead", "wedged"}
+var removedConditions = []history.Condition{
+	history.ConditionUnreachable, history.ConditionFailed, history.ConditionStalled,
+}
 
 // errWaitTimeout reports a condition that did not hold within waitTimeout.
 var errWaitTimeout = errors.New("not reached within 3 minutes")
@@ -56,7 +59,7 @@
 		os.Exit(1)
 	})()
 	if opts.fault.Ratio > 0 {
-		loss := faults.Fault{Kind: faults.KindLoss, Target: "*", Peer: "*", Ratio: opts.fault.Ratio}
+		loss := faults.Fault{Kind: faults.KindLoss, Target: faults.AllMembers, Peer: faults.AllMembers, Ratio: opts.fault.Ratio}
 		if err := lab.AddFault(loss); err != nil {
 			return err
 		}
@@ -82,7 +85,7 @@
 // waitForJoin waits until every member sees all as serving.
 func (d *detection) waitForJoin() error {
 	members := len(d.lab.Members)
-	joined, err := waitUntil(func() bool { return d.countViews("serving") == members*members })
+	joined, err := waitUntil(func() bool { return d.countViews(history.ConditionServing) == members*members })
 	if err != nil {
 		return err
 	}
@@ -153,30 +156,32 @@
 	if err := victim.Start(); err != nil {
 		return 0, 0, err
 	}
-	_, err = waitUntil(func() bool { return d.countViewsOf(victim, "serving", "warming") >= others })
+	_, err = waitUntil(func() bool {
+		return d.countViewsOf(victim, history.ConditionServing, history.ConditionWarming) >= others
+	})
 	return byOne, byAll, err
 }
 
 // countViews counts the views, of all members by all members that answer, in which one is in one of the conditions.
-func (d *detection) countViews(conditions ...string) int {
+func (d *detection) countViews(conditions ...history.Condition) int {
 	count := 0
 	for _, observer := range d.lab.Members {
 		count += countReported(observer, func(observed *fleet.MemberReport) bool {
-			return slices.Contains(conditions, observed.Condition)
+			return slices.Contains(conditions, history.Condition(observed.Condition))
 		})
 	}
 	return count
 }
 
 // countViewsOf counts the other running members that see a member in one of the conditions.
-func (d *detection) countViewsOf(member *fleetlab.Member, conditions ...string) int {
+func (d *detection) countViewsOf(member *fleetlab.Member, conditions ...history.Condition) int {
 	count := 0
 	for _, observer := range d.lab.Members {
 		if observer == member || !observer.Running() {
 			continue
 		}
 		count += countReported(observer, func(observed *fleet.MemberReport) bool {
-			return observed.Name == member.Name && slices.Contains(conditions, observed.Condition)
+			return observed.Name == member.Name && slices.Contains(conditions, history.Condition(observed.Condition))
 		})
 	}
 	return count
--- a/cmd/falldeal-lab/fault.go
+++ b/cmd/falldeal-lab/fault.go
@@ -48,7 +48,7 @@
 	}
 	fault.Start = lab.Log.Now()
 	if fault.AffectsLink() && fault.Peer == "" {
-		fault.Peer = "*"
+		fault.Peer = faults.AllMembers
 	}
 	return lab.AddFault(fault)
 }
--- a/cmd/falldeal-lab/options.go
+++ b/cmd/falldeal-lab/options.go
@@ -109,7 +109,7 @@
 func (o *options) addFaultFlags(flags *pflag.FlagSet) {
 	fault := &o.fault
 	flags.StringVar(&o.controlAddr, "lab", "", "fault: address that fleet printed")
-	flags.StringVar(&fault.Kind, "kind", "", "model: burst, lost (a zone), mute, slow (stores); "+
+	flags.StringVar((*string)(&fault.Kind), "kind", "", "model: burst, lost (a zone), mute, slow (stores); "+
 		"fault: cut, loss, double, delay, slow, reset, kill, stop, term, restart, slowrun, mute, wedge, clock")
 	flags.StringVar(&fault.Target, "who", "", "fault: NAME, zone:NAME, region:NAME or *")
 	flags.StringVar(&fault.Peer, "to", "", "fault: the other end of a link (default: everybody)")
--- a/cmd/falldeal-lab/report.go
+++ b/cmd/falldeal-lab/report.go
@@ -57,7 +57,7 @@
 			fmt.Fprintf(out, "%7.1fs  begins: %s\n", event.At.Seconds(), event.Detail)
 		case event.Kind == history.FaultChanged:
 			fmt.Fprintf(out, "%7.1fs  ends:   %s\n", event.At.Seconds(), event.Detail)
-		case event.Kind == history.ProcessChanged && event.Detail == "failed":
+		case event.Kind == history.ProcessChanged && history.ProcessState(event.Detail) == history.ProcessFailed:
 			fmt.Fprintf(out, "%7.1fs  %s ended by itself; its log says why\n", event.At.Seconds(), event.Server)
 		}
 	}
@@ -76,7 +76,7 @@
 	var all []*viewChange
 	for i := range events {
 		event := &events[i]
-		if event.Kind != history.ViewChanged || isUsualCondition(event.Detail) {
+		if event.Kind != history.ViewChanged || isUsualCondition(history.Condition(event.Detail)) {
 			continue
 		}
 		change := event.Member + " is " + event.Detail
@@ -93,8 +93,13 @@
 }
 
 // isUsualCondition reports whether a member is in that condition as it starts and serves.
-func isUsualCondition(condition string) bool {
-	return condition == "serving" || condition == "starting" || condition == "warming"
+func isUsualCondition(condition history.Condition) bool {
+	switch condition {
+	case history.ConditionStarting, history.ConditionWarming, history.ConditionServing:
+		return true
+	default:
+		return false
+	}
 }
 
 // printViewChanges prints when members first and last saw each change of another.
--- a/lab/faults/fault.go
+++ b/lab/faults/fault.go
@@ -7,44 +7,47 @@
 	"time"
 )
 
+// Kind says what a Fault does, as it stands in scripts and in the requests of `lab fault`.
+type Kind string
+
 // Kinds of faults of links. They are in force from Fault.Start for Fault.Duration.
 const (
-	KindPartition = "cut"    // nothing arrives
-	KindLoss      = "loss"   // datagrams are lost, by Ratio
-	KindDuplicate = "double" // datagrams arrive twice, by Ratio
-	KindDelay     = "delay"  // everything is delayed by Delay, datagrams by up to Jitter more
-	KindThrottle  = "slow"   // each stream carries at most BytesPerSecond
-	KindReset     = "reset"  // streams are reset
+	KindPartition Kind = "cut"    // nothing arrives
+	KindLoss      Kind = "loss"   // datagrams are lost, by Ratio
+	KindDuplicate Kind = "double" // datagrams arrive twice, by Ratio
+	KindDelay     Kind = "delay"  // everything is delayed by Delay, datagrams by up to Jitter more
+	KindThrottle  Kind = "slow"   // each stream carries at most BytesPerSecond
+	KindReset     Kind = "reset"  // streams are reset
 )
 
 // Kinds of faults of processes. They are done once, at Fault.Start.
 const (
-	KindKill              = "kill"    // SIGKILL; started again at the end, if there is one
-	KindPause             = "stop"    // SIGSTOP, and SIGCONT at the end
-	KindTerminate         = "term"    // SIGTERM; started again at the end, if there is one
-	KindRestart           = "restart" // SIGKILL, and started again at once under the same name
-	KindDelayedStart      = "late"    // not started before the end
-	KindSlowAgent         = "slowrun" // the agent is slower by the factor Ratio until the end
-	KindUnresponsiveStore = "mute"    // the store of its zone accepts calls and answers none until the end
-	KindWedge             = "wedge"   // the server's loop blocks for a while; the rest of the process goes on
-	KindClockSkew         = "clock"   // started again with its clock off by Delay, which may be negative, until the end
+	KindKill              Kind = "kill"    // SIGKILL; started again at the end, if there is one
+	KindPause             Kind = "stop"    // SIGSTOP, and SIGCONT at the end
+	KindTerminate         Kind = "term"    // SIGTERM; started again at the end, if there is one
+	KindRestart           Kind = "restart" // SIGKILL, and started again at once under the same name
+	KindDelayedStart      Kind = "late"    // not started before the end
+	KindSlowAgent         Kind = "slowrun" // the agent is slower by the factor Ratio until the end
+	KindUnresponsiveStore Kind = "mute"    // the store of its zone accepts calls and answers none until the end
+	KindWedge             Kind = "wedge"   // the server's loop blocks for a while; the rest of the process goes on
+	KindClockSkew         Kind = "clock"   // started again with its clock off by Delay, which may be negative, until the end
 )
 
 var (
-	linkKinds    = []string{KindPartition, KindLoss, KindDuplicate, KindDelay, KindThrottle, KindReset}
-	processKinds = []string{
+	linkKinds    = []Kind{KindPartition, KindLoss, KindDuplicate, KindDelay, KindThrottle, KindReset}
+	processKinds = []Kind{
 		KindKill, KindPause, KindTerminate, KindRestart, KindDelayedStart, KindSlowAgent, KindUnresponsiveStore,
 		KindWedge, KindClockSkew,
 	}
 )
 
-// everybody is the pattern that matches all members.
-const everybody = "*"
+// AllMembers is the pattern that matches every member.
+const AllMembers = "*"
 
 // Fault is one thing that goes wrong. Target and Peer are patterns: the name of a member, zone:NAME, region:NAME, or
 // * for all members. Times are on the laboratory's clock.
 type Fault struct {
-	Kind           string        `json:"Kind"`
+	Kind           Kind          `json:"Kind"`
 	Target         string        `json:"Who"`    // whose process, or the sender
 	Peer           string        `json:"To"`     // links: the receiver
 	OneWay         bool          `json:"OneWay"` // links: only from Target to Peer
@@ -75,7 +78,7 @@
 	if region, ok := strings.CutPrefix(pattern, "region:"); ok {
 		return l.Region == region
 	}
-	return pattern == everybody || pattern == l.Name
+	return pattern == AllMembers || pattern == l.Name
 }
 
 // FieldError reports that the value of a fault's field cannot be used. The field goes by its key in a script.
@@ -117,8 +120,7 @@
 		return nil
 	}
 	if !slices.Contains(processKinds, f.Kind) {
-		known := strings.Join(slices.Concat(linkKinds, processKinds), ", ")
-		return fieldError("kind", "%q, want one of %s", f.Kind, known)
+		return fieldError("kind", "%q, want one of %s", f.Kind, knownKinds())
 	}
 	if f.Peer != "" || f.OneWay {
 		return fieldError("to", "a fault of a process has no other end")
@@ -126,6 +128,15 @@
 	return nil
 }
 
+// knownKinds lists the kinds of faults for readers.
+func knownKinds() string {
+	var names []string
+	for _, kind := range slices.Concat(linkKinds, processKinds) {
+		names = append(names, string(kind))
+	}
+	return strings.Join(names, ", ")
+}
+
 // checkLink checks the fields that the kinds of links need.
 func (f *Fault) checkLink() error {
 	switch f.Kind {
@@ -141,6 +152,7 @@
 		if f.BytesPerSecond <= 0 {
 			return fieldError("rate", "want more than 0 bytes a second")
 		}
+	default: // needs no field
 	}
 	return nil
 }
@@ -164,6 +176,7 @@
 		if f.Duration == 0 {
 			return fieldError("for", "a process that is stopped has to be continued")
 		}
+	default: // needs no field
 	}
 	return nil
 }
@@ -177,17 +190,17 @@
 
 // affects reports whether a fault of links affects what one member sends to another.
 func (f *Fault) affects(from, to *Location) bool {
-	if f.Target == everybody && f.Peer == everybody {
+	if f.Target == AllMembers && f.Peer == AllMembers {
 		return true
 	}
 	return f.crossedBy(from, to) || !f.OneWay && f.crossedBy(to, from)
 }
 
 // crossedBy reports whether what one member sends to another goes from the fault's target to its peer. Where the peer
-// is everybody, that means everybody else: links within the target, such as a zone, are not affected.
+// is AllMembers, that means all others: links within the target, such as a zone, are not affected.
 func (f *Fault) crossedBy(from, to *Location) bool {
 	if !from.matches(f.Target) || !to.matches(f.Peer) {
 		return false
 	}
-	return f.Peer != everybody || !to.matches(f.Target)
+	return f.Peer != AllMembers || !to.matches(f.Target)
 }
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -55,7 +55,9 @@
 }
 
 func (r *raw) parse(locations []Location) (fault Fault, err error) {
-	fault = Fault{Kind: r.Kind, Target: r.Who, Peer: r.To, OneWay: r.OneWay, Ratio: r.Share, BytesPerSecond: r.Rate}
+	fault = Fault{
+		Kind: Kind(r.Kind), Target: r.Who, Peer: r.To, OneWay: r.OneWay, Ratio: r.Share, BytesPerSecond: r.Rate,
+	}
 	for _, field := range []struct {
 		key, text string
 		to        *time.Duration
@@ -74,7 +76,7 @@
 		}
 	}
 	if fault.AffectsLink() && fault.Peer == "" {
-		fault.Peer = everybody
+		fault.Peer = AllMembers
 	}
 	return fault, fault.Check(locations)
 }
@@ -146,5 +148,6 @@
 		}
 	case KindReset:
 		r.Reset = true
+	default: // of a process
 	}
 }
--- a/lab/fleetlab/dependencies.go
+++ b/lab/fleetlab/dependencies.go
@@ -46,7 +46,7 @@
 func (l *Lab) newStore(zone string) *fakes.Store {
 	slots := l.options.Slots
 	curve := workerpool.Curve{Workers: slots, Speed: 1, Knee: 1, SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3}
-	log := func(kind string) func(id string, inFlight int) {
+	log := func(kind history.Kind) func(id string, inFlight int) {
 		return func(id string, inFlight int) {
 			l.Log.Add(history.Event{Kind: kind, AttemptID: id, Server: zone, Count: inFlight})
 		}
--- a/lab/fleetlab/script.go
+++ b/lab/fleetlab/script.go
@@ -183,8 +183,8 @@
 
 // faultName names a fault in the history.
 func faultName(fault *faults.Fault) string {
-	text := fault.Kind + " " + fault.Target
-	if fault.Peer != "" && fault.Peer != "*" {
+	text := string(fault.Kind) + " " + fault.Target
+	if fault.Peer != "" && fault.Peer != faults.AllMembers {
 		text += " " + fault.Peer
 	}
 	if fault.OneWay {
@@ -213,6 +213,7 @@
 		member.wedge()
 	case faults.KindClockSkew:
 		member.logStartError(member.restartWithClock(fault.Delay))
+	default: // of links, or a delayed start, which StartMembers takes care of
 	}
 }
 
@@ -230,6 +231,7 @@
 		l.Stores[member.Zone].SetUnresponsive(false)
 	case faults.KindClockSkew:
 		return member.restartWithClock(0)
+	default: // nothing of the process has to be undone
 	}
 	return nil
 }
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -22,17 +22,14 @@
 	RuleIdempotency = "runs once"
 	// RuleStoreCalls: the stores never have more calls in flight than they survive.
 	RuleStoreCalls = "store"
-	// RuleNoFalseDeath: no member is reported dead whose process has lived for longer than viewLag.
-	RuleNoFalseDeath = "not dead"
+	// RuleNoFalseFailure: no member is reported as failed whose process has run for longer than viewLag.
+	RuleNoFalseFailure = "not dead"
 )
 
 // viewLag is how long a report of an earlier process may still come after the next one has started: the connection
 // that was refused was made before, and a view is published, polled and recorded after.
 const viewLag = 2 * time.Second
 
-// conditionDead is the condition of a member that a view reports as dead.
-const conditionDead = "dead"
-
 // Violation is one violation of a rule.
 type Violation struct {
 	Rule   string
@@ -105,6 +102,7 @@
 		c.processChanged(event)
 	case ViewChanged:
 		c.viewChanged(event)
+	default: // no rule is about it
 	}
 }
 
@@ -191,7 +189,7 @@
 
 func (c *checker) viewChanged(event *Event) {
 	member := c.process(event.Member)
-	if event.Detail == conditionDead && member.alive && event.At-member.startedAt > viewLag {
-		c.fail(RuleNoFalseDeath, event, "%s says so of %s", event.Server, event.Member)
+	if Condition(event.Detail) == ConditionFailed && member.alive && event.At-member.startedAt > viewLag {
+		c.fail(RuleNoFalseFailure, event, "%s says so of %s", event.Server, event.Member)
 	}
 }
--- a/lab/history/check_test.go
+++ b/lab/history/check_test.go
@@ -58,7 +58,7 @@
 			{At: 2 * time.Second, Kind: CallStarted, AttemptID: "x"},
 			{At: 3 * time.Second, Kind: CallEnded, AttemptID: "x"},
 		},
-		RuleNoFalseDeath: {{At: 12 * time.Second, Kind: ViewChanged, Server: "n2", Member: "n1", Detail: "dead"}},
+		RuleNoFalseFailure: {{At: 12 * time.Second, Kind: ViewChanged, Server: "n2", Member: "n1", Detail: "dead"}},
 	} {
 		events := slices.Concat(good, added)
 		slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -5,21 +5,24 @@
 
 import "time"
 
+// Kind says what an event is, as it stands in history files.
+type Kind string
+
 // Kinds of events, with the fields that they have beside At.
 const (
-	AttemptSent      = "ask"      // AttemptID, IdempotencyKey, Class, Server, Client, Deadline
-	AttemptAnswered  = "answer"   // AttemptID, Server; Detail is the Outcome
-	AttemptAbandoned = "gave up"  // AttemptID, Server; the client waits no longer
-	RunStarted       = "run"      // AttemptID, Class, Server; at an agent
-	RunEnded         = "run end"  // AttemptID, Class, Server; Detail is how it ended
-	CallStarted      = "call"     // AttemptID, Server; Count is the number in flight at the store
-	CallEnded        = "call end" // the same
-	ProcessChanged   = "process"  // Server; Detail is the ProcessState
-	FaultChanged     = "fault"    // Detail names the fault; Count is 1 at its start and 0 at its end
-	ViewChanged      = "view"     // Server reports the condition Detail of Member
+	AttemptSent      Kind = "ask"      // AttemptID, IdempotencyKey, Class, Server, Client, Deadline
+	AttemptAnswered  Kind = "answer"   // AttemptID, Server; Detail is the Outcome
+	AttemptAbandoned Kind = "gave up"  // AttemptID, Server; the client waits no longer
+	RunStarted       Kind = "run"      // AttemptID, Class, Server; at an agent
+	RunEnded         Kind = "run end"  // AttemptID, Class, Server; Detail is how it ended
+	CallStarted      Kind = "call"     // AttemptID, Server; Count is the number in flight at the store
+	CallEnded        Kind = "call end" // the same
+	ProcessChanged   Kind = "process"  // Server; Detail is the ProcessState
+	FaultChanged     Kind = "fault"    // Detail names the fault; Count is 1 at its start and 0 at its end
+	ViewChanged      Kind = "view"     // Server reports the Condition in Detail of Member
 	// RequestCompleted has Class, Client, Latency, Value, ValueServed and Work. Detail is the Outcome, Count the
 	// number of attempts.
-	RequestCompleted = "request"
+	RequestCompleted Kind = "request"
 )
 
 // Outcome is how an attempt or a request ended. It stands in Event.Detail.
@@ -54,10 +57,26 @@
 	ProcessFailed      ProcessState = "failed" // ended by itself, with an exit code
 )
 
+// Condition is what one member reports of another, as it stands in the reports of members and in Event.Detail.
+type Condition string
+
+// Conditions of members.
+const (
+	ConditionStarting    Condition = "starting"
+	ConditionWarming     Condition = "warming"
+	ConditionServing     Condition = "serving"
+	ConditionDraining    Condition = "draining"
+	ConditionSuspect     Condition = "suspect" // reached, but its record is overdue
+	ConditionStalled     Condition = "wedged"  // its process is there and does no work
+	ConditionUnreachable Condition = "cut off" // partitioned from the observer
+	ConditionFailed      Condition = "dead"    // its process is known to be gone
+	ConditionLeft        Condition = "left"
+)
+
 // Event is one thing that happened. Which fields it has depends on its kind. All times are on the laboratory's clock.
 type Event struct {
 	At             time.Duration `json:"at"`
-	Kind           string        `json:"kind"`
+	Kind           Kind          `json:"kind"`
 	Server         string        `json:"server,omitempty"`
 	Member         string        `json:"member,omitempty"`
 	AttemptID      string        `json:"try,omitempty"`
--- a/lab/history/stores.go
+++ b/lab/history/stores.go
@@ -76,6 +76,7 @@
 		l.inFlight++
 	case CallEnded:
 		l.inFlight--
+	default: // of no call
 	}
 	if l.from == 0 || event.At < l.from || l.to != 0 {
 		return
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -59,7 +59,7 @@
 }
 
 // recordCalls records the start or the end of a call.
-func (s *store) recordCalls(kind string) {
+func (s *store) recordCalls(kind history.Kind) {
 	s.sim.record(history.Event{Kind: kind, Server: zoneName(s.zone), Count: s.slots.InFlight() + s.unanswered})
 }
 
