--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -28,12 +28,13 @@
 
 // comparisonColumns are the heads of the columns behind the seed and the features.
 var comparisonColumns = []string{
-	"worth served", "of a central policy", "served whole", "refused", "tries each", "calls", "in hand, mean", "most",
-	"time over the bound", "even", "at a mute store, calls a second", "in hand, most", "back at 95% after", "broken",
+	"value served", "ratio to optimum", "served in full", "rejected", "attempts per request", "store calls",
+	"mean in flight", "max in flight", "time over limit", "rejection fairness", "unresponsive store: calls/s",
+	"max in flight", "recovery time", "violations",
 }
 
 // errNoRequest reports a run whose load was empty.
-var errNoRequest = errors.New("no request was made")
+var errNoRequest = errors.New("no request was completed")
 
 // comparedRun is what came of one of the two runs with a seed.
 type comparedRun struct {
@@ -81,7 +82,7 @@
 		return err
 	}
 	slices.Sort(gains)
-	fmt.Fprintf(out, "gain in worth served: %+.4f / %+.4f / %+.4f (least, median, most of %d seeds)\n",
+	fmt.Fprintf(out, "gain in value served: %+.4f / %+.4f / %+.4f (min, median, max of %d seeds)\n",
 		gains[0], gains[len(gains)/2], gains[len(gains)-1], len(gains))
 	if violations > 0 {
 		return violationsError(violations)
@@ -92,7 +93,7 @@
 func checkFeatures(features []string) error {
 	for _, name := range features {
 		if !slices.Contains(overloadFeatures, name) {
-			return fmt.Errorf("flag --with: %q is none of %s", name, strings.Join(overloadFeatures, ", "))
+			return fmt.Errorf("flag --with: %q is not one of %s", name, strings.Join(overloadFeatures, ", "))
 		}
 	}
 	return nil
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -35,7 +35,7 @@
 }
 
 // errWaitTimeout reports a condition that did not hold within waitTimeout.
-var errWaitTimeout = errors.New("not reached within 3 minutes")
+var errWaitTimeout = errors.New("condition not reached within 3 minutes")
 
 // detection measures the failure detection of a fleet without load.
 type detection struct {
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(d.out, "%d members, %.0f%% loss: all see all after %.1fs\n",
+	fmt.Fprintf(d.out, "%d members, %.0f%% packet loss: full membership after %.1f s\n",
 		d.opts.lab.Members, 100*d.opts.fault.Ratio, joined.Seconds())
 	return nil
 }
@@ -103,7 +103,7 @@
 		time.Sleep(falseRemovalPollInterval)
 	}
 	members := len(d.lab.Members)
-	fmt.Fprintf(d.out, "false removals in %v: %d of %d views at most at once\n",
+	fmt.Fprintf(d.out, "false removals in %v: at most %d of %d views at a time\n",
 		d.opts.duration, removed, members*(members-1))
 }
 
@@ -114,7 +114,7 @@
 	after, members := measureUsage(d.lab.Members), float64(len(d.lab.Members))
 	elapsed := (d.lab.Log.Now() - start).Seconds()
 	perSecond := func(before, after float64) float64 { return (after - before) / members / elapsed }
-	fmt.Fprintf(d.out, "at rest each: %.1f ms of processor time and %.1f packets, %.0f bytes sent a second; "+
+	fmt.Fprintf(d.out, "idle cost per process: %.1f ms CPU/s, %.1f packets/s and %.0f bytes/s sent, "+
 		"%.1f MB resident\n",
 		perSecond(before.cpuMs, after.cpuMs), perSecond(before.packets, after.packets),
 		perSecond(before.bytes, after.bytes), after.memoryMB/members)
@@ -132,7 +132,7 @@
 		}
 		byOne, byAll = append(byOne, first), append(byAll, all)
 	}
-	fmt.Fprintf(d.out, "killed %d times: seen by one after %s; by all after %s\n",
+	fmt.Fprintf(d.out, "%d kills: detected by the first member after %s; by all members after %s\n",
 		d.opts.detect, formatQuantiles(byOne), formatQuantiles(byAll))
 	return nil
 }
@@ -218,6 +218,6 @@
 func formatQuantiles(durations []time.Duration) string {
 	slices.Sort(durations)
 	quantile := func(q float64) float64 { return durations[int(q*float64(len(durations)-1))].Seconds() }
-	return fmt.Sprintf("%.1f / %.1f / %.1f / %.1f s (least, median, 90%%, most)",
+	return fmt.Sprintf("%.1f / %.1f / %.1f / %.1f s (min, median, p90, max)",
 		quantile(0), quantile(0.5), quantile(0.9), quantile(1))
 }
--- a/cmd/falldeal-lab/fleet.go
+++ b/cmd/falldeal-lab/fleet.go
@@ -61,9 +61,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d instances in %s; files in %s; faults are taken at %s\n",
+	fmt.Fprintf(out, "%d members in zones %s; files in %s; control address %s\n",
 		opts.lab.Members, strings.Join(opts.lab.Zones, ", "), opts.lab.Dir, controlAddr)
-	fmt.Fprintf(out, "%.0f requests a second for %v, %.0f%% of what the agents can do\n",
+	fmt.Fprintf(out, "offered load: %.0f requests/s for %v, %.0f%% of the agents' capacity\n",
 		opts.loadRatio*lab.Capacity(), opts.duration, 100*opts.loadRatio)
 
 	watch := func(ctx context.Context) { lab.WatchViews(ctx, viewPollInterval) }
@@ -82,7 +82,7 @@
 	if err := history.Write(filepath.Join(lab.Dir, "history.jsonl"), events); err != nil {
 		return err
 	}
-	title := fmt.Sprintf("%d instances, seed %d", lab.Members, lab.Seed)
+	title := fmt.Sprintf("%d members, seed %d", lab.Members, lab.Seed)
 	return history.Plot(filepath.Join(lab.Dir, "requests.png"), title, events)
 }
 
--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -78,7 +78,7 @@
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(content), 0o600))
 	}
 	fleet := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		http.Error(w, "who: nobody is \"n99\"", http.StatusBadRequest)
+		http.Error(w, "who: no member matches \"n99\"", http.StatusBadRequest)
 	}))
 	t.Cleanup(fleet.Close)
 	addr := fleet.Listener.Addr().String()
--- a/cmd/falldeal-lab/main.go
+++ b/cmd/falldeal-lab/main.go
@@ -14,12 +14,12 @@
 const usage = `Usage: falldeal lab COMMAND [flags]
 
 Commands:
-  fleet    start a fleet under load, break what a script says, and report what came of it
-  fault    break something in a fleet that runs: lab fault --lab ADDRESS --kind cut --who zone:mechelen --for 5s
-  model    the decision code in a model of a fleet, up to thousands of servers: overload handled alone and together
-  check    check a history that was written before against the rules
+  fleet    start a fleet under load, inject the faults of a script, and report the results
+  fault    inject a fault into a running fleet: lab fault --lab ADDRESS --kind cut --who zone:mechelen --for 5s
+  model    simulate fleets of up to thousands of servers and compare overload strategies
+  check    check a recorded history against the rules: lab check FILE
 
-Without --script, fleet plays the example: a zone is cut off for 8 s, and a process is killed and comes back.
+Without --script, fleet runs an example: a zone is partitioned for 8 s, and a process is killed and restarted.
 
 Flags:
 `
--- a/cmd/falldeal-lab/model.go
+++ b/cmd/falldeal-lab/model.go
@@ -32,7 +32,7 @@
 	kind := model.FaultKind(opts.fault.Kind)
 	factor, known := modelFaultFactors[kind]
 	if !known {
-		return fmt.Errorf("flag --kind: %q is none of burst, lost, mute and slow", opts.fault.Kind)
+		return fmt.Errorf("flag --kind: %q is not one of burst, lost, mute, slow", opts.fault.Kind)
 	}
 	settings := model.Defaults()
 	settings.Servers, settings.FrontEnds = servers, max(minModelFrontEnds, servers/2)
@@ -55,8 +55,8 @@
 	for i := range results {
 		requests += results[i].Requests
 	}
-	fmt.Fprintf(out, "%d servers, %.0f%% of what they can do, %.0f%% of the front ends heed advice: "+
-		"%d days, %d requests, in %v\n",
+	fmt.Fprintf(out, "%d servers, offered load %.0f%% of capacity, %.0f%% of front ends honor Retry-After: "+
+		"%d simulations, %d requests, in %v\n",
 		servers, 100*opts.loadRatio, 100*opts.honorRetryAfterRatio, len(results), requests,
 		time.Since(start).Round(time.Second/10))
 	return nil
--- a/cmd/falldeal-lab/options.go
+++ b/cmd/falldeal-lab/options.go
@@ -55,7 +55,7 @@
 	flags := pflag.NewFlagSet("falldeal lab", pflag.ContinueOnError)
 	flags.Usage = func() { fmt.Fprint(out, usage, flags.FlagUsages()) }
 	flags.DurationVar(&o.duration, "for", 30*time.Second,
-		"fleet: how long the load lasts; fault: how long it is in force")
+		"fleet, model: duration of the load; fault: duration of the fault")
 	o.addFleetFlags(flags)
 	o.addLoadFlags(flags)
 	o.addComparisonFlags(flags)
@@ -65,66 +65,66 @@
 
 func (o *options) addFleetFlags(flags *pflag.FlagSet) {
 	lab := &o.lab
-	flags.IntVar(&lab.Members, "members", lab.Members, "fleet: instances")
-	flags.StringSliceVar(&lab.Zones, "zones", lab.Zones, "fleet: zones, over which they are spread in turn")
-	flags.Uint64Var(&lab.Seed, "seed", lab.Seed, "fleet: of arrivals and of what the network loses")
+	flags.IntVar(&lab.Members, "members", lab.Members, "fleet, model: number of servers")
+	flags.StringSliceVar(&lab.Zones, "zones", lab.Zones, "fleet: zones, to which members are assigned round robin")
+	flags.Uint64Var(&lab.Seed, "seed", lab.Seed, "fleet, model: seed of arrivals and packet loss")
 	flags.DurationVar(&lab.ProbeInterval, "probe", lab.ProbeInterval,
-		"fleet: between two probes of the failure detection")
-	flags.BoolVar(&lab.Encrypted, "keyed", true, "fleet: words are encrypted")
-	flags.StringVar(&lab.LogLevel, "log-level", lab.LogLevel, "fleet: of the instances' logs")
-	flags.StringVar(&lab.Dir, "dir", "", "fleet: folder for logs, history and plot (default: a new one)")
-	flags.StringVar(&o.scriptPath, "script", "", "fleet: file of faults, TOML")
+		"fleet: interval of the failure detector's probes")
+	flags.BoolVar(&lab.Encrypted, "keyed", true, "fleet: encrypt the gossip")
+	flags.StringVar(&lab.LogLevel, "log-level", lab.LogLevel, "fleet: log level of the servers")
+	flags.StringVar(&lab.Dir, "dir", "", "fleet: directory for logs, history and plot (default: a new one)")
+	flags.StringVar(&o.scriptPath, "script", "", "fleet: fault script, TOML")
 	flags.BoolVar(&lab.Shedding, featureShedding, false,
-		"fleet: what the fleet has no room for is refused by all alike")
+		"fleet: shed load at one priority threshold across the fleet")
 	flags.BoolVar(&lab.CoordinatedProbes, featureCoordinatedProbes, false,
-		"fleet: a store that does not answer is tried by turns")
+		"fleet: coordinate the probes of an unresponsive store")
 	flags.BoolVar(&lab.QuotaLeasing, featureQuotaLeasing, false,
-		"fleet: shares of the store move between members")
-	flags.IntVar(&lab.Cores, "cores", lab.Cores, "fleet: of each agent; every other one's are slower")
-	flags.IntVar(&lab.Slots, "slots", lab.Slots, "fleet: of the store of each zone")
-	flags.DurationVar(&lab.CallTime, "call", lab.CallTime, "fleet: that a call takes in a slot")
+		"fleet: lease call quotas of the stores between members")
+	flags.IntVar(&lab.Cores, "cores", lab.Cores, "fleet: cores of each agent; those of every other agent are slower")
+	flags.IntVar(&lab.Slots, "slots", lab.Slots, "fleet: slots of the store of each zone")
+	flags.DurationVar(&lab.CallTime, "call", lab.CallTime, "fleet: duration of a call in a slot")
 }
 
 func (o *options) addLoadFlags(flags *pflag.FlagSet) {
-	flags.Float64Var(&o.loadRatio, "load", 0.6, "fleet: share of the agents' capacity that is asked for")
-	flags.IntVar(&o.workload.FrontEnds, "front-ends", 6, "fleet: front ends")
-	flags.IntVar(&o.maxAttempts, "tries", 3, "fleet: tries of a request at most; 0 = no limit")
+	flags.Float64Var(&o.loadRatio, "load", 0.6, "fleet, model: offered load as a fraction of capacity")
+	flags.IntVar(&o.workload.FrontEnds, "front-ends", 6, "fleet: number of front ends")
+	flags.IntVar(&o.maxAttempts, "tries", 3, "fleet: maximum attempts per request; 0 = unlimited")
 	flags.StringVar(&o.heed, "heed", "half",
-		"fleet: front ends that heed advice: none, half (those that go by key), all")
-	flags.BoolVar(&o.routeByKey, "by-key", false, "fleet: all front ends go by key")
-	flags.DurationVar(&o.listLag, "lag", time.Second, "fleet: by which front ends' lists lag")
+		"fleet, model: front ends that honor Retry-After: none, half (fleet: those that route by key), all")
+	flags.BoolVar(&o.routeByKey, "by-key", false, "fleet: all front ends route by key")
+	flags.DurationVar(&o.listLag, "lag", time.Second, "fleet: delay of the front ends' server lists")
 	flags.IntVar(&o.workload.KeyCount, "keys", 200,
-		"fleet: different keys of reads; few make few servers busy for front ends that go by key")
+		"fleet: distinct keys of reads; with few keys, routing by key concentrates the load on few servers")
 }
 
 func (o *options) addComparisonFlags(flags *pflag.FlagSet) {
-	flags.IntVar(&o.compare, "compare", 0, "fleet, model: play with so many seeds, each with what --with names "+
-		"off and on (model: in each way), and compare")
+	flags.IntVar(&o.compare, "compare", 0, "fleet, model: number of seeds to compare; each is run with the "+
+		"features of --with off and on (model: with each strategy)")
 	flags.StringSliceVar(&o.features, "with", []string{featureQuotaLeasing},
-		"fleet: with --compare, what is off in the one play and on in the other: "+strings.Join(overloadFeatures, ", "))
+		"fleet: features that --compare turns off and on: "+strings.Join(overloadFeatures, ", "))
 	flags.IntVar(&o.detect, "detect", 0,
-		"fleet: no load; kill a member that many times and time how long others take to see it")
+		"fleet: measure failure detection without load; number of members to kill")
 }
 
 func (o *options) addFaultFlags(flags *pflag.FlagSet) {
 	fault := &o.fault
-	flags.StringVar(&o.controlAddr, "lab", "", "fault: address that fleet printed")
+	flags.StringVar(&o.controlAddr, "lab", "", "fault: control address that fleet printed")
 	flags.StringVar((*string)(&fault.Kind), "kind", "", "model: burst, lost (a zone), mute, slow (stores); "+
 		"fault: cut, loss, double, delay, slow, reset, kill, stop, term, restart, slowrun, mute, wedge, clock")
-	flags.StringVar(&fault.Target, "who", "", "fault: NAME, zone:NAME, region:NAME or *")
-	flags.StringVar(&fault.Peer, "to", "", "fault: the other end of a link (default: everybody)")
-	flags.BoolVar(&fault.OneWay, "one-way", false, "fault: only from who to the other end")
-	flags.Float64Var(&fault.Ratio, "share", 0, "fault: share lost or doubled; how many times slower")
-	flags.DurationVar(&fault.Delay, "delay", 0, "fault: of datagrams; how far a clock is off")
-	flags.DurationVar(&fault.Jitter, "jitter", 0, "fault: up to that much more")
-	flags.IntVar(&fault.BytesPerSecond, "rate", 0, "fault: bytes a second that a slow stream carries")
+	flags.StringVar(&fault.Target, "who", "", "fault: target: NAME, zone:NAME, region:NAME or *")
+	flags.StringVar(&fault.Peer, "to", "", "fault: other end of a link (default: all members)")
+	flags.BoolVar(&fault.OneWay, "one-way", false, "fault: only from --who to --to")
+	flags.Float64Var(&fault.Ratio, "share", 0, "fault: fraction lost or duplicated; slowdown factor of an agent; fleet: packet loss with --detect")
+	flags.DurationVar(&fault.Delay, "delay", 0, "fault: delay of datagrams; clock skew")
+	flags.DurationVar(&fault.Jitter, "jitter", 0, "fault: maximum additional delay, drawn at random")
+	flags.IntVar(&fault.BytesPerSecond, "rate", 0, "fault: bytes per second of a throttled stream")
 }
 
 // finish sets what goes by several flags or is a number behind a name.
 func (o *options) finish() error {
 	ratio, known := honorRatios[o.heed]
 	if !known {
-		return fmt.Errorf("flag --heed: %q is none of none, half and all", o.heed)
+		return fmt.Errorf("flag --heed: %q is not one of none, half, all", o.heed)
 	}
 	o.honorRetryAfterRatio = ratio
 	byKey := clients.Policy{RouteByKey: true, MaxAttempts: o.maxAttempts, HonorRetryAfter: o.heed != "none"}
--- a/cmd/falldeal-lab/report.go
+++ b/cmd/falldeal-lab/report.go
@@ -29,21 +29,21 @@
 	if violations := printViolations(out, events, maxPrintedViolations); violations > 0 {
 		return violationsError(violations)
 	}
-	fmt.Fprintf(out, "\nno rule broken in %d events: one final answer each, in time; no order run twice; "+
-		"nobody called dead who lives\n", len(events))
+	fmt.Fprintf(out, "\nno violations in %d events: every attempt had one final answer in time; "+
+		"no request with an idempotency key ran twice; no live member was declared failed\n", len(events))
 	return nil
 }
 
 // violationsError reports how many times rules were violated.
 type violationsError int
 
-func (n violationsError) Error() string { return fmt.Sprintf("%d rules broken", int(n)) }
+func (n violationsError) Error() string { return fmt.Sprintf("rule violations: %d", int(n)) }
 
 // printViolations checks the rules, prints the first violations and returns how many there are.
 func printViolations(out io.Writer, events []history.Event, maxPrinted int) int {
 	violations := history.Check(events, rules)
 	for _, violation := range violations[:min(len(violations), maxPrinted)] {
-		fmt.Fprintln(out, "broken:", violation)
+		fmt.Fprintln(out, "violation:", violation)
 	}
 	return len(violations)
 }
@@ -54,36 +54,44 @@
 		event := &events[i]
 		switch {
 		case event.Kind == history.FaultChanged && event.Count == 1:
-			fmt.Fprintf(out, "%7.1fs  begins: %s\n", event.At.Seconds(), event.Detail)
+			fmt.Fprintf(out, "%7.1fs  fault started: %s\n", event.At.Seconds(), event.Detail)
 		case event.Kind == history.FaultChanged:
-			fmt.Fprintf(out, "%7.1fs  ends:   %s\n", event.At.Seconds(), event.Detail)
+			fmt.Fprintf(out, "%7.1fs  fault ended: %s\n", event.At.Seconds(), event.Detail)
 		case event.Kind == history.ProcessChanged && history.ProcessState(event.Detail) == history.ProcessFailed:
-			fmt.Fprintf(out, "%7.1fs  %s ended by itself; its log says why\n", event.At.Seconds(), event.Server)
+			fmt.Fprintf(out, "%7.1fs  member %s exited with an error; see its log\n", event.At.Seconds(), event.Server)
 		}
 	}
 }
 
 // viewChange is a series of members that come to see one member in the same condition.
 type viewChange struct {
-	change      string // "MEMBER is CONDITION"
+	member      string
+	condition   history.Condition
 	first, last time.Duration
 	observers   int
 }
 
+// viewKey identifies the changes that may belong to one series.
+type viewKey struct {
+	member    string
+	condition history.Condition
+}
+
 // viewChanges returns the changes to conditions that are not part of a start, by their beginnings. Events must be in order.
 func viewChanges(events []history.Event) []*viewChange {
-	latest := map[string]*viewChange{} // by change
+	latest := map[viewKey]*viewChange{}
 	var all []*viewChange
 	for i := range events {
 		event := &events[i]
-		if event.Kind != history.ViewChanged || isUsualCondition(history.Condition(event.Detail)) {
+		condition := history.Condition(event.Detail)
+		if event.Kind != history.ViewChanged || isUsualCondition(condition) {
 			continue
 		}
-		change := event.Member + " is " + event.Detail
-		series := latest[change]
+		key := viewKey{member: event.Member, condition: condition}
+		series := latest[key]
 		if series == nil || event.At-series.last > viewChangeGap {
-			series = &viewChange{change: change, first: event.At}
-			latest[change] = series
+			series = &viewChange{member: event.Member, condition: condition, first: event.At}
+			latest[key] = series
 			all = append(all, series)
 		}
 		series.last = event.At
@@ -105,7 +113,15 @@
 // printViewChanges prints when members first and last saw each change of another.
 func printViewChanges(out io.Writer, events []history.Event) {
 	for _, series := range viewChanges(events) {
-		fmt.Fprintf(out, "%7.1fs  %s, say %d others, the last at %.1fs\n",
-			series.first.Seconds(), series.change, series.observers, series.last.Seconds())
+		fmt.Fprintf(out, "%7.1fs  member %s reported %s by %s, the last at %.1fs\n",
+			series.first.Seconds(), series.member, series.condition.Description(), countMembers(series.observers),
+			series.last.Seconds())
+	}
+}
+
+func countMembers(count int) string {
+	if count == 1 {
+		return "1 member"
 	}
+	return fmt.Sprintf("%d members", count)
 }
--- a/lab/costs/main.go
+++ b/lab/costs/main.go
@@ -33,7 +33,7 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	spent, total := splitByPart(parsed)
-	fmt.Fprintf(w, "%s: %.2f s of processor time\n", path, total.Seconds())
+	fmt.Fprintf(w, "%s: %.2f s of CPU time\n", path, total.Seconds())
 	for i := range parts {
 		printRow(w, parts[i].name, spent, total)
 	}
--- a/lab/costs/main_test.go
+++ b/lab/costs/main_test.go
@@ -26,13 +26,13 @@
 	for want, stack := range map[string][]string{
 		"garbage collection": {"runtime.scanobject", "runtime.gcBgMarkWorker"},
 		"socket writes":      {"syscall.write", "net.(*conn).Write", "falldeal/internal/writequeue.(*Queue).flush"},
-		"outbox":             {"runtime.mallocgc", "falldeal/internal/writequeue.(*Queue).flush"},
-		"module": {
+		"write queues":       {"runtime.mallocgc", "falldeal/internal/writequeue.(*Queue).flush"},
+		"admission": {
 			"runtime.mallocgc", "falldeal/admission.(*Controller).Step", "falldeal/internal/server.(*Server).step",
 		},
-		"loop":              {"falldeal/internal/server.(*Server).step"},
-		"front connections": {"falldeal/internal/msgpackrpc.(*conn).serve"},
-		"other":             {"main.main"},
+		"event loop":            {"falldeal/internal/server.(*Server).step"},
+		"front-end connections": {"falldeal/internal/msgpackrpc.(*conn).serve"},
+		"other":                 {"main.main"},
 	} {
 		require.Equal(t, want, partOf(sample(1, stack...)))
 	}
@@ -58,8 +58,8 @@
 	require.NoError(t, file.Close())
 	var output bytes.Buffer
 	require.NoError(t, report(&output, path))
-	require.Equal(t, path+": 4.00 s of processor time\n"+
-		"  loop                          75.0%\n"+
+	require.Equal(t, path+": 4.00 s of CPU time\n"+
+		"  event loop                    75.0%\n"+
 		"  other                         25.0%\n", output.String())
 	require.Error(t, report(&output, filepath.Join(t.TempDir(), "missing")))
 }
--- a/lab/costs/parts.go
+++ b/lab/costs/parts.go
@@ -26,7 +26,7 @@
 	{name: "logs", prefixes: []string{
 		"github.com/sirupsen/logrus", "falldeal/internal/logging",
 	}},
-	{name: "module", prefixes: []string{
+	{name: "admission", prefixes: []string{
 		"falldeal/admission",
 	}},
 	{name: "dials and closes", prefixes: []string{
@@ -60,16 +60,16 @@
 		"runtime.startm", "runtime.wakep", "runtime.selectgo", "runtime.chansend", "runtime.chanrecv",
 		"runtime.gopreempt_m", "runtime.netpoll",
 	}},
-	{name: "loop", prefixes: []string{
+	{name: "event loop", prefixes: []string{
 		"falldeal/internal/server",
 	}},
 	{name: "agent, store, announce links", prefixes: []string{
 		"falldeal/internal/agent", "falldeal/internal/store", "falldeal/internal/announce",
 	}},
-	{name: "outbox", prefixes: []string{
+	{name: "write queues", prefixes: []string{
 		"falldeal/internal/writequeue",
 	}},
-	{name: "front connections", prefixes: []string{
+	{name: "front-end connections", prefixes: []string{
 		"falldeal/internal/msgpackrpc",
 	}},
 }
--- a/lab/faults/fault.go
+++ b/lab/faults/fault.go
@@ -123,7 +123,7 @@
 		return fieldError("kind", "%q, want one of %s", f.Kind, knownKinds())
 	}
 	if f.Peer != "" || f.OneWay {
-		return fieldError("to", "a fault of a process has no other end")
+		return fieldError("to", "a process fault has no peer")
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 		}
 	case KindThrottle:
 		if f.BytesPerSecond <= 0 {
-			return fieldError("rate", "want more than 0 bytes a second")
+			return fieldError("rate", "want more than 0 bytes per second")
 		}
 	default: // needs no field
 	}
@@ -162,19 +162,19 @@
 	switch f.Kind {
 	case KindSlowAgent:
 		if !(f.Ratio >= 1) { // so that NaN is an error too
-			return fieldError("share", "%v, want at least 1: how many times slower", f.Ratio)
+			return fieldError("share", "%v, want a slowdown factor of at least 1", f.Ratio)
 		}
 	case KindDelayedStart:
 		if f.Duration == 0 || f.Start != 0 {
-			return fieldError("for", "a late start is at 0 and has an end")
+			return fieldError("for", "a delayed start begins at 0 and needs a duration")
 		}
 	case KindClockSkew:
 		if f.Delay == 0 {
-			return fieldError("delay", "missing: how far the clock is off")
+			return fieldError("delay", "missing: the clock skew")
 		}
 	case KindPause:
 		if f.Duration == 0 {
-			return fieldError("for", "a process that is stopped has to be continued")
+			return fieldError("for", "a paused process needs a duration after which it resumes")
 		}
 	default: // needs no field
 	}
@@ -183,7 +183,7 @@
 
 func checkPattern(key, pattern string, locations []Location) error {
 	if !slices.ContainsFunc(locations, func(l Location) bool { return l.matches(pattern) }) {
-		return fieldError(key, "nobody is %q", pattern)
+		return fieldError(key, "no member matches %q", pattern)
 	}
 	return nil
 }
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -72,7 +72,7 @@
 		}
 		*field.to, err = time.ParseDuration(field.text)
 		if err != nil || *field.to < 0 && fault.Kind != KindClockSkew {
-			return fault, fieldError(field.key, "%q is no time", field.text)
+			return fault, fieldError(field.key, "%q is not a valid duration", field.text)
 		}
 	}
 	if fault.AffectsLink() && fault.Peer == "" {
--- a/lab/faults/script_test.go
+++ b/lab/faults/script_test.go
@@ -13,17 +13,17 @@
 
 func TestParseRejectsInvalidScripts(t *testing.T) {
 	for want, text := range map[string]string{
-		"fault[0].kind: \"flood\"":        `kind = "flood"`,
-		"fault[0].who: nobody is \"n9\"":  "kind = \"kill\"\nwho = \"n9\"",
-		"fault[0].who: nobody is \"\"":    `kind = "cut"`,
-		"fault[0].to: nobody is":          "kind = \"cut\"\nwho = \"n0\"\nto = \"zone:c\"",
-		"fault[0].at: \"soon\"":           "kind = \"kill\"\nwho = \"n0\"\nat = \"soon\"",
-		"fault[0].share: 0":               "kind = \"loss\"\nwho = \"*\"",
-		"fault[0].for: a process that is": "kind = \"stop\"\nwho = \"n0\"",
-		"fault[0].to: a fault of a":       "kind = \"kill\"\nwho = \"n0\"\nto = \"n1\"",
-		"fault[0].delay: missing":         "kind = \"delay\"\nwho = \"n0\"",
-		"fault[0].rate":                   "kind = \"slow\"\nwho = \"n0\"",
-		"strength":                        "kind = \"cut\"\nwho = \"n0\"\nstrength = 1",
+		"fault[0].kind: \"flood\"":               `kind = "flood"`,
+		"fault[0].who: no member matches \"n9\"": "kind = \"kill\"\nwho = \"n9\"",
+		"fault[0].who: no member matches \"\"":   `kind = "cut"`,
+		"fault[0].to: no member matches":         "kind = \"cut\"\nwho = \"n0\"\nto = \"zone:c\"",
+		"fault[0].at: \"soon\"":                  "kind = \"kill\"\nwho = \"n0\"\nat = \"soon\"",
+		"fault[0].share: 0":                      "kind = \"loss\"\nwho = \"*\"",
+		"fault[0].for: a paused process needs":   "kind = \"stop\"\nwho = \"n0\"",
+		"fault[0].to: a process fault":           "kind = \"kill\"\nwho = \"n0\"\nto = \"n1\"",
+		"fault[0].delay: missing":                "kind = \"delay\"\nwho = \"n0\"",
+		"fault[0].rate":                          "kind = \"slow\"\nwho = \"n0\"",
+		"strength":                               "kind = \"cut\"\nwho = \"n0\"\nstrength = 1",
 	} {
 		_, err := Parse([]byte("[[fault]]\n"+text), testLocations)
 		require.ErrorContains(t, err, want)
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -175,7 +175,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no part of loopback is free: %w", err)
+	return fmt.Errorf("no free loopback subnet: %w", err)
 }
 
 func (l *Lab) addr(network, host, port int) string {
--- a/lab/fleetlab/member.go
+++ b/lab/fleetlab/member.go
@@ -52,7 +52,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd != nil {
-		return fmt.Errorf("%s runs already", m.Name)
+		return fmt.Errorf("%s: a process is already running", m.Name)
 	}
 	ln, err := net.Listen("tcp", m.agentAddr)
 	if err != nil {
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -15,15 +15,15 @@
 // Names of the rules.
 const (
 	// RuleSingleAnswer: each attempt has one final answer at most.
-	RuleSingleAnswer = "one answer"
+	RuleSingleAnswer = "single answer"
 	// RuleDeadline: an attempt has its final answer by its deadline, while its server lives and its client waits.
-	RuleDeadline = "in time"
+	RuleDeadline = "deadline"
 	// RuleIdempotency: a request with an idempotency key runs once within the window.
-	RuleIdempotency = "runs once"
+	RuleIdempotency = "idempotency"
 	// RuleStoreCalls: the stores never have more calls in flight than they survive.
-	RuleStoreCalls = "store"
+	RuleStoreCalls = "store calls"
 	// RuleNoFalseFailure: no member is reported as failed whose process has run for longer than viewLag.
-	RuleNoFalseFailure = "not dead"
+	RuleNoFalseFailure = "no false failure"
 )
 
 // viewLag is how long a report of an earlier process may still come after the next one has started: the connection
@@ -39,7 +39,11 @@
 
 func (v Violation) String() string {
 	at := v.Event.At.Round(time.Millisecond)
-	return fmt.Sprintf("%v %s: %s (server %s, try %s)", at, v.Rule, v.Reason, v.Event.Server, v.Event.AttemptID)
+	text := fmt.Sprintf("%v %s: %s (server %s", at, v.Rule, v.Reason, v.Event.Server)
+	if v.Event.AttemptID != "" {
+		text += ", attempt " + v.Event.AttemptID
+	}
+	return text + ")"
 }
 
 // Check returns the violations of a history, in the order of their discovery. It relies only on what clients and
@@ -94,7 +98,7 @@
 	case CallStarted:
 		c.callsInFlight++
 		if c.rules.MaxStoreCalls > 0 && c.callsInFlight > c.rules.MaxStoreCalls {
-			c.fail(RuleStoreCalls, event, "%d calls in hand", c.callsInFlight)
+			c.fail(RuleStoreCalls, event, "%d calls in flight", c.callsInFlight)
 		}
 	case CallEnded:
 		c.callsInFlight--
@@ -135,7 +139,7 @@
 		return
 	}
 	if event.Kind == AttemptAnswered && ended.answered {
-		c.fail(RuleSingleAnswer, event, "answered again")
+		c.fail(RuleSingleAnswer, event, "second final answer")
 		return
 	}
 	ended.answered = true
@@ -145,12 +149,12 @@
 	}
 	if event.Kind == AttemptAnswered && Outcome(event.Detail) == OutcomeLost {
 		if c.process(ended.sent.Server).alive {
-			c.fail(RuleDeadline, &ended.sent, "lost on a connection that a living server ended")
+			c.fail(RuleDeadline, &ended.sent, "connection closed by a live server")
 		}
 		return
 	}
 	if late := event.At - ended.sent.Deadline; late > c.rules.Slack {
-		c.fail(RuleDeadline, &ended.sent, "final answer %v after its end", late.Round(time.Millisecond))
+		c.fail(RuleDeadline, &ended.sent, "final answer %v after the deadline", late.Round(time.Millisecond))
 	}
 }
 
@@ -161,7 +165,7 @@
 	}
 	key := started.sent.IdempotencyKey
 	if at, ran := c.runs[key]; ran && event.At-at <= c.rules.IdempotencyWindow {
-		c.fail(RuleIdempotency, event, "order %s began %v before as well", key, (event.At - at).Round(time.Millisecond))
+		c.fail(RuleIdempotency, event, "request with key %s already started %v before", key, (event.At - at).Round(time.Millisecond))
 	}
 	c.runs[key] = event.At
 }
@@ -190,6 +194,6 @@
 func (c *checker) viewChanged(event *Event) {
 	member := c.process(event.Member)
 	if Condition(event.Detail) == ConditionFailed && member.alive && event.At-member.startedAt > viewLag {
-		c.fail(RuleNoFalseFailure, event, "%s says so of %s", event.Server, event.Member)
+		c.fail(RuleNoFalseFailure, event, "%s reports the live member %s as failed", event.Server, event.Member)
 	}
 }
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -39,6 +39,20 @@
 	OutcomeUnreachable Outcome = "unreached" // no connection to the server
 )
 
+// Description is the outcome in the terms of printed reports.
+func (o Outcome) Description() string {
+	switch o {
+	case OutcomeRejected:
+		return "rejected"
+	case OutcomeAbandoned:
+		return "abandoned"
+	case OutcomeUnreachable:
+		return "unreachable"
+	default:
+		return string(o)
+	}
+}
+
 // DetailUnread is the Detail of an AttemptAbandoned whose request was not read by its deadline.
 const DetailUnread = "unread"
 
@@ -73,6 +87,22 @@
 	ConditionLeft        Condition = "left"
 )
 
+// Description is the condition in the terms of printed reports.
+func (c Condition) Description() string {
+	switch c {
+	case ConditionSuspect:
+		return "suspected"
+	case ConditionStalled:
+		return "stalled"
+	case ConditionUnreachable:
+		return "unreachable"
+	case ConditionFailed:
+		return "failed"
+	default:
+		return string(c)
+	}
+}
+
 // Event is one thing that happened. Which fields it has depends on its kind. All times are on the laboratory's clock.
 type Event struct {
 	At             time.Duration `json:"at"`
--- a/lab/history/plot.go
+++ b/lab/history/plot.go
@@ -25,8 +25,8 @@
 func Plot(path, title string, events []Event) error {
 	figure := plot.New()
 	figure.Title.Text = title
-	figure.X.Label.Text = "seconds"
-	figure.Y.Label.Text = "requests a second"
+	figure.X.Label.Text = "time (s)"
+	figure.Y.Label.Text = "completed requests/s"
 	last := lastSecond(events)
 	if err := addRequests(figure, events, last); err != nil {
 		return err
@@ -50,23 +50,24 @@
 
 // addRequests adds a line for each outcome.
 func addRequests(figure *plot.Plot, events []Event, last int) error {
-	counts := map[string][]int{} // by outcome and second
+	counts := map[Outcome][]int{} // by outcome and second
 	for i := range events {
 		event := &events[i]
 		if event.Kind != RequestCompleted {
 			continue
 		}
-		if counts[event.Detail] == nil {
-			counts[event.Detail] = make([]int, last+1)
+		outcome := Outcome(event.Detail)
+		if counts[outcome] == nil {
+			counts[outcome] = make([]int, last+1)
 		}
-		counts[event.Detail][second(event)]++
+		counts[outcome][second(event)]++
 	}
 	for i, outcome := range slices.Sorted(maps.Keys(counts)) {
 		points := make(plotter.XYs, last+1)
 		for at, n := range counts[outcome] {
 			points[at].X, points[at].Y = float64(at), float64(n)
 		}
-		if err := addLine(figure, outcome, points, lineColor(i), vg.Points(seriesWidth)); err != nil {
+		if err := addLine(figure, outcome.Description(), points, lineColor(i), vg.Points(seriesWidth)); err != nil {
 			return err
 		}
 	}
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -79,7 +79,7 @@
 func PrintSummary(w io.Writer, events []Event) error {
 	summaries := SummarizeRequests(events)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "class\trequests\tserved\tlate\trefused\tfailed\ttries each\tworth served\tmedian ms\t99% ms\t")
+	fmt.Fprintln(table, "class\trequests\tserved\tlate\trejected\tfailed\tattempts per request\tvalue served\tp50 ms\tp99 ms\t")
 	for _, class := range slices.Sorted(maps.Keys(summaries)) {
 		summary := summaries[class]
 		name := class
--- a/lab/history/summary_test.go
+++ b/lab/history/summary_test.go
@@ -125,7 +125,7 @@
 	require.NoError(t, Plot(path, "two instances", events))
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for _, label := range []string{"two instances", "served", "refused", "cut zone:a"} {
+	for _, label := range []string{"two instances", "served", "rejected", "cut zone:a"} {
 		require.Contains(t, string(text), label)
 	}
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -89,7 +89,7 @@
 		}
 		result, err := readAnswer(decoder, call)
 		if err != nil {
-			return fmt.Errorf("caller %d, call %d: %w", client, call, err)
+			return fmt.Errorf("client %d, call %d: %w", client, call, err)
 		}
 		counts.add(result)
 	}
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -19,17 +19,31 @@
 
 // Strategies are the ones to compare. The first is the baseline.
 var Strategies = []Strategy{
-	{"off", func(*Options) {}},
-	{"cutoff, by words", func(opts *Options) { opts.Shedding, opts.Aggregates = true, false }},
-	{"cutoff, by sums", func(opts *Options) { opts.Shedding, opts.Aggregates = true, true }},
-	{"cutoff and probes", func(opts *Options) {
-		opts.Shedding, opts.Aggregates, opts.CoordinatedProbes = true, true, true
+	{StrategyOff, func(*Options) {}},
+	{"shedding by records", func(opts *Options) {
+		opts.Shedding = true
+		opts.Aggregates = false
+	}},
+	{"shedding by aggregates", func(opts *Options) {
+		opts.Shedding = true
+		opts.Aggregates = true
+	}},
+	{StrategySheddingAndProbes, func(opts *Options) {
+		opts.Shedding = true
+		opts.Aggregates = true
+		opts.CoordinatedProbes = true
 	}},
 }
 
+// Names of strategies.
+const (
+	StrategyOff               = "off"
+	StrategySheddingAndProbes = "shedding and coordinated probes"
+)
+
 // comparisonHeader names the columns of Compare.
-const comparisonHeader = "way\tworth served\tgained: least\tmedian\tmost\tof a central policy\ttries each\tlate\t" +
-	"back at 95% after: median\tmost\tnever\tcalls/s at mute stores\tin hand there\t"
+const comparisonHeader = "strategy\tvalue served\tgain: min\tmedian\tmax\tratio to optimum\tattempts per request\tlate\t" +
+	"recovery time: median\tmax\tnever\tunresponsive stores: calls/s\tmax in flight\t"
 
 // Compare simulates a fleet with each strategy and so many seeds, counted up from that of opts, on all cores. It prints a
 // line for each strategy: means over the seeds, and the least, median and most of the value that is gained over the first
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -54,12 +54,12 @@
 // requireRecovery checks the result of a strategy against that of the baseline with the same seed.
 func requireRecovery(t *testing.T, name string, result, baseline *Result) {
 	t.Helper()
-	if result.Strategy == "off" {
+	if result.Strategy == StrategyOff {
 		return
 	}
 	require.True(t, result.HasRecovered, "%s: %+v", name, result)
 	tolerance := 0.02
-	if result.Strategy == "cutoff and probes" {
+	if result.Strategy == StrategySheddingAndProbes {
 		tolerance = 0.04 // fewer calls at an unresponsive store cost some value in so small a fleet: docs/probes.md
 	}
 	require.Greater(t, result.ValueRatio, baseline.ValueRatio-tolerance, "%s: %+v", name, result)
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -123,7 +123,7 @@
 		call.end(admission.OutcomeFailed)
 	}
 	s.sim.record(history.Event{
-		Kind: history.FaultChanged, Detail: "fall of store " + zoneName(s.zone), Count: 1,
+		Kind: history.FaultChanged, Detail: "crash of store " + zoneName(s.zone), Count: 1,
 	})
 }
 
