--- a/lab/model/frontend.go
+++ b/lab/model/frontend.go
@@ -159,9 +159,14 @@
 // final reports whether a request that was not served is not tried again.
 func (f *frontEnd) final(request *request, response response) bool {
 	mayHaveRun := response.outcome != history.OutcomeRejected
-	return response.noRetryElsewhere && f.honorRetryAfter ||
-		request.class.IdempotentByKey && mayHaveRun ||
-		f.sim.now >= request.deadline()
+	switch {
+	case response.noRetryElsewhere && f.honorRetryAfter:
+		return true
+	case request.class.IdempotentByKey && mayHaveRun:
+		return true
+	default:
+		return f.sim.now >= request.deadline()
+	}
 }
 
 func valueServed(class *clients.Class, degraded bool) float64 {
--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -13,6 +13,7 @@
 	gossipReach          = 4                      // after a hop, servers that know an update for each one that did before
 	failureDetectionTime = 4 * time.Second        // until the others see that a server is down
 	aggregateInterval    = time.Second            // between the updates of a server that publishes an aggregate
+	publishTolerance     = time.Millisecond       // by which a period may be short, as ticks are
 	processNumberBits    = 32                     // of a process's run that hold the number of its server
 )
 
@@ -22,6 +23,41 @@
 	record fleet.Record
 }
 
+// publisher publishes the records of one server.
+type publisher struct {
+	updates     []update // the newest that has reached the others, and those after it
+	publishedAt time.Duration
+	sequence    uint64 // of the last record
+}
+
+// publish adds a record to the updates.
+func (p *publisher) publish(now time.Duration, record *fleet.Record) {
+	p.sequence++
+	record.Seq = p.sequence
+	p.publishedAt = now
+	p.updates = append(p.updates, update{at: now, record: *record})
+}
+
+// last returns the newest record, or nil where there is none.
+func (p *publisher) last() *fleet.Record {
+	if len(p.updates) == 0 {
+		return nil
+	}
+	return &p.updates[len(p.updates)-1].record
+}
+
+// newestAsOf returns the newest update that was published by a time, or nil. It drops older ones, so that times must
+// not decrease.
+func (p *publisher) newestAsOf(published time.Duration) *update {
+	for len(p.updates) > 1 && p.updates[1].at <= published {
+		p.updates = p.updates[1:]
+	}
+	if len(p.updates) == 0 || p.updates[0].at > published {
+		return nil
+	}
+	return &p.updates[0]
+}
+
 // gossipDelay returns how long an update takes to reach n servers.
 func gossipDelay(n int) time.Duration {
 	return gossipHopTime * time.Duration(1+math.Ceil(math.Log(float64(n))/math.Log(gossipReach)))
@@ -61,15 +97,14 @@
 
 // memberAsOf returns what the others know of the server from updates published by a time. Older ones are dropped.
 func (s *server) memberAsOf(published time.Duration) fleet.Member {
-	for len(s.updates) > 1 && s.updates[1].at <= published {
-		s.updates = s.updates[1:]
-	}
 	member := fleet.Member{
 		Record:   &fleet.Record{Name: s.name, Zone: zoneName(s.zone), Run: s.starts + 1},
 		Liveness: fleet.Unmet,
 	}
-	if len(s.updates) > 0 && s.updates[0].at <= published {
-		member.Record, member.RecordedAt, member.Liveness = &s.updates[0].record, s.updates[0].at, fleet.Alive
+	if newest := s.publisher.newestAsOf(published); newest != nil {
+		member.Record = &newest.record
+		member.RecordedAt = newest.at
+		member.Liveness = fleet.Alive
 	}
 	if !s.up && s.sim.now-s.upChangedAt > failureDetectionTime {
 		member.Liveness = fleet.Dead
@@ -84,7 +119,9 @@
 	shared := *self
 	self.Self = true
 	if self.Run != s.processRun() || self.Liveness != fleet.Alive {
-		self.Record, self.Liveness, self.RecordedAt = s.currentRecord(), fleet.Alive, s.sim.now
+		self.Record = s.currentRecord()
+		self.RecordedAt = s.sim.now
+		self.Liveness = fleet.Alive
 	}
 	use(snapshot)
 	*self = shared
@@ -97,8 +134,10 @@
 }
 
 func (s *server) addToLoad(load *fleet.Load) {
-	load.Capacity, load.Busy = float64(s.sim.opts.Cores), s.cores.Utilization()
-	load.InFlight, load.CallQuota = len(s.attempts), s.sim.settings.MaxCallsInFlight
+	load.Capacity = float64(s.sim.opts.Cores)
+	load.Busy = s.cores.Utilization()
+	load.InFlight = len(s.attempts)
+	load.CallQuota = s.sim.settings.MaxCallsInFlight
 	if s.shedding != nil {
 		load.ServiceRate = s.controller.ServiceRate()
 		s.shedding.addToLoad(load)
@@ -111,26 +150,23 @@
 // publish publishes the server's record, at once where it is urgent and else as often as the size of the fleet allows.
 func (s *server) publish() {
 	record := s.currentRecord()
-	if !s.shouldPublish(record) {
-		return
+	if s.shouldPublish(record) {
+		s.publisher.publish(s.sim.now, record)
 	}
-	s.recordSequence++
-	record.Seq, s.publishedAt = s.recordSequence, s.sim.now
-	s.updates = append(s.updates, update{at: s.sim.now, record: *record})
 }
 
 // shouldPublish reports whether a record may be published now: the period is over, or it is urgent.
 func (s *server) shouldPublish(record *fleet.Record) bool {
-	if len(s.updates) == 0 {
+	last := s.publisher.last()
+	if last == nil {
 		return true
 	}
 	period := fleet.Period(len(s.sim.servers))
 	if record.Load.Aggregate != "" {
 		period = aggregateInterval
 	}
-	if s.sim.now-s.publishedAt >= period-time.Millisecond {
+	if s.sim.now-s.publisher.publishedAt >= period-publishTolerance {
 		return true
 	}
-	last := &s.updates[len(s.updates)-1].record
 	return last.Run != record.Run || record.Urgent(last)
 }
--- a/lab/model/probing.go
+++ b/lab/model/probing.go
@@ -18,7 +18,7 @@
 }
 
 func (s *server) startProbes() {
-	s.probes, s.probeAllowance = nil, overload.ProbeUnlimited
+	s.probeAllowance = overload.ProbeUnlimited
 	if !s.sim.opts.CoordinatedProbes {
 		return
 	}
--- a/lab/model/processing.go
+++ b/lab/model/processing.go
@@ -1,7 +1,6 @@
 package model
 
 import (
-	"strconv"
 	"time"
 
 	"falldeal/admission"
@@ -18,39 +17,21 @@
 		id: s.lastAttempt, request: request, arrivedAt: s.sim.now, deadline: deadline, answer: answer,
 	}
 	s.attempts[attempt.id] = attempt
-	s.unread = append(s.unread, attempt)
+	s.cores.enqueueRead(attempt)
 	s.collectCompleted()
-	s.readNext()
+	s.cores.startReads()
 	s.cores.scheduleCompletion()
 }
 
-// readNext begins to read as many attempts at a time as there are cores.
-func (s *server) readNext() {
-	for len(s.unread) > 0 && s.reading < s.sim.opts.Cores {
-		attempt := s.unread[0]
-		s.unread = s.unread[1:]
-		s.reading++
-		readWork := time.Duration(history.ReadCostRatio * float64(s.sim.meanWork))
-		s.addCoreTask("r"+strconv.FormatUint(uint64(attempt.id), 10), attempt, readWork)
-	}
-}
-
-func (s *server) addCoreTask(name string, attempt *attempt, work time.Duration) {
-	s.coreTasks[name] = attempt
-	s.cores.Add(name, work)
-}
-
 // collectCompleted takes what was read and what has run from the cores.
 func (s *server) collectCompleted() {
 	for _, name := range s.cores.Advance(s.sim.now) {
-		attempt := s.coreTasks[name]
-		delete(s.coreTasks, name)
+		attempt := s.cores.take(name)
 		if attempt.state != attemptReading {
 			s.finish(attempt, admission.OutcomeOK)
 			continue
 		}
-		s.reading--
-		s.readNext()
+		s.cores.readCompleted()
 		s.submit(attempt)
 	}
 }
@@ -89,7 +70,7 @@
 // run has the cores work on an attempt.
 func (s *server) run(attempt *attempt) {
 	attempt.state = attemptRunning
-	s.addCoreTask(strconv.FormatUint(uint64(attempt.id), 10), attempt, attempt.request.work)
+	s.cores.run(attempt)
 }
 
 // finish ends the run of an attempt.
--- a/lab/model/scheduled_pool.go
+++ b/lab/model/scheduled_pool.go
@@ -15,10 +15,15 @@
 	nextCompletionAt time.Duration
 }
 
+// hasScheduledBy reports whether a completion is scheduled that is still to come and not after a time.
+func (p *scheduledPool) hasScheduledBy(at time.Duration) bool {
+	return p.nextCompletionAt > p.sim.now && p.nextCompletionAt <= at
+}
+
 // scheduleCompletion schedules the next completion. The owner calls it after each change of the pool.
 func (p *scheduledPool) scheduleCompletion() {
 	at, ok := p.NextCompletion()
-	if !ok || p.nextCompletionAt > p.sim.now && p.nextCompletionAt <= at {
+	if !ok || p.hasScheduledBy(at) {
 		return
 	}
 	p.nextCompletionAt = at
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -9,10 +9,9 @@
 	"falldeal/admission"
 	"falldeal/internal/overload"
 	"falldeal/lab/history"
-	"falldeal/lab/workerpool"
 )
 
-// server is one image server with its agent. All but its identity and its updates belongs to the process that runs now.
+// server is one image server with its agent.
 type server struct {
 	sim          *Simulation
 	number, zone int
@@ -20,25 +19,24 @@
 	starts       uint64 // of its process so far
 	up           bool
 	upChangedAt  time.Duration
+	publisher    publisher           // of its records, also of those of earlier processes
+	lastAttempt  admission.RequestID // of all processes
 
+	process // the one that runs now, or the last one
+}
+
+// process is one process of a server, with its agent.
+type process struct {
 	controller     *admission.Controller
 	healthy        bool // as the controller reports it
 	pendingEvents  []admission.Event
 	stepScheduled  bool
 	actions        []admission.Action // reused from step to step
 	attempts       map[admission.RequestID]*attempt
-	lastAttempt    admission.RequestID
-	cores          *scheduledPool
-	coreTasks      map[string]*attempt // by their names in cores
-	unread         []*attempt          // not begun to be read
-	reading        int
+	cores          *agentCores
 	shedding       *shedding                  // nil where it is off
 	probes         *overload.ProbeCoordinator // nil where they are not coordinated
 	probeAllowance overload.ProbeAllowance    // in force at the controller
-
-	updates        []update // the newest that has reached the others, and those after it
-	publishedAt    time.Duration
-	recordSequence uint64
 }
 
 func newServer(sim *Simulation, number int) *server {
@@ -48,47 +46,37 @@
 // start starts a process.
 func (s *server) start(warmingUp bool) {
 	s.starts++
-	s.up, s.upChangedAt, s.healthy = true, s.sim.now, true
+	s.up = true
+	s.upChangedAt = s.sim.now
 	settings := s.sim.settings
 	settings.WarmingUp = warmingUp
 	controller, err := admission.New(settings, s.sim.opts.Seed+uint64(s.number), s.sim.now)
 	if err != nil {
 		panic(err) // the settings are this package's own
 	}
-	s.controller, s.pendingEvents, s.stepScheduled = controller, nil, false
-	s.cores = s.newCores(warmingUp)
-	s.coreTasks = map[string]*attempt{}
-	s.attempts = map[admission.RequestID]*attempt{}
-	s.unread, s.reading = nil, 0
+	s.process = process{
+		controller: controller,
+		healthy:    true,
+		attempts:   map[admission.RequestID]*attempt{},
+		cores:      s.newCores(warmingUp),
+	}
 	s.startShedding()
 	s.startProbes()
 	s.every(publishInterval, s.publish)
 	s.step()
 }
 
-func (s *server) newCores(warmingUp bool) *scheduledPool {
-	curve := workerpool.Curve{
-		Workers: s.sim.opts.Cores, Speed: coreSpeed(s.number), Knee: 2,
-		SlowdownPerExcess: 0.1, MinSpeedRatio: 0.4, WarmupStartRatio: 0.25,
-	}
-	if warmingUp {
-		curve.WarmupTime = s.sim.opts.WarmupTime
-	}
-	return &scheduledPool{
-		Pool: workerpool.NewPool(curve, s.sim.now), sim: s.sim, schedule: s.schedule, collect: s.collectCompleted,
-	}
-}
-
 // kill ends the process: calls are dropped and connections lost.
 func (s *server) kill() {
-	s.up, s.upChangedAt = false, s.sim.now
+	s.up = false
+	s.upChangedAt = s.sim.now
 	for _, attempt := range s.attempts {
 		attempt.dropCall()
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.attempts)) { // the order of a map would differ from run to run
 		s.attempts[id].respond(response{outcome: history.OutcomeLost})
 	}
-	s.attempts, s.unread = nil, nil
+	s.attempts = nil
 }
 
 // schedule has something done at a time if the process of now still runs then.
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -25,7 +25,6 @@
 }
 
 func (s *server) startShedding() {
-	s.shedding = nil
 	if !s.sim.opts.Shedding {
 		return
 	}
@@ -55,7 +54,8 @@
 func (s *shedding) addToLoad(load *fleet.Load) {
 	demand := s.shedder.Demand()
 	load.Demand = string(demand.Append(nil))
-	load.Attempts, load.RetryRatio = s.retries.AttemptRate(), s.retries.RetryRatio()
+	load.Attempts = s.retries.AttemptRate()
+	load.RetryRatio = s.retries.RetryRatio()
 	load.Threshold = s.shedder.Threshold().Priority
 	load.Aggregate = s.collector.Published()
 }
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -10,10 +10,10 @@
 	"falldeal/lab/history"
 )
 
-// Times of the model, as measured with real processes and the schedules of the membership.
+// Times and random streams of the model.
 const (
 	networkDelay         = time.Millisecond // from a front end to a server, between servers, and back
-	loadRampTime         = 5 * time.Second  // until the load is whole, for the controllers to learn from some of it first
+	loadRampTime         = 5 * time.Second  // until the load is at its full rate, so that the controllers can learn before
 	initialLoadRatio     = 0.2
 	startSpread          = 100 * time.Millisecond // within which the servers start
 	firstArrivalsAt      = 500 * time.Millisecond
@@ -30,7 +30,7 @@
 type Simulation struct {
 	opts      Options
 	settings  admission.Settings // of every controller
-	meanWork  time.Duration      // of a request
+	readWork  time.Duration      // of one attempt
 	now       time.Duration
 	queue     eventQueue
 	rand      *rand.Rand
@@ -44,8 +44,9 @@
 // Run simulates a fleet and returns the history.
 func Run(opts Options) []history.Event {
 	sim := &Simulation{
-		opts: opts, settings: admissionSettings(&opts), meanWork: meanWork(opts.Classes),
-		rand: rand.New(rand.NewPCG(opts.Seed, simulationRandStream)),
+		opts: opts, settings: admissionSettings(&opts),
+		readWork: time.Duration(history.ReadCostRatio * float64(meanWork(opts.Classes))),
+		rand:     rand.New(rand.NewPCG(opts.Seed, simulationRandStream)),
 	}
 	sim.addStores()
 	sim.addServers()
