--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -38,7 +38,7 @@
 	offset  int           // number of the last notification
 	backlog []notification
 	runs    map[string]*run // by request, including completed ones
-	timer   *time.Timer     // fires when the next work in Cores completes
+	timer   completionTimer // of Cores
 
 	readQueue   []*pendingRead
 	activeReads map[string]*pendingRead // by their identifier in Cores
--- a/lab/fakes/agent_cores.go
+++ b/lab/fakes/agent_cores.go
@@ -67,17 +67,5 @@
 
 // scheduleAdvance sets the timer to the next completion in the pool.
 func (a *Agent) scheduleAdvance() {
-	if a.timer != nil {
-		a.timer.Stop()
-	}
-	at, ok := a.Cores.NextCompletion()
-	if !ok {
-		return
-	}
-	a.timer = time.AfterFunc(at-a.Now(), func() {
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		a.advance()
-		a.scheduleAdvance()
-	})
+	a.timer.schedule(&a.mu, a.Cores, a.Now, a.advance)
 }
--- a/lab/fakes/store.go
+++ b/lab/fakes/store.go
@@ -28,7 +28,7 @@
 	mu           sync.Mutex
 	inFlight     map[string]replyFunc // by identifier in Slots
 	hangingCalls int                  // that an unresponsive store holds
-	timer        *time.Timer          // fires when the next call in Slots completes
+	timer        completionTimer      // of Slots
 }
 
 // replyFunc writes the reply to one call. It may be called from any goroutine.
@@ -146,19 +146,7 @@
 
 // scheduleAdvance sets the timer to the next completion in the slots.
 func (s *Store) scheduleAdvance() {
-	if s.timer != nil {
-		s.timer.Stop()
-	}
-	at, ok := s.Slots.NextCompletion()
-	if !ok {
-		return
-	}
-	s.timer = time.AfterFunc(at-s.Now(), func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.advance()
-		s.scheduleAdvance()
-	})
+	s.timer.schedule(&s.mu, s.Slots, s.Now, s.advance)
 }
 
 // storeCall is one call of an image server.
