--- a/lab/faults/endpoint.go
+++ b/lab/faults/endpoint.go
@@ -43,7 +43,7 @@
 	_ = e.udp.SetReadBuffer(udpReadBuffer) // a smaller one loses more datagrams, as a busy machine does
 	var config net.ListenConfig
 	config.SetMultipathTCP(false) // sockets of multipath TCP take no filter
-	listener, err := config.Listen(e.relay.ctx, "tcp", advertised)
+	listener, err := config.Listen(context.Background(), "tcp", advertised)
 	if err != nil {
 		closeQuietly(e.udp)
 		return err
@@ -57,7 +57,7 @@
 	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, source, err := e.udp.ReadFromUDPAddrPort(buffer)
-		if e.relay.ctx.Err() != nil {
+		if e.relay.closed.Load() {
 			return
 		}
 		if err != nil {
@@ -116,10 +116,10 @@
 		reset()
 		return
 	}
-	defer context.AfterFunc(e.relay.ctx, func() {
-		closeQuietly(inbound)
-		closeQuietly(outbound)
-	})()
+	e.relay.track(inbound)
+	defer e.relay.untrack(inbound)
+	e.relay.track(outbound)
+	defer e.relay.untrack(outbound)
 	request := streamCopy{relay: e.relay, from: inbound, to: outbound, sender: from, receiver: e.name, reset: reset}
 	response := streamCopy{relay: e.relay, from: outbound, to: inbound, sender: e.name, receiver: from, reset: reset}
 	var directions sync.WaitGroup
--- a/lab/faults/relay.go
+++ b/lab/faults/relay.go
@@ -9,7 +9,6 @@
 package faults
 
 import (
-	"context"
 	"encoding/binary"
 	"errors"
 	"io"
@@ -30,8 +29,7 @@
 
 // Relay passes traffic between processes by rules. Its methods may be called from any goroutine.
 type Relay struct {
-	ctx     context.Context // until Close
-	cancel  context.CancelFunc
+	closed  atomic.Bool
 	loops   sync.WaitGroup // of the endpoints' sockets
 	pending atomic.Int64   // delayed datagrams
 
@@ -40,18 +38,17 @@
 	rule      func(from, to string) Rule
 	names     map[netip.Addr]string // of processes, by real address
 	endpoints []*endpoint
+	conns     map[net.Conn]struct{} // of open streams
 }
 
 // NewRelay returns a relay without processes and faults, which draws losses and delays from seed. The caller closes
 // it.
 func NewRelay(seed uint64) *Relay {
-	ctx, cancel := context.WithCancel(context.Background())
 	return &Relay{
-		ctx:    ctx,
-		cancel: cancel,
-		rand:   rand.New(rand.NewPCG(seed, randStream)),
-		rule:   func(string, string) Rule { return Rule{} },
-		names:  map[netip.Addr]string{},
+		rand:  rand.New(rand.NewPCG(seed, randStream)),
+		rule:  func(string, string) Rule { return Rule{} },
+		names: map[netip.Addr]string{},
+		conns: map[net.Conn]struct{}{},
 	}
 }
 
@@ -101,16 +98,35 @@
 
 // Close closes all sockets and ends what the relay carries. Streams in a delay end after it.
 func (r *Relay) Close() {
-	r.cancel()
+	r.closed.Store(true)
 	r.mu.Lock()
 	for _, e := range r.endpoints {
 		closeQuietly(e.udp)
 		closeQuietly(e.tcp)
 	}
+	for conn := range r.conns {
+		closeQuietly(conn)
+	}
 	r.mu.Unlock()
 	r.loops.Wait()
 }
 
+// track has Close close a connection, until untrack; a relay that is closed already does so at once.
+func (r *Relay) track(conn net.Conn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.conns[conn] = struct{}{}
+	if r.closed.Load() {
+		closeQuietly(conn)
+	}
+}
+
+func (r *Relay) untrack(conn net.Conn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.conns, conn)
+}
+
 // senderOf returns the name of the process with a source address; "" if there is none.
 func (r *Relay) senderOf(source netip.Addr) string {
 	r.mu.Lock()
--- a/lab/faults/stream.go
+++ b/lab/faults/stream.go
@@ -56,7 +56,7 @@
 			time.Sleep(streamInterval)
 			part = min(part, int(float64(rule.BytesPerSecond)*streamInterval.Seconds())+1)
 		}
-		if s.relay.ctx.Err() != nil {
+		if s.relay.closed.Load() {
 			return false
 		}
 		if rule.Partition {
