--- a/lab/clients/attempt.go
+++ b/lab/clients/attempt.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"falldeal/lab/frontrpc"
 	"falldeal/lab/history"
 )
 
@@ -26,66 +27,70 @@
 		return answer{outcome: history.OutcomeUnreachable}
 	}
 	pending.attempts++
-	id := fmt.Sprintf("%016x", attemptIDs.Add(1))
-	fields := f.fields(pending, id)
+	message := f.message(pending)
 	f.log.Add(history.Event{
 		Kind:           history.AttemptSent,
-		AttemptID:      id,
+		AttemptID:      message.ID,
 		Class:          pending.class.Name,
 		Server:         target.Name,
 		Client:         f.number,
 		Deadline:       pending.deadline(),
-		IdempotencyKey: fields[fieldIdempotencyKey],
+		IdempotencyKey: message.IdempotencyKey,
 	})
-	if f.workload.ReadRequest != nil {
-		if read := f.workload.ReadRequest(target.Name); read != nil {
-			if !f.awaitRead(read, pending.deadline()) {
-				f.logAbandoned(id, target, history.DetailUnread)
-				return answer{outcome: history.OutcomeAbandoned}
-			}
-			conn = f.redial(target, conn)
+	if read := f.startRead(target); read != nil {
+		if !f.awaitRead(read, pending.deadline()) {
+			f.logAbandoned(message.ID, target, history.DetailUnread)
+			return answer{outcome: history.OutcomeAbandoned}
 		}
+		conn = f.redial(target, conn)
 	}
-	// The fake agent takes the work of the request from its body.
-	answers, ok := conn.send(pending.class.Name, fields, []byte(strconv.FormatInt(int64(pending.work), 10)))
+	answers, ok := conn.send(message)
 	if !ok {
 		f.forget(target, conn)
-		f.logAnswer(id, target, history.OutcomeLost)
+		f.logAnswer(message.ID, target, history.OutcomeLost)
 		return answer{outcome: history.OutcomeLost}
 	}
 	if f.workload.AttemptCompleted != nil {
-		defer f.workload.AttemptCompleted(target.Name, id)
+		defer f.workload.AttemptCompleted(target.Name, message.ID)
 	}
-	return f.awaitAnswer(pending, target, conn, id, answers)
+	return f.awaitAnswer(pending, target, conn, message.ID, answers)
 }
 
-// Fields of a request by which its server tells repeated ones apart; see the protocol page.
-const (
-	fieldIdempotencyKey = "once"
-	fieldSubject        = "key"
-)
+// requestMemoryKB is the memory that a request claims to take.
+const requestMemoryKB = 24
 
-// fields are the named fields of a request on the wire.
-func (f *frontEnd) fields(pending *request, id string) map[string]string {
+// message returns the message of a new attempt. Its body is the work of the request, which the fake agent takes from
+// there.
+func (f *frontEnd) message(pending *request) *frontrpc.Request {
 	remaining := pending.deadline() - f.log.Now()
-	fields := map[string]string{
-		"id":   id,
-		"from": strconv.Itoa(f.number),
-		"kb":   "24.0",
-		"rank": fmt.Sprintf("%.4f", pending.rank),
-		"at":   strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"wait": strconv.FormatInt(max(remaining.Milliseconds(), 1), 10),
-		"cost": strconv.FormatFloat(float64(pending.work)/float64(time.Millisecond), 'f', 2, 64),
+	message := &frontrpc.Request{
+		Class:    pending.class.Name,
+		ID:       fmt.Sprintf("%016x", attemptIDs.Add(1)),
+		Client:   f.number,
+		MemoryKB: requestMemoryKB,
+		Rank:     pending.rank,
+		SentAt:   time.Now(),
+		Timeout:  max(remaining, time.Millisecond),
+		CostHint: pending.work,
+		Body:     []byte(strconv.FormatInt(int64(pending.work), 10)),
 	}
 	if pending.class.IdempotentByKey {
-		fields[fieldIdempotencyKey] = pending.idempotencyKey
+		message.IdempotencyKey = pending.idempotencyKey
 	} else {
-		fields[fieldSubject] = fmt.Sprintf("%016x", pending.key)
+		message.Subject = fmt.Sprintf("%016x", pending.key)
+	}
+	return message
+}
+
+// startRead has a server begin to read a request. The channel is closed when it has; nil: there is nothing to wait for.
+func (f *frontEnd) startRead(target Server) <-chan struct{} {
+	if f.workload.ReadRequest == nil {
+		return nil
 	}
-	return fields
+	return f.workload.ReadRequest(target.Name)
 }
 
-// awaitRead waits until the server has read a request, and reports whether it has by the deadline.
+// awaitRead waits until a server has read a request, and reports whether it has by the deadline.
 func (f *frontEnd) awaitRead(read <-chan struct{}, deadline time.Duration) bool {
 	select {
 	case <-read:
--- a/lab/clients/conn.go
+++ b/lab/clients/conn.go
@@ -3,11 +3,11 @@
 import (
 	"bufio"
 	"net"
-	"strconv"
 	"sync"
 	"time"
 
 	"falldeal/lab/fakes"
+	"falldeal/lab/frontrpc"
 	"falldeal/lab/history"
 
 	"github.com/vmihailenco/msgpack/v5"
@@ -16,13 +16,6 @@
 const (
 	maxPending  = 32 // requests on one connection (protocol)
 	dialTimeout = time.Second
-
-	requestType           = 0 // of a MessagePack-RPC message
-	notificationParts     = 3 // elements of a MessagePack-RPC notification
-	responseParts         = 4 // elements of a MessagePack-RPC response
-	errorOverloaded       = "Overloaded"
-	fieldRetryAfterMillis = "after"
-	fieldNoRetry          = "last"
 )
 
 // serverConn is a connection to a server, shared by the requests of one front end. A goroutine of its own reads the
@@ -91,7 +84,7 @@
 
 // send writes a request. The channel delivers its answer, or is closed with the connection. It returns false if the
 // connection has ended.
-func (c *serverConn) send(method string, fields map[string]string, body []byte) (<-chan answer, bool) {
+func (c *serverConn) send(request *frontrpc.Request) (<-chan answer, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
@@ -100,7 +93,7 @@
 	c.lastCall++
 	answers := make(chan answer, 1)
 	c.pending[c.lastCall] = answers
-	if err := c.write(method, fields, body); err != nil {
+	if err := c.write(request); err != nil {
 		delete(c.pending, c.lastCall)
 		c.conn.Close()
 		return nil, false
@@ -108,11 +101,11 @@
 	return answers, true
 }
 
-func (c *serverConn) write(method string, fields map[string]string, body []byte) error {
+func (c *serverConn) write(request *frontrpc.Request) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(dialTimeout)); err != nil {
 		return err
 	}
-	if err := c.encoder.Encode([]any{requestType, c.lastCall, method, []any{fields, body}}); err != nil {
+	if err := request.Encode(c.encoder, c.lastCall); err != nil {
 		return err
 	}
 	return c.writer.Flush()
@@ -129,9 +122,9 @@
 		}
 		drained := false
 		switch len(message) {
-		case notificationParts: // the only one is closing
+		case frontrpc.NotificationParts: // the only one is closing
 			drained = c.startClosing()
-		case responseParts:
+		case frontrpc.ResponseParts:
 			drained = c.complete(callNumber(message[1]), parseAnswer(message[2], message[3]))
 		default:
 			return
@@ -201,23 +194,13 @@
 	if failure == nil {
 		return answer{outcome: history.OutcomeServed, degraded: isDegraded(result)}
 	}
-	list, ok := failure.([]any)
-	if !ok || len(list) == 0 || list[0] != errorOverloaded {
+	parsed, ok := frontrpc.ParseFailure(failure)
+	if !ok || parsed.Name != frontrpc.ErrorOverloaded {
 		return answer{outcome: history.OutcomeFailed}
 	}
-	rejected := answer{outcome: history.OutcomeRejected}
-	if len(list) == 1 {
-		return rejected
-	}
-	fields, ok := list[1].(map[string]any)
-	if !ok {
-		return rejected
+	return answer{
+		outcome: history.OutcomeRejected, retryAfter: parsed.RetryAfter, noRetry: parsed.NoRetryElsewhere,
 	}
-	rejected.noRetry = fields[fieldNoRetry] == "1"
-	if text, ok := fields[fieldRetryAfterMillis].(string); ok {
-		rejected.retryAfter = parseMillis(text)
-	}
-	return rejected
 }
 
 // isDegraded reports whether a result is that of a run without its call.
@@ -229,12 +212,3 @@
 	body, ok := list[0].([]byte)
 	return ok && string(body) == fakes.DegradedResult
 }
-
-// parseMillis reads a number of milliseconds; 0 where there is none.
-func parseMillis(text string) time.Duration {
-	millis, err := strconv.ParseFloat(text, 64)
-	if err != nil {
-		return 0
-	}
-	return time.Duration(millis * float64(time.Millisecond))
-}
--- /dev/null
+++ b/lab/frontrpc/frontrpc.go
@@ -0,0 +1,83 @@
+// Package frontrpc has the messages between front ends and image servers (MessagePack-RPC), as the protocol page
+// describes them, for load generators. Its codec is a library's and not that of the server, so that each checks the
+// other.
+package frontrpc
+
+import (
+	"fmt"
+	"strconv"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// Types of messages, and how many elements they have.
+const (
+	RequestType  = 0
+	ResponseType = 1
+
+	NotificationParts = 3
+	ResponseParts     = 4
+)
+
+// ErrorOverloaded is the name of the error that rejects a request.
+const ErrorOverloaded = "Overloaded"
+
+// Fields of requests, as they stand on the wire.
+const (
+	fieldID             = "id"
+	fieldClient         = "from"
+	fieldMemoryKB       = "kb"
+	fieldRank           = "rank"
+	fieldSentAt         = "at"
+	fieldTimeout        = "wait"
+	fieldCostHint       = "cost"
+	fieldIdempotencyKey = "once"
+	fieldSubject        = "key"
+)
+
+// Request is a request of a front end. It has an idempotency key or a subject.
+type Request struct {
+	Class          string
+	ID             string
+	Client         int // number of the front end
+	MemoryKB       float64
+	Rank           float64
+	SentAt         time.Time
+	Timeout        time.Duration
+	CostHint       time.Duration // processor time
+	IdempotencyKey string        // empty: none
+	Subject        string
+	Body           []byte
+}
+
+// Encode writes the request as the call of that number.
+func (r *Request) Encode(encoder *msgpack.Encoder, call uint32) error {
+	err := encoder.Encode([]any{RequestType, call, r.Class, []any{r.fields(), r.Body}})
+	if err != nil {
+		return fmt.Errorf("encode request %s: %w", r.ID, err)
+	}
+	return nil
+}
+
+func (r *Request) fields() map[string]string {
+	fields := map[string]string{
+		fieldID:       r.ID,
+		fieldClient:   strconv.Itoa(r.Client),
+		fieldMemoryKB: strconv.FormatFloat(r.MemoryKB, 'f', 1, 64),
+		fieldRank:     strconv.FormatFloat(r.Rank, 'f', 4, 64),
+		fieldSentAt:   strconv.FormatInt(r.SentAt.UnixMilli(), 10),
+		fieldTimeout:  strconv.FormatInt(r.Timeout.Milliseconds(), 10),
+		fieldCostHint: formatMillis(r.CostHint),
+	}
+	if r.IdempotencyKey != "" {
+		fields[fieldIdempotencyKey] = r.IdempotencyKey
+	} else {
+		fields[fieldSubject] = r.Subject
+	}
+	return fields
+}
+
+func formatMillis(duration time.Duration) string {
+	return strconv.FormatFloat(float64(duration)/float64(time.Millisecond), 'f', 2, 64)
+}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,5 +1,4 @@
-// Package load generates a closed-loop load on one image server over MessagePack-RPC, as the protocol page describes
-// front ends. Its codec is a library's and not that of the server, so that each checks the other.
+// Package load generates a closed-loop load on one image server over MessagePack-RPC, as package frontrpc has it.
 package load
 
 import (
--- a/lab/load/rpc.go
+++ b/lab/load/rpc.go
@@ -4,20 +4,18 @@
 	"errors"
 	"fmt"
 	"slices"
-	"strconv"
 	"sync/atomic"
 	"time"
 
+	"falldeal/lab/frontrpc"
+
 	"github.com/vmihailenco/msgpack/v5"
 )
 
 const (
-	requestType     = 0 // of a MessagePack-RPC message
-	responseType    = 1
-	responseParts   = 4 // elements of a response
-	errorOverloaded = "Overloaded"
-
-	subjectKeys = 1000 // different keys of requests without an idempotency key
+	subjectKeys     = 1000 // different keys of requests without an idempotency key
+	requestMemoryKB = 4    // that a request claims to take
+	requestRank     = 0.5
 )
 
 // attemptIDs numbers requests, unique within a process. It starts at another number in each, so that the requests of
@@ -29,21 +27,23 @@
 func (p *Plan) writeRequest(encoder *msgpack.Encoder, client int, call uint32) error {
 	class := p.Classes[int(call)%len(p.Classes)]
 	id := attemptIDs.Add(1)
-	fields := map[string]string{
-		"id":   fmt.Sprintf("%016x", id),
-		"from": strconv.Itoa(client),
-		"kb":   "4.0",
-		"rank": "0.5",
-		"at":   strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"wait": strconv.FormatInt(p.Timeout.Milliseconds(), 10),
-		"cost": strconv.FormatFloat(float64(p.CostHint)/float64(time.Millisecond), 'f', 2, 64),
+	message := frontrpc.Request{
+		Class:    class,
+		ID:       fmt.Sprintf("%016x", id),
+		Client:   client,
+		MemoryKB: requestMemoryKB,
+		Rank:     requestRank,
+		SentAt:   time.Now(),
+		Timeout:  p.Timeout,
+		CostHint: p.CostHint,
+		Body:     make([]byte, p.BodyBytes),
 	}
 	if slices.Contains(p.IdempotentClasses, class) {
-		fields["once"] = fmt.Sprintf("%032x", id)
+		message.IdempotencyKey = fmt.Sprintf("%032x", id)
 	} else {
-		fields["key"] = fmt.Sprintf("%016x", id%subjectKeys)
+		message.Subject = fmt.Sprintf("%016x", id%subjectKeys)
 	}
-	return encoder.Encode([]any{requestType, call, class, []any{fields, make([]byte, p.BodyBytes)}})
+	return message.Encode(encoder, call)
 }
 
 // outcome is how a request ended.
@@ -85,11 +85,11 @@
 	if failure == nil {
 		return outcomeServed, nil
 	}
-	list, ok := failure.([]any)
-	if !ok || len(list) == 0 {
+	parsed, ok := frontrpc.ParseFailure(failure)
+	if !ok {
 		return outcomeFailed, fmt.Errorf("%w: error %.80v", errUnexpectedAnswer, failure)
 	}
-	if list[0] == errorOverloaded {
+	if parsed.Name == frontrpc.ErrorOverloaded {
 		return outcomeRejected, nil
 	}
 	return outcomeFailed, nil
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	if parts != responseParts || kind != responseType || id != call {
+	if parts != frontrpc.ResponseParts || kind != frontrpc.ResponseType || id != call {
 		return fmt.Errorf("%w: %d parts, kind %d, id %d", errUnexpectedAnswer, parts, kind, id)
 	}
 	return nil
