--- a/lab/clients/clients.go
+++ b/lab/clients/clients.go
@@ -13,18 +13,6 @@
 	"falldeal/lab/history"
 )
 
-// Class is one class of requests.
-type Class struct {
-	Name               string
-	ArrivalRatio       float64       // of all requests
-	MeanWork           time.Duration // on one core
-	Timeout            time.Duration // after which the client gives up
-	LatencyObjective   time.Duration // after which an answer has no value
-	Value              float64       // of a request served in full
-	DegradedValueRatio float64       // of Value, where the request is served without its call
-	IdempotentByKey    bool          // a request carries an idempotency key and must run once
-}
-
 // Policy is how a front end chooses servers and retries.
 type Policy struct {
 	RouteByKey      bool // by a hash of the request's key; else round robin
--- a/lab/clients/frontend.go
+++ b/lab/clients/frontend.go
@@ -69,10 +69,10 @@
 
 // drawRequest draws request n of this front end.
 func (f *frontEnd) drawRequest(n int, arrival time.Duration) *request {
-	class := f.drawClass()
+	class := &f.workload.Classes[DrawClass(f.workload.Classes, f.rand)]
 	return &request{
 		class:          class,
-		work:           time.Duration(float64(class.MeanWork) * (0.5 + f.rand.ExpFloat64()/2)),
+		work:           class.DrawWork(f.rand),
 		rank:           f.rand.Float64(),
 		key:            f.rand.IntN(f.workload.KeyCount),
 		arrival:        arrival,
@@ -80,66 +80,61 @@
 	}
 }
 
-func (f *frontEnd) drawClass() *Class {
-	x := f.rand.Float64()
-	for i := range f.workload.Classes {
-		class := &f.workload.Classes[i]
-		if x -= class.ArrivalRatio; x < 0 {
-			return class
-		}
-	}
-	return &f.workload.Classes[0]
-}
-
 // serve attempts a request until it is served, its client gives up or the policy allows no further attempt.
 func (f *frontEnd) serve(pending *request) {
-	outcome, value := history.OutcomeRejected, 0.0
+	result := f.attemptUntilFinal(pending)
+	f.log.Add(history.Event{
+		Kind:        history.RequestCompleted,
+		Class:       pending.class.Name,
+		Detail:      string(result.outcome),
+		Count:       pending.attempts,
+		Latency:     f.log.Now() - pending.arrival,
+		Value:       pending.class.Value,
+		ValueServed: result.value,
+		Work:        pending.work,
+		Client:      f.number,
+	})
+}
+
+// requestResult is how a request ended, over all its attempts.
+type requestResult struct {
+	outcome history.Outcome
+	value   float64 // served
+}
+
+// attemptUntilFinal makes attempts until the result of a request is final.
+func (f *frontEnd) attemptUntilFinal(pending *request) requestResult {
+	result := requestResult{outcome: history.OutcomeRejected}
 	for {
 		target, ok := f.choose(pending)
 		if !ok {
 			time.Sleep(retryPause)
 			if f.log.Now() >= pending.deadline() {
-				break
+				return result
 			}
 			continue
 		}
 		reply := f.attempt(pending, target)
-		outcome = reply.outcome
-		if outcome == history.OutcomeServed {
-			outcome, value = f.rate(pending, reply)
-			break
+		if reply.outcome == history.OutcomeServed {
+			return f.rate(pending, reply)
 		}
-		if outcome == history.OutcomeUnreachable {
+		result.outcome = reply.outcome
+		if reply.outcome == history.OutcomeUnreachable {
 			time.Sleep(retryPause)
 		}
 		if !f.mayRetry(pending, reply) {
-			break
+			return result
 		}
 		f.backOff(target, reply.retryAfter)
 	}
-	f.log.Add(history.Event{
-		Kind:        history.RequestCompleted,
-		Class:       pending.class.Name,
-		Detail:      string(outcome),
-		Count:       pending.attempts,
-		Latency:     f.log.Now() - pending.arrival,
-		Value:       pending.class.Value,
-		ValueServed: value,
-		Work:        pending.work,
-		Client:      f.number,
-	})
 }
 
-// rate returns whether a served request counts as served or late, and its value.
-func (f *frontEnd) rate(served *request, reply answer) (history.Outcome, float64) {
+// rate returns the result of a served request, which may be late.
+func (f *frontEnd) rate(served *request, reply answer) requestResult {
 	if f.log.Now()-served.arrival > served.class.LatencyObjective {
-		return history.OutcomeLate, 0
-	}
-	value := served.class.Value
-	if reply.degraded {
-		value *= served.class.DegradedValueRatio
+		return requestResult{outcome: history.OutcomeLate}
 	}
-	return history.OutcomeServed, value
+	return requestResult{outcome: history.OutcomeServed, value: served.class.ValueServed(reply.degraded)}
 }
 
 // mayRetry reports whether another attempt is allowed and makes sense. A request that is idempotent by key may have
--- a/lab/fleetlab/dependencies.go
+++ b/lab/fleetlab/dependencies.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"falldeal/lab/clients"
 	"falldeal/lab/fakes"
 	"falldeal/lab/history"
 	"falldeal/lab/workerpool"
@@ -45,7 +46,6 @@
 
 func (l *Lab) newStore(zone string) *fakes.Store {
 	slots := l.options.Slots
-	curve := workerpool.Curve{Workers: slots, Speed: 1, Knee: 1, SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3}
 	log := func(kind history.Kind) func(id string, inFlight int) {
 		return func(id string, inFlight int) {
 			l.Log.Add(history.Event{Kind: kind, AttemptID: id, Server: zone, Count: inFlight})
@@ -54,7 +54,7 @@
 	return &fakes.Store{
 		Now:      l.Log.Now,
 		CallWork: l.options.CallTime,
-		Slots:    workerpool.NewPool(curve, l.Log.Now()),
+		Slots:    workerpool.NewPool(workerpool.StoreCurve(slots), l.Log.Now()),
 		Crash: workerpool.CrashModel{
 			MaxInFlight: storeCrashMultiple * slots,
 			Tolerance:   storeCrashTolerance,
@@ -68,14 +68,7 @@
 // newAgent returns the fake agent of a member's next process. Only the first one starts warmed up.
 func (m *Member) newAgent() *fakes.Agent {
 	log := m.lab.Log
-	curve := workerpool.Curve{
-		Workers:           m.lab.options.Cores,
-		Speed:             coreSpeed(m.number),
-		Knee:              2,
-		SlowdownPerExcess: 0.1,
-		MinSpeedRatio:     0.4,
-		WarmupStartRatio:  0.25,
-	}
+	curve := workerpool.AgentCurve(m.lab.options.Cores, workerpool.CoreSpeed(m.number))
 	state := "steady"
 	if m.starts > 0 {
 		state = "booting"
@@ -110,28 +103,11 @@
 	return plan
 }
 
-// coreSpeed is the speed of the cores of member i: there are two kinds of machines.
-func coreSpeed(i int) float64 { return []float64{1, 0.7}[i%2] }
-
 // TotalCores is the work that all agents together do in a second, in seconds on a core of speed 1.
-func (l *Lab) TotalCores() (cores float64) {
-	for i := range l.Members {
-		cores += float64(l.options.Cores) * coreSpeed(i)
-	}
-	return cores
-}
+func (l *Lab) TotalCores() float64 { return workerpool.TotalCores(len(l.Members), l.options.Cores) }
 
 // Capacity is how many requests a second all agents together can read and run, without calls.
-func (l *Lab) Capacity() float64 {
-	return l.TotalCores() / ((1 + history.ReadCostRatio) * l.meanWork().Seconds())
-}
-
-func (l *Lab) meanWork() (work time.Duration) {
-	for _, c := range l.options.Classes {
-		work += time.Duration(c.ArrivalRatio * float64(c.MeanWork))
-	}
-	return work
-}
+func (l *Lab) Capacity() float64 { return clients.Capacity(l.TotalCores(), l.options.Classes) }
 
 // ReadRequest has the agent of a member read a request; the channel is closed when it has been read. Nil: the member
 // has no process.
@@ -140,8 +116,7 @@
 	if agent == nil {
 		return nil
 	}
-	work := time.Duration(history.ReadCostRatio * float64(l.meanWork()))
-	return agent.ReadRequest(work, l.options.Cores)
+	return agent.ReadRequest(clients.ReadWork(l.options.Classes), l.options.Cores)
 }
 
 // CompleteAttempt informs the agent of a member that an attempt has its answer or is abandoned.
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -71,12 +71,7 @@
 	for i, strategy := range strategies {
 		for seed := range seeds {
 			group.Go(func() error {
-				simulated := opts
-				simulated.Seed = opts.Seed + uint64(seed)
-				strategy.Set(&simulated)
-				result := Evaluate(simulated, Run(simulated))
-				result.Strategy = strategy.Name
-				results[i*seeds+seed] = result
+				results[i*seeds+seed] = strategy.run(opts, opts.Seed+uint64(seed))
 				return nil
 			})
 		}
@@ -84,6 +79,15 @@
 	return results, group.Wait()
 }
 
+// run simulates and evaluates the strategy with a seed.
+func (s *Strategy) run(opts Options, seed uint64) Result {
+	opts.Seed = seed
+	s.Set(&opts)
+	result := Evaluate(opts, Run(opts))
+	result.Strategy = s.Name
+	return result
+}
+
 // strategySummary sums up the results of one strategy.
 type strategySummary struct {
 	count         int
--- a/lab/model/cores.go
+++ b/lab/model/cores.go
@@ -8,14 +8,6 @@
 	"falldeal/lab/workerpool"
 )
 
-// Behavior of an agent's cores under load and after a restart; see workerpool.Curve.
-const (
-	coreKnee              = 2
-	coreSlowdownPerExcess = 0.1
-	coreMinSpeedRatio     = 0.4
-	coreWarmupStartRatio  = 0.25
-)
-
 // readTaskPrefix begins the names of tasks that read attempts. Runs go by the identifier of their attempt alone.
 const readTaskPrefix = "r"
 
@@ -31,11 +23,7 @@
 
 // newCores returns the cores of a new process.
 func (s *server) newCores(warmingUp bool) *agentCores {
-	curve := workerpool.Curve{
-		Workers: s.sim.opts.Cores, Speed: coreSpeed(s.number), Knee: coreKnee,
-		SlowdownPerExcess: coreSlowdownPerExcess, MinSpeedRatio: coreMinSpeedRatio,
-		WarmupStartRatio: coreWarmupStartRatio,
-	}
+	curve := workerpool.AgentCurve(s.sim.opts.Cores, workerpool.CoreSpeed(s.number))
 	if warmingUp {
 		curve.WarmupTime = s.sim.opts.WarmupTime
 	}
--- a/lab/model/frontend.go
+++ b/lab/model/frontend.go
@@ -61,25 +61,15 @@
 }
 
 func (f *frontEnd) newRequest() *request {
-	classIndex := f.drawClass()
+	classIndex := clients.DrawClass(f.sim.opts.Classes, f.rand)
 	class := &f.sim.opts.Classes[classIndex]
 	return &request{
 		class: class, classIndex: classIndex,
-		work: time.Duration(float64(class.MeanWork) * (0.5 + f.rand.ExpFloat64()/2)),
+		work: class.DrawWork(f.rand),
 		rank: f.rand.Float64(), createdAt: f.sim.now, client: f.number,
 	}
 }
 
-func (f *frontEnd) drawClass() (index int) {
-	classes := f.sim.opts.Classes
-	drawn := f.rand.Float64()
-	for index < len(classes)-1 && drawn >= classes[index].ArrivalRatio {
-		drawn -= classes[index].ArrivalRatio
-		index++
-	}
-	return index
-}
-
 // registered reports whether this front end's list has a server as healthy.
 func (f *frontEnd) registered(server *server) bool {
 	if f.sim.now-server.upChangedAt < registryLag {
@@ -143,7 +133,7 @@
 func (f *frontEnd) handleResponse(request *request, server *server, response response) {
 	switch {
 	case response.outcome == history.OutcomeServed && f.sim.now-request.createdAt <= request.class.LatencyObjective:
-		f.complete(request, history.OutcomeServed, valueServed(request.class, response.degraded))
+		f.complete(request, history.OutcomeServed, request.class.ValueServed(response.degraded))
 	case response.outcome == history.OutcomeServed:
 		f.complete(request, history.OutcomeLate, 0)
 	case f.final(request, response):
@@ -169,13 +159,6 @@
 	}
 }
 
-func valueServed(class *clients.Class, degraded bool) float64 {
-	if degraded {
-		return class.Value * class.DegradedValueRatio
-	}
-	return class.Value
-}
-
 // retry sends a request again after a pause, unless its deadline has passed by then.
 func (f *frontEnd) retry(request *request, pause time.Duration) {
 	f.sim.schedule(f.sim.now+pause, func() {
--- a/lab/model/options.go
+++ b/lab/model/options.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"falldeal/lab/clients"
-	"falldeal/lab/history"
+	"falldeal/lab/workerpool"
 )
 
 // Options describe the fleet, its load and its faults.
@@ -85,37 +85,8 @@
 	}
 }
 
-// Speeds of the cores of servers with even and odd numbers.
-const (
-	fastCoreSpeed = 1
-	slowCoreSpeed = 0.7
-)
-
-// coreSpeed returns the speed of the cores of a server.
-func coreSpeed(server int) float64 {
-	if server%2 == 0 {
-		return fastCoreSpeed
-	}
-	return slowCoreSpeed
-}
-
 // Capacity returns how many requests a second the fleet can read and run.
-func Capacity(opts Options) float64 {
-	return TotalCores(opts) / ((1 + history.ReadCostRatio) * meanWork(opts.Classes).Seconds())
-}
+func Capacity(opts Options) float64 { return clients.Capacity(TotalCores(opts), opts.Classes) }
 
 // TotalCores returns the work that the fleet can do in a second, in seconds on a fast core.
-func TotalCores(opts Options) (cores float64) {
-	for i := range opts.Servers {
-		cores += float64(opts.Cores) * coreSpeed(i)
-	}
-	return cores
-}
-
-// meanWork is the mean work of a request.
-func meanWork(classes []clients.Class) (work time.Duration) {
-	for i := range classes {
-		work += time.Duration(classes[i].ArrivalRatio * float64(classes[i].MeanWork))
-	}
-	return work
-}
+func TotalCores(opts Options) float64 { return workerpool.TotalCores(opts.Servers, opts.Cores) }
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -7,6 +7,7 @@
 
 	"falldeal/admission"
 	"falldeal/internal/fleet"
+	"falldeal/lab/clients"
 	"falldeal/lab/history"
 )
 
@@ -45,7 +46,7 @@
 func Run(opts Options) []history.Event {
 	sim := &Simulation{
 		opts: opts, settings: admissionSettings(&opts),
-		readWork: time.Duration(history.ReadCostRatio * float64(meanWork(opts.Classes))),
+		readWork: clients.ReadWork(opts.Classes),
 		rand:     rand.New(rand.NewPCG(opts.Seed, simulationRandStream)),
 	}
 	sim.addStores()
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -44,10 +44,9 @@
 	serversOfZone := (sim.opts.Servers + sim.opts.Zones - 1 - zone) / sim.opts.Zones
 	slotCount := max(int(sim.opts.SlotsPerServer*float64(serversOfZone)), 1)
 	startedAt := -sim.opts.WarmupTime // it is warm at the start of the simulation
-	curve := workerpool.Curve{
-		Workers: slotCount, Speed: 1, Knee: 1, SlowdownPerExcess: 0.2, MinSpeedRatio: 0.3,
-		WarmupStartRatio: storeWarmupStartRatio, WarmupTime: sim.opts.WarmupTime,
-	}
+	curve := workerpool.StoreCurve(slotCount)
+	curve.WarmupStartRatio = storeWarmupStartRatio
+	curve.WarmupTime = sim.opts.WarmupTime
 	store := &store{
 		sim: sim, zone: zone, slotCount: slotCount, startedAt: startedAt, calls: map[string]*call{},
 		crash: workerpool.CrashModel{Tolerance: crashTolerance, Downtime: crashDowntime},
