--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -5,11 +5,9 @@
 	"errors"
 	"fmt"
 	"io"
-	"os/signal"
 	"path/filepath"
 	"slices"
 	"strings"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
@@ -49,47 +47,76 @@
 // valueRatio is the part of the requests' value that was served.
 func (r *comparedRun) valueRatio() float64 { return r.requests.ValueServed / r.requests.Value }
 
-// compare runs the same load and script, seed by seed, with opts.features off and on.
-func compare(opts *options, out io.Writer) error {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
+// comparison runs the same load and script, seed by seed, with opts.features off and on.
+type comparison struct {
+	opts       *options
+	out        io.Writer
+	dir        string    // of the runs' folders
+	gains      []float64 // in value served, by seed
+	violations int
+}
+
+// compare runs a comparison and prints it.
+func compare(ctx context.Context, opts *options, out io.Writer) error {
+	if err := checkFeatures(opts.features); err != nil {
+		return err
+	}
 	dir, err := dirOrNew(opts.lab.Dir)
 	if err != nil {
 		return err
 	}
-	if err := checkFeatures(opts.features); err != nil {
+	compared := &comparison{opts: opts, out: out, dir: dir}
+	if err := compared.printTable(ctx); err != nil {
 		return err
 	}
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	columns := append([]string{"seed", strings.Join(opts.features, "+")}, comparisonColumns...)
+	compared.printGains()
+	if compared.violations > 0 {
+		return violationsError(compared.violations)
+	}
+	return nil
+}
+
+// printTable makes all runs and prints a row for each.
+func (c *comparison) printTable(ctx context.Context) error {
+	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	columns := append([]string{"seed", strings.Join(c.opts.features, "+")}, comparisonColumns...)
 	fmt.Fprintln(table, strings.Join(columns, "\t")+"\t")
-	var gains []float64
-	violations := 0
-	for k := range opts.compare {
-		var ratios [2]float64
-		for i, enabled := range []bool{false, true} {
-			result, err := runCompared(ctx, opts, out, dir, opts.lab.Seed+uint64(k), enabled)
-			if err != nil {
-				return err
-			}
-			result.print(table)
-			violations += result.violations
-			ratios[i] = result.valueRatio()
+	for k := range c.opts.compare {
+		if err := c.runSeed(ctx, c.opts.lab.Seed+uint64(k), table); err != nil {
+			return err
 		}
-		gains = append(gains, ratios[1]-ratios[0])
 	}
 	if err := table.Flush(); err != nil {
+		return fmt.Errorf("print comparison: %w", err)
+	}
+	return nil
+}
+
+// runSeed makes the two runs with a seed.
+func (c *comparison) runSeed(ctx context.Context, seed uint64, table io.Writer) error {
+	without, err := c.run(ctx, seed, false)
+	if err != nil {
 		return err
 	}
-	slices.Sort(gains)
-	fmt.Fprintf(out, "gain in value served: %+.4f / %+.4f / %+.4f (min, median, max of %d seeds)\n",
-		gains[0], gains[len(gains)/2], gains[len(gains)-1], len(gains))
-	if violations > 0 {
-		return violationsError(violations)
+	without.print(table)
+	with, err := c.run(ctx, seed, true)
+	if err != nil {
+		return err
 	}
+	with.print(table)
+	c.gains = append(c.gains, with.valueRatio()-without.valueRatio())
+	c.violations += without.violations + with.violations
 	return nil
 }
 
+// printGains prints the distribution of the gains. There must be one.
+func (c *comparison) printGains() {
+	slices.Sort(c.gains)
+	count := len(c.gains)
+	fmt.Fprintf(c.out, "gain in value served: %+.4f / %+.4f / %+.4f (min, median, max of %d seeds)\n",
+		c.gains[0], c.gains[count/2], c.gains[count-1], count)
+}
+
 func checkFeatures(features []string) error {
 	for _, name := range features {
 		if !slices.Contains(overloadFeatures, name) {
@@ -99,18 +126,16 @@
 	return nil
 }
 
-// runCompared runs a fleet with a seed, in a folder of its own below dir, and prints violations of the rules.
-func runCompared(
-	ctx context.Context, base *options, out io.Writer, dir string, seed uint64, enabled bool,
-) (*comparedRun, error) {
-	opts := *base
+// run runs a fleet with a seed, in a folder of its own below dir, and prints violations of the rules.
+func (c *comparison) run(ctx context.Context, seed uint64, enabled bool) (*comparedRun, error) {
+	opts := *c.opts
 	opts.lab.Seed = seed
 	subdir := fmt.Sprintf("seed%d-0", seed)
 	if enabled {
 		opts.enableFeatures()
 		subdir = fmt.Sprintf("seed%d-1", seed)
 	}
-	opts.lab.Dir = filepath.Join(dir, subdir)
+	opts.lab.Dir = filepath.Join(c.dir, subdir)
 	events, cores, err := runScript(ctx, &opts)
 	if err != nil {
 		return nil, err
@@ -121,7 +146,7 @@
 	}
 	return &comparedRun{
 		opts: &opts, enabled: enabled, events: events, cores: cores, requests: requests,
-		violations: printViolations(out, events, maxComparedViolations),
+		violations: printViolations(c.out, events, maxComparedViolations),
 	}, nil
 }
 
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -7,10 +7,8 @@
 	"io"
 	"math/rand/v2"
 	"os"
-	"os/signal"
 	"slices"
 	"sync"
-	"syscall"
 	"time"
 
 	"falldeal/internal/fleet"
@@ -46,34 +44,24 @@
 
 // detect times the failure detection: it kills members and times how long all others take to see it. Before that it
 // counts how many members are taken for failed while none is, under the loss of --share, and what membership costs.
-func detect(opts *options, out io.Writer) error {
+func detect(ctx context.Context, opts *options, out io.Writer) error {
 	lab, err := openLab(opts)
 	if err != nil {
 		return err
 	}
 	defer lab.Close()
-	stopped, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
-	defer context.AfterFunc(stopped, func() {
+	defer context.AfterFunc(ctx, func() {
 		lab.Close()
 		os.Exit(1)
 	})()
-	if opts.fault.Ratio > 0 {
-		loss := faults.Fault{Kind: faults.KindLoss, Target: faults.AllMembers, Peer: faults.AllMembers, Ratio: opts.fault.Ratio}
-		if err := lab.AddFault(loss); err != nil {
-			return err
-		}
+	if err := addLoss(lab, opts.fault.Ratio); err != nil {
+		return err
 	}
 	if err := lab.StartMembers(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	var script sync.WaitGroup
-	script.Go(func() { _ = lab.RunScript(ctx) }) // it ends early where the loss can't be caused
-	defer script.Wait()
-	defer cancel()
-
 	measured := &detection{opts: opts, lab: lab, out: out}
+	defer measured.startScript(ctx)()
 	if err := measured.waitForJoin(); err != nil {
 		return err
 	}
@@ -82,6 +70,27 @@
 	return measured.timeKills()
 }
 
+// addLoss has the fleet's network lose a ratio of all datagrams.
+func addLoss(lab *fleetlab.Lab, ratio float64) error {
+	if ratio <= 0 {
+		return nil
+	}
+	return lab.AddFault(faults.Fault{
+		Kind: faults.KindLoss, Target: faults.AllMembers, Peer: faults.AllMembers, Ratio: ratio,
+	})
+}
+
+// startScript runs the script of faults until the function is called that it returns.
+func (d *detection) startScript(ctx context.Context) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	var script sync.WaitGroup
+	script.Go(func() { _ = d.lab.RunScript(ctx) }) // it ends early where the loss can't be caused
+	return func() {
+		cancel()
+		script.Wait()
+	}
+}
+
 // waitForJoin waits until every member sees all as serving.
 func (d *detection) waitForJoin() error {
 	members := len(d.lab.Members)
--- a/cmd/falldeal-lab/fault.go
+++ b/cmd/falldeal-lab/fault.go
@@ -21,14 +21,14 @@
 	controlTimeout = 5 * time.Second
 )
 
-// serveControl takes faults over HTTP until ctx ends.
+// serveControl accepts faults over HTTP until ctx ends, and returns its address.
 func serveControl(ctx context.Context, lab *fleetlab.Lab) (addr string, err error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("listen for faults: %w", err)
 	}
 	handler := func(response http.ResponseWriter, request *http.Request) {
-		if err := takeFault(lab, request.Body); err != nil {
+		if err := injectFault(lab, request.Body); err != nil {
 			http.Error(response, err.Error(), http.StatusBadRequest)
 		}
 	}
@@ -40,11 +40,11 @@
 	return listener.Addr().String(), nil
 }
 
-// takeFault has a fault, JSON, start now. A fault of a link without another end is one of all links.
-func takeFault(lab *fleetlab.Lab, body io.Reader) error {
+// injectFault has a fault, JSON, start now. A fault of a link without a peer is one of all links of its target.
+func injectFault(lab *fleetlab.Lab, body io.Reader) error {
 	var fault faults.Fault
 	if err := json.NewDecoder(io.LimitReader(body, maxFaultBytes)).Decode(&fault); err != nil {
-		return err
+		return fmt.Errorf("decode fault: %w", err)
 	}
 	fault.Start = lab.Log.Now()
 	if fault.AffectsLink() && fault.Peer == "" {
@@ -54,7 +54,7 @@
 }
 
 // sendFault sends the fault of opts to a fleet that runs.
-func sendFault(opts *options) error {
+func sendFault(ctx context.Context, opts *options) error {
 	if opts.controlAddr == "" {
 		return errors.New("flag --lab: missing")
 	}
@@ -64,9 +64,14 @@
 	if err != nil {
 		return err
 	}
-	response, err := http.Post("http://"+opts.controlAddr, "application/json", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+opts.controlAddr, bytes.NewReader(body))
 	if err != nil {
-		return err
+		return fmt.Errorf("flag --lab: %w", err)
+	}
+	request.Header.Set("Content-Type", "application/json")
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return fmt.Errorf("send fault: %w", err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
--- a/cmd/falldeal-lab/fleet.go
+++ b/cmd/falldeal-lab/fleet.go
@@ -5,11 +5,9 @@
 	"fmt"
 	"io"
 	"os"
-	"os/signal"
 	"path/filepath"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"falldeal/lab/clients"
@@ -43,7 +41,7 @@
 `
 
 // runFleet runs a fleet under load and faults, writes its history to a file and a plot, and reports.
-func runFleet(opts *options, out io.Writer) error {
+func runFleet(ctx context.Context, opts *options, out io.Writer) error {
 	lab, err := openLab(opts)
 	if err != nil {
 		return err
@@ -52,8 +50,6 @@
 	if err := addScript(lab, opts.scriptPath, exampleScript); err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
 	if err := lab.StartMembers(); err != nil {
 		return err
 	}
--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -131,6 +131,6 @@
 	defer fleet.Close()
 	args := "fault --kind loss --who n1 --to zone:mechelen --one-way --share 0.5 --delay 1s --jitter 2s --rate 100 " +
 		"--for 5s --lab " + fleet.Listener.Addr().String()
-	require.NoError(t, run(strings.Fields(args), &bytes.Buffer{}))
+	require.NoError(t, run(t.Context(), strings.Fields(args), &bytes.Buffer{}))
 	golden.RequireText(t, "fault", got.String()+"\n")
 }
--- a/cmd/falldeal-lab/main.go
+++ b/cmd/falldeal-lab/main.go
@@ -3,10 +3,13 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
 	"os"
+	"os/signal"
+	"syscall"
 
 	"github.com/spf13/pflag"
 )
@@ -25,14 +28,15 @@
 `
 
 func main() {
-	if err := run(os.Args[1:], os.Stdout); err != nil && !errors.Is(err, pflag.ErrHelp) {
+	err := run(context.Background(), os.Args[1:], os.Stdout)
+	if err != nil && !errors.Is(err, pflag.ErrHelp) {
 		fmt.Fprintln(os.Stderr, "falldeal lab:", err)
 		os.Exit(1)
 	}
 }
 
 // run carries out a command line.
-func run(args []string, out io.Writer) error {
+func run(ctx context.Context, args []string, out io.Writer) error {
 	opts := newOptions()
 	flags := opts.flagSet(out)
 	if err := flags.Parse(args); err != nil {
@@ -44,14 +48,10 @@
 	switch command := flags.Arg(0); {
 	case command == "model":
 		return runModel(opts, out)
-	case command == "fleet" && opts.compare > 0:
-		return compare(opts, out)
-	case command == "fleet" && opts.detect > 0:
-		return detect(opts, out)
 	case command == "fleet":
-		return runFleet(opts, out)
+		return runFleets(ctx, opts, out)
 	case command == "fault":
-		return sendFault(opts)
+		return sendFault(ctx, opts)
 	case command == "check" && flags.NArg() == 2:
 		return check(flags.Arg(1), out)
 	default:
@@ -59,3 +59,17 @@
 		return fmt.Errorf("unknown command %q", command)
 	}
 }
+
+// runFleets runs one or more fleets, which a signal to stop ends in order.
+func runFleets(ctx context.Context, opts *options, out io.Writer) error {
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	switch {
+	case opts.compare > 0:
+		return compare(ctx, opts, out)
+	case opts.detect > 0:
+		return detect(ctx, opts, out)
+	default:
+		return runFleet(ctx, opts, out)
+	}
+}
