--- a/cmd/falldeal-lab/model.go
+++ b/cmd/falldeal-lab/model.go
@@ -14,42 +14,31 @@
 	modelFaultTime    = 8 * time.Second
 )
 
-// modelFaultFactors are the kinds of faults in the model with how many times it multiplies arrivals or calls' times. ""
-// stands for no fault.
+// noModelFault as the kind of a fault stands for a simulation without one.
+const noModelFault model.FaultKind = ""
+
+// modelFaultFactors are the kinds of faults with the factor by which each multiplies arrivals or the duration of calls.
 var modelFaultFactors = map[model.FaultKind]float64{
-	model.FaultBurst: 1.6, model.FaultZoneLost: 1, model.FaultStoresUnresponsive: 1, model.FaultStoresSlow: 8, "": 1,
+	model.FaultBurst:              1.6,
+	model.FaultZoneLost:           1,
+	model.FaultStoresUnresponsive: 1,
+	model.FaultStoresSlow:         8,
+	noModelFault:                  1,
 }
 
 // lostZone is the zone of a model.FaultZoneLost. The other faults are of all zones.
 const lostZone = 1
 
-// runModel runs models of fleets with the real decision code, under each overload strategy, and prints a comparison.
+// runModel simulates fleets with the shipped decision code, under each overload strategy, and prints a comparison.
 func runModel(opts *options, out io.Writer) error {
-	servers := opts.lab.Members
-	if servers < 1 || servers > maxModelServers {
-		return fmt.Errorf("flag --members: %d is not between 1 and %d", servers, maxModelServers)
-	}
-	kind := model.FaultKind(opts.fault.Kind)
-	factor, known := modelFaultFactors[kind]
-	if !known {
-		return fmt.Errorf("flag --kind: %q is not one of burst, lost, mute, slow", opts.fault.Kind)
-	}
-	settings := model.Defaults()
-	settings.Servers, settings.FrontEnds = servers, max(minModelFrontEnds, servers/2)
-	settings.LoadRatio, settings.Duration, settings.Seed = opts.loadRatio, opts.duration, opts.lab.Seed
-	settings.HonorRetryAfterRatio = opts.honorRetryAfterRatio
-	if kind != "" {
-		zone := model.AllZones
-		if kind == model.FaultZoneLost {
-			zone = lostZone
-		}
-		settings.Faults = []model.Fault{{Kind: kind, Zone: zone, Start: opts.duration * 3 / 10,
-			Duration: modelFaultTime, Factor: factor}}
+	simulated, err := modelOptions(opts)
+	if err != nil {
+		return err
 	}
 	start := time.Now()
-	results, err := model.Compare(out, settings, max(opts.compare, 1), model.Strategies)
+	results, err := model.Compare(out, simulated, max(opts.compare, 1), model.Strategies)
 	if err != nil {
-		return err
+		return fmt.Errorf("print comparison: %w", err)
 	}
 	requests := 0
 	for i := range results {
@@ -57,7 +46,42 @@
 	}
 	fmt.Fprintf(out, "%d servers, offered load %.0f%% of capacity, %.0f%% of front ends honor Retry-After: "+
 		"%d simulations, %d requests, in %v\n",
-		servers, 100*opts.loadRatio, 100*opts.honorRetryAfterRatio, len(results), requests,
+		simulated.Servers, 100*opts.loadRatio, 100*opts.honorRetryAfterRatio, len(results), requests,
 		time.Since(start).Round(time.Second/10))
 	return nil
 }
+
+// modelOptions returns the options of the simulated fleet.
+func modelOptions(opts *options) (model.Options, error) {
+	servers := opts.lab.Members
+	if servers < 1 || servers > maxModelServers {
+		return model.Options{}, fmt.Errorf("flag --members: %d is not between 1 and %d", servers, maxModelServers)
+	}
+	simulated := model.Defaults()
+	simulated.Servers = servers
+	simulated.FrontEnds = max(minModelFrontEnds, servers/2)
+	simulated.LoadRatio = opts.loadRatio
+	simulated.Duration = opts.duration
+	simulated.Seed = opts.lab.Seed
+	simulated.HonorRetryAfterRatio = opts.honorRetryAfterRatio
+	kind := model.FaultKind(opts.fault.Kind)
+	factor, known := modelFaultFactors[kind]
+	if !known {
+		return model.Options{}, fmt.Errorf("flag --kind: %q is not one of burst, lost, mute, slow", kind)
+	}
+	if kind != noModelFault {
+		simulated.Faults = []model.Fault{modelFault(kind, factor, opts.duration)}
+	}
+	return simulated, nil
+}
+
+// modelFault returns a fault that starts after three tenths of the simulation.
+func modelFault(kind model.FaultKind, factor float64, simulated time.Duration) model.Fault {
+	zone := model.AllZones
+	if kind == model.FaultZoneLost {
+		zone = lostZone
+	}
+	return model.Fault{
+		Kind: kind, Zone: zone, Start: simulated * 3 / 10, Duration: modelFaultTime, Factor: factor,
+	}
+}
--- a/lab/faults/fault.go
+++ b/lab/faults/fault.go
@@ -64,7 +64,8 @@
 
 // ActiveAt reports whether the fault is in force.
 func (f *Fault) ActiveAt(now time.Duration) bool {
-	return now >= f.Start && (f.Duration == 0 || now < f.Start+f.Duration)
+	hasEnded := f.Duration > 0 && now >= f.Start+f.Duration
+	return now >= f.Start && !hasEnded
 }
 
 // Location is where a member is.
@@ -193,7 +194,10 @@
 	if f.Target == AllMembers && f.Peer == AllMembers {
 		return true
 	}
-	return f.crossedBy(from, to) || !f.OneWay && f.crossedBy(to, from)
+	if f.crossedBy(from, to) {
+		return true
+	}
+	return !f.OneWay && f.crossedBy(to, from)
 }
 
 // crossedBy reports whether what one member sends to another goes from the fault's target to its peer. Where the peer
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -67,12 +67,12 @@
 		{"delay", r.Delay, &fault.Delay},
 		{"jitter", r.Jitter, &fault.Jitter},
 	} {
-		if field.text == "" {
-			continue
+		*field.to, err = parseDuration(field.key, field.text)
+		if err != nil {
+			return fault, err
 		}
-		*field.to, err = time.ParseDuration(field.text)
-		if err != nil || *field.to < 0 && fault.Kind != KindClockSkew {
-			return fault, fieldError(field.key, "%q is not a valid duration", field.text)
+		if *field.to < 0 && fault.Kind != KindClockSkew {
+			return fault, invalidDuration(field.key, field.text)
 		}
 	}
 	if fault.AffectsLink() && fault.Peer == "" {
@@ -81,6 +81,22 @@
 	return fault, fault.Check(locations)
 }
 
+// parseDuration reads a duration; 0 where there is none.
+func parseDuration(key, text string) (time.Duration, error) {
+	if text == "" {
+		return 0, nil
+	}
+	duration, err := time.ParseDuration(text)
+	if err != nil {
+		return 0, invalidDuration(key, text)
+	}
+	return duration, nil
+}
+
+func invalidDuration(key, text string) error {
+	return fieldError(key, "%q is not a valid duration", text)
+}
+
 // AffectedMembers returns the names of the members whose process a fault befalls.
 func (s *Script) AffectedMembers(f *Fault) (names []string) {
 	for i := range s.Locations {
--- a/lab/schedule/agreement.go
+++ b/lab/schedule/agreement.go
@@ -16,8 +16,8 @@
 	var first uint64
 	for i, member := range live {
 		snapshot := member.Fleet.Snapshot()
-		if snapshot.Position == fleet.Partitioned || len(live) > 1 && snapshot.Position == fleet.Alone {
-			return fmt.Errorf("%s holds itself for %v", member.Name, snapshot.Position)
+		if isIsolated(snapshot.Position, len(live)) {
+			return fmt.Errorf("%s is in position %v", member.Name, snapshot.Position)
 		}
 		if alive := countAlive(snapshot); alive != len(live) {
 			return fmt.Errorf("%s sees %d alive of %d", member.Name, alive, len(live))
@@ -25,12 +25,18 @@
 		if agreement := snapshot.Agreement(); i == 0 {
 			first = agreement
 		} else if agreement != first {
-			return fmt.Errorf("%s and %s see different things", live[0].Name, member.Name)
+			return fmt.Errorf("%s and %s have different views", live[0].Name, member.Name)
 		}
 	}
 	return nil
 }
 
+// isIsolated reports whether a position is that of a member that has lost its fleet. A member without peers may be alone.
+func isIsolated(position fleet.Position, liveMembers int) bool {
+	isAlone := position == fleet.Alone && liveMembers > 1
+	return isAlone || position == fleet.Partitioned
+}
+
 // countAlive counts the members whose process is seen to run, be it wedged.
 func countAlive(snapshot *fleet.Snapshot) (alive int) {
 	for i := range snapshot.Members {
--- a/lab/schedule/links.go
+++ b/lab/schedule/links.go
@@ -51,9 +51,12 @@
 	target, peer := c.Members[fault.Target].Addr, c.Members[fault.Peer].Addr
 	switch fault.Kind {
 	case FaultPartition:
-		return from == target && to == peer || from == peer && to == target
+		outgoing := from == target && to == peer
+		incoming := from == peer && to == target
+		return outgoing || incoming
 	case FaultOneWayPartition:
-		return from == target && (fault.Intensity < allLinksIntensity || to == peer)
+		affectsReceiver := fault.Intensity < allLinksIntensity || to == peer
+		return from == target && affectsReceiver
 	case FaultZonePartition:
 		return partitionsZone(fault, from, to)
 	case FaultIsolation:
@@ -66,5 +69,6 @@
 func partitionsZone(fault *Fault, from, to string) bool {
 	zone := fault.Target % len(Zones)
 	outgoing, incoming := zoneOf(from) == zone, zoneOf(to) == zone
-	return outgoing != incoming && (fault.Intensity < bothWaysIntensity || outgoing)
+	affectsDirection := fault.Intensity < bothWaysIntensity || outgoing
+	return outgoing != incoming && affectsDirection
 }
--- a/lab/schedule/member.go
+++ b/lab/schedule/member.go
@@ -36,7 +36,10 @@
 func (m *Member) run(process *gossip.Fleet, state fleet.State) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, wedged := make(chan struct{}), make(chan struct{})
-	m.Fleet, m.cancel, m.ended, m.wedged = process, cancel, ended, wedged
+	m.Fleet = process
+	m.cancel = cancel
+	m.ended = ended
+	m.wedged = wedged
 	go func() {
 		defer close(ended)
 		go publishStatus(ctx, process, wedged, state)
