--- a/cmd/falldeal-lab/check.go
+++ b/cmd/falldeal-lab/check.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"fmt"
 	"io"
 	"os"
 
@@ -11,12 +12,12 @@
 func check(path string, out io.Writer) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("read history: %w", err)
 	}
 	defer func() { _ = file.Close() }() // only read
 	events, err := history.Read(file)
 	if err != nil {
-		return err
+		return fmt.Errorf("read history %s: %w", path, err)
 	}
 	return report(out, events)
 }
--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -169,7 +169,7 @@
 		return nil, 0, err
 	}
 	if err := lab.StartMembers(); err != nil {
-		return nil, 0, err
+		return nil, 0, fmt.Errorf("start members: %w", err)
 	}
 	err = runLoad(ctx, lab, opts, nil)
 	return lab.Log.Events(), lab.TotalCores(), err
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	if err := lab.StartMembers(); err != nil {
-		return err
+		return fmt.Errorf("start members: %w", err)
 	}
 	measured := &detection{opts: opts, lab: lab, out: out}
 	defer measured.startScript(ctx)()
@@ -75,7 +75,7 @@
 	if ratio <= 0 {
 		return nil
 	}
-	return lab.AddFault(faults.Fault{
+	return addFault(lab, faults.Fault{
 		Kind: faults.KindLoss, Target: faults.AllMembers, Peer: faults.AllMembers, Ratio: ratio,
 	})
 }
@@ -163,7 +163,7 @@
 		return 0, 0, err
 	}
 	if err := victim.Start(); err != nil {
-		return 0, 0, err
+		return 0, 0, fmt.Errorf("restart %s: %w", victim.Name, err)
 	}
 	_, err = waitUntil(func() bool {
 		return d.countViewsOf(victim, history.ConditionServing, history.ConditionWarming) >= others
--- a/cmd/falldeal-lab/fault.go
+++ b/cmd/falldeal-lab/fault.go
@@ -50,7 +50,7 @@
 	if fault.AffectsLink() && fault.Peer == "" {
 		fault.Peer = faults.AllMembers
 	}
-	return lab.AddFault(fault)
+	return addFault(lab, fault)
 }
 
 // sendFault sends the fault of opts to a fleet that runs.
@@ -62,7 +62,7 @@
 	fault.Duration = opts.duration
 	body, err := json.Marshal(fault)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode fault: %w", err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+opts.controlAddr, bytes.NewReader(body))
 	if err != nil {
--- a/cmd/falldeal-lab/fleet.go
+++ b/cmd/falldeal-lab/fleet.go
@@ -19,6 +19,9 @@
 const (
 	maxMembers = 600 // processes on one machine
 
+	historyFile = "history.jsonl"
+	plotFile    = "requests.png"
+
 	// listTimeout bounds the wait for all members to be in the front ends' lists before the load starts.
 	listTimeout      = 10 * time.Second
 	pollInterval     = 50 * time.Millisecond
@@ -51,7 +54,7 @@
 		return err
 	}
 	if err := lab.StartMembers(); err != nil {
-		return err
+		return fmt.Errorf("start members: %w", err)
 	}
 	controlAddr, err := serveControl(ctx, lab)
 	if err != nil {
@@ -75,11 +78,14 @@
 
 // writeHistory writes the events, and a plot of the requests, to the fleet's folder.
 func writeHistory(lab *fleetlab.Options, events []history.Event) error {
-	if err := history.Write(filepath.Join(lab.Dir, "history.jsonl"), events); err != nil {
-		return err
+	if err := history.Write(filepath.Join(lab.Dir, historyFile), events); err != nil {
+		return fmt.Errorf("write history: %w", err)
 	}
 	title := fmt.Sprintf("%d members, seed %d", lab.Members, lab.Seed)
-	return history.Plot(filepath.Join(lab.Dir, "requests.png"), title, events)
+	if err := history.Plot(filepath.Join(lab.Dir, plotFile), title, events); err != nil {
+		return fmt.Errorf("plot requests: %w", err)
+	}
+	return nil
 }
 
 // openLab prepares a fleet, in a new folder if none is named, which it sets in opts.
@@ -89,13 +95,17 @@
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("find falldeal: %w", err)
 	}
 	opts.lab.Binary = filepath.Join(filepath.Dir(self), "falldeal")
 	if opts.lab.Dir, err = dirOrNew(opts.lab.Dir); err != nil {
 		return nil, err
 	}
-	return fleetlab.New(opts.lab)
+	lab, err := fleetlab.New(opts.lab)
+	if err != nil {
+		return nil, fmt.Errorf("prepare fleet: %w", err)
+	}
+	return lab, nil
 }
 
 // dirOrNew returns dir, or a new temporary folder if that is empty.
@@ -103,7 +113,11 @@
 	if dir != "" {
 		return dir, nil
 	}
-	return os.MkdirTemp("", "falldeal-lab-")
+	created, err := os.MkdirTemp("", "falldeal-lab-")
+	if err != nil {
+		return "", fmt.Errorf("create directory: %w", err)
+	}
+	return created, nil
 }
 
 // addScript adds the faults of a file, or those of text if no file is named.
@@ -111,7 +125,7 @@
 	if path != "" {
 		content, err := os.ReadFile(path)
 		if err != nil {
-			return err
+			return fmt.Errorf("read script: %w", err)
 		}
 		text = string(content)
 	}
@@ -120,13 +134,20 @@
 		return fmt.Errorf("script %s: %w", path, err)
 	}
 	for _, fault := range script.Faults {
-		if err := lab.AddFault(fault); err != nil {
+		if err := addFault(lab, fault); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+func addFault(lab *fleetlab.Lab, fault faults.Fault) error {
+	if err := lab.AddFault(fault); err != nil {
+		return fmt.Errorf("add fault: %w", err)
+	}
+	return nil
+}
+
 // runLoad has front ends send for opts.duration, while the script of faults runs. Beside it watch runs, until its
 // context ends; nil: nothing does.
 func runLoad(ctx context.Context, lab *fleetlab.Lab, opts *options, watch func(context.Context)) error {
--- a/cmd/falldeal-lab/report.go
+++ b/cmd/falldeal-lab/report.go
@@ -24,7 +24,7 @@
 	printViewChanges(out, events)
 	fmt.Fprintln(out)
 	if err := history.PrintSummary(out, events); err != nil {
-		return err
+		return fmt.Errorf("print summary: %w", err)
 	}
 	if violations := printViolations(out, events, maxPrintedViolations); violations > 0 {
 		return violationsError(violations)
--- a/lab/clients/conn.go
+++ b/lab/clients/conn.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -103,12 +104,15 @@
 
 func (c *serverConn) write(request *frontrpc.Request) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(dialTimeout)); err != nil {
-		return err
+		return fmt.Errorf("set deadline: %w", err)
 	}
 	if err := request.Encode(c.encoder, c.lastCall); err != nil {
-		return err
+		return fmt.Errorf("write request: %w", err)
 	}
-	return c.writer.Flush()
+	if err := c.writer.Flush(); err != nil {
+		return fmt.Errorf("write request: %w", err)
+	}
+	return nil
 }
 
 // readAnswers hands out answers until the connection ends, and then closes the channels of all pending requests.
--- a/lab/costs/main.go
+++ b/lab/costs/main.go
@@ -25,7 +25,7 @@
 func report(w io.Writer, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("open profile: %w", err)
 	}
 	defer func() { _ = file.Close() }() // it was only read
 	parsed, err := profile.Parse(file)
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -7,6 +7,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -54,7 +55,7 @@
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
-			return err
+			return fmt.Errorf("accept: %w", err)
 		}
 		go handle(conn)
 	}
--- a/lab/fakes/announce.go
+++ b/lab/fakes/announce.go
@@ -35,7 +35,7 @@
 	for {
 		n, _, err := conn.ReadFrom(packet)
 		if err != nil {
-			return err
+			return fmt.Errorf("read report: %w", err)
 		}
 		var name string
 		var accepting bool
--- a/lab/fakes/store.go
+++ b/lab/fakes/store.go
@@ -164,7 +164,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("read command: %w", err)
 		}
 		if _, err := fmt.Sscanf(line, "CALL %s %d %d\r\n", &id, &timeoutMillis, &length); err == nil {
 			break
@@ -172,7 +172,7 @@
 	}
 	body := make([]byte, length+len("\r\n"))
 	if _, err := io.ReadFull(reader, body); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read body of call %s: %w", id, err)
 	}
 	return &storeCall{id: id, timeout: time.Duration(timeoutMillis) * time.Millisecond, body: body}, nil
 }
--- a/lab/fakes/unresponsive.go
+++ b/lab/fakes/unresponsive.go
@@ -22,7 +22,7 @@
 func NewUnresponsiveListener() (*UnresponsiveListener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("open socket: %w", err)
 	}
 	l := &UnresponsiveListener{fd: fd}
 	if err := l.listen(); err != nil {
@@ -34,22 +34,24 @@
 
 func (l *UnresponsiveListener) listen() error {
 	if err := syscall.Bind(l.fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		return err
+		return fmt.Errorf("bind: %w", err)
 	}
 	if err := syscall.Listen(l.fd, 0); err != nil {
-		return err
+		return fmt.Errorf("listen: %w", err)
 	}
 	bound, err := syscall.Getsockname(l.fd)
 	if err != nil {
-		return err
+		return fmt.Errorf("address of the socket: %w", err)
 	}
 	addr, ok := bound.(*syscall.SockaddrInet4)
 	if !ok {
 		return errNotIPv4
 	}
 	l.Addr = fmt.Sprintf("127.0.0.1:%d", addr.Port)
-	l.backlogConn, err = net.Dial("tcp", l.Addr)
-	return err
+	if l.backlogConn, err = net.Dial("tcp", l.Addr); err != nil {
+		return fmt.Errorf("fill the backlog: %w", err)
+	}
+	return nil
 }
 
 // Close frees the address.
--- a/lab/faults/endpoint.go
+++ b/lab/faults/endpoint.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"net/netip"
 	"sync"
@@ -21,6 +22,9 @@
 	dialTimeout = 5 * time.Second
 )
 
+// errNotTCP reports a socket that can't be reset or filtered.
+var errNotTCP = errors.New("not a TCP socket")
+
 // endpoint is the advertised address of one process.
 type endpoint struct {
 	relay     *Relay
@@ -35,10 +39,10 @@
 func (e *endpoint) listen(advertised string) error {
 	advertisedUDP, err := net.ResolveUDPAddr("udp", advertised)
 	if err != nil {
-		return err
+		return fmt.Errorf("advertised address of %s: %w", e.name, err)
 	}
 	if e.udp, err = net.ListenUDP("udp", advertisedUDP); err != nil {
-		return err
+		return fmt.Errorf("listen for datagrams to %s: %w", e.name, err)
 	}
 	_ = e.udp.SetReadBuffer(udpReadBuffer) // a smaller one loses more datagrams, as a busy machine does
 	var config net.ListenConfig
@@ -46,9 +50,14 @@
 	listener, err := config.Listen(context.Background(), "tcp", advertised)
 	if err != nil {
 		closeQuietly(e.udp)
-		return err
+		return fmt.Errorf("listen for streams to %s: %w", e.name, err)
+	}
+	var isTCP bool
+	if e.tcp, isTCP = listener.(*net.TCPListener); !isTCP {
+		closeQuietly(e.udp)
+		closeQuietly(listener)
+		return errNotTCP
 	}
-	e.tcp = listener.(*net.TCPListener) // the type of every "tcp" listener
 	return nil
 }
 
@@ -131,16 +140,21 @@
 func (e *endpoint) dial() (*net.TCPConn, error) {
 	conn, err := net.DialTimeout("tcp", e.target, dialTimeout)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("dial %s: %w", e.name, err)
 	}
-	return conn.(*net.TCPConn), nil // the type of every "tcp" connection
+	stream, isTCP := conn.(*net.TCPConn)
+	if !isTCP {
+		closeQuietly(conn)
+		return nil, errNotTCP
+	}
+	return stream, nil
 }
 
 // dropFrom has the listening socket drop what comes from the blocked IPv4 addresses.
 func (e *endpoint) dropFrom(blocked []uint32) error {
 	instructions, err := bpf.Assemble(dropFilter(blocked))
 	if err != nil {
-		return err
+		return fmt.Errorf("assemble filter: %w", err)
 	}
 	code := make([]unix.SockFilter, len(instructions))
 	for i, op := range instructions {
@@ -148,14 +162,17 @@
 	}
 	conn, err := e.tcp.SyscallConn()
 	if err != nil {
-		return err
+		return fmt.Errorf("filter streams to %s: %w", e.name, err)
 	}
 	var optionErr error
 	controlErr := conn.Control(func(fd uintptr) {
 		program := &unix.SockFprog{Len: uint16(len(code)), Filter: (*unix.SockFilter)(unsafe.Pointer(&code[0]))}
 		optionErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
 	})
-	return errors.Join(controlErr, optionErr)
+	if err := errors.Join(controlErr, optionErr); err != nil {
+		return fmt.Errorf("filter streams to %s: %w", e.name, err)
+	}
+	return nil
 }
 
 // dropFilter is a socket filter that drops packets from the blocked IPv4 addresses.
--- a/lab/faults/relay.go
+++ b/lab/faults/relay.go
@@ -11,6 +11,7 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -56,7 +57,7 @@
 func (r *Relay) Add(name, advertised, target string) error {
 	targetUDP, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
-		return err
+		return fmt.Errorf("address of %s: %w", name, err)
 	}
 	added := &endpoint{relay: r, name: name, target: target, targetUDP: targetUDP}
 	if err := added.listen(advertised); err != nil {
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -41,7 +41,7 @@
 		if errors.As(err, &strict) {
 			return nil, errors.New(strict.String()) // its text shows the unknown keys in their lines
 		}
-		return nil, err
+		return nil, fmt.Errorf("decode script: %w", err)
 	}
 	script := &Script{Locations: locations}
 	for i := range file.Fault {
--- a/lab/history/file.go
+++ b/lab/history/file.go
@@ -4,29 +4,32 @@
 	"bufio"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 	"os"
 )
 
 // Write writes events to a file, one JSON object a line. It replaces a file that is there.
-func Write(path string, events []Event) (err error) {
+func Write(path string, events []Event) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("create history: %w", err)
 	}
-	defer func() {
-		if closeErr := file.Close(); err == nil {
-			err = closeErr
-		}
-	}()
-	buffered := bufio.NewWriter(file)
+	return errors.Join(writeEvents(file, events), file.Close())
+}
+
+func writeEvents(w io.Writer, events []Event) error {
+	buffered := bufio.NewWriter(w)
 	encoder := json.NewEncoder(buffered)
 	for i := range events {
 		if err := encoder.Encode(&events[i]); err != nil {
-			return err
+			return fmt.Errorf("encode event %d: %w", i, err)
 		}
 	}
-	return buffered.Flush()
+	if err := buffered.Flush(); err != nil {
+		return fmt.Errorf("write events: %w", err)
+	}
+	return nil
 }
 
 // Read reads events as Write has written them. An event that is cut off at the end, as by a crash, is left out.
@@ -39,7 +42,7 @@
 			return events, nil
 		}
 		if err != nil {
-			return events, err
+			return events, fmt.Errorf("decode event %d: %w", len(events), err)
 		}
 		events = append(events, event)
 	}
--- a/lab/history/log.go
+++ b/lab/history/log.go
@@ -20,11 +20,11 @@
 func (l *Log) Now() time.Duration { return time.Since(l.startedAt) }
 
 // Add adds an event that happens now: it sets the event's time.
-func (l *Log) Add(e Event) {
+func (l *Log) Add(event Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.At = l.Now() // under the lock, so that events are in order
-	l.events = append(l.events, e)
+	event.At = l.Now() // under the lock, so that events are in order
+	l.events = append(l.events, event)
 }
 
 // Events returns the events so far, in order. The caller must not change them.
--- a/lab/history/plot.go
+++ b/lab/history/plot.go
@@ -1,6 +1,7 @@
 package history
 
 import (
+	"fmt"
 	"image/color"
 	"maps"
 	"slices"
@@ -36,10 +37,13 @@
 	}
 	figure.Legend.Top = true
 	figure.Y.Max *= legendHeight
-	return figure.Save(plotWidth, plotHeight, path)
+	if err := figure.Save(plotWidth, plotHeight, path); err != nil {
+		return fmt.Errorf("save plot: %w", err)
+	}
+	return nil
 }
 
-func second(e *Event) int { return int(e.At / time.Second) }
+func second(event *Event) int { return int(event.At / time.Second) }
 
 func lastSecond(events []Event) (last int) {
 	for i := range events {
@@ -104,7 +108,7 @@
 func addLine(figure *plot.Plot, name string, points plotter.XYs, lineColor color.Color, width vg.Length) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
-		return err
+		return fmt.Errorf("plot %s: %w", name, err)
 	}
 	line.Color = lineColor
 	line.Width = width
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -91,7 +91,10 @@
 			float64(summary.Attempts)/float64(summary.Requests), summary.ValueServed/max(summary.Value, 1e-9),
 			summary.Latency.ValueAtQuantile(50), summary.Latency.ValueAtQuantile(99))
 	}
-	return table.Flush()
+	if err := table.Flush(); err != nil {
+		return fmt.Errorf("write table: %w", err)
+	}
+	return nil
 }
 
 // ReadCostRatio is the work of reading a request in the laboratory, as a ratio of the mean work of requests.
@@ -104,20 +107,20 @@
 	var requests []*Event
 	var work time.Duration
 	for i := range events {
-		if e := &events[i]; e.Kind == RequestCompleted && e.Work > 0 {
-			requests = append(requests, e)
-			work += e.Work
+		if event := &events[i]; event.Kind == RequestCompleted && event.Work > 0 {
+			requests = append(requests, event)
+			work += event.Work
 		}
 	}
 	coreSeconds -= ReadCostRatio * work.Seconds()
 	slices.SortFunc(requests, func(a, b *Event) int {
 		return cmp.Compare(b.Value/b.Work.Seconds(), a.Value/a.Work.Seconds())
 	})
-	for _, e := range requests {
-		if coreSeconds -= e.Work.Seconds(); coreSeconds < 0 {
+	for _, request := range requests {
+		if coreSeconds -= request.Work.Seconds(); coreSeconds < 0 {
 			break
 		}
-		value += e.Value
+		value += request.Value
 	}
 	return value
 }
@@ -127,11 +130,11 @@
 func RejectionFairness(events []Event) float64 {
 	sent, rejected := map[string]float64{}, map[string]float64{}
 	for i := range events {
-		switch e := &events[i]; {
-		case e.Kind == AttemptSent:
-			sent[e.Server]++
-		case e.Kind == AttemptAnswered && Outcome(e.Detail) == OutcomeRejected:
-			rejected[e.Server]++
+		switch event := &events[i]; {
+		case event.Kind == AttemptSent:
+			sent[event.Server]++
+		case event.Kind == AttemptAnswered && Outcome(event.Detail) == OutcomeRejected:
+			rejected[event.Server]++
 		}
 	}
 	var sum, squares float64
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -62,15 +62,17 @@
 	for client := range plan.Clients {
 		group.Go(func() error { return plan.runClient(ctx, client, &remaining, &counts) })
 	}
-	err := group.Wait()
-	return counts.report(), err
+	if err := group.Wait(); err != nil {
+		return counts.report(), fmt.Errorf("load: %w", err)
+	}
+	return counts.report(), nil
 }
 
 // runClient sends requests one by one while any of the plan remain.
 func (p *Plan) runClient(ctx context.Context, client int, remaining *atomic.Int64, counts *counters) error {
 	conn, err := (&net.Dialer{Timeout: timeoutSlack}).DialContext(ctx, "tcp", p.Addr)
 	if err != nil {
-		return err
+		return fmt.Errorf("client %d: %w", client, err)
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
@@ -78,13 +80,13 @@
 	encoder, decoder := msgpack.NewEncoder(writer), msgpack.NewDecoder(bufio.NewReader(conn))
 	for call := uint32(1); remaining.Add(-1) >= 0; call++ {
 		if err := conn.SetDeadline(time.Now().Add(p.Timeout + timeoutSlack)); err != nil {
-			return err
+			return fmt.Errorf("client %d, call %d: set deadline: %w", client, call, err)
 		}
 		if err := p.writeRequest(encoder, client, call); err != nil {
-			return err
+			return fmt.Errorf("client %d, call %d: %w", client, call, err)
 		}
 		if err := writer.Flush(); err != nil {
-			return err
+			return fmt.Errorf("client %d, call %d: write request: %w", client, call, err)
 		}
 		result, err := readAnswer(decoder, call)
 		if err != nil {
--- a/lab/load/rpc.go
+++ b/lab/load/rpc.go
@@ -43,7 +43,10 @@
 	} else {
 		message.Subject = fmt.Sprintf("%016x", id%subjectKeys)
 	}
-	return message.Encode(encoder, call)
+	if err := message.Encode(encoder, call); err != nil {
+		return fmt.Errorf("write request: %w", err)
+	}
+	return nil
 }
 
 // outcome is how a request ended.
@@ -77,10 +80,10 @@
 	}
 	failure, err := decoder.DecodeInterface()
 	if err != nil {
-		return outcomeFailed, err
+		return outcomeFailed, fmt.Errorf("decode error: %w", err)
 	}
-	if _, err := decoder.DecodeInterface(); err != nil { // the result
-		return outcomeFailed, err
+	if _, err := decoder.DecodeInterface(); err != nil {
+		return outcomeFailed, fmt.Errorf("decode result: %w", err)
 	}
 	if failure == nil {
 		return outcomeServed, nil
@@ -99,15 +102,15 @@
 func readResponseHeader(decoder *msgpack.Decoder, call uint32) error {
 	parts, err := decoder.DecodeArrayLen()
 	if err != nil {
-		return err
+		return fmt.Errorf("decode response: %w", err)
 	}
 	kind, err := decoder.DecodeInt()
 	if err != nil {
-		return err
+		return fmt.Errorf("decode message type: %w", err)
 	}
 	id, err := decoder.DecodeUint32()
 	if err != nil {
-		return err
+		return fmt.Errorf("decode call number: %w", err)
 	}
 	if parts != frontrpc.ResponseParts || kind != frontrpc.ResponseType || id != call {
 		return fmt.Errorf("%w: %d parts, kind %d, id %d", errUnexpectedAnswer, parts, kind, id)
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -49,10 +49,7 @@
 // line for each strategy: means over the seeds, and the least, median and most of the value that is gained over the first
 // strategy, seed by seed. The results are in the order of the strategies, and in that of the seeds within each.
 func Compare(out io.Writer, opts Options, seeds int, strategies []Strategy) ([]Result, error) {
-	results, err := runAll(opts, seeds, strategies)
-	if err != nil {
-		return nil, err
-	}
+	results := runAll(opts, seeds, strategies)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, comparisonHeader)
 	baseline := results[:seeds]
@@ -60,11 +57,14 @@
 		summary := summarize(results[i*seeds:(i+1)*seeds], baseline)
 		summary.print(table, strategy.Name)
 	}
-	return results, table.Flush()
+	if err := table.Flush(); err != nil {
+		return nil, fmt.Errorf("write table: %w", err)
+	}
+	return results, nil
 }
 
-// runAll simulates and evaluates each strategy with each seed.
-func runAll(opts Options, seeds int, strategies []Strategy) ([]Result, error) {
+// runAll simulates and evaluates each strategy with each seed, on all cores.
+func runAll(opts Options, seeds int, strategies []Strategy) []Result {
 	results := make([]Result, len(strategies)*seeds)
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
@@ -76,7 +76,8 @@
 			})
 		}
 	}
-	return results, group.Wait()
+	_ = group.Wait() // no simulation fails
+	return results
 }
 
 // run simulates and evaluates the strategy with a seed.
