--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -5,11 +5,9 @@
 	"errors"
 	"fmt"
 	"io"
-	"os/signal"
 	"path/filepath"
 	"slices"
 	"strings"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
@@ -28,12 +26,13 @@
 
 // comparisonColumns are the heads of the columns behind the seed and the features.
 var comparisonColumns = []string{
-	"worth served", "of a central policy", "served whole", "refused", "tries each", "calls", "in hand, mean", "most",
-	"time over the bound", "even", "at a mute store, calls a second", "in hand, most", "back at 95% after", "broken",
+	"value served", "ratio to optimum", "served in full", "rejected", "attempts per request", "store calls",
+	"mean in flight", "max in flight", "time over limit", "rejection fairness", "unresponsive store: calls/s",
+	"max in flight", "recovery time", "violations",
 }
 
 // errNoRequest reports a run whose load was empty.
-var errNoRequest = errors.New("no request was made")
+var errNoRequest = errors.New("no request was completed")
 
 // comparedRun is what came of one of the two runs with a seed.
 type comparedRun struct {
@@ -48,68 +47,95 @@
 // valueRatio is the part of the requests' value that was served.
 func (r *comparedRun) valueRatio() float64 { return r.requests.ValueServed / r.requests.Value }
 
-// compare runs the same load and script, seed by seed, with opts.features off and on.
-func compare(opts *options, out io.Writer) error {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
+// comparison runs the same load and script, seed by seed, with opts.features off and on.
+type comparison struct {
+	opts       *options
+	out        io.Writer
+	dir        string    // of the runs' folders
+	gains      []float64 // in value served, by seed
+	violations int
+}
+
+// compare runs a comparison and prints it.
+func compare(ctx context.Context, opts *options, out io.Writer) error {
+	if err := checkFeatures(opts.features); err != nil {
+		return err
+	}
 	dir, err := dirOrNew(opts.lab.Dir)
 	if err != nil {
 		return err
 	}
-	if err := checkFeatures(opts.features); err != nil {
+	compared := &comparison{opts: opts, out: out, dir: dir}
+	if err := compared.printTable(ctx); err != nil {
 		return err
 	}
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	columns := append([]string{"seed", strings.Join(opts.features, "+")}, comparisonColumns...)
+	compared.printGains()
+	if compared.violations > 0 {
+		return violationsError(compared.violations)
+	}
+	return nil
+}
+
+// printTable makes all runs and prints a row for each.
+func (c *comparison) printTable(ctx context.Context) error {
+	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	columns := append([]string{"seed", strings.Join(c.opts.features, "+")}, comparisonColumns...)
 	fmt.Fprintln(table, strings.Join(columns, "\t")+"\t")
-	var gains []float64
-	violations := 0
-	for k := range opts.compare {
-		var ratios [2]float64
-		for i, enabled := range []bool{false, true} {
-			result, err := runCompared(ctx, opts, out, dir, opts.lab.Seed+uint64(k), enabled)
-			if err != nil {
-				return err
-			}
-			result.print(table)
-			violations += result.violations
-			ratios[i] = result.valueRatio()
+	for k := range c.opts.compare {
+		if err := c.runSeed(ctx, c.opts.lab.Seed+uint64(k), table); err != nil {
+			return err
 		}
-		gains = append(gains, ratios[1]-ratios[0])
 	}
 	if err := table.Flush(); err != nil {
+		return fmt.Errorf("print comparison: %w", err)
+	}
+	return nil
+}
+
+// runSeed makes the two runs with a seed.
+func (c *comparison) runSeed(ctx context.Context, seed uint64, table io.Writer) error {
+	without, err := c.run(ctx, seed, false)
+	if err != nil {
 		return err
 	}
-	slices.Sort(gains)
-	fmt.Fprintf(out, "gain in worth served: %+.4f / %+.4f / %+.4f (least, median, most of %d seeds)\n",
-		gains[0], gains[len(gains)/2], gains[len(gains)-1], len(gains))
-	if violations > 0 {
-		return violationsError(violations)
+	without.print(table)
+	with, err := c.run(ctx, seed, true)
+	if err != nil {
+		return err
 	}
+	with.print(table)
+	c.gains = append(c.gains, with.valueRatio()-without.valueRatio())
+	c.violations += without.violations + with.violations
 	return nil
 }
 
+// printGains prints the distribution of the gains. There must be one.
+func (c *comparison) printGains() {
+	slices.Sort(c.gains)
+	count := len(c.gains)
+	fmt.Fprintf(c.out, "gain in value served: %+.4f / %+.4f / %+.4f (min, median, max of %d seeds)\n",
+		c.gains[0], c.gains[count/2], c.gains[count-1], count)
+}
+
 func checkFeatures(features []string) error {
 	for _, name := range features {
 		if !slices.Contains(overloadFeatures, name) {
-			return fmt.Errorf("flag --with: %q is none of %s", name, strings.Join(overloadFeatures, ", "))
+			return fmt.Errorf("flag --with: %q is not one of %s", name, strings.Join(overloadFeatures, ", "))
 		}
 	}
 	return nil
 }
 
-// runCompared runs a fleet with a seed, in a folder of its own below dir, and prints violations of the rules.
-func runCompared(
-	ctx context.Context, base *options, out io.Writer, dir string, seed uint64, enabled bool,
-) (*comparedRun, error) {
-	opts := *base
+// run runs a fleet with a seed, in a folder of its own below dir, and prints violations of the rules.
+func (c *comparison) run(ctx context.Context, seed uint64, enabled bool) (*comparedRun, error) {
+	opts := *c.opts
 	opts.lab.Seed = seed
 	subdir := fmt.Sprintf("seed%d-0", seed)
 	if enabled {
 		opts.enableFeatures()
 		subdir = fmt.Sprintf("seed%d-1", seed)
 	}
-	opts.lab.Dir = filepath.Join(dir, subdir)
+	opts.lab.Dir = filepath.Join(c.dir, subdir)
 	events, cores, err := runScript(ctx, &opts)
 	if err != nil {
 		return nil, err
@@ -120,7 +146,7 @@
 	}
 	return &comparedRun{
 		opts: &opts, enabled: enabled, events: events, cores: cores, requests: requests,
-		violations: printViolations(out, events, maxComparedViolations),
+		violations: printViolations(c.out, events, maxComparedViolations),
 	}, nil
 }
 
@@ -143,7 +169,7 @@
 		return nil, 0, err
 	}
 	if err := lab.StartMembers(); err != nil {
-		return nil, 0, err
+		return nil, 0, fmt.Errorf("start members: %w", err)
 	}
 	err = runLoad(ctx, lab, opts, nil)
 	return lab.Log.Events(), lab.TotalCores(), err
@@ -156,7 +182,7 @@
 		state = "on"
 	}
 	store := history.SummarizeStores(r.events, r.opts.lab.Slots*len(r.opts.lab.Zones))
-	faultRate, faultMax := history.StoreLoadDuringFault(r.events, faults.KindUnresponsiveStore, settlingTime)
+	faultRate, faultMax := history.StoreLoadDuringFault(r.events, string(faults.KindUnresponsiveStore), settlingTime)
 	optimum := max(history.OptimalValue(r.events, r.cores*r.opts.duration.Seconds()), minOptimalValue)
 	requests := float64(r.requests.Requests)
 	fmt.Fprintf(table, "%d\t%s\t%.4f\t%.3f\t%.3f\t%d\t%.2f\t%d\t%.2f\t%d\t%.4f\t%.3f\t%.1f\t%d\t%s\t%d\t\n",
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -7,15 +7,14 @@
 	"io"
 	"math/rand/v2"
 	"os"
-	"os/signal"
 	"slices"
 	"sync"
-	"syscall"
 	"time"
 
 	"falldeal/internal/fleet"
 	"falldeal/lab/faults"
 	"falldeal/lab/fleetlab"
+	"falldeal/lab/history"
 )
 
 const (
@@ -29,10 +28,12 @@
 )
 
 // removedConditions are those in which a member gets no requests.
-var removedConditions = []string{"cut off", "dead", "wedged"}
+var removedConditions = []history.Condition{
+	history.ConditionUnreachable, history.ConditionFailed, history.ConditionStalled,
+}
 
 // errWaitTimeout reports a condition that did not hold within waitTimeout.
-var errWaitTimeout = errors.New("not reached within 3 minutes")
+var errWaitTimeout = errors.New("condition not reached within 3 minutes")
 
 // detection measures the failure detection of a fleet without load.
 type detection struct {
@@ -43,34 +44,24 @@
 
 // detect times the failure detection: it kills members and times how long all others take to see it. Before that it
 // counts how many members are taken for failed while none is, under the loss of --share, and what membership costs.
-func detect(opts *options, out io.Writer) error {
+func detect(ctx context.Context, opts *options, out io.Writer) error {
 	lab, err := openLab(opts)
 	if err != nil {
 		return err
 	}
 	defer lab.Close()
-	stopped, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
-	defer context.AfterFunc(stopped, func() {
+	defer context.AfterFunc(ctx, func() {
 		lab.Close()
 		os.Exit(1)
 	})()
-	if opts.fault.Ratio > 0 {
-		loss := faults.Fault{Kind: faults.KindLoss, Target: "*", Peer: "*", Ratio: opts.fault.Ratio}
-		if err := lab.AddFault(loss); err != nil {
-			return err
-		}
+	if err := addLoss(lab, opts.fault.Ratio); err != nil {
+		return err
 	}
 	if err := lab.StartMembers(); err != nil {
-		return err
+		return fmt.Errorf("start members: %w", err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	var script sync.WaitGroup
-	script.Go(func() { _ = lab.RunScript(ctx) }) // it ends early where the loss can't be caused
-	defer script.Wait()
-	defer cancel()
-
 	measured := &detection{opts: opts, lab: lab, out: out}
+	defer measured.startScript(ctx)()
 	if err := measured.waitForJoin(); err != nil {
 		return err
 	}
@@ -79,14 +70,35 @@
 	return measured.timeKills()
 }
 
+// addLoss has the fleet's network lose a ratio of all datagrams.
+func addLoss(lab *fleetlab.Lab, ratio float64) error {
+	if ratio <= 0 {
+		return nil
+	}
+	return addFault(lab, faults.Fault{
+		Kind: faults.KindLoss, Target: faults.AllMembers, Peer: faults.AllMembers, Ratio: ratio,
+	})
+}
+
+// startScript runs the script of faults until the function is called that it returns.
+func (d *detection) startScript(ctx context.Context) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	var script sync.WaitGroup
+	script.Go(func() { _ = d.lab.RunScript(ctx) }) // it ends early where the loss can't be caused
+	return func() {
+		cancel()
+		script.Wait()
+	}
+}
+
 // waitForJoin waits until every member sees all as serving.
 func (d *detection) waitForJoin() error {
 	members := len(d.lab.Members)
-	joined, err := waitUntil(func() bool { return d.countViews("serving") == members*members })
+	joined, err := waitUntil(func() bool { return d.countViews(history.ConditionServing) == members*members })
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(d.out, "%d members, %.0f%% loss: all see all after %.1fs\n",
+	fmt.Fprintf(d.out, "%d members, %.0f%% packet loss: full membership after %.1f s\n",
 		d.opts.lab.Members, 100*d.opts.fault.Ratio, joined.Seconds())
 	return nil
 }
@@ -100,7 +112,7 @@
 		time.Sleep(falseRemovalPollInterval)
 	}
 	members := len(d.lab.Members)
-	fmt.Fprintf(d.out, "false removals in %v: %d of %d views at most at once\n",
+	fmt.Fprintf(d.out, "false removals in %v: at most %d of %d views at a time\n",
 		d.opts.duration, removed, members*(members-1))
 }
 
@@ -111,7 +123,7 @@
 	after, members := measureUsage(d.lab.Members), float64(len(d.lab.Members))
 	elapsed := (d.lab.Log.Now() - start).Seconds()
 	perSecond := func(before, after float64) float64 { return (after - before) / members / elapsed }
-	fmt.Fprintf(d.out, "at rest each: %.1f ms of processor time and %.1f packets, %.0f bytes sent a second; "+
+	fmt.Fprintf(d.out, "idle cost per process: %.1f ms CPU/s, %.1f packets/s and %.0f bytes/s sent, "+
 		"%.1f MB resident\n",
 		perSecond(before.cpuMs, after.cpuMs), perSecond(before.packets, after.packets),
 		perSecond(before.bytes, after.bytes), after.memoryMB/members)
@@ -129,7 +141,7 @@
 		}
 		byOne, byAll = append(byOne, first), append(byAll, all)
 	}
-	fmt.Fprintf(d.out, "killed %d times: seen by one after %s; by all after %s\n",
+	fmt.Fprintf(d.out, "%d kills: detected by the first member after %s; by all members after %s\n",
 		d.opts.detect, formatQuantiles(byOne), formatQuantiles(byAll))
 	return nil
 }
@@ -151,32 +163,34 @@
 		return 0, 0, err
 	}
 	if err := victim.Start(); err != nil {
-		return 0, 0, err
+		return 0, 0, fmt.Errorf("restart %s: %w", victim.Name, err)
 	}
-	_, err = waitUntil(func() bool { return d.countViewsOf(victim, "serving", "warming") >= others })
+	_, err = waitUntil(func() bool {
+		return d.countViewsOf(victim, history.ConditionServing, history.ConditionWarming) >= others
+	})
 	return byOne, byAll, err
 }
 
 // countViews counts the views, of all members by all members that answer, in which one is in one of the conditions.
-func (d *detection) countViews(conditions ...string) int {
+func (d *detection) countViews(conditions ...history.Condition) int {
 	count := 0
 	for _, observer := range d.lab.Members {
 		count += countReported(observer, func(observed *fleet.MemberReport) bool {
-			return slices.Contains(conditions, observed.Condition)
+			return slices.Contains(conditions, history.Condition(observed.Condition))
 		})
 	}
 	return count
 }
 
 // countViewsOf counts the other running members that see a member in one of the conditions.
-func (d *detection) countViewsOf(member *fleetlab.Member, conditions ...string) int {
+func (d *detection) countViewsOf(member *fleetlab.Member, conditions ...history.Condition) int {
 	count := 0
 	for _, observer := range d.lab.Members {
 		if observer == member || !observer.Running() {
 			continue
 		}
 		count += countReported(observer, func(observed *fleet.MemberReport) bool {
-			return observed.Name == member.Name && slices.Contains(conditions, observed.Condition)
+			return observed.Name == member.Name && slices.Contains(conditions, history.Condition(observed.Condition))
 		})
 	}
 	return count
@@ -213,6 +227,6 @@
 func formatQuantiles(durations []time.Duration) string {
 	slices.Sort(durations)
 	quantile := func(q float64) float64 { return durations[int(q*float64(len(durations)-1))].Seconds() }
-	return fmt.Sprintf("%.1f / %.1f / %.1f / %.1f s (least, median, 90%%, most)",
+	return fmt.Sprintf("%.1f / %.1f / %.1f / %.1f s (min, median, p90, max)",
 		quantile(0), quantile(0.5), quantile(0.9), quantile(1))
 }
--- a/lab/history/plot.go
+++ b/lab/history/plot.go
@@ -1,6 +1,7 @@
 package history
 
 import (
+	"fmt"
 	"image/color"
 	"maps"
 	"slices"
@@ -25,8 +26,8 @@
 func Plot(path, title string, events []Event) error {
 	figure := plot.New()
 	figure.Title.Text = title
-	figure.X.Label.Text = "seconds"
-	figure.Y.Label.Text = "requests a second"
+	figure.X.Label.Text = "time (s)"
+	figure.Y.Label.Text = "completed requests/s"
 	last := lastSecond(events)
 	if err := addRequests(figure, events, last); err != nil {
 		return err
@@ -36,10 +37,13 @@
 	}
 	figure.Legend.Top = true
 	figure.Y.Max *= legendHeight
-	return figure.Save(plotWidth, plotHeight, path)
+	if err := figure.Save(plotWidth, plotHeight, path); err != nil {
+		return fmt.Errorf("save plot: %w", err)
+	}
+	return nil
 }
 
-func second(e *Event) int { return int(e.At / time.Second) }
+func second(event *Event) int { return int(event.At / time.Second) }
 
 func lastSecond(events []Event) (last int) {
 	for i := range events {
@@ -50,23 +54,24 @@
 
 // addRequests adds a line for each outcome.
 func addRequests(figure *plot.Plot, events []Event, last int) error {
-	counts := map[string][]int{} // by outcome and second
+	counts := map[Outcome][]int{} // by outcome and second
 	for i := range events {
 		event := &events[i]
 		if event.Kind != RequestCompleted {
 			continue
 		}
-		if counts[event.Detail] == nil {
-			counts[event.Detail] = make([]int, last+1)
+		outcome := Outcome(event.Detail)
+		if counts[outcome] == nil {
+			counts[outcome] = make([]int, last+1)
 		}
-		counts[event.Detail][second(event)]++
+		counts[outcome][second(event)]++
 	}
 	for i, outcome := range slices.Sorted(maps.Keys(counts)) {
 		points := make(plotter.XYs, last+1)
 		for at, n := range counts[outcome] {
 			points[at].X, points[at].Y = float64(at), float64(n)
 		}
-		if err := addLine(figure, outcome, points, lineColor(i), vg.Points(seriesWidth)); err != nil {
+		if err := addLine(figure, outcome.Description(), points, lineColor(i), vg.Points(seriesWidth)); err != nil {
 			return err
 		}
 	}
@@ -103,7 +108,7 @@
 func addLine(figure *plot.Plot, name string, points plotter.XYs, lineColor color.Color, width vg.Length) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
-		return err
+		return fmt.Errorf("plot %s: %w", name, err)
 	}
 	line.Color = lineColor
 	line.Width = width
--- a/lab/model/probing.go
+++ b/lab/model/probing.go
@@ -9,7 +9,7 @@
 const modelStoreID = 7
 
 func (s *server) startProbes() {
-	s.probes, s.probeAllowance = nil, overload.ProbeUnlimited
+	s.probeAllowance = overload.ProbeUnlimited
 	if !s.sim.opts.CoordinatedProbes {
 		return
 	}
