--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -7,8 +7,8 @@
 
 // How long members are retained that are not expected to come back, where Limits.ForgetAfter is not shorter.
 const (
-	leftRetention  = 5 * time.Minute
-	unmetRetention = 10 * time.Minute
+	leftRetention        = 5 * time.Minute
+	unconfirmedRetention = 10 * time.Minute
 )
 
 // Forget removes members that have not been reached for long.
@@ -29,34 +29,34 @@
 // retention is how long a member is retained after it was last reached. It is not bounded for those that are there.
 func (v *View) retention(liveness Liveness) (retention time.Duration, bounded bool) {
 	switch liveness {
-	case Alive, Suspect, Wedged:
+	case Alive, Suspect, Stalled:
 		return 0, false
 	case Left:
 		return min(v.limits.ForgetAfter, leftRetention), true
-	case Unmet:
-		return min(v.limits.ForgetAfter, unmetRetention), true
-	default: // Silent, Dead
+	case Unconfirmed:
+		return min(v.limits.ForgetAfter, unconfirmedRetention), true
+	default: // Unreachable, Failed
 		return v.limits.ForgetAfter, true
 	}
 }
 
 // evict removes the member that left or died longest ago, and returns whether there was one.
 func (v *View) evict(now time.Duration) bool {
-	longestGone := ""
+	longestEnded := ""
 	fresh := v.freshAge()
 	for _, name := range v.names {
 		entry := v.entries[name]
-		if liveness := entry.liveness(now, fresh); name == v.self || liveness != Left && liveness != Dead {
+		if name == v.self || !entry.liveness(now, fresh).ended() {
 			continue
 		}
-		if longestGone == "" || entry.lastReached < v.entries[longestGone].lastReached {
-			longestGone = name
+		if longestEnded == "" || entry.lastReached < v.entries[longestEnded].lastReached {
+			longestEnded = name
 		}
 	}
-	if longestGone == "" {
+	if longestEnded == "" {
 		return false
 	}
-	v.remove(longestGone)
+	v.remove(longestEnded)
 	return true
 }
 
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -22,22 +22,36 @@
 
 // Condition is the state that a member reports where it is alive, and else the conclusion of the observer.
 func (m *Member) Condition() string {
-	if m.Liveness == Alive && m.State != 0 {
+	if m.reportsState() {
 		return m.State.String()
 	}
 	return m.Liveness.String()
 }
 
+// reportsState reports whether the member is alive and has published its state.
+func (m *Member) reportsState() bool { return m.Liveness == Alive && m.State != 0 }
+
+// AcceptsRequests reports whether the member is alive and accepts requests by its last record, however old that is.
+func (m *Member) AcceptsRequests() bool { return m.Liveness == Alive && m.State.acceptsRequests() }
+
 // Serves reports whether the member is alive and accepts requests by a record that is no older than fresh.
 func (m *Member) Serves(now, fresh time.Duration) bool {
-	return m.Liveness == Alive && (m.State == Serving || m.State == Warming) && m.Age(now) <= fresh
+	return m.AcceptsRequests() && m.Age(now) <= fresh
 }
 
 func (m *Member) reached() bool { return m.Liveness == Alive || m.Liveness == Suspect }
 
-// lost reports whether the failure detection has lost the member. One whose loop stalls is reached.
+// lost reports whether the failure detection has lost the member. One that reports itself that its loop stalls is
+// reached.
 func (m *Member) lost() bool {
-	return m.Liveness == Silent || m.Liveness == Dead || m.Liveness == Wedged && m.Stalled == 0
+	switch m.Liveness {
+	case Unreachable, Failed:
+		return true
+	case Stalled:
+		return m.Stalled == 0
+	default:
+		return false
+	}
 }
 
 // minZoneMembers is the number of members from which on a zone can be called unreachable, as against one member.
@@ -53,8 +67,10 @@
 // Reached is how many of its members are reached.
 func (z *Zone) Reached() int { return z.Count[Alive] + z.Count[Suspect] }
 
-// Unreachable reports whether at least half of the zone is silent: a partition is likelier than so many failures.
-func (z *Zone) Unreachable() bool { return z.Known >= minZoneMembers && 2*z.Count[Silent] >= z.Known }
+// MostlyUnreachable reports whether at least half of the zone is silent: a partition is likelier than so many failures.
+func (z *Zone) MostlyUnreachable() bool {
+	return z.Known >= minZoneMembers && 2*z.Count[Unreachable] >= z.Known
+}
 
 func (z *Zone) add(liveness Liveness) {
 	z.Count[liveness]++
@@ -110,9 +126,11 @@
 
 // describe sets the member of that name from its entry.
 func (e *entry) describe(member *Member, name string, now, fresh time.Duration) {
-	member.Record, member.RecordedAt = e.record, e.recordedAt
+	member.Record = e.record
+	member.RecordedAt = e.recordedAt
 	if e.record == nil {
-		member.Record, member.RecordedAt = e.placeholderRecord(name), e.lastReached
+		member.Record = e.placeholderRecord(name)
+		member.RecordedAt = e.lastReached
 	}
 	member.Since = e.lastReached
 	if current := e.currentObservation(); current != nil {
@@ -127,7 +145,7 @@
 // selfLiveness is the liveness of the observer itself, which its own failure detection says nothing of.
 func selfLiveness(record *Record) Liveness {
 	if record.Stalled > 0 {
-		return Wedged
+		return Stalled
 	}
 	return Alive
 }
@@ -171,12 +189,13 @@
 }
 
 // position does not count members that were never met: a record that is still passed on says nothing of the present.
-// Dead members do not make an observer partitioned, as their machines answer.
+// Failed members do not make an observer partitioned, as their machines answer.
 func (s *Snapshot) position(everReceived bool) Position {
 	total := &s.Total
-	lost := total.Count[Silent] + total.Count[Dead] + total.Count[Wedged]
+	lost := total.Count[Unreachable] + total.Count[Failed] + total.Count[Stalled]
+	unreachable := total.Count[Unreachable]
 	switch {
-	case total.Count[Silent] > 0 && total.Count[Silent] >= total.Reached():
+	case unreachable > 0 && unreachable >= total.Reached():
 		return Partitioned
 	case !everReceived:
 		return Alone
@@ -204,7 +223,7 @@
 	var encoded []byte
 	for i := range s.Members {
 		member := &s.Members[i]
-		if member.Liveness != Alive && member.Liveness != Wedged {
+		if member.Liveness != Alive && member.Liveness != Stalled {
 			continue
 		}
 		encoded = append(encoded[:0], member.Process()...)
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -14,7 +14,7 @@
 	switch action.Kind {
 	case admission.ActionHealth:
 		s.health.healthy, s.health.cached = action.Health.Healthy, action.Health.Cached
-		s.announcer.Set(action.Health.Healthy)
+		s.announcer.SetAccepting(action.Health.Healthy)
 	case admission.ActionIdleTimeout:
 		s.connections.idleTimer.timeout = action.Duration
 	case admission.ActionWake:
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -7,6 +7,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -38,7 +39,7 @@
 	offset  int           // number of the last notification
 	backlog []notification
 	runs    map[string]*run // by request, including completed ones
-	timer   *time.Timer     // fires when the next work in Cores completes
+	timer   completionTimer // of Cores
 
 	readQueue   []*pendingRead
 	activeReads map[string]*pendingRead // by their identifier in Cores
@@ -54,7 +55,7 @@
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
-			return err
+			return fmt.Errorf("accept: %w", err)
 		}
 		go handle(conn)
 	}
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -19,26 +19,37 @@
 
 // Strategies are the ones to compare. The first is the baseline.
 var Strategies = []Strategy{
-	{"off", func(*Options) {}},
-	{"cutoff, by words", func(opts *Options) { opts.Shedding, opts.Aggregates = true, false }},
-	{"cutoff, by sums", func(opts *Options) { opts.Shedding, opts.Aggregates = true, true }},
-	{"cutoff and probes", func(opts *Options) {
-		opts.Shedding, opts.Aggregates, opts.CoordinatedProbes = true, true, true
+	{StrategyOff, func(*Options) {}},
+	{"shedding by records", func(opts *Options) {
+		opts.Shedding = true
+		opts.Aggregates = false
+	}},
+	{"shedding by aggregates", func(opts *Options) {
+		opts.Shedding = true
+		opts.Aggregates = true
+	}},
+	{StrategySheddingAndProbes, func(opts *Options) {
+		opts.Shedding = true
+		opts.Aggregates = true
+		opts.CoordinatedProbes = true
 	}},
 }
 
+// Names of strategies.
+const (
+	StrategyOff               = "off"
+	StrategySheddingAndProbes = "shedding and coordinated probes"
+)
+
 // comparisonHeader names the columns of Compare.
-const comparisonHeader = "way\tworth served\tgained: least\tmedian\tmost\tof a central policy\ttries each\tlate\t" +
-	"back at 95% after: median\tmost\tnever\tcalls/s at mute stores\tin hand there\t"
+const comparisonHeader = "strategy\tvalue served\tgain: min\tmedian\tmax\tratio to optimum\tattempts per request\tlate\t" +
+	"recovery time: median\tmax\tnever\tunresponsive stores: calls/s\tmax in flight\t"
 
 // Compare simulates a fleet with each strategy and so many seeds, counted up from that of opts, on all cores. It prints a
 // line for each strategy: means over the seeds, and the least, median and most of the value that is gained over the first
 // strategy, seed by seed. The results are in the order of the strategies, and in that of the seeds within each.
 func Compare(out io.Writer, opts Options, seeds int, strategies []Strategy) ([]Result, error) {
-	results, err := runAll(opts, seeds, strategies)
-	if err != nil {
-		return nil, err
-	}
+	results := runAll(opts, seeds, strategies)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, comparisonHeader)
 	baseline := results[:seeds]
@@ -46,28 +57,36 @@
 		summary := summarize(results[i*seeds:(i+1)*seeds], baseline)
 		summary.print(table, strategy.Name)
 	}
-	return results, table.Flush()
+	if err := table.Flush(); err != nil {
+		return nil, fmt.Errorf("write table: %w", err)
+	}
+	return results, nil
 }
 
-// runAll simulates and evaluates each strategy with each seed.
-func runAll(opts Options, seeds int, strategies []Strategy) ([]Result, error) {
+// runAll simulates and evaluates each strategy with each seed, on all cores.
+func runAll(opts Options, seeds int, strategies []Strategy) []Result {
 	results := make([]Result, len(strategies)*seeds)
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for i, strategy := range strategies {
 		for seed := range seeds {
 			group.Go(func() error {
-				simulated := opts
-				simulated.Seed = opts.Seed + uint64(seed)
-				strategy.Set(&simulated)
-				result := Evaluate(simulated, Run(simulated))
-				result.Strategy = strategy.Name
-				results[i*seeds+seed] = result
+				results[i*seeds+seed] = strategy.run(opts, opts.Seed+uint64(seed))
 				return nil
 			})
 		}
 	}
-	return results, group.Wait()
+	_ = group.Wait() // no simulation fails
+	return results
+}
+
+// run simulates and evaluates the strategy with a seed.
+func (s *Strategy) run(opts Options, seed uint64) Result {
+	opts.Seed = seed
+	s.Set(&opts)
+	result := Evaluate(opts, Run(opts))
+	result.Strategy = s.Name
+	return result
 }
 
 // strategySummary sums up the results of one strategy.
