--- a/admission/accounting.go
+++ b/admission/accounting.go
@@ -44,10 +44,10 @@
 	}
 	coresUsed := float64(min(c.onCPU, c.settings.Cores))
 	c.busyTime += time.Duration(float64(elapsed) * coresUsed / float64(c.settings.Cores))
-	c.speed.add(c.busyTime, 0, elapsed.Seconds()*coresUsed)
+	c.speed.Add(c.busyTime, 0, elapsed.Seconds()*coresUsed)
 	inFlight := float64(c.callsInFlight + c.abandonedCalls)
 	c.addCallCredit(elapsed, inFlight)
-	c.callSeconds.add(now, elapsed.Seconds()*inFlight, 0)
+	c.callSeconds.Add(now, elapsed.Seconds()*inFlight)
 	c.now = now
 }
 
@@ -124,7 +124,7 @@
 	req.remembered = true
 	c.memoryKB += c.settings.KeyMemoryKB
 	c.keys[req.id] = &keyEntry{expiresAt: c.now + duration}
-	c.deadlines.push(c.now+duration, deadline{kind: deadlineKey, id: req.id})
+	c.deadlines.Push(c.now+duration, deadline{kind: deadlineKey, id: req.id})
 	c.emit(Action{Kind: ActionRemember, ID: req.id, Duration: duration})
 }
 
@@ -150,7 +150,7 @@
 func (c *Controller) awaitCall(req *request) {
 	req.state, req.callNeededAt = awaitingCall, c.now
 	c.awaitingCallCount++
-	c.callQueue.push(req.usefulUntil, req)
+	c.callQueue.Push(req.usefulUntil, req)
 }
 
 // retryCall has req wait again for the call that has failed.
@@ -171,7 +171,7 @@
 func (c *Controller) trackAbandonedCall() {
 	if c.settings.AbandonedCallTime > 0 {
 		c.abandonedCalls++
-		c.deadlines.push(c.now+c.settings.AbandonedCallTime, deadline{kind: deadlineAbandonedCall})
+		c.deadlines.Push(c.now+c.settings.AbandonedCallTime, deadline{kind: deadlineAbandonedCall})
 	}
 }
 
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -36,11 +36,11 @@
 	if req.retry {
 		retries = 1
 	} else {
-		c.tenants[req.tenant].offered.add(c.now, 1, 0)
+		c.tenants[req.tenant].offered.Add(c.now, 1, 0)
 	}
-	c.arrivals.add(c.now, 1, retries)
-	c.deadlines.push(c.answerDeadline(req), deadline{deadlineAnswer, req, req.id})
-	c.readWait.add(max(event.Arrival.Waited, 0).Seconds(), readWaitGain)
+	c.arrivals.Add(c.now, 1, retries)
+	c.deadlines.Push(c.answerDeadline(req), deadline{deadlineAnswer, req, req.id})
+	c.readWait.Add(max(event.Arrival.Waited, 0).Seconds(), readWaitGain)
 	if event.Arrival.RetryOf != 0 && c.handleRetry(req, event.Arrival.RetryOf) {
 		return
 	}
@@ -129,7 +129,7 @@
 	late := false
 	for i := range c.classes {
 		class := &c.settings.Classes[i]
-		late = late || !class.Removed && c.classes[i].meanLatency.or(0) > class.LatencyObjective.Seconds()
+		late = late || !class.Removed && c.classes[i].meanLatency.Or(0) > class.LatencyObjective.Seconds()
 	}
 	demandLimit := pressureDemandPerCore * float64(c.settings.Cores)
 	if late && (c.gauges.CPUUtilization > pressureUtilization || c.gauges.CPUDemand > demandLimit) {
@@ -169,7 +169,7 @@
 		value *= req.work
 	}
 	if byCalls {
-		return value / max(c.classes[req.class].callsPerRun.or(1), minCallsPerRun)
+		return value / max(c.classes[req.class].callsPerRun.Or(1), minCallsPerRun)
 	}
 	return value / max(req.work, minWorkForValueDensity)
 }
@@ -181,9 +181,9 @@
 		reason = ReasonTooLate // too little time is left for an attempt elsewhere
 	}
 	if reason == ReasonCPU && !c.settings.MarksRetries {
-		c.arrivals.add(c.now, 0, 1)
+		c.arrivals.Add(c.now, 0, 1)
 	}
-	storm := reason == ReasonCPU && c.arrivals.secondary > retryStormRatio*c.arrivals.primary
+	storm := reason == ReasonCPU && c.arrivals.Second > retryStormRatio*c.arrivals.First
 	if req.fleetRank != RankUnknown {
 		storm = reason == ReasonBelowThreshold || reason == ReasonCPU && req.fleetRank != RankElsewhere
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -3,13 +3,15 @@
 import (
 	"testing"
 	"time"
+
+	"falldeal/admission/internal/rolling"
 )
 
 func TestAdmitProbabilityFallsOnlyUnderPressureAndLate(t *testing.T) {
 	controller := start(t, testSettings())
 	step := func(use, lat float64) float64 {
 		controller.gauges.CPUUtilization = use
-		controller.classes[0].meanLatency = movingAverage{lat, true}
+		controller.classes[0].meanLatency = rolling.AverageOf(lat)
 		controller.adjustAdmitProbability()
 		return controller.admitProbability
 	}
@@ -38,7 +40,7 @@
 	refusal := func(prepare func(*Controller, *Event)) *Action {
 		controller := start(t, testSettings())
 		controller.settings.MarksRetries = true
-		controller.speed.primary = 1e-6 // so slow that nothing is in time
+		controller.speed.First = 1e-6 // so slow that nothing is in time
 		for id := RequestID(100); id < 110; id++ {
 			controller.Step(0, []Event{req(id, 0)}, nil)
 		}
@@ -51,7 +53,7 @@
 	}
 	for _, marks := range []bool{true, false} {
 		storm := func(c *Controller, _ *Event) {
-			c.settings.MarksRetries, c.arrivals.primary, c.arrivals.secondary = marks, 10, 9
+			c.settings.MarksRetries, c.arrivals.First, c.arrivals.Second = marks, 10, 9
 		}
 		if a := refusal(storm); !a.Rejection.NoRetryElsewhere {
 			t.Errorf("in a storm the caller is sent on (tries marked: %v)", marks)
@@ -78,9 +80,9 @@
 		for id := RequestID(100); id < 110; id++ {
 			controller.Step(0, []Event{req(id, 0)}, nil)
 		}
-		controller.speed.primary = 1e-6 // so slow that nothing is in time
+		controller.speed.First = 1e-6 // so slow that nothing is in time
 		if test.storm {
-			controller.arrivals.primary, controller.arrivals.secondary = 10, 9
+			controller.arrivals.First, controller.arrivals.Second = 10, 9
 		}
 		event.ID = 2
 		if a := want(t, controller.Step(0, []Event{event}, nil), ActionReject, 2); a.Rejection.NoRetryElsewhere != test.end || a.Rejection.Reason != test.why || test.end == (a.Rejection.RetryAfter > 0) {
@@ -126,7 +128,7 @@
 		s := testSettings()
 		s.MarksRetries = marks
 		controller := start(t, s)
-		controller.speed.primary = 1e-6
+		controller.speed.First = 1e-6
 		var last *Action
 		for id := RequestID(1); id <= 60; id++ {
 			e := req(id, 0)
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -19,7 +19,7 @@
 	if !noRetry {
 		delay = min(c.retryAfter(reason)+req.retryJitter, c.settings.MaxRetryAfter)
 	}
-	readingLate := c.readWait.value > lateReadWaitRatio*c.shortestObjective().Seconds()
+	readingLate := c.readWait.Value() > lateReadWaitRatio*c.shortestObjective().Seconds()
 	if interval := c.meanClientInterval(); readingLate && interval > minRetryAfter {
 		delay = max(delay, min(interval, c.settings.MaxRetryAfter))
 	}
@@ -38,17 +38,17 @@
 
 // meanClientInterval is the mean time between two requests of one client to this server.
 func (c *Controller) meanClientInterval() time.Duration {
-	return scale(offeredTimeConstant, float64(c.settings.Clients)/max(c.arrivals.primary, 1))
+	return scale(offeredTimeConstant, float64(c.settings.Clients)/max(c.arrivals.First, 1))
 }
 
 // adjustIdleTimeout weighs open connections, which cost CPU and a place in a table of unknown size, against
 // new ones, which cost work once. Where a client returns well within the idle timeout it keeps its
 // connection; where it seldom does, connections are closed soon, before rare clients fill the table.
 func (c *Controller) adjustIdleTimeout() {
-	c.arrivals.decayTo(c.now)
+	c.arrivals.DecayTo(c.now)
 	clients := max(float64(c.settings.Clients), c.gauges.Connections)
 	timeout := c.settings.IdleTimeout
-	if clients*offeredTimeConstant.Seconds() > idleConnectionPayoff*timeout.Seconds()*c.arrivals.primary {
+	if clients*offeredTimeConstant.Seconds() > idleConnectionPayoff*timeout.Seconds()*c.arrivals.First {
 		timeout = min(timeout, shortIdleTimeout)
 	}
 	if timeout != c.idleTimeout {
--- a/admission/breaker.go
+++ b/admission/breaker.go
@@ -1,6 +1,10 @@
 package admission
 
-import "time"
+import (
+	"time"
+
+	"falldeal/admission/internal/rolling"
+)
 
 // The circuit breaker before calls to the dependency, as the design's source has it ("googleBreaker").
 const (
@@ -16,16 +20,15 @@
 }
 
 func (c *Controller) dropProbability() float64 {
-	total, accepts := c.outcomes.totalsAt(c.now)
-	return dropRatio(total, accepts, c.protectedCalls)
+	return dropRatio(c.callsEnded.Sum(c.now), c.callsAccepted.Sum(c.now), c.protectedCalls)
 }
 
 // SetProtectedCalls sets how many calls per window are never dropped: BreakerProtectedCalls, unless the fleet
 // coordinates its probes. Below 0 no call is made while none is accepted; above 0 the estimate of the call
 // time is reset to the best one, so that a probe gets enough time.
 func (c *Controller) SetProtectedCalls(calls float64) {
-	if c.protectedCalls = calls; calls > 0 && c.callTime.set {
-		c.callTime.value = c.bestCallTime
+	if c.protectedCalls = calls; calls > 0 && c.callTime.Known() {
+		c.callTime = rolling.AverageOf(c.bestCallTime)
 	}
 }
 
@@ -34,5 +37,6 @@
 	if outcome == OutcomeOK {
 		accepts = 1
 	}
-	c.outcomes.add(c.now, 1, accepts)
+	c.callsEnded.Add(c.now, 1)
+	c.callsAccepted.Add(c.now, accepts)
 }
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"testing"
 	"time"
+
+	"falldeal/admission/internal/rolling"
 )
 
 func TestDropRatioByHand(t *testing.T) {
@@ -44,9 +46,9 @@
 func TestProtectedCallsFollowFleet(t *testing.T) {
 	calls := func(protect float64) (n int) {
 		controller := start(t, testSettings())
-		controller.callTime, controller.bestCallTime = movingAverage{0.03, true}, 0.03
+		controller.callTime, controller.bestCallTime = rolling.AverageOf(0.03), 0.03
 		if protect > 0 {
-			controller.callTime.value = 1.9
+			controller.callTime = rolling.AverageOf(1.9)
 		}
 		for range 4 {
 			controller.recordOutcome(OutcomeTimedOut)
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -31,11 +31,11 @@
 // more calls at once only make it slower. Where it is slow by itself that costs some calls which would have
 // been on time, hence the lower bound.
 func (c *Controller) adjustCallLimit() {
-	if !c.callTime.set {
+	if !c.callTime.Known() {
 		return
 	}
-	c.bestCallTime = min(c.bestCallTime*bestCallTimeDrift, c.callTime.value)
-	if c.callTime.value > slowCallFactor*c.bestCallTime {
+	c.bestCallTime = min(c.bestCallTime*bestCallTimeDrift, c.callTime.Value())
+	if c.callTime.Value() > slowCallFactor*c.bestCallTime {
 		c.callLimitRatio = max(c.callLimitRatio*callLimitDecrease, minCallLimitRatio)
 		return
 	}
@@ -57,25 +57,25 @@
 // callWait estimates how long a new request waits for calls that others make first. Requests that may do
 // without their calls don't count: they yield.
 func (c *Controller) callWait() time.Duration {
-	if c.settings.MaxCallsInFlight <= 0 || !c.callTime.set {
+	if c.settings.MaxCallsInFlight <= 0 || !c.callTime.Known() {
 		return 0
 	}
 	ahead := float64(c.awaitingCallCount)
 	for i := range c.classes {
 		if c.settings.Classes[i].CallsDependency && c.settings.Classes[i].DegradedValueRatio <= 0 {
-			ahead += float64(c.classes[i].queuedCount) * c.classes[i].callsPerRun.or(1)
+			ahead += float64(c.classes[i].queuedCount) * c.classes[i].callsPerRun.Or(1)
 		}
 	}
 	limit, overdrawn := c.callLimit(), 0.0
 	if limit < 1 {
 		overdrawn = max(-c.callCredit, 0) // is to be paid back before the next call
 	}
-	return seconds((ahead*c.callTime.value + overdrawn) / limit)
+	return seconds((ahead*c.callTime.Value() + overdrawn) / limit)
 }
 
 // skipWaitingCalls lets runs that wait for a call go on without it once that is better.
 func (c *Controller) skipWaitingCalls() {
-	c.callQueue.drop(func(req *request) bool {
+	c.callQueue.DeleteFunc(func(req *request) bool {
 		skip := req.state == awaitingCall && !req.answered && c.skipsCall(req)
 		if skip {
 			c.callDropped(req)
@@ -98,13 +98,13 @@
 	if inFlight > limit && (inFlight >= limit+1 || c.callCredit <= 0) {
 		return 0
 	}
-	used, _ := c.callSeconds.totalsAt(c.now)
+	used := c.callSeconds.Sum(c.now)
 	if inFlight <= survived {
 		return left
 	}
 	unused := survived*c.settings.CallsWindow.Seconds() - used
 	timeout := seconds(unused/inFlight) - c.settings.AbandonedCallTime
-	if timeout < seconds(minCallTimeFactor*c.callTime.or(0)) {
+	if timeout < seconds(minCallTimeFactor*c.callTime.Or(0)) {
 		return 0
 	}
 	return min(left, timeout)
@@ -113,15 +113,15 @@
 // startCalls makes calls in the order in which their requests cease to be useful, as far as the limits allow.
 func (c *Controller) startCalls() {
 	c.skipWaitingCalls()
-	for !c.callQueue.empty() {
-		req, _ := c.callQueue.head()
+	for c.callQueue.Len() > 0 {
+		req, _, _ := c.callQueue.Peek()
 		if req.state != awaitingCall || req.answered {
-			c.callQueue.pop()
+			c.callQueue.Pop()
 			continue
 		}
 		left := req.usefulUntil - c.now
 		if left <= 0 {
-			c.callQueue.pop()
+			c.callQueue.Pop()
 			c.fail(req)
 			continue
 		}
@@ -129,7 +129,7 @@
 		if timeout <= 0 {
 			return
 		}
-		c.callQueue.pop()
+		c.callQueue.Pop()
 		if c.rng.Float64() < c.dropProbability() {
 			c.callDropped(req)
 			continue
@@ -169,7 +169,7 @@
 	if outcome == OutcomeTimedOut || outcome == OutcomeAborted {
 		c.trackAbandonedCall()
 	}
-	c.callTime.add(event.Completion.Took.Seconds(), callGain)
+	c.callTime.Add(event.Completion.Took.Seconds(), callGain)
 	if outcome == OutcomeOK {
 		c.resume(req)
 		return
@@ -182,7 +182,7 @@
 	switch {
 	case req.answered:
 	case mayRetry && req.callAttempts < maxCallAttempts && c.now+callBackoff < req.usefulUntil:
-		c.deadlines.push(c.now+callBackoff, deadline{deadlineCallRetry, req, req.id})
+		c.deadlines.Push(c.now+callBackoff, deadline{deadlineCallRetry, req, req.id})
 	default:
 		c.callDropped(req)
 	}
@@ -191,7 +191,7 @@
 // abandonCall accounts for a call whose request has ended.
 func (c *Controller) abandonCall(req *request) {
 	c.callsInFlight--
-	if c.now-req.callNeededAt > seconds(abandonedCallFailedFactor*c.callTime.or(0)) {
+	if c.now-req.callNeededAt > seconds(abandonedCallFailedFactor*c.callTime.Or(0)) {
 		c.recordOutcome(OutcomeTimedOut)
 	}
 	c.trackAbandonedCall()
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"testing"
 	"time"
+
+	"falldeal/admission/internal/rolling"
 )
 
 func TestDroppedCallIsSkippedOrFails(t *testing.T) {
@@ -61,17 +63,17 @@
 
 func TestCallsShrinkWhileSlowAndGrowBack(t *testing.T) {
 	controller := start(t, testSettings())
-	controller.callTime = movingAverage{0.05, true}
+	controller.callTime = rolling.AverageOf(0.05)
 	for range 100 {
 		controller.adjustCallLimit()
 	}
 	high := controller.callLimit()
-	controller.callTime.value = 0.5
+	controller.callTime = rolling.AverageOf(0.5)
 	for range 40 {
 		controller.adjustCallLimit()
 	}
 	low := controller.callLimit()
-	controller.callTime.value = 0.05
+	controller.callTime = rolling.AverageOf(0.05)
 	for range 100 {
 		controller.adjustCallLimit()
 	}
@@ -84,12 +86,12 @@
 	settings := testSettings()
 	settings.MaxCallsInFlight, settings.Dependency = 1.95, DependencyShared
 	controller := start(t, settings)
-	controller.callTime, controller.callLimitRatio = movingAverage{0.05, true}, 0.7
+	controller.callTime, controller.callLimitRatio = rolling.AverageOf(0.05), 0.7
 	controller.callsInFlight = 1
 	if controller.callTimeout(time.Second) <= 0 {
 		t.Error("no second call though the mean is far under the bound")
 	}
-	controller.callSeconds.add(controller.now, controller.callLimit()*settings.CallsWindow.Seconds()+0.1, 0)
+	controller.callSeconds.Add(controller.now, controller.callLimit()*settings.CallsWindow.Seconds()+0.1)
 	controller.callCredit = -0.1
 	if controller.callTimeout(time.Second) > 0 {
 		t.Error("a second call though the mean is over the bound")
@@ -138,7 +140,7 @@
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
 	controller := start(t, settings)
-	controller.callLimitRatio, controller.callTime = minCallLimitRatio, movingAverage{0.3, true}
+	controller.callLimitRatio, controller.callTime = minCallLimitRatio, rolling.AverageOf(0.3)
 	controller.callCredit = 0.01
 	if w := controller.callWait(); w != 0 {
 		t.Errorf("a wait of %v with nothing overdrawn", w)
@@ -156,7 +158,7 @@
 	}
 	settings.MaxCallsInFlight = 20 // with whole calls the bound itself admits the next one
 	controller = start(t, settings)
-	controller.callTime, controller.callCredit = movingAverage{0.3, true}, -1
+	controller.callTime, controller.callCredit = rolling.AverageOf(0.3), -1
 	if w := controller.callWait(); w != 0 {
 		t.Errorf("a wait of %v though calls are free", w)
 	}
@@ -164,7 +166,7 @@
 
 func TestCallLimitStaysBelowWhatIsSurvived(t *testing.T) {
 	c := start(t, testSettings())
-	c.callLimitRatio, c.callTime = 5, movingAverage{0.5, true}
+	c.callLimitRatio, c.callTime = 5, rolling.AverageOf(0.5)
 	for c.callsInFlight = 0; c.callTimeout(10*time.Second) == 10*time.Second; c.callsInFlight++ {
 		if float64(c.callsInFlight) > c.settings.MaxCallsInFlight {
 			t.Fatalf("an uncut call beside %d of a share of %v", c.callsInFlight, c.settings.MaxCallsInFlight)
@@ -209,7 +211,7 @@
 		if ctl.awaitingCallCount == 0 {
 			t.Fatal("no call waits")
 		}
-		ctl.callTime = movingAverage{controller.took, true}
+		ctl.callTime = rolling.AverageOf(controller.took)
 		actions := startToCall(t, ctl, 7, 3)
 		if got := find(actions, ActionSkipCall, 7) != nil; got != controller.skips {
 			t.Errorf("calls take %v s: skipped is %v", controller.took, got)
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -48,7 +48,7 @@
 // isIdle reports whether nothing is in flight and nothing recovers, so that a sweep would change nothing.
 // Skipped sweeps are made up for when something happens, or after maxSkippedSweeps.
 func (c *Controller) isIdle() bool {
-	callsRecovered := c.callLimitRatio >= maxCallLimitRatio || !c.callTime.set
+	callsRecovered := c.callLimitRatio >= maxCallLimitRatio || !c.callTime.Known()
 	recovered := callsRecovered && c.admitProbability == 1 && !c.unhealthy
 	return recovered && len(c.requests) == 0 && !c.draining && c.abandonedCalls == 0 &&
 		c.gauges.CPUDemand >= 0 && c.gauges.CPUDemand < 1
@@ -56,13 +56,13 @@
 
 // expireDeadlines acts on all deadlines that have passed.
 func (c *Controller) expireDeadlines() {
-	for !c.deadlines.empty() {
-		next, _ := c.deadlines.head()
+	for c.deadlines.Len() > 0 {
+		next, at, _ := c.deadlines.Peek()
 		obsolete := c.obsolete(next)
-		if !obsolete && c.deadlines.headAt() > c.now {
+		if !obsolete && at > c.now {
 			return
 		}
-		c.deadlines.pop()
+		c.deadlines.Pop()
 		if obsolete {
 			continue
 		}
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -21,7 +21,7 @@
 	c.draining, c.drainStartedAt, c.stopAt = true, c.now-event.Drain.Waited, event.Drain.StopAt
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		req := c.requests[id]
-		c.deadlines.push(c.answerDeadline(req), deadline{deadlineAnswer, req, id})
+		c.deadlines.Push(c.answerDeadline(req), deadline{deadlineAnswer, req, id})
 	}
 	c.emit(Action{Kind: ActionLog, Condition: ConditionChange{ConditionDrain, true}})
 	if event.Drain.Replaced {
--- a/admission/health.go
+++ b/admission/health.go
@@ -13,8 +13,8 @@
 // in vain: rejecting costs work too, and a client that comes seldom has forgotten any advice. A server is
 // unhealthy half of the time at most, so that a fleet in the same state is thinned out and not emptied.
 func (c *Controller) adjustHealth() {
-	c.readWait.value *= readWaitDecay
-	unhealthy := !c.unhealthy && c.readWait.value > unhealthyReadWaitRatio*c.shortestObjective().Seconds()
+	c.readWait.Scale(readWaitDecay)
+	unhealthy := !c.unhealthy && c.readWait.Value() > unhealthyReadWaitRatio*c.shortestObjective().Seconds()
 	tooSoon := c.now < c.healthChangedAt+minHealthDuration
 	if c.draining || c.deregistered || unhealthy == c.unhealthy || tooSoon {
 		return
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -23,8 +23,8 @@
 func (c *Controller) weighTenants() {
 	for i := range c.tenants {
 		tenant := &c.tenants[i]
-		tenant.offered.decayTo(c.now)
-		rate := tenant.offered.primary / offeredTimeConstant.Seconds()
+		tenant.offered.DecayTo(c.now)
+		rate := tenant.offered.First / offeredTimeConstant.Seconds()
 		tenant.valueFactor = 1
 		if i < len(c.settings.Tenants) && c.settings.Tenants[i].QuotaPerSecond > 0 {
 			quota := c.settings.Tenants[i].QuotaPerSecond / float64(max(c.settings.FleetSize, 1))
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		req := class.queue[0]
-		if callsBacklogged && class.callsPerRun.or(1) > 0 && c.needsCall(req) {
+		if callsBacklogged && class.callsPerRun.Or(1) > 0 && c.needsCall(req) {
 			continue
 		}
 		if startBy := req.objective - c.serviceTime(req); next == nil || startBy < earliest {
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -68,10 +68,10 @@
 	}
 	if event.Completion.Outcome == OutcomeOK && req.state == running {
 		class := &c.classes[req.class]
-		class.cpuTime.add(req.work, (event.Completion.Took - req.callTime).Seconds(), estimateGain)
-		class.callsPerRun.add(float64(req.callAttempts), estimateGain)
-		class.meanLatency.add((c.now - req.arrivedAt - req.callTime).Seconds(), latencyGain)
-		c.speed.add(c.busyTime, req.work, 0)
+		class.cpuTime.Add(req.work, (event.Completion.Took - req.callTime).Seconds(), estimateGain)
+		class.callsPerRun.Add(float64(req.callAttempts), estimateGain)
+		class.meanLatency.Add((c.now - req.arrivedAt - req.callTime).Seconds(), latencyGain)
+		c.speed.Add(c.busyTime, req.work, 0)
 	}
 	if event.Completion.Outcome == OutcomeCancelled && !req.answered {
 		c.emit(Action{Kind: ActionFail, ID: req.id})
@@ -121,28 +121,28 @@
 
 // ServiceRate is the work that this server completes per second, in seconds of a standard core.
 func (c *Controller) ServiceRate() float64 {
-	return max(c.speed.primary/max(c.speed.secondary, 1e-3), minCoreSpeed) * float64(c.settings.Cores)
+	return max(c.speed.First/max(c.speed.Second, 1e-3), minCoreSpeed) * float64(c.settings.Cores)
 }
 
 // estimateWork takes the hint of the work of req, or the mean of its class where there is none.
 func (c *Controller) estimateWork(req *request, hint time.Duration) {
 	class := &c.classes[req.class]
 	if req.work = hint.Seconds(); req.work > 0 {
-		class.meanWork.add(req.work, estimateGain)
+		class.meanWork.Add(req.work, estimateGain)
 		return
 	}
-	req.work = class.meanWork.or(defaultWorkRatio * c.settings.Classes[req.class].LatencyObjective.Seconds())
+	req.work = class.meanWork.Or(defaultWorkRatio * c.settings.Classes[req.class].LatencyObjective.Seconds())
 }
 
 // serviceTime estimates how long req takes once it runs, calls included.
 func (c *Controller) serviceTime(req *request) time.Duration {
 	class := &c.classes[req.class]
 	estimate := req.work * initialRunsPerCore * float64(c.settings.Cores) / c.ServiceRate()
-	if class.cpuTime.x.set {
-		estimate = class.cpuTime.valueAt(req.work)
+	if class.cpuTime.Known() {
+		estimate = class.cpuTime.At(req.work)
 	}
 	if c.needsCall(req) {
-		estimate += class.callsPerRun.or(1) * c.callTime.or(defaultCallTime)
+		estimate += class.callsPerRun.Or(1) * c.callTime.Or(defaultCallTime)
 	}
 	return seconds(estimate)
 }
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -4,22 +4,24 @@
 	"math"
 	"testing"
 	"time"
+
+	"falldeal/admission/internal/rolling"
 )
 
 func TestRoughHintsDoNotStretchEstimates(t *testing.T) {
-	var field linearFit
+	var field rolling.LinearFit
 	for i := range 400 { // true time 0.3, hints between 0.1 and 0.9
-		field.add([]float64{0.1, 0.3, 0.9}[i%3], 0.3, 0.1)
+		field.Add([]float64{0.1, 0.3, 0.9}[i%3], 0.3, 0.1)
 	}
-	if got := field.valueAt(0.9); math.Abs(got-0.3) > 0.01 {
+	if got := field.At(0.9); math.Abs(got-0.3) > 0.01 {
 		t.Errorf("a hint of 0.9 is taken for %v", got)
 	}
-	field = linearFit{}
+	field = rolling.LinearFit{}
 	for i := range 400 { // good hints
 		x := []float64{0.1, 0.3, 0.9}[i%3]
-		field.add(x, 2*x, 0.1)
+		field.Add(x, 2*x, 0.1)
 	}
-	if got := field.valueAt(0.9); math.Abs(got-1.8) > 0.01 {
+	if got := field.At(0.9); math.Abs(got-1.8) > 0.01 {
 		t.Errorf("a good hint of 0.9 is taken for %v", got)
 	}
 }
@@ -42,7 +44,7 @@
 		s := testSettings()
 		s.Cores = cores
 		c := start(t, s)
-		c.speed.primary, c.callTime = 1e-6, movingAverage{9, true}
+		c.speed.First, c.callTime = 1e-6, rolling.AverageOf(9)
 		want(t, c.Step(0, []Event{req(1, 0)}, nil), ActionRun, 1)
 	}
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -4,6 +4,9 @@
 	"math"
 	"math/rand/v2"
 	"time"
+
+	"falldeal/admission/internal/rolling"
+	"falldeal/admission/internal/timedqueue"
 )
 
 // requestState is the life of a request. The order counts: from running on it has taken memory to run.
@@ -57,16 +60,16 @@
 	queue       []*request // in order of arrival; requests that have left it are dropped from its front
 	queuedCount int
 	queuedWork  float64
-	meanWork    movingAverage // work of a request
-	cpuTime     linearFit     // time on the CPU for a given work
-	callsPerRun movingAverage
-	meanLatency movingAverage // from arrival to end without calls, in seconds
+	meanWork    rolling.Average   // work of a request
+	cpuTime     rolling.LinearFit // time on the CPU for a given work
+	callsPerRun rolling.Average
+	meanLatency rolling.Average // from arrival to end without calls, in seconds
 }
 
 // tenantStats is the state of one tenant.
 type tenantStats struct {
-	offered     decayingPair // primary: requests
-	valueFactor float64      // on the value of its requests
+	offered     rolling.DecayingPair // primary: requests
+	valueFactor float64              // on the value of its requests
 }
 
 // keyEntry is the record of a remembered request.
@@ -108,15 +111,15 @@
 	classes   []classStats
 	tenants   []tenantStats // at least one
 	keys      map[RequestID]*keyEntry
-	deadlines timedQueue[deadline]
+	deadlines timedqueue.Queue[deadline]
 
 	// Admission and scheduling.
 	admitProbability float64
-	arrivals         decayingPair  // primary: requests read; secondary: retries, or rejections that stand for them
-	readWait         movingAverage // seconds between reaching the machine and being read
-	runLimit         float64       // requests on the CPU
-	busyTime         time.Duration // time for which all cores together were in use
-	speed            decayingPair  // primary: work completed; secondary: core-seconds used
+	arrivals         rolling.DecayingPair // primary: requests read; secondary: retries, or rejections that stand for them
+	readWait         rolling.Average      // seconds between reaching the machine and being read
+	runLimit         float64              // requests on the CPU
+	busyTime         time.Duration        // time for which all cores together were in use
+	speed            rolling.DecayingPair // primary: work completed; secondary: core-seconds used
 	gauges           Gauges
 
 	// What is in flight.
@@ -128,17 +131,18 @@
 	queuedWork  float64
 
 	// Calls.
-	callQueue         timedQueue[*request] // waiting for a call, by the end of their usefulness
+	callQueue         timedqueue.Queue[*request] // waiting for a call, by the end of their usefulness
 	awaitingCallCount int
 	callsInFlight     int
-	abandonedCalls    int            // that still occupy the dependency
-	callTime          movingAverage  // seconds
-	bestCallTime      float64        // seconds; the best mean, which drifts up
-	callLimitRatio    float64        // limit on calls in flight, of Settings.MaxCallsInFlight
-	callCredit        float64        // call-seconds under the limit, or over it if negative
-	callSeconds       *rollingWindow // call-seconds in flight
-	outcomes          *rollingWindow // calls, and those of them that were accepted
-	protectedCalls    float64        // calls per window that the breaker never drops
+	abandonedCalls    int             // that still occupy the dependency
+	callTime          rolling.Average // seconds
+	bestCallTime      float64         // seconds; the best mean, which drifts up
+	callLimitRatio    float64         // limit on calls in flight, of Settings.MaxCallsInFlight
+	callCredit        float64         // call-seconds under the limit, or over it if negative
+	callSeconds       *rolling.Window // call-seconds in flight
+	callsEnded        *rolling.Window // number of calls
+	callsAccepted     *rolling.Window // number of those that were accepted
+	protectedCalls    float64         // calls per window that the breaker never drops
 
 	// Health, advice and drain.
 	deregistered    bool // by an operator
@@ -166,16 +170,16 @@
 		sweepAt: now, requests: map[RequestID]*request{}, keys: map[RequestID]*keyEntry{},
 		admitProbability: 1, runLimit: initialRunsPerCore * float64(settings.Cores), gauges: Gauges{-1, -1, -1, -1},
 		callLimitRatio: initialCallLimitRatio, bestCallTime: 1e9, protectedCalls: BreakerProtectedCalls,
-		outcomes: newRollingWindow(breakerWindow, breakerBuckets), idleTimeout: settings.IdleTimeout}
+		callsEnded:    rolling.NewWindow(now, breakerWindow, breakerBuckets),
+		callsAccepted: rolling.NewWindow(now, breakerWindow, breakerBuckets), idleTimeout: settings.IdleTimeout}
 	controller.callCredit = controller.callLimit() * callCreditWindow.Seconds()
-	controller.outcomes.advance(now)
 	controller.startCallWindow()
 	half := float64(settings.Cores) / 2
-	controller.speed = decayingPair{timeConstant: speedTimeConstant, primary: half, secondary: half}
+	controller.speed = rolling.NewDecayingPair(speedTimeConstant, half, half)
 	if settings.WarmingUp {
-		controller.speed.primary *= max(settings.SlowStartSpeedRatio, minSlowStartSpeed)
+		controller.speed.First *= max(settings.SlowStartSpeedRatio, minSlowStartSpeed)
 	}
-	controller.arrivals.timeConstant = offeredTimeConstant
+	controller.arrivals = rolling.NewDecayingPair(offeredTimeConstant, 0, 0)
 	controller.growTables()
 	controller.weighTenants()
 	return controller, nil
@@ -205,15 +209,14 @@
 
 // startCallWindow begins to measure the mean of calls in flight.
 func (c *Controller) startCallWindow() {
-	c.callSeconds = newRollingWindow(max(c.settings.CallsWindow, time.Second), callSecondsBuckets)
-	c.callSeconds.advance(c.now)
+	c.callSeconds = rolling.NewWindow(c.now, max(c.settings.CallsWindow, time.Second), callSecondsBuckets)
 }
 
 // growTables makes an entry for each class and tenant of the settings.
 func (c *Controller) growTables() {
 	c.classes = append(c.classes, make([]classStats, len(c.settings.Classes)-len(c.classes))...)
 	for len(c.tenants) < max(len(c.settings.Tenants), 1) {
-		c.tenants = append(c.tenants, tenantStats{offered: decayingPair{timeConstant: offeredTimeConstant}, valueFactor: 1})
+		c.tenants = append(c.tenants, tenantStats{offered: rolling.NewDecayingPair(offeredTimeConstant, 0, 0), valueFactor: 1})
 	}
 }
 
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -23,7 +23,7 @@
 			}
 		}
 		actions = controller.Step(now, events, actions[:0])
-		size := len(controller.requests) + len(controller.keys) + len(controller.deadlines.items) + len(controller.callQueue.items)
+		size := len(controller.requests) + len(controller.keys) + controller.deadlines.Len() + controller.callQueue.Len()
 		for i := range controller.classes {
 			size += len(controller.classes[i].queue)
 		}
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -30,8 +30,8 @@
 	if c.idle = c.isIdle(); c.idle {
 		next += (maxSkippedSweeps - 1) * sweepInterval
 	}
-	if !c.deadlines.empty() {
-		next = min(next, c.deadlines.headAt())
+	if _, at, ok := c.deadlines.Peek(); ok {
+		next = min(next, at)
 	}
 	if c.timerAt <= c.now || next < c.timerAt {
 		c.timerAt = max(next, c.now+1)
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -121,5 +121,5 @@
 // sweptState formats what sweeps change, rounded.
 func sweptState(c *Controller) string {
 	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.admitProbability, c.callLimitRatio, c.bestCallTime,
-		c.runLimit, c.readWait.value, c.idleTimeout)
+		c.runLimit, c.readWait.Value(), c.idleTimeout)
 }
