--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -11,8 +11,9 @@
 	controller := start(t, testSettings())
 	step := func(use, lat float64) float64 {
 		controller.gauges.CPUUtilization = use
-		controller.classes[0].meanLatency = rolling.AverageOf(lat)
-		controller.admissionRate.adjust(controller.anyClassLate() && underCPUPressure(controller.gauges, controller.settings.Cores))
+		controller.estimator.estimates[0].latency = rolling.AverageOf(lat)
+		overloaded := controller.estimator.anyClassLate() && underCPUPressure(controller.gauges, controller.settings.Cores)
+		controller.admissionRate.adjust(overloaded)
 		return controller.admissionRate.probability
 	}
 	if step(0.99, 0.5) != 1 || step(0.5, 9) != 1 {
@@ -39,8 +40,8 @@
 func TestRejectionsAdviseOnRetryElsewhere(t *testing.T) {
 	refusal := func(prepare func(*Controller, *Event)) *Action {
 		controller := start(t, testSettings())
-		controller.settings.MarksRetries = true
-		controller.speed.First = 1e-6 // so slow that nothing is in time
+		controller.advisor.marksRetries = true
+		controller.estimator.speed.First = 1e-6 // so slow that nothing is in time
 		for id := RequestID(100); id < 110; id++ {
 			controller.Step(0, []Event{req(id, 0)}, nil)
 		}
@@ -53,7 +54,7 @@
 	}
 	for _, marks := range []bool{true, false} {
 		storm := func(c *Controller, _ *Event) {
-			c.settings.MarksRetries, c.arrivals.sums.First, c.arrivals.sums.Second = marks, 10, 9
+			c.advisor.marksRetries, c.advisor.arrivals.sums.First, c.advisor.arrivals.sums.Second = marks, 10, 9
 		}
 		if a := refusal(storm); !a.Rejection.NoRetryElsewhere {
 			t.Errorf("in a storm the caller is sent on (tries marked: %v)", marks)
@@ -80,9 +81,9 @@
 		for id := RequestID(100); id < 110; id++ {
 			controller.Step(0, []Event{req(id, 0)}, nil)
 		}
-		controller.speed.First = 1e-6 // so slow that nothing is in time
+		controller.estimator.speed.First = 1e-6 // so slow that nothing is in time
 		if test.storm {
-			controller.arrivals.sums.First, controller.arrivals.sums.Second = 10, 9
+			controller.advisor.arrivals.sums.First, controller.advisor.arrivals.sums.Second = 10, 9
 		}
 		event.ID = 2
 		if a := want(t, controller.Step(0, []Event{event}, nil), ActionReject, 2); a.Rejection.NoRetryElsewhere != test.end || a.Rejection.Reason != test.why || test.end == (a.Rejection.RetryAfter > 0) {
@@ -118,8 +119,8 @@
 	for id := RequestID(1); id <= 40; id++ {
 		controller.Step(0, []Event{req(id, 0)}, nil)
 	}
-	if controller.queuedCount != 0 || controller.queuedWork != 0 || controller.classes[0].queuedCount != 0 {
-		t.Errorf("%d held, %v s of work, %d of the class", controller.queuedCount, controller.queuedWork, controller.classes[0].queuedCount)
+	if controller.queue.count != 0 || controller.queue.work != 0 || controller.queue.classes[0].count != 0 {
+		t.Errorf("%d held, %v s of work, %d of the class", controller.queue.count, controller.queue.work, controller.queue.classes[0].count)
 	}
 }
 
@@ -128,7 +129,7 @@
 		s := testSettings()
 		s.MarksRetries = marks
 		controller := start(t, s)
-		controller.speed.First = 1e-6
+		controller.estimator.speed.First = 1e-6
 		var last *Action
 		for id := RequestID(1); id <= 60; id++ {
 			e := req(id, 0)
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -1,92 +1,118 @@
 package admission
 
-import (
-	"maps"
-	"slices"
-	"time"
+import "time"
+
+const (
+	minRetryAfter      = 100 * time.Millisecond // shortest advice to stay away
+	lateRejectionRatio = 0.5                    // of its objective, after which a request is too late
+	lateReadDelayRatio = 0.08                   // read delay, of the shortest objective, that is late
+	meanQueueShare     = 0.5                    // part of the queue that is ahead of a request in the mean
 )
 
-// minRetryAfter is the shortest advice to stay away.
-const minRetryAfter = 100 * time.Millisecond
+// clientAdvisor decides what clients are advised: with a rejection, when to come back and whether to try
+// another server; with all answers, how much to send; and how long to keep idle connections.
+type clientAdvisor struct {
+	clients           int
+	maxRetryAfter     time.Duration
+	sendsRetryAfter   bool
+	marksRetries      bool
+	shortestObjective time.Duration // of all classes
+	arrivals          arrivalRate
+	readDelay         readDelay
+	advertiser        advertiser
+	idleTimeout       idleTimeout
+}
 
-// rejectionDelay is the advice that goes with a rejection. While reading is late it takes the CPU from all
-// else, and advice that ends before a client would have come anyway has no effect: in a large fleet each
-// comes seldom.
-func (c *Controller) rejectionDelay(req *request, reason Reason, noRetry bool) time.Duration {
-	delay := time.Duration(0)
-	if !noRetry {
-		delay = min(c.retryAfter(reason)+req.retryJitter, c.settings.MaxRetryAfter)
+func newClientAdvisor(settings *Settings) clientAdvisor {
+	return clientAdvisor{
+		arrivals:    newArrivalRate(),
+		idleTimeout: idleTimeout{current: settings.IdleTimeout},
 	}
-	readingLate := c.readDelay.exceeds(lateReadDelayRatio, c.settings.shortestObjective())
-	interval := c.arrivals.meanClientInterval(c.settings.Clients)
-	if readingLate && interval > minRetryAfter {
-		delay = max(delay, min(interval, c.settings.MaxRetryAfter))
-	}
-	return delay
 }
 
-func (c *Controller) retryAfter(reason Reason) time.Duration {
-	if !c.settings.SendsRetryAfter && c.settings.MaxRetryAfter <= 0 {
-		return 0
+func (a *clientAdvisor) configure(settings *Settings) {
+	a.clients = settings.Clients
+	a.maxRetryAfter = settings.MaxRetryAfter
+	a.sendsRetryAfter = settings.SendsRetryAfter
+	a.marksRetries = settings.MarksRetries
+	a.shortestObjective = settings.shortestObjective()
+	a.idleTimeout.configured = settings.IdleTimeout
+	a.advertiser.configure(settings)
+}
+
+// reject returns what the client of a request that never ran is told at now. The cause is why it did not run,
+// and queueTime how many seconds it would take to run all that is queued.
+func (a *clientAdvisor) reject(
+	now time.Duration, request *request, cause Reason, queueTime float64,
+) Rejection {
+	reason := rejectionReason(now, request, cause)
+	if reason == ReasonCPU && !a.marksRetries {
+		a.arrivals.addRejection(now)
 	}
-	if reason == ReasonDraining {
-		return c.settings.MaxRetryAfter
+	noRetry := a.noRetryElsewhere(request, reason)
+	rejection := Rejection{Reason: reason, NoRetryElsewhere: noRetry}
+	if !noRetry {
+		rejection.RetryAfter = min(a.retryAfter(reason, queueTime)+request.retryJitter, a.maxRetryAfter)
 	}
-	return min(max(seconds(c.queuedWork/c.ServiceRate()/2), minRetryAfter), c.settings.MaxRetryAfter)
+	rejection.RetryAfter = a.coverClientInterval(rejection.RetryAfter)
+	return rejection
 }
 
-// adjustIdleTimeout adjusts the time after which idle connections are closed.
-func (c *Controller) adjustIdleTimeout() {
-	clients := max(float64(c.settings.Clients), c.gauges.Connections)
-	if c.idleTimeout.adjust(c.now, clients, &c.arrivals) {
-		c.emit(Action{Kind: ActionIdleTimeout, Duration: c.idleTimeout.current})
+// rejectionReason is the reason that counts for a client: whatever the cause, too little time may be left for
+// an attempt elsewhere.
+func rejectionReason(now time.Duration, request *request, cause Reason) Reason {
+	objective := request.objective - request.firstAttemptAt
+	if now-request.firstAttemptAt > scale(objective, lateRejectionRatio) {
+		return ReasonTooLate
 	}
+	return cause
 }
 
-// adjustHealth decides anew how health checks are answered.
-func (c *Controller) adjustHealth() {
-	c.readDelay.decay()
-	readsInVain := c.readDelay.exceeds(unhealthyReadDelayRatio, c.settings.shortestObjective())
-	if c.health.adjust(c.now, readsInVain, c.drain.started) {
-		c.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
+// noRetryElsewhere reports whether the client is not to try another server: where that can't help, and in a
+// retry storm. In one the other servers are as full, and each attempt there costs reading and mostly a new
+// connection.
+func (a *clientAdvisor) noRetryElsewhere(request *request, reason Reason) bool {
+	switch reason {
+	case ReasonDependency, ReasonTooLate, ReasonBelowThreshold:
+		return true
+	case ReasonCPU:
+		if request.fleetRank == RankUnknown {
+			return a.arrivals.retryStorm()
+		}
+		return request.fleetRank != RankElsewhere
+	case ReasonMemory, ReasonDraining:
 	}
+	return false
 }
 
-// startDrain moves the deadlines of all answers before the end of the process, and has clients sent elsewhere
-// unless another process of this server goes on.
-func (c *Controller) startDrain(signal DrainSignal) {
-	if c.drain.started {
-		return
-	}
-	c.drain.start(c.now, signal)
-	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
-		req := c.requests[id]
-		c.deadlines.Push(c.drain.answerDeadline(req), deadline{deadlineAnswer, req, id})
-	}
-	c.emit(Action{Kind: ActionLog, Condition: ConditionChange{Condition: ConditionDrain, Active: true}})
-	if signal.Replaced {
-		return
+// retryAfter is how long the client is to avoid this server: until half of the queue has run.
+func (a *clientAdvisor) retryAfter(reason Reason, queueTime float64) time.Duration {
+	if !a.sendsRetryAfter && a.maxRetryAfter <= 0 {
+		return 0
 	}
-	c.emit(Action{Kind: ActionHealth, Health: HealthAnswer{Healthy: false, Cached: true}})
-	if value, ok := c.advertiser.atDrain(); ok {
-		c.emit(Action{Kind: ActionAdvertise, Value: value})
+	if reason == ReasonDraining {
+		return a.maxRetryAfter
 	}
+	return min(max(seconds(queueTime*meanQueueShare), minRetryAfter), a.maxRetryAfter)
 }
 
-// reportConditions logs which conditions begin or end.
-func (c *Controller) reportConditions() {
-	active := [...]bool{
-		ConditionBreaker:   c.breaker.dropProbability(c.now) > 0,
-		ConditionCallLimit: c.callLimitRatio <= minCallLimitRatio,
-		ConditionAdmission: c.admissionRate.reduced(),
-		ConditionMemory:    c.memory.exceeded(),
-		ConditionHealth:    c.health.unhealthy,
-	}
-	for index, isActive := range active {
-		condition := Condition(index)
-		if c.conditions.changed(c.now, condition, isActive) {
-			change := ConditionChange{Condition: condition, Active: isActive}
-			c.emit(Action{Kind: ActionLog, Condition: change})
-		}
+// coverClientInterval prolongs advice while reading is late. Reading takes the CPU from all else then, and
+// advice that ends before a client would have come anyway has no effect: in a large fleet each comes seldom.
+func (a *clientAdvisor) coverClientInterval(retryAfter time.Duration) time.Duration {
+	interval := a.arrivals.meanClientInterval(a.clients)
+	if a.readDelay.exceeds(lateReadDelayRatio, a.shortestObjective) && interval > minRetryAfter {
+		return max(retryAfter, min(interval, a.maxRetryAfter))
 	}
+	return retryAfter
+}
+
+// readsInVain reports whether requests wait so long to be read that reading them is of no use.
+func (a *clientAdvisor) readsInVain() bool {
+	return a.readDelay.exceeds(unhealthyReadDelayRatio, a.shortestObjective)
+}
+
+// adjustIdleTimeout adjusts the idle timeout once per sweep, and reports whether it has changed.
+func (a *clientAdvisor) adjustIdleTimeout(now time.Duration, connections float64) (changed bool) {
+	clients := max(float64(a.clients), connections)
+	return a.idleTimeout.adjust(now, clients, &a.arrivals)
 }
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -56,8 +56,8 @@
 			controller.Step(time.Duration(i)*100*ms, []Event{req(RequestID(i+1), 0)}, nil)
 			controller.Step(time.Duration(i)*100*ms+50*ms, []Event{RunCompleted(RequestID(i+1), Completion{})}, nil)
 		}
-		if got := controller.idleTimeout.current < settings.IdleTimeout; got != closed {
-			t.Errorf("%d callers: idle limit %v", callers, controller.idleTimeout.current)
+		if got := controller.advisor.idleTimeout.current < settings.IdleTimeout; got != closed {
+			t.Errorf("%d callers: idle limit %v", callers, controller.advisor.idleTimeout.current)
 		}
 	}
 }
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -21,22 +21,22 @@
 func TestBreakerRecoversAndIdleWindowForgets(t *testing.T) {
 	controller := start(t, testSettings())
 	for range 100 {
-		controller.breaker.record(controller.now, OutcomeFailed)
+		controller.calls.breaker.record(controller.now, OutcomeFailed)
 	}
-	if d := controller.breaker.dropProbability(controller.now); math.Abs(d-95.0/101) > 1e-9 {
+	if d := controller.calls.breaker.dropProbability(controller.now); math.Abs(d-95.0/101) > 1e-9 {
 		t.Fatalf("drop chance %v after 100 failures", d)
 	}
 	for range 200 {
-		controller.breaker.record(controller.now, OutcomeOK)
+		controller.calls.breaker.record(controller.now, OutcomeOK)
 	}
-	if d := controller.breaker.dropProbability(controller.now); d != 0 {
+	if d := controller.calls.breaker.dropProbability(controller.now); d != 0 {
 		t.Fatalf("drop chance %v after recovery", d)
 	}
 	for range 500 {
-		controller.breaker.record(controller.now, OutcomeFailed)
+		controller.calls.breaker.record(controller.now, OutcomeFailed)
 	}
 	controller.advanceTime(breakerWindow + time.Second)
-	if d := controller.breaker.dropProbability(controller.now); d != 0 {
+	if d := controller.calls.breaker.dropProbability(controller.now); d != 0 {
 		t.Fatalf("drop chance %v after an idle window", d)
 	}
 }
@@ -46,12 +46,12 @@
 func TestProtectedCallsFollowFleet(t *testing.T) {
 	calls := func(protect float64) (n int) {
 		controller := start(t, testSettings())
-		controller.callTime, controller.bestCallTime = rolling.AverageOf(0.03), 0.03
+		controller.calls.limiter.callTime, controller.calls.limiter.bestCallTime = rolling.AverageOf(0.03), 0.03
 		if protect > 0 {
-			controller.callTime = rolling.AverageOf(1.9)
+			controller.calls.limiter.callTime = rolling.AverageOf(1.9)
 		}
 		for range 4 {
-			controller.breaker.record(controller.now, OutcomeTimedOut)
+			controller.calls.breaker.record(controller.now, OutcomeTimedOut)
 		}
 		controller.SetProtectedCalls(protect)
 		for id := RequestID(1); id < 4; id++ {
--- /dev/null
+++ b/admission/call_limiter_test.go
@@ -0,0 +1,97 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"falldeal/admission/internal/rolling"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestCallTimeout(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		maxInFlight float64
+		inFlight    int
+		abandoned   int
+		credit      float64
+		callTime    float64
+		used        float64 // call-seconds in the window
+		want        time.Duration
+	}{
+		{"any number of calls", 0, 50, 0, 0, 0.1, 0, time.Second},
+		{"below the limit of 3", 6, 2, 0, 0, 0.1, 0, time.Second},
+		{"above the limit of 3.5, with credit", 7, 3, 0, 0.1, 0.1, 0, time.Second},
+		{"above the limit of 3.5, without credit", 7, 3, 0, 0, 0.1, 0, 0},
+		{"one more than the limit of 3.5", 7, 4, 0, 0.1, 0.1, 0, 0},
+		{"a whole limit is kept", 6, 3, 0, 0.1, 0.1, 0, 0},
+		{"abandoned calls count", 6, 1, 2, 0, 0.1, 0, 0},
+		{"beyond what is safe, little used", 1, 0, 0, 0.1, 0.1, 0, time.Second},
+		{"beyond what is safe, some used", 1, 0, 0, 0.1, 0.1, 3.6, 700 * ms},
+		{"beyond what is safe, too little left for a call", 1, 0, 0, 0.1, 0.2, 3.6, 0},
+	} {
+		limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: test.maxInFlight, CallsWindow: 5 * time.Second,
+			AbandonedCallTime: 200 * ms})
+		limiter.inFlight, limiter.abandoned, limiter.credit = test.inFlight, test.abandoned, test.credit
+		limiter.callTime = rolling.AverageOf(test.callTime)
+		limiter.callSeconds.Add(0, test.used)
+		require.InDelta(t, test.want, limiter.timeout(0, time.Second), float64(time.Microsecond), test.name)
+	}
+}
+
+// The credit is bounded: little is saved up, and no more is owed than the limit's own window.
+func TestCallCreditIsBounded(t *testing.T) {
+	limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: 3, CallsWindow: 5 * time.Second})
+	for now := ms; now < 10*time.Second; now += ms {
+		limiter.advance(now, ms)
+	}
+	require.InDelta(t, 1.5*0.3*0.5/2, limiter.credit, 1e-9)
+	limiter.inFlight = 9
+	for now := 10 * time.Second; now < 20*time.Second; now += ms {
+		limiter.advance(now, ms)
+	}
+	require.InDelta(t, -1.5*5, limiter.credit, 1e-9)
+	require.InDelta(t, 5*9, limiter.callSeconds.Sum(20*time.Second), 9*0.2)
+}
+
+func TestCallLimitBounds(t *testing.T) {
+	limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: 10})
+	limiter.adjust()
+	require.InDelta(t, initialCallLimitRatio*10, limiter.limit(), 1e-9, "nothing is known")
+	require.True(t, limiter.recovered())
+	limiter.recordCallTime(10 * ms)
+	require.False(t, limiter.recovered())
+	for range 100 {
+		limiter.adjust()
+	}
+	require.InDelta(t, maxCallLimitRatio*10, limiter.limit(), 1e-9)
+	require.True(t, limiter.recovered())
+	for range 100 {
+		limiter.recordCallTime(time.Second)
+		limiter.adjust()
+	}
+	require.InDelta(t, minCallLimitRatio*10, limiter.limit(), 1e-9)
+	require.True(t, limiter.atMinimum())
+	limiter.expectBest()
+	require.InDelta(t, limiter.bestCallTime, limiter.callTime.Value(), 0)
+	limiter.waiting = 3
+	require.False(t, limiter.backlogged())
+	limiter.waiting = 4
+	require.True(t, limiter.backlogged())
+	require.True(t, limiter.anyPending())
+}
+
+// New settings begin a new window only if the window is another one.
+func TestCallLimiterReconfigured(t *testing.T) {
+	settings := &Settings{MaxCallsInFlight: 10, CallsWindow: 5 * time.Second}
+	limiter := newCallLimiter(0, settings)
+	limiter.callSeconds.Add(0, 7)
+	settings.MaxCallsInFlight = 4
+	limiter.configure(0, settings)
+	require.InDelta(t, 7, limiter.callSeconds.Sum(0), 0)
+	require.InDelta(t, 2, limiter.limit(), 1e-9)
+	settings.CallsWindow = 3 * time.Second
+	limiter.configure(0, settings)
+	require.Zero(t, limiter.callSeconds.Sum(0))
+}
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -1,213 +1,197 @@
 package admission
 
 import (
+	"math/rand/v2"
 	"time"
 
-	"falldeal/admission/internal/rolling"
+	"falldeal/admission/internal/timedqueue"
 )
 
-// Calls to the dependency: how many are in flight, when one is retried, and when a request does without.
 const (
-	minCallLimitRatio         = 0.37                   // least limit, of what the dependency survives; ours
-	initialCallLimitRatio     = 0.5                    // the limit to begin with; ours
-	maxCallLimitRatio         = 0.75                   // the limit while calls are as fast as ever; ours
-	callLimitDecrease         = 0.95                   // factor on it per sweep while calls are slow; ours
-	callLimitIncrease         = 0.01                   // added to it per sweep otherwise; ours
-	slowCallFactor            = 2.5                    // times the best mean, above it calls are slow; ours
-	bestCallTimeDrift         = 1.001                  // growth of that best per sweep, to find it anew; ours
-	safeCallRatio             = 0.9                    // of what is survived, the bound of the mean; ours
-	callCreditWindow          = 300 * time.Millisecond // for which unused calls may be saved up; ours
-	callSecondsBuckets        = 50                     // of the window of the mean; ours
-	maxCallAttempts           = 2                      // of one call; ours
-	callBackoff               = 100 * time.Millisecond // before a call is retried; ours
-	minCallTimeFactor         = 4.0                    // mean times left to a call over the limit; ours
-	abandonedCallFailedFactor = 2.0                    // mean times after which it counts as failed; ours
-	minCallsPerRun            = 0.1                    // least calls per run that are assumed; ours
-	callGain                  = 0.1                    // weight of a new call in the mean call time; ours
-	waitersPerCall            = 1.0                    // runs stop at this many waiting per call; ours
-	skipWaitRatio             = 0.3                    // of the time left that a call is waited for; ours
+	maxCallAttempts           = 2                      // of one call
+	callBackoff               = 100 * time.Millisecond // before a call is retried
+	abandonedCallFailedFactor = 2.0                    // mean call times after which an abandoned call failed
 )
 
-// callLimit is how many calls may be in flight now. It may be less than one.
-func (c *Controller) callLimit() float64 { return c.callLimitRatio * c.settings.MaxCallsInFlight }
-
-// adjustCallLimit lowers the limit while calls take much longer than at best: the dependency is crowded, and
-// more calls at once only make it slower. Where it is slow by itself that costs some calls which would have
-// been on time, hence the lower bound.
-func (c *Controller) adjustCallLimit() {
-	if !c.callTime.Known() {
-		return
-	}
-	c.bestCallTime = min(c.bestCallTime*bestCallTimeDrift, c.callTime.Value())
-	if c.callTime.Value() > slowCallFactor*c.bestCallTime {
-		c.callLimitRatio = max(c.callLimitRatio*callLimitDecrease, minCallLimitRatio)
-		return
-	}
-	c.callLimitRatio = min(c.callLimitRatio+callLimitIncrease, maxCallLimitRatio)
+// callScheduler leads the calls of running requests through their life: a call waits for its turn, is made,
+// and ends, is retried, or is abandoned with its request. Calls are made in the order in which their requests
+// cease to be useful, as far as the limiter allows and the circuit breaker does not drop them.
+type callScheduler struct {
+	classes   []Class
+	waiting   timedqueue.Queue[*request] // by the end of their usefulness; some have ceased to wait
+	limiter   *callLimiter
+	breaker   *circuitBreaker
+	estimator *estimator
+	runs      *concurrencyLimiter
+	timers    *timers
+	out       *outbox
+	rng       *rand.Rand
 }
 
-// needsCall reports whether req will call the dependency.
-func (c *Controller) needsCall(req *request) bool {
-	return c.settings.Classes[req.class].CallsDependency && !c.skipsCall(req)
-}
-
-// skipsCall reports whether req may do without its call and would wait for it so long that requests which may
-// not should have it.
-func (c *Controller) skipsCall(req *request) bool {
-	mayDegrade := c.settings.Classes[req.class].DegradedValueRatio > 0
-	return mayDegrade && c.callWait() > scale(req.objective-c.now, skipWaitRatio)
-}
+func (s *callScheduler) configure(settings *Settings) { s.classes = settings.Classes }
 
-// callWait estimates how long a new request waits for calls that others make first. Requests that may do
-// without their calls don't count: they yield.
-func (c *Controller) callWait() time.Duration {
-	if c.settings.MaxCallsInFlight <= 0 || !c.callTime.Known() {
-		return 0
-	}
-	ahead := float64(c.awaitingCallCount)
-	for i := range c.classes {
-		if c.settings.Classes[i].CallsDependency && c.settings.Classes[i].DegradedValueRatio <= 0 {
-			ahead += float64(c.classes[i].queuedCount) * c.classes[i].callsPerRun.Or(1)
-		}
-	}
-	limit, overdrawn := c.callLimit(), 0.0
-	if limit < 1 {
-		overdrawn = max(-c.callCredit, 0) // is to be paid back before the next call
+// need has a request that is on the CPU wait for a call. A request that has ended is ignored.
+func (s *callScheduler) need(now time.Duration, request *request) {
+	if request == nil || request.state != running {
+		return
 	}
-	return seconds((ahead*c.callTime.Value() + overdrawn) / limit)
+	s.runs.leaveCPU()
+	s.wait(now, request)
 }
 
-// skipWaitingCalls lets runs that wait for a call go on without it once that is better.
-func (c *Controller) skipWaitingCalls() {
-	c.callQueue.DeleteFunc(func(req *request) bool {
-		skip := req.state == awaitingCall && !req.answered && c.skipsCall(req)
-		if skip {
-			c.callDropped(req)
-		}
-		return skip
-	})
+func (s *callScheduler) wait(now time.Duration, request *request) {
+	request.state = awaitingCall
+	request.callNeededAt = now
+	s.limiter.waiting++
+	s.waiting.Push(request.usefulUntil, request)
 }
 
-// callTimeout limits calls in flight. It returns how long the next one may take, 0 if none may be made. Up to
-// the limit any may; one more while the mean is below it, since a small limit is no whole number. What was
-// left unused is saved up for callCreditWindow only, as many servers would spend it at once; what was
-// overdrawn is paid back. A call beyond what the dependency survives gets so little time that the mean stays
-// below that.
-func (c *Controller) callTimeout(left time.Duration) time.Duration {
-	survived := safeCallRatio * c.settings.MaxCallsInFlight
-	if survived <= 0 {
-		return left
-	}
-	inFlight, limit := float64(c.callsInFlight+c.abandonedCalls+1), c.callLimit()
-	if inFlight > limit && (inFlight >= limit+1 || c.callCredit <= 0) {
-		return 0
-	}
-	used := c.callSeconds.Sum(c.now)
-	if inFlight <= survived {
-		return left
-	}
-	unused := survived*c.settings.CallsWindow.Seconds() - used
-	timeout := seconds(unused/inFlight) - c.settings.AbandonedCallTime
-	if timeout < seconds(minCallTimeFactor*c.callTime.Or(0)) {
-		return 0
-	}
-	return min(left, timeout)
+// retry has a request wait again for its call, which has failed.
+func (s *callScheduler) retry(now time.Duration, request *request) {
+	s.limiter.waiting--
+	request.callTime += now - request.callNeededAt
+	s.wait(now, request)
 }
 
-// startCalls makes calls in the order in which their requests cease to be useful, as far as the limits allow.
-func (c *Controller) startCalls() {
-	c.skipWaitingCalls()
-	for c.callQueue.Len() > 0 {
-		req, _, _ := c.callQueue.Peek()
-		if req.state != awaitingCall || req.answered {
-			c.callQueue.Pop()
+// startWaiting makes calls that wait, as far as the limits allow.
+func (s *callScheduler) startWaiting(now time.Duration) {
+	s.skipLate(now)
+	for s.waiting.Len() > 0 {
+		request, _, _ := s.waiting.Peek()
+		if request.state != awaitingCall || request.answered {
+			s.waiting.Pop()
 			continue
 		}
-		left := req.usefulUntil - c.now
+		left := request.usefulUntil - now
 		if left <= 0 {
-			c.callQueue.Pop()
-			c.fail(req)
+			s.waiting.Pop()
+			s.fail(request)
 			continue
 		}
-		timeout := c.callTimeout(left)
+		timeout := s.limiter.timeout(now, left)
 		if timeout <= 0 {
 			return
 		}
-		c.callQueue.Pop()
-		if c.rng.Float64() < c.breaker.dropProbability(c.now) {
-			c.callDropped(req)
+		s.waiting.Pop()
+		if s.rng.Float64() < s.breaker.dropProbability(now) {
+			s.drop(now, request)
 			continue
 		}
-		c.startCall(req, timeout)
+		s.start(now, request, timeout)
 	}
 }
 
-func (c *Controller) startCall(req *request, timeout time.Duration) {
-	c.awaitingCallCount--
-	c.callsInFlight++
-	req.callTime += c.now - req.callNeededAt
-	req.state, req.callNeededAt = calling, c.now
-	req.callAttempts++
-	c.emit(Action{Kind: ActionCall, ID: req.id, Timeout: timeout})
+// skipLate lets runs that wait for a call go on without it once that is better.
+func (s *callScheduler) skipLate(now time.Duration) {
+	s.waiting.DeleteFunc(func(request *request) bool {
+		if request.state != awaitingCall || request.answered || !s.estimator.skipsCall(now, request) {
+			return false
+		}
+		s.drop(now, request)
+		return true
+	})
+}
+
+func (s *callScheduler) start(now time.Duration, request *request, timeout time.Duration) {
+	s.limiter.waiting--
+	s.limiter.inFlight++
+	request.callTime += now - request.callNeededAt
+	request.state = calling
+	request.callNeededAt = now
+	request.callAttempts++
+	s.out.emit(Action{Kind: ActionCall, ID: request.id, Timeout: timeout})
 }
 
-// callDropped goes on without the call where the class allows it; otherwise the request fails, as it has run.
-func (c *Controller) callDropped(req *request) {
-	if c.settings.Classes[req.class].DegradedValueRatio <= 0 {
-		c.fail(req)
+// drop has a request go on without its call where its class allows that; otherwise it fails, as it has run.
+func (s *callScheduler) drop(now time.Duration, request *request) {
+	if s.classes[request.class].DegradedValueRatio <= 0 {
+		s.fail(request)
 		return
 	}
-	c.awaitingCallCount--
-	c.resume(req)
-	c.emit(Action{Kind: ActionSkipCall, ID: req.id})
+	s.limiter.waiting--
+	s.resume(now, request)
+	s.out.emit(Action{Kind: ActionSkipCall, ID: request.id})
+}
+
+// fail answers a request that waits for its call with an error. Its run is ended by the owner of the
+// controller.
+func (s *callScheduler) fail(request *request) {
+	request.answered = true
+	s.out.emit(Action{Kind: ActionFail, ID: request.id})
+}
+
+// resume has the run of a request go on after its call.
+func (s *callScheduler) resume(now time.Duration, request *request) {
+	request.callTime += now - request.callNeededAt
+	request.state = running
+	s.runs.returnToCPU()
 }
 
-func (c *Controller) callDone(event *Event) {
-	req := c.requests[event.ID]
-	if req == nil || req.state != calling {
+// complete takes in the end of a request's call. That of a request that has ended was accounted for as
+// abandoned.
+func (s *callScheduler) complete(now time.Duration, request *request, completion Completion) {
+	if request == nil || request.state != calling {
 		return
 	}
-	outcome := event.Completion.Outcome
-	c.breaker.record(c.now, outcome)
-	c.callsInFlight--
+	outcome := completion.Outcome
+	s.breaker.record(now, outcome)
+	s.limiter.inFlight--
 	if outcome == OutcomeTimedOut || outcome == OutcomeAborted {
-		c.trackAbandonedCall()
+		s.trackAbandoned(now)
 	}
-	c.callTime.Add(event.Completion.Took.Seconds(), callGain)
+	s.limiter.recordCallTime(completion.Took)
 	if outcome == OutcomeOK {
-		c.resume(req)
+		s.resume(now, request)
 		return
 	}
-	req.callTime += c.now - req.callNeededAt
-	req.state, req.callNeededAt = awaitingCall, c.now
-	c.awaitingCallCount++
-	class := &c.settings.Classes[req.class]
-	mayRetry := outcome.NeverRan() || class.Idempotency == Safe && outcome != OutcomeTimedOut
+	request.callTime += now - request.callNeededAt
+	request.state = awaitingCall
+	request.callNeededAt = now
+	s.limiter.waiting++
 	switch {
-	case req.answered:
-	case mayRetry && req.callAttempts < maxCallAttempts && c.now+callBackoff < req.usefulUntil:
-		c.deadlines.Push(c.now+callBackoff, deadline{deadlineCallRetry, req, req.id})
+	case request.answered:
+	case s.mayRetry(now, request, outcome):
+		s.timers.add(now+callBackoff, deadline{kind: deadlineCallRetry, request: request, id: request.id})
 	default:
-		c.callDropped(req)
+		s.drop(now, request)
+	}
+}
+
+// mayRetry reports whether a call that ended in outcome is made once more: it must not have had an effect,
+// and there must be time for it.
+func (s *callScheduler) mayRetry(now time.Duration, request *request, outcome Outcome) bool {
+	isRead := s.classes[request.class].Idempotency == Safe
+	repeatable := outcome.NeverRan() || isRead && outcome != OutcomeTimedOut
+	return repeatable && request.callAttempts < maxCallAttempts && now+callBackoff < request.usefulUntil
+}
+
+// stopWaiting drops the call of a request that has ended while it waited for it.
+func (s *callScheduler) stopWaiting() { s.limiter.waiting-- }
+
+// abandon drops the call in flight of a request that has ended. If it took long it counts as failed.
+func (s *callScheduler) abandon(now time.Duration, request *request) {
+	s.limiter.inFlight--
+	if now-request.callNeededAt > seconds(abandonedCallFailedFactor*s.limiter.callTime.Or(0)) {
+		s.breaker.record(now, OutcomeTimedOut)
 	}
+	s.trackAbandoned(now)
 }
 
-// abandonCall accounts for a call whose request has ended.
-func (c *Controller) abandonCall(req *request) {
-	c.callsInFlight--
-	if c.now-req.callNeededAt > seconds(abandonedCallFailedFactor*c.callTime.Or(0)) {
-		c.breaker.record(c.now, OutcomeTimedOut)
+// trackAbandoned counts an abandoned call for as long as it may occupy the dependency.
+func (s *callScheduler) trackAbandoned(now time.Duration) {
+	if s.limiter.abandonedTime > 0 {
+		s.limiter.abandoned++
+		s.timers.add(now+s.limiter.abandonedTime, deadline{kind: deadlineAbandonedCall})
 	}
-	c.trackAbandonedCall()
 }
 
-// SetProtectedCalls sets how many calls per window of the circuit breaker are never dropped:
-// BreakerProtectedCalls, unless the fleet coordinates its probes. Below 0 no call is made while none is
-// accepted; above 0 the estimate of the call time is reset to the best one, so that a probe gets enough time.
-// It is called between two steps.
-func (c *Controller) SetProtectedCalls(calls float64) {
-	c.breaker.protectedCalls = calls
-	if calls > 0 && c.callTime.Known() {
-		c.callTime = rolling.AverageOf(c.bestCallTime)
+// abandonedEnded takes in that an abandoned call no longer occupies the dependency.
+func (s *callScheduler) abandonedEnded() { s.limiter.abandoned-- }
+
+// setProtectedCalls sets how many calls per window the breaker never drops. A probe gets enough time.
+func (s *callScheduler) setProtectedCalls(calls float64) {
+	s.breaker.protectedCalls = calls
+	if calls > 0 {
+		s.limiter.expectBest()
 	}
 }
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -14,7 +14,7 @@
 		c := start(t, s)
 		want(t, c.Step(0, []Event{req(1, class)}, nil), ActionRun, 1)
 		for range 100000 {
-			c.breaker.record(c.now, OutcomeFailed)
+			c.calls.breaker.record(c.now, OutcomeFailed)
 		}
 		as := c.Step(ms, []Event{CallNeeded(1)}, nil)
 		want(t, as, kind, 1)
@@ -63,22 +63,22 @@
 
 func TestCallsShrinkWhileSlowAndGrowBack(t *testing.T) {
 	controller := start(t, testSettings())
-	controller.callTime = rolling.AverageOf(0.05)
+	controller.calls.limiter.callTime = rolling.AverageOf(0.05)
 	for range 100 {
-		controller.adjustCallLimit()
+		controller.calls.limiter.adjust()
 	}
-	high := controller.callLimit()
-	controller.callTime = rolling.AverageOf(0.5)
+	high := controller.calls.limiter.limit()
+	controller.calls.limiter.callTime = rolling.AverageOf(0.5)
 	for range 40 {
-		controller.adjustCallLimit()
+		controller.calls.limiter.adjust()
 	}
-	low := controller.callLimit()
-	controller.callTime = rolling.AverageOf(0.05)
+	low := controller.calls.limiter.limit()
+	controller.calls.limiter.callTime = rolling.AverageOf(0.05)
 	for range 100 {
-		controller.adjustCallLimit()
+		controller.calls.limiter.adjust()
 	}
-	if low >= high/1.5 || controller.callLimit() < high*0.99 || low < minCallLimitRatio*controller.settings.MaxCallsInFlight*0.99 {
-		t.Errorf("bound %v, then %v while slow, then %v", high, low, controller.callLimit())
+	if low >= high/1.5 || controller.calls.limiter.limit() < high*0.99 || low < minCallLimitRatio*controller.calls.limiter.maxInFlight*0.99 {
+		t.Errorf("bound %v, then %v while slow, then %v", high, low, controller.calls.limiter.limit())
 	}
 }
 
@@ -86,22 +86,22 @@
 	settings := testSettings()
 	settings.MaxCallsInFlight, settings.Dependency = 1.95, DependencyShared
 	controller := start(t, settings)
-	controller.callTime, controller.callLimitRatio = rolling.AverageOf(0.05), 0.7
-	controller.callsInFlight = 1
-	if controller.callTimeout(time.Second) <= 0 {
+	controller.calls.limiter.callTime, controller.calls.limiter.limitRatio = rolling.AverageOf(0.05), 0.7
+	controller.calls.limiter.inFlight = 1
+	if controller.calls.limiter.timeout(controller.now, time.Second) <= 0 {
 		t.Error("no second call though the mean is far under the bound")
 	}
-	controller.callSeconds.Add(controller.now, controller.callLimit()*settings.CallsWindow.Seconds()+0.1)
-	controller.callCredit = -0.1
-	if controller.callTimeout(time.Second) > 0 {
+	controller.calls.limiter.callSeconds.Add(controller.now, controller.calls.limiter.limit()*settings.CallsWindow.Seconds()+0.1)
+	controller.calls.limiter.credit = -0.1
+	if controller.calls.limiter.timeout(controller.now, time.Second) > 0 {
 		t.Error("a second call though the mean is over the bound")
 	}
-	controller.callsInFlight = 0
-	if controller.callTimeout(time.Second) <= 0 {
+	controller.calls.limiter.inFlight = 0
+	if controller.calls.limiter.timeout(controller.now, time.Second) <= 0 {
 		t.Error("no call at all")
 	}
-	controller.settings.MaxCallsInFlight = 0.3
-	if got := controller.callTimeout(3 * time.Second); got > 0 {
+	controller.calls.limiter.maxInFlight = 0.3
+	if got := controller.calls.limiter.timeout(controller.now, 3*time.Second); got > 0 {
 		t.Errorf("a call of %v though the share is used up", got)
 	}
 }
@@ -113,23 +113,23 @@
 	s := testSettings()
 	s.MaxCallsInFlight = 0.2
 	controller := start(t, s)
-	controller.callLimitRatio = minCallLimitRatio
+	controller.calls.limiter.limitRatio = minCallLimitRatio
 	const step = 10 * ms
 	var inHand, total time.Duration
 	var ends time.Duration
 	for now := step; now <= 60*time.Second; now += step {
 		controller.advanceTime(now)
 		total += step
-		if controller.callsInFlight == 1 {
+		if controller.calls.limiter.inFlight == 1 {
 			inHand += step
 			if now >= ends {
-				controller.callsInFlight = 0
+				controller.calls.limiter.inFlight = 0
 			}
-		} else if controller.callTimeout(time.Second) > 0 {
-			controller.callsInFlight, ends = 1, now+300*ms
+		} else if controller.calls.limiter.timeout(controller.now, time.Second) > 0 {
+			controller.calls.limiter.inFlight, ends = 1, now+300*ms
 		}
 	}
-	if mean, limit := inHand.Seconds()/total.Seconds(), controller.callLimit(); mean > 1.2*limit || mean < 0.8*limit {
+	if mean, limit := inHand.Seconds()/total.Seconds(), controller.calls.limiter.limit(); mean > 1.2*limit || mean < 0.8*limit {
 		t.Errorf("%.3f calls in hand in the mean, with a bound of %.3f", mean, limit)
 	}
 }
@@ -140,13 +140,13 @@
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
 	controller := start(t, settings)
-	controller.callLimitRatio, controller.callTime = minCallLimitRatio, rolling.AverageOf(0.3)
-	controller.callCredit = 0.01
-	if w := controller.callWait(); w != 0 {
+	controller.calls.limiter.limitRatio, controller.calls.limiter.callTime = minCallLimitRatio, rolling.AverageOf(0.3)
+	controller.calls.limiter.credit = 0.01
+	if w := controller.estimator.callWait(); w != 0 {
 		t.Errorf("a wait of %v with nothing overdrawn", w)
 	}
-	controller.callCredit = -0.2
-	if w, want := controller.callWait().Seconds(), 0.2/controller.callLimit(); math.Abs(w-want) > 1e-6 {
+	controller.calls.limiter.credit = -0.2
+	if w, want := controller.estimator.callWait().Seconds(), 0.2/controller.calls.limiter.limit(); math.Abs(w-want) > 1e-6 {
 		t.Errorf("a wait of %v s, want %v", w, want)
 	}
 	// One runs all the same, so that a recovery is noticed. It waits for its call, and no further one runs in vain.
@@ -158,18 +158,18 @@
 	}
 	settings.MaxCallsInFlight = 20 // with whole calls the bound itself admits the next one
 	controller = start(t, settings)
-	controller.callTime, controller.callCredit = rolling.AverageOf(0.3), -1
-	if w := controller.callWait(); w != 0 {
+	controller.calls.limiter.callTime, controller.calls.limiter.credit = rolling.AverageOf(0.3), -1
+	if w := controller.estimator.callWait(); w != 0 {
 		t.Errorf("a wait of %v though calls are free", w)
 	}
 }
 
 func TestCallLimitStaysBelowWhatIsSurvived(t *testing.T) {
 	c := start(t, testSettings())
-	c.callLimitRatio, c.callTime = 5, rolling.AverageOf(0.5)
-	for c.callsInFlight = 0; c.callTimeout(10*time.Second) == 10*time.Second; c.callsInFlight++ {
-		if float64(c.callsInFlight) > c.settings.MaxCallsInFlight {
-			t.Fatalf("an uncut call beside %d of a share of %v", c.callsInFlight, c.settings.MaxCallsInFlight)
+	c.calls.limiter.limitRatio, c.calls.limiter.callTime = 5, rolling.AverageOf(0.5)
+	for c.calls.limiter.inFlight = 0; c.calls.limiter.timeout(c.now, 10*time.Second) == 10*time.Second; c.calls.limiter.inFlight++ {
+		if float64(c.calls.limiter.inFlight) > c.calls.limiter.maxInFlight {
+			t.Fatalf("an uncut call beside %d of a share of %v", c.calls.limiter.inFlight, c.calls.limiter.maxInFlight)
 		}
 	}
 }
@@ -179,18 +179,18 @@
 	settings.MaxCallsInFlight, settings.AbandonedCallTime = 0.5, 0
 	controller := start(t, settings)
 	controller.advanceTime(20 * time.Second) // a long time without a call saves nothing up
-	controller.callsInFlight = 1
+	controller.calls.limiter.inFlight = 1
 	controller.advanceTime(21 * time.Second)
-	controller.callsInFlight = 0
-	if got := controller.callTimeout(time.Second); got > 0 {
+	controller.calls.limiter.inFlight = 0
+	if got := controller.calls.limiter.timeout(controller.now, time.Second); got > 0 {
 		t.Errorf("a call of %v right after one of 1 s on a share of %v", got, settings.MaxCallsInFlight)
 	}
 	controller.advanceTime(23 * time.Second)
-	if got := controller.callTimeout(time.Second); got > 0 {
-		t.Errorf("a call of %v after 2 s, though one of 1 s takes 4 s of a bound of %v", got, controller.callLimit())
+	if got := controller.calls.limiter.timeout(controller.now, time.Second); got > 0 {
+		t.Errorf("a call of %v after 2 s, though one of 1 s takes 4 s of a bound of %v", got, controller.calls.limiter.limit())
 	}
 	controller.advanceTime(24*time.Second + 100*ms)
-	if controller.callTimeout(time.Second) <= 0 {
+	if controller.calls.limiter.timeout(controller.now, time.Second) <= 0 {
 		t.Error("no call though the last one is paid back")
 	}
 }
@@ -208,10 +208,10 @@
 		for id := RequestID(1); id <= 5; id++ { // more than may call at once
 			startToCall(t, ctl, id, 1)
 		}
-		if ctl.awaitingCallCount == 0 {
+		if ctl.calls.limiter.waiting == 0 {
 			t.Fatal("no call waits")
 		}
-		ctl.callTime = rolling.AverageOf(controller.took)
+		ctl.calls.limiter.callTime = rolling.AverageOf(controller.took)
 		actions := startToCall(t, ctl, 7, 3)
 		if got := find(actions, ActionSkipCall, 7) != nil; got != controller.skips {
 			t.Errorf("calls take %v s: skipped is %v", controller.took, got)
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -1,86 +1,149 @@
 package admission
 
-import "time"
-
-// The order in which the parts of the controller decide.
-const (
-	sweepInterval    = 100 * time.Millisecond // between two periodic decisions; ours
-	maxSkippedSweeps = 10                     // while idle; gauges are valid for 1 s; ours
+import (
+	"math/rand/v2"
+	"time"
 )
 
+// Controller decides for one server. Each of its parts has one rule; the controller passes them what happens
+// and asks them in order. It belongs to one goroutine.
+type Controller struct {
+	settings Settings
+	now      time.Duration // of the batch that is processed
+	gauges   Gauges        // as last measured
+	requests map[RequestID]*request
+	timers   timers
+	out      outbox
+
+	queue         requestQueue
+	scheduler     runScheduler
+	runs          *concurrencyLimiter
+	calls         callScheduler
+	estimator     *estimator
+	values        requestValues
+	admissionRate admissionRate
+	memory        memoryBudget
+	keys          keyTable
+	advisor       clientAdvisor
+	drain         drain
+	health        health
+	conditions    conditionReporter
+}
+
+// New returns a controller for a server that starts at now. The error is a *SettingsError, which names the
+// field that cannot be served. Random choices follow from seed.
+func New(settings Settings, seed uint64, now time.Duration) (*Controller, error) {
+	if err := settings.check(); err != nil {
+		return nil, err
+	}
+	const randomStream = 0x9e3779b97f4a7c15
+	rng := rand.New(rand.NewPCG(seed, randomStream))
+	runs := newConcurrencyLimiter(now, &settings)
+	limiter := newCallLimiter(now, &settings)
+	controller := &Controller{
+		now:           now,
+		gauges:        unknownGauges,
+		requests:      map[RequestID]*request{},
+		timers:        timers{sweepAt: now},
+		runs:          runs,
+		admissionRate: newAdmissionRate(rng),
+		advisor:       newClientAdvisor(&settings),
+	}
+	queue := &controller.queue
+	estimator := newEstimator(&settings, queue, runs, limiter)
+	controller.estimator = estimator
+	controller.values.estimator = estimator
+	controller.scheduler = runScheduler{queue: queue, estimator: estimator, runs: runs, calls: limiter}
+	controller.keys = newKeyTable(&controller.memory, &controller.timers, &controller.out)
+	controller.calls = callScheduler{
+		limiter:   limiter,
+		breaker:   newCircuitBreaker(now),
+		estimator: estimator,
+		runs:      runs,
+		timers:    &controller.timers,
+		out:       &controller.out,
+		rng:       rng,
+	}
+	controller.configure(settings)
+	return controller, nil
+}
+
 // Step processes the events of one batch, all at now, and appends the actions that answer them. A batch may
-// be empty; the first one starts the timers.
+// be empty. The first step starts the timers: from then on the owner is told, by ActionWake, when to step
+// next at the latest.
 func (c *Controller) Step(now time.Duration, events []Event, actions []Action) []Action {
-	c.actions = actions
+	c.out.actions = actions
 	c.advanceTime(now)
-	if !c.initialized {
-		c.initialized = true
-		c.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
-		if credit, ok := c.advertiser.atStart(); ok {
-			c.emit(Action{Kind: ActionAdvertise, Value: credit})
-		}
-	}
-	c.catchUpSweeps()
+	c.announceStart()
+	c.timers.catchUp(now, c.sweep)
 	for i := range events {
 		c.handleEvent(&events[i])
 	}
 	c.expireDeadlines()
-	if c.now >= c.sweepAt {
-		c.sweepAt = c.now + sweepInterval
+	if c.timers.sweepDue(c.now) {
 		c.sweep()
 	}
 	c.dispatch()
-	c.scheduleTimer()
-	actions, c.actions = c.actions, nil
-	return actions
+	if at, ok := c.timers.schedule(c.now, c.isIdle()); ok {
+		c.out.emit(Action{Kind: ActionWake, At: at})
+	}
+	return c.out.take()
 }
 
-// sweep is the periodic part of the decisions.
-func (c *Controller) sweep() {
-	c.expireQueued() // even if no core is free
-	c.quotas.weigh(c.now)
-	c.admissionRate.adjust(c.anyClassLate() && underCPUPressure(c.gauges, c.settings.Cores))
-	c.runs.adjust(c.gauges.CPUDemand, c.queuedCount > 0)
-	c.adjustCallLimit()
-	c.adjustIdleTimeout()
-	c.adjustHealth()
-	c.reportConditions()
+// ServiceRate is the work that this server completes per second, in seconds of a standard core.
+func (c *Controller) ServiceRate() float64 { return c.estimator.serviceRate() }
+
+// SetProtectedCalls sets how many calls per window of the circuit breaker are never dropped:
+// BreakerProtectedCalls, unless the fleet coordinates its probes. Below 0 no call is made while none is
+// accepted; above 0 the estimate of the call time is reset to the best one, so that a probe gets enough time.
+// It is called between two steps.
+func (c *Controller) SetProtectedCalls(calls float64) { c.calls.setProtectedCalls(calls) }
+
+// advanceTime brings the sums that grow with time up to now.
+func (c *Controller) advanceTime(now time.Duration) {
+	elapsed := now - c.now
+	if elapsed <= 0 {
+		return
+	}
+	c.estimator.advance(elapsed)
+	c.calls.limiter.advance(now, elapsed)
+	c.now = now
 }
 
-// isIdle reports whether nothing is in flight and nothing recovers, so that a sweep would change nothing.
-// Skipped sweeps are made up for when something happens, or after maxSkippedSweeps.
-func (c *Controller) isIdle() bool {
-	callsRecovered := c.callLimitRatio >= maxCallLimitRatio || !c.callTime.Known()
-	recovered := callsRecovered && c.admissionRate.recovered() && !c.health.unhealthy
-	return recovered && len(c.requests) == 0 && !c.drain.started && c.abandonedCalls == 0 &&
-		c.gauges.CPUDemand >= 0 && c.gauges.CPUDemand < 1
+// announceStart has health checks answered well from the first step on, and clients told their credit.
+func (c *Controller) announceStart() {
+	if !c.timers.start() {
+		return
+	}
+	c.out.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
+	if credit, ok := c.advisor.advertiser.atStart(); ok {
+		c.out.emit(Action{Kind: ActionAdvertise, Value: credit})
+	}
 }
 
-// expireDeadlines acts on all deadlines that have passed.
-func (c *Controller) expireDeadlines() {
-	for c.deadlines.Len() > 0 {
-		next, at, _ := c.deadlines.Peek()
-		obsolete := c.obsolete(next)
-		if !obsolete && at > c.now {
-			return
-		}
-		c.deadlines.Pop()
-		if obsolete {
-			continue
-		}
-		switch next.kind {
-		case deadlineAnswer:
-			if next.request.state <= following {
-				c.reject(next.request, ReasonTooLate)
-			} else {
-				c.fail(next.request)
-			}
-		case deadlineCallRetry:
-			c.retryCall(next.request)
-		case deadlineAbandonedCall:
-			c.abandonedCalls--
-		case deadlineKey:
-			c.expireKey(next.id)
+// handleEvent passes an event to the part that deals with it. Events about requests that have ended are
+// ignored.
+func (c *Controller) handleEvent(event *Event) {
+	request := c.requests[event.ID]
+	switch event.Kind {
+	case EventRequest:
+		c.receive(event.ID, &event.Arrival)
+	case EventDone:
+		c.completeRun(request, event.Completion)
+	case EventCancelled:
+		c.settle(request)
+	case EventCallNeeded:
+		c.calls.need(c.now, request)
+	case EventCallDone:
+		c.calls.complete(c.now, request, event.Completion)
+	case EventDrain:
+		c.startDrain(event.Drain)
+	case EventDeregister, EventReregister:
+		deregistered := event.Kind == EventDeregister
+		if c.health.setDeregistered(c.now, deregistered, c.drain.started) {
+			c.out.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
 		}
+	case EventTimer:
+		c.gauges = event.Gauges
 	}
 }
--- /dev/null
+++ b/admission/estimator_test.go
@@ -0,0 +1,97 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"falldeal/admission/internal/rolling"
+
+	"github.com/stretchr/testify/require"
+)
+
+// testEstimator returns the estimator of a controller that has taken its first step, and the controller.
+func testEstimator(t *testing.T) (*estimator, *Controller) {
+	t.Helper()
+	controller := start(t, testSettings())
+	return controller.estimator, controller
+}
+
+func TestWorkIsThatOfTheHintOrOfTheClass(t *testing.T) {
+	estimator, _ := testEstimator(t)
+	request := &request{class: 1}
+	require.InDelta(t, defaultWorkRatio*1, estimator.workOf(request, 0), 1e-12)
+	require.InDelta(t, 0.3, estimator.workOf(request, 300*ms), 1e-12)
+	require.InDelta(t, 0.3, estimator.workOf(request, 0), 1e-12, "as others of its class")
+	require.InDelta(t, 0.5, estimator.workOf(request, 500*ms), 1e-12)
+	require.InDelta(t, 0.32, estimator.workOf(request, 0), 1e-12)
+}
+
+// The service rate is the work done for the core time used, whether or not cores were idle.
+func TestServiceRateFollowsRuns(t *testing.T) {
+	estimator, controller := testEstimator(t)
+	require.InDelta(t, 4, estimator.serviceRate(), 1e-9, "a standard core each")
+	controller.runs.onCPU = 2
+	for now := 100 * ms; now < 20*time.Second; now += 100 * ms {
+		estimator.advance(100 * ms)
+		estimator.recordRun(now, &request{class: 0, work: 0.1, arrivedAt: now - 200*ms}, 200*ms)
+	}
+	require.InDelta(t, 2, estimator.serviceRate(), 0.05, "half as fast: 0.1 s of work in 0.2 core-seconds")
+	estimator.speed.First = 0
+	require.InDelta(t, minCoreSpeed*4, estimator.serviceRate(), 1e-9)
+	require.Equal(t, seconds(0.2), estimator.serviceTime(0, &request{class: 0, work: 0.1}).Round(time.Microsecond))
+}
+
+func TestServiceTimeHasCalls(t *testing.T) {
+	estimator, controller := testEstimator(t)
+	withCall := &request{class: 1, work: 0.1, objective: time.Second}
+	want := 0.1*initialRunsPerCore + defaultCallTime
+	require.InDelta(t, want, estimator.serviceTime(0, withCall).Seconds(), 1e-6)
+	controller.calls.limiter.callTime = rolling.AverageOf(0.2)
+	estimator.estimates[1].callsPerRun = rolling.AverageOf(0.5)
+	require.InDelta(t, 0.1*initialRunsPerCore+0.1, estimator.serviceTime(0, withCall).Seconds(), 1e-6)
+	require.Equal(t, withCall.objective-estimator.serviceTime(0, withCall), estimator.latestStart(0, withCall))
+	estimator.classes[1].CallsDependency = false
+	require.InDelta(t, 0.1*initialRunsPerCore, estimator.serviceTime(0, withCall).Seconds(), 1e-6)
+}
+
+// Of a queue with a longer objective, only a part is ahead of a request.
+func TestCPUWaitCountsWhatIsAhead(t *testing.T) {
+	estimator, controller := testEstimator(t)
+	urgent, patient := &request{class: 1, work: 0.4}, &request{class: 0, work: 0.4}
+	require.Zero(t, estimator.cpuWait(urgent))
+	controller.queue.push(&request{class: 0, work: 0.8}) // objective of 2 s
+	controller.queue.push(&request{class: 1, work: 0.8}) // of 1 s
+	controller.runs.start(0.4)
+	require.InDelta(t, (0.2+0.4+0.8)/4, estimator.cpuWait(urgent).Seconds(), 1e-9)
+	require.InDelta(t, (0.2+0.8+0.8)/4, estimator.cpuWait(patient).Seconds(), 1e-9)
+}
+
+func TestCallWaitCountsThoseWhoMustCall(t *testing.T) {
+	estimator, controller := testEstimator(t)
+	controller.queue.push(&request{class: 0})
+	controller.queue.push(&request{class: 3}) // may go on without its call
+	controller.calls.limiter.waiting = 2
+	require.Zero(t, estimator.callWait(), "nothing is known of calls")
+	controller.calls.limiter.callTime = rolling.AverageOf(0.1)
+	require.InDelta(t, 3*0.1/3, estimator.callWait().Seconds(), 1e-9, "three calls ahead, three in flight at a time")
+	degradable := &request{class: 3, objective: 200 * ms}
+	require.True(t, estimator.skipsCall(0, degradable))
+	require.False(t, estimator.needsCall(0, degradable))
+	degradable.objective = time.Second
+	require.True(t, estimator.needsCall(0, degradable))
+	require.Equal(t, resourceCalls, estimator.bottleneck(0, &request{class: 0}), "cores are idle beside a queue")
+	controller.runs.onCPU = 9
+	controller.runs.work = 100
+	require.Equal(t, resourceCPU, estimator.bottleneck(0, &request{class: 0}))
+	controller.calls.limiter.maxInFlight = 0
+	require.Zero(t, estimator.callWait(), "any number of calls")
+}
+
+func TestAnyClassLate(t *testing.T) {
+	estimator, _ := testEstimator(t)
+	require.False(t, estimator.anyClassLate())
+	estimator.estimates[2].latency = rolling.AverageOf(1.5)
+	require.True(t, estimator.anyClassLate())
+	estimator.classes[2].Removed = true
+	require.False(t, estimator.anyClassLate())
+}
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -57,8 +57,8 @@
 		enter func(*Controller)
 		clear func(*Controller)
 	}{
-		{"calls dropped", func(c *Controller) { c.breaker.protectedCalls = -1 }, func(c *Controller) { c.breaker.protectedCalls = BreakerProtectedCalls }},
-		{"calls bounded", func(c *Controller) { c.callLimitRatio = minCallLimitRatio }, func(c *Controller) { c.callLimitRatio = maxCallLimitRatio }},
+		{"calls dropped", func(c *Controller) { c.calls.breaker.protectedCalls = -1 }, func(c *Controller) { c.calls.breaker.protectedCalls = BreakerProtectedCalls }},
+		{"calls bounded", func(c *Controller) { c.calls.limiter.limitRatio = minCallLimitRatio }, func(c *Controller) { c.calls.limiter.limitRatio = maxCallLimitRatio }},
 		{"share lowered", func(c *Controller) { c.admissionRate.probability = admitDecrease }, func(c *Controller) { c.admissionRate.probability = 1 }},
 		{"memory full", func(c *Controller) { c.memory.usedKB = c.memory.limitKB() + 1 }, func(c *Controller) { c.memory.usedKB = 0 }},
 		{"unwell", func(c *Controller) { c.health.unhealthy = true }, func(c *Controller) { c.health.unhealthy = false }},
@@ -67,10 +67,10 @@
 		fmt.Fprintf(&got, "%s\n", test.name)
 		for _, change := range []func(*Controller){test.enter, test.clear} {
 			controller.now += 2 * reportInterval
-			controller.actions = nil
+			controller.out.actions = nil
 			change(controller)
 			controller.reportConditions()
-			logged(&got, controller.actions)
+			logged(&got, controller.out.actions)
 		}
 	}
 	for _, replaced := range []bool{false, true} {
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -26,8 +26,8 @@
 	for now := 10 * time.Second; now < 20*time.Second; now += 50 * ms {
 		controller.Step(now, nil, nil)
 	}
-	if controller.health.unhealthy || controller.readDelay.mean.Value() > 0.2 {
-		t.Errorf("unwell %v, wait %v s, though nothing comes any more", controller.health.unhealthy, controller.readDelay.mean.Value())
+	if controller.health.unhealthy || controller.advisor.readDelay.mean.Value() > 0.2 {
+		t.Errorf("unwell %v, wait %v s, though nothing comes any more", controller.health.unhealthy, controller.advisor.readDelay.mean.Value())
 	}
 	controller.Step(20*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
 	e := req(1, 0)
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -1,54 +1,36 @@
 package admission
 
-// reserveKey remembers an idempotent request before it may run; false means that there is no memory, hence no
-// run.
-func (c *Controller) reserveKey(req *request) bool {
-	if c.memory.wouldExceed(c.memory.keyKB) {
-		return false
-	}
-	windowEnd := req.arrivedAt + c.settings.Classes[req.class].IdempotencyWindow
-	c.addKey(req, max(windowEnd-c.now, c.settings.Tick))
-	return true
-}
-
-// cacheResult has the result of a read that has just started answer others for a time.
-func (c *Controller) cacheResult(req *request) {
-	safe := c.settings.Classes[req.class].Idempotency == Safe
-	if c.settings.CacheTTL > 0 && safe && c.memory.allowsCaching() {
-		c.addKey(req, c.settings.CacheTTL)
-	}
-}
-
-// handleRetry deals with an attempt of a request that is known here; false means that it is handled like a
-// first attempt. Without a record the earlier one may have run, and only its result may answer.
-func (c *Controller) handleRetry(req *request, earlier RequestID) bool {
-	idempotency := c.settings.Classes[req.class].Idempotency
-	if idempotency == Unsafe || idempotency == Safe && c.settings.CacheTTL <= 0 {
+// joinAttempt has an attempt share the run and the result of an earlier one that is known here; false means
+// that it is handled like a first attempt. An earlier attempt that is not in flight any more may have run,
+// and only its result may answer.
+func (c *Controller) joinAttempt(request *request, earlier RequestID) bool {
+	if !c.keys.sharesRuns(request.class) {
 		return false
 	}
 	leader := c.requests[earlier]
 	if leader != nil && leader.state == following {
 		leader = leader.leader
 	}
-	waiting, full := leader != nil && leader.state == queued, c.memory.exceeded()
+	mayStillRun := leader != nil && leader.state == queued
+	memoryFull := c.memory.exceeded()
 	switch {
-	case waiting && full:
-		c.reject(req, ReasonMemory)
-	case waiting:
-		c.follow(req, leader)
-	case full:
-		c.fail(req)
+	case mayStillRun && memoryFull:
+		c.reject(request, ReasonMemory)
+	case mayStillRun:
+		request.follow(leader)
+	case memoryFull:
+		c.fail(request)
 	default:
-		c.joinRun(req)
+		c.reuseResult(request)
 	}
 	return true
 }
 
-// joinRun has req answered with the result of the run that it retries.
-func (c *Controller) joinRun(req *request) {
-	if req.state != released {
-		req.state = joined
-		c.emit(Action{Kind: ActionReuse, ID: req.id})
+// reuseResult has a request answered with the result of the run that it retries.
+func (c *Controller) reuseResult(request *request) {
+	if request.state != released {
+		request.state = joined
+		c.out.emit(Action{Kind: ActionReuse, ID: request.id})
 	}
 }
 
@@ -60,13 +42,14 @@
 		switch {
 		case follower.state == released:
 		case leader == nil:
-			if c.admit(follower); follower.state != released {
+			c.admit(follower)
+			if follower.state != released {
 				leader = follower
 			}
 		case leader.state == queued:
-			c.follow(follower, leader)
+			follower.follow(leader)
 		default:
-			c.joinRun(follower)
+			c.reuseResult(follower)
 		}
 	}
 }
--- /dev/null
+++ b/admission/key_table.go
@@ -0,0 +1,96 @@
+package admission
+
+import "time"
+
+// keyTable remembers requests, so that their retries share one run and its result: requests of classes that
+// are idempotent by key, for the window of their class, and reads whose results are cached. It takes the
+// memory of its entries, and has the owner of the controller remember and forget with it.
+type keyTable struct {
+	classes   []Class
+	cacheTTL  time.Duration
+	tick      time.Duration
+	expiresAt map[RequestID]time.Duration
+	memory    *memoryBudget
+	timers    *timers
+	out       *outbox
+}
+
+func newKeyTable(memory *memoryBudget, timers *timers, out *outbox) keyTable {
+	return keyTable{expiresAt: map[RequestID]time.Duration{}, memory: memory, timers: timers, out: out}
+}
+
+func (k *keyTable) configure(settings *Settings) {
+	k.classes = settings.Classes
+	k.cacheTTL = settings.CacheTTL
+	k.tick = settings.Tick
+}
+
+// len returns the number of entries.
+func (k *keyTable) len() int { return len(k.expiresAt) }
+
+// sharesRuns reports whether the result of one attempt of a request of a class may answer others.
+func (k *keyTable) sharesRuns(class int) bool {
+	switch k.classes[class].Idempotency {
+	case IdempotentByKey:
+		return true
+	case Safe:
+		return k.cacheTTL > 0
+	case Unsafe:
+	}
+	return false
+}
+
+// reserve remembers a request that is idempotent by key, before it may run; false means that there is no
+// memory, and so it must not run.
+func (k *keyTable) reserve(now time.Duration, request *request) bool {
+	if k.memory.wouldExceed(k.memory.keyKB) {
+		return false
+	}
+	windowEnd := request.arrivedAt + k.classes[request.class].IdempotencyWindow
+	k.add(now, request, max(windowEnd-now, k.tick))
+	return true
+}
+
+// cache has the result of a read that has just started answer others for a time, where there is memory to
+// spare.
+func (k *keyTable) cache(now time.Duration, request *request) {
+	isRead := k.classes[request.class].Idempotency == Safe
+	if k.cacheTTL > 0 && isRead && k.memory.allowsCaching() {
+		k.add(now, request, k.cacheTTL)
+	}
+}
+
+func (k *keyTable) add(now time.Duration, request *request, duration time.Duration) {
+	request.remembered = true
+	k.memory.take(k.memory.keyKB)
+	k.expiresAt[request.id] = now + duration
+	k.timers.add(now+duration, deadline{kind: deadlineKey, id: request.id})
+	k.out.emit(Action{Kind: ActionRemember, ID: request.id, Duration: duration})
+}
+
+// forget drops the entry of a request before it expires.
+func (k *keyTable) forget(now time.Duration, request *request) {
+	request.remembered = false
+	if expiresAt, known := k.expiresAt[request.id]; known && expiresAt > now {
+		k.memory.giveBack(k.memory.keyKB)
+		k.out.emit(Action{Kind: ActionForget, ID: request.id})
+		delete(k.expiresAt, request.id)
+	}
+}
+
+// runEnded forgets a read whose run ended without a result that could answer others.
+func (k *keyTable) runEnded(now time.Duration, request *request, outcome Outcome) {
+	noResult := outcome == OutcomeCancelled || outcome == OutcomeFailed
+	isRead := k.classes[request.class].Idempotency == Safe
+	if noResult && isRead && request.remembered {
+		k.forget(now, request)
+	}
+}
+
+// expire drops an entry at the end of its time; the owner of the controller does so by itself.
+func (k *keyTable) expire(id RequestID) {
+	if _, known := k.expiresAt[id]; known {
+		k.memory.giveBack(k.memory.keyKB)
+		delete(k.expiresAt, id)
+	}
+}
--- a/admission/parts_example_test.go
+++ b/admission/parts_example_test.go
@@ -46,6 +46,22 @@
 	// 16.00
 }
 
+// The limit on calls in flight falls while calls take much longer than at best.
+func Example_callLimiter() {
+	limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: 8, CallsWindow: 5 * time.Second})
+	fmt.Printf("%.1f\n", limiter.limit())
+	limiter.recordCallTime(20 * time.Millisecond)
+	limiter.adjust()
+	for range 20 {
+		limiter.recordCallTime(200 * time.Millisecond)
+		limiter.adjust()
+	}
+	fmt.Printf("%.1f\n", limiter.limit())
+	// Output:
+	// 4.0
+	// 3.0
+}
+
 // A tenant that offers twice its quota has requests of half the value.
 func Example_tenantQuotas() {
 	var quotas tenantQuotas
--- a/admission/parts_time_test.go
+++ b/admission/parts_time_test.go
@@ -124,3 +124,51 @@
 	require.False(t, reporter.changed(reportInterval+1, ConditionMemory, true), "it goes on")
 	require.True(t, reporter.changed(reportInterval+1, ConditionMemory, false))
 }
+
+func TestTimersSkipSweepsWhileIdle(t *testing.T) {
+	var timers timers
+	require.True(t, timers.start())
+	require.False(t, timers.start())
+	require.True(t, timers.sweepDue(0))
+	require.False(t, timers.sweepDue(50*ms))
+	at, ok := timers.schedule(50*ms, false)
+	require.True(t, ok)
+	require.Equal(t, sweepInterval, at)
+	_, ok = timers.schedule(60*ms, false)
+	require.False(t, ok, "it wakes in time")
+	timers.add(80*ms, deadline{kind: deadlineAbandonedCall})
+	at, ok = timers.schedule(60*ms, false)
+	require.True(t, ok)
+	require.Equal(t, 80*ms, at)
+	_, ok = timers.expired(70 * ms)
+	require.False(t, ok)
+	due, ok := timers.expired(80 * ms)
+	require.True(t, ok)
+	require.Equal(t, deadlineAbandonedCall, due.kind)
+	at, ok = timers.schedule(80*ms, true)
+	require.True(t, ok)
+	require.Equal(t, maxSkippedSweeps*sweepInterval, at)
+	sweeps := 0
+	timers.catchUp(450*ms, func() { sweeps++ })
+	require.Equal(t, 4, sweeps, "at 100, 200, 300 and 400 ms")
+	timers.schedule(450*ms, true)
+	sweeps = 0
+	timers.catchUp(time.Hour, func() { sweeps++ })
+	require.Equal(t, maxSkippedSweeps, sweeps, "after a suspension")
+}
+
+func TestObsoleteDeadlinesAreDropped(t *testing.T) {
+	var timers timers
+	answered := &request{state: running, answered: true}
+	waiting := &request{state: awaitingCall}
+	timers.add(1, deadline{kind: deadlineAnswer, request: answered})
+	timers.add(2, deadline{kind: deadlineCallRetry, request: answered})
+	timers.add(3, deadline{kind: deadlineAnswer, request: &request{state: released}})
+	timers.add(4, deadline{kind: deadlineCallRetry, request: waiting})
+	due, ok := timers.expired(time.Second)
+	require.True(t, ok)
+	require.Same(t, waiting, due.request)
+	_, ok = timers.expired(time.Second)
+	require.False(t, ok)
+	require.Zero(t, timers.deadlines.Len())
+}
--- /dev/null
+++ b/admission/periodic.go
@@ -0,0 +1,94 @@
+package admission
+
+import (
+	"maps"
+	"slices"
+)
+
+// sweep makes the periodic decisions.
+func (c *Controller) sweep() {
+	c.expireQueued() // even if no core is free
+	c.values.quotas.weigh(c.now)
+	c.admissionRate.adjust(c.estimator.anyClassLate() && underCPUPressure(c.gauges, c.settings.Cores))
+	c.runs.adjust(c.gauges.CPUDemand, c.queue.count > 0)
+	c.calls.limiter.adjust()
+	if c.advisor.adjustIdleTimeout(c.now, c.gauges.Connections) {
+		c.out.emit(Action{Kind: ActionIdleTimeout, Duration: c.advisor.idleTimeout.current})
+	}
+	c.advisor.readDelay.decay()
+	if c.health.adjust(c.now, c.advisor.readsInVain(), c.drain.started) {
+		c.out.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
+	}
+	c.reportConditions()
+}
+
+// isIdle reports whether nothing is in flight and nothing recovers, so that a sweep would change nothing.
+func (c *Controller) isIdle() bool {
+	recovered := c.calls.limiter.recovered() && c.admissionRate.recovered() && !c.health.unhealthy
+	inFlight := len(c.requests) > 0 || c.calls.limiter.abandoned > 0
+	coresIdle := c.gauges.CPUDemand >= 0 && c.gauges.CPUDemand < 1
+	return recovered && !inFlight && !c.drain.started && coresIdle
+}
+
+// expireDeadlines acts on all deadlines that have passed.
+func (c *Controller) expireDeadlines() {
+	for {
+		expired, ok := c.timers.expired(c.now)
+		if !ok {
+			return
+		}
+		switch expired.kind {
+		case deadlineAnswer:
+			if expired.request.state <= following {
+				c.reject(expired.request, ReasonTooLate)
+			} else {
+				c.fail(expired.request)
+			}
+		case deadlineCallRetry:
+			c.calls.retry(c.now, expired.request)
+		case deadlineAbandonedCall:
+			c.calls.abandonedEnded()
+		case deadlineKey:
+			c.keys.expire(expired.id)
+		}
+	}
+}
+
+// startDrain moves the deadlines of all answers before the end of the process, and has clients sent elsewhere
+// unless another process of this server goes on.
+func (c *Controller) startDrain(signal DrainSignal) {
+	if c.drain.started {
+		return
+	}
+	c.drain.start(c.now, signal)
+	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
+		request := c.requests[id]
+		c.timers.add(c.drain.answerDeadline(request), deadline{kind: deadlineAnswer, request: request})
+	}
+	c.out.emit(Action{Kind: ActionLog, Condition: ConditionChange{Condition: ConditionDrain, Active: true}})
+	if signal.Replaced {
+		return
+	}
+	c.out.emit(Action{Kind: ActionHealth, Health: HealthAnswer{Healthy: false, Cached: true}})
+	if value, ok := c.advisor.advertiser.atDrain(); ok {
+		c.out.emit(Action{Kind: ActionAdvertise, Value: value})
+	}
+}
+
+// reportConditions logs which conditions begin or end.
+func (c *Controller) reportConditions() {
+	active := [...]bool{
+		ConditionBreaker:   c.calls.breaker.dropProbability(c.now) > 0,
+		ConditionCallLimit: c.calls.limiter.atMinimum(),
+		ConditionAdmission: c.admissionRate.reduced(),
+		ConditionMemory:    c.memory.exceeded(),
+		ConditionHealth:    c.health.unhealthy,
+	}
+	for index, isActive := range active {
+		condition := Condition(index)
+		if c.conditions.changed(c.now, condition, isActive) {
+			change := ConditionChange{Condition: condition, Active: isActive}
+			c.out.emit(Action{Kind: ActionLog, Condition: change})
+		}
+	}
+}
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -15,8 +15,8 @@
 
 // filesWithoutDecisions hold types that are exchanged with the owner, settings and helpers. All others decide.
 var filesWithoutDecisions = []string{
-	"accounting.go", "action.go", "condition.go", "doc.go", "durations.go", "event.go", "settings.go", "settings_check.go",
-	"state.go",
+	"action.go", "condition.go", "doc.go", "durations.go", "event.go", "outbox.go", "reconfigure.go", "settings.go",
+	"settings_check.go",
 }
 
 // policyFiles returns the files that deploy/balancer.toml names under policy.
@@ -62,6 +62,21 @@
 	}
 }
 
+// The controller asks its parts and holds little itself.
+func TestControllerStaysShort(t *testing.T) {
+	const maxFields, maxMethods = 19, 29
+	assert.LessOrEqual(t, reflect.TypeFor[Controller]().NumField(), maxFields)
+	paths, err := filepath.Glob("*.go")
+	require.NoError(t, err)
+	methods := 0
+	for _, path := range paths {
+		text, err := os.ReadFile(path)
+		require.NoError(t, err)
+		methods += strings.Count(string(text), "\nfunc (c *Controller) ")
+	}
+	assert.LessOrEqual(t, methods, maxMethods)
+}
+
 // Names of classes, tenants and clients decide nothing, since none reaches the package: settings and events have no text.
 func TestNamesDecideNothing(t *testing.T) {
 	for _, v := range []any{Settings{}, Event{}, Arrival{}, Completion{}, DrainSignal{}, Gauges{}, Class{}, Tenant{}} {
--- /dev/null
+++ b/admission/random_server_test.go
@@ -0,0 +1,293 @@
+package admission
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// attemptPhase is how far an attempt has got, as its server knows.
+type attemptPhase uint8
+
+const (
+	attemptWaiting attemptPhase = iota
+	attemptJoined               // waits for the result of another one
+	attemptRunning
+	attemptAwaitingCall
+	attemptCalling
+	attemptCompleted
+)
+
+// attempt is what the random server knows of one attempt.
+type attempt struct {
+	class        int
+	arrivedAt    time.Duration
+	deadline     time.Duration
+	phase        attemptPhase
+	ran          bool
+	answered     bool // or cancelled
+	cancelled    bool
+	origin       int // the request that it is an attempt of
+	callsThatRan int
+	memoryKB     float64
+}
+
+// hasStarted reports whether the run of the attempt is under way.
+func (a *attempt) hasStarted() bool {
+	return a.phase == attemptRunning || a.phase == attemptAwaitingCall || a.phase == attemptCalling
+}
+
+// randomServer answers a controller's actions in odd but legal ways, and checks that the rules hold: each request is
+// answered once and in time, nothing with an effect runs twice, a drain runs nothing late, and memory and calls stay
+// within their limits.
+type randomServer struct {
+	t              *testing.T
+	settings       Settings
+	rng            *rand.Rand
+	now            time.Duration
+	attempts       map[RequestID]*attempt
+	live           []RequestID
+	keys           map[RequestID]time.Duration // until when each is remembered
+	runs           map[int]int                 // of each request
+	drainStartedAt time.Duration               // 0: none
+	log            []Action
+	lastID         RequestID
+	lastIdempotent map[int]RequestID // by class
+	sendsDeadlines bool              // requests carry the deadlines of their clients
+}
+
+// drawRequest draws a new request, or a retry of one that is remembered.
+func (s *randomServer) drawRequest() Event {
+	s.lastID++
+	class := s.rng.IntN(len(s.settings.Classes))
+	event := RequestArrived(s.lastID, Arrival{Class: class, Tenant: s.rng.IntN(2), MemoryKB: 5 + 20*s.rng.Float64(),
+		CostHint: time.Duration(s.rng.IntN(300)) * ms, Retry: s.rng.IntN(4) == 0, Waited: time.Duration(s.rng.IntN(50)) * ms})
+	origin := int(s.lastID)
+	if s.settings.Classes[class].Idempotency == IdempotentByKey && s.rng.IntN(2) == 0 {
+		if leader, ok := s.lastIdempotent[class]; ok && s.keys[leader] > s.now {
+			event.Arrival.RetryOf, origin = leader, s.attempts[leader].origin
+		}
+	}
+	if s.settings.Classes[class].Idempotency == IdempotentByKey && event.Arrival.RetryOf == 0 {
+		s.lastIdempotent[class] = event.ID
+	}
+	deadline := s.now - event.Arrival.Waited + s.settings.Classes[class].Deadline
+	if s.sendsDeadlines {
+		deadline = s.now + time.Duration(s.rng.IntN(3000))*ms
+		event.Arrival.Deadline = deadline
+	}
+	s.attempts[event.ID] = &attempt{class: class, arrivedAt: s.now - event.Arrival.Waited, deadline: max(deadline, s.now),
+		origin: origin, memoryKB: event.Arrival.MemoryKB}
+	s.live = append(s.live, event.ID)
+	return event
+}
+
+// drawEvents draws what happens next to each live attempt, and new requests.
+func (s *randomServer) drawEvents() []Event {
+	var events []Event
+	live := s.live[:0]
+	for _, id := range s.live {
+		if s.attempts[id].phase == attemptCompleted {
+			continue
+		}
+		live = append(live, id)
+		events = s.progress(events, id, s.attempts[id])
+		if s.rng.IntN(50) == 0 && len(events) > 0 {
+			events = append(events, events[len(events)-1]) // the same outcome twice
+		}
+	}
+	s.live = live
+	for range s.rng.IntN(4) {
+		events = append(events, s.drawRequest())
+	}
+	return events
+}
+
+// progress draws what happens next to one attempt.
+func (s *randomServer) progress(events []Event, id RequestID, current *attempt) []Event {
+	done := func(outcome Outcome, took time.Duration) []Event {
+		current.phase, current.answered = attemptCompleted, true
+		return append(events, RunCompleted(id, Completion{Outcome: outcome, Took: took}))
+	}
+	atCall := current.phase == attemptAwaitingCall || current.phase == attemptCalling
+	switch roll := s.rng.IntN(40); {
+	case current.phase == attemptJoined && roll < 4:
+		return done(Outcome(s.rng.IntN(2)), 5*ms)
+	case current.phase == attemptCalling && roll < 6:
+		return append(events, s.endCall(id, current))
+	case current.phase == attemptRunning && roll < 2 && !current.answered:
+		current.phase, current.callsThatRan = attemptAwaitingCall, 0
+		return append(events, CallNeeded(id))
+	case current.phase == attemptRunning && roll < 6:
+		return done(Outcome(s.rng.IntN(2)), 100*ms)
+	case roll == 39 && !current.answered:
+		current.cancelled, current.answered = true, true
+		events = append(events, RequestCancelled(id))
+		switch {
+		case atCall:
+			return done(OutcomeCancelled, 0)
+		case current.phase != attemptRunning:
+			current.phase = attemptCompleted
+		}
+	case atCall && current.answered:
+		return done(OutcomeCancelled, 0)
+	}
+	return events
+}
+
+func (s *randomServer) endCall(id RequestID, current *attempt) Event {
+	outcomes := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut,
+		OutcomeUnreachable, OutcomeAborted}
+	outcome := outcomes[s.rng.IntN(len(outcomes))]
+	if !outcome.NeverRan() {
+		current.callsThatRan++
+	}
+	current.phase = attemptAwaitingCall
+	if outcome == OutcomeOK {
+		current.phase = attemptRunning
+	}
+	return CallCompleted(id, Completion{Outcome: outcome, Took: 20 * ms})
+}
+
+// carryOut carries out actions and checks that each is allowed.
+func (s *randomServer) carryOut(actions []Action) {
+	for i := range actions {
+		action := &actions[i]
+		switch action.Kind {
+		case ActionRun:
+			s.run(action.ID)
+		case ActionReject, ActionFail:
+			s.answer(action)
+		case ActionCall, ActionSkipCall:
+			s.callOrSkip(action)
+		case ActionRemember, ActionForget:
+			s.rememberOrForget(action)
+		case ActionReuse:
+			a := s.attempts[action.ID]
+			if a.answered || a.ran {
+				s.t.Fatalf("reuse for %d out of place", action.ID)
+			}
+			a.phase = attemptJoined
+		case ActionStop:
+			if s.settings.Halt == HaltOff {
+				s.t.Fatal("stop where nothing can be stopped")
+			}
+		case ActionAdvertise:
+			if s.settings.Advert == AdvertOff {
+				s.t.Fatal("free value where there is none")
+			}
+		case ActionHealth, ActionIdleTimeout, ActionWake, ActionLog: // no rule is about these
+		}
+	}
+}
+
+func (s *randomServer) run(id RequestID) {
+	current := s.attempts[id]
+	if current.answered || current.ran {
+		s.t.Fatalf("%d run again or after its answer", id)
+	}
+	if s.drainStartedAt > 0 && current.arrivedAt > s.drainStartedAt+s.settings.DrainGrace {
+		s.t.Fatalf("%d run though it came too late in a drain", id)
+	}
+	s.runs[current.origin]++
+	keyed := s.settings.Classes[current.class].Idempotency == IdempotentByKey
+	if keyed && (s.runs[current.origin] > 1 || s.keys[id] <= s.now && s.keys[id] == 0) {
+		s.t.Fatalf("keyed %d: run %d, entry until %v at %v", id, s.runs[current.origin], s.keys[id], s.now)
+	}
+	current.ran, current.phase = true, attemptRunning
+}
+
+func (s *randomServer) answer(action *Action) {
+	current := s.attempts[action.ID]
+	if current.cancelled { // its cancellation may come later in the batch that this answers
+		return
+	}
+	if current.answered {
+		s.t.Fatalf("%d answered twice", action.ID)
+	}
+	safe := s.settings.Classes[current.class].Idempotency == Safe
+	if action.Kind == ActionReject && !safe && s.runs[current.origin] > 0 {
+		s.t.Fatalf("%d turned away after a run", action.ID)
+	}
+	if s.now > current.deadline+s.settings.AnswerGrace {
+		s.t.Fatalf("%d answered %v late", action.ID, s.now-current.deadline)
+	}
+	current.answered = true
+	if !current.hasStarted() {
+		current.phase = attemptCompleted
+	}
+}
+
+func (s *randomServer) callOrSkip(action *Action) {
+	current := s.attempts[action.ID]
+	class := &s.settings.Classes[current.class]
+	if action.Kind == ActionSkipCall {
+		if class.DegradedValueRatio == 0 || current.phase != attemptAwaitingCall {
+			s.t.Fatalf("skip of %d out of place", action.ID)
+		}
+		current.phase = attemptRunning
+		return
+	}
+	if current.phase != attemptAwaitingCall || class.Idempotency != Safe && current.callsThatRan > 0 {
+		s.t.Fatalf("call of %d out of place or repeated", action.ID)
+	}
+	current.phase = attemptCalling
+}
+
+func (s *randomServer) rememberOrForget(action *Action) {
+	current := s.attempts[action.ID]
+	class := &s.settings.Classes[current.class]
+	keyed := class.Idempotency == IdempotentByKey
+	if action.Kind == ActionForget {
+		if current.ran && keyed {
+			s.t.Fatalf("entry of %d forgotten after its run", action.ID)
+		}
+		delete(s.keys, action.ID)
+		return
+	}
+	s.keys[action.ID] = s.now + action.Duration
+	if keyed && s.keys[action.ID] < current.arrivedAt+class.IdempotencyWindow {
+		s.t.Fatalf("entry of %d too short", action.ID)
+	}
+}
+
+// check checks what must hold between batches.
+func (s *randomServer) check() {
+	callsInFlight := 0
+	for _, current := range s.attempts {
+		if current.phase == attemptCompleted {
+			continue
+		}
+		if !current.answered && s.now > current.deadline+s.settings.AnswerGrace {
+			s.t.Fatalf("a request is lost: due %v, now %v", current.deadline, s.now)
+		}
+		if current.phase == attemptCalling && !current.answered {
+			callsInFlight++
+		}
+	}
+	if memoryKB := s.memoryInUse(); memoryKB > s.settings.MemoryKB {
+		s.t.Fatalf("%v kB of %v in use", memoryKB, s.settings.MemoryKB)
+	}
+	if s.settings.MaxCallsInFlight >= 1 && float64(callsInFlight) > s.settings.MaxCallsInFlight {
+		s.t.Fatalf("%d calls in flight of %v", callsInFlight, s.settings.MaxCallsInFlight)
+	}
+}
+
+// memoryInUse is the memory of requests and keys, in kB.
+func (s *randomServer) memoryInUse() float64 {
+	memoryKB := 0.0
+	for _, current := range s.attempts {
+		if current.phase == attemptCompleted {
+			continue
+		}
+		if memoryKB += current.memoryKB; current.hasStarted() {
+			memoryKB += current.memoryKB * (s.settings.RunningMemoryFactor - 1)
+		}
+	}
+	for _, until := range s.keys {
+		if until > s.now {
+			memoryKB += s.settings.KeyMemoryKB
+		}
+	}
+	return memoryKB
+}
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -10,7 +10,7 @@
 	lines := map[string]int{}
 	for i := range 200 { // 20 s, the state flips at each sweep
 		now := time.Duration(i+1) * sweepInterval
-		controller.callLimitRatio = []float64{minCallLimitRatio, maxCallLimitRatio}[i%2]
+		controller.calls.limiter.limitRatio = []float64{minCallLimitRatio, maxCallLimitRatio}[i%2]
 		for _, a := range controller.Step(now, nil, nil) {
 			if a.Kind == ActionLog {
 				lines[a.Condition.String()]++
--- /dev/null
+++ b/admission/request_queue.go
@@ -0,0 +1,96 @@
+package admission
+
+import "time"
+
+// requestQueue holds the requests that wait to run, and owns their counts and sums of work. Within a class
+// they are in order of arrival, and between the fronts of the classes that one is next which must start
+// first. A request that has left the queue stays in its place until it is at the front, and is passed over
+// there.
+type requestQueue struct {
+	classes []classQueue
+	count   int
+	work    float64 // in seconds of a standard core
+}
+
+// classQueue has the queued requests of one class.
+type classQueue struct {
+	requests []*request // in order of arrival
+	count    int
+	work     float64
+}
+
+// grow makes a queue for each of so many classes.
+func (q *requestQueue) grow(classes int) {
+	q.classes = append(q.classes, make([]classQueue, classes-len(q.classes))...)
+}
+
+// push adds a request behind the others of its class.
+func (q *requestQueue) push(request *request) {
+	request.state = queued
+	class := &q.classes[request.class]
+	class.requests = append(class.requests, request)
+	class.count++
+	class.work += request.work
+	q.count++
+	q.work += request.work
+}
+
+// remove takes a request out of the counts and sums. Its state must be changed, so that it is passed over.
+func (q *requestQueue) remove(request *request) {
+	class := &q.classes[request.class]
+	class.count--
+	class.work = max(class.work-request.work, 0)
+	q.count--
+	q.work = max(q.work-request.work, 0)
+}
+
+// front returns the first queued request of a class, or nil, and forgets those before it that have left.
+func (q *requestQueue) front(class int) *request {
+	queue := &q.classes[class]
+	for len(queue.requests) > 0 && queue.requests[0].state != queued {
+		queue.requests[0] = nil
+		queue.requests = queue.requests[1:]
+	}
+	if len(queue.requests) == 0 {
+		return nil
+	}
+	return queue.requests[0]
+}
+
+// next returns the front with the earliest latest start, or nil. Fronts for which skip returns true are
+// passed over.
+func (q *requestQueue) next(latestStart func(*request) time.Duration, skip func(*request) bool) *request {
+	var next *request
+	var earliest time.Duration
+	for class := range q.classes {
+		front := q.front(class)
+		if front == nil || skip(front) {
+			continue
+		}
+		if startBy := latestStart(front); next == nil || startBy < earliest {
+			next = front
+			earliest = startBy
+		}
+	}
+	return next
+}
+
+// leastValuable returns the queued request of a class with the lowest value below limit, and that value, or
+// nil. It examines the newest depth places only, from the back.
+func (q *requestQueue) leastValuable(
+	class, depth int, limit float64, value func(*request) float64,
+) (*request, float64) {
+	var least *request
+	requests := q.classes[class].requests
+	for i := len(requests) - 1; i >= max(0, len(requests)-depth); i-- {
+		candidate := requests[i]
+		if candidate.state != queued {
+			continue
+		}
+		if candidateValue := value(candidate); candidateValue < limit {
+			least = candidate
+			limit = candidateValue
+		}
+	}
+	return least, limit
+}
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -34,8 +34,8 @@
 	}
 	want(t, as, ActionReject, 400)
 	controller.Step(4100*ms, nil, nil)
-	if controller.queuedCount > 2*controller.settings.Cores {
-		t.Errorf("%d requests held by a hung server", controller.queuedCount)
+	if controller.queue.count > 2*controller.settings.Cores {
+		t.Errorf("%d requests held by a hung server", controller.queue.count)
 	}
 }
 
@@ -44,7 +44,7 @@
 		s := testSettings()
 		s.Cores = cores
 		c := start(t, s)
-		c.speed.First, c.callTime = 1e-6, rolling.AverageOf(9)
+		c.estimator.speed.First, c.calls.limiter.callTime = 1e-6, rolling.AverageOf(9)
 		want(t, c.Step(0, []Event{req(1, 0)}, nil), ActionRun, 1)
 	}
 }
@@ -55,13 +55,13 @@
 	for id := RequestID(1); id <= 12; id++ {
 		as = controller.Step(0, []Event{req(id, 0)}, as)
 	}
-	if controller.queuedCount == 0 {
+	if controller.queue.count == 0 {
 		t.Fatal("nothing held")
 	}
 	for now := time.Duration(0); now <= 2100*ms; now += 10 * ms { // no run ends
 		controller.Step(now, nil, nil)
 	}
-	if controller.queuedCount != 0 {
-		t.Errorf("%d held after their aim", controller.queuedCount)
+	if controller.queue.count != 0 {
+		t.Errorf("%d held after their aim", controller.queue.count)
 	}
 }
--- a/admission/settings_check.go
+++ b/admission/settings_check.go
@@ -21,6 +21,18 @@
 // check returns a *SettingsError for the first field that cannot be served, and raises factors below their
 // least sensible value.
 func (s *Settings) check() error {
+	for _, check := range []func() error{s.checkSizes, s.checkTimes, s.checkClasses} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	s.RunningMemoryFactor = max(s.RunningMemoryFactor, 1)
+	s.MaxConcurrencyPerCore = max(s.MaxConcurrencyPerCore, 1)
+	return nil
+}
+
+// checkSizes checks what is no time. A NaN passes no check.
+func (s *Settings) checkSizes() error {
 	switch {
 	case s.Cores <= 0:
 		return settingsError("Cores", "%d, want at least 1", s.Cores)
@@ -31,9 +43,10 @@
 	case !(s.RunningMemoryFactor >= 0) || !(s.KeyMemoryKB >= 0) || !(s.MaxCallsInFlight >= 0):
 		return settingsError("RunBlow, KeyKB, CallsOut", "negative")
 	}
-	if err := s.checkTimes(); err != nil {
-		return err
-	}
+	return nil
+}
+
+func (s *Settings) checkClasses() error {
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 || class.IdempotencyWindow < 0 {
@@ -41,8 +54,6 @@
 				class.LatencyObjective, class.Deadline, class.IdempotencyWindow)
 		}
 	}
-	s.RunningMemoryFactor = max(s.RunningMemoryFactor, 1)
-	s.MaxConcurrencyPerCore = max(s.MaxConcurrencyPerCore, 1)
 	return nil
 }
 
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -1,7 +1,9 @@
 package admission
 
 import (
+	"maps"
 	"math"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -81,14 +83,8 @@
 	startedAt := map[RequestID]time.Duration{}
 	for id := RequestID(1); id <= 400; id++ {
 		now := time.Duration(id) * 50 * ms
-		event := req(id, int(id)%4)
-		events := []Event{event, TimerFired(Gauges{-1, -1, -1, -1})}
-		for other := RequestID(1); other < id; other++ { // in order, so that a failure repeats
-			if at, ok := startedAt[other]; ok && now > at+100*ms {
-				events = append(events, RunCompleted(other, Completion{Took: now - at}))
-				delete(startedAt, other)
-			}
-		}
+		events := []Event{req(id, int(id)%4), TimerFired(unknownGauges)}
+		events = append(events, endRuns(now, startedAt)...)
 		before := len(actions)
 		actions = controller.Step(now, events, actions)
 		for _, action := range actions[before:] {
@@ -97,6 +93,23 @@
 			}
 		}
 	}
+	checkActions(t, name, actions)
+}
+
+// endRuns ends the runs that have taken over 100 ms at now, in order, so that a failure repeats.
+func endRuns(now time.Duration, startedAt map[RequestID]time.Duration) (events []Event) {
+	for _, id := range slices.Sorted(maps.Keys(startedAt)) {
+		if at := startedAt[id]; now > at+100*ms {
+			events = append(events, RunCompleted(id, Completion{Took: now - at}))
+			delete(startedAt, id)
+		}
+	}
+	return events
+}
+
+// checkActions checks that no action has a figure that makes no sense, and that something was run.
+func checkActions(t *testing.T, name string, actions []Action) {
+	t.Helper()
 	runs := 0
 	for _, action := range actions {
 		if math.IsNaN(action.Value) || math.IsInf(action.Value, 0) || action.Value < 0 ||
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -23,9 +23,9 @@
 			}
 		}
 		actions = controller.Step(now, events, actions[:0])
-		size := len(controller.requests) + len(controller.keys) + controller.deadlines.Len() + controller.callQueue.Len()
-		for i := range controller.classes {
-			size += len(controller.classes[i].queue)
+		size := len(controller.requests) + controller.keys.len() + controller.timers.deadlines.Len() + controller.calls.waiting.Len()
+		for i := range controller.queue.classes {
+			size += len(controller.queue.classes[i].requests)
 		}
 		largest = max(largest, size)
 	}
@@ -43,7 +43,7 @@
 	ev := CallCompleted(1, Completion{Took: ms})
 	controller.Step(2*ms, []Event{ev, ev, CallNeeded(5)}, nil)
 	controller.Step(3*ms, []Event{RunCompleted(1, Completion{}), RunCompleted(1, Completion{}), req(2, 77)}, nil)
-	if len(controller.requests) != 0 || controller.runs.running != 0 || controller.runs.onCPU != 0 || controller.memory.usedKB != 0 || controller.callsInFlight != 0 {
+	if len(controller.requests) != 0 || controller.runs.running != 0 || controller.runs.onCPU != 0 || controller.memory.usedKB != 0 || controller.calls.limiter.inFlight != 0 {
 		t.Fatalf("left over: %d jobs, %d runs, %d on cores, %v kB", len(controller.requests), controller.runs.running, controller.runs.onCPU, controller.memory.usedKB)
 	}
 }
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -1,9 +1,39 @@
 package admission
 
-// Timers: when the owner is to call again.
+import (
+	"time"
 
-// obsolete reports whether nothing is to be done about d any more.
-func (c *Controller) obsolete(d deadline) bool {
+	"falldeal/admission/internal/timedqueue"
+)
+
+const (
+	sweepInterval    = 100 * time.Millisecond // between two periodic decisions
+	maxSkippedSweeps = 10                     // while idle; gauges stay valid for that long
+)
+
+// deadlineKind distinguishes what a deadline is about.
+type deadlineKind uint8
+
+const (
+	deadlineAnswer        deadlineKind = iota // a request must be answered
+	deadlineCallRetry                         // a call may be retried
+	deadlineAbandonedCall                     // an abandoned call no longer occupies the dependency
+	deadlineKey                               // a key expires
+)
+
+func (k deadlineKind) String() string {
+	return [...]string{"answer", "call retry", "abandoned call", "key"}[k]
+}
+
+// deadline is something that is due at a time.
+type deadline struct {
+	kind    deadlineKind
+	request *request  // deadlineAnswer, deadlineCallRetry
+	id      RequestID // deadlineKey
+}
+
+// obsolete reports whether nothing is to be done about a deadline any more.
+func (d *deadline) obsolete() bool {
 	switch d.kind {
 	case deadlineAnswer:
 		return d.request.state == released || d.request.answered
@@ -14,27 +44,78 @@
 	return false
 }
 
-// catchUpSweeps makes the sweeps that were skipped while idle, before anything new is looked at: each finds
-// what it would have found at its time.
-func (c *Controller) catchUpSweeps() {
-	c.sweepAt = max(c.sweepAt, c.now-maxSkippedSweeps*sweepInterval) // the machine may have been suspended
-	for ; c.idle && c.sweepAt < c.now; c.sweepAt += sweepInterval {
-		c.sweep()
+// timers tells when the controller has something to do: at deadlines, and at the periodic decisions, the
+// sweeps. While the server is idle a sweep would change nothing, and some are skipped. They are made up for
+// when something happens, or after maxSkippedSweeps.
+type timers struct {
+	deadlines timedqueue.Queue[deadline]
+	started   bool          // the first step was taken
+	wakeAt    time.Duration // of the last ActionWake
+	sweepAt   time.Duration // of the next sweep
+	idle      bool          // sweeps are skipped
+}
+
+// start reports whether this is the first step.
+func (t *timers) start() bool {
+	first := !t.started
+	t.started = true
+	return first
+}
+
+func (t *timers) add(at time.Duration, due deadline) { t.deadlines.Push(at, due) }
+
+// expired removes and returns the next deadline that has passed at now; false means that there is none.
+func (t *timers) expired(now time.Duration) (deadline, bool) {
+	for {
+		next, at, ok := t.deadlines.Peek()
+		if !ok {
+			return deadline{}, false
+		}
+		obsolete := next.obsolete()
+		if !obsolete && at > now {
+			return deadline{}, false
+		}
+		t.deadlines.Pop()
+		if !obsolete {
+			return next, true
+		}
+	}
+}
+
+// catchUp makes the sweeps that were skipped, before anything new is looked at at now: each finds what it
+// would have found at its time.
+func (t *timers) catchUp(now time.Duration, sweep func()) {
+	t.sweepAt = max(t.sweepAt, now-maxSkippedSweeps*sweepInterval) // the machine may have been suspended
+	for t.idle && t.sweepAt < now {
+		sweep()
+		t.sweepAt += sweepInterval
+	}
+	t.idle = false
+}
+
+// sweepDue reports whether a sweep is due at now, and expects the next one after a sweepInterval.
+func (t *timers) sweepDue(now time.Duration) bool {
+	if now < t.sweepAt {
+		return false
 	}
-	c.idle = false
+	t.sweepAt = now + sweepInterval
+	return true
 }
 
-// scheduleTimer asks for the next timer: at the next sweep, or at an earlier deadline.
-func (c *Controller) scheduleTimer() {
-	next := c.sweepAt
-	if c.idle = c.isIdle(); c.idle {
+// schedule returns when the controller is to be woken: at the next sweep, or at an earlier deadline. False
+// means that it is woken in time as it is.
+func (t *timers) schedule(now time.Duration, idle bool) (at time.Duration, ok bool) {
+	t.idle = idle
+	next := t.sweepAt
+	if idle {
 		next += (maxSkippedSweeps - 1) * sweepInterval
 	}
-	if _, at, ok := c.deadlines.Peek(); ok {
-		next = min(next, at)
+	if _, deadlineAt, known := t.deadlines.Peek(); known {
+		next = min(next, deadlineAt)
 	}
-	if c.timerAt <= c.now || next < c.timerAt {
-		c.timerAt = max(next, c.now+1)
-		c.emit(Action{Kind: ActionWake, At: c.timerAt})
+	if t.wakeAt > now && next >= t.wakeAt {
+		return 0, false
 	}
+	t.wakeAt = max(next, now+1)
+	return t.wakeAt, true
 }
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
 // A server of a large fleet is idle for most of the time. It used to wake up ten times a second all the same, with two
@@ -18,7 +20,7 @@
 	}
 	// While the share recovers it is awake.
 	controller.admissionRate.probability = 0.3 // of which the sweeps left out so far make up for some
-	controller.Step(controller.timerAt, []Event{TimerFired(calmGauges)}, nil)
+	controller.Step(controller.timers.wakeAt, []Event{TimerFired(calmGauges)}, nil)
 	if n = stepAtTimers(controller, controller.now+2*time.Second, calmGauges); n < 19 {
 		t.Errorf("%d wakes in two seconds of recovery", n)
 	}
@@ -41,8 +43,8 @@
 		for round := range 20 {
 			now += time.Duration(rng.IntN(60)+1) * 100 * ms
 			stepAtTimers(sleeps, now, calmGauges)
-			for sweeps.sweepAt <= now {
-				sweeps.Step(sweeps.sweepAt, []Event{TimerFired(calmGauges)}, nil)
+			for sweeps.timers.sweepAt <= now {
+				sweeps.Step(sweeps.timers.sweepAt, []Event{TimerFired(calmGauges)}, nil)
 			}
 			now = max(sweeps.now, sleeps.now) + 50*ms // within a sweep
 			id++
@@ -51,11 +53,8 @@
 				{CallCompleted(id, Completion{Outcome: OutcomeOK, Took: time.Duration(rng.IntN(40)) * ms})},
 				{RunCompleted(id, Completion{Outcome: OutcomeOK, Took: 30 * ms})}}
 			for _, events := range script {
-				a := sleeps.Step(now, events, nil)
-				b := sweeps.Step(now, events, nil)
-				if got, want := withoutWakes(a), withoutWakes(b); got != want {
-					t.Fatalf("seed %d, round %d: %s, and without rest %s", seed, round, got, want)
-				}
+				got, want := withoutWakes(sleeps.Step(now, events, nil)), withoutWakes(sweeps.Step(now, events, nil))
+				require.Equalf(t, want, got, "seed %d, round %d", seed, round)
 				now += 10 * ms
 			}
 			// Both see the end of the recovery awake.
@@ -64,17 +63,15 @@
 				sleeps.Step(now, []Event{TimerFired(calmGauges)}, nil)
 				sweeps.Step(now, []Event{TimerFired(calmGauges)}, nil)
 			}
-			if got, want := sweptState(sleeps), sweptState(sweeps); got != want {
-				t.Fatalf("seed %d, round %d: %s, and without rest %s", seed, round, got, want)
-			}
+			require.Equalf(t, sweptState(sweeps), sweptState(sleeps), "seed %d, round %d", seed, round)
 		}
 	}
 }
 
 // stepAtTimers steps c at the times that it asks for, up to until, and returns how often that was.
 func stepAtTimers(c *Controller, until time.Duration, g Gauges) (n int) {
-	for ; c.timerAt <= until; n++ {
-		c.Step(c.timerAt, []Event{TimerFired(g)}, nil)
+	for ; c.timers.wakeAt <= until; n++ {
+		c.Step(c.timers.wakeAt, []Event{TimerFired(g)}, nil)
 	}
 	return n
 }
@@ -120,6 +117,6 @@
 
 // sweptState formats what sweeps change, rounded.
 func sweptState(c *Controller) string {
-	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.admissionRate.probability, c.callLimitRatio, c.bestCallTime,
-		c.runs.runLimit, c.readDelay.mean.Value(), c.idleTimeout.current)
+	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.admissionRate.probability, c.calls.limiter.limitRatio, c.calls.limiter.bestCallTime,
+		c.runs.runLimit, c.advisor.readDelay.mean.Value(), c.advisor.idleTimeout.current)
 }
