--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -176,7 +176,7 @@
 // stallPage returns the console's call that has the server's loop stand still for d, by stall, which reports whether it
 // does.
 func stallPage(d time.Duration, stall func() bool) console.Page {
-	return console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Do: func() []byte {
+	return console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Body: func() []byte {
 		if !stall() {
 			return []byte("the loop is behind already\n")
 		}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -11,8 +11,8 @@
 
 // Smallest limits that a server can work with.
 const (
-	minMemoryMB = 32
-	minSockets  = 64
+	minMemoryMB        = 32
+	minFileDescriptors = 64
 )
 
 // check reports values that no image server can run with. The controller accepts the rest.
@@ -34,8 +34,8 @@
 		limits.failf("cores", "%v, want more than 0", c.Limits.Cores)
 	case c.Limits.MemoryMB < minMemoryMB:
 		limits.failf("memory_mb", "%d, want at least %d", c.Limits.MemoryMB, minMemoryMB)
-	case c.Limits.Sockets < minSockets:
-		limits.failf("sockets", "%d, want at least %d", c.Limits.Sockets, minSockets)
+	case c.Limits.FileDescriptors < minFileDescriptors:
+		limits.failf("sockets", "%d, want at least %d", c.Limits.FileDescriptors, minFileDescriptors)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,24 +13,24 @@
 	"github.com/valyala/fastjson"
 )
 
-// Front ends may use one descriptor in frontSocketsDivisor, calls to the store one in storeSocketsDivisor.
+// Front ends may use one descriptor in frontDescriptorsDivisor, calls to the store one in storeDescriptorsDivisor.
 const (
-	frontSocketsDivisor = 2
-	storeSocketsDivisor = 8
+	frontDescriptorsDivisor = 2
+	storeDescriptorsDivisor = 8
 )
 
 // Limits bound this process.
 type Limits struct {
-	Cores    float64
-	MemoryMB int
-	Sockets  int // file descriptors
+	Cores           float64
+	MemoryMB        int
+	FileDescriptors int
 }
 
-// FrontSockets returns how many connections front ends may have open.
-func (l Limits) FrontSockets() int { return l.Sockets / frontSocketsDivisor }
+// MaxFrontConnections returns how many connections front ends may have open.
+func (l Limits) MaxFrontConnections() int { return l.FileDescriptors / frontDescriptorsDivisor }
 
-// StoreSockets returns how many connections to the store may be open.
-func (l Limits) StoreSockets() int { return l.Sockets / storeSocketsDivisor }
+// MaxStoreConnections returns how many connections to the store may be open.
+func (l Limits) MaxStoreConnections() int { return l.FileDescriptors / storeDescriptorsDivisor }
 
 // Config is the configuration of an image server.
 type Config struct {
@@ -44,13 +44,13 @@
 	Handover            string  // path of the socket by which processes hand over; "" = there is only one process
 	Seed                uint64
 	StopTimeout         time.Duration // from SIGTERM to the end of the process
-	ReplacedStopTimeout time.Duration // the same where a newer process has taken its place
+	ReplacedStopTimeout time.Duration // the same once a successor process serves
 	Limits              Limits
 	Settings            admission.Settings
 	Classes             []string // names, in the order of Settings.Classes
 	Tenants             []string // names, in the order of Settings.Tenants
 	Gauges              []string // names, in the order in which the agent reports them
-	Unused              []string // keys of settings that the protocols can't carry and that are off therefore
+	UnsupportedKeys     []string // keys of settings that the protocols can't carry and that are off therefore
 
 	keys map[string]bool // that were given, by their paths
 }
@@ -117,9 +117,9 @@
 		Console:     root.text("console"),
 		StopTimeout: time.Duration(root.integer("stop_ms")) * time.Millisecond,
 		Limits: Limits{
-			Cores:    limits.number("cores"),
-			MemoryMB: int(limits.integer("memory_mb")),
-			Sockets:  int(limits.integer("sockets")),
+			Cores:           limits.number("cores"),
+			MemoryMB:        int(limits.integer("memory_mb")),
+			FileDescriptors: int(limits.integer("sockets")),
 		},
 		Settings: readSettings(settings),
 		Gauges:   settings.object("FamilyInfo").texts("Gauges"),
@@ -165,7 +165,7 @@
 		{"FreshForUs", settings.CacheTTL > 0},
 	} {
 		if feature.used {
-			c.Unused = append(c.Unused, "settings.FamilyInfo."+feature.key)
+			c.UnsupportedKeys = append(c.UnsupportedKeys, "settings.FamilyInfo."+feature.key)
 		}
 	}
 	settings.Halt, settings.Advert = admission.HaltOff, admission.AdvertOff
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,7 +31,7 @@
 	require.Equal(t, "127.0.0.1:8900", cfg.Store)
 	require.Equal(t, uint64(0x8c1f30d27a5be964), cfg.Seed)
 	require.Equal(t, 3200*time.Millisecond, cfg.StopTimeout)
-	require.Equal(t, Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, cfg.Limits)
+	require.Equal(t, Limits{Cores: 1, MemoryMB: 192, FileDescriptors: 1024}, cfg.Limits)
 	require.Equal(t, []string{"preview", "hires-crop", "licence-order"}, cfg.Classes)
 	require.Equal(t, []string{"core_use", "on_cores", "heap_share", "links"}, cfg.Gauges)
 	require.Equal(t, admission.IdempotentByKey, cfg.Settings.Classes[2].Idempotency)
@@ -51,7 +51,7 @@
 	cfg, err := Parse([]byte(text), noEnvironment)
 	require.NoError(t, err)
 	require.Equal(t, defaultStopTimeout, cfg.StopTimeout)
-	require.Equal(t, Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}, cfg.Limits)
+	require.Equal(t, Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, FileDescriptors: defaultFileDescriptors}, cfg.Limits)
 }
 
 func TestEnvironment(t *testing.T) {
@@ -223,7 +223,7 @@
 		require.True(t, test.old == "" || text != readSample(t), test.name)
 		cfg, err := Parse([]byte(text), noEnvironment)
 		require.NoError(t, err, test.name)
-		require.Equal(t, test.unused, cfg.Unused, test.name)
+		require.Equal(t, test.unused, cfg.UnsupportedKeys, test.name)
 		require.Equal(t, admission.HaltOff, cfg.Settings.Halt, test.name)
 		require.Equal(t, admission.AdvertOff, cfg.Settings.Advert, test.name)
 		require.Zero(t, cfg.Settings.CacheTTL, test.name)
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -8,10 +8,10 @@
 
 // Defaults of keys that may be absent.
 const (
-	defaultStopTimeout = 3200 * time.Millisecond
-	defaultCores       = 1.0
-	defaultMemoryMB    = 192
-	defaultSockets     = 1024
+	defaultStopTimeout     = 3200 * time.Millisecond
+	defaultCores           = 1.0
+	defaultMemoryMB        = 192
+	defaultFileDescriptors = 1024
 )
 
 // A process that was replaced gets the longest deadline, up to maxReplacedWait, and replacedMargin to end.
@@ -32,7 +32,7 @@
 		c.Limits.MemoryMB = defaultMemoryMB
 	}
 	if !root.value.Exists("limits", "sockets") {
-		c.Limits.Sockets = defaultSockets
+		c.Limits.FileDescriptors = defaultFileDescriptors
 	}
 }
 
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -42,12 +42,12 @@
 	Reregister(ctx context.Context) error
 }
 
-// Page is a further call, answered by a part of the server. Do returns the body; it must not block, and is called from
+// Page is a further call, answered by a part of the server. Body returns the response body; it must not block, and is called from
 // many goroutines at once.
 type Page struct {
 	Pattern string // as for http.ServeMux
 	Type    string // the body's content type
-	Do      func() []byte
+	Body    func() []byte
 }
 
 // Serve answers calls that come to listener until ctx ends, and closes it. It returns an error only if that was not for
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -44,9 +44,9 @@
 
 // Status line, headers and body of every call, by the state of the server.
 func TestGoldenCalls(t *testing.T) {
-	page := Page{Pattern: "GET /fleet", Type: "application/json", Do: func() []byte { return []byte("{}\n") }}
+	page := Page{Pattern: "GET /fleet", Type: "application/json", Body: func() []byte { return []byte("{}\n") }}
 	wedge := Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8",
-		Do: func() []byte { return []byte("done\n") }}
+		Body: func() []byte { return []byte("done\n") }}
 	busy := testTimeouts
 	busy.handle = time.Millisecond
 	calls := []struct{ method, path string }{
--- a/internal/console/handler.go
+++ b/internal/console/handler.go
@@ -55,7 +55,7 @@
 	for _, page := range pages {
 		mux.HandleFunc(page.Pattern, func(response http.ResponseWriter, _ *http.Request) {
 			response.Header().Set("Content-Type", page.Type)
-			_, _ = response.Write(page.Do()) // as above
+			_, _ = response.Write(page.Body()) // as above
 		})
 	}
 	return mux
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -41,7 +41,7 @@
 	page := newGoldenPublishedFleet(t).Page()
 	require.Equal(t, "GET /fleet", page.Pattern)
 	require.Equal(t, "application/json", page.Type)
-	requireGolden(t, "testdata/page.json", string(page.Do()))
+	requireGolden(t, "testdata/page.json", string(page.Body()))
 }
 
 // Operators collect the metrics by these names.
@@ -68,7 +68,7 @@
 // The page of a member that is alone: its pattern, its type and its body.
 func TestGoldenPageOfAloneMember(t *testing.T) {
 	page := newAloneFleet(t).Page()
-	body := page.Do()
+	body := page.Body()
 	require.True(t, json.Valid(body))
 	fixed := changingKey.ReplaceAll(body, []byte(`"$1":(time)`))
 	got := fmt.Sprintf("%s\n%s\n%s", page.Pattern, page.Type, fixed)
--- a/internal/gossip/publish.go
+++ b/internal/gossip/publish.go
@@ -21,7 +21,7 @@
 // Page returns the console's page with the report of the last snapshot. It answers also while the loop stalls. Any
 // goroutine may call it.
 func (f *Fleet) Page() console.Page {
-	return console.Page{Pattern: "GET /fleet", Type: "application/json", Do: func() []byte {
+	return console.Page{Pattern: "GET /fleet", Type: "application/json", Body: func() []byte {
 		report := f.Snapshot().Report(f.Now())
 		report.Counters = f.Counters.values()
 		b, err := json.Marshal(report)
--- a/internal/msgpackrpc/harness_test.go
+++ b/internal/msgpackrpc/harness_test.go
@@ -92,7 +92,7 @@
 	cfg.Agent, cfg.Store = agent.Addr().String(), store.Addr().String()
 	cfg.Handover, cfg.ReplacedStopTimeout = path, time.Hour
 	if maxConns == 0 {
-		maxConns = cfg.Limits.FrontSockets()
+		maxConns = cfg.Limits.MaxFrontConnections()
 	}
 	log, _ := test.NewNullLogger()
 	listener, err := Inherit(duplicateDescriptor(t, ln), maxConns, logging.NewLimiter(log))
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	log.WithField("addr", front.Addr().String()).Info("listening")
-	for _, key := range conf.Unused {
+	for _, key := range conf.UnsupportedKeys {
 		log.WithField("key", key).Info("not used: the sockets have nothing to carry it out with")
 	}
 	running := &process{
@@ -85,9 +85,9 @@
 // listen opens the socket for front ends, or takes over the one that was left open for this process.
 func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Front, error) {
 	if conf.InheritedFD != 0 {
-		return msgpackrpc.Inherit(conf.InheritedFD, conf.Limits.FrontSockets(), log)
+		return msgpackrpc.Inherit(conf.InheritedFD, conf.Limits.MaxFrontConnections(), log)
 	}
-	return msgpackrpc.Listen(conf.Listen, conf.Limits.FrontSockets(), log)
+	return msgpackrpc.Listen(conf.Listen, conf.Limits.MaxFrontConnections(), log)
 }
 
 // startConsole opens the console if it has an address, and serves it until ctx ends.
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -35,7 +35,7 @@
 // abandonCall gives up the call of r, whose reply nobody waits for.
 func (s *Server) abandonCall(r *activeRequest) {
 	if s.store.Abandon(r.attempt.ID) {
-		s.stats.CallsDropped++
+		s.stats.CallsAbandoned++
 	}
 }
 
@@ -80,13 +80,13 @@
 	case store.OK:
 		s.stats.CallsOK++
 	case store.Rejected:
-		s.stats.CallsBusy++
+		s.stats.CallsRejected++
 	case store.Late, store.Expired:
-		s.stats.CallsLate++
+		s.stats.CallsTimedOut++
 	case store.ConnectionRefused:
 		s.stats.CallsUnreachable++
 	case store.ConnectionBroken:
-		s.stats.CallsBroken++
+		s.stats.CallsAborted++
 	case store.Failed, store.Void:
 		s.stats.CallsFailed++
 	}
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -41,7 +41,7 @@
 
 // maxConnections is how many connections may be open. Two processes that are one image server share its descriptors.
 func (s *Server) maxConnections() int {
-	limit := s.config.Limits.FrontSockets()
+	limit := s.config.Limits.MaxFrontConnections()
 	if s.handover.paired() {
 		limit /= 2
 	}
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -11,7 +11,7 @@
 // longest, and never one with an open call.
 func TestFullConnectionTable(t *testing.T) {
 	server, runPosted := newIdleServer(t)
-	server.config.Limits.Sockets = 2 * (reservedConnections + 4)
+	server.config.Limits.FileDescriptors = 2 * (reservedConnections + 4)
 	var busy, quiet, silent, notified recordingConnection
 	for _, conn := range []*recordingConnection{&busy, &quiet, &silent, &notified} {
 		server.ConnectionOpened(conn)
@@ -83,7 +83,7 @@
 	for _, connections := range []int{10, 150, 500} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
 			server, runPosted := newIdleServer(b)
-			server.config.Limits.Sockets = 2 * (reservedConnections + connections)
+			server.config.Limits.FileDescriptors = 2 * (reservedConnections + connections)
 			b.ReportAllocs()
 			for b.Loop() {
 				server.ConnectionOpened(&countingConnection{})
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -43,7 +43,7 @@
 
 // skipCall lets a run go on without the call that it waits for.
 func (s *Server) skipCall(r *activeRequest) {
-	s.stats.Skips++
+	s.stats.CallsSkipped++
 	s.recordMissedCall()
 	s.agent.SkipCall(r.attempt.ID, r.callOffset)
 }
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -208,7 +208,7 @@
 	giveUpAt := min(s.clock.now+claimTimeout, s.clientDeadline(request)-claimDeadlineSlack)
 	s.deadlines.Add(giveUpAt, func() {
 		if request.state == requestClaiming && s.requests.contains(request) {
-			s.stats.ClaimsLate++
+			s.stats.ClaimsTimedOut++
 			s.answer(request, Answer{Kind: Failed})
 			s.removeRequest(request)
 		}
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -192,7 +192,7 @@
 // Two processes share the descriptors of one: the predecessor closes idle connections, and none that is busy.
 func TestSharedDescriptors(t *testing.T) {
 	fixture := newHandoverFixture(t)
-	fixture.config.Limits.Sockets = 4 * (reservedConnections + 3) // 3 connections for each of two
+	fixture.config.Limits.FileDescriptors = 4 * (reservedConnections + 3) // 3 connections for each of two
 	busy := fixture.submitKeyed("aa").connection
 	var idle []*recordingConnection
 	for range 2*(reservedConnections+3) - reservedConnections - 1 {
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -32,7 +32,7 @@
 	for _, connections := range []int{10, 150, 500} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
 			server, runPosted := newIdleServer(b)
-			server.config.Limits.Sockets = 2 * (reservedConnections + connections)
+			server.config.Limits.FileDescriptors = 2 * (reservedConnections + connections)
 			for range connections {
 				server.ConnectionOpened(&countingConnection{})
 			}
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -122,7 +122,7 @@
 // takeShedRatio returns the part of the requests answered since the last status that were not served.
 func (s *Server) takeShedRatio() float64 {
 	var answers, unserved uint64
-	for _, a := range s.stats.Answers {
+	for _, a := range s.stats.Responses {
 		answers += a.Served + a.Rejected + a.Failed
 		unserved += a.Rejected + a.Failed
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -75,7 +75,7 @@
 		name := s.config.Classes[i]
 		if !class.Removed {
 			s.config.addClass(i)
-			s.stats.Name(name)
+			s.stats.Class(name)
 		} else if s.config.classes[name] == i {
 			s.deadlines.Add(s.clock.now+s.config.maxArrivalAge(), func() { s.config.removeClass(i) })
 		}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -60,8 +60,8 @@
 		got = append(got, request.connection.(*recordingConnection).recorded...)
 	}
 	require.Equal(t, []any{Served, Served, Served, Served}, got)
-	require.EqualValues(t, 2, server.stats.Answers["licence-order"].Served)
-	require.EqualValues(t, 1, server.stats.Answers["poster"].Served)
+	require.EqualValues(t, 2, server.stats.Responses["licence-order"].Served)
+	require.EqualValues(t, 1, server.stats.Responses["poster"].Served)
 
 	// In the end a class that is gone is unknown, and one that comes back has its index again.
 	server.clock.now += server.config.maxArrivalAge()
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -33,7 +33,7 @@
 
 // countAnswer counts an answer to a request of a class.
 func (s *Server) countAnswer(class int, kind AnswerKind) {
-	answers := s.stats.Name(s.config.Classes[class])
+	answers := s.stats.Class(s.config.Classes[class])
 	switch kind {
 	case Served:
 		answers.Served++
@@ -144,7 +144,7 @@
 	outcome := admission.OutcomeFailed
 	if ok {
 		outcome = admission.OutcomeOK
-		s.stats.Reused++
+		s.stats.ResultsReused++
 	}
 	s.answerResult(request, ok, result)
 	s.enqueueDone(request, outcome)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -64,7 +64,7 @@
 		handover:      newHandoverState(),
 	}
 	for _, name := range cfg.Classes {
-		server.stats.Name(name)
+		server.stats.Class(name)
 	}
 	server.idempotency.publish = server.handover.publish
 	server.clock.advance()
@@ -78,7 +78,7 @@
 	s.agent = agent.New(cfg.Agent, cfg.Seed, s.post, s.handleAgentNotification, s.warnings)
 	s.agent.Watch(now, s.handleRunsLost)
 	loop := store.Loop{Post: s.post, Now: now, Deadlines: s.deadlines}
-	s.store = store.New(cfg.Store, cfg.Limits.StoreSockets(), cfg.Seed, loop, s.handleCallEnded, s.warnings)
+	s.store = store.New(cfg.Store, cfg.Limits.MaxStoreConnections(), cfg.Seed, loop, s.handleCallEnded, s.warnings)
 	s.announcer = announce.New(cfg.Announce, cfg.Name, s.warnings)
 }
 
@@ -129,7 +129,13 @@
 func (s *Server) PrintStats() { s.post(s.logStats) }
 
 func (s *Server) logStats() {
-	s.stats.AgentLinks, s.stats.StoreLinks = s.agent.ConnectionsOpened(), s.store.ConnectionsOpened()
-	s.stats.Print(s.log, s.requests.size(), s.requests.running(), s.idempotency.size(), s.connections.size())
+	s.stats.AgentConnections = s.agent.ConnectionsOpened()
+	s.stats.StoreConnections = s.store.ConnectionsOpened()
+	s.stats.Log(s.log, stats.Gauges{
+		ActiveRequests:  s.requests.size(),
+		RunningRequests: s.requests.running(),
+		IdempotencyKeys: s.idempotency.size(),
+		Connections:     s.connections.size(),
+	})
 	s.logFleet()
 }
--- a/internal/stats/counters.go
+++ b/internal/stats/counters.go
@@ -19,14 +19,14 @@
 	HealthChecks uint64
 
 	// Work sent to the agent and calls to the store.
-	Runs         uint64
-	Calls        uint64
-	CallsDropped uint64
-	Skips        uint64
-	DeepChecks   uint64
+	Runs           uint64
+	Calls          uint64
+	CallsAbandoned uint64
+	CallsSkipped   uint64
+	DeepChecks     uint64
 
-	Answers map[string]*Answers // replies, by the name of the class
-	Reused  uint64              // of those served, with the result of another attempt
+	Responses     map[string]*ResponseCounts // by the name of the class
+	ResultsReused uint64                     // of those served, with the result of another attempt
 
 	// What the agent reported.
 	RunsFailed       uint64
@@ -36,57 +36,64 @@
 
 	// How calls to the store ended.
 	CallsOK          uint64
-	CallsBusy        uint64
+	CallsRejected    uint64
 	CallsFailed      uint64
-	CallsLate        uint64
+	CallsTimedOut    uint64
 	CallsUnreachable uint64
-	CallsBroken      uint64
+	CallsAborted     uint64
 
 	// Connections opened to the agent and the store.
-	AgentLinks uint64
-	StoreLinks uint64
+	AgentConnections uint64
+	StoreConnections uint64
 
 	// Reloads of the configuration.
 	Reloads       uint64
 	ReloadsFailed uint64
 
-	// Idempotency keys that an older process was asked for.
-	Claims     uint64
-	ClaimsLate uint64 // without a reply in time
+	// Claims on idempotency keys that were sent to the predecessor process.
+	Claims         uint64
+	ClaimsTimedOut uint64 // without a reply in time
 
 	Turns uint64 // iterations of the event loop
 }
 
-// Answers counts the replies to the requests of one class.
-type Answers struct{ Served, Rejected, Failed uint64 }
+// ResponseCounts counts the responses to the requests of one class.
+type ResponseCounts struct{ Served, Rejected, Failed uint64 }
 
-// Name returns the counts of the class of that name, which may be a new one.
-func (c *Counters) Name(class string) *Answers {
-	answers := c.Answers[class]
-	if answers == nil {
-		if c.Answers == nil {
-			c.Answers = map[string]*Answers{}
+// Class returns the counts of the class of that name, which may be a new one.
+func (c *Counters) Class(name string) *ResponseCounts {
+	counts := c.Responses[name]
+	if counts == nil {
+		if c.Responses == nil {
+			c.Responses = map[string]*ResponseCounts{}
 		}
-		answers = &Answers{}
-		c.Answers[class] = answers
+		counts = &ResponseCounts{}
+		c.Responses[name] = counts
 	}
-	return answers
+	return counts
 }
 
-// total returns the replies to requests of all classes.
-func (c *Counters) total() Answers {
-	var total Answers
-	for _, answers := range c.Answers {
-		total.Served += answers.Served
-		total.Rejected += answers.Rejected
-		total.Failed += answers.Failed
+// total returns the responses to requests of all classes.
+func (c *Counters) total() ResponseCounts {
+	var total ResponseCounts
+	for _, counts := range c.Responses {
+		total.Served += counts.Served
+		total.Rejected += counts.Rejected
+		total.Failed += counts.Failed
 	}
 	return total
 }
 
-// Print logs all counters beside current numbers: requests that are open, runs that were started, idempotency keys that
-// are cached, and connections of front ends.
-func (c *Counters) Print(log logrus.FieldLogger, open, running, keys, peers int) {
+// Gauges are numbers of the moment at which the counters are logged.
+type Gauges struct {
+	ActiveRequests  int
+	RunningRequests int
+	IdempotencyKeys int
+	Connections     int // of front ends
+}
+
+// Log logs all counters, and the gauges beside them, as one line. The names of its fields are read by others and stay.
+func (c *Counters) Log(log logrus.FieldLogger, gauges Gauges) {
 	total := c.total()
 	log.WithFields(logrus.Fields{
 		"connections":        c.Connections,
@@ -100,11 +107,11 @@
 		"probes":             c.HealthChecks,
 		"runs":               c.Runs,
 		"calls":              c.Calls,
-		"calls_dropped":      c.CallsDropped,
-		"skips":              c.Skips,
+		"calls_dropped":      c.CallsAbandoned,
+		"skips":              c.CallsSkipped,
 		"exercises":          c.DeepChecks,
 		"served":             total.Served,
-		"reused":             c.Reused,
+		"reused":             c.ResultsReused,
 		"refused":            total.Rejected,
 		"failed":             total.Failed,
 		"runs_failed":        c.RunsFailed,
@@ -112,21 +119,21 @@
 		"runs_moot":          c.RunsNotStarted,
 		"commands_refused":   c.CommandsRejected,
 		"calls_ok":           c.CallsOK,
-		"calls_busy":         c.CallsBusy,
+		"calls_busy":         c.CallsRejected,
 		"calls_failed":       c.CallsFailed,
-		"calls_late":         c.CallsLate,
+		"calls_late":         c.CallsTimedOut,
 		"calls_unreachable":  c.CallsUnreachable,
-		"calls_broken":       c.CallsBroken,
-		"agent_links":        c.AgentLinks,
-		"store_links":        c.StoreLinks,
+		"calls_broken":       c.CallsAborted,
+		"agent_links":        c.AgentConnections,
+		"store_links":        c.StoreConnections,
 		"claims":             c.Claims,
-		"claims_late":        c.ClaimsLate,
+		"claims_late":        c.ClaimsTimedOut,
 		"reloads":            c.Reloads,
 		"reloads_failed":     c.ReloadsFailed,
 		"turns":              c.Turns,
-		"now_open":           open,
-		"now_running":        running,
-		"now_keys":           keys,
-		"now_connections":    peers,
+		"now_open":           gauges.ActiveRequests,
+		"now_running":        gauges.RunningRequests,
+		"now_keys":           gauges.IdempotencyKeys,
+		"now_connections":    gauges.Connections,
 	}).Info("counters")
 }
--- a/internal/stats/metrics.go
+++ b/internal/stats/metrics.go
@@ -18,20 +18,20 @@
 // Metrics are what operators monitor while a server runs.
 type Metrics struct {
 	*Counters
-	Open int // requests that have no reply yet
+	InFlight int // requests that have no reply yet
 }
 
 // Append appends the metrics as lines of statsd, NAME:VALUE|c for a counter and NAME:VALUE|g for a gauge.
 func (m Metrics) Append(b []byte) []byte {
-	for _, class := range slices.Sorted(maps.Keys(m.Answers)) {
-		answers := m.Answers[class]
+	for _, class := range slices.Sorted(maps.Keys(m.Responses)) {
+		counts := m.Responses[class]
 		prefix := "calls." + sanitize(class) + "."
-		b = appendLine(b, prefix+"success", answers.Served, counter)
-		b = appendLine(b, prefix+"busy", answers.Rejected, counter)
-		b = appendLine(b, prefix+"failure", answers.Failed, counter)
+		b = appendLine(b, prefix+"success", counts.Served, counter)
+		b = appendLine(b, prefix+"busy", counts.Rejected, counter)
+		b = appendLine(b, prefix+"failure", counts.Failed, counter)
 	}
 	b = appendLine(b, "backend_calls", m.Runs, counter)
-	b = appendLine(b, "inflight", uint64(m.Open), gauge)
+	b = appendLine(b, "inflight", uint64(m.InFlight), gauge)
 	b = appendLine(b, "reconfig_ok", m.Reloads, counter)
 	return appendLine(b, "reconfig_failed", m.ReloadsFailed, counter)
 }
--- a/internal/stats/metrics_test.go
+++ b/internal/stats/metrics_test.go
@@ -9,7 +9,7 @@
 // The names are those that the operators' collector knows; the name of a class must not break a line apart.
 func TestMetrics(t *testing.T) {
 	counters := Counters{
-		Answers:       map[string]*Answers{"licence-order": {Served: 812, Rejected: 3}, "a.b\nc": {Failed: 1}},
+		Responses:     map[string]*ResponseCounts{"licence-order": {Served: 812, Rejected: 3}, "a.b\nc": {Failed: 1}},
 		Runs:          900,
 		Reloads:       2,
 		ReloadsFailed: 1,
@@ -24,5 +24,5 @@
 app.inflight:14|g
 app.reconfig_ok:2|c
 app.reconfig_failed:1|c
-`, string(Metrics{Counters: &counters, Open: 14}.Append(nil)))
+`, string(Metrics{Counters: &counters, InFlight: 14}.Append(nil)))
 }
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -32,7 +32,7 @@
 	started, addrs := startDependencies(tb)
 	log, _ := test.NewNullLogger()
 	cfg := testConfig(tb, addrs)
-	front, err := msgpackrpc.Listen("127.0.0.1:0", cfg.Limits.FrontSockets(), logging.NewLimiter(log))
+	front, err := msgpackrpc.Listen("127.0.0.1:0", cfg.Limits.MaxFrontConnections(), logging.NewLimiter(log))
 	require.NoError(tb, err)
 	started.addr = front.Addr().String()
 	srv := server.New(cfg, log)
