--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -152,7 +152,9 @@
 // prepare sets up a server that does not run yet.
 func (m *member) prepare(instance *server.Server, faults operators.FaultInjection) {
 	if m.tracer != nil {
-		instance.Trace(m.tracer.Change)
+		instance.OnStateChange(func(change server.StateChange) {
+			m.tracer.Change(change.Name, change.From, change.To, change.Fields)
+		})
 	}
 	if faults.Clock != 0 {
 		instance.SkewClock(faults.Clock)
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -146,7 +146,7 @@
 	{"a drill", func(t *testing.T, server *Server) { require.True(t, server.StallLoop(0)) }},
 	{"a change of state", func(_ *testing.T, server *Server) {
 		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-		server.logChange(logrus.InfoLevel, "what", "", "full", logrus.Fields{"place": 3})
+		server.recordChange(logrus.InfoLevel, StateChange{Name: "what", To: "full", Fields: logrus.Fields{"place": 3}})
 	}},
 	{"the store fails, as this member finds it", func(_ *testing.T, server *Server) {
 		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -35,26 +35,34 @@
 	quota             *quotaLeasing // nil: off
 	shedding          *loadShedding // nil: off
 	probes            *storeProbes  // nil: off
-	onChange          func(what, from, to string, fields map[string]any)
+	onStateChange     func(StateChange)
 }
 
-// JoinFleet has the server publish its status to a fleet. It is called before Run, and so are Trace and the Enable
-// methods that follow it.
+// StateChange is the change of one thing in this server's part of its fleet from one state to another.
+type StateChange struct {
+	Name   string // of what has changed
+	From   string // "": the usual state
+	To     string // "": the usual state
+	Fields map[string]any
+}
+
+// JoinFleet has the server publish its status to a fleet. It is called before Run, and so are OnStateChange and the
+// Enable methods that follow it.
 func (s *Server) JoinFleet(f Fleet) {
-	s.member = &fleetMember{fleet: f, onChange: func(string, string, string, map[string]any) {}}
+	s.member = &fleetMember{fleet: f, onStateChange: func(StateChange) {}}
 	f.OnMessage(s.receiveMemberMessage)
 }
 
-// Trace has each change in the server's part of its fleet handed to onChange as well as logged, on the loop, with ""
-// for the usual state. onChange must not block. Trace is called after JoinFleet and before Run.
-func (s *Server) Trace(onChange func(what, from, to string, fields map[string]any)) {
-	s.member.onChange = onChange
-}
+// OnStateChange has each StateChange handed to handle, on the loop, besides being logged. handle must not block. It is
+// called after JoinFleet and before Run.
+func (s *Server) OnStateChange(handle func(StateChange)) { s.member.onStateChange = handle }
 
-// logChange logs and traces the change of something from one state to another; "" is the usual state.
-func (s *Server) logChange(level logrus.Level, what, from, to string, fields logrus.Fields) {
-	s.member.onChange(what, from, to, fields)
-	s.log.WithFields(fields).WithFields(logrus.Fields{"from": from, "to": to}).Log(level, what)
+// recordChange logs a change of state and hands it to the handler of OnStateChange.
+func (s *Server) recordChange(level logrus.Level, change StateChange) {
+	s.member.onStateChange(change)
+	s.log.WithFields(change.Fields).
+		WithFields(logrus.Fields{"from": change.From, "to": change.To}).
+		Log(level, change.Name)
 }
 
 // findProcess returns the member that a message to a process goes to, or nil if that process is not known.
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -67,8 +67,12 @@
 		s.limitCalls()
 	}
 	if after := probes.State(); after != before {
-		s.logChange(logrus.InfoLevel, "store, as this member finds it", storeStateName(before), storeStateName(after),
-			logrus.Fields{"agree": probes.UnhealthyMembers()})
+		s.recordChange(logrus.InfoLevel, StateChange{
+			Name:   "store, as this member finds it",
+			From:   storeStateName(before),
+			To:     storeStateName(after),
+			Fields: logrus.Fields{"agree": probes.UnhealthyMembers()},
+		})
 		s.publishStatus()
 	}
 	s.deadlines.Add(s.clock.now+probeInterval, s.tickProbes)
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -107,7 +107,11 @@
 	}
 	if quota.known() {
 		base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
-		s.logChange(logrus.DebugLevel, "share of the store", quotaName(quota.limit, base), quotaName(limit, base), nil)
+		s.recordChange(logrus.DebugLevel, StateChange{
+			Name: "share of the store",
+			From: quotaName(quota.limit, base),
+			To:   quotaName(limit, base),
+		})
 	}
 	quota.limit = limit
 	s.limitCalls()
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -125,14 +125,19 @@
 	if from == to {
 		return
 	}
-	s.logChange(logrus.InfoLevel, "cutoff of the fleet", from, to, logrus.Fields{
-		"place":     threshold.Priority,
-		"offered":   threshold.Offered,
-		"pace":      threshold.ServiceRate,
-		"again":     threshold.RetryRatio,
-		"members":   threshold.Members,
-		"stale":     threshold.Stale,
-		"oldest_ms": threshold.Oldest.Milliseconds(),
+	s.recordChange(logrus.InfoLevel, StateChange{
+		Name: "cutoff of the fleet",
+		From: from,
+		To:   to,
+		Fields: logrus.Fields{
+			"place":     threshold.Priority,
+			"offered":   threshold.Offered,
+			"pace":      threshold.ServiceRate,
+			"again":     threshold.RetryRatio,
+			"members":   threshold.Members,
+			"stale":     threshold.Stale,
+			"oldest_ms": threshold.Oldest.Milliseconds(),
+		},
 	})
 	shedding.logged = threshold
 }
