--- /dev/null
+++ b/internal/handover/codec.go
@@ -0,0 +1,125 @@
+package handover
+
+import (
+	"fmt"
+	"strconv"
+	"time"
+
+	"falldeal/internal/jsonlines"
+
+	"github.com/valyala/fastjson"
+)
+
+// command names the kind of a line in the protocol.
+type command string
+
+const (
+	commandKnown     command = "known"
+	commandCompleted command = "over"
+	commandReleased  command = "free"
+	commandClaim     command = "claim"
+	commandGranted   command = "grant"
+	commandSynced    command = "synced"
+)
+
+// line is a message in the fields of the protocol. Every line has all of them; those that its command does not use are
+// zero.
+type line struct {
+	command command
+	key     string        // "once"
+	digest  uint64        // "digest", in hex digits
+	at      time.Duration // "at", nanoseconds on the Unix clock
+	ok      bool          // "ok"
+	body    []byte        // "body", in base64
+}
+
+func (m KeyKnown) line() line {
+	return line{command: commandKnown, key: m.IdempotencyKey, digest: m.Digest, at: m.WindowEnd}
+}
+
+func (m RunCompleted) line() line {
+	return line{command: commandCompleted, key: m.IdempotencyKey, ok: m.OK, body: m.Result}
+}
+
+func (m KeyReleased) line() line { return line{command: commandReleased, key: m.IdempotencyKey} }
+
+func (m KeyClaim) line() line {
+	return line{command: commandClaim, key: m.IdempotencyKey, digest: m.Digest, at: m.ArrivedAt}
+}
+
+func (m KeyGranted) line() line { return line{command: commandGranted, key: m.IdempotencyKey} }
+
+func (KeysSynced) line() line { return line{command: commandSynced} }
+
+// message returns the message of a line, or an error for an unknown command.
+func (l *line) message() (Message, error) {
+	switch l.command {
+	case commandKnown:
+		return KeyKnown{IdempotencyKey: l.key, Digest: l.digest, WindowEnd: l.at}, nil
+	case commandCompleted:
+		return RunCompleted{IdempotencyKey: l.key, OK: l.ok, Result: l.body}, nil
+	case commandReleased:
+		return KeyReleased{IdempotencyKey: l.key}, nil
+	case commandClaim:
+		return KeyClaim{IdempotencyKey: l.key, Digest: l.digest, ArrivedAt: l.at}, nil
+	case commandGranted:
+		return KeyGranted{IdempotencyKey: l.key}, nil
+	case commandSynced:
+		return KeysSynced{}, nil
+	}
+	return nil, fmt.Errorf("unknown message %.40q", string(l.command))
+}
+
+// appendMessage appends the line of message. Keys and commands need no escape.
+func appendMessage(b []byte, message Message) []byte {
+	fields := message.line()
+	b = append(b, `{"cmd":"`...)
+	b = append(b, fields.command...)
+	b = append(b, `","once":"`...)
+	b = append(b, fields.key...)
+	b = append(b, `","digest":"`...)
+	b = strconv.AppendUint(b, fields.digest, 16)
+	b = append(b, `","at":"`...)
+	b = strconv.AppendInt(b, int64(fields.at), 10)
+	b = append(b, `","ok":`...)
+	b = strconv.AppendBool(b, fields.ok)
+	b = jsonlines.AppendBase64(b, "body", fields.body)
+	return append(b, "}\n"...)
+}
+
+func newParser() *jsonlines.Parser[Message] { return jsonlines.NewParser(decodeMessage) }
+
+// decodeMessage reads a message from the object of a line.
+func decodeMessage(object *fastjson.Value) (Message, error) {
+	fields := line{command: command(jsonlines.Text(object, "cmd"))}
+	if _, err := fields.message(); err != nil {
+		return nil, err // of the command: the other fields of an unknown one mean nothing
+	}
+	if fields.command != commandSynced {
+		if err := fields.decode(object); err != nil {
+			return nil, err
+		}
+	}
+	return fields.message()
+}
+
+// decode reads all fields but the command.
+func (l *line) decode(object *fastjson.Value) error {
+	l.key = jsonlines.Text(object, "once")
+	if l.key == "" {
+		return fmt.Errorf("%s: once is missing", l.command)
+	}
+	var err error
+	l.digest, err = strconv.ParseUint(jsonlines.Text(object, "digest"), 16, 64)
+	if err != nil {
+		return fmt.Errorf("digest: %w", err)
+	}
+	at, err := strconv.ParseInt(jsonlines.Text(object, "at"), 10, 64)
+	if err != nil {
+		return fmt.Errorf("at: %w", err)
+	}
+	l.at = time.Duration(at)
+	l.ok = object.GetBool("ok")
+	l.body, err = jsonlines.Base64(object, "body")
+	return err
+}
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -21,25 +21,25 @@
 	name    string
 	message Message
 }{
-	{"known", Message{Kind: Known, IdempotencyKey: "ab12", Digest: 0xfedcba9876543210, At: 1796147027278 * time.Millisecond}},
-	{"known, digest without leading zeros", Message{Kind: Known, IdempotencyKey: "00ff", Digest: 0x1a, At: 1}},
-	{"known, greatest numbers", Message{Kind: Known, IdempotencyKey: "ab12", Digest: math.MaxUint64, At: math.MaxInt64}},
+	{"known", KeyKnown{IdempotencyKey: "ab12", Digest: 0xfedcba9876543210, WindowEnd: 1796147027278 * time.Millisecond}},
+	{"known, digest without leading zeros", KeyKnown{IdempotencyKey: "00ff", Digest: 0x1a, WindowEnd: 1}},
+	{"known, greatest numbers", KeyKnown{IdempotencyKey: "ab12", Digest: math.MaxUint64, WindowEnd: math.MaxInt64}},
 	{"over, success with a result",
-		Message{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"result")}},
-	{"over, success with an empty result", Message{Kind: Completed, IdempotencyKey: "ab12", OK: true}},
-	{"over, failure", Message{Kind: Completed, IdempotencyKey: "ab12"}},
-	{"free", Message{Kind: Released, IdempotencyKey: "ab12"}},
-	{"claim", Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: 1796147027278 * time.Millisecond}},
-	{"claim, negative time", Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1}},
-	{"grant", Message{Kind: Grant, IdempotencyKey: "ab12"}},
-	{"synced", Message{Kind: Synced}},
+		RunCompleted{IdempotencyKey: "ab12", OK: true, Result: []byte("\x00\xff\r\n\"result")}},
+	{"over, success with an empty result", RunCompleted{IdempotencyKey: "ab12", OK: true}},
+	{"over, failure", RunCompleted{IdempotencyKey: "ab12"}},
+	{"free", KeyReleased{IdempotencyKey: "ab12"}},
+	{"claim", KeyClaim{IdempotencyKey: "ab12", Digest: 7, ArrivedAt: 1796147027278 * time.Millisecond}},
+	{"claim, negative time", KeyClaim{IdempotencyKey: "ab12", Digest: 7, ArrivedAt: -1}},
+	{"grant", KeyGranted{IdempotencyKey: "ab12"}},
+	{"synced", KeysSynced{}},
 }
 
 // The lines that a process writes must stay as they are: the process at the other end may be of another version.
 func TestGoldenMessagesWritten(t *testing.T) {
 	var got []byte
-	for _, c := range goldenCases {
-		got = appendMessage(got, c.message)
+	for _, testCase := range goldenCases {
+		got = appendMessage(got, testCase.message)
 	}
 	if *update {
 		require.NoError(t, os.WriteFile(goldenMessages, got, 0o644))
@@ -70,7 +70,7 @@
 	const line = `{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"
 	got, err := lineParser.Parse([]byte(line))
 	require.NoError(t, err)
-	require.Equal(t, Message{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1}, got)
+	require.Equal(t, KeyClaim{IdempotencyKey: "ab12", Digest: 7, ArrivedAt: -1}, got)
 }
 
 // Two processes find each other by the names of the socket and of the lock beside it, and nothing else may be left there.
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -176,16 +176,16 @@
 	second := startProcess(t, path)
 	second.expect("older")
 	first.expect("newer")
-	(<-second.joined).Publish(Message{Kind: Claim, IdempotencyKey: "a"})
-	first.expect(Message{Kind: Claim, IdempotencyKey: "a"})
+	(<-second.joined).Publish(KeyClaim{IdempotencyKey: "a"})
+	first.expect(KeyClaim{IdempotencyKey: "a"})
 	link := <-first.joined
 	for range 3 {
-		link.Publish(Message{Kind: Grant, IdempotencyKey: "a"}, Message{Kind: Synced})
+		link.Publish(KeyGranted{IdempotencyKey: "a"}, KeysSynced{})
 	}
 	first.stop()
 	for range 3 {
-		second.expect(Message{Kind: Grant, IdempotencyKey: "a"})
-		second.expect(Message{Kind: Synced})
+		second.expect(KeyGranted{IdempotencyKey: "a"})
+		second.expect(KeysSynced{})
 	}
 	second.expect("ended")
 	second.stop()
@@ -208,7 +208,7 @@
 	first.loopLock.Lock()
 	second.loopLock.Lock()
 	link := <-first.joined
-	last := Message{Kind: Completed, IdempotencyKey: "a", OK: true, Body: make([]byte, 2<<10)} // more than is read ahead
+	last := RunCompleted{IdempotencyKey: "a", OK: true, Result: make([]byte, 2<<10)} // more than is read ahead
 	for range 20 {
 		link.Publish(last)
 	}
@@ -216,7 +216,7 @@
 	first.stop()
 	toFirst := <-second.joined
 	for range writeQueueSize { // so many that some fail before the next line
-		toFirst.Publish(Message{Kind: Claim, IdempotencyKey: "b"})
+		toFirst.Publish(KeyClaim{IdempotencyKey: "b"})
 	}
 	second.loopLock.Unlock()
 	for range 20 {
--- a/internal/handover/message_test.go
+++ b/internal/handover/message_test.go
@@ -10,12 +10,12 @@
 func TestMessageRoundTrip(t *testing.T) {
 	lineParser := newParser()
 	for _, message := range []Message{
-		{Kind: Synced},
-		{Kind: Known, IdempotencyKey: "ab12", Digest: 1<<64 - 1, At: 1796147027278 * time.Millisecond},
-		{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("\x00\xff\r\n\"")},
-		{Kind: Released, IdempotencyKey: "ab12"},
-		{Kind: Claim, IdempotencyKey: "ab12", Digest: 7, At: -1},
-		{Kind: Grant, IdempotencyKey: "ab12"},
+		KeysSynced{},
+		KeyKnown{IdempotencyKey: "ab12", Digest: 1<<64 - 1, WindowEnd: 1796147027278 * time.Millisecond},
+		RunCompleted{IdempotencyKey: "ab12", OK: true, Result: []byte("\x00\xff\r\n\"")},
+		KeyReleased{IdempotencyKey: "ab12"},
+		KeyClaim{IdempotencyKey: "ab12", Digest: 7, ArrivedAt: -1},
+		KeyGranted{IdempotencyKey: "ab12"},
 	} {
 		got, err := lineParser.Parse(appendMessage(nil, message))
 		require.NoError(t, err)
@@ -30,16 +30,22 @@
 }
 
 func FuzzParseMessage(f *testing.F) {
-	f.Add(appendMessage(nil, Message{Kind: Completed, IdempotencyKey: "ab12", OK: true, Body: []byte("x")}))
-	f.Fuzz(func(t *testing.T, line []byte) {
+	f.Add(appendMessage(nil, RunCompleted{IdempotencyKey: "ab12", OK: true, Result: []byte("x")}))
+	f.Fuzz(func(t *testing.T, text []byte) {
 		lineParser := newParser()
-		message, err := lineParser.Parse(line)
-		if err != nil || message.Kind == Synced {
+		message, err := lineParser.Parse(text)
+		if err != nil {
 			return
 		}
-		message.IdempotencyKey = "ab" // what stands there is sent without escapes
-		again, err := lineParser.Parse(appendMessage(nil, message))
+		if _, synced := message.(KeysSynced); synced {
+			return
+		}
+		fields := message.line()
+		fields.key = "ab" // what stands there is sent without escapes
+		sent, err := fields.message()
+		require.NoError(t, err)
+		received, err := lineParser.Parse(appendMessage(nil, sent))
 		require.NoError(t, err)
-		require.Equal(t, message, again)
+		require.Equal(t, sent, received)
 	})
 }
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -17,10 +17,10 @@
 
 // handoverState is what the loop knows of the other processes of this image server. The loop owns it.
 type handoverState struct {
-	predecessor *handover.Link // nil: there is none
-	successor   *handover.Link // nil: there is none
-	synced      bool           // the keys of the predecessor are known here
-	claims      map[string][]*activeRequest
+	predecessor *handover.Link              // nil: there is none
+	successor   *handover.Link              // nil: there is none
+	synced      bool                        // the keys of the predecessor are known here
+	claims      map[string][]*activeRequest // that wait for the answer to the claim on their key, by key
 }
 
 func newHandoverState() handoverState { return handoverState{claims: map[string][]*activeRequest{}} }
@@ -29,18 +29,19 @@
 func (h *handoverState) paired() bool { return h.predecessor != nil || h.successor != nil }
 
 // publish notifies the other processes of a change to a key of this one.
-func (h *handoverState) publish(m handover.Message) {
+func (h *handoverState) publish(message handover.Message) {
 	for _, link := range []*handover.Link{h.predecessor, h.successor} {
 		if link != nil {
-			link.Publish(m)
+			link.Publish(message)
 		}
 	}
 }
 
-// addClaim records that r waits for the answer to the claim on its key, and reports whether it is the first to do so.
-func (h *handoverState) addClaim(r *activeRequest) (first bool) {
-	key := r.attempt.IdempotencyKey
-	h.claims[key] = append(h.claims[key], r)
+// addClaim records that a request waits for the answer to the claim on its key, and reports whether it is the first to
+// do so.
+func (h *handoverState) addClaim(request *activeRequest) (first bool) {
+	key := request.attempt.IdempotencyKey
+	h.claims[key] = append(h.claims[key], request)
 	return len(h.claims[key]) == 1
 }
 
@@ -81,7 +82,7 @@
 	for _, entry := range s.idempotency.entries {
 		messages = append(messages, entry.messages()...)
 	}
-	link.Publish(append(messages, handover.Message{Kind: handover.Synced})...)
+	link.Publish(append(messages, handover.KeysSynced{})...)
 	for s.connections.size() > s.maxConnections() {
 		if !s.evictIdle() {
 			break
@@ -105,70 +106,69 @@
 
 // handlePeerMessage handles a message of the other process.
 func (s *Server) handlePeerMessage(link *handover.Link, message handover.Message) {
-	entry := s.idempotency.entries[message.IdempotencyKey]
-	switch message.Kind {
-	case handover.Synced:
+	switch message := message.(type) {
+	case handover.KeysSynced:
 		s.markSynced()
-	case handover.Known:
-		s.handleKnown(link, message, entry)
-	case handover.Claim:
-		s.handleClaim(link, message, entry)
-	case handover.Grant:
-		s.handleGrant(link, message)
-	case handover.Completed, handover.Released:
-		if entry != nil && entry.owner == link {
-			s.handlePeerRunEnded(entry, message)
+	case handover.KeyKnown:
+		s.handleKeyKnown(link, message)
+	case handover.KeyClaim:
+		s.handleKeyClaim(link, message)
+	case handover.KeyGranted:
+		s.handleKeyGranted(link, message.IdempotencyKey)
+	case handover.RunCompleted:
+		if entry := s.idempotency.ownedBy(link, message.IdempotencyKey); entry != nil {
+			s.completePeerRun(entry, runResult{ok: message.OK, body: message.Result})
+		}
+	case handover.KeyReleased:
+		if entry := s.idempotency.ownedBy(link, message.IdempotencyKey); entry != nil {
+			s.completePeerRun(entry, runResult{})
+			s.idempotency.drop(entry)
 		}
 	}
 }
 
-// handleKnown adopts a key that the other process has.
-func (s *Server) handleKnown(link *handover.Link, message handover.Message, entry *idempotencyEntry) {
-	if entry == nil || entry.owner == link || s.idempotency.expired(entry, s.clock.unix()) {
-		s.adoptKey(link, message)
+// handleKeyKnown adopts a key that the other process has.
+func (s *Server) handleKeyKnown(link *handover.Link, known handover.KeyKnown) {
+	entry := s.idempotency.entries[known.IdempotencyKey]
+	if entry == nil || entry.owner == link || entry.expired(s.clock.unix()) {
+		s.adoptKey(link, known)
 	}
-	s.resumeClaimed(message.IdempotencyKey)
+	s.resumeClaimed(known.IdempotencyKey)
 }
 
-// handleClaim grants the successor a key that is not known here, and leaves it alone from then on.
-func (s *Server) handleClaim(link *handover.Link, message handover.Message, entry *idempotencyEntry) {
-	if entry != nil && !s.idempotency.expired(entry, message.At) {
+// handleKeyClaim grants the successor a key that is not known here, and leaves it alone from then on.
+func (s *Server) handleKeyClaim(link *handover.Link, claim handover.KeyClaim) {
+	entry := s.idempotency.entries[claim.IdempotencyKey]
+	if entry != nil && !entry.expired(claim.ArrivedAt) {
 		link.Publish(entry.messages()...)
 		return
 	}
-	windowEnd := message.At + s.config.longestIdempotencyWindow()
-	s.adoptKey(link, handover.Message{IdempotencyKey: message.IdempotencyKey, Digest: message.Digest, At: windowEnd})
-	link.Publish(handover.Message{Kind: handover.Grant, IdempotencyKey: message.IdempotencyKey})
-}
-
-// handleGrant resumes the requests of a key, or gives the key back if none is left.
-func (s *Server) handleGrant(link *handover.Link, message handover.Message) {
-	s.resumeClaimed(message.IdempotencyKey)
-	if s.idempotency.entries[message.IdempotencyKey] == nil {
-		link.Publish(handover.Message{Kind: handover.Released, IdempotencyKey: message.IdempotencyKey})
-	}
+	s.adoptKey(link, handover.KeyKnown{
+		IdempotencyKey: claim.IdempotencyKey,
+		Digest:         claim.Digest,
+		WindowEnd:      claim.ArrivedAt + s.config.longestIdempotencyWindow(),
+	})
+	link.Publish(handover.KeyGranted{IdempotencyKey: claim.IdempotencyKey})
 }
 
-// handlePeerRunEnded handles the result of a run in the other process, or drops a key that it has given back.
-func (s *Server) handlePeerRunEnded(entry *idempotencyEntry, message handover.Message) {
-	if message.Kind == handover.Released {
-		s.completePeerRun(entry, false, nil)
-		s.idempotency.drop(entry)
-		return
+// handleKeyGranted resumes the requests of a key, or gives the key back if none is left.
+func (s *Server) handleKeyGranted(link *handover.Link, key string) {
+	s.resumeClaimed(key)
+	if s.idempotency.entries[key] == nil {
+		link.Publish(handover.KeyReleased{IdempotencyKey: key})
 	}
-	s.completePeerRun(entry, message.OK, message.Body)
 }
 
 // adoptKey adds a key that another process has.
-func (s *Server) adoptKey(link *handover.Link, message handover.Message) {
-	entry := s.idempotency.adopt(link, message, s.requests.nextID())
+func (s *Server) adoptKey(link *handover.Link, known handover.KeyKnown) {
+	entry := s.idempotency.adopt(link, known, s.requests.nextID())
 	s.expireAfterWindow(entry)
 }
 
 // completePeerRun records the end of a run in another process, and answers the attempts that waited for it.
-func (s *Server) completePeerRun(e *idempotencyEntry, ok bool, result []byte) {
-	for _, retry := range s.idempotency.complete(e, ok, result) {
-		s.answerFromResult(retry, ok, result)
+func (s *Server) completePeerRun(entry *idempotencyEntry, result runResult) {
+	for _, retry := range s.idempotency.complete(entry, result) {
+		s.answerFromResult(retry, result)
 	}
 }
 
@@ -184,7 +184,7 @@
 	}
 	for _, entry := range s.idempotency.entries {
 		if entry.owner == link && entry.state != entryCompleted {
-			s.completePeerRun(entry, false, nil)
+			s.completePeerRun(entry, runResult{})
 		}
 	}
 	if s.handover.predecessor == nil {
@@ -196,8 +196,10 @@
 }
 
 // mustClaim reports whether the predecessor has to be asked whether a request may run.
-func (s *Server) mustClaim(r *activeRequest) bool {
-	return s.config.hasKeys(r.class) && s.handover.predecessor != nil && s.idempotency.lookup(r) == nil
+func (s *Server) mustClaim(request *activeRequest) bool {
+	return s.config.hasKeys(request.class) &&
+		s.handover.predecessor != nil &&
+		s.idempotency.lookup(request) == nil
 }
 
 // claimKey has a request wait for the predecessor's answer to the claim on its key. Without one in time it fails, as
@@ -205,32 +207,35 @@
 func (s *Server) claimKey(request *activeRequest) {
 	request.state = requestClaiming
 	first := s.handover.addClaim(request)
-	giveUpAt := min(s.clock.now+claimTimeout, s.clientDeadline(request)-claimDeadlineSlack)
-	s.deadlines.Add(giveUpAt, func() {
-		if request.state == requestClaiming && s.requests.contains(request) {
-			s.stats.ClaimsTimedOut++
-			s.answer(request, Answer{Kind: Failed})
-			s.removeRequest(request)
-		}
-	})
+	claimDeadline := min(s.clock.now+claimTimeout, s.clientDeadline(request)-claimDeadlineSlack)
+	s.deadlines.Add(claimDeadline, func() { s.expireClaim(request) })
 	if !first {
 		return
 	}
 	s.stats.Claims++
-	s.handover.predecessor.Publish(handover.Message{
-		Kind:           handover.Claim,
+	s.handover.predecessor.Publish(handover.KeyClaim{
 		IdempotencyKey: request.attempt.IdempotencyKey,
 		Digest:         bodyDigest(&request.attempt),
-		At:             request.attempt.ArrivedAt,
+		ArrivedAt:      request.attempt.ArrivedAt,
 	})
 }
 
+// expireClaim fails a request that still waits for the answer to a claim.
+func (s *Server) expireClaim(request *activeRequest) {
+	if request.state != requestClaiming || !s.requests.contains(request) {
+		return
+	}
+	s.stats.ClaimsTimedOut++
+	s.answer(request, Answer{Kind: Failed})
+	s.removeRequest(request)
+}
+
 // resumeClaimed resumes the requests that waited for an answer to the claim on a key.
 func (s *Server) resumeClaimed(key string) {
-	for _, r := range s.handover.takeClaims(key) {
-		r.state = requestQueued
-		if s.requests.contains(r) {
-			s.submitToController(r)
+	for _, request := range s.handover.takeClaims(key) {
+		request.state = requestQueued
+		if s.requests.contains(request) {
+			s.submitToController(request)
 		}
 	}
 }
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -65,9 +65,8 @@
 }
 
 // receive handles a message of the other process.
-func (f *handoverFixture) receive(kind handover.Kind, m handover.Message) {
-	m.Kind = kind
-	f.handlePeerMessage(f.link, m)
+func (f *handoverFixture) receive(message handover.Message) {
+	f.handlePeerMessage(f.link, message)
 	f.step()
 }
 
@@ -82,7 +81,7 @@
 func TestSuccessorClaimsKeys(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	fixture.predecessorJoined(fixture.link)
-	fixture.receive(handover.Synced, handover.Message{})
+	fixture.receive(handover.KeysSynced{})
 	require.True(t, fixture.listeners.opened)
 	digest := bodyDigest(&Attempt{})
 	windowEnd := fixture.clock.now + time.Minute
@@ -90,7 +89,7 @@
 	first, retry := fixture.submitKeyed("aa"), fixture.submitKeyed("aa")
 	fixture.expect("claim")
 	require.False(t, first.running())
-	fixture.receive(handover.Grant, handover.Message{IdempotencyKey: "aa"})
+	fixture.receive(handover.KeyGranted{IdempotencyKey: "aa"})
 	require.True(t, first.running())
 	require.False(t, retry.running())
 	fixture.expect("known")
@@ -101,16 +100,16 @@
 	// A key that the predecessor has: its result is the answer.
 	known := fixture.submitKeyed("bb")
 	fixture.expect("claim")
-	fixture.receive(handover.Known, handover.Message{IdempotencyKey: "bb", Digest: digest, At: windowEnd})
+	fixture.receive(handover.KeyKnown{IdempotencyKey: "bb", Digest: digest, WindowEnd: windowEnd})
 	require.False(t, known.running())
 	require.Len(t, fixture.recorded, 2)
-	fixture.receive(handover.Completed, handover.Message{IdempotencyKey: "bb", OK: true, Body: []byte("x")})
+	fixture.receive(handover.RunCompleted{IdempotencyKey: "bb", OK: true, Result: []byte("x")})
 	require.Equal(t, Served, fixture.recorded[2])
 	fixture.submitKeyed("bb") // no further claim
 	require.Equal(t, Served, fixture.recorded[3])
 
 	// A known key with another body.
-	fixture.receive(handover.Known, handover.Message{IdempotencyKey: "cc", Digest: digest + 1, At: windowEnd})
+	fixture.receive(handover.KeyKnown{IdempotencyKey: "cc", Digest: digest + 1, WindowEnd: windowEnd})
 	fixture.submitKeyed("cc")
 	require.Equal(t, Invalid, fixture.recorded[4])
 
@@ -121,11 +120,11 @@
 	fixture.deadlines.Sweep(fixture.clock.now)
 	require.False(t, unanswered.running())
 	require.Equal(t, Failed, fixture.recorded[5])
-	fixture.receive(handover.Grant, handover.Message{IdempotencyKey: "dd"})
+	fixture.receive(handover.KeyGranted{IdempotencyKey: "dd"})
 	fixture.expect("free")
 
 	// After the end of the predecessor its runs may have had their effect; what it did not know may run.
-	fixture.receive(handover.Known, handover.Message{IdempotencyKey: "ee", Digest: digest, At: windowEnd})
+	fixture.receive(handover.KeyKnown{IdempotencyKey: "ee", Digest: digest, WindowEnd: windowEnd})
 	fixture.submitKeyed("ee")
 	unknown := fixture.submitKeyed("ff")
 	fixture.expect("claim")
@@ -152,23 +151,23 @@
 		count[cmd]++
 	}
 	require.Equal(t, map[string]int{"known": 2, "over": 1, "synced": 1}, count)
-	claim := handover.Message{IdempotencyKey: "cc", Digest: bodyDigest(&Attempt{}), At: fixture.clock.now}
-	fixture.receive(handover.Claim, claim)
+	claim := handover.KeyClaim{IdempotencyKey: "cc", Digest: bodyDigest(&Attempt{}), ArrivedAt: fixture.clock.now}
+	fixture.receive(claim)
 	fixture.expect("grant")
 	granted := fixture.submitKeyed("cc")
 	require.False(t, granted.running())
-	fixture.receive(handover.Completed, handover.Message{IdempotencyKey: "cc", OK: true})
+	fixture.receive(handover.RunCompleted{IdempotencyKey: "cc", OK: true})
 	require.Equal(t, []any{Served, Served}, fixture.recorded)
-	fixture.receive(handover.Claim, handover.Message{IdempotencyKey: "bb", At: fixture.clock.now})
+	fixture.receive(handover.KeyClaim{IdempotencyKey: "bb", ArrivedAt: fixture.clock.now})
 	fixture.expect("known")
 	fixture.completeRun(running, admission.OutcomeFailed, nil)
 	fixture.expect("over")
 
 	// What the successor gave back may be run here.
 	claim.IdempotencyKey = "dd"
-	fixture.receive(handover.Claim, claim)
+	fixture.receive(claim)
 	fixture.expect("grant")
-	fixture.receive(handover.Released, handover.Message{IdempotencyKey: "dd"})
+	fixture.receive(handover.KeyReleased{IdempotencyKey: "dd"})
 	require.True(t, fixture.submitKeyed("dd").running())
 	last := string(rune('a' + fixture.lastCall))
 	fixture.expect("known")
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
 	"slices"
 	"time"
 
@@ -17,229 +15,175 @@
 	resultMemoryDivisor = 8
 )
 
-// entryState is how far the run of an idempotency key has got.
-type entryState uint8
-
-const (
-	entryPending   entryState = iota // no attempt was run
-	entryRunning                     // the holder was run, and has not ended
-	entryCompleted                   // that run has ended
-)
-
-func (s entryState) String() string {
-	switch s {
-	case entryPending:
-		return "pending"
-	case entryRunning:
-		return "running"
-	case entryCompleted:
-		return "completed"
-	}
-	return "unknown"
-}
-
-// idempotencyEntry is what is known of one request with a key: it runs once within its window, however often it is
-// tried, and its result answers the other attempts.
-type idempotencyEntry struct {
-	key       string
-	digest    uint64              // of the body that all its attempts carry
-	owner     *handover.Link      // the process that has the entry; nil: this one
-	holder    admission.RequestID // the attempt that may run, or was run
-	attempts  []*activeRequest    // all active ones, in order of arrival
-	state     entryState
-	reusable  bool // the run succeeded, and result is retained
-	result    []byte
-	waiters   []*activeRequest // attempts that wait for the end of the run
-	windowEnd time.Duration    // on the Unix clock
-}
-
-// hasRun reports whether an attempt was run.
-func (e *idempotencyEntry) hasRun() bool { return e.state != entryPending }
-
-// knownMessage announces the entry to another process.
-func (e *idempotencyEntry) knownMessage() handover.Message {
-	return handover.Message{Kind: handover.Known, IdempotencyKey: e.key, Digest: e.digest, At: e.windowEnd}
-}
-
-// messages announces the entry, and the end of its run, to another process.
-func (e *idempotencyEntry) messages() []handover.Message {
-	messages := []handover.Message{e.knownMessage()}
-	if e.state == entryCompleted {
-		messages = append(messages, handover.Message{
-			Kind:           handover.Completed,
-			IdempotencyKey: e.key,
-			OK:             e.reusable,
-			Body:           e.result,
-		})
-	}
-	return messages
-}
-
-// idempotencyTable finds the attempts of one request by their key. The loop owns it.
+// idempotencyTable finds the attempts of one request by their key, and sees to it that one of them is run at most once
+// within the key's window. The window is counted from the arrival of the attempt that is run. The other processes of
+// this image server are notified of each change. The loop owns it.
 type idempotencyTable struct {
 	entries        map[string]*idempotencyEntry         // by key
 	byRequest      map[*activeRequest]*idempotencyEntry // of active requests
 	resultBytes    int                                  // size of all retained results
 	maxResultBytes int
-	publish        func(handover.Message) // notifies the other processes of a change
+	peers          *handoverState // the other processes
 }
 
-// newIdempotencyTable returns a table for a process with that memory limit.
+// newIdempotencyTable returns a table for a process with that memory limit and without other processes.
 func newIdempotencyTable(memoryMB int) idempotencyTable {
 	return idempotencyTable{
 		entries:        map[string]*idempotencyEntry{},
 		byRequest:      map[*activeRequest]*idempotencyEntry{},
 		maxResultBytes: memoryMB << 20 / resultMemoryDivisor,
-		publish:        func(handover.Message) {},
+		peers:          &handoverState{},
 	}
 }
 
-// bodyDigest identifies what an attempt asks for. All attempts of one request carry the same body, while their class
-// may have been renamed. The digest is the same in every process.
-func bodyDigest(attempt *Attempt) uint64 {
-	sum := sha256.Sum256(attempt.Body)
-	return binary.BigEndian.Uint64(sum[:])
-}
-
-// conflicts reports whether the key of r is that of a known request with another body, whose result the sender of r
+// conflicts reports whether the key of a request is that of a known request with another body, whose result its sender
 // must not get.
-func (t *idempotencyTable) conflicts(r *activeRequest) bool {
-	e := t.lookup(r)
-	return e != nil && e.digest != bodyDigest(&r.attempt)
+func (t *idempotencyTable) conflicts(request *activeRequest) bool {
+	entry := t.lookup(request)
+	return entry != nil && entry.digest != bodyDigest(&request.attempt)
 }
 
-// lookup returns the entry that r falls under, or nil.
-func (t *idempotencyTable) lookup(r *activeRequest) *idempotencyEntry {
-	if e := t.entries[r.attempt.IdempotencyKey]; e != nil && !t.expired(e, r.attempt.ArrivedAt) {
-		return e
+// lookup returns the entry that a request falls under, or nil.
+func (t *idempotencyTable) lookup(request *activeRequest) *idempotencyEntry {
+	entry := t.entries[request.attempt.IdempotencyKey]
+	if entry == nil || entry.expired(request.attempt.ArrivedAt) {
+		return nil
 	}
-	return nil
+	return entry
 }
 
-// expired reports whether the window of e has ended for an attempt that arrived at that time.
-func (t *idempotencyTable) expired(e *idempotencyEntry, arrivedAt time.Duration) bool {
-	return e.hasRun() && arrivedAt > e.windowEnd+windowSlack
+// ownedBy returns the entry of a key that another process has, or nil.
+func (t *idempotencyTable) ownedBy(owner *handover.Link, key string) *idempotencyEntry {
+	entry := t.entries[key]
+	if entry == nil || entry.owner != owner {
+		return nil
+	}
+	return entry
 }
 
 func (t *idempotencyTable) size() int { return len(t.entries) }
 
-// register adds r, and returns the attempt that it retries, or 0 for a first one.
+// register adds a request, and returns the attempt that it retries, or 0 for a first one.
 func (t *idempotencyTable) register(request *activeRequest) admission.RequestID {
-	if e := t.lookup(request); e != nil {
-		t.addAttempt(e, request)
-		return e.holder
+	if entry := t.lookup(request); entry != nil {
+		t.addAttempt(entry, request)
+		return entry.holder
 	}
 	key := request.attempt.IdempotencyKey
 	if expired := t.entries[key]; expired != nil {
 		t.drop(expired)
 	}
-	e := &idempotencyEntry{key: key, digest: bodyDigest(&request.attempt)}
-	t.addAttempt(e, request)
-	t.setHolder(e, request)
+	entry := &idempotencyEntry{key: key, digest: bodyDigest(&request.attempt)}
+	t.addAttempt(entry, request)
+	t.setHolder(entry, request)
 	return 0
 }
 
-func (t *idempotencyTable) addAttempt(e *idempotencyEntry, r *activeRequest) {
-	t.byRequest[r] = e
-	e.attempts = append(e.attempts, r)
+func (t *idempotencyTable) addAttempt(entry *idempotencyEntry, request *activeRequest) {
+	t.byRequest[request] = entry
+	entry.attempts = append(entry.attempts, request)
 }
 
-// setHolder makes r the holder of an entry. The window is counted from its arrival.
+// setHolder makes a request the holder of an entry. The window is counted from its arrival.
 func (t *idempotencyTable) setHolder(entry *idempotencyEntry, request *activeRequest) {
 	if entry.holder == request.id {
 		return
 	}
-	entry.holder, entry.windowEnd = request.id, request.attempt.ArrivedAt+request.idempotencyWindow
+	entry.holder = request.id
+	entry.windowEnd = request.attempt.ArrivedAt + request.idempotencyWindow
 	t.entries[entry.key] = entry
-	t.publish(entry.knownMessage())
+	if t.peers.paired() {
+		t.peers.publish(entry.known())
+	}
 }
 
 // adopt adds, or renews, a key that another process has, as if holder had been run under it.
 func (t *idempotencyTable) adopt(
-	owner *handover.Link, message handover.Message, holder admission.RequestID,
+	owner *handover.Link, known handover.KeyKnown, holder admission.RequestID,
 ) *idempotencyEntry {
-	entry := t.entries[message.IdempotencyKey]
+	entry := t.entries[known.IdempotencyKey]
 	if entry == nil || entry.owner != owner {
 		if entry != nil {
 			t.drop(entry)
 		}
-		entry = &idempotencyEntry{key: message.IdempotencyKey, owner: owner, holder: holder}
-		t.entries[message.IdempotencyKey] = entry
+		entry = &idempotencyEntry{key: known.IdempotencyKey, owner: owner, holder: holder}
+		t.entries[known.IdempotencyKey] = entry
 	}
-	t.resultBytes -= len(entry.result)
-	entry.digest, entry.windowEnd, entry.state = message.Digest, message.At, entryRunning
-	entry.reusable, entry.result = false, nil
+	t.discardResult(entry)
+	entry.digest = known.Digest
+	entry.windowEnd = known.WindowEnd
+	entry.state = entryRunning
 	return entry
 }
 
-// retain makes r the holder of its entry, unless that has a run already.
-func (t *idempotencyTable) retain(r *activeRequest) {
-	if e := t.byRequest[r]; e != nil && !e.hasRun() {
-		t.setHolder(e, r)
+// retain makes a request the holder of its entry, unless that has a run already.
+func (t *idempotencyTable) retain(request *activeRequest) {
+	if entry := t.byRequest[request]; entry != nil && !entry.hasRun() {
+		t.setHolder(entry, request)
 	}
 }
 
-// mayRun reports whether a run of r would be the first within the window.
-func (t *idempotencyTable) mayRun(r *activeRequest) bool {
-	e := t.byRequest[r]
-	return e == nil || !e.hasRun()
+// mayRun reports whether a run of a request would be the first within the window.
+func (t *idempotencyTable) mayRun(request *activeRequest) bool {
+	entry := t.byRequest[request]
+	return entry == nil || !entry.hasRun()
 }
 
-// markRunning records that r is run: from now on the entry stays that of r.
-func (t *idempotencyTable) markRunning(r *activeRequest) {
-	if e := t.byRequest[r]; e != nil {
-		t.setHolder(e, r)
-		e.state = entryRunning
+// markRunning records that a request is run: from now on the entry stays that of this request.
+func (t *idempotencyTable) markRunning(request *activeRequest) {
+	if entry := t.byRequest[request]; entry != nil {
+		t.setHolder(entry, request)
+		entry.state = entryRunning
 	}
 }
 
 // awaitResult has a request wait for the run that it retries. If that has ended, or never was, it returns the result
-// instead; ok reports whether there is one.
-func (t *idempotencyTable) awaitResult(request *activeRequest) (result []byte, ok, ended bool) {
+// instead.
+func (t *idempotencyTable) awaitResult(request *activeRequest) (result runResult, ended bool) {
 	entry := t.byRequest[request]
 	switch {
 	case entry == nil:
-		return nil, false, true
+		return runResult{}, true
 	case entry.state == entryRunning:
 		entry.waiters = append(entry.waiters, request)
-		return nil, false, false
+		return runResult{}, false
 	}
-	return entry.result, entry.reusable, true
+	return entry.result, true
 }
 
 // runEnded records the outcome of the run of a request, and returns the attempts that waited for it.
-func (t *idempotencyTable) runEnded(request *activeRequest, outcome admission.Outcome, result []byte) []*activeRequest {
+func (t *idempotencyTable) runEnded(request *activeRequest, outcome admission.Outcome, body []byte) []*activeRequest {
 	entry := t.byRequest[request]
 	if entry == nil || entry.holder != request.id || !entry.hasRun() {
 		return nil
 	}
 	if outcome == admission.OutcomeNotStarted {
-		waiters := entry.waiters
-		entry.waiters, entry.state = nil, entryPending
-		return waiters
+		entry.state = entryPending
+		return entry.takeWaiters()
+	}
+	result := runResult{ok: outcome == admission.OutcomeOK, body: body}
+	if t.peers.paired() {
+		t.peers.publish(handover.RunCompleted{IdempotencyKey: entry.key, OK: result.ok, Result: result.body})
 	}
-	ok := outcome == admission.OutcomeOK
-	t.publish(handover.Message{Kind: handover.Completed, IdempotencyKey: entry.key, OK: ok, Body: result})
-	return t.complete(entry, ok, result)
+	return t.complete(entry, result)
 }
 
 // complete records the end of the run of an entry, and returns the attempts that waited for it. The result is retained
 // while there is memory for it.
-func (t *idempotencyTable) complete(entry *idempotencyEntry, ok bool, result []byte) []*activeRequest {
-	waiters := entry.waiters
-	entry.waiters, entry.state = nil, entryCompleted
-	entry.reusable = ok && t.resultBytes+len(result) <= t.maxResultBytes
-	if entry.reusable {
+func (t *idempotencyTable) complete(entry *idempotencyEntry, result runResult) []*activeRequest {
+	entry.state = entryCompleted
+	t.discardResult(entry)
+	if result.ok && t.resultBytes+len(result.body) <= t.maxResultBytes {
 		entry.result = result
-		t.resultBytes += len(result)
+		t.resultBytes += len(result.body)
 	}
-	return waiters
+	return entry.takeWaiters()
 }
 
 // hasLocalRun reports whether a run under any key has not ended in this process.
 func (t *idempotencyTable) hasLocalRun() bool {
-	for _, e := range t.byRequest {
-		if e.state == entryRunning && e.owner == nil {
+	for _, entry := range t.byRequest {
+		if entry.runsHere() {
 			return true
 		}
 	}
@@ -267,15 +211,22 @@
 		return nil
 	}
 	t.drop(entry)
-	t.publish(handover.Message{Kind: handover.Released, IdempotencyKey: entry.key})
+	if t.peers.paired() {
+		t.peers.publish(handover.KeyReleased{IdempotencyKey: entry.key})
+	}
 	return nil
 }
 
 // drop removes an entry and its result.
-func (t *idempotencyTable) drop(e *idempotencyEntry) {
-	if t.entries[e.key] == e {
-		delete(t.entries, e.key)
+func (t *idempotencyTable) drop(entry *idempotencyEntry) {
+	if t.entries[entry.key] == entry {
+		delete(t.entries, entry.key)
 	}
-	t.resultBytes -= len(e.result)
-	e.reusable, e.result = false, nil
+	t.discardResult(entry)
+}
+
+// discardResult frees the memory of the result of an entry.
+func (t *idempotencyTable) discardResult(entry *idempotencyEntry) {
+	t.resultBytes -= len(entry.result.body)
+	entry.result = runResult{}
 }
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -7,7 +7,6 @@
 
 	"falldeal/admission"
 	"falldeal/internal/agent"
-	"falldeal/internal/handover"
 
 	"github.com/stretchr/testify/require"
 )
@@ -326,6 +325,6 @@
 	fixture.runPosted()
 	require.False(t, fixture.finished())
 	fixture.completeRun(run, admission.OutcomeOK, []byte("done"))
-	fixture.expect(string(handover.Completed))
+	fixture.expect("over")
 	require.True(t, fixture.finished())
 }
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -45,10 +45,10 @@
 }
 
 // markAnswered records that no answer is owed to a request any more.
-func (s *Server) markAnswered(r *activeRequest) {
-	r.answered = true
-	if state := s.connections.get(r.connection); state != nil {
-		s.connections.closeCall(state, r.call)
+func (s *Server) markAnswered(request *activeRequest) {
+	request.answered = true
+	if state := s.connections.get(request.connection); state != nil {
+		s.connections.closeCall(state, request.call)
 	}
 }
 
@@ -97,14 +97,14 @@
 }
 
 // completeRun ends the run of a request, and answers that request and the retries that wait for its result.
-func (s *Server) completeRun(request *activeRequest, outcome admission.Outcome, result []byte) {
-	ok := outcome == admission.OutcomeOK
+func (s *Server) completeRun(request *activeRequest, outcome admission.Outcome, body []byte) {
+	result := runResult{ok: outcome == admission.OutcomeOK, body: body}
 	s.abandonCall(request)
 	s.agent.Forget(request.attempt.ID)
 	s.enqueueDone(request, outcome)
-	s.answerResult(request, ok, result)
-	for _, retry := range s.idempotency.runEnded(request, outcome, result) {
-		s.answerFromResult(retry, ok, result)
+	s.answerResult(request, result)
+	for _, retry := range s.idempotency.runEnded(request, outcome, body) {
+		s.answerFromResult(retry, result)
 	}
 	s.removeRequest(request)
 }
@@ -120,9 +120,9 @@
 }
 
 // answerResult answers a request with the result of a run.
-func (s *Server) answerResult(request *activeRequest, ok bool, result []byte) {
-	if ok {
-		s.answer(request, Answer{Kind: Served, Body: result})
+func (s *Server) answerResult(request *activeRequest, result runResult) {
+	if result.ok {
+		s.answer(request, Answer{Kind: Served, Body: result.body})
 	} else {
 		s.answer(request, Answer{Kind: Failed})
 	}
@@ -131,30 +131,30 @@
 // reuseResult answers a request with the result of the attempt that it retries, now or when that has ended.
 func (s *Server) reuseResult(request *activeRequest) {
 	request.startedAt = s.clock.now
-	if result, ok, ended := s.idempotency.awaitResult(request); ended {
-		s.answerFromResult(request, ok, result)
+	if result, ended := s.idempotency.awaitResult(request); ended {
+		s.answerFromResult(request, result)
 	}
 }
 
 // answerFromResult ends a request that has waited for the run of another attempt.
-func (s *Server) answerFromResult(request *activeRequest, ok bool, result []byte) {
+func (s *Server) answerFromResult(request *activeRequest, result runResult) {
 	if !s.requests.contains(request) {
 		return // it has ended while it waited
 	}
 	outcome := admission.OutcomeFailed
-	if ok {
+	if result.ok {
 		outcome = admission.OutcomeOK
 		s.stats.ResultsReused++
 	}
-	s.answerResult(request, ok, result)
+	s.answerResult(request, result)
 	s.enqueueDone(request, outcome)
 	s.removeRequest(request)
 }
 
 // removeRequest removes a request to which nothing more can happen.
-func (s *Server) removeRequest(r *activeRequest) {
-	s.requests.remove(r)
-	if entry := s.idempotency.release(r); entry != nil {
+func (s *Server) removeRequest(request *activeRequest) {
+	s.requests.remove(request)
+	if entry := s.idempotency.release(request); entry != nil {
 		s.expireAfterWindow(entry)
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -66,7 +66,7 @@
 	for _, name := range cfg.Classes {
 		server.stats.Class(name)
 	}
-	server.idempotency.publish = server.handover.publish
+	server.idempotency.peers = &server.handover
 	server.clock.advance()
 	server.connectPeers(cfg)
 	return server
