--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -17,12 +17,11 @@
 	errKeyConflict           = errors.New("field once: known with another body")
 )
 
-// maxClockAhead and arrivalSlack bound the arrival time of a request: a little ahead of this clock, and behind it for as
-// long as a caller waits and a machine may stand still. The controller takes the difference for time spent unread, and
-// idempotency windows are counted from it.
+// The arrival time of a request may be ahead of this clock by maxClockAhead, and behind it by the longest deadline and
+// arrivalSlack. The controller takes the difference for time spent unread, and idempotency windows are counted from it.
 const (
 	maxClockAhead = time.Second
-	arrivalSlack  = time.Second
+	arrivalSlack  = time.Second // for a machine that was paused
 )
 
 // admit validates an attempt and puts it before the controller, or answers it.
@@ -61,11 +60,12 @@
 
 // normalizeTimes checks the times of an attempt of that class, and fills in its timeout where it has none.
 func (s *Server) normalizeTimes(attempt *Attempt, class int) error {
-	if at := s.clock.fromUnix(attempt.ArrivedAt); at > s.clock.now+maxClockAhead && attempt.ArrivedAt <= s.clock.now {
-		attempt.ArrivedAt -= s.clock.skew // stamped before the clock was set back
+	if s.stampedBeforeClockChange(attempt) {
+		attempt.ArrivedAt -= s.clock.skew
 	}
-	at := s.clock.fromUnix(attempt.ArrivedAt)
-	if at > s.clock.now+maxClockAhead || at < s.clock.now-s.config.maxArrivalAge() {
+	earliest := s.clock.now - s.config.maxArrivalAge()
+	latest := s.clock.now + maxClockAhead
+	if at := s.clock.fromUnix(attempt.ArrivedAt); at < earliest || at > latest {
 		return errArrivalTime
 	}
 	if attempt.Timeout == 0 {
@@ -77,9 +77,15 @@
 	return nil
 }
 
-// clientDeadline is when the caller of r gives up.
-func (s *Server) clientDeadline(r *activeRequest) time.Duration {
-	return s.clock.fromUnix(r.attempt.ArrivedAt) + r.attempt.Timeout
+// stampedBeforeClockChange reports whether an attempt got its arrival time before the system's clock was set back: it
+// lies ahead of the clock now, and did not then.
+func (s *Server) stampedBeforeClockChange(attempt *Attempt) bool {
+	return s.clock.fromUnix(attempt.ArrivedAt) > s.clock.now+maxClockAhead && attempt.ArrivedAt <= s.clock.now
+}
+
+// clientDeadline is when the client of a request gives up, on the clock of the loop.
+func (s *Server) clientDeadline(request *activeRequest) time.Duration {
+	return s.clock.fromUnix(request.attempt.ArrivedAt) + request.attempt.Timeout
 }
 
 // submitToController puts a request before the controller, unless its key is that of another request.
@@ -115,7 +121,7 @@
 	s.admission.enqueue(event)
 }
 
-// cancel ends the wait for a request whose caller has gone. A run goes on; without one, the request is removed.
+// cancel ends the wait for a request whose client has gone. A run goes on; without one, the request is removed.
 func (s *Server) cancel(request *activeRequest) {
 	if request.answered {
 		return
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -16,11 +16,13 @@
 	if request == nil || !request.running() {
 		return
 	}
-	request.callBody, request.callOffset = notification.Payload, notification.Offset
+	request.callBody = notification.Payload
+	request.callOffset = notification.Offset
 	s.admission.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: request.id})
 }
 
-// callStore makes the call that the run of r waits for. The timeout counts from now; 0 stands for the class's deadline.
+// callStore makes the call that the run of a request waits for. The timeout counts from now; 0 stands for the deadline of
+// its class.
 func (s *Server) callStore(request *activeRequest, timeout time.Duration) {
 	if timeout <= 0 {
 		timeout = s.config.Settings.Classes[request.class].Deadline
@@ -32,9 +34,9 @@
 	s.store.Call(request.attempt.ID, s.clock.now+timeout, request.callBody)
 }
 
-// abandonCall gives up the call of r, whose reply nobody waits for.
-func (s *Server) abandonCall(r *activeRequest) {
-	if s.store.Abandon(r.attempt.ID) {
+// abandonCall abandons the call of a request, if one is in flight: nobody waits for its reply.
+func (s *Server) abandonCall(request *activeRequest) {
+	if s.store.Abandon(request.attempt.ID) {
 		s.stats.CallsAbandoned++
 	}
 }
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -19,7 +19,8 @@
 		c.now += max(reading.Sub(c.last), 0)
 	}
 	c.now = max(c.now, unix)
-	c.skew, c.last = c.now-unix, reading
+	c.skew = c.now - unix
+	c.last = reading
 	return c.now
 }
 
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -58,8 +58,8 @@
 	return true
 }
 
-// beginClose starts to close a connection. A request on it may not have been read yet, where this process is behind or
-// the machine stood still: it is read, and answered. The connection counts no more from now on.
+// beginClose starts to close a connection. A request on it may not have been read yet, where the loop is behind or the
+// machine was paused: it is read, and answered. The connection does not count as open from now on.
 func (s *Server) beginClose(state *connectionState) {
 	if state.closing == closeStateOpen {
 		s.stats.ConnectionsClosed++
@@ -114,12 +114,12 @@
 // removeConnection removes a connection that has ended: nobody waits for answers on it.
 func (s *Server) removeConnection(state *connectionState) {
 	s.connections.remove(state)
-	for _, r := range state.openCalls {
-		s.cancel(r)
+	for _, request := range state.openCalls {
+		s.cancel(request)
 	}
 }
 
-// notifyClosing tells a front end, once, that a connection closes.
+// notifyClosing notifies a front end, once, that a connection closes.
 func (s *Server) notifyClosing(state *connectionState) {
 	if state.kind != closingConnection {
 		s.connections.markNotified(state, s.clock.now)
--- a/internal/server/completed.go
+++ b/internal/server/completed.go
@@ -13,11 +13,18 @@
 // add remembers an ID for retention at least, and for twice that at most.
 func (c *completedIDs) add(id string, now, retention time.Duration) {
 	if c.current == nil || now-c.rotatedAt > retention {
-		c.current, c.previous, c.rotatedAt = map[string]struct{}{}, c.current, now
+		c.rotate(now)
 	}
 	c.current[id] = struct{}{}
 }
 
+// rotate begins a new generation, and forgets the older one of the two.
+func (c *completedIDs) rotate(now time.Duration) {
+	c.previous = c.current
+	c.current = map[string]struct{}{}
+	c.rotatedAt = now
+}
+
 func (c *completedIDs) contains(id string) bool {
 	if _, ok := c.current[id]; ok {
 		return true
@@ -29,6 +36,6 @@
 func (c *completedIDs) size() int { return len(c.current) + len(c.previous) }
 
 // markCompleted records that a request was run or answered.
-func (s *Server) markCompleted(r *activeRequest) {
-	s.completed.add(r.attempt.ID, s.clock.now, s.config.maxArrivalAge())
+func (s *Server) markCompleted(request *activeRequest) {
+	s.completed.add(request.attempt.ID, s.clock.now, s.config.maxArrivalAge())
 }
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -70,11 +70,11 @@
 func (t *connectionTable) empty() bool { return len(t.states) == 0 }
 
 // get returns the state of a connection, or nil after its removal.
-func (t *connectionTable) get(c Connection) *connectionState { return t.states[c] }
+func (t *connectionTable) get(conn Connection) *connectionState { return t.states[conn] }
 
-func (t *connectionTable) add(c Connection, now time.Duration) *connectionState {
-	state := &connectionState{connection: c, openCalls: map[uint32]*activeRequest{}, lastUsed: now}
-	t.states[c] = state
+func (t *connectionTable) add(conn Connection, now time.Duration) *connectionState {
+	state := &connectionState{connection: conn, openCalls: map[uint32]*activeRequest{}, lastUsed: now}
+	t.states[conn] = state
 	t.addToIdle(state)
 	return state
 }
@@ -118,11 +118,11 @@
 	t.touch(state, now)
 }
 
-func (t *connectionTable) openCall(state *connectionState, call uint32, r *activeRequest) {
+func (t *connectionTable) openCall(state *connectionState, call uint32, request *activeRequest) {
 	if state.openCalls[call] == nil {
 		t.openCalls++
 	}
-	state.openCalls[call] = r
+	state.openCalls[call] = request
 	t.removeFromIdle(state)
 }
 
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -13,7 +13,8 @@
 func (s *Server) dispatch(action admission.Action) {
 	switch action.Kind {
 	case admission.ActionHealth:
-		s.health.healthy, s.health.cached = action.Healthy, action.Cached
+		s.health.healthy = action.Healthy
+		s.health.cached = action.Cached
 		s.announcer.Set(action.Healthy)
 	case admission.ActionIdleTimeout:
 		s.connections.idleTimer.timeout = action.Duration
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"falldeal/admission"
@@ -11,10 +9,10 @@
 // Drain: on SIGTERM everything that was read is answered, and the process ends in time.
 
 const (
-	// shutdownMargin is how long before the process is stopped its loop ends: the last answers, which the controller gives
+	// shutdownMargin is how long before the process is killed its loop ends: the last answers, which the controller gives
 	// a little earlier, are on their way by then.
 	shutdownMargin = 120 * time.Millisecond
-	// FinalWriteTimeout is the part of that lead which may pass until the process ends, whatever is still unwritten.
+	// FinalWriteTimeout is the part of shutdownMargin after which the process ends, whatever is still unwritten.
 	FinalWriteTimeout = 90 * time.Millisecond
 	// listenerCloseMargin is how long before the end of the loop the listeners are closed at the latest, so that what
 	// arrived at the last moment is read and answered. Front ends are promised 50 ms for the way between machines.
@@ -27,7 +25,7 @@
 const (
 	drainNotStarted      drainPhase = iota
 	drainAccepting                  // connections are still accepted: their requests can be run
-	drainListenersClosed            // they are refused, which sends front ends elsewhere at once
+	drainListenersClosed            // the kernel refuses them, which sends front ends elsewhere at once
 )
 
 func (p drainPhase) String() string {
@@ -54,7 +52,7 @@
 // started reports whether the process has received SIGTERM.
 func (d *drainState) started() bool { return d.phase != drainNotStarted }
 
-// newDrain returns a drain that starts now. The listeners close after grace, the process is stopped after stopTimeout.
+// newDrain returns a drain that starts now. The listeners close after grace, the process is killed after stopTimeout.
 func newDrain(now, stopTimeout, grace time.Duration, replaced bool) drainState {
 	stopAt := now + max(stopTimeout-shutdownMargin, 0)
 	return drainState{
@@ -138,23 +136,23 @@
 		s.handleWaiting(1)
 	}
 	s.step()
-	for _, id := range slices.Sorted(maps.Keys(s.requests.byID)) {
-		if r := s.requests.byID[id]; r != nil && !r.answered {
-			s.answer(r, Answer{Kind: s.finalAnswer(r)})
+	for _, request := range s.requests.inOrder() {
+		if s.requests.contains(request) && !request.answered {
+			s.answer(request, Answer{Kind: s.finalAnswer(request)})
 		}
 	}
 	s.logStats()
-	for c := range s.connections.states {
-		c.Close()
+	for conn := range s.connections.states {
+		conn.Close()
 	}
 }
 
 // finalAnswer is the answer to a request that has none when the loop ends: Rejected only if it can't have run.
-func (s *Server) finalAnswer(r *activeRequest) AnswerKind {
-	if r.state != requestQueued {
+func (s *Server) finalAnswer(request *activeRequest) AnswerKind {
+	if request.state != requestQueued {
 		return Failed
 	}
-	if entry := s.idempotency.lookup(r); entry != nil && entry.hasRun() {
+	if entry := s.idempotency.lookup(request); entry != nil && entry.hasRun() {
 		return Failed
 	}
 	return Rejected
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"falldeal/admission"
@@ -34,7 +32,8 @@
 		return
 	}
 	s.stats.Runs++
-	request.state, request.startedAt = requestRunning, s.clock.now
+	request.state = requestRunning
+	request.startedAt = s.clock.now
 	s.idempotency.markRunning(request)
 	s.markCompleted(request)
 	s.agent.Launch(request.attempt.ID, request.attempt.Class, request.attempt.Body)
@@ -42,10 +41,10 @@
 }
 
 // skipCall lets a run go on without the call that it waits for.
-func (s *Server) skipCall(r *activeRequest) {
+func (s *Server) skipCall(request *activeRequest) {
 	s.stats.CallsSkipped++
 	s.recordMissedCall()
-	s.agent.SkipCall(r.attempt.ID, r.callOffset)
+	s.agent.SkipCall(request.attempt.ID, request.callOffset)
 }
 
 // handleAgentNotification handles a notification of the agent.
@@ -110,10 +109,10 @@
 
 // handleRunsLost ends all runs, of which the agent will report nothing any more. They may have had their effect.
 func (s *Server) handleRunsLost() {
-	for _, id := range slices.Sorted(maps.Keys(s.requests.byID)) {
-		if r := s.requests.byID[id]; r != nil && r.running() {
+	for _, request := range s.requests.inOrder() {
+		if s.requests.contains(request) && request.running() {
 			s.stats.RunsInterrupted++
-			s.completeRun(r, admission.OutcomeFailed, nil)
+			s.completeRun(request, admission.OutcomeFailed, nil)
 		}
 	}
 }
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -53,5 +53,6 @@
 			gauges.Connections = value
 		}
 	}
-	g.values, g.at = gauges, now
+	g.values = gauges
+	g.at = now
 }
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -23,7 +23,7 @@
 	OnMessage(handle func(message []byte))
 }
 
-// publishInterval is how often the status is published: a member that stands still is noticed by its absence.
+// publishInterval is how often the status is published: a stalled member is noticed by its absence.
 const publishInterval = time.Second
 
 // fleetMember is this server as a member of a fleet. Its fields are set before Run; the loop owns their state.
@@ -120,26 +120,35 @@
 	}
 	status := fleet.Status{
 		State:    s.memberState(),
-		Replaced: s.handover.successor != nil || s.drain.started() && s.drain.replaced,
+		Replaced: s.replaced(),
 	}
 	s.addCurrentLoad(&status.Load)
 	status.Load.ShedRatio = s.takeShedRatio()
 	s.member.fleet.Publish(status)
 }
 
+// replaced reports whether a successor serves on: it has joined, or had when this process began to drain.
+func (s *Server) replaced() bool {
+	if s.handover.successor != nil {
+		return true
+	}
+	return s.drain.started() && s.drain.replaced
+}
+
 // takeShedRatio returns the part of the requests answered since the last status that were not served.
 func (s *Server) takeShedRatio() float64 {
 	var answers, unserved uint64
-	for _, a := range s.stats.Responses {
-		answers += a.Served + a.Rejected + a.Failed
-		unserved += a.Rejected + a.Failed
+	for _, counts := range s.stats.Responses {
+		answers += counts.Served + counts.Rejected + counts.Failed
+		unserved += counts.Rejected + counts.Failed
 	}
-	m := s.member
+	member := s.member
 	ratio := 0.0
-	if answers > m.publishedAnswers {
-		ratio = float64(unserved-m.publishedUnserved) / float64(answers-m.publishedAnswers)
+	if answers > member.publishedAnswers {
+		ratio = float64(unserved-member.publishedUnserved) / float64(answers-member.publishedAnswers)
 	}
-	m.publishedAnswers, m.publishedUnserved = answers, unserved
+	member.publishedAnswers = answers
+	member.publishedUnserved = unserved
 	return ratio
 }
 
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -58,7 +58,8 @@
 	if probes == nil {
 		return
 	}
-	before, now := probes.State(), s.member.fleet.Now()
+	before := probes.State()
+	now := s.member.fleet.Now()
 	storeHash := uint32(xxhash.Sum64String(s.config.Store))
 	allowance := probes.Tick(s.clock.now, storeHash, s.member.fleet.Snapshot(), now)
 	if s.admission.started() && allowance != probes.allowance {
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -1,6 +1,10 @@
 package server
 
-import "errors"
+import (
+	"errors"
+
+	"falldeal/internal/stats"
+)
 
 // Stage one, receive: connections put what they read into the inbox.
 
@@ -13,29 +17,29 @@
 // The exported methods of this file may be called from any goroutine; they block while the loop is behind.
 
 // ConnectionOpened makes a connection known.
-func (s *Server) ConnectionOpened(c Connection) { s.inbox.put(&connectionOpened{c}) }
+func (s *Server) ConnectionOpened(conn Connection) { s.inbox.put(&connectionOpened{conn}) }
 
 // ReadEnded reports that nothing more is read from a connection, for now or for good. After Disconnected nobody waits
 // for answers on it; in all other cases what was read before is still answered.
-func (s *Server) ReadEnded(c Connection, reason EndReason) { s.inbox.put(&readEnded{c, reason}) }
+func (s *Server) ReadEnded(conn Connection, reason EndReason) { s.inbox.put(&readEnded{conn, reason}) }
 
 // Submit receives a request.
-func (s *Server) Submit(c Connection, call uint32, a Attempt) {
-	s.inbox.put(&requestReceived{connection: c, call: call, attempt: a})
+func (s *Server) Submit(conn Connection, call uint32, attempt Attempt) {
+	s.inbox.put(&requestReceived{connection: conn, call: call, attempt: attempt})
 }
 
 // RejectInvalid answers a request that can't be read.
-func (s *Server) RejectInvalid(c Connection, call uint32, err error) {
-	s.inbox.put(&invalidRequestReceived{c, call, err})
+func (s *Server) RejectInvalid(conn Connection, call uint32, err error) {
+	s.inbox.put(&invalidRequestReceived{conn, call, err})
 }
 
 // Cancel reports that nobody waits for a call any more.
-func (s *Server) Cancel(c Connection, call uint32) { s.inbox.put(&callCancelled{c, call}) }
+func (s *Server) Cancel(conn Connection, call uint32) { s.inbox.put(&callCancelled{conn, call}) }
 
 // HealthCheck answers a health check as the controller last decided, or, for a deep one that it leaves open, by whether
 // the agent completes some work.
-func (s *Server) HealthCheck(c Connection, call uint32, deep bool) {
-	s.inbox.put(&healthCheckReceived{healthCheck{c, call}, deep})
+func (s *Server) HealthCheck(conn Connection, call uint32, deep bool) {
+	s.inbox.put(&healthCheckReceived{healthCheck{conn, call}, deep})
 }
 
 // connectionOpened is a new connection.
@@ -63,12 +67,7 @@
 
 func (e *readEnded) handle(server *Server) {
 	state := server.connections.get(e.connection)
-	switch {
-	case e.reason == ReadTimeout && (state == nil || state.closing == closeStateOpen):
-		server.stats.ReadTimeouts++
-	case e.reason == MalformedInput:
-		server.stats.MalformedInputs++
-	}
+	e.count(state, &server.stats)
 	if state == nil {
 		return
 	}
@@ -86,6 +85,18 @@
 	}
 }
 
+// count counts what ended the reading, unless the connection was closing already: a timeout is expected then. state is
+// nil for a connection that was removed before.
+func (e *readEnded) count(state *connectionState, counters *stats.Counters) {
+	closing := state != nil && state.closing != closeStateOpen
+	switch {
+	case e.reason == MalformedInput:
+		counters.MalformedInputs++
+	case e.reason == ReadTimeout && !closing:
+		counters.ReadTimeouts++
+	}
+}
+
 // requestReceived is a request that was read.
 type requestReceived struct {
 	connection Connection
@@ -106,8 +117,10 @@
 	lastCall := state.lastCall
 	state.lastCall = max(lastCall, e.call)
 	id := e.attempt.ID
+	reusesNumber := state.openCalls[e.call] != nil
+	repeatsCall := e.call <= lastCall && server.completed.contains(id)
 	switch {
-	case state.openCalls[e.call] != nil, e.call <= lastCall && server.completed.contains(id):
+	case reusesNumber || repeatsCall:
 		// Two calls of one number can't be told apart by their answers: only the first one gets its answer.
 		state.discardingInput = true
 		server.beginClose(state)
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -57,8 +57,10 @@
 		}
 	}
 	merged := *s.config.Config
-	merged.Settings, merged.Classes = settings, names
-	merged.Tenants, merged.Gauges = loaded.Tenants, loaded.Gauges
+	merged.Settings = settings
+	merged.Classes = names
+	merged.Tenants = loaded.Tenants
+	merged.Gauges = loaded.Gauges
 	merged.ReplacedStopTimeout = loaded.ReplacedStopTimeout
 	s.config.Config = &merged
 	s.config.indexTenants()
@@ -86,22 +88,29 @@
 // refer to indices, so those of classes that are gone stay, marked as removed, and so does that of a class whose
 // idempotency has changed.
 func mergeClasses(current, loaded []admission.Class, currentNames, loadedNames []string) ([]admission.Class, []string) {
-	classes, names := slices.Clone(current), slices.Clone(currentNames)
+	classes := slices.Clone(current)
+	names := slices.Clone(currentNames)
 	for i := range classes {
 		classes[i].Removed = true
 	}
 	for i, class := range loaded {
-		at := -1
-		for j, name := range names {
-			if name == loadedNames[i] && classes[j].Idempotency == class.Idempotency {
-				at = j
-			}
-		}
-		if at < 0 {
-			classes, names = append(classes, class), append(names, loadedNames[i])
+		index := findClass(classes, names, class, loadedNames[i])
+		if index < 0 {
+			classes = append(classes, class)
+			names = append(names, loadedNames[i])
 		} else {
-			classes[at] = class
+			classes[index] = class
 		}
 	}
 	return classes, names
 }
+
+// findClass returns the index of the class of that name and idempotency, the last one where there are several, or -1.
+func findClass(classes []admission.Class, names []string, class admission.Class, className string) int {
+	for i := len(names) - 1; i >= 0; i-- {
+		if names[i] == className && classes[i].Idempotency == class.Idempotency {
+			return i
+		}
+	}
+	return -1
+}
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"falldeal/admission"
@@ -125,18 +127,27 @@
 	return t.lastID
 }
 
-func (t *requestTable) add(r *activeRequest) {
-	t.byID[r.id] = r
-	t.byAttemptID[r.attempt.ID] = r
+func (t *requestTable) add(request *activeRequest) {
+	t.byID[request.id] = request
+	t.byAttemptID[request.attempt.ID] = request
 }
 
-func (t *requestTable) remove(r *activeRequest) {
-	delete(t.byID, r.id)
-	delete(t.byAttemptID, r.attempt.ID)
+func (t *requestTable) remove(request *activeRequest) {
+	delete(t.byID, request.id)
+	delete(t.byAttemptID, request.attempt.ID)
 }
 
-// contains reports whether r is still active.
-func (t *requestTable) contains(r *activeRequest) bool { return t.byID[r.id] == r }
+// contains reports whether a request is still active.
+func (t *requestTable) contains(request *activeRequest) bool { return t.byID[request.id] == request }
+
+// inOrder returns the active requests in order of arrival.
+func (t *requestTable) inOrder() []*activeRequest {
+	requests := make([]*activeRequest, 0, len(t.byID))
+	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
+		requests = append(requests, t.byID[id])
+	}
+	return requests
+}
 
 // size returns the number of active requests.
 func (t *requestTable) size() int { return len(t.byID) }
@@ -144,8 +155,8 @@
 // running returns the number of requests that the agent runs.
 func (t *requestTable) running() int {
 	running := 0
-	for _, r := range t.byID {
-		if r.running() {
+	for _, request := range t.byID {
+		if request.running() {
 			running++
 		}
 	}
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -66,7 +66,8 @@
 	requestFingerprint := fingerprint(attempt)
 	event.SinceFirstAttempt = shedding.ages.Age(s.clock.now, attempt.Class, attempt.Timeout)
 	retry := shedding.retries.Arrived(s.clock.now, requestFingerprint) || event.SinceFirstAttempt > 0
-	value, work := s.config.Settings.Classes[request.class].PriorityWeight, attempt.CostHint.Seconds()
+	value := s.config.Settings.Classes[request.class].PriorityWeight
+	work := attempt.CostHint.Seconds()
 	if s.config.Settings.WeightPerWork {
 		value *= work
 	}
@@ -74,14 +75,16 @@
 	event.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
 }
 
-func fingerprint(a *Attempt) uint64 {
-	return overload.Fingerprint(a.Class, a.Subject, a.IdempotencyKey, a.Client, a.Rank, a.CostHint.Seconds())
+// fingerprint identifies the request of an attempt, in every member alike.
+func fingerprint(attempt *Attempt) uint64 {
+	return overload.Fingerprint(attempt.Class, attempt.Subject, attempt.IdempotencyKey, attempt.Client,
+		attempt.Rank, attempt.CostHint.Seconds())
 }
 
 // recordRejection records a request that will be retried, here or elsewhere.
-func (s *Server) recordRejection(r *activeRequest, a admission.Action) {
-	if shedding := s.shedding(); shedding != nil && !a.NoRetryElsewhere {
-		shedding.retries.Rejected(s.clock.now, fingerprint(&r.attempt))
+func (s *Server) recordRejection(request *activeRequest, action admission.Action) {
+	if shedding := s.shedding(); shedding != nil && !action.NoRetryElsewhere {
+		shedding.retries.Rejected(s.clock.now, fingerprint(&request.attempt))
 	}
 }
 
@@ -91,7 +94,8 @@
 	if shedding == nil {
 		return
 	}
-	now, view := s.member.fleet.Now(), s.member.fleet.Snapshot()
+	now := s.member.fleet.Now()
+	view := s.member.fleet.Snapshot()
 	threshold := shedding.shedder.Tick(s.clock.now, s.localLoad(shedding), view, now)
 	s.logThreshold(shedding, threshold)
 	s.sendPartials(shedding, view)
@@ -121,7 +125,8 @@
 
 // logThreshold logs a threshold if its state has changed.
 func (s *Server) logThreshold(shedding *loadShedding, threshold overload.Threshold) {
-	from, to := thresholdState(&shedding.logged), thresholdState(&threshold)
+	from := thresholdState(&shedding.logged)
+	to := thresholdState(&threshold)
 	if from == to {
 		return
 	}
@@ -203,7 +208,8 @@
 	}
 	demand := shedding.shedder.Demand()
 	load.Demand = string(demand.Append(nil))
-	load.Attempts, load.RetryRatio = shedding.retries.AttemptRate(), shedding.retries.RetryRatio()
+	load.Attempts = shedding.retries.AttemptRate()
+	load.RetryRatio = shedding.retries.RetryRatio()
 	load.Threshold = shedding.shedder.Threshold().Priority
 	load.Aggregate = shedding.collector.Published()
 }
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -46,8 +46,10 @@
 	if !s.traceRequests {
 		return
 	}
-	attempt, trace := &request.attempt, &request.trace
-	now, arrivedAt := s.clock.now, s.clock.fromUnix(attempt.ArrivedAt)
+	attempt := &request.attempt
+	trace := &request.trace
+	now := s.clock.now
+	arrivedAt := s.clock.fromUnix(attempt.ArrivedAt)
 	fields := logrus.Fields{
 		"id":       attempt.ID,
 		"class":    s.config.Classes[request.class],
