--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,12 +1,10 @@
 package config
 
 import (
-	"fmt"
-	"net"
-	"strconv"
 	"time"
 
 	"falldeal/admission"
+	"falldeal/internal/configcheck"
 )
 
 // Smallest limits that a server can work with.
@@ -41,45 +39,30 @@
 
 func (c *Config) checkAddresses(root object) {
 	if c.Name == "" {
-		root.fail("name", errMissing)
+		root.fail("name", configcheck.ErrMissing)
 	}
 	callsStore := c.Settings.Dependency != admission.DependencyNone
 	for _, address := range []struct {
-		key, value        string
-		required, listens bool
+		key, value string
+		required   bool
+		check      func(string) error
 	}{
-		{"listen", c.Listen, true, true},
-		{"agent", c.Agent, true, false},
-		{"store", c.Store, callsStore, false},
-		{"announce", c.Announce, true, false},
-		{"console", c.Console, false, true},
+		{"listen", c.Listen, true, configcheck.ListenAddress},
+		{"agent", c.Agent, true, configcheck.Address},
+		{"store", c.Store, callsStore, configcheck.Address},
+		{"announce", c.Announce, true, configcheck.Address},
+		{"console", c.Console, false, configcheck.ListenAddress},
 	} {
 		if address.value == "" {
 			if address.required {
-				root.fail(address.key, errMissing)
+				root.fail(address.key, configcheck.ErrMissing)
 			}
-		} else if err := checkAddress(address.value, address.listens); err != nil {
+		} else if err := address.check(address.value); err != nil {
 			root.fail(address.key, err)
 		}
 	}
 }
 
-// checkAddress accepts an IP address with a port: there is no name service to ask. Port 0, which picks a free one, makes
-// sense only where this process listens.
-func checkAddress(address string, listens bool) error {
-	host, port, err := net.SplitHostPort(address)
-	if err != nil {
-		return err
-	}
-	if net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is not an IP address", host)
-	}
-	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 && !listens {
-		return fmt.Errorf("%q is not a port", port)
-	}
-	return nil
-}
-
 func (c *Config) checkResources(family object) {
 	settings := &c.Settings
 	switch {
@@ -129,7 +112,7 @@
 		name, settings := c.Classes[i], c.Settings.Classes[i]
 		switch {
 		case name == "":
-			class.fail("Name", errMissing)
+			class.fail("Name", configcheck.ErrMissing)
 		case used[name]:
 			class.failf("Name", "%q is used twice", name)
 		case settings.LatencyObjective <= 0:
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"falldeal/admission"
+	"falldeal/internal/configcheck"
 
 	"github.com/valyala/fastjson"
 )
@@ -56,11 +57,11 @@
 }
 
 // Load reads the file at path, or at GW_CONFIG where path is empty. GW_NAME, GW_LISTEN and GW_CONSOLE, where set,
-// override the file's keys. A value that is missing or wrong is a *KeyError.
+// override the file's keys. A value that is missing or wrong is a *configcheck.KeyError.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		if path = os.Getenv(envPath); path == "" {
-			return nil, keyErrorf(envPath, "not set, and no --config given")
+			return nil, configcheck.Errorf(envPath, "not set, and no --config given")
 		}
 	}
 	text, err := os.ReadFile(path)
@@ -75,7 +76,7 @@
 }
 
 // Parse reads a configuration. env returns the value of an environment variable, or "". A value that is missing or wrong
-// is a *KeyError.
+// is a *configcheck.KeyError.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -105,7 +106,7 @@
 // read reads all keys but the seed as they are given.
 func read(root object) *Config {
 	if !root.value.Exists("settings") {
-		root.fail("settings", errMissing)
+		root.fail("settings", configcheck.ErrMissing)
 	}
 	limits, settings := root.object("limits"), root.object("settings")
 	return &Config{
@@ -137,7 +138,7 @@
 }
 
 // Successor reads the file at path for a process that runs with c. A key that c was given and the file lacks is a
-// *KeyError: the file was cut short or is half written, and does not ask for the default.
+// *configcheck.KeyError: the file was cut short or is half written, and does not ask for the default.
 func (c *Config) Successor(path string) (*Config, error) {
 	next, err := Load(path)
 	if err != nil {
@@ -145,7 +146,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(c.keys)) {
 		if !next.keys[key] {
-			return nil, fmt.Errorf("configuration: %w", keyErrorf(key, "missing, and given in the one in force"))
+			return nil, fmt.Errorf("configuration: %w", configcheck.Errorf(key, "missing, and given in the one in force"))
 		}
 	}
 	return next, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"falldeal/admission"
+	"falldeal/internal/configcheck"
 
 	"github.com/stretchr/testify/require"
 )
@@ -92,7 +93,7 @@
 func requireKey(t *testing.T, err error, key string) {
 	t.Helper()
 	require.ErrorContains(t, err, key)
-	var keyError *KeyError
+	var keyError *configcheck.KeyError
 	require.ErrorAs(t, err, &keyError)
 	require.Equal(t, key, keyError.Key)
 }
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -5,6 +5,8 @@
 	"hash/fnv"
 	"os"
 
+	"falldeal/internal/configcheck"
+
 	"github.com/valyala/fastjson"
 )
 
@@ -25,7 +27,7 @@
 	}
 	settings := value.Get("settings")
 	if settings == nil {
-		return 0, fmt.Errorf("configuration %s: %w", path, &KeyError{Key: "settings", Err: errMissing})
+		return 0, fmt.Errorf("configuration %s: %w", path, &configcheck.KeyError{Key: "settings", Err: configcheck.ErrMissing})
 	}
 	if family := settings.Get("FamilyInfo"); family != nil {
 		family.Del("Cold")
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -4,6 +4,8 @@
 	"os"
 	"path/filepath"
 	"strconv"
+
+	"falldeal/internal/configcheck"
 )
 
 // Environment variables that override or complete the file.
@@ -38,7 +40,7 @@
 	}
 	fd, err := strconv.ParseUint(inherited, 10, 16)
 	if err != nil || fd == 0 {
-		return keyErrorf(envInherited, "%q is no descriptor", inherited)
+		return configcheck.Errorf(envInherited, "%q is no descriptor", inherited)
 	}
 	c.InheritedFD, c.Handover = uintptr(fd), filepath.Join(os.TempDir(), handoverSocket)
 	return nil
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"testing"
 
+	"falldeal/internal/configcheck"
 	"falldeal/lab/golden"
 
 	"github.com/stretchr/testify/require"
@@ -98,7 +99,7 @@
 func keyOutcome(t *testing.T, err error) string {
 	t.Helper()
 	if err != nil {
-		var keyError *KeyError
+		var keyError *configcheck.KeyError
 		require.ErrorAs(t, err, &keyError)
 	}
 	return outcome(err)
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"time"
 
+	"falldeal/internal/configcheck"
+
 	"github.com/valyala/fastjson"
 )
 
@@ -18,15 +20,15 @@
 type object struct {
 	value *fastjson.Value
 	path  string
-	first **KeyError
+	first **configcheck.KeyError
 }
 
 // newObject returns the object at the root of a document.
 func newObject(value *fastjson.Value) object {
-	return object{value: value, first: new(*KeyError)}
+	return object{value: value, first: new(*configcheck.KeyError)}
 }
 
-// failure returns the first failure in the document as a *KeyError, or nil.
+// failure returns the first failure in the document as a *configcheck.KeyError, or nil.
 func (o object) failure() error {
 	if *o.first == nil {
 		return nil
@@ -37,7 +39,7 @@
 // fail records that the member of that name is at fault.
 func (o object) fail(name string, err error) {
 	if *o.first == nil {
-		*o.first = &KeyError{Key: o.key(name), Err: err}
+		*o.first = &configcheck.KeyError{Key: o.key(name), Err: err}
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -38,7 +38,7 @@
 )
 
 // Settings reads the settings object that a controller starts from, as both the simulator and the configuration carry
-// it. Unknown keys are ignored. A value that is wrong is a *KeyError.
+// it. Unknown keys are ignored. A value that is wrong is a *configcheck.KeyError.
 func Settings(text []byte) (admission.Settings, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err != nil {
--- a/internal/operators/fleet.go
+++ b/internal/operators/fleet.go
@@ -5,6 +5,7 @@
 	"net"
 	"time"
 
+	"falldeal/internal/configcheck"
 	"falldeal/internal/fleet"
 )
 
@@ -79,7 +80,7 @@
 	var err error
 	parsed.Keys, err = readKeyFile(dir, t.KeyFile)
 	if err != nil {
-		return nil, &KeyError{Key: "fleet.key_file", Err: err}
+		return nil, &configcheck.KeyError{Key: "fleet.key_file", Err: err}
 	}
 	return parsed, nil
 }
@@ -91,25 +92,25 @@
 		addresses = append(addresses, keyed{fmt.Sprintf("fleet.seeds[%d]", i), seed})
 	}
 	for _, item := range addresses {
-		if err := checkAddress(item.address); err != nil {
-			return &KeyError{Key: item.key, Err: err}
+		if err := configcheck.Address(item.address); err != nil {
+			return &configcheck.KeyError{Key: item.key, Err: err}
 		}
 	}
 	if host, _, _ := net.SplitHostPort(f.Advertise); net.ParseIP(host).IsUnspecified() {
-		return keyErrorf("fleet.advertise", "%s is an address that nobody can call", f.Advertise)
+		return configcheck.Errorf("fleet.advertise", "%s is an address that nobody can call", f.Advertise)
 	}
 	if len(f.Seeds) > maxSeeds {
-		return keyErrorf("fleet.seeds", "%d, want at most %d", len(f.Seeds), maxSeeds)
+		return configcheck.Errorf("fleet.seeds", "%d, want at most %d", len(f.Seeds), maxSeeds)
 	}
 	return nil
 }
 
 func (f *Fleet) checkPlace() error {
 	if err := checkPlaceName(f.Region); err != nil {
-		return &KeyError{Key: "fleet.region", Err: err}
+		return &configcheck.KeyError{Key: "fleet.region", Err: err}
 	}
 	if err := checkPlaceName(f.Zone); err != nil {
-		return &KeyError{Key: "fleet.zone", Err: err}
+		return &configcheck.KeyError{Key: "fleet.zone", Err: err}
 	}
 	return nil
 }
@@ -122,7 +123,7 @@
 		return err
 	}
 	if parsed.Size > parsed.Limits.Members {
-		return keyErrorf("fleet.size", "%d, and members_max is %d", parsed.Size, parsed.Limits.Members)
+		return configcheck.Errorf("fleet.size", "%d, and members_max is %d", parsed.Size, parsed.Limits.Members)
 	}
 	return nil
 }
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -10,6 +10,8 @@
 	"path/filepath"
 	"strings"
 
+	"falldeal/internal/configcheck"
+
 	"github.com/pelletier/go-toml/v2"
 )
 
@@ -24,7 +26,7 @@
 	FaultInjection *FaultInjection // table [drill]; nil: absent
 }
 
-// Load reads the file at path, and the files that it names. A value that is missing or wrong is a *KeyError.
+// Load reads the file at path, and the files that it names. A value that is missing or wrong is a *configcheck.KeyError.
 func Load(path string) (*File, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -58,7 +60,7 @@
 }
 
 // Parse reads the text of a file. Paths in it are relative to dir, unless they are absolute. A value that is missing or
-// wrong is a *KeyError.
+// wrong is a *configcheck.KeyError.
 func Parse(text []byte, dir string) (*File, error) {
 	// Errors of the decoder print this type and its fields: it has to stay anonymous, and the names as they are.
 	var tables struct {
@@ -104,11 +106,11 @@
 	given bool
 }
 
-// requireAbsent returns a *KeyError for the first table that is given without the table [fleet].
+// requireAbsent returns a *configcheck.KeyError for the first table that is given without the table [fleet].
 func requireAbsent(tables ...tableGiven) error {
 	for _, table := range tables {
 		if table.given {
-			return keyErrorf(table.name, "needs the table fleet")
+			return configcheck.Errorf(table.name, "needs the table fleet")
 		}
 	}
 	return nil
@@ -120,7 +122,7 @@
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		unknown := strict.Errors[0]
 		line, _ := unknown.Position()
-		return keyErrorf(strings.Join(unknown.Key(), "."), "no such key (line %d)", line)
+		return configcheck.Errorf(strings.Join(unknown.Key(), "."), "no such key (line %d)", line)
 	}
 	var decode *toml.DecodeError
 	if !errors.As(err, &decode) {
@@ -128,7 +130,7 @@
 	}
 	line, _ := decode.Position()
 	if key := strings.Join(decode.Key(), "."); key != "" {
-		return keyErrorf(key, "%w (line %d)", decode, line)
+		return configcheck.Errorf(key, "%w (line %d)", decode, line)
 	}
 	return fmt.Errorf("line %d: %w", line, decode)
 }
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"falldeal/internal/configcheck"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -37,7 +39,7 @@
 // requireKey returns the key that an error names by its type.
 func requireKey(t *testing.T, err error) string {
 	t.Helper()
-	var keyError *KeyError
+	var keyError *configcheck.KeyError
 	require.ErrorAs(t, err, &keyError)
 	return keyError.Key
 }
--- a/internal/operators/trace.go
+++ b/internal/operators/trace.go
@@ -1,5 +1,7 @@
 package operators
 
+import "falldeal/internal/configcheck"
+
 // Bounds and defaults of the table [trace].
 const (
 	defaultTraceMB = 16
@@ -27,7 +29,7 @@
 		return nil, nil
 	}
 	if t.File == "" {
-		return nil, &KeyError{Key: "trace.file", Err: errMissing}
+		return nil, &configcheck.KeyError{Key: "trace.file", Err: configcheck.ErrMissing}
 	}
 	sample, megabytes := 1.0, defaultTraceMB
 	if err := setBounded("trace.sample", t.Sample, 0, 1, &sample); err != nil {
--- a/internal/operators/values.go
+++ b/internal/operators/values.go
@@ -3,10 +3,9 @@
 import (
 	"cmp"
 	"fmt"
-	"net"
-	"strconv"
 	"time"
 
+	"falldeal/internal/configcheck"
 	"falldeal/internal/fleet"
 )
 
@@ -16,7 +15,7 @@
 		return nil
 	}
 	if inRange := *given >= lowest && *given <= highest; !inRange {
-		return keyErrorf(key, "%v is not between %v and %v", *given, lowest, highest)
+		return configcheck.Errorf(key, "%v is not between %v and %v", *given, lowest, highest)
 	}
 	*target = *given
 	return nil
@@ -29,34 +28,16 @@
 	}
 	duration, err := time.ParseDuration(*given)
 	if err != nil {
-		return &KeyError{Key: key, Err: err}
+		return &configcheck.KeyError{Key: key, Err: err}
 	}
 	return setBounded(key, &duration, lowest, highest, target)
 }
 
-// checkAddress accepts an IP address with a port: there is no name service to ask.
-func checkAddress(address string) error {
-	if address == "" {
-		return errMissing
-	}
-	host, port, err := net.SplitHostPort(address)
-	if err != nil {
-		return err
-	}
-	if net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is not an IP address", host)
-	}
-	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		return fmt.Errorf("%q is not a port", port)
-	}
-	return nil
-}
-
 // checkPlaceName accepts the name of a region or zone: printable ASCII without spaces.
 func checkPlaceName(name string) error {
 	switch {
 	case name == "":
-		return errMissing
+		return configcheck.ErrMissing
 	case len(name) > fleet.MaxText:
 		return fmt.Errorf("%d bytes, want at most %d", len(name), fleet.MaxText)
 	}
