--- a/cmd/falldeal/check.go
+++ b/cmd/falldeal/check.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "configuration of %s is good: %d classes, listening on %s\n",
+	fmt.Fprintf(out, "configuration of %s is valid: %d classes, listening on %s\n",
 		conf.Name, len(conf.Classes), conf.Listen)
 	return nil
 }
--- a/cmd/falldeal/main.go
+++ b/cmd/falldeal/main.go
@@ -13,12 +13,12 @@
 const usage = `Usage: falldeal COMMAND [flags]
 
 Commands:
-  serve     serve front ends until SIGTERM; SIGUSR1 prints the counters, SIGHUP has the
-            addresses of agent, store and announce read again
-  check     read the configuration, say what is wrong with it, and exit
+  serve     serve front ends until SIGTERM, which starts a drain; SIGUSR1 logs the counters,
+            SIGHUP reloads the configuration
+  check     validate the configuration and exit
   version   print the version
-  fleet     ask an instance what it knows of the others: fleet --help
-  lab       start fleets with faults between their members: lab --help
+  fleet     query an instance for the members of its fleet: fleet --help
+  lab       run fleets with injected faults on this machine: lab --help
 
 Flags of serve and check:
 `
@@ -42,8 +42,8 @@
 	flags := pflag.NewFlagSet("falldeal", pflag.ContinueOnError)
 	flags.StringVar(&o.configPath, "config", "", "configuration file (default: the variable GW_CONFIG)")
 	flags.StringVar(&o.operatorsPath, "operators", "",
-		"operators' file, TOML; it may have this instance know the others of its fleet")
-	flags.StringVar(&o.logLevel, "log-level", "info", "least level that is logged: debug, info, warning, error")
+		"operators' file, TOML; it enables membership in a fleet")
+	flags.StringVar(&o.logLevel, "log-level", "info", "minimum level of log lines: debug, info, warning, error")
 	flags.Usage = func() { fmt.Fprint(out, usage, flags.FlagUsages()) }
 	return flags
 }
--- a/cmd/falldeal/main_test.go
+++ b/cmd/falldeal/main_test.go
@@ -12,10 +12,10 @@
 
 func TestCommands(t *testing.T) {
 	for want, args := range map[string][]string{
-		"falldeal dev":                {"version"},
-		"configuration of n3 is good": {"check", "--config", sampleConfig},
-		"serve front ends until":      {"--help"},
-		"--log-level":                 {"serve", "--help"},
+		"falldeal dev":                 {"version"},
+		"configuration of n3 is valid": {"check", "--config", sampleConfig},
+		"serve front ends until":       {"--help"},
+		"--log-level":                  {"serve", "--help"},
 	} {
 		var out bytes.Buffer
 		require.NoError(t, run(args, &out), "%v", args)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -4,9 +4,11 @@
 
 import (
 	"context"
+	"errors"
 	"log"
 	"net"
 	"net/http"
+	"strings"
 	"time"
 
 	"falldeal/internal/logging"
@@ -83,6 +85,6 @@
 type errorLogWriter struct{ limiter *logging.Limiter }
 
 func (w errorLogWriter) Write(b []byte) (int, error) {
-	w.limiter.Warn("console", "call to the console: "+string(b), nil)
+	w.limiter.Warn("console", "console request failed", errors.New(strings.TrimSpace(string(b))))
 	return len(b), nil
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -101,9 +101,9 @@
 	}{
 		{"GET", "/ready", 200, "ready\n"},
 		{"GET", "/metrics", 200, "app.inflight:3|g\n"},
-		{"POST", "/drain", 200, "front ends are sent away\n"},
+		{"POST", "/drain", 200, "deregistered, health checks fail from now on\n"},
 		{"GET", "/ready", 503, "not ready\n"},
-		{"POST", "/undrain", 200, "front ends are welcome\n"},
+		{"POST", "/undrain", 200, "registered, health checks succeed while the server is healthy\n"},
 		{"GET", "/ready", 200, "ready\n"},
 		{"GET", "/drain", 405, "Method Not Allowed\n"}, // reading must change nothing
 		{"GET", "/", 404, "404 page not found\n"},
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -20,7 +20,7 @@
 // drainingInstance answers every call with an error, as a server does that drains to stop.
 type drainingInstance struct{}
 
-var errDraining = errors.New("the server is leaving")
+var errDraining = errors.New("the server is draining")
 
 func (drainingInstance) Ready(context.Context) (bool, error) { return false, errDraining }
 func (drainingInstance) AppendMetrics(_ context.Context, b []byte) ([]byte, error) {
--- a/internal/console/handler.go
+++ b/internal/console/handler.go
@@ -29,10 +29,10 @@
 		return reply{http.StatusOK, metrics}, err
 	},
 	"POST /drain": func(ctx context.Context, instance Instance) (reply, error) {
-		return reply{http.StatusOK, []byte("front ends are sent away\n")}, instance.Deregister(ctx)
+		return reply{http.StatusOK, []byte("deregistered, health checks fail from now on\n")}, instance.Deregister(ctx)
 	},
 	"POST /undrain": func(ctx context.Context, instance Instance) (reply, error) {
-		return reply{http.StatusOK, []byte("front ends are welcome\n")}, instance.Reregister(ctx)
+		return reply{http.StatusOK, []byte("registered, health checks succeed while the server is healthy\n")}, instance.Reregister(ctx)
 	},
 }
 
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -33,7 +33,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	predecessor, listener, err := join(path)
 	if err != nil {
-		log.Warn("handover", "no older process to be reached, or none can join this one", err)
+		log.Warn("handover", "predecessor process not reachable, or handover socket not open", err)
 	}
 	if predecessor != nil {
 		group.Go(func() error {
@@ -64,7 +64,7 @@
 	}
 	listener, err := listen(path)
 	if err != nil {
-		log.Warn("handover", "no newer process can join", err)
+		log.Warn("handover", "handover socket not open, no successor process can connect", err)
 		return nil
 	}
 	return listener
@@ -79,7 +79,7 @@
 			return
 		}
 		if err != nil {
-			log.Warn("handover", "newer process not accepted", err)
+			log.Warn("handover", "accepting a successor process failed", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(acceptRetryDelay):
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -58,7 +58,7 @@
 func listen(path string) (net.Listener, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.Remove(own); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("socket of the process before: %w", err)
+		return nil, fmt.Errorf("remove the socket of an earlier process: %w", err)
 	}
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -34,9 +34,13 @@
 	return &Limiter{log: log, records: map[string]*record{}, now: time.Now}
 }
 
-// Warn logs text and err, which may be nil, unless a line under the same key was logged less than minInterval ago. The
-// next line under the key has the number of suppressed ones in the field not_logged.
-func (l *Limiter) Warn(key, text string, err error) {
+// Warn logs a constant message and err, which may be nil, unless a line under the same key was logged less than
+// minInterval ago. The field topic has the key, and suppressed the number of lines under it that were not logged since
+// the last one that was.
+func (l *Limiter) Warn(key, message string, err error) { l.WarnFields(key, message, err, nil) }
+
+// WarnFields is Warn with further fields.
+func (l *Limiter) WarnFields(key, message string, err error, fields logrus.Fields) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -45,15 +49,15 @@
 		last.suppressed++
 		return
 	}
-	entry := l.log.WithField("about", key)
+	entry := l.log.WithFields(fields).WithField("topic", key)
 	if last != nil && last.suppressed > 0 {
-		entry = entry.WithField("not_logged", last.suppressed)
+		entry = entry.WithField("suppressed", last.suppressed)
 	}
 	if err != nil {
 		entry = entry.WithError(err)
 	}
 	l.remember(key, now)
-	entry.Warn(text)
+	entry.Warn(message)
 }
 
 // remember starts to count suppressed lines under a key. The caller holds mu.
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -24,7 +24,7 @@
 	require.Len(t, hook.Entries, 2)
 	now = now.Add(minInterval)
 	limiter.Warn("store", "broke", nil)
-	require.Equal(t, 9, hook.LastEntry().Data["not_logged"])
+	require.Equal(t, 9, hook.LastEntry().Data["suppressed"])
 	for i := range 2 * maxKeys {
 		limiter.Warn(string(rune('a'+i)), "one of many", nil)
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -44,9 +44,9 @@
 	if err != nil {
 		return err
 	}
-	log.WithField("addr", front.Addr().String()).Info("listening")
+	log.WithField("address", front.Addr().String()).Info("listening")
 	for _, key := range conf.UnsupportedKeys {
-		log.WithField("key", key).Info("not used: the sockets have nothing to carry it out with")
+		log.WithField("key", key).Info("configuration key ignored, not supported by the protocols")
 	}
 	running := &process{
 		signals: signals, active: conf, path: path, log: log,
@@ -65,7 +65,7 @@
 
 	finished, err := running.handleSignals(serverDone)
 	if !finished {
-		log.Warn("connections still open at the end")
+		log.Warn("drain ended with connections open")
 		return nil
 	}
 	stop()
@@ -103,7 +103,7 @@
 	go func() {
 		err := console.Serve(ctx, listener, instance, logging.NewLimiter(p.log), p.extension.Pages...)
 		if err != nil {
-			p.log.WithError(err).Error("no console any more")
+			p.log.WithError(err).Error("console stopped")
 		}
 	}()
 	return nil
@@ -119,7 +119,7 @@
 	go func() {
 		defer close(done)
 		if err := p.extension.Run(ctx); err != nil {
-			p.log.WithError(err).Error("the server goes on without")
+			p.log.WithError(err).Error("extension stopped, the server continues")
 		}
 	}()
 	return done
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -30,7 +30,7 @@
 }
 
 // ErrStopped reports a termination signal before the server was started.
-var ErrStopped = errors.New("told to leave before the start was over")
+var ErrStopped = errors.New("terminated before the start was complete")
 
 // Load is config.Load, but returns ErrStopped if a termination signal comes meanwhile. The goroutine that reads the
 // file is then left behind: the read may never end, and the process does.
--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -127,7 +127,7 @@
 		return
 	}
 	s.markAnswered(request)
-	s.logTrace(request, endCancelled)
+	s.logTrace(request, outcomeCancelled)
 	s.abandonCall(request)
 	s.admission.enqueue(admission.Event{Kind: admission.EventCancelled, ID: request.id})
 	if !request.running() {
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -30,7 +30,7 @@
 	s.stats.Calls++
 	request.callStartedAt = s.clock.now
 	request.trace.calls++
-	request.trace.lastReply = noReplyYet
+	request.trace.lastCallOutcome = callInFlight
 	s.store.Call(request.attempt.ID, s.clock.now+timeout, request.callBody)
 }
 
@@ -68,7 +68,7 @@
 	took := s.clock.now - request.callStartedAt
 	outcome := replyOutcomes[reply]
 	request.trace.callTime += took
-	request.trace.lastReply = outcomeNames[outcome]
+	request.trace.lastCallOutcome = outcomeNames[outcome]
 	s.admission.enqueue(admission.Event{
 		Kind:    admission.EventCallDone,
 		ID:      request.id,
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -1,10 +1,11 @@
 package server
 
 import (
-	"fmt"
 	"time"
 
 	"falldeal/admission"
+
+	"github.com/sirupsen/logrus"
 )
 
 // Stage three, dispatch: each action of the controller is handed to the part that carries it out.
@@ -50,7 +51,8 @@
 		s.reuseResult(request)
 	default:
 		// Stop and Advertise need settings that the configuration does not admit.
-		s.warnings.Warn("action", fmt.Sprintf("action %d can't be carried out", action.Kind), nil)
+		s.warnings.WarnFields("controller", "unsupported action of the admission controller", nil,
+			logrus.Fields{"action": int(action.Kind)})
 	}
 }
 
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -74,7 +74,7 @@
 		return
 	}
 	replaced := s.handover.successor != nil
-	s.log.WithField("replaced", replaced).Info("told to leave")
+	s.log.WithField("replaced", replaced).Info("drain started")
 	if replaced {
 		s.announcer.Silence()
 		s.drain = newDrain(s.clock.now, s.config.ReplacedStopTimeout, 0, true)
@@ -107,7 +107,7 @@
 	s.listeners.open() // so that fronts that do not accept yet end, too
 	for _, front := range s.listeners.fronts {
 		if err := front.Close(); err != nil {
-			s.warnings.Warn("listener", "not closed", err)
+			s.warnings.Warn("listener", "closing a front end listener failed", err)
 		}
 	}
 }
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -21,7 +21,7 @@
 // controller has decided.
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
-		s.warnings.Warn("second run", "second run of a keyed request prevented", nil)
+		s.warnings.Warn("idempotency", "second run under an idempotency key prevented", nil)
 		s.admission.enqueue(admission.Event{
 			Kind:    admission.EventDone,
 			ID:      request.id,
@@ -88,10 +88,13 @@
 	controller, err := admission.New(settings, s.config.Seed, startedAt)
 	if err != nil {
 		// The configuration was checked, so that check is incomplete. Without a controller nothing is served.
-		s.log.WithError(err).Error("no controller for these settings")
+		s.log.WithError(err).Error("settings rejected by the admission controller, no requests are served")
 		return
 	}
-	s.log.WithFields(logrus.Fields{"state": notification.Result, "age": notification.Elapsed.String()}).Info("agent is up")
+	s.log.WithFields(logrus.Fields{
+		"state":  notification.Result,
+		"age_ms": notification.Elapsed.Milliseconds(),
+	}).Info("agent is up")
 	s.admission.controller = controller
 	s.openFrontsWhenReady()
 	if s.member != nil && settings.WarmingUp {
@@ -121,8 +124,10 @@
 // ended, whose outcome is on its way.
 func (s *Server) handleCommandRejected(notification agent.Notification) {
 	s.stats.CommandsRejected++
-	message := "agent did not carry out a command for " + notification.RequestID
-	s.warnings.Warn("agent "+notification.Result, message, nil)
+	s.warnings.WarnFields("agent "+notification.Result, "agent rejected a command", nil, logrus.Fields{
+		"command":    notification.Result,
+		"request_id": notification.RequestID,
+	})
 	request := s.requests.byAttemptID[notification.RequestID]
 	if request != nil && request.running() && notification.Result == launchCommand {
 		s.completeRun(request, admission.OutcomeNotStarted, nil)
--- a/internal/server/faults.go
+++ b/internal/server/faults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Faults that operators inject into one process, to see how the others take it. Neither exists unless the operators'
-// file asks for it.
+// Faults that operators inject into one process, to see how the other members react. Neither exists unless the
+// operators' file asks for it.
 
 // SkewClock has the server take the system's clock to be off by d. It is called before Run.
 func (s *Server) SkewClock(d time.Duration) {
@@ -12,10 +12,10 @@
 }
 
 // StallLoop blocks the loop for d, while the rest of the process goes on. It returns false if the inbox is full: the
-// loop stands still already, or as good as. It may be called from any goroutine.
+// loop is stalled already, or overloaded. It may be called from any goroutine.
 func (s *Server) StallLoop(d time.Duration) bool {
 	return s.inbox.offer(task(func() {
-		s.log.WithField("for_ms", d.Milliseconds()).Warn("drill: the loop stands still")
+		s.log.WithField("duration_ms", d.Milliseconds()).Warn("fault injection: event loop stalled")
 		time.Sleep(d)
 	}))
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -57,7 +57,7 @@
 		server.logTrace(&activeRequest{attempt: attempt, trace: requestTrace{reason: reason.String()}}, answerNames[Rejected])
 	}
 	for reply := store.OK; int(reply) < len(replyOutcomes); reply++ {
-		trace := requestTrace{calls: 3, callTime: 15 * time.Millisecond, lastReply: outcomeNames[replyOutcomes[reply]]}
+		trace := requestTrace{calls: 3, callTime: 15 * time.Millisecond, lastCallOutcome: outcomeNames[replyOutcomes[reply]]}
 		request := &activeRequest{attempt: attempt, state: requestRunning, startedAt: at, trace: trace}
 		server.logTrace(request, answerNames[Served])
 	}
@@ -122,11 +122,11 @@
 		server.Reload(nil, errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
 	}},
 	{"SIGTERM", func(_ *testing.T, server *Server) { server.Drain() }},
-	{"SIGTERM with a newer process", func(_ *testing.T, server *Server) {
+	{"SIGTERM with a successor", func(_ *testing.T, server *Server) {
 		server.handover.successor = &handover.Link{}
 		server.Drain()
 	}},
-	{"the older process ends", func(_ *testing.T, server *Server) {
+	{"the predecessor ends", func(_ *testing.T, server *Server) {
 		server.handover.predecessor = &handover.Link{}
 		server.peerEnded(server.handover.predecessor)
 	}},
@@ -143,10 +143,10 @@
 		server.JoinFleet(f)
 		f.receive([]byte("noise"))
 	}},
-	{"a drill", func(t *testing.T, server *Server) { require.True(t, server.StallLoop(0)) }},
+	{"fault injection", func(t *testing.T, server *Server) { require.True(t, server.StallLoop(0)) }},
 	{"a change of state", func(_ *testing.T, server *Server) {
 		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-		server.recordChange(logrus.InfoLevel, StateChange{Name: "what", To: "full", Fields: logrus.Fields{"place": 3}})
+		server.recordChange(logrus.InfoLevel, StateChange{Name: "what", To: "full", Fields: logrus.Fields{"rank": 3}})
 	}},
 	{"the store fails, as this member finds it", func(_ *testing.T, server *Server) {
 		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
@@ -182,8 +182,8 @@
 	fixture := newHandoverFixture(t)
 	lines := captureLog(fixture.Server)
 	fixture.successorJoined(fixture.link)
-	fmt.Fprintf(&got, "== a newer process joins\n%s", lines)
-	fmt.Fprintf(&got, "== asked while it leaves\n%v\n", errDraining)
+	fmt.Fprintf(&got, "== a successor joins\n%s", lines)
+	fmt.Fprintf(&got, "== asked while it drains\n%v\n", errDraining)
 	golden.RequireText(t, "log", got.String())
 }
 
@@ -199,7 +199,7 @@
 		{Known: true, Priority: 3},
 		{Known: true, Full: true, Priority: 3},
 	} {
-		fmt.Fprintf(&got, "cutoff known %t, full %t, place %v: %q\n",
+		fmt.Fprintf(&got, "threshold known %t, full %t, rank %v: %q\n",
 			threshold.Known, threshold.Full, threshold.Priority, thresholdState(&threshold))
 	}
 	for _, err := range []error{
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -72,7 +72,7 @@
 
 // successorJoined publishes all keys to the successor, and closes idle connections above this process's half.
 func (s *Server) successorJoined(link *handover.Link) {
-	s.log.Info("a newer process has joined")
+	s.log.Info("successor process connected")
 	s.handover.successor = link
 	if s.drain.started() {
 		s.announcer.Silence() // the successor is to be listed, and not as draining
@@ -177,7 +177,7 @@
 func (s *Server) peerEnded(link *handover.Link) {
 	switch link {
 	case s.handover.predecessor:
-		s.log.Info("the older process has ended")
+		s.log.Info("predecessor process disconnected")
 		s.handover.predecessor = nil
 	case s.handover.successor:
 		s.handover.successor = nil
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -61,8 +61,16 @@
 func (s *Server) recordChange(level logrus.Level, change StateChange) {
 	s.member.onStateChange(change)
 	s.log.WithFields(change.Fields).
-		WithFields(logrus.Fields{"from": change.From, "to": change.To}).
-		Log(level, change.Name)
+		WithFields(logrus.Fields{"from": stateText(change.From), "to": stateText(change.To)}).
+		Log(level, change.Name+" changed")
+}
+
+// stateText is a state as it is logged, where the usual one has a name, too.
+func stateText(state string) string {
+	if state == "" {
+		return "normal"
+	}
+	return state
 }
 
 // findProcess returns the member that a message to a process goes to, or nil if that process is not known.
@@ -78,7 +86,7 @@
 func (s *Server) receiveMemberMessage(b []byte) {
 	message, err := s.member.parseMessage(b)
 	if err != nil {
-		s.warnings.Warn("direct", "a message of another member can't be read", err)
+		s.warnings.Warn("fleet message", "invalid message from a fleet member", err)
 	}
 	if message != nil {
 		s.inbox.offer(message)
@@ -198,5 +206,5 @@
 		"known":    view.Total.Known,
 		"reached":  view.Total.Reached(),
 		"silent":   view.Total.Count[fleet.Silent],
-	}).Info("fleet")
+	}).Info("fleet membership")
 }
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -11,7 +11,7 @@
 // What operators ask of a running server. The exported methods may be called from any goroutine.
 
 // errDraining answers operators once a drain has started.
-var errDraining = errors.New("the server is leaving")
+var errDraining = errors.New("the server is draining")
 
 // query has the loop call f, and waits for its result.
 func query[T any](ctx context.Context, server *Server, f func() T) (result T, err error) {
@@ -47,7 +47,8 @@
 	})
 }
 
-// Deregister has front ends sent away by bad health answers; requests that still arrive are served as before.
+// Deregister fails health checks from now on, so that front ends go elsewhere; requests that still arrive are served
+// as before.
 func (s *Server) Deregister(ctx context.Context) error { return s.setDeregistered(ctx, true) }
 
 // Reregister ends what Deregister began.
@@ -56,7 +57,7 @@
 func (s *Server) setDeregistered(ctx context.Context, deregistered bool) error {
 	draining, err := query(ctx, s, func() bool {
 		if !s.drain.started() && deregistered != s.health.deregistered {
-			s.log.WithField("withdrawn", deregistered).Info("told by an operator whether front ends are welcome")
+			s.logRegistration(deregistered)
 			s.health.deregistered = deregistered
 			s.enqueueRegistration()
 			s.publishStatus()
@@ -69,6 +70,15 @@
 	return err
 }
 
+// logRegistration logs that an operator has deregistered the server, or registered it again.
+func (s *Server) logRegistration(deregistered bool) {
+	if deregistered {
+		s.log.Info("server deregistered by an operator")
+	} else {
+		s.log.Info("server registered by an operator")
+	}
+}
+
 // enqueueRegistration notifies the controller that the server was deregistered, or registered again.
 func (s *Server) enqueueRegistration() {
 	kind := admission.EventReregister
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -68,17 +68,25 @@
 		s.limitCalls()
 	}
 	if after := probes.State(); after != before {
-		s.recordChange(logrus.InfoLevel, StateChange{
-			Name:   "store, as this member finds it",
+		s.recordChange(storeStateLevel(after), StateChange{
+			Name:   "store state",
 			From:   storeStateName(before),
 			To:     storeStateName(after),
-			Fields: logrus.Fields{"agree": probes.UnhealthyMembers()},
+			Fields: logrus.Fields{"unhealthy_members": probes.UnhealthyMembers()},
 		})
 		s.publishStatus()
 	}
 	s.deadlines.Add(s.clock.now+probeInterval, s.tickProbes)
 }
 
+// storeStateLevel is the log level of a change to a state: a store that does not answer is to be looked at.
+func storeStateLevel(state overload.StoreState) logrus.Level {
+	if state == overload.StoreFailing {
+		return logrus.WarnLevel
+	}
+	return logrus.InfoLevel
+}
+
 // storeStateName is a state as changes are logged: the usual one has no name.
 func storeStateName(state overload.StoreState) string {
 	if state == overload.StoreHealthy {
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -108,7 +108,7 @@
 	if quota.known() {
 		base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
 		s.recordChange(logrus.DebugLevel, StateChange{
-			Name: "share of the store",
+			Name: "store quota",
 			From: quotaName(quota.limit, base),
 			To:   quotaName(limit, base),
 		})
@@ -139,7 +139,7 @@
 		settings.MaxCallsInFlight = min(settings.MaxCallsInFlight, 1)
 	}
 	if err := s.admission.controller.Reconfigure(settings); err != nil {
-		s.warnings.Warn("share", "a bound on calls was not taken over", err)
+		s.warnings.Warn("call limit", "call limit rejected by the admission controller", err)
 	}
 }
 
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -26,7 +26,7 @@
 	}
 	if err != nil {
 		server.stats.ReloadsFailed++
-		server.log.WithError(err).Error("configuration not taken over; the one in force stays")
+		server.log.WithError(err).Error("configuration reload failed, current configuration stays")
 		return
 	}
 	server.stats.Reloads++
@@ -35,7 +35,7 @@
 		"store":    e.config.Store,
 		"announce": e.config.Announce,
 		"classes":  e.config.Classes,
-	}).Info("addresses and settings taken over; other keys count from the next start")
+	}).Info("configuration reloaded, other keys apply from the next start")
 	server.agent.SetAddress(e.config.Agent)
 	server.store.SetAddress(e.config.Store)
 	server.announcer.SetAddress(e.config.Announce)
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -27,7 +27,7 @@
 // answerInvalid answers a wrong request.
 func (s *Server) answerInvalid(conn Connection, call uint32, err error) {
 	s.stats.Invalid++
-	s.warnings.Warn("request", "wrong request from a front end", err)
+	s.warnings.Warn("request", "invalid request from a front end", err)
 	conn.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
 }
 
@@ -67,7 +67,7 @@
 
 // fail answers a request with an error. Its run, if there is one, goes on to its end or next call.
 func (s *Server) fail(request *activeRequest) {
-	request.trace.reason = reasonGivenUp
+	request.trace.reason = reasonAbandoned
 	s.answer(request, Answer{Kind: Failed})
 	s.abandonCall(request)
 	if !request.running() {
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -130,18 +130,18 @@
 	if from == to {
 		return
 	}
-	s.recordChange(logrus.InfoLevel, StateChange{
-		Name: "cutoff of the fleet",
+	s.recordChange(thresholdLevel(&threshold), StateChange{
+		Name: "shedding threshold",
 		From: from,
 		To:   to,
 		Fields: logrus.Fields{
-			"place":     threshold.Priority,
-			"offered":   threshold.Offered,
-			"pace":      threshold.ServiceRate,
-			"again":     threshold.RetryRatio,
-			"members":   threshold.Members,
-			"stale":     threshold.Stale,
-			"oldest_ms": threshold.Oldest.Milliseconds(),
+			"rank":         threshold.Priority,
+			"offered":      threshold.Offered,
+			"service_rate": threshold.ServiceRate,
+			"retry_ratio":  threshold.RetryRatio,
+			"members":      threshold.Members,
+			"stale":        threshold.Stale,
+			"oldest_ms":    threshold.Oldest.Milliseconds(),
 		},
 	})
 	shedding.logged = threshold
@@ -156,11 +156,19 @@
 	case threshold.Full:
 		return "full"
 	case threshold.Priority > 0:
-		return "sinking"
+		return "decreasing"
 	}
 	return ""
 }
 
+// thresholdLevel is the log level of a change to a threshold: a fleet without spare capacity is to be looked at.
+func thresholdLevel(threshold *overload.Threshold) logrus.Level {
+	if threshold.Known && threshold.Full {
+		return logrus.WarnLevel
+	}
+	return logrus.InfoLevel
+}
+
 // sendPartials sends this server's part of the load of its zone to the members that add it up.
 func (s *Server) sendPartials(shedding *loadShedding, view *fleet.Snapshot) {
 	var load fleet.Load
--- a/internal/server/trace_test.go
+++ b/internal/server/trace_test.go
@@ -35,7 +35,7 @@
 	}
 	lines := func() (got []logrus.Fields) {
 		for _, e := range hook.AllEntries() {
-			if e.Message == "request" {
+			if e.Message == "request finished" {
 				got = append(got, e.Data)
 			}
 		}
@@ -51,34 +51,34 @@
 	server.completeRun(served, admission.OutcomeOK, nil)
 	server.cancel(served)
 	require.Equal(t, []logrus.Fields{{
-		"id":         "aa",
-		"class":      "licence-order",
-		"from":       0,
-		"end":        "served",
-		"after_ms":   int64(35),
-		"wait_ms":    int64(2000),
-		"cost_ms":    int64(0),
-		"once":       "aa",
-		"held_ms":    int64(5),
-		"run_ms":     int64(30),
-		"calls":      1,
-		"in_call_ms": int64(20),
-		"call":       "ok",
+		"request_id":        "aa",
+		"class":             "licence-order",
+		"client":            0,
+		"outcome":           "served",
+		"elapsed_ms":        int64(35),
+		"timeout_ms":        int64(2000),
+		"cost_hint_ms":      int64(0),
+		"idempotency_key":   "aa",
+		"queued_ms":         int64(5),
+		"run_ms":            int64(30),
+		"calls":             1,
+		"call_ms":           int64(20),
+		"last_call_outcome": "ok",
 	}}, lines())
 
 	rejected := submit(2, "bb", "preview")
 	server.reject(rejected, admission.Action{Reason: admission.ReasonMemory})
 	got := lines()
 	require.Len(t, got, 1)
-	require.Equal(t, "refused", got[0]["end"])
-	require.Equal(t, "memory full", got[0]["why"])
+	require.Equal(t, "rejected", got[0]["outcome"])
+	require.Equal(t, admission.ReasonMemory.String(), got[0]["reason"])
 
 	submit(3, "cc", "preview")
 	server.ReadEnded(conn, Disconnected)
 	runPosted()
 	got = lines()
 	require.Len(t, got, 1)
-	require.Equal(t, "gone", got[0]["end"])
+	require.Equal(t, "cancelled", got[0]["outcome"])
 
 	infoLog, _ := test.NewNullLogger()
 	require.False(t, debugEnabled(infoLog))
