--- a/internal/console/handler.go
+++ b/internal/console/handler.go
@@ -17,46 +17,62 @@
 
 // calls are the built-in ones, by their patterns.
 var calls = map[string]call{
-	"GET /ready": func(ctx context.Context, instance Instance) (reply, error) {
-		ready, err := instance.Ready(ctx)
-		if err == nil && !ready {
-			return reply{http.StatusServiceUnavailable, []byte("not ready\n")}, nil
-		}
-		return reply{http.StatusOK, []byte("ready\n")}, err
-	},
-	"GET /metrics": func(ctx context.Context, instance Instance) (reply, error) {
-		metrics, err := instance.AppendMetrics(ctx, nil)
-		return reply{http.StatusOK, metrics}, err
-	},
-	"POST /drain": func(ctx context.Context, instance Instance) (reply, error) {
-		return reply{http.StatusOK, []byte("deregistered, health checks fail from now on\n")}, instance.Deregister(ctx)
-	},
-	"POST /undrain": func(ctx context.Context, instance Instance) (reply, error) {
-		return reply{http.StatusOK, []byte("registered, health checks succeed while the server is healthy\n")}, instance.Reregister(ctx)
-	},
-}
-
-// newHandler returns the handler of all calls. Built-in ones may take that long.
+	"GET /ready":    ready,
+	"GET /metrics":  metrics,
+	"POST /drain":   deregister,
+	"POST /undrain": reregister,
+}
+
+func ready(ctx context.Context, instance Instance) (reply, error) {
+	ready, err := instance.Ready(ctx)
+	if err == nil && !ready {
+		return reply{http.StatusServiceUnavailable, []byte("not ready\n")}, nil
+	}
+	return reply{http.StatusOK, []byte("ready\n")}, err
+}
+
+func metrics(ctx context.Context, instance Instance) (reply, error) {
+	lines, err := instance.AppendMetrics(ctx, nil)
+	return reply{http.StatusOK, lines}, err
+}
+
+func deregister(ctx context.Context, instance Instance) (reply, error) {
+	return reply{http.StatusOK, []byte("deregistered, health checks fail from now on\n")}, instance.Deregister(ctx)
+}
+
+func reregister(ctx context.Context, instance Instance) (reply, error) {
+	return reply{http.StatusOK, []byte("registered, health checks succeed while the server is healthy\n")}, instance.Reregister(ctx)
+}
+
+// newHandler returns the handler of all calls. Built-in ones may take as long as timeout.
 func newHandler(instance Instance, timeout time.Duration, pages []Page) http.Handler {
 	mux := http.NewServeMux()
 	for pattern, do := range calls {
-		mux.HandleFunc(pattern, func(response http.ResponseWriter, request *http.Request) {
-			ctx, cancel := context.WithTimeout(request.Context(), timeout)
-			defer cancel()
-			result, err := do(ctx, instance)
-			if err != nil {
-				result = reply{http.StatusServiceUnavailable, []byte(err.Error() + "\n")}
-			}
-			response.Header().Set("Content-Type", "text/plain; charset=utf-8")
-			response.WriteHeader(result.status)
-			_, _ = response.Write(result.body) // a client that is gone needs no response
-		})
+		mux.HandleFunc(pattern, do.handler(instance, timeout))
 	}
 	for _, page := range pages {
-		mux.HandleFunc(page.Pattern, func(response http.ResponseWriter, _ *http.Request) {
-			response.Header().Set("Content-Type", page.Type)
-			_, _ = response.Write(page.Body()) // as above
-		})
+		mux.HandleFunc(page.Pattern, page.handle)
 	}
 	return mux
 }
+
+// handler returns the HTTP handler of a built-in call, which may take as long as timeout.
+func (c call) handler(instance Instance, timeout time.Duration) http.HandlerFunc {
+	return func(response http.ResponseWriter, request *http.Request) {
+		ctx, cancel := context.WithTimeout(request.Context(), timeout)
+		defer cancel()
+		result, err := c(ctx, instance)
+		if err != nil {
+			result = reply{http.StatusServiceUnavailable, []byte(err.Error() + "\n")}
+		}
+		response.Header().Set("Content-Type", "text/plain; charset=utf-8")
+		response.WriteHeader(result.status)
+		_, _ = response.Write(result.body) // a client that is gone needs no response
+	}
+}
+
+// handle responds with the page's body.
+func (p Page) handle(response http.ResponseWriter, _ *http.Request) {
+	response.Header().Set("Content-Type", p.Type)
+	_, _ = response.Write(p.Body()) // a client that is gone needs no response
+}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -25,7 +25,7 @@
 // heapLimitRatio is the part of the memory limit that the garbage collector is to keep the heap within.
 const heapLimitRatio = 0.7
 
-// process is an image server and what it runs with. The goroutine that calls Serve owns it.
+// process is an image server and what it runs with. The goroutine that calls run owns it.
 type process struct {
 	signals   *Signals
 	active    *config.Config // the configuration in use
@@ -48,24 +48,39 @@
 	for _, key := range conf.UnsupportedKeys {
 		log.WithField("key", key).Info("configuration key ignored, not supported by the protocols")
 	}
-	running := &process{
-		signals: signals, active: conf, path: path, log: log,
-		server: server.New(conf, log), extension: extension,
+	return newProcess(signals, conf, path, log, extension).run(front)
+}
+
+// newProcess returns a process whose server does not run yet.
+func newProcess(
+	signals *Signals, conf *config.Config, path string, log *logrus.Logger, extension Extension,
+) *process {
+	created := &process{
+		signals:   signals,
+		active:    conf,
+		path:      path,
+		log:       log,
+		server:    server.New(conf, log),
+		extension: extension,
 	}
-	extension.attach(running.server)
+	extension.attach(created.server)
+	return created
+}
 
+// run serves front until the server is drained, and returns the error that ended it, if one did.
+func (p *process) run(front server.Front) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	if err := running.startConsole(ctx); err != nil {
+	if err := p.startConsole(ctx); err != nil {
 		return err
 	}
 	serverDone := make(chan error, 1)
-	go func() { serverDone <- running.server.Run(ctx, front) }()
-	extensionDone := running.startExtension(ctx)
+	go func() { serverDone <- p.server.Run(ctx, front) }()
+	extensionDone := p.startExtension(ctx)
 
-	finished, err := running.handleSignals(serverDone)
+	finished, err := p.handleSignals(serverDone)
 	if !finished {
-		log.Warn("drain ended with connections open")
+		p.log.Warn("drain ended with connections open")
 		return nil
 	}
 	stop()
@@ -84,10 +99,11 @@
 
 // listen opens the socket for front ends, or takes over the one that was left open for this process.
 func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Front, error) {
+	maxConnections := conf.Limits.MaxFrontConnections()
 	if conf.InheritedFD != 0 {
-		return msgpackrpc.Inherit(conf.InheritedFD, conf.Limits.MaxFrontConnections(), log)
+		return msgpackrpc.Inherit(conf.InheritedFD, maxConnections, log)
 	}
-	return msgpackrpc.Listen(conf.Listen, conf.Limits.MaxFrontConnections(), log)
+	return msgpackrpc.Listen(conf.Listen, maxConnections, log)
 }
 
 // startConsole opens the console if it has an address, and serves it until ctx ends.
@@ -129,7 +145,7 @@
 // are open after the drain have used up their time.
 func (p *process) handleSignals(serverDone <-chan error) (finished bool, err error) {
 	drained := p.server.Ended()
-	var closeDeadline <-chan time.Time
+	var closeDeadline <-chan time.Time // nil until the drain is over
 	for {
 		select {
 		case sig := <-p.signals.control:
@@ -137,7 +153,8 @@
 		case <-p.signals.terminate:
 			p.server.Drain()
 		case <-drained:
-			drained, closeDeadline = nil, time.After(server.FinalWriteTimeout)
+			drained = nil
+			closeDeadline = time.After(server.FinalWriteTimeout)
 		case err := <-serverDone:
 			return true, err
 		case <-closeDeadline:
--- /dev/null
+++ b/internal/process/process_test.go
@@ -0,0 +1,200 @@
+package process
+
+import (
+	"context"
+	"errors"
+	"net"
+	"runtime"
+	"runtime/debug"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"falldeal/internal/config"
+	"falldeal/internal/logging"
+
+	"github.com/sirupsen/logrus"
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/require"
+)
+
+// SIGHUP takes over a good file and leaves everything as it is for a bad one, which is logged with the key at fault;
+// the next good one counts again. A file that lacks a key of the one in use is bad.
+func TestReload(t *testing.T) {
+	var reloads atomic.Int32
+	f := newFixture(t, Extension{Reload: func() { reloads.Add(1) }}, nil)
+	f.run(&endingFront{make(chan struct{})})
+	first := f.process.active
+
+	f.writeConfig(1)
+	f.signals.control <- syscall.SIGHUP
+	entry := f.waitForLog(reloadedMessage)
+	require.Equal(t, f.agents[1].Addr().String(), entry.Data["agent"])
+
+	f.writeConfig(0, `"Cpus": 6`, `"Cpus": -6`)
+	f.signals.control <- syscall.SIGHUP
+	entry = f.waitForLog(reloadFailedMessage)
+	require.Equal(t, logrus.ErrorLevel, entry.Level)
+	require.ErrorContains(t, entry.Data[logrus.ErrorKey].(error), "settings.FamilyInfo.Cpus")
+
+	f.writeConfig(0, `"stop_ms": 3200,`, "")
+	f.signals.control <- syscall.SIGHUP
+	entry = f.waitForLog(reloadFailedMessage)
+	require.ErrorContains(t, entry.Data[logrus.ErrorKey].(error), "stop_ms")
+
+	f.writeConfig(0)
+	f.signals.control <- syscall.SIGHUP
+	entry = f.waitForLog(reloadedMessage)
+	require.Equal(t, f.agents[0].Addr().String(), entry.Data["agent"])
+
+	f.terminate()
+	require.NoError(t, f.requireEnds())
+	require.EqualValues(t, 4, reloads.Load(), "the extension is asked each time")
+	require.NotSame(t, first, f.process.active)
+}
+
+// SIGUSR1 logs the counters, also while a drain waits for connections, and a second SIGTERM changes nothing then.
+func TestControlSignalsDuringDrain(t *testing.T) {
+	front := newFakeFront()
+	f := newFixture(t, Extension{}, func(conf *config.Config) {
+		conf.StopTimeout *= 10_000 // so that only the test ends the drain
+		conf.Settings.DrainGrace = 0
+	})
+	f.run(front)
+	receive(t, front.serving)
+	f.signals.control <- syscall.SIGUSR1
+	f.waitForLog(countersMessage)
+	f.terminate()
+	f.waitForLog("drain started")
+	f.terminate()
+	f.signals.control <- syscall.SIGUSR1
+	f.waitForLog(countersMessage)
+	close(front.released)
+	require.NoError(t, f.requireEnds())
+}
+
+// A drain that is over ends the process although connections are open, and that is logged.
+func TestConnectionsOpenAfterDrain(t *testing.T) {
+	front := newFakeFront()
+	f := newFixture(t, Extension{}, nil)
+	f.run(front)
+	receive(t, front.serving)
+	f.terminate()
+	require.NoError(t, f.requireEnds())
+	require.Equal(t, logrus.WarnLevel, f.waitForLog("drain ended with connections open").Level)
+	close(front.released)
+}
+
+// The extension runs until the server has ended. One that does not end then delays the process no longer than open
+// connections would.
+func TestExtensionEndsWithServer(t *testing.T) {
+	for _, ends := range []bool{true, false} {
+		started, stopped, release := make(chan struct{}), make(chan struct{}), make(chan struct{})
+		f := newFixture(t, Extension{Run: func(ctx context.Context) error {
+			close(started)
+			<-ctx.Done()
+			close(stopped)
+			if !ends {
+				<-release
+			}
+			return nil
+		}}, nil)
+		f.run(&endingFront{make(chan struct{})})
+		receive(t, started)
+		f.terminate()
+		require.NoError(t, f.requireEnds())
+		receive(t, stopped)
+		close(release)
+	}
+}
+
+// An extension that fails does not end the server.
+func TestExtensionFails(t *testing.T) {
+	f := newFixture(t, Extension{Run: func(context.Context) error { return errors.New("address in use") }}, nil)
+	f.run(&endingFront{make(chan struct{})})
+	entry := f.waitForLog("extension stopped, the server continues")
+	require.Equal(t, logrus.ErrorLevel, entry.Level)
+	require.EqualError(t, entry.Data[logrus.ErrorKey].(error), "address in use")
+	f.signals.control <- syscall.SIGUSR1
+	f.waitForLog(countersMessage)
+	f.terminate()
+	require.NoError(t, f.requireEnds())
+}
+
+// The console's metrics are those of the server and then those of the extension.
+func TestExtensionMetrics(t *testing.T) {
+	appendMetrics := func(b []byte) []byte { return append(b, "app.extra:1|g\n"...) }
+	f := newFixture(t, Extension{AppendMetrics: appendMetrics}, nil)
+	f.run(&endingFront{make(chan struct{})})
+	instance := instanceWithMetrics{f.process.server, appendMetrics}
+	metrics, err := instance.AppendMetrics(context.Background(), nil)
+	require.NoError(t, err)
+	require.Regexp(t, `(?s)^app\.calls.*app\.reconfig_failed:0\|c\napp\.extra:1\|g\n$`, string(metrics))
+	instance.appendMore = nil
+	metrics, err = instance.AppendMetrics(context.Background(), nil)
+	require.NoError(t, err)
+	require.NotContains(t, string(metrics), "extra")
+	f.terminate()
+	require.NoError(t, f.requireEnds())
+	instance.appendMore = appendMetrics
+	_, err = instance.AppendMetrics(context.Background(), nil)
+	require.Error(t, err, "the server has ended")
+}
+
+// A start without one of its sockets is an error that names the socket.
+func TestAddressInUse(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer taken.Close()
+	f := newFixture(t, Extension{}, func(conf *config.Config) { conf.Console = taken.Addr().String() })
+	f.run(&endingFront{make(chan struct{})})
+	err = f.requireEnds()
+	require.ErrorIs(t, err, syscall.EADDRINUSE)
+	require.ErrorContains(t, err, "console")
+
+	conf := *f.process.active
+	conf.Listen = taken.Addr().String()
+	log, _ := test.NewNullLogger()
+	_, err = listen(&conf, logging.NewLimiter(log))
+	require.ErrorIs(t, err, syscall.EADDRINUSE)
+}
+
+// A process that is given a listening socket serves that one, and not the address of its configuration.
+func TestInheritedSocket(t *testing.T) {
+	inherited, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer inherited.Close()
+	file, err := inherited.(*net.TCPListener).File()
+	require.NoError(t, err)
+	defer file.Close()
+	descriptor, err := syscall.Dup(int(file.Fd())) // listen closes it
+	require.NoError(t, err)
+	f := newFixture(t, Extension{}, func(conf *config.Config) { conf.InheritedFD = uintptr(descriptor) })
+	log, _ := test.NewNullLogger()
+	front, err := listen(f.process.active, logging.NewLimiter(log))
+	require.NoError(t, err)
+	require.Equal(t, inherited.Addr().String(), front.Addr().String())
+	require.NoError(t, front.Close())
+}
+
+// The Go runtime gets whole cores, one at least, and a heap that leaves room within the memory limit.
+func TestLimitResources(t *testing.T) {
+	cores, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
+	defer func() {
+		runtime.GOMAXPROCS(cores)
+		debug.SetMemoryLimit(memory)
+	}()
+	for _, test := range []struct {
+		limits config.Limits
+		cores  int
+		memory int64
+	}{
+		{config.Limits{Cores: 0.5, MemoryMB: 100}, 1, 70 << 20},
+		{config.Limits{Cores: 1, MemoryMB: 10}, 1, 7 << 20},
+		{config.Limits{Cores: 2.1, MemoryMB: 1000}, 3, 700 << 20},
+	} {
+		limitResources(&test.limits)
+		require.Equal(t, test.cores, runtime.GOMAXPROCS(0))
+		require.InDelta(t, test.memory, debug.SetMemoryLimit(-1), 1)
+	}
+}
