--- a/cmd/falldeal/main.go
+++ b/cmd/falldeal/main.go
@@ -69,7 +69,8 @@
 		return fmt.Errorf("want one command, got %d", flags.NArg())
 	}
 	command := flags.Arg(0)
-	if opts.operatorsPath != "" && (command == "serve" || command == "check") {
+	readsConfiguration := command == "serve" || command == "check"
+	if opts.operatorsPath != "" && readsConfiguration {
 		return execProgram(fleetProgram, args)
 	}
 	switch command {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -80,7 +80,9 @@
 }
 
 func (c *Config) checkTimes(root object) {
-	family, invariants, settings := root.object("FamilyInfo"), root.object("Invariants"), &c.Settings
+	family := root.object("FamilyInfo")
+	invariants := root.object("Invariants")
+	settings := &c.Settings
 	for _, duration := range []struct {
 		parent object
 		key    string
@@ -109,7 +111,8 @@
 		if i >= len(c.Settings.Classes) {
 			return // an earlier key of the list was at fault
 		}
-		name, settings := c.Classes[i], c.Settings.Classes[i]
+		name := c.Classes[i]
+		settings := c.Settings.Classes[i]
 		switch {
 		case name == "":
 			class.fail("Name", configcheck.ErrMissing)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -108,7 +108,8 @@
 	if !root.value.Exists("settings") {
 		root.fail("settings", configcheck.ErrMissing)
 	}
-	limits, settings := root.object("limits"), root.object("settings")
+	limits := root.object("limits")
+	settings := root.object("settings")
 	return &Config{
 		Name:        root.text("name"),
 		Listen:      root.text("listen"),
@@ -169,6 +170,7 @@
 			c.UnsupportedKeys = append(c.UnsupportedKeys, "settings.FamilyInfo."+feature.key)
 		}
 	}
-	settings.Halt, settings.Advert = admission.HaltOff, admission.AdvertOff
+	settings.Halt = admission.HaltOff
+	settings.Advert = admission.AdvertOff
 	settings.CacheTTL = min(settings.CacheTTL, 0)
 }
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -42,6 +42,7 @@
 	if err != nil || fd == 0 {
 		return configcheck.Errorf(envInherited, "%q is no descriptor", inherited)
 	}
-	c.InheritedFD, c.Handover = uintptr(fd), filepath.Join(os.TempDir(), handoverSocket)
+	c.InheritedFD = uintptr(fd)
+	c.Handover = filepath.Join(os.TempDir(), handoverSocket)
 	return nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -53,8 +53,10 @@
 }
 
 func readSettings(root object) admission.Settings {
-	family, invariants := root.object("FamilyInfo"), root.object("Invariants")
-	limits, mix := root.object("Limits"), root.object("ResultMix")
+	family := root.object("FamilyInfo")
+	invariants := root.object("Invariants")
+	limits := root.object("Limits")
+	mix := root.object("ResultMix")
 	settings := admission.Settings{
 		Cores:                 int(family.integer("Cpus")),
 		FleetSize:             int(root.integer("FleetSize")),
@@ -105,7 +107,8 @@
 func readClasses(root object, dependency admission.Dependency) (classes []admission.Class, ok bool) {
 	family := root.object("FamilyInfo")
 	list := root.objects("Lanes")
-	calls, degradedRatios := family.booleans("CallsByClass"), family.numbers("ClassSkipWorth")
+	calls := family.booleans("CallsByClass")
+	degradedRatios := family.numbers("ClassSkipWorth")
 	if len(list) == 0 {
 		root.failf("Lanes", "no classes")
 		return nil, false
@@ -124,7 +127,8 @@
 	}
 	for i, item := range list {
 		class := readClass(item)
-		class.CallsDependency = dependency != admission.DependencyNone && (len(calls) == 0 || calls[i])
+		callsByDefault := len(calls) == 0
+		class.CallsDependency = dependency != admission.DependencyNone && (callsByDefault || calls[i])
 		if len(degradedRatios) > 0 {
 			class.DegradedValueRatio = degradedRatios[i]
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,5 @@
-// Package handover joins the two processes of one image server while the newer one takes the place of the older one, over
-// a Unix socket. What they exchange keeps a request with an idempotency key from being run by both.
+// Package handover connects the two processes of one image server over a Unix socket while the successor replaces its
+// predecessor. What they exchange keeps a request with an idempotency key from being run by both.
 package handover
 
 import (
@@ -20,14 +20,14 @@
 // are called within the loop.
 type Loop struct {
 	Post          func(func())
-	OnPredecessor func(*Link) // the process before this one was joined; nil: there is none
-	OnSuccessor   func(*Link) // a process that is to follow this one has joined
+	OnPredecessor func(*Link) // the predecessor is connected; nil: there is none
+	OnSuccessor   func(*Link) // a successor has connected
 	OnMessage     func(*Link, Message)
 	OnEnd         func(*Link) // no more messages come from that process
 }
 
-// Run joins the older process, if one listens at path, and lets newer ones join there: at once where there is no older
-// process, and otherwise from the moment at which serving is closed. It returns once ctx ends and all messages are
+// Run connects to the predecessor, if one listens at path, and accepts successors there: at once where there is no
+// predecessor, and otherwise from the moment at which serving is closed. It returns once ctx ends and all messages are
 // written.
 func Run(ctx context.Context, path string, serving <-chan struct{}, loop Loop, log *logging.Limiter) error {
 	group, ctx := errgroup.WithContext(ctx)
@@ -70,7 +70,7 @@
 	return listener
 }
 
-// acceptSuccessors serves each newer process that joins, in group, until ctx ends.
+// acceptSuccessors serves each successor that connects, in group, until ctx ends.
 func acceptSuccessors(ctx context.Context, group *errgroup.Group, listener net.Listener, loop Loop, log *logging.Limiter) {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -19,13 +19,13 @@
 	lockRetryDelay = 5 * time.Millisecond
 )
 
-// join returns the connection to the older process that listens at path, or, where there is none, the listener that has
-// taken its place: the next process finds this one though it does not serve yet. Of two that start at the same time the
+// join returns the connection to the predecessor that listens at path, or, where there is none, the listener that
+// replaces it: the next process finds this one though it does not serve yet. Of two that start at the same time the
 // lock lets one look and take the place before the other looks. An error may come beside either.
 func join(path string) (predecessor net.Conn, listener net.Listener, err error) {
 	unlock := acquireLock(path + ".lock")
 	defer unlock()
-	// The end of this process does not cut the dial short: a process that ends would take the place of the older one.
+	// The end of this process does not cut the dial short: a process that ends would replace the predecessor.
 	predecessor, err = reconnect.Dial(context.Background(), "unix", path, dialTimeout)
 	if err == nil {
 		return predecessor, nil, nil
@@ -44,8 +44,8 @@
 	if err != nil {
 		return func() {} // listening there fails as well, and reports it
 	}
-	giveUpAt := time.Now().Add(lockTimeout)
-	for syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil && !time.Now().After(giveUpAt) {
+	deadline := time.Now().Add(lockTimeout)
+	for syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil && !time.Now().After(deadline) {
 		time.Sleep(lockRetryDelay)
 	}
 	return func() {
@@ -53,8 +53,8 @@
 	}
 }
 
-// listen takes the place at path of whatever listened there before, in one step: whoever dials meanwhile finds the one
-// or the other. The next process does the same, so the socket must not go with this one.
+// listen replaces whatever listened at path before, in one step: whoever dials meanwhile finds the one or the other. The
+// next process does the same, so the socket must not be removed with this one.
 func listen(path string) (net.Listener, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.Remove(own); err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/operators/trace.go
+++ b/internal/operators/trace.go
@@ -4,6 +4,7 @@
 
 // Bounds and defaults of the table [trace].
 const (
+	defaultSample  = 1.0
 	defaultTraceMB = 16
 	maxTraceMB     = 1024
 	bytesPerMB     = 1 << 20
@@ -31,7 +32,8 @@
 	if t.File == "" {
 		return nil, &configcheck.KeyError{Key: "trace.file", Err: configcheck.ErrMissing}
 	}
-	sample, megabytes := 1.0, defaultTraceMB
+	sample := defaultSample
+	megabytes := defaultTraceMB
 	if err := setBounded("trace.sample", t.Sample, 0, 1, &sample); err != nil {
 		return nil, err
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -167,7 +167,7 @@
 func (p *process) handleControl(sig os.Signal) {
 	switch sig {
 	case syscall.SIGUSR1:
-		p.server.PrintStats()
+		p.server.LogCounters()
 	case syscall.SIGHUP:
 		p.reload()
 	}
--- a/internal/server/configuration.go
+++ b/internal/server/configuration.go
@@ -8,12 +8,12 @@
 	"falldeal/internal/config"
 )
 
-// configuration is the configuration in force, and what requests look up in it. The loop owns it.
+// configuration is the current configuration, and what requests look up in it. The loop owns it.
 type configuration struct {
 	*config.Config                // replaced as a whole by a reload, never changed in place
 	classes        map[string]int // indices of the accepted classes, by name
 	tenants        map[string]int // indices of the tenants, by name
-	maxTimeout     time.Duration  // longest deadline of a class that was ever in force
+	maxTimeout     time.Duration  // longest deadline that a class has had
 }
 
 func newConfiguration(cfg *config.Config) configuration {
@@ -29,14 +29,14 @@
 // addClass accepts requests of the class with that index.
 func (c *configuration) addClass(index int) { c.classes[c.Classes[index]] = index }
 
-// removeClass has them answered as invalid, unless the class was added again.
+// removeClass has requests of the class with that index answered as invalid, unless the class was added again.
 func (c *configuration) removeClass(index int) {
 	if name := c.Classes[index]; c.Settings.Classes[index].Removed && c.classes[name] == index {
 		delete(c.classes, name)
 	}
 }
 
-// indexTenants takes over the tenants of the configuration. Front ends learn late of a new one: requests of a removed
+// indexTenants indexes the tenants of the configuration. Front ends learn late of a new one: requests of a removed
 // tenant count as those of the first.
 func (c *configuration) indexTenants() {
 	for name := range c.tenants {
@@ -54,7 +54,7 @@
 	}
 }
 
-// maxArrivalAge is how long ago a request may have arrived. It follows the longest deadline that was ever in force, as
+// maxArrivalAge is how long ago a request may have arrived. It follows the longest deadline that a class has had, as
 // front ends learn late of a new one.
 func (c *configuration) maxArrivalAge() time.Duration { return c.maxTimeout + arrivalSlack }
 
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -141,7 +141,7 @@
 			s.answer(request, Answer{Kind: s.finalAnswer(request)})
 		}
 	}
-	s.logStats()
+	s.logCounters()
 	for conn := range s.connections.states {
 		conn.Close()
 	}
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -38,7 +38,7 @@
 	return g.values
 }
 
-// record takes over a reading: values of the gauges of these names, of which some may be missing at the end.
+// record sets the reading: values of the gauges of these names, of which some may be missing at the end.
 func (g *gaugeReading) record(now time.Duration, names []string, values []float64) {
 	gauges := unknownGauges
 	for i, value := range values[:min(len(values), len(names))] {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -132,7 +132,7 @@
 	}},
 	{"SIGUSR1", func(_ *testing.T, server *Server) {
 		server.stats = stats.Counters{Requests: 7}
-		server.logStats()
+		server.logCounters()
 	}},
 	{"SIGUSR1 in a fleet", func(_ *testing.T, server *Server) {
 		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -12,7 +12,7 @@
 
 const (
 	claimTimeout       = 500 * time.Millisecond // for the predecessor to answer a claim
-	claimDeadlineSlack = 20 * time.Millisecond  // a claim is given up this long before its caller does
+	claimDeadlineSlack = 20 * time.Millisecond  // a claim expires this long before the client's deadline
 )
 
 // handoverState is what the loop knows of the other processes of this image server. The loop owns it.
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -53,8 +53,10 @@
 		if limit <= 0 || state == nil {
 			continue
 		}
-		if !ok || state.lastUsed+limit < at {
-			at, ok = state.lastUsed+limit, true
+		limitAt := state.lastUsed + limit
+		if !ok || limitAt < at {
+			at = limitAt
+			ok = true
 		}
 	}
 	return at, ok
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -9,7 +9,7 @@
 }
 
 // task is an event that is a function: of the links to other processes, which know nothing of this package, and of
-// callers that wait for a result (query).
+// goroutines that wait for a result (query).
 type task func()
 
 func (t task) handle(*Server) { t() }
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -11,16 +11,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Coordinated probes: the members of a fleet take turns to try a store that does not answer. Package overload decides
-// whose turn it is; here its allowance becomes what the controller's breaker lets through.
+// Coordinated probes: the members of a fleet take turns in probing a store that does not respond. Package overload
+// decides whose turn it is; here its allowance becomes what the controller's circuit breaker lets through.
 
-// probeInterval is how often the turns are looked at.
+// probeInterval is how often the allowance is updated.
 const probeInterval = 250 * time.Millisecond
 
 // storeProbes is the part of a fleet member that probes the store. The loop owns it.
 type storeProbes struct {
 	*overload.ProbeCoordinator
-	allowance overload.ProbeAllowance // in force at the controller
+	allowance overload.ProbeAllowance // as the controller knows it
 }
 
 // protectedCalls gives how many calls a window the breaker never drops.
@@ -31,7 +31,7 @@
 	overload.ProbeNone:      -1,
 }
 
-// EnableCoordinatedProbes has a store that does not answer tried by turns within the fleet. run is this process as the
+// EnableCoordinatedProbes has the members take turns in probing a store that does not respond. run is this process as the
 // fleet knows it. It is called after JoinFleet and before Run.
 func (s *Server) EnableCoordinatedProbes(run uint64, zone string) {
 	s.member.probes = &storeProbes{ProbeCoordinator: overload.NewProbeCoordinator(run, zone)}
@@ -52,7 +52,7 @@
 	}
 }
 
-// tickProbes looks whose turn it is now, and each interval from now on.
+// tickProbes updates the allowance now, and each interval from now on.
 func (s *Server) tickProbes() {
 	probes := s.probes()
 	if probes == nil {
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -10,11 +10,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Quota leasing: the limit on calls in flight at the store moves between the members of a fleet. Package overload
-// decides what is leased; here its result becomes the limit that the controller holds to.
+// Quota leasing: members of a fleet lease unused quota of calls in flight at the store to each other. Package overload
+// decides what is leased; here its result becomes the limit that the controller keeps to.
 
 const (
-	// quotaInterval is how often leases are looked at. A limit holds for two intervals ahead.
+	// quotaInterval is how often leases are updated. A limit is computed to hold for two intervals.
 	quotaInterval = 250 * time.Millisecond
 	// minCallLimit stands for no call at all, as the controller takes 0 for no limit.
 	minCallLimit = 0.001
@@ -29,10 +29,10 @@
 	limit            overload.Quota // on calls in flight, as the controller knows it
 }
 
-// known reports whether a limit is in force.
+// known reports whether the controller has been given a limit.
 func (q *quotaLeasing) known() bool { return q.limit >= 0 }
 
-// EnableQuotaLeasing has the server's quota at the store move within its fleet, where its settings give it one. self is
+// EnableQuotaLeasing has the server lease its quota at the store within its fleet, where its settings give it one. self is
 // this process as the fleet knows it, lease how long quota is leased for, and reservedFraction the part of the own
 // quota that never is. It is called after JoinFleet and before Run.
 func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedFraction float64) {
@@ -64,7 +64,7 @@
 	return s.member.quota
 }
 
-// tickQuota looks at the leases now, and each interval from now on.
+// tickQuota updates the leases now, and each interval from now on.
 func (s *Server) tickQuota() {
 	quota := s.quota()
 	if quota == nil {
@@ -125,7 +125,7 @@
 	return strconv.FormatFloat(limit.Calls(), 'g', 4, 64)
 }
 
-// limitCalls puts the limit on calls in flight in force: that of the settings, or of the leases, and 1 while this
+// limitCalls gives the controller its limit on calls in flight: that of the settings, or of the leases, and 1 while this
 // member probes a store for the others.
 func (s *Server) limitCalls() {
 	settings := s.config.Settings
@@ -143,7 +143,7 @@
 	}
 }
 
-// rebaseQuota takes over the quota of new settings.
+// rebaseQuota applies the quota of new settings.
 func (s *Server) rebaseQuota() {
 	if s.member == nil {
 		return
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Reload takes over the peers' addresses and the settings of a new configuration. err says why there is none, and then
-// everything stays as it is. Runs go on either way. It may be called from any goroutine.
+// Reload puts the peers' addresses and the settings of a new configuration into use. err says why there is none, and
+// then everything stays as it is. Runs go on either way. It may be called from any goroutine.
 func (s *Server) Reload(cfg *config.Config, err error) { s.inbox.put(&configurationLoaded{cfg, err}) }
 
 // configurationLoaded is a configuration that was read, or err.
@@ -41,11 +41,11 @@
 	server.announcer.SetAddress(e.config.Announce)
 }
 
-// applyConfig takes over new settings.
+// applyConfig puts new settings into use.
 func (s *Server) applyConfig(loaded *config.Config) error {
 	settings := loaded.Settings
 	if s.drain.started() {
-		// The drain began under the grace period in force, which may only become shorter.
+		// The drain began under the current grace period, which may only become shorter.
 		settings.DrainGrace = min(settings.DrainGrace, s.config.Settings.DrainGrace)
 	}
 	current := s.config.Settings.Classes
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -17,7 +17,7 @@
 	Tenant         string        // "" = none
 	Retry          bool          // marked as a retry by its sender
 	ArrivedAt      time.Duration // when it reached the machine, on the Unix clock
-	Timeout        time.Duration // how long its caller waits from then on; 0 = not given
+	Timeout        time.Duration // how long its client waits from then on; 0 = not given
 	Client         int           // number of the client
 	CostHint       time.Duration // expected work; 0 = not given
 	MemoryKB       float64       // expected memory
@@ -72,7 +72,7 @@
 const (
 	requestQueued   requestState = iota // the controller has yet to decide on it
 	requestClaiming                     // waits until the predecessor has answered the claim on its key
-	requestRunning                      // the agent was told to run it
+	requestRunning                      // the agent was sent the command to run it
 )
 
 func (s requestState) String() string {
@@ -107,7 +107,7 @@
 	trace         requestTrace
 }
 
-// running reports whether the agent was told to run the request.
+// running reports whether the agent was sent the command to run the request.
 func (r *activeRequest) running() bool { return r.state == requestRunning }
 
 // requestTable holds the active requests. The loop owns it.
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// reject answers a request that the controller turns away.
+// reject answers a request that the controller rejects.
 func (s *Server) reject(request *activeRequest, action admission.Action) {
 	request.trace.reason = action.Reason.String()
 	if action.Reason == admission.ReasonDependency {
@@ -109,7 +109,7 @@
 	s.removeRequest(request)
 }
 
-// enqueueDone tells the controller that a run, or the reuse of a result, has ended.
+// enqueueDone notifies the controller that a run, or the reuse of a result, has ended.
 func (s *Server) enqueueDone(request *activeRequest, outcome admission.Outcome) {
 	s.admission.enqueue(admission.Event{
 		Kind:    admission.EventDone,
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -125,10 +125,10 @@
 // answers may still have to be written, for which there is FinalWriteTimeout.
 func (s *Server) Ended() <-chan struct{} { return s.inbox.closed }
 
-// PrintStats logs the counters. It may be called from any goroutine.
-func (s *Server) PrintStats() { s.post(s.logStats) }
+// LogCounters logs the counters. It may be called from any goroutine.
+func (s *Server) LogCounters() { s.post(s.logCounters) }
 
-func (s *Server) logStats() {
+func (s *Server) logCounters() {
 	s.stats.AgentConnections = s.agent.ConnectionsOpened()
 	s.stats.StoreConnections = s.store.ConnectionsOpened()
 	s.stats.Log(s.log, stats.Gauges{
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -10,12 +10,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Load shedding by what the fleet as a whole has capacity for. Package overload finds the threshold from what members
-// publish; here requests are put to it, and its verdict goes to the controller with the request.
+// Load shedding by the capacity of the fleet as a whole. Package overload computes the threshold from what members
+// publish; here requests are classified by it, and the verdict goes to the controller with the request.
 
 const (
-	sheddingInterval = 500 * time.Millisecond // between two looks at the threshold of the fleet
-	ticksPerReport   = 2                      // of these, between two reports of attempts
+	sheddingInterval = 500 * time.Millisecond // between two updates of the threshold
+	ticksPerReport   = 2                      // updates of the threshold between two reports of attempts
 )
 
 // loadShedding is the part of a fleet member that sheds load. The loop owns it.
@@ -36,7 +36,7 @@
 	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
 }
 
-// EnableShedding has requests judged by what the fleet has capacity for. self is this process as the fleet knows it. It
+// EnableShedding has requests classified by the capacity of the fleet. self is this process as the fleet knows it. It
 // is called after JoinFleet and before Run.
 func (s *Server) EnableShedding(self overload.ProcessID) {
 	s.member.shedding = &loadShedding{
@@ -54,9 +54,8 @@
 	return s.member.shedding
 }
 
-// classifyForShedding adds to the event of a request what the fleet makes of it: its rank, its age where it is a retry,
-// and by how much its caller should stay away for longer if it is rejected. It goes by what was received before; nobody
-// is asked.
+// classifyForShedding adds to the event of a request its rank against the fleet's threshold, its age where it is a retry,
+// and the jitter of its Retry-After. It uses what was received before, and sends no message.
 func (s *Server) classifyForShedding(request *activeRequest, event *admission.Event) {
 	shedding := s.shedding()
 	if shedding == nil {
@@ -88,7 +87,7 @@
 	}
 }
 
-// tickShedding finds the threshold of the fleet now, and each interval from now on.
+// tickShedding computes the threshold of the fleet now, and each interval from now on.
 func (s *Server) tickShedding() {
 	shedding := s.shedding()
 	if shedding == nil {
@@ -147,8 +146,8 @@
 	shedding.logged = threshold
 }
 
-// thresholdState is the state of the fleet as operators see it: nothing is shed (""), the fleet is full, it recovers
-// from that, or it is not known.
+// thresholdState is the state of the fleet as operators see it: nothing is shed (""), the fleet is full, the threshold
+// decreases again, or the state of the fleet is not known.
 func thresholdState(threshold *overload.Threshold) string {
 	switch {
 	case !threshold.Known:
