--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"falldeal/admission"
 	"falldeal/internal/fleet"
 
 	"github.com/stretchr/testify/require"
@@ -122,7 +123,7 @@
 func (s *probeSimulation) callLimit(member int) int {
 	switch s.allowances[member] {
 	case ProbeUnlimited:
-		if s.coordinators[member].State() == StoreFailing {
+		if s.coordinators[member].State() == StoreUnresponsive {
 			return 1 // about what the member's breaker lets through
 		}
 		return 4
@@ -162,7 +163,7 @@
 	for member, load := range s.received[observer] {
 		liveness := fleet.Alive
 		if !s.alive[member] {
-			liveness = fleet.Silent
+			liveness = fleet.Unreachable
 		}
 		view.Members = append(view.Members, fleet.Member{
 			Record: &fleet.Record{
@@ -196,7 +197,7 @@
 	return members
 }
 
-func (s *probeSimulation) unhealthy() int { return s.count(StoreFailing) + s.count(StoreProbing) }
+func (s *probeSimulation) unhealthy() int { return s.count(StoreUnresponsive) + s.count(StoreProbing) }
 
 // A dead store has a handful of calls in flight, whatever the number of members; the member whose turn it is may die;
 // and when the store is back all members come to use it again, some at a time.
@@ -234,8 +235,8 @@
 	for name, misreport := range map[string]func(load *fleet.Load){
 		"recovering": func(load *fleet.Load) { load.StoreState = uint8(StoreRecovering) },
 		"probing":    func(load *fleet.Load) { load.StoreState = uint8(StoreProbing) },
-		"rounds":     func(load *fleet.Load) { load.StoreState, load.ProbeRound = uint8(StoreFailing), 1<<63 },
-		"failing":    func(load *fleet.Load) { load.StoreState = uint8(StoreFailing) },
+		"rounds":     func(load *fleet.Load) { load.StoreState, load.ProbeRound = uint8(StoreUnresponsive), 1<<63 },
+		"failing":    func(load *fleet.Load) { load.StoreState = uint8(StoreUnresponsive) },
 	} {
 		simulation := newProbeSimulation(members, 4)
 		simulation.misreport = func(member int, load *fleet.Load) {
@@ -282,13 +283,20 @@
 		{"later", published, 0, published},
 		{"the last in range", maxProbeRound - 1, 0, maxProbeRound - 1},
 		{"out of range", maxProbeRound, 0, own},
-		{"not timed out", 0, probeTurnTimeout, own},
-		{"timed out", 0, probeTurnTimeout + 1, own + 1},
+		{"not timed out", 0, probeRoundTimeout, own},
+		{"timed out", 0, probeRoundTimeout + 1, own + 1},
 	} {
-		coordinator := NewProbeCoordinator(1, "z")
-		coordinator.startRound(0, own)
+		round := probeRound{number: own}
 		member := fleet.Member{Record: &fleet.Record{Load: fleet.Load{ProbeRound: test.published}}}
-		coordinator.updateRound(test.elapsed, []*fleet.Member{&member})
-		require.Equal(t, test.want, coordinator.round, test.name)
+		round.update(test.elapsed, []*fleet.Member{&member})
+		require.Equal(t, test.want, round.number, test.name)
 	}
 }
+
+// While an allowance is in force the breaker protects just the calls that it stands for.
+func TestProtectedCallsOfAllowances(t *testing.T) {
+	require.InDelta(t, admission.BreakerProtectedCalls, ProbeUnlimited.ProtectedCalls(), 0)
+	require.InDelta(t, 0, ProbeCautious.ProtectedCalls(), 0, "the first failure counts")
+	require.InDelta(t, 1, ProbeSingle.ProtectedCalls(), 0)
+	require.Negative(t, ProbeNone.ProtectedCalls(), "no call is made")
+}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -98,10 +98,10 @@
 }
 
 // listen opens the socket for front ends, or takes over the one that was left open for this process.
-func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Front, error) {
+func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Listener, error) {
 	maxConnections := conf.Limits.MaxFrontConnections()
 	if conf.InheritedFD != 0 {
-		return msgpackrpc.Inherit(conf.InheritedFD, maxConnections, log)
+		return msgpackrpc.ListenInherited(conf.InheritedFD, maxConnections, log)
 	}
 	return msgpackrpc.Listen(conf.Listen, maxConnections, log)
 }
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -11,13 +11,13 @@
 // Stage five, calls: calls of runs go to the store, and the replies back to the runs.
 
 // handleCallRequest records the call that a run waits for; the controller decides on it.
-func (s *Server) handleCallRequest(notification agent.Notification) {
-	request := s.requests.byAttemptID[notification.RequestID]
+func (s *Server) handleCallRequest(call agent.CallRequest) {
+	request := s.requests.byAttemptID[call.RequestID]
 	if request == nil || !request.running() {
 		return
 	}
-	request.callBody = notification.Payload
-	request.callOffset = notification.Offset
+	request.callBody = call.Payload
+	request.callOffset = call.Offset
 	s.admission.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: request.id})
 }
 
@@ -46,8 +46,8 @@
 	store.OK:                admission.OutcomeOK,
 	store.Rejected:          admission.OutcomeRejected,
 	store.Failed:            admission.OutcomeFailed,
-	store.Late:              admission.OutcomeTimedOut,
-	store.Void:              admission.OutcomeNotStarted,
+	store.TimedOut:          admission.OutcomeTimedOut,
+	store.NotStarted:        admission.OutcomeNotStarted,
 	store.ConnectionRefused: admission.OutcomeUnreachable,
 	store.ConnectionBroken:  admission.OutcomeAborted,
 	store.Expired:           admission.OutcomeTimedOut,
@@ -55,7 +55,7 @@
 
 // handleCallEnded handles the end of a call. The run gets the body of a good reply; what becomes of a run whose call
 // went wrong is the controller's decision.
-func (s *Server) handleCallEnded(id string, reply store.Reply, body []byte) {
+func (s *Server) handleCallEnded(id string, reply store.Result, body []byte) {
 	s.recordCallResult(reply)
 	request := s.requests.byAttemptID[id]
 	if request == nil {
@@ -77,19 +77,19 @@
 	})
 }
 
-func (s *Server) countReply(reply store.Reply) {
+func (s *Server) countReply(reply store.Result) {
 	switch reply {
 	case store.OK:
 		s.stats.CallsOK++
 	case store.Rejected:
 		s.stats.CallsRejected++
-	case store.Late, store.Expired:
+	case store.TimedOut, store.Expired:
 		s.stats.CallsTimedOut++
 	case store.ConnectionRefused:
 		s.stats.CallsUnreachable++
 	case store.ConnectionBroken:
 		s.stats.CallsAborted++
-	case store.Failed, store.Void:
+	case store.Failed, store.NotStarted:
 		s.stats.CallsFailed++
 	}
 }
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -16,7 +16,7 @@
 	case admission.ActionHealth:
 		s.health.healthy = action.Healthy
 		s.health.cached = action.Cached
-		s.announcer.Set(action.Healthy)
+		s.announcer.SetAccepting(action.Healthy)
 	case admission.ActionIdleTimeout:
 		s.connections.idleTimer.timeout = action.Duration
 	case admission.ActionWake:
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -11,9 +11,6 @@
 
 // Stage four, execute: runs go to the agent, and its notifications come back.
 
-// launchCommand is the name by which the agent rejects a command to begin a run.
-const launchCommand = "launch"
-
 // agentCheckInterval is how often the link is checked while the agent has not sent its handshake.
 const agentCheckInterval = time.Second
 
@@ -49,20 +46,20 @@
 
 // handleAgentNotification handles a notification of the agent.
 func (s *Server) handleAgentNotification(notification agent.Notification) {
-	switch notification.Kind {
+	switch notification := notification.(type) {
 	case agent.Handshake:
 		s.handleHandshake(notification)
-	case agent.Gauges:
-		s.gauges.record(s.clock.now, s.config.Gauges, notification.Load)
-	case agent.DeepCheckDone:
-		s.completeDeepCheck(notification.Token, notification.Result == agent.Success)
+	case agent.GaugeSample:
+		s.gauges.record(s.clock.now, notification.Load)
+	case agent.DeepCheckOutcome:
+		s.completeDeepCheck(notification.Token, notification.Succeeded)
 	case agent.CallRequest:
 		s.handleCallRequest(notification)
-	case agent.Outcome:
+	case agent.RunOutcome:
 		s.handleOutcome(notification)
-	case agent.CommandRejected:
+	case agent.CommandRejection:
 		s.handleCommandRejected(notification)
-	case agent.Aside:
+	case agent.Remark:
 		// Nothing here depends on it.
 	}
 }
@@ -71,20 +68,20 @@
 // though nothing is sent on it yet.
 func (s *Server) checkAgentUntilUp() {
 	if !s.admission.started() {
-		s.agent.Check()
+		s.agent.CheckLiveness()
 		s.deadlines.Add(s.clock.now+agentCheckInterval, s.checkAgentUntilUp)
 	}
 }
 
 // handleHandshake starts the controller: the agent is up, and its age tells whether it is warm. A handshake on a later
 // link changes nothing, as agent and image server start and stop together.
-func (s *Server) handleHandshake(notification agent.Notification) {
+func (s *Server) handleHandshake(handshake agent.Handshake) {
 	if s.admission.started() {
 		return
 	}
 	settings := s.config.Settings
-	settings.WarmingUp = notification.Result == agent.Booting
-	startedAt := s.clock.now - notification.Elapsed
+	settings.WarmingUp = handshake.State == agent.Booting
+	startedAt := s.clock.now - handshake.Age
 	controller, err := admission.New(settings, s.config.Seed, startedAt)
 	if err != nil {
 		// The configuration was checked, so that check is incomplete. Without a controller nothing is served.
@@ -92,8 +89,8 @@
 		return
 	}
 	s.log.WithFields(logrus.Fields{
-		"state":  notification.Result,
-		"age_ms": notification.Elapsed.Milliseconds(),
+		"state":  handshake.State.String(),
+		"age_ms": handshake.Age.Milliseconds(),
 	}).Info("agent is up")
 	s.admission.controller = controller
 	s.openFrontsWhenReady()
@@ -122,14 +119,14 @@
 
 // handleCommandRejected ends a run that the agent would not begin. Other commands are rejected for runs that have
 // ended, whose outcome is on its way.
-func (s *Server) handleCommandRejected(notification agent.Notification) {
+func (s *Server) handleCommandRejected(rejection agent.CommandRejection) {
 	s.stats.CommandsRejected++
-	s.warnings.WarnFields("agent "+notification.Result, "agent rejected a command", nil, logrus.Fields{
-		"command":    notification.Result,
-		"request_id": notification.RequestID,
+	s.warnings.WarnFields("agent "+rejection.Command.String(), "agent rejected a command", nil, logrus.Fields{
+		"command":    rejection.Command.String(),
+		"request_id": rejection.RequestID,
 	})
-	request := s.requests.byAttemptID[notification.RequestID]
-	if request != nil && request.running() && notification.Result == launchCommand {
+	request := s.requests.byAttemptID[rejection.RequestID]
+	if request != nil && request.running() && rejection.Command == agent.CommandLaunch {
 		s.completeRun(request, admission.OutcomeNotStarted, nil)
 	}
 }
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"falldeal/admission"
 	"falldeal/internal/overload"
 	"falldeal/internal/store"
 
@@ -23,14 +22,6 @@
 	allowance overload.ProbeAllowance // as the controller knows it
 }
 
-// protectedCalls gives how many calls a window the breaker never drops.
-var protectedCalls = [...]float64{
-	overload.ProbeUnlimited: admission.BreakerProtectedCalls,
-	overload.ProbeCautious:  0,
-	overload.ProbeSingle:    1,
-	overload.ProbeNone:      -1,
-}
-
 // EnableCoordinatedProbes has the members take turns in probing a store that does not respond. run is this process as the
 // fleet knows it. It is called after JoinFleet and before Run.
 func (s *Server) EnableCoordinatedProbes(run uint64, zone string) {
@@ -46,8 +37,8 @@
 }
 
 // recordCallResult records how a call ended.
-func (s *Server) recordCallResult(reply store.Reply) {
-	if probes := s.probes(); probes != nil && reply != store.Void {
+func (s *Server) recordCallResult(reply store.Result) {
+	if probes := s.probes(); probes != nil && reply != store.NotStarted {
 		probes.CallEnded(reply == store.OK)
 	}
 }
@@ -64,7 +55,7 @@
 	allowance := probes.Tick(s.clock.now, storeHash, s.member.fleet.Snapshot(), now)
 	if s.admission.started() && allowance != probes.allowance {
 		probes.allowance = allowance
-		s.admission.controller.SetProtectedCalls(protectedCalls[allowance])
+		s.admission.controller.SetProtectedCalls(allowance.ProtectedCalls())
 		s.limitCalls()
 	}
 	if after := probes.State(); after != before {
@@ -81,7 +72,7 @@
 
 // storeStateLevel is the log level of a change to a state: a store that does not answer is to be looked at.
 func storeStateLevel(state overload.StoreState) logrus.Level {
-	if state == overload.StoreFailing {
+	if state == overload.StoreUnresponsive {
 		return logrus.WarnLevel
 	}
 	return logrus.InfoLevel
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -63,6 +63,7 @@
 	merged.Gauges = loaded.Gauges
 	merged.ReplacedStopTimeout = loaded.ReplacedStopTimeout
 	s.config.Config = &merged
+	s.agent.SetGauges(loaded.Gauges)
 	s.config.indexTenants()
 	s.rebaseQuota()
 	s.config.raiseMaxTimeout()
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -25,14 +25,14 @@
 	collector *overload.Collector
 	ages      *overload.AgeEstimator
 	ticks     int
-	logged    overload.Threshold // the last one that was logged
+	logged    overload.SheddingState // the last one that was logged
 }
 
 // fleetRanks gives the verdicts of package overload in the controller's terms.
 var fleetRanks = [...]admission.FleetRank{
 	overload.VerdictUnknown:        admission.RankUnknown,
-	overload.VerdictElsewhere:      admission.RankElsewhere,
-	overload.VerdictFull:           admission.RankFull,
+	overload.VerdictHasCapacity:    admission.RankElsewhere,
+	overload.VerdictFleetFull:      admission.RankFull,
 	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
 }
 
@@ -123,7 +123,7 @@
 }
 
 // logThreshold logs a threshold if its state has changed.
-func (s *Server) logThreshold(shedding *loadShedding, threshold overload.Threshold) {
+func (s *Server) logThreshold(shedding *loadShedding, threshold overload.SheddingState) {
 	from := thresholdState(&shedding.logged)
 	to := thresholdState(&threshold)
 	if from == to {
@@ -134,7 +134,7 @@
 		From: from,
 		To:   to,
 		Fields: logrus.Fields{
-			"rank":         threshold.Priority,
+			"rank":         threshold.Threshold,
 			"offered":      threshold.Offered,
 			"service_rate": threshold.ServiceRate,
 			"retry_ratio":  threshold.RetryRatio,
@@ -148,20 +148,20 @@
 
 // thresholdState is the state of the fleet as operators see it: nothing is shed (""), the fleet is full, the threshold
 // decreases again, or the state of the fleet is not known.
-func thresholdState(threshold *overload.Threshold) string {
+func thresholdState(threshold *overload.SheddingState) string {
 	switch {
 	case !threshold.Known:
 		return "unknown"
 	case threshold.Full:
 		return "full"
-	case threshold.Priority > 0:
+	case threshold.Threshold > 0:
 		return "decreasing"
 	}
 	return ""
 }
 
 // thresholdLevel is the log level of a change to a threshold: a fleet without spare capacity is to be looked at.
-func thresholdLevel(threshold *overload.Threshold) logrus.Level {
+func thresholdLevel(threshold *overload.SheddingState) logrus.Level {
 	if threshold.Known && threshold.Full {
 		return logrus.WarnLevel
 	}
@@ -217,6 +217,6 @@
 	load.Demand = string(demand.Append(nil))
 	load.Attempts = shedding.retries.AttemptRate()
 	load.RetryRatio = shedding.retries.RetryRatio()
-	load.Threshold = shedding.shedder.Threshold().Priority
+	load.Threshold = shedding.shedder.State().Threshold
 	load.Aggregate = shedding.collector.Published()
 }
