--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -22,66 +22,66 @@
 // the next good one counts again. A file that lacks a key of the one in use is bad.
 func TestReload(t *testing.T) {
 	var reloads atomic.Int32
-	f := newFixture(t, Extension{Reload: func() { reloads.Add(1) }}, nil)
-	f.run(&endingFront{make(chan struct{})})
-	first := f.process.active
-
-	f.writeConfig(1)
-	f.signals.control <- syscall.SIGHUP
-	entry := f.waitForLog(reloadedMessage)
-	require.Equal(t, f.agents[1].Addr().String(), entry.Data["agent"])
-
-	f.writeConfig(0, `"Cpus": 6`, `"Cpus": -6`)
-	f.signals.control <- syscall.SIGHUP
-	entry = f.waitForLog(reloadFailedMessage)
+	running := newFixture(t, Extension{Reload: func() { reloads.Add(1) }}, nil)
+	running.run(&endingFront{make(chan struct{})})
+	first := running.process.active
+
+	running.writeConfig(1)
+	running.signals.control <- syscall.SIGHUP
+	entry := running.waitForLog(reloadedMessage)
+	require.Equal(t, running.agents[1].Addr().String(), entry.Data["agent"])
+
+	running.writeConfig(0, `"Cpus": 6`, `"Cpus": -6`)
+	running.signals.control <- syscall.SIGHUP
+	entry = running.waitForLog(reloadFailedMessage)
 	require.Equal(t, logrus.ErrorLevel, entry.Level)
 	require.ErrorContains(t, entry.Data[logrus.ErrorKey].(error), "settings.FamilyInfo.Cpus")
 
-	f.writeConfig(0, `"stop_ms": 3200,`, "")
-	f.signals.control <- syscall.SIGHUP
-	entry = f.waitForLog(reloadFailedMessage)
+	running.writeConfig(0, `"stop_ms": 3200,`, "")
+	running.signals.control <- syscall.SIGHUP
+	entry = running.waitForLog(reloadFailedMessage)
 	require.ErrorContains(t, entry.Data[logrus.ErrorKey].(error), "stop_ms")
 
-	f.writeConfig(0)
-	f.signals.control <- syscall.SIGHUP
-	entry = f.waitForLog(reloadedMessage)
-	require.Equal(t, f.agents[0].Addr().String(), entry.Data["agent"])
+	running.writeConfig(0)
+	running.signals.control <- syscall.SIGHUP
+	entry = running.waitForLog(reloadedMessage)
+	require.Equal(t, running.agents[0].Addr().String(), entry.Data["agent"])
 
-	f.terminate()
-	require.NoError(t, f.requireEnds())
+	running.terminate()
+	require.NoError(t, running.requireEnds())
 	require.EqualValues(t, 4, reloads.Load(), "the extension is asked each time")
-	require.NotSame(t, first, f.process.active)
+	require.NotSame(t, first, running.process.active)
 }
 
 // SIGUSR1 logs the counters, also while a drain waits for connections, and a second SIGTERM changes nothing then.
 func TestControlSignalsDuringDrain(t *testing.T) {
 	front := newFakeFront()
-	f := newFixture(t, Extension{}, func(conf *config.Config) {
+	running := newFixture(t, Extension{}, func(conf *config.Config) {
 		conf.StopTimeout *= 10_000 // so that only the test ends the drain
 		conf.Settings.DrainGrace = 0
 	})
-	f.run(front)
+	running.run(front)
 	receive(t, front.serving)
-	f.signals.control <- syscall.SIGUSR1
-	f.waitForLog(countersMessage)
-	f.terminate()
-	f.waitForLog("drain started")
-	f.terminate()
-	f.signals.control <- syscall.SIGUSR1
-	f.waitForLog(countersMessage)
+	running.signals.control <- syscall.SIGUSR1
+	running.waitForLog(countersMessage)
+	running.terminate()
+	running.waitForLog("drain started")
+	running.terminate()
+	running.signals.control <- syscall.SIGUSR1
+	running.waitForLog(countersMessage)
 	close(front.released)
-	require.NoError(t, f.requireEnds())
+	require.NoError(t, running.requireEnds())
 }
 
 // A drain that is over ends the process although connections are open, and that is logged.
 func TestConnectionsOpenAfterDrain(t *testing.T) {
 	front := newFakeFront()
-	f := newFixture(t, Extension{}, nil)
-	f.run(front)
+	running := newFixture(t, Extension{}, nil)
+	running.run(front)
 	receive(t, front.serving)
-	f.terminate()
-	require.NoError(t, f.requireEnds())
-	require.Equal(t, logrus.WarnLevel, f.waitForLog("drain ended with connections open").Level)
+	running.terminate()
+	require.NoError(t, running.requireEnds())
+	require.Equal(t, logrus.WarnLevel, running.waitForLog("drain ended with connections open").Level)
 	close(front.released)
 }
 
@@ -90,7 +90,7 @@
 func TestExtensionEndsWithServer(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		started, stopped, release := make(chan struct{}), make(chan struct{}), make(chan struct{})
-		f := newFixture(t, Extension{Run: func(ctx context.Context) error {
+		running := newFixture(t, Extension{Run: func(ctx context.Context) error {
 			close(started)
 			<-ctx.Done()
 			close(stopped)
@@ -99,10 +99,10 @@
 			}
 			return nil
 		}}, nil)
-		f.run(&endingFront{make(chan struct{})})
+		running.run(&endingFront{make(chan struct{})})
 		receive(t, started)
-		f.terminate()
-		require.NoError(t, f.requireEnds())
+		running.terminate()
+		require.NoError(t, running.requireEnds())
 		receive(t, stopped)
 		close(release)
 	}
@@ -110,23 +110,23 @@
 
 // An extension that fails does not end the server.
 func TestExtensionFails(t *testing.T) {
-	f := newFixture(t, Extension{Run: func(context.Context) error { return errors.New("address in use") }}, nil)
-	f.run(&endingFront{make(chan struct{})})
-	entry := f.waitForLog("extension stopped, the server continues")
+	running := newFixture(t, Extension{Run: func(context.Context) error { return errors.New("address in use") }}, nil)
+	running.run(&endingFront{make(chan struct{})})
+	entry := running.waitForLog("extension stopped, the server continues")
 	require.Equal(t, logrus.ErrorLevel, entry.Level)
 	require.EqualError(t, entry.Data[logrus.ErrorKey].(error), "address in use")
-	f.signals.control <- syscall.SIGUSR1
-	f.waitForLog(countersMessage)
-	f.terminate()
-	require.NoError(t, f.requireEnds())
+	running.signals.control <- syscall.SIGUSR1
+	running.waitForLog(countersMessage)
+	running.terminate()
+	require.NoError(t, running.requireEnds())
 }
 
 // The console's metrics are those of the server and then those of the extension.
 func TestExtensionMetrics(t *testing.T) {
 	appendMetrics := func(b []byte) []byte { return append(b, "app.extra:1|g\n"...) }
-	f := newFixture(t, Extension{AppendMetrics: appendMetrics}, nil)
-	f.run(&endingFront{make(chan struct{})})
-	instance := instanceWithMetrics{f.process.server, appendMetrics}
+	running := newFixture(t, Extension{AppendMetrics: appendMetrics}, nil)
+	running.run(&endingFront{make(chan struct{})})
+	instance := instanceWithMetrics{running.process.server, appendMetrics}
 	metrics, err := instance.AppendMetrics(context.Background(), nil)
 	require.NoError(t, err)
 	require.Regexp(t, `(?s)^app\.calls.*app\.reconfig_failed:0\|c\napp\.extra:1\|g\n$`, string(metrics))
@@ -134,8 +134,8 @@
 	metrics, err = instance.AppendMetrics(context.Background(), nil)
 	require.NoError(t, err)
 	require.NotContains(t, string(metrics), "extra")
-	f.terminate()
-	require.NoError(t, f.requireEnds())
+	running.terminate()
+	require.NoError(t, running.requireEnds())
 	instance.appendMore = appendMetrics
 	_, err = instance.AppendMetrics(context.Background(), nil)
 	require.Error(t, err, "the server has ended")
@@ -146,13 +146,13 @@
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
-	f := newFixture(t, Extension{}, func(conf *config.Config) { conf.Console = taken.Addr().String() })
-	f.run(&endingFront{make(chan struct{})})
-	err = f.requireEnds()
+	running := newFixture(t, Extension{}, func(conf *config.Config) { conf.Console = taken.Addr().String() })
+	running.run(&endingFront{make(chan struct{})})
+	err = running.requireEnds()
 	require.ErrorIs(t, err, syscall.EADDRINUSE)
 	require.ErrorContains(t, err, "console")
 
-	conf := *f.process.active
+	conf := *running.process.active
 	conf.Listen = taken.Addr().String()
 	log, _ := test.NewNullLogger()
 	_, err = listen(&conf, logging.NewLimiter(log))
@@ -169,9 +169,9 @@
 	defer file.Close()
 	descriptor, err := syscall.Dup(int(file.Fd())) // listen closes it
 	require.NoError(t, err)
-	f := newFixture(t, Extension{}, func(conf *config.Config) { conf.InheritedFD = uintptr(descriptor) })
+	running := newFixture(t, Extension{}, func(conf *config.Config) { conf.InheritedFD = uintptr(descriptor) })
 	log, _ := test.NewNullLogger()
-	front, err := listen(f.process.active, logging.NewLimiter(log))
+	front, err := listen(running.process.active, logging.NewLimiter(log))
 	require.NoError(t, err)
 	require.Equal(t, inherited.Addr().String(), front.Addr().String())
 	require.NoError(t, front.Close())
