--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -152,7 +152,9 @@
 // prepare sets up a server that does not run yet.
 func (m *member) prepare(instance *server.Server, faults operators.FaultInjection) {
 	if m.tracer != nil {
-		instance.Trace(m.tracer.Change)
+		instance.OnStateChange(func(change server.StateChange) {
+			m.tracer.Change(change.Name, change.From, change.To, change.Fields)
+		})
 	}
 	if faults.Clock != 0 {
 		instance.SkewClock(faults.Clock)
@@ -176,7 +178,7 @@
 // stallPage returns the console's call that has the server's loop stand still for d, by stall, which reports whether it
 // does.
 func stallPage(d time.Duration, stall func() bool) console.Page {
-	return console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Do: func() []byte {
+	return console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Body: func() []byte {
 		if !stall() {
 			return []byte("the loop is behind already\n")
 		}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -1,18 +1,16 @@
 package config
 
 import (
-	"fmt"
-	"net"
-	"strconv"
 	"time"
 
 	"falldeal/admission"
+	"falldeal/internal/configcheck"
 )
 
 // Smallest limits that a server can work with.
 const (
-	minMemoryMB = 32
-	minSockets  = 64
+	minMemoryMB        = 32
+	minFileDescriptors = 64
 )
 
 // check reports values that no image server can run with. The controller accepts the rest.
@@ -34,52 +32,37 @@
 		limits.failf("cores", "%v, want more than 0", c.Limits.Cores)
 	case c.Limits.MemoryMB < minMemoryMB:
 		limits.failf("memory_mb", "%d, want at least %d", c.Limits.MemoryMB, minMemoryMB)
-	case c.Limits.Sockets < minSockets:
-		limits.failf("sockets", "%d, want at least %d", c.Limits.Sockets, minSockets)
+	case c.Limits.FileDescriptors < minFileDescriptors:
+		limits.failf("sockets", "%d, want at least %d", c.Limits.FileDescriptors, minFileDescriptors)
 	}
 }
 
 func (c *Config) checkAddresses(root object) {
 	if c.Name == "" {
-		root.fail("name", errMissing)
+		root.fail("name", configcheck.ErrMissing)
 	}
 	callsStore := c.Settings.Dependency != admission.DependencyNone
 	for _, address := range []struct {
-		key, value        string
-		required, listens bool
+		key, value string
+		required   bool
+		check      func(string) error
 	}{
-		{"listen", c.Listen, true, true},
-		{"agent", c.Agent, true, false},
-		{"store", c.Store, callsStore, false},
-		{"announce", c.Announce, true, false},
-		{"console", c.Console, false, true},
+		{"listen", c.Listen, true, configcheck.ListenAddress},
+		{"agent", c.Agent, true, configcheck.Address},
+		{"store", c.Store, callsStore, configcheck.Address},
+		{"announce", c.Announce, true, configcheck.Address},
+		{"console", c.Console, false, configcheck.ListenAddress},
 	} {
 		if address.value == "" {
 			if address.required {
-				root.fail(address.key, errMissing)
+				root.fail(address.key, configcheck.ErrMissing)
 			}
-		} else if err := checkAddress(address.value, address.listens); err != nil {
+		} else if err := address.check(address.value); err != nil {
 			root.fail(address.key, err)
 		}
 	}
 }
 
-// checkAddress accepts an IP address with a port: there is no name service to ask. Port 0, which picks a free one, makes
-// sense only where this process listens.
-func checkAddress(address string, listens bool) error {
-	host, port, err := net.SplitHostPort(address)
-	if err != nil {
-		return err
-	}
-	if net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is not an IP address", host)
-	}
-	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 && !listens {
-		return fmt.Errorf("%q is not a port", port)
-	}
-	return nil
-}
-
 func (c *Config) checkResources(family object) {
 	settings := &c.Settings
 	switch {
@@ -97,7 +80,9 @@
 }
 
 func (c *Config) checkTimes(root object) {
-	family, invariants, settings := root.object("FamilyInfo"), root.object("Invariants"), &c.Settings
+	family := root.object("FamilyInfo")
+	invariants := root.object("Invariants")
+	settings := &c.Settings
 	for _, duration := range []struct {
 		parent object
 		key    string
@@ -126,10 +111,11 @@
 		if i >= len(c.Settings.Classes) {
 			return // an earlier key of the list was at fault
 		}
-		name, settings := c.Classes[i], c.Settings.Classes[i]
+		name := c.Classes[i]
+		settings := c.Settings.Classes[i]
 		switch {
 		case name == "":
-			class.fail("Name", errMissing)
+			class.fail("Name", configcheck.ErrMissing)
 		case used[name]:
 			class.failf("Name", "%q is used twice", name)
 		case settings.LatencyObjective <= 0:
--- a/internal/operators/trace.go
+++ b/internal/operators/trace.go
@@ -1,7 +1,10 @@
 package operators
 
+import "falldeal/internal/configcheck"
+
 // Bounds and defaults of the table [trace].
 const (
+	defaultSample  = 1.0
 	defaultTraceMB = 16
 	maxTraceMB     = 1024
 	bytesPerMB     = 1 << 20
@@ -27,9 +30,10 @@
 		return nil, nil
 	}
 	if t.File == "" {
-		return nil, &KeyError{Key: "trace.file", Err: errMissing}
+		return nil, &configcheck.KeyError{Key: "trace.file", Err: configcheck.ErrMissing}
 	}
-	sample, megabytes := 1.0, defaultTraceMB
+	sample := defaultSample
+	megabytes := defaultTraceMB
 	if err := setBounded("trace.sample", t.Sample, 0, 1, &sample); err != nil {
 		return nil, err
 	}
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -23,7 +23,7 @@
 	OnMessage(handle func(message []byte))
 }
 
-// publishInterval is how often the status is published: a member that stands still is noticed by its absence.
+// publishInterval is how often the status is published: a stalled member is noticed by its absence.
 const publishInterval = time.Second
 
 // fleetMember is this server as a member of a fleet. Its fields are set before Run; the loop owns their state.
@@ -35,26 +35,42 @@
 	quota             *quotaLeasing // nil: off
 	shedding          *loadShedding // nil: off
 	probes            *storeProbes  // nil: off
-	onChange          func(what, from, to string, fields map[string]any)
+	onStateChange     func(StateChange)
 }
 
-// JoinFleet has the server publish its status to a fleet. It is called before Run, and so are Trace and the Enable
-// methods that follow it.
+// StateChange is the change of one thing in this server's part of its fleet from one state to another.
+type StateChange struct {
+	Name   string // of what has changed
+	From   string // "": the usual state
+	To     string // "": the usual state
+	Fields map[string]any
+}
+
+// JoinFleet has the server publish its status to a fleet. It is called before Run, and so are OnStateChange and the
+// Enable methods that follow it.
 func (s *Server) JoinFleet(f Fleet) {
-	s.member = &fleetMember{fleet: f, onChange: func(string, string, string, map[string]any) {}}
+	s.member = &fleetMember{fleet: f, onStateChange: func(StateChange) {}}
 	f.OnMessage(s.receiveMemberMessage)
 }
 
-// Trace has each change in the server's part of its fleet handed to onChange as well as logged, on the loop, with ""
-// for the usual state. onChange must not block. Trace is called after JoinFleet and before Run.
-func (s *Server) Trace(onChange func(what, from, to string, fields map[string]any)) {
-	s.member.onChange = onChange
+// OnStateChange has each StateChange handed to handle, on the loop, besides being logged. handle must not block. It is
+// called after JoinFleet and before Run.
+func (s *Server) OnStateChange(handle func(StateChange)) { s.member.onStateChange = handle }
+
+// recordChange logs a change of state and hands it to the handler of OnStateChange.
+func (s *Server) recordChange(level logrus.Level, change StateChange) {
+	s.member.onStateChange(change)
+	s.log.WithFields(change.Fields).
+		WithFields(logrus.Fields{"from": stateText(change.From), "to": stateText(change.To)}).
+		Log(level, change.Name+" changed")
 }
 
-// logChange logs and traces the change of something from one state to another; "" is the usual state.
-func (s *Server) logChange(level logrus.Level, what, from, to string, fields logrus.Fields) {
-	s.member.onChange(what, from, to, fields)
-	s.log.WithFields(fields).WithFields(logrus.Fields{"from": from, "to": to}).Log(level, what)
+// stateText is a state as it is logged, where the usual one has a name, too.
+func stateText(state string) string {
+	if state == "" {
+		return "normal"
+	}
+	return state
 }
 
 // findProcess returns the member that a message to a process goes to, or nil if that process is not known.
@@ -70,7 +86,7 @@
 func (s *Server) receiveMemberMessage(b []byte) {
 	message, err := s.member.parseMessage(b)
 	if err != nil {
-		s.warnings.Warn("direct", "a message of another member can't be read", err)
+		s.warnings.Warn("fleet message", "invalid message from a fleet member", err)
 	}
 	if message != nil {
 		s.inbox.offer(message)
@@ -112,26 +128,35 @@
 	}
 	status := fleet.Status{
 		State:    s.memberState(),
-		Replaced: s.handover.successor != nil || s.drain.started() && s.drain.replaced,
+		Replaced: s.replaced(),
 	}
 	s.addCurrentLoad(&status.Load)
 	status.Load.ShedRatio = s.takeShedRatio()
 	s.member.fleet.Publish(status)
 }
 
+// replaced reports whether a successor serves on: it has joined, or had when this process began to drain.
+func (s *Server) replaced() bool {
+	if s.handover.successor != nil {
+		return true
+	}
+	return s.drain.started() && s.drain.replaced
+}
+
 // takeShedRatio returns the part of the requests answered since the last status that were not served.
 func (s *Server) takeShedRatio() float64 {
 	var answers, unserved uint64
-	for _, a := range s.stats.Answers {
-		answers += a.Served + a.Rejected + a.Failed
-		unserved += a.Rejected + a.Failed
+	for _, counts := range s.stats.Responses {
+		answers += counts.Served + counts.Rejected + counts.Failed
+		unserved += counts.Rejected + counts.Failed
 	}
-	m := s.member
+	member := s.member
 	ratio := 0.0
-	if answers > m.publishedAnswers {
-		ratio = float64(unserved-m.publishedUnserved) / float64(answers-m.publishedAnswers)
+	if answers > member.publishedAnswers {
+		ratio = float64(unserved-member.publishedUnserved) / float64(answers-member.publishedAnswers)
 	}
-	m.publishedAnswers, m.publishedUnserved = answers, unserved
+	member.publishedAnswers = answers
+	member.publishedUnserved = unserved
 	return ratio
 }
 
@@ -181,5 +206,5 @@
 		"known":    view.Total.Known,
 		"reached":  view.Total.Reached(),
 		"silent":   view.Total.Count[fleet.Unreachable],
-	}).Info("fleet")
+	}).Info("fleet membership")
 }
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -10,19 +10,19 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Coordinated probes: the members of a fleet take turns to try a store that does not answer. Package overload decides
-// whose turn it is; here its allowance becomes what the controller's breaker lets through.
+// Coordinated probes: the members of a fleet take turns in probing a store that does not respond. Package overload
+// decides whose turn it is; here its allowance becomes what the controller's circuit breaker lets through.
 
-// probeInterval is how often the turns are looked at.
+// probeInterval is how often the allowance is updated.
 const probeInterval = 250 * time.Millisecond
 
 // storeProbes is the part of a fleet member that probes the store. The loop owns it.
 type storeProbes struct {
 	*overload.ProbeCoordinator
-	allowance overload.ProbeAllowance // in force at the controller
+	allowance overload.ProbeAllowance // as the controller knows it
 }
 
-// EnableCoordinatedProbes has a store that does not answer tried by turns within the fleet. run is this process as the
+// EnableCoordinatedProbes has the members take turns in probing a store that does not respond. run is this process as the
 // fleet knows it. It is called after JoinFleet and before Run.
 func (s *Server) EnableCoordinatedProbes(run uint64, zone string) {
 	s.member.probes = &storeProbes{ProbeCoordinator: overload.NewProbeCoordinator(run, zone)}
@@ -43,13 +43,14 @@
 	}
 }
 
-// tickProbes looks whose turn it is now, and each interval from now on.
+// tickProbes updates the allowance now, and each interval from now on.
 func (s *Server) tickProbes() {
 	probes := s.probes()
 	if probes == nil {
 		return
 	}
-	before, now := probes.State(), s.member.fleet.Now()
+	before := probes.State()
+	now := s.member.fleet.Now()
 	storeHash := uint32(xxhash.Sum64String(s.config.Store))
 	allowance := probes.Tick(s.clock.now, storeHash, s.member.fleet.Snapshot(), now)
 	if s.admission.started() && allowance != probes.allowance {
@@ -58,13 +59,25 @@
 		s.limitCalls()
 	}
 	if after := probes.State(); after != before {
-		s.logChange(logrus.InfoLevel, "store, as this member finds it", storeStateName(before), storeStateName(after),
-			logrus.Fields{"agree": probes.UnhealthyMembers()})
+		s.recordChange(storeStateLevel(after), StateChange{
+			Name:   "store state",
+			From:   storeStateName(before),
+			To:     storeStateName(after),
+			Fields: logrus.Fields{"unhealthy_members": probes.UnhealthyMembers()},
+		})
 		s.publishStatus()
 	}
 	s.deadlines.Add(s.clock.now+probeInterval, s.tickProbes)
 }
 
+// storeStateLevel is the log level of a change to a state: a store that does not answer is to be looked at.
+func storeStateLevel(state overload.StoreState) logrus.Level {
+	if state == overload.StoreUnresponsive {
+		return logrus.WarnLevel
+	}
+	return logrus.InfoLevel
+}
+
 // storeStateName is a state as changes are logged: the usual one has no name.
 func storeStateName(state overload.StoreState) string {
 	if state == overload.StoreHealthy {
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"falldeal/admission"
@@ -15,7 +17,7 @@
 	Tenant         string        // "" = none
 	Retry          bool          // marked as a retry by its sender
 	ArrivedAt      time.Duration // when it reached the machine, on the Unix clock
-	Timeout        time.Duration // how long its caller waits from then on; 0 = not given
+	Timeout        time.Duration // how long its client waits from then on; 0 = not given
 	Client         int           // number of the client
 	CostHint       time.Duration // expected work; 0 = not given
 	MemoryKB       float64       // expected memory
@@ -70,7 +72,7 @@
 const (
 	requestQueued   requestState = iota // the controller has yet to decide on it
 	requestClaiming                     // waits until the predecessor has answered the claim on its key
-	requestRunning                      // the agent was told to run it
+	requestRunning                      // the agent was sent the command to run it
 )
 
 func (s requestState) String() string {
@@ -105,7 +107,7 @@
 	trace         requestTrace
 }
 
-// running reports whether the agent was told to run the request.
+// running reports whether the agent was sent the command to run the request.
 func (r *activeRequest) running() bool { return r.state == requestRunning }
 
 // requestTable holds the active requests. The loop owns it.
@@ -125,18 +127,27 @@
 	return t.lastID
 }
 
-func (t *requestTable) add(r *activeRequest) {
-	t.byID[r.id] = r
-	t.byAttemptID[r.attempt.ID] = r
+func (t *requestTable) add(request *activeRequest) {
+	t.byID[request.id] = request
+	t.byAttemptID[request.attempt.ID] = request
 }
 
-func (t *requestTable) remove(r *activeRequest) {
-	delete(t.byID, r.id)
-	delete(t.byAttemptID, r.attempt.ID)
+func (t *requestTable) remove(request *activeRequest) {
+	delete(t.byID, request.id)
+	delete(t.byAttemptID, request.attempt.ID)
 }
 
-// contains reports whether r is still active.
-func (t *requestTable) contains(r *activeRequest) bool { return t.byID[r.id] == r }
+// contains reports whether a request is still active.
+func (t *requestTable) contains(request *activeRequest) bool { return t.byID[request.id] == request }
+
+// inOrder returns the active requests in order of arrival.
+func (t *requestTable) inOrder() []*activeRequest {
+	requests := make([]*activeRequest, 0, len(t.byID))
+	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
+		requests = append(requests, t.byID[id])
+	}
+	return requests
+}
 
 // size returns the number of active requests.
 func (t *requestTable) size() int { return len(t.byID) }
@@ -144,8 +155,8 @@
 // running returns the number of requests that the agent runs.
 func (t *requestTable) running() int {
 	running := 0
-	for _, r := range t.byID {
-		if r.running() {
+	for _, request := range t.byID {
+		if request.running() {
 			running++
 		}
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -64,9 +64,9 @@
 		handover:      newHandoverState(),
 	}
 	for _, name := range cfg.Classes {
-		server.stats.Name(name)
+		server.stats.Class(name)
 	}
-	server.idempotency.publish = server.handover.publish
+	server.idempotency.peers = &server.handover
 	server.clock.advance()
 	server.connectPeers(cfg)
 	return server
@@ -81,7 +81,7 @@
 		agent.Handler{OnNotification: s.handleAgentNotification, OnLost: s.handleRunsLost},
 		s.warnings)
 	loop := store.Loop{Post: s.post, Now: now, Deadlines: s.deadlines}
-	s.store = store.New(cfg.Store, cfg.Limits.StoreSockets(), cfg.Seed, loop, s.handleCallEnded, s.warnings)
+	s.store = store.New(cfg.Store, cfg.Limits.MaxStoreConnections(), cfg.Seed, loop, s.handleCallEnded, s.warnings)
 	s.announcer = announce.New(cfg.Announce, cfg.Name, s.warnings)
 }
 
@@ -128,11 +128,17 @@
 // answers may still have to be written, for which there is FinalWriteTimeout.
 func (s *Server) Ended() <-chan struct{} { return s.inbox.closed }
 
-// PrintStats logs the counters. It may be called from any goroutine.
-func (s *Server) PrintStats() { s.post(s.logStats) }
+// LogCounters logs the counters. It may be called from any goroutine.
+func (s *Server) LogCounters() { s.post(s.logCounters) }
 
-func (s *Server) logStats() {
-	s.stats.AgentLinks, s.stats.StoreLinks = s.agent.ConnectionsOpened(), s.store.ConnectionsOpened()
-	s.stats.Print(s.log, s.requests.size(), s.requests.running(), s.idempotency.size(), s.connections.size())
+func (s *Server) logCounters() {
+	s.stats.AgentConnections = s.agent.ConnectionsOpened()
+	s.stats.StoreConnections = s.store.ConnectionsOpened()
+	s.stats.Log(s.log, stats.Gauges{
+		ActiveRequests:  s.requests.size(),
+		RunningRequests: s.requests.running(),
+		IdempotencyKeys: s.idempotency.size(),
+		Connections:     s.connections.size(),
+	})
 	s.logFleet()
 }
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -10,12 +10,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Load shedding by what the fleet as a whole has capacity for. Package overload finds the threshold from what members
-// publish; here requests are put to it, and its verdict goes to the controller with the request.
+// Load shedding by the capacity of the fleet as a whole. Package overload computes the threshold from what members
+// publish; here requests are classified by it, and the verdict goes to the controller with the request.
 
 const (
-	sheddingInterval = 500 * time.Millisecond // between two looks at the threshold of the fleet
-	ticksPerReport   = 2                      // of these, between two reports of attempts
+	sheddingInterval = 500 * time.Millisecond // between two updates of the threshold
+	ticksPerReport   = 2                      // updates of the threshold between two reports of attempts
 )
 
 // loadShedding is the part of a fleet member that sheds load. The loop owns it.
@@ -36,7 +36,7 @@
 	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
 }
 
-// EnableShedding has requests judged by what the fleet has capacity for. self is this process as the fleet knows it. It
+// EnableShedding has requests classified by the capacity of the fleet. self is this process as the fleet knows it. It
 // is called after JoinFleet and before Run.
 func (s *Server) EnableShedding(self overload.ProcessID) {
 	s.member.shedding = &loadShedding{
@@ -54,9 +54,8 @@
 	return s.member.shedding
 }
 
-// classifyForShedding adds to the event of a request what the fleet makes of it: its rank, its age where it is a retry,
-// and by how much its caller should stay away for longer if it is rejected. It goes by what was received before; nobody
-// is asked.
+// classifyForShedding adds to the arrival of a request its rank against the fleet's threshold, its age where it is a retry,
+// and the jitter of its Retry-After. It uses what was received before, and sends no message.
 func (s *Server) classifyForShedding(request *activeRequest, arrival *admission.Arrival) {
 	shedding := s.shedding()
 	if shedding == nil {
@@ -66,7 +65,8 @@
 	requestFingerprint := fingerprint(attempt)
 	arrival.SinceFirstAttempt = shedding.ages.Age(s.clock.now, attempt.Class, attempt.Timeout)
 	retry := shedding.retries.Arrived(s.clock.now, requestFingerprint) || arrival.SinceFirstAttempt > 0
-	value, work := s.config.Settings.Classes[request.class].PriorityWeight, attempt.CostHint.Seconds()
+	value := s.config.Settings.Classes[request.class].PriorityWeight
+	work := attempt.CostHint.Seconds()
 	if s.config.Settings.WeightPerWork {
 		value *= work
 	}
@@ -74,24 +74,27 @@
 	arrival.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
 }
 
-func fingerprint(a *Attempt) uint64 {
-	return overload.Fingerprint(a.Class, a.Subject, a.IdempotencyKey, a.Client, a.Rank, a.CostHint.Seconds())
+// fingerprint identifies the request of an attempt, in every member alike.
+func fingerprint(attempt *Attempt) uint64 {
+	return overload.Fingerprint(attempt.Class, attempt.Subject, attempt.IdempotencyKey, attempt.Client,
+		attempt.Rank, attempt.CostHint.Seconds())
 }
 
 // recordRejection records a request that will be retried, here or elsewhere.
-func (s *Server) recordRejection(r *activeRequest, rejection admission.Rejection) {
+func (s *Server) recordRejection(request *activeRequest, rejection admission.Rejection) {
 	if shedding := s.shedding(); shedding != nil && !rejection.NoRetryElsewhere {
-		shedding.retries.Rejected(s.clock.now, fingerprint(&r.attempt))
+		shedding.retries.Rejected(s.clock.now, fingerprint(&request.attempt))
 	}
 }
 
-// tickShedding finds the threshold of the fleet now, and each interval from now on.
+// tickShedding computes the threshold of the fleet now, and each interval from now on.
 func (s *Server) tickShedding() {
 	shedding := s.shedding()
 	if shedding == nil {
 		return
 	}
-	now, view := s.member.fleet.Now(), s.member.fleet.Snapshot()
+	now := s.member.fleet.Now()
+	view := s.member.fleet.Snapshot()
 	threshold := shedding.shedder.Tick(s.clock.now, s.localLoad(shedding), view, now)
 	s.logThreshold(shedding, threshold)
 	s.sendPartials(shedding, view)
@@ -121,24 +124,30 @@
 
 // logThreshold logs a threshold if its state has changed.
 func (s *Server) logThreshold(shedding *loadShedding, threshold overload.SheddingState) {
-	from, to := thresholdState(&shedding.logged), thresholdState(&threshold)
+	from := thresholdState(&shedding.logged)
+	to := thresholdState(&threshold)
 	if from == to {
 		return
 	}
-	s.logChange(logrus.InfoLevel, "cutoff of the fleet", from, to, logrus.Fields{
-		"place":     threshold.Threshold,
-		"offered":   threshold.Offered,
-		"pace":      threshold.ServiceRate,
-		"again":     threshold.RetryRatio,
-		"members":   threshold.Members,
-		"stale":     threshold.Stale,
-		"oldest_ms": threshold.Oldest.Milliseconds(),
+	s.recordChange(thresholdLevel(&threshold), StateChange{
+		Name: "shedding threshold",
+		From: from,
+		To:   to,
+		Fields: logrus.Fields{
+			"rank":         threshold.Threshold,
+			"offered":      threshold.Offered,
+			"service_rate": threshold.ServiceRate,
+			"retry_ratio":  threshold.RetryRatio,
+			"members":      threshold.Members,
+			"stale":        threshold.Stale,
+			"oldest_ms":    threshold.Oldest.Milliseconds(),
+		},
 	})
 	shedding.logged = threshold
 }
 
-// thresholdState is the state of the fleet as operators see it: nothing is shed (""), the fleet is full, it recovers
-// from that, or it is not known.
+// thresholdState is the state of the fleet as operators see it: nothing is shed (""), the fleet is full, the threshold
+// decreases again, or the state of the fleet is not known.
 func thresholdState(threshold *overload.SheddingState) string {
 	switch {
 	case !threshold.Known:
@@ -146,11 +155,19 @@
 	case threshold.Full:
 		return "full"
 	case threshold.Threshold > 0:
-		return "sinking"
+		return "decreasing"
 	}
 	return ""
 }
 
+// thresholdLevel is the log level of a change to a threshold: a fleet without spare capacity is to be looked at.
+func thresholdLevel(threshold *overload.SheddingState) logrus.Level {
+	if threshold.Known && threshold.Full {
+		return logrus.WarnLevel
+	}
+	return logrus.InfoLevel
+}
+
 // sendPartials sends this server's part of the load of its zone to the members that add it up.
 func (s *Server) sendPartials(shedding *loadShedding, view *fleet.Snapshot) {
 	var load fleet.Load
@@ -198,7 +215,8 @@
 	}
 	demand := shedding.shedder.Demand()
 	load.Demand = string(demand.Append(nil))
-	load.Attempts, load.RetryRatio = shedding.retries.AttemptRate(), shedding.retries.RetryRatio()
+	load.Attempts = shedding.retries.AttemptRate()
+	load.RetryRatio = shedding.retries.RetryRatio()
 	load.Threshold = shedding.shedder.State().Threshold
 	load.Aggregate = shedding.collector.Published()
 }
