--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -165,3 +165,19 @@
 	require.Equal(t, "n1", name)
 	require.Equal(t, uint64(0x1a2b), run)
 }
+
+// Whatever a report names comes back as what the program calls it; a name of another version is left as it is.
+func TestNamesOfReports(t *testing.T) {
+	for liveness := Unconfirmed; liveness <= Left; liveness++ {
+		member := Member{Record: &Record{}, Liveness: liveness}
+		require.Equal(t, liveness.String(), ConditionName(member.reportedCondition()))
+	}
+	for state := Starting; state <= Stopped+1; state++ {
+		require.Equal(t, state.String(), ConditionName(state.reportName()))
+	}
+	for position := Alone; position <= Partitioned; position++ {
+		require.Equal(t, position.String(), PositionName(position.ReportName()))
+	}
+	require.Equal(t, "newer", ConditionName("newer"))
+	require.Equal(t, "newer", PositionName("newer"))
+}
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -69,8 +69,12 @@
 }
 
 // Change records that something went from one state to another; "" is the usual state. Fields become attributes of the
-// state that begins, or of the episode where it ends.
+// state that begins, or of the episode where it ends. Names are those of the server's log; in spans they are those of
+// spannames.go.
 func (t *Tracer) Change(what, from, to string, fields map[string]any) {
+	what = nameIn(episodeNames, what)
+	from = nameIn(stateNames, from)
+	to = nameIn(stateNames, to)
 	current := t.episodes[what]
 	if current == nil {
 		if to == "" {
@@ -135,7 +139,8 @@
 
 func attributes(fields map[string]any) []attribute.KeyValue {
 	var list []attribute.KeyValue
-	for key, field := range fields {
+	for name, field := range fields {
+		key := nameIn(attributeNames, name)
 		switch value := field.(type) {
 		case bool:
 			list = append(list, attribute.Bool(key, value))
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -73,6 +73,33 @@
 	require.Error(t, err)
 }
 
+// Spans keep the names that operators' tools know, whatever the log calls the same thing.
+func TestSpansKeepTheirNames(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "spans.jsonl")
+	tracer, err := New(Config{File: path, Sample: 1, Bytes: 1 << 20}, "n1", "1")
+	require.NoError(t, err)
+	fields := map[string]any{"rank": 7.5, "service_rate": 3.5, "retry_ratio": 0.25, "unhealthy_members": 2, "offered": 4.5}
+	tracer.Change("shedding threshold", "full", "decreasing", fields)
+	tracer.Change("store state", "", "unresponsive", nil)
+	tracer.Change("store state", "unresponsive", "probing", nil)
+	tracer.Change("store state", "probing", "recovering", nil)
+	tracer.Change("store quota", "", "2.5", nil)
+	require.NoError(t, tracer.Close(context.Background()))
+	attributesOf := map[string]map[string]any{}
+	for _, span := range readSpans(t, path) {
+		attributesOf[span.Name] = map[string]any{}
+		for _, attribute := range span.Attributes {
+			attributesOf[span.Name][attribute.Key] = attribute.Value.Value
+		}
+	}
+	require.Equal(t, map[string]any{"from": "full", "place": 7.5, "pace": 3.5, "again": 0.25, "agree": 2.0, "offered": 4.5},
+		attributesOf["cutoff of the fleet: sinking"])
+	require.Equal(t, map[string]any{"from": ""}, attributesOf["store, as this member finds it: trouble"])
+	require.Equal(t, map[string]any{"from": "trouble"}, attributesOf["store, as this member finds it: trying"])
+	require.Equal(t, map[string]any{"from": "trying"}, attributesOf["store, as this member finds it: back"])
+	require.Contains(t, attributesOf, "share of the store: 2.5")
+}
+
 func BenchmarkChange(b *testing.B) {
 	for name, sample := range map[string]float64{"sampled": 1, "not": 0} {
 		b.Run(name, func(b *testing.B) {
