--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -110,8 +110,8 @@
 	}
 	if m.operators.FaultInjection != nil {
 		m.log.WithFields(logrus.Fields{
-			"clock_ms": faults.Clock.Milliseconds(), "wedge_ms": faults.Wedge.Milliseconds(),
-		}).Warn("a drill is set up")
+			"clock_skew_ms": faults.Clock.Milliseconds(), "stall_ms": faults.Wedge.Milliseconds(),
+		}).Warn("fault injection enabled")
 	}
 	now := uint64(time.Now().Add(faults.Clock).UnixMilli())
 	m.run = runNumber(now, binary.BigEndian.Uint64(random[:]))
@@ -173,14 +173,14 @@
 	}
 }
 
-// stallPage returns the console's call that has the server's loop stand still for d, by stall, which reports whether it
+// stallPage returns the console's call that has the server's event loop stall for d, by stall, which reports whether it
 // does.
 func stallPage(d time.Duration, stall func() bool) console.Page {
 	return console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Do: func() []byte {
 		if !stall() {
-			return []byte("the loop is behind already\n")
+			return []byte("event loop already stalled\n")
 		}
-		return []byte("the loop stands still for " + d.String() + "\n")
+		return []byte("event loop stalled for " + d.String() + "\n")
 	}}
 }
 
@@ -191,7 +191,7 @@
 		if err == nil {
 			break
 		}
-		m.log.WithError(err).Debug("fleet: waits for its address")
+		m.log.WithError(err).Debug("fleet address still in use, retrying")
 		select {
 		case <-ctx.Done():
 			return nil
@@ -202,7 +202,7 @@
 }
 
 // errFleetRemoved reports an operators' file that has lost its fleet while the process is a member of one.
-var errFleetRemoved = errors.New("fleet: it is joined or left by a start only")
+var errFleetRemoved = errors.New("fleet: joining or leaving a fleet requires a restart")
 
 // reload puts seeds, keys and the digest of the configuration into use; other keys of the operators' file count from
 // the next start. A bad file is logged and changes nothing.
@@ -212,7 +212,7 @@
 		err = errFleetRemoved
 	}
 	if err != nil {
-		m.log.WithError(err).Error("operators' file not taken over; what was in force stays")
+		m.log.WithError(err).Error("operators' file rejected, keeping current settings")
 		return
 	}
 	digest, err := config.Digest(m.opts.configPath)
@@ -221,5 +221,5 @@
 	}
 	m.fleet.Reload(gossip.ReloadableConfig{Seeds: file.Fleet.Seeds, Keys: file.Fleet.Keys, Digest: digest})
 	m.log.WithFields(logrus.Fields{"seeds": len(file.Fleet.Seeds), "keys": len(file.Fleet.Keys)}).
-		Info("operators' file: seeds and keys taken over; other keys count from the next start")
+		Info("seeds and encryption keys reloaded, other settings require a restart")
 }
--- a/cmd/falldeal-fleet/members.go
+++ b/cmd/falldeal-fleet/members.go
@@ -14,7 +14,7 @@
 // printMembers prints a line for each member.
 func printMembers(out io.Writer, report *fleet.Report) error {
 	table := newTable(out)
-	fmt.Fprintln(table, "NAME\tZONE\tCONDITION\tSINCE\tTOLD\tAGE\tCORES\tBUSY\tIN HAND\tSHED\tVERSION\tCONFIG")
+	fmt.Fprintln(table, "NAME\tZONE\tCONDITION\tSINCE\tREPORTED\tAGE\tCORES\tBUSY\tIN FLIGHT\tSHED\tVERSION\tCONFIG")
 	for i := range report.Members {
 		printMember(table, &report.Members[i])
 	}
@@ -30,6 +30,6 @@
 		busy = fmt.Sprintf("%.0f%%", 100*member.Busy)
 	}
 	fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%d\t%.0f%%\t%s\t%.8s\n",
-		name, member.Zone, member.Condition, seconds(member.SinceMs), member.ReportedState, seconds(member.AgeMs),
-		member.Cores, busy, member.InFlight, 100*member.ShedRatio, member.Version, member.Config)
+		name, member.Zone, fleet.ConditionName(member.Condition), seconds(member.SinceMs),
+		fleet.ConditionName(member.ReportedState), seconds(member.AgeMs), member.Cores, busy, member.InFlight, 100*member.ShedRatio, member.Version, member.Config)
 }
--- a/cmd/falldeal-fleet/query.go
+++ b/cmd/falldeal-fleet/query.go
@@ -21,11 +21,11 @@
 
 const queryUsage = `Usage: falldeal fleet COMMAND --console ADDRESS [flags]
 
-Asks one instance, at its console, what it knows of its fleet.
+Prints one instance's view of its fleet, which it gets from the instance's console.
 
 Commands:
-  members   a line for each member
-  status    zones, sums and how this instance stands to the others
+  members   one line per member
+  status    connection to the fleet, load, stores and zones
 
 Flags:
 `
@@ -34,8 +34,8 @@
 func query(args []string, out io.Writer) error {
 	flags := pflag.NewFlagSet("falldeal fleet", pflag.ContinueOnError)
 	addr := flags.String("console", "", "address of the instance's console")
-	asJSON := flags.Bool("json", false, "print what the instance answered, as JSON")
-	check := flags.Bool("check", false, "status: fail unless everybody known is reached")
+	asJSON := flags.Bool("json", false, "print the report as JSON")
+	check := flags.Bool("check", false, "status: fail unless all known members are reached")
 	flags.Usage = func() { fmt.Fprint(out, queryUsage, flags.FlagUsages()) }
 	if err := flags.Parse(args); err != nil {
 		return err
@@ -66,7 +66,7 @@
 		err = printStatus(out, &report)
 	}
 	if err == nil && *check && report.Position != fleet.FullyConnected.ReportName() {
-		return fmt.Errorf("the fleet as seen by %s: %s", report.Self, report.Position)
+		return fmt.Errorf("fleet as seen by %s: %s", report.Self, fleet.PositionName(report.Position))
 	}
 	return err
 }
@@ -85,7 +85,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusNotFound {
-		return nil, fmt.Errorf("%s: this instance is in no fleet", addr)
+		return nil, fmt.Errorf("%s: instance is not a member of a fleet", addr)
 	}
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
--- a/cmd/falldeal-fleet/status.go
+++ b/cmd/falldeal-fleet/status.go
@@ -28,13 +28,13 @@
 	if report.LastReceivedMs >= 0 {
 		lastReceived = seconds(report.LastReceivedMs) + " ago"
 	}
-	fmt.Fprintf(out, "%s sees its fleet: %s; last word of another member: %s; words are due each %s, overdue after %s\n",
-		report.Self, report.Position, lastReceived, seconds(report.PeriodMs), seconds(report.FreshMs))
+	fmt.Fprintf(out, "fleet as seen by %s: %s; last update received: %s; updates published every %s, stale after %s\n",
+		report.Self, fleet.PositionName(report.Position), lastReceived, seconds(report.PeriodMs), seconds(report.FreshMs))
 }
 
 func printServing(out io.Writer, fresh *fleet.AggregateReport) {
-	fmt.Fprintf(out, "serving by fresh words: %d members, %g cores, %.1f of them in use, %d requests in hand; "+
-		"oldest word %s; %d left out as too old\n",
+	fmt.Fprintf(out, "serving: %d members, %g cores, %.1f of them in use, %d requests in flight; "+
+		"oldest update: %s; %d members left out as stale\n",
 		fresh.Members, fresh.Cores, fresh.Busy, fresh.InFlight, seconds(fresh.OldestMs), fresh.Stale)
 }
 
@@ -43,14 +43,14 @@
 	if fresh.ServiceRate <= 0 {
 		return
 	}
-	threshold := "nothing is cut: the fleet has room"
+	threshold := "fleet has capacity, no load is shed"
 	if fresh.MaxThreshold > 0 {
-		threshold = fmt.Sprintf("the fleet is full: cut below place %.1f to %.1f (%.3g to %.3g earned for a second of work)",
+		threshold = fmt.Sprintf("fleet is full, shedding below priority %.1f to %.1f (value %.3g to %.3g per second of work)",
 			fresh.MinThreshold, fresh.MaxThreshold,
 			overload.ValuePerSecondAt(fresh.MinThreshold), overload.ValuePerSecondAt(fresh.MaxThreshold))
 	}
-	fmt.Fprintf(out, "overload: %s; %.0f tries a second, %.2f repeats for each first one (budget %.2f); "+
-		"%.1f s of work can be done in a second\n",
+	fmt.Fprintf(out, "overload: %s; %.0f attempts per second, %.2f retries per first attempt (budget %.2f); "+
+		"service rate: %.1f seconds of work per second\n",
 		threshold, fresh.Attempts, fresh.RetryRatio, overload.RetryBudget, fresh.ServiceRate)
 }
 
@@ -59,11 +59,11 @@
 	if fresh.CallQuota <= 0 {
 		return
 	}
-	fmt.Fprintf(out, "calls: %.1f may be in hand in the mean, %.1f are, as far as it is told\n",
+	fmt.Fprintf(out, "calls to stores: quota %.1f, mean in flight %.1f\n",
 		fresh.CallQuota, fresh.MeanCalls)
 }
 
-// printStores prints a line for each zone and state of its store, but for stores that are well, with the members that
+// printStores prints a line for each zone and state of its store, but for healthy stores, with the members that
 // report it.
 func printStores(out io.Writer, members []fleet.MemberReport) {
 	reporters := map[string][]string{} // by zone and state
@@ -75,7 +75,7 @@
 		state := overload.StoreState(member.StoreState)
 		round := ""
 		if state == overload.StoreProbing {
-			round = fmt.Sprintf(", turn %d", member.ProbeRound)
+			round = fmt.Sprintf(", round %d", member.ProbeRound)
 		}
 		store := member.Zone + " " + state.String()
 		reporters[store] = append(reporters[store],
@@ -83,7 +83,7 @@
 	}
 	for _, store := range slices.Sorted(maps.Keys(reporters)) {
 		names := reporters[store]
-		fmt.Fprintf(out, "store, %s: %d members: %s\n",
+		fmt.Fprintf(out, "store of zone %s: reported by %d members: %s\n",
 			store, len(names), strings.Join(names[:min(len(names), maxStoreMembers)], ", "))
 	}
 }
@@ -91,11 +91,11 @@
 // printZones prints a line for each zone and one for all of them.
 func printZones(out io.Writer, report *fleet.Report) error {
 	table := newTable(out)
-	fmt.Fprintln(table, "REGION\tZONE\tKNOWN\tALIVE\tSUSPECT\tWEDGED\tCUT OFF\tDEAD\tLEFT\t")
+	fmt.Fprintln(table, "REGION\tZONE\tKNOWN\tALIVE\tSUSPECT\tSTALLED\tUNREACHABLE\tFAILED\tLEFT\t")
 	for _, zone := range append(report.Zones, report.Total) {
 		mark := ""
 		if zone.MostlyUnreachable {
-			mark = "half or more silent"
+			mark = "mostly unreachable"
 		}
 		if zone.Zone == "" {
 			zone.Region = "all"
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// ChangeKind is what has changed. Its text stands in the log.
+// ChangeKind is what has changed. Its text is the message of a log line.
 type ChangeKind string
 
 // Kinds of changes.
 const (
-	MemberJoined     ChangeKind = "joined"
-	MemberRestarted  ChangeKind = "restarted"
-	MemberForgotten  ChangeKind = "forgotten"
-	ConditionChanged ChangeKind = "condition"
-	VersionChanged   ChangeKind = "version"
-	ConfigChanged    ChangeKind = "config"
-	ZoneChanged      ChangeKind = "zone"
-	PositionChanged  ChangeKind = "position"
+	MemberJoined     ChangeKind = "member joined"
+	MemberRestarted  ChangeKind = "member restarted"
+	MemberForgotten  ChangeKind = "member removed from view"
+	ConditionChanged ChangeKind = "member condition changed"
+	VersionChanged   ChangeKind = "member version changed"
+	ConfigChanged    ChangeKind = "member configuration changed"
+	ZoneChanged      ChangeKind = "zone reachability changed"
+	PositionChanged  ChangeKind = "connection to fleet changed"
 )
 
 // Change is one difference between two snapshots, for the log.
@@ -101,7 +101,7 @@
 
 func describeReachability(unreachable bool) string {
 	if unreachable {
-		return "half or more silent"
+		return "mostly unreachable"
 	}
 	return "reached"
 }
--- a/internal/fleet/liveness.go
+++ b/internal/fleet/liveness.go
@@ -41,8 +41,8 @@
 )
 
 var livenessNames = [...]string{
-	Unconfirmed: "heard of", Alive: "alive", Suspect: "suspect", Stalled: "wedged",
-	Unreachable: "cut off", Failed: "dead", Left: "left",
+	Unconfirmed: "unconfirmed", Alive: "alive", Suspect: "suspect", Stalled: "stalled",
+	Unreachable: "unreachable", Failed: "failed", Left: "left",
 }
 
 func (l Liveness) String() string { return livenessNames[l] }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -29,7 +29,7 @@
 )
 
 var stateNames = [...]string{
-	Starting: "starting", Warming: "warming", Serving: "serving", Draining: "draining", Stopped: "gone",
+	Starting: "starting", Warming: "warming", Serving: "serving", Draining: "draining", Stopped: "stopped",
 }
 
 // acceptsRequests reports whether a member in the state accepts requests.
@@ -131,7 +131,7 @@
 func ParseProcess(process string) (name string, run uint64, err error) {
 	separator := len(process) - processSuffixLength
 	if separator < 1 || process[separator] != '/' {
-		return "", 0, fmt.Errorf("%.80q names no process of a fleet", process)
+		return "", 0, fmt.Errorf("%.80q is not a process of a fleet", process)
 	}
 	run, err = strconv.ParseUint(process[separator+1:], 16, 64)
 	return process[:separator], run, err
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -91,7 +91,8 @@
 )
 
 var positionNames = [...]string{
-	Alone: "alone", FullyConnected: "whole", PartiallyConnected: "torn", Partitioned: "cut off",
+	Alone: "alone", FullyConnected: "fully connected", PartiallyConnected: "partially connected",
+	Partitioned: "partitioned",
 }
 
 func (p Position) String() string { return positionNames[p] }
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -100,10 +100,10 @@
 	fresh := snapshot.Aggregate(now, MaxFreshAge(9))
 	fmt.Printf("fresh: %.0f cores at %d members\n", fresh.Capacity, fresh.Members)
 	// Output:
-	// position: torn
+	// position: partially connected
 	// z0 reached 3 of 3 unreachable: false
 	// z1 reached 3 of 3 unreachable: false
 	// z2 reached 0 of 3 unreachable: true
-	// n2 cut off reported serving 41s ago
+	// n2 unreachable reported serving 41s ago
 	// fresh: 36 cores at 6 members
 }
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -74,7 +74,9 @@
 	wireType protowire.Type
 }
 
-func (e *fieldError) Error() string { return fmt.Sprintf("field %d: type %d", e.number, e.wireType) }
+func (e *fieldError) Error() string {
+	return fmt.Sprintf("field %d: wrong type %d or too long", e.number, e.wireType)
+}
 
 func (r *Record) decodeText(number protowire.Number, value []byte) error {
 	text, _ := protowire.ConsumeBytes(value)
--- a/internal/fleet/update_fields.go
+++ b/internal/fleet/update_fields.go
@@ -117,9 +117,9 @@
 }
 
 var (
-	errUnknownKind = errors.New("not a kind of message that is known")
-	errTooLong     = errors.New("longer than a word of a member can be")
-	errNoName      = errors.New("field 1: a word without a name")
-	errNoRun       = errors.New("field 2: a word without a process")
-	errUnprintable = errors.New("a text that is not printable")
+	errUnknownKind = errors.New("unknown kind of message")
+	errTooLong     = errors.New("update too long")
+	errNoName      = errors.New("field 1: name missing")
+	errNoRun       = errors.New("field 2: process missing")
+	errUnprintable = errors.New("text not printable")
 )
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -87,13 +87,13 @@
 	}{
 		"serving":               {Reached, NoEvidence, Record{State: Serving}, "serving"},
 		"warming up":            {Reached, NoEvidence, Record{State: Warming}, "warming"},
-		"loop stalls":           {Reached, NoEvidence, Record{State: Serving, Stalled: 4 * time.Second}, "wedged"},
-		"process stopped":       {Lost, ConnectionAccepted, Record{State: Serving}, "wedged"},
-		"process killed":        {Lost, ConnectionRefused, Record{State: Serving}, "dead"},
-		"partitioned":           {Lost, Unanswered, Record{State: Serving}, "cut off"},
-		"lost, not dialed":      {Lost, NoEvidence, Record{State: Serving}, "cut off"},
+		"loop stalls":           {Reached, NoEvidence, Record{State: Serving, Stalled: 4 * time.Second}, "stalled"},
+		"process stopped":       {Lost, ConnectionAccepted, Record{State: Serving}, "stalled"},
+		"process killed":        {Lost, ConnectionRefused, Record{State: Serving}, "failed"},
+		"partitioned":           {Lost, Unanswered, Record{State: Serving}, "unreachable"},
+		"lost, not dialed":      {Lost, NoEvidence, Record{State: Serving}, "unreachable"},
 		"left":                  {Lost, ConnectionRefused, Record{State: Stopped}, "left"},
-		"known by records only": {NeverReached, NoEvidence, Record{State: Serving}, "heard of"},
+		"known by records only": {NeverReached, NoEvidence, Record{State: Serving}, "unconfirmed"},
 		"newer state":           {Reached, NoEvidence, Record{State: 77}, "state(77)"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -119,8 +119,8 @@
 }
 
 func (f *Fleet) leaveToRival(now time.Duration, rival *fleet.Record) {
-	f.log.WithFields(logrus.Fields{"name": rival.Name, "by": rival.Addr}).
-		Error("another process goes by this name and was started before; this one leaves the fleet and serves alone")
+	f.log.WithFields(logrus.Fields{"member": rival.Name, "address": rival.Addr}).
+		Error("member name in use by an earlier process, leaving fleet and serving alone")
 	f.publishSnapshot(now)
 	f.leave()
 }
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -35,7 +35,7 @@
 	record, age, err := fleet.ParseUpdate(b)
 	if err != nil {
 		d.fleet.Counters.Malformed.Add(1)
-		d.fleet.warn.Warn("fleet word", "a message of another member can't be read", err)
+		d.fleet.warn.Warn("gossip message", "malformed message from another member", err)
 		return
 	}
 	select {
--- a/internal/gossip/dialobserver.go
+++ b/internal/gossip/dialobserver.go
@@ -10,7 +10,7 @@
 )
 
 // errNoAnswer stands for the timeout of a connection that was accepted.
-var errNoAnswer = errors.New("connected, and nothing came back in time")
+var errNoAnswer = errors.New("no response in time after connecting")
 
 // dialObserver follows the dial of one address at a time, to find out why it fails: memberlist's error does not say.
 // Any goroutine may use it.
--- a/internal/gossip/direct.go
+++ b/internal/gossip/direct.go
@@ -41,7 +41,7 @@
 		case message := <-f.directMessages:
 			f.Counters.Direct.Add(1)
 			if err := f.memberlist.SendToAddress(message.to, message.payload); err != nil {
-				f.warn.Warn("fleet direct", "a message to a member was not sent", err)
+				f.warn.Warn("direct message", "message to member not sent", err)
 			}
 		}
 	}
--- a/internal/gossip/leave.go
+++ b/internal/gossip/leave.go
@@ -24,10 +24,10 @@
 	}
 	f.left = true
 	if err := f.memberlist.Leave(leaveTimeout); err != nil {
-		f.log.WithError(err).Debug("fleet: nobody heard the good-bye")
+		f.log.WithError(err).Debug("leaving not acknowledged by other members")
 	}
 	if err := f.memberlist.Shutdown(); err != nil {
-		f.log.WithError(err).Warn("fleet: sockets not closed")
+		f.log.WithError(err).Warn("gossip sockets not closed")
 	}
 }
 
@@ -46,7 +46,7 @@
 		}
 		sent++
 		if err := f.memberlist.SendToAddress(addressOf(member), update.Message()); err != nil {
-			f.log.WithError(err).Debug("fleet: good-bye not sent")
+			f.log.WithError(err).WithField("member", member.Name).Debug("last record not sent")
 		}
 	}
 }
--- a/internal/gossip/logwriter.go
+++ b/internal/gossip/logwriter.go
@@ -1,6 +1,9 @@
 package gossip
 
-import "strings"
+import (
+	"errors"
+	"strings"
+)
 
 // Levels in the log lines of memberlist.
 const (
@@ -20,15 +23,15 @@
 	level, text := parseLogLine(string(b))
 	if strings.Contains(text, "ecrypt") || strings.Contains(text, "label") {
 		w.fleet.Counters.ForeignPackets.Add(1)
-		w.fleet.warn.Warn("fleet stranger", text, nil)
+		w.fleet.warn.Warn("foreign packet", "gossip packet of another cluster or key dropped", errors.New(text))
 		return len(b), nil
 	}
 	w.count(level, text)
 	switch level {
 	case levelError, levelWarning:
-		w.fleet.warn.Warn("fleet "+text[:min(len(text), logKeyLength)], text, nil)
+		w.fleet.warn.Warn("gossip "+text[:min(len(text), logKeyLength)], "gossip library reported a fault", errors.New(text))
 	default:
-		w.fleet.log.Debug("fleet: " + text)
+		w.fleet.log.WithField("text", text).Debug("gossip library")
 	}
 	return len(b), nil
 }
--- a/internal/gossip/reload.go
+++ b/internal/gossip/reload.go
@@ -10,7 +10,7 @@
 )
 
 // errEncryptionFixed is the error of a reload that adds the first key or removes the last one.
-var errEncryptionFixed = errors.New("fleet.key_file: encryption is begun or ended by a start only")
+var errEncryptionFixed = errors.New("fleet.key_file: enabling or disabling encryption requires a restart")
 
 // ReloadableConfig is the part of the operators' file that a reload may change.
 type ReloadableConfig struct {
@@ -30,7 +30,7 @@
 		f.publishRecord()
 	}
 	if err := f.replaceKeys(change.Keys); err != nil {
-		f.log.WithError(err).Error("keys of the fleet not taken over; those in force stay")
+		f.log.WithError(err).Error("encryption keys of fleet not replaced, keeping current ones")
 	}
 }
 
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -44,17 +44,31 @@
 func (f *Fleet) logChanges(changes []fleet.Change, position fleet.Position) {
 	for i, change := range changes {
 		if i == maxChangeLines {
-			f.log.WithField("more", len(changes)-i).Info("fleet: further changes at the same time")
+			f.log.WithField("count", len(changes)-i).Info("further changes in fleet not logged")
 			return
 		}
-		entry := f.log.WithFields(logrus.Fields{
-			"what": string(change.Kind), "member": change.Member, "from": change.From, "to": change.To,
-			"age_ms": change.Age.Milliseconds(), "position": position.String(),
-		})
-		if change.Kind == fleet.PositionChanged {
-			entry.Warn("fleet")
-		} else {
-			entry.Info("fleet")
-		}
+		f.log.WithFields(changeFields(&change, position)).Log(changeLevel(&change), string(change.Kind))
+	}
+}
+
+// changeFields returns the fields of the log line of a change.
+func changeFields(change *fleet.Change, position fleet.Position) logrus.Fields {
+	fields := logrus.Fields{"from": change.From, "to": change.To, "position": position.String()}
+	switch change.Kind {
+	case fleet.PositionChanged:
+	case fleet.ZoneChanged:
+		fields["zone"] = change.Member
+	default:
+		fields["member"] = change.Member
+		fields["age_ms"] = change.Age.Milliseconds()
+	}
+	return fields
+}
+
+// changeLevel is a warning where this member is no longer connected to the whole fleet.
+func changeLevel(change *fleet.Change) logrus.Level {
+	if change.Kind == fleet.PositionChanged && change.To != fleet.FullyConnected.String() {
+		return logrus.WarnLevel
 	}
+	return logrus.InfoLevel
 }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -41,7 +41,7 @@
 		f.publishRecord()
 	}
 	if status.Replaced && !f.left {
-		f.log.Info("fleet: a newer process takes this one's place")
+		f.log.Info("successor process took over, leaving fleet")
 		f.leave()
 	}
 }
--- a/internal/overload/shedding_test.go
+++ b/internal/overload/shedding_test.go
@@ -179,8 +179,8 @@
 func TestVerdictString(t *testing.T) {
 	for verdict, want := range map[Verdict]string{
 		VerdictUnknown:            "unknown",
-		VerdictHasCapacity:        "elsewhere",
-		VerdictFleetFull:          "full",
+		VerdictHasCapacity:        "has capacity",
+		VerdictFleetFull:          "fleet full",
 		VerdictBelowThreshold:     "below threshold",
 		VerdictBelowThreshold + 1: "unknown",
 	} {
--- a/internal/overload/shedding_wire.go
+++ b/internal/overload/shedding_wire.go
@@ -24,7 +24,7 @@
 	maxAggregateAge = time.Hour
 )
 
-var errInvalidAggregate = errors.New("no sum of a zone")
+var errInvalidAggregate = errors.New("invalid zone aggregate")
 
 // IsSheddingMessage reports whether a message between members is one of load shedding: a report of attempts, or a
 // partial aggregate.
--- a/internal/overload/store_state.go
+++ b/internal/overload/store_state.go
@@ -13,7 +13,7 @@
 	StoreRecovering                     // calls succeed again
 )
 
-var storeStateNames = [...]string{"fine", "trouble", "trying", "back"}
+var storeStateNames = [...]string{"healthy", "unresponsive", "probing", "recovering"}
 
 func (s StoreState) String() string { return storeStateNames[min(int(s), len(storeStateNames)-1)] }
 
--- a/internal/overload/verdict.go
+++ b/internal/overload/verdict.go
@@ -11,7 +11,7 @@
 	VerdictBelowThreshold                // the request is below the threshold: no member runs it while cores are short
 )
 
-var verdictNames = [...]string{"unknown", "elsewhere", "full", "below threshold"}
+var verdictNames = [...]string{"unknown", "has capacity", "fleet full", "below threshold"}
 
 func (v Verdict) String() string {
 	if int(v) >= len(verdictNames) {
--- a/internal/overload/wire.go
+++ b/internal/overload/wire.go
@@ -21,7 +21,7 @@
 	fieldAmount
 )
 
-var errInvalidMessage = errors.New("no message of the lease exchange")
+var errInvalidMessage = errors.New("invalid message of quota leasing")
 
 // AppendMessage appends a message to b as the fields of a protobuf message. A negative amount is encoded as 0.
 func AppendMessage(b []byte, message Message) []byte {
--- a/lab/schedule/scenarios_test.go
+++ b/lab/schedule/scenarios_test.go
@@ -149,8 +149,8 @@
 func testWedgedLoop(t *testing.T) {
 	cluster := startCluster(t, 5)
 	cluster.Members[2].Wedge()
-	cluster.requireCondition(t, 0, "n2", "wedged")
-	cluster.requireCondition(t, 2, "n2", "wedged")
+	cluster.requireCondition(t, 0, "n2", "stalled")
+	cluster.requireCondition(t, 2, "n2", "stalled")
 }
 
 func testDifferentKeys(t *testing.T) {
