--- a/internal/permit/acquire.go
+++ b/internal/permit/acquire.go
@@ -82,7 +82,7 @@
 func (s *State) checkNames(names []string, instances map[string]Instance) error {
 	for _, name := range names {
 		if permit, ok := s.permits[name]; ok {
-			return &InstanceError{Name: name, Err: fmt.Errorf("%w, for %s", ErrAlreadyPermitted, permit.Owner)}
+			return &InstanceError{Name: name, Err: fmt.Errorf("%w, held by %s", ErrAlreadyPermitted, permit.Owner)}
 		}
 		if _, ok := instances[name]; !ok {
 			return &InstanceError{Name: name, Err: ErrUnknownInstance}
--- a/internal/permit/command.go
+++ b/internal/permit/command.go
@@ -29,14 +29,14 @@
 )
 
 var commandKindNames = [...]string{
-	Acquire:   "ask",
-	Departed:  "went",
-	Recovered: "seen",
-	Release:   "return",
+	Acquire:   "acquire",
+	Departed:  "departed",
+	Recovered: "recovered",
+	Release:   "release",
 	WriteOff:  "write off",
 	Halt:      "halt",
 	Resume:    "resume",
-	SetRules:  "rules",
+	SetRules:  "set rules",
 }
 
 func (k CommandKind) String() string {
--- a/internal/permit/errors.go
+++ b/internal/permit/errors.go
@@ -7,24 +7,24 @@
 
 // Denials of a command as a whole.
 var (
-	ErrHalted         = errors.New("halted")
-	ErrHaltedSince    = errors.New("a halt came between") // after the proposer read State.Halts
-	ErrNoLimits       = errors.New("there are no limits yet")
-	ErrBatchSize      = errors.New("too many, or none") // instances named, permitted or lost
-	ErrNotOneInstance = errors.New("names one instance")
-	ErrNotHolder      = errors.New("that permit is another's")
-	ErrReasonRequired = errors.New("a permit is written off for a reason only")
-	ErrUnknownCommand = errors.New("not a command that is known")
+	ErrHalted         = errors.New("grants are halted")
+	ErrHaltedSince    = errors.New("grants were halted since the request was prepared") // after the proposer read State.Halts
+	ErrNoLimits       = errors.New("no limits are set")
+	ErrBatchSize      = errors.New("too many names, or none") // instances named, permitted or lost
+	ErrNotOneInstance = errors.New("exactly one instance must be named")
+	ErrNotHolder      = errors.New("not the holder of this permit")
+	ErrReasonRequired = errors.New("writing off a permit requires a reason")
+	ErrUnknownCommand = errors.New("unknown command")
 )
 
 // Denials that concern one instance. They come wrapped in an InstanceError.
 var (
-	ErrUnknownInstance    = errors.New("is nobody's name")
-	ErrAlreadyPermitted   = errors.New("is out already")
+	ErrUnknownInstance    = errors.New("unknown instance")
+	ErrAlreadyPermitted   = errors.New("already has a permit")
 	ErrNoPermit           = errors.New("has no permit")
-	ErrDeparted           = errors.New("has begun to go")
-	ErrNotDeparted        = errors.New("has not gone yet")
-	ErrEarlierIncarnation = errors.New("was an earlier process then")
+	ErrDeparted           = errors.New("has departed")
+	ErrNotDeparted        = errors.New("has not departed yet")
+	ErrEarlierIncarnation = errors.New("report of an earlier process")
 )
 
 // InstanceError is a denial because of one instance.
@@ -33,7 +33,7 @@
 	Err  error
 }
 
-func (e *InstanceError) Error() string { return e.Name + " " + e.Err.Error() }
+func (e *InstanceError) Error() string { return e.Name + ": " + e.Err.Error() }
 
 func (e *InstanceError) Unwrap() error { return e.Err }
 
@@ -48,9 +48,9 @@
 
 func (e *LimitError) Error() string {
 	if e.Allowed == 0 {
-		return fmt.Sprintf("limits[%d]: of %d in %s none may ever go", e.Index, e.Instances, e.Domain)
+		return fmt.Sprintf("limits[%d]: no instance of %d in %s may be unavailable", e.Index, e.Instances, e.Domain)
 	}
-	return fmt.Sprintf("limits[%d]: %d of %d in %s would be out or lost, and %d may be",
+	return fmt.Sprintf("limits[%d]: %d of %d instances in %s would be unavailable, allowed: %d",
 		e.Index, e.Unavailable, e.Instances, e.Domain, e.Allowed)
 }
 
@@ -62,14 +62,14 @@
 
 func (e *LoadError) Error() string {
 	const percent = 100
-	return fmt.Sprintf("load: %.1f is asked for, and %.1f less %.0f%% would be left", e.Load, e.Remaining, percent*e.Margin)
+	return fmt.Sprintf("load: %.1f exceeds remaining capacity %.1f less a margin of %.0f%%", e.Load, e.Remaining, percent*e.Margin)
 }
 
 // StaleRulesError is a denial of rules whose version is not above the one in force.
 type StaleRulesError struct{ Version, Current uint64 }
 
 func (e *StaleRulesError) Error() string {
-	return fmt.Sprintf("rules %d are not newer than %d", e.Version, e.Current)
+	return fmt.Sprintf("rules version %d is not above current version %d", e.Version, e.Current)
 }
 
 // KeyError names the key of the operators' rules that is at fault.
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -34,7 +34,7 @@
 		return keyErrorf("margin", "%v is not between 0 and 1", r.Margin)
 	}
 	if len(r.Limits) == 0 {
-		return keyErrorf("limits", "none")
+		return keyErrorf("limits", "missing")
 	}
 	for i := range r.Limits {
 		if err := r.Limits[i].check(fmt.Sprintf("limits[%d]", i)); err != nil {
@@ -52,7 +52,7 @@
 		return keyErrorf(key+".each", "%q is neither zone nor region", l.Per)
 	}
 	if l.MaxUnavailable < 0 || (l.MaxUnavailable > 0) == (l.MaxUnavailableRatio > 0) {
-		return keyErrorf(key, "wants one of out and share")
+		return keyErrorf(key, "set exactly one of out and share")
 	}
 	if !(l.MaxUnavailableRatio >= 0 && l.MaxUnavailableRatio <= 1) {
 		return keyErrorf(key+".share", "%v is not between 0 and 1", l.MaxUnavailableRatio)
--- a/internal/release/criteria.go
+++ b/internal/release/criteria.go
@@ -13,19 +13,19 @@
 // check returns an error for criteria that bound nothing.
 func (c *Criteria) check() error {
 	for _, rate := range []struct {
-		key   string
+		field string
 		value float64
 	}{
-		{"wrong", c.FalseHaltRate},
-		{"sure", c.FalsePassRate},
-		{"counts", c.MinEffect},
+		{"FalseHaltRate", c.FalseHaltRate},
+		{"FalsePassRate", c.FalsePassRate},
+		{"MinEffect", c.MinEffect},
 	} {
 		if !(rate.value > 0 && rate.value < 1) {
-			return fmt.Errorf("%s: %v is not between 0 and 1", rate.key, rate.value)
+			return fmt.Errorf("%s: %v is not between 0 and 1", rate.field, rate.value)
 		}
 	}
 	if c.MinRequests < 1 {
-		return fmt.Errorf("least: %d", c.MinRequests)
+		return fmt.Errorf("MinRequests: %d is below 1", c.MinRequests)
 	}
 	return nil
 }
--- a/internal/release/example_test.go
+++ b/internal/release/example_test.go
@@ -30,5 +30,5 @@
 		}
 	}
 	// Output:
-	// bad in preview after round 2
+	// rejected in preview after round 2
 }
--- a/internal/release/judge.go
+++ b/internal/release/judge.go
@@ -14,8 +14,8 @@
 
 // Errors of Judge.Observe.
 var (
-	ErrInvalidBlock  = errors.New("counts more wrong than there were")
-	ErrTooManyGroups = fmt.Errorf("more than %d groups", maxGroups)
+	ErrInvalidBlock  = errors.New("more bad requests than requests")
+	ErrTooManyGroups = fmt.Errorf("limit of %d groups reached", maxGroups)
 )
 
 // Group is a part of the traffic that is compared separately: a new version may be bad in one class only. Metric is what
@@ -43,7 +43,7 @@
 	Rejected                    // it is worse
 )
 
-func (v Verdict) String() string { return [...]string{"can't tell", "good", "bad"}[v] }
+func (v Verdict) String() string { return [...]string{"inconclusive", "passed", "rejected"}[v] }
 
 // Judge compares two versions block by block with e-processes: products of e-variables for two binomials (Turner, Ly and
 // Grünwald, 2021). The chance that one ever exceeds 1/a under the hypothesis that it speaks against is at most a, however
@@ -68,7 +68,7 @@
 // Observe adds a block. It returns an error that wraps ErrInvalidBlock or ErrTooManyGroups where it changed nothing.
 func (j *Judge) Observe(group Group, block Block) error {
 	if !block.valid() {
-		return fmt.Errorf("%v: %+v %w", group, block, ErrInvalidBlock)
+		return fmt.Errorf("group %+v, block %+v: %w", group, block, ErrInvalidBlock)
 	}
 	observed, err := j.evidenceOf(group)
 	if err != nil {
@@ -84,7 +84,7 @@
 		return known, nil
 	}
 	if len(j.groups) >= maxGroups {
-		return nil, fmt.Errorf("%v: %w", group, ErrTooManyGroups)
+		return nil, fmt.Errorf("group %+v: %w", group, ErrTooManyGroups)
 	}
 	added := &evidence{}
 	j.groups[group] = added
