--- a/cmd/falldeal-fleet/main.go
+++ b/cmd/falldeal-fleet/main.go
@@ -40,10 +40,10 @@
 	flags := pflag.NewFlagSet("falldeal", pflag.ContinueOnError)
 	flags.StringVar(&opts.configPath, "config", "", "configuration file (default: the variable GW_CONFIG)")
 	flags.StringVar(&opts.operatorsPath, "operators", "", "operators' file")
-	level := flags.String("log-level", "info", "least level that is logged: debug, info, warning, error")
+	level := flags.String("log-level", "info", "minimum level of log lines: debug, info, warning, error")
 	err := flags.Parse(args)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("command line: %w", err)
 	}
 	if opts.logLevel, err = logrus.ParseLevel(*level); err != nil {
 		return nil, fmt.Errorf("flag --log-level: %w", err)
--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -48,7 +48,7 @@
 	}
 	file, err := operators.Load(opts.operatorsPath)
 	if err != nil {
-		return nil, err
+		return nil, err //nolint:wrapcheck // it names the file
 	}
 	log := logrus.New()
 	log.SetLevel(opts.logLevel)
@@ -102,11 +102,11 @@
 func (m *member) createFleet(faults operators.FaultInjection) error {
 	digest, err := config.Digest(m.opts.configPath)
 	if err != nil {
-		return err
+		return fmt.Errorf("digest of the configuration: %w", err)
 	}
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return err
+		return fmt.Errorf("drawing the number of the process: %w", err)
 	}
 	if m.operators.FaultInjection != nil {
 		m.log.WithFields(logrus.Fields{
@@ -124,7 +124,7 @@
 		Listen: table.Listen, Seeds: table.Seeds, Keys: table.Keys, Digest: digest, Size: table.Size,
 		Limits: table.Limits, ProbeInterval: table.ProbeInterval, Seed: m.config.Seed, Incarnation: now,
 	}, m.log)
-	return err
+	return err //nolint:wrapcheck // it names the key of the operators' file
 }
 
 // runNumber returns a number that grows with the time of a start, in milliseconds, and tells starts at the same time
@@ -198,7 +198,7 @@
 		case <-time.After(bindRetryInterval):
 		}
 	}
-	return m.fleet.Run(ctx)
+	return m.fleet.Run(ctx) //nolint:wrapcheck // it says that it is the fleet's
 }
 
 // errFleetRemoved reports an operators' file that has lost its fleet while the process is a member of one.
--- a/cmd/falldeal-fleet/members.go
+++ b/cmd/falldeal-fleet/members.go
@@ -11,6 +11,14 @@
 // newTable returns a writer of columns, which are two spaces apart.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
+// flush prints the rows of a table.
+func flush(table *tabwriter.Writer) error {
+	if err := table.Flush(); err != nil {
+		return fmt.Errorf("printing a table: %w", err)
+	}
+	return nil
+}
+
 // printMembers prints a line for each member.
 func printMembers(out io.Writer, report *fleet.Report) error {
 	table := newTable(out)
@@ -18,7 +26,7 @@
 	for i := range report.Members {
 		printMember(table, &report.Members[i])
 	}
-	return table.Flush()
+	return flush(table)
 }
 
 func printMember(table io.Writer, member *fleet.MemberReport) {
--- a/cmd/falldeal-fleet/query.go
+++ b/cmd/falldeal-fleet/query.go
@@ -30,45 +30,79 @@
 Flags:
 `
 
-// query carries out `fleet`: it prints the report of one instance about its fleet.
-func query(args []string, out io.Writer) error {
+// Commands of a query.
+const (
+	commandMembers = "members"
+	commandStatus  = "status"
+)
+
+// queryOptions is the command line of a query.
+type queryOptions struct {
+	command string // commandMembers or commandStatus
+	addr    string // of a console
+	json    bool   // print the report as it was received
+	check   bool   // fail unless all known members are reached
+}
+
+// parseQuery reads the command line of a query. It prints the usage where the command is missing or not known.
+func parseQuery(args []string, out io.Writer) (*queryOptions, error) {
+	var opts queryOptions
 	flags := pflag.NewFlagSet("falldeal fleet", pflag.ContinueOnError)
-	addr := flags.String("console", "", "address of the instance's console")
-	asJSON := flags.Bool("json", false, "print the report as JSON")
-	check := flags.Bool("check", false, "status: fail unless all known members are reached")
+	flags.StringVar(&opts.addr, "console", "", "address of the instance's console")
+	flags.BoolVar(&opts.json, "json", false, "print the report as JSON")
+	flags.BoolVar(&opts.check, "check", false, "status: fail unless all known members are reached")
 	flags.Usage = func() { fmt.Fprint(out, queryUsage, flags.FlagUsages()) }
 	if err := flags.Parse(args); err != nil {
-		return err
+		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	command := flags.Arg(0)
-	known := command == "members" || command == "status"
+	opts.command = flags.Arg(0)
+	known := opts.command == commandMembers || opts.command == commandStatus
 	if flags.NArg() != 1 || !known {
 		flags.Usage()
-		return fmt.Errorf("fleet: unknown command %q", command)
+		return nil, fmt.Errorf("fleet: unknown command %q", opts.command)
+	}
+	if opts.addr == "" {
+		return nil, errors.New("flag --console: missing")
 	}
-	if *addr == "" {
-		return errors.New("flag --console: missing")
+	return &opts, nil
+}
+
+// query carries out `fleet`: it prints the report of one instance about its fleet.
+func query(args []string, out io.Writer) error {
+	opts, err := parseQuery(args, out)
+	if err != nil {
+		return err
 	}
-	raw, err := fetchReport(*addr)
+	encoded, err := fetchReport(opts.addr)
 	if err != nil {
 		return err
 	}
 	var report fleet.Report
-	if err := json.Unmarshal(raw, &report); err != nil {
+	if err := json.Unmarshal(encoded, &report); err != nil {
+		return fmt.Errorf("%s: reading the report: %w", opts.addr, err)
+	}
+	if err := opts.print(out, encoded, &report); err != nil {
 		return err
 	}
+	if opts.check && report.Position != fleet.FullyConnected.ReportName() {
+		return fmt.Errorf("fleet as seen by %s: %s", report.Self, fleet.PositionName(report.Position))
+	}
+	return nil
+}
+
+// print prints a report, which is also given as it was received.
+func (o *queryOptions) print(out io.Writer, encoded []byte, report *fleet.Report) error {
 	switch {
-	case *asJSON:
-		_, err = out.Write(raw)
-	case command == "members":
-		err = printMembers(out, &report)
+	case o.json:
+		if _, err := out.Write(encoded); err != nil {
+			return fmt.Errorf("printing the report: %w", err)
+		}
+		return nil
+	case o.command == commandMembers:
+		return printMembers(out, report)
 	default:
-		err = printStatus(out, &report)
-	}
-	if err == nil && *check && report.Position != fleet.FullyConnected.ReportName() {
-		return fmt.Errorf("fleet as seen by %s: %s", report.Self, fleet.PositionName(report.Position))
+		return printStatus(out, report)
 	}
-	return err
 }
 
 // fetchReport gets the report, JSON, from the console of an instance.
@@ -81,20 +115,20 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("querying the console: %w", err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusNotFound {
 		return nil, fmt.Errorf("%s: instance is not a member of a fleet", addr)
 	}
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
+	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("%s: receiving the report: %w", addr, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s: %s", addr, response.Status)
 	}
-	return raw, nil
+	return encoded, nil
 }
 
 // seconds formats a number of milliseconds.
--- a/cmd/falldeal-fleet/serve.go
+++ b/cmd/falldeal-fleet/serve.go
@@ -20,7 +20,7 @@
 	}
 	err := process.Serve(signals, served.config, served.opts.configPath, served.log, served.extension)
 	if served.tracer == nil {
-		return err
+		return err //nolint:wrapcheck // it says what has failed
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), traceCloseTimeout)
 	defer cancel()
--- a/cmd/falldeal-fleet/status.go
+++ b/cmd/falldeal-fleet/status.go
@@ -103,5 +103,5 @@
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", zone.Region, zone.Zone,
 			zone.Known, zone.Alive, zone.Suspect, zone.Stalled, zone.Unreachable, zone.Failed, zone.Left, mark)
 	}
-	return table.Flush()
+	return flush(table)
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -134,5 +134,8 @@
 		return "", 0, fmt.Errorf("%.80q is not a process of a fleet", process)
 	}
 	run, err = strconv.ParseUint(process[separator+1:], 16, 64)
-	return process[:separator], run, err
+	if err != nil {
+		return "", 0, fmt.Errorf("%.80q is not a process of a fleet: %w", process, err)
+	}
+	return process[:separator], run, nil
 }
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -115,17 +115,15 @@
 	fresh := MaxFreshAge(len(snapshot.Members))
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
-		switch {
-		case member.Self:
+		if member.Self || member.reached() {
 			r.seeds.markReached(member.Addr)
-		case member.reached():
-			r.seeds.markReached(member.Addr)
-			reached++
-		case member.Addr == "":
-		case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= fresh:
-			causes[member.Addr] = dialUnconfirmed
-		case member.lost():
-			causes[member.Addr] = dialLost
+			if !member.Self {
+				reached++
+			}
+			continue
+		}
+		if cause, needed := dialCauseOf(member, now, fresh); needed {
+			causes[member.Addr] = cause
 		}
 	}
 	for addr, seedReached := range r.seeds {
@@ -136,6 +134,19 @@
 	return causes, reached
 }
 
+// dialCauseOf returns why a member that is not reached is dialed, if it is to be.
+func dialCauseOf(member *Member, now, fresh time.Duration) (cause dialCause, needed bool) {
+	switch {
+	case member.Addr == "":
+		return 0, false
+	case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= fresh:
+		return dialUnconfirmed, true
+	case member.lost():
+		return dialLost, true
+	}
+	return 0, false
+}
+
 // dropSchedules forgets the delays of addresses that no longer need a dial.
 func (r *Rejoin) dropSchedules(causes map[string]dialCause) {
 	for addr := range r.schedules {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -229,7 +229,7 @@
 		}
 		encoded = append(encoded[:0], member.Process()...)
 		encoded = append(encoded, byte(member.State), byte(member.Liveness))
-		digest.Write(encoded)
+		_, _ = digest.Write(encoded) // a hash takes everything
 	}
 	return digest.Sum64()
 }
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -24,11 +24,11 @@
 	for rest := b[updateHeaderSize:]; len(rest) > 0; {
 		number, wireType, tagSize := protowire.ConsumeTag(rest)
 		if tagSize < 0 {
-			return record, 0, protowire.ParseError(tagSize)
+			return record, 0, fmt.Errorf("reading a field: %w", protowire.ParseError(tagSize))
 		}
 		valueSize := protowire.ConsumeFieldValue(number, wireType, rest[tagSize:])
 		if valueSize < 0 {
-			return record, 0, protowire.ParseError(valueSize)
+			return record, 0, fmt.Errorf("reading a field: %w", protowire.ParseError(valueSize))
 		}
 		size := tagSize + valueSize
 		if number >= firstUnknownField {
--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -140,7 +140,10 @@
 		f.ownView(ctx)
 		return nil
 	})
-	return g.Wait()
+	if err := g.Wait(); err != nil {
+		return fmt.Errorf("fleet: %w", err)
+	}
+	return nil
 }
 
 // Now is the time on this process's clock, as in snapshots. The clock runs on while the process is stopped. Any
--- a/internal/gossip/reload.go
+++ b/internal/gossip/reload.go
@@ -56,11 +56,11 @@
 	}
 	for _, key := range keys {
 		if err := f.keyring.AddKey(key); err != nil {
-			return err
+			return fmt.Errorf("adding a key: %w", err)
 		}
 	}
 	if err := f.keyring.UseKey(keys[0]); err != nil {
-		return err
+		return fmt.Errorf("using the first key: %w", err)
 	}
 	return f.removeOtherKeys(keys)
 }
@@ -71,7 +71,7 @@
 			continue
 		}
 		if err := f.keyring.RemoveKey(old); err != nil {
-			return err
+			return fmt.Errorf("removing a key: %w", err)
 		}
 	}
 	return nil
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,7 +1,9 @@
 package gossip
 
 import (
+	"context"
 	"errors"
+	"fmt"
 	"log"
 	"net"
 	"strconv"
@@ -20,17 +22,17 @@
 func listen(addr string, logger *log.Logger) (*boundTransport, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading the address: %w", err)
 	}
 	portNumber, err := strconv.Atoi(port)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading the port: %w", err)
 	}
 	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{host}, BindPort: portNumber, Logger: logger,
 	})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("opening the sockets: %w", err)
 	}
 	return &boundTransport{transport, net.ParseIP(host)}, nil
 }
@@ -41,7 +43,11 @@
 	if !t.localIP.IsUnspecified() {
 		dialer.LocalAddr = &net.TCPAddr{IP: t.localIP}
 	}
-	return dialer.Dial("tcp", target.Addr)
+	conn, err := dialer.DialContext(context.Background(), "tcp", target.Addr)
+	if err != nil {
+		return nil, fmt.Errorf("dialing a member: %w", err)
+	}
+	return conn, nil
 }
 
 // DialTimeout implements memberlist.Transport.
@@ -60,7 +66,7 @@
 func (t *countingTransport) WriteToAddress(b []byte, target memberlist.Address) (time.Time, error) {
 	t.counters.PacketsOut.Add(1)
 	t.counters.BytesOut.Add(int64(len(b)))
-	return t.NodeAwareTransport.WriteToAddress(b, target)
+	return t.NodeAwareTransport.WriteToAddress(b, target) //nolint:wrapcheck // passed through
 }
 
 // WriteTo implements memberlist.Transport.
@@ -73,7 +79,7 @@
 	conn, err := t.NodeAwareTransport.DialAddressTimeout(target, limit)
 	if err != nil {
 		t.dial.recordError(target.Addr, err)
-		return nil, err
+		return nil, err //nolint:wrapcheck // passed through
 	}
 	t.counters.Streams.Add(1)
 	return &countingConn{Conn: conn, transport: t, addr: target.Addr}, nil
@@ -98,7 +104,7 @@
 	if err != nil {
 		c.transport.dial.recordError(c.addr, err)
 	}
-	return n, err
+	return n, err //nolint:wrapcheck // passed through
 }
 
 // Read implements net.Conn.
@@ -112,7 +118,7 @@
 	} else if err != nil {
 		c.transport.dial.recordError(c.addr, err)
 	}
-	return n, err
+	return n, err //nolint:wrapcheck // readers compare it with io.EOF
 }
 
 func isTimeout(err error) bool {
--- a/internal/overload/lease.go
+++ b/internal/overload/lease.go
@@ -62,13 +62,13 @@
 type pendingRequests []pendingRequest
 
 // has reports whether a request to a peer is pending.
-func (p pendingRequests) has(peer ProcessID) bool {
-	return slices.ContainsFunc(p, func(request pendingRequest) bool { return request.peer == peer })
+func (p *pendingRequests) has(peer ProcessID) bool {
+	return slices.ContainsFunc(*p, func(request pendingRequest) bool { return request.peer == peer })
 }
 
-// withoutTimedOut returns the requests that were sent less than timeout ago.
-func (p pendingRequests) withoutTimedOut(now, timeout time.Duration) pendingRequests {
-	return slices.DeleteFunc(p, func(request pendingRequest) bool { return now >= request.sentAt+timeout })
+// dropTimedOut forgets the requests that were sent timeout ago or earlier.
+func (p *pendingRequests) dropTimedOut(now, timeout time.Duration) {
+	*p = slices.DeleteFunc(*p, func(request pendingRequest) bool { return now >= request.sentAt+timeout })
 }
 
 // take removes the request that a peer has answered. Ok is false if there is none.
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -98,7 +98,7 @@
 func (l *QuotaLedger) dropExpired(now time.Duration) {
 	l.leasedOut = l.leasedOut.withoutExpired(now, 0)
 	l.leased = l.leased.withoutExpired(now, l.terms.CallTime)
-	l.pending = l.pending.withoutTimedOut(now, l.terms.Lease)
+	l.pending.dropTimedOut(now, l.terms.Lease)
 }
 
 // RequestLease returns a request for quota to send to a lender. Ok is false if there are too many leases or requests, or
--- a/internal/overload/leasing_modelcheck_test.go
+++ b/internal/overload/leasing_modelcheck_test.go
@@ -49,15 +49,18 @@
 	return state
 }
 
-func (s leasingState) clone() leasingState {
+func (s *leasingState) clone() leasingState {
+	state := *s
 	for member, ledger := range s.ledgers {
 		copied := *ledger
-		copied.leasedOut, copied.leased = slices.Clone(ledger.leasedOut), slices.Clone(ledger.leased)
+		copied.leasedOut = slices.Clone(ledger.leasedOut)
+		copied.leased = slices.Clone(ledger.leased)
 		copied.pending = slices.Clone(ledger.pending)
-		s.ledgers[member] = &copied
+		state.ledgers[member] = &copied
 	}
-	s.messages, s.calls = slices.Clone(s.messages), slices.Clone(s.calls)
-	return s
+	state.messages = slices.Clone(s.messages)
+	state.calls = slices.Clone(s.calls)
+	return state
 }
 
 // inFlight returns the quota that a member knows its calls to use. A process that was restarted does not know of the
--- a/internal/overload/recorded_run_test.go
+++ b/internal/overload/recorded_run_test.go
@@ -162,47 +162,59 @@
 	}
 }
 
+// leasingRun is a number of members that lease quota from each other, and their messages.
+type leasingRun struct {
+	*recordedRun
+	managers  []*QuotaManager
+	inTransit []Message
+}
+
 func recordLeasing(run *recordedRun) {
 	const members = 6
 	terms := LeaseTerms{Base: 2000, Reserved: 500, Lease: 5 * time.Second, CallTime: time.Second,
 		AbandonedCallTime: time.Second}
-	var managers []*QuotaManager
+	leasing := &leasingRun{recordedRun: run}
 	for i := range members {
 		self := ProcessID{fmt.Sprint("n", i), uint64(i + 1)}
-		managers = append(managers, NewQuotaManager(NewQuotaLedger(0, self, terms), run.random.IntN))
+		leasing.managers = append(leasing.managers, NewQuotaManager(NewQuotaLedger(0, self, terms), run.random.IntN))
 	}
-	var inTransit []Message
 	for range recordedSteps {
 		run.now += time.Duration(run.random.IntN(60)) * time.Millisecond
-		i := run.random.IntN(members)
-		inFlight := run.random.IntN(1 + int(managers[i].Limit(run.now)/quotaPerCall))
-		if i < 2 && run.random.IntN(2) == 0 {
-			managers[i].CallMissed()
-		}
-		inTransit = append(inTransit, managers[i].Tick(run.now, inFlight, run.view(members), run.now)...)
-		for len(inTransit) > 0 && run.random.IntN(3) > 0 {
-			at := run.random.IntN(len(inTransit))
-			message := inTransit[at]
-			if run.random.IntN(10) > 0 { // else it is duplicated
-				inTransit = append(inTransit[:at], inTransit[at+1:]...)
-			}
-			var receiver int
-			_, err := fmt.Sscanf(message.To.Name, "n%d", &receiver)
-			if err != nil {
-				panic(err)
-			}
-			if answer, ok := managers[receiver].Receive(run.now, message, inFlight); ok {
-				inTransit = append(inTransit, answer)
-			}
-			run.write(AppendMessage(nil, message))
-		}
-		if run.random.IntN(2000) == 0 {
-			managers[i].SetBase(Quota(1000*(1+run.random.IntN(3))), 400)
-		}
-		manager := managers[i]
-		run.write(int64(manager.Limit(run.now)), int64(manager.Leased(run.now)), int64(manager.LeasedOut(run.now)),
-			manager.MeanInFlight())
+		leasing.step()
+	}
+}
+
+// step is the tick of a random member, and the arrival of some messages.
+func (l *leasingRun) step() {
+	i := l.random.IntN(len(l.managers))
+	manager := l.managers[i]
+	inFlight := l.random.IntN(1 + int(manager.Limit(l.now)/quotaPerCall))
+	if i < 2 && l.random.IntN(2) == 0 {
+		manager.CallMissed()
+	}
+	l.inTransit = append(l.inTransit, manager.Tick(l.now, inFlight, l.view(len(l.managers)), l.now)...)
+	for len(l.inTransit) > 0 && l.random.IntN(3) > 0 {
+		l.deliver(inFlight)
+	}
+	if l.random.IntN(2000) == 0 {
+		manager.SetBase(Quota(1000*(1+l.random.IntN(3))), 400)
+	}
+	l.write(int64(manager.Limit(l.now)), int64(manager.Leased(l.now)), int64(manager.LeasedOut(l.now)),
+		manager.MeanInFlight())
+}
+
+// deliver has a random message arrive, which may arrive once more later.
+func (l *leasingRun) deliver(inFlight int) {
+	at := l.random.IntN(len(l.inTransit))
+	message := l.inTransit[at]
+	if l.random.IntN(10) > 0 {
+		l.inTransit = append(l.inTransit[:at], l.inTransit[at+1:]...)
+	}
+	receiver := l.managers[message.To.Run-1]
+	if answer, ok := receiver.Receive(l.now, message, inFlight); ok {
+		l.inTransit = append(l.inTransit, answer)
 	}
+	l.write(AppendMessage(nil, message))
 }
 
 // What each part decides over a long run of drawn inputs must not change when the code changes its shape. Members of
--- a/internal/permit/modelcheck_test.go
+++ b/internal/permit/modelcheck_test.go
@@ -44,13 +44,15 @@
 	expirations int
 }
 
-func (m modelState) clone() modelState {
-	m.log, m.inFlight = slices.Clone(m.log), slices.Clone(m.inFlight)
-	return m
+func (m *modelState) clone() modelState {
+	state := *m
+	state.log = slices.Clone(m.log)
+	state.inFlight = slices.Clone(m.inFlight)
+	return state
 }
 
 // replay applies the log.
-func (m modelState) replay(planted fault) *State {
+func (m *modelState) replay(planted fault) *State {
 	state := newStateWithLimits(Limit{MaxUnavailable: 1})
 	for _, command := range m.log {
 		if command.Kind == expiration {
--- a/internal/tracing/boundedfile.go
+++ b/internal/tracing/boundedfile.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"os"
 	"sync/atomic"
 )
@@ -18,9 +19,9 @@
 
 // openBounded opens the file at path for appending. What it holds already counts towards maxBytes.
 func openBounded(path string, maxBytes int64) (*boundedFile, error) {
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, filePerm)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, filePerm) //nolint:gosec // operators name the file
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("opening the file of spans: %w", err)
 	}
 	info, err := file.Stat()
 	if err != nil {
@@ -36,8 +37,17 @@
 		return len(b), nil
 	}
 	f.remaining -= int64(len(b))
-	return f.file.Write(b)
+	written, err := f.file.Write(b)
+	if err != nil {
+		return written, fmt.Errorf("writing spans: %w", err)
+	}
+	return written, nil
 }
 
 // Close closes the file.
-func (f *boundedFile) Close() error { return f.file.Close() }
+func (f *boundedFile) Close() error {
+	if err := f.file.Close(); err != nil {
+		return fmt.Errorf("closing the file of spans: %w", err)
+	}
+	return nil
+}
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -105,19 +105,17 @@
 
 // episode is a time in which one thing is not in its usual state.
 type episode struct {
-	ctx       context.Context // of span
 	span      trace.Span
 	stateSpan trace.Span // nil between two states
 }
 
 func startEpisode(tracer trace.Tracer, what string) *episode {
-	started := &episode{}
-	started.ctx, started.span = tracer.Start(context.Background(), what)
-	return started
+	_, span := tracer.Start(context.Background(), what)
+	return &episode{span: span}
 }
 
 func (e *episode) startState(tracer trace.Tracer, name, from string, fields map[string]any) {
-	_, e.stateSpan = tracer.Start(e.ctx, name)
+	_, e.stateSpan = tracer.Start(trace.ContextWithSpan(context.Background(), e.span), name)
 	if e.stateSpan.IsRecording() {
 		e.stateSpan.SetAttributes(append(attributes(fields), attribute.String("from", from))...)
 	}
