--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -41,7 +41,7 @@
 		if errors.As(err, &strict) {
 			return nil, errors.New(strict.String()) // its text shows the unknown keys in their lines
 		}
-		return nil, err
+		return nil, fmt.Errorf("decode script: %w", err)
 	}
 	script := &Script{Locations: locations}
 	for i := range file.Fault {
@@ -55,7 +55,9 @@
 }
 
 func (r *raw) parse(locations []Location) (fault Fault, err error) {
-	fault = Fault{Kind: r.Kind, Target: r.Who, Peer: r.To, OneWay: r.OneWay, Ratio: r.Share, BytesPerSecond: r.Rate}
+	fault = Fault{
+		Kind: Kind(r.Kind), Target: r.Who, Peer: r.To, OneWay: r.OneWay, Ratio: r.Share, BytesPerSecond: r.Rate,
+	}
 	for _, field := range []struct {
 		key, text string
 		to        *time.Duration
@@ -65,20 +67,36 @@
 		{"delay", r.Delay, &fault.Delay},
 		{"jitter", r.Jitter, &fault.Jitter},
 	} {
-		if field.text == "" {
-			continue
+		*field.to, err = parseDuration(field.key, field.text)
+		if err != nil {
+			return fault, err
 		}
-		*field.to, err = time.ParseDuration(field.text)
-		if err != nil || *field.to < 0 && fault.Kind != KindClockSkew {
-			return fault, fieldError(field.key, "%q is no time", field.text)
+		if *field.to < 0 && fault.Kind != KindClockSkew {
+			return fault, invalidDuration(field.key, field.text)
 		}
 	}
 	if fault.AffectsLink() && fault.Peer == "" {
-		fault.Peer = everybody
+		fault.Peer = AllMembers
 	}
 	return fault, fault.Check(locations)
 }
 
+// parseDuration reads a duration; 0 where there is none.
+func parseDuration(key, text string) (time.Duration, error) {
+	if text == "" {
+		return 0, nil
+	}
+	duration, err := time.ParseDuration(text)
+	if err != nil {
+		return 0, invalidDuration(key, text)
+	}
+	return duration, nil
+}
+
+func invalidDuration(key, text string) error {
+	return fieldError(key, "%q is not a valid duration", text)
+}
+
 // AffectedMembers returns the names of the members whose process a fault befalls.
 func (s *Script) AffectedMembers(f *Fault) (names []string) {
 	for i := range s.Locations {
@@ -146,5 +164,6 @@
 		}
 	case KindReset:
 		r.Reset = true
+	default: // of a process
 	}
 }
