--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -3,35 +3,23 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"strings"
 	"testing"
 	"time"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
-
 const (
-	goldenReport  = "testdata/report.json"
-	goldenChanges = "testdata/changes.txt"
-	goldenNames   = "testdata/names.txt"
+	goldenReport  = "report.json"
+	goldenChanges = "changes.txt"
+	goldenNames   = "names.txt"
 )
 
-// requireGolden compares what the code produces now with a golden file.
-func requireGolden(t *testing.T, path, got string) {
-	t.Helper()
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // goldenSnapshot has members of every liveness and state, and three zones of which one has no name.
 func goldenSnapshot() *Snapshot {
 	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
@@ -79,12 +67,12 @@
 	report.Counters = map[string]int64{"calls": 3, "words": 12}
 	got, err := json.MarshalIndent(report, "", "  ")
 	require.NoError(t, err)
-	requireGolden(t, goldenReport, string(got)+"\n")
+	golden.RequireFile(t, goldenReport, string(got)+"\n")
 }
 
 // A report that was written before must be decoded into the same values, without an unknown field.
 func TestGoldenReportRead(t *testing.T) {
-	file, err := os.ReadFile(goldenReport)
+	file, err := os.ReadFile("testdata/" + goldenReport)
 	require.NoError(t, err)
 	var got Report
 	in := json.NewDecoder(bytes.NewReader(file))
@@ -101,7 +89,7 @@
 	view.Merge(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Busy: -1}})
 	got, err := json.MarshalIndent(view.Snapshot(0).Report(time.Second), "", "  ")
 	require.NoError(t, err)
-	requireGolden(t, "testdata/report_alone.json", string(got)+"\n")
+	golden.RequireFile(t, "report_alone.json", string(got)+"\n")
 }
 
 // The texts of changes between two snapshots stand in the log.
@@ -140,7 +128,7 @@
 		}
 		got.WriteString("---\n")
 	}
-	requireGolden(t, goldenChanges, got.String())
+	golden.RequireFile(t, goldenChanges, got.String())
 }
 
 // The numbers are sent or published as metrics, the names stand in reports, logs and spans.
@@ -159,7 +147,7 @@
 	fmt.Fprintf(&got, "zone reached: %s\nzone dark: %s\n", describeReachability(false), describeReachability(true))
 	fmt.Fprintf(&got, "process: %s\n", Process("n1", 0x1a2b))
 	fmt.Fprintf(&got, "agreement: %016x\n", goldenSnapshot().Agreement())
-	requireGolden(t, goldenNames, got.String())
+	golden.RequireFile(t, goldenNames, got.String())
 	name, run, err := ParseProcess("n1/0000000000001a2b")
 	require.NoError(t, err)
 	require.Equal(t, "n1", name)
--- a/internal/fleet/golden_update_test.go
+++ b/internal/fleet/golden_update_test.go
@@ -1,35 +1,18 @@
 package fleet
 
 import (
-	"encoding/hex"
-	"fmt"
 	"math"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-const goldenUpdates = "testdata/words.hex"
-
-// readFrames reads a golden file of frames: a line for each, with its name and its bytes in hex digits.
-func readFrames(t *testing.T, path string) map[string][]byte {
-	t.Helper()
-	file, err := os.ReadFile(path)
-	require.NoError(t, err)
-	frames := map[string][]byte{}
-	for line := range strings.Lines(string(file)) {
-		name, digits, found := strings.Cut(strings.TrimSpace(line), ": 0x")
-		require.True(t, found, line)
-		require.NotContains(t, frames, name)
-		frames[name], err = hex.DecodeString(digits)
-		require.NoError(t, err, name)
-	}
-	return frames
-}
+const goldenUpdates = "words.hex"
 
 // updateCase is a record as it is sent. Read changes it into what is received, where that differs.
 type updateCase struct {
@@ -138,17 +121,18 @@
 
 // The encoding must stay as it is, field by field: members of several versions share a fleet.
 func TestGoldenUpdatesWritten(t *testing.T) {
-	var got strings.Builder
+	var frames []golden.Frame
 	for _, testCase := range goldenUpdateCases() {
-		fmt.Fprintf(&got, "%s: 0x%x\n", testCase.name, AppendUpdate(nil, &testCase.record, testCase.age))
+		update := AppendUpdate(nil, &testCase.record, testCase.age)
+		frames = append(frames, golden.Frame{Name: testCase.name, Bytes: update})
 	}
-	requireGolden(t, goldenUpdates, got.String())
+	golden.RequireFrames(t, goldenUpdates, frames)
 }
 
 // Updates that were written before must still be parsed, each into the same record and age.
 func TestGoldenUpdatesRead(t *testing.T) {
-	frames, cases := readFrames(t, goldenUpdates), goldenUpdateCases()
-	require.Len(t, frames, len(cases))
+	cases := goldenUpdateCases()
+	frames := golden.ReadFrames(t, goldenUpdates, len(cases))
 	for _, testCase := range cases {
 		require.Contains(t, frames, testCase.name)
 		got, age, err := ParseUpdate(frames[testCase.name])
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"falldeal/internal/fleet"
+	"falldeal/lab/golden"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -41,7 +42,7 @@
 	page := newGoldenPublishedFleet(t).Page()
 	require.Equal(t, "GET /fleet", page.Pattern)
 	require.Equal(t, "application/json", page.Type)
-	requireGolden(t, "testdata/page.json", string(page.Do()))
+	golden.RequireFile(t, "page.json", string(page.Do()))
 }
 
 // Operators collect the metrics by these names.
@@ -50,7 +51,7 @@
 	got := string(member.AppendMetrics([]byte("before:1|g\n")))
 	member.snapshot.Store(snapshotOf(goldenRecords()[:1], fleet.Alive))
 	got += "---\n" + string(member.AppendMetrics(nil))
-	requireGolden(t, "testdata/figures.txt", got)
+	golden.RequireFile(t, "figures.txt", got)
 }
 
 // Values that depend on the time of a test.
@@ -62,7 +63,7 @@
 // The metrics of a member that is alone, in their order.
 func TestGoldenMetricsOfAloneMember(t *testing.T) {
 	metrics := string(newAloneFleet(t).AppendMetrics(nil))
-	requireGolden(t, "testdata/figures.golden", changingMetric.ReplaceAllString(metrics, "$1:(time)"))
+	golden.RequireFile(t, "figures.golden", changingMetric.ReplaceAllString(metrics, "$1:(time)"))
 }
 
 // The page of a member that is alone: its pattern, its type and its body.
@@ -72,7 +73,7 @@
 	require.True(t, json.Valid(body))
 	fixed := changingKey.ReplaceAll(body, []byte(`"$1":(time)`))
 	got := fmt.Sprintf("%s\n%s\n%s", page.Pattern, page.Type, fixed)
-	requireGolden(t, "testdata/page.golden", got)
+	golden.RequireFile(t, "page.golden", got)
 	require.Equal(t, 1, strings.Count(got, `"counters"`))
 }
 
@@ -100,5 +101,5 @@
 	other.Run, other.Seq = 6, 1
 	merge(4*time.Second, other)
 	member.publishSnapshot(5 * time.Minute)
-	requireGolden(t, "testdata/changes.golden", lines.String())
+	golden.RequireFile(t, "changes.golden", lines.String())
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -1,36 +1,19 @@
 package gossip
 
 import (
-	"encoding/hex"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"falldeal/internal/fleet"
+	"falldeal/lab/golden"
 
 	"github.com/hashicorp/memberlist"
 	"github.com/stretchr/testify/require"
 )
 
-const goldenFrames = "testdata/frames.hex"
-
-// readFrames reads a golden file of frames: a line for each, with its name and its bytes in hex digits.
-func readFrames(t *testing.T, path string) map[string][]byte {
-	t.Helper()
-	file, err := os.ReadFile(path)
-	require.NoError(t, err)
-	frames := map[string][]byte{}
-	for line := range strings.Lines(string(file)) {
-		name, digits, found := strings.Cut(strings.TrimSpace(line), ": 0x")
-		require.True(t, found, line)
-		require.NotContains(t, frames, name)
-		frames[name], err = hex.DecodeString(digits)
-		require.NoError(t, err, name)
-	}
-	return frames
-}
+const goldenFrames = "frames.hex"
 
 // sentFrames are the frames that a process hands to memberlist, by name.
 func sentFrames(t *testing.T) map[string][]byte {
@@ -64,18 +47,17 @@
 func TestGoldenFramesWritten(t *testing.T) {
 	frames := sentFrames(t)
 	require.Len(t, frames, len(frameNames))
-	var got strings.Builder
+	var ordered []golden.Frame
 	for _, name := range frameNames {
 		require.Contains(t, frames, name)
-		fmt.Fprintf(&got, "%s: 0x%x\n", name, frames[name])
+		ordered = append(ordered, golden.Frame{Name: name, Bytes: frames[name]})
 	}
-	requireGolden(t, goldenFrames, got.String())
+	golden.RequireFrames(t, goldenFrames, ordered)
 }
 
 // Frames that were written before must still be read.
 func TestGoldenFramesRead(t *testing.T) {
-	frames, records, member := readFrames(t, goldenFrames), goldenRecords(), newGoldenFleet(t)
-	require.Len(t, frames, len(frameNames))
+	frames, records, member := golden.ReadFrames(t, goldenFrames, len(frameNames)), goldenRecords(), newGoldenFleet(t)
 
 	delegate{member}.NotifyMsg(frames["broadcast"])
 	requireQueuedUpdates(t, member, records[:1])
@@ -115,5 +97,5 @@
 		config.Label, config.EnableCompression, config.Keyring != nil)
 	fmt.Fprintf(&got, "verifies what comes in: %v, and goes out: %v\n",
 		config.GossipVerifyIncoming, config.GossipVerifyOutgoing)
-	requireGolden(t, "testdata/settings.txt", got.String())
+	golden.RequireFile(t, "settings.txt", got.String())
 }
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -1,8 +1,6 @@
 package gossip
 
 import (
-	"flag"
-	"os"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -13,19 +11,6 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
-
-// requireGolden compares what the code produces now, byte for byte, with a golden file.
-func requireGolden(t *testing.T, path, got string) {
-	t.Helper()
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // newTestFleet returns a membership that has no sockets, does not run and logs nothing.
 func newTestFleet(t *testing.T, config Config) *Fleet {
 	t.Helper()
--- a/internal/overload/golden_agreement_test.go
+++ b/internal/overload/golden_agreement_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"falldeal/internal/fleet"
+	"falldeal/lab/golden"
 )
 
 // goldenView returns the first member's view of a fleet whose members all serve, in two zones.
@@ -40,7 +41,7 @@
 	for state := StoreHealthy; state <= StoreRecovering; state++ {
 		fmt.Fprintf(&got, "store state %d: %s\n", state, state)
 	}
-	requireGolden(t, goldenAgreement, got.String())
+	golden.RequireFile(t, goldenAgreement, got.String())
 }
 
 func writeFingerprints(out *strings.Builder) {
--- a/internal/overload/golden_shedding_test.go
+++ b/internal/overload/golden_shedding_test.go
@@ -24,9 +24,9 @@
 
 // The encoding of reports stays as it is: the member that counts the attempts may be of another version.
 func TestGoldenReportsWritten(t *testing.T) {
-	requireGolden(t, goldenReports, writeFrames(goldenReportCases(), func(b []byte, attempts []uint64) []byte {
+	requireFrames(t, goldenReports, goldenReportCases(), func(b []byte, attempts []uint64) []byte {
 		return AppendReport(b, Report{To: goldenLender, Attempts: attempts})
-	}))
+	})
 }
 
 func TestGoldenReportsRead(t *testing.T) {
@@ -70,9 +70,9 @@
 
 // The encoding of demand stays as it is: it is part of the load of members and of the aggregates of zones.
 func TestGoldenDemandsWritten(t *testing.T) {
-	requireGolden(t, goldenDemands, writeFrames(goldenDemandCases(), func(b []byte, demand Demand) []byte {
+	requireFrames(t, goldenDemands, goldenDemandCases(), func(b []byte, demand Demand) []byte {
 		return demand.Append(b)
-	}))
+	})
 }
 
 func TestGoldenDemandsRead(t *testing.T) {
@@ -115,9 +115,9 @@
 
 // The encoding of aggregates stays as it is: the load that holds them spreads through a fleet of several versions.
 func TestGoldenAggregatesWritten(t *testing.T) {
-	requireGolden(t, goldenAggregates, writeFrames(goldenAggregateCases(), func(b []byte, aggregate Aggregate) []byte {
+	requireFrames(t, goldenAggregates, goldenAggregateCases(), func(b []byte, aggregate Aggregate) []byte {
 		return AppendAggregate(b, &aggregate)
-	}))
+	})
 }
 
 func TestGoldenAggregatesRead(t *testing.T) {
@@ -141,7 +141,7 @@
 
 // The encoding of partial aggregates stays as it is: the collector may be of another version.
 func TestGoldenPartialsWritten(t *testing.T) {
-	requireGolden(t, goldenPartials, writeFrames(goldenPartialCases(), AppendPartial))
+	requireFrames(t, goldenPartials, goldenPartialCases(), AppendPartial)
 }
 
 func TestGoldenPartialsRead(t *testing.T) {
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -1,58 +1,26 @@
 package overload
 
 import (
-	"encoding/hex"
-	"flag"
-	"fmt"
 	"math"
-	"os"
 	"strings"
 	"testing"
 
 	"falldeal/internal/fleet"
+	"falldeal/lab/golden"
 
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
-
 const (
-	goldenLeases     = "testdata/leases.hex"
-	goldenReports    = "testdata/reports.hex"
-	goldenAggregates = "testdata/sums.hex"
-	goldenPartials   = "testdata/parts.hex"
-	goldenDemands    = "testdata/offers.hex"
-	goldenAgreement  = "testdata/agreement.txt"
+	goldenLeases     = "leases.hex"
+	goldenReports    = "reports.hex"
+	goldenAggregates = "sums.hex"
+	goldenPartials   = "parts.hex"
+	goldenDemands    = "offers.hex"
+	goldenAgreement  = "agreement.txt"
 )
 
-// requireGolden compares what the code produces now with a golden file.
-func requireGolden(t *testing.T, path, got string) {
-	t.Helper()
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
-// readFrames reads a golden file of frames: a line for each, with its name and its bytes in hex digits.
-func readFrames(t *testing.T, path string) map[string][]byte {
-	t.Helper()
-	file, err := os.ReadFile(path)
-	require.NoError(t, err)
-	frames := map[string][]byte{}
-	for line := range strings.Lines(string(file)) {
-		name, digits, found := strings.Cut(strings.TrimSpace(line), ": 0x")
-		require.True(t, found, line)
-		require.NotContains(t, frames, name)
-		frames[name], err = hex.DecodeString(digits)
-		require.NoError(t, err, name)
-	}
-	return frames
-}
-
 // frameCase is a value with the name of its frame. Read is what the receiver makes of it, where that differs.
 type frameCase[T any] struct {
 	name  string
@@ -60,19 +28,20 @@
 	read  *T
 }
 
-func writeFrames[T any](cases []frameCase[T], appendTo func(b []byte, v T) []byte) string {
-	var text strings.Builder
+// requireFrames compares the encoded values of the cases with a golden file.
+func requireFrames[T any](t *testing.T, file string, cases []frameCase[T], appendTo func(b []byte, v T) []byte) {
+	t.Helper()
+	var frames []golden.Frame
 	for _, test := range cases {
-		fmt.Fprintf(&text, "%s: 0x%x\n", test.name, appendTo(nil, test.value))
+		frames = append(frames, golden.Frame{Name: test.name, Bytes: appendTo(nil, test.value)})
 	}
-	return text.String()
+	golden.RequireFrames(t, file, frames)
 }
 
 // requireRead reads each frame of a golden file and compares it with the value of its case.
-func requireRead[T any](t *testing.T, path string, cases []frameCase[T], parse func(b []byte) T) {
+func requireRead[T any](t *testing.T, file string, cases []frameCase[T], parse func(b []byte) T) {
 	t.Helper()
-	frames := readFrames(t, path)
-	require.Len(t, frames, len(cases))
+	frames := golden.ReadFrames(t, file, len(cases))
 	for _, test := range cases {
 		require.Contains(t, frames, test.name)
 		want := test.value
@@ -120,7 +89,7 @@
 
 // The encoding of quota leasing stays as it is: members of several versions lease quota from each other.
 func TestGoldenLeasesWritten(t *testing.T) {
-	requireGolden(t, goldenLeases, writeFrames(goldenLeaseCases(), AppendMessage))
+	requireFrames(t, goldenLeases, goldenLeaseCases(), AppendMessage)
 }
 
 // Messages that were encoded before are still decoded, also with a field that a newer version has added.
@@ -132,7 +101,7 @@
 		return message
 	}
 	requireRead(t, goldenLeases, goldenLeaseCases(), parse)
-	request := readFrames(t, goldenLeases)["ask"]
+	request := golden.ReadFrames(t, goldenLeases, len(goldenLeaseCases()))["ask"]
 	added := protowire.AppendString(protowire.AppendTag(request, 99, protowire.BytesType), "added")
 	require.Equal(t, goldenLeaseCases()[0].value, parse(added))
 }
--- a/internal/permit/golden_test.go
+++ b/internal/permit/golden_test.go
@@ -1,28 +1,15 @@
 package permit
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
-
-// requireGolden compares what the code produces now with a golden file.
-func requireGolden(t *testing.T, path, got string) {
-	t.Helper()
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
-
 // The numbers of the kinds are part of the replicated log, and their names are shown to operators.
 func TestGoldenKinds(t *testing.T) {
 	var got strings.Builder
@@ -30,7 +17,7 @@
 		fmt.Fprintf(&got, "%d: %s\n", kind, kind)
 	}
 	fmt.Fprintf(&got, "%d: %q\n%d: %s\n", 0, CommandKind(0), 200, CommandKind(200))
-	requireGolden(t, "testdata/kinds.txt", got.String())
+	golden.RequireFile(t, "kinds.txt", got.String())
 }
 
 // goldenView returns six instances in three zones.
@@ -137,7 +124,7 @@
 		}
 	}
 	fmt.Fprintf(&got, "halted=%v halts=%d log=%d\n", state.Halted(), state.Halts(), len(state.Log()))
-	requireGolden(t, "testdata/decisions.txt", got.String())
+	golden.RequireFile(t, "decisions.txt", got.String())
 }
 
 // The texts of errors name the key of the operators' rules that is at fault.
@@ -158,5 +145,5 @@
 		require.Error(t, err, test.name)
 		fmt.Fprintf(&got, "%s: %s\n", test.name, err)
 	}
-	requireGolden(t, "testdata/rule_errors.txt", got.String())
+	golden.RequireFile(t, "rule_errors.txt", got.String())
 }
--- a/internal/release/golden_test.go
+++ b/internal/release/golden_test.go
@@ -1,19 +1,15 @@
 package release
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden file from what the code produces")
-
-const goldenTexts = "testdata/texts.txt"
-
 // The numbers and names of verdicts and the texts of errors are shown to operators.
 func TestGoldenTexts(t *testing.T) {
 	var got strings.Builder
@@ -45,10 +41,5 @@
 	err = judge.Observe(group, Block{Old: 1, New: 1})
 	require.ErrorIs(t, err, ErrTooManyGroups)
 	fmt.Fprintf(&got, "block: %s\n", err)
-	if *update {
-		require.NoError(t, os.WriteFile(goldenTexts, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(goldenTexts)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got.String())
+	golden.RequireFile(t, "texts.txt", got.String())
 }
--- a/internal/tracing/golden_test.go
+++ b/internal/tracing/golden_test.go
@@ -1,23 +1,18 @@
 package tracing
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"flag"
 	"os"
 	"path/filepath"
 	"regexp"
 	"testing"
 	"time"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden file from what the code produces")
-
-const goldenSpans = "testdata/spans.jsonl"
-
 // randomFields matches what differs between runs: times, and identifiers but for those of zeros, which mean none.
 var randomFields = regexp.MustCompile(`"(TraceID|SpanID|StartTime|EndTime)":` +
 	`"([0-9a-f]*[1-9a-f][0-9a-f]*|\d{4}-\d\d-\d\dT[^"]+)"`)
@@ -54,26 +49,5 @@
 func TestGoldenSpans(t *testing.T) {
 	file := writeSpans(t)
 	got := randomFields.ReplaceAll(file, []byte(`"$1":"drawn"`))
-	if *update {
-		require.NoError(t, os.WriteFile(goldenSpans, got, 0o644))
-	}
-	want, err := os.ReadFile(goldenSpans)
-	require.NoError(t, err)
-	wantLines, gotLines := bytes.Split(want, []byte("\n")), bytes.Split(got, []byte("\n"))
-	require.Len(t, gotLines, len(wantLines))
-	for i, line := range gotLines {
-		require.Equal(t, indent(t, wantLines[i]), indent(t, line), "line %d", i+1)
-	}
-	require.Equal(t, string(want), string(got))
-}
-
-// indent makes the difference of two spans readable.
-func indent(t *testing.T, line []byte) string {
-	t.Helper()
-	if len(line) == 0 {
-		return ""
-	}
-	var b bytes.Buffer
-	require.NoError(t, json.Indent(&b, line, "", "  "))
-	return b.String()
+	golden.RequireFile(t, "spans.jsonl", string(got))
 }
