--- a/internal/overload/recorded_run_test.go
+++ b/internal/overload/recorded_run_test.go
@@ -1,59 +1,45 @@
 package overload
 
 import (
-	"crypto/sha256"
 	"fmt"
-	"hash"
-	"math/rand/v2"
 	"testing"
 	"time"
 
 	"falldeal/internal/fleet"
-
-	"github.com/stretchr/testify/require"
+	"falldeal/lab/recorded"
 )
 
 const recordedSteps = 20_000
 
-// recordedRun draws the inputs of a run from a fixed seed, and hashes its outputs.
-type recordedRun struct {
-	random *rand.Rand
-	digest hash.Hash
-	now    time.Duration
-}
-
-func newRecordedRun() *recordedRun {
-	return &recordedRun{random: rand.New(rand.NewPCG(32, 5)), digest: sha256.New()}
-}
+// recordedRun draws the inputs of a run.
+type recordedRun struct{ *recorded.Run }
 
 // advance draws the time until the next step, which is mostly short.
 func (r *recordedRun) advance() {
-	r.now += time.Duration(r.random.IntN(400)) * time.Millisecond
-	if r.random.IntN(200) == 0 {
-		r.now += 20 * time.Second
+	r.Now += time.Duration(r.Random.IntN(400)) * time.Millisecond
+	if r.Random.IntN(200) == 0 {
+		r.Now += 20 * time.Second
 	}
 }
 
 // eighths draws a number from 0 up to limit whose sums are exact in any order.
-func (r *recordedRun) eighths(limit int) float64 { return float64(r.random.IntN(8*limit)) / 8 }
-
-func (r *recordedRun) write(outputs ...any) { fmt.Fprintln(r.digest, outputs...) }
+func (r *recordedRun) eighths(limit int) float64 { return float64(r.Random.IntN(8*limit)) / 8 }
 
 // load draws what a member publishes; some of it is more than a member can have.
 func (r *recordedRun) load() fleet.Load {
-	demand := make([]byte, r.random.IntN(30))
+	demand := make([]byte, r.Random.IntN(30))
 	for i := range demand {
-		demand[i] = byte(r.random.IntN(140))
+		demand[i] = byte(r.Random.IntN(140))
 	}
 	load := fleet.Load{
 		Capacity: r.eighths(8), Busy: r.eighths(2) - 0.5, CallQuota: r.eighths(6), MeanCalls: r.eighths(6),
 		ServiceRate: r.eighths(8), Demand: string(demand), Attempts: r.eighths(40), RetryRatio: r.eighths(1),
-		StoreState: uint8(r.random.IntN(4)), StoreID: uint32(1 + r.random.IntN(8)/7), ProbeRound: r.random.Uint64N(9),
+		StoreState: uint8(r.Random.IntN(4)), StoreID: uint32(1 + r.Random.IntN(8)/7), ProbeRound: r.Random.Uint64N(9),
 	}
-	if r.random.IntN(4) == 0 {
-		aggregate := Aggregate{Members: r.random.IntN(60), Oldest: time.Second, ServiceRate: r.eighths(400),
+	if r.Random.IntN(4) == 0 {
+		aggregate := Aggregate{Members: r.Random.IntN(60), Oldest: time.Second, ServiceRate: r.eighths(400),
 			Cores: r.eighths(300), InUse: r.eighths(300), Attempts: r.eighths(999), Retries: r.eighths(99)}
-		aggregate.Demand[r.random.IntN(demandBins)] = r.eighths(800)
+		aggregate.Demand[r.Random.IntN(demandBins)] = r.eighths(800)
 		load.Aggregate = string(AppendAggregate(nil, &aggregate))
 	}
 	return load
@@ -61,19 +47,19 @@
 
 // view draws a view of members of which some are lost, old or not serving.
 func (r *recordedRun) view(members int) *fleet.Snapshot {
-	age := time.Duration(r.random.IntN(6000)) * time.Millisecond
-	view := viewOf(members, max(r.now-age, 0), func(int) fleet.Load { return r.load() })
+	age := time.Duration(r.Random.IntN(6000)) * time.Millisecond
+	view := viewOf(members, max(r.Now-age, 0), func(int) fleet.Load { return r.load() })
 	for i := range view.Members {
 		member := &view.Members[i]
 		member.Zone = []string{"a", "b"}[i%2]
-		switch r.random.IntN(20) {
+		switch r.Random.IntN(20) {
 		case 0:
 			member.Liveness = fleet.Unreachable
 		case 1:
 			member.State = fleet.Draining
 		}
 	}
-	if r.random.IntN(40) == 0 {
+	if r.Random.IntN(40) == 0 {
 		view.Position = fleet.Partitioned
 	}
 	return view
@@ -83,16 +69,16 @@
 	shedder := &Shedder{}
 	for range recordedSteps / members {
 		run.advance()
-		for range run.random.IntN(40) {
-			verdict := shedder.Classify(run.eighths(20), run.eighths(2), run.random.Float64(), run.random.IntN(4) == 0)
-			run.write(uint8(verdict))
+		for range run.Random.IntN(40) {
+			verdict := shedder.Classify(run.eighths(20), run.eighths(2), run.Random.Float64(), run.Random.IntN(4) == 0)
+			run.Write(uint8(verdict))
 		}
 		own := LocalLoad{
 			ServiceRate: run.eighths(8), Cores: 4, Busy: run.eighths(1),
 			Attempts: run.eighths(40), Retries: run.eighths(1),
 		}
-		state := shedder.Tick(run.now, own, run.view(members), run.now)
-		run.write(state, shedder.RetryJitter(run.random.Uint64()), shedder.Demand())
+		state := shedder.Tick(run.Now, own, run.view(members), run.Now)
+		run.Write(state, shedder.RetryJitter(run.Random.Uint64()), shedder.Demand())
 	}
 }
 
@@ -102,14 +88,14 @@
 		collector := NewCollector(ProcessID{fmt.Sprint("n", self), uint64(self + 1)})
 		for range steps {
 			run.advance()
-			for range run.random.IntN(members) {
-				member := run.random.IntN(members)
+			for range run.Random.IntN(members) {
+				member := run.Random.IntN(members)
 				aggregate := Aggregate{Members: 1, ServiceRate: run.eighths(8), Cores: run.eighths(8), Attempts: run.eighths(50)}
-				aggregate.Demand[run.random.IntN(demandBins)] = run.eighths(8)
-				collector.Receive(run.now, PartialAggregate{ProcessID{fmt.Sprint("n", member), uint64(member + 1)}, aggregate})
+				aggregate.Demand[run.Random.IntN(demandBins)] = run.eighths(8)
+				collector.Receive(run.Now, PartialAggregate{ProcessID{fmt.Sprint("n", member), uint64(member + 1)}, aggregate})
 			}
-			recipients := collector.Tick(run.now, Aggregate{Members: 1, Cores: 4}, run.view(members-run.random.IntN(20)/19*10))
-			run.write(recipients, []byte(collector.Published()))
+			recipients := collector.Tick(run.Now, Aggregate{Members: 1, Cores: 4}, run.view(members-run.Random.IntN(20)/19*10))
+			run.Write(recipients, []byte(collector.Published()))
 		}
 	}
 }
@@ -118,28 +104,28 @@
 	counter := NewRetryCounter()
 	for range recordedSteps / 10 {
 		run.advance()
-		for range run.random.IntN(200) {
-			fingerprint := mix(run.random.Uint64N(3000))
-			known := counter.Arrived(run.now, fingerprint)
-			if run.random.IntN(3) == 0 {
-				counter.Rejected(run.now, fingerprint)
+		for range run.Random.IntN(200) {
+			fingerprint := mix(run.Random.Uint64N(3000))
+			known := counter.Arrived(run.Now, fingerprint)
+			if run.Random.IntN(3) == 0 {
+				counter.Rejected(run.Now, fingerprint)
 			}
-			run.write(known)
+			run.Write(known)
 		}
-		counter.HandleReport(run.now, []uint64{mix(run.random.Uint64N(50)), mix(run.random.Uint64N(50))})
-		run.write(counter.Tick(run.now, run.view(10)), counter.RetryRatio(), counter.AttemptRate())
+		counter.HandleReport(run.Now, []uint64{mix(run.Random.Uint64N(50)), mix(run.Random.Uint64N(50))})
+		run.Write(counter.Tick(run.Now, run.view(10)), counter.RetryRatio(), counter.AttemptRate())
 	}
 }
 
 func recordAges(run *recordedRun) {
 	estimator := NewAgeEstimator()
 	for range 10 * recordedSteps {
-		run.now += time.Duration(run.random.IntN(20)) * time.Millisecond
-		timeout := []time.Duration{500, 2000, 4000}[run.random.IntN(3)] * time.Millisecond
-		if run.random.IntN(2) == 0 {
-			timeout -= time.Duration(run.random.IntN(1900)) * time.Millisecond
+		run.Now += time.Duration(run.Random.IntN(20)) * time.Millisecond
+		timeout := []time.Duration{500, 2000, 4000}[run.Random.IntN(3)] * time.Millisecond
+		if run.Random.IntN(2) == 0 {
+			timeout -= time.Duration(run.Random.IntN(1900)) * time.Millisecond
 		}
-		run.write(estimator.Age(run.now, fmt.Sprint("class", run.random.IntN(80)*run.random.IntN(2)), timeout))
+		run.Write(estimator.Age(run.Now, fmt.Sprint("class", run.Random.IntN(80)*run.Random.IntN(2)), timeout))
 	}
 }
 
@@ -147,17 +133,17 @@
 	coordinator := NewProbeCoordinator(5, "a")
 	storeID := uint32(1)
 	for range recordedSteps / 10 {
-		run.now += time.Duration(100+run.random.IntN(300)) * time.Millisecond
-		for range run.random.IntN(8) {
-			coordinator.CallEnded(run.random.IntN(30) == 0)
+		run.Now += time.Duration(100+run.Random.IntN(300)) * time.Millisecond
+		for range run.Random.IntN(8) {
+			coordinator.CallEnded(run.Random.IntN(30) == 0)
 		}
-		if run.random.IntN(500) == 0 {
+		if run.Random.IntN(500) == 0 {
 			storeID = 3 - storeID
 		}
-		allowance := coordinator.Tick(run.now, storeID, run.view(2+run.random.IntN(30)), run.now)
+		allowance := coordinator.Tick(run.Now, storeID, run.view(2+run.Random.IntN(30)), run.Now)
 		var load fleet.Load
 		coordinator.AddToLoad(&load)
-		run.write(uint8(allowance), allowance.ProtectedCalls(), uint8(coordinator.State()), coordinator.UnhealthyMembers(),
+		run.Write(uint8(allowance), allowance.ProtectedCalls(), uint8(coordinator.State()), coordinator.UnhealthyMembers(),
 			load.StoreState, load.StoreID, load.ProbeRound)
 	}
 }
@@ -176,45 +162,45 @@
 	leasing := &leasingRun{recordedRun: run}
 	for i := range members {
 		self := ProcessID{fmt.Sprint("n", i), uint64(i + 1)}
-		leasing.managers = append(leasing.managers, NewQuotaManager(NewQuotaLedger(0, self, terms), run.random.IntN))
+		leasing.managers = append(leasing.managers, NewQuotaManager(NewQuotaLedger(0, self, terms), run.Random.IntN))
 	}
 	for range recordedSteps {
-		run.now += time.Duration(run.random.IntN(60)) * time.Millisecond
+		run.Now += time.Duration(run.Random.IntN(60)) * time.Millisecond
 		leasing.step()
 	}
 }
 
 // step is the tick of a random member, and the arrival of some messages.
 func (l *leasingRun) step() {
-	i := l.random.IntN(len(l.managers))
+	i := l.Random.IntN(len(l.managers))
 	manager := l.managers[i]
-	inFlight := l.random.IntN(1 + int(manager.Limit(l.now)/quotaPerCall))
-	if i < 2 && l.random.IntN(2) == 0 {
+	inFlight := l.Random.IntN(1 + int(manager.Limit(l.Now)/quotaPerCall))
+	if i < 2 && l.Random.IntN(2) == 0 {
 		manager.CallMissed()
 	}
-	l.inTransit = append(l.inTransit, manager.Tick(l.now, inFlight, l.view(len(l.managers)), l.now)...)
-	for len(l.inTransit) > 0 && l.random.IntN(3) > 0 {
+	l.inTransit = append(l.inTransit, manager.Tick(l.Now, inFlight, l.view(len(l.managers)), l.Now)...)
+	for len(l.inTransit) > 0 && l.Random.IntN(3) > 0 {
 		l.deliver(inFlight)
 	}
-	if l.random.IntN(2000) == 0 {
-		manager.SetBase(Quota(1000*(1+l.random.IntN(3))), 400)
+	if l.Random.IntN(2000) == 0 {
+		manager.SetBase(Quota(1000*(1+l.Random.IntN(3))), 400)
 	}
-	l.write(int64(manager.Limit(l.now)), int64(manager.Leased(l.now)), int64(manager.LeasedOut(l.now)),
+	l.Write(int64(manager.Limit(l.Now)), int64(manager.Leased(l.Now)), int64(manager.LeasedOut(l.Now)),
 		manager.MeanInFlight())
 }
 
 // deliver has a random message arrive, which may arrive once more later.
 func (l *leasingRun) deliver(inFlight int) {
-	at := l.random.IntN(len(l.inTransit))
+	at := l.Random.IntN(len(l.inTransit))
 	message := l.inTransit[at]
-	if l.random.IntN(10) > 0 {
+	if l.Random.IntN(10) > 0 {
 		l.inTransit = append(l.inTransit[:at], l.inTransit[at+1:]...)
 	}
 	receiver := l.managers[message.To.Run-1]
-	if answer, ok := receiver.Receive(l.now, message, inFlight); ok {
+	if answer, ok := receiver.Receive(l.Now, message, inFlight); ok {
 		l.inTransit = append(l.inTransit, answer)
 	}
-	l.write(AppendMessage(nil, message))
+	l.Write(AppendMessage(nil, message))
 }
 
 // What each part decides over a long run of drawn inputs must not change when the code changes its shape. Members of
@@ -234,9 +220,7 @@
 		{"leasing", recordLeasing, "5406e8bed0e0a04b"},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			recorded := newRecordedRun()
-			run.play(recorded)
-			require.Equal(t, run.digest, fmt.Sprintf("%.8x", recorded.digest.Sum(nil)))
+			recorded.Require(t, run.digest, func(r *recorded.Run) { run.play(&recordedRun{r}) })
 		})
 	}
 }
