--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -94,7 +94,7 @@
 		Members: []fleet.MemberReport{
 			{Name: "n3", Process: "n3/0000000000000007", Zone: "mechelen", Region: "belgium", Condition: "serving",
 				ReportedState: "serving", SinceMs: 61500, Version: "1.2.3", Config: "0123456789abcdef", Cores: 6, Busy: 0.5,
-				InFlight: 12, ShedRatio: 0.25, Self: true},
+				InFlight: 12, UnservedRatio: 0.25, Self: true},
 			{Name: "n4", Zone: "zaventem", Region: "belgium", Condition: "cut off", ReportedState: "warming", AgeMs: 3120,
 				SinceMs: 900, Version: "dev", Config: "01", Cores: 2.5, Busy: -1, StoreState: 1},
 			{Name: "n5", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 40,
--- a/cmd/falldeal-fleet/members.go
+++ b/cmd/falldeal-fleet/members.go
@@ -39,5 +39,5 @@
 	}
 	fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%d\t%.0f%%\t%s\t%.8s\n",
 		name, member.Zone, fleet.ConditionName(member.Condition), seconds(member.SinceMs),
-		fleet.ConditionName(member.ReportedState), seconds(member.AgeMs), member.Cores, busy, member.InFlight, 100*member.ShedRatio, member.Version, member.Config)
+		fleet.ConditionName(member.ReportedState), seconds(member.AgeMs), member.Cores, busy, member.InFlight, 100*member.UnservedRatio, member.Version, member.Config)
 }
--- a/internal/fleet/golden_update_test.go
+++ b/internal/fleet/golden_update_test.go
@@ -31,7 +31,7 @@
 
 func goldenLoad() Load {
 	return Load{
-		Capacity: 7.5, Busy: 0.625, InFlight: 17, CallQuota: 3.25, ShedRatio: 0.125, MeanCalls: 2.5,
+		Capacity: 7.5, Busy: 0.625, InFlight: 17, CallQuota: 3.25, UnservedRatio: 0.125, MeanCalls: 2.5,
 		ServiceRate: 6.75, Demand: "\x0a\x3c\x00\x46", Attempts: 40.5, RetryRatio: 0.2, Threshold: 23.5,
 		StoreState: 2, StoreID: 0x89abcdef, ProbeRound: 77, Aggregate: "\x01\x02\xff",
 	}
@@ -79,7 +79,7 @@
 		field("load busy", func(r *Record) { r.Load.Busy = 0.625 }),
 		field("load in hand", func(r *Record) { r.Load.InFlight = 17 }),
 		field("load share", func(r *Record) { r.Load.CallQuota = 3.25 }),
-		field("load shed", func(r *Record) { r.Load.ShedRatio = 0.125 }),
+		field("load shed", func(r *Record) { r.Load.UnservedRatio = 0.125 }),
 		field("load calls", func(r *Record) { r.Load.MeanCalls = 2.5 }),
 		field("load pace", func(r *Record) { r.Load.ServiceRate = 6.75 }),
 		field("load offer", func(r *Record) { r.Load.Demand = "\x0a\x3c\x00\x46" }),
@@ -109,8 +109,8 @@
 			r.Load.Capacity, r.Load.Threshold = 1e12, math.Inf(1)
 		}), read: func(r *Record) { r.Load.Capacity, r.Load.Threshold = 4294967.295, 4294967.295 }},
 		{name: "parts above one", record: minimalRecord(func(r *Record) {
-			r.Load.ShedRatio, r.Load.RetryRatio = 1.5, 2
-		}), read: func(r *Record) { r.Load.ShedRatio, r.Load.RetryRatio = 1, 1 }},
+			r.Load.UnservedRatio, r.Load.RetryRatio = 1.5, 2
+		}), read: func(r *Record) { r.Load.UnservedRatio, r.Load.RetryRatio = 1, 1 }},
 		{name: "longest texts", record: minimalRecord(func(r *Record) {
 			long := strings.Repeat("x", MaxText)
 			r.Name, r.Addr, r.Region, r.Zone, r.Version = long, long, long, long, long
--- a/internal/fleet/nameconflict_explore_test.go
+++ b/internal/fleet/nameconflict_explore_test.go
@@ -57,8 +57,8 @@
 
 func unaltered(_ *Self, record Record) Record { return record }
 
-// withoutProofOfLife makes any record of another process count as a proof that it lives.
-func withoutProofOfLife(to *Self, record Record) Record {
+// withoutLivenessProof makes any record of another process count as a proof that it lives.
+func withoutLivenessProof(to *Self, record Record) Record {
 	record.Supersedes = to.record.Run
 	return record
 }
@@ -138,7 +138,7 @@
 
 // The exploration must find the fault of a protocol without proof of life.
 func TestNameConflictsExploredWithFault(t *testing.T) {
-	found := modelcheck.Visit(worldOfOne(), 9, nextSteps(withoutProofOfLife), (*world).key, wrongRelease)
+	found := modelcheck.Visit(worldOfOne(), 9, nextSteps(withoutLivenessProof), (*world).key, wrongRelease)
 	require.NotEmpty(t, found.Why)
 	t.Logf("fault found: %s, by %v", found.Why, found.Steps)
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -44,12 +44,12 @@
 
 // Load is how much work a member has.
 type Load struct {
-	Capacity  float64 // cores of its agent; 0 = not reported
-	Busy      float64 // ratio of these in use; below 0 = unknown
-	InFlight  int     // requests without a response
-	CallQuota float64 // mean concurrent calls that it may have at the store; 0 = unlimited
-	ShedRatio float64 // ratio of requests since its previous record that it rejected or failed
-	MeanCalls float64 // recent mean of concurrent calls at the store
+	Capacity      float64 // cores of its agent; 0 = not reported
+	Busy          float64 // ratio of these in use; below 0 = unknown
+	InFlight      int     // requests without a response
+	CallQuota     float64 // mean concurrent calls that it may have at the store; 0 = unlimited
+	UnservedRatio float64 // ratio of requests since its previous record that it rejected or failed
+	MeanCalls     float64 // recent mean of concurrent calls at the store
 
 	ServiceRate float64 // seconds of work that it completes in a second; 0 = this and the next three are not reported
 	Demand      string  // the work requested of it, as package overload encodes it
--- a/internal/fleet/recorded_run_test.go
+++ b/internal/fleet/recorded_run_test.go
@@ -113,8 +113,8 @@
 				run.Write(self.SetStatus(run.Now, status))
 			}
 			record := run.record(2)
-			run.Write(self.Receive(run.Now, &record), self.NameReleased(), self.Stalled(run.Now), self.PublishDue(run.Now, 40))
-			if self.PublishDue(run.Now, 40) {
+			run.Write(self.Receive(run.Now, &record), self.NameReleased(), self.Stalled(run.Now), self.ShouldPublish(run.Now, 40))
+			if self.ShouldPublish(run.Now, 40) {
 				run.writeRecord(self.NextRecord(run.Now))
 			}
 		}
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -88,12 +88,12 @@
 	causes, reached := r.addressesToDial(now, snapshot)
 	r.dropSchedules(causes)
 	r.addSchedules(now, causes, reached)
-	due := r.dueAddresses(now)
+	overdue := r.overdueAddresses(now)
 	maxDelay := maxDialDelayOf(len(snapshot.Members))
-	for _, addr := range due {
+	for _, addr := range overdue {
 		r.postpone(r.schedules[addr], now, maxDelay)
 	}
-	return due
+	return overdue
 }
 
 // maxDialDelayOf returns the maximum delay between two dials of an address in a fleet of that size. It grows with the
@@ -165,17 +165,17 @@
 	}
 }
 
-// dueAddresses returns the addresses whose dial is due, the longest overdue first.
-func (r *Rejoin) dueAddresses(now time.Duration) (due []string) {
+// overdueAddresses returns the addresses whose time to be dialed has come, the longest overdue first.
+func (r *Rejoin) overdueAddresses(now time.Duration) (overdue []string) {
 	for addr, schedule := range r.schedules {
 		if now >= schedule.nextAt {
-			due = append(due, addr)
+			overdue = append(overdue, addr)
 		}
 	}
-	slices.SortFunc(due, func(a, b string) int {
+	slices.SortFunc(overdue, func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.schedules[a].nextAt, r.schedules[b].nextAt), cmp.Compare(a, b))
 	})
-	return due[:min(len(due), maxDialsPerRound)]
+	return overdue[:min(len(overdue), maxDialsPerRound)]
 }
 
 // firstDelay is the delay before the first dial of an address. All members notice a loss at one instant, so that the
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -35,7 +35,7 @@
 	Busy               float64 `json:"busy"` // -1 = unknown
 	InFlight           int     `json:"in_hand"`
 	CallQuota          float64 `json:"share"`
-	ShedRatio          float64 `json:"shed"`
+	UnservedRatio      float64 `json:"shed"`
 	MeanCalls          float64 `json:"calls"`           // recent mean of concurrent calls at the store
 	ServiceRate        float64 `json:"pace,omitempty"`  // seconds of work completed in a second
 	Attempts           float64 `json:"tries,omitempty"` // requests read in a second
@@ -131,7 +131,7 @@
 		Busy:               m.Load.Busy,
 		InFlight:           m.Load.InFlight,
 		CallQuota:          m.Load.CallQuota,
-		ShedRatio:          m.Load.ShedRatio,
+		UnservedRatio:      m.Load.UnservedRatio,
 		MeanCalls:          m.Load.MeanCalls,
 		ServiceRate:        m.Load.ServiceRate,
 		Attempts:           m.Load.Attempts,
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -93,9 +93,9 @@
 
 func (s *Self) loopStalled(now time.Duration) bool { return now-s.lastStatus > stallTimeout }
 
-// PublishDue reports whether the next record is due in a fleet of that size. A stall is published at once and then
+// ShouldPublish reports whether the next record is due in a fleet of that size. A stall is published at once and then
 // once a period, as the loop's own records would be: any single update may miss a member.
-func (s *Self) PublishDue(now time.Duration, members int) bool {
+func (s *Self) ShouldPublish(now time.Duration, members int) bool {
 	period := Period(members)
 	if s.record.Load.Aggregate != "" {
 		period = minPeriod // it publishes for its whole zone
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -185,8 +185,8 @@
 }
 
 func (l *Load) ratio(number protowire.Number) *float64 {
-	if number == fieldShedRatio {
-		return &l.ShedRatio
+	if number == fieldUnservedRatio {
+		return &l.UnservedRatio
 	}
 	return &l.RetryRatio
 }
--- a/internal/fleet/update_encode.go
+++ b/internal/fleet/update_encode.go
@@ -34,7 +34,7 @@
 	b = appendThousandths(b, fieldBusy, load.Busy+1) // so that unknown, -1, is 0
 	b = appendVarint(b, fieldInFlight, uint64(max(load.InFlight, 0)))
 	b = appendThousandths(b, fieldCallQuota, load.CallQuota)
-	b = appendThousandths(b, fieldShedRatio, load.ShedRatio)
+	b = appendThousandths(b, fieldUnservedRatio, load.UnservedRatio)
 	b = appendThousandths(b, fieldMeanCalls, load.MeanCalls)
 	b = appendThousandths(b, fieldServiceRate, load.ServiceRate)
 	b = appendText(b, fieldDemand, load.Demand)
--- a/internal/fleet/update_fields.go
+++ b/internal/fleet/update_fields.go
@@ -39,7 +39,7 @@
 	fieldBusy
 	fieldInFlight
 	fieldCallQuota
-	fieldShedRatio
+	fieldUnservedRatio
 	fieldMeanCalls
 	fieldServiceRate
 	fieldDemand
@@ -86,34 +86,34 @@
 
 // fieldKinds has the kind of each known field.
 var fieldKinds = [firstUnknownField]fieldKind{
-	fieldName:        textField,
-	fieldRun:         fixed64Field,
-	fieldIncarnation: varintField,
-	fieldSupersedes:  fixed64Field,
-	fieldSeq:         varintField,
-	fieldUp:          durationField,
-	fieldStalled:     durationField,
-	fieldAddr:        textField,
-	fieldRegion:      textField,
-	fieldZone:        textField,
-	fieldVersion:     textField,
-	fieldConfig:      fixed64Field,
-	fieldState:       varintField,
-	fieldCapacity:    thousandthsField,
-	fieldBusy:        thousandthsField,
-	fieldInFlight:    varintField,
-	fieldCallQuota:   thousandthsField,
-	fieldShedRatio:   ratioField,
-	fieldMeanCalls:   thousandthsField,
-	fieldServiceRate: thousandthsField,
-	fieldDemand:      opaqueField,
-	fieldAttempts:    thousandthsField,
-	fieldRetryRatio:  ratioField,
-	fieldThreshold:   thousandthsField,
-	fieldStoreState:  varintField,
-	fieldStoreID:     varintField,
-	fieldProbeRound:  varintField,
-	fieldAggregate:   opaqueField,
+	fieldName:          textField,
+	fieldRun:           fixed64Field,
+	fieldIncarnation:   varintField,
+	fieldSupersedes:    fixed64Field,
+	fieldSeq:           varintField,
+	fieldUp:            durationField,
+	fieldStalled:       durationField,
+	fieldAddr:          textField,
+	fieldRegion:        textField,
+	fieldZone:          textField,
+	fieldVersion:       textField,
+	fieldConfig:        fixed64Field,
+	fieldState:         varintField,
+	fieldCapacity:      thousandthsField,
+	fieldBusy:          thousandthsField,
+	fieldInFlight:      varintField,
+	fieldCallQuota:     thousandthsField,
+	fieldUnservedRatio: ratioField,
+	fieldMeanCalls:     thousandthsField,
+	fieldServiceRate:   thousandthsField,
+	fieldDemand:        opaqueField,
+	fieldAttempts:      thousandthsField,
+	fieldRetryRatio:    ratioField,
+	fieldThreshold:     thousandthsField,
+	fieldStoreState:    varintField,
+	fieldStoreID:       varintField,
+	fieldProbeRound:    varintField,
+	fieldAggregate:     opaqueField,
 }
 
 var (
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -25,9 +25,9 @@
 
 // dialResult is the result of a failed dial, or the end of a round.
 type dialResult struct {
-	target    dialTarget
-	evidence  fleet.Evidence
-	roundOver bool
+	target         dialTarget
+	evidence       fleet.Evidence
+	roundCompleted bool
 }
 
 // startDialRound has addresses dialed that are not reached. There is one round at a time.
@@ -56,7 +56,7 @@
 }
 
 func (f *Fleet) applyDialResult(result dialResult) {
-	if result.roundOver {
+	if result.roundCompleted {
 		f.dialing = false
 		return
 	}
@@ -85,7 +85,7 @@
 			f.reportDial(ctx, dialResult{target: target, evidence: f.transport.dial.evidence()})
 		}
 	}
-	f.reportDial(ctx, dialResult{roundOver: true})
+	f.reportDial(ctx, dialResult{roundCompleted: true})
 }
 
 func (f *Fleet) reportDial(ctx context.Context, result dialResult) {
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -21,8 +21,8 @@
 	publishedAt time.Duration
 }
 
-// due reports whether the next snapshot is to be published. A change in load alone waits for longer in a larger view.
-func (u *unpublishedChanges) due(now time.Duration, members int) bool {
+// shouldPublish reports whether the next snapshot is to be published. A change in load alone waits for longer in a larger view.
+func (u *unpublishedChanges) shouldPublish(now time.Duration, members int) bool {
 	if u.changed {
 		return true
 	}
--- a/internal/gossip/snapshot_test.go
+++ b/internal/gossip/snapshot_test.go
@@ -8,7 +8,7 @@
 )
 
 // A change must be published at the next tick, and load alone the later the larger the fleet is.
-func TestSnapshotDue(t *testing.T) {
+func TestSnapshotInterval(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		unpublished unpublishedChanges
 		members     int
@@ -22,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := tickInterval
-			for !testCase.unpublished.due(now, testCase.members) {
+			for !testCase.unpublished.shouldPublish(now, testCase.members) {
 				now += tickInterval
 			}
 			require.Equal(t, testCase.want, now)
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -57,10 +57,10 @@
 		f.nextForgetAt = now + forgetInterval
 		f.view.Forget(now)
 	}
-	if f.self.PublishDue(now, f.view.Size()) {
+	if f.self.ShouldPublish(now, f.view.Size()) {
 		f.publishRecord()
 	}
-	if f.unpublished.due(now, f.view.Size()) {
+	if f.unpublished.shouldPublish(now, f.view.Size()) {
 		f.publishSnapshot(now)
 	}
 	if !f.dialing && now >= f.nextDialAt {
--- a/internal/overload/attempt_age.go
+++ b/internal/overload/attempt_age.go
@@ -27,7 +27,7 @@
 		return 0
 	}
 	histogram.count(timeout)
-	if histogram.updateDue(now) {
+	if histogram.shouldUpdate(now) {
 		histogram.update(now)
 	}
 	return histogram.age(timeout)
--- a/internal/overload/helpers_test.go
+++ b/internal/overload/helpers_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// sum returns the sum of values.
-func sum(values []float64) (total float64) {
+// totalOf returns the sum of values.
+func totalOf(values []float64) (total float64) {
 	for _, value := range values {
 		total += value
 	}
--- a/internal/overload/shedding_state.go
+++ b/internal/overload/shedding_state.go
@@ -22,17 +22,17 @@
 
 // SheddingState is what a member knows of the load of its fleet, and the shedding threshold that follows from it.
 type SheddingState struct {
-	Known           bool // there are recent updates, and this member is not partitioned from most others
-	Full            bool
-	Threshold       float64       // requests of lower priority are below the threshold; 0 = none are
-	Offered         float64       // demand of the fleet, corrected for retries, in seconds of work a second
-	ServiceRate     float64       // that the fleet completes, in seconds of work a second
-	RetryRatio      float64       // retries for each first attempt in the fleet
-	OverRetryBudget bool          // RetryRatio exceeds RetryBudget while the fleet is full
-	Window          time.Duration // over which rejected clients should spread their retries, to fit into free capacity
-	Members         int           // whose updates count, this one included
-	Stale           int           // members whose updates are too old
-	Oldest          time.Duration // age of the oldest update that counts
+	Known               bool // there are recent updates, and this member is not partitioned from most others
+	Full                bool
+	Threshold           float64       // requests of lower priority are below the threshold; 0 = none are
+	Offered             float64       // demand of the fleet, corrected for retries, in seconds of work a second
+	ServiceRate         float64       // that the fleet completes, in seconds of work a second
+	RetryRatio          float64       // retries for each first attempt in the fleet
+	RetryBudgetExceeded bool          // RetryRatio exceeds RetryBudget while the fleet is full
+	Window              time.Duration // over which rejected clients should spread their retries, to fit into free capacity
+	Members             int           // whose updates count, this one included
+	Stale               int           // members whose updates are too old
+	Oldest              time.Duration // age of the oldest update that counts
 }
 
 // classify returns the verdict on a request of a priority.
@@ -42,7 +42,7 @@
 		return VerdictUnknown
 	case priority < s.Threshold:
 		return VerdictBelowThreshold
-	case s.Full && s.OverRetryBudget:
+	case s.Full && s.RetryBudgetExceeded:
 		return VerdictFleetFull
 	}
 	return VerdictHasCapacity
@@ -67,7 +67,7 @@
 		next.Threshold = max(s.Threshold-thresholdDecayStep, 0)
 		return next
 	}
-	next.OverRetryBudget = next.RetryRatio > RetryBudget
+	next.RetryBudgetExceeded = next.RetryRatio > RetryBudget
 	next.Threshold = total.Demand.thresholdFor(total.ServiceRate * total.capacityFactor())
 	if s.Full {
 		next.Threshold = s.Threshold + thresholdGain*(next.Threshold-s.Threshold)
--- a/internal/overload/shedding_test.go
+++ b/internal/overload/shedding_test.go
@@ -136,11 +136,11 @@
 	} {
 		simulation := newSheddingSimulation(servers, test.misreport)
 		simulation.run(20*time.Second, test.load*servers*serverCapacity/meanWork)
-		admitted := sum(simulation.admitted) / (servers * serverCapacity)
+		admitted := totalOf(simulation.admitted) / (servers * serverCapacity)
 		inRange := admitted > test.minAdmitted && admitted < test.maxAdmitted
 		require.True(t, inRange, "%s: %.2f of the capacity is admitted", test.name, admitted)
 		if test.load < 1 && test.misreport == nil {
-			require.Zero(t, sum(simulation.shed), test.name)
+			require.Zero(t, totalOf(simulation.shed), test.name)
 		}
 		first := simulation.shedders[0].State()
 		for _, shedder := range simulation.shedders {
--- a/internal/overload/timeout_histogram.go
+++ b/internal/overload/timeout_histogram.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	timeoutBucketWidth       = 10 * time.Millisecond // a first attempt may be off by one bucket
-	commonTimeoutRatio       = 0.04                  // of the attempts of a class, from which a timeout is common
-	minCommonTimeoutAttempts = 6.0                   // and attempts, from which it is
-	minClassAttempts         = 25.0                  // of a class, before any timeout is common
-	attemptCountHalfLife     = 10 * time.Second
-	minBucketCount           = 0.25 // a bucket with less is dropped
-	maxTimeoutBuckets        = 1024 // of a class
+	timeoutBucketWidth          = 10 * time.Millisecond // a first attempt may be off by one bucket
+	commonTimeoutRatio          = 0.04                  // of the attempts of a class, from which a timeout is common
+	minCommonTimeoutAttempts    = 6.0                   // and attempts, from which it is
+	minClassAttempts            = 25.0                  // of a class, before any timeout is common
+	attemptCountHalvingInterval = 10 * time.Second
+	minBucketCount              = 0.25 // a bucket with less is dropped
+	maxTimeoutBuckets           = 1024 // of a class
 )
 
 // timeoutHistogram counts the attempts of a class by the time that their clients still wait.
@@ -28,7 +28,7 @@
 func newTimeoutHistogram(now time.Duration) *timeoutHistogram {
 	return &timeoutHistogram{
 		counts:          map[int]float64{},
-		nextDecay:       now + attemptCountHalfLife,
+		nextDecay:       now + attemptCountHalvingInterval,
 		nextUpdateTotal: minClassAttempts,
 	}
 }
@@ -61,8 +61,8 @@
 	return 0
 }
 
-// updateDue reports whether the common timeouts are to be found anew.
-func (h *timeoutHistogram) updateDue(now time.Duration) bool {
+// shouldUpdate reports whether the common timeouts are to be found anew.
+func (h *timeoutHistogram) shouldUpdate(now time.Duration) bool {
 	return now >= h.nextDecay || h.total >= h.nextUpdateTotal
 }
 
@@ -73,7 +73,7 @@
 	h.findCommonBuckets()
 	if now >= h.nextDecay {
 		h.decay()
-		h.nextDecay = now + attemptCountHalfLife
+		h.nextDecay = now + attemptCountHalvingInterval
 		h.nextUpdateTotal = math.Inf(1)
 	}
 }
--- a/internal/release/evidence.go
+++ b/internal/release/evidence.go
@@ -14,18 +14,18 @@
 )
 
 // tally counts the requests of one version in a group.
-type tally struct{ good, bad float64 }
+type tally struct{ succeeded, failed float64 }
 
 func (t *tally) add(requests, bad int) {
-	t.good += float64(requests - bad)
-	t.bad += float64(bad)
+	t.succeeded += float64(requests - bad)
+	t.failed += float64(bad)
 }
 
-func (t *tally) requests() float64 { return t.good + t.bad }
+func (t *tally) requests() float64 { return t.succeeded + t.failed }
 
 // errorRatio returns the posterior mean of the ratio of requests that go wrong.
 func (t *tally) errorRatio() float64 {
-	return (t.bad + jeffreysPrior) / (t.good + t.bad + 2*jeffreysPrior)
+	return (t.failed + jeffreysPrior) / (t.succeeded + t.failed + 2*jeffreysPrior)
 }
 
 // evidence is that of one group: the logarithms of two e-processes, and the requests so far.
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -115,12 +115,12 @@
 		Replaced: s.handover.successor != nil || s.drain.started() && s.drain.replaced,
 	}
 	s.addCurrentLoad(&status.Load)
-	status.Load.ShedRatio = s.takeShedRatio()
+	status.Load.UnservedRatio = s.takeUnservedRatio()
 	s.member.fleet.Publish(status)
 }
 
-// takeShedRatio returns the part of the requests answered since the last status that were not served.
-func (s *Server) takeShedRatio() float64 {
+// takeUnservedRatio returns the part of the requests answered since the last status that were not served.
+func (s *Server) takeUnservedRatio() float64 {
 	var answers, unserved uint64
 	for _, a := range s.stats.Answers {
 		answers += a.Served + a.Rejected + a.Failed
@@ -135,7 +135,7 @@
 	return ratio
 }
 
-// addCurrentLoad fills in the load of this server, without ShedRatio.
+// addCurrentLoad fills in the load of this server, without UnservedRatio.
 func (s *Server) addCurrentLoad(load *fleet.Load) {
 	load.Capacity = float64(s.config.Settings.Cores)
 	load.Busy = -1
--- a/internal/server/member_test.go
+++ b/internal/server/member_test.go
@@ -49,9 +49,9 @@
 	server.countAnswer(1, Served)
 	server.deadlines.Sweep(server.clock.now + publishInterval)
 	require.Equal(t, fleet.Serving, fakeFleet.last.State)
-	require.InDelta(t, 0.5, fakeFleet.last.Load.ShedRatio, 1e-9)
+	require.InDelta(t, 0.5, fakeFleet.last.Load.UnservedRatio, 1e-9)
 	server.publishStatus()
-	require.Zero(t, fakeFleet.last.Load.ShedRatio)
+	require.Zero(t, fakeFleet.last.Load.UnservedRatio)
 	server.health.deregistered = true
 	server.publishStatus()
 	require.Equal(t, fleet.Draining, fakeFleet.last.State)
