--- a/internal/fleet/nameconflict.go
+++ b/internal/fleet/nameconflict.go
@@ -15,6 +15,26 @@
 	lastSeq               uint64        // of the record that was the last proof
 }
 
+// rivalSet is the rivals of a process by their Run.
+type rivalSet map[uint64]rival
+
+// prove notes that the process of the record lives. Ok is false for a record that is no new proof, and where there are
+// too many rivals.
+func (s rivalSet) prove(now time.Duration, record *Record) (proven rival, ok bool) {
+	proven, known := s[record.Run]
+	full := !known && len(s) >= maxRivals
+	if full || record.Seq <= proven.lastSeq {
+		return proven, false
+	}
+	if !known || now-proven.lastProof > conflictTimeout {
+		proven.firstProof = now
+	}
+	proven.lastProof = now
+	proven.lastSeq = record.Seq
+	s[record.Run] = proven
+	return proven, true
+}
+
 // Receive takes in the record of another process with this name, and returns whether this process has to publish at
 // once: a higher incarnation, or that it has released the name.
 //
@@ -25,14 +45,13 @@
 	if record.Name != s.record.Name || record.Run == s.record.Run || s.ownership != nameOwned {
 		return false
 	}
-	if record.Supersedes == s.record.Run && record.State != Stopped {
-		proof, recorded := s.recordProof(now, record)
-		if !recorded {
+	if s.answeredBy(record) {
+		proven, ok := s.rivals.prove(now, record)
+		if !ok {
 			return false
 		}
-		if record.Run < s.record.Run && now-proof.firstProof >= conflictTimeout {
-			s.ownership = nameReleased
-			s.record.State = Stopped
+		if record.Run < s.record.Run && now-proven.firstProof >= conflictTimeout {
+			s.releaseName()
 			return true
 		}
 	}
@@ -44,19 +63,13 @@
 	return true
 }
 
-// recordProof notes that the process of the record lives. It returns false for a record that is no new proof, and where
-// there are too many rivals.
-func (s *Self) recordProof(now time.Duration, record *Record) (proof rival, recorded bool) {
-	proof, known := s.rivals[record.Run]
-	full := !known && len(s.rivals) >= maxRivals
-	if full || record.Seq <= proof.lastSeq {
-		return proof, false
-	}
-	if now-proof.lastProof > conflictTimeout || !known {
-		proof.firstProof = now
-	}
-	proof.lastProof = now
-	proof.lastSeq = record.Seq
-	s.rivals[record.Run] = proof
-	return proof, true
+// answeredBy reports whether a process that lives has raised its incarnation above that of this one.
+func (s *Self) answeredBy(record *Record) bool {
+	return record.Supersedes == s.record.Run && record.State != Stopped
+}
+
+// releaseName gives up the name for good.
+func (s *Self) releaseName() {
+	s.ownership = nameReleased
+	s.record.State = Stopped
 }
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -34,7 +34,7 @@
 	lastPublished  time.Duration
 	stallPublished bool // the last record said that the loop stalls
 	ownership      nameOwnership
-	rivals         map[uint64]rival // by Run
+	rivals         rivalSet
 }
 
 // NewSelf returns the Self of a process that starts at now. The incarnation goes by the system's clock, so that it is
@@ -42,7 +42,7 @@
 func NewSelf(now time.Duration, place Place, config, incarnation uint64) *Self {
 	return &Self{
 		startedAt: now, lastStatus: now, lastPublished: now,
-		rivals: map[uint64]rival{},
+		rivals: rivalSet{},
 		record: Record{
 			Name: place.Name, Run: place.Run, Incarnation: incarnation, Seq: 1,
 			Addr: place.Addr, Region: place.Region, Zone: place.Zone, Version: place.Version,
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -67,7 +67,7 @@
 // Reached is how many of its members are reached.
 func (z *Zone) Reached() int { return z.Count[Alive] + z.Count[Suspect] }
 
-// MostlyUnreachable reports whether at least half of the zone is silent: a partition is likelier than so many failures.
+// MostlyUnreachable reports whether at least half of the zone is unreachable: a partition is likelier than so many failures.
 func (z *Zone) MostlyUnreachable() bool {
 	return z.Known >= minZoneMembers && 2*z.Count[Unreachable] >= z.Known
 }
@@ -87,7 +87,7 @@
 	Alone              Position = iota // no record of another member was ever received
 	FullyConnected                     // all known members are reached
 	PartiallyConnected                 // most of them are
-	Partitioned                        // as many are silent as are reached, or more: it must not act for the fleet
+	Partitioned                        // as many are unreachable as are reached, or more: it must not act for the fleet
 )
 
 var positionNames = [...]string{
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -10,12 +10,12 @@
 
 // positionCase is a fleet of nine other members; n0, n3 and n6 are in the first zone.
 type positionCase struct {
-	silent, dead, departed int
-	want                   Position
-	unreachable            int // zones
+	unreachable, failed, departed int
+	want                          Position
+	unreachableZones              int
 }
 
-// view has the silent members first, then the dead ones; those that left are the last.
+// view has the unreachable members first, then the failed ones; those that left are the last.
 func (c positionCase) view() *View {
 	view := newTestView(20)
 	view.Merge(0, 0, Record{Name: "me", Run: 1, Seq: 1, Zone: "z0", State: Serving})
@@ -26,37 +26,37 @@
 		}
 		view.Merge(0, 0, record)
 		view.ObserveReach(0, record.Name, 1, Reached)
-		if i < c.silent+c.dead {
+		if i < c.unreachable+c.failed {
 			view.ObserveReach(time.Second, record.Name, 1, Lost)
 		}
-		if i >= c.silent && i < c.silent+c.dead {
+		if i >= c.unreachable && i < c.unreachable+c.failed {
 			view.RecordEvidence(record.Name, 1, ConnectionRefused)
 		}
 	}
 	return view
 }
 
-// 'This observer is partitioned', 'half of a zone is silent' and 'these are dead' call for different actions.
+// 'This observer is partitioned', 'half of a zone is unreachable' and 'these are failed' call for different actions.
 func TestPositions(t *testing.T) {
 	for name, testCase := range map[string]positionCase{
-		"all reached":             {0, 0, 0, FullyConnected, 0},
-		"one silent":              {1, 0, 0, PartiallyConnected, 0},
-		"most dead":               {0, 8, 0, PartiallyConnected, 0},
-		"half silent":             {5, 0, 0, Partitioned, 2},
-		"a third dead two silent": {2, 3, 0, PartiallyConnected, 0},
-		"all left":                {0, 0, 9, FullyConnected, 0},
-		"two left four silent":    {4, 0, 2, Partitioned, 3},
+		"all reached":                    {0, 0, 0, FullyConnected, 0},
+		"one unreachable":                {1, 0, 0, PartiallyConnected, 0},
+		"most failed":                    {0, 8, 0, PartiallyConnected, 0},
+		"half unreachable":               {5, 0, 0, Partitioned, 2},
+		"a third failed two unreachable": {2, 3, 0, PartiallyConnected, 0},
+		"all left":                       {0, 0, 9, FullyConnected, 0},
+		"two left four unreachable":      {4, 0, 2, Partitioned, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			snapshot := testCase.view().Snapshot(2 * time.Second)
-			unreachable := 0
+			unreachableZones := 0
 			for i := range snapshot.Zones {
 				if snapshot.Zones[i].MostlyUnreachable() {
-					unreachable++
+					unreachableZones++
 				}
 			}
 			require.Equal(t, testCase.want, snapshot.Position)
-			require.Equal(t, testCase.unreachable, unreachable)
+			require.Equal(t, testCase.unreachableZones, unreachableZones)
 		})
 	}
 	require.Equal(t, Alone, NewView("me", Limits{Members: 2}).Snapshot(0).Position)
--- a/internal/gossip/dialobserver_test.go
+++ b/internal/gossip/dialobserver_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The way in which a dial fails must tell a process that has ended from one that is stopped and one that is silent.
+// The way in which a dial fails must tell a process that has ended from one that is stopped and one that is unreachable.
 func TestDialEvidence(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		err      error
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -270,7 +270,7 @@
 }
 
 // A member takes a later round that others publish, unless it is out of range, and starts the next one when nothing is
-// heard of a round for too long.
+// published about a round for too long.
 func TestProbeRounds(t *testing.T) {
 	const own, published = 5, 7
 	for _, test := range []struct {
