--- a/lab/fleetlab/membership_test.go
+++ b/lab/fleetlab/membership_test.go
@@ -144,7 +144,7 @@
 	lab.requireViews(t, without(all, "n1"), "n1=left", "position=whole")
 
 	output := lab.runProgram(t, "fleet", "status", "--check", "--console", lab.Members[0].ConsoleAddr)
-	require.Contains(t, output, "n0 sees its fleet: whole")
+	require.Contains(t, output, "fleet as seen by n0: fully connected")
 	output = lab.runProgram(t, "fleet", "members", "--console", lab.Members[0].ConsoleAddr)
 	require.Regexp(t, `n1 +z0 +left`, output)
 	lab.requireInvalidOperatorsFiles(t, leaving)
