--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -67,60 +67,60 @@
 }
 
 // publishRecord broadcasts the next record of this process.
-func (f *Fleet) publishRecord() {
-	if f.left {
+func (o *viewOwner) publishRecord() {
+	if o.left {
 		return
 	}
-	now := f.Now()
-	record := f.self.NextRecord(now)
-	f.mergeUpdate(now, &recordUpdate{record, now - record.Stalled, f.Now})
+	now := o.Now()
+	record := o.self.NextRecord(now)
+	o.mergeUpdate(now, &recordUpdate{record, now - record.Stalled, o.Now})
 }
 
 // receiveUpdate merges and passes on an update of another process.
-func (f *Fleet) receiveUpdate(update *recordUpdate) {
-	if f.left {
+func (o *viewOwner) receiveUpdate(update *recordUpdate) {
+	if o.left {
 		return
 	}
-	now := f.Now()
-	f.Counters.Updates.Add(1)
-	if f.self.Receive(now, &update.record) {
-		f.publishRecord()
-		if f.self.NameReleased() {
-			f.leaveToRival(now, &update.record)
+	now := o.Now()
+	o.Counters.Updates.Add(1)
+	if o.self.Receive(now, &update.record) {
+		o.publishRecord()
+		if o.self.NameReleased() {
+			o.leaveToRival(now, &update.record)
 			return
 		}
 	}
-	if f.mergeUpdate(now, update) {
-		f.Counters.NewUpdates.Add(1)
+	if o.mergeUpdate(now, update) {
+		o.Counters.NewUpdates.Add(1)
 		return
 	}
-	if newer, recordedAt := f.view.SupersededBy(&update.record); newer != nil {
-		f.broadcasts.changes.QueueBroadcast(&recordUpdate{*newer, recordedAt, f.Now})
+	if newer, recordedAt := o.view.SupersededBy(&update.record); newer != nil {
+		o.broadcasts.changes.QueueBroadcast(&recordUpdate{*newer, recordedAt, o.Now})
 	}
 }
 
 // mergeUpdate merges an update into the view. It broadcasts one that is newer than what was known, and returns whether
 // it was.
-func (f *Fleet) mergeUpdate(now time.Duration, update *recordUpdate) (newer bool) {
-	previous := f.view.Known(update.record.Name)
-	if !f.view.Merge(now, now-update.recordedAt, update.record) {
+func (o *viewOwner) mergeUpdate(now time.Duration, update *recordUpdate) (newer bool) {
+	previous := o.view.Known(update.record.Name)
+	if !o.view.Merge(now, now-update.recordedAt, update.record) {
 		return false
 	}
 	if previous == nil || update.record.Urgent(previous) {
-		f.broadcasts.changes.QueueBroadcast(update)
-		f.unpublished.changed = true
+		o.broadcasts.changes.QueueBroadcast(update)
+		o.unpublished.changed = true
 		return true
 	}
 	if update.record.Load.Aggregate != "" {
-		f.unpublished.aggregate = true
+		o.unpublished.aggregate = true
 	}
-	f.broadcasts.loads.QueueBroadcast(update)
+	o.broadcasts.loads.QueueBroadcast(update)
 	return true
 }
 
-func (f *Fleet) leaveToRival(now time.Duration, rival *fleet.Record) {
-	f.log.WithFields(logrus.Fields{"member": rival.Name, "address": rival.Addr}).
+func (o *viewOwner) leaveToRival(now time.Duration, rival *fleet.Record) {
+	o.log.WithFields(logrus.Fields{"member": rival.Name, "address": rival.Addr}).
 		Error("member name in use by an earlier process, leaving fleet and serving alone")
-	f.publishSnapshot(now)
-	f.leave()
+	o.publishSnapshot(now)
+	o.leave()
 }
--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -63,15 +63,7 @@
 	messageHandler atomic.Pointer[func(b []byte)]
 	snapshot       atomic.Pointer[fleet.Snapshot]
 
-	// State of the goroutine that owns the view.
-	view         *fleet.View
-	self         *fleet.Self
-	rejoin       *fleet.Rejoin
-	unpublished  unpublishedChanges
-	dialing      bool // a round of dials is not over
-	left         bool // this process has left the fleet
-	nextDialAt   time.Duration
-	nextForgetAt time.Duration
+	owner *viewOwner // belongs to the goroutine that Run starts for it
 }
 
 // New returns a membership that starts with Listen and Run. An error names the key of [fleet] in the operators' file
@@ -95,13 +87,9 @@
 		reach:          newReachChanges(),
 		dialRounds:     make(chan []dialTarget, 1),
 		directMessages: make(chan directMessage, directQueueLength),
-		view:           fleet.NewView(config.Place.Name, config.Limits),
-		self:           fleet.NewSelf(0, config.Place, config.Digest, config.Incarnation),
-		rejoin:         fleet.NewRejoin(config.Seeds, random),
 	}
 	member.broadcasts.init(func() int { return len(member.Snapshot().Members) })
-	member.view.Merge(0, 0, member.self.Record())
-	member.snapshot.Store(member.view.Snapshot(0))
+	member.owner = newViewOwner(member, fleet.NewRejoin(config.Seeds, random))
 	return member, nil
 }
 
@@ -137,7 +125,7 @@
 	g.Go(func() error { return f.sendDirectMessages(ctx) })
 	g.Go(func() error {
 		defer cancel()
-		f.ownView(ctx)
+		f.owner.ownView(ctx)
 		return nil
 	})
 	if err := g.Wait(); err != nil {
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -90,16 +90,16 @@
 		State: fleet.Serving,
 	}
 	merge := func(at time.Duration, record fleet.Record) {
-		member.view.Merge(at, at, record)
-		member.publishSnapshot(at)
+		member.owner.view.Merge(at, at, record)
+		member.owner.publishSnapshot(at)
 	}
 	merge(time.Second, other)
-	member.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
-	member.publishSnapshot(2 * time.Second)
+	member.owner.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
+	member.owner.publishSnapshot(2 * time.Second)
 	other.Seq, other.State, other.Version, other.Config = 2, fleet.Draining, "1.2.4", 0xdef
 	merge(3*time.Second, other)
 	other.Run, other.Seq = 6, 1
 	merge(4*time.Second, other)
-	member.publishSnapshot(5 * time.Minute)
+	member.owner.publishSnapshot(5 * time.Minute)
 	golden.RequireFile(t, "changes.golden", lines.String())
 }
--- a/internal/gossip/leave.go
+++ b/internal/gossip/leave.go
@@ -15,29 +15,29 @@
 )
 
 // leave leaves the fleet: at the end, or when the name belongs to another process. A second call does nothing.
-func (f *Fleet) leave() {
-	if f.left {
+func (o *viewOwner) leave() {
+	if o.left {
 		return
 	}
-	if !f.self.NameReleased() {
-		f.sendLastRecord()
+	if !o.self.NameReleased() {
+		o.sendLastRecord()
 	}
-	f.left = true
-	if err := f.memberlist.Leave(leaveTimeout); err != nil {
-		f.log.WithError(err).Debug("leaving not acknowledged by other members")
+	o.left = true
+	if err := o.memberlist.Leave(leaveTimeout); err != nil {
+		o.log.WithError(err).Debug("leaving not acknowledged by other members")
 	}
-	if err := f.memberlist.Shutdown(); err != nil {
-		f.log.WithError(err).Warn("gossip sockets not closed")
+	if err := o.memberlist.Shutdown(); err != nil {
+		o.log.WithError(err).Warn("gossip sockets not closed")
 	}
 }
 
 // sendLastRecord sends the last record of this process to some members directly: the process may have ended before the
 // next packet of gossip is sent.
-func (f *Fleet) sendLastRecord() {
-	now := f.Now()
-	update := &recordUpdate{f.self.LeaveRecord(now), now, f.Now}
-	f.mergeUpdate(now, update)
-	members := f.Snapshot().Members
+func (o *viewOwner) sendLastRecord() {
+	now := o.Now()
+	update := &recordUpdate{o.self.LeaveRecord(now), now, o.Now}
+	o.mergeUpdate(now, update)
+	members := o.Snapshot().Members
 	sent := 0
 	for _, i := range rand.Perm(len(members)) {
 		member := &members[i]
@@ -45,8 +45,8 @@
 			continue
 		}
 		sent++
-		if err := f.memberlist.SendToAddress(addressOf(member), update.Message()); err != nil {
-			f.log.WithError(err).WithField("member", member.Name).Debug("last record not sent")
+		if err := o.memberlist.SendToAddress(addressOf(member), update.Message()); err != nil {
+			o.log.WithError(err).WithField("member", member.Name).Debug("last record not sent")
 		}
 	}
 }
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -31,15 +31,15 @@
 }
 
 // startDialRound has addresses dialed that are not reached. There is one round at a time.
-func (f *Fleet) startDialRound(now time.Duration) {
-	snapshot := f.Snapshot()
+func (o *viewOwner) startDialRound(now time.Duration) {
+	snapshot := o.Snapshot()
 	var round []dialTarget
-	for _, addr := range f.rejoin.NextDials(now, snapshot) {
+	for _, addr := range o.rejoin.NextDials(now, snapshot) {
 		round = append(round, newDialTarget(addr, snapshot))
 	}
 	if len(round) > 0 {
-		f.dialing = true
-		f.dialRounds <- round
+		o.dialing = true
+		o.dialRounds <- round
 	}
 }
 
@@ -55,13 +55,13 @@
 	return target
 }
 
-func (f *Fleet) applyDialResult(result dialResult) {
+func (o *viewOwner) applyDialResult(result dialResult) {
 	if result.roundCompleted {
-		f.dialing = false
+		o.dialing = false
 		return
 	}
-	f.view.RecordEvidence(result.target.name, result.target.run, result.evidence)
-	f.unpublished.changed = true
+	o.view.RecordEvidence(result.target.name, result.target.run, result.evidence)
+	o.unpublished.changed = true
 }
 
 // runDialRounds is the goroutine that dials, which takes long where nothing answers. It ends with ctx.
--- a/internal/gossip/reload.go
+++ b/internal/gossip/reload.go
@@ -24,13 +24,13 @@
 func (f *Fleet) Reload(change ReloadableConfig) { replaceLatest(f.changes, change) }
 
 // applyChange runs in the goroutine that owns the view.
-func (f *Fleet) applyChange(change ReloadableConfig) {
-	f.rejoin.SetSeeds(change.Seeds)
-	if f.self.SetConfig(change.Digest) {
-		f.publishRecord()
+func (o *viewOwner) applyChange(change ReloadableConfig) {
+	o.rejoin.SetSeeds(change.Seeds)
+	if o.self.SetConfig(change.Digest) {
+		o.publishRecord()
 	}
-	if err := f.replaceKeys(change.Keys); err != nil {
-		f.log.WithError(err).Error("encryption keys of fleet not replaced, keeping current ones")
+	if err := o.replaceKeys(change.Keys); err != nil {
+		o.log.WithError(err).Error("encryption keys of fleet not replaced, keeping current ones")
 	}
 }
 
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -34,20 +34,20 @@
 }
 
 // publishSnapshot publishes the view, and logs the changes since the last snapshot.
-func (f *Fleet) publishSnapshot(now time.Duration) {
-	next, previous := f.view.Snapshot(now), f.Snapshot()
-	f.unpublished = unpublishedChanges{publishedAt: now}
-	f.logChanges(next.Changes(previous), next.Position)
-	f.snapshot.Store(next)
+func (o *viewOwner) publishSnapshot(now time.Duration) {
+	next, previous := o.view.Snapshot(now), o.Snapshot()
+	o.unpublished = unpublishedChanges{publishedAt: now}
+	o.logChanges(next.Changes(previous), next.Position)
+	o.snapshot.Store(next)
 }
 
-func (f *Fleet) logChanges(changes []fleet.Change, position fleet.Position) {
+func (o *viewOwner) logChanges(changes []fleet.Change, position fleet.Position) {
 	for i, change := range changes {
 		if i == maxChangeLines {
-			f.log.WithField("count", len(changes)-i).Info("further changes in fleet not logged")
+			o.log.WithField("count", len(changes)-i).Info("further changes in fleet not logged")
 			return
 		}
-		f.log.WithFields(changeFields(&change, position)).Log(changeLevel(&change), string(change.Kind))
+		o.log.WithFields(changeFields(&change, position)).Log(changeLevel(&change), string(change.Kind))
 	}
 }
 
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -12,70 +12,98 @@
 	forgetInterval = 10 * time.Second       // between two searches for members to forget
 )
 
-// ownView is the goroutine that owns the view. It ends with ctx, after leaving the fleet.
-func (f *Fleet) ownView(ctx context.Context) {
+// viewOwner is what belongs to the goroutine that owns the view: the view of the fleet, what this process publishes of
+// itself, and when the next rounds are due. Nothing else reads or changes it.
+type viewOwner struct {
+	*Fleet       // whose channels bring the events
+	view         *fleet.View
+	self         *fleet.Self
+	rejoin       *fleet.Rejoin
+	unpublished  unpublishedChanges
+	dialing      bool // a round of dials is not over
+	left         bool // this process has left the fleet
+	nextDialAt   time.Duration
+	nextForgetAt time.Duration
+}
+
+// newViewOwner returns the owner of a view that holds the process's own record, and publishes that view.
+func newViewOwner(member *Fleet, rejoin *fleet.Rejoin) *viewOwner {
+	config := &member.config
+	owner := &viewOwner{
+		Fleet:  member,
+		view:   fleet.NewView(config.Place.Name, config.Limits),
+		self:   fleet.NewSelf(0, config.Place, config.Digest, config.Incarnation),
+		rejoin: rejoin,
+	}
+	owner.view.Merge(0, 0, owner.self.Record())
+	member.snapshot.Store(owner.view.Snapshot(0))
+	return owner
+}
+
+// ownView is the goroutine of a viewOwner. It ends with ctx, after leaving the fleet.
+func (o *viewOwner) ownView(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	f.publishRecord()
+	o.publishRecord()
 	for {
 		select {
 		case <-ctx.Done():
-			f.leave()
+			o.leave()
 			return
-		case status := <-f.statuses:
-			f.applyStatus(status)
-		case change := <-f.changes:
-			f.applyChange(change)
-		case update := <-f.updates:
-			f.receiveUpdate(&update)
-		case result := <-f.dialResults:
-			f.applyDialResult(result)
+		case status := <-o.statuses:
+			o.applyStatus(status)
+		case change := <-o.changes:
+			o.applyChange(change)
+		case update := <-o.updates:
+			o.receiveUpdate(&update)
+		case result := <-o.dialResults:
+			o.applyDialResult(result)
 		case <-ticker.C:
-			f.maintain()
+			o.maintain()
 		}
 	}
 }
 
-func (f *Fleet) applyStatus(status fleet.Status) {
-	if f.self.SetStatus(f.Now(), status) {
-		f.publishRecord()
+func (o *viewOwner) applyStatus(status fleet.Status) {
+	if o.self.SetStatus(o.Now(), status) {
+		o.publishRecord()
 	}
-	if status.Replaced && !f.left {
-		f.log.Info("successor process took over, leaving fleet")
-		f.leave()
+	if status.Replaced && !o.left {
+		o.log.Info("successor process took over, leaving fleet")
+		o.leave()
 	}
 }
 
 // maintain is what is due at a tick.
-func (f *Fleet) maintain() {
-	if f.left {
+func (o *viewOwner) maintain() {
+	if o.left {
 		return
 	}
-	now := f.Now()
-	f.applyReachChanges(now)
-	if now >= f.nextForgetAt {
-		f.nextForgetAt = now + forgetInterval
-		f.view.Forget(now)
+	now := o.Now()
+	o.applyReachChanges(now)
+	if now >= o.nextForgetAt {
+		o.nextForgetAt = now + forgetInterval
+		o.view.Forget(now)
 	}
-	if f.self.ShouldPublish(now, f.view.Size()) {
-		f.publishRecord()
+	if o.self.ShouldPublish(now, o.view.Size()) {
+		o.publishRecord()
 	}
-	if f.unpublished.shouldPublish(now, f.view.Size()) {
-		f.publishSnapshot(now)
+	if o.unpublished.shouldPublish(now, o.view.Size()) {
+		o.publishSnapshot(now)
 	}
-	if !f.dialing && now >= f.nextDialAt {
-		f.nextDialAt = now + dialRoundInterval(f.view.Size())
-		f.startDialRound(now)
+	if !o.dialing && now >= o.nextDialAt {
+		o.nextDialAt = now + dialRoundInterval(o.view.Size())
+		o.startDialRound(now)
 	}
 }
 
-func (f *Fleet) applyReachChanges(now time.Duration) {
-	f.reach.drain(func(process string, reach fleet.Reach) {
+func (o *viewOwner) applyReachChanges(now time.Duration) {
+	o.reach.drain(func(process string, reach fleet.Reach) {
 		name, run, err := fleet.ParseProcess(process)
 		if err != nil {
 			return // a node of another program
 		}
-		f.view.ObserveReach(now, name, run, reach)
-		f.unpublished.changed = true
+		o.view.ObserveReach(now, name, run, reach)
+		o.unpublished.changed = true
 	})
 }
