--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -34,7 +34,7 @@
 	lastPublished  time.Duration
 	stallPublished bool // the last record said that the loop stalls
 	ownership      nameOwnership
-	rivals         map[uint64]rival // by Run
+	rivals         rivalSet
 }
 
 // NewSelf returns the Self of a process that starts at now. The incarnation goes by the system's clock, so that it is
@@ -42,7 +42,7 @@
 func NewSelf(now time.Duration, place Place, config, incarnation uint64) *Self {
 	return &Self{
 		startedAt: now, lastStatus: now, lastPublished: now,
-		rivals: map[uint64]rival{},
+		rivals: rivalSet{},
 		record: Record{
 			Name: place.Name, Run: place.Run, Incarnation: incarnation, Seq: 1,
 			Addr: place.Addr, Region: place.Region, Zone: place.Zone, Version: place.Version,
@@ -93,9 +93,9 @@
 
 func (s *Self) loopStalled(now time.Duration) bool { return now-s.lastStatus > stallTimeout }
 
-// PublishDue reports whether the next record is due in a fleet of that size. A stall is published at once and then
+// ShouldPublish reports whether the next record is due in a fleet of that size. A stall is published at once and then
 // once a period, as the loop's own records would be: any single update may miss a member.
-func (s *Self) PublishDue(now time.Duration, members int) bool {
+func (s *Self) ShouldPublish(now time.Duration, members int) bool {
 	period := Period(members)
 	if s.record.Load.Aggregate != "" {
 		period = minPeriod // it publishes for its whole zone
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -24,11 +24,11 @@
 	for rest := b[updateHeaderSize:]; len(rest) > 0; {
 		number, wireType, tagSize := protowire.ConsumeTag(rest)
 		if tagSize < 0 {
-			return record, 0, protowire.ParseError(tagSize)
+			return record, 0, fmt.Errorf("reading a field: %w", protowire.ParseError(tagSize))
 		}
 		valueSize := protowire.ConsumeFieldValue(number, wireType, rest[tagSize:])
 		if valueSize < 0 {
-			return record, 0, protowire.ParseError(valueSize)
+			return record, 0, fmt.Errorf("reading a field: %w", protowire.ParseError(valueSize))
 		}
 		size := tagSize + valueSize
 		if number >= firstUnknownField {
@@ -74,7 +74,9 @@
 	wireType protowire.Type
 }
 
-func (e *fieldError) Error() string { return fmt.Sprintf("field %d: type %d", e.number, e.wireType) }
+func (e *fieldError) Error() string {
+	return fmt.Sprintf("field %d: wrong type %d or too long", e.number, e.wireType)
+}
 
 func (r *Record) decodeText(number protowire.Number, value []byte) error {
 	text, _ := protowire.ConsumeBytes(value)
@@ -183,8 +185,8 @@
 }
 
 func (l *Load) ratio(number protowire.Number) *float64 {
-	if number == fieldShedRatio {
-		return &l.ShedRatio
+	if number == fieldUnservedRatio {
+		return &l.UnservedRatio
 	}
 	return &l.RetryRatio
 }
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -131,7 +131,7 @@
 		Replaced: s.replaced(),
 	}
 	s.addCurrentLoad(&status.Load)
-	status.Load.ShedRatio = s.takeShedRatio()
+	status.Load.UnservedRatio = s.takeUnservedRatio()
 	s.member.fleet.Publish(status)
 }
 
@@ -143,8 +143,8 @@
 	return s.drain.started() && s.drain.replaced
 }
 
-// takeShedRatio returns the part of the requests answered since the last status that were not served.
-func (s *Server) takeShedRatio() float64 {
+// takeUnservedRatio returns the part of the requests answered since the last status that were not served.
+func (s *Server) takeUnservedRatio() float64 {
 	var answers, unserved uint64
 	for _, counts := range s.stats.Responses {
 		answers += counts.Served + counts.Rejected + counts.Failed
@@ -160,7 +160,7 @@
 	return ratio
 }
 
-// addCurrentLoad fills in the load of this server, without ShedRatio.
+// addCurrentLoad fills in the load of this server, without UnservedRatio.
 func (s *Server) addCurrentLoad(load *fleet.Load) {
 	load.Capacity = float64(s.config.Settings.Cores)
 	load.Busy = -1
