--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -81,7 +81,9 @@
 		agent.Handler{OnNotification: s.handleAgentNotification, OnLost: s.handleRunsLost},
 		s.warnings)
 	loop := store.Loop{Post: s.post, Now: now, Deadlines: s.deadlines}
-	s.store = store.New(cfg.Store, cfg.Limits.StoreSockets(), cfg.Seed, loop, s.handleCallEnded, s.warnings)
+	s.store = store.New(
+		store.Config{Address: cfg.Store, MaxConnections: cfg.Limits.StoreSockets(), Seed: cfg.Seed},
+		loop, s.handleCallEnded, s.warnings)
 	s.announcer = announce.New(cfg.Announce, cfg.Name, s.warnings)
 }
 
--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"net"
-	"slices"
 	"time"
 
 	"falldeal/internal/deadline"
@@ -15,19 +14,28 @@
 const (
 	writeQueueSize = 8                     // lines that wait to be written on a connection
 	readBufferSize = 4 << 10               // bytes
-	idleTimeout    = 50 * time.Millisecond // the store may have forgotten one idle for longer, and a dial takes 0.1 ms
+	idleTimeout    = 50 * time.Millisecond // the store may close one that is idle for longer
 )
 
-// connection is one connection to the store.
+// connection is one connection to the store. It carries a call, or is idle. It belongs to the loop.
 type connection struct {
-	*writequeue.Queue
-	address       string // empty: no further call is made on it
-	call          *call  // that it carries
-	lastRequestID string // of the call before that
+	queue         *writequeue.Queue
+	address       string
+	retired       bool   // no further call is made on it
+	call          *call  // that it carries; nil: idle
+	lastRequestID string // of the last call that was answered
 	idleTimer     *deadline.Entry
 }
 
-// serve runs one connection from its dial to its end.
+// mayCarryCalls reports whether further calls may be made on the connection, where calls go to address.
+func (c *connection) mayCarryCalls(address string) bool { return !c.retired && c.address == address }
+
+// awaits reports whether the connection carries the call for a request.
+func (c *connection) awaits(requestID string) bool {
+	return c.call != nil && c.call.requestID == requestID
+}
+
+// serve runs one connection from its dial to its end, on a goroutine of Run.
 func (l *Link) serve(ctx context.Context, request *dial) {
 	defer context.AfterFunc(ctx, request.cancel)()
 	conn, err := request.open()
@@ -55,74 +63,49 @@
 	}
 }
 
+// The handle methods run on the loop.
+
+// handleDialFailed ends the call that has waited longest. A dial that was cancelled proves nothing about calls that wait.
+func (l *Link) handleDialFailed(failed *dial, err error) {
+	if l.dialer.remove(failed) {
+		l.dialer.increaseDelay()
+		l.log.Warn("store", "no connection to the store", err)
+		if refused := l.waiting.take(); refused != nil {
+			l.endCall(refused, ConnectionRefused)
+		}
+	}
+	l.adjustDials()
+}
+
+// handleOpened takes over a connection, unless the address has been replaced meanwhile.
 func (l *Link) handleOpened(ended *dial, queue *writequeue.Queue) {
-	l.removeDial(ended)
+	l.dialer.remove(ended)
 	if ended.address != l.address {
 		queue.Close()
 		l.adjustDials()
 		return
 	}
 	l.connectionsOpened++
-	l.resetBackoff()
-	opened := &connection{Queue: queue, address: ended.address}
+	l.dialer.resetDelay()
+	opened := &connection{queue: queue, address: ended.address}
 	l.connections[queue] = opened
 	l.assign(opened)
 	l.adjustDials()
 }
 
-// assign gives a connection to the call that has waited longest, or keeps it idle for a moment.
-func (l *Link) assign(conn *connection) {
-	if waiting := l.takeWaiting(); waiting != nil {
-		l.startCall(waiting, conn)
-		return
-	}
-	l.idle = append(l.idle, conn)
-	conn.idleTimer = l.loop.Deadlines.Add(l.loop.Now()+idleTimeout, func() {
-		l.removeIdle(conn)
-		l.closeConnection(conn)
-	})
-}
-
-// takeIdle returns the connection that has been idle longest, nil where there is none. One that carried the last call of
-// the same request is left out: a second copy of that reply would be taken for the answer to this call.
-func (l *Link) takeIdle(requestID string) *connection {
-	for _, conn := range l.idle {
-		if conn.lastRequestID != requestID {
-			l.removeIdle(conn)
-			return conn
-		}
-	}
-	return nil
-}
-
-// removeIdle takes a connection from the idle ones, if it is among them.
-func (l *Link) removeIdle(conn *connection) {
-	if i := slices.Index(l.idle, conn); i >= 0 {
-		l.idle = slices.Delete(l.idle, i, i+1)
-		l.loop.Deadlines.Cancel(conn.idleTimer)
-	}
-}
-
-// closeConnection ends a connection that carries no call any more.
-func (l *Link) closeConnection(conn *connection) {
-	conn.Close()
-	delete(l.connections, conn.Queue)
-	l.adjustDials()
-}
-
+// handleReply ends the call that a reply is for.
 func (l *Link) handleReply(queue *writequeue.Queue, frame replyFrame) {
 	conn := l.connections[queue]
 	if conn == nil {
 		return
 	}
-	replied := conn.call
-	if replied == nil || replied.requestID != frame.requestID {
+	if !conn.awaits(frame.requestID) {
 		l.handleUnsolicitedReply(conn)
 		return
 	}
-	l.endCall(replied)
+	l.removeCall(conn.call)
 	conn.lastRequestID = frame.requestID
-	if conn.address == l.address {
+	if conn.mayCarryCalls(l.address) {
 		l.assign(conn)
 	} else {
 		l.closeConnection(conn)
@@ -132,13 +115,14 @@
 
 // handleUnsolicitedReply has no further call made on a connection. The one that it carries may still be answered.
 func (l *Link) handleUnsolicitedReply(conn *connection) {
-	conn.address = ""
+	conn.retired = true
 	if conn.call == nil {
 		l.removeIdle(conn)
 		l.closeConnection(conn)
 	}
 }
 
+// handleClosed ends the call that a connection carried when it ended. One that was closed here carries none.
 func (l *Link) handleClosed(queue *writequeue.Queue, err error) {
 	conn := l.connections[queue]
 	if conn == nil {
@@ -148,7 +132,33 @@
 	l.closeConnection(conn)
 	if broken := conn.call; broken != nil {
 		l.log.Warn("store", "connection to the store broke during a call", err)
-		l.endCall(broken)
-		l.onResult(broken.requestID, ConnectionBroken, nil)
+		l.endCall(broken, ConnectionBroken)
+	}
+}
+
+// assign gives a connection to the call that has waited longest, or keeps it idle for idleTimeout.
+func (l *Link) assign(conn *connection) {
+	if waiting := l.waiting.take(); waiting != nil {
+		l.startCall(waiting, conn)
+		return
 	}
+	l.idle.add(conn)
+	conn.idleTimer = l.loop.Deadlines.Add(l.loop.Now()+idleTimeout, func() {
+		l.removeIdle(conn)
+		l.closeConnection(conn)
+	})
+}
+
+// removeIdle takes a connection from the idle ones, if it is among them.
+func (l *Link) removeIdle(conn *connection) {
+	if l.idle.remove(conn) {
+		l.loop.Deadlines.Cancel(conn.idleTimer)
+	}
+}
+
+// closeConnection ends a connection that carries no call any more.
+func (l *Link) closeConnection(conn *connection) {
+	conn.queue.Close()
+	delete(l.connections, conn.queue)
+	l.adjustDials()
 }
--- a/internal/store/dial_test.go
+++ b/internal/store/dialer_test.go
@@ -18,14 +18,14 @@
 func newLinkWithoutRun() *Link {
 	log, _ := test.NewNullLogger()
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }, Deadlines: deadline.New()}
-	return New("store:1", 1, 1, loop, func(string, Result, []byte) {}, logging.NewLimiter(log))
+	return New(Config{Address: "store:1", MaxConnections: 1, Seed: 1}, loop, func(string, Result, []byte) {}, logging.NewLimiter(log))
 }
 
 // A call that is abandoned cancels its dial, which does not wait for its timeout then.
 func TestAbandonCancelsDial(t *testing.T) {
 	link := newLinkWithoutRun()
 	link.Call("ab", time.Hour, nil)
-	request := <-link.dialRequests
+	request := <-link.dialer.requests
 	require.NoError(t, request.ctx.Err())
 	require.True(t, link.Abandon("ab"))
 	require.ErrorIs(t, request.ctx.Err(), context.Canceled)
@@ -36,16 +36,16 @@
 func TestAddressChangeCancelsDial(t *testing.T) {
 	link := newLinkWithoutRun()
 	link.Call("ab", time.Hour, nil)
-	request := <-link.dialRequests
+	request := <-link.dialer.requests
 	link.SetAddress("store:2")
 	require.ErrorIs(t, request.ctx.Err(), context.Canceled)
-	require.Empty(t, link.dialRequests) // the one place is still taken
+	require.Empty(t, link.dialer.requests) // the one place is still taken
 	local, _ := net.Pipe()
 	queue := writequeue.New(local, writeQueueSize)
 	link.handleOpened(request, queue)
 	require.NoError(t, queue.Run()) // returns as the queue was closed
 	require.Zero(t, link.ConnectionsOpened())
-	require.Equal(t, "store:2", (<-link.dialRequests).address)
+	require.Equal(t, "store:2", (<-link.dialer.requests).address)
 }
 
 // An idle connection that is used again is not closed at the timeout of its idle time.
@@ -54,7 +54,7 @@
 	link.Call("ab", time.Hour, nil)
 	local, _ := net.Pipe()
 	queue := writequeue.New(local, writeQueueSize)
-	link.handleOpened(<-link.dialRequests, queue)
+	link.handleOpened(<-link.dialer.requests, queue)
 	link.handleReply(queue, replyFrame{requestID: "ab", result: Rejected})
 	link.Call("cd", time.Hour, nil)
 	link.loop.Deadlines.Sweep(idleTimeout)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -27,7 +27,7 @@
 func TestGoldenCalls(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return time.Second }, Deadlines: deadline.New()}
-	link := New("store:1", 1, 1, loop, func(string, Result, []byte) {}, logging.NewLimiter(log))
+	link := New(Config{Address: "store:1", MaxConnections: 1, Seed: 1}, loop, func(string, Result, []byte) {}, logging.NewLimiter(log))
 	local, remote := net.Pipe()
 	queue := writequeue.New(local, writeQueueSize)
 	var cases []golden.Case
@@ -42,7 +42,7 @@
 	go func() { writerDone <- queue.Run() }()
 
 	link.Call(goldenRequest, 1250*time.Millisecond, []byte("\x00\xffbody\r\n"))
-	link.handleOpened(<-link.dialRequests, queue)
+	link.handleOpened(<-link.dialer.requests, queue)
 	written("call")
 	link.handleReply(queue, replyFrame{requestID: goldenRequest, result: OK})
 	link.Call(goldenOther, time.Second+999*time.Microsecond, nil)
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -1,12 +1,14 @@
 // Package store makes calls to the store that all image servers share.
+//
+// Each call has a connection to itself while it is in flight. A call takes an idle connection where there is one, and
+// otherwise waits: for each call that waits one dial is made, up to a limit of connections and dials together, and
+// whatever becomes free first, a new connection or one whose call has ended, goes to the call that has waited longest.
 package store
 
 import (
 	"context"
-	"slices"
 	"time"
 
-	"falldeal/internal/backoff"
 	"falldeal/internal/deadline"
 	"falldeal/internal/logging"
 	"falldeal/internal/reconnect"
@@ -15,76 +17,65 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Loop is what a Link needs of the loop that owns it.
+// Config is what a Link is made with.
+type Config struct {
+	Address        string
+	MaxConnections int    // open ones and dials together
+	Seed           uint64 // of the jitter of dials
+}
+
+// Loop is what a Link needs of the event loop that owns it.
 type Loop struct {
-	Post      func(func()) // hands a function to the loop, from any goroutine
-	Now       func() time.Duration
+	Post      func(func())         // hands a function to the loop; called on any goroutine
+	Now       func() time.Duration // the loop's clock; called on the loop
 	Deadlines *deadline.Queue
 }
 
+// ResultHandler takes, on the loop, the end of the call for a request. The body is of a call that ended with OK.
+type ResultHandler func(requestID string, result Result, body []byte)
+
 // Link makes calls, each on a connection that carries no other at the time: a reply that cannot be read, or that never
 // comes, then costs that call and no other. Connections are opened as calls need them, used again while that is soon,
-// and closed otherwise. Its methods but Run belong to the goroutine of the loop.
+// and closed otherwise. Its methods but Run are called on the loop, and none of them blocks.
 type Link struct {
-	address  string // in force
-	loop     Loop
-	onResult func(requestID string, result Result, body []byte)
-	log      *logging.Limiter
+	address        string // in force
+	maxConnections int    // open ones and dials together
+	loop           Loop
+	onResult       ResultHandler
+	log            *logging.Limiter
 
 	calls   map[string]*call // in flight, by request
-	waiting []*call          // for a connection, in order
+	waiting callQueue        // those without a connection
 
-	maxConnections    int // open ones and dials together
 	connections       map[*writequeue.Queue]*connection
-	idle              []*connection // longest idle first: by then its close or a second reply would show
+	idle              idlePool
 	connectionsOpened uint64
-
-	dialRequests  chan *dial // to Run; has room for all that may be in flight
-	dialsInFlight int        // cancelled or not
-	wantedDials   []*dial    // those that calls wait for, in order: never more than such calls
-	backoff       *backoff.Backoff
-	dialDelay     time.Duration // before the next dial
-}
-
-// call is one call that has no reply yet and was not given up.
-type call struct {
-	requestID     string
-	body          []byte
-	deadline      time.Duration
-	connection    *connection // nil while it waits for one
-	deadlineTimer *deadline.Entry
+	dialer            dialer
 }
 
-// New returns a Link to the store at address over up to maxConnections connections that reports the end of each call to
-// onResult, within the loop. The jitter of its dials follows from seed.
-func New(address string, maxConnections int, seed uint64, loop Loop,
-	onResult func(requestID string, result Result, body []byte), log *logging.Limiter) *Link {
+// New returns a Link that reports the end of each call to onResult. Nothing is opened before Run.
+func New(config Config, loop Loop, onResult ResultHandler, log *logging.Limiter) *Link {
 	return &Link{
-		address:        address,
+		address:        config.Address,
+		maxConnections: config.MaxConnections,
 		loop:           loop,
 		onResult:       onResult,
 		log:            log,
 		calls:          map[string]*call{},
-		maxConnections: maxConnections,
 		connections:    map[*writequeue.Queue]*connection{},
-		dialRequests:   make(chan *dial, maxConnections),
-		backoff: backoff.New(backoff.Config{
-			BaseDelay: minBackoff,
-			MaxDelay:  maxBackoff,
-			Seed:      seed,
-			Stream:    jitterStream,
-		}),
+		dialer:         newDialer(config.MaxConnections, config.Seed),
 	}
 }
 
-// Run opens connections as calls need them, until ctx ends.
+// Run opens connections as calls need them, until ctx ends, on a goroutine of its own. It returns nil.
 func (l *Link) Run(ctx context.Context) error {
-	group, ctx := errgroup.WithContext(ctx)
+	var group errgroup.Group
 	for {
 		select {
 		case <-ctx.Done():
-			return group.Wait()
-		case request := <-l.dialRequests:
+			_ = group.Wait() // its functions return no error
+			return nil
+		case request := <-l.dialer.requests:
 			group.Go(func() error {
 				l.serve(ctx, request)
 				return nil
@@ -104,16 +95,17 @@
 func (l *Link) Call(requestID string, deadline time.Duration, body []byte) {
 	l.Abandon(requestID)
 	added := &call{requestID: requestID, body: body, deadline: deadline}
-	added.deadlineTimer = l.loop.Deadlines.Add(deadline, func() {
+	added.timer = l.loop.Deadlines.Add(deadline, func() {
 		l.Abandon(requestID)
 		l.onResult(requestID, Expired, nil)
 	})
 	l.calls[requestID] = added
-	if conn := l.takeIdle(requestID); conn != nil {
+	if conn := l.idle.longestIdle(requestID); conn != nil {
+		l.removeIdle(conn)
 		l.startCall(added, conn)
 		return
 	}
-	l.waiting = append(l.waiting, added)
+	l.waiting.add(added)
 	l.adjustDials()
 }
 
@@ -123,9 +115,9 @@
 	if abandoned == nil {
 		return false
 	}
-	l.endCall(abandoned)
+	l.removeCall(abandoned)
 	if conn := abandoned.connection; conn != nil {
-		conn.Send(appendDrop(nil, requestID))
+		conn.queue.Send(appendDrop(nil, requestID))
 		l.closeConnection(conn) // its reply may still come, or never
 	}
 	return true
@@ -137,47 +129,56 @@
 		return
 	}
 	l.address = address
-	l.resetBackoff()
-	for _, conn := range l.idle {
+	l.dialer.resetDelay()
+	for _, conn := range l.idle.takeAll() {
 		l.loop.Deadlines.Cancel(conn.idleTimer)
 		l.closeConnection(conn)
 	}
-	l.idle = nil
+	drained := l.loop.Now() + reconnect.DrainTimeout
 	for _, conn := range l.connections {
-		l.loop.Deadlines.Add(l.loop.Now()+reconnect.DrainTimeout, conn.Close)
+		l.loop.Deadlines.Add(drained, conn.queue.Close)
 	}
-	for _, request := range l.wantedDials {
-		request.cancel() // nothing new goes to the old address
-	}
-	l.wantedDials = nil
+	l.dialer.cancelAll()
 	l.adjustDials()
 }
 
+// startCall makes a call on a connection that carries none.
 func (l *Link) startCall(started *call, conn *connection) {
-	started.connection, conn.call = conn, started
-	conn.Send(appendCall(nil, started.requestID, started.deadline-l.loop.Now(), started.body))
+	started.connection = conn
+	conn.call = started
+	conn.queue.Send(appendCall(nil, started.requestID, started.deadline-l.loop.Now(), started.body))
 }
 
-// endCall removes a call that has ended. Its connection is left to whoever ended it.
-func (l *Link) endCall(ended *call) {
-	l.loop.Deadlines.Cancel(ended.deadlineTimer)
+// removeCall removes a call that has ended. Its connection is left to whoever ended it.
+func (l *Link) removeCall(ended *call) {
+	l.loop.Deadlines.Cancel(ended.timer)
 	delete(l.calls, ended.requestID)
 	if ended.connection != nil {
 		ended.connection.call = nil
 		return
 	}
-	if i := slices.Index(l.waiting, ended); i >= 0 {
-		l.waiting = slices.Delete(l.waiting, i, i+1)
+	if l.waiting.remove(ended) {
 		l.adjustDials()
 	}
 }
 
-// takeWaiting returns the call that has waited longest for a connection, nil where none waits.
-func (l *Link) takeWaiting() *call {
-	if len(l.waiting) == 0 {
-		return nil
+// endCall removes a call that has ended, and reports its result.
+func (l *Link) endCall(ended *call, result Result) {
+	l.removeCall(ended)
+	l.onResult(ended.requestID, result, nil)
+}
+
+// adjustDials asks for connections for the calls that wait, as far as there may be more, and cancels the oldest dials that
+// no call waits for any more: where the store does not answer at all they would hang for their whole time, and the calls
+// that come next would wait for them.
+func (l *Link) adjustDials() {
+	for len(l.dialer.wanted) > len(l.waiting) {
+		l.dialer.cancelOldest()
+	}
+	for len(l.dialer.wanted) < len(l.waiting) && l.mayDial() {
+		l.dialer.start(l.address)
 	}
-	longest := l.waiting[0]
-	l.waiting = slices.Delete(l.waiting, 0, 1)
-	return longest
 }
+
+// mayDial reports whether one more connection may be opened.
+func (l *Link) mayDial() bool { return l.dialer.inFlight+len(l.connections) < l.maxConnections }
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -32,7 +32,7 @@
 	log, _ := test.NewNullLogger()
 	loop := Loop{Post: func(f func()) { fake.posted <- f }, Now: func() time.Duration { return fake.now },
 		Deadlines: fake.deadlines}
-	fake.link = New(addr, 4, 1, loop, fake.record, logging.NewLimiter(log))
+	fake.link = New(Config{Address: addr, MaxConnections: 4, Seed: 1}, loop, fake.record, logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = fake.link.Run(ctx) }()
@@ -234,7 +234,7 @@
 	fake.link.Call("gone", time.Hour, nil)
 	fake.link.Call("next", time.Hour, nil)
 	require.True(t, fake.link.Abandon("gone"))
-	require.Zero(t, fake.link.dialsInFlight)
+	require.Zero(t, fake.link.dialer.inFlight)
 	fmt.Fprint(conn, "c3 BUSY\r\n")
 	fake.runPosted()
 	fake.expect(reader, "CALL next 3600000 0", "")
--- a/internal/store/partition_test.go
+++ b/internal/store/partition_test.go
@@ -27,17 +27,17 @@
 	for i := range 3 * fake.link.maxConnections {
 		id := fmt.Sprint(i)
 		fake.link.Call(id, fake.now+time.Second, nil)
-		require.Len(t, fake.link.wantedDials, 1, "call %d", i) // its own
+		require.Len(t, fake.link.dialer.wanted, 1, "call %d", i) // its own
 		fake.now += time.Second
 		fake.deadlines.Sweep(fake.now)
 		require.Equal(t, outcome(id, Expired, ""), fake.outcomes[i])
-		require.Empty(t, fake.link.wantedDials)
+		require.Empty(t, fake.link.dialer.wanted)
 		require.Empty(t, fake.link.waiting)
 		fake.runPosted() // the dial has ended, which ends no call
-		require.Zero(t, fake.link.dialsInFlight)
+		require.Zero(t, fake.link.dialer.inFlight)
 		require.Len(t, fake.outcomes, i+1)
 	}
-	require.Zero(t, fake.link.dialDelay) // nothing was refused, so the next dial is made at once
+	require.Zero(t, fake.link.dialer.delay) // nothing was refused, so the next dial is made at once
 }
 
 // The store moves during a partition. Calls that wait for a connection to the old address get one to the new, without
@@ -50,10 +50,10 @@
 		fake.link.Call(calls[i], time.Hour, nil)
 	}
 	fake.link.Call("more", time.Hour, nil) // has to wait for one of them
-	require.Len(t, fake.link.wantedDials, fake.link.maxConnections)
+	require.Len(t, fake.link.dialer.wanted, fake.link.maxConnections)
 	next := listen(t)
 	fake.link.SetAddress(next.Addr().String())
-	for fake.link.dialsInFlight > 0 { // those that hung end, and new ones are made
+	for fake.link.dialer.inFlight > 0 { // those that hung end, and new ones are made
 		fake.runPosted()
 	}
 	for i := range calls {
