--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -1,5 +1,6 @@
 // Package announce reports whether an image server accepts requests to the announce service, which tells front ends of
-// image servers.
+// image servers. A report is one UDP datagram, which may be lost; reports are repeated, and an entry of the service lapses
+// 3 s after the last.
 package announce
 
 import (
@@ -22,15 +23,19 @@
 	maxAttempts = 2
 )
 
-// state is the life of an Announcer. It only moves on.
+// state is the life of an Announcer. It only moves on:
+//
+//	idle      -> reporting  by the first SetAccepting
+//	any state -> stopped    by Stop
 type state uint8
 
 const (
 	idle      state = iota // nothing to report yet
-	reporting              // from the first SetAccepting on
+	reporting              // the newest report is sent and repeated
 	stopped                // another process reports
 )
 
+// String returns the name of the state.
 func (s state) String() string {
 	switch s {
 	case idle:
@@ -44,7 +49,7 @@
 	}
 }
 
-// Announcer repeats the newest report, from the first SetAccepting on. Its methods but Run belong to one goroutine and never block.
+// Announcer sends the newest report, and repeats it. Its methods but Run are called on the server's loop and never block.
 type Announcer struct {
 	name    string
 	log     *logging.Limiter
@@ -59,7 +64,7 @@
 	accepting bool
 }
 
-// New returns an Announcer of the image server called name to the service at address.
+// New returns an Announcer of the image server called name to the service at address. Nothing is sent before Run.
 func New(address, name string, log *logging.Limiter) *Announcer {
 	return &Announcer{name: name, log: log, current: report{address: address}, reports: latest.New[report]()}
 }
@@ -79,7 +84,7 @@
 	a.publish()
 }
 
-// Stop ends all reports: another process makes them.
+// Stop ends all reports for good: another process makes them.
 func (a *Announcer) Stop() {
 	if a.state == stopped {
 		return
@@ -91,13 +96,15 @@
 // Stopped reports whether reports have ended.
 func (a *Announcer) Stopped() bool { return a.state == stopped }
 
+// publish hands the report in force to Run.
 func (a *Announcer) publish() {
 	if a.state == reporting {
 		a.reports.Set(a.current)
 	}
 }
 
-// Run reports until ctx ends: at once where there is a new report, and every reportInterval.
+// Run sends reports until ctx ends, on a goroutine of its own: at once where there is a new report, and every
+// reportInterval. It returns nil.
 func (a *Announcer) Run(ctx context.Context) error {
 	var newest report
 	var service socket
@@ -113,13 +120,14 @@
 		case <-ticker.C:
 		}
 		if newest.address != "" {
-			a.sendTo(&service, newest)
+			a.sendTo(ctx, &service, newest)
 		}
 	}
 }
 
-func (a *Announcer) sendTo(service *socket, newest report) {
-	conn, err := service.open()
+// sendTo sends a report to the service, and logs where that fails.
+func (a *Announcer) sendTo(ctx context.Context, service *socket, newest report) {
+	conn, err := service.open(ctx)
 	if err != nil {
 		a.log.Warn("announce", "no socket to the announce service", err)
 		return
@@ -137,7 +145,7 @@
 			return nil
 		}
 	}
-	return err
+	return fmt.Errorf("send report: %w", err)
 }
 
 // socket is the UDP socket to the service, opened on first use. It belongs to Run.
@@ -153,13 +161,14 @@
 	}
 }
 
-func (s *socket) open() (net.Conn, error) {
+func (s *socket) open(ctx context.Context) (net.Conn, error) {
 	if s.conn != nil {
 		return s.conn, nil
 	}
-	conn, err := net.Dial("udp", s.address)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "udp", s.address)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("open socket: %w", err)
 	}
 	s.conn = conn
 	return conn, nil
@@ -167,7 +176,7 @@
 
 func (s *socket) close() {
 	if s.conn != nil {
-		s.conn.Close()
+		_ = s.conn.Close() // nothing can be done about an error
 		s.conn = nil
 	}
 }
