--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -20,9 +20,9 @@
 )
 
 // conn is one connection of a client; it implements server.Connection, whose methods the server's loop calls. The
-// write queue and the reader (serve) run in goroutines of their own.
+// write queue and the reader (serve) run on goroutines of their own.
 type conn struct {
-	*writequeue.Queue
+	queue   *writequeue.Queue
 	netConn net.Conn
 	input   input
 	methods methodCache // the reader's
@@ -33,7 +33,7 @@
 
 func newConn(netConn net.Conn) *conn {
 	connection := &conn{
-		Queue:   writequeue.NewHalf(netConn, writeQueueCapacity),
+		queue:   writequeue.NewHalf(netConn, writeQueueCapacity),
 		netConn: netConn,
 		closed:  make(chan struct{}),
 	}
@@ -45,14 +45,14 @@
 // releases the socket.
 func (c *conn) writeUntilClosed(ctx context.Context) {
 	defer context.AfterFunc(ctx, c.Close)()
-	if c.Run() == nil { // an error is reported by the reader
+	if c.queue.Run() == nil { // an error is reported by the reader
 		select {
 		case <-c.input.done:
 		case <-time.After(closeReadTimeout):
 		}
 	}
-	c.Close() // for a paused reader
-	c.netConn.Close()
+	c.Close()             // for a paused reader
+	_ = c.netConn.Close() // may be closed already
 }
 
 // serve reads until the connection has ended or is not to be read any more, and reports each end of reading to srv and
@@ -66,28 +66,42 @@
 		}
 		onReadEnd(err)
 		reason := endReason(err)
-		pauses := reason == server.ReadPaused || reason == server.ReadTimeout
-		if pauses {
-			c.input.stop(paused)
-		} else {
-			c.input.stop(ended)
-		}
-		if reason == server.Disconnected {
-			c.Close()
-		}
+		c.endReading(reason)
 		srv.ReadEnded(c, reason)
-		if !pauses {
-			return
-		}
-		select {
-		case <-c.input.resumed:
-		case <-c.closed:
+		if !isPause(reason) || !c.awaitResume() {
 			return
 		}
 		err = c.input.restart()
 	}
 }
 
+// endReading notes why no more is read for the time being. A client that has disconnected is written to no more.
+func (c *conn) endReading(reason server.EndReason) {
+	if isPause(reason) {
+		c.input.stop(paused)
+	} else {
+		c.input.stop(ended)
+	}
+	if reason == server.Disconnected {
+		c.Close()
+	}
+}
+
+// isPause reports whether reading may go on after it has ended for that reason: the server decides.
+func isPause(reason server.EndReason) bool {
+	return reason == server.ReadPaused || reason == server.ReadTimeout
+}
+
+// awaitResume waits until a paused reader is to go on, and reports whether it is; the connection is closed otherwise.
+func (c *conn) awaitResume() bool {
+	select {
+	case <-c.input.resumed:
+		return true
+	case <-c.closed:
+		return false
+	}
+}
+
 // endReason maps the error that ended a read to what the server is told.
 func endReason(err error) server.EndReason {
 	var netErr net.Error
@@ -126,27 +140,35 @@
 			srv.Cancel(c, call)
 		}
 	case string(msg.method) == methodHealth:
-		deep, err := parseHealthCheck(msg)
-		if err != nil {
-			srv.RejectInvalid(c, msg.call, err)
-			return
-		}
-		srv.HealthCheck(c, msg.call, deep)
+		c.dispatchHealthCheck(srv, msg)
 	default:
-		attempt, err := parseRequest(msg, &c.methods)
-		if err != nil {
-			srv.RejectInvalid(c, msg.call, err)
-			return
-		}
-		srv.Submit(c, msg.call, attempt)
+		c.dispatchRequest(srv, msg)
+	}
+}
+
+func (c *conn) dispatchHealthCheck(srv *server.Server, msg message) {
+	deep, err := parseHealthCheck(msg)
+	if err != nil {
+		srv.RejectInvalid(c, msg.call, err)
+		return
+	}
+	srv.HealthCheck(c, msg.call, deep)
+}
+
+func (c *conn) dispatchRequest(srv *server.Server, msg message) {
+	attempt, err := parseRequest(msg, &c.methods)
+	if err != nil {
+		srv.RejectInvalid(c, msg.call, err)
+		return
 	}
+	srv.Submit(c, msg.call, attempt)
 }
 
 // Answer implements server.Connection.
-func (c *conn) Answer(call uint32, answer server.Answer) { c.Send(encodeAnswer(call, answer)) }
+func (c *conn) Answer(call uint32, answer server.Answer) { c.queue.Send(encodeAnswer(call, answer)) }
 
 // NotifyClosing implements server.Connection.
-func (c *conn) NotifyClosing() { c.Send(encodeClosing()) }
+func (c *conn) NotifyClosing() { c.queue.Send(encodeClosing()) }
 
 // MaxOpenCalls implements server.Connection.
 func (c *conn) MaxOpenCalls() int { return maxOpenCalls }
@@ -164,13 +186,13 @@
 		c.input.drainMore()
 		return false
 	}
-	c.CloseNow()
+	c.queue.CloseNow()
 	c.Close()
 	return true
 }
 
 // Close implements server.Connection.
 func (c *conn) Close() {
-	c.Queue.Close()
+	c.queue.Close()
 	c.closeOnce.Do(func() { close(c.closed) })
 }
--- a/internal/msgpackrpc/encode.go
+++ b/internal/msgpackrpc/encode.go
@@ -8,51 +8,51 @@
 // Each append function appends one MessagePack value to b, or the header of an array or map of up to 15 elements or
 // pairs, and returns the longer slice.
 
-func appendArray(b []byte, elements int) []byte { return append(b, 0x90|byte(elements)) }
-func appendMap(b []byte, pairs int) []byte      { return append(b, 0x80|byte(pairs)) }
-func appendNil(b []byte) []byte                 { return append(b, 0xc0) }
+func appendArray(b []byte, elements int) []byte { return append(b, formatFixarray|byte(elements)) }
+func appendMap(b []byte, pairs int) []byte      { return append(b, formatFixmap|byte(pairs)) }
+func appendNil(b []byte) []byte                 { return append(b, formatNil) }
 
 func appendBool(b []byte, value bool) []byte {
 	if value {
-		return append(b, 0xc3)
+		return append(b, formatTrue)
 	}
-	return append(b, 0xc2)
+	return append(b, formatFalse)
 }
 
 func appendUint(b []byte, value uint32) []byte {
 	switch {
-	case value <= 0x7f:
+	case value <= formatMaxPositiveFixint:
 		return append(b, byte(value))
 	case value <= math.MaxUint8:
-		return append(b, 0xcc, byte(value))
+		return append(b, formatUint8, byte(value))
 	case value <= math.MaxUint16:
-		return binary.BigEndian.AppendUint16(append(b, 0xcd), uint16(value))
+		return binary.BigEndian.AppendUint16(append(b, formatUint16), uint16(value))
 	}
-	return binary.BigEndian.AppendUint32(append(b, 0xce), value)
+	return binary.BigEndian.AppendUint32(append(b, formatUint32), value)
 }
 
 // appendString truncates a text to math.MaxUint16 bytes; nothing that is sent comes near that.
 func appendString(b []byte, text string) []byte {
 	text = text[:min(len(text), math.MaxUint16)]
-	switch n := len(text); {
-	case n <= 31:
-		b = append(b, 0xa0|byte(n))
-	case n <= math.MaxUint8:
-		b = append(b, 0xd9, byte(n))
+	switch length := len(text); {
+	case length <= maxFixstrLength:
+		b = append(b, formatFixstr|byte(length))
+	case length <= math.MaxUint8:
+		b = append(b, formatStr8, byte(length))
 	default:
-		b = binary.BigEndian.AppendUint16(append(b, 0xda), uint16(n))
+		b = binary.BigEndian.AppendUint16(append(b, formatStr16), uint16(length))
 	}
 	return append(b, text...)
 }
 
 func appendBinary(b, data []byte) []byte {
-	switch n := len(data); {
-	case n <= math.MaxUint8:
-		b = append(b, 0xc4, byte(n))
-	case n <= math.MaxUint16:
-		b = binary.BigEndian.AppendUint16(append(b, 0xc5), uint16(n))
+	switch length := len(data); {
+	case length <= math.MaxUint8:
+		b = append(b, formatBin8, byte(length))
+	case length <= math.MaxUint16:
+		b = binary.BigEndian.AppendUint16(append(b, formatBin16), uint16(length))
 	default:
-		b = binary.BigEndian.AppendUint32(append(b, 0xc6), uint32(n))
+		b = binary.BigEndian.AppendUint32(append(b, formatBin32), uint32(length))
 	}
 	return append(b, data...)
 }
--- a/internal/msgpackrpc/errors.go
+++ b/internal/msgpackrpc/errors.go
@@ -10,7 +10,7 @@
 	errFrameTooLong  = errors.New("frame too long")
 	errFrameTooDeep  = errors.New("frame nested too deep")
 	errTooManyValues = errors.New("frame of too many values")
-	errInvalidTag    = errors.New("starts no value")
+	errInvalidFormat = errors.New("starts no value")
 	errNotRPCMessage = errors.New("no MessagePack-RPC message")
 )
 
--- a/internal/msgpackrpc/errors_test.go
+++ b/internal/msgpackrpc/errors_test.go
@@ -36,7 +36,7 @@
 // A malformed frame is a FrameError with its cause, and no FieldError.
 func TestMalformedFrameIsAFrameError(t *testing.T) {
 	for sent, cause := range map[string]error{
-		"\xc1":                                  errInvalidTag,
+		"\xc1":                                  errInvalidFormat,
 		"\xc6\xff\xff\xff\xff":                  errFrameTooLong,
 		"\xdc\x20\x00":                          errFrameTooLong,
 		strings.Repeat("\x91", maxDepth+2):      errFrameTooDeep,
--- a/internal/msgpackrpc/fields.go
+++ b/internal/msgpackrpc/fields.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"strconv"
+	"time"
 )
 
 // field is a field of a request that has a meaning.
@@ -44,7 +45,8 @@
 func (f field) String() string { return fieldNames[f] }
 
 // fields are the values of a request's fields, which refer to the frame, and the first error that was found in them.
-// Of a name that comes twice the last value counts; unknown names are ignored.
+// Of a name that comes twice the last value counts; unknown names are ignored. The methods that read a field note an error
+// in err, and return a value in range then.
 type fields struct {
 	values [fieldCount][]byte // nil: absent
 	err    error
@@ -100,13 +102,19 @@
 	return value
 }
 
+// milliseconds reads a whole number of milliseconds from 0 to limit.
+func (f *fields) milliseconds(id field, limit time.Duration) time.Duration {
+	return time.Duration(f.integer(id, 0, limit.Milliseconds())) * time.Millisecond
+}
+
 // decimal reads a number from 0 to below limit; it is 0 where absent.
 func (f *fields) decimal(id field, limit float64) float64 {
 	if !f.has(id) {
 		return 0
 	}
 	value, err := strconv.ParseFloat(string(f.values[id]), 64)
-	if err != nil || !(value >= 0 && value < limit) { // so written that NaN fails
+	inRange := value >= 0 && value < limit // false for NaN
+	if err != nil || !inRange {
 		f.fail(id, fmt.Sprintf("a number from 0 to under %g", limit))
 		return 0
 	}
@@ -128,7 +136,11 @@
 }
 
 func isHexDigit(c byte) bool {
-	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
+	switch {
+	case '0' <= c && c <= '9', 'a' <= c && c <= 'f', 'A' <= c && c <= 'F':
+		return true
+	}
+	return false
 }
 
 // text reads a string of up to maxBytes bytes, which may be absent.
--- a/internal/msgpackrpc/frame_test.go
+++ b/internal/msgpackrpc/frame_test.go
@@ -41,7 +41,7 @@
 			_, err := frames.next()
 			require.Error(t, err, "%.20q", encoded)
 			require.NotErrorIs(t, err, io.EOF, "%.20q", encoded) // it is rejected before its end
-			require.LessOrEqual(t, len(frames.buf), maxBufferSize)
+			require.LessOrEqual(t, len(frames.buffer), maxBufferSize)
 		}
 	}
 	for _, encoded := range []string{"", "\x92\x01", "\xa2h", "\xcd\x01", "\xda\x00", "\xd4\x01"} {
@@ -85,5 +85,5 @@
 	require.NoError(t, err)
 	_, err = frames.next()
 	require.ErrorIs(t, err, io.EOF)
-	require.LessOrEqual(t, len(frames.buf), maxIdleBufferSize)
+	require.LessOrEqual(t, len(frames.buffer), maxIdleBufferSize)
 }
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -87,7 +87,7 @@
 		connection := newConn(local)
 		done := make(chan error, 1)
 		test.use(connection)
-		go func() { done <- connection.Run() }()
+		go func() { done <- connection.queue.Run() }()
 		written, err := io.ReadAll(remote)
 		require.NoError(t, err, test.name)
 		require.NoError(t, <-done, test.name)
--- a/internal/msgpackrpc/header.go
+++ b/internal/msgpackrpc/header.go
@@ -49,108 +49,140 @@
 	return h.length
 }
 
-// parseHeader reads the header of the value at the start of b; ok is false while b does not hold all of it. The cases
-// are those of the MessagePack specification: the tag holds the value, its length, or the width of either.
+// parseHeader reads the header of the value at the start of b; ok is false while b does not hold all of it. Its errors are
+// FrameErrors.
 func parseHeader(b []byte) (header valueHeader, ok bool, err error) {
 	if len(b) == 0 {
 		return header, false, nil
 	}
-	header.size = 1
-	switch tag := b[0]; {
-	case tag <= 0x7f:
-		header.kind, header.value = valueInt, int64(tag)
-	case tag <= 0x8f:
-		header.kind, header.length = valueMap, int(tag&0x0f)
-	case tag <= 0x9f:
-		header.kind, header.length = valueArray, int(tag&0x0f)
-	case tag <= 0xbf:
-		header.kind, header.length = valueString, int(tag&0x1f)
-	case tag >= 0xe0:
-		header.kind, header.value = valueInt, int64(int8(tag))
-	case tag == 0xc0:
-		header.kind = valueNil
-	case tag == 0xc2, tag == 0xc3:
-		header.kind, header.value = valueBool, int64(tag-0xc2)
-	case tag >= 0xca && tag <= 0xd3:
-		return parseNumberHeader(b)
-	case tag >= 0xd4 && tag <= 0xd8:
-		header.kind, header.length = valueExtension, 1+1<<(tag-0xd4) // a byte of type, and the data
-	default:
-		return parseSizedHeader(b)
+	format := b[0]
+	switch {
+	case format <= formatMaxFixstr:
+		return parseFixHeader(format), true, nil
+	case format >= formatNegativeFixint:
+		return valueHeader{kind: valueInt, size: 1, value: int64(int8(format))}, true, nil
+	case format >= formatFloat32 && format <= formatInt64:
+		header, ok = parseNumberHeader(b)
+		return header, ok, nil
+	case format >= formatFixext1 && format <= formatFixext16:
+		return parseFixextHeader(format), true, nil
+	case format <= formatTrue:
+		return parseConstantHeader(format)
 	}
-	return header, true, nil
+	return parseSizedHeader(b)
 }
 
-// The tags of numbers that follow their tag. In each group the width doubles from tag to tag.
-const (
-	tagFloat32 = 0xca
-	tagUint8   = 0xcc
-	tagInt8    = 0xd0
-)
+// parseFixHeader reads a format up to formatMaxFixstr, which holds the value or its length.
+func parseFixHeader(format byte) valueHeader {
+	switch {
+	case format <= formatMaxPositiveFixint:
+		return valueHeader{kind: valueInt, size: 1, value: int64(format)}
+	case format <= formatMaxFixmap:
+		return valueHeader{kind: valueMap, size: 1, length: int(format & fixLengthMask)}
+	case format <= formatMaxFixarray:
+		return valueHeader{kind: valueArray, size: 1, length: int(format & fixLengthMask)}
+	}
+	return valueHeader{kind: valueString, size: 1, length: int(format & fixstrMask)}
+}
+
+// parseFixextHeader reads the format of an extension of 1, 2, 4, 8 or 16 bytes.
+func parseFixextHeader(format byte) valueHeader {
+	const typeSize = 1
+	dataSize := 1 << (format - formatFixext1)
+	return valueHeader{kind: valueExtension, size: 1, length: typeSize + dataSize}
+}
 
-// parseNumberHeader reads a number that follows its tag.
-func parseNumberHeader(b []byte) (header valueHeader, ok bool, err error) {
-	tag := b[0]
-	size := 1 << ((tag - tagUint8) & 3) // four widths without a sign, then the same with one
-	if tag < tagUint8 {
-		size = 4 << (tag - tagFloat32)
+// parseConstantHeader reads nil, false or true.
+func parseConstantHeader(format byte) (header valueHeader, ok bool, err error) {
+	switch format {
+	case formatNil:
+		return valueHeader{kind: valueNil, size: 1}, true, nil
+	case formatFalse:
+		return valueHeader{kind: valueBool, size: 1}, true, nil
+	case formatTrue:
+		return valueHeader{kind: valueBool, size: 1, value: 1}, true, nil
 	}
-	if header.size = 1 + size; len(b) < header.size {
-		return header, false, nil
+	return header, false, invalidFormat(format)
+}
+
+func invalidFormat(format byte) error { return frameErrorf("byte %#x %w", format, errInvalidFormat) }
+
+// parseNumberHeader reads a number that follows its format. In each group of formats, floats, unsigned integers and signed
+// ones, the width doubles from format to format.
+func parseNumberHeader(b []byte) (header valueHeader, ok bool) {
+	const integerWidths = 4
+	format := b[0]
+	width := 1 << ((format - formatUint8) % integerWidths)
+	if format < formatUint8 {
+		width = 4 << (format - formatFloat32)
+	}
+	header.size = 1 + width
+	if len(b) < header.size {
+		return header, false
 	}
-	value := bigEndianUint(b[1:], size)
+	value := bigEndianUint(b[1:], width)
 	switch {
-	case tag < tagUint8:
+	case format < formatUint8:
 		header.kind = valueFloat
-	case tag >= tagInt8:
-		shift := 64 - 8*size
-		header.kind, header.value = valueInt, int64(value<<shift)>>shift
+	case format >= formatInt8:
+		header.kind = valueInt
+		header.value = signExtend(value, width)
 	case value > math.MaxInt64:
 		header.kind = valueLargeUint
 	default:
-		header.kind, header.value = valueInt, int64(value)
+		header.kind = valueInt
+		header.value = int64(value)
 	}
-	return header, true, nil
+	return header, true
+}
+
+// signExtend returns the integer that is held in that many bytes.
+func signExtend(value uint64, width int) int64 {
+	unused := 64 - 8*width
+	return int64(value<<unused) >> unused
 }
 
-// sizedTags are the ranges of tags that are followed by a length, whose width doubles from tag to tag.
-var sizedTags = [...]struct {
+// sizedFormats are the ranges of formats that are followed by a length, whose width doubles from format to format.
+var sizedFormats = [...]struct {
 	first, last byte
-	width       int // bytes of the length after the first tag
+	width       int // bytes of the length after the first format
 	kind        valueKind
 }{
-	{0xc4, 0xc6, 1, valueBinary},
-	{0xc7, 0xc9, 1, valueExtension},
-	{0xd9, 0xdb, 1, valueString},
-	{0xdc, 0xdd, 2, valueArray},
-	{0xde, 0xdf, 2, valueMap},
+	{formatBin8, formatBin32, 1, valueBinary},
+	{formatExt8, formatExt32, 1, valueExtension},
+	{formatStr8, formatStr32, 1, valueString},
+	{formatArray16, formatArray32, 2, valueArray},
+	{formatMap16, formatMap32, 2, valueMap},
 }
 
-// parseSizedHeader reads the header of a value whose length follows its tag.
+// parseSizedHeader reads the header of a value whose length follows its format. Its errors are FrameErrors.
 func parseSizedHeader(b []byte) (header valueHeader, ok bool, err error) {
-	for _, tags := range sizedTags {
-		if b[0] < tags.first || b[0] > tags.last {
+	for _, formats := range sizedFormats {
+		if b[0] < formats.first || b[0] > formats.last {
 			continue
 		}
-		size := tags.width << (b[0] - tags.first)
-		if header.kind, header.size = tags.kind, 1+size; len(b) < header.size {
+		width := formats.width << (b[0] - formats.first)
+		header.kind = formats.kind
+		header.size = 1 + width
+		if len(b) < header.size {
 			return header, false, nil
 		}
-		length := bigEndianUint(b[1:], size)
+		length := bigEndianUint(b[1:], width)
 		if length > maxFrame {
 			return header, false, &FrameError{errFrameTooLong}
 		}
-		if header.length = int(length); tags.kind == valueExtension {
+		header.length = int(length)
+		if formats.kind == valueExtension {
 			header.length++ // the byte of its type
 		}
 		return header, true, nil
 	}
-	return header, false, frameErrorf("byte %#x %w", b[0], errInvalidTag)
+	return header, false, invalidFormat(b[0])
 }
 
 // bigEndianUint reads an unsigned integer of 1, 2, 4 or 8 bytes.
-func bigEndianUint(b []byte, size int) uint64 {
-	switch size {
+func bigEndianUint(b []byte, width int) uint64 {
+	switch width {
 	case 1:
 		return uint64(b[0])
 	case 2:
--- a/internal/msgpackrpc/input.go
+++ b/internal/msgpackrpc/input.go
@@ -2,13 +2,12 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"os"
 	"syscall"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
@@ -18,11 +17,11 @@
 
 	// After the last answer some input is still read and discarded, until the client has read its answers and closes:
 	// closing over unread bytes resets the connection, and the answers are lost.
-	closeReadTimeout  = 50 * time.Millisecond // the protocol's time for requests that cross a close
+	closeReadTimeout  = 50 * time.Millisecond
 	maxCloseReadBytes = 1 << 20
 )
 
-// input is the read side of a connection. Its methods belong to the reading goroutine, but for pause, resume,
+// input is the read side of a connection. Its methods are called on the reading goroutine, but for pause, resume,
 // drainMore and hasUnread, which the server's loop calls.
 type input struct {
 	netConn net.Conn
@@ -58,7 +57,7 @@
 	for {
 		state := in.state.current()
 		if err := in.netConn.SetReadDeadline(state.readDeadline(time.Now())); err != nil {
-			return err
+			return fmt.Errorf("set read deadline: %w", err)
 		}
 		if in.state.current() == state {
 			return nil
@@ -105,31 +104,18 @@
 
 // hasUnread reports whether something has arrived that was not read, be it the end of the connection.
 func (in *input) hasUnread() bool {
-	sc, ok := in.netConn.(syscall.Conn)
-	return ok && readable(sc)
-}
-
-// readable reports whether a read, or for a listener an Accept, would find something.
-func readable(c syscall.Conn) (found bool) {
-	raw, err := c.SyscallConn()
-	if err != nil {
-		return false
-	}
-	err = raw.Control(func(fd uintptr) {
-		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
-		found = n > 0 && err == nil
-	})
-	return found && err == nil
+	socket, ok := in.netConn.(syscall.Conn)
+	return ok && readable(socket)
 }
 
 // Read implements io.Reader for the frames. A deadline that has expired counts only where nothing has arrived:
-// after the machine stood still, or while this process is behind, input that came in time may be unread.
+// after the machine was paused, or while this process is behind, input that came in time may be unread.
 func (in *input) Read(b []byte) (int, error) {
 	n, err := in.netConn.Read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		return n, err
+		return n, err //nolint:wrapcheck // io.Reader: io.EOF has to be returned as it is
 	}
-	if in.drainBudget <= 0 && in.state.current() == draining {
+	if in.isDrained() {
 		return 0, errReadPaused
 	}
 	n, err = in.readAvailable(b)
@@ -145,45 +131,19 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
+// isDrained reports whether as much was read as a connection that drains may have open.
+func (in *input) isDrained() bool { return in.drainBudget <= 0 && in.state.current() == draining }
+
 // readAvailable reads what has arrived without waiting, and returns 0 and no error where that is nothing.
-func (in *input) readAvailable(b []byte) (n int, err error) {
-	sc, ok := in.netConn.(syscall.Conn)
+func (in *input) readAvailable(b []byte) (int, error) {
+	socket, ok := in.netConn.(syscall.Conn)
 	if !ok {
 		return 0, nil
 	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return 0, err
-	}
-	if err := in.netConn.SetReadDeadline(time.Time{}); err != nil { // raw.Read fails at once on an expired one
-		return 0, err
-	}
-	var readErr error
-	err = raw.Read(func(fd uintptr) bool {
-		n, readErr = readDescriptor(int(fd), b)
-		return true
-	})
-	switch {
-	case err != nil:
-		return 0, err
-	case errors.Is(readErr, syscall.EAGAIN):
-		return 0, nil
-	case readErr != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Err: readErr}
-	case n == 0:
-		return 0, io.EOF
-	}
-	return n, nil
-}
-
-// readDescriptor reads from a descriptor, again where a signal interrupts it.
-func readDescriptor(fd int, b []byte) (int, error) {
-	for {
-		n, err := syscall.Read(fd, b)
-		if !errors.Is(err, syscall.EINTR) {
-			return n, err
-		}
+	if err := in.netConn.SetReadDeadline(time.Time{}); err != nil { // reading fails at once on an expired one
+		return 0, fmt.Errorf("lift read deadline: %w", err)
 	}
+	return readAvailable(socket, b)
 }
 
 // discard reads and discards input until the client has closed its side or enough has come.
--- a/internal/msgpackrpc/input_test.go
+++ b/internal/msgpackrpc/input_test.go
@@ -108,10 +108,10 @@
 				_, err = local.input.Read(buffer)
 				require.ErrorIs(t, err, errReadPaused)
 			}
-			local.Send([]byte("answer"))
+			local.queue.Send([]byte("answer"))
 			require.True(t, local.TryClose())
 			done := make(chan error, 1)
-			go func() { done <- local.Run() }()
+			go func() { done <- local.queue.Run() }()
 			written, err := io.ReadAll(remote)
 			require.NoError(t, err)
 			require.Equal(t, "answer", string(written))
--- a/internal/msgpackrpc/listener.go
+++ b/internal/msgpackrpc/listener.go
@@ -22,7 +22,8 @@
 	pendingAcceptTimeout = 50 * time.Millisecond // of an Accept for which a connection was pending
 )
 
-// Listener is a listener for clients; it implements server.Front.
+// Listener accepts connections of clients; it implements server.Front. Serve is called once; the other methods may be called
+// on any goroutine.
 type Listener struct {
 	ln    net.Listener
 	slots chan struct{} // holds one element for each open connection
@@ -32,13 +33,19 @@
 	closing   chan struct{} // closed by Close
 }
 
+// interruptible is a net.Listener whose Accept can be given a deadline.
+type interruptible interface {
+	SetDeadline(deadline time.Time) error
+}
+
 func newListener(ln net.Listener, maxConns int, log *logging.Limiter) *Listener {
 	return &Listener{ln: ln, slots: make(chan struct{}, maxConns), log: log, closing: make(chan struct{})}
 }
 
-// Listen opens a Listener on addr that accepts up to maxConns connections at a time; further ones wait.
-func Listen(addr string, maxConns int, log *logging.Limiter) (*Listener, error) {
-	ln, err := net.Listen("tcp", addr)
+// Listen opens a Listener on an address that accepts up to maxConns connections at a time; further ones wait.
+func Listen(address string, maxConns int, log *logging.Limiter) (*Listener, error) {
+	var config net.ListenConfig
+	ln, err := config.Listen(context.Background(), "tcp", address) // opening a socket does not block
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -46,12 +53,12 @@
 }
 
 // ListenInherited is Listen on a socket that listens already and was left open for this process.
-func ListenInherited(fd uintptr, maxConns int, log *logging.Limiter) (*Listener, error) {
-	file := os.NewFile(fd, "inherited socket")
+func ListenInherited(descriptor uintptr, maxConns int, log *logging.Limiter) (*Listener, error) {
+	file := os.NewFile(descriptor, "inherited socket")
 	ln, err := net.FileListener(file)
 	_ = file.Close() // the listener has a descriptor of its own
 	if err != nil {
-		return nil, fmt.Errorf("inherited socket %d: %w", fd, err)
+		return nil, fmt.Errorf("inherited socket %d: %w", descriptor, err)
 	}
 	return newListener(ln, maxConns, log), nil
 }
@@ -71,16 +78,22 @@
 
 // interruptAccept ends an Accept that waits.
 func (l *Listener) interruptAccept() error {
-	if ln, ok := l.ln.(interface{ SetDeadline(time.Time) error }); ok {
-		return ln.SetDeadline(expiredDeadline)
+	var err error
+	if ln, ok := l.ln.(interruptible); ok {
+		err = ln.SetDeadline(expiredDeadline)
+	} else {
+		err = l.ln.Close()
+	}
+	if err != nil {
+		return fmt.Errorf("interrupt accept: %w", err)
 	}
-	return l.ln.Close()
+	return nil
 }
 
 // Serve implements server.Front.
 func (l *Listener) Serve(ctx context.Context, g *errgroup.Group, srv *server.Server) error {
 	defer l.ln.Close()
-	defer context.AfterFunc(ctx, func() { l.ln.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = l.ln.Close() })()
 	for {
 		select {
 		case l.slots <- struct{}{}:
@@ -107,7 +120,7 @@
 }
 
 // delayAccept logs a failed Accept and waits before the next. Neither a lack of descriptors nor a client that has
-// gone ends the service.
+// disconnected ends the service.
 func (l *Listener) delayAccept(ctx context.Context, err error) {
 	l.log.Warn("accept", "front end not accepted", err)
 	select {
@@ -119,7 +132,7 @@
 // acceptPending accepts the connections that wait already: requests may have been written to them, and would be lost
 // with the listener.
 func (l *Listener) acceptPending(ctx context.Context, g *errgroup.Group, srv *server.Server) {
-	ln, ok := l.ln.(interface{ SetDeadline(time.Time) error })
+	ln, ok := l.ln.(interruptible)
 	if !ok {
 		return
 	}
@@ -129,7 +142,7 @@
 		case <-ctx.Done():
 			return
 		}
-		// A newer process that shares the socket may accept the connection first, so Accept must not wait for ever.
+		// Another process that shares the socket may accept the connection first, so Accept must not wait for ever.
 		if ln.SetDeadline(time.Now().Add(pendingAcceptTimeout)) != nil {
 			return
 		}
@@ -147,8 +160,8 @@
 
 // hasPendingConnection reports whether a connection waits to be accepted.
 func (l *Listener) hasPendingConnection() bool {
-	sc, ok := l.ln.(syscall.Conn)
-	return ok && readable(sc)
+	socket, ok := l.ln.(syscall.Conn)
+	return ok && readable(socket)
 }
 
 // startConn announces a connection to srv and starts its goroutines in g. It is called within Serve, so that srv knows
@@ -169,7 +182,12 @@
 
 // logReadError logs why reading a connection ended, unless that is ordinary.
 func (l *Listener) logReadError(err error) {
-	if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && !errors.Is(err, errReadPaused) {
+	if !isOrdinaryEnd(err) {
 		l.log.Warn("front end", "connection of a front end ended", err)
 	}
 }
+
+// isOrdinaryEnd reports whether reading a connection ends with err in normal service.
+func isOrdinaryEnd(err error) bool {
+	return errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, errReadPaused)
+}
--- a/internal/msgpackrpc/reference_parser_test.go
+++ b/internal/msgpackrpc/reference_parser_test.go
@@ -128,13 +128,13 @@
 		return attempt, params.err
 	}
 	attempt.ID = params.hex("id", requestIDDigits, requestIDDigits)
-	attempt.ArrivedAt = time.Duration(params.integer("at", 0, maxArrivalMillis)) * time.Millisecond
+	attempt.ArrivedAt = time.Duration(params.integer("at", 0, maxArrivedAt.Milliseconds())) * time.Millisecond
 	if _, ok := params.values["wait"]; ok {
 		attempt.Timeout = time.Duration(params.integer("wait", 0, maxTimeout.Milliseconds())) * time.Millisecond
 	}
 	attempt.Client = int(params.integer("from", 0, maxClient))
-	attempt.CostHint = time.Duration(params.decimal("cost", maxCostMillis) * float64(time.Millisecond))
-	if attempt.MemoryKB = params.decimal("kb", maxMemoryKB); attempt.MemoryKB == 0 {
+	attempt.CostHint = time.Duration(params.decimal("cost", costLimitMillis) * float64(time.Millisecond))
+	if attempt.MemoryKB = params.decimal("kb", memoryLimitKB); attempt.MemoryKB == 0 {
 		params.fail("kb", "a number above 0")
 	}
 	attempt.Rank = params.decimal("rank", 1)
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -11,12 +11,12 @@
 // Bounds of the fields of a request.
 const (
 	requestIDDigits         = 16
-	maxArrivalMillis        = 1 << 42 // on the Unix clock; in the year 2109
+	maxArrivedAt            = (1 << 42) * time.Millisecond // on the Unix clock; in the year 2109
 	maxTimeout              = time.Hour
 	maxClient               = math.MaxInt32
-	maxCostMillis           = 1e6
-	maxMemoryKB             = 2000
-	rankLimit               = 1
+	costLimitMillis         = 1e6  // a cost is below it
+	memoryLimitKB           = 2000 // a request's memory is below it
+	rankLimit               = 1    // a rank is below it
 	maxIdempotencyKeyDigits = 64
 	maxKeyLength            = 128 // bytes of a subject or tenant
 )
@@ -69,13 +69,14 @@
 // readInto sets what the fields say about an attempt. Of several errors the first in this order is reported.
 func (f *fields) readInto(attempt *server.Attempt) {
 	attempt.ID = f.hex(fieldID, requestIDDigits, requestIDDigits)
-	attempt.ArrivedAt = time.Duration(f.integer(fieldArrivedAt, 0, maxArrivalMillis)) * time.Millisecond
+	attempt.ArrivedAt = f.milliseconds(fieldArrivedAt, maxArrivedAt)
 	if f.has(fieldTimeout) {
-		attempt.Timeout = time.Duration(f.integer(fieldTimeout, 0, maxTimeout.Milliseconds())) * time.Millisecond
+		attempt.Timeout = f.milliseconds(fieldTimeout, maxTimeout)
 	}
 	attempt.Client = int(f.integer(fieldClient, 0, maxClient))
-	attempt.CostHint = time.Duration(f.decimal(fieldCostHint, maxCostMillis) * float64(time.Millisecond))
-	if attempt.MemoryKB = f.decimal(fieldMemoryKB, maxMemoryKB); attempt.MemoryKB == 0 {
+	attempt.CostHint = time.Duration(f.decimal(fieldCostHint, costLimitMillis) * float64(time.Millisecond))
+	attempt.MemoryKB = f.decimal(fieldMemoryKB, memoryLimitKB)
+	if attempt.MemoryKB == 0 {
 		f.fail(fieldMemoryKB, "a number above 0")
 	}
 	attempt.Rank = f.decimal(fieldRank, rankLimit)
--- a/internal/msgpackrpc/response.go
+++ b/internal/msgpackrpc/response.go
@@ -14,53 +14,82 @@
 	codeInvalid    = "Invalid"
 )
 
+// The names of an error's details. The values are strings.
+const (
+	detailRetryAfter       = "after" // in milliseconds
+	detailNoRetryElsewhere = "last"
+	detailReason           = "reason"
+)
+
 // responseOverhead is how many bytes a response takes besides the body.
 const responseOverhead = 48
 
 // encodeAnswer returns the response to a call.
 func encodeAnswer(call uint32, answer server.Answer) []byte {
 	b := slices.Grow([]byte(nil), responseOverhead+len(answer.Body))
-	b = appendUint(append(appendArray(b, requestParts), byte(kindResponse)), call)
+	b = appendArray(b, requestParts)
+	b = append(b, byte(kindResponse))
+	b = appendUint(b, call)
 	switch answer.Kind {
 	case server.Served:
-		b = appendBinary(appendArray(appendNil(b), 2), answer.Body)
-		return appendMap(b, 0)
+		return appendResult(b, appendBinary, answer.Body)
 	case server.Healthy, server.Unhealthy:
-		b = appendBool(appendArray(appendNil(b), 2), answer.Kind == server.Healthy)
-		return appendMap(b, 0)
+		return appendResult(b, appendBool, answer.Kind == server.Healthy)
 	case server.Rejected:
-		return appendNil(appendRejection(b, answer))
+		b = appendRejection(b, answer)
 	case server.Invalid:
-		b = appendString(appendMap(appendString(appendArray(b, 2), codeInvalid), 1), "reason")
-		return appendNil(appendString(b, answer.Reason))
+		b = appendError(b, codeInvalid, 1)
+		b = appendDetail(b, detailReason, answer.Reason)
 	default: // server.Failed; an unknown kind must not look like a success
-		b = appendMap(appendString(appendArray(b, 2), codeInternal), 0)
-		return appendNil(b)
+		b = appendError(b, codeInternal, 0)
 	}
+	return appendNil(b) // in place of a result
+}
+
+// appendResult appends that there is no error, and the result: the value and an empty map.
+func appendResult[V any](b []byte, appendValue func([]byte, V) []byte, value V) []byte {
+	b = appendNil(b)
+	b = appendArray(b, 2)
+	b = appendValue(b, value)
+	return appendMap(b, 0)
+}
+
+// appendError appends an error up to its details, of which that many follow.
+func appendError(b []byte, code string, details int) []byte {
+	b = appendArray(b, 2)
+	b = appendString(b, code)
+	return appendMap(b, details)
+}
+
+func appendDetail(b []byte, name, value string) []byte {
+	b = appendString(b, name)
+	return appendString(b, value)
 }
 
 // appendRejection appends the error of a rejected request, with the advice on retries.
 func appendRejection(b []byte, answer server.Answer) []byte {
 	retryAfterMillis := answer.RetryAfter.Milliseconds()
-	detailCount := 0
+	details := 0
 	if retryAfterMillis > 0 {
-		detailCount++
+		details++
 	}
 	if answer.NoRetryElsewhere {
-		detailCount++
+		details++
 	}
-	b = appendMap(appendString(appendArray(b, 2), codeOverloaded), detailCount)
+	b = appendError(b, codeOverloaded, details)
 	if retryAfterMillis > 0 {
-		b = appendString(appendString(b, "after"), strconv.FormatInt(retryAfterMillis, 10))
+		b = appendDetail(b, detailRetryAfter, strconv.FormatInt(retryAfterMillis, 10))
 	}
 	if answer.NoRetryElsewhere {
-		b = appendString(appendString(b, "last"), "1")
+		b = appendDetail(b, detailNoRetryElsewhere, "1")
 	}
 	return b
 }
 
 // encodeClosing returns the notification that no new request should come on the connection.
 func encodeClosing() []byte {
-	b := append(appendArray(nil, notificationParts), byte(kindNotification))
-	return appendArray(appendString(b, methodClosing), 0)
+	b := appendArray(nil, notificationParts)
+	b = append(b, byte(kindNotification))
+	b = appendString(b, methodClosing)
+	return appendArray(b, 0)
 }
