--- a/lab/costs/main.go
+++ b/lab/costs/main.go
@@ -25,7 +25,7 @@
 func report(w io.Writer, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
-		return err
+		return fmt.Errorf("open profile: %w", err)
 	}
 	defer func() { _ = file.Close() }() // it was only read
 	parsed, err := profile.Parse(file)
@@ -33,7 +33,7 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	spent, total := splitByPart(parsed)
-	fmt.Fprintf(w, "%s: %.2f s of processor time\n", path, total.Seconds())
+	fmt.Fprintf(w, "%s: %.2f s of CPU time\n", path, total.Seconds())
 	for i := range parts {
 		printRow(w, parts[i].name, spent, total)
 	}
--- a/lab/fakes/store.go
+++ b/lab/fakes/store.go
@@ -28,7 +28,7 @@
 	mu           sync.Mutex
 	inFlight     map[string]replyFunc // by identifier in Slots
 	hangingCalls int                  // that an unresponsive store holds
-	timer        *time.Timer          // fires when the next call in Slots completes
+	timer        completionTimer      // of Slots
 }
 
 // replyFunc writes the reply to one call. It may be called from any goroutine.
@@ -146,19 +146,7 @@
 
 // scheduleAdvance sets the timer to the next completion in the slots.
 func (s *Store) scheduleAdvance() {
-	if s.timer != nil {
-		s.timer.Stop()
-	}
-	at, ok := s.Slots.NextCompletion()
-	if !ok {
-		return
-	}
-	s.timer = time.AfterFunc(at-s.Now(), func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.advance()
-		s.scheduleAdvance()
-	})
+	s.timer.schedule(&s.mu, s.Slots, s.Now, s.advance)
 }
 
 // storeCall is one call of an image server.
@@ -176,7 +164,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("read command: %w", err)
 		}
 		if _, err := fmt.Sscanf(line, "CALL %s %d %d\r\n", &id, &timeoutMillis, &length); err == nil {
 			break
@@ -184,7 +172,7 @@
 	}
 	body := make([]byte, length+len("\r\n"))
 	if _, err := io.ReadFull(reader, body); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read body of call %s: %w", id, err)
 	}
 	return &storeCall{id: id, timeout: time.Duration(timeoutMillis) * time.Millisecond, body: body}, nil
 }
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -19,13 +19,12 @@
 // fleetRanks gives the controller's rank for each verdict.
 var fleetRanks = [...]admission.FleetRank{
 	overload.VerdictUnknown:        admission.RankUnknown,
-	overload.VerdictElsewhere:      admission.RankElsewhere,
-	overload.VerdictFull:           admission.RankFull,
+	overload.VerdictHasCapacity:    admission.RankElsewhere,
+	overload.VerdictFleetFull:      admission.RankFull,
 	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
 }
 
 func (s *server) startShedding() {
-	s.shedding = nil
 	if !s.sim.opts.Shedding {
 		return
 	}
@@ -55,8 +54,9 @@
 func (s *shedding) addToLoad(load *fleet.Load) {
 	demand := s.shedder.Demand()
 	load.Demand = string(demand.Append(nil))
-	load.Attempts, load.RetryRatio = s.retries.AttemptRate(), s.retries.RetryRatio()
-	load.Threshold = s.shedder.Threshold().Priority
+	load.Attempts = s.retries.AttemptRate()
+	load.RetryRatio = s.retries.RetryRatio()
+	load.Threshold = s.shedder.State().Threshold
 	load.Aggregate = s.collector.Published()
 }
 
