--- a/internal/agent/decode.go
+++ b/internal/agent/decode.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	payload, err := jsonlines.Base64(object, fieldPayload)
+	payload, err := decodePayload(object)
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 	if err := checkRunEvent(object, nameCallRequest); err != nil {
 		return nil, err
 	}
-	payload, err := jsonlines.Base64(object, fieldPayload)
+	payload, err := decodePayload(object)
 	if err != nil {
 		return nil, err
 	}
@@ -135,6 +135,10 @@
 	}, nil
 }
 
+func decodePayload(object *fastjson.Value) ([]byte, error) {
+	return jsonlines.Base64(object, fieldPayload) //nolint:wrapcheck // it names the field
+}
+
 // checkRunEvent checks that a notification about a run has its place in the sequence and says which request it is about.
 func checkRunEvent(object *fastjson.Value, name string) error {
 	if object.GetInt64(fieldOffset) <= 0 || len(object.GetStringBytes(fieldRequest)) == 0 {
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -80,8 +80,8 @@
 	return &Link{connections: connections, loop: loop, handler: handler, gauges: config.Gauges, log: log}
 }
 
-// Run keeps a connection open to the address in force until ctx ends, on a goroutine of its own. It returns nil.
-func (l *Link) Run(ctx context.Context) error { return l.connections.Run(ctx, connectionHandler{l}) }
+// Run keeps a connection open to the address in force until ctx ends, on a goroutine of its own.
+func (l *Link) Run(ctx context.Context) { l.connections.Run(ctx, connectionHandler{l}) }
 
 // SetAddress has a connection opened to another address. The present one is used until that is open.
 func (l *Link) SetAddress(address string) { l.connections.SetAddress(address) }
--- a/internal/agent/receive.go
+++ b/internal/agent/receive.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"fmt"
 	"net"
 	"time"
 
@@ -17,9 +18,10 @@
 
 // Read implements reconnect.Handler. A line that is no notification ends the connection.
 func (h connectionHandler) Read(conn net.Conn, queue *writequeue.Queue) error {
-	return newParser().ReadEach(conn, func(notification Notification) {
+	err := newParser().ReadEach(conn, func(notification Notification) {
 		h.link.loop.Post(func() { h.link.handleNotification(queue, notification) })
 	})
+	return fmt.Errorf("read notification: %w", err)
 }
 
 // Closed implements reconnect.Handler.
--- a/internal/agent/remote_test.go
+++ b/internal/agent/remote_test.go
@@ -56,7 +56,7 @@
 	remote.Link = New(Config{Address: address, Seed: 1}, loop, handler, logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _ = remote.Link.Run(ctx) }()
+	go remote.Link.Run(ctx)
 	return remote
 }
 
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -104,8 +104,8 @@
 }
 
 // Run sends reports until ctx ends, on a goroutine of its own: at once where there is a new report, and every
-// reportInterval. It returns nil.
-func (a *Announcer) Run(ctx context.Context) error {
+// reportInterval.
+func (a *Announcer) Run(ctx context.Context) {
 	var newest report
 	var service socket
 	defer service.close()
@@ -114,7 +114,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return nil
+			return
 		case newest = <-a.reports.C():
 			service.setAddress(newest.address)
 		case <-ticker.C:
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -37,8 +37,11 @@
 	log, _ := test.NewNullLogger()
 	announcer := New(service.LocalAddr().String(), "n3", logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
-	runDone := make(chan error)
-	go func() { runDone <- announcer.Run(ctx) }()
+	runDone := make(chan struct{})
+	go func() {
+		announcer.Run(ctx)
+		close(runDone)
+	}()
 	announcer.SetAccepting(true)
 	require.Equal(t, "announce n3 true", receive(t, service))
 	require.Equal(t, "announce n3 true", receive(t, service))
@@ -52,7 +55,7 @@
 	require.Equal(t, "announce n3 false", receive(t, moved))
 	require.Equal(t, "announce n3 false", receive(t, moved))
 	cancel()
-	require.NoError(t, <-runDone)
+	<-runDone
 }
 
 // Once another process reports, changes here are not reported any more.
--- a/internal/jsonlines/jsonlines.go
+++ b/internal/jsonlines/jsonlines.go
@@ -54,7 +54,7 @@
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
-			return err
+			return err //nolint:wrapcheck // the caller says what was read
 		}
 		message, err := p.Parse(line)
 		if err != nil {
--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -61,8 +61,8 @@
 	l.addresses.Set(address)
 }
 
-// Run keeps a connection open to the address in force until ctx ends, and all its connections with that. It returns nil.
-func (l *Link) Run(ctx context.Context, handler Handler) error {
+// Run keeps a connection open to the address in force until ctx ends, and all its connections with that.
+func (l *Link) Run(ctx context.Context, handler Handler) {
 	var group errgroup.Group
 	replace := func() {} // ends the use of the address in force so far
 	defer func() { replace() }()
@@ -70,7 +70,7 @@
 		select {
 		case <-ctx.Done():
 			_ = group.Wait() // its functions return no error
-			return nil
+			return
 		case address := <-l.addresses.C():
 			replace()
 			inForce, cancel := context.WithCancel(ctx)
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -78,11 +78,14 @@
 func startLink(t *testing.T, link *Link, handler Handler) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- link.Run(ctx, handler) }()
+	done := make(chan struct{})
+	go func() {
+		link.Run(ctx, handler)
+		close(done)
+	}()
 	t.Cleanup(func() {
 		cancel()
-		require.NoError(t, receive(t, done))
+		receive(t, done)
 	})
 }
 
--- a/internal/reconnect/serve.go
+++ b/internal/reconnect/serve.go
@@ -15,5 +15,5 @@
 	defer context.AfterFunc(ctx, queue.Close)()
 	group.Go(queue.Run)
 	group.Go(read)
-	return group.Wait()
+	return group.Wait() //nolint:wrapcheck // the functions say what failed
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -104,9 +104,12 @@
 	} else {
 		s.listeners.open()
 	}
-	g.Go(func() error { return s.agent.Run(ctx) })
-	g.Go(func() error { return s.store.Run(ctx) })
-	g.Go(func() error { return s.announcer.Run(ctx) })
+	for _, run := range []func(context.Context){s.agent.Run, s.store.Run, s.announcer.Run} {
+		g.Go(func() error {
+			run(ctx)
+			return nil
+		})
+	}
 	g.Go(func() error {
 		defer cancel()
 		s.loop(ctx)
--- a/internal/store/dialer.go
+++ b/internal/store/dialer.go
@@ -24,13 +24,13 @@
 	cancel  context.CancelFunc // of ctx, at the end of Run too
 }
 
-// open waits for the delay, and dials. It is called on a goroutine of Run.
+// open waits for the delay, and dials. It is called on a goroutine of Run. Its error is a *reconnect.UnreachableError.
 func (d *dial) open() (net.Conn, error) {
 	select {
 	case <-d.ctx.Done():
 	case <-time.After(d.delay):
 	}
-	return reconnect.Dial(d.ctx, "tcp", d.address, reconnect.DialTimeout)
+	return reconnect.Dial(d.ctx, "tcp", d.address, reconnect.DialTimeout) //nolint:wrapcheck // an *UnreachableError
 }
 
 // dialer holds the dials in flight. A dial is wanted until it is cancelled; cancelled or not, it is in flight until its
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -67,14 +67,14 @@
 	}
 }
 
-// Run opens connections as calls need them, until ctx ends, on a goroutine of its own. It returns nil.
-func (l *Link) Run(ctx context.Context) error {
+// Run opens connections as calls need them, until ctx ends, on a goroutine of its own.
+func (l *Link) Run(ctx context.Context) {
 	var group errgroup.Group
 	for {
 		select {
 		case <-ctx.Done():
 			_ = group.Wait() // its functions return no error
-			return nil
+			return
 		case request := <-l.dialer.requests:
 			group.Go(func() error {
 				l.serve(ctx, request)
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -35,7 +35,7 @@
 	fake.link = New(Config{Address: addr, MaxConnections: 4, Seed: 1}, loop, fake.record, logging.NewLimiter(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _ = fake.link.Run(ctx) }()
+	go fake.link.Run(ctx)
 	return fake
 }
 
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -1,10 +1,11 @@
 // Package writequeue writes queued messages to a connection, so that whoever queues them never blocks.
 //
-// The owner of a connection runs Run in a goroutine; any goroutine may call the other methods. A peer that does not
+// The owner of a connection runs Run on a goroutine; any goroutine may call the other methods. A peer that does not
 // read is disconnected as soon as the queue is full or a write takes longer than 20 s.
 package writequeue
 
 import (
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -12,11 +13,12 @@
 )
 
 const (
-	writeTimeout  = 20 * time.Second // a peer's machine may stand still for a while
+	writeTimeout  = 20 * time.Second // a peer's machine may be paused for a while
 	maxBatchBytes = 8 << 10          // from which on no further message joins a write
 )
 
-// Queue is the write side of a connection.
+// Queue is the write side of a connection. It is open until Close, then writes what is queued, and is closed by Run; a
+// failed write, a queue that is full, or Abort end it at once.
 type Queue struct {
 	conn           net.Conn
 	closeWriteOnly bool // whether only the write side is closed at the end
@@ -66,7 +68,7 @@
 }
 
 // Abort closes the connection at once, also where messages are queued or a write hangs.
-func (q *Queue) Abort() { q.conn.Close() }
+func (q *Queue) Abort() { _ = q.conn.Close() }
 
 // Run writes messages, several at a time where they are queued, until Close is called or a write fails; it returns the
 // error of that write. When it returns, the connection is closed, or its write side.
@@ -94,28 +96,37 @@
 	return nil
 }
 
-// write writes b together with messages that are queued. The batch is put together in new memory: most connections
-// write little and seldom, so none keeps a buffer.
-func (q *Queue) write(b []byte) error {
+// write writes a message together with further ones that are queued. The batch is put together in new memory: most
+// connections write little and seldom, so none keeps a buffer.
+func (q *Queue) write(first []byte) error {
+	batch := first
 	messages := int64(1)
-	for ; len(q.pending) > 0 && len(b) < maxBatchBytes; messages++ {
-		b = append(b[:len(b):len(b)], <-q.pending...)
+	for len(q.pending) > 0 && len(batch) < maxBatchBytes {
+		batch = append(batch[:len(batch):len(batch)], <-q.pending...)
+		messages++
 	}
-	defer func() { q.unwritten.Add(-messages) }()
+	defer q.unwritten.Add(-messages)
 	if err := q.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
-		return err
+		return fmt.Errorf("set write deadline: %w", err)
 	}
-	_, err := q.conn.Write(b)
-	return err
+	if _, err := q.conn.Write(batch); err != nil {
+		return fmt.Errorf("write to peer: %w", err)
+	}
+	return nil
 }
 
 // closeConn closes the connection, or its write side where that is what the owner wants and the connection can do.
 func (q *Queue) closeConn() {
 	q.closeConnOnce.Do(func() {
-		half, ok := q.conn.(interface{ CloseWrite() error })
-		if q.closeWriteOnly && ok && half.CloseWrite() == nil {
+		if q.closeWriteOnly && closeWrite(q.conn) {
 			return
 		}
-		q.conn.Close()
+		_ = q.conn.Close() // a connection that is closed already is what is wanted
 	})
 }
+
+// closeWrite closes the write side of a connection, and reports whether that can be done.
+func closeWrite(conn net.Conn) bool {
+	half, ok := conn.(interface{ CloseWrite() error })
+	return ok && half.CloseWrite() == nil
+}
--- a/lab/costs/parts.go
+++ b/lab/costs/parts.go
@@ -43,10 +43,10 @@
 	}},
 	{name: "codec", prefixes: []string{
 		"falldeal/internal/msgpackrpc.(*cursor)", "falldeal/internal/msgpackrpc.(*scanner)",
-		"falldeal/internal/msgpackrpc.(*fields)", "falldeal/internal/msgpackrpc.(*frame",
+		"falldeal/internal/msgpackrpc.(*message)", "falldeal/internal/msgpackrpc.(*fields)", "falldeal/internal/msgpackrpc.(*frame",
 		"falldeal/internal/msgpackrpc.readFields", "falldeal/internal/msgpackrpc.parse",
 		"falldeal/internal/msgpackrpc.append", "falldeal/internal/msgpackrpc.encode",
-		"falldeal/internal/agent.decode", "falldeal/internal/agent.encode",
+		"falldeal/internal/agent.decode", "falldeal/internal/agent.encode", "falldeal/internal/agent.append",
 		"falldeal/internal/store.readReply", "falldeal/internal/store.parse", "falldeal/internal/store.append",
 		"github.com/valyala/fastjson",
 	}},
--- a/lab/golden/golden.go
+++ b/lab/golden/golden.go
@@ -36,7 +36,7 @@
 	if *update {
 		require.NoError(t, os.WriteFile(path, []byte(got), fileMode))
 	}
-	want, err := os.ReadFile(path)
+	want, err := os.ReadFile(path) //nolint:gosec // a file of the test that calls
 	require.NoError(t, err)
 	require.Equal(t, string(want), got)
 }
@@ -57,7 +57,7 @@
 // Read returns the forms of a file in testdata by name. It must have as many as the test has cases.
 func Read(t *testing.T, file string, count int) map[string]string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(folder, file))
+	text, err := os.ReadFile(filepath.Join(folder, file)) //nolint:gosec // a file of the test that calls
 	require.NoError(t, err)
 	forms := map[string]string{}
 	for line := range strings.Lines(string(text)) {
