--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -81,7 +81,9 @@
 		agent.Handler{OnNotification: s.handleAgentNotification, OnLost: s.handleRunsLost},
 		s.warnings)
 	loop := store.Loop{Post: s.post, Now: now, Deadlines: s.deadlines}
-	s.store = store.New(cfg.Store, cfg.Limits.MaxStoreConnections(), cfg.Seed, loop, s.handleCallEnded, s.warnings)
+	s.store = store.New(
+		store.Config{Address: cfg.Store, MaxConnections: cfg.Limits.MaxStoreConnections(), Seed: cfg.Seed},
+		loop, s.handleCallEnded, s.warnings)
 	s.announcer = announce.New(cfg.Announce, cfg.Name, s.warnings)
 }
 
@@ -102,9 +104,12 @@
 	} else {
 		s.listeners.open()
 	}
-	g.Go(func() error { return s.agent.Run(ctx) })
-	g.Go(func() error { return s.store.Run(ctx) })
-	g.Go(func() error { return s.announcer.Run(ctx) })
+	for _, run := range []func(context.Context){s.agent.Run, s.store.Run, s.announcer.Run} {
+		g.Go(func() error {
+			run(ctx)
+			return nil
+		})
+	}
 	g.Go(func() error {
 		defer cancel()
 		s.loop(ctx)
