--- a/cmd/falldeal-lab/main.go
+++ b/cmd/falldeal-lab/main.go
@@ -40,7 +40,7 @@
 	opts := newOptions()
 	flags := opts.flagSet(out)
 	if err := flags.Parse(args); err != nil {
-		return err
+		return fmt.Errorf("command line: %w", err)
 	}
 	if err := opts.finish(); err != nil {
 		return err
--- a/lab/clients/conn.go
+++ b/lab/clients/conn.go
@@ -41,7 +41,7 @@
 	if existing != nil && existing.hasCapacity() {
 		return existing
 	}
-	dialed, err := net.DialTimeout("tcp", target.Addr, dialTimeout)
+	dialed, err := (&net.Dialer{Timeout: dialTimeout}).Dial("tcp", target.Addr)
 	if err != nil {
 		return nil
 	}
@@ -73,7 +73,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, conn := range f.conns {
-		conn.conn.Close()
+		_ = conn.conn.Close() // its requests have ended
 	}
 }
 
@@ -96,7 +96,7 @@
 	c.pending[c.lastCall] = answers
 	if err := c.write(request); err != nil {
 		delete(c.pending, c.lastCall)
-		c.conn.Close()
+		_ = c.conn.Close() // it is broken already
 		return nil, false
 	}
 	return answers, true
@@ -160,7 +160,7 @@
 
 // abort ends the connection and all requests that are pending on it.
 func (c *serverConn) abort() {
-	c.conn.Close()
+	_ = c.conn.Close() // it has ended or is given up
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -78,7 +78,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		a.conn.Close()
+		_ = a.conn.Close() // as a fault does
 	}
 }
 
@@ -104,7 +104,7 @@
 	case commandReply, commandSkipCall:
 		a.resumeRun(cmd)
 	default:
-		conn.Close() // the protocol ends a connection on an unknown command
+		_ = conn.Close() // the protocol ends a connection on an unknown command
 	}
 }
 
--- a/lab/fleetlab/dependencies.go
+++ b/lab/fleetlab/dependencies.go
@@ -1,6 +1,8 @@
 package fleetlab
 
 import (
+	"context"
+	"fmt"
 	"net"
 	"strconv"
 	"time"
@@ -20,10 +22,10 @@
 )
 
 // startAnnounceService starts the fake announce service. Its goroutine ends when Close closes the socket.
-func (l *Lab) startAnnounceService() error {
-	conn, err := net.ListenPacket("udp", l.announceAddr())
+func (l *Lab) startAnnounceService(ctx context.Context) error {
+	conn, err := (&net.ListenConfig{}).ListenPacket(ctx, "udp", l.announceAddr())
 	if err != nil {
-		return err
+		return fmt.Errorf("start announce service: %w", err)
 	}
 	l.closers = append(l.closers, conn)
 	go func() { _ = l.Announce.Serve(conn) }()
@@ -31,10 +33,10 @@
 }
 
 // startStore starts the fake store of a zone. Its goroutine ends when Close closes the socket.
-func (l *Lab) startStore(zone int) error {
-	ln, err := net.Listen("tcp", l.storeAddr(zone))
+func (l *Lab) startStore(ctx context.Context, zone int) error {
+	ln, err := listenTCP(ctx, l.storeAddr(zone))
 	if err != nil {
-		return err
+		return fmt.Errorf("start store: %w", err)
 	}
 	l.closers = append(l.closers, ln)
 	name := l.options.Zones[zone]
--- a/lab/fleetlab/options.go
+++ b/lab/fleetlab/options.go
@@ -9,6 +9,9 @@
 // IdempotencyWindow is how long the servers remember an idempotency key, by their settings.
 const IdempotencyWindow = 17457 * time.Millisecond
 
+// defaultIdempotencyWindow is that of classes without keys, which the settings need as well.
+const defaultIdempotencyWindow = 5 * time.Second
+
 // Options say which fleet to start.
 type Options struct {
 	Binary  string // path of the falldeal program, with the programs that it starts beside it
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -96,10 +96,7 @@
 	case RunStarted:
 		c.runStarted(event)
 	case CallStarted:
-		c.callsInFlight++
-		if c.rules.MaxStoreCalls > 0 && c.callsInFlight > c.rules.MaxStoreCalls {
-			c.fail(RuleStoreCalls, event, "%d calls in flight", c.callsInFlight)
-		}
+		c.callStarted(event)
 	case CallEnded:
 		c.callsInFlight--
 	case ProcessChanged:
@@ -170,6 +167,13 @@
 	c.runs[key] = event.At
 }
 
+func (c *checker) callStarted(event *Event) {
+	c.callsInFlight++
+	if c.rules.MaxStoreCalls > 0 && c.callsInFlight > c.rules.MaxStoreCalls {
+		c.fail(RuleStoreCalls, event, "%d calls in flight", c.callsInFlight)
+	}
+}
+
 func (c *checker) processChanged(event *Event) {
 	changed := c.process(event.Server)
 	state := ProcessState(event.Detail)
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -137,14 +137,14 @@
 			rejected[event.Server]++
 		}
 	}
-	var sum, squares float64
+	var total, squares float64
 	for server, n := range sent {
 		ratio := rejected[server] / n
-		sum += ratio
+		total += ratio
 		squares += ratio * ratio
 	}
 	if squares == 0 {
 		return 1
 	}
-	return sum * sum / (float64(len(sent)) * squares)
+	return total * total / (float64(len(sent)) * squares)
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -75,7 +75,7 @@
 		return fmt.Errorf("client %d: %w", client, err)
 	}
 	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = conn.Close() })() // so that waiting for an answer ends
 	writer := bufio.NewWriter(conn)
 	encoder, decoder := msgpack.NewEncoder(writer), msgpack.NewDecoder(bufio.NewReader(conn))
 	for call := uint32(1); remaining.Add(-1) >= 0; call++ {
--- a/lab/memnet/network.go
+++ b/lab/memnet/network.go
@@ -85,7 +85,7 @@
 	fault := n.rule(from, to)
 	for range n.drawCopies(fault) {
 		packet := &memberlist.Packet{Buf: append([]byte(nil), payload...), From: udpAddr(from)}
-		time.AfterFunc(n.drawDelay(fault), func() { n.deliver(to, packet) })
+		time.AfterFunc(n.drawDelay(fault), func() { n.receive(to, packet) })
 	}
 }
 
@@ -109,8 +109,8 @@
 	return delay
 }
 
-// deliver queues a packet at its host, and drops it if that is down or its queue is full.
-func (n *Network) deliver(addr string, packet *memberlist.Packet) {
+// receive queues a packet at its host, and drops it if that is down or its queue is full.
+func (n *Network) receive(addr string, packet *memberlist.Packet) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to := n.hosts[addr]
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -92,7 +92,7 @@
 // strategySummary sums up the results of one strategy.
 type strategySummary struct {
 	count         int
-	sum           Result    // of the fields that are printed as means
+	total         Result    // of the fields that are printed as means
 	gains         []float64 // of ValueRatio over the baseline, sorted
 	recoveryTimes []time.Duration
 	neverBack     int
@@ -104,11 +104,11 @@
 	summary := &strategySummary{count: len(results)}
 	for i := range results {
 		result := &results[i]
-		summary.sum.ValueRatio += result.ValueRatio
-		summary.sum.OptimalRatio += result.OptimalRatio
-		summary.sum.AttemptsPerRequest += result.AttemptsPerRequest
-		summary.sum.LateRatio += result.LateRatio
-		summary.sum.StoreCallRate += result.StoreCallRate
+		summary.total.ValueRatio += result.ValueRatio
+		summary.total.OptimalRatio += result.OptimalRatio
+		summary.total.AttemptsPerRequest += result.AttemptsPerRequest
+		summary.total.LateRatio += result.LateRatio
+		summary.total.StoreCallRate += result.StoreCallRate
 		summary.maxStoreCalls = max(summary.maxStoreCalls, result.MaxStoreCalls)
 		summary.gains = append(summary.gains, result.ValueRatio-baseline[i].ValueRatio)
 		if result.HasRecovered {
@@ -126,9 +126,9 @@
 	n := float64(s.count)
 	median, longest := s.recovery()
 	fmt.Fprintf(out, "%s\t%.4f\t%+.4f\t%+.4f\t%+.4f\t%.3f\t%.2f\t%.3f\t%s\t%s\t%d\t%.1f\t%d\t\n",
-		name, s.sum.ValueRatio/n, s.gains[0], s.gains[len(s.gains)/2], s.gains[len(s.gains)-1],
-		s.sum.OptimalRatio/n, s.sum.AttemptsPerRequest/n, s.sum.LateRatio/n, median, longest, s.neverBack,
-		s.sum.StoreCallRate/n, s.maxStoreCalls)
+		name, s.total.ValueRatio/n, s.gains[0], s.gains[len(s.gains)/2], s.gains[len(s.gains)-1],
+		s.total.OptimalRatio/n, s.total.AttemptsPerRequest/n, s.total.LateRatio/n, median, longest, s.neverBack,
+		s.total.StoreCallRate/n, s.maxStoreCalls)
 }
 
 // recovery returns the median and the longest recovery time as they are printed.
--- a/lab/model/frontend.go
+++ b/lab/model/frontend.go
@@ -107,12 +107,12 @@
 			f.retry(request, retryPause)
 			return
 		}
-		f.deliver(request, server)
+		f.submit(request, server)
 	})
 }
 
-// deliver has a server receive an attempt, and waits for the response until shortly after the deadline.
-func (f *frontEnd) deliver(request *request, server *server) {
+// submit has a server receive an attempt, and waits for the response until shortly after the deadline.
+func (f *frontEnd) submit(request *request, server *server) {
 	waiting := true
 	f.sim.schedule(request.deadline()+answerGrace, func() {
 		if waiting {
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -69,7 +69,7 @@
 	s.sim.schedule(s.sim.now+timeout, func() { call.end(admission.OutcomeTimedOut) })
 	switch {
 	case s.unresponsive:
-		s.holdUnanswered(timeout)
+		s.leaveUnanswered(timeout)
 	case s.crash.IsDown(s.sim.now):
 		s.sim.schedule(s.sim.now+2*networkDelay, func() { call.end(admission.OutcomeFailed) })
 	default:
@@ -78,8 +78,8 @@
 	return call
 }
 
-// holdUnanswered keeps a call in flight without an answer until its timeout.
-func (s *store) holdUnanswered(timeout time.Duration) {
+// leaveUnanswered keeps a call in flight without an answer until its timeout.
+func (s *store) leaveUnanswered(timeout time.Duration) {
 	s.unanswered++
 	s.recordCalls(history.CallStarted)
 	s.sim.schedule(s.sim.now+timeout, func() {
