--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -92,7 +92,7 @@
 		Zones: []fleet.Zone{{Region: "belgium", Zone: "mechelen", Known: 4, Count: count}},
 		Total: fleet.Zone{Known: 11, Count: count},
 	}
-	for liveness := fleet.Unmet; liveness <= fleet.Left; liveness++ {
+	for liveness := fleet.Unconfirmed; liveness <= fleet.Left; liveness++ {
 		for state := fleet.Starting; state <= fleet.Stopped+1; state++ {
 			n := len(view.Members)
 			record := &fleet.Record{Name: fmt.Sprintf("n%02d", n), Run: uint64(n + 1), Incarnation: uint64(n + 2),
@@ -118,7 +118,7 @@
 	full.Counters = map[string]int64{"words": 3}
 	reports := []fleet.Report{full, alone.Report(10 * time.Second), {}}
 	for position := fleet.Alone; position <= fleet.Partitioned; position++ {
-		reports = append(reports, fleet.Report{Position: position.String()})
+		reports = append(reports, fleet.Report{Position: position.ReportName()})
 	}
 	for _, r := range reports {
 		text, err := json.MarshalIndent(r, "", " ")
--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -99,7 +99,7 @@
 func (s *server) memberAsOf(published time.Duration) fleet.Member {
 	member := fleet.Member{
 		Record:   &fleet.Record{Name: s.name, Zone: zoneName(s.zone), Run: s.starts + 1},
-		Liveness: fleet.Unmet,
+		Liveness: fleet.Unconfirmed,
 	}
 	if newest := s.publisher.newestAsOf(published); newest != nil {
 		member.Record = &newest.record
@@ -107,7 +107,7 @@
 		member.Liveness = fleet.Alive
 	}
 	if !s.up && s.sim.now-s.upChangedAt > failureDetectionTime {
-		member.Liveness = fleet.Dead
+		member.Liveness = fleet.Failed
 	}
 	return member
 }
