--- a/lab/fleetlab/script.go
+++ b/lab/fleetlab/script.go
@@ -23,18 +23,6 @@
 	faultEnded
 )
 
-func (s faultState) String() string {
-	switch s {
-	case faultPending:
-		return "pending"
-	case faultActive:
-		return "active"
-	case faultEnded:
-		return "ended"
-	}
-	return fmt.Sprintf("faultState(%d)", uint8(s))
-}
-
 // scriptedFault is a fault of the script. It belongs to the lock of the Lab.
 type scriptedFault struct {
 	faults.Fault
--- a/lab/load/rpc.go
+++ b/lab/load/rpc.go
@@ -58,18 +58,6 @@
 	outcomeFailed
 )
 
-func (o outcome) String() string {
-	switch o {
-	case outcomeServed:
-		return "served"
-	case outcomeRejected:
-		return "rejected"
-	case outcomeFailed:
-		return "failed"
-	}
-	return fmt.Sprintf("outcome(%d)", uint8(o))
-}
-
 // errUnexpectedAnswer reports a message that is not the response to the call.
 var errUnexpectedAnswer = errors.New("not the answer to the call")
 
--- a/lab/model/attempt.go
+++ b/lab/model/attempt.go
@@ -17,10 +17,6 @@
 	attemptRunning                            // on the cores
 )
 
-func (s attemptState) String() string {
-	return [...]string{"reading", "queued", "waiting for call", "running"}[s]
-}
-
 // attempt is one attempt of a request, at a server.
 type attempt struct {
 	id          admission.RequestID
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -9,46 +9,35 @@
 func (s *Simulation) scheduleFaults() {
 	for i := range s.opts.Faults {
 		fault := &s.opts.Faults[i]
-		s.schedule(fault.Start, func() { s.beginFault(fault) })
-		s.schedule(fault.Start+fault.Duration, func() { s.endFault(fault) })
+		s.schedule(fault.Start, func() { s.setFault(fault, true) })
+		s.schedule(fault.Start+fault.Duration, func() { s.setFault(fault, false) })
 	}
 }
 
-func (s *Simulation) recordFault(fault *Fault, count int) {
-	s.record(history.Event{
-		Kind: history.FaultChanged, Detail: string(fault.Kind) + " zone " + strconv.Itoa(fault.Zone), Count: count,
-	})
-}
-
-func (s *Simulation) beginFault(fault *Fault) {
-	s.recordFault(fault, 1)
+// setFault starts or ends a fault.
+func (s *Simulation) setFault(fault *Fault, active bool) {
+	s.recordFault(fault, active)
 	for _, store := range s.affectedStores(fault) {
 		switch fault.Kind {
 		case FaultStoresUnresponsive:
-			store.unresponsive = true
+			store.setUnresponsive(active)
 		case FaultStoresSlow:
-			store.setSlowdown(fault.Factor)
+			store.setSlow(active, fault.Factor)
 		case FaultZoneLost:
-			s.killZone(store.zone)
+			s.setZoneLost(store.zone, active)
 		case FaultBurst: // arrivalRate looks at it
 		}
 	}
 }
 
-func (s *Simulation) endFault(fault *Fault) {
-	s.recordFault(fault, 0)
-	for _, store := range s.affectedStores(fault) {
-		switch fault.Kind {
-		case FaultStoresUnresponsive:
-			store.unresponsive = false
-			store.restart(s.now)
-		case FaultStoresSlow:
-			store.setSlowdown(1)
-		case FaultZoneLost:
-			s.restartZone(store.zone)
-		case FaultBurst: // arrivalRate looks at it
-		}
+func (s *Simulation) recordFault(fault *Fault, active bool) {
+	event := history.Event{
+		Kind: history.FaultChanged, Detail: string(fault.Kind) + " zone " + strconv.Itoa(fault.Zone),
+	}
+	if active {
+		event.Count = 1
 	}
+	s.record(event)
 }
 
 // affectedStores returns the stores of the zones of a fault.
@@ -61,17 +50,14 @@
 	return affected
 }
 
-func (s *Simulation) killZone(zone int) {
+// setZoneLost kills the servers of a zone, or starts them again.
+func (s *Simulation) setZoneLost(zone int, lost bool) {
 	for _, server := range s.servers {
-		if server.zone == zone {
+		switch {
+		case server.zone != zone:
+		case lost:
 			server.kill()
-		}
-	}
-}
-
-func (s *Simulation) restartZone(zone int) {
-	for _, server := range s.servers {
-		if server.zone == zone {
+		default:
 			server.start(true)
 		}
 	}
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -145,8 +145,19 @@
 	})
 }
 
-// setSlowdown has calls take factor times as long from now on.
-func (s *store) setSlowdown(factor float64) {
+// setUnresponsive has the store accept calls without answering them, or restarts it.
+func (s *store) setUnresponsive(unresponsive bool) {
+	s.unresponsive = unresponsive
+	if !unresponsive {
+		s.restart(s.sim.now)
+	}
+}
+
+// setSlow has calls take factor times as long from now on, or as long as they should.
+func (s *store) setSlow(slow bool, factor float64) {
+	if !slow {
+		factor = 1
+	}
 	s.collectCompleted()
 	s.slots.SetSlowdown(s.sim.now, factor)
 	s.slots.scheduleCompletion()
