--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -166,7 +166,7 @@
 	defer inherited.Close()
 	file, err := inherited.(*net.TCPListener).File()
 	require.NoError(t, err)
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	descriptor, err := syscall.Dup(int(file.Fd())) // listen closes it
 	require.NoError(t, err)
 	running := newFixture(t, Extension{}, func(conf *config.Config) { conf.InheritedFD = uintptr(descriptor) })
