--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,28 +9,29 @@
 	"time"
 
 	"falldeal/admission"
+	"falldeal/internal/configcheck"
 
 	"github.com/valyala/fastjson"
 )
 
-// Front ends may use one descriptor in frontSocketsDivisor, calls to the store one in storeSocketsDivisor.
+// Front ends may use one descriptor in frontDescriptorsDivisor, calls to the store one in storeDescriptorsDivisor.
 const (
-	frontSocketsDivisor = 2
-	storeSocketsDivisor = 8
+	frontDescriptorsDivisor = 2
+	storeDescriptorsDivisor = 8
 )
 
 // Limits bound this process.
 type Limits struct {
-	Cores    float64
-	MemoryMB int
-	Sockets  int // file descriptors
+	Cores           float64
+	MemoryMB        int
+	FileDescriptors int
 }
 
-// FrontSockets returns how many connections front ends may have open.
-func (l Limits) FrontSockets() int { return l.Sockets / frontSocketsDivisor }
+// MaxFrontConnections returns how many connections front ends may have open.
+func (l Limits) MaxFrontConnections() int { return l.FileDescriptors / frontDescriptorsDivisor }
 
-// StoreSockets returns how many connections to the store may be open.
-func (l Limits) StoreSockets() int { return l.Sockets / storeSocketsDivisor }
+// MaxStoreConnections returns how many connections to the store may be open.
+func (l Limits) MaxStoreConnections() int { return l.FileDescriptors / storeDescriptorsDivisor }
 
 // Config is the configuration of an image server.
 type Config struct {
@@ -44,23 +45,23 @@
 	Handover            string  // path of the socket by which processes hand over; "" = there is only one process
 	Seed                uint64
 	StopTimeout         time.Duration // from SIGTERM to the end of the process
-	ReplacedStopTimeout time.Duration // the same where a newer process has taken its place
+	ReplacedStopTimeout time.Duration // the same once a successor process serves
 	Limits              Limits
 	Settings            admission.Settings
 	Classes             []string // names, in the order of Settings.Classes
 	Tenants             []string // names, in the order of Settings.Tenants
 	Gauges              []string // names, in the order in which the agent reports them
-	Unused              []string // keys of settings that the protocols can't carry and that are off therefore
+	UnsupportedKeys     []string // keys of settings that the protocols can't carry and that are off therefore
 
 	keys map[string]bool // that were given, by their paths
 }
 
 // Load reads the file at path, or at GW_CONFIG where path is empty. GW_NAME, GW_LISTEN and GW_CONSOLE, where set,
-// override the file's keys. A value that is missing or wrong is a *KeyError.
+// override the file's keys. A value that is missing or wrong is a *configcheck.KeyError.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		if path = os.Getenv(envPath); path == "" {
-			return nil, keyErrorf(envPath, "not set, and no --config given")
+			return nil, configcheck.Errorf(envPath, "not set, and no --config given")
 		}
 	}
 	text, err := os.ReadFile(path)
@@ -75,7 +76,7 @@
 }
 
 // Parse reads a configuration. env returns the value of an environment variable, or "". A value that is missing or wrong
-// is a *KeyError.
+// is a *configcheck.KeyError.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -105,9 +106,10 @@
 // read reads all keys but the seed as they are given.
 func read(root object) *Config {
 	if !root.value.Exists("settings") {
-		root.fail("settings", errMissing)
+		root.fail("settings", configcheck.ErrMissing)
 	}
-	limits, settings := root.object("limits"), root.object("settings")
+	limits := root.object("limits")
+	settings := root.object("settings")
 	return &Config{
 		Name:        root.text("name"),
 		Listen:      root.text("listen"),
@@ -117,9 +119,9 @@
 		Console:     root.text("console"),
 		StopTimeout: time.Duration(root.integer("stop_ms")) * time.Millisecond,
 		Limits: Limits{
-			Cores:    limits.number("cores"),
-			MemoryMB: int(limits.integer("memory_mb")),
-			Sockets:  int(limits.integer("sockets")),
+			Cores:           limits.number("cores"),
+			MemoryMB:        int(limits.integer("memory_mb")),
+			FileDescriptors: int(limits.integer("sockets")),
 		},
 		Settings: readSettings(settings),
 		Gauges:   settings.object("FamilyInfo").texts("Gauges"),
@@ -137,7 +139,7 @@
 }
 
 // Successor reads the file at path for a process that runs with c. A key that c was given and the file lacks is a
-// *KeyError: the file was cut short or is half written, and does not ask for the default.
+// *configcheck.KeyError: the file was cut short or is half written, and does not ask for the default.
 func (c *Config) Successor(path string) (*Config, error) {
 	next, err := Load(path)
 	if err != nil {
@@ -145,7 +147,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(c.keys)) {
 		if !next.keys[key] {
-			return nil, fmt.Errorf("configuration: %w", keyErrorf(key, "missing, and given in the one in force"))
+			return nil, fmt.Errorf("configuration: %w", configcheck.Errorf(key, "missing, and given in the one in force"))
 		}
 	}
 	return next, nil
@@ -165,9 +167,10 @@
 		{"FreshForUs", settings.CacheTTL > 0},
 	} {
 		if feature.used {
-			c.Unused = append(c.Unused, "settings.FamilyInfo."+feature.key)
+			c.UnsupportedKeys = append(c.UnsupportedKeys, "settings.FamilyInfo."+feature.key)
 		}
 	}
-	settings.Halt, settings.Advert = admission.HaltOff, admission.AdvertOff
+	settings.Halt = admission.HaltOff
+	settings.Advert = admission.AdvertOff
 	settings.CacheTTL = min(settings.CacheTTL, 0)
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -20,7 +20,7 @@
 // drainingInstance answers every call with an error, as a server does that drains to stop.
 type drainingInstance struct{}
 
-var errDraining = errors.New("the server is leaving")
+var errDraining = errors.New("the server is draining")
 
 func (drainingInstance) Ready(context.Context) (bool, error) { return false, errDraining }
 func (drainingInstance) AppendMetrics(_ context.Context, b []byte) ([]byte, error) {
@@ -44,9 +44,9 @@
 
 // Status line, headers and body of every call, by the state of the server.
 func TestGoldenCalls(t *testing.T) {
-	page := Page{Pattern: "GET /fleet", Type: "application/json", Do: func() []byte { return []byte("{}\n") }}
+	page := Page{Pattern: "GET /fleet", Type: "application/json", Body: func() []byte { return []byte("{}\n") }}
 	wedge := Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8",
-		Do: func() []byte { return []byte("done\n") }}
+		Body: func() []byte { return []byte("done\n") }}
 	busy := testTimeouts
 	busy.handle = time.Millisecond
 	calls := []struct{ method, path string }{
@@ -101,7 +101,7 @@
 				RecordedAt: time.Duration(n) * 10 * time.Millisecond, Since: time.Second})
 		}
 	}
-	view.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, ShedRatio: 0.25, MeanCalls: 1.5,
+	view.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, UnservedRatio: 0.25, MeanCalls: 1.5,
 		ServiceRate: 3.5, Demand: "o", Attempts: 40, RetryRatio: 0.125, Threshold: 12.5, StoreState: 2, StoreID: 3,
 		ProbeRound: 4, Aggregate: "s"}
 	view.Members[8].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, MeanCalls: 1.5, ServiceRate: 3.5,
--- a/internal/fleet/golden_update_test.go
+++ b/internal/fleet/golden_update_test.go
@@ -1,35 +1,18 @@
 package fleet
 
 import (
-	"encoding/hex"
-	"fmt"
 	"math"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-const goldenUpdates = "testdata/words.hex"
-
-// readFrames reads a golden file of frames: a line for each, with its name and its bytes in hex digits.
-func readFrames(t *testing.T, path string) map[string][]byte {
-	t.Helper()
-	file, err := os.ReadFile(path)
-	require.NoError(t, err)
-	frames := map[string][]byte{}
-	for line := range strings.Lines(string(file)) {
-		name, digits, found := strings.Cut(strings.TrimSpace(line), ": 0x")
-		require.True(t, found, line)
-		require.NotContains(t, frames, name)
-		frames[name], err = hex.DecodeString(digits)
-		require.NoError(t, err, name)
-	}
-	return frames
-}
+const goldenUpdates = "words.hex"
 
 // updateCase is a record as it is sent. Read changes it into what is received, where that differs.
 type updateCase struct {
@@ -48,7 +31,7 @@
 
 func goldenLoad() Load {
 	return Load{
-		Capacity: 7.5, Busy: 0.625, InFlight: 17, CallQuota: 3.25, ShedRatio: 0.125, MeanCalls: 2.5,
+		Capacity: 7.5, Busy: 0.625, InFlight: 17, CallQuota: 3.25, UnservedRatio: 0.125, MeanCalls: 2.5,
 		ServiceRate: 6.75, Demand: "\x0a\x3c\x00\x46", Attempts: 40.5, RetryRatio: 0.2, Threshold: 23.5,
 		StoreState: 2, StoreID: 0x89abcdef, ProbeRound: 77, Aggregate: "\x01\x02\xff",
 	}
@@ -96,7 +79,7 @@
 		field("load busy", func(r *Record) { r.Load.Busy = 0.625 }),
 		field("load in hand", func(r *Record) { r.Load.InFlight = 17 }),
 		field("load share", func(r *Record) { r.Load.CallQuota = 3.25 }),
-		field("load shed", func(r *Record) { r.Load.ShedRatio = 0.125 }),
+		field("load shed", func(r *Record) { r.Load.UnservedRatio = 0.125 }),
 		field("load calls", func(r *Record) { r.Load.MeanCalls = 2.5 }),
 		field("load pace", func(r *Record) { r.Load.ServiceRate = 6.75 }),
 		field("load offer", func(r *Record) { r.Load.Demand = "\x0a\x3c\x00\x46" }),
@@ -126,8 +109,8 @@
 			r.Load.Capacity, r.Load.Threshold = 1e12, math.Inf(1)
 		}), read: func(r *Record) { r.Load.Capacity, r.Load.Threshold = 4294967.295, 4294967.295 }},
 		{name: "parts above one", record: minimalRecord(func(r *Record) {
-			r.Load.ShedRatio, r.Load.RetryRatio = 1.5, 2
-		}), read: func(r *Record) { r.Load.ShedRatio, r.Load.RetryRatio = 1, 1 }},
+			r.Load.UnservedRatio, r.Load.RetryRatio = 1.5, 2
+		}), read: func(r *Record) { r.Load.UnservedRatio, r.Load.RetryRatio = 1, 1 }},
 		{name: "longest texts", record: minimalRecord(func(r *Record) {
 			long := strings.Repeat("x", MaxText)
 			r.Name, r.Addr, r.Region, r.Zone, r.Version = long, long, long, long, long
@@ -138,17 +121,18 @@
 
 // The encoding must stay as it is, field by field: members of several versions share a fleet.
 func TestGoldenUpdatesWritten(t *testing.T) {
-	var got strings.Builder
+	var frames []golden.Frame
 	for _, testCase := range goldenUpdateCases() {
-		fmt.Fprintf(&got, "%s: 0x%x\n", testCase.name, AppendUpdate(nil, &testCase.record, testCase.age))
+		update := AppendUpdate(nil, &testCase.record, testCase.age)
+		frames = append(frames, golden.Frame{Name: testCase.name, Bytes: update})
 	}
-	requireGolden(t, goldenUpdates, got.String())
+	golden.RequireFrames(t, goldenUpdates, frames)
 }
 
 // Updates that were written before must still be parsed, each into the same record and age.
 func TestGoldenUpdatesRead(t *testing.T) {
-	frames, cases := readFrames(t, goldenUpdates), goldenUpdateCases()
-	require.Len(t, frames, len(cases))
+	cases := goldenUpdateCases()
+	frames := golden.ReadFrames(t, goldenUpdates, len(cases))
 	for _, testCase := range cases {
 		require.Contains(t, frames, testCase.name)
 		got, age, err := ParseUpdate(frames[testCase.name])
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -29,7 +29,7 @@
 )
 
 var stateNames = [...]string{
-	Starting: "starting", Warming: "warming", Serving: "serving", Draining: "draining", Stopped: "gone",
+	Starting: "starting", Warming: "warming", Serving: "serving", Draining: "draining", Stopped: "stopped",
 }
 
 // acceptsRequests reports whether a member in the state accepts requests.
@@ -44,12 +44,12 @@
 
 // Load is how much work a member has.
 type Load struct {
-	Capacity  float64 // cores of its agent; 0 = not reported
-	Busy      float64 // ratio of these in use; below 0 = unknown
-	InFlight  int     // requests without a response
-	CallQuota float64 // mean concurrent calls that it may have at the store; 0 = unlimited
-	ShedRatio float64 // ratio of requests since its previous record that it rejected or failed
-	MeanCalls float64 // recent mean of concurrent calls at the store
+	Capacity      float64 // cores of its agent; 0 = not reported
+	Busy          float64 // ratio of these in use; below 0 = unknown
+	InFlight      int     // requests without a response
+	CallQuota     float64 // mean concurrent calls that it may have at the store; 0 = unlimited
+	UnservedRatio float64 // ratio of requests since its previous record that it rejected or failed
+	MeanCalls     float64 // recent mean of concurrent calls at the store
 
 	ServiceRate float64 // seconds of work that it completes in a second; 0 = this and the next three are not reported
 	Demand      string  // the work requested of it, as package overload encodes it
@@ -131,8 +131,11 @@
 func ParseProcess(process string) (name string, run uint64, err error) {
 	separator := len(process) - processSuffixLength
 	if separator < 1 || process[separator] != '/' {
-		return "", 0, fmt.Errorf("%.80q names no process of a fleet", process)
+		return "", 0, fmt.Errorf("%.80q is not a process of a fleet", process)
 	}
 	run, err = strconv.ParseUint(process[separator+1:], 16, 64)
-	return process[:separator], run, err
+	if err != nil {
+		return "", 0, fmt.Errorf("%.80q is not a process of a fleet: %w", process, err)
+	}
+	return process[:separator], run, nil
 }
--- a/internal/fleet/update_fields.go
+++ b/internal/fleet/update_fields.go
@@ -39,7 +39,7 @@
 	fieldBusy
 	fieldInFlight
 	fieldCallQuota
-	fieldShedRatio
+	fieldUnservedRatio
 	fieldMeanCalls
 	fieldServiceRate
 	fieldDemand
@@ -86,40 +86,40 @@
 
 // fieldKinds has the kind of each known field.
 var fieldKinds = [firstUnknownField]fieldKind{
-	fieldName:        textField,
-	fieldRun:         fixed64Field,
-	fieldIncarnation: varintField,
-	fieldSupersedes:  fixed64Field,
-	fieldSeq:         varintField,
-	fieldUp:          durationField,
-	fieldStalled:     durationField,
-	fieldAddr:        textField,
-	fieldRegion:      textField,
-	fieldZone:        textField,
-	fieldVersion:     textField,
-	fieldConfig:      fixed64Field,
-	fieldState:       varintField,
-	fieldCapacity:    thousandthsField,
-	fieldBusy:        thousandthsField,
-	fieldInFlight:    varintField,
-	fieldCallQuota:   thousandthsField,
-	fieldShedRatio:   ratioField,
-	fieldMeanCalls:   thousandthsField,
-	fieldServiceRate: thousandthsField,
-	fieldDemand:      opaqueField,
-	fieldAttempts:    thousandthsField,
-	fieldRetryRatio:  ratioField,
-	fieldThreshold:   thousandthsField,
-	fieldStoreState:  varintField,
-	fieldStoreID:     varintField,
-	fieldProbeRound:  varintField,
-	fieldAggregate:   opaqueField,
+	fieldName:          textField,
+	fieldRun:           fixed64Field,
+	fieldIncarnation:   varintField,
+	fieldSupersedes:    fixed64Field,
+	fieldSeq:           varintField,
+	fieldUp:            durationField,
+	fieldStalled:       durationField,
+	fieldAddr:          textField,
+	fieldRegion:        textField,
+	fieldZone:          textField,
+	fieldVersion:       textField,
+	fieldConfig:        fixed64Field,
+	fieldState:         varintField,
+	fieldCapacity:      thousandthsField,
+	fieldBusy:          thousandthsField,
+	fieldInFlight:      varintField,
+	fieldCallQuota:     thousandthsField,
+	fieldUnservedRatio: ratioField,
+	fieldMeanCalls:     thousandthsField,
+	fieldServiceRate:   thousandthsField,
+	fieldDemand:        opaqueField,
+	fieldAttempts:      thousandthsField,
+	fieldRetryRatio:    ratioField,
+	fieldThreshold:     thousandthsField,
+	fieldStoreState:    varintField,
+	fieldStoreID:       varintField,
+	fieldProbeRound:    varintField,
+	fieldAggregate:     opaqueField,
 }
 
 var (
-	errUnknownKind = errors.New("not a kind of message that is known")
-	errTooLong     = errors.New("longer than a word of a member can be")
-	errNoName      = errors.New("field 1: a word without a name")
-	errNoRun       = errors.New("field 2: a word without a process")
-	errUnprintable = errors.New("a text that is not printable")
+	errUnknownKind = errors.New("unknown kind of message")
+	errTooLong     = errors.New("update too long")
+	errNoName      = errors.New("field 1: name missing")
+	errNoRun       = errors.New("field 2: process missing")
+	errUnprintable = errors.New("text not printable")
 )
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -25,21 +25,21 @@
 
 // dialResult is the result of a failed dial, or the end of a round.
 type dialResult struct {
-	target    dialTarget
-	evidence  fleet.Evidence
-	roundOver bool
+	target         dialTarget
+	evidence       fleet.Evidence
+	roundCompleted bool
 }
 
 // startDialRound has addresses dialed that are not reached. There is one round at a time.
-func (f *Fleet) startDialRound(now time.Duration) {
-	snapshot := f.Snapshot()
+func (o *viewOwner) startDialRound(now time.Duration) {
+	snapshot := o.Snapshot()
 	var round []dialTarget
-	for _, addr := range f.rejoin.NextDials(now, snapshot) {
+	for _, addr := range o.rejoin.NextDials(now, snapshot) {
 		round = append(round, newDialTarget(addr, snapshot))
 	}
 	if len(round) > 0 {
-		f.dialing = true
-		f.dialRounds <- round
+		o.dialing = true
+		o.dialRounds <- round
 	}
 }
 
@@ -55,13 +55,13 @@
 	return target
 }
 
-func (f *Fleet) applyDialResult(result dialResult) {
-	if result.roundOver {
-		f.dialing = false
+func (o *viewOwner) applyDialResult(result dialResult) {
+	if result.roundCompleted {
+		o.dialing = false
 		return
 	}
-	f.view.RecordEvidence(result.target.name, result.target.run, result.evidence)
-	f.unpublished.changed = true
+	o.view.RecordEvidence(result.target.name, result.target.run, result.evidence)
+	o.unpublished.changed = true
 }
 
 // runDialRounds is the goroutine that dials, which takes long where nothing answers. It ends with ctx.
@@ -85,7 +85,7 @@
 			f.reportDial(ctx, dialResult{target: target, evidence: f.transport.dial.evidence()})
 		}
 	}
-	f.reportDial(ctx, dialResult{roundOver: true})
+	f.reportDial(ctx, dialResult{roundCompleted: true})
 }
 
 func (f *Fleet) reportDial(ctx context.Context, result dialResult) {
--- a/internal/gossip/reload.go
+++ b/internal/gossip/reload.go
@@ -10,7 +10,7 @@
 )
 
 // errEncryptionFixed is the error of a reload that adds the first key or removes the last one.
-var errEncryptionFixed = errors.New("fleet.key_file: encryption is begun or ended by a start only")
+var errEncryptionFixed = errors.New("fleet.key_file: enabling or disabling encryption requires a restart")
 
 // ReloadableConfig is the part of the operators' file that a reload may change.
 type ReloadableConfig struct {
@@ -24,13 +24,13 @@
 func (f *Fleet) Reload(change ReloadableConfig) { replaceLatest(f.changes, change) }
 
 // applyChange runs in the goroutine that owns the view.
-func (f *Fleet) applyChange(change ReloadableConfig) {
-	f.rejoin.SetSeeds(change.Seeds)
-	if f.self.SetConfig(change.Digest) {
-		f.publishRecord()
+func (o *viewOwner) applyChange(change ReloadableConfig) {
+	o.rejoin.SetSeeds(change.Seeds)
+	if o.self.SetConfig(change.Digest) {
+		o.publishRecord()
 	}
-	if err := f.replaceKeys(change.Keys); err != nil {
-		f.log.WithError(err).Error("keys of the fleet not taken over; those in force stay")
+	if err := o.replaceKeys(change.Keys); err != nil {
+		o.log.WithError(err).Error("encryption keys of fleet not replaced, keeping current ones")
 	}
 }
 
@@ -56,11 +56,11 @@
 	}
 	for _, key := range keys {
 		if err := f.keyring.AddKey(key); err != nil {
-			return err
+			return fmt.Errorf("adding a key: %w", err)
 		}
 	}
 	if err := f.keyring.UseKey(keys[0]); err != nil {
-		return err
+		return fmt.Errorf("using the first key: %w", err)
 	}
 	return f.removeOtherKeys(keys)
 }
@@ -71,7 +71,7 @@
 			continue
 		}
 		if err := f.keyring.RemoveKey(old); err != nil {
-			return err
+			return fmt.Errorf("removing a key: %w", err)
 		}
 	}
 	return nil
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -16,11 +16,13 @@
 	if request == nil || !request.running() {
 		return
 	}
-	request.callBody, request.callOffset = call.Payload, call.Offset
+	request.callBody = call.Payload
+	request.callOffset = call.Offset
 	s.admission.enqueue(admission.CallNeeded(request.id))
 }
 
-// callStore makes the call that the run of r waits for. The timeout counts from now; 0 stands for the class's deadline.
+// callStore makes the call that the run of a request waits for. The timeout counts from now; 0 stands for the deadline of
+// its class.
 func (s *Server) callStore(request *activeRequest, timeout time.Duration) {
 	if timeout <= 0 {
 		timeout = s.config.Settings.Classes[request.class].Deadline
@@ -28,14 +30,14 @@
 	s.stats.Calls++
 	request.callStartedAt = s.clock.now
 	request.trace.calls++
-	request.trace.lastReply = noReplyYet
+	request.trace.lastCallOutcome = callInFlight
 	s.store.Call(request.attempt.ID, s.clock.now+timeout, request.callBody)
 }
 
-// abandonCall gives up the call of r, whose reply nobody waits for.
-func (s *Server) abandonCall(r *activeRequest) {
-	if s.store.Abandon(r.attempt.ID) {
-		s.stats.CallsDropped++
+// abandonCall abandons the call of a request, if one is in flight: nobody waits for its reply.
+func (s *Server) abandonCall(request *activeRequest) {
+	if s.store.Abandon(request.attempt.ID) {
+		s.stats.CallsAbandoned++
 	}
 }
 
@@ -66,7 +68,7 @@
 	took := s.clock.now - request.callStartedAt
 	outcome := replyOutcomes[reply]
 	request.trace.callTime += took
-	request.trace.lastReply = outcomeNames[outcome]
+	request.trace.lastCallOutcome = outcomeNames[outcome]
 	s.admission.enqueue(admission.CallCompleted(request.id, admission.Completion{Outcome: outcome, Took: took}))
 }
 
@@ -75,13 +77,13 @@
 	case store.OK:
 		s.stats.CallsOK++
 	case store.Rejected:
-		s.stats.CallsBusy++
+		s.stats.CallsRejected++
 	case store.TimedOut, store.Expired:
-		s.stats.CallsLate++
+		s.stats.CallsTimedOut++
 	case store.ConnectionRefused:
 		s.stats.CallsUnreachable++
 	case store.ConnectionBroken:
-		s.stats.CallsBroken++
+		s.stats.CallsAborted++
 	case store.Failed, store.NotStarted:
 		s.stats.CallsFailed++
 	}
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -1,10 +1,11 @@
 package server
 
 import (
-	"fmt"
 	"time"
 
 	"falldeal/admission"
+
+	"github.com/sirupsen/logrus"
 )
 
 // Stage three, dispatch: each action of the controller is handed to the part that carries it out.
@@ -13,7 +14,8 @@
 func (s *Server) dispatch(action admission.Action) {
 	switch action.Kind {
 	case admission.ActionHealth:
-		s.health.healthy, s.health.cached = action.Health.Healthy, action.Health.Cached
+		s.health.healthy = action.Health.Healthy
+		s.health.cached = action.Health.Cached
 		s.announcer.SetAccepting(action.Health.Healthy)
 	case admission.ActionIdleTimeout:
 		s.connections.idleTimer.timeout = action.Duration
@@ -49,7 +51,8 @@
 		s.reuseResult(request)
 	default:
 		// Stop and Advertise need settings that the configuration does not admit.
-		s.warnings.Warn("action", fmt.Sprintf("action %d can't be carried out", action.Kind), nil)
+		s.warnings.WarnFields("controller", "unsupported action of the admission controller", nil,
+			logrus.Fields{"action": int(action.Kind)})
 	}
 }
 
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"falldeal/admission"
@@ -20,14 +18,15 @@
 // controller has decided.
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
-		s.warnings.Warn("second run", "second run of a keyed request prevented", nil)
+		s.warnings.Warn("idempotency", "second run under an idempotency key prevented", nil)
 		s.admission.enqueue(admission.RunCompleted(request.id, admission.Completion{Outcome: admission.OutcomeNotStarted}))
 		s.answer(request, Answer{Kind: Failed})
 		s.removeRequest(request)
 		return
 	}
 	s.stats.Runs++
-	request.state, request.startedAt = requestRunning, s.clock.now
+	request.state = requestRunning
+	request.startedAt = s.clock.now
 	s.idempotency.markRunning(request)
 	s.markCompleted(request)
 	s.agent.Launch(request.attempt.ID, request.attempt.Class, request.attempt.Body)
@@ -35,10 +34,10 @@
 }
 
 // skipCall lets a run go on without the call that it waits for.
-func (s *Server) skipCall(r *activeRequest) {
-	s.stats.Skips++
+func (s *Server) skipCall(request *activeRequest) {
+	s.stats.CallsSkipped++
 	s.recordMissedCall()
-	s.agent.SkipCall(r.attempt.ID, r.callOffset)
+	s.agent.SkipCall(request.attempt.ID, request.callOffset)
 }
 
 // handleAgentNotification handles a notification of the agent.
@@ -82,10 +81,13 @@
 	controller, err := admission.New(settings, s.config.Seed, startedAt)
 	if err != nil {
 		// The configuration was checked, so that check is incomplete. Without a controller nothing is served.
-		s.log.WithError(err).Error("no controller for these settings")
+		s.log.WithError(err).Error("settings rejected by the admission controller, no requests are served")
 		return
 	}
-	s.log.WithFields(logrus.Fields{"state": handshake.State.String(), "age": handshake.Age.String()}).Info("agent is up")
+	s.log.WithFields(logrus.Fields{
+		"state":  handshake.State.String(),
+		"age_ms": handshake.Age.Milliseconds(),
+	}).Info("agent is up")
 	s.admission.controller = controller
 	s.openFrontsWhenReady()
 	if s.member != nil && settings.WarmingUp {
@@ -103,10 +105,10 @@
 
 // handleRunsLost ends all runs, of which the agent will report nothing any more. They may have had their effect.
 func (s *Server) handleRunsLost() {
-	for _, id := range slices.Sorted(maps.Keys(s.requests.byID)) {
-		if r := s.requests.byID[id]; r != nil && r.running() {
+	for _, request := range s.requests.inOrder() {
+		if s.requests.contains(request) && request.running() {
 			s.stats.RunsInterrupted++
-			s.completeRun(r, admission.OutcomeFailed, nil)
+			s.completeRun(request, admission.OutcomeFailed, nil)
 		}
 	}
 }
@@ -115,8 +117,10 @@
 // ended, whose outcome is on its way.
 func (s *Server) handleCommandRejected(rejection agent.CommandRejection) {
 	s.stats.CommandsRejected++
-	message := "agent did not carry out a command for " + rejection.RequestID
-	s.warnings.Warn("agent "+rejection.Command.String(), message, nil)
+	s.warnings.WarnFields("agent "+rejection.Command.String(), "agent rejected a command", nil, logrus.Fields{
+		"command":    rejection.Command.String(),
+		"request_id": rejection.RequestID,
+	})
 	request := s.requests.byAttemptID[rejection.RequestID]
 	if request != nil && request.running() && rejection.Command == agent.CommandLaunch {
 		s.completeRun(request, admission.OutcomeNotStarted, nil)
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -31,7 +31,7 @@
 	return g.values
 }
 
-// record takes over a reading. Gauges that the agent has not reported are negative in both types.
+// record sets the reading. Gauges that the agent has not reported are negative in both types.
 func (g *gaugeReading) record(now time.Duration, load agent.Load) {
 	g.at = now
 	g.values = admission.Gauges{
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -69,8 +69,12 @@
 }
 
 // Change records that something went from one state to another; "" is the usual state. Fields become attributes of the
-// state that begins, or of the episode where it ends.
+// state that begins, or of the episode where it ends. Names are those of the server's log; in spans they are those of
+// spannames.go.
 func (t *Tracer) Change(what, from, to string, fields map[string]any) {
+	what = nameIn(episodeNames, what)
+	from = nameIn(stateNames, from)
+	to = nameIn(stateNames, to)
 	current := t.episodes[what]
 	if current == nil {
 		if to == "" {
@@ -101,19 +105,17 @@
 
 // episode is a time in which one thing is not in its usual state.
 type episode struct {
-	ctx       context.Context // of span
 	span      trace.Span
 	stateSpan trace.Span // nil between two states
 }
 
 func startEpisode(tracer trace.Tracer, what string) *episode {
-	started := &episode{}
-	started.ctx, started.span = tracer.Start(context.Background(), what)
-	return started
+	_, span := tracer.Start(context.Background(), what)
+	return &episode{span: span}
 }
 
 func (e *episode) startState(tracer trace.Tracer, name, from string, fields map[string]any) {
-	_, e.stateSpan = tracer.Start(e.ctx, name)
+	_, e.stateSpan = tracer.Start(trace.ContextWithSpan(context.Background(), e.span), name)
 	if e.stateSpan.IsRecording() {
 		e.stateSpan.SetAttributes(append(attributes(fields), attribute.String("from", from))...)
 	}
@@ -135,7 +137,8 @@
 
 func attributes(fields map[string]any) []attribute.KeyValue {
 	var list []attribute.KeyValue
-	for key, field := range fields {
+	for name, field := range fields {
+		key := nameIn(attributeNames, name)
 		switch value := field.(type) {
 		case bool:
 			list = append(list, attribute.Bool(key, value))
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -69,7 +69,7 @@
 	s.sim.schedule(s.sim.now+timeout, func() { call.end(admission.OutcomeTimedOut) })
 	switch {
 	case s.unresponsive:
-		s.holdUnanswered(timeout)
+		s.leaveUnanswered(timeout)
 	case s.crash.IsDown(s.sim.now):
 		s.sim.schedule(s.sim.now+2*networkDelay, func() { call.end(admission.OutcomeFailed) })
 	default:
@@ -78,8 +78,8 @@
 	return call
 }
 
-// holdUnanswered keeps a call in flight without an answer until its timeout.
-func (s *store) holdUnanswered(timeout time.Duration) {
+// leaveUnanswered keeps a call in flight without an answer until its timeout.
+func (s *store) leaveUnanswered(timeout time.Duration) {
 	s.unanswered++
 	s.recordCalls(history.CallStarted)
 	s.sim.schedule(s.sim.now+timeout, func() {
@@ -145,8 +145,19 @@
 	})
 }
 
-// setSlowdown has calls take factor times as long from now on.
-func (s *store) setSlowdown(factor float64) {
+// setUnresponsive has the store accept calls without answering them, or restarts it.
+func (s *store) setUnresponsive(unresponsive bool) {
+	s.unresponsive = unresponsive
+	if !unresponsive {
+		s.restart(s.sim.now)
+	}
+}
+
+// setSlow has calls take factor times as long from now on, or as long as they should.
+func (s *store) setSlow(slow bool, factor float64) {
+	if !slow {
+		factor = 1
+	}
 	s.collectCompleted()
 	s.slots.SetSlowdown(s.sim.now, factor)
 	s.slots.scheduleCompletion()
