--- a/admission/action.go
+++ b/admission/action.go
@@ -41,9 +41,10 @@
 	ReasonBelowThreshold               // the fleet is full of requests of more value
 )
 
-// String returns the text that stands in logs.
+// String returns the value of the field "reason" in logs.
 func (r Reason) String() string {
-	return [...]string{"cores behind", "calls behind", "too late", "memory full", "leaving", "below the cutoff"}[r]
+	return [...]string{"cpu_overloaded", "dependency_overloaded", "deadline_unreachable", "memory_exhausted", "draining",
+		"below_shedding_threshold"}[r]
 }
 
 // Action is something that the server is to do, in the order given. Beside Kind and ID only the part of its kind is
