--- a/admission/condition.go
+++ b/admission/condition.go
@@ -20,17 +20,17 @@
 	Active    bool
 }
 
-// String returns the text of a condition.
+// String returns the message under which a condition is logged.
 func (c Condition) String() string {
-	return [...]string{"breaker drops calls", "bound on calls at its least", "admitted share lowered",
-		"memory full, requests refused", "unwell: requests wait long to be read", "drain"}[c]
+	return [...]string{"circuit breaker dropping calls", "call limit at minimum", "admit probability reduced",
+		"memory limit reached, rejecting requests", "unhealthy: read delay over limit", "draining"}[c]
 }
 
-// String returns the text that stands in logs.
+// String returns the change as a text of its own, for logs without fields.
 func (c ConditionChange) String() string {
 	switch {
 	case c.Condition == ConditionDrain:
-		return c.Condition.String() + " begins"
+		return c.Condition.String()
 	case c.Active:
 		return c.Condition.String() + ": begins"
 	}
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -49,7 +49,7 @@
 	golden.RequireText(t, "settings", got.String())
 }
 
-// The lines for the operators' log: every state that begins and ends, and the notice.
+// The texts for the operators' log: every condition that begins and ends, and the drain.
 func TestGoldenReports(t *testing.T) {
 	var got strings.Builder
 	for _, test := range []struct {
@@ -57,11 +57,11 @@
 		enter func(*Controller)
 		clear func(*Controller)
 	}{
-		{"calls dropped", func(c *Controller) { c.calls.breaker.protectedCalls = -1 }, func(c *Controller) { c.calls.breaker.protectedCalls = BreakerProtectedCalls }},
-		{"calls bounded", func(c *Controller) { c.calls.limiter.limitRatio = minCallLimitRatio }, func(c *Controller) { c.calls.limiter.limitRatio = maxCallLimitRatio }},
-		{"share lowered", func(c *Controller) { c.admissionRate.probability = admitDecrease }, func(c *Controller) { c.admissionRate.probability = 1 }},
-		{"memory full", func(c *Controller) { c.memory.usedKB = c.memory.limitKB() + 1 }, func(c *Controller) { c.memory.usedKB = 0 }},
-		{"unwell", func(c *Controller) { c.health.unhealthy = true }, func(c *Controller) { c.health.unhealthy = false }},
+		{"circuit breaker", func(c *Controller) { c.calls.breaker.protectedCalls = -1 }, func(c *Controller) { c.calls.breaker.protectedCalls = BreakerProtectedCalls }},
+		{"call limit", func(c *Controller) { c.calls.limiter.limitRatio = minCallLimitRatio }, func(c *Controller) { c.calls.limiter.limitRatio = maxCallLimitRatio }},
+		{"admit probability", func(c *Controller) { c.admissionRate.probability = admitDecrease }, func(c *Controller) { c.admissionRate.probability = 1 }},
+		{"memory limit", func(c *Controller) { c.memory.usedKB = c.memory.limitKB() + 1 }, func(c *Controller) { c.memory.usedKB = 0 }},
+		{"health", func(c *Controller) { c.health.unhealthy = true }, func(c *Controller) { c.health.unhealthy = false }},
 	} {
 		controller := start(t, testSettings())
 		fmt.Fprintf(&got, "%s\n", test.name)
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, replaced := range []bool{false, true} {
-		fmt.Fprintf(&got, "notice, replaced %t\n", replaced)
+		fmt.Fprintf(&got, "drain, replaced %t\n", replaced)
 		logged(&got, start(t, testSettings()).Step(ms, []Event{DrainStarted(DrainSignal{StopAt: 3000 * ms, Replaced: replaced})}, nil))
 	}
 	golden.RequireText(t, "reports", got.String())
@@ -88,7 +88,7 @@
 	}
 }
 
-// The words for why a request was refused, which stand in the trail of a request.
+// The reasons of rejections, as they stand in the log line of a request.
 func TestGoldenReasons(t *testing.T) {
 	var got strings.Builder
 	for why := ReasonCPU; why <= ReasonBelowThreshold; why++ {
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -17,11 +17,11 @@
 			}
 		}
 	}
-	if n := lines["bound on calls at its least: begins"]; n == 0 || n > 4 {
+	if n := lines["call limit at minimum: begins"]; n == 0 || n > 4 {
 		t.Errorf("log lines %v", lines)
 	}
 	as := controller.Step(21*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
-	if a := want(t, as, ActionLog, 0); a.Condition.String() != "drain begins" {
+	if a := want(t, as, ActionLog, 0); a.Condition.String() != "draining" {
 		t.Errorf("log line %q", a.Condition.String())
 	}
 }
