--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -18,7 +18,7 @@
 	}
 	request.callBody = call.Payload
 	request.callOffset = call.Offset
-	s.admission.enqueue(admission.Event{Kind: admission.EventCallNeeded, ID: request.id})
+	s.admission.enqueue(admission.CallNeeded(request.id))
 }
 
 // callStore makes the call that the run of a request waits for. The timeout counts from now; 0 stands for the deadline of
@@ -69,12 +69,7 @@
 	outcome := replyOutcomes[reply]
 	request.trace.callTime += took
 	request.trace.lastCallOutcome = outcomeNames[outcome]
-	s.admission.enqueue(admission.Event{
-		Kind:    admission.EventCallDone,
-		ID:      request.id,
-		Outcome: outcome,
-		Took:    took,
-	})
+	s.admission.enqueue(admission.CallCompleted(request.id, admission.Completion{Outcome: outcome, Took: took}))
 }
 
 func (s *Server) countReply(reply store.Result) {
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -81,9 +81,9 @@
 
 // enqueueRegistration notifies the controller that the server was deregistered, or registered again.
 func (s *Server) enqueueRegistration() {
-	kind := admission.EventReregister
 	if s.health.deregistered {
-		kind = admission.EventDeregister
+		s.admission.enqueue(admission.ServerDeregistered())
+		return
 	}
-	s.admission.enqueue(admission.Event{Kind: kind})
+	s.admission.enqueue(admission.ServerReregistered())
 }
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -54,24 +54,24 @@
 	return s.member.shedding
 }
 
-// classifyForShedding adds to the event of a request its rank against the fleet's threshold, its age where it is a retry,
-// and the jitter of its Retry-After. It uses what was received before, and sends no message.
-func (s *Server) classifyForShedding(request *activeRequest, event *admission.Event) {
+// classifyForShedding adds to the arrival of a request its rank against the fleet's threshold, its age where it is a
+// retry, and the jitter of its Retry-After. It uses what was received before, and sends no message.
+func (s *Server) classifyForShedding(request *activeRequest, arrival *admission.Arrival) {
 	shedding := s.shedding()
 	if shedding == nil {
 		return
 	}
 	attempt := &request.attempt
 	requestFingerprint := fingerprint(attempt)
-	event.SinceFirstAttempt = shedding.ages.Age(s.clock.now, attempt.Class, attempt.Timeout)
-	retry := shedding.retries.Arrived(s.clock.now, requestFingerprint) || event.SinceFirstAttempt > 0
+	arrival.SinceFirstAttempt = shedding.ages.Age(s.clock.now, attempt.Class, attempt.Timeout)
+	retry := shedding.retries.Arrived(s.clock.now, requestFingerprint) || arrival.SinceFirstAttempt > 0
 	value := s.config.Settings.Classes[request.class].PriorityWeight
 	work := attempt.CostHint.Seconds()
 	if s.config.Settings.WeightPerWork {
 		value *= work
 	}
-	event.FleetRank = fleetRanks[shedding.shedder.Classify(value, work, attempt.Rank, retry)]
-	event.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
+	arrival.FleetRank = fleetRanks[shedding.shedder.Classify(value, work, attempt.Rank, retry)]
+	arrival.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
 }
 
 // fingerprint identifies the request of an attempt, in every member alike.
@@ -81,8 +81,8 @@
 }
 
 // recordRejection records a request that will be retried, here or elsewhere.
-func (s *Server) recordRejection(request *activeRequest, action admission.Action) {
-	if shedding := s.shedding(); shedding != nil && !action.NoRetryElsewhere {
+func (s *Server) recordRejection(request *activeRequest, rejection admission.Rejection) {
+	if shedding := s.shedding(); shedding != nil && !rejection.NoRetryElsewhere {
 		shedding.retries.Rejected(s.clock.now, fingerprint(&request.attempt))
 	}
 }
