--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -22,7 +22,7 @@
 	case admission.ActionWake:
 		s.scheduleWake(action.At)
 	case admission.ActionLog:
-		s.log.Info(action.Condition.String())
+		s.logCondition(action.Condition)
 	default: // all others are about one request
 		if request := s.requests.byID[action.ID]; request != nil { // else it has ended in the meantime
 			s.dispatchRequest(request, action)
@@ -30,6 +30,18 @@
 	}
 }
 
+// logCondition logs that a condition of the server begins or ends. What limits the service is to be looked at.
+func (s *Server) logCondition(change admission.ConditionChange) {
+	level := logrus.InfoLevel
+	if change.Active && change.Condition != admission.ConditionDrain {
+		level = logrus.WarnLevel
+	}
+	s.log.WithFields(logrus.Fields{
+		"condition": change.Condition.String(),
+		"active":    change.Active,
+	}).Log(level, "condition of the server changed")
+}
+
 // dispatchRequest carries out an action on a request.
 func (s *Server) dispatchRequest(request *activeRequest, action admission.Action) {
 	switch action.Kind {
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -114,9 +114,14 @@
 		server.requests.byID[1] = &activeRequest{}
 		server.dispatch(admission.Action{Kind: admission.ActionAdvertise, ID: 1})
 	}},
-	{"a report of the controller", func(_ *testing.T, server *Server) {
-		server.dispatch(admission.Action{Kind: admission.ActionLog, Condition: admission.ConditionChange{
-			Condition: admission.ConditionBreaker, Active: true}})
+	{"conditions that the controller reports", func(_ *testing.T, server *Server) {
+		for _, change := range []admission.ConditionChange{
+			{Condition: admission.ConditionBreaker, Active: true},
+			{Condition: admission.ConditionBreaker, Active: false},
+			{Condition: admission.ConditionDrain, Active: true},
+		} {
+			server.dispatch(admission.Action{Kind: admission.ActionLog, Condition: change})
+		}
 	}},
 	{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config, nil) }},
 	{"reload of a file that is wrong", func(_ *testing.T, server *Server) {
