--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -72,7 +72,9 @@
 
 // acceptSuccessors serves each successor that connects, in group, until ctx ends.
 func acceptSuccessors(ctx context.Context, group *errgroup.Group, listener net.Listener, loop Loop, log *logging.Limiter) {
-	defer context.AfterFunc(ctx, func() { listener.Close() })()
+	defer context.AfterFunc(ctx, func() {
+		_ = listener.Close() // only ends Accept
+	})()
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -36,7 +36,7 @@
 	case closeStateUnreadable:
 		return "unreadable"
 	}
-	return "unknown"
+	return unknownName
 }
 
 // maxConnections is how many connections may be open. Two processes that are one image server share its descriptors.
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -26,7 +26,7 @@
 		return "active"
 	case connectionKinds:
 	}
-	return "unknown"
+	return unknownName
 }
 
 // connectionState is what the loop knows of a connection.
@@ -150,7 +150,7 @@
 	}
 	state.idleList = &t.idle[state.kind]
 	before := state.idleList.Back()
-	for before != nil && before.Value.(*connectionState).lastUsed > state.lastUsed { // its last call went on for long
+	for before != nil && stateOf(before).lastUsed > state.lastUsed { // the last call of state went on for long
 		before = before.Prev()
 	}
 	if before == nil {
@@ -162,10 +162,16 @@
 
 // longestIdle returns the connection of that kind that has been idle for longest, or nil.
 func (t *connectionTable) longestIdle(kind connectionKind) *connectionState {
-	if e := t.idle[kind].Front(); e != nil {
-		return e.Value.(*connectionState)
+	return stateOf(t.idle[kind].Front())
+}
+
+// stateOf returns the connection of an element of an idle list, or nil for none.
+func stateOf(element *list.Element) *connectionState {
+	if element == nil {
+		return nil
 	}
-	return nil
+	state, _ := element.Value.(*connectionState) // the lists hold nothing else
+	return state
 }
 
 // idleSince returns that connection if it was last used at that time or before, or nil.
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -37,7 +37,7 @@
 	case drainListenersClosed:
 		return "listeners closed"
 	}
-	return "unknown"
+	return unknownName
 }
 
 // drainState is the drain of this process. The loop owns it.
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -51,7 +51,7 @@
 	case ReadPaused:
 		return "read paused"
 	}
-	return "unknown"
+	return unknownName
 }
 
 // Front accepts connections of one protocol and hands what they send to a Server.
--- a/internal/server/idempotency_entry.go
+++ b/internal/server/idempotency_entry.go
@@ -27,7 +27,7 @@
 	case entryCompleted:
 		return "completed"
 	}
-	return "unknown"
+	return unknownName
 }
 
 // runResult is how a run ended, as far as other attempts of the same request may learn it.
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -114,25 +114,41 @@
 	if state.closing != closeStateOpen {
 		server.notifyClosing(state) // the front end still uses it
 	}
-	lastCall := state.lastCall
-	state.lastCall = max(lastCall, e.call)
-	id := e.attempt.ID
-	reusesNumber := state.openCalls[e.call] != nil
-	repeatsCall := e.call <= lastCall && server.completed.contains(id)
-	switch {
-	case reusesNumber || repeatsCall:
+	repeated := e.repeatsCall(state, server)
+	state.lastCall = max(state.lastCall, e.call)
+	if repeated {
 		// Two calls of one number can't be told apart by their answers: only the first one gets its answer.
 		state.discardingInput = true
 		server.beginClose(state)
+		return
+	}
+	if err := e.check(state, server); err != nil {
+		server.answerInvalid(e.connection, e.call, err)
+		return
+	}
+	server.admit(e.connection, e.call, &e.attempt)
+}
+
+// repeatsCall reports whether the number of the call is that of an open call on the connection, or that of an attempt
+// which was answered or run.
+func (e *requestReceived) repeatsCall(state *connectionState, server *Server) bool {
+	if state.openCalls[e.call] != nil {
+		return true
+	}
+	return e.call <= state.lastCall && server.completed.contains(e.attempt.ID)
+}
+
+// check returns what makes a request invalid whatever its fields are, or nil.
+func (e *requestReceived) check(state *connectionState, server *Server) error {
+	switch {
 	case len(state.openCalls) >= e.connection.MaxOpenCalls():
-		server.answerInvalid(e.connection, e.call, errTooManyOpenCalls)
-	case server.requests.byAttemptID[id] != nil:
-		server.answerInvalid(e.connection, e.call, errDuplicateID)
-	case server.completed.contains(id):
-		server.answerInvalid(e.connection, e.call, errCompletedID)
-	default:
-		server.admit(e.connection, e.call, &e.attempt)
+		return errTooManyOpenCalls
+	case server.requests.byAttemptID[e.attempt.ID] != nil:
+		return errDuplicateID
+	case server.completed.contains(e.attempt.ID):
+		return errCompletedID
 	}
+	return nil
 }
 
 // invalidRequestReceived is a request that can't be read.
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -54,7 +54,7 @@
 	case Unhealthy:
 		return "unhealthy"
 	}
-	return "unknown"
+	return unknownName
 }
 
 // Answer is the one answer to a call.
@@ -84,7 +84,7 @@
 	case requestRunning:
 		return "running"
 	}
-	return "unknown"
+	return unknownName
 }
 
 // activeRequest is one attempt, from its arrival until nothing more can happen to it. The loop owns it.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,6 +17,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
+// unknownName is the name of a value that is none of its type's constants.
+const unknownName = "unknown"
+
 // Server is one image server. The loop owns all of its state; other goroutines put events into its inbox.
 type Server struct {
 	log           logrus.FieldLogger
--- a/internal/stats/counters.go
+++ b/internal/stats/counters.go
@@ -94,8 +94,17 @@
 
 // Log logs all counters, and the gauges beside them, as one line. The names of its fields are read by others and stay.
 func (c *Counters) Log(log logrus.FieldLogger, gauges Gauges) {
+	log.WithFields(c.frontEndFields()).
+		WithFields(c.dependencyFields()).
+		WithFields(c.processFields()).
+		WithFields(gauges.fields()).
+		Info("counters")
+}
+
+// frontEndFields has what front ends sent, and what they were answered.
+func (c *Counters) frontEndFields() logrus.Fields {
 	total := c.total()
-	log.WithFields(logrus.Fields{
+	return logrus.Fields{
 		"connections":        c.Connections,
 		"connections_closed": c.ConnectionsClosed,
 		"silent":             c.ReadTimeouts,
@@ -105,35 +114,52 @@
 		"invalid":            c.Invalid,
 		"cancelled":          c.Cancelled,
 		"probes":             c.HealthChecks,
-		"runs":               c.Runs,
-		"calls":              c.Calls,
-		"calls_dropped":      c.CallsAbandoned,
-		"skips":              c.CallsSkipped,
-		"exercises":          c.DeepChecks,
 		"served":             total.Served,
 		"reused":             c.ResultsReused,
 		"refused":            total.Rejected,
 		"failed":             total.Failed,
-		"runs_failed":        c.RunsFailed,
-		"runs_interrupted":   c.RunsInterrupted,
-		"runs_moot":          c.RunsNotStarted,
-		"commands_refused":   c.CommandsRejected,
-		"calls_ok":           c.CallsOK,
-		"calls_busy":         c.CallsRejected,
-		"calls_failed":       c.CallsFailed,
-		"calls_late":         c.CallsTimedOut,
-		"calls_unreachable":  c.CallsUnreachable,
-		"calls_broken":       c.CallsAborted,
-		"agent_links":        c.AgentConnections,
-		"store_links":        c.StoreConnections,
-		"claims":             c.Claims,
-		"claims_late":        c.ClaimsTimedOut,
-		"reloads":            c.Reloads,
-		"reloads_failed":     c.ReloadsFailed,
-		"turns":              c.Turns,
-		"now_open":           gauges.ActiveRequests,
-		"now_running":        gauges.RunningRequests,
-		"now_keys":           gauges.IdempotencyKeys,
-		"now_connections":    gauges.Connections,
-	}).Info("counters")
+	}
+}
+
+// dependencyFields has what the agent and the store were asked for, and how that ended.
+func (c *Counters) dependencyFields() logrus.Fields {
+	return logrus.Fields{
+		"runs":              c.Runs,
+		"runs_failed":       c.RunsFailed,
+		"runs_interrupted":  c.RunsInterrupted,
+		"runs_moot":         c.RunsNotStarted,
+		"commands_refused":  c.CommandsRejected,
+		"exercises":         c.DeepChecks,
+		"calls":             c.Calls,
+		"calls_dropped":     c.CallsAbandoned,
+		"skips":             c.CallsSkipped,
+		"calls_ok":          c.CallsOK,
+		"calls_busy":        c.CallsRejected,
+		"calls_failed":      c.CallsFailed,
+		"calls_late":        c.CallsTimedOut,
+		"calls_unreachable": c.CallsUnreachable,
+		"calls_broken":      c.CallsAborted,
+		"agent_links":       c.AgentConnections,
+		"store_links":       c.StoreConnections,
+	}
+}
+
+// processFields has what concerns this process and its predecessor.
+func (c *Counters) processFields() logrus.Fields {
+	return logrus.Fields{
+		"claims":         c.Claims,
+		"claims_late":    c.ClaimsTimedOut,
+		"reloads":        c.Reloads,
+		"reloads_failed": c.ReloadsFailed,
+		"turns":          c.Turns,
+	}
+}
+
+func (g Gauges) fields() logrus.Fields {
+	return logrus.Fields{
+		"now_open":        g.ActiveRequests,
+		"now_running":     g.RunningRequests,
+		"now_keys":        g.IdempotencyKeys,
+		"now_connections": g.Connections,
+	}
 }
