--- a/internal/tracing/spannames.go
+++ b/internal/tracing/spannames.go
@@ -1,36 +1,48 @@
 package tracing
 
 // Operators' tools read spans, so that their names and attributes stay as they are, whatever the server calls the same
-// thing in its log. These tables give the names in spans for those of the server's state changes; a name that is not in
-// them is the same in both.
+// thing in its log. The functions here give the name in spans for a name of the server's state changes; a name that is
+// not in them is the same in both.
 
-// episodeNames is the name of an episode by the name of what changes state.
-var episodeNames = map[string]string{
-	"shedding threshold": "cutoff of the fleet",
-	"store state":        "store, as this member finds it",
-	"store quota":        "share of the store",
-}
-
-// stateNames is the name of a state in spans.
-var stateNames = map[string]string{
-	"decreasing":   "sinking",
-	"unresponsive": "trouble",
-	"probing":      "trying",
-	"recovering":   "back",
+// episodeName returns the name of an episode by the name of what changes state.
+func episodeName(name string) string {
+	switch name {
+	case "shedding threshold":
+		return "cutoff of the fleet"
+	case "store state":
+		return "store, as this member finds it"
+	case "store quota":
+		return "share of the store"
+	}
+	return name
 }
 
-// attributeNames is the key of an attribute by the name of a field.
-var attributeNames = map[string]string{
-	"rank":              "place",
-	"service_rate":      "pace",
-	"retry_ratio":       "again",
-	"unhealthy_members": "agree",
+// stateName returns the name of a state in spans.
+func stateName(name string) string {
+	switch name {
+	case "decreasing":
+		return "sinking"
+	case "unresponsive":
+		return "trouble"
+	case "probing":
+		return "trying"
+	case "recovering":
+		return "back"
+	}
+	return name
 }
 
-// nameIn returns the name in spans, by one of the tables.
-func nameIn(table map[string]string, name string) string {
-	if spanName, ok := table[name]; ok {
-		return spanName
+// attributeName returns the key of an attribute by the name of a field.
+func attributeName(name string) string {
+	switch name {
+	case "rank":
+		return "place"
+	case "service_rate":
+		return "pace"
+	case "retry_ratio":
+		return "again"
+	case "unhealthy_members":
+		return "agree"
 	}
 	return name
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -72,9 +72,9 @@
 // state that begins, or of the episode where it ends. Names are those of the server's log; in spans they are those of
 // spannames.go.
 func (t *Tracer) Change(what, from, to string, fields map[string]any) {
-	what = nameIn(episodeNames, what)
-	from = nameIn(stateNames, from)
-	to = nameIn(stateNames, to)
+	what = episodeName(what)
+	from = stateName(from)
+	to = stateName(to)
 	current := t.episodes[what]
 	if current == nil {
 		if to == "" {
@@ -105,17 +105,18 @@
 
 // episode is a time in which one thing is not in its usual state.
 type episode struct {
+	ctx       context.Context //nolint:containedctx // the parent of the spans of states, made once for all of them
 	span      trace.Span
 	stateSpan trace.Span // nil between two states
 }
 
 func startEpisode(tracer trace.Tracer, what string) *episode {
-	_, span := tracer.Start(context.Background(), what)
-	return &episode{span: span}
+	ctx, span := tracer.Start(context.Background(), what)
+	return &episode{ctx: ctx, span: span}
 }
 
 func (e *episode) startState(tracer trace.Tracer, name, from string, fields map[string]any) {
-	_, e.stateSpan = tracer.Start(trace.ContextWithSpan(context.Background(), e.span), name)
+	_, e.stateSpan = tracer.Start(e.ctx, name)
 	if e.stateSpan.IsRecording() {
 		e.stateSpan.SetAttributes(append(attributes(fields), attribute.String("from", from))...)
 	}
@@ -138,7 +139,7 @@
 func attributes(fields map[string]any) []attribute.KeyValue {
 	var list []attribute.KeyValue
 	for name, field := range fields {
-		key := nameIn(attributeNames, name)
+		key := attributeName(name)
 		switch value := field.(type) {
 		case bool:
 			list = append(list, attribute.Bool(key, value))
