--- a/admission/queue.go
+++ b/admission/queue.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		req := class.queue[0]
-		if callsBacklogged && class.callsPerRun.or(1) > 0 && c.needsCall(req) {
+		if callsBacklogged && class.callsPerRun.Or(1) > 0 && c.needsCall(req) {
 			continue
 		}
 		if startBy := req.objective - c.serviceTime(req); next == nil || startBy < earliest {
@@ -49,5 +49,5 @@
 // only once it is of no use at all, so that a recovery is noticed.
 func (c *Controller) tooLate(req *request) bool {
 	missesObjective := c.now+c.serviceTime(req) > req.objective
-	return missesObjective && (c.running >= c.trialRuns() || c.now >= req.usefulUntil)
+	return missesObjective && (c.runs.enoughTrials() || c.now >= req.usefulUntil)
 }
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -1,10 +1,11 @@
 package server
 
 import (
-	"fmt"
 	"time"
 
 	"falldeal/admission"
+
+	"github.com/sirupsen/logrus"
 )
 
 // Stage three, dispatch: each action of the controller is handed to the part that carries it out.
@@ -13,14 +14,15 @@
 func (s *Server) dispatch(action admission.Action) {
 	switch action.Kind {
 	case admission.ActionHealth:
-		s.health.healthy, s.health.cached = action.Healthy, action.Cached
-		s.announcer.SetAccepting(action.Healthy)
+		s.health.healthy = action.Health.Healthy
+		s.health.cached = action.Health.Cached
+		s.announcer.SetAccepting(action.Health.Healthy)
 	case admission.ActionIdleTimeout:
 		s.connections.idleTimer.timeout = action.Duration
 	case admission.ActionWake:
 		s.scheduleWake(action.At)
 	case admission.ActionLog:
-		s.log.Info(action.Text)
+		s.log.Info(action.Condition.String())
 	default: // all others are about one request
 		if request := s.requests.byID[action.ID]; request != nil { // else it has ended in the meantime
 			s.dispatchRequest(request, action)
@@ -34,7 +36,7 @@
 	case admission.ActionRun:
 		s.startRun(request)
 	case admission.ActionReject:
-		s.reject(request, action)
+		s.reject(request, action.Rejection)
 	case admission.ActionFail:
 		s.fail(request)
 	case admission.ActionCall:
@@ -49,7 +51,8 @@
 		s.reuseResult(request)
 	default:
 		// Stop and Advertise need settings that the configuration does not admit.
-		s.warnings.Warn("action", fmt.Sprintf("action %d can't be carried out", action.Kind), nil)
+		s.warnings.WarnFields("controller", "unsupported action of the admission controller", nil,
+			logrus.Fields{"action": int(action.Kind)})
 	}
 }
 
@@ -62,6 +65,6 @@
 	}
 	s.deadlines.Add(at, func() {
 		gauges := s.gauges.latest(s.clock.now)
-		s.admission.enqueue(admission.Event{Kind: admission.EventTimer, Gauges: gauges})
+		s.admission.enqueue(admission.TimerFired(gauges))
 	})
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Reload takes over the peers' addresses and the settings of a new configuration. err says why there is none, and then
-// everything stays as it is. Runs go on either way. It may be called from any goroutine.
+// Reload puts the peers' addresses and the settings of a new configuration into use. err says why there is none, and
+// then everything stays as it is. Runs go on either way. It may be called from any goroutine.
 func (s *Server) Reload(cfg *config.Config, err error) { s.inbox.put(&configurationLoaded{cfg, err}) }
 
 // configurationLoaded is a configuration that was read, or err.
@@ -26,7 +26,7 @@
 	}
 	if err != nil {
 		server.stats.ReloadsFailed++
-		server.log.WithError(err).Error("configuration not taken over; the one in force stays")
+		server.log.WithError(err).Error("configuration reload failed, current configuration stays")
 		return
 	}
 	server.stats.Reloads++
@@ -35,17 +35,17 @@
 		"store":    e.config.Store,
 		"announce": e.config.Announce,
 		"classes":  e.config.Classes,
-	}).Info("addresses and settings taken over; other keys count from the next start")
+	}).Info("configuration reloaded, other keys apply from the next start")
 	server.agent.SetAddress(e.config.Agent)
 	server.store.SetAddress(e.config.Store)
 	server.announcer.SetAddress(e.config.Announce)
 }
 
-// applyConfig takes over new settings.
+// applyConfig puts new settings into use.
 func (s *Server) applyConfig(loaded *config.Config) error {
 	settings := loaded.Settings
 	if s.drain.started() {
-		// The drain began under the grace period in force, which may only become shorter.
+		// The drain began under the current grace period, which may only become shorter.
 		settings.DrainGrace = min(settings.DrainGrace, s.config.Settings.DrainGrace)
 	}
 	current := s.config.Settings.Classes
@@ -57,8 +57,10 @@
 		}
 	}
 	merged := *s.config.Config
-	merged.Settings, merged.Classes = settings, names
-	merged.Tenants, merged.Gauges = loaded.Tenants, loaded.Gauges
+	merged.Settings = settings
+	merged.Classes = names
+	merged.Tenants = loaded.Tenants
+	merged.Gauges = loaded.Gauges
 	merged.ReplacedStopTimeout = loaded.ReplacedStopTimeout
 	s.config.Config = &merged
 	s.agent.SetGauges(loaded.Gauges)
@@ -76,7 +78,7 @@
 		name := s.config.Classes[i]
 		if !class.Removed {
 			s.config.addClass(i)
-			s.stats.Name(name)
+			s.stats.Class(name)
 		} else if s.config.classes[name] == i {
 			s.deadlines.Add(s.clock.now+s.config.maxArrivalAge(), func() { s.config.removeClass(i) })
 		}
@@ -87,22 +89,29 @@
 // refer to indices, so those of classes that are gone stay, marked as removed, and so does that of a class whose
 // idempotency has changed.
 func mergeClasses(current, loaded []admission.Class, currentNames, loadedNames []string) ([]admission.Class, []string) {
-	classes, names := slices.Clone(current), slices.Clone(currentNames)
+	classes := slices.Clone(current)
+	names := slices.Clone(currentNames)
 	for i := range classes {
 		classes[i].Removed = true
 	}
 	for i, class := range loaded {
-		at := -1
-		for j, name := range names {
-			if name == loadedNames[i] && classes[j].Idempotency == class.Idempotency {
-				at = j
-			}
-		}
-		if at < 0 {
-			classes, names = append(classes, class), append(names, loadedNames[i])
+		index := findClass(classes, names, class, loadedNames[i])
+		if index < 0 {
+			classes = append(classes, class)
+			names = append(names, loadedNames[i])
 		} else {
-			classes[at] = class
+			classes[index] = class
 		}
 	}
 	return classes, names
 }
+
+// findClass returns the index of the class of that name and idempotency, the last one where there are several, or -1.
+func findClass(classes []admission.Class, names []string, class admission.Class, className string) int {
+	for i := len(names) - 1; i >= 0; i-- {
+		if names[i] == className && classes[i].Idempotency == class.Idempotency {
+			return i
+		}
+	}
+	return -1
+}
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -32,7 +32,7 @@
 	started, addrs := startDependencies(tb)
 	log, _ := test.NewNullLogger()
 	cfg := testConfig(tb, addrs)
-	front, err := msgpackrpc.Listen("127.0.0.1:0", cfg.Limits.FrontSockets(), logging.NewLimiter(log))
+	front, err := msgpackrpc.Listen("127.0.0.1:0", cfg.Limits.MaxFrontConnections(), logging.NewLimiter(log))
 	require.NoError(tb, err)
 	started.addr = front.Addr().String()
 	srv := server.New(cfg, log)
@@ -54,7 +54,7 @@
 // after the test, with its input.
 func startDependencies(tb testing.TB) (*testServer, addresses) {
 	tb.Helper()
-	dependencies := exec.Command(os.Args[0])
+	dependencies := exec.CommandContext(context.Background(), os.Args[0]) // it ends with its input
 	dependencies.Env = append(os.Environ(), runAsDependencies+"=1")
 	dependencies.Stderr = os.Stderr
 	stdin, err := dependencies.StdinPipe()
