--- a/internal/deadline/queue.go
+++ b/internal/deadline/queue.go
@@ -10,15 +10,15 @@
 
 const degree = 16 // of the tree's nodes
 
-// Entry is one deadline in a Queue.
+// Entry is one deadline in a Queue, for Cancel.
 type Entry struct {
-	dueAt    time.Duration
-	seq      uint64 // orders equal times by entry
+	deadline time.Duration // on the owner's clock
+	seq      uint64        // counts entries: orders those of one deadline
 	callback func()
 }
 
-// Queue holds deadlines in order of time, equal times in order of entry. Times are on the owner's clock. A Queue
-// belongs to one goroutine.
+// Queue holds deadlines in order of time, equal times in order of entry. Times are on the owner's clock. All methods are
+// called on the owner's goroutine.
 type Queue struct {
 	entries *btree.BTreeG[*Entry]
 	lastSeq uint64
@@ -26,15 +26,21 @@
 
 // New returns an empty Queue.
 func New() *Queue {
-	return &Queue{entries: btree.NewG(degree, func(a, b *Entry) bool {
-		return a.dueAt < b.dueAt || a.dueAt == b.dueAt && a.seq < b.seq
-	})}
+	return &Queue{entries: btree.NewG(degree, isBefore)}
+}
+
+// isBefore orders entries by deadline, and those of one deadline by entry.
+func isBefore(left, right *Entry) bool {
+	if left.deadline != right.deadline {
+		return left.deadline < right.deadline
+	}
+	return left.seq < right.seq
 }
 
 // Add enters a callback for the first Sweep at or after the time at. The Entry is for Cancel.
 func (q *Queue) Add(at time.Duration, callback func()) *Entry {
 	q.lastSeq++
-	entry := &Entry{dueAt: at, seq: q.lastSeq, callback: callback}
+	entry := &Entry{deadline: at, seq: q.lastSeq, callback: callback}
 	q.entries.ReplaceOrInsert(entry)
 	return entry
 }
@@ -52,7 +58,7 @@
 	if !ok {
 		return 0, false
 	}
-	return entry.dueAt, true
+	return entry.deadline, true
 }
 
 // Sweep calls, in order, the callbacks that are due at now. An entry that a callback adds waits for the next Sweep,
@@ -73,7 +79,7 @@
 // firstExpired returns the first entry that is due at now and was added up to lastSeq, or nil.
 func (q *Queue) firstExpired(now time.Duration, lastSeq uint64) (expired *Entry) {
 	q.entries.Ascend(func(entry *Entry) bool {
-		if entry.dueAt > now {
+		if entry.deadline > now {
 			return false
 		}
 		if entry.seq <= lastSeq {
