--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -16,7 +18,7 @@
 	remote.sendSampled("1")
 	remote.send(`{"cmd":"aside","offset":1}`)
 	oldLines := remote.lines
-	remote.listener = listen(t)
+	remote.listener = loopback.Listen(t)
 	remote.SetAddress(remote.listener.Addr().String())
 	remote.Launch("a", "preview", nil)
 	remote.expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`) // on the old one, until the new one is open
--- a/internal/agent/partition_test.go
+++ b/internal/agent/partition_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"falldeal/lab/fakes"
+	"falldeal/lab/loopback"
 
 	"github.com/stretchr/testify/require"
 )
@@ -15,7 +16,7 @@
 	unresponsive, err := fakes.NewUnresponsiveListener()
 	require.NoError(t, err)
 	t.Cleanup(unresponsive.Close)
-	remote := newRemoteAgentAt(t, unresponsive.Addr, listen(t))
+	remote := newRemoteAgentAt(t, unresponsive.Addr, loopback.Listen(t))
 	remote.Launch("a", "preview", nil)
 	remote.Launch("b", "preview", nil)
 	remote.SetAddress(remote.listener.Addr().String())
--- a/internal/agent/remote_test.go
+++ b/internal/agent/remote_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"falldeal/internal/logging"
+	"falldeal/lab/loopback"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -29,17 +30,9 @@
 	lines          *bufio.Scanner
 }
 
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { listener.Close() })
-	return listener
-}
-
 func newRemoteAgent(t *testing.T) *remoteAgent {
 	t.Helper()
-	listener := listen(t)
+	listener := loopback.Listen(t)
 	return newRemoteAgentAt(t, listener.Addr().String(), listener)
 }
 
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -14,7 +14,8 @@
 // listen opens the service's socket at address.
 func listen(t *testing.T, address string) net.PacketConn {
 	t.Helper()
-	service, err := net.ListenPacket("udp", address)
+	var config net.ListenConfig
+	service, err := config.ListenPacket(t.Context(), "udp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		_ = service.Close() // an error where the test has closed it
@@ -79,7 +80,8 @@
 func TestReportAfterServiceWasDown(t *testing.T) {
 	service := listen(t, "127.0.0.1:0")
 	address := service.LocalAddr().String()
-	conn, err := net.Dial("udp", address)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "udp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	require.NoError(t, service.Close())
--- a/internal/msgpackrpc/cold_start_test.go
+++ b/internal/msgpackrpc/cold_start_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"net"
 	"testing"
 	"time"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -14,17 +15,13 @@
 // server survives, and all that was read is answered.
 func TestSlowStartUnderOverload(t *testing.T) {
 	const clients, callsPerClient = 20, maxOpenCalls
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
+	ln := loopback.Listen(t)
 	peers := startServerBeforeAgent(t, ln, "", `"ColdUs": 18000000`, `"ColdUs": 18000000000`) // stays cold
 	peers.expectCommand("subscribe", "")
 	clientConns := make([]*testClient, clients)
 	for i := range clientConns {
 		clientConns[i] = peers.dial()
-		for range callsPerClient {
-			clientConns[i].sendRequest("hires-crop", "x")
-		}
+		clientConns[i].sendRequests(callsPerClient)
 	}
 	for _, client := range clientConns {
 		for call := range callsPerClient {
@@ -35,9 +32,7 @@
 	peers.handshake <- "booting"
 	peers.expectNoCommand()
 	for _, client := range clientConns {
-		for range callsPerClient {
-			client.sendRequest("hires-crop", "x")
-		}
+		client.sendRequests(callsPerClient)
 	}
 	// Idle cores raise the concurrency, up to the limit of a cold server: four fifths of 2 a core on 6 cores, and one.
 	// A warm server would run 13 by then.
@@ -49,25 +44,7 @@
 	// Then the agent completes runs. Each client gets its answers in some order.
 	answers := make(chan string)
 	for _, client := range clientConns {
-		go func() {
-			for n := 0; n < callsPerClient; {
-				value, err := client.decoder.next()
-				if err != nil {
-					answers <- err.Error()
-					return
-				}
-				list := value.(arrayValue)
-				if list[0] != int64(kindResponse) {
-					continue // an idle connection may be closing
-				}
-				n++
-				if fault, failed := list[2].(arrayValue); failed {
-					answers <- fmt.Sprint(fault[0])
-				} else {
-					answers <- "served"
-				}
-			}
-		}()
+		go client.passOnAnswers(callsPerClient, answers)
 	}
 	outcomes, runs := map[string]int{}, 0
 	for outcomes["served"]+outcomes[codeOverloaded]+outcomes[codeInternal] < clients*callsPerClient {
@@ -86,3 +63,37 @@
 	require.Equal(t, runs, outcomes["served"], "%v", outcomes)
 	require.Positive(t, runs)
 }
+
+// sendRequests writes that many requests.
+func (c *testClient) sendRequests(count int) {
+	c.Helper()
+	for range count {
+		c.sendRequest("hires-crop", "x")
+	}
+}
+
+// passOnAnswers reads that many responses, and sends the name of the error of each, or "served". An error of reading is
+// sent as it is, and ends it.
+func (c *testClient) passOnAnswers(count int, answers chan<- string) {
+	for passed := 0; passed < count; {
+		value, err := c.decoder.next()
+		if err != nil {
+			answers <- err.Error()
+			return
+		}
+		list, ok := value.(arrayValue)
+		if !ok {
+			answers <- fmt.Sprintf("%T in place of a message", value)
+			return
+		}
+		if list[0] != int64(kindResponse) {
+			continue // an idle connection may be closing
+		}
+		passed++
+		if fault, failed := list[2].(arrayValue); failed {
+			answers <- fmt.Sprint(fault[0])
+		} else {
+			answers <- "served"
+		}
+	}
+}
--- a/internal/msgpackrpc/drain_test.go
+++ b/internal/msgpackrpc/drain_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -39,7 +41,8 @@
 	require.Empty(t, peers.commands)
 	client.netConn.Close()
 	require.NoError(t, await(peers, peers.serverDone, "end of the server"))
-	_, err := net.Dial("tcp", peers.addr)
+	var dialer net.Dialer
+	_, err := dialer.DialContext(t.Context(), "tcp", peers.addr)
 	require.Error(t, err)
 }
 
@@ -50,9 +53,7 @@
 	runID := client.sendRequest("preview", "x")
 	peers.expectCommand("launch", runID)
 	peers.server.Drain()
-	value, err := client.decoder.next()
-	require.NoError(t, err)
-	require.Equal(t, methodClosing, value.(arrayValue)[1])
+	require.Equal(t, methodClosing, client.readMessage()[1])
 	client.expectAnswer(1, codeInternal)
 	require.NoError(t, await(peers, peers.serverDone, "end of the server"))
 	client.expectConnectionEnd()
@@ -65,9 +66,7 @@
 	for _, acceptedBefore := range []bool{true, false} {
 		t.Run(fmt.Sprint("accepted before: ", acceptedBefore), func(t *testing.T) {
 			t.Parallel()
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			require.NoError(t, err)
-			defer ln.Close()
+			ln := loopback.Listen(t)
 			maxConns := 1
 			if acceptedBefore {
 				maxConns = 2
@@ -196,9 +195,7 @@
 	c.Helper()
 	var kinds []any
 	for range 2 {
-		value, err := c.decoder.next()
-		require.NoError(c, err)
-		kinds = append(kinds, value.(arrayValue)[0])
+		kinds = append(kinds, c.readMessage()[0])
 	}
 	require.ElementsMatch(c, []any{int64(kindResponse), int64(kindNotification)}, kinds)
 }
@@ -245,9 +242,7 @@
 // A newer process replaces this one: no connection is rejected or left unread, each process answers what it has read,
 // and a request with an idempotency key is run by one of them, whose result answers attempts at both.
 func TestReplacementAnswersEveryRequest(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
+	ln := loopback.Listen(t)
 	path := filepath.Join(t.TempDir(), "s")
 	older := startServerOn(t, ln, path, longStopTimeout...)
 	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, testTimeout, time.Millisecond)
--- a/internal/msgpackrpc/frame_reader.go
+++ b/internal/msgpackrpc/frame_reader.go
@@ -66,7 +66,7 @@
 
 // fill reads some more bytes, after making room for them.
 func (f *frameReader) fill() error {
-	f.makeRoom()
+	f.growBuffer()
 	n, err := f.source.Read(f.buffer[f.end:])
 	f.end += n
 	if n > 0 {
@@ -75,8 +75,8 @@
 	return err //nolint:wrapcheck // the source's own: io.EOF ends a connection in normal service
 }
 
-// makeRoom makes room for a byte at least at the end of the buffer: a frame ends within maxFrame, or scan has rejected it.
-func (f *frameReader) makeRoom() {
+// growBuffer makes room for a byte at least at the end of the buffer: a frame ends within maxFrame, or scan has rejected it.
+func (f *frameReader) growBuffer() {
 	if f.start > 0 {
 		f.end = copy(f.buffer, f.buffer[f.start:f.end])
 		f.start = 0
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -257,12 +257,12 @@
 	c.Helper()
 	fault, result := c.readResponse(int(c.lastCall))
 	require.Nil(c, result)
-	details := fault.(arrayValue)
+	details := requireType[arrayValue](c, fault)
 	require.Equal(c, "Invalid", details[0])
-	reasons := details[1].(mapValue)
+	reasons := requireType[mapValue](c, details[1])
 	require.Len(c, reasons, 1)
 	require.Equal(c, "reason", reasons[0].key)
-	return reasons[0].value.(string)
+	return requireType[string](c, reasons[0].value)
 }
 
 // The reason that a client is sent for a request that is well-formed and that the server does not accept.
--- a/internal/msgpackrpc/harness_test.go
+++ b/internal/msgpackrpc/harness_test.go
@@ -18,6 +18,7 @@
 	"falldeal/internal/config"
 	"falldeal/internal/logging"
 	"falldeal/internal/server"
+	"falldeal/lab/loopback"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -62,14 +63,14 @@
 
 // startServer runs an image server with the sample configuration, in which replacements (old, new, old, new) are made.
 func startServer(t *testing.T, replacements ...string) *testPeers {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
-	return startServerOn(t, ln, "", replacements...)
+	ln := loopback.Listen(t)
+	peers := startServerOn(t, ln, "", replacements...)
+	require.NoError(t, ln.Close()) // the server has a descriptor of its own
+	return peers
 }
 
 // startServerOn is startServer on a socket that listens already, for one of the processes that hand over at path.
-func startServerOn(t *testing.T, ln net.Listener, path string, replacements ...string) *testPeers {
+func startServerOn(t *testing.T, ln *net.TCPListener, path string, replacements ...string) *testPeers {
 	peers := startServerBeforeAgent(t, ln, path, replacements...)
 	peers.handshake <- "steady"
 	peers.expectCommand("subscribe", "")
@@ -78,17 +79,14 @@
 }
 
 // startServerBeforeAgent is startServerOn with an agent that does not answer the handshake yet.
-func startServerBeforeAgent(t *testing.T, ln net.Listener, path string, replacements ...string) *testPeers {
+func startServerBeforeAgent(t *testing.T, ln *net.TCPListener, path string, replacements ...string) *testPeers {
 	return startServerWithLimit(t, ln, path, 0, replacements...)
 }
 
 // startServerWithLimit is startServerBeforeAgent with at most maxConns connections at a time; 0 = the configured limit.
-func startServerWithLimit(t *testing.T, ln net.Listener, path string, maxConns int, replacements ...string) *testPeers {
+func startServerWithLimit(t *testing.T, ln *net.TCPListener, path string, maxConns int, replacements ...string) *testPeers {
 	cfg := sampleConfig(t, replacements...)
-	agent, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	store, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
+	agent, store := loopback.Listen(t), loopback.Listen(t)
 	cfg.Agent, cfg.Store = agent.Addr().String(), store.Addr().String()
 	cfg.Handover, cfg.ReplacedStopTimeout = path, time.Hour
 	if maxConns == 0 {
@@ -112,7 +110,7 @@
 	go func() { peers.serverDone <- peers.server.Run(ctx, listener) }()
 	go peers.serveAgent(agent)
 	go peers.serveStore(store)
-	t.Cleanup(func() { cancel(); agent.Close(); store.Close() })
+	t.Cleanup(cancel)
 	return peers
 }
 
@@ -131,9 +129,9 @@
 }
 
 // duplicateDescriptor returns a descriptor of the listener's socket, which the caller owns.
-func duplicateDescriptor(t *testing.T, ln net.Listener) uintptr {
+func duplicateDescriptor(t *testing.T, ln *net.TCPListener) uintptr {
 	t.Helper()
-	file, err := ln.(*net.TCPListener).File()
+	file, err := ln.File()
 	require.NoError(t, err)
 	fd, err := syscall.Dup(int(file.Fd()))
 	require.NoError(t, err)
--- a/internal/msgpackrpc/idempotency_test.go
+++ b/internal/msgpackrpc/idempotency_test.go
@@ -49,37 +49,43 @@
 		for _, early := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, before the answer: %v", place, early), func(t *testing.T) {
 				t.Parallel()
-				peers := startServer(t, append([]string{`"Idempotency": "safe"`, `"Idempotency": "unsafe"`}, noIdleClose...)...)
-				client := peers.dial()
-				id, frame := client.newRequest("preview", "x")
-				client.write(frame)
-				peers.expectCommand("launch", id)
-				end := func() {
-					peers.agentSends("outcome", id, "success", []byte("x"))
-					client.expectAnswer(1, "x")
-				}
-				if !early {
-					end()
-				}
-				other := client
-				if place != "its connection" {
-					other = peers.dial()
-				}
-				other.write(frame)
-				peers.expectNoCommand() // nothing runs
-				if early {
-					end()
-				}
-				if other == client {
-					client.expectConnectionEnd() // a call number was used twice
-				} else {
-					other.expectAnswer(1, codeInvalid)
-				}
+				duplicateAttempt(t, place == "its connection", early)
 			})
 		}
 	}
 }
 
+// duplicateAttempt sends an attempt twice, the second time before its answer where early is set.
+func duplicateAttempt(t *testing.T, sameConnection, early bool) {
+	t.Helper()
+	peers := startServer(t, append([]string{`"Idempotency": "safe"`, `"Idempotency": "unsafe"`}, noIdleClose...)...)
+	client := peers.dial()
+	id, frame := client.newRequest("preview", "x")
+	client.write(frame)
+	peers.expectCommand("launch", id)
+	end := func() {
+		peers.agentSends("outcome", id, "success", []byte("x"))
+		client.expectAnswer(1, "x")
+	}
+	if !early {
+		end()
+	}
+	other := client
+	if !sameConnection {
+		other = peers.dial()
+	}
+	other.write(frame)
+	peers.expectNoCommand() // nothing runs
+	if early {
+		end()
+	}
+	if sameConnection {
+		client.expectConnectionEnd() // a call number was used twice
+	} else {
+		other.expectAnswer(1, codeInvalid)
+	}
+}
+
 // An idempotent request is retried before or after its run is lost with the agent: both attempts are answered as
 // failed, once, and nothing runs again.
 func TestRetryOfLostRunFails(t *testing.T) {
--- a/internal/msgpackrpc/input_test.go
+++ b/internal/msgpackrpc/input_test.go
@@ -9,25 +9,24 @@
 	"testing"
 	"time"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
 // loopbackConn returns both ends of a loopback connection, the local one as the server has it.
 func loopbackConn(t *testing.T) (*conn, net.Conn) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
-	remote, err := net.Dial("tcp", ln.Addr().String())
-	require.NoError(t, err)
+	ln := loopback.Listen(t)
+	remote := loopback.Dial(t, ln.Addr().String())
 	local, err := ln.Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { local.Close(); remote.Close() })
+	t.Cleanup(func() { local.Close() })
 	return newConn(local), remote
 }
 
 // waitForInput waits until size bytes are in the receive buffer of the socket.
 func waitForInput(t *testing.T, conn *conn, size int) {
-	raw, err := conn.netConn.(syscall.Conn).SyscallConn()
+	raw, err := requireType[syscall.Conn](t, conn.netConn).SyscallConn()
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
 		peeked := 0
--- a/internal/msgpackrpc/listener_test.go
+++ b/internal/msgpackrpc/listener_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"falldeal/internal/logging"
+	"falldeal/lab/loopback"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -40,18 +41,10 @@
 	return peers, front, done
 }
 
-func listenTCP(t *testing.T) *net.TCPListener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
-	return ln.(*net.TCPListener)
-}
-
 // Where all descriptors are in use the next connection waits, and the listener goes on.
 func TestAcceptContinuesAfterDescriptorsRunOut(t *testing.T) {
 	t.Parallel()
-	peers, listener, done := serveListener(t, &failingListener{TCPListener: listenTCP(t)}, 4)
+	peers, listener, done := serveListener(t, &failingListener{TCPListener: loopback.Listen(t)}, 4)
 	client := peers.dial()
 	client.write(encodeHealthCheck(1, nil))
 	client.expectHealthy(1)
@@ -59,15 +52,15 @@
 	require.NoError(t, await(peers, done, "end of the listener"))
 }
 
-// heldListener holds the call of SetDeadline that interrupts Accept until it is released.
-type heldListener struct {
+// blockingListener holds the call of SetDeadline that interrupts Accept until it is released.
+type blockingListener struct {
 	*net.TCPListener
 	interrupting chan struct{} // the call has come
 	release      chan struct{}
 	lifted       chan struct{} // holds a signal once the deadline was set to another time
 }
 
-func (l *heldListener) SetDeadline(deadline time.Time) error {
+func (l *blockingListener) SetDeadline(deadline time.Time) error {
 	if deadline.Equal(expiredDeadline) {
 		close(l.interrupting)
 		<-l.release
@@ -85,7 +78,7 @@
 // before it interrupted Accept, and could so interrupt the Accept of the pending connection, which was then reset.
 func TestCloseAcceptsPendingConnection(t *testing.T) {
 	t.Parallel()
-	held := &heldListener{TCPListener: listenTCP(t), interrupting: make(chan struct{}), release: make(chan struct{}),
+	held := &blockingListener{TCPListener: loopback.Listen(t), interrupting: make(chan struct{}), release: make(chan struct{}),
 		lifted: make(chan struct{}, 1)}
 	peers, front, done := serveListener(t, held, 1)
 	client := peers.dial()
@@ -130,7 +123,7 @@
 // another connection, and with it the older process, up to its stop timeout.
 func TestCloseEndsThoughPendingConnectionWasTaken(t *testing.T) {
 	t.Parallel()
-	shared := &sharedListener{TCPListener: listenTCP(t), take: make(chan struct{})}
+	shared := &sharedListener{TCPListener: loopback.Listen(t), take: make(chan struct{})}
 	peers, front, done := serveListener(t, shared, 1)
 	client := peers.dial()
 	client.write(encodeHealthCheck(1, nil))
--- a/internal/msgpackrpc/message_test.go
+++ b/internal/msgpackrpc/message_test.go
@@ -92,29 +92,39 @@
 			if err != nil {
 				return
 			}
-			require.Equal(t, want.method, string(msg.method))
-			attempt, err := parseRequest(msg, &methods)
-			wantAttempt, referenceErr := referenceParseRequest(want)
-			require.Equal(t, referenceErr == nil, err == nil, "%v, %v", err, referenceErr)
-			if err == nil {
-				require.Equal(t, wantAttempt, attempt)
-			}
-			deep, err := parseHealthCheck(msg)
-			wantDeep, referenceErr := referenceParseHealthCheck(want)
-			require.Equal(t, referenceErr == nil, err == nil, "%v, %v", err, referenceErr)
-			if err == nil {
-				require.Equal(t, wantDeep, deep)
-			}
-			id, ok := parseCancel(msg)
-			wantID, wantOK := referenceParseCancel(want)
-			require.Equal(t, wantOK, ok)
-			if ok {
-				require.Equal(t, wantID, id)
-			}
+			requireSameMessage(t, want, msg, &methods)
 		}
 	})
 }
 
+// requireSameMessage parses a message in each way, as the reference does: both find it valid, with the same meaning, or
+// neither does.
+func requireSameMessage(t *testing.T, want referenceMessage, msg message, methods *methodCache) {
+	t.Helper()
+	require.Equal(t, want.method, string(msg.method))
+	attempt, err := parseRequest(msg, methods)
+	wantAttempt, referenceErr := referenceParseRequest(want)
+	requireSameResult(t, wantAttempt, attempt, referenceErr, err)
+	deep, err := parseHealthCheck(msg)
+	wantDeep, referenceErr := referenceParseHealthCheck(want)
+	requireSameResult(t, wantDeep, deep, referenceErr, err)
+	id, ok := parseCancel(msg)
+	wantID, wantOK := referenceParseCancel(want)
+	require.Equal(t, wantOK, ok)
+	if ok {
+		require.Equal(t, wantID, id)
+	}
+}
+
+// requireSameResult requires that both parsers found an error, or both the same value.
+func requireSameResult[T any](t *testing.T, want, got T, wantErr, err error) {
+	t.Helper()
+	require.Equal(t, wantErr == nil, err == nil, "%v, %v", err, wantErr)
+	if err == nil {
+		require.Equal(t, want, got)
+	}
+}
+
 func BenchmarkReadRequest(b *testing.B) {
 	for _, body := range []int{0, 256, 1024, maxBody} {
 		frame := encodeRequest(7, "preview", sampleFields(), make([]byte, body))
--- a/internal/msgpackrpc/testclient_test.go
+++ b/internal/msgpackrpc/testclient_test.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"time"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -21,9 +23,7 @@
 
 // dial opens a connection of a client.
 func (p *testPeers) dial() *testClient {
-	netConn, err := net.Dial("tcp", p.addr)
-	require.NoError(p, err)
-	p.Cleanup(func() { netConn.Close() })
+	netConn := loopback.Dial(p, p.addr)
 	require.NoError(p, netConn.SetDeadline(time.Now().Add(testTimeout)))
 	return &testClient{testPeers: p, netConn: netConn, decoder: decoder{source: bufio.NewReader(netConn)}}
 }
@@ -59,15 +59,30 @@
 	return id
 }
 
+// requireType returns a value that has to be of type T.
+func requireType[T any](t require.TestingT, value any) T {
+	typed, ok := value.(T)
+	require.True(t, ok, "%T: %v", value, value)
+	return typed
+}
+
+// readMessage reads the next message.
+func (c *testClient) readMessage() arrayValue {
+	c.Helper()
+	value, err := c.decoder.next()
+	require.NoError(c, err)
+	return requireType[arrayValue](c, value)
+}
+
 // expectAnswer reads the next message, which must be the response to a call: a body, or the name of an error.
 func (c *testClient) expectAnswer(call int, want string) {
 	c.Helper()
 	fault, result := c.readResponse(call)
 	if fault != nil {
-		require.Equal(c, want, fault.(arrayValue)[0], "%v", fault)
+		require.Equal(c, want, requireType[arrayValue](c, fault)[0], "%v", fault)
 		return
 	}
-	require.Equal(c, want, fmt.Sprintf("%s", result.(arrayValue)[0]))
+	require.Equal(c, want, fmt.Sprintf("%s", requireType[arrayValue](c, result)[0]))
 }
 
 // expectHealthy reads the next message, which must be the response to a health check of a healthy server.
@@ -81,9 +96,7 @@
 // readResponse reads the next message, which must be the response to a call, and returns its error and result.
 func (c *testClient) readResponse(call int) (fault, result any) {
 	c.Helper()
-	value, err := c.decoder.next()
-	require.NoError(c, err)
-	list := value.(arrayValue)
+	list := c.readMessage()
 	require.Len(c, list, 4)
 	require.Equal(c, arrayValue{int64(kindResponse), int64(call)}, list[:2])
 	return list[2], list[3]
@@ -100,17 +113,13 @@
 // expectClosing reads the notification that the connection is closing.
 func (c *testClient) expectClosing() {
 	c.Helper()
-	value, err := c.decoder.next()
-	require.NoError(c, err)
-	require.Equal(c, arrayValue{int64(kindNotification), methodClosing, arrayValue{}}, value)
+	require.Equal(c, arrayValue{int64(kindNotification), methodClosing, arrayValue{}}, c.readMessage())
 }
 
 // isClosing sends a health check on a new connection, and reports whether "closing" comes instead of a response.
 func (c *testClient) isClosing() bool {
 	c.write(encodeHealthCheck(1, nil))
-	value, err := c.decoder.next()
-	require.NoError(c, err)
-	return value.(arrayValue)[0] == int64(kindNotification)
+	return c.readMessage()[0] == int64(kindNotification)
 }
 
 // sampleFields returns the fields of a valid request.
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -10,28 +10,13 @@
 
 	"falldeal/internal/backoff"
 	"falldeal/internal/writequeue"
+	"falldeal/lab/loopback"
 
 	"github.com/stretchr/testify/require"
 )
 
 const testTimeout = 30 * time.Second
 
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { listener.Close() })
-	return listener
-}
-
-// closedAddress is one on which nothing listens.
-func closedAddress(t *testing.T) string {
-	t.Helper()
-	listener := listen(t)
-	require.NoError(t, listener.Close())
-	return listener.Addr().String()
-}
-
 // receive returns the next value, and fails the test where none comes.
 func receive[T any](t *testing.T, values <-chan T) T {
 	t.Helper()
@@ -101,7 +86,7 @@
 
 // A peer that cannot be reached is told apart from one that fails later, and the text is that of the dial.
 func TestUnreachableError(t *testing.T) {
-	address := closedAddress(t)
+	address := loopback.ClosedAddress(t)
 	_, err := Dial(context.Background(), "tcp", address, DialTimeout)
 	var unreachable *UnreachableError
 	require.ErrorAs(t, err, &unreachable)
@@ -112,16 +97,14 @@
 
 // A peer that is not there yet is dialed again until it is, and again after its connection broke.
 func TestReconnect(t *testing.T) {
-	address := closedAddress(t)
+	address := loopback.ClosedAddress(t)
 	handler := newRecorder()
 	startLink(t, New(address, testConfig), handler)
 	var unreachable *UnreachableError
 	for range 3 {
 		require.ErrorAs(t, receive(t, handler.failed), &unreachable)
 	}
-	listener, err := net.Listen("tcp", address)
-	require.NoError(t, err)
-	t.Cleanup(func() { listener.Close() })
+	listener := loopback.ListenAt(t, address)
 	for range 3 {
 		conn, err := listener.Accept()
 		require.NoError(t, err)
@@ -155,7 +138,7 @@
 // A new address is dialed at once, while the connection to the old one goes on until the Handler closes it; its end is
 // no failure.
 func TestAddressChange(t *testing.T) {
-	first, second := listen(t), listen(t)
+	first, second := loopback.Listen(t), loopback.Listen(t)
 	link := New(first.Addr().String(), testConfig)
 	handler := newRecorder()
 	startLink(t, link, handler)
@@ -178,8 +161,8 @@
 
 // One that was replaced before it was ever open is given up, though its dial hangs or fails.
 func TestAddressChangeBeforeOpen(t *testing.T) {
-	listener := listen(t)
-	link := New(closedAddress(t), testConfig)
+	listener := loopback.Listen(t)
+	link := New(loopback.ClosedAddress(t), testConfig)
 	link.SetAddress(listener.Addr().String())
 	handler := newRecorder()
 	startLink(t, link, handler)
@@ -189,7 +172,7 @@
 
 // The connection to an address that was replaced ends by itself after DrainTimeout.
 func TestReplacedConnectionDrains(t *testing.T) {
-	first, second := listen(t), listen(t)
+	first, second := loopback.Listen(t), loopback.Listen(t)
 	link := New(first.Addr().String(), testConfig)
 	handler := newRecorder()
 	startLink(t, link, handler)
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -11,6 +11,7 @@
 	"falldeal/internal/deadline"
 	"falldeal/internal/logging"
 	"falldeal/internal/reconnect"
+	"falldeal/lab/loopback"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -51,14 +52,6 @@
 // runPosted runs the next function that the Link hands to its loop.
 func (l *fakeLoop) runPosted() { (<-l.posted)() }
 
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { listener.Close() })
-	return listener
-}
-
 // acceptCall accepts the connection that a call opens, and reads the call from it.
 func (l *fakeLoop) acceptCall(listener net.Listener, call string, body string) (net.Conn, *bufio.Reader) {
 	l.Helper()
@@ -91,11 +84,11 @@
 
 // A refused connection proves that no call ran; one that breaks meanwhile proves nothing.
 func TestConnectionRefusedAndBroken(t *testing.T) {
-	ln := listen(t)
+	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", time.Hour, nil)
 	conn, _ := fake.acceptCall(ln, "CALL ab 3600000 0", "")
-	ln.Close()
+	require.NoError(t, ln.Close())
 	conn.Close()
 	fake.runPosted()
 	fake.link.Call("cd", time.Hour, nil)
@@ -105,7 +98,7 @@
 
 // After the store has moved, new calls go to its new address, and one in flight ends on its connection, if that is soon.
 func TestAddressChange(t *testing.T) {
-	old, next := listen(t), listen(t)
+	old, next := loopback.Listen(t), loopback.Listen(t)
 	fake := newFakeLoop(t, old.Addr().String())
 	fake.link.Call("ab", time.Hour, nil)
 	firstConn, _ := fake.acceptCall(old, "CALL ab 3600000 0", "")
@@ -126,8 +119,8 @@
 
 // A failed dial to the old address proves nothing about the calls that wait.
 func TestAddressChangeDuringDial(t *testing.T) {
-	old, next := listen(t), listen(t)
-	old.Close()
+	old, next := loopback.Listen(t), loopback.Listen(t)
+	require.NoError(t, old.Close())
 	fake := newFakeLoop(t, old.Addr().String())
 	fake.link.Call("ab", time.Hour, nil)
 	fake.link.SetAddress(next.Addr().String())
@@ -142,7 +135,7 @@
 // A call is given up at its deadline, and its connection with it: the reply may never come, or be taken for that of a
 // later call.
 func TestCallExpiry(t *testing.T) {
-	ln := listen(t)
+	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", 100*time.Millisecond, []byte("x"))
 	fake.now = 40 * time.Millisecond // the dial counts
@@ -161,7 +154,7 @@
 
 // A reply that cannot be read costs the call that it was for, and no other in flight.
 func TestOneCallPerConnection(t *testing.T) {
-	ln := listen(t)
+	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", time.Hour, nil)
 	firstConn, _ := fake.acceptCall(ln, "CALL ab 3600000 0", "")
@@ -185,7 +178,7 @@
 // An unsolicited reply ends no call, and no further call is made on its connection. A second copy might be taken for the
 // reply to its request's next call, so that is made on another connection.
 func TestUnsolicitedReplies(t *testing.T) {
-	ln := listen(t)
+	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", time.Hour, nil)
 	first, firstReader := fake.acceptCall(ln, "CALL ab 3600000 0", "")
@@ -207,7 +200,7 @@
 // A store that closes a connection after its reply, or sends more on it, shows that soon: the connection that has been idle
 // longest is used first, and the one that just brought a reply last.
 func TestLongestIdleConnectionFirst(t *testing.T) {
-	ln := listen(t)
+	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", time.Hour, nil)
 	firstConn, firstReader := fake.acceptCall(ln, "CALL ab 3600000 0", "")
@@ -223,7 +216,7 @@
 
 // Calls past the number of connections wait for an idle one, in order.
 func TestConnectionLimit(t *testing.T) {
-	ln := listen(t)
+	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	var reader *bufio.Reader
 	var conn net.Conn
--- a/internal/store/partition_test.go
+++ b/internal/store/partition_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"falldeal/lab/fakes"
+	"falldeal/lab/loopback"
 
 	"github.com/stretchr/testify/require"
 )
@@ -51,7 +52,7 @@
 	}
 	fake.link.Call("more", time.Hour, nil) // has to wait for one of them
 	require.Len(t, fake.link.dialer.wanted, fake.link.maxConnections)
-	next := listen(t)
+	next := loopback.Listen(t)
 	fake.link.SetAddress(next.Addr().String())
 	for fake.link.dialer.inFlight > 0 { // those that hung end, and new ones are made
 		fake.runPosted()
--- a/internal/store/races_test.go
+++ b/internal/store/races_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -19,7 +21,7 @@
 
 // idleConnection opens a connection to the store that is idle, as its call was answered.
 func (l *fakeLoop) idleConnection() (remote *idleRemote) {
-	listener := listen(l.T)
+	listener := loopback.Listen(l.T)
 	l.link.SetAddress(listener.Addr().String())
 	l.link.Call("ab", time.Hour, nil)
 	conn, reader := l.acceptCall(listener, "CALL ab 3600000 0", "")
