--- a/admission/controller.go
+++ b/admission/controller.go
@@ -15,8 +15,10 @@
 	c.advanceTime(now)
 	if !c.initialized {
 		c.initialized = true
-		c.emit(Action{Kind: ActionHealth, Healthy: true, Cached: true})
-		c.advertiseCredit()
+		c.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
+		if credit, ok := c.advertiser.atStart(); ok {
+			c.emit(Action{Kind: ActionAdvertise, Value: credit})
+		}
 	}
 	c.catchUpSweeps()
 	for i := range events {
@@ -36,9 +38,9 @@
 // sweep is the periodic part of the decisions.
 func (c *Controller) sweep() {
 	c.expireQueued() // even if no core is free
-	c.weighTenants()
-	c.adjustAdmitProbability()
-	c.adjustRunLimit()
+	c.quotas.weigh(c.now)
+	c.admissionRate.adjust(c.anyClassLate() && underCPUPressure(c.gauges, c.settings.Cores))
+	c.runs.adjust(c.gauges.CPUDemand, c.queuedCount > 0)
 	c.adjustCallLimit()
 	c.adjustIdleTimeout()
 	c.adjustHealth()
@@ -48,21 +50,21 @@
 // isIdle reports whether nothing is in flight and nothing recovers, so that a sweep would change nothing.
 // Skipped sweeps are made up for when something happens, or after maxSkippedSweeps.
 func (c *Controller) isIdle() bool {
-	callsRecovered := c.callLimitRatio >= maxCallLimitRatio || !c.callTime.set
-	recovered := callsRecovered && c.admitProbability == 1 && !c.unhealthy
-	return recovered && len(c.requests) == 0 && !c.draining && c.abandonedCalls == 0 &&
+	callsRecovered := c.callLimitRatio >= maxCallLimitRatio || !c.callTime.Known()
+	recovered := callsRecovered && c.admissionRate.recovered() && !c.health.unhealthy
+	return recovered && len(c.requests) == 0 && !c.drain.started && c.abandonedCalls == 0 &&
 		c.gauges.CPUDemand >= 0 && c.gauges.CPUDemand < 1
 }
 
 // expireDeadlines acts on all deadlines that have passed.
 func (c *Controller) expireDeadlines() {
-	for !c.deadlines.empty() {
-		next, _ := c.deadlines.head()
+	for c.deadlines.Len() > 0 {
+		next, at, _ := c.deadlines.Peek()
 		obsolete := c.obsolete(next)
-		if !obsolete && c.deadlines.headAt() > c.now {
+		if !obsolete && at > c.now {
 			return
 		}
-		c.deadlines.pop()
+		c.deadlines.Pop()
 		if obsolete {
 			continue
 		}
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -57,11 +57,11 @@
 		enter func(*Controller)
 		clear func(*Controller)
 	}{
-		{"calls dropped", func(c *Controller) { c.protectedCalls = -1 }, func(c *Controller) { c.protectedCalls = BreakerProtectedCalls }},
+		{"calls dropped", func(c *Controller) { c.breaker.protectedCalls = -1 }, func(c *Controller) { c.breaker.protectedCalls = BreakerProtectedCalls }},
 		{"calls bounded", func(c *Controller) { c.callLimitRatio = minCallLimitRatio }, func(c *Controller) { c.callLimitRatio = maxCallLimitRatio }},
-		{"share lowered", func(c *Controller) { c.admitProbability = admitDecrease }, func(c *Controller) { c.admitProbability = 1 }},
-		{"memory full", func(c *Controller) { c.memoryKB = c.memoryLimit() + 1 }, func(c *Controller) { c.memoryKB = 0 }},
-		{"unwell", func(c *Controller) { c.unhealthy = true }, func(c *Controller) { c.unhealthy = false }},
+		{"share lowered", func(c *Controller) { c.admissionRate.probability = admitDecrease }, func(c *Controller) { c.admissionRate.probability = 1 }},
+		{"memory full", func(c *Controller) { c.memory.usedKB = c.memory.limitKB() + 1 }, func(c *Controller) { c.memory.usedKB = 0 }},
+		{"unwell", func(c *Controller) { c.health.unhealthy = true }, func(c *Controller) { c.health.unhealthy = false }},
 	} {
 		controller := start(t, testSettings())
 		fmt.Fprintf(&got, "%s\n", test.name)
@@ -75,7 +75,7 @@
 	}
 	for _, replaced := range []bool{false, true} {
 		fmt.Fprintf(&got, "notice, replaced %t\n", replaced)
-		logged(&got, start(t, testSettings()).Step(ms, []Event{{Kind: EventDrain, StopAt: 3000 * ms, Replaced: replaced}}, nil))
+		logged(&got, start(t, testSettings()).Step(ms, []Event{DrainStarted(DrainSignal{StopAt: 3000 * ms, Replaced: replaced})}, nil))
 	}
 	golden.RequireText(t, "reports", got.String())
 }
@@ -83,7 +83,7 @@
 func logged(got *strings.Builder, actions []Action) {
 	for _, a := range actions {
 		if a.Kind == ActionLog {
-			fmt.Fprintf(got, "\t%s\n", a.Text)
+			fmt.Fprintf(got, "\t%s\n", a.Condition.String())
 		}
 	}
 }
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -14,8 +14,8 @@
 	return false
 }
 
-// catchUpSweeps makes the sweeps that were skipped while idle, before anything new is looked at: each finds what
-// it would have found at its time.
+// catchUpSweeps makes the sweeps that were skipped while idle, before anything new is looked at: each finds
+// what it would have found at its time.
 func (c *Controller) catchUpSweeps() {
 	c.sweepAt = max(c.sweepAt, c.now-maxSkippedSweeps*sweepInterval) // the machine may have been suspended
 	for ; c.idle && c.sweepAt < c.now; c.sweepAt += sweepInterval {
@@ -30,8 +30,8 @@
 	if c.idle = c.isIdle(); c.idle {
 		next += (maxSkippedSweeps - 1) * sweepInterval
 	}
-	if !c.deadlines.empty() {
-		next = min(next, c.deadlines.headAt())
+	if _, at, ok := c.deadlines.Peek(); ok {
+		next = min(next, at)
 	}
 	if c.timerAt <= c.now || next < c.timerAt {
 		c.timerAt = max(next, c.now+1)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -38,7 +38,7 @@
 )
 
 // Settings reads the settings object that a controller starts from, as both the simulator and the configuration carry
-// it. Unknown keys are ignored. A value that is wrong is a *KeyError.
+// it. Unknown keys are ignored. A value that is wrong is a *configcheck.KeyError.
 func Settings(text []byte) (admission.Settings, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -53,8 +53,10 @@
 }
 
 func readSettings(root object) admission.Settings {
-	family, invariants := root.object("FamilyInfo"), root.object("Invariants")
-	limits, mix := root.object("Limits"), root.object("ResultMix")
+	family := root.object("FamilyInfo")
+	invariants := root.object("Invariants")
+	limits := root.object("Limits")
+	mix := root.object("ResultMix")
 	settings := admission.Settings{
 		Cores:                 int(family.integer("Cpus")),
 		FleetSize:             int(root.integer("FleetSize")),
@@ -78,21 +80,13 @@
 		CacheTTL:              family.microseconds("FreshForUs"),
 		MaxRetryAfter:         limits.microseconds("MaxRetryAfterUs"),
 		SendsRetryAfter:       limits.boolean("RetryAfter"),
-		SendsCancellations:    family.boolean("TellsGone"),
-		SendsDeadlines:        family.boolean("PassesDeadline"),
 		MarksRetries:          root.object("ClientHabits").boolean("MarksRetry"),
-		RegistryFollowsHealth: family.boolean("ListFollows"),
 		IdleTimeout:           family.microseconds("IdleUs"),
 		Tick:                  root.microseconds("TickUs"),
 		ExcessValueRatio:      root.number("OverShareWorth"),
 		WeightPerWork:         root.text("ValueBy") == "work",
-		Weights: admission.Weights{
-			WholeRun:    mix.number("Whole"),
-			WorstWindow: mix.number("WorstWindow"),
-			WorstClass:  mix.number("WorstClass"),
-			WorstTenant: mix.number("WorstTenant"),
-		},
 	}
+	checkUnused(family, mix)
 	var ok bool
 	if settings.Classes, ok = readClasses(root, settings.Dependency); ok {
 		settings.Tenants = readTenants(root)
@@ -100,12 +94,23 @@
 	return settings
 }
 
+// checkUnused reads what decides nothing, but must be valid all the same.
+func checkUnused(family, mix object) {
+	for _, name := range []string{"TellsGone", "PassesDeadline", "ListFollows"} {
+		family.boolean(name)
+	}
+	for _, name := range []string{"Whole", "WorstWindow", "WorstClass", "WorstTenant"} {
+		mix.number(name)
+	}
+}
+
 // readClasses reads the list of classes. Two lists beside it have a value for each class, or none at all. ok is false
 // where the lists don't match.
 func readClasses(root object, dependency admission.Dependency) (classes []admission.Class, ok bool) {
 	family := root.object("FamilyInfo")
 	list := root.objects("Lanes")
-	calls, degradedRatios := family.booleans("CallsByClass"), family.numbers("ClassSkipWorth")
+	calls := family.booleans("CallsByClass")
+	degradedRatios := family.numbers("ClassSkipWorth")
 	if len(list) == 0 {
 		root.failf("Lanes", "no classes")
 		return nil, false
@@ -124,7 +129,8 @@
 	}
 	for i, item := range list {
 		class := readClass(item)
-		class.CallsDependency = dependency != admission.DependencyNone && (len(calls) == 0 || calls[i])
+		callsByDefault := len(calls) == 0
+		class.CallsDependency = dependency != admission.DependencyNone && (callsByDefault || calls[i])
 		if len(degradedRatios) > 0 {
 			class.DegradedValueRatio = degradedRatios[i]
 		}
@@ -146,10 +152,8 @@
 
 func readTenants(root object) (tenants []admission.Tenant) {
 	for _, item := range root.objects("Tenants") {
-		tenants = append(tenants, admission.Tenant{
-			ServiceRatio:   item.number("Portion"),
-			QuotaPerSecond: item.number("QuotaPerS"),
-		})
+		item.number("Portion") // decides nothing, but must be valid
+		tenants = append(tenants, admission.Tenant{QuotaPerSecond: item.number("QuotaPerS")})
 	}
 	return tenants
 }
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -88,12 +88,12 @@
 	causes, reached := r.addressesToDial(now, snapshot)
 	r.dropSchedules(causes)
 	r.addSchedules(now, causes, reached)
-	due := r.dueAddresses(now)
+	overdue := r.overdueAddresses(now)
 	maxDelay := maxDialDelayOf(len(snapshot.Members))
-	for _, addr := range due {
+	for _, addr := range overdue {
 		r.postpone(r.schedules[addr], now, maxDelay)
 	}
-	return due
+	return overdue
 }
 
 // maxDialDelayOf returns the maximum delay between two dials of an address in a fleet of that size. It grows with the
@@ -115,17 +115,15 @@
 	fresh := MaxFreshAge(len(snapshot.Members))
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
-		switch {
-		case member.Self:
+		if member.Self || member.reached() {
 			r.seeds.markReached(member.Addr)
-		case member.reached():
-			r.seeds.markReached(member.Addr)
-			reached++
-		case member.Addr == "":
-		case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= fresh:
-			causes[member.Addr] = dialUnconfirmed
-		case member.lost():
-			causes[member.Addr] = dialLost
+			if !member.Self {
+				reached++
+			}
+			continue
+		}
+		if cause, needed := dialCauseOf(member, now, fresh); needed {
+			causes[member.Addr] = cause
 		}
 	}
 	for addr, seedReached := range r.seeds {
@@ -136,6 +134,19 @@
 	return causes, reached
 }
 
+// dialCauseOf returns why a member that is not reached is dialed, if it is to be.
+func dialCauseOf(member *Member, now, fresh time.Duration) (cause dialCause, needed bool) {
+	switch {
+	case member.Addr == "":
+		return 0, false
+	case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= fresh:
+		return dialUnconfirmed, true
+	case member.lost():
+		return dialLost, true
+	}
+	return 0, false
+}
+
 // dropSchedules forgets the delays of addresses that no longer need a dial.
 func (r *Rejoin) dropSchedules(causes map[string]dialCause) {
 	for addr := range r.schedules {
@@ -154,17 +165,17 @@
 	}
 }
 
-// dueAddresses returns the addresses whose dial is due, the longest overdue first.
-func (r *Rejoin) dueAddresses(now time.Duration) (due []string) {
+// overdueAddresses returns the addresses whose time to be dialed has come, the longest overdue first.
+func (r *Rejoin) overdueAddresses(now time.Duration) (overdue []string) {
 	for addr, schedule := range r.schedules {
 		if now >= schedule.nextAt {
-			due = append(due, addr)
+			overdue = append(overdue, addr)
 		}
 	}
-	slices.SortFunc(due, func(a, b string) int {
+	slices.SortFunc(overdue, func(a, b string) int {
 		return cmp.Or(cmp.Compare(r.schedules[a].nextAt, r.schedules[b].nextAt), cmp.Compare(a, b))
 	})
-	return due[:min(len(due), maxDialsPerRound)]
+	return overdue[:min(len(overdue), maxDialsPerRound)]
 }
 
 // firstDelay is the delay before the first dial of an address. All members notice a loss at one instant, so that the
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"falldeal/internal/fleet"
+	"falldeal/lab/golden"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -41,7 +42,7 @@
 	page := newGoldenPublishedFleet(t).Page()
 	require.Equal(t, "GET /fleet", page.Pattern)
 	require.Equal(t, "application/json", page.Type)
-	requireGolden(t, "testdata/page.json", string(page.Do()))
+	golden.RequireFile(t, "page.json", string(page.Body()))
 }
 
 // Operators collect the metrics by these names.
@@ -50,7 +51,7 @@
 	got := string(member.AppendMetrics([]byte("before:1|g\n")))
 	member.snapshot.Store(snapshotOf(goldenRecords()[:1], fleet.Alive))
 	got += "---\n" + string(member.AppendMetrics(nil))
-	requireGolden(t, "testdata/figures.txt", got)
+	golden.RequireFile(t, "figures.txt", got)
 }
 
 // Values that depend on the time of a test.
@@ -62,17 +63,17 @@
 // The metrics of a member that is alone, in their order.
 func TestGoldenMetricsOfAloneMember(t *testing.T) {
 	metrics := string(newAloneFleet(t).AppendMetrics(nil))
-	requireGolden(t, "testdata/figures.golden", changingMetric.ReplaceAllString(metrics, "$1:(time)"))
+	golden.RequireFile(t, "figures.golden", changingMetric.ReplaceAllString(metrics, "$1:(time)"))
 }
 
 // The page of a member that is alone: its pattern, its type and its body.
 func TestGoldenPageOfAloneMember(t *testing.T) {
 	page := newAloneFleet(t).Page()
-	body := page.Do()
+	body := page.Body()
 	require.True(t, json.Valid(body))
 	fixed := changingKey.ReplaceAll(body, []byte(`"$1":(time)`))
 	got := fmt.Sprintf("%s\n%s\n%s", page.Pattern, page.Type, fixed)
-	requireGolden(t, "testdata/page.golden", got)
+	golden.RequireFile(t, "page.golden", got)
 	require.Equal(t, 1, strings.Count(got, `"counters"`))
 }
 
@@ -89,16 +90,16 @@
 		State: fleet.Serving,
 	}
 	merge := func(at time.Duration, record fleet.Record) {
-		member.view.Merge(at, at, record)
-		member.publishSnapshot(at)
+		member.owner.view.Merge(at, at, record)
+		member.owner.publishSnapshot(at)
 	}
 	merge(time.Second, other)
-	member.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
-	member.publishSnapshot(2 * time.Second)
+	member.owner.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
+	member.owner.publishSnapshot(2 * time.Second)
 	other.Seq, other.State, other.Version, other.Config = 2, fleet.Draining, "1.2.4", 0xdef
 	merge(3*time.Second, other)
 	other.Run, other.Seq = 6, 1
 	merge(4*time.Second, other)
-	member.publishSnapshot(5 * time.Minute)
-	requireGolden(t, "testdata/changes.golden", lines.String())
+	member.owner.publishSnapshot(5 * time.Minute)
+	golden.RequireFile(t, "changes.golden", lines.String())
 }
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -21,8 +21,8 @@
 	publishedAt time.Duration
 }
 
-// due reports whether the next snapshot is to be published. A change in load alone waits for longer in a larger view.
-func (u *unpublishedChanges) due(now time.Duration, members int) bool {
+// shouldPublish reports whether the next snapshot is to be published. A change in load alone waits for longer in a larger view.
+func (u *unpublishedChanges) shouldPublish(now time.Duration, members int) bool {
 	if u.changed {
 		return true
 	}
@@ -34,27 +34,41 @@
 }
 
 // publishSnapshot publishes the view, and logs the changes since the last snapshot.
-func (f *Fleet) publishSnapshot(now time.Duration) {
-	next, previous := f.view.Snapshot(now), f.Snapshot()
-	f.unpublished = unpublishedChanges{publishedAt: now}
-	f.logChanges(next.Changes(previous), next.Position)
-	f.snapshot.Store(next)
+func (o *viewOwner) publishSnapshot(now time.Duration) {
+	next, previous := o.view.Snapshot(now), o.Snapshot()
+	o.unpublished = unpublishedChanges{publishedAt: now}
+	o.logChanges(next.Changes(previous), next.Position)
+	o.snapshot.Store(next)
 }
 
-func (f *Fleet) logChanges(changes []fleet.Change, position fleet.Position) {
+func (o *viewOwner) logChanges(changes []fleet.Change, position fleet.Position) {
 	for i, change := range changes {
 		if i == maxChangeLines {
-			f.log.WithField("more", len(changes)-i).Info("fleet: further changes at the same time")
+			o.log.WithField("count", len(changes)-i).Info("further changes in fleet not logged")
 			return
 		}
-		entry := f.log.WithFields(logrus.Fields{
-			"what": string(change.Kind), "member": change.Member, "from": change.From, "to": change.To,
-			"age_ms": change.Age.Milliseconds(), "position": position.String(),
-		})
-		if change.Kind == fleet.PositionChanged {
-			entry.Warn("fleet")
-		} else {
-			entry.Info("fleet")
-		}
+		o.log.WithFields(changeFields(&change, position)).Log(changeLevel(&change), string(change.Kind))
+	}
+}
+
+// changeFields returns the fields of the log line of a change.
+func changeFields(change *fleet.Change, position fleet.Position) logrus.Fields {
+	fields := logrus.Fields{"from": change.From, "to": change.To, "position": position.String()}
+	switch change.Kind {
+	case fleet.PositionChanged:
+	case fleet.ZoneChanged:
+		fields["zone"] = change.Member
+	default:
+		fields["member"] = change.Member
+		fields["age_ms"] = change.Age.Milliseconds()
+	}
+	return fields
+}
+
+// changeLevel is a warning where this member is no longer connected to the whole fleet.
+func changeLevel(change *fleet.Change) logrus.Level {
+	if change.Kind == fleet.PositionChanged && change.To != fleet.FullyConnected.String() {
+		return logrus.WarnLevel
 	}
+	return logrus.InfoLevel
 }
