--- a/cmd/falldeal-lab/report.go
+++ b/cmd/falldeal-lab/report.go
@@ -5,6 +5,7 @@
 	"io"
 	"time"
 
+	"falldeal/internal/fleet"
 	"falldeal/lab/fleetlab"
 	"falldeal/lab/history"
 )
@@ -114,7 +115,7 @@
 func printViewChanges(out io.Writer, events []history.Event) {
 	for _, series := range viewChanges(events) {
 		fmt.Fprintf(out, "%7.1fs  member %s reported %s by %s, the last at %.1fs\n",
-			series.first.Seconds(), series.member, series.condition.Description(), countMembers(series.observers),
+			series.first.Seconds(), series.member, fleet.ConditionName(string(series.condition)), countMembers(series.observers),
 			series.last.Seconds())
 	}
 }
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -87,22 +87,6 @@
 	ConditionLeft        Condition = "left"
 )
 
-// Description is the condition in the terms of printed reports.
-func (c Condition) Description() string {
-	switch c {
-	case ConditionSuspect:
-		return "suspected"
-	case ConditionStalled:
-		return "stalled"
-	case ConditionUnreachable:
-		return "unreachable"
-	case ConditionFailed:
-		return "failed"
-	default:
-		return string(c)
-	}
-}
-
 // Event is one thing that happened. Which fields it has depends on its kind. All times are on the laboratory's clock.
 type Event struct {
 	At             time.Duration `json:"at"`
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -43,7 +43,7 @@
 
 // comparisonHeader names the columns of Compare.
 const comparisonHeader = "strategy\tvalue served\tgain: min\tmedian\tmax\tratio to optimum\tattempts per request\tlate\t" +
-	"recovery time: median\tmax\tnever\tunresponsive stores: calls/s\tmax in flight\t"
+	"recovery time: median\tmax\tnever\tstore calls/s during fault\tmax in flight\t"
 
 // Compare simulates a fleet with each strategy and so many seeds, counted up from that of opts, on all cores. It prints a
 // line for each strategy: means over the seeds, and the least, median and most of the value that is gained over the first
