--- a/cmd/falldeal-lab/options.go
+++ b/cmd/falldeal-lab/options.go
@@ -23,7 +23,13 @@
 )
 
 // honorRatios are the parts of the front ends that honor Retry-After, by the values of --heed.
-var honorRatios = map[string]float64{"none": 0, "half": 0.5, "all": 1}
+var honorRatios = map[string]float64{honorNone: 0, honorHalf: 0.5, honorAll: 1}
+
+const (
+	honorNone = "none"
+	honorHalf = "half" // in a fleet: those that route by key
+	honorAll  = "all"
+)
 
 // options is the command line. Each command uses the fields that it needs.
 type options struct {
@@ -42,8 +48,8 @@
 	controlAddr string // of the fleet that a fault is sent to
 
 	maxAttempts          int
-	routeByKey           bool // all front ends do
-	heed                 string
+	routeByKey           bool    // all front ends do
+	honorRetryAfter      string  // a key of honorRatios
 	honorRetryAfterRatio float64 // set by finish
 }
 
@@ -89,7 +95,7 @@
 	flags.Float64Var(&o.loadRatio, "load", 0.6, "fleet, model: offered load as a fraction of capacity")
 	flags.IntVar(&o.workload.FrontEnds, "front-ends", 6, "fleet: number of front ends")
 	flags.IntVar(&o.maxAttempts, "tries", 3, "fleet: maximum attempts per request; 0 = unlimited")
-	flags.StringVar(&o.heed, "heed", "half",
+	flags.StringVar(&o.honorRetryAfter, "heed", honorHalf,
 		"fleet, model: front ends that honor Retry-After: none, half (fleet: those that route by key), all")
 	flags.BoolVar(&o.routeByKey, "by-key", false, "fleet: all front ends route by key")
 	flags.DurationVar(&o.listLag, "lag", time.Second, "fleet: delay of the front ends' server lists")
@@ -122,15 +128,15 @@
 
 // finish sets what goes by several flags or is a number behind a name.
 func (o *options) finish() error {
-	ratio, known := honorRatios[o.heed]
+	ratio, known := honorRatios[o.honorRetryAfter]
 	if !known {
-		return fmt.Errorf("flag --heed: %q is not one of none, half, all", o.heed)
+		return fmt.Errorf("flag --heed: %q is not one of none, half, all", o.honorRetryAfter)
 	}
 	o.honorRetryAfterRatio = ratio
-	byKey := clients.Policy{RouteByKey: true, MaxAttempts: o.maxAttempts, HonorRetryAfter: o.heed != "none"}
+	byKey := clients.Policy{RouteByKey: true, MaxAttempts: o.maxAttempts, HonorRetryAfter: o.honorRetryAfter != honorNone}
 	o.workload.Policies = []clients.Policy{byKey}
 	if !o.routeByKey {
-		anyServer := clients.Policy{MaxAttempts: o.maxAttempts, HonorRetryAfter: o.heed == "all"}
+		anyServer := clients.Policy{MaxAttempts: o.maxAttempts, HonorRetryAfter: o.honorRetryAfter == honorAll}
 		o.workload.Policies = []clients.Policy{anyServer, byKey}
 	}
 	return nil
