--- a/cmd/falldeal/check.go
+++ b/cmd/falldeal/check.go
@@ -11,7 +11,7 @@
 func check(opts *options, out io.Writer) error {
 	conf, err := config.Load(opts.configPath)
 	if err != nil {
-		return err
+		return err //nolint:wrapcheck // it names the file and the key
 	}
 	fmt.Fprintf(out, "configuration of %s is valid: %d classes, listening on %s\n",
 		conf.Name, len(conf.Classes), conf.Listen)
--- a/cmd/falldeal/config_test.go
+++ b/cmd/falldeal/config_test.go
@@ -23,10 +23,12 @@
 // listenAsAgent opens a socket for a server to connect to, closed when the test is over.
 func listenAsAgent(t *testing.T) *net.TCPListener {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	return listener.(*net.TCPListener)
+	tcpListener, ok := listener.(*net.TCPListener)
+	require.True(t, ok)
+	return tcpListener
 }
 
 // acceptServer waits for a server's connection, which is closed when the test is over.
--- a/cmd/falldeal/deploy_test.go
+++ b/cmd/falldeal/deploy_test.go
@@ -27,7 +27,7 @@
 // program.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "bin")
-	build := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployCommand(t, "build"), "bin", bin))
+	build := exec.CommandContext(t.Context(), "/bin/sh", "-c", strings.ReplaceAll(deployCommand(t, "build"), "bin", bin))
 	build.Dir = "../.."
 	out, err := build.CombinedOutput()
 	require.NoError(t, err, "%s", out)
--- a/cmd/falldeal/exec.go
+++ b/cmd/falldeal/exec.go
@@ -18,8 +18,10 @@
 func execProgram(program string, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
-		return err
+		return fmt.Errorf("path of this program: %w", err)
 	}
 	path := filepath.Join(filepath.Dir(self), program)
-	return fmt.Errorf("%s: %w", path, syscall.Exec(path, append([]string{path}, args...), os.Environ()))
+	args = append([]string{path}, args...)
+	err = syscall.Exec(path, args, os.Environ()) //nolint:gosec // a program of this folder, with the user's arguments
+	return fmt.Errorf("%s: %w", path, err)
 }
--- a/cmd/falldeal/main.go
+++ b/cmd/falldeal/main.go
@@ -48,39 +48,59 @@
 	return flags
 }
 
+// Commands.
+const (
+	commandServe   = "serve"
+	commandCheck   = "check"
+	commandVersion = "version"
+	commandFleet   = "fleet"
+	commandLab     = "lab"
+)
+
 // run carries out a command line. It does not return if another program carries it out, which replaces this process.
 func run(args []string, out io.Writer) error {
-	if len(args) > 0 && args[0] == "fleet" {
-		return execProgram(fleetProgram, args)
-	}
-	if len(args) > 0 && args[0] == "lab" {
-		return execProgram(labProgram, args[1:])
+	if len(args) > 0 {
+		switch args[0] {
+		case commandFleet:
+			return execProgram(fleetProgram, args)
+		case commandLab:
+			return execProgram(labProgram, args[1:])
+		}
 	}
 	var opts options
 	flags := opts.flagSet(out)
-	if err := flags.Parse(args); err != nil {
-		if errors.Is(err, pflag.ErrHelp) {
-			return nil
-		}
-		return err
+	err := flags.Parse(args)
+	if errors.Is(err, pflag.ErrHelp) {
+		return nil
+	}
+	if err != nil {
+		return err //nolint:wrapcheck // it names the flag
 	}
 	if flags.NArg() != 1 {
 		flags.Usage()
 		return fmt.Errorf("want one command, got %d", flags.NArg())
 	}
-	command := flags.Arg(0)
-	readsConfiguration := command == "serve" || command == "check"
-	if opts.operatorsPath != "" && readsConfiguration {
+	if opts.needsFleetProgram(flags.Arg(0)) {
 		return execProgram(fleetProgram, args)
 	}
-	switch command {
-	case "version":
+	return opts.runCommand(flags, out)
+}
+
+// needsFleetProgram reports whether a command is carried out by the program that has the membership of a fleet.
+func (o *options) needsFleetProgram(command string) bool {
+	return o.operatorsPath != "" && (command == commandServe || command == commandCheck)
+}
+
+// runCommand carries out the command among the arguments of flags.
+func (o *options) runCommand(flags *pflag.FlagSet, out io.Writer) error {
+	switch command := flags.Arg(0); command {
+	case commandVersion:
 		printVersion(out)
 		return nil
-	case "check":
-		return check(&opts, out)
-	case "serve":
-		return serve(&opts)
+	case commandCheck:
+		return check(o, out)
+	case commandServe:
+		return serve(o)
 	default:
 		flags.Usage()
 		return fmt.Errorf("unknown command %q", command)
--- a/cmd/falldeal/serve.go
+++ b/cmd/falldeal/serve.go
@@ -21,9 +21,10 @@
 		return nil
 	}
 	if err != nil {
-		return err
+		return err //nolint:wrapcheck // it names the file and the key
 	}
 	log := logrus.New()
 	log.SetLevel(level)
+	//nolint:wrapcheck // it says what of the server failed
 	return process.Serve(signals, conf, opts.configPath, log, process.Extension{})
 }
--- a/cmd/falldeal/start_test.go
+++ b/cmd/falldeal/start_test.go
@@ -32,7 +32,7 @@
 	for i := range starting.agents {
 		starting.agents[i] = listenAsAgent(t)
 	}
-	starting.cmd = exec.Command(os.Args[0], "serve", "--config", starting.configPath)
+	starting.cmd = exec.CommandContext(t.Context(), os.Args[0], "serve", "--config", starting.configPath)
 	starting.cmd.Env = append(os.Environ(), commandtest.ProgramVariable+"=1", "GW_LISTEN=", "GW_NAME=", "GW_CONSOLE=")
 	t.Cleanup(func() {
 		if starting.cmd.Process != nil && starting.cmd.ProcessState == nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,7 +64,7 @@
 			return nil, configcheck.Errorf(envPath, "not set, and no --config given")
 		}
 	}
-	text, err := os.ReadFile(path)
+	text, err := os.ReadFile(path) //nolint:gosec // the operator names the file
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -80,7 +80,7 @@
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return nil, err
+		return nil, err //nolint:wrapcheck // Load adds the path, and the text says that it is of JSON
 	}
 	if value.Type() != fastjson.TypeObject {
 		return nil, fmt.Errorf("want an object, got %v", value.Type())
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -17,7 +17,7 @@
 	if path == "" {
 		path = os.Getenv(envPath)
 	}
-	text, err := os.ReadFile(path)
+	text, err := os.ReadFile(path) //nolint:gosec // the operator names the file
 	if err != nil {
 		return 0, fmt.Errorf("configuration: %w", err)
 	}
@@ -33,6 +33,6 @@
 		family.Del("Cold")
 	}
 	hash := fnv.New64a()
-	hash.Write(settings.MarshalTo(nil)) // never returns an error
+	_, _ = hash.Write(settings.MarshalTo(nil)) // never returns an error
 	return hash.Sum64(), nil
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -25,7 +25,9 @@
 	var root map[string]any
 	require.NoError(t, json.Unmarshal([]byte(readSample(t)), &root))
 	root["console"] = "127.0.0.1:15000"
-	root["settings"].(map[string]any)["Tenants"] = []any{map[string]any{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}}
+	settings, ok := root["settings"].(map[string]any)
+	require.True(t, ok)
+	settings["Tenants"] = []any{map[string]any{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}}
 	return root
 }
 
@@ -65,7 +67,9 @@
 	}
 	i, err := strconv.Atoi(step)
 	require.NoError(t, err)
-	return parent.([]any)[i]
+	list, ok := parent.([]any)
+	require.True(t, ok, "%T", parent)
+	return list[i]
 }
 
 // leaves returns the path of every value in one, objects and lists among them, in the order of their names.
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log"
 	"net"
 	"net/http"
@@ -75,10 +76,11 @@
 		_ = server.Close() // only of its listener and connections, which nothing is left to be done about
 	})
 	defer stopClosing()
-	if err := server.Serve(netutil.LimitListener(listener, maxConnections)); ctx.Err() == nil {
-		return err
+	err := server.Serve(netutil.LimitListener(listener, maxConnections))
+	if ctx.Err() != nil {
+		return nil
 	}
-	return nil
+	return fmt.Errorf("serve the console: %w", err)
 }
 
 // errorLogWriter passes on what the HTTP server logs about its clients.
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -53,7 +53,7 @@
 // startConsole serves a console until the test is over.
 func startConsole(t *testing.T, instance Instance, limits timeouts, pages ...Page) (addr string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
@@ -69,7 +69,7 @@
 // dial opens a connection that is closed when the test is over.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", addr)
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
--- a/internal/console/handler.go
+++ b/internal/console/handler.go
@@ -28,20 +28,24 @@
 	if err == nil && !ready {
 		return reply{http.StatusServiceUnavailable, []byte("not ready\n")}, nil
 	}
-	return reply{http.StatusOK, []byte("ready\n")}, err
+	return reply{http.StatusOK, []byte("ready\n")}, err //nolint:wrapcheck // it is the response
 }
 
 func metrics(ctx context.Context, instance Instance) (reply, error) {
 	lines, err := instance.AppendMetrics(ctx, nil)
-	return reply{http.StatusOK, lines}, err
+	return reply{http.StatusOK, lines}, err //nolint:wrapcheck // it is the response
 }
 
 func deregister(ctx context.Context, instance Instance) (reply, error) {
-	return reply{http.StatusOK, []byte("deregistered, health checks fail from now on\n")}, instance.Deregister(ctx)
+	err := instance.Deregister(ctx)
+	//nolint:wrapcheck // it is the response
+	return reply{http.StatusOK, []byte("deregistered, health checks fail from now on\n")}, err
 }
 
 func reregister(ctx context.Context, instance Instance) (reply, error) {
-	return reply{http.StatusOK, []byte("registered, health checks succeed while the server is healthy\n")}, instance.Reregister(ctx)
+	err := instance.Reregister(ctx)
+	//nolint:wrapcheck // it is the response
+	return reply{http.StatusOK, []byte("registered, health checks succeed while the server is healthy\n")}, err
 }
 
 // newHandler returns the handler of all calls. Built-in ones may take as long as timeout.
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -121,5 +121,8 @@
 	l.at = time.Duration(at)
 	l.ok = object.GetBool("ok")
 	l.body, err = jsonlines.Base64(object, "body")
-	return err
+	if err != nil {
+		return fmt.Errorf("%s: %w", l.command, err)
+	}
+	return nil
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -31,7 +31,7 @@
 // written.
 func Run(ctx context.Context, path string, serving <-chan struct{}, loop Loop, log *logging.Limiter) error {
 	group, ctx := errgroup.WithContext(ctx)
-	predecessor, listener, err := join(path)
+	predecessor, listener, err := join(path) //nolint:contextcheck // its dial must not end with ctx, as it says
 	if err != nil {
 		log.Warn("handover", "predecessor process not reachable, or handover socket not open", err)
 	}
@@ -52,7 +52,7 @@
 		}
 		return nil
 	})
-	return group.Wait()
+	return group.Wait() //nolint:wrapcheck // of functions of this package
 }
 
 // listenOnceServing listens at path once serving is closed. It returns nil where ctx ends before, or listening fails.
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
 
 	"falldeal/internal/jsonlines"
@@ -45,7 +46,7 @@
 	defer context.AfterFunc(ctx, link.Close)()
 	group.Go(func() error {
 		if link.Run() == nil {
-			conn.Close() // all is written, and this process ends
+			_ = conn.Close() // all is written, and this process ends
 		}
 		return nil // a write error is left for the reader to find
 	})
@@ -59,14 +60,15 @@
 	loop.Post(func() { loop.OnEnd(link) })
 }
 
-// readMessages hands messages to the loop until the connection ends. Its error is a *jsonlines.LineError.
+// readMessages hands messages to the loop until the connection ends. Its error wraps a
+// *jsonlines.LineError.
 func readMessages(conn net.Conn, link *Link, loop Loop) error {
 	err := newParser().ReadEach(conn, func(message Message) {
 		loop.Post(func() { loop.OnMessage(link, message) })
 	})
 	var invalid *jsonlines.LineError
 	if errors.As(err, &invalid) {
-		return err
+		return fmt.Errorf("read a message: %w", err)
 	}
 	return nil // the other process has ended
 }
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -105,7 +105,7 @@
 			return nil
 		default:
 		}
-		conn, err := net.Dial("unix", path)
+		conn, err := (&net.Dialer{}).DialContext(context.Background(), "unix", path)
 		if err != nil {
 			return err
 		}
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -40,7 +40,7 @@
 // acquireLock waits until no other process holds the lock, for lockTimeout at most: a process that is stopped must not
 // keep this one from serving. The kernel releases the lock of a process that ends.
 func acquireLock(path string) (unlock func()) {
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600) //nolint:gosec // beside the socket of the configuration
 	if err != nil {
 		return func() {} // listening there fails as well, and reports it
 	}
@@ -62,7 +62,7 @@
 	}
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("listen for a successor: %w", err)
 	}
 	listener.SetUnlinkOnClose(false)
 	if err := os.Rename(own, path); err != nil {
--- a/internal/operators/keyfile.go
+++ b/internal/operators/keyfile.go
@@ -46,7 +46,7 @@
 	}
 	switch {
 	case lines.Err() != nil:
-		return nil, lines.Err()
+		return nil, lines.Err() //nolint:wrapcheck // the caller names the key of the file
 	case len(keys) == 0:
 		return nil, errors.New("no key in it")
 	case len(keys) > maxKeys:
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -43,12 +43,12 @@
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, err
+		return nil, err //nolint:wrapcheck // it names the path
 	}
 	if info.Size() > maxFileBytes {
 		return nil, fmt.Errorf("%s: %d bytes, want at most %d", path, info.Size(), maxFileBytes)
 	}
-	return os.ReadFile(path)
+	return os.ReadFile(path) //nolint:gosec,wrapcheck // the operator names the file; an error names the path
 }
 
 // resolvePath returns a path that a file in dir names.
--- a/internal/process/extension.go
+++ b/internal/process/extension.go
@@ -39,5 +39,5 @@
 	if err == nil && i.appendMore != nil {
 		b = i.appendMore(b)
 	}
-	return b, err
+	return b, err //nolint:wrapcheck // it is the response of the console
 }
--- a/internal/process/harness_test.go
+++ b/internal/process/harness_test.go
@@ -102,10 +102,7 @@
 	log.AddHook(created.entries)
 	created.log = log
 	for i := range created.agents {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		t.Cleanup(func() { listener.Close() })
-		created.agents[i] = listener
+		created.agents[i] = listenLocally(t)
 	}
 	created.writeConfig(0)
 	conf, err := config.Load(created.configPath)
@@ -117,6 +114,15 @@
 	return created
 }
 
+// listenLocally opens a socket on a free port, closed when the test is over.
+func listenLocally(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
 // writeConfig writes the configuration with one of the agents, and changed by replacements (old, new, ...).
 func (f *fixture) writeConfig(agent int, replacements ...string) {
 	f.Helper()
@@ -148,6 +154,14 @@
 	}
 }
 
+// loggedError returns the error of a log line.
+func (f *fixture) loggedError(entry *logrus.Entry) error {
+	f.Helper()
+	err, ok := entry.Data[logrus.ErrorKey].(error)
+	require.True(f, ok, "%v", entry.Data)
+	return err
+}
+
 // requireEnds waits for the end of run, and returns its error.
 func (f *fixture) requireEnds() error {
 	f.Helper()
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -101,9 +101,9 @@
 func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Listener, error) {
 	maxConnections := conf.Limits.MaxFrontConnections()
 	if conf.InheritedFD != 0 {
-		return msgpackrpc.ListenInherited(conf.InheritedFD, maxConnections, log)
+		return msgpackrpc.ListenInherited(conf.InheritedFD, maxConnections, log) //nolint:wrapcheck // it says what it opens
 	}
-	return msgpackrpc.Listen(conf.Listen, maxConnections, log)
+	return msgpackrpc.Listen(conf.Listen, maxConnections, log) //nolint:wrapcheck // it says what it opens
 }
 
 // startConsole opens the console if it has an address, and serves it until ctx ends.
@@ -111,7 +111,7 @@
 	if p.active.Console == "" {
 		return nil
 	}
-	listener, err := net.Listen("tcp", p.active.Console)
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", p.active.Console)
 	if err != nil {
 		return fmt.Errorf("console: %w", err)
 	}
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -35,12 +35,12 @@
 	running.signals.control <- syscall.SIGHUP
 	entry = running.waitForLog(reloadFailedMessage)
 	require.Equal(t, logrus.ErrorLevel, entry.Level)
-	require.ErrorContains(t, entry.Data[logrus.ErrorKey].(error), "settings.FamilyInfo.Cpus")
+	require.ErrorContains(t, running.loggedError(entry), "settings.FamilyInfo.Cpus")
 
 	running.writeConfig(0, `"stop_ms": 3200,`, "")
 	running.signals.control <- syscall.SIGHUP
 	entry = running.waitForLog(reloadFailedMessage)
-	require.ErrorContains(t, entry.Data[logrus.ErrorKey].(error), "stop_ms")
+	require.ErrorContains(t, running.loggedError(entry), "stop_ms")
 
 	running.writeConfig(0)
 	running.signals.control <- syscall.SIGHUP
@@ -114,7 +114,7 @@
 	running.run(&endingFront{make(chan struct{})})
 	entry := running.waitForLog("extension stopped, the server continues")
 	require.Equal(t, logrus.ErrorLevel, entry.Level)
-	require.EqualError(t, entry.Data[logrus.ErrorKey].(error), "address in use")
+	require.EqualError(t, running.loggedError(entry), "address in use")
 	running.signals.control <- syscall.SIGUSR1
 	running.waitForLog(countersMessage)
 	running.terminate()
@@ -143,12 +143,10 @@
 
 // A start without one of its sockets is an error that names the socket.
 func TestAddressInUse(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer taken.Close()
+	taken := listenLocally(t)
 	running := newFixture(t, Extension{}, func(conf *config.Config) { conf.Console = taken.Addr().String() })
 	running.run(&endingFront{make(chan struct{})})
-	err = running.requireEnds()
+	err := running.requireEnds()
 	require.ErrorIs(t, err, syscall.EADDRINUSE)
 	require.ErrorContains(t, err, "console")
 
@@ -161,14 +159,14 @@
 
 // A process that is given a listening socket serves that one, and not the address of its configuration.
 func TestInheritedSocket(t *testing.T) {
-	inherited, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer inherited.Close()
-	file, err := inherited.(*net.TCPListener).File()
+	inherited := listenLocally(t)
+	listener, ok := inherited.(*net.TCPListener)
+	require.True(t, ok)
+	file, err := listener.File()
 	require.NoError(t, err)
-	defer file.Close()
 	descriptor, err := syscall.Dup(int(file.Fd())) // listen closes it
 	require.NoError(t, err)
+	require.NoError(t, file.Close())
 	running := newFixture(t, Extension{}, func(conf *config.Config) { conf.InheritedFD = uintptr(descriptor) })
 	log, _ := test.NewNullLogger()
 	front, err := listen(running.process.active, logging.NewLimiter(log))
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -28,7 +29,8 @@
 func TestConnectionTableAgainstReference(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		table, now := newConnectionTable(0), time.Duration(0)
+		table := newConnectionTable(0)
+		now := time.Duration(0)
 		var all []*connectionState
 		for step := range 2000 {
 			now += time.Duration(rng.IntN(3)) // several may be of one instant
@@ -37,37 +39,53 @@
 				continue
 			}
 			i := rng.IntN(len(all))
-			state, call := all[i], uint32(rng.IntN(3))
-			switch rng.IntN(6) {
-			case 0:
-				table.markReceived(state, now)
-			case 1:
-				table.touch(state, now)
-			case 2:
-				table.openCall(state, call, &activeRequest{})
-			case 3:
-				table.closeCall(state, call)
-			case 4:
-				table.markNotified(state, now)
-			case 5:
-				if rng.IntN(3) == 0 {
-					table.remove(state)
-					all[i] = all[len(all)-1]
-					all = all[:len(all)-1]
-				}
-			}
-			open := 0
-			for _, state := range all {
-				open += len(state.openCalls)
-			}
-			require.Equal(t, open, table.openCalls)
-			require.Equal(t, len(all), table.size())
-			got, want := table.evictionCandidate(), referenceEvictionCandidate(&table)
-			if want == nil {
-				require.Nil(t, got, "seed %d, step %d", seed, step)
-			} else {
-				require.Equal(t, [2]any{want.kind, want.lastUsed}, [2]any{got.kind, got.lastUsed}, "seed %d, step %d", seed, step)
+			if removed := changeRandomly(&table, all[i], now, rng); removed {
+				all[i] = all[len(all)-1]
+				all = all[:len(all)-1]
 			}
+			requireMatchesReference(t, &table, all, fmt.Sprintf("seed %d, step %d", seed, step))
+		}
+	}
+}
+
+// changeRandomly changes a connection of a table in one of the ways in which the server does, and reports whether it
+// has removed it.
+func changeRandomly(table *connectionTable, state *connectionState, now time.Duration, rng *rand.Rand) (removed bool) {
+	call := uint32(rng.IntN(3))
+	switch rng.IntN(6) {
+	case 0:
+		table.markReceived(state, now)
+	case 1:
+		table.touch(state, now)
+	case 2:
+		table.openCall(state, call, &activeRequest{})
+	case 3:
+		table.closeCall(state, call)
+	case 4:
+		table.markNotified(state, now)
+	case 5:
+		if rng.IntN(3) == 0 {
+			table.remove(state)
+			return true
 		}
 	}
+	return false
+}
+
+// requireMatchesReference compares a table with a look at all of its connections.
+func requireMatchesReference(t *testing.T, table *connectionTable, all []*connectionState, step string) {
+	t.Helper()
+	open := 0
+	for _, state := range all {
+		open += len(state.openCalls)
+	}
+	require.Equal(t, open, table.openCalls)
+	require.Equal(t, len(all), table.size())
+	got := table.evictionCandidate()
+	want := referenceEvictionCandidate(table)
+	if want == nil {
+		require.Nil(t, got, step)
+	} else {
+		require.Equal(t, [2]any{want.kind, want.lastUsed}, [2]any{got.kind, got.lastUsed}, step)
+	}
 }
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -108,7 +108,7 @@
 	case err == nil && m.quota != nil:
 		return &quotaMessageReceived{message}, nil
 	case err != nil && !overload.IsSheddingMessage(b):
-		return nil, err
+		return nil, err //nolint:wrapcheck // it says what the message is not
 	}
 	return nil, nil
 }
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 
 	"falldeal/admission"
 	"falldeal/internal/stats"
@@ -21,7 +22,7 @@
 	case <-server.inbox.closed:
 		return result, errDraining
 	case <-ctx.Done():
-		return result, ctx.Err()
+		return result, fmt.Errorf("event loop does not respond: %w", ctx.Err())
 	}
 	select {
 	case result = <-results:
@@ -29,7 +30,7 @@
 	case <-server.inbox.closed:
 		return result, errDraining
 	case <-ctx.Done():
-		return result, ctx.Err()
+		return result, fmt.Errorf("event loop does not respond: %w", ctx.Err())
 	}
 }
 
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -93,45 +93,52 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server, conn, runPosted := newReadyServer(t)
-			calls := uint32(0)
-			arrive := func(when string) {
-				if !slices.Contains(testCase.arrivals, when) {
-					return
-				}
-				calls++
-				server.Submit(conn, calls, newAttempt(server, when, "preview"))
-			}
-			turn := func() { closingTurn(server, runPosted) }
-			server.beginClose(server.connections.get(conn))
-			turn()
-			arrive("before")
-			if name == "between" {
-				conn.failedCloses = 1
-			}
-			server.ReadEnded(conn, ReadPaused)
-			turn()
-			if name == "between" {
-				arrive("between")
-				server.ReadEnded(conn, ReadPaused)
-				turn()
-			}
-			arrive("after")
-			turn()
-			for _, when := range testCase.arrivals {
-				server.completeRun(server.requests.byAttemptID[when], admission.OutcomeOK, nil)
-			}
-			turn()
-			if len(testCase.arrivals) > 0 {
-				server.ReadEnded(conn, ReadPaused)
-				turn()
-			}
-			require.Equal(t, testCase.want, conn.recorded)
-			require.True(t, server.connections.empty())
+			require.Equal(t, testCase.want, closeWithArrivals(t, testCase.arrivals))
 		})
 	}
 }
 
+// closeWithArrivals closes a connection on which requests arrive at the given times, and returns what was called on it.
+func closeWithArrivals(t *testing.T, arrivals []string) []any {
+	t.Helper()
+	server, conn, runPosted := newReadyServer(t)
+	calls := uint32(0)
+	arrive := func(when string) {
+		if !slices.Contains(arrivals, when) {
+			return
+		}
+		calls++
+		server.Submit(conn, calls, newAttempt(server, when, "preview"))
+	}
+	turn := func() { closingTurn(server, runPosted) }
+	betweenReads := slices.Contains(arrivals, "between")
+	server.beginClose(server.connections.get(conn))
+	turn()
+	arrive("before")
+	if betweenReads {
+		conn.failedCloses = 1
+	}
+	server.ReadEnded(conn, ReadPaused)
+	turn()
+	if betweenReads {
+		arrive("between")
+		server.ReadEnded(conn, ReadPaused)
+		turn()
+	}
+	arrive("after")
+	turn()
+	for _, when := range arrivals {
+		server.completeRun(server.requests.byAttemptID[when], admission.OutcomeOK, nil)
+	}
+	turn()
+	if len(arrivals) > 0 {
+		server.ReadEnded(conn, ReadPaused)
+		turn()
+	}
+	require.True(t, server.connections.empty())
+	return conn.recorded
+}
+
 // A connection that is to be closed gets input without end: it is closed after a bounded number of reads.
 func TestEndlessInputDuringClose(t *testing.T) {
 	server, conn, runPosted := newReadyServer(t)
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -53,7 +53,7 @@
 	settings.Classes = classes
 	if s.admission.started() {
 		if err := s.admission.controller.Reconfigure(settings); err != nil {
-			return err
+			return err //nolint:wrapcheck // it names the setting
 		}
 	}
 	merged := *s.config.Config
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -57,7 +57,9 @@
 	require.True(t, late.running())
 	for _, request := range []*activeRequest{old, added, late, patient} {
 		server.completeRun(request, admission.OutcomeOK, nil)
-		got = append(got, request.connection.(*recordingConnection).recorded...)
+		conn, ok := request.connection.(*recordingConnection)
+		require.True(t, ok)
+		got = append(got, conn.recorded...)
 	}
 	require.Equal(t, []any{Served, Served, Served, Served}, got)
 	require.EqualValues(t, 2, server.stats.Responses["licence-order"].Served)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -113,7 +113,7 @@
 		s.loop(ctx)
 		return nil
 	})
-	return g.Wait()
+	return g.Wait() //nolint:wrapcheck // each part says what it was doing
 }
 
 // serveFront serves a front from the moment at which connections may be accepted.
@@ -124,7 +124,7 @@
 		return nil
 	}
 	defer s.post(func() { s.listeners.serving-- })
-	return front.Serve(ctx, g, s)
+	return front.Serve(ctx, g, s) //nolint:wrapcheck // a front says what it was doing
 }
 
 // Ended is closed when the loop has ended: all requests have their answers, or the time of a drain is up. The last
