--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -30,13 +30,16 @@
 	}
 }
 
-// logCondition logs that a condition begins, which someone should look at unless it is a drain, or that it ends.
+// logCondition logs that a condition of the server begins or ends. What limits the service is to be looked at.
 func (s *Server) logCondition(change admission.ConditionChange) {
 	level := logrus.InfoLevel
 	if change.Active && change.Condition != admission.ConditionDrain {
 		level = logrus.WarnLevel
 	}
-	s.log.WithField("active", change.Active).Log(level, change.Condition.String())
+	s.log.WithFields(logrus.Fields{
+		"condition": change.Condition.String(),
+		"active":    change.Active,
+	}).Log(level, "condition of the server changed")
 }
 
 // dispatchRequest carries out an action on a request.
