--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -26,7 +26,8 @@
 
 // handle takes in a batch, steps the nodes concerned and returns the reply, which is valid until the next call.
 func (h *host) handle(batch *wire.Batch) ([]byte, error) {
-	h.reply, h.pending = h.reply[:0], h.pending[:0]
+	h.reply = h.reply[:0]
+	h.pending = h.pending[:0]
 	for i := range batch.Messages {
 		if err := h.receive(&batch.Messages[i], batch); err != nil {
 			return nil, err
@@ -82,12 +83,13 @@
 	h.markPending(message.Node, created)
 }
 
+// newController returns the controller of a node that starts. The texts of its errors are part of the protocol.
 func newController(message *wire.Message, batch *wire.Batch) (*admission.Controller, error) {
 	settings, err := wire.ParseSettings(message.Settings)
 	if err != nil {
-		return nil, err
+		return nil, err //nolint:wrapcheck // see above
 	}
-	return admission.New(settings, message.Seed, batch.Now)
+	return admission.New(settings, message.Seed, batch.Now) //nolint:wrapcheck // see above
 }
 
 // step has a node's controller decide on the events of this batch. A panic breaks that node only.
--- a/cmd/simhost/serve.go
+++ b/cmd/simhost/serve.go
@@ -25,14 +25,14 @@
 			return nil
 		}
 		if err != nil {
-			return err
+			return err //nolint:wrapcheck // it names the line and the field
 		}
 		reply, err := simulated.handle(&batch)
 		if err != nil {
 			return err
 		}
 		if err := write(writer, reply); err != nil {
-			return fmt.Errorf("reply: %w", err)
+			return err
 		}
 	}
 }
@@ -40,7 +40,10 @@
 // write sends a reply at once: the simulator waits for it.
 func write(writer *bufio.Writer, reply []byte) error {
 	if _, err := writer.Write(reply); err != nil {
-		return err
+		return fmt.Errorf("reply: %w", err)
+	}
+	if err := writer.Flush(); err != nil {
+		return fmt.Errorf("reply: %w", err)
 	}
-	return writer.Flush()
+	return nil
 }
--- a/wire/fields.go
+++ b/wire/fields.go
@@ -16,6 +16,14 @@
 // noGauge is the value of a gauge that was not reported.
 const noGauge = -1
 
+// The names of the gauges on the wire.
+const (
+	gaugeCPUUtilization    = "core_use"
+	gaugeCPUDemand         = "on_cores"
+	gaugeMemoryUtilization = "heap_share"
+	gaugeConnections       = "links"
+)
+
 // outcomes are the endings of runs and calls, by their names on the wire.
 var outcomes = map[string]admission.Outcome{
 	"OK":                 admission.OutcomeOK,
@@ -138,22 +146,30 @@
 		if pair == unset || pair == "" {
 			continue
 		}
-		key, number, ok := strings.Cut(pair, ":")
-		value, err := strconv.ParseFloat(number, 64)
-		if !ok || err != nil || math.IsNaN(value) {
+		if !setGauge(&gauges, pair) {
 			f.fail(name, pair, "name:value")
 			return gauges
 		}
-		switch key {
-		case "core_use":
-			gauges.CPUUtilization = value
-		case "on_cores":
-			gauges.CPUDemand = value
-		case "heap_share":
-			gauges.MemoryUtilization = value
-		case "links":
-			gauges.Connections = value
-		}
 	}
 	return gauges
 }
+
+// setGauge sets the gauge of a name:value pair; false means that it is none.
+func setGauge(gauges *admission.Gauges, pair string) bool {
+	name, number, found := strings.Cut(pair, ":")
+	value, err := strconv.ParseFloat(number, 64)
+	if !found || err != nil || math.IsNaN(value) {
+		return false
+	}
+	switch name {
+	case gaugeCPUUtilization:
+		gauges.CPUUtilization = value
+	case gaugeCPUDemand:
+		gauges.CPUDemand = value
+	case gaugeMemoryUtilization:
+		gauges.MemoryUtilization = value
+	case gaugeConnections:
+		gauges.Connections = value
+	}
+	return true
+}
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -2,59 +2,20 @@
 
 import (
 	"errors"
-	"flag"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"falldeal/admission"
+	"falldeal/lab/golden"
 
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
-
-// goldenCase is one line of a golden file: its name and its text.
-type goldenCase struct{ name, form string }
-
-// requireGolden compares cases with a file in testdata, which must hold just these, in this order.
-func requireGolden(t *testing.T, file string, cases []goldenCase) {
-	t.Helper()
-	var got strings.Builder
-	for _, test := range cases {
-		got.WriteString(test.name + ": " + test.form + "\n")
-	}
-	path := filepath.Join("testdata", file)
-	if *update {
-		require.NoError(t, os.WriteFile(path, []byte(got.String()), 0o644))
-	}
-	want, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(want), got.String())
-}
-
-// readGolden returns the forms of a file in testdata by name. It must have as many as the test has cases.
-func readGolden(t *testing.T, file string, count int) map[string]string {
-	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", file))
-	require.NoError(t, err)
-	forms := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), ": ")
-		require.True(t, found, line)
-		require.NotContains(t, forms, name)
-		forms[name] = form
-	}
-	require.Len(t, forms, count)
-	return forms
-}
-
 // Every action in both states of its flags, and the figures that are rounded.
 func TestGoldenActions(t *testing.T) {
 	const largest = admission.RequestID(1<<64 - 1)
-	var cases []goldenCase
+	var cases []golden.Case
 	for _, test := range []struct {
 		name   string
 		action admission.Action
@@ -82,11 +43,11 @@
 		{"wake at a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567 * time.Microsecond}},
 		{"wake within a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567*time.Microsecond + 1}},
 	} {
-		cases = append(cases, goldenCase{test.name, trimNewline(t, AppendAction(nil, 12, test.action))})
+		cases = append(cases, golden.Case{Name: test.name, Form: trimNewline(t, AppendAction(nil, 12, test.action))})
 	}
-	cases = append(cases, goldenCase{"log", trimNewline(t, appendRemark(nil, 12, "one\r\ntwo\nthree"))})
-	cases = append(cases, goldenCase{"broken", trimNewline(t, AppendBroken(nil, 12, errors.New("one\r\ntwo")))})
-	requireGolden(t, "actions.golden", cases)
+	cases = append(cases, golden.Case{Name: "log", Form: trimNewline(t, appendRemark(nil, 12, "one\r\ntwo\nthree"))})
+	cases = append(cases, golden.Case{Name: "broken", Form: trimNewline(t, AppendBroken(nil, 12, errors.New("one\r\ntwo")))})
+	golden.Require(t, "actions.golden", cases)
 }
 
 // trimNewline returns a line without its end.
@@ -148,7 +109,7 @@
 				Took: 9 * microsecond})),
 			withEvent("call result, "+ending.name, admission.CallCompleted(5, admission.Completion{Outcome: ending.outcome, Took: 9 * microsecond})))
 	}
-	lines := readGolden(t, "events.golden", len(cases))
+	lines := golden.Read(t, "events.golden", len(cases))
 	for _, test := range cases {
 		require.Contains(t, lines, test.name)
 		var batch Batch
@@ -161,7 +122,7 @@
 
 // The message for each kind of input that can't be read.
 func TestGoldenErrors(t *testing.T) {
-	var cases []goldenCase
+	var cases []golden.Case
 	for _, test := range []struct{ name, input string }{
 		{"no batch", "HELLO\n"},
 		{"time that is no number", "SYNC x\n"},
@@ -195,7 +156,7 @@
 		var batch Batch
 		err := NewReader(strings.NewReader(test.input)).Read(&batch)
 		require.Error(t, err, test.name)
-		cases = append(cases, goldenCase{test.name, err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
 	}
-	requireGolden(t, "errors.golden", cases)
+	golden.Require(t, "errors.golden", cases)
 }
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -142,8 +142,10 @@
 		case errors.Is(err, bufio.ErrBufferFull):
 		case errors.Is(err, io.EOF) && len(r.overflow) > 0:
 			return nil, &LineError{r.line + 1, ErrTruncated}
+		case errors.Is(err, io.EOF):
+			return nil, io.EOF
 		default:
-			return nil, err
+			return nil, fmt.Errorf("read: %w", err)
 		}
 	}
 }
