--- a/admission/admission.go
+++ b/admission/admission.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if arrival.Class < 0 || arrival.Class >= len(c.settings.Classes) {
-		c.out.emit(Action{Kind: ActionReject, ID: id})
+		c.actions.emit(Action{Kind: ActionReject, ID: id})
 		return
 	}
 	request := newRequest(c.now, id, arrival, &c.settings.Classes[arrival.Class])
@@ -106,6 +106,6 @@
 func (c *Controller) reject(request *request, cause Reason) {
 	queueTime := c.queue.work / c.estimator.serviceRate()
 	rejection := c.advisor.reject(c.now, request, cause, queueTime)
-	c.out.emit(Action{Kind: ActionReject, ID: request.id, Rejection: rejection})
+	c.actions.emit(Action{Kind: ActionReject, ID: request.id, Rejection: rejection})
 	c.release(request)
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -17,13 +17,13 @@
 		return controller.admissionRate.probability
 	}
 	if step(0.99, 0.5) != 1 || step(0.5, 9) != 1 {
-		t.Fatal("the share fell though only one condition held")
+		t.Fatal("the probability fell though only one condition held")
 	}
 	if s := step(0.99, 9); s >= 1 {
-		t.Fatal("the share did not fall")
+		t.Fatal("the probability did not fall")
 	}
 	if low := controller.admissionRate.probability; step(0.5, 9) <= low {
-		t.Fatal("the share did not rise when the pressure eased")
+		t.Fatal("the probability did not rise when the pressure eased")
 	}
 }
 
@@ -33,7 +33,7 @@
 	again.Arrival.Retry = true
 	c.Step(0, []Event{again}, nil)
 	if got := c.requests[1].objective; got >= 2*time.Second {
-		t.Errorf("a further try has its whole aim of %v left", got)
+		t.Errorf("a retry has its whole objective of %v left", got)
 	}
 }
 
@@ -54,14 +54,14 @@
 	}
 	for _, marks := range []bool{true, false} {
 		storm := func(c *Controller, _ *Event) {
-			c.advisor.marksRetries, c.advisor.arrivals.sums.First, c.advisor.arrivals.sums.Second = marks, 10, 9
+			c.advisor.marksRetries, c.advisor.arrivals.counts.First, c.advisor.arrivals.counts.Second = marks, 10, 9
 		}
 		if a := refusal(storm); !a.Rejection.NoRetryElsewhere {
-			t.Errorf("in a storm the caller is sent on (tries marked: %v)", marks)
+			t.Errorf("in a storm the client is sent on (retries marked: %v)", marks)
 		}
 	}
 	if a := refusal(func(_ *Controller, e *Event) { e.Arrival.Waited = 1500 * ms }); !a.Rejection.NoRetryElsewhere {
-		t.Error("a request whose aim is nearly over is sent on")
+		t.Error("a request whose objective is nearly over is sent on")
 	}
 }
 
@@ -83,7 +83,7 @@
 		}
 		controller.estimator.speed.First = 1e-6 // so slow that nothing is in time
 		if test.storm {
-			controller.advisor.arrivals.sums.First, controller.advisor.arrivals.sums.Second = 10, 9
+			controller.advisor.arrivals.counts.First, controller.advisor.arrivals.counts.Second = 10, 9
 		}
 		event.ID = 2
 		if a := want(t, controller.Step(0, []Event{event}, nil), ActionReject, 2); a.Rejection.NoRetryElsewhere != test.end || a.Rejection.Reason != test.why || test.end == (a.Rejection.RetryAfter > 0) {
@@ -109,7 +109,7 @@
 	as := controller.Step(0, []Event{req(id, 1)}, nil)
 	wantNone(t, as, ActionReject, id)
 	if controller.requests[id] == nil {
-		t.Error("a keyed request worth more was turned away for held ones worth less")
+		t.Error("a keyed request worth more was rejected for queued ones of less value")
 	}
 }
 
@@ -120,7 +120,7 @@
 		controller.Step(0, []Event{req(id, 0)}, nil)
 	}
 	if controller.queue.count != 0 || controller.queue.work != 0 || controller.queue.classes[0].count != 0 {
-		t.Errorf("%d held, %v s of work, %d of the class", controller.queue.count, controller.queue.work, controller.queue.classes[0].count)
+		t.Errorf("%d queued, %v s of work, %d of the class", controller.queue.count, controller.queue.work, controller.queue.classes[0].count)
 	}
 }
 
@@ -139,7 +139,7 @@
 			}
 		}
 		if last == nil || !last.Rejection.NoRetryElsewhere {
-			t.Errorf("marks %v: %+v after 60 arrivals that are nearly all refused", marks, last)
+			t.Errorf("marks %v: %+v after 60 arrivals that are nearly all rejected", marks, last)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	first := func(age, spread time.Duration) (ran bool, rejected *Action) {
 		controller := start(t, testSettings())
 		var events []Event
-		for id := RequestID(1); id <= 16; id++ { // cores are taken, and some are held
+		for id := RequestID(1); id <= 16; id++ { // cores are taken, and some are queued
 			events = append(events, req(id, 0))
 		}
 		controller.Step(10*ms, events, nil)
@@ -160,10 +160,10 @@
 		return find(as, ActionReject, 99) == nil, find(as, ActionReject, 99)
 	}
 	if ran, _ := first(0, 0); !ran {
-		t.Error("a first try that can be in time is not taken")
+		t.Error("a first attempt that can be in time is rejected")
 	}
 	if ran, a := first(1900*ms, 0); ran || !a.Rejection.NoRetryElsewhere {
-		t.Errorf("a try that can't be in time any more: %v %+v", ran, a)
+		t.Errorf("an attempt that can't be in time any more: %v %+v", ran, a)
 	}
 	c := start(t, testSettings())
 	for id := RequestID(1); id <= 400; id++ {
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -6,7 +6,7 @@
 	minRetryAfter      = 100 * time.Millisecond // shortest advice to stay away
 	lateRejectionRatio = 0.5                    // of its objective, after which a request is too late
 	lateReadDelayRatio = 0.08                   // read delay, of the shortest objective, that is late
-	meanQueueShare     = 0.5                    // part of the queue that is ahead of a request in the mean
+	queuedAheadRatio   = 0.5                    // part of the queue that is ahead of a request in the mean
 )
 
 // clientAdvisor decides what clients are advised: with a rejection, when to come back and whether to try
@@ -93,7 +93,7 @@
 	if reason == ReasonDraining {
 		return a.maxRetryAfter
 	}
-	return min(max(seconds(queueTime*meanQueueShare), minRetryAfter), a.maxRetryAfter)
+	return min(max(seconds(queueTime*queuedAheadRatio), minRetryAfter), a.maxRetryAfter)
 }
 
 // coverClientInterval prolongs advice while reading is late. Reading takes the CPU from all else then, and
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -23,11 +23,11 @@
 			}
 		}
 		if last == nil {
-			t.Fatalf("%d callers: nothing refused", clients)
+			t.Fatalf("%d clients: nothing rejected", clients)
 		}
 		return last
 	}
-	// 150 callers with 20 requests a second come every 7.5 s, so they are sent off for as long as they heed, and
+	// 150 clients with 20 requests a second come every 7.5 s, so they are sent off for as long as they heed, and
 	// those whose time is over hear so too, beside the wish to try nowhere else.
 	late := refusal(150, 900*ms, time.Second)
 	if late.Rejection.Reason != ReasonTooLate || !late.Rejection.NoRetryElsewhere || late.Rejection.RetryAfter != time.Second {
@@ -37,7 +37,7 @@
 	if a := refusal(10, 900*ms, time.Second); a.Rejection.RetryAfter < 400*ms || a.Rejection.RetryAfter > 600*ms {
 		t.Errorf("%+v", *a)
 	}
-	// One caller that sends all of them would leave the server idle: the advice is as it was.
+	// One client that sends all of them would leave the server idle: the advice is as it was.
 	if a := refusal(1, 900*ms, time.Second); a.Rejection.RetryAfter != 0 {
 		t.Errorf("%+v", *a)
 	}
@@ -48,16 +48,16 @@
 }
 
 func TestIdleTimeoutIsShortForRareClients(t *testing.T) {
-	for callers, closed := range map[int]bool{5: false, 1000: true} {
+	for clients, closed := range map[int]bool{5: false, 1000: true} {
 		settings := testSettings()
-		settings.Clients = callers
+		settings.Clients = clients
 		controller := start(t, settings)
 		for i := range 1000 { // 10 requests a second
 			controller.Step(time.Duration(i)*100*ms, []Event{req(RequestID(i+1), 0)}, nil)
 			controller.Step(time.Duration(i)*100*ms+50*ms, []Event{RunCompleted(RequestID(i+1), Completion{})}, nil)
 		}
 		if got := controller.advisor.idleTimeout.current < settings.IdleTimeout; got != closed {
-			t.Errorf("%d callers: idle limit %v", callers, controller.advisor.idleTimeout.current)
+			t.Errorf("%d clients: idle timeout %v", clients, controller.advisor.idleTimeout.current)
 		}
 	}
 }
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -14,11 +14,11 @@
 
 // arrivalRate is the recent rate of requests, and of retries among them.
 type arrivalRate struct {
-	sums rolling.DecayingPair // First: requests; Second: retries, or rejections that stand for them
+	counts rolling.DecayingPair // First: requests; Second: retries, or rejections that stand for them
 }
 
 func newArrivalRate() arrivalRate {
-	return arrivalRate{sums: rolling.NewDecayingPair(offeredTimeConstant, 0, 0)}
+	return arrivalRate{counts: rolling.NewDecayingPair(offeredTimeConstant, 0, 0)}
 }
 
 // add counts a request that was read.
@@ -27,18 +27,18 @@
 	if retry {
 		retries = 1
 	}
-	a.sums.Add(now, 1, retries)
+	a.counts.Add(now, 1, retries)
 }
 
 // addRejection counts a rejection for the retry that it causes, where retries are not marked.
-func (a *arrivalRate) addRejection(now time.Duration) { a.sums.Add(now, 0, 1) }
+func (a *arrivalRate) addRejection(now time.Duration) { a.counts.Add(now, 0, 1) }
 
 // retryStorm reports whether so many arrivals are retries that the servers must all be as full.
-func (a *arrivalRate) retryStorm() bool { return a.sums.Second > retryStormRatio*a.sums.First }
+func (a *arrivalRate) retryStorm() bool { return a.counts.Second > retryStormRatio*a.counts.First }
 
 // meanClientInterval is the mean time between two requests of one of so many clients to this server.
 func (a *arrivalRate) meanClientInterval(clients int) time.Duration {
-	return scale(offeredTimeConstant, float64(clients)/max(a.sums.First, 1))
+	return scale(offeredTimeConstant, float64(clients)/max(a.counts.First, 1))
 }
 
 // readDelay is the mean time for which requests have waited to be read. It falls with each sweep, so that it
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -24,7 +24,7 @@
 	estimator *estimator
 	runs      *concurrencyLimiter
 	timers    *timers
-	out       *outbox
+	actions   *actionBuffer
 	rng       *rand.Rand
 }
 
@@ -35,7 +35,7 @@
 	if request == nil || request.state != running {
 		return
 	}
-	s.runs.leaveCPU()
+	s.runs.releaseCPU()
 	s.wait(now, request)
 }
 
@@ -99,7 +99,7 @@
 	request.state = calling
 	request.callNeededAt = now
 	request.callAttempts++
-	s.out.emit(Action{Kind: ActionCall, ID: request.id, Timeout: timeout})
+	s.actions.emit(Action{Kind: ActionCall, ID: request.id, Timeout: timeout})
 }
 
 // drop has a request go on without its call where its class allows that; otherwise it fails, as it has run.
@@ -110,21 +110,21 @@
 	}
 	s.limiter.waiting--
 	s.resume(now, request)
-	s.out.emit(Action{Kind: ActionSkipCall, ID: request.id})
+	s.actions.emit(Action{Kind: ActionSkipCall, ID: request.id})
 }
 
 // fail answers a request that waits for its call with an error. Its run is ended by the owner of the
 // controller.
 func (s *callScheduler) fail(request *request) {
 	request.answered = true
-	s.out.emit(Action{Kind: ActionFail, ID: request.id})
+	s.actions.emit(Action{Kind: ActionFail, ID: request.id})
 }
 
 // resume has the run of a request go on after its call.
 func (s *callScheduler) resume(now time.Duration, request *request) {
 	request.callTime += now - request.callNeededAt
 	request.state = running
-	s.runs.returnToCPU()
+	s.runs.reacquireCPU()
 }
 
 // complete takes in the end of a request's call. That of a request that has ended was accounted for as
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -57,7 +57,7 @@
 		}
 	}
 	if out == 0 || float64(out) > safeCallRatio*settings.MaxCallsInFlight {
-		t.Fatalf("%d calls in hand of a share of %v", out, settings.MaxCallsInFlight)
+		t.Fatalf("%d calls in flight of %v allowed", out, settings.MaxCallsInFlight)
 	}
 }
 
@@ -78,7 +78,7 @@
 		controller.calls.limiter.adjust()
 	}
 	if low >= high/1.5 || controller.calls.limiter.limit() < high*0.99 || low < minCallLimitRatio*controller.calls.limiter.maxInFlight*0.99 {
-		t.Errorf("bound %v, then %v while slow, then %v", high, low, controller.calls.limiter.limit())
+		t.Errorf("limit %v, then %v while slow, then %v", high, low, controller.calls.limiter.limit())
 	}
 }
 
@@ -89,12 +89,12 @@
 	controller.calls.limiter.callTime, controller.calls.limiter.limitRatio = rolling.AverageOf(0.05), 0.7
 	controller.calls.limiter.inFlight = 1
 	if controller.calls.limiter.timeout(controller.now, time.Second) <= 0 {
-		t.Error("no second call though the mean is far under the bound")
+		t.Error("no second call though the mean is far below the limit")
 	}
 	controller.calls.limiter.callSeconds.Add(controller.now, controller.calls.limiter.limit()*settings.CallsWindow.Seconds()+0.1)
 	controller.calls.limiter.credit = -0.1
 	if controller.calls.limiter.timeout(controller.now, time.Second) > 0 {
-		t.Error("a second call though the mean is over the bound")
+		t.Error("a second call though the mean is above the limit")
 	}
 	controller.calls.limiter.inFlight = 0
 	if controller.calls.limiter.timeout(controller.now, time.Second) <= 0 {
@@ -102,7 +102,7 @@
 	}
 	controller.calls.limiter.maxInFlight = 0.3
 	if got := controller.calls.limiter.timeout(controller.now, 3*time.Second); got > 0 {
-		t.Errorf("a call of %v though the share is used up", got)
+		t.Errorf("a call of %v though the limit is used up", got)
 	}
 }
 
@@ -130,7 +130,7 @@
 		}
 	}
 	if mean, limit := inHand.Seconds()/total.Seconds(), controller.calls.limiter.limit(); mean > 1.2*limit || mean < 0.8*limit {
-		t.Errorf("%.3f calls in hand in the mean, with a bound of %.3f", mean, limit)
+		t.Errorf("%.3f calls in flight in the mean, with a limit of %.3f", mean, limit)
 	}
 }
 
@@ -154,9 +154,9 @@
 	controller.Step(controller.now+1, []Event{CallNeeded(1)}, nil)
 	as := controller.Step(controller.now+1, []Event{req(2, 1)}, nil)
 	if a := want(t, as, ActionReject, 2); a.Rejection.Reason != ReasonDependency {
-		t.Errorf("refused since %v", a.Rejection.Reason)
+		t.Errorf("rejected since %v", a.Rejection.Reason)
 	}
-	settings.MaxCallsInFlight = 20 // with whole calls the bound itself admits the next one
+	settings.MaxCallsInFlight = 20 // with whole calls the limit itself admits the next one
 	controller = start(t, settings)
 	controller.calls.limiter.callTime, controller.calls.limiter.credit = rolling.AverageOf(0.3), -1
 	if w := controller.estimator.callWait(); w != 0 {
@@ -169,7 +169,7 @@
 	c.calls.limiter.limitRatio, c.calls.limiter.callTime = 5, rolling.AverageOf(0.5)
 	for c.calls.limiter.inFlight = 0; c.calls.limiter.timeout(c.now, 10*time.Second) == 10*time.Second; c.calls.limiter.inFlight++ {
 		if float64(c.calls.limiter.inFlight) > c.calls.limiter.maxInFlight {
-			t.Fatalf("an uncut call beside %d of a share of %v", c.calls.limiter.inFlight, c.calls.limiter.maxInFlight)
+			t.Fatalf("an uncut call beside %d of %v allowed", c.calls.limiter.inFlight, c.calls.limiter.maxInFlight)
 		}
 	}
 }
@@ -183,11 +183,11 @@
 	controller.advanceTime(21 * time.Second)
 	controller.calls.limiter.inFlight = 0
 	if got := controller.calls.limiter.timeout(controller.now, time.Second); got > 0 {
-		t.Errorf("a call of %v right after one of 1 s on a share of %v", got, settings.MaxCallsInFlight)
+		t.Errorf("a call of %v right after one of 1 s with %v allowed", got, settings.MaxCallsInFlight)
 	}
 	controller.advanceTime(23 * time.Second)
 	if got := controller.calls.limiter.timeout(controller.now, time.Second); got > 0 {
-		t.Errorf("a call of %v after 2 s, though one of 1 s takes 4 s of a bound of %v", got, controller.calls.limiter.limit())
+		t.Errorf("a call of %v after 2 s, though one of 1 s takes 4 s of a limit of %v", got, controller.calls.limiter.limit())
 	}
 	controller.advanceTime(24*time.Second + 100*ms)
 	if controller.calls.limiter.timeout(controller.now, time.Second) <= 0 {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -83,11 +83,11 @@
 	l.work += work
 }
 
-// leaveCPU counts a run that waits for a call, or ends, from now on.
-func (l *concurrencyLimiter) leaveCPU() { l.onCPU-- }
+// releaseCPU counts a run that waits for a call, or ends, from now on.
+func (l *concurrencyLimiter) releaseCPU() { l.onCPU-- }
 
-// returnToCPU counts a run that goes on after a call.
-func (l *concurrencyLimiter) returnToCPU() { l.onCPU++ }
+// reacquireCPU counts a run that goes on after a call.
+func (l *concurrencyLimiter) reacquireCPU() { l.onCPU++ }
 
 // end drops a run that is not on the CPU any more.
 func (l *concurrencyLimiter) end(work float64) {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -13,7 +13,7 @@
 	gauges   Gauges        // as last measured
 	requests map[RequestID]*request
 	timers   timers
-	out      outbox
+	actions  actionBuffer
 
 	queue         requestQueue
 	scheduler     runScheduler
@@ -54,14 +54,14 @@
 	controller.estimator = estimator
 	controller.values.estimator = estimator
 	controller.scheduler = runScheduler{queue: queue, estimator: estimator, runs: runs, calls: limiter}
-	controller.keys = newKeyTable(&controller.memory, &controller.timers, &controller.out)
+	controller.keys = newKeyTable(&controller.memory, &controller.timers, &controller.actions)
 	controller.calls = callScheduler{
 		limiter:   limiter,
 		breaker:   newCircuitBreaker(now),
 		estimator: estimator,
 		runs:      runs,
 		timers:    &controller.timers,
-		out:       &controller.out,
+		actions:   &controller.actions,
 		rng:       rng,
 	}
 	controller.configure(settings)
@@ -72,7 +72,7 @@
 // be empty. The first step starts the timers: from then on the owner is told, by ActionWake, when to step
 // next at the latest.
 func (c *Controller) Step(now time.Duration, events []Event, actions []Action) []Action {
-	c.out.actions = actions
+	c.actions.pending = actions
 	c.advanceTime(now)
 	c.announceStart()
 	c.timers.catchUp(now, c.sweep)
@@ -80,14 +80,14 @@
 		c.handleEvent(&events[i])
 	}
 	c.expireDeadlines()
-	if c.timers.sweepDue(c.now) {
+	if c.timers.shouldSweep(c.now) {
 		c.sweep()
 	}
 	c.dispatch()
 	if at, ok := c.timers.schedule(c.now, c.isIdle()); ok {
-		c.out.emit(Action{Kind: ActionWake, At: at})
+		c.actions.emit(Action{Kind: ActionWake, At: at})
 	}
-	return c.out.take()
+	return c.actions.take()
 }
 
 // ServiceRate is the work that this server completes per second, in seconds of a standard core.
@@ -115,9 +115,9 @@
 	if !c.timers.start() {
 		return
 	}
-	c.out.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
+	c.actions.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
 	if credit, ok := c.advisor.advertiser.atStart(); ok {
-		c.out.emit(Action{Kind: ActionAdvertise, Value: credit})
+		c.actions.emit(Action{Kind: ActionAdvertise, Value: credit})
 	}
 }
 
@@ -141,7 +141,7 @@
 	case EventDeregister, EventReregister:
 		deregistered := event.Kind == EventDeregister
 		if c.health.setDeregistered(c.now, deregistered, c.drain.started) {
-			c.out.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
+			c.actions.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
 		}
 	case EventTimer:
 		c.gauges = event.Gauges
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -67,10 +67,10 @@
 		fmt.Fprintf(&got, "%s\n", test.name)
 		for _, change := range []func(*Controller){test.enter, test.clear} {
 			controller.now += 2 * reportInterval
-			controller.out.actions = nil
+			controller.actions.pending = nil
 			change(controller)
 			controller.reportConditions()
-			logged(&got, controller.out.actions)
+			logged(&got, controller.actions.pending)
 		}
 	}
 	for _, replaced := range []bool{false, true} {
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -27,7 +27,7 @@
 		controller.Step(now, nil, nil)
 	}
 	if controller.health.unhealthy || controller.advisor.readDelay.mean.Value() > 0.2 {
-		t.Errorf("unwell %v, wait %v s, though nothing comes any more", controller.health.unhealthy, controller.advisor.readDelay.mean.Value())
+		t.Errorf("unhealthy %v, wait %v s, though nothing comes any more", controller.health.unhealthy, controller.advisor.readDelay.mean.Value())
 	}
 	controller.Step(20*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
 	e := req(1, 0)
@@ -54,6 +54,6 @@
 	}
 	controller.Step(7*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 9 * time.Second})}, nil)
 	if find(controller.Step(7*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0) != nil {
-		t.Error("a server that leaves came back")
+		t.Error("a server that drains came back")
 	}
 }
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -4,7 +4,7 @@
 // that it is handled like a first attempt. An earlier attempt that is not in flight any more may have run,
 // and only its result may answer.
 func (c *Controller) joinAttempt(request *request, earlier RequestID) bool {
-	if !c.keys.sharesRuns(request.class) {
+	if !c.keys.reusesResults(request.class) {
 		return false
 	}
 	leader := c.requests[earlier]
@@ -30,7 +30,7 @@
 func (c *Controller) reuseResult(request *request) {
 	if request.state != released {
 		request.state = joined
-		c.out.emit(Action{Kind: ActionReuse, ID: request.id})
+		c.actions.emit(Action{Kind: ActionReuse, ID: request.id})
 	}
 }
 
--- a/admission/idle_timeout.go
+++ b/admission/idle_timeout.go
@@ -18,8 +18,8 @@
 
 // adjust sets the timeout for so many clients, once per sweep, and reports whether it has changed.
 func (t *idleTimeout) adjust(now time.Duration, clients float64, arrivals *arrivalRate) (changed bool) {
-	arrivals.sums.DecayTo(now)
-	requests := arrivals.sums.First // in offeredTimeConstant
+	arrivals.counts.DecayTo(now)
+	requests := arrivals.counts.First // in offeredTimeConstant
 	timeout := t.configured
 	if clients*offeredTimeConstant.Seconds() > idleConnectionPayoff*timeout.Seconds()*requests {
 		timeout = min(timeout, shortIdleTimeout)
--- a/admission/key_table.go
+++ b/admission/key_table.go
@@ -12,11 +12,16 @@
 	expiresAt map[RequestID]time.Duration
 	memory    *memoryBudget
 	timers    *timers
-	out       *outbox
+	actions   *actionBuffer
 }
 
-func newKeyTable(memory *memoryBudget, timers *timers, out *outbox) keyTable {
-	return keyTable{expiresAt: map[RequestID]time.Duration{}, memory: memory, timers: timers, out: out}
+func newKeyTable(memory *memoryBudget, timers *timers, actions *actionBuffer) keyTable {
+	return keyTable{
+		expiresAt: map[RequestID]time.Duration{},
+		memory:    memory,
+		timers:    timers,
+		actions:   actions,
+	}
 }
 
 func (k *keyTable) configure(settings *Settings) {
@@ -28,8 +33,8 @@
 // len returns the number of entries.
 func (k *keyTable) len() int { return len(k.expiresAt) }
 
-// sharesRuns reports whether the result of one attempt of a request of a class may answer others.
-func (k *keyTable) sharesRuns(class int) bool {
+// reusesResults reports whether the result of one attempt of a request of a class may answer others.
+func (k *keyTable) reusesResults(class int) bool {
 	switch k.classes[class].Idempotency {
 	case IdempotentByKey:
 		return true
@@ -65,7 +70,7 @@
 	k.memory.take(k.memory.keyKB)
 	k.expiresAt[request.id] = now + duration
 	k.timers.add(now+duration, deadline{kind: deadlineKey, id: request.id})
-	k.out.emit(Action{Kind: ActionRemember, ID: request.id, Duration: duration})
+	k.actions.emit(Action{Kind: ActionRemember, ID: request.id, Duration: duration})
 }
 
 // forget drops the entry of a request before it expires.
@@ -73,7 +78,7 @@
 	request.remembered = false
 	if expiresAt, known := k.expiresAt[request.id]; known && expiresAt > now {
 		k.memory.giveBack(k.memory.keyKB)
-		k.out.emit(Action{Kind: ActionForget, ID: request.id})
+		k.actions.emit(Action{Kind: ActionForget, ID: request.id})
 		delete(k.expiresAt, request.id)
 	}
 }
--- a/admission/key_table_test.go
+++ b/admission/key_table_test.go
@@ -7,20 +7,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-func testKeyTable(settings Settings) (*keyTable, *memoryBudget, *timers, *outbox) {
-	memory, timers, out := &memoryBudget{}, &timers{}, &outbox{}
+func testKeyTable(settings Settings) (*keyTable, *memoryBudget, *timers, *actionBuffer) {
+	memory, timers, actions := &memoryBudget{}, &timers{}, &actionBuffer{}
 	memory.configure(&settings)
-	keys := newKeyTable(memory, timers, out)
+	keys := newKeyTable(memory, timers, actions)
 	keys.configure(&settings)
-	return &keys, memory, timers, out
+	return &keys, memory, timers, actions
 }
 
 func TestKeyTableRemembersForTheWindow(t *testing.T) {
-	keys, memory, timers, out := testKeyTable(testSettings())
+	keys, memory, timers, actions := testKeyTable(testSettings())
 	known := &request{id: 4, class: 1, arrivedAt: time.Second}
 	require.True(t, keys.reserve(2*time.Second, known))
 	require.True(t, known.remembered)
-	require.Equal(t, []Action{{Kind: ActionRemember, ID: 4, Duration: 7 * time.Second}}, out.take())
+	require.Equal(t, []Action{{Kind: ActionRemember, ID: 4, Duration: 7 * time.Second}}, actions.take())
 	require.InDelta(t, 10, memory.usedKB, 0)
 	_, ok := timers.expired(9*time.Second - 1)
 	require.False(t, ok)
@@ -31,44 +31,44 @@
 	keys.expire(4)
 	require.Zero(t, memory.usedKB)
 	require.Zero(t, keys.len())
-	require.Empty(t, out.take(), "the owner forgets by itself")
+	require.Empty(t, actions.take(), "the owner forgets by itself")
 
 	old := &request{id: 5, class: 1}
 	require.True(t, keys.reserve(time.Hour, old))
-	require.Equal(t, 5*ms, out.take()[0].Duration, "one tick at least")
+	require.Equal(t, 5*ms, actions.take()[0].Duration, "one tick at least")
 	keys.forget(time.Hour, old)
 	require.False(t, old.remembered)
-	require.Equal(t, []Action{{Kind: ActionForget, ID: 5}}, out.take())
+	require.Equal(t, []Action{{Kind: ActionForget, ID: 5}}, actions.take())
 	keys.forget(time.Hour, old)
-	require.Empty(t, out.take())
+	require.Empty(t, actions.take())
 	require.Zero(t, memory.usedKB)
 }
 
 func TestKeyTableNeedsMemory(t *testing.T) {
-	keys, memory, _, out := testKeyTable(testSettings())
+	keys, memory, _, actions := testKeyTable(testSettings())
 	memory.take(memory.limitKB() - 9)
 	require.False(t, keys.reserve(0, &request{id: 1, class: 1}))
-	require.Empty(t, out.take())
+	require.Empty(t, actions.take())
 }
 
 func TestResultsOfReadsAreCachedWhileThereIsMemory(t *testing.T) {
 	settings := testSettings()
 	settings.CacheTTL = time.Second
-	keys, memory, _, out := testKeyTable(settings)
+	keys, memory, _, actions := testKeyTable(settings)
 	keys.cache(0, &request{id: 1, class: 0})
-	require.Equal(t, []Action{{Kind: ActionRemember, ID: 1, Duration: time.Second}}, out.take())
+	require.Equal(t, []Action{{Kind: ActionRemember, ID: 1, Duration: time.Second}}, actions.take())
 	keys.cache(0, &request{id: 2, class: 1})
 	keys.cache(0, &request{id: 3, class: 2})
-	require.Empty(t, out.take(), "not reads")
+	require.Empty(t, actions.take(), "not reads")
 	memory.take(memory.limitKB() / 2)
 	keys.cache(0, &request{id: 4, class: 0})
-	require.Empty(t, out.take(), "half of the memory is in use")
+	require.Empty(t, actions.take(), "half of the memory is in use")
 	for class, shares := range []bool{true, true, false, true} {
-		require.Equal(t, shares, keys.sharesRuns(class), class)
+		require.Equal(t, shares, keys.reusesResults(class), class)
 	}
 	settings.CacheTTL = 0
 	keys.configure(&settings)
 	for class, shares := range []bool{false, true, false, false} {
-		require.Equal(t, shares, keys.sharesRuns(class), class)
+		require.Equal(t, shares, keys.reusesResults(class), class)
 	}
 }
--- a/admission/parts_test.go
+++ b/admission/parts_test.go
@@ -154,11 +154,11 @@
 			limiter.start(work)
 			onCPU = append(onCPU, work)
 		case roll == 1 && len(onCPU) > 0:
-			limiter.leaveCPU()
+			limiter.releaseCPU()
 			waiting = append(waiting, onCPU[0])
 			onCPU = onCPU[1:]
 		case roll == 2 && len(waiting) > 0:
-			limiter.returnToCPU()
+			limiter.reacquireCPU()
 			onCPU = append(onCPU, waiting[0])
 			waiting = waiting[1:]
 		case roll == 3 && len(waiting) > 0:
--- a/admission/parts_time_test.go
+++ b/admission/parts_time_test.go
@@ -129,8 +129,8 @@
 	var timers timers
 	require.True(t, timers.start())
 	require.False(t, timers.start())
-	require.True(t, timers.sweepDue(0))
-	require.False(t, timers.sweepDue(50*ms))
+	require.True(t, timers.shouldSweep(0))
+	require.False(t, timers.shouldSweep(50*ms))
 	at, ok := timers.schedule(50*ms, false)
 	require.True(t, ok)
 	require.Equal(t, sweepInterval, at)
--- a/admission/periodic.go
+++ b/admission/periodic.go
@@ -13,11 +13,11 @@
 	c.runs.adjust(c.gauges.CPUDemand, c.queue.count > 0)
 	c.calls.limiter.adjust()
 	if c.advisor.adjustIdleTimeout(c.now, c.gauges.Connections) {
-		c.out.emit(Action{Kind: ActionIdleTimeout, Duration: c.advisor.idleTimeout.current})
+		c.actions.emit(Action{Kind: ActionIdleTimeout, Duration: c.advisor.idleTimeout.current})
 	}
 	c.advisor.readDelay.decay()
 	if c.health.adjust(c.now, c.advisor.readsInVain(), c.drain.started) {
-		c.out.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
+		c.actions.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
 	}
 	c.reportConditions()
 }
@@ -65,13 +65,14 @@
 		request := c.requests[id]
 		c.timers.add(c.drain.answerDeadline(request), deadline{kind: deadlineAnswer, request: request})
 	}
-	c.out.emit(Action{Kind: ActionLog, Condition: ConditionChange{Condition: ConditionDrain, Active: true}})
+	draining := ConditionChange{Condition: ConditionDrain, Active: true}
+	c.actions.emit(Action{Kind: ActionLog, Condition: draining})
 	if signal.Replaced {
 		return
 	}
-	c.out.emit(Action{Kind: ActionHealth, Health: HealthAnswer{Healthy: false, Cached: true}})
+	c.actions.emit(Action{Kind: ActionHealth, Health: HealthAnswer{Healthy: false, Cached: true}})
 	if value, ok := c.advisor.advertiser.atDrain(); ok {
-		c.out.emit(Action{Kind: ActionAdvertise, Value: value})
+		c.actions.emit(Action{Kind: ActionAdvertise, Value: value})
 	}
 }
 
@@ -88,7 +89,7 @@
 		condition := Condition(index)
 		if c.conditions.changed(c.now, condition, isActive) {
 			change := ConditionChange{Condition: condition, Active: isActive}
-			c.out.emit(Action{Kind: ActionLog, Condition: change})
+			c.actions.emit(Action{Kind: ActionLog, Condition: change})
 		}
 	}
 }
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -15,7 +15,7 @@
 
 // filesWithoutDecisions hold types that are exchanged with the owner, settings and helpers. All others decide.
 var filesWithoutDecisions = []string{
-	"action.go", "condition.go", "doc.go", "durations.go", "event.go", "outbox.go", "reconfigure.go", "settings.go",
+	"action.go", "condition.go", "doc.go", "durations.go", "event.go", "action_buffer.go", "reconfigure.go", "settings.go",
 	"settings_check.go",
 }
 
--- a/admission/random_server_test.go
+++ b/admission/random_server_test.go
@@ -207,7 +207,7 @@
 	}
 	safe := s.settings.Classes[current.class].Idempotency == Safe
 	if action.Kind == ActionReject && !safe && s.runs[current.origin] > 0 {
-		s.t.Fatalf("%d turned away after a run", action.ID)
+		s.t.Fatalf("%d rejected after a run", action.ID)
 	}
 	if s.now > current.deadline+s.settings.AnswerGrace {
 		s.t.Fatalf("%d answered %v late", action.ID, s.now-current.deadline)
--- a/admission/recorded_run_test.go
+++ b/admission/recorded_run_test.go
@@ -56,14 +56,14 @@
 
 // recordedCoverage counts what occurred in the recorded runs.
 type recordedCoverage struct {
-	steps        int
-	actions      map[ActionKind]int
-	reasons      map[Reason]int
-	events       map[EventKind]int
-	outcomes     map[Outcome]int
-	ranks        map[FleetRank]int
-	reconfigured int
-	keptSettings int // Reconfigure returned an error
+	steps            int
+	actions          map[ActionKind]int
+	reasons          map[Reason]int
+	events           map[EventKind]int
+	outcomes         map[Outcome]int
+	ranks            map[FleetRank]int
+	reconfigured     int
+	rejectedSettings int // Reconfigure returned an error
 }
 
 func newRecordedCoverage() *recordedCoverage {
@@ -139,23 +139,23 @@
 // requireCoverage checks that the recorded runs are no empty exercise.
 func requireCoverage(t *testing.T, coverage *recordedCoverage) {
 	t.Helper()
-	const least = 20 // of each kind
+	const minimum = 20 // of each kind
 	require.GreaterOrEqual(t, coverage.steps, 100_000)
 	for kind := ActionRun; kind <= ActionLog; kind++ {
-		assert.GreaterOrEqualf(t, coverage.actions[kind], least, "action %v", kind)
+		assert.GreaterOrEqualf(t, coverage.actions[kind], minimum, "action %v", kind)
 	}
 	for reason := ReasonCPU; reason <= ReasonBelowThreshold; reason++ {
-		assert.GreaterOrEqualf(t, coverage.reasons[reason], least, "reason %v", reason)
+		assert.GreaterOrEqualf(t, coverage.reasons[reason], minimum, "reason %v", reason)
 	}
 	for kind := EventRequest; kind <= EventReregister; kind++ {
-		assert.GreaterOrEqualf(t, coverage.events[kind], least, "event %v", kind)
+		assert.GreaterOrEqualf(t, coverage.events[kind], minimum, "event %v", kind)
 	}
 	for outcome := OutcomeOK; outcome <= OutcomeNotStarted; outcome++ {
-		assert.GreaterOrEqualf(t, coverage.outcomes[outcome], least, "outcome %v", outcome)
+		assert.GreaterOrEqualf(t, coverage.outcomes[outcome], minimum, "outcome %v", outcome)
 	}
 	for rank := RankUnknown; rank <= RankBelowThreshold; rank++ {
-		assert.GreaterOrEqualf(t, coverage.ranks[rank], least, "rank %v", rank)
+		assert.GreaterOrEqualf(t, coverage.ranks[rank], minimum, "rank %v", rank)
 	}
-	assert.GreaterOrEqual(t, coverage.reconfigured, least)
-	assert.GreaterOrEqual(t, coverage.keptSettings, least)
+	assert.GreaterOrEqual(t, coverage.reconfigured, minimum)
+	assert.GreaterOrEqual(t, coverage.rejectedSettings, minimum)
 }
--- a/admission/recorded_server_test.go
+++ b/admission/recorded_server_test.go
@@ -160,7 +160,7 @@
 		settings.Cores = 0
 	}
 	if s.controller.Reconfigure(settings) != nil {
-		coverage.keptSettings++
+		coverage.rejectedSettings++
 		return
 	}
 	coverage.reconfigured++
--- a/admission/request_queue.go
+++ b/admission/request_queue.go
@@ -75,12 +75,12 @@
 	return next
 }
 
-// leastValuable returns the queued request of a class with the lowest value below limit, and that value, or
+// lowestValued returns the queued request of a class with the lowest value below limit, and that value, or
 // nil. It examines the newest depth places only, from the back.
-func (q *requestQueue) leastValuable(
+func (q *requestQueue) lowestValued(
 	class, depth int, limit float64, value func(*request) float64,
 ) (*request, float64) {
-	var least *request
+	var lowest *request
 	requests := q.classes[class].requests
 	for i := len(requests) - 1; i >= max(0, len(requests)-depth); i-- {
 		candidate := requests[i]
@@ -88,9 +88,9 @@
 			continue
 		}
 		if candidateValue := value(candidate); candidateValue < limit {
-			least = candidate
+			lowest = candidate
 			limit = candidateValue
 		}
 	}
-	return least, limit
+	return lowest, limit
 }
--- a/admission/request_queue_test.go
+++ b/admission/request_queue_test.go
@@ -73,20 +73,20 @@
 	require.Nil(t, queue.next(byObjective, func(*request) bool { return true }))
 }
 
-func TestLeastValuableIsTheNewestOfEqualOnes(t *testing.T) {
+func TestLowestValuedIsTheNewestOfEqualOnes(t *testing.T) {
 	var queue requestQueue
 	queue.grow(1)
 	for id, work := range []float64{1, 5, 2, 2, 7} {
 		queue.push(&request{id: RequestID(id), work: work})
 	}
 	byWork := func(request *request) float64 { return request.work }
-	least, value := queue.leastValuable(0, 4, 6, byWork)
+	least, value := queue.lowestValued(0, 4, 6, byWork)
 	require.Equal(t, RequestID(3), least.id, "the first request is out of reach")
 	require.InDelta(t, 2, value, 0)
-	least, value = queue.leastValuable(0, 5, 6, byWork)
+	least, value = queue.lowestValued(0, 5, 6, byWork)
 	require.Equal(t, RequestID(0), least.id)
 	require.InDelta(t, 1, value, 0)
-	least, value = queue.leastValuable(0, 5, 1, byWork)
+	least, value = queue.lowestValued(0, 5, 1, byWork)
 	require.Nil(t, least, "none is below the limit")
 	require.InDelta(t, 1, value, 0)
 }
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -44,7 +44,7 @@
 	request.startedAt = c.now
 	c.memory.take(c.memory.runningExtraKB(request.memoryKB))
 	c.runs.start(request.work)
-	c.out.emit(Action{Kind: ActionRun, ID: request.id})
+	c.actions.emit(Action{Kind: ActionRun, ID: request.id})
 	c.keys.cache(c.now, request)
 	for _, follower := range request.followers {
 		c.reuseResult(follower)
@@ -63,7 +63,7 @@
 		c.estimator.recordRun(c.now, request, completion.Took)
 	}
 	if outcome == OutcomeCancelled && !request.answered {
-		c.out.emit(Action{Kind: ActionFail, ID: request.id})
+		c.actions.emit(Action{Kind: ActionFail, ID: request.id})
 	}
 	c.keys.runEnded(c.now, request, outcome)
 	c.release(request)
@@ -74,7 +74,7 @@
 	if request.answered {
 		return
 	}
-	c.out.emit(Action{Kind: ActionFail, ID: request.id})
+	c.actions.emit(Action{Kind: ActionFail, ID: request.id})
 	c.settle(request)
 }
 
@@ -92,7 +92,7 @@
 	}
 	keyed := c.settings.Classes[request.class].Idempotency == IdempotentByKey
 	if request.state == running && c.settings.Halt != HaltOff && !keyed {
-		c.out.emit(Action{Kind: ActionStop, ID: request.id})
+		c.actions.emit(Action{Kind: ActionStop, ID: request.id})
 	}
 }
 
@@ -102,7 +102,7 @@
 	case queued:
 		c.queue.remove(request)
 	case running:
-		c.runs.leaveCPU()
+		c.runs.releaseCPU()
 	case awaitingCall:
 		c.calls.stopWaiting()
 	case calling:
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -35,7 +35,7 @@
 	want(t, as, ActionReject, 400)
 	controller.Step(4100*ms, nil, nil)
 	if controller.queue.count > 2*controller.settings.Cores {
-		t.Errorf("%d requests held by a hung server", controller.queue.count)
+		t.Errorf("%d requests queued by a hung server", controller.queue.count)
 	}
 }
 
@@ -56,12 +56,12 @@
 		as = controller.Step(0, []Event{req(id, 0)}, as)
 	}
 	if controller.queue.count == 0 {
-		t.Fatal("nothing held")
+		t.Fatal("nothing queued")
 	}
 	for now := time.Duration(0); now <= 2100*ms; now += 10 * ms { // no run ends
 		controller.Step(now, nil, nil)
 	}
 	if controller.queue.count != 0 {
-		t.Errorf("%d held after their aim", controller.queue.count)
+		t.Errorf("%d queued after their objective", controller.queue.count)
 	}
 }
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("%d runs and memory %v after all ended", controller.runs.running, controller.memory.usedKB)
 	}
 	if controller.Reconfigure(testSettings()) == nil {
-		t.Error("a class of requests that may be in hand was left out")
+		t.Error("a class of requests that may be in flight was left out")
 	}
 	settings.Cores = 0
 	if controller.Reconfigure(settings) == nil || controller.settings.Cores == 0 {
@@ -53,18 +53,18 @@
 
 func TestSettingsOfLargeFleetsAreServed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no fleet":          func(s *Settings) { s.FleetSize = 0 },
-		"negative fleet":    func(s *Settings) { s.FleetSize = -5 },
-		"huge fleet":        func(s *Settings) { s.FleetSize = math.MaxInt },
-		"no callers":        func(s *Settings) { s.Clients, s.Advert = 0, AdvertCredit },
-		"huge callers":      func(s *Settings) { s.Clients, s.Advert = math.MaxInt, AdvertCredit },
-		"share far below 1": func(s *Settings) { s.MaxCallsInFlight = 1e-9 },
-		"no share":          func(s *Settings) { s.MaxCallsInFlight = 0 },
-		"one core":          func(s *Settings) { s.Cores = 1 },
-		"no tenants":        func(s *Settings) { s.Tenants = nil },
-		"no idle time":      func(s *Settings) { s.IdleTimeout = 0 },
-		"no mean time":      func(s *Settings) { s.CallsWindow = 0 },
-		"cold without time": func(s *Settings) { s.WarmingUp, s.SlowStartTime, s.SlowStartSpeedRatio = true, 0, 0 },
+		"no fleet":            func(s *Settings) { s.FleetSize = 0 },
+		"negative fleet":      func(s *Settings) { s.FleetSize = -5 },
+		"huge fleet":          func(s *Settings) { s.FleetSize = math.MaxInt },
+		"no clients":          func(s *Settings) { s.Clients, s.Advert = 0, AdvertCredit },
+		"huge clients":        func(s *Settings) { s.Clients, s.Advert = math.MaxInt, AdvertCredit },
+		"far below 1 call":    func(s *Settings) { s.MaxCallsInFlight = 1e-9 },
+		"any number of calls": func(s *Settings) { s.MaxCallsInFlight = 0 },
+		"one core":            func(s *Settings) { s.Cores = 1 },
+		"no tenants":          func(s *Settings) { s.Tenants = nil },
+		"no idle time":        func(s *Settings) { s.IdleTimeout = 0 },
+		"no mean time":        func(s *Settings) { s.CallsWindow = 0 },
+		"cold without time":   func(s *Settings) { s.WarmingUp, s.SlowStartTime, s.SlowStartSpeedRatio = true, 0, 0 },
 	} {
 		settings := testSettings()
 		change(&settings)
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -93,8 +93,8 @@
 	t.idle = false
 }
 
-// sweepDue reports whether a sweep is due at now, and expects the next one after a sweepInterval.
-func (t *timers) sweepDue(now time.Duration) bool {
+// shouldSweep reports whether a sweep is due at now, and expects the next one after a sweepInterval.
+func (t *timers) shouldSweep(now time.Duration) bool {
 	if now < t.sweepAt {
 		return false
 	}
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -18,13 +18,13 @@
 	if n < 9 || n > 12 {
 		t.Errorf("%d wakes in ten seconds at rest", n)
 	}
-	// While the share recovers it is awake.
+	// While the admit probability recovers it is awake.
 	controller.admissionRate.probability = 0.3 // of which the sweeps left out so far make up for some
 	controller.Step(controller.timers.wakeAt, []Event{TimerFired(calmGauges)}, nil)
 	if n = stepAtTimers(controller, controller.now+2*time.Second, calmGauges); n < 19 {
 		t.Errorf("%d wakes in two seconds of recovery", n)
 	}
-	// And while something is in hand.
+	// And while something is in flight.
 	controller.Step(controller.now+1, []Event{req(1, 1)}, nil)
 	if n = stepAtTimers(controller, controller.now+time.Second, calmGauges); n < 9 {
 		t.Errorf("%d wakes in a second with a run", n)
@@ -117,6 +117,6 @@
 
 // sweptState formats what sweeps change, rounded.
 func sweptState(c *Controller) string {
-	return fmt.Sprintf("share %.6f calls %.6f best %.6f runs %.6f wait %.6f links %v", c.admissionRate.probability, c.calls.limiter.limitRatio, c.calls.limiter.bestCallTime,
+	return fmt.Sprintf("admit %.6f calls %.6f best %.6f runs %.6f delay %.6f idle %v", c.admissionRate.probability, c.calls.limiter.limitRatio, c.calls.limiter.bestCallTime,
 		c.runs.runLimit, c.advisor.readDelay.mean.Value(), c.advisor.idleTimeout.current)
 }
--- a/admission/value.go
+++ b/admission/value.go
@@ -68,7 +68,7 @@
 		if !v.competes(class, scarce) {
 			continue
 		}
-		candidate, value := queue.leastValuable(class, victimScanDepth, lowest, density)
+		candidate, value := queue.lowestValued(class, victimScanDepth, lowest, density)
 		if candidate != nil {
 			victim = candidate
 			lowest = value
