--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -4,7 +4,6 @@
 	"context"
 	"crypto/rand"
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"time"
 
@@ -175,17 +174,6 @@
 	}
 }
 
-// stallPage returns the console's call that has the server's event loop stall for d, by stall, which reports whether it
-// does.
-func stallPage(d time.Duration, stall func() bool) console.Page {
-	return console.Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8", Body: func() []byte {
-		if !stall() {
-			return []byte("event loop already stalled\n")
-		}
-		return []byte("event loop stalled for " + d.String() + "\n")
-	}}
-}
-
 // runFleet takes part in the fleet until ctx ends, after a replaced process has released the address.
 func (m *member) runFleet(ctx context.Context) error {
 	for m.retryBind {
@@ -202,26 +190,3 @@
 	}
 	return m.fleet.Run(ctx) //nolint:wrapcheck // it says that it is the fleet's
 }
-
-// errFleetRemoved reports an operators' file that has lost its fleet while the process is a member of one.
-var errFleetRemoved = errors.New("fleet: joining or leaving a fleet requires a restart")
-
-// reload puts seeds, keys and the digest of the configuration into use; other keys of the operators' file count from
-// the next start. A bad file is logged and changes nothing.
-func (m *member) reload() {
-	file, err := operators.Load(m.opts.operatorsPath)
-	if err == nil && file.Fleet == nil {
-		err = errFleetRemoved
-	}
-	if err != nil {
-		m.log.WithError(err).Error("operators' file rejected, keeping current settings")
-		return
-	}
-	digest, err := config.Digest(m.opts.configPath)
-	if err != nil {
-		return // the server reads the same file next and logs the error
-	}
-	m.fleet.Reload(gossip.ReloadableConfig{Seeds: file.Fleet.Seeds, Keys: file.Fleet.Keys, Digest: digest})
-	m.log.WithFields(logrus.Fields{"seeds": len(file.Fleet.Seeds), "keys": len(file.Fleet.Keys)}).
-		Info("seeds and encryption keys reloaded, other settings require a restart")
-}
--- /dev/null
+++ b/internal/overload/probe_round_test.go
@@ -0,0 +1,34 @@
+package overload
+
+import (
+	"testing"
+	"time"
+
+	"falldeal/internal/fleet"
+
+	"github.com/stretchr/testify/require"
+)
+
+// A member takes a later round that others publish, unless it is out of range, and starts the next one when nothing is
+// published about a round for too long.
+func TestProbeRounds(t *testing.T) {
+	const own, published = 5, 7
+	for _, test := range []struct {
+		name      string
+		published uint64
+		elapsed   time.Duration
+		want      uint64
+	}{
+		{"earlier", own - 1, 0, own},
+		{"later", published, 0, published},
+		{"the last in range", maxProbeRound - 1, 0, maxProbeRound - 1},
+		{"out of range", maxProbeRound, 0, own},
+		{"not timed out", 0, probeRoundTimeout, own},
+		{"timed out", 0, probeRoundTimeout + 1, own + 1},
+	} {
+		round := probeRound{number: own}
+		member := fleet.Member{Record: &fleet.Record{Load: fleet.Load{ProbeRound: test.published}}}
+		round.update(test.elapsed, []*fleet.Member{&member})
+		require.Equal(t, test.want, round.number, test.name)
+	}
+}
