--- a/admission/admission.go
+++ b/admission/admission.go
@@ -25,7 +25,7 @@
 	}
 	request := newRequest(c.now, id, arrival, &c.settings.Classes[arrival.Class])
 	request.tenant = c.values.quotas.known(request.tenant)
-	request.work = c.estimator.workOf(request, arrival.CostHint)
+	request.work = c.estimator.recordHint(request.class, arrival.CostHint)
 	c.requests[id] = request
 	c.memory.take(request.memoryKB)
 	if !request.retry {
--- a/admission/call_limiter.go
+++ b/admission/call_limiter.go
@@ -136,7 +136,10 @@
 // credit.
 func (l *callLimiter) allows(inFlight float64) bool {
 	limit := l.limit()
-	return inFlight <= limit || inFlight < limit+1 && l.credit > 0
+	if l.credit > 0 {
+		return inFlight < limit+1
+	}
+	return inFlight <= limit
 }
 
 // delaysCalls reports whether calls may have to wait for others, by what is known.
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -160,9 +160,11 @@
 // mayRetry reports whether a call that ended in outcome is made once more: it must not have had an effect,
 // and there must be time for it.
 func (s *callScheduler) mayRetry(now time.Duration, request *request, outcome Outcome) bool {
-	isRead := s.classes[request.class].Idempotency == Safe
-	repeatable := outcome.NeverRan() || isRead && outcome != OutcomeTimedOut
-	return repeatable && request.callAttempts < maxCallAttempts && now+callBackoff < request.usefulUntil
+	if request.callAttempts >= maxCallAttempts || now+callBackoff >= request.usefulUntil {
+		return false
+	}
+	endedRead := s.classes[request.class].Idempotency == Safe && outcome != OutcomeTimedOut
+	return endedRead || outcome.NeverRan()
 }
 
 // stopWaiting drops the call of a request that has ended while it waited for it.
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -35,7 +35,8 @@
 
 // acceptsRun reports whether a request that reached the machine at arrivedAt may run and end at endsAt.
 func (d *drain) acceptsRun(arrivedAt, endsAt time.Duration) bool {
-	return !d.started || arrivedAt <= d.startedAt+d.grace && d.acceptsEnd(endsAt)
+	arrivedInGrace := !d.started || arrivedAt <= d.startedAt+d.grace
+	return arrivedInGrace && d.acceptsEnd(endsAt)
 }
 
 // acceptsEnd reports whether a run that ends at that time can still be answered.
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -18,7 +18,7 @@
 	skipWaitRatio     = 0.3             // of the time left, that a call which may be skipped is waited for
 )
 
-// estimator foretells how long requests wait and run, from the runs that have ended, the requests that are
+// estimator estimates how long requests wait and run, from the runs that have ended, the requests that are
 // queued and running, and the calls to the dependency. Work is in seconds of a standard core.
 type estimator struct {
 	classes   []Class
@@ -72,14 +72,15 @@
 	e.speed.Add(e.busyTime, request.work, 0)
 }
 
-// workOf returns the work of a request by its hint, or the mean of its class where there is none.
-func (e *estimator) workOf(request *request, hint time.Duration) float64 {
-	class := &e.estimates[request.class]
+// recordHint returns the work of a request of a class by its hint, which counts in the mean of the class from
+// now on. Without a hint, 0, it is that mean.
+func (e *estimator) recordHint(class int, hint time.Duration) float64 {
+	estimates := &e.estimates[class]
 	work := hint.Seconds()
 	if work <= 0 {
-		return class.work.Or(defaultWorkRatio * e.classes[request.class].LatencyObjective.Seconds())
+		return estimates.work.Or(defaultWorkRatio * e.classes[class].LatencyObjective.Seconds())
 	}
-	class.work.Add(work, estimateGain)
+	estimates.work.Add(work, estimateGain)
 	return work
 }
 
@@ -174,8 +175,11 @@
 // bottleneck is what a request that can't be on time waits for. Cores that are idle beside a queue show that
 // it is calls, whatever the estimates say.
 func (e *estimator) bottleneck(now time.Duration, request *request) resource {
+	if !e.needsCall(now, request) {
+		return resourceCPU
+	}
 	coresIdle := e.runs.underRunLimit() && e.queue.count > 0
-	if e.needsCall(now, request) && (coresIdle || e.callWait() > e.cpuWait(request)) {
+	if coresIdle || e.callWait() > e.cpuWait(request) {
 		return resourceCalls
 	}
 	return resourceCPU
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -18,12 +18,12 @@
 
 func TestWorkIsThatOfTheHintOrOfTheClass(t *testing.T) {
 	estimator, _ := testEstimator(t)
-	request := &request{class: 1}
-	require.InDelta(t, defaultWorkRatio*1, estimator.workOf(request, 0), 1e-12)
-	require.InDelta(t, 0.3, estimator.workOf(request, 300*ms), 1e-12)
-	require.InDelta(t, 0.3, estimator.workOf(request, 0), 1e-12, "as others of its class")
-	require.InDelta(t, 0.5, estimator.workOf(request, 500*ms), 1e-12)
-	require.InDelta(t, 0.32, estimator.workOf(request, 0), 1e-12)
+	const class = 1
+	require.InDelta(t, defaultWorkRatio*1, estimator.recordHint(class, 0), 1e-12)
+	require.InDelta(t, 0.3, estimator.recordHint(class, 300*ms), 1e-12)
+	require.InDelta(t, 0.3, estimator.recordHint(class, 0), 1e-12, "as others of its class")
+	require.InDelta(t, 0.5, estimator.recordHint(class, 500*ms), 1e-12)
+	require.InDelta(t, 0.32, estimator.recordHint(class, 0), 1e-12)
 }
 
 // The service rate is the work done for the core time used, whether or not cores were idle.
--- a/admission/request.go
+++ b/admission/request.go
@@ -42,7 +42,6 @@
 
 	firstAttemptAt time.Duration // when its client sent the first attempt, as far as known
 	arrivedAt      time.Duration
-	startedAt      time.Duration // of its run
 	callNeededAt   time.Duration // since then it waits for its call, or is in it
 	objective      time.Duration // an answer by then has its full value
 	usefulUntil    time.Duration // an answer by then has some value
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -41,7 +41,6 @@
 	c.queue.remove(request)
 	request.state = running
 	request.ran = true
-	request.startedAt = c.now
 	c.memory.take(c.memory.runningExtraKB(request.memoryKB))
 	c.runs.start(request.work)
 	c.actions.emit(Action{Kind: ActionRun, ID: request.id})
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -89,7 +89,7 @@
 
 	Halt                  Halt
 	Advert                Advert
-	Dependency            Dependency
+	Dependency            Dependency    // decides nothing here; MaxCallsInFlight does
 	MaxCallsInFlight      float64       // DependencyShared: mean calls in flight allowed to this server; 0: any
 	CallsWindow           time.Duration // over which that mean is taken
 	AbandonedCallTime     time.Duration // for which an abandoned call occupies the dependency at most
@@ -97,8 +97,8 @@
 	SlowStartSpeedRatio   float64       // part of its speed that it has at least while it warms up
 	SlowStartTime         time.Duration // after which it is warm
 	MaxConcurrencyPerCore float64       // requests on the CPU, per core, that a warm server survives
-	ConcurrencyWindow     time.Duration // over which that mean is taken
-	AnswerGrace           time.Duration // for which an answer after its deadline still counts
+	ConcurrencyWindow     time.Duration // over which that mean is taken; checked, but decides nothing
+	AnswerGrace           time.Duration // for which a late answer still counts; checked, but decides nothing
 	DrainGrace            time.Duration // requests that arrive this long after the drain began are not run
 	CacheTTL              time.Duration // for which the result of a read may answer others; 0: never
 	IdleTimeout           time.Duration // after which clients close idle connections; 0: not known
