--- /dev/null
+++ b/admission/admission_rate_test.go
@@ -0,0 +1,47 @@
+package admission
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestAdmissionRateStaysWithinBounds(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 3))
+	rate := newAdmissionRate(rng)
+	require.True(t, rate.recovered())
+	require.False(t, rate.reduced())
+	for range 100 {
+		rate.adjust(true)
+	}
+	require.InDelta(t, minAdmitProbability, rate.probability, 0)
+	require.True(t, rate.reduced())
+	admittedCount := 0
+	for range 10000 {
+		if rate.admits() {
+			admittedCount++
+		}
+	}
+	require.InDelta(t, 10000*minAdmitProbability, admittedCount, 100)
+	for range 100 {
+		rate.adjust(false)
+	}
+	require.True(t, rate.recovered())
+}
+
+func TestCPUPressure(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		gauges Gauges
+		want   bool
+	}{
+		{"idle", Gauges{CPUUtilization: 0.1, CPUDemand: 0}, false},
+		{"full", Gauges{CPUUtilization: 0.95, CPUDemand: 4}, true},
+		{"crowded", Gauges{CPUUtilization: -1, CPUDemand: 9}, true},
+		{"at its limits", Gauges{CPUUtilization: 0.9, CPUDemand: 8}, false},
+		{"unknown", unknownGauges, false},
+	} {
+		require.Equal(t, test.want, underCPUPressure(test.gauges, 4), test.name)
+	}
+}
--- /dev/null
+++ b/admission/arrivals_test.go
@@ -0,0 +1,43 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestArrivalRate(t *testing.T) {
+	arrivals := newArrivalRate()
+	require.Equal(t, 10*offeredTimeConstant, arrivals.meanClientInterval(10), "nothing is known")
+	for i := range 100 {
+		arrivals.add(0, i%2 == 0)
+	}
+	require.True(t, arrivals.retryStorm())
+	require.Equal(t, offeredTimeConstant/10, arrivals.meanClientInterval(10))
+	calm := newArrivalRate()
+	for range 100 {
+		calm.add(0, false)
+	}
+	require.False(t, calm.retryStorm())
+	for range 41 {
+		calm.addRejection(0)
+	}
+	require.True(t, calm.retryStorm())
+}
+
+func TestReadDelay(t *testing.T) {
+	var delay readDelay
+	require.False(t, delay.exceeds(0.4, time.Second))
+	delay.observe(-time.Second) // the clocks differ
+	require.False(t, delay.exceeds(0, time.Second))
+	for range 100 {
+		delay.observe(500 * ms)
+	}
+	require.True(t, delay.exceeds(0.4, time.Second))
+	require.False(t, delay.exceeds(0.4, 2*time.Second))
+	for range 100 {
+		delay.decay()
+	}
+	require.False(t, delay.exceeds(0.4, time.Second), "it is forgotten")
+}
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"testing"
 	"time"
 
 	"falldeal/admission/internal/rolling"
+
+	"github.com/stretchr/testify/require"
 )
 
 func TestDropRatioByHand(t *testing.T) {
@@ -77,3 +80,53 @@
 		t.Errorf("%d calls of 3 within what is protected", n)
 	}
 }
+
+// The breaker's probability is that of its formula over a plain list of the calls in the window.
+func TestBreakerAgainstPlainList(t *testing.T) {
+	const bucket = breakerWindow / breakerBuckets
+	type call struct {
+		at time.Duration
+		ok bool
+	}
+	rng := rand.New(rand.NewPCG(2, 2))
+	breaker := newCircuitBreaker(0)
+	var calls []call
+	now := time.Duration(0)
+	for range 4000 {
+		now += time.Duration(rng.IntN(40)) * ms
+		ended := call{now, rng.IntN(3) > 0}
+		calls = append(calls, ended)
+		outcome := OutcomeFailed
+		if ended.ok {
+			outcome = OutcomeOK
+		}
+		breaker.record(now, outcome)
+		total, accepts := 0.0, 0.0
+		for _, earlier := range calls {
+			if int64(now/bucket)-int64(earlier.at/bucket) >= breakerBuckets {
+				continue
+			}
+			total++
+			if earlier.ok {
+				accepts++
+			}
+		}
+		want := math.Max(0, (total-BreakerProtectedCalls-1.5*accepts)/(total+1))
+		require.InDelta(t, want, breaker.dropProbability(now), 1e-12)
+	}
+}
+
+func TestBreakerCountsOnlyOKAsAccepted(t *testing.T) {
+	for outcome := OutcomeOK; outcome <= OutcomeNotStarted; outcome++ {
+		breaker := newCircuitBreaker(0)
+		for range 50 {
+			breaker.record(0, outcome)
+		}
+		require.Equal(t, outcome != OutcomeOK, breaker.dropProbability(0) > 0, outcome)
+	}
+	breaker := newCircuitBreaker(0)
+	require.False(t, breaker.mayNotProbe())
+	breaker.protectedCalls = -1
+	require.True(t, breaker.mayNotProbe())
+	require.Positive(t, breaker.dropProbability(0), "even the first call is dropped")
+}
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
 func TestDrainRunsNothingLateAndAnswersAll(t *testing.T) {
@@ -64,3 +66,19 @@
 	}
 	want(t, actions, ActionFail, 1)
 }
+
+func TestDrainBoundsAnswers(t *testing.T) {
+	drain := drain{grace: time.Second}
+	request := &request{deadline: 20 * time.Second}
+	require.Equal(t, 20*time.Second-answerMargin, drain.answerDeadline(request))
+	require.True(t, drain.acceptsRun(time.Hour, time.Hour), "there is no drain")
+	require.True(t, drain.acceptsEnd(time.Hour))
+	drain.start(10*time.Second, DrainSignal{Waited: 2 * time.Second, StopAt: 14 * time.Second})
+	require.Equal(t, 14*time.Second-stopMargin, drain.answerDeadline(request))
+	require.True(t, drain.acceptsRun(9*time.Second, 13*time.Second))
+	require.False(t, drain.acceptsRun(9*time.Second+1, 13*time.Second), "after the grace, which began with the signal")
+	require.False(t, drain.acceptsRun(9*time.Second, 14*time.Second))
+	require.False(t, drain.acceptsEnd(14*time.Second))
+	request.deadline = 12 * time.Second
+	require.Equal(t, 12*time.Second-answerMargin, drain.answerDeadline(request))
+}
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
 func TestLateReaderIsUnhealthyHalfOfTheTime(t *testing.T) {
@@ -57,3 +59,21 @@
 		t.Error("a server that drains came back")
 	}
 }
+
+func TestHealthAnswers(t *testing.T) {
+	var health health
+	require.Equal(t, HealthAnswer{Healthy: true, Cached: true}, health.answer())
+	require.False(t, health.adjust(time.Second, false, false), "nothing has changed")
+	require.False(t, health.adjust(time.Second, true, true), "a drain")
+	require.True(t, health.adjust(time.Second, true, false))
+	require.Equal(t, HealthAnswer{Healthy: false, Cached: true}, health.answer())
+	require.False(t, health.adjust(time.Second+minHealthDuration-1, false, false), "too soon")
+	require.True(t, health.adjust(time.Second+minHealthDuration, true, false), "half of the time at most")
+	require.True(t, health.answer().Healthy)
+	require.True(t, health.setDeregistered(2*time.Second, true, false))
+	require.False(t, health.answer().Healthy)
+	require.False(t, health.adjust(time.Hour, true, false), "operators decide")
+	require.False(t, health.setDeregistered(time.Hour, false, true), "a drain")
+	require.True(t, health.setDeregistered(time.Hour, false, false))
+	require.True(t, health.answer().Healthy)
+}
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
 func TestConditionChangesAreLoggedSeldom(t *testing.T) {
@@ -25,3 +27,13 @@
 		t.Errorf("log line %q", a.Condition.String())
 	}
 }
+
+func TestConditionReporterWaitsBetweenReports(t *testing.T) {
+	var reporter conditionReporter
+	require.False(t, reporter.changed(0, ConditionMemory, false))
+	require.True(t, reporter.changed(0, ConditionMemory, true), "even at time 0")
+	require.False(t, reporter.changed(time.Second, ConditionMemory, false), "too soon")
+	require.True(t, reporter.changed(time.Second, ConditionHealth, true), "another condition")
+	require.False(t, reporter.changed(reportInterval+1, ConditionMemory, true), "it goes on")
+	require.True(t, reporter.changed(reportInterval+1, ConditionMemory, false))
+}
--- /dev/null
+++ b/admission/tenants_test.go
@@ -0,0 +1,35 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestTenantQuotas(t *testing.T) {
+	var quotas tenantQuotas
+	quotas.configure(&Settings{FleetSize: 4, ExcessValueRatio: 0.25,
+		Tenants: []Tenant{{QuotaPerSecond: 40}, {QuotaPerSecond: 4}, {}}})
+	for now := time.Duration(0); now < time.Minute; now += 50 * ms { // 20 requests a second of each
+		for tenant := range 3 {
+			quotas.count(now, tenant)
+		}
+	}
+	quotas.weigh(time.Minute)
+	require.InDelta(t, 0.5, quotas.valueFactor(0), 0.02, "10 of 20 requests count")
+	require.InDelta(t, 0.25, quotas.valueFactor(1), 0, "the least part")
+	require.InDelta(t, 1, quotas.valueFactor(2), 0, "no quota")
+	quotas.weigh(2 * time.Minute)
+	require.InDelta(t, 1, quotas.valueFactor(0), 0, "nothing is offered any more")
+	require.Equal(t, 0, quotas.known(-1))
+	require.Equal(t, 2, quotas.known(2))
+	require.Equal(t, 0, quotas.known(3))
+	quotas.configure(&Settings{}) // states of tenants stay
+	require.Equal(t, 2, quotas.known(2))
+	require.Zero(t, quotas.serverQuota(2))
+	var none tenantQuotas
+	none.configure(&Settings{})
+	require.Equal(t, 0, none.known(5))
+	require.InDelta(t, 1, none.valueFactor(0), 0)
+}
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -120,3 +120,51 @@
 	return fmt.Sprintf("admit %.6f calls %.6f best %.6f runs %.6f delay %.6f idle %v", c.admissionRate.probability, c.calls.limiter.limitRatio, c.calls.limiter.bestCallTime,
 		c.runs.runLimit, c.advisor.readDelay.mean.Value(), c.advisor.idleTimeout.current)
 }
+
+func TestTimersSkipSweepsWhileIdle(t *testing.T) {
+	var timers timers
+	require.True(t, timers.start())
+	require.False(t, timers.start())
+	require.True(t, timers.shouldSweep(0))
+	require.False(t, timers.shouldSweep(50*ms))
+	at, ok := timers.schedule(50*ms, false)
+	require.True(t, ok)
+	require.Equal(t, sweepInterval, at)
+	_, ok = timers.schedule(60*ms, false)
+	require.False(t, ok, "it wakes in time")
+	timers.add(80*ms, deadline{kind: deadlineAbandonedCall})
+	at, ok = timers.schedule(60*ms, false)
+	require.True(t, ok)
+	require.Equal(t, 80*ms, at)
+	_, ok = timers.expired(70 * ms)
+	require.False(t, ok)
+	due, ok := timers.expired(80 * ms)
+	require.True(t, ok)
+	require.Equal(t, deadlineAbandonedCall, due.kind)
+	at, ok = timers.schedule(80*ms, true)
+	require.True(t, ok)
+	require.Equal(t, maxSkippedSweeps*sweepInterval, at)
+	sweeps := 0
+	timers.catchUp(450*ms, func() { sweeps++ })
+	require.Equal(t, 4, sweeps, "at 100, 200, 300 and 400 ms")
+	timers.schedule(450*ms, true)
+	sweeps = 0
+	timers.catchUp(time.Hour, func() { sweeps++ })
+	require.Equal(t, maxSkippedSweeps, sweeps, "after a suspension")
+}
+
+func TestObsoleteDeadlinesAreDropped(t *testing.T) {
+	var timers timers
+	answered := &request{state: running, answered: true}
+	waiting := &request{state: awaitingCall}
+	timers.add(1, deadline{kind: deadlineAnswer, request: answered})
+	timers.add(2, deadline{kind: deadlineCallRetry, request: answered})
+	timers.add(3, deadline{kind: deadlineAnswer, request: &request{state: released}})
+	timers.add(4, deadline{kind: deadlineCallRetry, request: waiting})
+	due, ok := timers.expired(time.Second)
+	require.True(t, ok)
+	require.Same(t, waiting, due.request)
+	_, ok = timers.expired(time.Second)
+	require.False(t, ok)
+	require.Zero(t, timers.deadlines.Len())
+}
