--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -8,12 +8,11 @@
 )
 
 func TestAdmitProbabilityFallsOnlyUnderPressureAndLate(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	step := func(use, lat float64) float64 {
 		controller.gauges.CPUUtilization = use
 		controller.estimator.estimates[0].latency = rolling.AverageOf(lat)
-		overloaded := controller.estimator.anyClassLate() && underCPUPressure(controller.gauges, controller.settings.Cores)
-		controller.admissionRate.adjust(overloaded)
+		controller.admissionRate.adjust(controller.estimator.cpuOverloaded(controller.gauges))
 		return controller.admissionRate.probability
 	}
 	if step(0.99, 0.5) != 1 || step(0.5, 9) != 1 {
@@ -28,39 +27,39 @@
 }
 
 func TestRetriesHaveShorterObjective(t *testing.T) {
-	c := start(t, testSettings())
-	again := req(1, 0)
+	controller := startController(t, testSettings())
+	again := arrived(1, 0)
 	again.Arrival.Retry = true
-	c.Step(0, []Event{again}, nil)
-	if got := c.requests[1].objective; got >= 2*time.Second {
+	controller.Step(0, []Event{again}, nil)
+	if got := controller.requests[1].objective; got >= 2*time.Second {
 		t.Errorf("a retry has its whole objective of %v left", got)
 	}
 }
 
 func TestRejectionsAdviseOnRetryElsewhere(t *testing.T) {
-	refusal := func(prepare func(*Controller, *Event)) *Action {
-		controller := start(t, testSettings())
+	rejection := func(prepare func(*Controller, *Event)) *Action {
+		controller := startController(t, testSettings())
 		controller.advisor.marksRetries = true
 		controller.estimator.speed.First = 1e-6 // so slow that nothing is in time
 		for id := RequestID(100); id < 110; id++ {
-			controller.Step(0, []Event{req(id, 0)}, nil)
+			controller.Step(0, []Event{arrived(id, 0)}, nil)
 		}
-		e := req(1, 0)
-		prepare(controller, &e)
-		return want(t, controller.Step(0, []Event{e}, nil), ActionReject, 1)
+		event := arrived(1, 0)
+		prepare(controller, &event)
+		return requireAction(t, controller.Step(0, []Event{event}, nil), ActionReject, 1)
 	}
-	if a := refusal(func(*Controller, *Event) {}); a.Rejection.NoRetryElsewhere || a.Rejection.RetryAfter <= 0 {
-		t.Errorf("trouble of this server alone: %+v", *a)
+	if action := rejection(func(*Controller, *Event) {}); action.Rejection.NoRetryElsewhere || action.Rejection.RetryAfter <= 0 {
+		t.Errorf("trouble of this server alone: %+v", *action)
 	}
 	for _, marks := range []bool{true, false} {
-		storm := func(c *Controller, _ *Event) {
-			c.advisor.marksRetries, c.advisor.arrivals.counts.First, c.advisor.arrivals.counts.Second = marks, 10, 9
+		storm := func(controller *Controller, _ *Event) {
+			controller.advisor.marksRetries, controller.advisor.arrivals.counts.First, controller.advisor.arrivals.counts.Second = marks, 10, 9
 		}
-		if a := refusal(storm); !a.Rejection.NoRetryElsewhere {
+		if action := rejection(storm); !action.Rejection.NoRetryElsewhere {
 			t.Errorf("in a storm the client is sent on (retries marked: %v)", marks)
 		}
 	}
-	if a := refusal(func(_ *Controller, e *Event) { e.Arrival.Waited = 1500 * ms }); !a.Rejection.NoRetryElsewhere {
+	if action := rejection(func(_ *Controller, event *Event) { event.Arrival.Waited = 1500 * ms }); !action.Rejection.NoRetryElsewhere {
 		t.Error("a request whose objective is nearly over is sent on")
 	}
 }
@@ -74,50 +73,52 @@
 		why        Reason
 	}{{RankUnknown, false, false, ReasonCPU}, {RankUnknown, true, true, ReasonCPU}, {RankElsewhere, true, false, ReasonCPU},
 		{RankFull, false, true, ReasonCPU}, {RankBelowThreshold, false, true, ReasonBelowThreshold}} {
-		controller := start(t, testSettings())
-		event := req(1, 0)
+		controller := startController(t, testSettings())
+		event := arrived(1, 0)
 		event.Arrival.FleetRank = test.rank
-		want(t, controller.Step(0, []Event{event}, nil), ActionRun, 1)
+		requireAction(t, controller.Step(0, []Event{event}, nil), ActionRun, 1)
 		for id := RequestID(100); id < 110; id++ {
-			controller.Step(0, []Event{req(id, 0)}, nil)
+			controller.Step(0, []Event{arrived(id, 0)}, nil)
 		}
 		controller.estimator.speed.First = 1e-6 // so slow that nothing is in time
 		if test.storm {
 			controller.advisor.arrivals.counts.First, controller.advisor.arrivals.counts.Second = 10, 9
 		}
 		event.ID = 2
-		if a := want(t, controller.Step(0, []Event{event}, nil), ActionReject, 2); a.Rejection.NoRetryElsewhere != test.end || a.Rejection.Reason != test.why || test.end == (a.Rejection.RetryAfter > 0) {
-			t.Errorf("%+v: %+v", test, *a)
+		action := requireAction(t, controller.Step(0, []Event{event}, nil), ActionReject, 2)
+		rejection := action.Rejection
+		if rejection.NoRetryElsewhere != test.end || rejection.Reason != test.why || test.end == (rejection.RetryAfter > 0) {
+			t.Errorf("%+v: %+v", test, *action)
 		}
 	}
 }
 
 func TestValuableArrivalsEvictLessValuable(t *testing.T) {
-	s := testSettings()
-	s.MaxCallsInFlight, s.Dependency = 0, DependencyNone
-	for i := range s.Classes {
-		s.Classes[i].CallsDependency = false
+	settings := testSettings()
+	settings.MaxCallsInFlight, settings.Dependency = 0, DependencyNone
+	for i := range settings.Classes {
+		settings.Classes[i].CallsDependency = false
 	}
-	controller := start(t, s)
+	controller := startController(t, settings)
 	id := RequestID(0)
 	for range 200 {
 		id++
-		controller.Step(0, []Event{req(id, 0)}, nil)
+		controller.Step(0, []Event{arrived(id, 0)}, nil)
 	}
 	controller.settings.Classes[0].PriorityWeight, controller.settings.Classes[1].PriorityWeight = 1, 3
 	id++
-	as := controller.Step(0, []Event{req(id, 1)}, nil)
-	wantNone(t, as, ActionReject, id)
+	actions := controller.Step(0, []Event{arrived(id, 1)}, nil)
+	requireNoAction(t, actions, ActionReject, id)
 	if controller.requests[id] == nil {
 		t.Error("a keyed request worth more was rejected for queued ones of less value")
 	}
 }
 
 func TestRejectionOnReadingLeavesQueueCounts(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	controller.admissionRate.probability = 0 // all that comes while the cores are busy is refused on reading
 	for id := RequestID(1); id <= 40; id++ {
-		controller.Step(0, []Event{req(id, 0)}, nil)
+		controller.Step(0, []Event{arrived(id, 0)}, nil)
 	}
 	if controller.queue.count != 0 || controller.queue.work != 0 || controller.queue.classes[0].count != 0 {
 		t.Errorf("%d queued, %v s of work, %d of the class", controller.queue.count, controller.queue.work, controller.queue.classes[0].count)
@@ -126,16 +127,16 @@
 
 func TestRetryStormIsDetected(t *testing.T) {
 	for _, marks := range []bool{true, false} {
-		s := testSettings()
-		s.MarksRetries = marks
-		controller := start(t, s)
+		settings := testSettings()
+		settings.MarksRetries = marks
+		controller := startController(t, settings)
 		controller.estimator.speed.First = 1e-6
 		var last *Action
 		for id := RequestID(1); id <= 60; id++ {
-			e := req(id, 0)
-			e.Arrival.Retry = marks
-			if a := find(controller.Step(0, []Event{e}, nil), ActionReject, id); a != nil {
-				last = a
+			event := arrived(id, 0)
+			event.Arrival.Retry = marks
+			if action := findAction(controller.Step(0, []Event{event}, nil), ActionReject, id); action != nil {
+				last = action
 			}
 		}
 		if last == nil || !last.Rejection.NoRetryElsewhere {
@@ -148,29 +149,34 @@
 // jittered as the event says, up to the longest that is heeded.
 func TestAttemptAgeAndRetryJitter(t *testing.T) {
 	first := func(age, spread time.Duration) (ran bool, rejected *Action) {
-		controller := start(t, testSettings())
+		controller := startController(t, testSettings())
 		var events []Event
 		for id := RequestID(1); id <= 16; id++ { // cores are taken, and some are queued
-			events = append(events, req(id, 0))
+			events = append(events, arrived(id, 0))
 		}
 		controller.Step(10*ms, events, nil)
-		e := req(99, 0)
-		e.Arrival.SinceFirstAttempt, e.Arrival.RetryJitter = age, spread
-		as := controller.Step(20*ms, []Event{e}, nil)
-		return find(as, ActionReject, 99) == nil, find(as, ActionReject, 99)
+		event := arrived(99, 0)
+		event.Arrival.SinceFirstAttempt, event.Arrival.RetryJitter = age, spread
+		actions := controller.Step(20*ms, []Event{event}, nil)
+		return findAction(actions, ActionReject, 99) == nil, findAction(actions, ActionReject, 99)
 	}
 	if ran, _ := first(0, 0); !ran {
 		t.Error("a first attempt that can be in time is rejected")
 	}
-	if ran, a := first(1900*ms, 0); ran || !a.Rejection.NoRetryElsewhere {
-		t.Errorf("an attempt that can't be in time any more: %v %+v", ran, a)
+	if ran, action := first(1900*ms, 0); ran || !action.Rejection.NoRetryElsewhere {
+		t.Errorf("an attempt that can't be in time any more: %v %+v", ran, action)
 	}
-	c := start(t, testSettings())
+	controller := startController(t, testSettings())
 	for id := RequestID(1); id <= 400; id++ {
-		e := req(id, 0)
-		e.Arrival.RetryJitter = time.Duration(id) * 10 * ms
-		if a := find(c.Step(10*ms, []Event{e}, nil), ActionReject, id); a != nil && !a.Rejection.NoRetryElsewhere && (a.Rejection.RetryAfter < min(e.Arrival.RetryJitter, time.Second) || a.Rejection.RetryAfter > time.Second) {
-			t.Fatalf("%+v", *a)
+		event := arrived(id, 0)
+		event.Arrival.RetryJitter = time.Duration(id) * 10 * ms
+		action := findAction(controller.Step(10*ms, []Event{event}, nil), ActionReject, id)
+		if action == nil || action.Rejection.NoRetryElsewhere {
+			continue
+		}
+		retryAfter := action.Rejection.RetryAfter
+		if retryAfter < min(event.Arrival.RetryJitter, time.Second) || retryAfter > time.Second {
+			t.Fatalf("%+v", *action)
 		}
 	}
 }
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -10,18 +10,18 @@
 // Half of a fleet's clients ask one server for the same subjects. Reading alone then takes its CPU, and advice of a tenth
 // of a second does not change when a client returns that comes every few seconds.
 func TestRetryAfterCoversClientInterval(t *testing.T) {
-	refusal := func(clients int, waited, work time.Duration) *Action {
-		s := testSettings()
-		s.Clients = clients
-		controller := start(t, s)
+	rejection := func(clients int, waited, work time.Duration) *Action {
+		settings := testSettings()
+		settings.Clients = clients
+		controller := startController(t, settings)
 		now := time.Duration(0)
 		var last *Action
 		for id := RequestID(1); id <= 400; id++ {
 			now += 50 * ms // 20 requests a second
-			e := req(id, 1)
-			e.Arrival.Waited, e.Arrival.CostHint = waited, work
-			if a := find(controller.Step(now, []Event{e, TimerFired(calmGauges)}, nil), ActionReject, id); a != nil {
-				last = a
+			event := arrived(id, 1)
+			event.Arrival.Waited, event.Arrival.CostHint = waited, work
+			if action := findAction(controller.Step(now, []Event{event, TimerFired(calmGauges)}, nil), ActionReject, id); action != nil {
+				last = action
 			}
 		}
 		if last == nil {
@@ -31,21 +31,21 @@
 	}
 	// 150 clients with 20 requests a second come every 7.5 s, so they are sent off for as long as they heed, and
 	// those whose time is over hear so too, beside the wish to try nowhere else.
-	late := refusal(150, 900*ms, time.Second)
+	late := rejection(150, 900*ms, time.Second)
 	if late.Rejection.Reason != ReasonTooLate || !late.Rejection.NoRetryElsewhere || late.Rejection.RetryAfter != time.Second {
 		t.Errorf("%+v", *late)
 	}
 	// Ten come every half second.
-	if a := refusal(10, 900*ms, time.Second); a.Rejection.RetryAfter < 400*ms || a.Rejection.RetryAfter > 600*ms {
-		t.Errorf("%+v", *a)
+	if action := rejection(10, 900*ms, time.Second); action.Rejection.RetryAfter < 400*ms || action.Rejection.RetryAfter > 600*ms {
+		t.Errorf("%+v", *action)
 	}
 	// One client that sends all of them would leave the server idle: the advice is as it was.
-	if a := refusal(1, 900*ms, time.Second); a.Rejection.RetryAfter != 0 {
-		t.Errorf("%+v", *a)
+	if action := rejection(1, 900*ms, time.Second); action.Rejection.RetryAfter != 0 {
+		t.Errorf("%+v", *action)
 	}
 	// Where reading is in time it is as it was as well.
-	if a := refusal(150, 0, 3*time.Second); a.Rejection.RetryAfter >= time.Second {
-		t.Errorf("%+v", *a)
+	if action := rejection(150, 0, 3*time.Second); action.Rejection.RetryAfter >= time.Second {
+		t.Errorf("%+v", *action)
 	}
 }
 
@@ -53,9 +53,9 @@
 	for clients, closed := range map[int]bool{5: false, 1000: true} {
 		settings := testSettings()
 		settings.Clients = clients
-		controller := start(t, settings)
+		controller := startController(t, settings)
 		for i := range 1000 { // 10 requests a second
-			controller.Step(time.Duration(i)*100*ms, []Event{req(RequestID(i+1), 0)}, nil)
+			controller.Step(time.Duration(i)*100*ms, []Event{arrived(RequestID(i+1), 0)}, nil)
 			controller.Step(time.Duration(i)*100*ms+50*ms, []Event{RunCompleted(RequestID(i+1), Completion{})}, nil)
 		}
 		if got := controller.advisor.idleTimeout.current < settings.IdleTimeout; got != closed {
@@ -65,11 +65,12 @@
 }
 
 func TestCreditIsDividedAmongClients(t *testing.T) {
-	s := testSettings()
-	s.Advert, s.Clients = AdvertCredit, 1000
-	c, _ := New(s, 1, 0)
-	if a := want(t, c.Step(0, nil, nil), ActionAdvertise, 0); a.Value <= 0 || a.Value*1000 > maxRunsPerCore*2*float64(s.Cores) {
-		t.Errorf("credit %v", a.Value)
+	settings := testSettings()
+	settings.Advert, settings.Clients = AdvertCredit, 1000
+	controller, _ := New(settings, 1, 0)
+	action := requireAction(t, controller.Step(0, nil, nil), ActionAdvertise, 0)
+	if action.Value <= 0 || action.Value*1000 > maxRunsPerCore*2*float64(settings.Cores) {
+		t.Errorf("credit %v", action.Value)
 	}
 }
 
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDropRatioByHand(t *testing.T) {
+func TestDropProbabilityByHand(t *testing.T) {
 	for _, x := range []struct{ total, accepts, want float64 }{
 		{0, 0, 0}, {5, 0, 0}, {6, 0, 1.0 / 7}, {100, 100, 0}, {100, 60, 5.0 / 101}, {100, 0, 95.0 / 101}, {35, 10, 15.0 / 36},
 	} {
@@ -22,7 +22,7 @@
 }
 
 func TestBreakerRecoversAndIdleWindowForgets(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	for range 100 {
 		controller.calls.breaker.record(controller.now, OutcomeFailed)
 	}
@@ -48,7 +48,7 @@
 // probe, and the first calls on one that does, however long calls took before the store went away.
 func TestProtectedCallsFollowFleet(t *testing.T) {
 	calls := func(protect float64) (n int) {
-		controller := start(t, testSettings())
+		controller := startController(t, testSettings())
 		controller.calls.limiter.callTime, controller.calls.limiter.bestCallTime = rolling.AverageOf(0.03), 0.03
 		if protect > 0 {
 			controller.calls.limiter.callTime = rolling.AverageOf(1.9)
@@ -58,20 +58,20 @@
 		}
 		controller.SetProtectedCalls(protect)
 		for id := RequestID(1); id < 4; id++ {
-			controller.Step(controller.now+1, []Event{req(id, 3)}, nil)
-			as := controller.Step(controller.now+1, []Event{CallNeeded(id)}, nil)
-			if find(as, ActionCall, id) != nil {
+			controller.Step(controller.now+1, []Event{arrived(id, 3)}, nil)
+			actions := controller.Step(controller.now+1, []Event{CallNeeded(id)}, nil)
+			if findAction(actions, ActionCall, id) != nil {
 				n++
-			} else if find(as, ActionSkipCall, id) == nil {
+			} else if findAction(actions, ActionSkipCall, id) == nil {
 				t.Errorf("request %d neither calls nor goes on", id)
 			}
 		}
 		return n
 	}
-	c := start(t, testSettings())
-	c.SetProtectedCalls(-1)
-	if a := want(t, c.Step(0, []Event{req(1, 1)}, nil), ActionReject, 1); a.Rejection.Reason != ReasonDependency {
-		t.Errorf("a request that would fail at its call: %+v", *a)
+	controller := startController(t, testSettings())
+	controller.SetProtectedCalls(-1)
+	if action := requireAction(t, controller.Step(0, []Event{arrived(1, 1)}, nil), ActionReject, 1); action.Rejection.Reason != ReasonDependency {
+		t.Errorf("a request that would fail at its call: %+v", *action)
 	}
 	if n := calls(-1); n != 0 {
 		t.Errorf("%d calls by one whose turn it is not", n)
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -8,45 +8,45 @@
 )
 
 func TestDrainRunsNothingLateAndAnswersAll(t *testing.T) {
-	controller := start(t, testSettings())
-	actions := controller.Step(0, []Event{req(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second})}, nil)
-	want(t, actions, ActionRun, 1)
-	actions = controller.Step(1200*ms, []Event{req(2, 0)}, nil)
-	want(t, actions, ActionReject, 2)
-	wantNone(t, actions, ActionRun, 2)
+	controller := startController(t, testSettings())
+	actions := controller.Step(0, []Event{arrived(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second})}, nil)
+	requireAction(t, actions, ActionRun, 1)
+	actions = controller.Step(1200*ms, []Event{arrived(2, 0)}, nil)
+	requireAction(t, actions, ActionReject, 2)
+	requireNoAction(t, actions, ActionRun, 2)
 	actions = nil
 	for now := 1200 * ms; now < 3*time.Second; now += 5 * ms {
 		actions = controller.Step(now, nil, actions)
 	}
-	want(t, actions, ActionFail, 1)
+	requireAction(t, actions, ActionFail, 1)
 }
 
 func TestDrainAdvertisesNoCapacity(t *testing.T) {
 	for advert, value := range map[Advert]float64{AdvertLevel: 1, AdvertCredit: 0, AdvertWeight: 0} {
-		s := testSettings()
-		s.Advert = advert
-		c := start(t, s)
-		as := c.Step(200*ms, []Event{DrainStarted(DrainSignal{StopAt: 5 * time.Second})}, nil)
-		if a := want(t, as, ActionAdvertise, 0); a.Value != value {
-			t.Errorf("advert %d: value %v, want %v", advert, a.Value, value)
+		settings := testSettings()
+		settings.Advert = advert
+		controller := startController(t, settings)
+		actions := controller.Step(200*ms, []Event{DrainStarted(DrainSignal{StopAt: 5 * time.Second})}, nil)
+		if action := requireAction(t, actions, ActionAdvertise, 0); action.Value != value {
+			t.Errorf("advert %d: value %v, want %v", advert, action.Value, value)
 		}
-		if a := want(t, as, ActionHealth, 0); a.Health.Healthy || !a.Health.Cached {
-			t.Errorf("health %+v", *a)
+		if action := requireAction(t, actions, ActionHealth, 0); action.Health.Healthy || !action.Health.Cached {
+			t.Errorf("health %+v", *action)
 		}
 	}
 }
 
 func TestAnswersByDeadlineWithoutAnyOutcome(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	var actions []Action
 	for id := RequestID(1); id <= 40; id++ {
-		actions = controller.Step(0, []Event{req(id, int(id)%4)}, actions)
+		actions = controller.Step(0, []Event{arrived(id, int(id)%4)}, actions)
 	}
 	for now := time.Duration(0); now <= 6*time.Second; now += 5 * ms {
 		actions = controller.Step(now, nil, actions)
 	}
 	for id := RequestID(1); id <= 40; id++ {
-		if find(actions, ActionReject, id) == nil && find(actions, ActionFail, id) == nil {
+		if findAction(actions, ActionReject, id) == nil && findAction(actions, ActionFail, id) == nil {
 			t.Errorf("request %d has no answer though the work hangs", id)
 		}
 	}
@@ -54,17 +54,17 @@
 
 // A process that another one replaces answers what it has read, but the server goes on: no client is sent elsewhere.
 func TestReplacedServerKeepsItsHealth(t *testing.T) {
-	controller := start(t, testSettings())
-	actions := controller.Step(0, []Event{req(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second, Replaced: true})}, nil)
-	want(t, actions, ActionRun, 1)
-	if find(actions, ActionHealth, 0) != nil {
+	controller := startController(t, testSettings())
+	actions := controller.Step(0, []Event{arrived(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second, Replaced: true})}, nil)
+	requireAction(t, actions, ActionRun, 1)
+	if findAction(actions, ActionHealth, 0) != nil {
 		t.Error("health changed though the server stays")
 	}
 	actions = nil
 	for now := time.Duration(0); now < 3*time.Second; now += 5 * ms {
 		actions = controller.Step(now, nil, actions)
 	}
-	want(t, actions, ActionFail, 1)
+	requireAction(t, actions, ActionFail, 1)
 }
 
 func TestDrainBoundsAnswers(t *testing.T) {
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -101,6 +101,11 @@
 	return false
 }
 
+// cpuOverloaded reports whether the cores are short of time and requests are late for it.
+func (e *estimator) cpuOverloaded(gauges Gauges) bool {
+	return e.anyClassLate() && underCPUPressure(gauges, e.cores)
+}
+
 // callsPerRun is the mean number of calls that a run of a class makes.
 func (e *estimator) callsPerRun(class int) float64 { return e.estimates[class].callsPerRun.Or(1) }
 
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -12,7 +12,7 @@
 // testEstimator returns the estimator of a controller that has taken its first step, and the controller.
 func testEstimator(t *testing.T) (*estimator, *Controller) {
 	t.Helper()
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	return controller.estimator, controller
 }
 
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -20,8 +20,8 @@
 	names := map[admission.ActionKind]string{admission.ActionHealth: "health", admission.ActionWake: "wake", admission.ActionRun: "run"}
 	now := 10 * time.Millisecond
 	arrived := []admission.Event{admission.RequestArrived(1, admission.Arrival{MemoryKB: 20, CostHint: 50 * time.Millisecond})}
-	for _, a := range ctl.Step(now, arrived, nil) {
-		fmt.Println(names[a.Kind], a.ID)
+	for _, action := range ctl.Step(now, arrived, nil) {
+		fmt.Println(names[action.Kind], action.ID)
 	}
 	ended := []admission.Event{admission.RunCompleted(1, admission.Completion{Outcome: admission.OutcomeOK, Took: 60 * time.Millisecond})}
 	fmt.Println(len(ctl.Step(now+60*time.Millisecond, ended, nil)), "more actions")
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestLateReaderIsUnhealthyHalfOfTheTime(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	off, answers := time.Duration(0), 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
-		e := req(RequestID(now+1), 0)
-		e.Arrival.Waited = 900 * ms
-		for _, a := range controller.Step(now, []Event{e}, nil) {
-			if a.Kind == ActionHealth {
+		event := arrived(RequestID(now+1), 0)
+		event.Arrival.Waited = 900 * ms
+		for _, action := range controller.Step(now, []Event{event}, nil) {
+			if action.Kind == ActionHealth {
 				answers++
 			}
 		}
@@ -32,30 +32,30 @@
 		t.Errorf("unhealthy %v, wait %v s, though nothing comes any more", controller.health.unhealthy, controller.advisor.readDelay.mean.Value())
 	}
 	controller.Step(20*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
-	e := req(1, 0)
-	e.Arrival.Waited = 5 * time.Second
-	as := controller.Step(21*time.Second, []Event{e}, nil)
-	as = controller.Step(23*time.Second, nil, as)
-	wantNone(t, as, ActionHealth, 0)
+	event := arrived(1, 0)
+	event.Arrival.Waited = 5 * time.Second
+	actions := controller.Step(21*time.Second, []Event{event}, nil)
+	actions = controller.Step(23*time.Second, nil, actions)
+	requireNoAction(t, actions, ActionHealth, 0)
 }
 
 // A server that operators have deregistered stays so until they take it back, whatever the load; requests are run meanwhile.
 func TestDeregisteredUntilReregistered(t *testing.T) {
-	controller := start(t, testSettings())
-	if want(t, controller.Step(time.Second, []Event{ServerDeregistered()}, nil), ActionHealth, 0).Health.Healthy {
+	controller := startController(t, testSettings())
+	if requireAction(t, controller.Step(time.Second, []Event{ServerDeregistered()}, nil), ActionHealth, 0).Health.Healthy {
 		t.Error("health is not bad after EventDeregister")
 	}
 	for now := 1100 * ms; now < 5*time.Second; now += 100 * ms {
-		if find(controller.Step(now, []Event{TimerFired(Gauges{})}, nil), ActionHealth, 0) != nil {
+		if findAction(controller.Step(now, []Event{TimerFired(Gauges{})}, nil), ActionHealth, 0) != nil {
 			t.Error("health changed by itself")
 		}
 	}
-	want(t, controller.Step(5*time.Second, []Event{req(1, 0)}, nil), ActionRun, 1)
-	if !want(t, controller.Step(6*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0).Health.Healthy {
+	requireAction(t, controller.Step(5*time.Second, []Event{arrived(1, 0)}, nil), ActionRun, 1)
+	if !requireAction(t, controller.Step(6*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0).Health.Healthy {
 		t.Error("health is not good after Restore")
 	}
 	controller.Step(7*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 9 * time.Second})}, nil)
-	if find(controller.Step(7*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0) != nil {
+	if findAction(controller.Step(7*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0) != nil {
 		t.Error("a server that drains came back")
 	}
 }
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -7,6 +7,7 @@
 
 const ms = time.Millisecond
 
+// testSettings are those of a warm server of 4 cores with one class of each kind.
 func testSettings() Settings {
 	return Settings{Cores: 4, FleetSize: 10, Clients: 3, MemoryKB: 4000, RunningMemoryFactor: 4, KeyMemoryKB: 10,
 		Classes: []Class{
@@ -23,41 +24,44 @@
 		ExcessValueRatio: 0.05}
 }
 
-func start(t testing.TB, s Settings) *Controller {
+// startController returns a controller that has taken its first step, at time 0.
+func startController(t testing.TB, settings Settings) *Controller {
 	t.Helper()
-	c, err := New(s, 7, 0)
+	controller, err := New(settings, 7, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Step(0, nil, nil)
-	return c
+	controller.Step(0, nil, nil)
+	return controller
 }
 
-func req(id RequestID, class int) Event {
+// arrived is the arrival of a small request with a hint of its work.
+func arrived(id RequestID, class int) Event {
 	return RequestArrived(id, Arrival{Class: class, MemoryKB: 10, CostHint: 100 * ms})
 }
 
-func find(as []Action, kind ActionKind, id RequestID) *Action {
-	for i := range as {
-		if as[i].Kind == kind && as[i].ID == id {
-			return &as[i]
+// findAction returns the first action of a kind on a request, or nil.
+func findAction(actions []Action, kind ActionKind, id RequestID) *Action {
+	for i := range actions {
+		if actions[i].Kind == kind && actions[i].ID == id {
+			return &actions[i]
 		}
 	}
 	return nil
 }
 
-func want(t *testing.T, as []Action, kind ActionKind, id RequestID) *Action {
+func requireAction(t *testing.T, actions []Action, kind ActionKind, id RequestID) *Action {
 	t.Helper()
-	a := find(as, kind, id)
-	if a == nil {
-		t.Fatalf("no action of kind %d for %d in %+v", kind, id, as)
+	action := findAction(actions, kind, id)
+	if action == nil {
+		t.Fatalf("no action %v for %d in %+v", kind, id, actions)
 	}
-	return a
+	return action
 }
 
-func wantNone(t *testing.T, as []Action, kind ActionKind, id RequestID) {
+func requireNoAction(t *testing.T, actions []Action, kind ActionKind, id RequestID) {
 	t.Helper()
-	if a := find(as, kind, id); a != nil {
-		t.Fatalf("unwanted action %+v", *a)
+	if action := findAction(actions, kind, id); action != nil {
+		t.Fatalf("unwanted action %+v", *action)
 	}
 }
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -7,9 +7,9 @@
 func TestMemoryAndConcurrencyLimits(t *testing.T) {
 	settings := testSettings()
 	settings.WarmingUp, settings.MemoryKB = true, 300
-	controller := start(t, settings)
+	controller := startController(t, settings)
 	for id := RequestID(1); id <= 300; id++ {
-		controller.Step(0, []Event{req(id, 0)}, nil)
+		controller.Step(0, []Event{arrived(id, 0)}, nil)
 		if controller.memory.usedKB > settings.MemoryKB {
 			t.Fatalf("%v kB in use of %v", controller.memory.usedKB, settings.MemoryKB)
 		}
@@ -22,10 +22,10 @@
 func TestRunsAwaitingCallsCountAsConcurrency(t *testing.T) {
 	settings := testSettings()
 	settings.WarmingUp, settings.MemoryKB, settings.MaxCallsInFlight, settings.Dependency = true, 1e6, 0, DependencyTier
-	controller := start(t, settings)
+	controller := startController(t, settings)
 	for id := RequestID(1); id <= 60; id++ {
-		as := controller.Step(0, []Event{req(id, 0)}, nil)
-		if find(as, ActionRun, id) != nil {
+		actions := controller.Step(0, []Event{arrived(id, 0)}, nil)
+		if findAction(actions, ActionRun, id) != nil {
 			controller.Step(0, []Event{CallNeeded(id)}, nil)
 		}
 	}
--- a/admission/periodic.go
+++ b/admission/periodic.go
@@ -9,7 +9,7 @@
 func (c *Controller) sweep() {
 	c.expireQueued() // even if no core is free
 	c.values.quotas.weigh(c.now)
-	c.admissionRate.adjust(c.estimator.anyClassLate() && underCPUPressure(c.gauges, c.settings.Cores))
+	c.admissionRate.adjust(c.estimator.cpuOverloaded(c.gauges))
 	c.runs.adjust(c.gauges.CPUDemand, c.queue.count > 0)
 	c.calls.limiter.adjust()
 	if c.advisor.adjustIdleTimeout(c.now, c.gauges.Connections) {
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -8,23 +8,23 @@
 )
 
 func TestConditionChangesAreLoggedSeldom(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	lines := map[string]int{}
 	for i := range 200 { // 20 s, the state flips at each sweep
 		now := time.Duration(i+1) * sweepInterval
 		controller.calls.limiter.limitRatio = []float64{minCallLimitRatio, maxCallLimitRatio}[i%2]
-		for _, a := range controller.Step(now, nil, nil) {
-			if a.Kind == ActionLog {
-				lines[a.Condition.String()]++
+		for _, action := range controller.Step(now, nil, nil) {
+			if action.Kind == ActionLog {
+				lines[action.Condition.String()]++
 			}
 		}
 	}
 	if n := lines["call limit at minimum: begins"]; n == 0 || n > 4 {
 		t.Errorf("log lines %v", lines)
 	}
-	as := controller.Step(21*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
-	if a := want(t, as, ActionLog, 0); a.Condition.String() != "draining" {
-		t.Errorf("log line %q", a.Condition.String())
+	actions := controller.Step(21*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
+	if action := requireAction(t, actions, ActionLog, 0); action.Condition.String() != "draining" {
+		t.Errorf("log line %q", action.Condition.String())
 	}
 }
 
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -27,12 +27,12 @@
 }
 
 func TestHungServerRejectsAndRunsTrials(t *testing.T) {
-	controller := start(t, testSettings())
-	var as []Action
+	controller := startController(t, testSettings())
+	var actions []Action
 	for i := range 400 { // 4 s of arrivals, no run ends
-		as = controller.Step(time.Duration(i)*10*ms, []Event{req(RequestID(i+1), 0)}, nil)
+		actions = controller.Step(time.Duration(i)*10*ms, []Event{arrived(RequestID(i+1), 0)}, nil)
 	}
-	want(t, as, ActionReject, 400)
+	requireAction(t, actions, ActionReject, 400)
 	controller.Step(4100*ms, nil, nil)
 	if controller.queue.count > 2*controller.settings.Cores {
 		t.Errorf("%d requests queued by a hung server", controller.queue.count)
@@ -41,19 +41,19 @@
 
 func TestServerLateForAllStillRunsTrials(t *testing.T) {
 	for _, cores := range []int{1, 2, 6} {
-		s := testSettings()
-		s.Cores = cores
-		c := start(t, s)
-		c.estimator.speed.First, c.calls.limiter.callTime = 1e-6, rolling.AverageOf(9)
-		want(t, c.Step(0, []Event{req(1, 0)}, nil), ActionRun, 1)
+		settings := testSettings()
+		settings.Cores = cores
+		controller := startController(t, settings)
+		controller.estimator.speed.First, controller.calls.limiter.callTime = 1e-6, rolling.AverageOf(9)
+		requireAction(t, controller.Step(0, []Event{arrived(1, 0)}, nil), ActionRun, 1)
 	}
 }
 
 func TestTooLateRequestsExpireWithoutFreeCore(t *testing.T) {
-	controller := start(t, testSettings())
-	var as []Action
+	controller := startController(t, testSettings())
+	var actions []Action
 	for id := RequestID(1); id <= 12; id++ {
-		as = controller.Step(0, []Event{req(id, 0)}, as)
+		actions = controller.Step(0, []Event{arrived(id, 0)}, actions)
 	}
 	if controller.queue.count == 0 {
 		t.Fatal("nothing queued")
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -11,13 +11,13 @@
 
 func TestInvalidSettings(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
-		"Cores": func(s *Settings) { s.Cores = 0 }, "Classes": func(s *Settings) { s.Classes = nil },
-		"MemoryKB": func(s *Settings) { s.MemoryKB = 0 }, "ColdFor": func(s *Settings) { s.SlowStartTime = -1 },
-		"Classes[1]": func(s *Settings) { s.Classes[1].LatencyObjective = 0 }, "Tick": func(s *Settings) { s.Tick = -1 },
+		"Cores": func(settings *Settings) { settings.Cores = 0 }, "Classes": func(settings *Settings) { settings.Classes = nil },
+		"MemoryKB": func(settings *Settings) { settings.MemoryKB = 0 }, "ColdFor": func(settings *Settings) { settings.SlowStartTime = -1 },
+		"Classes[1]": func(settings *Settings) { settings.Classes[1].LatencyObjective = 0 }, "Tick": func(settings *Settings) { settings.Tick = -1 },
 	} {
-		s := testSettings()
-		change(&s)
-		if _, err := New(s, 1, 0); err == nil || !strings.Contains(err.Error(), field) {
+		settings := testSettings()
+		change(&settings)
+		if _, err := New(settings, 1, 0); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v", field, err)
 		}
 	}
@@ -25,8 +25,8 @@
 
 // New settings leave running requests alone, and the memory in use is counted again by them.
 func TestReconfigure(t *testing.T) {
-	controller := start(t, testSettings())
-	want(t, controller.Step(0, []Event{req(1, 1)}, nil), ActionRun, 1)
+	controller := startController(t, testSettings())
+	requireAction(t, controller.Step(0, []Event{arrived(1, 1)}, nil), ActionRun, 1)
 	settings := testSettings()
 	settings.Classes[1].Removed = true
 	settings.Classes = append(settings.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1})
@@ -37,7 +37,7 @@
 	if controller.memory.usedKB != 8*10+20 {
 		t.Errorf("memory %v after new settings", controller.memory.usedKB)
 	}
-	want(t, controller.Step(100*ms, []Event{req(2, 4)}, nil), ActionRun, 2)
+	requireAction(t, controller.Step(100*ms, []Event{arrived(2, 4)}, nil), ActionRun, 2)
 	controller.Step(200*ms, []Event{RunCompleted(1, Completion{Took: 200 * ms}), RunCompleted(2, Completion{Took: 100 * ms})}, nil)
 	if controller.runs.running != 0 || controller.memory.usedKB != 20 {
 		t.Errorf("%d runs and memory %v after all ended", controller.runs.running, controller.memory.usedKB)
@@ -53,18 +53,20 @@
 
 func TestSettingsOfLargeFleetsAreServed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no fleet":            func(s *Settings) { s.FleetSize = 0 },
-		"negative fleet":      func(s *Settings) { s.FleetSize = -5 },
-		"huge fleet":          func(s *Settings) { s.FleetSize = math.MaxInt },
-		"no clients":          func(s *Settings) { s.Clients, s.Advert = 0, AdvertCredit },
-		"huge clients":        func(s *Settings) { s.Clients, s.Advert = math.MaxInt, AdvertCredit },
-		"far below 1 call":    func(s *Settings) { s.MaxCallsInFlight = 1e-9 },
-		"any number of calls": func(s *Settings) { s.MaxCallsInFlight = 0 },
-		"one core":            func(s *Settings) { s.Cores = 1 },
-		"no tenants":          func(s *Settings) { s.Tenants = nil },
-		"no idle time":        func(s *Settings) { s.IdleTimeout = 0 },
-		"no mean time":        func(s *Settings) { s.CallsWindow = 0 },
-		"cold without time":   func(s *Settings) { s.WarmingUp, s.SlowStartTime, s.SlowStartSpeedRatio = true, 0, 0 },
+		"no fleet":            func(settings *Settings) { settings.FleetSize = 0 },
+		"negative fleet":      func(settings *Settings) { settings.FleetSize = -5 },
+		"huge fleet":          func(settings *Settings) { settings.FleetSize = math.MaxInt },
+		"no clients":          func(settings *Settings) { settings.Clients, settings.Advert = 0, AdvertCredit },
+		"huge clients":        func(settings *Settings) { settings.Clients, settings.Advert = math.MaxInt, AdvertCredit },
+		"far below 1 call":    func(settings *Settings) { settings.MaxCallsInFlight = 1e-9 },
+		"any number of calls": func(settings *Settings) { settings.MaxCallsInFlight = 0 },
+		"one core":            func(settings *Settings) { settings.Cores = 1 },
+		"no tenants":          func(settings *Settings) { settings.Tenants = nil },
+		"no idle time":        func(settings *Settings) { settings.IdleTimeout = 0 },
+		"no mean time":        func(settings *Settings) { settings.CallsWindow = 0 },
+		"cold without time": func(settings *Settings) {
+			settings.WarmingUp, settings.SlowStartTime, settings.SlowStartSpeedRatio = true, 0, 0
+		},
 	} {
 		settings := testSettings()
 		change(&settings)
@@ -83,7 +85,7 @@
 	startedAt := map[RequestID]time.Duration{}
 	for id := RequestID(1); id <= 400; id++ {
 		now := time.Duration(id) * 50 * ms
-		events := []Event{req(id, int(id)%4), TimerFired(unknownGauges)}
+		events := []Event{arrived(id, int(id)%4), TimerFired(unknownGauges)}
 		events = append(events, endRuns(now, startedAt)...)
 		before := len(actions)
 		actions = controller.Step(now, events, actions)
@@ -127,9 +129,9 @@
 
 func TestInvalidCallLimitIsNamed(t *testing.T) {
 	for _, v := range []float64{math.NaN(), -1} {
-		s := testSettings()
-		s.MaxCallsInFlight = v
-		if _, err := New(s, 1, 0); err == nil || !strings.Contains(err.Error(), "CallsOut") {
+		settings := testSettings()
+		settings.MaxCallsInFlight = v
+		if _, err := New(settings, 1, 0); err == nil || !strings.Contains(err.Error(), "CallsOut") {
 			t.Errorf("CallsOut %v: error %v", v, err)
 		}
 	}
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -7,19 +7,19 @@
 
 // The state of a controller does not grow with the clients, subjects and keys that it meets over weeks.
 func TestStateIsBoundedForManyClientsAndKeys(t *testing.T) {
-	s := testSettings()
-	s.Cores, s.MaxCallsInFlight = 2, 0.5
-	controller := start(t, s)
+	settings := testSettings()
+	settings.Cores, settings.MaxCallsInFlight = 2, 0.5
+	controller := startController(t, settings)
 	largest := 0
 	var actions []Action
 	for id := RequestID(1); id <= 100000; id++ {
 		now := time.Duration(id) * 100 * ms
-		e := req(id, int(id)%4)
-		e.Arrival.Tenant, e.Arrival.Retry = int(id)%9, id%7 == 0
-		events := []Event{e}
-		for _, a := range actions { // what ran in the last batch is done in this one
-			if a.Kind == ActionRun {
-				events = append(events, RunCompleted(a.ID, Completion{Took: 100 * ms}))
+		event := arrived(id, int(id)%4)
+		event.Arrival.Tenant, event.Arrival.Retry = int(id)%9, id%7 == 0
+		events := []Event{event}
+		for _, action := range actions { // what ran in the last batch is done in this one
+			if action.Kind == ActionRun {
+				events = append(events, RunCompleted(action.ID, Completion{Took: 100 * ms}))
 			}
 		}
 		actions = controller.Step(now, events, actions[:0])
@@ -35,14 +35,14 @@
 }
 
 func TestUnexpectedEventsChangeNothing(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	for _, k := range []EventKind{EventDone, EventCancelled, EventCallNeeded, EventCallDone} {
 		controller.Step(0, []Event{{Kind: k, ID: 99}}, nil)
 	}
-	want(t, startToCall(t, controller, 1, 0), ActionCall, 1)
+	requireAction(t, startToCall(t, controller, 1, 0), ActionCall, 1)
 	ev := CallCompleted(1, Completion{Took: ms})
 	controller.Step(2*ms, []Event{ev, ev, CallNeeded(5)}, nil)
-	controller.Step(3*ms, []Event{RunCompleted(1, Completion{}), RunCompleted(1, Completion{}), req(2, 77)}, nil)
+	controller.Step(3*ms, []Event{RunCompleted(1, Completion{}), RunCompleted(1, Completion{}), arrived(2, 77)}, nil)
 	if len(controller.requests) != 0 || controller.runs.running != 0 || controller.runs.onCPU != 0 || controller.memory.usedKB != 0 || controller.calls.limiter.inFlight != 0 {
 		t.Fatalf("left over: %d jobs, %d runs, %d on cores, %v kB", len(controller.requests), controller.runs.running, controller.runs.onCPU, controller.memory.usedKB)
 	}
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -12,7 +12,7 @@
 // A server of a large fleet is idle for most of the time. It used to wake up ten times a second all the same, with two
 // more wakes for the gauges each time.
 func TestIdleServerSkipsSweeps(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	controller.Step(1, []Event{TimerFired(calmGauges)}, nil)
 	n := stepAtTimers(controller, 10*time.Second, calmGauges)
 	if n < 9 || n > 12 {
@@ -25,7 +25,7 @@
 		t.Errorf("%d wakes in two seconds of recovery", n)
 	}
 	// And while something is in flight.
-	controller.Step(controller.now+1, []Event{req(1, 1)}, nil)
+	controller.Step(controller.now+1, []Event{arrived(1, 1)}, nil)
 	if n = stepAtTimers(controller, controller.now+time.Second, calmGauges); n < 9 {
 		t.Errorf("%d wakes in a second with a run", n)
 	}
@@ -35,7 +35,7 @@
 // and its state is the same.
 func TestSkippedSweepsChangeNoDecision(t *testing.T) {
 	for seed := range uint64(30) {
-		sleeps, sweeps := start(t, testSettings()), start(t, testSettings())
+		sleeps, sweeps := startController(t, testSettings()), startController(t, testSettings())
 		rng := rand.New(rand.NewPCG(seed, 5))
 		now, id := time.Duration(0), RequestID(0)
 		sleeps.Step(1, []Event{TimerFired(calmGauges)}, nil)
@@ -49,7 +49,7 @@
 			now = max(sweeps.now, sleeps.now) + 50*ms // within a sweep
 			id++
 			class := 1 + rng.IntN(3)
-			script := [][]Event{{req(id, class)}, {CallNeeded(id)},
+			script := [][]Event{{arrived(id, class)}, {CallNeeded(id)},
 				{CallCompleted(id, Completion{Outcome: OutcomeOK, Took: time.Duration(rng.IntN(40)) * ms})},
 				{RunCompleted(id, Completion{Outcome: OutcomeOK, Took: 30 * ms})}}
 			for _, events := range script {
@@ -69,9 +69,9 @@
 }
 
 // stepAtTimers steps c at the times that it asks for, up to until, and returns how often that was.
-func stepAtTimers(c *Controller, until time.Duration, g Gauges) (n int) {
-	for ; c.timers.wakeAt <= until; n++ {
-		c.Step(c.timers.wakeAt, []Event{TimerFired(g)}, nil)
+func stepAtTimers(controller *Controller, until time.Duration, g Gauges) (n int) {
+	for ; controller.timers.wakeAt <= until; n++ {
+		controller.Step(controller.timers.wakeAt, []Event{TimerFired(g)}, nil)
 	}
 	return n
 }
@@ -82,12 +82,12 @@
 func BenchmarkStep(b *testing.B) {
 	for _, inHand := range []int{0, 10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("held=%d", inHand), func(b *testing.B) {
-			s := testSettings()
-			s.MemoryKB, s.Cores = 1e9, 64
-			for i := range s.Classes {
-				s.Classes[i].LatencyObjective, s.Classes[i].Deadline = time.Hour, time.Hour
+			settings := testSettings()
+			settings.MemoryKB, settings.Cores = 1e9, 64
+			for i := range settings.Classes {
+				settings.Classes[i].LatencyObjective, settings.Classes[i].Deadline = time.Hour, time.Hour
 			}
-			controller := start(b, s)
+			controller := startController(b, settings)
 			now, id := time.Duration(1), RequestID(0)
 			for range inHand {
 				id++
@@ -116,9 +116,11 @@
 }
 
 // sweptState formats what sweeps change, rounded.
-func sweptState(c *Controller) string {
-	return fmt.Sprintf("admit %.6f calls %.6f best %.6f runs %.6f delay %.6f idle %v", c.admissionRate.probability, c.calls.limiter.limitRatio, c.calls.limiter.bestCallTime,
-		c.runs.runLimit, c.advisor.readDelay.mean.Value(), c.advisor.idleTimeout.current)
+func sweptState(controller *Controller) string {
+	limiter, advisor := controller.calls.limiter, &controller.advisor
+	return fmt.Sprintf("admit %.6f calls %.6f best %.6f runs %.6f delay %.6f idle %v",
+		controller.admissionRate.probability, limiter.limitRatio, limiter.bestCallTime, controller.runs.runLimit,
+		advisor.readDelay.mean.Value(), advisor.idleTimeout.current)
 }
 
 func TestTimersSkipSweepsWhileIdle(t *testing.T) {
