--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -156,11 +157,13 @@
 	}
 }
 
-// addSchedules schedules the first dial of addresses that are new.
+// addSchedules schedules the first dial of addresses that are new. It draws their delays in the order of the addresses,
+// so that the same seed gives the same dials.
 func (r *Rejoin) addSchedules(now time.Duration, causes map[string]dialCause, reached int) {
-	for addr, cause := range causes {
+	for _, addr := range slices.Sorted(maps.Keys(causes)) {
 		if r.schedules[addr] == nil {
-			r.schedules[addr] = &dialSchedule{delay: initialDialDelay, nextAt: now + r.firstDelay(cause, reached)}
+			delay := r.firstDelay(causes[addr], reached)
+			r.schedules[addr] = &dialSchedule{delay: initialDialDelay, nextAt: now + delay}
 		}
 	}
 }
--- a/internal/fleet/rejoin_test.go
+++ b/internal/fleet/rejoin_test.go
@@ -9,6 +9,29 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The same seed must give the same dials, however many addresses are new at once: schedules are replayed by their seed.
+func TestRejoinIsReproducible(t *testing.T) {
+	view := newTestView(100)
+	for i := range 40 {
+		record := Record{Name: fmt.Sprintf("n%d", i), Run: 1, Seq: 1, State: Serving, Addr: fmt.Sprintf("a%d", i)}
+		view.Merge(0, 0, record)
+		reach := Lost
+		if i%2 == 0 {
+			reach = Reached
+		}
+		view.ObserveReach(0, record.Name, 1, reach)
+	}
+	play := func() (dials [][]string) {
+		rejoin := NewRejoin([]string{"seed0", "seed1"}, rand.New(rand.NewPCG(1, 1)))
+		for now := time.Duration(0); now < time.Minute; now += time.Second / 4 {
+			dials = append(dials, rejoin.NextDials(now, view.Snapshot(now)))
+		}
+		return dials
+	}
+	first, second := play(), play()
+	require.Equal(t, first, second)
+}
+
 // Lost members and seeds must be dialed, but not all at once, and not ever faster; those that left must not be.
 func TestRejoin(t *testing.T) {
 	view := newTestView(100)
