--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -54,8 +54,8 @@
 	return s.member.shedding
 }
 
-// classifyForShedding adds to the arrival of a request its rank against the fleet's threshold, its age where it is a retry,
-// and the jitter of its Retry-After. It uses what was received before, and sends no message.
+// classifyForShedding adds to the arrival of a request its rank against the fleet's threshold, its age where it is a
+// retry, and the jitter of its Retry-After. It uses what was received before, and sends no message.
 func (s *Server) classifyForShedding(request *activeRequest, arrival *admission.Arrival) {
 	shedding := s.shedding()
 	if shedding == nil {
