--- a/internal/fleet/liveness.go
+++ b/internal/fleet/liveness.go
@@ -1,9 +1,6 @@
 package fleet
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // Reach is what the failure detection of this observer says of a process.
 type Reach uint8
@@ -50,61 +47,6 @@
 // ended reports whether the process of the member has ended.
 func (l Liveness) ended() bool { return l == Left || l == Failed }
 
-// maxObservations is the number of processes of one name that are observed.
-const maxObservations = 4
-
-// observation is what the failure detection and dials found out of one process.
-type observation struct {
-	run      uint64
-	reach    Reach
-	evidence Evidence
-	since    time.Duration // of the reach
-}
-
-// entry is what a view holds of one name.
-type entry struct {
-	record           *Record // nil: none was received
-	recordedAt       time.Duration
-	startedAt        time.Duration // least (receipt - Record.Up) of the process: its latest possible start
-	startEstimatedAt time.Duration // when startedAt was last compared
-	observations     []observation // newest last
-	lastReached      time.Duration // when any of its processes was last reached, or else when the entry was made
-}
-
-// observationOf returns the observation of a process, or nil.
-func (e *entry) observationOf(run uint64) *observation {
-	for i := range e.observations {
-		if e.observations[i].run == run {
-			return &e.observations[i]
-		}
-	}
-	return nil
-}
-
-// observe returns the observation of a process. A new one replaces the oldest if there are too many.
-func (e *entry) observe(now time.Duration, run uint64) *observation {
-	if known := e.observationOf(run); known != nil {
-		return known
-	}
-	if len(e.observations) >= maxObservations {
-		e.observations = slices.Delete(e.observations, 0, 1)
-	}
-	e.observations = append(e.observations, observation{run: run, since: now})
-	return &e.observations[len(e.observations)-1]
-}
-
-// currentObservation returns the observation of the process whose record is current, or of the newest process if no
-// record was received; nil if there is none.
-func (e *entry) currentObservation() *observation {
-	if e.record != nil {
-		return e.observationOf(e.record.Run)
-	}
-	if len(e.observations) == 0 {
-		return nil
-	}
-	return &e.observations[len(e.observations)-1]
-}
-
 // liveness is the conclusion about the member now, where records older than fresh are overdue.
 func (e *entry) liveness(now, fresh time.Duration) Liveness {
 	if e.record != nil && e.record.State == Stopped {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -53,31 +53,6 @@
 	return entry.merge(now, age, &record)
 }
 
-// merge is View.Merge for the record's own entry. It keeps the record if that is newer.
-func (e *entry) merge(now, age time.Duration, record *Record) bool {
-	newer := e.record == nil || e.record.Less(record)
-	switch {
-	case e.record != nil && e.record.Run == record.Run:
-		drift := max(now-e.startEstimatedAt, 0) / clockDriftDivisor
-		e.startedAt = min(e.startedAt+drift, now-age-record.Up)
-	case newer:
-		e.startedAt = now - age - record.Up
-	default:
-		return false // of a process that is superseded
-	}
-	e.startEstimatedAt = now
-	recordedAt := min(now-age, e.startedAt+record.Up)
-	if newer {
-		e.record = record
-		e.recordedAt = recordedAt
-		return true
-	}
-	if e.record.Seq == record.Seq {
-		e.recordedAt = min(e.recordedAt, recordedAt)
-	}
-	return false
-}
-
 // Known returns the current record of a name, or nil.
 func (v *View) Known(name string) *Record {
 	if entry := v.entries[name]; entry != nil {
