--- a/internal/permit/errors.go
+++ b/internal/permit/errors.go
@@ -71,18 +71,3 @@
 func (e *StaleRulesError) Error() string {
 	return fmt.Sprintf("rules version %d is not above current version %d", e.Version, e.Current)
 }
-
-// KeyError names the key of the operators' rules that is at fault.
-type KeyError struct {
-	Key string
-	Err error
-}
-
-func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
-
-func (e *KeyError) Unwrap() error { return e.Err }
-
-// keyErrorf returns a KeyError with a formatted text.
-func keyErrorf(key, format string, args ...any) error {
-	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
-}
--- a/internal/permit/errors_test.go
+++ b/internal/permit/errors_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"falldeal/internal/configcheck"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -29,7 +31,7 @@
 	require.Equal(t, &LoadError{Load: 100, Remaining: 2, Margin: 0.1}, load)
 	var stale *StaleRulesError
 	require.ErrorAs(t, state.Apply(Command{Kind: SetRules, Rules: Rules{Version: 1}}).Denial, &stale)
-	var key *KeyError
+	var key *configcheck.KeyError
 	require.ErrorAs(t, state.Apply(Command{Kind: SetRules, Rules: Rules{Version: 2}}).Denial, &key)
 	require.Equal(t, "limits", key.Key)
 	state.Apply(Command{Kind: Halt})
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -1,6 +1,10 @@
 package permit
 
-import "fmt"
+import (
+	"fmt"
+
+	"falldeal/internal/configcheck"
+)
 
 // Domain is the part of the fleet for which a limit is counted separately.
 type Domain string
@@ -28,13 +32,13 @@
 	Margin  float64 // part of the remaining capacity that the load must not take, 0 up to but not including 1
 }
 
-// Check returns a *KeyError for rules that make no sense.
+// Check returns a *configcheck.KeyError for rules that make no sense.
 func (r *Rules) Check() error {
 	if !(r.Margin >= 0 && r.Margin < 1) {
-		return keyErrorf("margin", "%v is not between 0 and 1", r.Margin)
+		return configcheck.Errorf("margin", "%v is not between 0 and 1", r.Margin)
 	}
 	if len(r.Limits) == 0 {
-		return keyErrorf("limits", "missing")
+		return &configcheck.KeyError{Key: "limits", Err: configcheck.ErrMissing}
 	}
 	for i := range r.Limits {
 		if err := r.Limits[i].check(fmt.Sprintf("limits[%d]", i)); err != nil {
@@ -44,18 +48,18 @@
 	return nil
 }
 
-// check returns a *KeyError for a limit that makes no sense. Key is that of the limit.
+// check returns a *configcheck.KeyError for a limit that makes no sense. Key is that of the limit.
 func (l *Limit) check(key string) error {
 	switch l.Per {
 	case WholeFleet, PerZone, PerRegion:
 	default:
-		return keyErrorf(key+".each", "%q is neither zone nor region", l.Per)
+		return configcheck.Errorf(key+".each", "%q is neither zone nor region", l.Per)
 	}
 	if l.MaxUnavailable < 0 || (l.MaxUnavailable > 0) == (l.MaxUnavailableRatio > 0) {
-		return keyErrorf(key, "set exactly one of out and share")
+		return configcheck.Errorf(key, "set exactly one of out and share")
 	}
 	if !(l.MaxUnavailableRatio >= 0 && l.MaxUnavailableRatio <= 1) {
-		return keyErrorf(key+".share", "%v is not between 0 and 1", l.MaxUnavailableRatio)
+		return configcheck.Errorf(key+".share", "%v is not between 0 and 1", l.MaxUnavailableRatio)
 	}
 	return nil
 }
