--- a/internal/agent/decode.go
+++ b/internal/agent/decode.go
@@ -62,7 +62,7 @@
 	case nameRemark:
 		return decodeRemark(object)
 	default:
-		return nil, fmt.Errorf("unknown notice %.40q", name)
+		return nil, fmt.Errorf(fieldKind+": unknown notification %.40q", name)
 	}
 }
 
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -16,6 +16,8 @@
 	"falldeal/internal/backoff"
 	"falldeal/internal/logging"
 	"falldeal/internal/reconnect"
+
+	"github.com/sirupsen/logrus"
 )
 
 const (
@@ -26,7 +28,7 @@
 )
 
 // ErrNotConnected reports that no connection to the agent takes commands at present.
-var ErrNotConnected = errors.New("no link to the agent")
+var ErrNotConnected = errors.New("agent not connected")
 
 // Config is what a Link is made with.
 type Config struct {
@@ -138,10 +140,13 @@
 // CheckLiveness gives up a connection that brings nothing, for another to be opened. SampleGauges does the same, but is
 // not called before the first handshake.
 func (l *Link) CheckLiveness() {
-	if l.current == nil || !l.current.isSilent(l.loop.Now()) {
+	now := l.loop.Now()
+	if l.current == nil || !l.current.isSilent(now) {
 		return
 	}
-	l.log.Warn("agent silent", "the link to the agent is open and brings nothing; opening another", nil)
+	l.log.WarnFields("agent silent", "agent connection silent, reconnecting", nil, logrus.Fields{
+		"elapsed_ms": (now - l.current.lastReceived).Milliseconds(),
+	})
 	l.abortConnection()
 }
 
--- a/internal/agent/receive.go
+++ b/internal/agent/receive.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"falldeal/internal/writequeue"
+
+	"github.com/sirupsen/logrus"
 )
 
 // connectionHandler implements reconnect.Handler: it hands what happens on connections to the loop.
@@ -30,8 +32,8 @@
 }
 
 // Failed implements reconnect.Handler.
-func (h connectionHandler) Failed(err error) {
-	h.link.log.Warn("agent", "link to the agent broke; opening it again", err)
+func (h connectionHandler) Failed(address string, err error) {
+	h.link.log.WarnFields("agent", "agent connection failed, reconnecting", err, logrus.Fields{"address": address})
 }
 
 // The handle methods run on the loop.
@@ -113,7 +115,9 @@
 func (l *Link) handleRestart(age time.Duration) {
 	l.agent = newIncarnation(age)
 	l.lastOffset = 0
-	l.log.Warn("agent restarted", "the agent was started anew; its runs are lost", nil)
+	l.log.WarnFields("agent restarted", "agent restarted, runs in flight lost", nil, logrus.Fields{
+		"age_ms": age.Milliseconds(),
+	})
 	l.abortConnection()
 	l.handler.OnLost()
 }
@@ -141,7 +145,7 @@
 func (l *Link) becomeReady() {
 	l.current.state = ready
 	if l.current.replay == replayGap {
-		l.log.Warn("agent gap", "the agent no longer has all notices; runs in hand are given up", nil)
+		l.log.Warn("agent gap", "agent notifications lost, runs in flight abandoned", nil)
 		l.handler.OnLost()
 	}
 	if lines := l.unacknowledged.lines(); len(lines) > 0 {
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -12,6 +12,8 @@
 
 	"falldeal/internal/latest"
 	"falldeal/internal/logging"
+
+	"github.com/sirupsen/logrus"
 )
 
 const (
@@ -129,11 +131,11 @@
 func (a *Announcer) sendTo(ctx context.Context, service *socket, newest report) {
 	conn, err := service.open(ctx)
 	if err != nil {
-		a.log.Warn("announce", "no socket to the announce service", err)
+		a.log.WarnFields("announce", "announce socket not opened", err, logrus.Fields{"address": newest.address})
 		return
 	}
 	if err := a.send(conn, newest); err != nil {
-		a.log.Warn("announce", "report not sent", err)
+		a.log.WarnFields("announce", "announce report not sent", err, logrus.Fields{"address": newest.address})
 	}
 }
 
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"os"
@@ -126,7 +125,7 @@
 		}
 		msg, err := parseMessage(frame)
 		if err != nil {
-			return fmt.Errorf("%s: %w", c.netConn.RemoteAddr(), err)
+			return err
 		}
 		c.dispatch(srv, msg)
 	}
--- a/internal/msgpackrpc/errors.go
+++ b/internal/msgpackrpc/errors.go
@@ -9,13 +9,13 @@
 var (
 	errFrameTooLong  = errors.New("frame too long")
 	errFrameTooDeep  = errors.New("frame nested too deep")
-	errTooManyValues = errors.New("frame of too many values")
-	errInvalidFormat = errors.New("starts no value")
-	errNotRPCMessage = errors.New("no MessagePack-RPC message")
+	errTooManyValues = errors.New("too many values in frame")
+	errInvalidFormat = errors.New("invalid format byte")
+	errNotRPCMessage = errors.New("not a MessagePack-RPC message")
 )
 
 // errReadPaused ends a read of a connection that the server asked to pause, once all that had arrived was read.
-var errReadPaused = errors.New("no more is read")
+var errReadPaused = errors.New("reading paused")
 
 // FrameError reports input that is no message of the protocol. Nothing after it on its connection can be read.
 type FrameError struct {
--- a/internal/msgpackrpc/header.go
+++ b/internal/msgpackrpc/header.go
@@ -105,7 +105,7 @@
 	return header, false, invalidFormat(format)
 }
 
-func invalidFormat(format byte) error { return frameErrorf("byte %#x %w", format, errInvalidFormat) }
+func invalidFormat(format byte) error { return frameErrorf("%w %#x", errInvalidFormat, format) }
 
 // parseNumberHeader reads a number that follows its format. In each group of formats, floats, unsigned integers and signed
 // ones, the width doubles from format to format.
--- a/internal/msgpackrpc/listener.go
+++ b/internal/msgpackrpc/listener.go
@@ -14,6 +14,7 @@
 	"falldeal/internal/logging"
 	"falldeal/internal/server"
 
+	"github.com/sirupsen/logrus"
 	"golang.org/x/sync/errgroup"
 )
 
@@ -122,7 +123,9 @@
 // delayAccept logs a failed Accept and waits before the next. Neither a lack of descriptors nor a client that has
 // disconnected ends the service.
 func (l *Listener) delayAccept(ctx context.Context, err error) {
-	l.log.Warn("accept", "front end not accepted", err)
+	l.log.WarnFields("accept", "client connection not accepted", err, logrus.Fields{
+		"retry_after_ms": acceptRetryDelay.Milliseconds(),
+	})
 	select {
 	case <-ctx.Done():
 	case <-time.After(acceptRetryDelay):
@@ -175,16 +178,19 @@
 		return nil
 	})
 	g.Go(func() error {
-		connection.serve(srv, l.logReadError)
+		connection.serve(srv, func(err error) { l.logReadError(netConn, err) })
 		return nil
 	})
 }
 
 // logReadError logs why reading a connection ended, unless that is ordinary.
-func (l *Listener) logReadError(err error) {
-	if !isOrdinaryEnd(err) {
-		l.log.Warn("front end", "connection of a front end ended", err)
+func (l *Listener) logReadError(netConn net.Conn, err error) {
+	if isOrdinaryEnd(err) {
+		return
 	}
+	l.log.WarnFields("client connection", "client connection failed", err, logrus.Fields{
+		"address": netConn.RemoteAddr().String(),
+	})
 }
 
 // isOrdinaryEnd reports whether reading a connection ends with err in normal service.
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -91,7 +91,7 @@
 		return frameErrorf("%w: neither request nor notification", errNotRPCMessage)
 	}
 	if m.call, ok = parts.uint32(); !ok {
-		return frameErrorf("%w: a request without a number", errNotRPCMessage)
+		return frameErrorf("%w: request without a call number", errNotRPCMessage)
 	}
 	return nil
 }
--- a/internal/msgpackrpc/reference_decoder_test.go
+++ b/internal/msgpackrpc/reference_decoder_test.go
@@ -120,7 +120,7 @@
 func (d *decoder) sized(tag uint64, depth int) (any, error) {
 	first := firstTags[tag]
 	if first == 0 {
-		return nil, fmt.Errorf("byte %#x starts no value", tag)
+		return nil, fmt.Errorf("invalid format byte %#x", tag)
 	}
 	length, err := d.uint(1 << (tag - first))
 	if err != nil {
--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -30,8 +30,8 @@
 	Read(conn net.Conn, queue *writequeue.Queue) error
 	// Closed is called once a connection has ended.
 	Closed(queue *writequeue.Queue)
-	// Failed takes the error of a dial or connection, unless its address has been replaced.
-	Failed(err error)
+	// Failed takes the error of a dial to address or of a connection to it, unless the address has been replaced.
+	Failed(address string, err error)
 }
 
 // Link keeps a connection open to one address that may be replaced. SetAddress and Address belong to one goroutine.
@@ -97,7 +97,7 @@
 	for inForce.Err() == nil {
 		start := time.Now()
 		if err := p.connect(ctx, inForce); err != nil && inForce.Err() == nil {
-			p.handler.Failed(err)
+			p.handler.Failed(p.address, err)
 		}
 		if time.Since(start) > p.config.Backoff.MaxDelay {
 			delays.Reset()
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -57,7 +57,7 @@
 
 func (r *recorder) Closed(queue *writequeue.Queue) { r.closed <- queue }
 
-func (r *recorder) Failed(err error) { r.failed <- err }
+func (r *recorder) Failed(_ string, err error) { r.failed <- err }
 
 // startLink runs a Link, and waits at the end of the test until all of it has ended.
 func startLink(t *testing.T, link *Link, handler Handler) {
--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -9,6 +9,8 @@
 	"falldeal/internal/deadline"
 	"falldeal/internal/reconnect"
 	"falldeal/internal/writequeue"
+
+	"github.com/sirupsen/logrus"
 )
 
 const (
@@ -69,7 +71,10 @@
 func (l *Link) handleDialFailed(failed *dial, err error) {
 	if l.dialer.remove(failed) {
 		l.dialer.increaseDelay()
-		l.log.Warn("store", "no connection to the store", err)
+		l.log.WarnFields("store", "store dial failed", err, logrus.Fields{
+			"address":        failed.address,
+			"retry_after_ms": l.dialer.delay.Milliseconds(),
+		})
 		if refused := l.waiting.take(); refused != nil {
 			l.endCall(refused, ConnectionRefused)
 		}
@@ -131,7 +136,10 @@
 	l.removeIdle(conn)
 	l.closeConnection(conn)
 	if broken := conn.call; broken != nil {
-		l.log.Warn("store", "connection to the store broke during a call", err)
+		l.log.WarnFields("store", "store connection lost during a call", err, logrus.Fields{
+			"address":    conn.address,
+			"request_id": broken.requestID,
+		})
 		l.endCall(broken, ConnectionBroken)
 	}
 }
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -26,7 +26,7 @@
 )
 
 // ErrMalformedReply is wrapped by the error of a connection on which the store sent what is no reply.
-var ErrMalformedReply = errors.New("a line that is no reply")
+var ErrMalformedReply = errors.New("malformed reply")
 
 // replyFrame is one reply as the store sends it.
 type replyFrame struct {
