--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -11,7 +11,6 @@
 	"falldeal/internal/writequeue"
 	"falldeal/lab/golden"
 
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
@@ -20,8 +19,11 @@
 	goldenRequest = "9b1f03aa5c7e2d41"
 )
 
-func newGoldenLink() *Link {
-	log, _ := test.NewNullLogger()
+func newGoldenLink() *Link { return newLinkWithLog(io.Discard) }
+
+// newLinkWithLog returns a Link that logs to w.
+func newLinkWithLog(w io.Writer) *Link {
+	log := golden.NewLogger(w)
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }}
 	handler := Handler{OnNotification: func(Notification) {}, OnLost: func() {}}
 	return New(Config{Address: goldenAddr, Seed: 1}, loop, handler, logging.NewLimiter(log))
@@ -132,3 +134,31 @@
 	}
 	golden.Require(t, "errors.golden", cases)
 }
+
+// Each line that a Link logs.
+func TestGoldenLog(t *testing.T) {
+	var lines strings.Builder
+	link := newLinkWithLog(&lines)
+	now := time.Minute
+	link.loop.Now = func() time.Duration { return now }
+	steady := Handshake{State: Steady, Age: time.Hour}
+	connectionHandler{link}.Failed(goldenAddr, io.EOF)
+	linesWritten(t, link, func(queue *writequeue.Queue) {
+		link.handleNotification(queue, steady)
+		link.handleNotification(queue, sampleAnswer{sequence: 1})
+	})
+	linesWritten(t, link, func(queue *writequeue.Queue) {
+		link.handleNotification(queue, steady)
+		link.handleNotification(queue, Remark{Offset: 5})
+		link.handleNotification(queue, sampleAnswer{sequence: 2})
+	})
+	local, _ := net.Pipe()
+	link.handleOpened(goldenAddr, writequeue.New(local, writeQueueSize))
+	now += handshakeTimeout
+	link.CheckLiveness()
+	local, _ = net.Pipe()
+	queue := writequeue.New(local, writeQueueSize)
+	link.handleOpened(goldenAddr, queue)
+	link.handleNotification(queue, Handshake{State: Booting, Age: time.Second})
+	golden.RequireText(t, "log", lines.String())
+}
--- a/internal/announce/golden_test.go
+++ b/internal/announce/golden_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"net"
+	"strings"
 	"testing"
 
+	"falldeal/internal/logging"
 	"falldeal/lab/golden"
 
 	"github.com/stretchr/testify/require"
@@ -31,3 +33,17 @@
 	}
 	golden.Require(t, "reports.golden", cases)
 }
+
+// Each line that an Announcer logs. The second is under the topic of the first, so it needs an Announcer of its own.
+func TestGoldenLog(t *testing.T) {
+	var lines strings.Builder
+	newAnnouncer := func() *Announcer {
+		return New("", "image-12.zone-a", logging.NewLimiter(golden.NewLogger(&lines)))
+	}
+	const address = "registry"
+	newAnnouncer().sendTo(t.Context(), &socket{address: address}, report{address, true})
+	local, _ := net.Pipe()
+	require.NoError(t, local.Close())
+	newAnnouncer().sendTo(t.Context(), &socket{address: address, conn: local}, report{address, true})
+	golden.RequireText(t, "log", lines.String())
+}
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -8,9 +8,11 @@
 	"net"
 	"strconv"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
+	"falldeal/internal/logging"
 	"falldeal/internal/server"
 	"falldeal/lab/golden"
 
@@ -297,3 +299,16 @@
 	require.Equal(t, open+maxOpenCalls+1, client.lastCall)
 	golden.Require(t, "reasons.golden", cases)
 }
+
+// Each line that is logged of clients. What ends a connection in normal service is not logged.
+func TestGoldenLog(t *testing.T) {
+	var lines strings.Builder
+	listener := newListener(nil, 1, logging.NewLimiter(golden.NewLogger(&lines)))
+	listener.delayAccept(t.Context(), syscall.EMFILE)
+	local, _ := net.Pipe()
+	for _, ordinary := range []error{io.EOF, net.ErrClosed, errReadPaused} {
+		listener.logReadError(local, ordinary)
+	}
+	listener.logReadError(local, &FrameError{errFrameTooLong})
+	golden.RequireText(t, "log", lines.String())
+}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -110,3 +110,23 @@
 	}
 	golden.Require(t, "errors.golden", cases)
 }
+
+// Each line that a Link logs. The second is under the topic of the first, so it needs a Link of its own.
+func TestGoldenLog(t *testing.T) {
+	var lines strings.Builder
+	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }, Deadlines: deadline.New()}
+	newLink := func() *Link {
+		log := logging.NewLimiter(golden.NewLogger(&lines))
+		return New(Config{Address: "store:1", MaxConnections: 1, Seed: 1}, loop, func(string, Result, []byte) {}, log)
+	}
+	link := newLink()
+	link.Call(goldenRequest, time.Hour, nil)
+	link.handleDialFailed(<-link.dialer.requests, io.ErrUnexpectedEOF)
+	link = newLink()
+	link.Call(goldenRequest, time.Hour, nil)
+	local, _ := net.Pipe()
+	queue := writequeue.New(local, writeQueueSize)
+	link.handleOpened(<-link.dialer.requests, queue)
+	link.handleClosed(queue, io.EOF)
+	golden.RequireText(t, "log", lines.String())
+}
--- /dev/null
+++ b/lab/golden/log.go
@@ -0,0 +1,16 @@
+package golden
+
+import (
+	"io"
+
+	"github.com/sirupsen/logrus"
+)
+
+// NewLogger returns a logger that writes lines of all levels to w, without their time.
+func NewLogger(w io.Writer) *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(w)
+	log.SetLevel(logrus.TraceLevel)
+	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true})
+	return log
+}
