--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,6 +17,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
+// unknownName is the name of a value that is none of its type's constants.
+const unknownName = "unknown"
+
 // Server is one image server. The loop owns all of its state; other goroutines put events into its inbox.
 type Server struct {
 	log           logrus.FieldLogger
@@ -115,7 +118,7 @@
 		s.loop(ctx)
 		return nil
 	})
-	return g.Wait()
+	return g.Wait() //nolint:wrapcheck // each part says what it was doing
 }
 
 // serveFront serves a front from the moment at which connections may be accepted.
@@ -126,7 +129,7 @@
 		return nil
 	}
 	defer s.post(func() { s.listeners.serving-- })
-	return front.Serve(ctx, g, s)
+	return front.Serve(ctx, g, s) //nolint:wrapcheck // a front says what it was doing
 }
 
 // Ended is closed when the loop has ended: all requests have their answers, or the time of a drain is up. The last
