--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -76,10 +76,7 @@
 // Each encode function returns a command as a line. Request IDs are hex digits and tokens are the Link's or the server's
 // own, so neither needs an escape.
 
-const (
-	endOfObject      = "}\n"
-	requestSeparator = `","` + fieldRequest + `":"`
-)
+const endOfObject = "}\n"
 
 // beginCommand returns the object of a command up to the end of its name, which is not closed yet.
 func beginCommand(name string) []byte { return []byte(`{"` + fieldKind + `":"` + name) }
@@ -106,7 +103,8 @@
 }
 
 func encodeSkipCall(requestID string, offset int64) []byte {
-	return appendOffset(appendRequest(beginCommand(nameSkipCall), requestID), offset)
+	b := appendRequest(beginCommand(nameSkipCall), requestID)
+	return appendOffset(b, offset)
 }
 
 func encodeSample(sequence int64) []byte {
@@ -117,20 +115,23 @@
 
 // appendRequest begins the field that names a request, up to the end of its value.
 func appendRequest(b []byte, requestID string) []byte {
-	return append(append(b, requestSeparator...), requestID...)
+	b = append(b, `","`+fieldRequest+`":"`...)
+	return append(b, requestID...)
 }
 
-// appendOffset ends a command with an offset, and appendToken with a token.
+// appendOffset ends a command with an offset.
 func appendOffset(b []byte, offset int64) []byte {
 	b = append(b, `","`+fieldOffset+`":`...)
 	b = strconv.AppendInt(b, offset, 10)
 	return append(b, endOfObject...)
 }
 
+// appendToken ends a command with a token.
 func appendToken(b []byte, token string) []byte {
 	b = append(b, `","`+fieldToken+`":"`...)
 	b = append(b, token...)
-	return append(append(b, '"'), endOfObject...)
+	b = append(b, '"')
+	return append(b, endOfObject...)
 }
 
 // command is a line to the agent that is sent again after a break, until the agent is known to have read it.
--- a/internal/agent/connection.go
+++ b/internal/agent/connection.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// A connection that takes commands and brought nothing for maxSilence, though minUnansweredSamples were sent
-	// meanwhile, is taken for broken: the agent answers each at once. The count is for a process that was stopped, for
-	// which time has passed and answers wait unread.
+	// A connection that takes commands is taken for broken once it has brought nothing for maxSilence and the answers to
+	// minUnansweredSamples, which the agent sends at once. The count is for a process that was stopped: time has passed
+	// for it, and answers wait unread.
 	maxSilence           = 2 * time.Second
 	minUnansweredSamples = 3
 
@@ -23,7 +23,7 @@
 //
 //	disconnected  -> synchronizing  when a connection is opened, which subscribes to the missed notifications
 //	synchronizing -> ready          when the sample that follows the handshake is answered: all of them are in by then
-//	any           -> disconnected   when the connection ends or is given up
+//	any           -> disconnected   when the connection ends or is aborted
 type connectionState uint8
 
 const (
@@ -117,7 +117,7 @@
 	return l.current != nil && l.current.queue == queue
 }
 
-// abortConnection gives up the current connection, whatever waits to be written; reconnecting opens another.
+// abortConnection ends the current connection, whatever waits to be written; reconnecting opens another.
 func (l *Link) abortConnection() {
 	l.current.queue.Abort()
 	l.current = nil
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// CheckLiveness gives up a connection that brings nothing, for another to be opened. SampleGauges does the same, but is
+// CheckLiveness aborts a connection that brings nothing, for another to be opened. SampleGauges does the same, but is
 // not called before the first handshake.
 func (l *Link) CheckLiveness() {
 	now := l.loop.Now()
--- a/internal/agent/receive.go
+++ b/internal/agent/receive.go
@@ -110,7 +110,7 @@
 	return true
 }
 
-// handleRestart gives up the connection to an agent that was restarted: it knows of no run and numbers its notifications
+// handleRestart aborts the connection to an agent that was restarted: it knows of no run and numbers its notifications
 // anew, so the next connection asks for them from the first.
 func (l *Link) handleRestart(age time.Duration) {
 	l.agent = newIncarnation(age)
--- a/internal/jsonlines/jsonlines.go
+++ b/internal/jsonlines/jsonlines.go
@@ -79,6 +79,9 @@
 // AppendBase64 appends to an object that has a member before it the member called name, which needs no escape, with data
 // in base64.
 func AppendBase64(b []byte, name string, data []byte) []byte {
-	b = append(append(append(b, `,"`...), name...), `":"`...)
-	return append(base64.StdEncoding.AppendEncode(b, data), '"')
+	b = append(b, `,"`...)
+	b = append(b, name...)
+	b = append(b, `":"`...)
+	b = base64.StdEncoding.AppendEncode(b, data)
+	return append(b, '"')
 }
--- a/internal/jsonlines/jsonlines_test.go
+++ b/internal/jsonlines/jsonlines_test.go
@@ -42,7 +42,7 @@
 	require.ErrorAs(t, err, &invalid) // the empty line
 }
 
-// An invalid line is told apart from the end of the stream, and its error reads as what is wrong with it.
+// An invalid line is distinguished from the end of the stream, and its error reads as what is wrong with it.
 func TestLineErrors(t *testing.T) {
 	parser := NewParser(decodeMessage)
 	for input, want := range map[string]error{"{}\n": errNameless, "": io.EOF, `{"name":"a"}`: io.EOF,
--- a/internal/msgpackrpc/drain_test.go
+++ b/internal/msgpackrpc/drain_test.go
@@ -239,43 +239,43 @@
 	}
 }
 
-// A newer process replaces this one: no connection is rejected or left unread, each process answers what it has read,
+// A successor process replaces this one: no connection is rejected or left unread, each process answers what it has read,
 // and a request with an idempotency key is run by one of them, whose result answers attempts at both.
 func TestReplacementAnswersEveryRequest(t *testing.T) {
 	ln := loopback.Listen(t)
 	path := filepath.Join(t.TempDir(), "s")
-	older := startServerOn(t, ln, path, longStopTimeout...)
+	predecessor := startServerOn(t, ln, path, longStopTimeout...)
 	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, testTimeout, time.Millisecond)
-	client := older.dial()
+	client := predecessor.dial()
 	runID := client.sendRequest("licence-order", "a", "once", "aa")
-	older.expectCommand("launch", runID)
-	newer := startServerOn(t, ln, path)
-	newer.attempts = 100 // so that its ids differ
-	older.server.Drain()
+	predecessor.expectCommand("launch", runID)
+	successor := startServerOn(t, ln, path)
+	successor.attempts = 100 // so that its ids differ
+	predecessor.server.Drain()
 	client.expectClosing()
-	other := newer.dial()
-	for other.isClosing() { // the older process had accepted it
+	other := successor.dial()
+	for other.isClosing() { // the predecessor had accepted it
 		other.netConn.Close()
-		other = newer.dial()
+		other = successor.dial()
 	}
 	other.lastCall = 1
 	other.sendRequest("licence-order", "a", "once", "aa")
-	newer.expectNoCommand()
-	older.agentSends("outcome", runID, "success", []byte("done"))
+	successor.expectNoCommand()
+	predecessor.agentSends("outcome", runID, "success", []byte("done"))
 	client.expectAnswer(1, "done")
 	other.expectAnswer(2, "done")
 
 	crossingID := other.sendRequest("licence-order", "b", "once", "bb")
-	newer.expectCommand("launch", crossingID)
+	successor.expectCommand("launch", crossingID)
 	client.sendRequest("licence-order", "b", "once", "bb")
-	older.expectNoCommand()
-	newer.agentSends("outcome", crossingID, "success", []byte("other"))
+	predecessor.expectNoCommand()
+	successor.agentSends("outcome", crossingID, "success", []byte("other"))
 	other.expectAnswer(3, "other")
 	client.expectAnswer(2, "other")
 	client.netConn.Close()
-	require.NoError(t, await(older, older.serverDone, "end of the older process"))
+	require.NoError(t, await(predecessor, predecessor.serverDone, "end of the predecessor"))
 
 	other.sendRequest("licence-order", "a", "once", "aa")
 	other.expectAnswer(4, "done")
-	newer.expectNoCommand()
+	successor.expectNoCommand()
 }
--- a/internal/msgpackrpc/listener_test.go
+++ b/internal/msgpackrpc/listener_test.go
@@ -78,9 +78,9 @@
 // before it interrupted Accept, and could so interrupt the Accept of the pending connection, which was then reset.
 func TestCloseAcceptsPendingConnection(t *testing.T) {
 	t.Parallel()
-	held := &blockingListener{TCPListener: loopback.Listen(t), interrupting: make(chan struct{}), release: make(chan struct{}),
+	blocking := &blockingListener{TCPListener: loopback.Listen(t), interrupting: make(chan struct{}), release: make(chan struct{}),
 		lifted: make(chan struct{}, 1)}
-	peers, front, done := serveListener(t, held, 1)
+	peers, front, done := serveListener(t, blocking, 1)
 	client := peers.dial()
 	client.write(encodeHealthCheck(1, nil))
 	client.expectHealthy(1) // it has the only slot
@@ -88,12 +88,12 @@
 	pending.write(encodeHealthCheck(1, nil))
 	closed := make(chan error, 1)
 	go func() { closed <- front.Close() }()
-	<-held.interrupting
+	<-blocking.interrupting
 	select {
-	case <-held.lifted: // the wrong order: pending connections are accepted before the interruption
+	case <-blocking.lifted: // the wrong order: pending connections are accepted before the interruption
 	case <-time.After(200 * time.Millisecond):
 	}
-	close(held.release)
+	close(blocking.release)
 	require.NoError(t, await(peers, closed, "end of Close"))
 	client.netConn.Close()
 	pending.expectHealthy(1)
@@ -119,8 +119,8 @@
 	return l.TCPListener.Accept()
 }
 
-// A newer process that shares the socket accepts the pending connection first: the listener still ends. It waited for
-// another connection, and with it the older process, up to its stop timeout.
+// A successor process that shares the socket accepts the pending connection first: the listener still ends. It waited for
+// another connection, and with it the predecessor, up to its stop timeout.
 func TestCloseEndsThoughPendingConnectionWasTaken(t *testing.T) {
 	t.Parallel()
 	shared := &sharedListener{TCPListener: loopback.Listen(t), take: make(chan struct{})}
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -84,7 +84,7 @@
 	WriteQueueSize: 4,
 }
 
-// A peer that cannot be reached is told apart from one that fails later, and the text is that of the dial.
+// A peer that cannot be reached is distinguished from one that fails later, and the text is that of the dial.
 func TestUnreachableError(t *testing.T) {
 	address := loopback.ClosedAddress(t)
 	_, err := Dial(context.Background(), "tcp", address, DialTimeout)
@@ -159,7 +159,7 @@
 	require.Empty(t, handler.failed)
 }
 
-// One that was replaced before it was ever open is given up, though its dial hangs or fails.
+// One that was replaced before it was ever open is abandoned, though its dial hangs or fails.
 func TestAddressChangeBeforeOpen(t *testing.T) {
 	listener := loopback.Listen(t)
 	link := New(loopback.ClosedAddress(t), testConfig)
--- a/internal/store/call.go
+++ b/internal/store/call.go
@@ -7,7 +7,7 @@
 	"falldeal/internal/deadline"
 )
 
-// call is one call that has no reply yet and was not given up.
+// call is one call that has no reply yet and was not abandoned.
 type call struct {
 	requestID  string
 	body       []byte
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -84,13 +84,13 @@
 	}
 }
 
-// InFlight returns how many calls have no reply yet and were not given up.
+// InFlight returns how many calls have no reply yet and were not abandoned.
 func (l *Link) InFlight() int { return len(l.calls) }
 
 // ConnectionsOpened returns how many connections have been opened.
 func (l *Link) ConnectionsOpened() uint64 { return l.connectionsOpened }
 
-// Call makes a call for the run of a request and gives it up at deadline, by the clock of the loop. A call in flight for
+// Call makes a call for the run of a request and abandons it at deadline, by the clock of the loop. A call in flight for
 // the same request is abandoned.
 func (l *Link) Call(requestID string, deadline time.Duration, body []byte) {
 	l.Abandon(requestID)
@@ -109,7 +109,7 @@
 	l.adjustDials()
 }
 
-// Abandon gives up the call for a request, and reports whether there is one. Its end is not reported.
+// Abandon ends the call for a request, and reports whether there is one. Its end is not reported.
 func (l *Link) Abandon(requestID string) bool {
 	abandoned := l.calls[requestID]
 	if abandoned == nil {
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -132,7 +132,7 @@
 	require.EqualValues(t, 1, fake.link.ConnectionsOpened())
 }
 
-// A call is given up at its deadline, and its connection with it: the reply may never come, or be taken for that of a
+// A call is abandoned at its deadline, and its connection with it: the reply may never come, or be taken for that of a
 // later call.
 func TestCallExpiry(t *testing.T) {
 	ln := loopback.Listen(t)
--- a/internal/store/partition_test.go
+++ b/internal/store/partition_test.go
@@ -21,7 +21,7 @@
 	return unresponsive.Addr
 }
 
-// In a partition dials hang. A call that is given up cancels its dial: dials for calls that were long over would take the
+// In a partition dials hang. A call that is abandoned cancels its dial: dials for calls that were long over would take the
 // places of those to come, which would then hang too for as long as a dial may take.
 func TestAbandonedCallCancelsItsDial(t *testing.T) {
 	fake := newFakeLoop(t, unresponsiveAddress(t))
--- a/internal/store/races_test.go
+++ b/internal/store/races_test.go
@@ -37,7 +37,7 @@
 		fake := newFakeLoop(t, "127.0.0.1:9")
 		remote := fake.idleConnection()
 		remote.conn.Close()
-		handleClosed := <-fake.posted // held until the call was made
+		handleClosed := <-fake.posted // runs after the call was made
 		if observed {
 			handleClosed()
 		}
@@ -74,7 +74,7 @@
 				fake.link.Call("cd", time.Hour, nil)
 				fake.expect(remote.reader, "CALL cd 3600000 0", "")
 				fmt.Fprintf(remote.conn, "cd %s\r\n", status)
-				reply := <-fake.posted // held
+				reply := <-fake.posted // runs later
 				if test.first {
 					test.act(fake)
 				}
--- a/internal/store/result.go
+++ b/internal/store/result.go
@@ -13,8 +13,8 @@
 	TimedOut                        // out of time, or its run has ended; it may have had its effect
 	NotStarted                      // no run waits for it: it never ran
 	ConnectionRefused               // no connection to the store: it never ran
-	ConnectionBroken                // the connection broke meanwhile; it may have had its effect
-	Expired                         // given up at its deadline; it may have had its effect
+	ConnectionBroken                // the connection broke during the call; it may have had its effect
+	Expired                         // abandoned at its deadline; it may have had its effect
 )
 
 // String returns the name of the result.
