--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -34,7 +34,7 @@
 // errNoRequest reports a run whose load was empty.
 var errNoRequest = errors.New("no request was completed")
 
-// comparedRun is what came of one of the two runs with a seed.
+// comparedRun is the result of one of the two runs with a seed.
 type comparedRun struct {
 	opts       *options
 	enabled    bool // opts.features were on
@@ -44,7 +44,7 @@
 	violations int
 }
 
-// valueRatio is the part of the requests' value that was served.
+// valueRatio returns the part of the requests' value that was served.
 func (r *comparedRun) valueRatio() float64 { return r.requests.ValueServed / r.requests.Value }
 
 // comparison runs the same load and script, seed by seed, with opts.features off and on.
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// idleTime is for how long processes are left to themselves while their cost is measured.
+	// idleTime is for how long the cost of idle processes is measured.
 	idleTime = 20 * time.Second
 
 	falseRemovalPollInterval = 250 * time.Millisecond
@@ -43,7 +43,7 @@
 }
 
 // detect times the failure detection: it kills members and times how long all others take to see it. Before that it
-// counts how many members are taken for failed while none is, under the loss of --share, and what membership costs.
+// counts members that are reported as failed while none is, under the loss of --share, and what membership costs.
 func detect(ctx context.Context, opts *options, out io.Writer) error {
 	lab, err := openLab(ctx, opts)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// countFalseRemovals prints how many members at most were taken for failed at once.
+// countFalseRemovals prints the maximum number of members that were wrongly reported as failed at one time.
 func (d *detection) countFalseRemovals(ctx context.Context) {
 	start := d.lab.Log.Now()
 	removed := 0
--- a/cmd/falldeal-lab/options.go
+++ b/cmd/falldeal-lab/options.go
@@ -126,7 +126,7 @@
 	flags.IntVar(&fault.BytesPerSecond, "rate", 0, "fault: bytes per second of a throttled stream")
 }
 
-// finish sets what goes by several flags or is a number behind a name.
+// finish sets the options that depend on several flags or have names for numbers.
 func (o *options) finish() error {
 	ratio, known := honorRatios[o.honorRetryAfter]
 	if !known {
--- a/cmd/falldeal-lab/report.go
+++ b/cmd/falldeal-lab/report.go
@@ -12,7 +12,7 @@
 
 const maxPrintedViolations = 20
 
-// viewChangeGap ends a series of changes of members' views that are taken for one.
+// viewChangeGap is the time between two changes of members' views from which on they belong to two series.
 const viewChangeGap = 10 * time.Second
 
 // rules are those that every history is checked against.
--- a/lab/clients/attempt.go
+++ b/lab/clients/attempt.go
@@ -16,7 +16,7 @@
 type answer struct {
 	outcome    history.Outcome
 	retryAfter time.Duration // that a rejection asks for; 0 = none
-	noRetry    bool          // a rejection says that no server will accept the request
+	noRetry    bool          // the rejection asks not to retry at another server
 	degraded   bool          // served without the call
 }
 
--- a/lab/clients/class.go
+++ b/lab/clients/class.go
@@ -12,7 +12,7 @@
 	Name               string
 	ArrivalRatio       float64       // of all requests
 	MeanWork           time.Duration // on one core
-	Timeout            time.Duration // after which the client gives up
+	Timeout            time.Duration // after which the client abandons the request
 	LatencyObjective   time.Duration // after which an answer has no value
 	Value              float64       // of a request served in full
 	DegradedValueRatio float64       // of Value, where the request is served without its call
@@ -55,8 +55,8 @@
 	return time.Duration(history.ReadCostRatio * float64(MeanWork(classes)))
 }
 
-// Capacity returns how many requests a second can be read and run, without calls, by servers that do so many seconds of
-// work in a second.
+// Capacity returns how many requests a second can be read and run, without calls, by servers that do
+// totalCores seconds of work in a second.
 func Capacity(totalCores float64, classes []Class) float64 {
 	return totalCores / ((1 + history.ReadCostRatio) * MeanWork(classes).Seconds())
 }
--- a/lab/clients/clients_test.go
+++ b/lab/clients/clients_test.go
@@ -108,7 +108,7 @@
 	require.Empty(t, history.Check(events, history.Rules{Slack: time.Minute}))
 }
 
-// Without a server, a request must end as rejected when its client gives up.
+// Without a server, a request must end as rejected when its client abandons it.
 func TestRunWithoutServers(t *testing.T) {
 	workload := Workload{
 		FrontEnds:         1,
--- a/lab/clients/conn.go
+++ b/lab/clients/conn.go
@@ -160,7 +160,7 @@
 
 // abort ends the connection and all requests that are pending on it.
 func (c *serverConn) abort() {
-	_ = c.conn.Close() // it has ended or is given up
+	_ = c.conn.Close() // it has ended or is abandoned
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
--- a/lab/clients/frontend.go
+++ b/lab/clients/frontend.go
@@ -40,7 +40,7 @@
 	attempts       int
 }
 
-// deadline is when the client gives up.
+// deadline returns when the client abandons the request.
 func (r *request) deadline() time.Duration { return r.arrival + r.class.Timeout }
 
 // generate has requests arrive in a Poisson process until ctx ends, and waits for those in flight.
@@ -80,7 +80,7 @@
 	}
 }
 
-// serve attempts a request until it is served, its client gives up or the policy allows no further attempt.
+// serve attempts a request until it is served, its client abandons it or the policy allows no further attempt.
 func (f *frontEnd) serve(pending *request) {
 	result := f.attemptUntilFinal(pending)
 	f.log.Add(history.Event{
--- a/lab/costs/main_test.go
+++ b/lab/costs/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sample is a sample of a stack, from its leaf to its root, that took so many ns.
+// sample returns a sample of a stack, from its leaf to its root, that took so many ns.
 func sample(nanos int64, stack ...string) *profile.Sample {
 	made := &profile.Sample{Value: []int64{1, nanos}}
 	for i, function := range stack {
--- a/lab/costs/parts_test.go
+++ b/lab/costs/parts_test.go
@@ -31,7 +31,7 @@
 	return names
 }
 
-// symbol is the name of a function within its package, with its receiver.
+// symbol returns the name of a function within its package, with its receiver.
 func symbol(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return function.Name.Name
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -24,7 +24,7 @@
 	State string        // of the handshake: booting or steady
 	Age   time.Duration // of the agent, as the handshake reports it
 	Load  [4]float64    // what samples are answered with; computed from Cores where they are set
-	// PlanRun decides what becomes of a run. Nil: every run succeeds at once, without a call.
+	// PlanRun plans the course of a run. Nil: every run succeeds at once, without a call.
 	PlanRun func(l Launch) RunPlan
 
 	Cores *workerpool.Pool     // shared by all runs and reads; nil: each run takes the time of its plan
--- a/lab/fakes/agent_cores.go
+++ b/lab/fakes/agent_cores.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// readIDPrefix begins the identifiers of reads in the pool, where runs go by their request.
+// readIDPrefix begins the identifiers of reads in the pool, where runs are named by their request.
 const readIDPrefix = "read "
 
 // pendingRead is the reading of one request, which takes of the same cores as runs.
--- a/lab/fakes/agent_run.go
+++ b/lab/fakes/agent_run.go
@@ -12,7 +12,7 @@
 	Body      []byte
 }
 
-// RunPlan says what becomes of a run. Unless it is interrupted it succeeds, with the body of its launch as the
+// RunPlan is the course of a run. Unless it is interrupted it succeeds, with the body of its launch as the
 // result.
 type RunPlan struct {
 	Work time.Duration // processor time without calls; 0 = none
@@ -75,7 +75,7 @@
 	})
 }
 
-// CompleteRequest informs the agent that a request has its final answer or that its client has given up. A run of it
+// CompleteRequest informs the agent that a request has its final answer or that its client has abandoned it. A run of it
 // that waits for a call ends as interrupted.
 func (a *Agent) CompleteRequest(id string) {
 	a.mu.Lock()
--- a/lab/fakes/agent_test.go
+++ b/lab/fakes/agent_test.go
@@ -55,7 +55,7 @@
 	return n
 }
 
-// A run must succeed with its body; with a call, it must wait for the call to be answered, skipped, or of no more use.
+// A run must succeed with its body; with a call, it must wait for the call to be answered, skipped, or abandoned.
 func TestAgentRuns(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		call   []byte
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -39,7 +39,7 @@
 	OutcomeUnreachable Outcome = "unreached" // no connection to the server
 )
 
-// Description is the outcome in the terms of printed reports.
+// Description returns the outcome in the terms of printed reports.
 func (o Outcome) Description() string {
 	switch o {
 	case OutcomeRejected:
@@ -56,7 +56,7 @@
 // DetailUnread is the Detail of an AttemptAbandoned whose request was not read by its deadline.
 const DetailUnread = "unread"
 
-// ProcessState is what has become of a process, or what signal it was sent. It stands in Event.Detail.
+// ProcessState is the state of a process, or the signal that it was sent. It stands in Event.Detail.
 type ProcessState string
 
 // States of processes.
--- a/lab/history/log.go
+++ b/lab/history/log.go
@@ -16,7 +16,7 @@
 // NewLog returns an empty log, whose clock starts now.
 func NewLog() *Log { return &Log{startedAt: time.Now()} }
 
-// Now is the time on the laboratory's clock.
+// Now returns the time on the laboratory's clock.
 func (l *Log) Now() time.Duration { return time.Since(l.startedAt) }
 
 // Add adds an event that happens now: it sets the event's time.
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -11,20 +11,20 @@
 	baselineWindow  = 6 * time.Second // before the fault
 )
 
-// RecoveryTime is how long after the end of a fault, which lasted from from to to, the service was back at 95% of the
+// RecoveryTime returns how long after the end of a fault, which lasted from from to to, the service was back at 95% of the
 // value that it served before, and stayed there. Ok is false if it was not back by the end of the history.
 func RecoveryTime(events []Event, from, to time.Duration) (after time.Duration, ok bool) {
 	values := valuesByArrival(events)
 	baseline := recoveryRatio * values.servedRatio(from-baselineWindow, from)
-	held := time.Duration(0)
+	sustained := time.Duration(0)
 	for at := to; at+recoveryWindow <= values.end(); at += recoveryStep {
 		if values.servedRatio(at, at+recoveryWindow) < baseline {
-			held = 0
+			sustained = 0
 			continue
 		}
-		held += recoveryStep
-		if held >= recoveryMinimum {
-			return at - held + recoveryStep - to, true
+		sustained += recoveryStep
+		if sustained >= recoveryMinimum {
+			return at - sustained + recoveryStep - to, true
 		}
 	}
 	return 0, false
@@ -51,7 +51,7 @@
 
 func (v *valueSeries) end() time.Duration { return time.Duration(len(v.offered)) * recoveryStep }
 
-// servedRatio is the ratio of the value that was served, of requests that arrived in an interval; 0 without any.
+// servedRatio returns the ratio of the value that was served, of requests that arrived in an interval; 0 without any.
 func (v *valueSeries) servedRatio(from, to time.Duration) float64 {
 	var offered, served float64
 	for step := int(max(from, 0) / recoveryStep); step < int(to/recoveryStep) && step < len(v.offered); step++ {
@@ -64,7 +64,7 @@
 	return served / offered
 }
 
-// FirstFault is when the first fault of a history started and ended. Ok is false if it did not do both.
+// FirstFault returns when the first fault of a history started and ended. Ok is false if it did not do both.
 func FirstFault(events []Event) (from, to time.Duration, ok bool) {
 	name := ""
 	for i := range events {
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -100,7 +100,7 @@
 // ReadCostRatio is the work of reading a request in the laboratory, as a ratio of the mean work of requests.
 const ReadCostRatio = 0.25
 
-// OptimalValue is an upper bound on the value that can be served with so many seconds of work on all cores together.
+// OptimalValue returns an upper bound on the value that can be served with coreSeconds of work on all cores together.
 // It is that of a policy which knows all requests in advance: it reads each once, and runs those of the highest value
 // for their work. The bound ignores timeouts, calls, and runs that slow each other down.
 func OptimalValue(events []Event, coreSeconds float64) (value float64) {
@@ -125,8 +125,8 @@
 	return value
 }
 
-// RejectionFairness is Jain's fairness index of the ratios of attempts that the servers rejected: 1 where all
-// rejected alike, and 1/n where one of n servers rejected alone.
+// RejectionFairness returns Jain's fairness index of the ratios of attempts that the servers rejected: 1 where all
+// ratios are equal, and 1/n where one of n servers rejected alone.
 func RejectionFairness(events []Event) float64 {
 	sent, rejected := map[string]float64{}, map[string]float64{}
 	for i := range events {
--- a/lab/history/stores.go
+++ b/lab/history/stores.go
@@ -44,7 +44,7 @@
 	return summary
 }
 
-// StoreLoadDuringFault is how many calls a second came to the stores, and how many were in flight at most, while the
+// StoreLoadDuringFault returns how many calls a second came to the stores, and how many were in flight at most, while the
 // first fault of a kind was in force for longer than settled. It counts the calls of all stores, so the fault should
 // affect all of them. Both are 0 if the fault did not last that long.
 func StoreLoadDuringFault(events []Event, kind string, settled time.Duration) (rate float64, maxInFlight int) {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -31,7 +31,7 @@
 // Report counts answers.
 type Report struct{ Served, Rejected, Failed int64 }
 
-// Total is the number of all answers.
+// Total returns the number of all answers.
 func (r Report) Total() int64 { return r.Served + r.Rejected + r.Failed }
 
 // counters counts the answers to all clients of a run.
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -72,7 +72,7 @@
 	return started, addrs
 }
 
-// testConfig is the example configuration with the addresses of the fakes. Its deadlines are 10 minutes, so that a
+// testConfig returns the example configuration with the addresses of the fakes. Its deadlines are 10 minutes, so that a
 // machine that is busy for a while does not make requests late.
 func testConfig(tb testing.TB, addrs addresses) *config.Config {
 	tb.Helper()
--- a/lab/memnet/conn.go
+++ b/lab/memnet/conn.go
@@ -40,7 +40,7 @@
 	return c.Conn.Close() //nolint:wrapcheck // callers of a net.Conn compare errors as they are
 }
 
-// RemoteAddr is the address of the host at the other end.
+// RemoteAddr returns the address of the host at the other end.
 func (c *conn) RemoteAddr() net.Addr {
 	addr := udpAddr(c.remoteAddr)
 	return &net.TCPAddr{IP: addr.IP, Port: addr.Port}
--- a/lab/memnet/network.go
+++ b/lab/memnet/network.go
@@ -20,7 +20,7 @@
 	randStream = 1
 )
 
-// Fault is what befalls the traffic from one host to another.
+// Fault is the effect of faults on the traffic from one host to another. The zero value is none.
 type Fault struct {
 	Partition      bool          // nothing arrives
 	LossRatio      float64       // of packets that are lost, from 0 to 1
@@ -71,7 +71,7 @@
 	return added
 }
 
-// fault returns what befalls the traffic from one host to another now.
+// fault returns the present effect on the traffic from one host to another.
 func (n *Network) fault(from, to string) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/lab/model/attempt.go
+++ b/lab/model/attempt.go
@@ -50,7 +50,7 @@
 	a.answer(response)
 }
 
-// dropCall gives up the call in flight, if there is one: its end is not reported.
+// dropCall abandons the call in flight, if there is one: its end is not reported.
 func (a *attempt) dropCall() {
 	if a.call != nil {
 		a.call.dropped = true
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -45,7 +45,7 @@
 const comparisonHeader = "strategy\tvalue served\tgain: min\tmedian\tmax\tratio to optimum\tattempts per request\tlate\t" +
 	"recovery time: median\tmax\tnever\tstore calls/s during fault\tmax in flight\t"
 
-// Compare simulates a fleet with each strategy and so many seeds, counted up from that of opts, on all cores. It prints a
+// Compare simulates a fleet with each strategy and with consecutive seeds from that of opts on, on all cores. It prints a
 // line for each strategy: means over the seeds, and the least, median and most of the value that is gained over the first
 // strategy, seed by seed. The results are in the order of the strategies, and in that of the seeds within each.
 func Compare(out io.Writer, opts Options, seeds int, strategies []Strategy) ([]Result, error) {
--- a/lab/model/cores.go
+++ b/lab/model/cores.go
@@ -8,7 +8,7 @@
 	"falldeal/lab/workerpool"
 )
 
-// readTaskPrefix begins the names of tasks that read attempts. Runs go by the identifier of their attempt alone.
+// readTaskPrefix begins the names of tasks that read attempts. Runs are named by the identifier of their attempt alone.
 const readTaskPrefix = "r"
 
 // agentCores are the cores of a server's agent, which read attempts and run them. They belong to one process.
--- a/lab/model/probing.go
+++ b/lab/model/probing.go
@@ -17,7 +17,7 @@
 	s.every(probeInterval, s.updateProbes)
 }
 
-// updateProbes takes over the allowance that the coordination of probes gives, and publishes a change of the store's state.
+// updateProbes applies the allowance of the probe coordinator, and publishes a change of the store's state.
 func (s *server) updateProbes() {
 	stateBefore := s.probes.State()
 	var allowance overload.ProbeAllowance
--- a/lab/model/processing.go
+++ b/lab/model/processing.go
@@ -10,7 +10,7 @@
 // requestMemoryKB is the memory of a request before it runs.
 const requestMemoryKB = 24
 
-// receive takes in an attempt of a request. It is read first, which takes time of the cores.
+// receive accepts an attempt of a request. The cores read it before the controller decides on it.
 func (s *server) receive(request *request, deadline time.Duration, answer func(response)) {
 	s.lastAttempt++
 	attempt := &attempt{
@@ -86,7 +86,7 @@
 	}
 }
 
-// callEnded takes in the end of an attempt's call.
+// callEnded handles the end of an attempt's call.
 func (s *server) callEnded(attempt *attempt, outcome admission.Outcome) {
 	if !s.up || s.attempts[attempt.id] != attempt {
 		return
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -79,7 +79,7 @@
 	s.attempts = nil
 }
 
-// schedule has something done at a time if the process of now still runs then.
+// schedule calls do at a time if the present process still runs then.
 func (s *server) schedule(at time.Duration, do func()) {
 	starts := s.starts
 	s.sim.schedule(at, func() {
@@ -89,7 +89,7 @@
 	})
 }
 
-// every has something done at an interval, from a random time within the first one, while the process runs.
+// every calls do at an interval while the process runs, first at a random time within one interval.
 func (s *server) every(interval time.Duration, do func()) {
 	var next func()
 	next = func() {
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// schedule has something done at a time, or at once where that has passed.
+// schedule calls do at a time, or at once if that has passed.
 func (s *Simulation) schedule(at time.Duration, do func()) { s.queue.push(max(at, s.now), do) }
 
 // randomDelay draws a time below limit.
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -37,7 +37,7 @@
 	server  *server
 	attempt *attempt
 	ended   bool // its outcome is on its way to the server
-	dropped bool // the server has given it up
+	dropped bool // the server has abandoned it
 }
 
 func newStore(sim *Simulation, zone int) *store {
@@ -69,7 +69,7 @@
 	s.sim.schedule(s.sim.now+timeout, func() { call.end(admission.OutcomeTimedOut) })
 	switch {
 	case s.unresponsive:
-		s.leaveUnanswered(timeout)
+		s.startUnanswered(timeout)
 	case s.crash.IsDown(s.sim.now):
 		s.sim.schedule(s.sim.now+2*networkDelay, func() { call.end(admission.OutcomeFailed) })
 	default:
@@ -78,8 +78,8 @@
 	return call
 }
 
-// leaveUnanswered keeps a call in flight without an answer until its timeout.
-func (s *store) leaveUnanswered(timeout time.Duration) {
+// startUnanswered starts a call that stays in flight without an answer until its timeout.
+func (s *store) startUnanswered(timeout time.Duration) {
 	s.unanswered++
 	s.recordCalls(history.CallStarted)
 	s.sim.schedule(s.sim.now+timeout, func() {
@@ -88,7 +88,7 @@
 	})
 }
 
-// process adds a call to the slots, and crashes the store where that is too much.
+// process adds a call to the slots, and crashes the store if it is overloaded.
 func (s *store) process(call *call) {
 	s.collectCompleted()
 	s.calls[call.id] = call
@@ -101,7 +101,7 @@
 	s.slots.scheduleCompletion()
 }
 
-// maxInFlight returns how many calls in flight the store bears: fewer while it warms up.
+// maxInFlight returns how many calls in flight the store survives: fewer while it warms up.
 func (s *store) maxInFlight() int {
 	warmth := min(float64(s.sim.now-s.startedAt)/float64(max(s.sim.opts.WarmupTime, 1)), 1)
 	speedRatio := storeWarmupStartRatio + (1-storeWarmupStartRatio)*warmth
--- a/lab/workerpool/crash.go
+++ b/lab/workerpool/crash.go
@@ -14,7 +14,7 @@
 	downUntil  time.Duration
 }
 
-// Observe takes in the number of calls in flight, and reports whether the store crashes now.
+// Observe records the number of calls in flight, and reports whether the store crashes now.
 func (c *CrashModel) Observe(now time.Duration, inFlight int) bool {
 	if c.MaxInFlight == 0 || inFlight <= c.MaxInFlight {
 		c.exceeded = false
--- a/lab/workerpool/machines.go
+++ b/lab/workerpool/machines.go
@@ -15,7 +15,7 @@
 	return slowCoreSpeed
 }
 
-// TotalCores returns the work that so many servers can do in a second, in seconds on a core of speed 1.
+// TotalCores returns the work that a number of servers can do in a second, in seconds on a core of speed 1.
 func TotalCores(servers, coresPerServer int) (cores float64) {
 	for i := range servers {
 		cores += float64(coresPerServer) * CoreSpeed(i)
--- a/lab/workerpool/pool.go
+++ b/lab/workerpool/pool.go
@@ -37,7 +37,7 @@
 	WarmupTime       time.Duration // over which the speed rises from WarmupStartRatio to full
 }
 
-// speedRatio is the ratio of Speed that is left with n items in flight, at an age of the pool.
+// speedRatio returns the ratio of Speed that is left with n items in flight, at an age of the pool.
 func (c *Curve) speedRatio(n int, age time.Duration) float64 {
 	ratio := 1.0
 	if excess := float64(n)/float64(c.Workers) - c.Knee; excess > 0 {
@@ -78,21 +78,21 @@
 	p.startedAt = now
 }
 
-// InFlight is the number of items that are worked at.
+// InFlight returns the number of items that are worked at.
 func (p *Pool) InFlight() int { return len(p.remaining) }
 
-// MaxInFlight is the largest number of items that were ever worked at together.
+// MaxInFlight returns the largest number of items that were ever worked at together.
 func (p *Pool) MaxInFlight() int { return p.maxInFlight }
 
-// WorkDone is the work that was done since the start, in time on a worker of speed 1.
+// WorkDone returns the work that was done since the start, in time on a worker of speed 1.
 func (p *Pool) WorkDone() time.Duration { return seconds(p.workDone) }
 
-// Utilization is the ratio of the workers that are in use, from 0 to 1.
+// Utilization returns the ratio of the workers that are in use, from 0 to 1.
 func (p *Pool) Utilization() float64 {
 	return min(float64(len(p.remaining))/float64(p.curve.Workers), 1)
 }
 
-// Rate is how many seconds of work the pool does in a second with n items in flight.
+// Rate returns how many seconds of work the pool does in a second with n items in flight.
 func (p *Pool) Rate(now time.Duration, n int) float64 {
 	if n == 0 {
 		return 0
@@ -145,7 +145,7 @@
 	return completed
 }
 
-// untilNextCompletion is how long the next completion is away while each item gets perItem seconds of work a second.
+// untilNextCompletion returns how long the next completion is away while each item gets perItem seconds of work a second.
 func (p *Pool) untilNextCompletion(perItem float64) time.Duration {
 	if perItem <= 0 {
 		return math.MaxInt64
@@ -157,7 +157,7 @@
 	return seconds(min(shortest/perItem, maxWait))
 }
 
-// NextCompletion is when Advance should be called again; ok is false with nothing in flight. It may be earlier than a
+// NextCompletion returns when Advance should be called again; ok is false with nothing in flight. It may be earlier than a
 // completion, where the speed changes meanwhile.
 func (p *Pool) NextCompletion() (at time.Duration, ok bool) {
 	n := len(p.remaining)
