--- a/cmd/falldeal-lab/report.go
+++ b/cmd/falldeal-lab/report.go
@@ -58,7 +58,7 @@
 			fmt.Fprintf(out, "%7.1fs  fault started: %s\n", event.At.Seconds(), event.Detail)
 		case event.Kind == history.FaultChanged:
 			fmt.Fprintf(out, "%7.1fs  fault ended: %s\n", event.At.Seconds(), event.Detail)
-		case event.Kind == history.ProcessChanged && history.ProcessState(event.Detail) == history.ProcessFailed:
+		case event.Kind == history.ProcessChanged && event.ProcessState() == history.ProcessFailed:
 			fmt.Fprintf(out, "%7.1fs  member %s exited with an error; see its log\n", event.At.Seconds(), event.Server)
 		}
 	}
@@ -84,7 +84,7 @@
 	var all []*viewChange
 	for i := range events {
 		event := &events[i]
-		condition := history.Condition(event.Detail)
+		condition := event.Condition()
 		if event.Kind != history.ViewChanged || isUsualCondition(condition) {
 			continue
 		}
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -144,7 +144,7 @@
 	if ended.excused {
 		return
 	}
-	if event.Kind == AttemptAnswered && Outcome(event.Detail) == OutcomeLost {
+	if event.Kind == AttemptAnswered && event.Outcome() == OutcomeLost {
 		if c.process(ended.sent.Server).alive {
 			c.fail(RuleDeadline, &ended.sent, "connection closed by a live server")
 		}
@@ -176,7 +176,7 @@
 
 func (c *checker) processChanged(event *Event) {
 	changed := c.process(event.Server)
-	state := ProcessState(event.Detail)
+	state := event.ProcessState()
 	if state == ProcessStarted {
 		*changed = process{alive: true, startedAt: event.At}
 		return
@@ -197,7 +197,7 @@
 
 func (c *checker) viewChanged(event *Event) {
 	member := c.process(event.Member)
-	if Condition(event.Detail) == ConditionFailed && member.alive && event.At-member.startedAt > viewLag {
+	if event.Condition() == ConditionFailed && member.alive && event.At-member.startedAt > viewLag {
 		c.fail(RuleNoFalseFailure, event, "%s reports the live member %s as failed", event.Server, event.Member)
 	}
 }
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -105,3 +105,12 @@
 	ValueServed    float64       `json:"got,omitempty"`
 	Work           time.Duration `json:"work,omitempty"` // processor time on one core
 }
+
+// Outcome returns the outcome of an AttemptAnswered or a RequestCompleted.
+func (e *Event) Outcome() Outcome { return Outcome(e.Detail) }
+
+// ProcessState returns the state of a ProcessChanged.
+func (e *Event) ProcessState() ProcessState { return ProcessState(e.Detail) }
+
+// Condition returns the condition of a ViewChanged.
+func (e *Event) Condition() Condition { return Condition(e.Detail) }
--- a/lab/history/plot.go
+++ b/lab/history/plot.go
@@ -60,7 +60,7 @@
 		if event.Kind != RequestCompleted {
 			continue
 		}
-		outcome := Outcome(event.Detail)
+		outcome := event.Outcome()
 		if counts[outcome] == nil {
 			counts[outcome] = make([]int, last+1)
 		}
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -38,7 +38,7 @@
 	s.Requests++
 	s.Attempts += event.Count
 	s.Value += event.Value
-	switch Outcome(event.Detail) {
+	switch event.Outcome() {
 	case OutcomeServed:
 		s.Served++
 		s.ValueServed += event.ValueServed
@@ -133,7 +133,7 @@
 		switch event := &events[i]; {
 		case event.Kind == AttemptSent:
 			sent[event.Server]++
-		case event.Kind == AttemptAnswered && Outcome(event.Detail) == OutcomeRejected:
+		case event.Kind == AttemptAnswered && event.Outcome() == OutcomeRejected:
 			rejected[event.Server]++
 		}
 	}
