--- a/lab/faults/endpoint.go
+++ b/lab/faults/endpoint.go
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// dropFilter is a socket filter that drops packets from the blocked IPv4 addresses.
+// dropFilter returns a socket filter that drops packets from the blocked IPv4 addresses.
 func dropFilter(blocked []uint32) []bpf.Instruction {
 	const (
 		networkHeader = 0xfff00000 // SKF_NET_OFF
--- a/lab/faults/fault.go
+++ b/lab/faults/fault.go
@@ -29,7 +29,7 @@
 	KindDelayedStart      Kind = "late"    // not started before the end
 	KindSlowAgent         Kind = "slowrun" // the agent is slower by the factor Ratio until the end
 	KindUnresponsiveStore Kind = "mute"    // the store of its zone accepts calls and answers none until the end
-	KindWedge             Kind = "wedge"   // the server's loop blocks for a while; the rest of the process goes on
+	KindStall             Kind = "wedge"   // the server's loop blocks for a while; the rest of the process goes on
 	KindClockSkew         Kind = "clock"   // started again with its clock off by Delay, which may be negative, until the end
 )
 
@@ -37,7 +37,7 @@
 	linkKinds    = []Kind{KindPartition, KindLoss, KindDuplicate, KindDelay, KindThrottle, KindReset}
 	processKinds = []Kind{
 		KindKill, KindPause, KindTerminate, KindRestart, KindDelayedStart, KindSlowAgent, KindUnresponsiveStore,
-		KindWedge, KindClockSkew,
+		KindStall, KindClockSkew,
 	}
 )
 
@@ -82,7 +82,7 @@
 	return pattern == AllMembers || pattern == l.Name
 }
 
-// FieldError reports that the value of a fault's field cannot be used. The field goes by its key in a script.
+// FieldError reports that the value of a fault's field cannot be used. Key is the key of the field in a script.
 type FieldError struct {
 	Key string
 	Err error
--- a/lab/faults/relay.go
+++ b/lab/faults/relay.go
@@ -166,5 +166,5 @@
 	return delay
 }
 
-// closeQuietly closes a socket that is given up. An error changes nothing about that.
+// closeQuietly closes a socket that is not used any more, so that an error is of no interest.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/lab/faults/relay_test.go
+++ b/lab/faults/relay_test.go
@@ -89,7 +89,7 @@
 	}()
 }
 
-// partitionBack is a partition from n1 to n0, one way.
+// partitionBack returns a partition from n1 to n0, one way.
 func partitionBack(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} }
 
 // Datagrams must arrive without a fault and through a partition of the other direction, and twice if duplicated.
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Script is a list of faults, and the members that they may befall.
+// Script is a list of faults, and the members that they may affect.
 type Script struct {
 	Faults    []Fault
 	Locations []Location
@@ -97,7 +97,7 @@
 	return fieldError(key, "%q is not a valid duration", text)
 }
 
-// AffectedMembers returns the names of the members whose process a fault befalls.
+// AffectedMembers returns the names of the members whose process a fault affects.
 func (s *Script) AffectedMembers(f *Fault) (names []string) {
 	for i := range s.Locations {
 		if s.Locations[i].matches(f.Target) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// Rule is what befalls the traffic from one process to another. The zero value is no fault.
+// Rule is the effect of faults on the traffic from one process to another. The zero value is none.
 type Rule struct {
 	Partition      bool
 	LossRatio      float64       // of datagrams that are lost, from 0 to 1
--- a/lab/fleetlab/dependencies.go
+++ b/lab/fleetlab/dependencies.go
@@ -105,10 +105,10 @@
 	return plan
 }
 
-// TotalCores is the work that all agents together do in a second, in seconds on a core of speed 1.
+// TotalCores returns the work that all agents together do in a second, in seconds on a core of speed 1.
 func (l *Lab) TotalCores() float64 { return workerpool.TotalCores(len(l.Members), l.options.Cores) }
 
-// Capacity is how many requests a second all agents together can read and run, without calls.
+// Capacity returns how many requests a second all agents together can read and run, without calls.
 func (l *Lab) Capacity() float64 { return clients.Capacity(l.TotalCores(), l.options.Classes) }
 
 // ReadRequest has the agent of a member read a request; the channel is closed when it has been read. Nil: the member
--- a/lab/fleetlab/files.go
+++ b/lab/fleetlab/files.go
@@ -27,8 +27,8 @@
 	fileMode = 0o600
 )
 
-// wedgeTime is for how long the loop of a server blocks on faults.KindWedge.
-const wedgeTime = 15 * time.Second
+// stallTime is for how long the loop of a server blocks on faults.KindStall.
+const stallTime = 15 * time.Second
 
 //go:embed config.json.tmpl
 var configText string
@@ -90,7 +90,7 @@
 	}
 }
 
-// classConfig is the configuration of a class, in JSON.
+// classConfig returns the configuration of a class, in JSON.
 func classConfig(class *clients.Class) string {
 	idempotency := "safe"
 	window := defaultIdempotencyWindow
@@ -121,7 +121,7 @@
 	fmt.Fprintf(&text, "[overload]\nshares = %t\ncutoff = %t\nprobes = %t\n",
 		options.QuotaLeasing, options.Shedding, options.CoordinatedProbes)
 	m.mu.Lock()
-	fmt.Fprintf(&text, "[drill]\nclock = %q\nwedge = %q\n", m.clockSkew, wedgeTime)
+	fmt.Fprintf(&text, "[drill]\nclock = %q\nwedge = %q\n", m.clockSkew, stallTime)
 	m.mu.Unlock()
 	return m.writeFile(operatorsFile, text.String())
 }
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// seedList is the advertised addresses of one member in each zone, as elements of a TOML array.
+// seedList returns the advertised addresses of one member in each zone, as elements of a TOML array.
 func (l *Lab) seedList() string {
 	var seeds []string
 	for i := range min(len(l.options.Zones), l.options.Members) {
--- a/lab/fleetlab/harness_test.go
+++ b/lab/fleetlab/harness_test.go
@@ -142,7 +142,7 @@
 	return observed, nil
 }
 
-// position is that of the member's view; empty if the process does not answer.
+// position returns that of the member's view; empty if the process does not answer.
 func (m *Member) position(ctx context.Context) string {
 	report, err := m.FleetReport(ctx)
 	if err != nil {
@@ -178,8 +178,8 @@
 	l.requireViews(t, observers, append(serving(observers...), "position=whole")...)
 }
 
-// generateLoad has front ends send so many requests a second, and watches the views, until the function is called
-// that it returns; that may be called again.
+// generateLoad has front ends send requests at a rate (per second) and watches the views, until the returned function is
+// called, which may be called again.
 func (l *Lab) generateLoad(frontEnds int, rate float64, policies ...clients.Policy) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	workload := clients.Workload{
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -94,7 +94,7 @@
 	}
 	l.Relay.Close()
 	for _, c := range l.closers {
-		_ = c.Close() // of sockets that are given up
+		_ = c.Close() // the fleet ends
 	}
 }
 
@@ -193,12 +193,12 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", l.subnet, network, host, port)
 }
 
-// gossipAddr is the advertised address of member i for gossip, at the relay.
+// gossipAddr returns the advertised address of member i for gossip, at the relay.
 func (l *Lab) gossipAddr(i int) string {
 	return l.addr(relayNet+i%len(l.options.Zones), 1+i/len(l.options.Zones), gossipPort)
 }
 
 func (l *Lab) announceAddr() string { return l.addr(announceNet, 1, announcePort) }
 
-// storeAddr is the address of the store of zone number zone.
+// storeAddr returns the address of the store of zone number zone.
 func (l *Lab) storeAddr(zone int) string { return l.addr(storeNet, 1+zone, storePort) }
--- a/lab/fleetlab/membership_test.go
+++ b/lab/fleetlab/membership_test.go
@@ -62,11 +62,11 @@
 
 // A process whose loop alone is blocked must be told from one that is gone, by its own report. Clocks that are an
 // hour ahead or behind must not part a member from the fleet, before a restart under its name or after.
-func TestWedgedLoopAndClockSkew(t *testing.T) {
+func TestStalledLoopAndClockSkew(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 5, []string{"z0", "z1"} })
 	all := memberNames(5)
 	lab.requireWhole(t, all)
-	lab.inject(t, faults.Fault{Kind: faults.KindWedge, Target: "n3"})
+	lab.inject(t, faults.Fault{Kind: faults.KindStall, Target: "n3"})
 	lab.requireViews(t, without(all, "n3"), "n3=wedged", "position=torn")
 	lab.requireWhole(t, all)
 	endAhead := lab.inject(t, faults.Fault{Kind: faults.KindClockSkew, Target: "n1", Delay: time.Hour})
--- a/lab/fleetlab/overload_test.go
+++ b/lab/fleetlab/overload_test.go
@@ -99,7 +99,7 @@
 	lab.requireNoViolations(t)
 }
 
-// recentCalls is how many calls the stores have got in the last 6 s, and how many one of them had in flight at most.
+// recentCalls returns how many calls the stores have got in the last 6 s, and how many one of them had in flight at most.
 func (l *Lab) recentCalls() (started, maxInFlight int) {
 	from := l.Log.Now() - 6*time.Second
 	for _, e := range l.Log.Events() {
--- a/lab/fleetlab/script.go
+++ b/lab/fleetlab/script.go
@@ -198,8 +198,8 @@
 		member.setAgentSlowdown(fault.Ratio)
 	case faults.KindUnresponsiveStore:
 		l.Stores[member.Zone].SetUnresponsive(true)
-	case faults.KindWedge:
-		member.wedge(ctx)
+	case faults.KindStall:
+		member.stallLoop(ctx)
 	case faults.KindClockSkew:
 		member.logStartError(member.restartWithClock(ctx, fault.Delay))
 	default: // of links, or a delayed start, which StartMembers takes care of
@@ -233,8 +233,8 @@
 	}
 }
 
-// wedge has the member's process block its loop. A process that does not answer is not wedged.
-func (m *Member) wedge(ctx context.Context) {
+// stallLoop has the member's process block its loop. A process that does not answer does not stall.
+func (m *Member) stallLoop(ctx context.Context) {
 	response, err := m.callConsole(ctx, http.MethodPost, "/drill/wedge")
 	if err == nil {
 		_ = response.Body.Close() // nothing was read
--- a/lab/schedule/agreement.go
+++ b/lab/schedule/agreement.go
@@ -37,7 +37,7 @@
 	return isAlone || position == fleet.Partitioned
 }
 
-// countAlive counts the members whose process is seen to run, be it wedged.
+// countAlive counts the members whose process is seen to run, even if its loop is stalled.
 func countAlive(snapshot *fleet.Snapshot) (alive int) {
 	for i := range snapshot.Members {
 		if liveness := snapshot.Members[i].Liveness; liveness == fleet.Alive || liveness == fleet.Stalled {
--- a/lab/schedule/faults.go
+++ b/lab/schedule/faults.go
@@ -20,14 +20,14 @@
 	FaultDuplication     FaultKind = "double"  // of datagrams, on all links
 	FaultKill            FaultKind = "kill"    // Target, until the end of the fault
 	FaultIsolation       FaultKind = "stop"    // all links of Target, as if its process were stopped
-	FaultWedge           FaultKind = "wedge"   // Target's main loop, which is killed at the end of the fault
+	FaultStall           FaultKind = "wedge"   // Target's main loop, which is killed at the end of the fault
 	FaultRestart         FaultKind = "restart" // Target, at once
 )
 
 // faultKinds are those that are drawn. A seed depends on their order.
 var faultKinds = []FaultKind{
 	FaultPartition, FaultOneWayPartition, FaultZonePartition, FaultLoss, FaultDelay, FaultDuplication, FaultKill,
-	FaultIsolation, FaultWedge, FaultRestart,
+	FaultIsolation, FaultStall, FaultRestart,
 }
 
 const (
@@ -79,7 +79,7 @@
 		time.Sleep(faultCheckInterval)
 	}
 	c.Network.SetRule(func(string, string) memnet.Fault { return memnet.Fault{Delay: linkDelay} })
-	c.startDeadMembers()
+	c.startStoppedMembers()
 }
 
 // advanceFaults applies the faults of members that are in force, marks those that need no more attention as done, and
@@ -116,9 +116,9 @@
 		target.Kill()
 		c.Start(fault.Target, fleet.Serving)
 		return true
-	case FaultWedge:
+	case FaultStall:
 		if target.Fleet != nil {
-			target.Wedge()
+			target.Stall()
 			time.Sleep(fault.Duration)
 			target.Kill()
 		}
@@ -128,7 +128,7 @@
 	}
 }
 
-func (c *Cluster) startDeadMembers() {
+func (c *Cluster) startStoppedMembers() {
 	for i, member := range c.Members {
 		if member.Fleet == nil {
 			c.Start(i, fleet.Serving)
--- a/lab/schedule/helpers_test.go
+++ b/lab/schedule/helpers_test.go
@@ -56,8 +56,8 @@
 	require.NoError(t, err)
 }
 
-// requireNoneDead requires that the observer sees no member as dead.
-func requireNoneDead(t *testing.T, observer *Member) {
+// requireNoneFailed requires that the observer sees no member as failed.
+func requireNoneFailed(t *testing.T, observer *Member) {
 	t.Helper()
 	for _, member := range observer.Fleet.Snapshot().Members {
 		require.NotEqual(t, fleet.Failed, member.Liveness, "%s of %s", observer.Name, member.Name)
--- a/lab/schedule/measure_test.go
+++ b/lab/schedule/measure_test.go
@@ -200,7 +200,7 @@
 	return member == nil || member.Liveness == fleet.Unreachable || member.Liveness == fleet.Failed
 }
 
-// downIn reports whether a member is lost or wedged in a view.
+// downIn reports whether a member is lost or stalled in a view.
 func downIn(view *fleet.Snapshot, name string) bool {
 	return lostIn(view, name) || view.Find(name).Liveness == fleet.Stalled
 }
--- a/lab/schedule/member.go
+++ b/lab/schedule/member.go
@@ -19,10 +19,10 @@
 	Fleet            *gossip.Fleet // of the process that runs; nil: none
 	Run              uint64        // of the last process
 
-	host   *memnet.Host
-	cancel context.CancelFunc
-	ended  chan struct{} // closed when the process has ended
-	wedged chan struct{} // closed to stop the main loop
+	host    *memnet.Host
+	cancel  context.CancelFunc
+	ended   chan struct{} // closed when the process has ended
+	stalled chan struct{} // closed to stop the main loop
 }
 
 func newMember(i int) *Member {
@@ -35,14 +35,14 @@
 // run runs a process of the member until it is killed or leaves.
 func (m *Member) run(process *gossip.Fleet, state fleet.State) {
 	ctx, cancel := context.WithCancel(context.Background())
-	ended, wedged := make(chan struct{}), make(chan struct{})
+	ended, stalled := make(chan struct{}), make(chan struct{})
 	m.Fleet = process
 	m.cancel = cancel
 	m.ended = ended
-	m.wedged = wedged
+	m.stalled = stalled
 	go func() {
 		defer close(ended)
-		go publishStatus(ctx, process, wedged, state)
+		go publishStatus(ctx, process, stalled, state)
 		_ = process.Run(ctx) // it ends with the context
 	}()
 }
@@ -64,11 +64,11 @@
 	}
 }
 
-// Wedge stops the main loop of a member, while the rest of its process goes on.
-func (m *Member) Wedge() { close(m.wedged) }
+// Stall stops the main loop of a member, while the rest of its process goes on.
+func (m *Member) Stall() { close(m.stalled) }
 
-// publishStatus does what the main loop of a server does for the fleet, until it is wedged.
-func publishStatus(ctx context.Context, process *gossip.Fleet, wedged <-chan struct{}, state fleet.State) {
+// publishStatus does what the main loop of a server does for the fleet, until that is stalled.
+func publishStatus(ctx context.Context, process *gossip.Fleet, stalled <-chan struct{}, state fleet.State) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
@@ -77,7 +77,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-wedged:
+		case <-stalled:
 			return
 		case <-ticker.C:
 		}
--- a/lab/schedule/scenarios_test.go
+++ b/lab/schedule/scenarios_test.go
@@ -15,17 +15,17 @@
 // Each of these has broken somebody's fleet.
 func TestFaultScenarios(t *testing.T) {
 	for name, scenario := range map[string]func(t *testing.T){
-		"a member that is heard but hears nobody is not declared dead":                     testOneWayPartition,
-		"members in a ring of links learn of the others through their neighbours":          testRingOfLinks,
-		"a member with an old incarnation rejoins after a partition of an hour":            testLongPartition,
-		"of two processes with the same name the later one leaves":                         testNameConflict,
-		"members without a reachable seed wait until one is up":                            testSeedsDownAtStart,
-		"two parts that started apart merge, though neither ever heard of the other":       testPartsStartedApart,
-		"with 40% loss for 10 s no member is removed for good":                             testHeavyLoss,
-		"a fleet restarted within 1 s has only the new processes, also with skewed clocks": testRestartOfAll,
-		"a wedged main loop is reported by its own process":                                testWedgedLoop,
-		"fleets with different keys ignore each other":                                     testDifferentKeys,
-		"a member that left is not taken for dead":                                         testLeave,
+		"a member whose messages arrive but that receives none is not declared failed":                testOneWayPartition,
+		"members in a ring of links learn of the others through their neighbors":                      testRingOfLinks,
+		"a member with an old incarnation rejoins after a partition of an hour":                       testLongPartition,
+		"of two processes with the same name the later one leaves":                                    testNameConflict,
+		"members without a reachable seed wait until one is up":                                       testSeedsDownAtStart,
+		"two partitions that started apart merge, though neither ever received a record of the other": testPartsStartedApart,
+		"with 40% loss for 10 s no member is removed for good":                                        testHeavyLoss,
+		"a fleet restarted within 1 s has only the new processes, also with skewed clocks":            testRestartOfAll,
+		"a stalled main loop is reported by its own process":                                          testStalledLoop,
+		"fleets with different keys ignore each other":                                                testDifferentKeys,
+		"a member that left is not reported as failed":                                                testLeave,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -57,7 +57,7 @@
 	time.Sleep(20 * time.Second)
 	for _, member := range cluster.Members {
 		require.NotEqual(t, fleet.Alone, member.Fleet.Snapshot().Position)
-		requireNoneDead(t, member)
+		requireNoneFailed(t, member)
 	}
 	cluster.heal()
 	cluster.requireAgreement(t)
@@ -146,9 +146,9 @@
 	}
 }
 
-func testWedgedLoop(t *testing.T) {
+func testStalledLoop(t *testing.T) {
 	cluster := startCluster(t, 5)
-	cluster.Members[2].Wedge()
+	cluster.Members[2].Stall()
 	cluster.requireCondition(t, 0, "n2", "stalled")
 	cluster.requireCondition(t, 2, "n2", "stalled")
 }
@@ -177,7 +177,7 @@
 }
 
 // In a small fleet each update must reach every member, and not four in five of them: otherwise healthy members are
-// suspected now and then, and a member that misses the one update that reports a wedged loop goes on using that server. Two
+// suspected now and then, and a member that misses the one update that reports a stalled loop goes on using that server. Two
 // updates in a row were missed at one observation in 30 at the old rate (5 members), and at one in 170 at most at the right
 // one.
 func TestUpdatesReachEveryMemberOfSmallFleet(t *testing.T) {
--- a/lab/schedule/seeded_faults_test.go
+++ b/lab/schedule/seeded_faults_test.go
@@ -19,7 +19,7 @@
 	memberCount   = flag.Int("members", 0, "members of each fleet; 0 = drawn, 5 to 12")
 )
 
-// After any faults between members all of them must see the same fleet. Meanwhile no member may be declared dead whose
+// After any faults between members all of them must see the same fleet. Meanwhile no member may be declared failed whose
 // process runs, and what is known of a name must never go back.
 func TestSchedules(t *testing.T) {
 	var mu sync.Mutex
@@ -93,11 +93,11 @@
 	}
 }
 
-// requireNotRunning requires that no live process is the one that the observer sees as dead.
-func (c *Cluster) requireNotRunning(t *testing.T, observer *Member, dead *fleet.Member) {
+// requireNotRunning requires that no live process is the one that the observer sees as failed.
+func (c *Cluster) requireNotRunning(t *testing.T, observer *Member, failed *fleet.Member) {
 	t.Helper()
 	for _, live := range c.LiveMembers() {
-		require.Falsef(t, live.Name == dead.Name && live.Run == dead.Run,
-			"%s declares %s dead, which runs", observer.Name, dead.Name)
+		require.Falsef(t, live.Name == failed.Name && live.Run == failed.Run,
+			"%s declares %s failed, which runs", observer.Name, failed.Name)
 	}
 }
