--- a/lab/clients/clients_test.go
+++ b/lab/clients/clients_test.go
@@ -9,6 +9,7 @@
 
 	"falldeal/lab/fakes"
 	"falldeal/lab/history"
+	"falldeal/lab/loopback"
 
 	"github.com/stretchr/testify/require"
 	"github.com/vmihailenco/msgpack/v5"
@@ -45,9 +46,7 @@
 // returns the server and counts its requests.
 func startServer(t *testing.T, name string, answer func() (failure, result any)) (Server, *atomic.Int64) {
 	t.Helper()
-	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
+	ln := loopback.Listen(t)
 	requests := &atomic.Int64{}
 	go func() {
 		for conn, err := ln.Accept(); err == nil; conn, err = ln.Accept() {
--- a/lab/fakes/agent_test.go
+++ b/lab/fakes/agent_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"falldeal/lab/loopback"
 	"falldeal/lab/workerpool"
 
 	"github.com/stretchr/testify/require"
@@ -14,12 +15,11 @@
 // startAgent serves an agent until the test ends, and returns its address.
 func startAgent(t *testing.T, agent *Agent) (addr string) {
 	t.Helper()
-	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	require.NoError(t, err)
+	ln := loopback.Listen(t)
 	served := make(chan error, 1)
 	go func() { served <- agent.Serve(ln) }()
 	t.Cleanup(func() {
-		ln.Close()
+		require.NoError(t, ln.Close())
 		require.ErrorIs(t, <-served, net.ErrClosed)
 	})
 	return ln.Addr().String()
@@ -34,9 +34,7 @@
 // subscribe connects to an agent and asks for the notifications after offset.
 func subscribe(t *testing.T, addr string, offset int) *agentClient {
 	t.Helper()
-	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
-	require.NoError(t, err)
-	t.Cleanup(func() { conn.Close() })
+	conn := loopback.Dial(t, addr)
 	client := &agentClient{conn: conn, decoder: json.NewDecoder(conn)}
 	client.send(t, command{Name: commandSubscribe, Offset: offset})
 	require.Equal(t, notificationHandshake, client.receive(t).Name)
--- a/lab/faults/relay_test.go
+++ b/lab/faults/relay_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -78,9 +80,7 @@
 // acceptStreams has n1 accept streams and write "welcome" to each.
 func (r *relayTest) acceptStreams(t *testing.T) {
 	t.Helper()
-	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", r.real(1))
-	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
+	ln := loopback.ListenAt(t, r.real(1))
 	go func() {
 		for conn, err := ln.Accept(); err == nil; conn, err = ln.Accept() {
 			_, _ = conn.Write([]byte("welcome"))
--- a/lab/load/bench_test.go
+++ b/lab/load/bench_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"net"
 	"syscall"
 	"testing"
 	"time"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -55,9 +56,7 @@
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
 			srv := newTestServer(b)
 			for range connections {
-				conn, err := (&net.Dialer{}).DialContext(b.Context(), "tcp", srv.addr)
-				require.NoError(b, err)
-				defer conn.Close()
+				loopback.Dial(b, srv.addr)
 			}
 			b.ResetTimer()
 			before := currentUsage(b)
