--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -148,7 +148,7 @@
 		entry.waiters = append(entry.waiters, request)
 		return runResult{}, false
 	}
-	return entry.result, true
+	return entry.reusableResult(), true
 }
 
 // runEnded records the outcome of the run of a request, and returns the attempts that waited for it.
@@ -174,7 +174,8 @@
 	entry.state = entryCompleted
 	t.discardResult(entry)
 	if result.ok && t.resultBytes+len(result.body) <= t.maxResultBytes {
-		entry.result = result
+		entry.reusable = true
+		entry.result = result.body
 		t.resultBytes += len(result.body)
 	}
 	return entry.takeWaiters()
@@ -227,6 +228,7 @@
 
 // discardResult frees the memory of the result of an entry.
 func (t *idempotencyTable) discardResult(entry *idempotencyEntry) {
-	t.resultBytes -= len(entry.result.body)
-	entry.result = runResult{}
+	t.resultBytes -= len(entry.result)
+	entry.reusable = false
+	entry.result = nil
 }
--- a/internal/server/idempotency_entry.go
+++ b/internal/server/idempotency_entry.go
@@ -45,11 +45,16 @@
 	holder    admission.RequestID // the attempt that may run, or was run
 	attempts  []*activeRequest    // all active ones, in order of arrival
 	state     entryState
-	result    runResult        // of the completed run; not ok where the run failed, or its result was not retained
+	reusable  bool             // the run succeeded, and result is retained
+	result    []byte           // of the run
 	waiters   []*activeRequest // attempts that wait for the end of the run
 	windowEnd time.Duration    // on the Unix clock
 }
 
+// reusableResult returns the result for further attempts; it is not ok where the run failed, or its result was not
+// retained.
+func (e *idempotencyEntry) reusableResult() runResult { return runResult{ok: e.reusable, body: e.result} }
+
 // hasRun reports whether an attempt was run.
 func (e *idempotencyEntry) hasRun() bool { return e.state != entryPending }
 
@@ -72,8 +77,8 @@
 	if e.state == entryCompleted {
 		messages = append(messages, handover.RunCompleted{
 			IdempotencyKey: e.key,
-			OK:             e.result.ok,
-			Result:         e.result.body,
+			OK:             e.reusable,
+			Result:         e.result,
 		})
 	}
 	return messages
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -36,7 +36,7 @@
 	require.False(t, ended)
 	require.Equal(t, []*activeRequest{third}, keys.runEnded(second, admission.OutcomeOK, []byte("x")))
 	entry := keys.release(second)
-	require.Equal(t, runResult{ok: true, body: []byte("x")}, entry.result)
+	require.Equal(t, runResult{ok: true, body: []byte("x")}, entry.reusableResult())
 	require.Equal(t, 61*time.Second, entry.windowEnd)
 	require.Nil(t, keys.release(third))
 
