--- a/internal/operators/fleet.go
+++ b/internal/operators/fleet.go
@@ -86,10 +86,10 @@
 }
 
 func (f *Fleet) checkAddresses() error {
-	type keyed struct{ key, address string }
-	addresses := []keyed{{"fleet.listen", f.Listen}, {"fleet.advertise", f.Advertise}}
+	type keyAddress struct{ key, address string }
+	addresses := []keyAddress{{"fleet.listen", f.Listen}, {"fleet.advertise", f.Advertise}}
 	for i, seed := range f.Seeds {
-		addresses = append(addresses, keyed{fmt.Sprintf("fleet.seeds[%d]", i), seed})
+		addresses = append(addresses, keyAddress{fmt.Sprintf("fleet.seeds[%d]", i), seed})
 	}
 	for _, item := range addresses {
 		if err := configcheck.Address(item.address); err != nil {
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -114,7 +114,7 @@
 	if state.closing != closeStateOpen {
 		server.notifyClosing(state) // the front end still uses it
 	}
-	repeated := e.repeatsCall(state, server)
+	repeated := e.reusesCallNumber(state, server)
 	state.lastCall = max(state.lastCall, e.call)
 	if repeated {
 		// Two calls of one number can't be told apart by their answers: only the first one gets its answer.
@@ -129,9 +129,9 @@
 	server.admit(e.connection, e.call, &e.attempt)
 }
 
-// repeatsCall reports whether the number of the call is that of an open call on the connection, or that of an attempt
+// reusesCallNumber reports whether the number of the call is that of an open call on the connection, or that of an attempt
 // which was answered or run.
-func (e *requestReceived) repeatsCall(state *connectionState, server *Server) bool {
+func (e *requestReceived) reusesCallNumber(state *connectionState, server *Server) bool {
 	if state.openCalls[e.call] != nil {
 		return true
 	}
