--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -6,7 +6,14 @@
 	"falldeal/admission"
 )
 
-// Drain: on SIGTERM everything that was read is answered, and the process ends in time.
+// Drain: on SIGTERM everything that was read is answered, and the process ends in time. In order:
+//
+//   - at the signal: front ends are notified on each connection, health checks fail and the announcements say so, unless a
+//     successor serves on; new connections are still accepted, and requests run;
+//   - closeListenersAt, after the grace period: the listeners close; what still arrives on open connections is rejected;
+//   - the loop ends once all connections have ended, and at stopAt in any case: what has no answer then is answered;
+//   - FinalWriteTimeout later the process ends, whatever is unwritten;
+//   - shutdownMargin after stopAt the platform kills it.
 
 const (
 	// shutdownMargin is how long before the process is killed its loop ends: the last answers, which the controller gives
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -12,6 +12,7 @@
 	gaugeMaxAge        = time.Second          // older gauges count as unknown
 )
 
+// unknownGauges has the value -1, which stands for a gauge that is not known.
 var unknownGauges = admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 
 // gaugeReading is the last reading of the agent's gauges. The loop owns it.
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -199,14 +199,14 @@
 	for state := overload.StoreHealthy; state <= overload.StoreRecovering; state++ {
 		fmt.Fprintf(&got, "store %d %q\n", state, storeStateName(state))
 	}
-	for _, threshold := range []overload.SheddingState{
+	for _, state := range []overload.SheddingState{
 		{},
 		{Known: true},
 		{Known: true, Threshold: 3},
 		{Known: true, Full: true, Threshold: 3},
 	} {
 		fmt.Fprintf(&got, "threshold known %t, full %t, rank %v: %q\n",
-			threshold.Known, threshold.Full, threshold.Threshold, thresholdState(&threshold))
+			state.Known, state.Full, state.Threshold, sheddingStateName(&state))
 	}
 	for _, err := range []error{
 		errTooManyOpenCalls,
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -16,9 +16,14 @@
 	call       uint32
 }
 
+// Health checks of front ends are answered by what the controller has last decided (admission.ActionHealth): it answers
+// badly while requests wait for too long to be read, during a drain without a successor, and while an operator has
+// deregistered the server. Before the agent is up all checks fail. A deep check, where the controller leaves it open, has
+// the agent complete some work first.
+
 // healthState is what health checks are answered by. The loop owns it.
 type healthState struct {
-	healthy      bool                   // as the controller last decided
+	healthy      bool                   // as the controller last decided; false before it has
 	cached       bool                   // answer deep checks by that, too
 	deregistered bool                   // by an operator
 	deepChecks   map[string]healthCheck // at work at the agent, by token
--- a/internal/server/idempotency_entry.go
+++ b/internal/server/idempotency_entry.go
@@ -53,7 +53,9 @@
 
 // reusableResult returns the result for further attempts; it is not ok where the run failed, or its result was not
 // retained.
-func (e *idempotencyEntry) reusableResult() runResult { return runResult{ok: e.reusable, body: e.result} }
+func (e *idempotencyEntry) reusableResult() runResult {
+	return runResult{ok: e.reusable, body: e.result}
+}
 
 // hasRun reports whether an attempt was run.
 func (e *idempotencyEntry) hasRun() bool { return e.state != entryPending }
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -163,12 +163,9 @@
 // addCurrentLoad fills in the load of this server, without UnservedRatio.
 func (s *Server) addCurrentLoad(load *fleet.Load) {
 	load.Capacity = float64(s.config.Settings.Cores)
-	load.Busy = -1
+	load.Busy = s.gauges.latest(s.clock.now).CPUUtilization
 	load.InFlight = s.requests.size()
 	load.CallQuota = s.config.Settings.MaxCallsInFlight
-	if s.gauges.fresh(s.clock.now) {
-		load.Busy = s.gauges.values.CPUUtilization
-	}
 	if quota := s.quota(); quota != nil {
 		load.MeanCalls = quota.MeanInFlight()
 		if quota.known() {
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -6,8 +6,6 @@
 	"falldeal/admission"
 	"falldeal/internal/fleet"
 	"falldeal/internal/overload"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Load shedding by the capacity of the fleet as a whole. Package overload computes the threshold from what members
@@ -87,7 +85,7 @@
 	}
 }
 
-// tickShedding computes the threshold of the fleet now, and each interval from now on.
+// tickShedding computes the shedding threshold now, and each interval from now on.
 func (s *Server) tickShedding() {
 	shedding := s.shedding()
 	if shedding == nil {
@@ -95,8 +93,8 @@
 	}
 	now := s.member.fleet.Now()
 	view := s.member.fleet.Snapshot()
-	threshold := shedding.shedder.Tick(s.clock.now, s.localLoad(shedding), view, now)
-	s.logThreshold(shedding, threshold)
+	state := shedding.shedder.Tick(s.clock.now, s.localLoad(shedding), view, now)
+	s.logSheddingState(shedding, &state)
 	s.sendPartials(shedding, view)
 	shedding.ticks++
 	if shedding.ticks%ticksPerReport == 0 {
@@ -109,65 +107,16 @@
 func (s *Server) localLoad(shedding *loadShedding) overload.LocalLoad {
 	load := overload.LocalLoad{
 		Cores:    float64(s.config.Settings.Cores),
-		Busy:     -1,
+		Busy:     s.gauges.latest(s.clock.now).CPUUtilization,
 		Attempts: shedding.retries.AttemptRate(),
 		Retries:  shedding.retries.RetryRatio(),
 	}
 	if s.admission.started() {
 		load.ServiceRate = s.admission.controller.ServiceRate()
 	}
-	if s.gauges.fresh(s.clock.now) {
-		load.Busy = s.gauges.values.CPUUtilization
-	}
 	return load
 }
 
-// logThreshold logs a threshold if its state has changed.
-func (s *Server) logThreshold(shedding *loadShedding, threshold overload.SheddingState) {
-	from := thresholdState(&shedding.logged)
-	to := thresholdState(&threshold)
-	if from == to {
-		return
-	}
-	s.recordChange(thresholdLevel(&threshold), StateChange{
-		Name: "shedding threshold",
-		From: from,
-		To:   to,
-		Fields: logrus.Fields{
-			"rank":         threshold.Threshold,
-			"offered":      threshold.Offered,
-			"service_rate": threshold.ServiceRate,
-			"retry_ratio":  threshold.RetryRatio,
-			"members":      threshold.Members,
-			"stale":        threshold.Stale,
-			"oldest_ms":    threshold.Oldest.Milliseconds(),
-		},
-	})
-	shedding.logged = threshold
-}
-
-// thresholdState is the state of the fleet as operators see it: nothing is shed (""), the fleet is full, the threshold
-// decreases again, or the state of the fleet is not known.
-func thresholdState(threshold *overload.SheddingState) string {
-	switch {
-	case !threshold.Known:
-		return "unknown"
-	case threshold.Full:
-		return "full"
-	case threshold.Threshold > 0:
-		return "decreasing"
-	}
-	return ""
-}
-
-// thresholdLevel is the log level of a change to a threshold: a fleet without spare capacity is to be looked at.
-func thresholdLevel(threshold *overload.SheddingState) logrus.Level {
-	if threshold.Known && threshold.Full {
-		return logrus.WarnLevel
-	}
-	return logrus.InfoLevel
-}
-
 // sendPartials sends this server's part of the load of its zone to the members that add it up.
 func (s *Server) sendPartials(shedding *loadShedding, view *fleet.Snapshot) {
 	var load fleet.Load
