--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -30,16 +30,17 @@
 	}
 }
 
-// logCondition logs that a condition of the server begins or ends. What limits the service is to be looked at.
+// logCondition logs that a condition of the server begins or ends. One that limits the service is to be looked at; the
+// drain was logged when it started.
 func (s *Server) logCondition(change admission.ConditionChange) {
 	level := logrus.InfoLevel
-	if change.Active && change.Condition != admission.ConditionDrain {
+	switch {
+	case change.Condition == admission.ConditionDrain:
+		level = logrus.DebugLevel
+	case change.Active:
 		level = logrus.WarnLevel
 	}
-	s.log.WithFields(logrus.Fields{
-		"condition": change.Condition.String(),
-		"active":    change.Active,
-	}).Log(level, "condition of the server changed")
+	s.log.WithField("active", change.Active).Log(level, change.Condition.String())
 }
 
 // dispatchRequest carries out an action on a request.
