--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -39,6 +39,14 @@
 	return unknownName
 }
 
+// countDrainRead records that reading has been paused. The input of a connection that never stops sending is discarded.
+func (c *connectionState) countDrainRead() {
+	c.drainReads++
+	if c.drainReads > maxDrainReads {
+		c.discardingInput = true
+	}
+}
+
 // maxConnections is how many connections may be open. Two processes that are one image server share its descriptors.
 func (s *Server) maxConnections() int {
 	limit := s.config.Limits.MaxFrontConnections()
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -47,19 +47,19 @@
 		CostHint:  70 * time.Millisecond,
 	}
 	for _, kind := range []AnswerKind{Served, Rejected, Failed, Invalid} {
-		server.logTrace(&activeRequest{attempt: attempt, class: 2}, answerNames[kind])
+		server.logTrace(&activeRequest{attempt: attempt, class: 2}, kind.String())
 	}
 	keyed := attempt
 	keyed.IdempotencyKey = "order 7"
 	running := &activeRequest{attempt: keyed, class: 2, state: requestRunning, startedAt: at + 10*time.Millisecond}
-	server.logTrace(running, answerNames[Served])
+	server.logTrace(running, Served.String())
 	for reason := admission.ReasonCPU; reason <= admission.ReasonBelowThreshold; reason++ {
-		server.logTrace(&activeRequest{attempt: attempt, trace: requestTrace{reason: reason.String()}}, answerNames[Rejected])
+		server.logTrace(&activeRequest{attempt: attempt, trace: requestTrace{reason: reason.String()}}, Rejected.String())
 	}
 	for reply := store.OK; int(reply) < len(replyOutcomes); reply++ {
 		trace := requestTrace{calls: 3, callTime: 15 * time.Millisecond, lastCallOutcome: outcomeNames[replyOutcomes[reply]]}
 		request := &activeRequest{attempt: attempt, state: requestRunning, startedAt: at, trace: trace}
-		server.logTrace(request, answerNames[Served])
+		server.logTrace(request, Served.String())
 	}
 	golden.RequireText(t, "trail", lines.String())
 }
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -78,10 +78,7 @@
 		server.connections.setCloseState(state, closeStateUnreadable)
 	case ReadTimeout, ReadPaused:
 		server.connections.setCloseState(state, closeStatePaused)
-		state.drainReads++
-		if state.drainReads > maxDrainReads {
-			state.discardingInput = true
-		}
+		state.countDrainRead()
 	}
 }
 
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -19,7 +19,7 @@
 	}
 	s.connections.touch(state, s.clock.now)
 	s.countAnswer(request.class, answer.Kind)
-	s.logTrace(request, answerNames[answer.Kind])
+	s.logTrace(request, answer.Kind.String())
 	s.markCompleted(request)
 	request.connection.Answer(request.call, answer)
 }
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -20,16 +20,13 @@
 	lastCallOutcome string
 }
 
-// Texts of traces that are no name of an answer, a reason of the controller or an outcome.
+// Texts of traces that are no name of an AnswerKind, a reason of the controller or an outcome.
 const (
 	outcomeCancelled = "cancelled" // the client went before there was an answer
 	reasonAbandoned  = "abandoned" // the controller abandoned a request that may have run
 	callInFlight     = "in_flight" // the last call has not ended
 )
 
-// answerNames gives how a request ended, by its answer.
-var answerNames = [...]string{Served: "served", Rejected: "rejected", Failed: "failed", Invalid: "invalid"}
-
 // outcomeNames gives how a call ended, by what that proves.
 var outcomeNames = [...]string{
 	admission.OutcomeOK:          "ok",
