--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -125,19 +125,26 @@
 	return strconv.FormatFloat(limit.Calls(), 'g', 4, 64)
 }
 
-// limitCalls gives the controller its limit on calls in flight: that of the settings, or of the leases, and 1 while this
-// member probes a store for the others.
+// callLimit returns the limit on calls in flight: that of the settings, or of the leases where they have one, and 1 at
+// most while this member probes a store for the others.
+func (s *Server) callLimit() float64 {
+	limit := s.config.Settings.MaxCallsInFlight
+	if quota := s.quota(); quota != nil && quota.known() {
+		limit = max(quota.limit.Calls(), minCallLimit)
+	}
+	if probes := s.probes(); probes != nil && probes.allowance == overload.ProbeSingle {
+		limit = min(limit, 1)
+	}
+	return limit
+}
+
+// limitCalls gives the controller its limit on calls in flight, unless the settings have none.
 func (s *Server) limitCalls() {
 	settings := s.config.Settings
 	if settings.MaxCallsInFlight == 0 || !s.admission.started() {
 		return
 	}
-	if quota := s.quota(); quota != nil && quota.known() {
-		settings.MaxCallsInFlight = max(quota.limit.Calls(), minCallLimit)
-	}
-	if probes := s.probes(); probes != nil && probes.allowance == overload.ProbeSingle {
-		settings.MaxCallsInFlight = min(settings.MaxCallsInFlight, 1)
-	}
+	settings.MaxCallsInFlight = s.callLimit()
 	if err := s.admission.controller.Reconfigure(settings); err != nil {
 		s.warnings.Warn("call limit", "call limit rejected by the admission controller", err)
 	}
