--- a/internal/server/operate_test.go
+++ b/internal/server/operate_test.go
@@ -67,3 +67,16 @@
 	require.ErrorIs(t, server.Reregister(ctx), errDraining)
 	require.False(t, ready())
 }
+
+// Operators get an error, and no wait without end, while the loop does not respond.
+func TestStalledLoop(t *testing.T) {
+	server, _ := newIdleServer(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	_, err := server.Ready(ctx)
+	require.ErrorIs(t, err, context.Canceled)
+	require.ErrorContains(t, err, "event loop does not respond")
+	_, err = server.AppendMetrics(ctx, nil)
+	require.ErrorIs(t, err, context.Canceled)
+	require.ErrorIs(t, server.Deregister(ctx), context.Canceled)
+}
