--- a/cmd/falldeal/signals_test.go
+++ b/cmd/falldeal/signals_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const testTimeout = 30 * time.Second // after which a test that hangs is given up
+const testTimeout = 30 * time.Second // after which a test that hangs fails
 
 // errorHook receives the errors that are logged.
 type errorHook chan string
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -267,7 +267,7 @@
 	golden.RequireText(t, "load", strings.ReplaceAll(got.String(), dir, "(folder)"))
 }
 
-// A key that was given and is missing from the file that is to be taken over.
+// A key that was given and is missing from the file that is loaded next.
 func TestGoldenSuccessor(t *testing.T) {
 	inForce, err := Parse(replaced(t, "name", `"n3"`), noEnvironment)
 	require.NoError(t, err)
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -45,7 +45,7 @@
 	return f.wait(ctx)
 }
 
-const testTimeout = 30 * time.Second // after which a test that hangs is given up
+const testTimeout = 30 * time.Second // after which a test that hangs fails
 
 // testTimeouts are so long that a pause of the machine does not make a test's calls late.
 var testTimeouts = timeouts{request: testTimeout, handle: testTimeout, response: testTimeout}
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// A field that a newer process has added must be passed over.
+// A field that a later version has added must be passed over.
 func TestGoldenMessageWithAddedField(t *testing.T) {
 	lineParser := newParser()
 	const line = `{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"
@@ -78,9 +78,9 @@
 	dir, err := os.MkdirTemp("", "handover") // short: the path of a socket is limited
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, os.RemoveAll(dir)) })
-	older, listener, err := join(filepath.Join(dir, "socket"))
+	predecessor, listener, err := join(filepath.Join(dir, "socket"))
 	require.NoError(t, err)
-	require.Nil(t, older)
+	require.Nil(t, predecessor)
 	defer listener.Close()
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -37,7 +37,7 @@
 	}
 	posted := make(chan func())
 	ctx, cancel := context.WithCancel(context.Background())
-	loop := Loop{Post: func(f func()) { posted <- f }, OnPredecessor: joined("older"), OnSuccessor: joined("newer"),
+	loop := Loop{Post: func(f func()) { posted <- f }, OnPredecessor: joined("predecessor"), OnSuccessor: joined("successor"),
 		OnMessage: func(_ *Link, m Message) { started.events <- m }, OnEnd: func(*Link) { started.events <- "ended" }}
 	serving, runDone := make(chan struct{}), make(chan error, 1)
 	close(serving)
@@ -86,9 +86,9 @@
 // served took itself for the only one.
 func TestJoinFindsListenerBeforeItServes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	older, listener, err := join(path)
+	predecessor, listener, err := join(path)
 	require.NoError(t, err)
-	require.Nil(t, older)
+	require.Nil(t, predecessor)
 	defer listener.Close()
 	second, none, err := join(path)
 	require.NoError(t, err)
@@ -152,11 +152,11 @@
 	unlock := acquireLock(path + ".lock")
 	found := make(chan bool, 1)
 	go func() {
-		older, listener, _ := join(path)
+		predecessor, listener, _ := join(path)
 		if listener != nil {
 			listener.Close()
 		}
-		found <- older != nil
+		found <- predecessor != nil
 	}()
 	listener, err := listen(path)
 	require.NoError(t, err)
@@ -170,12 +170,12 @@
 func TestSuccessiveProcesses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first := startProcess(t, path)
-	first.expect("older")
+	first.expect("predecessor")
 	require.Nil(t, <-first.joined)
 	waitForListener(t, path)
 	second := startProcess(t, path)
-	second.expect("older")
-	first.expect("newer")
+	second.expect("predecessor")
+	first.expect("successor")
 	(<-second.joined).Publish(KeyClaim{IdempotencyKey: "a"})
 	first.expect(KeyClaim{IdempotencyKey: "a"})
 	link := <-first.joined
@@ -190,20 +190,20 @@
 	second.expect("ended")
 	second.stop()
 	third := startProcess(t, path)
-	third.expect("older")
+	third.expect("predecessor")
 	require.Nil(t, <-third.joined)
 	third.stop()
 }
 
-// The last messages of the older process must not be lost where the newer one fails to write to it meanwhile.
+// The last messages of the predecessor must not be lost where the successor fails to write to it meanwhile.
 func TestLastMessagesSurviveWriteFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first := startProcess(t, path)
-	first.expect("older")
+	first.expect("predecessor")
 	waitForListener(t, path)
 	second := startProcess(t, path)
-	second.expect("older")
-	first.expect("newer")
+	second.expect("predecessor")
+	first.expect("successor")
 	<-first.joined
 	first.loopLock.Lock()
 	second.loopLock.Lock()
--- a/internal/server/operate_test.go
+++ b/internal/server/operate_test.go
@@ -18,8 +18,8 @@
 	return server
 }
 
-// Front ends that an operator sends away see failed health checks until they are welcome again, while requests that
-// still arrive are served; also where the agent is not up yet.
+// While an operator has deregistered the server, health checks fail and requests that still arrive are served; also
+// where the agent is not up yet.
 func TestDeregister(t *testing.T) {
 	server := newRunningServer(t)
 	ctx := context.Background()
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -25,17 +25,17 @@
 // quotaLeasing is the part of a fleet member that leases quota. The loop owns it.
 type quotaLeasing struct {
 	*overload.QuotaManager
-	reservedFraction float64        // part of the own quota that is never leased out
-	limit            overload.Quota // on calls in flight, as the controller knows it
+	reservedRatio float64        // part of the own quota that is never leased out
+	limit         overload.Quota // on calls in flight, as the controller knows it
 }
 
 // known reports whether the controller has been given a limit.
 func (q *quotaLeasing) known() bool { return q.limit >= 0 }
 
 // EnableQuotaLeasing has the server lease its quota at the store within its fleet, where its settings give it one. self is
-// this process as the fleet knows it, lease how long quota is leased for, and reservedFraction the part of the own
+// this process as the fleet knows it, lease how long quota is leased for, and reservedRatio the part of the own
 // quota that never is. It is called after JoinFleet and before Run.
-func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedFraction float64) {
+func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedRatio float64) {
 	settings := s.config.Settings
 	base := overload.QuotaOf(settings.MaxCallsInFlight)
 	if base == 0 {
@@ -43,16 +43,16 @@
 	}
 	ledger := overload.NewQuotaLedger(s.member.fleet.Now(), self, overload.LeaseTerms{
 		Base:              base,
-		Reserved:          overload.Quota(reservedFraction * float64(base)),
+		Reserved:          overload.Quota(reservedRatio * float64(base)),
 		Lease:             lease,
 		CallTime:          s.config.maxTimeout + settings.AbandonedCallTime,
 		AbandonedCallTime: settings.AbandonedCallTime,
 	})
 	random := rand.New(rand.NewPCG(s.config.Seed, self.Run))
 	s.member.quota = &quotaLeasing{
-		QuotaManager:     overload.NewQuotaManager(ledger, random.IntN),
-		reservedFraction: reservedFraction,
-		limit:            unknownQuota,
+		QuotaManager:  overload.NewQuotaManager(ledger, random.IntN),
+		reservedRatio: reservedRatio,
+		limit:         unknownQuota,
 	}
 }
 
@@ -161,7 +161,7 @@
 		return
 	}
 	base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
-	quota.SetBase(base, overload.Quota(quota.reservedFraction*float64(base)))
+	quota.SetBase(base, overload.Quota(quota.reservedRatio*float64(base)))
 	quota.limit = unknownQuota
 	s.applyQuota(s.member.fleet.Now())
 }
