--- a/internal/msgpackrpc/drain_test.go
+++ b/internal/msgpackrpc/drain_test.go
@@ -215,12 +215,12 @@
 			longer := *peers.cfg
 			longer.Settings.DrainGrace = time.Hour
 			if first == "reload" {
-				peers.server.Reload(&longer, nil)
+				peers.server.Reload(&longer)
 			}
 			peers.server.Drain()
 			client.expectClosing()
 			if first == "drain" {
-				peers.server.Reload(&longer, nil)
+				peers.server.Reload(&longer)
 			}
 			peers.expectNoCommand() // so that the turn in which the drain began is over
 			afterDrain := fmt.Sprint(time.Now().Add(500 * time.Millisecond).UnixMilli())
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -179,8 +179,10 @@
 		p.extension.Reload()
 	}
 	next, err := p.active.Successor(p.path)
-	if err == nil {
-		p.active = next
+	if err != nil {
+		p.server.ReloadFailed(err)
+		return
 	}
-	p.server.Reload(next, err)
+	p.active = next
+	p.server.Reload(next)
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -123,9 +123,9 @@
 			server.dispatch(admission.Action{Kind: admission.ActionLog, Condition: change})
 		}
 	}},
-	{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config, nil) }},
+	{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config) }},
 	{"reload of a file that is wrong", func(_ *testing.T, server *Server) {
-		server.Reload(nil, errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
+		server.ReloadFailed(errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
 	}},
 	{"SIGTERM", func(_ *testing.T, server *Server) { server.Drain() }},
 	{"SIGTERM with a successor", func(_ *testing.T, server *Server) {
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -231,7 +231,7 @@
 	loaded.Settings.DrainGrace *= 2
 	server.Drain()
 	gracePeriod := server.config.Settings.DrainGrace
-	server.Reload(&loaded, nil)
+	server.Reload(&loaded)
 	runPosted()
 	require.Equal(t, gracePeriod, server.config.Settings.DrainGrace)
 	require.EqualValues(t, 1, server.stats.Reloads)
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -9,24 +9,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Reload puts the peers' addresses and the settings of a new configuration into use. err says why there is none, and
-// then everything stays as it is. Runs go on either way. It may be called from any goroutine.
-func (s *Server) Reload(cfg *config.Config, err error) { s.inbox.put(&configurationLoaded{cfg, err}) }
+// Reload puts the peers' addresses and the settings of a new configuration into use, while runs go on. It may be called
+// from any goroutine.
+func (s *Server) Reload(cfg *config.Config) { s.inbox.put(&configurationLoaded{cfg}) }
 
-// configurationLoaded is a configuration that was read, or err.
+// ReloadFailed reports why there is no new configuration: the current one stays. It may be called from any goroutine.
+func (s *Server) ReloadFailed(err error) { s.inbox.put(&configurationFailed{err}) }
+
+// configurationLoaded is a configuration that was read.
 type configurationLoaded struct {
 	config *config.Config
-	err    error
 }
 
 func (e *configurationLoaded) handle(server *Server) {
-	err := e.err
-	if err == nil {
-		err = server.applyConfig(e.config)
-	}
-	if err != nil {
-		server.stats.ReloadsFailed++
-		server.log.WithError(err).Error("configuration reload failed, current configuration stays")
+	if err := server.applyConfig(e.config); err != nil {
+		server.logReloadFailure(err)
 		return
 	}
 	server.stats.Reloads++
@@ -41,6 +38,18 @@
 	server.announcer.SetAddress(e.config.Announce)
 }
 
+// configurationFailed is a configuration that could not be read.
+type configurationFailed struct {
+	err error
+}
+
+func (e *configurationFailed) handle(server *Server) { server.logReloadFailure(e.err) }
+
+func (s *Server) logReloadFailure(err error) {
+	s.stats.ReloadsFailed++
+	s.log.WithError(err).Error("configuration reload failed, current configuration stays")
+}
+
 // applyConfig puts new settings into use.
 func (s *Server) applyConfig(loaded *config.Config) error {
 	settings := loaded.Settings
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -44,7 +44,7 @@
 	settings.Cores++
 	settings.Classes[1].Deadline = time.Second // front ends that have not learned of it wait longer
 	loaded.Settings = settings
-	server.Reload(&loaded, nil)
+	server.Reload(&loaded)
 	runPosted()
 	require.Equal(t, []string{"preview", "hires-crop", "licence-order", "poster"}, server.config.Classes)
 	require.Equal(t, settings.Cores, server.config.Settings.Cores)
@@ -72,11 +72,11 @@
 	back := *server.config.Config
 	back.Classes, back.Settings.Classes = loaded.Classes[:1], settings.Classes[:1]
 	back.Classes = []string{"licence-order"}
-	server.Reload(&back, nil)
+	server.Reload(&back)
 	runPosted()
 	require.Equal(t, 2, submit("licence-order").class)
 
-	server.Reload(nil, errors.New("no such key"))
+	server.ReloadFailed(errors.New("no such key"))
 	runPosted()
 	require.EqualValues(t, 2, server.stats.Reloads)
 	require.EqualValues(t, 1, server.stats.ReloadsFailed)
@@ -110,7 +110,7 @@
 	submit(1, "licence-order")
 	loaded := *server.config.Config
 	loaded.Classes = []string{"preview", "hires-crop", "order"}
-	server.Reload(&loaded, nil)
+	server.Reload(&loaded)
 	runPosted()
 	submit(2, "order")
 	server.completeRun(server.requests.byAttemptID["b"], admission.OutcomeOK, nil)
