--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -47,19 +47,19 @@
 		CostHint:  70 * time.Millisecond,
 	}
 	for _, kind := range []AnswerKind{Served, Rejected, Failed, Invalid} {
-		server.logTrace(&activeRequest{attempt: attempt, class: 2}, answerNames[kind])
+		server.logTrace(&activeRequest{attempt: attempt, class: 2}, kind.String())
 	}
 	keyed := attempt
 	keyed.IdempotencyKey = "order 7"
 	running := &activeRequest{attempt: keyed, class: 2, state: requestRunning, startedAt: at + 10*time.Millisecond}
-	server.logTrace(running, answerNames[Served])
+	server.logTrace(running, Served.String())
 	for reason := admission.ReasonCPU; reason <= admission.ReasonBelowThreshold; reason++ {
-		server.logTrace(&activeRequest{attempt: attempt, trace: requestTrace{reason: reason.String()}}, answerNames[Rejected])
+		server.logTrace(&activeRequest{attempt: attempt, trace: requestTrace{reason: reason.String()}}, Rejected.String())
 	}
 	for reply := store.OK; int(reply) < len(replyOutcomes); reply++ {
 		trace := requestTrace{calls: 3, callTime: 15 * time.Millisecond, lastCallOutcome: outcomeNames[replyOutcomes[reply]]}
 		request := &activeRequest{attempt: attempt, state: requestRunning, startedAt: at, trace: trace}
-		server.logTrace(request, answerNames[Served])
+		server.logTrace(request, Served.String())
 	}
 	golden.RequireText(t, "trail", lines.String())
 }
@@ -123,9 +123,9 @@
 			server.dispatch(admission.Action{Kind: admission.ActionLog, Condition: change})
 		}
 	}},
-	{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config, nil) }},
+	{"reload", func(_ *testing.T, server *Server) { server.Reload(server.config.Config) }},
 	{"reload of a file that is wrong", func(_ *testing.T, server *Server) {
-		server.Reload(nil, errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
+		server.ReloadFailed(errors.New("settings.Lanes[0].DeadlineUs: want more than 0"))
 	}},
 	{"SIGTERM", func(_ *testing.T, server *Server) { server.Drain() }},
 	{"SIGTERM with a successor", func(_ *testing.T, server *Server) {
@@ -199,14 +199,14 @@
 	for state := overload.StoreHealthy; state <= overload.StoreRecovering; state++ {
 		fmt.Fprintf(&got, "store %d %q\n", state, storeStateName(state))
 	}
-	for _, threshold := range []overload.SheddingState{
+	for _, state := range []overload.SheddingState{
 		{},
 		{Known: true},
 		{Known: true, Threshold: 3},
 		{Known: true, Full: true, Threshold: 3},
 	} {
 		fmt.Fprintf(&got, "threshold known %t, full %t, rank %v: %q\n",
-			threshold.Known, threshold.Full, threshold.Threshold, thresholdState(&threshold))
+			state.Known, state.Full, state.Threshold, sheddingStateName(&state))
 	}
 	for _, err := range []error{
 		errTooManyOpenCalls,
--- a/internal/server/operate_test.go
+++ b/internal/server/operate_test.go
@@ -18,8 +18,8 @@
 	return server
 }
 
-// Front ends that an operator sends away see failed health checks until they are welcome again, while requests that
-// still arrive are served; also where the agent is not up yet.
+// While an operator has deregistered the server, health checks fail and requests that still arrive are served; also
+// where the agent is not up yet.
 func TestDeregister(t *testing.T) {
 	server := newRunningServer(t)
 	ctx := context.Background()
@@ -67,3 +67,16 @@
 	require.ErrorIs(t, server.Reregister(ctx), errDraining)
 	require.False(t, ready())
 }
+
+// Operators get an error, and no wait without end, while the loop does not respond.
+func TestStalledLoop(t *testing.T) {
+	server, _ := newIdleServer(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	_, err := server.Ready(ctx)
+	require.ErrorIs(t, err, context.Canceled)
+	require.ErrorContains(t, err, "event loop does not respond")
+	_, err = server.AppendMetrics(ctx, nil)
+	require.ErrorIs(t, err, context.Canceled)
+	require.ErrorIs(t, server.Deregister(ctx), context.Canceled)
+}
