--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -39,7 +39,7 @@
 	OutcomeUnreachable Outcome = "unreached" // no connection to the server
 )
 
-// Description is the outcome in the terms of printed reports.
+// Description returns the outcome in the terms of printed reports.
 func (o Outcome) Description() string {
 	switch o {
 	case OutcomeRejected:
@@ -56,7 +56,7 @@
 // DetailUnread is the Detail of an AttemptAbandoned whose request was not read by its deadline.
 const DetailUnread = "unread"
 
-// ProcessState is what has become of a process, or what signal it was sent. It stands in Event.Detail.
+// ProcessState is the state of a process, or the signal that it was sent. It stands in Event.Detail.
 type ProcessState string
 
 // States of processes.
@@ -105,3 +105,12 @@
 	ValueServed    float64       `json:"got,omitempty"`
 	Work           time.Duration `json:"work,omitempty"` // processor time on one core
 }
+
+// Outcome returns the outcome of an AttemptAnswered or a RequestCompleted.
+func (e *Event) Outcome() Outcome { return Outcome(e.Detail) }
+
+// ProcessState returns the state of a ProcessChanged.
+func (e *Event) ProcessState() ProcessState { return ProcessState(e.Detail) }
+
+// Condition returns the condition of a ViewChanged.
+func (e *Event) Condition() Condition { return Condition(e.Detail) }
