--- a/admission/action.go
+++ b/admission/action.go
@@ -53,11 +53,11 @@
 	Kind      ActionKind
 	ID        RequestID       // of the request that it is about; 0 for those that are about the server
 	Rejection Rejection       // ActionReject
-	Timeout   time.Duration   // ActionCall
-	Duration  time.Duration   // ActionRemember, ActionIdleTimeout
+	Timeout   time.Duration   // ActionCall: the longest that the call may take
+	Duration  time.Duration   // ActionRemember: for how long; ActionIdleTimeout: the timeout
 	Health    HealthAnswer    // ActionHealth
-	Value     float64         // ActionAdvertise
-	At        time.Duration   // ActionWake
+	Value     float64         // ActionAdvertise: in the unit that Settings.Advert tells
+	At        time.Duration   // ActionWake: on the owner's clock
 	Condition ConditionChange // ActionLog
 }
 
