--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -53,7 +53,9 @@
 	}
 	for _, marks := range []bool{true, false} {
 		storm := func(controller *Controller, _ *Event) {
-			controller.advisor.marksRetries, controller.advisor.arrivals.counts.First, controller.advisor.arrivals.counts.Second = marks, 10, 9
+			controller.advisor.marksRetries = marks
+			controller.advisor.arrivals.counts.First = 10
+			controller.advisor.arrivals.counts.Second = 9
 		}
 		if action := rejection(storm); !action.Rejection.NoRetryElsewhere {
 			t.Errorf("in a storm the client is sent on (retries marked: %v)", marks)
@@ -82,7 +84,8 @@
 		}
 		controller.estimator.speed.First = 1e-6 // so slow that nothing is in time
 		if test.storm {
-			controller.advisor.arrivals.counts.First, controller.advisor.arrivals.counts.Second = 10, 9
+			controller.advisor.arrivals.counts.First = 10
+			controller.advisor.arrivals.counts.Second = 9
 		}
 		event.ID = 2
 		action := requireAction(t, controller.Step(0, []Event{event}, nil), ActionReject, 2)
@@ -95,7 +98,8 @@
 
 func TestValuableArrivalsEvictLessValuable(t *testing.T) {
 	settings := testSettings()
-	settings.MaxCallsInFlight, settings.Dependency = 0, DependencyNone
+	settings.MaxCallsInFlight = 0
+	settings.Dependency = DependencyNone
 	for i := range settings.Classes {
 		settings.Classes[i].CallsDependency = false
 	}
@@ -105,7 +109,8 @@
 		id++
 		controller.Step(0, []Event{arrived(id, 0)}, nil)
 	}
-	controller.settings.Classes[0].PriorityWeight, controller.settings.Classes[1].PriorityWeight = 1, 3
+	controller.settings.Classes[0].PriorityWeight = 1
+	controller.settings.Classes[1].PriorityWeight = 3
 	id++
 	actions := controller.Step(0, []Event{arrived(id, 1)}, nil)
 	requireNoAction(t, actions, ActionReject, id)
@@ -156,7 +161,8 @@
 		}
 		controller.Step(10*ms, events, nil)
 		event := arrived(99, 0)
-		event.Arrival.SinceFirstAttempt, event.Arrival.RetryJitter = age, spread
+		event.Arrival.SinceFirstAttempt = age
+		event.Arrival.RetryJitter = spread
 		actions := controller.Step(20*ms, []Event{event}, nil)
 		return findAction(actions, ActionReject, 99) == nil, findAction(actions, ActionReject, 99)
 	}
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -19,7 +19,8 @@
 		for id := RequestID(1); id <= 400; id++ {
 			now += 50 * ms // 20 requests a second
 			event := arrived(id, 1)
-			event.Arrival.Waited, event.Arrival.CostHint = waited, work
+			event.Arrival.Waited = waited
+			event.Arrival.CostHint = work
 			if action := findAction(controller.Step(now, []Event{event, TimerFired(calmGauges)}, nil), ActionReject, id); action != nil {
 				last = action
 			}
@@ -66,7 +67,8 @@
 
 func TestCreditIsDividedAmongClients(t *testing.T) {
 	settings := testSettings()
-	settings.Advert, settings.Clients = AdvertCredit, 1000
+	settings.Advert = AdvertCredit
+	settings.Clients = 1000
 	controller, _ := New(settings, 1, 0)
 	action := requireAction(t, controller.Step(0, nil, nil), ActionAdvertise, 0)
 	if action.Value <= 0 || action.Value*1000 > maxRunsPerCore*2*float64(settings.Cores) {
@@ -101,7 +103,8 @@
 		{"drain, too late for an attempt elsewhere", ReasonDraining, RankUnknown, late, ReasonTooLate, true, 0},
 	} {
 		settings := testSettings()
-		settings.MaxRetryAfter, settings.MarksRetries = 4*time.Second, true
+		settings.MaxRetryAfter = 4 * time.Second
+		settings.MarksRetries = true
 		advisor := newClientAdvisor(&settings)
 		advisor.configure(&settings)
 		request := &request{objective: time.Second, fleetRank: test.rank, retryJitter: 50 * ms}
@@ -112,7 +115,8 @@
 
 func TestNoAdviceWhereNoneIsHeeded(t *testing.T) {
 	settings := testSettings()
-	settings.SendsRetryAfter, settings.MaxRetryAfter = false, 0
+	settings.SendsRetryAfter = false
+	settings.MaxRetryAfter = 0
 	advisor := newClientAdvisor(&settings)
 	advisor.configure(&settings)
 	got := advisor.reject(0, &request{objective: time.Second}, ReasonCPU, 4)
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -49,7 +49,8 @@
 func TestProtectedCallsFollowFleet(t *testing.T) {
 	calls := func(protect float64) (n int) {
 		controller := startController(t, testSettings())
-		controller.calls.limiter.callTime, controller.calls.limiter.bestCallTime = rolling.AverageOf(0.03), 0.03
+		controller.calls.limiter.callTime = rolling.AverageOf(0.03)
+		controller.calls.limiter.bestCallTime = 0.03
 		if protect > 0 {
 			controller.calls.limiter.callTime = rolling.AverageOf(1.9)
 		}
--- a/admission/call_limiter_test.go
+++ b/admission/call_limiter_test.go
@@ -33,7 +33,9 @@
 	} {
 		limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: test.maxInFlight, CallsWindow: 5 * time.Second,
 			AbandonedCallTime: 200 * ms})
-		limiter.inFlight, limiter.abandoned, limiter.credit = test.inFlight, test.abandoned, test.credit
+		limiter.inFlight = test.inFlight
+		limiter.abandoned = test.abandoned
+		limiter.credit = test.credit
 		limiter.callTime = rolling.AverageOf(test.callTime)
 		limiter.callSeconds.Add(0, test.used)
 		require.InDelta(t, test.want, limiter.timeout(0, time.Second), float64(time.Microsecond), test.name)
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -85,10 +85,12 @@
 
 func TestFractionalCallLimitHoldsInTheMean(t *testing.T) {
 	settings := testSettings()
-	settings.MaxCallsInFlight, settings.Dependency = 1.95, DependencyShared
+	settings.MaxCallsInFlight = 1.95
+	settings.Dependency = DependencyShared
 	controller := startController(t, settings)
 	limiter := controller.calls.limiter
-	limiter.callTime, limiter.limitRatio = rolling.AverageOf(0.05), 0.7
+	limiter.callTime = rolling.AverageOf(0.05)
+	limiter.limitRatio = 0.7
 	limiter.inFlight = 1
 	if limiter.timeout(controller.now, time.Second) <= 0 {
 		t.Error("no second call though the mean is far below the limit")
@@ -129,7 +131,8 @@
 				limiter.inFlight = 0
 			}
 		} else if limiter.timeout(controller.now, time.Second) > 0 {
-			limiter.inFlight, ends = 1, now+300*ms
+			limiter.inFlight = 1
+			ends = now + 300*ms
 		}
 	}
 	if mean, limit := inHand.Seconds()/total.Seconds(), limiter.limit(); mean > 1.2*limit || mean < 0.8*limit {
@@ -143,7 +146,8 @@
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
 	controller := startController(t, settings)
-	controller.calls.limiter.limitRatio, controller.calls.limiter.callTime = minCallLimitRatio, rolling.AverageOf(0.3)
+	controller.calls.limiter.limitRatio = minCallLimitRatio
+	controller.calls.limiter.callTime = rolling.AverageOf(0.3)
 	controller.calls.limiter.credit = 0.01
 	if w := controller.estimator.callWait(); w != 0 {
 		t.Errorf("a wait of %v with nothing overdrawn", w)
@@ -161,7 +165,8 @@
 	}
 	settings.MaxCallsInFlight = 20 // with whole calls the limit itself admits the next one
 	controller = startController(t, settings)
-	controller.calls.limiter.callTime, controller.calls.limiter.credit = rolling.AverageOf(0.3), -1
+	controller.calls.limiter.callTime = rolling.AverageOf(0.3)
+	controller.calls.limiter.credit = -1
 	if w := controller.estimator.callWait(); w != 0 {
 		t.Errorf("a wait of %v though calls are free", w)
 	}
@@ -169,7 +174,8 @@
 
 func TestCallLimitStaysBelowWhatIsSurvived(t *testing.T) {
 	controller := startController(t, testSettings())
-	controller.calls.limiter.limitRatio, controller.calls.limiter.callTime = 5, rolling.AverageOf(0.5)
+	controller.calls.limiter.limitRatio = 5
+	controller.calls.limiter.callTime = rolling.AverageOf(0.5)
 	limiter := controller.calls.limiter
 	for limiter.inFlight = 0; limiter.timeout(controller.now, 10*time.Second) == 10*time.Second; limiter.inFlight++ {
 		if float64(limiter.inFlight) > limiter.maxInFlight {
@@ -180,7 +186,8 @@
 
 func TestFractionalCallLimitIsNotUsedInOneBurst(t *testing.T) {
 	settings := testSettings()
-	settings.MaxCallsInFlight, settings.AbandonedCallTime = 0.5, 0
+	settings.MaxCallsInFlight = 0.5
+	settings.AbandonedCallTime = 0
 	controller := startController(t, settings)
 	limiter := controller.calls.limiter
 	controller.advanceTime(20 * time.Second) // a long time without a call saves nothing up
@@ -204,7 +211,8 @@
 // requests that may not, instead of being rejected, or of delaying the others until both are late.
 func TestCallsThatWouldWaitTooLongAreSkipped(t *testing.T) {
 	settings := testSettings()
-	settings.MemoryKB, settings.Cores = 1e6, 12
+	settings.MemoryKB = 1e6
+	settings.Cores = 12
 	for _, controller := range []struct {
 		took  float64 // seconds that a call takes of late
 		skips bool
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -9,19 +9,40 @@
 
 // testSettings are those of a warm server of 4 cores with one class of each kind.
 func testSettings() Settings {
-	return Settings{Cores: 4, FleetSize: 10, Clients: 3, MemoryKB: 4000, RunningMemoryFactor: 4, KeyMemoryKB: 10,
+	return Settings{
+		Cores:               4,
+		FleetSize:           10,
+		Clients:             3,
+		MemoryKB:            4000,
+		RunningMemoryFactor: 4,
+		KeyMemoryKB:         10,
 		Classes: []Class{
 			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, CallsDependency: true},
-			{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3, Idempotency: IdempotentByKey, IdempotencyWindow: 8 * time.Second, CallsDependency: true},
-			{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 2, Idempotency: Unsafe, LateValueRatio: 0.2, CallsDependency: true},
-			{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 2, DegradedValueRatio: 0.5, CallsDependency: true},
+			{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3, CallsDependency: true,
+				Idempotency: IdempotentByKey, IdempotencyWindow: 8 * time.Second},
+			{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 2, CallsDependency: true,
+				Idempotency: Unsafe, LateValueRatio: 0.2},
+			{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 2, CallsDependency: true,
+				DegradedValueRatio: 0.5},
 		},
-		Tenants: []Tenant{{QuotaPerSecond: 300}, {QuotaPerSecond: 200}},
-		Halt:    HaltDrop, Dependency: DependencyShared, MaxCallsInFlight: 6, CallsWindow: 5 * time.Second, AbandonedCallTime: 200 * ms,
-		SlowStartSpeedRatio: 0.2, SlowStartTime: 10 * time.Second, MaxConcurrencyPerCore: 5, ConcurrencyWindow: 1500 * ms, AnswerGrace: 60 * ms,
-		DrainGrace: time.Second, MaxRetryAfter: time.Second, SendsRetryAfter: true,
-		IdleTimeout: 30 * time.Second, Tick: 5 * ms,
-		ExcessValueRatio: 0.05}
+		Tenants:               []Tenant{{QuotaPerSecond: 300}, {QuotaPerSecond: 200}},
+		Halt:                  HaltDrop,
+		Dependency:            DependencyShared,
+		MaxCallsInFlight:      6,
+		CallsWindow:           5 * time.Second,
+		AbandonedCallTime:     200 * ms,
+		SlowStartSpeedRatio:   0.2,
+		SlowStartTime:         10 * time.Second,
+		MaxConcurrencyPerCore: 5,
+		ConcurrencyWindow:     1500 * ms,
+		AnswerGrace:           60 * ms,
+		DrainGrace:            time.Second,
+		MaxRetryAfter:         time.Second,
+		SendsRetryAfter:       true,
+		IdleTimeout:           30 * time.Second,
+		Tick:                  5 * ms,
+		ExcessValueRatio:      0.05,
+	}
 }
 
 // startController returns a controller that has taken its first step, at time 0.
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -6,7 +6,8 @@
 
 func TestMemoryAndConcurrencyLimits(t *testing.T) {
 	settings := testSettings()
-	settings.WarmingUp, settings.MemoryKB = true, 300
+	settings.WarmingUp = true
+	settings.MemoryKB = 300
 	controller := startController(t, settings)
 	for id := RequestID(1); id <= 300; id++ {
 		controller.Step(0, []Event{arrived(id, 0)}, nil)
@@ -14,14 +15,17 @@
 			t.Fatalf("%v kB in use of %v", controller.memory.usedKB, settings.MemoryKB)
 		}
 	}
-	if limit := float64(settings.Cores) * (1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio); float64(controller.runs.running) > limit {
+	if limit := coldConcurrency(&settings); float64(controller.runs.running) > limit {
 		t.Fatalf("%d runs, a cold server survives %v", controller.runs.running, limit)
 	}
 }
 
 func TestRunsAwaitingCallsCountAsConcurrency(t *testing.T) {
 	settings := testSettings()
-	settings.WarmingUp, settings.MemoryKB, settings.MaxCallsInFlight, settings.Dependency = true, 1e6, 0, DependencyTier
+	settings.WarmingUp = true
+	settings.MemoryKB = 1e6
+	settings.MaxCallsInFlight = 0
+	settings.Dependency = DependencyTier
 	controller := startController(t, settings)
 	for id := RequestID(1); id <= 60; id++ {
 		actions := controller.Step(0, []Event{arrived(id, 0)}, nil)
@@ -29,7 +33,14 @@
 			controller.Step(0, []Event{CallNeeded(id)}, nil)
 		}
 	}
-	if limit := float64(settings.Cores) * (1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio); controller.runs.running == 0 || float64(controller.runs.running) > limit {
+	limit := coldConcurrency(&settings)
+	if controller.runs.running == 0 || float64(controller.runs.running) > limit {
 		t.Errorf("%d runs might come back to the cores at once, a cold server survives %v", controller.runs.running, limit)
 	}
 }
+
+// coldConcurrency is how many requests on the CPU a server survives that has just started.
+func coldConcurrency(settings *Settings) float64 {
+	perCore := 1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio
+	return float64(settings.Cores) * perCore
+}
--- a/admission/random_server_test.go
+++ b/admission/random_server_test.go
@@ -65,7 +65,8 @@
 	origin := int(s.lastID)
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && s.rng.IntN(2) == 0 {
 		if leader, ok := s.lastIdempotent[class]; ok && s.keys[leader] > s.now {
-			event.Arrival.RetryOf, origin = leader, s.attempts[leader].origin
+			event.Arrival.RetryOf = leader
+			origin = s.attempts[leader].origin
 		}
 	}
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && event.Arrival.RetryOf == 0 {
@@ -106,7 +107,8 @@
 // progress draws what happens next to one attempt.
 func (s *randomServer) progress(events []Event, id RequestID, current *attempt) []Event {
 	done := func(outcome Outcome, took time.Duration) []Event {
-		current.phase, current.answered = attemptCompleted, true
+		current.phase = attemptCompleted
+		current.answered = true
 		return append(events, RunCompleted(id, Completion{Outcome: outcome, Took: took}))
 	}
 	atCall := current.phase == attemptAwaitingCall || current.phase == attemptCalling
@@ -116,12 +118,14 @@
 	case current.phase == attemptCalling && roll < 6:
 		return append(events, s.endCall(id, current))
 	case current.phase == attemptRunning && roll < 2 && !current.answered:
-		current.phase, current.callsThatRan = attemptAwaitingCall, 0
+		current.phase = attemptAwaitingCall
+		current.callsThatRan = 0
 		return append(events, CallNeeded(id))
 	case current.phase == attemptRunning && roll < 6:
 		return done(Outcome(s.rng.IntN(2)), 100*ms)
 	case roll == 39 && !current.answered:
-		current.cancelled, current.answered = true, true
+		current.cancelled = true
+		current.answered = true
 		events = append(events, RequestCancelled(id))
 		switch {
 		case atCall:
@@ -194,7 +198,8 @@
 	if keyed && (s.runs[current.origin] > 1 || s.keys[id] <= s.now && s.keys[id] == 0) {
 		s.t.Fatalf("keyed %d: run %d, entry until %v at %v", id, s.runs[current.origin], s.keys[id], s.now)
 	}
-	current.ran, current.phase = true, attemptRunning
+	current.ran = true
+	current.phase = attemptRunning
 }
 
 func (s *randomServer) answer(action *Action) {
--- a/admission/recorded_events_test.go
+++ b/admission/recorded_events_test.go
@@ -130,7 +130,8 @@
 	case request.endsAt == 0 || s.now < request.endsAt:
 	case request.phase == attemptRunning && request.callsAhead > 0:
 		request.callsAhead--
-		request.phase, request.endsAt = attemptAwaitingCall, 0
+		request.phase = attemptAwaitingCall
+		request.endsAt = 0
 		return append(events, CallNeeded(request.id))
 	case request.phase == attemptRunning || request.phase == attemptJoined:
 		outcome := OutcomeOK
@@ -151,9 +152,11 @@
 
 func (s *recordedServer) endCall(events []Event, request *recordedRequest) []Event {
 	outcome := s.episode.callOutcomes[s.rng.IntN(len(s.episode.callOutcomes))]
-	request.phase, request.endsAt = attemptAwaitingCall, 0
+	request.phase = attemptAwaitingCall
+	request.endsAt = 0
 	if outcome == OutcomeOK {
-		request.phase, request.endsAt = attemptRunning, s.now+request.work/4
+		request.phase = attemptRunning
+		request.endsAt = s.now + request.work/4
 	}
 	return append(events, CallCompleted(request.id, Completion{Outcome: outcome, Took: s.now - request.calledAt}))
 }
@@ -182,13 +185,15 @@
 func (s *recordedServer) carryOutFor(request *recordedRequest, action *Action) {
 	switch action.Kind {
 	case ActionRun:
-		request.phase, request.startedAt = attemptRunning, s.now
+		request.phase = attemptRunning
+		request.startedAt = s.now
 		request.endsAt = s.now + request.work*time.Duration(2+s.rng.IntN(5))/4
 		if s.settings.Classes[request.class].CallsDependency {
 			request.callsAhead = 1 + s.rng.IntN(6)/5 - s.rng.IntN(4)/3
 		}
 	case ActionReuse:
-		request.phase, request.startedAt = attemptJoined, s.now
+		request.phase = attemptJoined
+		request.startedAt = s.now
 		request.endsAt = s.now + time.Duration(s.rng.IntN(100))*ms
 	case ActionStop:
 		request.stopped = true
@@ -198,10 +203,12 @@
 			request.phase = attemptCompleted
 		}
 	case ActionCall:
-		request.phase, request.calledAt = attemptCalling, s.now
+		request.phase = attemptCalling
+		request.calledAt = s.now
 		request.endsAt = s.now + min(s.episode.callTime*time.Duration(2+s.rng.IntN(4))/4, action.Timeout)
 	case ActionSkipCall:
-		request.phase, request.endsAt = attemptRunning, s.now+request.work/4
+		request.phase = attemptRunning
+		request.endsAt = s.now + request.work/4
 	default: // not about one request
 	}
 }
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -23,7 +23,8 @@
 		server.now += time.Duration(1+server.rng.IntN(15)) * ms // late timers, uneven batches
 		events := server.drawEvents()
 		if i == 1200 {
-			server.drainStartedAt, stopAt = server.now, server.now+2500*ms
+			server.drainStartedAt = server.now
+			stopAt = server.now + 2500*ms
 			events = append(events, DrainStarted(DrainSignal{StopAt: stopAt}))
 		}
 		if i%12 == 0 {
@@ -53,7 +54,9 @@
 	var variants []settingsVariant
 	for i := range 12 {
 		settings := testSettings()
-		settings.Halt, settings.Advert, settings.Dependency = Halt(i%3), Advert(i%4), Dependency(i%3)
+		settings.Halt = Halt(i % 3)
+		settings.Advert = Advert(i % 4)
+		settings.Dependency = Dependency(i % 3)
 		settings.WarmingUp = i%2 == 0
 		if settings.Dependency != DependencyShared {
 			settings.MaxCallsInFlight = 0
@@ -62,7 +65,8 @@
 			settings.CacheTTL = time.Second
 		}
 		if i%6 == 2 {
-			settings.Tenants, settings.MemoryKB = nil, 600
+			settings.Tenants = nil
+			settings.MemoryKB = 600
 		}
 		if i == 7 {
 			settings.MaxCallsInFlight = 0.4
@@ -71,8 +75,13 @@
 	}
 	for i, calls := range []float64{0.05, 0.4, 0.9} { // small servers of large fleets
 		settings := testSettings()
-		settings.Cores, settings.MaxCallsInFlight, settings.Clients, settings.FleetSize = 1+i%2, calls, 1000, 300
-		settings.MarksRetries, settings.Advert, settings.MemoryKB = i == 1, Advert(i+1), 1500
+		settings.Cores = 1 + i%2
+		settings.MaxCallsInFlight = calls
+		settings.Clients = 1000
+		settings.FleetSize = 300
+		settings.MarksRetries = i == 1
+		settings.Advert = Advert(i + 1)
+		settings.MemoryKB = 1500
 		variants = append(variants, settingsVariant{settings: settings})
 	}
 	return variants
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -44,7 +44,8 @@
 		settings := testSettings()
 		settings.Cores = cores
 		controller := startController(t, settings)
-		controller.estimator.speed.First, controller.calls.limiter.callTime = 1e-6, rolling.AverageOf(9)
+		controller.estimator.speed.First = 1e-6
+		controller.calls.limiter.callTime = rolling.AverageOf(9)
 		requireAction(t, controller.Step(0, []Event{arrived(1, 0)}, nil), ActionRun, 1)
 	}
 }
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -30,7 +30,9 @@
 	settings := testSettings()
 	settings.Classes[1].Removed = true
 	settings.Classes = append(settings.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1})
-	settings.RunningMemoryFactor, settings.KeyMemoryKB, settings.CallsWindow = 8, 20, time.Second
+	settings.RunningMemoryFactor = 8
+	settings.KeyMemoryKB = 20
+	settings.CallsWindow = time.Second
 	if err := controller.Reconfigure(settings); err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +67,9 @@
 		"no idle time":        func(settings *Settings) { settings.IdleTimeout = 0 },
 		"no mean time":        func(settings *Settings) { settings.CallsWindow = 0 },
 		"cold without time": func(settings *Settings) {
-			settings.WarmingUp, settings.SlowStartTime, settings.SlowStartSpeedRatio = true, 0, 0
+			settings.WarmingUp = true
+			settings.SlowStartTime = 0
+			settings.SlowStartSpeedRatio = 0
 		},
 	} {
 		settings := testSettings()
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -3,19 +3,23 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/require"
 )
 
 // The state of a controller does not grow with the clients, subjects and keys that it meets over weeks.
 func TestStateIsBoundedForManyClientsAndKeys(t *testing.T) {
 	settings := testSettings()
-	settings.Cores, settings.MaxCallsInFlight = 2, 0.5
+	settings.Cores = 2
+	settings.MaxCallsInFlight = 0.5
 	controller := startController(t, settings)
 	largest := 0
 	var actions []Action
 	for id := RequestID(1); id <= 100000; id++ {
 		now := time.Duration(id) * 100 * ms
 		event := arrived(id, int(id)%4)
-		event.Arrival.Tenant, event.Arrival.Retry = int(id)%9, id%7 == 0
+		event.Arrival.Tenant = int(id) % 9
+		event.Arrival.Retry = id%7 == 0
 		events := []Event{event}
 		for _, action := range actions { // what ran in the last batch is done in this one
 			if action.Kind == ActionRun {
@@ -43,7 +47,9 @@
 	ev := CallCompleted(1, Completion{Took: ms})
 	controller.Step(2*ms, []Event{ev, ev, CallNeeded(5)}, nil)
 	controller.Step(3*ms, []Event{RunCompleted(1, Completion{}), RunCompleted(1, Completion{}), arrived(2, 77)}, nil)
-	if len(controller.requests) != 0 || controller.runs.running != 0 || controller.runs.onCPU != 0 || controller.memory.usedKB != 0 || controller.calls.limiter.inFlight != 0 {
-		t.Fatalf("left over: %d jobs, %d runs, %d on cores, %v kB", len(controller.requests), controller.runs.running, controller.runs.onCPU, controller.memory.usedKB)
-	}
+	require.Empty(t, controller.requests)
+	require.Zero(t, controller.runs.running)
+	require.Zero(t, controller.runs.onCPU)
+	require.Zero(t, controller.memory.usedKB)
+	require.Zero(t, controller.calls.limiter.inFlight)
 }
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -83,9 +83,11 @@
 	for _, inHand := range []int{0, 10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("held=%d", inHand), func(b *testing.B) {
 			settings := testSettings()
-			settings.MemoryKB, settings.Cores = 1e9, 64
+			settings.MemoryKB = 1e9
+			settings.Cores = 64
 			for i := range settings.Classes {
-				settings.Classes[i].LatencyObjective, settings.Classes[i].Deadline = time.Hour, time.Hour
+				settings.Classes[i].LatencyObjective = time.Hour
+				settings.Classes[i].Deadline = time.Hour
 			}
 			controller := startController(b, settings)
 			now, id := time.Duration(1), RequestID(0)
