--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -22,7 +22,8 @@
 
 // Change is one difference between two snapshots, for the log.
 type Change struct {
-	Member   string // or a zone; empty for the observer's position
+	Member   string // empty for a zone and for the observer's position
+	Zone     string // of ZoneChanged
 	Kind     ChangeKind
 	From, To string
 	Age      time.Duration // of the record that reported it
@@ -92,7 +93,7 @@
 			continue
 		}
 		changes = append(changes, Change{
-			Member: zone.Zone, Kind: ZoneChanged,
+			Zone: zone.Zone, Kind: ZoneChanged,
 			From: describeReachability(before.MostlyUnreachable()), To: describeReachability(zone.MostlyUnreachable()),
 		})
 	}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -124,7 +125,7 @@
 	for _, changes := range [][]Change{after.Changes(before), before.Changes(after)} {
 		for _, change := range changes {
 			fmt.Fprintf(&got, "member=%q what=%q from=%q to=%q age=%s\n",
-				change.Member, change.Kind, change.From, change.To, change.Age)
+				cmp.Or(change.Member, change.Zone), change.Kind, change.From, change.To, change.Age)
 		}
 		got.WriteString("---\n")
 	}
--- a/internal/fleet/recorded_run_test.go
+++ b/internal/fleet/recorded_run_test.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"testing"
@@ -69,7 +70,7 @@
 	r.Write(snapshot.At, snapshot.LastReceived, uint8(snapshot.Position), snapshot.Total, snapshot.Agreement(),
 		snapshot.Aggregate(r.Now, MaxFreshAge(10)))
 	for _, change := range snapshot.Changes(previous) {
-		r.Write(slices.Index(changeKinds, change.Kind), change.Member, change.Age)
+		r.Write(slices.Index(changeKinds, change.Kind), cmp.Or(change.Member, change.Zone), change.Age)
 	}
 }
 
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -57,7 +57,7 @@
 	switch change.Kind {
 	case fleet.PositionChanged:
 	case fleet.ZoneChanged:
-		fields["zone"] = change.Member
+		fields["zone"] = change.Zone
 	default:
 		fields["member"] = change.Member
 		fields["age_ms"] = change.Age.Milliseconds()
