--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"encoding/base64"
 	"slices"
 	"strconv"
 
@@ -76,19 +77,22 @@
 // Each encode function returns a command as a line. Request IDs are hex digits and tokens are the Link's or the server's
 // own, so neither needs an escape.
 
-const endOfObject = "}\n"
+const (
+	endOfObject = "}\n"
 
-// beginCommand returns the object of a command up to the end of its name, which is not closed yet.
-func beginCommand(name string) []byte { return []byte(`{"` + fieldKind + `":"` + name) }
+	requestCommandSize = 80 // bytes of a command about a request, besides its class and payload
+	tokenCommandSize   = 48 // bytes of a command with a number as token
+)
 
 // encodeSubscribe asks for all numbered notifications after offset.
 func encodeSubscribe(offset int64) []byte {
-	return appendOffset(beginCommand(nameSubscribe), offset)
+	return appendOffset(beginCommand(nameSubscribe, tokenCommandSize), offset)
 }
 
 func encodeLaunch(requestID, class string, payload []byte) []byte {
 	var arena fastjson.Arena
-	b := appendRequest(beginCommand(nameLaunch), requestID)
+	b := beginCommand(nameLaunch, requestCommandSize+len(class)+base64.StdEncoding.EncodedLen(len(payload)))
+	b = appendRequest(b, requestID)
 	b = append(b, `","method":`...)
 	b = arena.NewString(class).MarshalTo(b)
 	b = jsonlines.AppendBase64(b, fieldPayload, payload)
@@ -96,22 +100,37 @@
 }
 
 func encodeReply(requestID string, payload []byte) []byte {
-	b := appendRequest(beginCommand(nameReply), requestID)
+	b := beginCommand(nameReply, requestCommandSize+base64.StdEncoding.EncodedLen(len(payload)))
+	b = appendRequest(b, requestID)
 	b = append(b, '"')
 	b = jsonlines.AppendBase64(b, fieldPayload, payload)
 	return append(b, endOfObject...)
 }
 
 func encodeSkipCall(requestID string, offset int64) []byte {
-	b := appendRequest(beginCommand(nameSkipCall), requestID)
+	b := appendRequest(beginCommand(nameSkipCall, requestCommandSize), requestID)
 	return appendOffset(b, offset)
 }
 
 func encodeSample(sequence int64) []byte {
-	return appendToken(beginCommand(nameSample), strconv.FormatInt(sequence, 10))
+	b := appendTokenName(beginCommand(nameSample, tokenCommandSize))
+	b = strconv.AppendInt(b, sequence, 10)
+	return endToken(b)
+}
+
+func encodeDeepCheck(token string) []byte {
+	b := appendTokenName(beginCommand(nameDeepCheck, tokenCommandSize+len(token)))
+	b = append(b, token...)
+	return endToken(b)
 }
 
-func encodeDeepCheck(token string) []byte { return appendToken(beginCommand(nameDeepCheck), token) }
+// beginCommand returns the object of a command up to the end of its name, which is not closed yet, with that capacity in
+// bytes.
+func beginCommand(name string, capacity int) []byte {
+	b := make([]byte, 0, capacity)
+	b = append(b, `{"`+fieldKind+`":"`...)
+	return append(b, name...)
+}
 
 // appendRequest begins the field that names a request, up to the end of its value.
 func appendRequest(b []byte, requestID string) []byte {
@@ -126,13 +145,10 @@
 	return append(b, endOfObject...)
 }
 
-// appendToken ends a command with a token.
-func appendToken(b []byte, token string) []byte {
-	b = append(b, `","`+fieldToken+`":"`...)
-	b = append(b, token...)
-	b = append(b, '"')
-	return append(b, endOfObject...)
-}
+// appendTokenName begins the token, with which a command ends, up to its value; endToken follows that.
+func appendTokenName(b []byte) []byte { return append(b, `","`+fieldToken+`":"`...) }
+
+func endToken(b []byte) []byte { return append(b, `"`+endOfObject...) }
 
 // command is a line to the agent that is sent again after a break, until the agent is known to have read it.
 type command struct {
