--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -40,7 +40,7 @@
 	return overload.ProcessID{Name: s.name, Run: s.processRun()}
 }
 
-// classify adds the fleet's view of an attempt to what its controller is told of it.
+// classify adds the fleet's view of an attempt to its arrival at the controller.
 func (s *shedding) classify(now time.Duration, attempt *attempt, arrival *admission.Arrival) {
 	request := attempt.request
 	name, work := request.class.Name, request.work.Seconds()
