--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"falldeal/admission"
+	"falldeal/internal/handover"
 
 	"github.com/stretchr/testify/require"
 )
@@ -86,6 +87,19 @@
 	require.False(t, keys.mayRun(second))
 }
 
+// A result that another process reports twice counts once.
+func TestResultReportedTwice(t *testing.T) {
+	keys := newIdempotencyTable(64)
+	entry := keys.adopt(nil, handover.KeyKnown{IdempotencyKey: "k"}, 1)
+	for range 2 {
+		keys.complete(entry, runResult{ok: true, body: []byte("abc")})
+		require.Equal(t, 3, keys.resultBytes)
+	}
+	keys.complete(entry, runResult{})
+	require.Zero(t, keys.resultBytes)
+	require.False(t, entry.reusableResult().ok)
+}
+
 // Whoever learns the key of a request must not get its result, nor a run under that key, by sending another body.
 func TestIdempotencyKeyWithAnotherBody(t *testing.T) {
 	server, runPosted := newIdleServer(t)
