--- a/lab/faults/relay_test.go
+++ b/lab/faults/relay_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"falldeal/lab/loopback"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -78,9 +80,7 @@
 // acceptStreams has n1 accept streams and write "welcome" to each.
 func (r *relayTest) acceptStreams(t *testing.T) {
 	t.Helper()
-	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", r.real(1))
-	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
+	ln := loopback.ListenAt(t, r.real(1))
 	go func() {
 		for conn, err := ln.Accept(); err == nil; conn, err = ln.Accept() {
 			_, _ = conn.Write([]byte("welcome"))
@@ -89,7 +89,7 @@
 	}()
 }
 
-// partitionBack is a partition from n1 to n0, one way.
+// partitionBack returns a partition from n1 to n0, one way.
 func partitionBack(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} }
 
 // Datagrams must arrive without a fault and through a partition of the other direction, and twice if duplicated.
