--- a/internal/overload/golden_agreement_test.go
+++ b/internal/overload/golden_agreement_test.go
@@ -101,7 +101,7 @@
 			coordinator.Tick(time.Second, store, view, time.Second)
 			coordinator.round.number = round
 			var load fleet.Load
-			if allowance := coordinator.Tick(time.Second, store, view, time.Second); allowance == ProbeSingle {
+			if allowance := coordinator.Tick(time.Second, store, view, time.Second); allowance == AllowSingle {
 				coordinator.AddToLoad(&load)
 				fmt.Fprintf(out, "turn %d in zone %s: %s tells store=%d store_id=%d round=%d\n", round, member.Zone, member.Name,
 					load.StoreState, load.StoreID, load.ProbeRound)
--- a/internal/overload/leasing_modelcheck_test.go
+++ b/internal/overload/leasing_modelcheck_test.go
@@ -156,13 +156,13 @@
 			if !stays {
 				state.messages = slices.Delete(state.messages, index, index+1)
 			}
-			n.deliver(state, message)
+			n.transmit(state, message)
 		})
 	}
 	n.add("lost", func(state *leasingState) { state.messages = slices.Delete(state.messages, index, index+1) })
 }
 
-func (n *leasingSteps) deliver(state *leasingState, message Message) {
+func (n *leasingSteps) transmit(state *leasingState, message Message) {
 	for member, ledger := range state.ledgers {
 		if ledger.self != message.To {
 			continue
--- a/internal/overload/leasing_test.go
+++ b/internal/overload/leasing_test.go
@@ -130,7 +130,7 @@
 		s.abandonedCalls = s.unfinished(s.abandonedCalls)
 		capacity := len(s.members) * int(testTerms.Base/quotaPerCall)
 		s.excess = max(s.excess, inFlight+len(s.abandonedCalls)-capacity)
-		s.deliverMessages()
+		s.transmitMessages()
 	}
 }
 
@@ -181,8 +181,8 @@
 	return delayedMessage{message, s.now + time.Duration(s.random.IntN(3000))*time.Millisecond}
 }
 
-// deliverMessages delivers what has arrived. Some messages are lost, some arrive twice.
-func (s *leasingSimulation) deliverMessages() {
+// transmitMessages delivers what has arrived. Some messages are lost, some arrive twice.
+func (s *leasingSimulation) transmitMessages() {
 	var undelivered []delayedMessage
 	for _, delayed := range s.messages {
 		if delayed.arrivesAt > s.now {
@@ -195,14 +195,14 @@
 		if s.random.IntN(5) == 0 {
 			continue
 		}
-		if answer, ok := s.deliver(delayed.message); ok {
+		if answer, ok := s.transmit(delayed.message); ok {
 			undelivered = append(undelivered, s.delayed(answer))
 		}
 	}
 	s.messages = undelivered
 }
 
-func (s *leasingSimulation) deliver(message Message) (answer Message, ok bool) {
+func (s *leasingSimulation) transmit(message Message) (answer Message, ok bool) {
 	for _, member := range s.members {
 		if member.self != message.To {
 			continue
--- a/internal/overload/probe_round.go
+++ b/internal/overload/probe_round.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	probeRoundTimeout = 5 * time.Second // without news of a round, after which the next one begins
-	maxProbeRound     = 1 << 40         // rounds from here on are not believed
+	roundTimeout = 5 * time.Second // without news of a round, after which the next one begins
+	maxRound     = 1 << 40         // rounds from here on are not believed
 )
 
 // probeRound is the round of probing that a member knows of. A round names one process of a group: the one with the
@@ -30,11 +30,11 @@
 // update takes over a later round that is published, and starts the next one if a round has timed out.
 func (r *probeRound) update(now time.Duration, unhealthy []*fleet.Member) {
 	for _, member := range unhealthy {
-		if published := member.Load.ProbeRound; published > r.number && published < maxProbeRound {
+		if published := member.Load.ProbeRound; published > r.number && published < maxRound {
 			r.start(now, published)
 		}
 	}
-	if now-r.since > probeRoundTimeout {
+	if now-r.since > roundTimeout {
 		r.start(now, r.number+1)
 	}
 }
--- a/internal/overload/probe_round_test.go
+++ b/internal/overload/probe_round_test.go
@@ -11,7 +11,7 @@
 
 // A member takes a later round that others publish, unless it is out of range, and starts the next one when nothing is
 // published about a round for too long.
-func TestProbeRounds(t *testing.T) {
+func TestRoundsOfProbing(t *testing.T) {
 	const own, published = 5, 7
 	for _, test := range []struct {
 		name      string
@@ -21,10 +21,10 @@
 	}{
 		{"earlier", own - 1, 0, own},
 		{"later", published, 0, published},
-		{"the last in range", maxProbeRound - 1, 0, maxProbeRound - 1},
-		{"out of range", maxProbeRound, 0, own},
-		{"not timed out", 0, probeRoundTimeout, own},
-		{"timed out", 0, probeRoundTimeout + 1, own + 1},
+		{"the last in range", maxRound - 1, 0, maxRound - 1},
+		{"out of range", maxRound, 0, own},
+		{"not timed out", 0, roundTimeout, own},
+		{"timed out", 0, roundTimeout + 1, own + 1},
 	} {
 		round := probeRound{number: own}
 		member := fleet.Member{Record: &fleet.Record{Load: fleet.Load{ProbeRound: test.published}}}
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -9,7 +9,7 @@
 const (
 	failureThreshold       = 6                // consecutive failures until a store counts as unresponsive
 	warnedFailureThreshold = 1                // the same while a quorum of other members finds it unresponsive
-	probeTurnDuration      = 2 * time.Second  // for which a member probes
+	turnDuration           = 2 * time.Second  // for which a member probes
 	recoveringDuration     = 30 * time.Second // for which a member publishes that its store has recovered
 )
 
@@ -77,11 +77,11 @@
 // is the time of the view. Another storeID, after a reload of the settings, starts afresh.
 func (p *ProbeCoordinator) Tick(
 	now time.Duration, storeID uint32, view *fleet.Snapshot, at time.Duration,
-) ProbeAllowance {
+) CallAllowance {
 	if storeID != p.storeID {
 		*p = ProbeCoordinator{run: p.run, zone: p.zone, storeID: storeID}
 	}
-	group := probeGroupOf(view, at, p.zone, storeID)
+	group := storeGroupOf(view, at, p.zone, storeID)
 	if p.state.unhealthy() {
 		return p.tickUnhealthy(now, &group)
 	}
@@ -89,12 +89,12 @@
 }
 
 // tickHealthy is the tick of a member whose calls succeed, or that makes none.
-func (p *ProbeCoordinator) tickHealthy(now time.Duration, group *probeGroup) ProbeAllowance {
+func (p *ProbeCoordinator) tickHealthy(now time.Duration, group *storeGroup) CallAllowance {
 	p.unhealthyMembers = len(group.unhealthy)
-	allowance := ProbeUnlimited
+	allowance := AllowUnlimited
 	threshold := failureThreshold
 	if p.state == StoreHealthy && group.hasQuorum(len(group.unhealthy)) {
-		allowance = ProbeCautious
+		allowance = AllowCautious
 		threshold = warnedFailureThreshold
 	}
 	switch {
@@ -108,20 +108,20 @@
 }
 
 // tickUnhealthy is the tick of a member whose calls fail.
-func (p *ProbeCoordinator) tickUnhealthy(now time.Duration, group *probeGroup) ProbeAllowance {
+func (p *ProbeCoordinator) tickUnhealthy(now time.Duration, group *storeGroup) CallAllowance {
 	p.unhealthyMembers = len(group.unhealthy) + 1
 	if p.calls.successes > 0 {
 		p.setState(now, StoreRecovering)
-		return ProbeUnlimited
+		return AllowUnlimited
 	}
 	if !group.hasQuorum(p.unhealthyMembers) {
 		p.setState(now, StoreUnresponsive)
-		return ProbeUnlimited
+		return AllowUnlimited
 	}
 	if p.takeTurn(now, group.unhealthy) || group.verifies(p.run) {
-		return ProbeSingle
+		return AllowSingle
 	}
-	return ProbeNone
+	return AllowNone
 }
 
 // takeTurn reports whether it is this member's turn to probe, and begins or ends the turn. A member that ends its turn
@@ -134,7 +134,7 @@
 		return false
 	case p.state != StoreProbing:
 		p.setState(now, StoreProbing)
-	case now-p.stateSince > probeTurnDuration:
+	case now-p.stateSince > turnDuration:
 		p.setState(now, StoreUnresponsive)
 		p.round.start(now, p.round.number+1)
 		return false
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -11,18 +11,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// probeSimulation is a group of members with one store that dies and comes back. The members' updates are late and
+// coordinatorSimulation is a group of members with one store that dies and comes back. The members' updates are late and
 // sometimes lost.
-type probeSimulation struct {
+type coordinatorSimulation struct {
 	random       *rand.Rand
 	now          time.Duration
 	coordinators []*ProbeCoordinator
-	allowances   []ProbeAllowance
+	allowances   []CallAllowance
 	alive        []bool
 	received     [][]fleet.Load // the last load that each member has received of each
 	updates      []loadUpdate   // in transit, by time of arrival
 	misreport    func(member int, load *fleet.Load)
-	calls        [][]probeCall // in flight, by member
+	calls        [][]trialCall // in flight, by member
 	inFlight     int
 	callCount    int
 }
@@ -33,16 +33,16 @@
 	load      fleet.Load
 }
 
-type probeCall struct {
+type trialCall struct {
 	endsAt time.Duration
 	ok     bool
 }
 
-func newProbeSimulation(members int, seed uint64) *probeSimulation {
-	simulation := &probeSimulation{
+func newCoordinatorSimulation(members int, seed uint64) *coordinatorSimulation {
+	simulation := &coordinatorSimulation{
 		random:     rand.New(rand.NewPCG(seed, 7)),
-		allowances: make([]ProbeAllowance, members),
-		calls:      make([][]probeCall, members),
+		allowances: make([]CallAllowance, members),
+		calls:      make([][]trialCall, members),
 	}
 	for member := range members {
 		simulation.coordinators = append(simulation.coordinators, NewProbeCoordinator(uint64(member+1), "z"))
@@ -54,7 +54,7 @@
 
 // run simulates a span of time in which the store answers or not. It returns the largest number of calls in flight, and
 // how many were made.
-func (s *probeSimulation) run(span time.Duration, storeAnswers bool) (maxInFlight, calls int) {
+func (s *coordinatorSimulation) run(span time.Duration, storeAnswers bool) (maxInFlight, calls int) {
 	const step = 250 * time.Millisecond
 	callsBefore := s.callCount
 	for end := s.now + span; s.now < end; s.now += step {
@@ -70,7 +70,7 @@
 }
 
 // receiveUpdates delivers the updates that have arrived. One that has been overtaken is dropped.
-func (s *probeSimulation) receiveUpdates() {
+func (s *coordinatorSimulation) receiveUpdates() {
 	for len(s.updates) > 0 && s.updates[0].arrivesAt <= s.now {
 		update := s.updates[0]
 		s.updates = s.updates[1:]
@@ -82,7 +82,7 @@
 }
 
 // step has a member end calls, tick, publish and make calls.
-func (s *probeSimulation) step(member int, storeAnswers bool) {
+func (s *coordinatorSimulation) step(member int, storeAnswers bool) {
 	coordinator := s.coordinators[member]
 	s.endCalls(member)
 	before := coordinator.State()
@@ -93,7 +93,7 @@
 	s.startCalls(member, storeAnswers)
 }
 
-func (s *probeSimulation) endCalls(member int) {
+func (s *coordinatorSimulation) endCalls(member int) {
 	unfinished := s.calls[member][:0]
 	for _, call := range s.calls[member] {
 		if call.endsAt > s.now {
@@ -107,11 +107,11 @@
 }
 
 // startCalls makes as many calls as a member with much to do may make.
-func (s *probeSimulation) startCalls(member int, storeAnswers bool) {
+func (s *coordinatorSimulation) startCalls(member int, storeAnswers bool) {
 	for len(s.calls[member]) < s.callLimit(member) {
-		call := probeCall{s.now + 2*time.Second, false}
+		call := trialCall{s.now + 2*time.Second, false}
 		if storeAnswers {
-			call = probeCall{s.now + 50*time.Millisecond, true}
+			call = trialCall{s.now + 50*time.Millisecond, true}
 		}
 		s.calls[member] = append(s.calls[member], call)
 		s.inFlight++
@@ -119,24 +119,24 @@
 	}
 }
 
-func (s *probeSimulation) callLimit(member int) int {
+func (s *coordinatorSimulation) callLimit(member int) int {
 	switch s.allowances[member] {
-	case ProbeUnlimited:
+	case AllowUnlimited:
 		if s.coordinators[member].State() == StoreUnresponsive {
 			return 1 // about what the member's breaker lets through
 		}
 		return 4
-	case ProbeCautious:
+	case AllowCautious:
 		return 4
-	case ProbeSingle:
+	case AllowSingle:
 		return 1
-	case ProbeNone:
+	case AllowNone:
 	}
 	return 0
 }
 
 // publish sends a member's load to all others, up to 1.5 s late, and one in twenty not at all.
-func (s *probeSimulation) publish(member int) {
+func (s *coordinatorSimulation) publish(member int) {
 	var load fleet.Load
 	s.coordinators[member].AddToLoad(&load)
 	if s.misreport != nil {
@@ -157,7 +157,7 @@
 }
 
 // view is the view of a member by the updates that it has received.
-func (s *probeSimulation) view(observer int) *fleet.Snapshot {
+func (s *coordinatorSimulation) view(observer int) *fleet.Snapshot {
 	view := &fleet.Snapshot{At: s.now}
 	for member, load := range s.received[observer] {
 		liveness := fleet.Alive
@@ -181,13 +181,13 @@
 }
 
 // kill ends a member's process; the store does not go on with its calls.
-func (s *probeSimulation) kill(member int) {
+func (s *coordinatorSimulation) kill(member int) {
 	s.alive[member] = false
 	s.inFlight -= len(s.calls[member])
 }
 
 // count returns how many living members find the store in a state.
-func (s *probeSimulation) count(state StoreState) (members int) {
+func (s *coordinatorSimulation) count(state StoreState) (members int) {
 	for member, coordinator := range s.coordinators {
 		if s.alive[member] && coordinator.State() == state {
 			members++
@@ -196,13 +196,15 @@
 	return members
 }
 
-func (s *probeSimulation) unhealthy() int { return s.count(StoreUnresponsive) + s.count(StoreProbing) }
+func (s *coordinatorSimulation) unhealthy() int {
+	return s.count(StoreUnresponsive) + s.count(StoreProbing)
+}
 
 // A dead store has a handful of calls in flight, whatever the number of members; the member whose turn it is may die;
 // and when the store is back all members come to use it again, some at a time.
 func TestDeadStoreProbedByTurns(t *testing.T) {
 	for _, members := range []int{3, 10, 50, 150} {
-		simulation := newProbeSimulation(members, uint64(members))
+		simulation := newCoordinatorSimulation(members, uint64(members))
 		simulation.run(5*time.Second, true)
 		require.Equal(t, members, simulation.count(StoreHealthy))
 		simulation.run(15*time.Second, false)
@@ -237,7 +239,7 @@
 		"rounds":     func(load *fleet.Load) { load.StoreState, load.ProbeRound = uint8(StoreUnresponsive), 1<<63 },
 		"failing":    func(load *fleet.Load) { load.StoreState = uint8(StoreUnresponsive) },
 	} {
-		simulation := newProbeSimulation(members, 4)
+		simulation := newCoordinatorSimulation(members, 4)
 		simulation.misreport = func(member int, load *fleet.Load) {
 			if member == misreporting {
 				misreport(load)
@@ -246,7 +248,7 @@
 		simulation.run(10*time.Second, true)
 		require.Equal(t, members, simulation.count(StoreHealthy), name)
 		for member := range members {
-			require.Equal(t, ProbeUnlimited, simulation.allowances[member], name)
+			require.Equal(t, AllowUnlimited, simulation.allowances[member], name)
 		}
 		simulation.run(15*time.Second, false)
 		maxInFlight, calls := simulation.run(30*time.Second, false)
--- a/internal/overload/quota_manager_test.go
+++ b/internal/overload/quota_manager_test.go
@@ -35,7 +35,7 @@
 	minLimit := Quota(1 << 40)
 	for now := from; now < to; now += interval {
 		f.publishLoads(now)
-		f.deliver(now, f.tick(now, busy))
+		f.transmit(now, f.tick(now, busy))
 		minLimit = min(minLimit, f.managers[0].Limit(now))
 	}
 	return minLimit
@@ -69,8 +69,8 @@
 	return messages
 }
 
-// deliver hands out messages, and the answers to them.
-func (f *quotaFleet) deliver(now time.Duration, messages []Message) {
+// transmit hands out messages, and the answers to them.
+func (f *quotaFleet) transmit(now time.Duration, messages []Message) {
 	for len(messages) > 0 {
 		message := messages[0]
 		messages = messages[1:]
--- a/internal/overload/recorded_run_test.go
+++ b/internal/overload/recorded_run_test.go
@@ -180,7 +180,7 @@
 	}
 	l.inTransit = append(l.inTransit, manager.Tick(l.Now, inFlight, l.view(len(l.managers)), l.Now)...)
 	for len(l.inTransit) > 0 && l.Random.IntN(3) > 0 {
-		l.deliver(inFlight)
+		l.transmit(inFlight)
 	}
 	if l.Random.IntN(2000) == 0 {
 		manager.SetBase(Quota(1000*(1+l.Random.IntN(3))), 400)
@@ -189,8 +189,8 @@
 		manager.MeanInFlight())
 }
 
-// deliver has a random message arrive, which may arrive once more later.
-func (l *leasingRun) deliver(inFlight int) {
+// transmit has a random message arrive, which may arrive once more later.
+func (l *leasingRun) transmit(inFlight int) {
 	at := l.Random.IntN(len(l.inTransit))
 	message := l.inTransit[at]
 	if l.Random.IntN(10) > 0 {
--- a/internal/overload/shedding_test.go
+++ b/internal/overload/shedding_test.go
@@ -20,7 +20,7 @@
 	loads     []fleet.Load // as published
 	misreport func(member int, load *fleet.Load)
 	admitted  []float64 // work of each server in the last step, in seconds a second
-	shed      []float64
+	rejected  []float64
 }
 
 func newSheddingSimulation(servers int, misreport func(member int, load *fleet.Load)) *sheddingSimulation {
@@ -40,7 +40,7 @@
 	const step = 500 * time.Millisecond
 	for now := step; now < span; now += step {
 		s.tick(now)
-		s.admitted, s.shed = make([]float64, len(s.shedders)), make([]float64, len(s.shedders))
+		s.admitted, s.rejected = make([]float64, len(s.shedders)), make([]float64, len(s.shedders))
 		for range int(requestRate * step.Seconds()) {
 			s.request(step)
 		}
@@ -62,7 +62,7 @@
 	member, work := s.random.IntN(len(s.shedders)), 0.02+0.1*s.random.ExpFloat64()
 	verdict := s.shedders[member].Classify(1+2*s.random.Float64(), work, s.random.Float64(), false)
 	if verdict == VerdictBelowThreshold {
-		s.shed[member] += work / step.Seconds()
+		s.rejected[member] += work / step.Seconds()
 	} else {
 		s.admitted[member] += work / step.Seconds()
 	}
@@ -140,7 +140,7 @@
 		inRange := admitted > test.minAdmitted && admitted < test.maxAdmitted
 		require.True(t, inRange, "%s: %.2f of the capacity is admitted", test.name, admitted)
 		if test.load < 1 && test.misreport == nil {
-			require.Zero(t, totalOf(simulation.shed), test.name)
+			require.Zero(t, totalOf(simulation.rejected), test.name)
 		}
 		first := simulation.shedders[0].State()
 		for _, shedder := range simulation.shedders {
--- a/internal/overload/probe_group.go
+++ b/internal/overload/store_group.go
@@ -12,17 +12,17 @@
 	verifiersPerRecovered  = 3  // members that verify the store for each one that has recovered
 )
 
-// probeGroup is what is known of the other members with the same store in the same zone, by their recent load.
-type probeGroup struct {
+// storeGroup is what is known of the other members with the same store in the same zone, by their recent load.
+type storeGroup struct {
 	size      int             // members, this one included
 	unhealthy []*fleet.Member // whose calls to the store fail
 	recovered int             // members that publish that the store has recovered
 }
 
-// probeGroupOf returns the group of a member in this zone with this store. At is the time on the view's clock.
-func probeGroupOf(view *fleet.Snapshot, at time.Duration, zone string, storeID uint32) probeGroup {
+// storeGroupOf returns the group of a member in this zone with this store. At is the time on the view's clock.
+func storeGroupOf(view *fleet.Snapshot, at time.Duration, zone string, storeID uint32) storeGroup {
 	maxAge := fleet.MaxFreshAge(len(view.Members))
-	group := probeGroup{size: 1}
+	group := storeGroup{size: 1}
 	for i := range view.Members {
 		member := &view.Members[i]
 		sameStore := member.Zone == zone && member.Load.StoreID == storeID
@@ -41,14 +41,14 @@
 }
 
 // quorum returns how many members must find the store unresponsive for the store to be the cause.
-func (g *probeGroup) quorum() int { return max(minUnhealthyMembers, g.size/unhealthyQuorumDivisor) }
+func (g *storeGroup) quorum() int { return max(minUnhealthyMembers, g.size/unhealthyQuorumDivisor) }
 
 // hasQuorum reports whether so many unhealthy members are enough for the store to be the cause.
-func (g *probeGroup) hasQuorum(unhealthy int) bool { return unhealthy >= g.quorum() }
+func (g *storeGroup) hasQuorum(unhealthy int) bool { return unhealthy >= g.quorum() }
 
 // verifies reports whether a process of the group is one of those that verify a recovery: the first by a hash, a fixed
 // number for each member that has recovered.
-func (g *probeGroup) verifies(run uint64) bool {
+func (g *storeGroup) verifies(run uint64) bool {
 	ownHash := mix(run)
 	rank := 0
 	for _, member := range g.unhealthy {
--- a/internal/overload/store_state.go
+++ b/internal/overload/store_state.go
@@ -20,34 +20,34 @@
 // unhealthy reports whether calls to the store fail.
 func (s StoreState) unhealthy() bool { return s == StoreUnresponsive || s == StoreProbing }
 
-// ProbeAllowance limits the calls that a member may make to probe its store.
-type ProbeAllowance uint8
+// CallAllowance limits the calls that a member may make to probe its store.
+type CallAllowance uint8
 
 // The allowances.
 const (
-	ProbeUnlimited ProbeAllowance = iota // as the member's own breaker allows
-	ProbeCautious                        // the same, but the first failure counts: other members have warned
-	ProbeSingle                          // one call at a time
-	ProbeNone
+	AllowUnlimited CallAllowance = iota // as the member's own breaker allows
+	AllowCautious                       // the same, but the first failure counts: other members have warned
+	AllowSingle                         // one call at a time
+	AllowNone
 )
 
-var probeAllowanceNames = [...]string{"unlimited", "cautious", "single", "none"}
+var callAllowanceNames = [...]string{"unlimited", "cautious", "single", "none"}
 
-func (a ProbeAllowance) String() string {
-	return probeAllowanceNames[min(int(a), len(probeAllowanceNames)-1)]
+func (a CallAllowance) String() string {
+	return callAllowanceNames[min(int(a), len(callAllowanceNames)-1)]
 }
 
 // ProtectedCalls returns the number of calls in each window of the circuit breaker that it never drops: what the
 // breaker is set to while the allowance is in force. A negative number has the breaker drop every call.
-func (a ProbeAllowance) ProtectedCalls() float64 {
+func (a CallAllowance) ProtectedCalls() float64 {
 	switch a {
-	case ProbeUnlimited:
+	case AllowUnlimited:
 		return admission.BreakerProtectedCalls
-	case ProbeCautious:
+	case AllowCautious:
 		return 0
-	case ProbeSingle:
+	case AllowSingle:
 		return 1
-	default: // ProbeNone
+	default: // AllowNone
 		return -1
 	}
 }
--- a/internal/overload/store_state_test.go
+++ b/internal/overload/store_state_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestProbeAllowanceString(t *testing.T) {
-	for allowance, want := range map[ProbeAllowance]string{
-		ProbeUnlimited: "unlimited",
-		ProbeCautious:  "cautious",
-		ProbeSingle:    "single",
-		ProbeNone:      "none",
+func TestCallAllowanceString(t *testing.T) {
+	for allowance, want := range map[CallAllowance]string{
+		AllowUnlimited: "unlimited",
+		AllowCautious:  "cautious",
+		AllowSingle:    "single",
+		AllowNone:      "none",
 	} {
 		require.Equal(t, want, allowance.String())
 	}
@@ -21,8 +21,8 @@
 
 // While an allowance is in force the breaker protects just the calls that it stands for.
 func TestProtectedCallsOfAllowances(t *testing.T) {
-	require.InDelta(t, admission.BreakerProtectedCalls, ProbeUnlimited.ProtectedCalls(), 0)
-	require.InDelta(t, 0, ProbeCautious.ProtectedCalls(), 0, "the first failure counts")
-	require.InDelta(t, 1, ProbeSingle.ProtectedCalls(), 0)
-	require.Negative(t, ProbeNone.ProtectedCalls(), "no call is made")
+	require.InDelta(t, admission.BreakerProtectedCalls, AllowUnlimited.ProtectedCalls(), 0)
+	require.InDelta(t, 0, AllowCautious.ProtectedCalls(), 0, "the first failure counts")
+	require.InDelta(t, 1, AllowSingle.ProtectedCalls(), 0)
+	require.Negative(t, AllowNone.ProtectedCalls(), "no call is made")
 }
--- a/internal/permit/modelcheck_test.go
+++ b/internal/permit/modelcheck_test.go
@@ -96,8 +96,8 @@
 	m.report(Recovered, i)
 }
 
-// deliver appends request k to the log. It stays in flight where it is to be delivered again.
-func (m *modelState) deliver(view FleetView, k int, stays bool) {
+// transmit appends request k to the log. It stays in flight where it is to be delivered again.
+func (m *modelState) transmit(view FleetView, k int, stays bool) {
 	delivered := m.inFlight[k]
 	if !stays {
 		m.inFlight = slices.Delete(m.inFlight, k, k+1)
@@ -160,7 +160,7 @@
 		for k, delivered := range current.inFlight {
 			for _, stays := range []bool{false, true} {
 				name := fmt.Sprintf("the ask of %s arrives, stays %v", modelNames[delivered.instance], stays)
-				next.add(name, func(m *modelState) { m.deliver(view, k, stays) })
+				next.add(name, func(m *modelState) { m.transmit(view, k, stays) })
 			}
 		}
 		return next.steps
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -54,8 +54,8 @@
 	return fixture
 }
 
-// submitKeyed sends an attempt with an idempotency key, and lets the controller decide on it.
-func (f *handoverFixture) submitKeyed(key string) *activeRequest {
+// submitWithKey sends an attempt with an idempotency key, and lets the controller decide on it.
+func (f *handoverFixture) submitWithKey(key string) *activeRequest {
 	f.lastCall++
 	id := string(rune('a' + f.lastCall))
 	f.Submit(f.recordingConnection, f.lastCall, attemptWithKey(f.Server, id, key))
@@ -86,7 +86,7 @@
 	digest := bodyDigest(&Attempt{})
 	windowEnd := fixture.clock.now + time.Minute
 
-	first, retry := fixture.submitKeyed("aa"), fixture.submitKeyed("aa")
+	first, retry := fixture.submitWithKey("aa"), fixture.submitWithKey("aa")
 	fixture.expect("claim")
 	require.False(t, first.running())
 	fixture.receive(handover.KeyGranted{IdempotencyKey: "aa"})
@@ -98,23 +98,23 @@
 	require.Equal(t, []any{Served, Served}, fixture.recorded)
 
 	// A key that the predecessor has: its result is the answer.
-	known := fixture.submitKeyed("bb")
+	known := fixture.submitWithKey("bb")
 	fixture.expect("claim")
 	fixture.receive(handover.KeyKnown{IdempotencyKey: "bb", Digest: digest, WindowEnd: windowEnd})
 	require.False(t, known.running())
 	require.Len(t, fixture.recorded, 2)
 	fixture.receive(handover.RunCompleted{IdempotencyKey: "bb", OK: true, Result: []byte("x")})
 	require.Equal(t, Served, fixture.recorded[2])
-	fixture.submitKeyed("bb") // no further claim
+	fixture.submitWithKey("bb") // no further claim
 	require.Equal(t, Served, fixture.recorded[3])
 
 	// A known key with another body.
 	fixture.receive(handover.KeyKnown{IdempotencyKey: "cc", Digest: digest + 1, WindowEnd: windowEnd})
-	fixture.submitKeyed("cc")
+	fixture.submitWithKey("cc")
 	require.Equal(t, Invalid, fixture.recorded[4])
 
 	// A claim without an answer in time: nothing is run, and a late grant is given back.
-	unanswered := fixture.submitKeyed("dd")
+	unanswered := fixture.submitWithKey("dd")
 	fixture.expect("claim")
 	fixture.clock.now += claimTimeout
 	fixture.deadlines.Sweep(fixture.clock.now)
@@ -125,14 +125,14 @@
 
 	// After the end of the predecessor its runs may have had their effect; what it did not know may run.
 	fixture.receive(handover.KeyKnown{IdempotencyKey: "ee", Digest: digest, WindowEnd: windowEnd})
-	fixture.submitKeyed("ee")
-	unknown := fixture.submitKeyed("ff")
+	fixture.submitWithKey("ee")
+	unknown := fixture.submitWithKey("ff")
 	fixture.expect("claim")
 	fixture.peerEnded(fixture.link)
 	fixture.step()
 	require.Equal(t, Failed, fixture.recorded[6])
 	require.True(t, unknown.running())
-	require.Nil(t, fixture.submitKeyed("ee"))
+	require.Nil(t, fixture.submitWithKey("ee"))
 	require.Equal(t, Failed, fixture.recorded[7])
 	require.EqualValues(t, 2, fixture.stats.Runs)
 }
@@ -140,7 +140,7 @@
 // The predecessor publishes all keys that it knows, grants those that it does not, and leaves these alone from then on.
 func TestPredecessorGrantsKeys(t *testing.T) {
 	fixture := newHandoverFixture(t)
-	completed, running := fixture.submitKeyed("aa"), fixture.submitKeyed("bb")
+	completed, running := fixture.submitWithKey("aa"), fixture.submitWithKey("bb")
 	fixture.completeRun(completed, admission.OutcomeOK, []byte("x"))
 	require.True(t, running.running())
 	fixture.successorJoined(fixture.link)
@@ -154,7 +154,7 @@
 	claim := handover.KeyClaim{IdempotencyKey: "cc", Digest: bodyDigest(&Attempt{}), ArrivedAt: fixture.clock.now}
 	fixture.receive(claim)
 	fixture.expect("grant")
-	granted := fixture.submitKeyed("cc")
+	granted := fixture.submitWithKey("cc")
 	require.False(t, granted.running())
 	fixture.receive(handover.RunCompleted{IdempotencyKey: "cc", OK: true})
 	require.Equal(t, []any{Served, Served}, fixture.recorded)
@@ -168,7 +168,7 @@
 	fixture.receive(claim)
 	fixture.expect("grant")
 	fixture.receive(handover.KeyReleased{IdempotencyKey: "dd"})
-	require.True(t, fixture.submitKeyed("dd").running())
+	require.True(t, fixture.submitWithKey("dd").running())
 	last := string(rune('a' + fixture.lastCall))
 	fixture.expect("known")
 
@@ -192,7 +192,7 @@
 func TestSharedDescriptors(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	fixture.config.Limits.FileDescriptors = 4 * (reservedConnections + 3) // 3 connections for each of two
-	busy := fixture.submitKeyed("aa").connection
+	busy := fixture.submitWithKey("aa").connection
 	var idle []*recordingConnection
 	for range 2*(reservedConnections+3) - reservedConnections - 1 {
 		conn := &recordingConnection{}
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -13,13 +13,13 @@
 // Coordinated probes: the members of a fleet take turns in probing a store that does not respond. Package overload
 // decides whose turn it is; here its allowance becomes what the controller's circuit breaker lets through.
 
-// probeInterval is how often the allowance is updated.
-const probeInterval = 250 * time.Millisecond
+// coordinationInterval is how often the allowance is updated.
+const coordinationInterval = 250 * time.Millisecond
 
 // storeProbes is the part of a fleet member that probes the store. The loop owns it.
 type storeProbes struct {
 	*overload.ProbeCoordinator
-	allowance overload.ProbeAllowance // as the controller knows it
+	allowance overload.CallAllowance // as the controller knows it
 }
 
 // EnableCoordinatedProbes has the members take turns in probing a store that does not respond. run is this process as the
@@ -67,7 +67,7 @@
 		})
 		s.publishStatus()
 	}
-	s.deadlines.Add(s.clock.now+probeInterval, s.tickProbes)
+	s.deadlines.Add(s.clock.now+coordinationInterval, s.tickProbes)
 }
 
 // storeStateLevel is the log level of a change to a state: a store that does not answer is to be looked at.
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -132,7 +132,7 @@
 	if quota := s.quota(); quota != nil && quota.known() {
 		limit = max(quota.limit.Calls(), minCallLimit)
 	}
-	if probes := s.probes(); probes != nil && probes.allowance == overload.ProbeSingle {
+	if probes := s.probes(); probes != nil && probes.allowance == overload.AllowSingle {
 		limit = min(limit, 1)
 	}
 	return limit
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -319,7 +319,7 @@
 // the successor.
 func TestPredecessorEndsDuringItsRun(t *testing.T) {
 	fixture := newHandoverFixture(t)
-	run := fixture.submitKeyed("aa")
+	run := fixture.submitWithKey("aa")
 	fixture.successorJoined(fixture.link)
 	fixture.expect("known")
 	fixture.expect("synced")
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -28,7 +28,7 @@
 	closeOnce sync.Once
 	closing   chan struct{} // closed by Close
 
-	closeConnOnce sync.Once
+	connCloser sync.Once
 }
 
 // New returns a Queue for conn that holds up to capacity messages.
@@ -117,7 +117,7 @@
 
 // closeConn closes the connection, or its write side where that is what the owner wants and the connection can do.
 func (q *Queue) closeConn() {
-	q.closeConnOnce.Do(func() {
+	q.connCloser.Do(func() {
 		if q.closeWriteOnly && closeWrite(q.conn) {
 			return
 		}
--- a/lab/model/probing.go
+++ b/lab/model/probing.go
@@ -9,35 +9,35 @@
 const modelStoreID = 7
 
 func (s *server) startProbes() {
-	s.probeAllowance = overload.ProbeUnlimited
+	s.callAllowance = overload.AllowUnlimited
 	if !s.sim.opts.CoordinatedProbes {
 		return
 	}
 	s.probes = overload.NewProbeCoordinator(s.processRun(), zoneName(s.zone))
-	s.every(probeInterval, s.updateProbes)
+	s.every(coordinationInterval, s.updateProbes)
 }
 
 // updateProbes applies the allowance of the probe coordinator, and publishes a change of the store's state.
 func (s *server) updateProbes() {
 	stateBefore := s.probes.State()
-	var allowance overload.ProbeAllowance
+	var allowance overload.CallAllowance
 	s.withSnapshot(func(snapshot *fleet.Snapshot) {
 		allowance = s.probes.Tick(s.sim.now, modelStoreID, snapshot, s.sim.now)
 	})
-	s.setProbeAllowance(allowance)
+	s.setCallAllowance(allowance)
 	if s.probes.State() != stateBefore {
 		s.publish()
 	}
 }
 
-func (s *server) setProbeAllowance(allowance overload.ProbeAllowance) {
-	if allowance == s.probeAllowance {
+func (s *server) setCallAllowance(allowance overload.CallAllowance) {
+	if allowance == s.callAllowance {
 		return
 	}
-	s.probeAllowance = allowance
+	s.callAllowance = allowance
 	s.controller.SetProtectedCalls(allowance.ProtectedCalls())
 	settings := s.sim.settings
-	if allowance == overload.ProbeSingle {
+	if allowance == overload.AllowSingle {
 		settings.MaxCallsInFlight = min(settings.MaxCallsInFlight, 1)
 	}
 	if err := s.controller.Reconfigure(settings); err != nil {
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -27,16 +27,16 @@
 
 // process is one process of a server, with its agent.
 type process struct {
-	controller     *admission.Controller
-	healthy        bool // as the controller reports it
-	pendingEvents  []admission.Event
-	stepScheduled  bool
-	actions        []admission.Action // reused from step to step
-	attempts       map[admission.RequestID]*attempt
-	cores          *agentCores
-	shedding       *shedding                  // nil where it is off
-	probes         *overload.ProbeCoordinator // nil where they are not coordinated
-	probeAllowance overload.ProbeAllowance    // in force at the controller
+	controller    *admission.Controller
+	healthy       bool // as the controller reports it
+	pendingEvents []admission.Event
+	stepScheduled bool
+	actions       []admission.Action // reused from step to step
+	attempts      map[admission.RequestID]*attempt
+	cores         *agentCores
+	shedding      *shedding                  // nil where it is off
+	probes        *overload.ProbeCoordinator // nil where they are not coordinated
+	callAllowance overload.CallAllowance     // in force at the controller
 }
 
 func newServer(sim *Simulation, number int) *server {
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -21,7 +21,7 @@
 	completionGrace      = 10 * time.Second // after the last arrival
 	sheddingInterval     = 500 * time.Millisecond
 	snapshotInterval     = sheddingInterval / 2
-	probeInterval        = 250 * time.Millisecond
+	coordinationInterval = 250 * time.Millisecond
 	publishInterval      = time.Second
 	simulationRandStream = 11
 	frontEndRandStream   = 100 // of the first front end
