--- a/lab/costs/parts.go
+++ b/lab/costs/parts.go
@@ -46,7 +46,7 @@
 		"falldeal/internal/msgpackrpc.(*message)", "falldeal/internal/msgpackrpc.(*fields)", "falldeal/internal/msgpackrpc.(*frame",
 		"falldeal/internal/msgpackrpc.readFields", "falldeal/internal/msgpackrpc.parse",
 		"falldeal/internal/msgpackrpc.append", "falldeal/internal/msgpackrpc.encode",
-		"falldeal/internal/agent.decode", "falldeal/internal/agent.encode", "falldeal/internal/agent.append",
+		"falldeal/internal/agent.decode", "falldeal/internal/agent.encode", "falldeal/internal/agent.append", "falldeal/internal/agent.beginCommand", "falldeal/internal/agent.endToken",
 		"falldeal/internal/store.readReply", "falldeal/internal/store.parse", "falldeal/internal/store.append",
 		"github.com/valyala/fastjson",
 	}},
