--- a/admission/admission.go
+++ b/admission/admission.go
@@ -20,12 +20,12 @@
 		return
 	}
 	if arrival.Class < 0 || arrival.Class >= len(c.settings.Classes) {
-		c.out.emit(Action{Kind: ActionReject, ID: id})
+		c.actions.emit(Action{Kind: ActionReject, ID: id})
 		return
 	}
 	request := newRequest(c.now, id, arrival, &c.settings.Classes[arrival.Class])
 	request.tenant = c.values.quotas.known(request.tenant)
-	request.work = c.estimator.workOf(request, arrival.CostHint)
+	request.work = c.estimator.recordHint(request.class, arrival.CostHint)
 	c.requests[id] = request
 	c.memory.take(request.memoryKB)
 	if !request.retry {
@@ -106,6 +106,6 @@
 func (c *Controller) reject(request *request, cause Reason) {
 	queueTime := c.queue.work / c.estimator.serviceRate()
 	rejection := c.advisor.reject(c.now, request, cause, queueTime)
-	c.out.emit(Action{Kind: ActionReject, ID: request.id, Rejection: rejection})
+	c.actions.emit(Action{Kind: ActionReject, ID: request.id, Rejection: rejection})
 	c.release(request)
 }
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -2,13 +2,16 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"testing"
 	"time"
 
 	"falldeal/admission/internal/rolling"
+
+	"github.com/stretchr/testify/require"
 )
 
-func TestDropRatioByHand(t *testing.T) {
+func TestDropProbabilityByHand(t *testing.T) {
 	for _, x := range []struct{ total, accepts, want float64 }{
 		{0, 0, 0}, {5, 0, 0}, {6, 0, 1.0 / 7}, {100, 100, 0}, {100, 60, 5.0 / 101}, {100, 0, 95.0 / 101}, {35, 10, 15.0 / 36},
 	} {
@@ -19,7 +22,7 @@
 }
 
 func TestBreakerRecoversAndIdleWindowForgets(t *testing.T) {
-	controller := start(t, testSettings())
+	controller := startController(t, testSettings())
 	for range 100 {
 		controller.calls.breaker.record(controller.now, OutcomeFailed)
 	}
@@ -45,7 +48,7 @@
 // probe, and the first calls on one that does, however long calls took before the store went away.
 func TestProtectedCallsFollowFleet(t *testing.T) {
 	calls := func(protect float64) (n int) {
-		controller := start(t, testSettings())
+		controller := startController(t, testSettings())
 		controller.calls.limiter.callTime, controller.calls.limiter.bestCallTime = rolling.AverageOf(0.03), 0.03
 		if protect > 0 {
 			controller.calls.limiter.callTime = rolling.AverageOf(1.9)
@@ -55,20 +58,20 @@
 		}
 		controller.SetProtectedCalls(protect)
 		for id := RequestID(1); id < 4; id++ {
-			controller.Step(controller.now+1, []Event{req(id, 3)}, nil)
-			as := controller.Step(controller.now+1, []Event{CallNeeded(id)}, nil)
-			if find(as, ActionCall, id) != nil {
+			controller.Step(controller.now+1, []Event{arrived(id, 3)}, nil)
+			actions := controller.Step(controller.now+1, []Event{CallNeeded(id)}, nil)
+			if findAction(actions, ActionCall, id) != nil {
 				n++
-			} else if find(as, ActionSkipCall, id) == nil {
+			} else if findAction(actions, ActionSkipCall, id) == nil {
 				t.Errorf("request %d neither calls nor goes on", id)
 			}
 		}
 		return n
 	}
-	c := start(t, testSettings())
-	c.SetProtectedCalls(-1)
-	if a := want(t, c.Step(0, []Event{req(1, 1)}, nil), ActionReject, 1); a.Rejection.Reason != ReasonDependency {
-		t.Errorf("a request that would fail at its call: %+v", *a)
+	controller := startController(t, testSettings())
+	controller.SetProtectedCalls(-1)
+	if action := requireAction(t, controller.Step(0, []Event{arrived(1, 1)}, nil), ActionReject, 1); action.Rejection.Reason != ReasonDependency {
+		t.Errorf("a request that would fail at its call: %+v", *action)
 	}
 	if n := calls(-1); n != 0 {
 		t.Errorf("%d calls by one whose turn it is not", n)
@@ -77,3 +80,53 @@
 		t.Errorf("%d calls of 3 within what is protected", n)
 	}
 }
+
+// The breaker's probability is that of its formula over a plain list of the calls in the window.
+func TestBreakerAgainstPlainList(t *testing.T) {
+	const bucket = breakerWindow / breakerBuckets
+	type call struct {
+		at time.Duration
+		ok bool
+	}
+	rng := rand.New(rand.NewPCG(2, 2))
+	breaker := newCircuitBreaker(0)
+	var calls []call
+	now := time.Duration(0)
+	for range 4000 {
+		now += time.Duration(rng.IntN(40)) * ms
+		ended := call{now, rng.IntN(3) > 0}
+		calls = append(calls, ended)
+		outcome := OutcomeFailed
+		if ended.ok {
+			outcome = OutcomeOK
+		}
+		breaker.record(now, outcome)
+		total, accepts := 0.0, 0.0
+		for _, earlier := range calls {
+			if int64(now/bucket)-int64(earlier.at/bucket) >= breakerBuckets {
+				continue
+			}
+			total++
+			if earlier.ok {
+				accepts++
+			}
+		}
+		want := math.Max(0, (total-BreakerProtectedCalls-1.5*accepts)/(total+1))
+		require.InDelta(t, want, breaker.dropProbability(now), 1e-12)
+	}
+}
+
+func TestBreakerCountsOnlyOKAsAccepted(t *testing.T) {
+	for outcome := OutcomeOK; outcome <= OutcomeNotStarted; outcome++ {
+		breaker := newCircuitBreaker(0)
+		for range 50 {
+			breaker.record(0, outcome)
+		}
+		require.Equal(t, outcome != OutcomeOK, breaker.dropProbability(0) > 0, outcome)
+	}
+	breaker := newCircuitBreaker(0)
+	require.False(t, breaker.mayNotProbe())
+	breaker.protectedCalls = -1
+	require.True(t, breaker.mayNotProbe())
+	require.Positive(t, breaker.dropProbability(0), "even the first call is dropped")
+}
