--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -141,7 +141,8 @@
 		if err != nil {
 			return err
 		}
-		byOne, byAll = append(byOne, first), append(byAll, all)
+		byOne = append(byOne, first)
+		byAll = append(byAll, all)
 	}
 	fmt.Fprintf(d.out, "%d kills: detected by the first member after %s; by all members after %s\n",
 		d.opts.detect, formatQuantiles(byOne), formatQuantiles(byAll))
--- a/cmd/falldeal-lab/fleet.go
+++ b/cmd/falldeal-lab/fleet.go
@@ -152,9 +152,11 @@
 // context ends; nil: nothing does.
 func runLoad(ctx context.Context, lab *fleetlab.Lab, opts *options, watch func(context.Context)) error {
 	workload := opts.workload
-	workload.Classes, workload.Seed = opts.lab.Classes, opts.lab.Seed
+	workload.Classes = opts.lab.Classes
+	workload.Seed = opts.lab.Seed
 	workload.RequestsPerSecond = opts.loadRatio * lab.Capacity()
-	workload.ReadRequest, workload.AttemptCompleted = lab.ReadRequest, lab.CompleteAttempt
+	workload.ReadRequest = lab.ReadRequest
+	workload.AttemptCompleted = lab.CompleteAttempt
 
 	running, stop := context.WithCancel(ctx)
 	defer stop()
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -113,7 +113,8 @@
 	if a.runs == nil {
 		a.runs = map[string]*run{}
 	}
-	a.conn, a.encoder = conn, json.NewEncoder(conn)
+	a.conn = conn
+	a.encoder = json.NewEncoder(conn)
 	a.send(notification{Name: notificationHandshake, Result: a.State, Elapsed: float64(a.Age.Milliseconds())})
 	for _, n := range a.backlog {
 		if n.Offset > offset {
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -121,7 +121,8 @@
 		locations[s.Locations[i].Name] = &s.Locations[i]
 	}
 	return func(from, to string) (rule Rule) {
-		sender, receiver := locations[from], locations[to]
+		sender := locations[from]
+		receiver := locations[to]
 		if sender == nil || receiver == nil {
 			return Rule{}
 		}
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -41,7 +41,8 @@
 		}
 		step := int(max(event.At-event.Latency, 0) / recoveryStep)
 		for len(values.offered) <= step {
-			values.offered, values.served = append(values.offered, 0), append(values.served, 0)
+			values.offered = append(values.offered, 0)
+			values.served = append(values.served, 0)
 		}
 		values.offered[step] += event.Value
 		values.served[step] += event.ValueServed
@@ -71,7 +72,8 @@
 		switch event := &events[i]; {
 		case event.Kind != FaultChanged:
 		case event.Count == 1 && name == "":
-			name, from = event.Detail, event.At
+			name = event.Detail
+			from = event.At
 		case event.Count == 0 && event.Detail == name:
 			return from, event.At, true
 		}
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -128,7 +128,8 @@
 // RejectionFairness returns Jain's fairness index of the ratios of attempts that the servers rejected: 1 where all
 // ratios are equal, and 1/n where one of n servers rejected alone.
 func RejectionFairness(events []Event) float64 {
-	sent, rejected := map[string]float64{}, map[string]float64{}
+	sent := map[string]float64{} // by server
+	rejected := map[string]float64{}
 	for i := range events {
 		switch event := &events[i]; {
 		case event.Kind == AttemptSent:
--- a/lab/history/stores.go
+++ b/lab/history/stores.go
@@ -15,7 +15,8 @@
 
 // SummarizeStores sums up the calls of a history, from the first to the last of them.
 func SummarizeStores(events []Event, bound int) (summary StoreSummary) {
-	inFlight, last := 0, time.Duration(0)
+	inFlight := 0
+	last := time.Duration(0)
 	var inFlightTime, overloadedTime, total time.Duration
 	for i := range events {
 		event := &events[i]
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -77,7 +77,8 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })() // so that waiting for an answer ends
 	writer := bufio.NewWriter(conn)
-	encoder, decoder := msgpack.NewEncoder(writer), msgpack.NewDecoder(bufio.NewReader(conn))
+	encoder := msgpack.NewEncoder(writer)
+	decoder := msgpack.NewDecoder(bufio.NewReader(conn))
 	for call := uint32(1); remaining.Add(-1) >= 0; call++ {
 		if err := conn.SetDeadline(time.Now().Add(p.Timeout + timeoutSlack)); err != nil {
 			return fmt.Errorf("client %d, call %d: set deadline: %w", client, call, err)
--- a/lab/memnet/host.go
+++ b/lab/memnet/host.go
@@ -84,7 +84,9 @@
 func (h *Host) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	network := h.network
 	network.mu.Lock()
-	forward, back, target := network.rule(h.addr, addr), network.rule(addr, h.addr), network.hosts[addr]
+	forward := network.rule(h.addr, addr)
+	back := network.rule(addr, h.addr)
+	target := network.hosts[addr]
 	network.mu.Unlock()
 	if forward.Partition || back.Partition || target == nil {
 		time.Sleep(timeout)
@@ -105,7 +107,8 @@
 		_ = localEnd.Close() // a pipe reports none
 		return nil, dialError(syscall.ECONNREFUSED)
 	}
-	h.conns[dialed], target.conns[accepted] = true, true
+	h.conns[dialed] = true
+	target.conns[accepted] = true
 	return dialed, nil
 }
 
--- a/lab/model/settings.go
+++ b/lab/model/settings.go
@@ -37,7 +37,8 @@
 		CallsDependency: class.Name != classWithoutCalls, IdempotencyWindow: defaultIdempotencyWindow,
 	}
 	if class.IdempotentByKey {
-		settings.Idempotency, settings.IdempotencyWindow = admission.IdempotentByKey, idempotencyWindowByKey
+		settings.Idempotency = admission.IdempotentByKey
+		settings.IdempotencyWindow = idempotencyWindowByKey
 	}
 	if class.DegradedValueRatio > 0 {
 		settings.DegradedValueRatio = class.DegradedValueRatio
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -43,7 +43,8 @@
 // classify adds the fleet's view of an attempt to its arrival at the controller.
 func (s *shedding) classify(now time.Duration, attempt *attempt, arrival *admission.Arrival) {
 	request := attempt.request
-	name, work := request.class.Name, request.work.Seconds()
+	name := request.class.Name
+	work := request.work.Seconds()
 	attempt.fingerprint = overload.Fingerprint(name, "", "", request.client, request.rank, work)
 	arrival.SinceFirstAttempt = s.ages.Age(now, name, attempt.deadline-attempt.arrivedAt)
 	knownRetry := s.retries.Arrived(now, attempt.fingerprint) || arrival.SinceFirstAttempt > 0
