--- a/lab/fleetlab/harness_test.go
+++ b/lab/fleetlab/harness_test.go
@@ -92,65 +92,6 @@
 	}
 }
 
-// requireViews waits until the views of all observers hold what is wanted: NAME=CONDITION, "zone NAME"=lit or =dark,
-// or position=POSITION.
-func (l *Lab) requireViews(t *testing.T, observers []string, want ...string) {
-	t.Helper()
-	deadline := time.Now().Add(waitTimeout)
-	for {
-		mismatch := l.mismatch(t.Context(), observers, want)
-		if mismatch == "" {
-			return
-		}
-		if time.Now().After(deadline) {
-			require.FailNow(t, mismatch)
-		}
-		time.Sleep(100 * time.Millisecond)
-	}
-}
-
-// mismatch says how the view of one of the observers differs from what is wanted; empty if none does.
-func (l *Lab) mismatch(ctx context.Context, observers, want []string) string {
-	for _, name := range observers {
-		observed, err := l.FindMember(name).observe(ctx)
-		if err != nil {
-			return fmt.Sprintf("%s: %v", name, err)
-		}
-		for _, w := range want {
-			about, condition, _ := strings.Cut(w, "=")
-			if observed[about] != condition {
-				return fmt.Sprintf("%s says that %s is %q, want %q", name, about, observed[about], condition)
-			}
-		}
-	}
-	return ""
-}
-
-// observe returns the conditions in the member's view.
-func (m *Member) observe(ctx context.Context) (observed map[string]string, err error) {
-	report, err := m.FleetReport(ctx)
-	if err != nil {
-		return nil, err
-	}
-	observed = map[string]string{"position": report.Position}
-	for _, member := range report.Members {
-		observed[member.Name] = member.Condition
-	}
-	for _, zone := range report.Zones {
-		observed["zone "+zone.Zone] = map[bool]string{true: "dark", false: "lit"}[zone.MostlyUnreachable]
-	}
-	return observed, nil
-}
-
-// position returns that of the member's view; empty if the process does not answer.
-func (m *Member) position(ctx context.Context) string {
-	report, err := m.FleetReport(ctx)
-	if err != nil {
-		return ""
-	}
-	return report.Position
-}
-
 // memberNames returns the names of the first n members.
 func memberNames(n int) (names []string) {
 	for i := range n {
@@ -164,20 +105,6 @@
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == name })
 }
 
-// serving returns that members are serving, as requireViews takes it.
-func serving(names ...string) (want []string) {
-	for _, name := range names {
-		want = append(want, name+"=serving")
-	}
-	return want
-}
-
-// requireWhole waits until all observers see all of each other serving.
-func (l *Lab) requireWhole(t *testing.T, observers []string) {
-	t.Helper()
-	l.requireViews(t, observers, append(serving(observers...), "position=whole")...)
-}
-
 // generateLoad has front ends send requests at a rate (per second) and watches the views, until the returned function is
 // called, which may be called again.
 func (l *Lab) generateLoad(frontEnds int, rate float64, policies ...clients.Policy) (stop func()) {
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -124,7 +124,8 @@
 
 // addMember adds member i, with its addresses and files.
 func (l *Lab) addMember(ctx context.Context, i int) error {
-	zone, host := i%len(l.options.Zones), 1+i/len(l.options.Zones)
+	zone := i % len(l.options.Zones)
+	host := 1 + i/len(l.options.Zones)
 	added := &Member{
 		Name:             "n" + strconv.Itoa(i),
 		Zone:             l.options.Zones[zone],
--- a/lab/fleetlab/membership_test.go
+++ b/lab/fleetlab/membership_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -25,7 +26,7 @@
 func TestZonePartitionAndLostProcesses(t *testing.T) {
 	lab := startLab(t, func(*Options) {})
 	all := memberNames(6)
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 
 	stopLoad := lab.generateLoad(3, 60,
 		clients.Policy{MaxAttempts: 3}, clients.Policy{RouteByKey: true, MaxAttempts: 3, HonorRetryAfter: true})
@@ -33,27 +34,31 @@
 
 	majority, isolated := []string{"n0", "n1", "n3", "n4"}, []string{"n2", "n5"}
 	heal := lab.inject(t, faults.Fault{Kind: faults.KindPartition, Target: "zone:mechelen", Peer: "*"})
-	lab.requireViews(t, majority,
-		append(serving(majority...), "n2=cut off", "n5=cut off", "zone mechelen=dark", "position=torn")...)
-	lab.requireViews(t, isolated, append(serving(isolated...), "n0=cut off", "n4=cut off", "position=cut off")...)
+	lab.requireViews(t, majority, slices.Concat(serving(majority...), unreachable(isolated...),
+		[]expectation{zone("mechelen", zoneUnreachable), position(fleet.PartiallyConnected)})...)
+	lab.requireViews(t, isolated, slices.Concat(serving(isolated...), unreachable("n0", "n4"),
+		[]expectation{position(fleet.Partitioned)})...)
 
 	lab.FindMember("n4").Kill()
-	lab.requireViews(t, without(majority, "n4"), "n4=dead", "n2=cut off", "n0=serving")
-	lab.requireViews(t, isolated, "n4=cut off") // behind the partition the death can't be known
+	n4Failed := member("n4", history.ConditionFailed)
+	lab.requireViews(t, without(majority, "n4"), n4Failed, member("n2", history.ConditionUnreachable),
+		member("n0", history.ConditionServing))
+	lab.requireViews(t, isolated, unreachable("n4")...) // the failure can't be seen through the partition
 
 	heal()
 	live := without(all, "n4")
-	lab.requireViews(t, live, append(serving(live...), "n4=dead", "zone mechelen=lit", "position=torn")...)
+	lab.requireViews(t, live, append(serving(live...), n4Failed,
+		zone("mechelen", zoneReachable), position(fleet.PartiallyConnected))...)
 
 	resume := lab.inject(t, faults.Fault{Kind: faults.KindPause, Target: "n1", Duration: time.Hour})
-	lab.requireViews(t, without(live, "n1"), "n1=wedged", "n4=dead")
+	lab.requireViews(t, without(live, "n1"), member("n1", history.ConditionStalled), n4Failed)
 	resume()
-	lab.requireViews(t, live, append(serving(live...), "n4=dead")...)
+	lab.requireViews(t, live, append(serving(live...), n4Failed)...)
 
 	require.NoError(t, lab.FindMember("n4").Start(t.Context()))
-	seesWhole := func() bool { return lab.FindMember("n0").position(t.Context()) == "whole" }
-	require.Eventually(t, seesWhole, waitTimeout, time.Second/10)
-	lab.requireViews(t, all, "position=whole")
+	isFullyConnected := func() bool { return lab.FindMember("n0").isInPosition(t.Context(), fleet.FullyConnected) }
+	require.Eventually(t, isFullyConnected, waitTimeout, time.Second/10)
+	lab.requireViews(t, all, position(fleet.FullyConnected))
 
 	stopLoad()
 	lab.requireNoViolations(t)
@@ -65,16 +70,16 @@
 func TestStalledLoopAndClockSkew(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 5, []string{"z0", "z1"} })
 	all := memberNames(5)
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 	lab.inject(t, faults.Fault{Kind: faults.KindStall, Target: "n3"})
-	lab.requireViews(t, without(all, "n3"), "n3=wedged", "position=torn")
-	lab.requireWhole(t, all)
+	lab.requireViews(t, without(all, "n3"), member("n3", history.ConditionStalled), position(fleet.PartiallyConnected))
+	lab.requireFullyConnected(t, all)
 	endAhead := lab.inject(t, faults.Fault{Kind: faults.KindClockSkew, Target: "n1", Delay: time.Hour})
 	endBehind := lab.inject(t, faults.Fault{Kind: faults.KindClockSkew, Target: "n2", Delay: -time.Hour})
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 	endAhead() // the next incarnation is an hour behind what the others know by its name
 	endBehind()
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 	lab.requireNoViolations(t)
 }
 
@@ -83,9 +88,9 @@
 func TestForeignTrafficAndKeyRotation(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 3, []string{"z0"} })
 	all := memberNames(3)
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 	sendForeignTraffic(t, lab.Members[0])
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 
 	first, second := lab.Key(), strings.Repeat("5a", 32)
 	for _, keys := range [][]string{{first, second}, {second, first}, {second}} {
@@ -93,18 +98,18 @@
 			require.NoError(t, m.WriteOperatorsFile(keys...))
 			m.Signal(syscall.SIGHUP)
 		}
-		lab.requireWhole(t, all)
+		lab.requireFullyConnected(t, all)
 	}
 
 	last := lab.Members[2]
 	require.NoError(t, last.WriteOperatorsFile(first)) // which the others have forgotten
 	last.Kill()
 	require.NoError(t, last.Start(t.Context()))
-	require.Eventually(t, func() bool { return last.position(t.Context()) == "alone" }, waitTimeout, time.Second/10)
+	require.Eventually(t, func() bool { return last.isInPosition(t.Context(), fleet.Alone) }, waitTimeout, time.Second/10)
 	lab.requireViews(t, all[:2], serving("n0", "n1")...)
 	require.NoError(t, last.WriteOperatorsFile(second))
 	last.Signal(syscall.SIGHUP)
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 }
 
 // sendForeignTraffic sends what is no message to a member, until the member has counted some of it.
@@ -132,16 +137,16 @@
 func TestGracefulLeaveAndInvalidOperatorsFiles(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 3, []string{"z0"} })
 	all := memberNames(3)
-	lab.requireViews(t, all, "position=whole")
+	lab.requireViews(t, all, position(fleet.FullyConnected))
 	leaving := lab.Members[1]
 	response, err := leaving.callConsole(t.Context(), http.MethodPost, "/drain")
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	lab.requireViews(t, all, "n1=draining")
+	lab.requireViews(t, all, member("n1", history.ConditionDraining))
 	leaving.Signal(syscall.SIGTERM)
 	leaving.Wait()
 	require.False(t, leaving.Running())
-	lab.requireViews(t, without(all, "n1"), "n1=left", "position=whole")
+	lab.requireViews(t, without(all, "n1"), member("n1", history.ConditionLeft), position(fleet.FullyConnected))
 
 	output := lab.runProgram(t, "fleet", "status", "--check", "--console", lab.Members[0].ConsoleAddr)
 	require.Contains(t, output, "fleet as seen by n0: fully connected")
--- a/lab/fleetlab/overload_test.go
+++ b/lab/fleetlab/overload_test.go
@@ -25,7 +25,7 @@
 		o.Shedding, o.QuotaLeasing, o.CoordinatedProbes = true, true, true
 	})
 	all := memberNames(5)
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 	stopLoad := lab.generateLoad(4, 1.6*lab.Capacity(),
 		clients.Policy{HonorRetryAfter: true}, clients.Policy{RouteByKey: true})
 	defer stopLoad()
@@ -35,7 +35,7 @@
 	lab.FindMember("n4").Kill()
 	require.False(t, lab.FindMember("n4").Running())
 	resume := lab.inject(t, faults.Fault{Kind: faults.KindPause, Target: "n3", Duration: time.Hour})
-	lab.requireViews(t, all[:3], "n3=wedged", "n4=dead")
+	lab.requireViews(t, all[:3], member("n3", history.ConditionStalled), member("n4", history.ConditionFailed))
 	lab.requireThresholds(t, all[:3], shedding)
 	resume()
 	lab.requireThresholds(t, all[:4], shedding)
@@ -71,7 +71,7 @@
 func TestUnresponsiveStoresAreProbedByOneServer(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.CoordinatedProbes, o.Slots = true, 24 })
 	all := memberNames(6)
-	lab.requireWhole(t, all)
+	lab.requireFullyConnected(t, all)
 	stopLoad := lab.generateLoad(3, 60, clients.Policy{MaxAttempts: 3, HonorRetryAfter: true})
 	defer stopLoad()
 	wait := func(reason string, condition func() bool) {
