--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -199,9 +199,9 @@
 	}
 	view := s.member.fleet.Snapshot()
 	s.log.WithFields(logrus.Fields{
-		"position": view.Position.String(),
-		"known":    view.Total.Known,
-		"reached":  view.Total.Reached(),
-		"silent":   view.Total.Count[fleet.Unreachable],
+		"position":    view.Position.String(),
+		"known":       view.Total.Known,
+		"reached":     view.Total.Reached(),
+		"unreachable": view.Total.Count[fleet.Unreachable],
 	}).Info("fleet membership")
 }
