--- a/internal/msgpackrpc/doc.go
+++ b/internal/msgpackrpc/doc.go
@@ -6,8 +6,8 @@
 // open on one connection.
 //
 // A frame is bounded (8 KiB, 128 values, 6 levels of nesting) and is checked while it arrives, before memory is taken
-// for it. A malformed frame (*FrameError) ends its connection after the answers to what was read before. A request
-// whose frame is sound but whose content is wrong (*FieldError) is answered with the reason, and the connection goes
+// for it. A malformed frame (*frameError) ends its connection after the answers to what was read before. A request
+// whose frame is sound but whose content is wrong (*fieldError) is answered with the reason, and the connection goes
 // on.
 //
 // Each connection has two goroutines: one reads and hands requests to the server, the other writes what is queued.
--- a/internal/msgpackrpc/errors.go
+++ b/internal/msgpackrpc/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// The causes that a FrameError wraps.
+// The causes that a frameError wraps.
 var (
 	errFrameTooLong  = errors.New("frame too long")
 	errFrameTooDeep  = errors.New("frame nested too deep")
@@ -17,59 +17,59 @@
 // errReadPaused ends a read of a connection that the server asked to pause, once all that had arrived was read.
 var errReadPaused = errors.New("reading paused")
 
-// FrameError reports input that is no message of the protocol. Nothing after it on its connection can be read.
-type FrameError struct {
-	Err error // the cause
+// frameError reports input that is no message of the protocol. Nothing after it on its connection can be read.
+type frameError struct {
+	cause error
 }
 
 // Error implements error.
-func (e *FrameError) Error() string { return e.Err.Error() }
+func (e *frameError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
-func (e *FrameError) Unwrap() error { return e.Err }
+func (e *frameError) Unwrap() error { return e.cause }
 
-func frameErrorf(format string, args ...any) error { return &FrameError{fmt.Errorf(format, args...)} }
+func frameErrorf(format string, args ...any) error { return &frameError{fmt.Errorf(format, args...)} }
 
-// RequestPart is the part of a request that a FieldError is about.
-type RequestPart uint8
+// requestPart is the part of a request that a fieldError is about.
+type requestPart uint8
 
 // The parts of a request.
 const (
-	PartMethod     RequestPart = iota
-	PartParameters             // the array of fields and body
-	PartFields                 // the map of all fields
-	PartField                  // one field
-	PartBody
+	partMethod     requestPart = iota
+	partParameters             // the array of fields and body
+	partFields                 // the map of all fields
+	partField                  // one field
+	partBody
 )
 
 // String returns the name of the part in error texts.
-func (p RequestPart) String() string {
+func (p requestPart) String() string {
 	switch p {
-	case PartMethod:
+	case partMethod:
 		return "method"
-	case PartParameters:
+	case partParameters:
 		return "parameters"
-	case PartFields:
+	case partFields:
 		return "fields"
-	case PartField:
+	case partField:
 		return "field"
-	case PartBody:
+	case partBody:
 		return "body"
 	}
 	return "unknown part"
 }
 
-// FieldError reports what is wrong with a request whose frame is sound. Its text is sent to the client.
-type FieldError struct {
-	Part    RequestPart
-	Field   string // the name of the field, where Part is PartField
-	Problem string // what was wanted, and for a field what came instead
+// fieldError reports what is wrong with a request whose frame is sound. Its text is sent to the client.
+type fieldError struct {
+	part    requestPart
+	field   string // the name of the field, where part is partField
+	problem string // what was wanted, and for a field what came instead
 }
 
 // Error implements error. Of a long name only the beginning is shown.
-func (e *FieldError) Error() string {
-	if e.Part == PartField {
-		return fmt.Sprintf("field %.40s: %s", e.Field, e.Problem)
+func (e *fieldError) Error() string {
+	if e.part == partField {
+		return fmt.Sprintf("field %.40s: %s", e.field, e.problem)
 	}
-	return e.Part.String() + ": " + e.Problem
+	return e.part.String() + ": " + e.problem
 }
--- a/internal/msgpackrpc/errors_test.go
+++ b/internal/msgpackrpc/errors_test.go
@@ -14,26 +14,26 @@
 	for _, test := range []struct {
 		name  string
 		frame string
-		want  FieldError
+		want  fieldError
 	}{
-		{"method", "\x94\x00\x07\xc0\x92\x80\xc4\x00", FieldError{Part: PartMethod, Problem: "want a string"}},
-		{"parameters", "\x94\x00\x07\xa1x\x91\x80", FieldError{Part: PartParameters, Problem: "want [FIELDS, BODY]"}},
-		{"fields", "\x94\x00\x07\xa1x\x92\x01\xc4\x00", FieldError{Part: PartFields, Problem: "want a map"}},
+		{"method", "\x94\x00\x07\xc0\x92\x80\xc4\x00", fieldError{part: partMethod, problem: "want a string"}},
+		{"parameters", "\x94\x00\x07\xa1x\x91\x80", fieldError{part: partParameters, problem: "want [FIELDS, BODY]"}},
+		{"fields", "\x94\x00\x07\xa1x\x92\x01\xc4\x00", fieldError{part: partFields, problem: "want a map"}},
 		{"field that is no string", "\x94\x00\x07\xa1x\x92\x81\xa2id\x01\xc4\x00",
-			FieldError{Part: PartField, Field: "id", Problem: "want a string"}},
+			fieldError{part: partField, field: "id", problem: "want a string"}},
 		{"wrong value", string(encodeRequest(7, "preview", wrongID, nil)),
-			FieldError{Part: PartField, Field: "id", Problem: `want 16 to 16 hex digits, got "x"`}},
+			fieldError{part: partField, field: "id", problem: `want 16 to 16 hex digits, got "x"`}},
 		{"body", string(encodeRequest(7, "preview", sampleFields(), make([]byte, maxBody+1))),
-			FieldError{Part: PartBody, Problem: "want up to 2048 bytes of type bin"}},
+			fieldError{part: partBody, problem: "want up to 2048 bytes of type bin"}},
 	} {
 		_, err := parseRequest(mustParse(t, []byte(test.frame)), &methodCache{})
-		var fieldError *FieldError
+		var fieldError *fieldError
 		require.ErrorAs(t, err, &fieldError, test.name)
 		require.Equal(t, test.want, *fieldError, test.name)
 	}
 }
 
-// A malformed frame is a FrameError with its cause, and no FieldError.
+// A malformed frame is a frameError with its cause, and no fieldError.
 func TestMalformedFrameIsAFrameError(t *testing.T) {
 	for sent, cause := range map[string]error{
 		"\xc1":                                  errInvalidFormat,
@@ -52,10 +52,10 @@
 		if err == nil {
 			_, err = parseMessage(frame)
 		}
-		var frameError *FrameError
+		var frameError *frameError
 		require.ErrorAs(t, err, &frameError, "%q", sent)
 		require.ErrorIs(t, err, cause, "%q", sent)
-		var fieldError *FieldError
+		var fieldError *fieldError
 		require.NotErrorAs(t, err, &fieldError, "%q", sent)
 	}
 }
@@ -63,9 +63,9 @@
 // Each part has a name of its own in error texts.
 func TestRequestPartNames(t *testing.T) {
 	names := map[string]bool{}
-	for part := PartMethod; part <= PartBody; part++ {
+	for part := partMethod; part <= partBody; part++ {
 		names[part.String()] = true
 	}
-	require.Len(t, names, int(PartBody)+1)
-	require.NotContains(t, names, (PartBody + 1).String())
+	require.Len(t, names, int(partBody)+1)
+	require.NotContains(t, names, (partBody + 1).String())
 }
--- a/internal/msgpackrpc/fields.go
+++ b/internal/msgpackrpc/fields.go
@@ -56,14 +56,14 @@
 func readFields(params *cursor) (f fields) {
 	header := params.header()
 	if header.kind != valueMap {
-		f.err = &FieldError{Part: PartFields, Problem: "want a map"}
+		f.err = &fieldError{part: partFields, problem: "want a map"}
 		return f
 	}
 	for range header.length {
 		name, nameOK := params.bytes(valueString)
 		value, valueOK := params.bytes(valueString)
 		if !nameOK || !valueOK {
-			f.err = &FieldError{Part: PartField, Field: string(name), Problem: "want a string"}
+			f.err = &fieldError{part: partField, field: string(name), problem: "want a string"}
 			return f
 		}
 		f.set(name, value)
@@ -88,7 +88,7 @@
 func (f *fields) fail(id field, want string) {
 	if f.err == nil {
 		problem := fmt.Sprintf("want %s, got %.40q", want, f.values[id])
-		f.err = &FieldError{Part: PartField, Field: id.String(), Problem: problem}
+		f.err = &fieldError{part: partField, field: id.String(), problem: problem}
 	}
 }
 
--- a/internal/msgpackrpc/frame.go
+++ b/internal/msgpackrpc/frame.go
@@ -46,11 +46,11 @@
 func (s *scanner) checkBounds(end, elements int) error {
 	switch {
 	case end+elements > maxFrame:
-		return &FrameError{errFrameTooLong}
+		return &frameError{errFrameTooLong}
 	case s.values+1+elements > maxValues:
-		return &FrameError{errTooManyValues}
+		return &frameError{errTooManyValues}
 	case elements > 0 && s.depth == maxDepth:
-		return &FrameError{errFrameTooDeep}
+		return &frameError{errFrameTooDeep}
 	}
 	return nil
 }
--- a/internal/msgpackrpc/golden_reasons_test.go
+++ b/internal/msgpackrpc/golden_reasons_test.go
@@ -68,6 +68,6 @@
 	for _, ordinary := range []error{io.EOF, net.ErrClosed, errReadPaused} {
 		listener.logReadError(local, ordinary)
 	}
-	listener.logReadError(local, &FrameError{errFrameTooLong})
+	listener.logReadError(local, &frameError{errFrameTooLong})
 	golden.RequireText(t, "log", lines.String())
 }
--- a/internal/msgpackrpc/header.go
+++ b/internal/msgpackrpc/header.go
@@ -50,7 +50,7 @@
 }
 
 // parseHeader reads the header of the value at the start of b; ok is false while b does not hold all of it. Its errors are
-// FrameErrors.
+// frameErrors.
 func parseHeader(b []byte) (header valueHeader, ok bool, err error) {
 	if len(b) == 0 {
 		return header, false, nil
@@ -155,7 +155,7 @@
 	{formatMap16, formatMap32, 2, valueMap},
 }
 
-// parseSizedHeader reads the header of a value whose length follows its format. Its errors are FrameErrors.
+// parseSizedHeader reads the header of a value whose length follows its format. Its errors are frameErrors.
 func parseSizedHeader(b []byte) (header valueHeader, ok bool, err error) {
 	for _, formats := range sizedFormats {
 		if b[0] < formats.first || b[0] > formats.last {
@@ -169,7 +169,7 @@
 		}
 		length := bigEndianUint(b[1:], width)
 		if length > maxFrame {
-			return header, false, &FrameError{errFrameTooLong}
+			return header, false, &frameError{errFrameTooLong}
 		}
 		header.length = int(length)
 		if formats.kind == valueExtension {
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -47,7 +47,7 @@
 	paramCount int
 }
 
-// parseMessage takes a frame apart. Its errors are FrameErrors; what is only wrong about a request is found later, so
+// parseMessage takes a frame apart. Its errors are frameErrors; what is only wrong about a request is found later, so
 // that it can be answered.
 func parseMessage(frame []byte) (message, error) {
 	msg := message{paramCount: noParams}
@@ -78,7 +78,7 @@
 	return notificationParts
 }
 
-// readKind reads the kind of a message, and the call of a request. Its errors are FrameErrors.
+// readKind reads the kind of a message, and the call of a request. Its errors are frameErrors.
 func (m *message) readKind(parts *cursor) error {
 	kind, ok := parts.uint32()
 	switch {
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -40,14 +40,14 @@
 	return name
 }
 
-// parseRequest reads a request; its errors are FieldErrors. Nothing in the attempt refers to the frame.
+// parseRequest reads a request; its errors are fieldErrors. Nothing in the attempt refers to the frame.
 func parseRequest(msg message, methods *methodCache) (server.Attempt, error) {
 	attempt := server.Attempt{Class: methods.intern(msg.method)}
 	switch {
 	case attempt.Class == "":
-		return attempt, &FieldError{Part: PartMethod, Problem: "want a string"}
+		return attempt, &fieldError{part: partMethod, problem: "want a string"}
 	case msg.paramCount != 2:
-		return attempt, &FieldError{Part: PartParameters, Problem: "want [FIELDS, BODY]"}
+		return attempt, &fieldError{part: partParameters, problem: "want [FIELDS, BODY]"}
 	}
 	params := readFields(&msg.params)
 	if params.err != nil {
@@ -60,7 +60,7 @@
 	body, ok := msg.params.bytes(valueBinary)
 	if !ok || len(body) > maxBody {
 		problem := fmt.Sprintf("want up to %d bytes of type bin", maxBody)
-		return attempt, &FieldError{Part: PartBody, Problem: problem}
+		return attempt, &fieldError{part: partBody, problem: problem}
 	}
 	attempt.Body = append(make([]byte, 0, len(body)), body...)
 	return attempt, nil
@@ -88,10 +88,10 @@
 	attempt.Subject = f.text(fieldSubject, maxKeyLength)
 }
 
-// parseHealthCheck reads a health check, and whether it is a deep one; its errors are FieldErrors.
+// parseHealthCheck reads a health check, and whether it is a deep one; its errors are fieldErrors.
 func parseHealthCheck(msg message) (deep bool, err error) {
 	if msg.paramCount != 1 {
-		return false, &FieldError{Part: PartParameters, Problem: "want [FIELDS]"}
+		return false, &fieldError{part: partParameters, problem: "want [FIELDS]"}
 	}
 	params := readFields(&msg.params)
 	return params.isTrue(fieldDeep), params.err
