--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -126,7 +126,7 @@
 	return s.drained() || s.clock.now >= s.drain.stopAt
 }
 
-// drained reports whether all front ends have gone. A successor waits also for the results of runs under idempotency
+// drained reports whether all front ends have gone. A replaced process waits also for the results of runs under idempotency
 // keys, to answer their retries.
 func (s *Server) drained() bool {
 	if s.drain.phase != drainListenersClosed || s.listeners.serving != 0 || !s.connections.empty() {
