--- a/internal/msgpackrpc/response.go
+++ b/internal/msgpackrpc/response.go
@@ -32,9 +32,13 @@
 	b = appendUint(b, call)
 	switch answer.Kind {
 	case server.Served:
-		return appendResult(b, appendBinary, answer.Body)
+		b = appendResultHead(b)
+		b = appendBinary(b, answer.Body)
+		return appendResultEnd(b)
 	case server.Healthy, server.Unhealthy:
-		return appendResult(b, appendBool, answer.Kind == server.Healthy)
+		b = appendResultHead(b)
+		b = appendBool(b, answer.Kind == server.Healthy)
+		return appendResultEnd(b)
 	case server.Rejected:
 		b = appendRejection(b, answer)
 	case server.Invalid:
@@ -46,14 +50,15 @@
 	return appendNil(b) // in place of a result
 }
 
-// appendResult appends that there is no error, and the result: the value and an empty map.
-func appendResult[V any](b []byte, appendValue func([]byte, V) []byte, value V) []byte {
+// appendResultHead appends that there is no error, and the result up to its value; appendResultEnd follows the value.
+func appendResultHead(b []byte) []byte {
 	b = appendNil(b)
-	b = appendArray(b, 2)
-	b = appendValue(b, value)
-	return appendMap(b, 0)
+	return appendArray(b, 2)
 }
 
+// appendResultEnd appends what follows the value of a result: an empty map.
+func appendResultEnd(b []byte) []byte { return appendMap(b, 0) }
+
 // appendError appends an error up to its details, of which that many follow.
 func appendError(b []byte, code string, details int) []byte {
 	b = appendArray(b, 2)
