--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/base64"
-	"slices"
 	"strconv"
 
 	"falldeal/internal/jsonlines"
@@ -149,39 +148,3 @@
 func appendTokenName(b []byte) []byte { return append(b, `","`+fieldToken+`":"`...) }
 
 func endToken(b []byte) []byte { return append(b, `"`+endOfObject...) }
-
-// command is a line to the agent that is sent again after a break, until the agent is known to have read it.
-type command struct {
-	sequence      int64
-	requestID     string // whose notifications prove that it was read
-	line          []byte
-	nonIdempotent bool // may do harm where the agent reads it twice
-}
-
-// commandLog holds the commands that the agent is not known to have read, in order of sending.
-type commandLog []command
-
-func (c *commandLog) add(added command) { *c = append(*c, added) }
-
-// acknowledge removes the commands sent before sequence: the agent reads them in order.
-func (c *commandLog) acknowledge(sequence int64) {
-	*c = slices.DeleteFunc(*c, func(sent command) bool { return sent.sequence < sequence })
-}
-
-// removeRequest removes the commands about one request.
-func (c *commandLog) removeRequest(requestID string) {
-	*c = slices.DeleteFunc(*c, func(sent command) bool { return sent.requestID == requestID })
-}
-
-func (c *commandLog) hasNonIdempotent() bool {
-	return slices.ContainsFunc(*c, func(sent command) bool { return sent.nonIdempotent })
-}
-
-// lines returns all commands as they go on the wire, nil where there are none.
-func (c *commandLog) lines() []byte {
-	var lines []byte
-	for _, sent := range *c {
-		lines = append(lines, sent.line...)
-	}
-	return lines
-}
--- a/internal/agent/command_test.go
+++ b/internal/agent/command_test.go
@@ -22,10 +22,12 @@
 func TestCommandLog(t *testing.T) {
 	var log commandLog
 	require.Nil(t, log.lines())
-	log.add(command{sequence: 1, requestID: "a", line: []byte("1\n")})
-	log.add(command{sequence: 3, requestID: "b", line: []byte("3\n"), nonIdempotent: true})
-	log.add(command{sequence: 4, requestID: "a", line: []byte("4\n")})
-	log.add(command{sequence: 6, requestID: "c", line: []byte("6\n")})
+	log.add(command{requestID: "a", line: []byte("1\n")})
+	require.EqualValues(t, 2, log.nextSequence())
+	log.add(command{requestID: "b", line: []byte("3\n"), nonIdempotent: true})
+	log.add(command{requestID: "a", line: []byte("4\n")})
+	require.EqualValues(t, 5, log.nextSequence())
+	log.add(command{requestID: "c", line: []byte("6\n")})
 	require.Equal(t, "1\n3\n4\n6\n", string(log.lines()))
 	log.acknowledge(3)
 	require.Equal(t, "3\n4\n6\n", string(log.lines()))
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -62,10 +62,9 @@
 
 	current           *connection // nil: disconnected
 	connectionsOpened uint64
-	agent             incarnation
-	lastOffset        int64 // of the last numbered notification read
-	lastSequence      int64 // counts commands and samples; a sample's number is its token
-	unacknowledged    commandLog
+	incarnation       incarnation // of the agent
+	lastOffset        int64       // of the last numbered notification read from it
+	commands          commandLog
 }
 
 // New returns a Link that calls handler. Nothing is sent before Run.
@@ -116,7 +115,7 @@
 
 // DiscardCommands has the commands about a request not sent again: a notification about it proves that they were read,
 // or nobody wants them any more.
-func (l *Link) DiscardCommands(requestID string) { l.unacknowledged.removeRequest(requestID) }
+func (l *Link) DiscardCommands(requestID string) { l.commands.removeRequest(requestID) }
 
 // SampleGauges asks for the gauges, whose GaugeSample is handed to the Handler, and replaces a connection that brings
 // nothing. It is called periodically, at each sweep.
@@ -152,17 +151,14 @@
 
 // sendCommand numbers a command and sends it, now or once a connection takes commands.
 func (l *Link) sendCommand(added command) {
-	l.lastSequence++
-	added.sequence = l.lastSequence
-	l.unacknowledged.add(added)
+	l.commands.add(added)
 	if l.state() == ready {
 		l.current.queue.Send(added.line)
 	}
 }
 
-// sendSample asks for the gauges, and so whether the commands sent before were read.
+// sendSample asks for the gauges, and so whether the commands sent before were read. Its token is its number.
 func (l *Link) sendSample() {
-	l.lastSequence++
 	l.current.unansweredSamples++
-	l.current.queue.Send(encodeSample(l.lastSequence))
+	l.current.queue.Send(encodeSample(l.commands.nextSequence()))
 }
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -49,7 +49,7 @@
 	remote.SampleGauges()
 	remote.expect(`{"cmd":"sample","token":"3"}`)
 	remote.sendSampled("3") // so the launch was read
-	require.Empty(t, remote.unacknowledged)
+	require.Empty(t, remote.commands.unacknowledged)
 	remote.Launch("b", "preview", nil)
 	remote.Launch("c", "preview", nil)
 	remote.send(`{"cmd":"request","offset":1,"req":"b"}`)
--- a/internal/agent/partition_test.go
+++ b/internal/agent/partition_test.go
@@ -35,5 +35,5 @@
 		remote.runPosted()
 	}
 	require.Equal(t, []string{"greeting", "sampled", "outcomea", "outcomeb", "aside"}, remote.notifications)
-	require.Empty(t, remote.unacknowledged)
+	require.Empty(t, remote.commands.unacknowledged)
 }
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -104,7 +104,7 @@
 	remote.Reply("a", []byte("x"))
 	remote.expect(reply)
 	remote.sendSampled(remote.expectSample())
-	require.Empty(t, remote.unacknowledged)
+	require.Empty(t, remote.commands.unacknowledged)
 }
 
 // More notifications came during a break than the agent keeps: the outcome of runs in flight is lost. With all of them, or
--- a/internal/agent/receive.go
+++ b/internal/agent/receive.go
@@ -97,12 +97,12 @@
 
 // handleHandshake begins to synchronize, and reports whether the agent is the one that was connected before.
 func (l *Link) handleHandshake(age time.Duration) (sameAgent bool) {
-	if l.agent.isKnown() && !l.agent.matches(age) {
+	if l.incarnation.isKnown() && !l.incarnation.matches(age) {
 		l.handleRestart(age)
 		return false
 	}
-	if !l.agent.isKnown() {
-		l.agent = newIncarnation(age)
+	if !l.incarnation.isKnown() {
+		l.incarnation = newIncarnation(age)
 	}
 	// All notifications that were missed come before the answer to this sample. Only then is it known which of the
 	// unacknowledged commands still make sense.
@@ -113,7 +113,7 @@
 // handleRestart aborts the connection to an agent that was restarted: it knows of no run and numbers its notifications
 // anew, so the next connection asks for them from the first.
 func (l *Link) handleRestart(age time.Duration) {
-	l.agent = newIncarnation(age)
+	l.incarnation = newIncarnation(age)
 	l.lastOffset = 0
 	l.log.WarnFields("agent restarted", "agent restarted, runs in flight lost", nil, logrus.Fields{
 		"age_ms": age.Milliseconds(),
@@ -135,8 +135,8 @@
 
 // acknowledge drops the commands sent before a sample that was answered: the agent reads in order.
 func (l *Link) acknowledge(sequence int64) {
-	l.unacknowledged.acknowledge(sequence)
-	if l.unacknowledged.hasNonIdempotent() {
+	l.commands.acknowledge(sequence)
+	if l.commands.hasNonIdempotent() {
 		l.sendSample() // it was sent after the sample
 	}
 }
@@ -148,7 +148,7 @@
 		l.log.Warn("agent gap", "agent notifications lost, runs in flight abandoned", nil)
 		l.handler.OnLost()
 	}
-	if lines := l.unacknowledged.lines(); len(lines) > 0 {
+	if lines := l.commands.lines(); len(lines) > 0 {
 		l.current.queue.Send(lines) // in one message: the write queue may have no place for so many
 	}
 }
