--- a/internal/overload/collector.go
+++ b/internal/overload/collector.go
@@ -56,6 +56,9 @@
 // Published returns the encoded aggregate of the zone; it is empty if other members collect or the fleet is small.
 func (c *Collector) Published() string { return c.published }
 
+// AddToLoad adds the aggregate of the zone to the load that this member publishes.
+func (c *Collector) AddToLoad(load *fleet.Load) { load.Aggregate = c.published }
+
 // Receive stores a partial aggregate. If there is no room for another sender it is dropped; the next one may fit.
 func (c *Collector) Receive(now time.Duration, partial PartialAggregate) {
 	if _, known := c.partials[partial.From]; !known && len(c.partials) >= maxPartials {
--- a/internal/overload/retries.go
+++ b/internal/overload/retries.go
@@ -88,6 +88,12 @@
 // AttemptRate returns the mean number of attempts that arrive here in a second.
 func (c *RetryCounter) AttemptRate() float64 { return c.attemptRate }
 
+// AddToLoad adds the attempts that are counted here to the load that this server publishes.
+func (c *RetryCounter) AddToLoad(load *fleet.Load) {
+	load.Attempts = c.AttemptRate()
+	load.RetryRatio = c.RetryRatio()
+}
+
 // updateRates ages the counts and takes the arrivals since the last tick into the mean.
 func (c *RetryCounter) updateRates(elapsed time.Duration) {
 	factor := decayFactor(elapsed, retryRatioTimeConstant)
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -38,6 +38,13 @@
 // Demand returns the demand at this server, in seconds of work a second.
 func (s *Shedder) Demand() Demand { return s.demand.rate() }
 
+// AddToLoad adds the demand and the threshold of this server to the load that it publishes.
+func (s *Shedder) AddToLoad(load *fleet.Load) {
+	demand := s.Demand()
+	load.Demand = string(demand.Append(nil))
+	load.Threshold = s.state.Threshold
+}
+
 // Classify counts a request that arrived at this server and returns the fleet's verdict on it. Work is in seconds; a
 // request without valid work or value is neither counted nor known.
 func (s *Shedder) Classify(value, work, rank float64, knownRetry bool) Verdict {
--- a/internal/overload/verdict.go
+++ b/internal/overload/verdict.go
@@ -1,5 +1,7 @@
 package overload
 
+import "falldeal/admission"
+
 // Verdict is the fleet's view of a request.
 type Verdict uint8
 
@@ -19,3 +21,19 @@
 	}
 	return verdictNames[v]
 }
+
+// fleetRanks gives the controller's rank for each verdict.
+var fleetRanks = [...]admission.FleetRank{
+	VerdictUnknown:        admission.RankUnknown,
+	VerdictHasCapacity:    admission.RankElsewhere,
+	VerdictFleetFull:      admission.RankFull,
+	VerdictBelowThreshold: admission.RankBelowThreshold,
+}
+
+// FleetRank returns the rank that a request with this verdict has at the admission controller.
+func (v Verdict) FleetRank() admission.FleetRank {
+	if int(v) >= len(fleetRanks) {
+		return admission.RankUnknown
+	}
+	return fleetRanks[v]
+}
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -26,14 +26,6 @@
 	logged    overload.SheddingState // the last one that was logged
 }
 
-// fleetRanks gives the verdicts of package overload in the controller's terms.
-var fleetRanks = [...]admission.FleetRank{
-	overload.VerdictUnknown:        admission.RankUnknown,
-	overload.VerdictHasCapacity:    admission.RankElsewhere,
-	overload.VerdictFleetFull:      admission.RankFull,
-	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
-}
-
 // EnableShedding has requests classified by the capacity of the fleet. self is this process as the fleet knows it. It
 // is called after JoinFleet and before Run.
 func (s *Server) EnableShedding(self overload.ProcessID) {
@@ -68,7 +60,7 @@
 	if s.config.Settings.WeightPerWork {
 		value *= work
 	}
-	arrival.FleetRank = fleetRanks[shedding.shedder.Classify(value, work, attempt.Rank, retry)]
+	arrival.FleetRank = shedding.shedder.Classify(value, work, attempt.Rank, retry).FleetRank()
 	arrival.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
 }
 
@@ -162,10 +154,7 @@
 	if s.admission.started() {
 		load.ServiceRate = s.admission.controller.ServiceRate()
 	}
-	demand := shedding.shedder.Demand()
-	load.Demand = string(demand.Append(nil))
-	load.Attempts = shedding.retries.AttemptRate()
-	load.RetryRatio = shedding.retries.RetryRatio()
-	load.Threshold = shedding.shedder.State().Threshold
-	load.Aggregate = shedding.collector.Published()
+	shedding.shedder.AddToLoad(load)
+	shedding.retries.AddToLoad(load)
+	shedding.collector.AddToLoad(load)
 }
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -16,14 +16,6 @@
 	collector *overload.Collector // of the aggregates of zones
 }
 
-// fleetRanks gives the controller's rank for each verdict.
-var fleetRanks = [...]admission.FleetRank{
-	overload.VerdictUnknown:        admission.RankUnknown,
-	overload.VerdictHasCapacity:    admission.RankElsewhere,
-	overload.VerdictFleetFull:      admission.RankFull,
-	overload.VerdictBelowThreshold: admission.RankBelowThreshold,
-}
-
 func (s *server) startShedding() {
 	if !s.sim.opts.Shedding {
 		return
@@ -48,17 +40,15 @@
 	attempt.fingerprint = overload.Fingerprint(name, "", "", request.client, request.rank, work)
 	arrival.SinceFirstAttempt = s.ages.Age(now, name, attempt.deadline-attempt.arrivedAt)
 	knownRetry := s.retries.Arrived(now, attempt.fingerprint) || arrival.SinceFirstAttempt > 0
-	arrival.FleetRank = fleetRanks[s.shedder.Classify(request.class.Value, work, request.rank, knownRetry)]
+	arrival.FleetRank = s.shedder.Classify(request.class.Value, work, request.rank, knownRetry).FleetRank()
 	arrival.RetryJitter = s.shedder.RetryJitter(attempt.fingerprint)
 }
 
+// addToLoad adds what other servers need to find the threshold.
 func (s *shedding) addToLoad(load *fleet.Load) {
-	demand := s.shedder.Demand()
-	load.Demand = string(demand.Append(nil))
-	load.Attempts = s.retries.AttemptRate()
-	load.RetryRatio = s.retries.RetryRatio()
-	load.Threshold = s.shedder.State().Threshold
-	load.Aggregate = s.collector.Published()
+	s.shedder.AddToLoad(load)
+	s.retries.AddToLoad(load)
+	s.collector.AddToLoad(load)
 }
 
 // updateShedding updates the threshold and exchanges retries and aggregates with the other servers.
