--- a/admission/action.go
+++ b/admission/action.go
@@ -63,7 +63,8 @@
 
 // Rejection is what a client is told of a request that did not run.
 type Rejection struct {
-	Reason           Reason
+	Reason           Reason        // the reason for the client: ReasonTooLate once half of its objective has passed, else Cause
+	Cause            Reason        // the rule that decided, whatever time was left
 	RetryAfter       time.Duration // how long the client is to avoid this server; 0: no advice
 	NoRetryElsewhere bool          // the client is asked not to try other servers
 }
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -50,7 +50,7 @@
 		a.arrivals.addRejection(now)
 	}
 	noRetry := a.noRetryElsewhere(request, reason)
-	rejection := Rejection{Reason: reason, NoRetryElsewhere: noRetry}
+	rejection := Rejection{Reason: reason, Cause: cause, NoRetryElsewhere: noRetry}
 	if !noRetry {
 		rejection.RetryAfter = min(a.retryAfter(reason, queueTime)+request.retryJitter, a.maxRetryAfter)
 	}
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -109,7 +109,8 @@
 		advisor.configure(&settings)
 		request := &request{objective: time.Second, fleetRank: test.rank, retryJitter: 50 * ms}
 		got := advisor.reject(test.now, request, test.cause, 4)
-		require.Equal(t, Rejection{Reason: test.reason, RetryAfter: test.after, NoRetryElsewhere: test.noRetry}, got, test.name)
+		want := Rejection{Reason: test.reason, Cause: test.cause, RetryAfter: test.after, NoRetryElsewhere: test.noRetry}
+		require.Equal(t, want, got, test.name)
 	}
 }
 
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -64,7 +64,7 @@
 	golden.RequireText(t, "trail", lines.String())
 }
 
-// The lines of requests on their way: given up, with a call in flight, and cancelled.
+// The lines of requests on their way: given up, rejected late and early, with a call in flight, and cancelled.
 func TestGoldenTraceOfRequests(t *testing.T) {
 	server, runPosted := newIdleServer(t)
 	startAgent(server)
@@ -81,6 +81,10 @@
 		return server.requests.byAttemptID[id]
 	}
 	server.fail(submit(1, "a1"))
+	late := admission.Rejection{Reason: admission.ReasonTooLate, Cause: admission.ReasonMemory}
+	server.reject(submit(3, "a3"), late)
+	early := admission.Rejection{Reason: admission.ReasonMemory, Cause: admission.ReasonMemory}
+	server.reject(submit(4, "a4"), early)
 	submit(2, "a2")
 	server.handleCallRequest(agent.CallRequest{RequestID: "a2", Payload: []byte("x")})
 	server.step()
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -55,6 +55,9 @@
 // reject answers a request that the controller rejects.
 func (s *Server) reject(request *activeRequest, rejection admission.Rejection) {
 	request.trace.reason = rejection.Reason.String()
+	if rejection.Cause != rejection.Reason {
+		request.trace.cause = rejection.Cause.String()
+	}
 	if rejection.Reason == admission.ReasonDependency {
 		s.recordMissedCall()
 	}
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -15,6 +15,7 @@
 // requestTrace is what a request collects for its line.
 type requestTrace struct {
 	reason          string        // for which it was rejected or failed
+	cause           string        // the rule that rejected it, if that is not the reason
 	calls           int           // made to the store
 	callTime        time.Duration // of all calls that have ended
 	lastCallOutcome string
@@ -62,6 +63,9 @@
 	if trace.reason != "" {
 		fields["reason"] = trace.reason
 	}
+	if trace.cause != "" {
+		fields["cause"] = trace.cause
+	}
 	if request.running() {
 		fields["queued_ms"] = (request.startedAt - arrivedAt).Milliseconds()
 		fields["run_ms"] = (now - request.startedAt).Milliseconds()
