--- a/admission/condition.go
+++ b/admission/condition.go
@@ -18,6 +18,17 @@
 type ConditionChange struct {
 	Condition Condition
 	Active    bool
+
+	// Value is the measurement behind the condition when it changed. Its meaning and unit depend on the
+	// condition:
+	//
+	//	ConditionBreaker    probability with which a call is dropped
+	//	ConditionCallLimit  limit on the calls in flight
+	//	ConditionAdmission  probability with which a request is admitted while all cores are busy
+	//	ConditionMemory     memory in use, in kB
+	//	ConditionHealth     mean delay before requests are read, in seconds
+	//	ConditionDrain      none: 0
+	Value float64
 }
 
 // String returns the message under which a condition is logged.
--- a/admission/periodic.go
+++ b/admission/periodic.go
@@ -78,18 +78,17 @@
 
 // reportConditions logs which conditions begin or end.
 func (c *Controller) reportConditions() {
-	active := [...]bool{
-		ConditionBreaker:   c.calls.breaker.dropProbability(c.now) > 0,
-		ConditionCallLimit: c.calls.limiter.atMinimum(),
-		ConditionAdmission: c.admissionRate.reduced(),
-		ConditionMemory:    c.memory.exceeded(),
-		ConditionHealth:    c.health.unhealthy,
-	}
-	for index, isActive := range active {
-		condition := Condition(index)
-		if c.conditions.changed(c.now, condition, isActive) {
-			change := ConditionChange{Condition: condition, Active: isActive}
-			c.actions.emit(Action{Kind: ActionLog, Condition: change})
+	dropProbability := c.calls.breaker.dropProbability(c.now)
+	admitProbability := &c.admissionRate
+	for _, state := range [...]ConditionChange{
+		{Condition: ConditionBreaker, Active: dropProbability > 0, Value: dropProbability},
+		{Condition: ConditionCallLimit, Active: c.calls.limiter.atMinimum(), Value: c.calls.limiter.limit()},
+		{Condition: ConditionAdmission, Active: admitProbability.reduced(), Value: admitProbability.probability},
+		{Condition: ConditionMemory, Active: c.memory.exceeded(), Value: c.memory.usedKB},
+		{Condition: ConditionHealth, Active: c.health.unhealthy, Value: c.advisor.readDelay.mean.Value()},
+	} {
+		if c.conditions.changed(c.now, state.Condition, state.Active) {
+			c.actions.emit(Action{Kind: ActionLog, Condition: state})
 		}
 	}
 }
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -37,3 +37,27 @@
 	require.False(t, reporter.changed(reportInterval+1, ConditionMemory, true), "it goes on")
 	require.True(t, reporter.changed(reportInterval+1, ConditionMemory, false))
 }
+
+// A change of a condition has the measurement behind it.
+func TestConditionChangesHaveValues(t *testing.T) {
+	controller := startController(t, testSettings())
+	controller.SetProtectedCalls(-1)
+	controller.calls.limiter.limitRatio = minCallLimitRatio
+	controller.admissionRate.probability = admitDecrease
+	controller.memory.usedKB = 3900
+	controller.health.unhealthy = true
+	controller.advisor.readDelay.observe(500 * time.Millisecond)
+	controller.actions.pending = nil
+	controller.reportConditions()
+	var got []ConditionChange
+	for _, action := range controller.actions.pending {
+		got = append(got, action.Condition)
+	}
+	require.Equal(t, []ConditionChange{
+		{Condition: ConditionBreaker, Active: true, Value: 1},
+		{Condition: ConditionCallLimit, Active: true, Value: minCallLimitRatio * testSettings().MaxCallsInFlight},
+		{Condition: ConditionAdmission, Active: true, Value: admitDecrease},
+		{Condition: ConditionMemory, Active: true, Value: 3900},
+		{Condition: ConditionHealth, Active: true, Value: 0.5},
+	}, got)
+}
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -8,6 +8,9 @@
 	"github.com/sirupsen/logrus"
 )
 
+// millisecondsPerSecond turns seconds into the unit of log fields.
+const millisecondsPerSecond = 1000
+
 // Stage three, dispatch: each action of the controller is handed to the part that carries it out.
 
 // dispatch carries out an action.
@@ -30,6 +33,23 @@
 	}
 }
 
+// conditionFields names the log field that has the value of a condition.
+var conditionFields = map[admission.Condition]string{
+	admission.ConditionBreaker:   "drop_probability",
+	admission.ConditionCallLimit: "call_limit",
+	admission.ConditionAdmission: "admit_probability",
+	admission.ConditionMemory:    "memory_kb",
+	admission.ConditionHealth:    "read_delay_ms",
+}
+
+// conditionValue returns the value of a change in the unit of its log field.
+func conditionValue(change admission.ConditionChange) float64 {
+	if change.Condition == admission.ConditionHealth {
+		return change.Value * millisecondsPerSecond
+	}
+	return change.Value
+}
+
 // logCondition logs that a condition of the server begins or ends. One that limits the service is to be looked at; the
 // drain was logged when it started.
 func (s *Server) logCondition(change admission.ConditionChange) {
@@ -40,7 +60,11 @@
 	case change.Active:
 		level = logrus.WarnLevel
 	}
-	s.log.WithField("active", change.Active).Log(level, change.Condition.String())
+	fields := logrus.Fields{"active": change.Active}
+	if field, known := conditionFields[change.Condition]; known {
+		fields[field] = conditionValue(change)
+	}
+	s.log.WithFields(fields).Log(level, change.Condition.String())
 }
 
 // dispatchRequest carries out an action on a request.
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -120,8 +120,12 @@
 	}},
 	{"conditions that the controller reports", func(_ *testing.T, server *Server) {
 		for _, change := range []admission.ConditionChange{
-			{Condition: admission.ConditionBreaker, Active: true},
+			{Condition: admission.ConditionBreaker, Active: true, Value: 0.25},
 			{Condition: admission.ConditionBreaker, Active: false},
+			{Condition: admission.ConditionCallLimit, Active: true, Value: 2.22},
+			{Condition: admission.ConditionAdmission, Active: true, Value: 0.9},
+			{Condition: admission.ConditionMemory, Active: true, Value: 3681.5},
+			{Condition: admission.ConditionHealth, Active: true, Value: 0.5},
 			{Condition: admission.ConditionDrain, Active: true},
 		} {
 			server.dispatch(admission.Action{Kind: admission.ActionLog, Condition: change})
