--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -71,7 +71,7 @@
 func (l *Link) handleDialFailed(failed *dial, err error) {
 	if l.dialer.remove(failed) {
 		l.dialer.increaseDelay()
-		l.log.WarnFields("store", "store dial failed", err, logrus.Fields{
+		l.log.WarnFields("store dial", "store dial failed", err, logrus.Fields{
 			"address":        failed.address,
 			"retry_after_ms": l.dialer.delay.Milliseconds(),
 		})
@@ -136,7 +136,7 @@
 	l.removeIdle(conn)
 	l.closeConnection(conn)
 	if broken := conn.call; broken != nil {
-		l.log.WarnFields("store", "store connection lost during a call", err, logrus.Fields{
+		l.log.WarnFields("store connection", "store connection lost during a call", err, logrus.Fields{
 			"address":    conn.address,
 			"request_id": broken.requestID,
 		})
