--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -2,19 +2,18 @@
 
 import (
 	"bytes"
-	"flag"
 	"math"
 	"os"
 	"path/filepath"
 	"testing"
 	"time"
 
+	"falldeal/lab/golden"
+
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files from what the code produces")
-
-const goldenMessages = "testdata/messages.jsonl"
+const goldenMessages = "messages.jsonl" // in testdata
 
 // goldenCases has every kind of message and every field, one message for each line of the golden file.
 var goldenCases = []struct {
@@ -41,26 +40,21 @@
 	for _, testCase := range goldenCases {
 		got = appendMessage(got, testCase.message)
 	}
-	if *update {
-		require.NoError(t, os.WriteFile(goldenMessages, got, 0o644))
-	}
-	want, err := os.ReadFile(goldenMessages)
-	require.NoError(t, err)
-	require.Equal(t, string(want), string(got))
+	golden.RequireFile(t, goldenMessages, string(got))
 }
 
 // Lines that were written before must still be read, each as the message that it was.
 func TestGoldenMessagesRead(t *testing.T) {
-	file, err := os.ReadFile(goldenMessages)
+	file, err := os.ReadFile(filepath.Join("testdata", goldenMessages))
 	require.NoError(t, err)
 	lines := bytes.SplitAfter(file, []byte("\n"))
 	require.Len(t, lines, len(goldenCases)+1, "a line for each case, and nothing after the last")
 	require.Empty(t, lines[len(goldenCases)])
 	lineParser := newParser()
-	for i, golden := range goldenCases {
+	for i, testCase := range goldenCases {
 		got, err := lineParser.Parse(lines[i])
-		require.NoError(t, err, golden.name)
-		require.Equal(t, golden.message, got, golden.name)
+		require.NoError(t, err, testCase.name)
+		require.Equal(t, testCase.message, got, testCase.name)
 	}
 }
 
@@ -78,10 +72,11 @@
 	dir, err := os.MkdirTemp("", "handover") // short: the path of a socket is limited
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, os.RemoveAll(dir)) })
-	predecessor, listener, err := join(filepath.Join(dir, "socket"))
-	require.NoError(t, err)
-	require.Nil(t, predecessor)
-	defer listener.Close()
+	found := join(filepath.Join(dir, "socket"))
+	require.NoError(t, found.dialErr)
+	require.NoError(t, found.listenErr)
+	require.Nil(t, found.predecessor)
+	defer found.listener.Close()
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	var names []string
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -16,6 +16,16 @@
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 50 * time.Millisecond
 
+// Topics of log lines. Each message has one of its own, so that the limiter does not suppress one for another.
+const (
+	topicJoin       = "handover join"
+	topicListen     = "handover listen"
+	topicAccept     = "handover accept"
+	topicConnection = "handover connection"
+)
+
+const messageNotListening = "handover socket not opened, no successor process can connect"
+
 // Loop is what Run needs of the loop that deals with messages. Post hands it a function, from any goroutine; the others
 // are called within the loop.
 type Loop struct {
@@ -31,18 +41,22 @@
 // written.
 func Run(ctx context.Context, path string, serving <-chan struct{}, loop Loop, log *logging.Limiter) error {
 	group, ctx := errgroup.WithContext(ctx)
-	predecessor, listener, err := join(path) //nolint:contextcheck // its dial must not end with ctx, as it says
-	if err != nil {
-		log.Warn("handover", "predecessor process not reachable, or handover socket not open", err)
+	found := join(path) //nolint:contextcheck // its dial must not end with ctx, as it says
+	if found.dialErr != nil {
+		log.Warn(topicJoin, "predecessor process not reachable, its idempotency keys are unknown", found.dialErr)
+	}
+	if found.listenErr != nil {
+		log.Warn(topicListen, messageNotListening, found.listenErr)
 	}
-	if predecessor != nil {
+	if found.predecessor != nil {
 		group.Go(func() error {
-			serveConnection(ctx, predecessor, loop, loop.OnPredecessor, log)
+			serveConnection(ctx, found.predecessor, loop, loop.OnPredecessor, log)
 			return nil
 		})
 	} else {
 		loop.Post(func() { loop.OnPredecessor(nil) })
 	}
+	listener := found.listener
 	group.Go(func() error {
 		if listener == nil {
 			listener = listenOnceServing(ctx, path, serving, log)
@@ -64,7 +78,7 @@
 	}
 	listener, err := listen(path)
 	if err != nil {
-		log.Warn("handover", "handover socket not open, no successor process can connect", err)
+		log.Warn(topicListen, messageNotListening, err)
 		return nil
 	}
 	return listener
@@ -81,7 +95,7 @@
 			return
 		}
 		if err != nil {
-			log.Warn("handover", "accepting a successor process failed", err)
+			log.Warn(topicAccept, "accepting a successor process failed", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(acceptRetryDelay):
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -55,7 +55,7 @@
 		return readMessages(conn, link, loop)
 	})
 	if err := group.Wait(); err != nil {
-		log.Warn("handover", "connection to the other process failed", err)
+		log.Warn(topicConnection, "connection to the other process failed", err)
 	}
 	loop.Post(func() { loop.OnEnd(link) })
 }
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -86,15 +86,17 @@
 // served took itself for the only one.
 func TestJoinFindsListenerBeforeItServes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	predecessor, listener, err := join(path)
-	require.NoError(t, err)
-	require.Nil(t, predecessor)
-	defer listener.Close()
-	second, none, err := join(path)
-	require.NoError(t, err)
-	require.NotNil(t, second)
-	require.Nil(t, none)
-	second.Close()
+	first := join(path)
+	require.NoError(t, first.dialErr)
+	require.NoError(t, first.listenErr)
+	require.Nil(t, first.predecessor)
+	defer first.listener.Close()
+	second := join(path)
+	require.NoError(t, second.dialErr)
+	require.NoError(t, second.listenErr)
+	require.NotNil(t, second.predecessor)
+	require.Nil(t, second.listener)
+	second.predecessor.Close()
 }
 
 // dialUntil dials path again and again until stop is closed or a dial fails.
@@ -152,11 +154,11 @@
 	unlock := acquireLock(path + ".lock")
 	found := make(chan bool, 1)
 	go func() {
-		predecessor, listener, _ := join(path)
-		if listener != nil {
-			listener.Close()
+		result := join(path)
+		if result.listener != nil {
+			result.listener.Close()
 		}
-		found <- predecessor != nil
+		found <- result.predecessor != nil
 	}()
 	listener, err := listen(path)
 	require.NoError(t, err)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -19,22 +19,30 @@
 	lockRetryDelay = 5 * time.Millisecond
 )
 
-// join returns the connection to the predecessor that listens at path, or, where there is none, the listener that
-// replaces it: the next process finds this one though it does not serve yet. Of two that start at the same time the
-// lock lets one look and take the place before the other looks. An error may come beside either.
-func join(path string) (predecessor net.Conn, listener net.Listener, err error) {
+// joined is what join has found or opened: a predecessor, a listener, or, where listenErr is set, neither.
+type joined struct {
+	predecessor net.Conn
+	listener    net.Listener
+	dialErr     error // there is a socket, but its process can't be reached; a listener may have been opened all the same
+	listenErr   error // there is no predecessor, and the listener was not opened
+}
+
+// join connects to the predecessor that listens at path, or, where there is none, opens the listener that replaces it:
+// the next process finds this one though it does not serve yet. Of two processes that start at the same time, the lock
+// lets one dial and listen before the other dials.
+func join(path string) joined {
 	unlock := acquireLock(path + ".lock")
 	defer unlock()
 	// The end of this process does not cut the dial short: a process that ends would replace the predecessor.
-	predecessor, err = reconnect.Dial(context.Background(), "unix", path, dialTimeout)
-	if err == nil {
-		return predecessor, nil, nil
+	predecessor, dialErr := reconnect.Dial(context.Background(), "unix", path, dialTimeout)
+	if dialErr == nil {
+		return joined{predecessor: predecessor}
 	}
-	listener, listenErr := listen(path)
-	if errors.Is(err, fs.ErrNotExist) {
-		err = nil // nobody has ever listened there: a process that has ended leaves its socket, and is logged
+	if errors.Is(dialErr, fs.ErrNotExist) {
+		dialErr = nil // nobody has ever listened there: a process that has ended leaves its socket, and is logged
 	}
-	return nil, listener, errors.Join(err, listenErr)
+	listener, listenErr := listen(path)
+	return joined{listener: listener, dialErr: dialErr, listenErr: listenErr}
 }
 
 // acquireLock waits until no other process holds the lock, for lockTimeout at most: a process that is stopped must not
