--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -31,12 +31,14 @@
 		err = s.normalizeTimes(attempt, class)
 	}
 	if err != nil {
-		s.answerInvalid(conn, call, err)
+		s.answerInvalid(conn, call, attempt, err)
 		return
 	}
 	if !s.admission.started() {
 		// The agent is not up, so nothing can be run. No front end sends requests here before it is.
 		s.countAnswer(class, Rejected)
+		trace := requestTrace{reason: reasonAgentNotReady}
+		s.logTrace(&activeRequest{attempt: *attempt, class: class, trace: trace}, Rejected.String())
 		conn.Answer(call, Answer{Kind: Rejected})
 		return
 	}
@@ -104,7 +106,7 @@
 		if s.idempotency.conflicts(request) {
 			s.markAnswered(request)
 			s.removeRequest(request)
-			s.answerInvalid(request.connection, request.call, errKeyConflict)
+			s.answerInvalid(request.connection, request.call, attempt, errKeyConflict)
 			return
 		}
 		arrival.RetryOf = s.idempotency.register(request)
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -144,6 +144,7 @@
 	s.step()
 	for _, request := range s.requests.inOrder() {
 		if s.requests.contains(request) && !request.answered {
+			request.trace.reason = reasonShutdown
 			s.answer(request, Answer{Kind: s.finalAnswer(request)})
 		}
 	}
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -18,7 +18,10 @@
 // controller has decided.
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
-		s.warnings.Warn("idempotency", "second run under an idempotency key prevented", nil)
+		s.warnings.WarnFields("idempotency", "second run under an idempotency key prevented", nil, logrus.Fields{
+			"request_id":      request.attempt.ID,
+			"idempotency_key": request.attempt.IdempotencyKey,
+		})
 		s.admission.enqueue(admission.RunCompleted(request.id, admission.Completion{Outcome: admission.OutcomeNotStarted}))
 		s.answer(request, Answer{Kind: Failed})
 		s.removeRequest(request)
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -54,7 +54,7 @@
 	running := &activeRequest{attempt: keyed, class: 2, state: requestRunning, startedAt: at + 10*time.Millisecond}
 	server.logTrace(running, Served.String())
 	for reason := admission.ReasonCPU; reason <= admission.ReasonBelowThreshold; reason++ {
-		server.logTrace(&activeRequest{attempt: attempt, trace: requestTrace{reason: reason.String()}}, Rejected.String())
+		server.logTrace(&activeRequest{attempt: attempt, trace: requestTrace{reason: traceReason(reason.String())}}, Rejected.String())
 	}
 	for reply := store.OK; int(reply) < len(replyOutcomes); reply++ {
 		trace := requestTrace{calls: 3, callTime: 15 * time.Millisecond, lastCallOutcome: outcomeNames[replyOutcomes[reply]]}
@@ -89,6 +89,26 @@
 	golden.RequireText(t, "trail_of_requests", lines.String())
 }
 
+// The lines of requests that the server answers by itself: before the agent is up, and at the end of the loop.
+func TestGoldenTraceOfServerReasons(t *testing.T) {
+	server, runPosted := newIdleServer(t)
+	conn := &recordingConnection{}
+	server.ConnectionOpened(conn)
+	lines := captureLog(server)
+	submit := func(call uint32, id string) {
+		server.Submit(conn, call, attemptWithKey(server, id, id))
+		runPosted()
+	}
+	submit(1, "a1")
+	startAgent(server)
+	submit(2, "a2")
+	server.step()
+	submit(3, "a3")
+	server.admission.events = nil // the controller does not decide on a3 any more
+	server.shutDown()
+	golden.RequireText(t, "trail_of_server_reasons", lines.String())
+}
+
 // goldenLogCases are what the lines of TestGoldenLog are logged for.
 var goldenLogCases = []struct {
 	name string
@@ -108,7 +128,22 @@
 		server.handleCommandRejected(agent.CommandRejection{RequestID: "a1", Command: agent.CommandLaunch})
 	}},
 	{"a wrong request", func(_ *testing.T, server *Server) {
-		server.answerInvalid(&recordingConnection{}, 1, errTooManyOpenCalls)
+		attempt := Attempt{ID: "a1", Client: 2, Class: "preview"}
+		server.answerInvalid(&recordingConnection{}, 1, &attempt, errTooManyOpenCalls)
+	}},
+	{"a request that can't be read", func(_ *testing.T, server *Server) {
+		server.ConnectionOpened(&recordingConnection{})
+		conn := &recordingConnection{}
+		server.ConnectionOpened(conn)
+		server.RejectInvalid(conn, 1, errors.New("field id: missing"))
+	}},
+	{"a second run under a key", func(_ *testing.T, server *Server) {
+		startAgent(server)
+		server.log.(*logrus.Logger).SetLevel(logrus.WarnLevel) // without the line of the start
+		request := &activeRequest{connection: &recordingConnection{}, attempt: attemptWithKey(server, "a1", "order 7")}
+		server.idempotency.register(request)
+		server.idempotency.markRunning(request)
+		server.startRun(request)
 	}},
 	{"an action that can't be carried out", func(_ *testing.T, server *Server) {
 		server.requests.byID[1] = &activeRequest{}
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -120,7 +120,7 @@
 		return
 	}
 	if err := e.check(state, server); err != nil {
-		server.answerInvalid(e.connection, e.call, err)
+		server.answerInvalid(e.connection, e.call, &e.attempt, err)
 		return
 	}
 	server.admit(e.connection, e.call, &e.attempt)
@@ -158,7 +158,7 @@
 func (e *invalidRequestReceived) handle(server *Server) {
 	if state := server.connections.get(e.connection); state != nil && !state.discardingInput {
 		server.stats.Requests++
-		server.answerInvalid(e.connection, e.call, e.err)
+		server.answerInvalid(e.connection, e.call, nil, e.err)
 	}
 }
 
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -3,6 +3,8 @@
 import (
 	"falldeal/admission"
 	"falldeal/internal/agent"
+
+	"github.com/sirupsen/logrus"
 )
 
 // Stage six, respond: each request gets one answer, and is removed once it has ended.
@@ -24,13 +26,21 @@
 	request.connection.Answer(request.call, answer)
 }
 
-// answerInvalid answers a wrong request.
-func (s *Server) answerInvalid(conn Connection, call uint32, err error) {
+// answerInvalid answers an invalid request. attempt is nil where the request can't be read.
+func (s *Server) answerInvalid(conn Connection, call uint32, attempt *Attempt, err error) {
 	s.stats.Invalid++
-	s.warnings.Warn("request", "invalid request from a front end", err)
+	s.warnings.WarnFields("request", "invalid request from a front end", err, attemptFields(attempt))
 	conn.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
 }
 
+// attemptFields are the log fields that identify an attempt; none for nil.
+func attemptFields(attempt *Attempt) logrus.Fields {
+	if attempt == nil {
+		return nil
+	}
+	return logrus.Fields{"request_id": attempt.ID, "client": attempt.Client, "class": attempt.Class}
+}
+
 // countAnswer counts an answer to a request of a class.
 func (s *Server) countAnswer(class int, kind AnswerKind) {
 	answers := s.stats.Class(s.config.Classes[class])
@@ -54,7 +64,7 @@
 
 // reject answers a request that the controller rejects.
 func (s *Server) reject(request *activeRequest, rejection admission.Rejection) {
-	request.trace.reason = rejection.Reason.String()
+	request.trace.reason = traceReason(rejection.Reason.String())
 	if rejection.Reason == admission.ReasonDependency {
 		s.recordMissedCall()
 	}
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -14,16 +14,31 @@
 
 // requestTrace is what a request collects for its line.
 type requestTrace struct {
-	reason          string        // for which it was rejected or failed
+	reason          traceReason   // for which it was rejected or failed
 	calls           int           // made to the store
 	callTime        time.Duration // of all calls that have ended
 	lastCallOutcome string
 }
 
-// Texts of traces that are no name of an AnswerKind, a reason of the controller or an outcome.
+// traceReason says why a request was rejected or failed: the text of an admission.Reason, or one of the reasons below.
+type traceReason string
+
+// Reasons that are not the controller's reasons for a rejection.
+const (
+	// reasonAgentNotReady: rejected because the agent has not sent its handshake yet.
+	reasonAgentNotReady traceReason = "agent_not_ready"
+	// reasonAbandoned: failed by the controller (admission.ActionFail). It covers every such failure: the deadline of a
+	// request that runs or waits for the result of another attempt, which a drain may have moved forward; a call that
+	// the class can't do without and that the circuit breaker drops or that would come too late; and a retry, while
+	// memory is short, of an attempt that may have run. A request whose own run fails has no reason.
+	reasonAbandoned traceReason = "abandoned"
+	// reasonShutdown: rejected or failed because the loop ended before there was an answer.
+	reasonShutdown traceReason = "shutdown"
+)
+
+// Texts of traces that are neither a name of an AnswerKind or of an outcome, nor a reason.
 const (
 	outcomeCancelled = "cancelled" // the client went before there was an answer
-	reasonAbandoned  = "abandoned" // the controller abandoned a request that may have run
 	callInFlight     = "in_flight" // the last call has not ended
 )
 
@@ -60,7 +75,7 @@
 		fields["idempotency_key"] = attempt.IdempotencyKey
 	}
 	if trace.reason != "" {
-		fields["reason"] = trace.reason
+		fields["reason"] = string(trace.reason)
 	}
 	if request.running() {
 		fields["queued_ms"] = (request.startedAt - arrivedAt).Milliseconds()
