--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -69,7 +69,7 @@
 		o.publishRecord()
 	}
 	if status.Replaced && !o.left {
-		o.log.Info("successor process took over, leaving fleet")
+		o.log.Info("successor process connected, leaving fleet")
 		o.leave()
 	}
 }
