--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -167,10 +167,21 @@
 		server.handover.successor = &handover.Link{}
 		server.Drain()
 	}},
+	{"the predecessor connects, and sends its keys", func(_ *testing.T, server *Server) {
+		link := &handover.Link{}
+		server.predecessorJoined(nil)
+		server.predecessorJoined(link)
+		server.handlePeerMessage(link, handover.KeyKnown{IdempotencyKey: "order 7", WindowEnd: server.clock.unix()})
+		server.handlePeerMessage(link, handover.KeysSynced{})
+	}},
 	{"the predecessor ends", func(_ *testing.T, server *Server) {
 		server.handover.predecessor = &handover.Link{}
 		server.peerEnded(server.handover.predecessor)
 	}},
+	{"the successor ends", func(_ *testing.T, server *Server) {
+		server.handover.successor = &handover.Link{}
+		server.peerEnded(server.handover.successor)
+	}},
 	{"SIGUSR1", func(_ *testing.T, server *Server) {
 		server.stats = stats.Counters{Requests: 7}
 		server.logCounters()
@@ -189,6 +200,14 @@
 		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
 		server.recordChange(logrus.InfoLevel, StateChange{Name: "what", To: "full", Fields: logrus.Fields{"rank": 3}})
 	}},
+	{"the quota falls, stays low, returns and rises", func(_ *testing.T, server *Server) {
+		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
+		base := overload.QuotaOf(5)
+		limits := []overload.Quota{base, base / 2, base / 4, base, base * 2, base}
+		for i, to := range limits[1:] {
+			server.recordQuotaChange(limits[i], to, base)
+		}
+	}},
 	{"the store fails, as this member finds it", func(_ *testing.T, server *Server) {
 		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
 		server.EnableCoordinatedProbes(1, "mechelen")
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -67,7 +67,9 @@
 	s.handover.predecessor = link
 	if link == nil {
 		s.markSynced()
+		return
 	}
+	s.log.Info("predecessor process connected")
 }
 
 // successorJoined publishes all keys to the successor, and closes idle connections above this process's half.
@@ -108,6 +110,8 @@
 func (s *Server) handlePeerMessage(link *handover.Link, message handover.Message) {
 	switch message := message.(type) {
 	case handover.KeysSynced:
+		s.log.WithField("count", s.idempotency.countOwnedBy(link)).
+			Info("idempotency keys synchronized with predecessor")
 		s.markSynced()
 	case handover.KeyKnown:
 		s.handleKeyKnown(link, message)
@@ -180,6 +184,7 @@
 		s.log.Info("predecessor process disconnected")
 		s.handover.predecessor = nil
 	case s.handover.successor:
+		s.log.Info("successor process disconnected")
 		s.handover.successor = nil
 	}
 	for _, entry := range s.idempotency.entries {
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -61,6 +61,17 @@
 	return entry
 }
 
+// countOwnedBy returns the number of keys that another process has.
+func (t *idempotencyTable) countOwnedBy(owner *handover.Link) int {
+	count := 0
+	for _, entry := range t.entries {
+		if entry.owner == owner {
+			count++
+		}
+	}
+	return count
+}
+
 func (t *idempotencyTable) size() int { return len(t.entries) }
 
 // register adds a request, and returns the attempt that it retries, or 0 for a first one.
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -44,6 +44,8 @@
 	From   string // "": the usual state
 	To     string // "": the usual state
 	Fields map[string]any
+	// LogFields are logged as well, and are of no use to the handler of OnStateChange.
+	LogFields map[string]any
 }
 
 // JoinFleet has the server publish its status to a fleet. It is called before Run, and so are OnStateChange and the
@@ -61,6 +63,7 @@
 func (s *Server) recordChange(level logrus.Level, change StateChange) {
 	s.member.onStateChange(change)
 	s.log.WithFields(change.Fields).
+		WithFields(change.LogFields).
 		WithFields(logrus.Fields{"from": stateText(change.From), "to": stateText(change.To)}).
 		Log(level, change.Name+" changed")
 }
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -16,7 +16,8 @@
 const (
 	// quotaInterval is how often leases are updated. A limit is computed to hold for two intervals.
 	quotaInterval = 250 * time.Millisecond
-	// minCallLimit stands for no call at all, as the controller takes 0 for no limit.
+	// minCallLimit is the limit for a quota of nothing: the controller treats 0 as no limit, so that a quota of nothing is
+	// this instead.
 	minCallLimit = 0.001
 	// unknownQuota is the limit before the first tick.
 	unknownQuota overload.Quota = -1
@@ -106,17 +107,31 @@
 		return
 	}
 	if quota.known() {
-		base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
-		s.recordChange(logrus.DebugLevel, StateChange{
-			Name: "store quota",
-			From: quotaName(quota.limit, base),
-			To:   quotaName(limit, base),
-		})
+		s.recordQuotaChange(quota.limit, limit, overload.QuotaOf(s.config.Settings.MaxCallsInFlight))
 	}
 	quota.limit = limit
 	s.limitCalls()
 }
 
+// recordQuotaChange records that the limit has changed, where base is that of the settings.
+func (s *Server) recordQuotaChange(from, to, base overload.Quota) {
+	s.recordChange(quotaChangeLevel(from, to, base), StateChange{
+		Name:      "store quota",
+		From:      quotaName(from, base),
+		To:        quotaName(to, base),
+		LogFields: logrus.Fields{"base": base.Calls()},
+	})
+}
+
+// quotaChangeLevel is the level of the line of a change: Info when the limit falls below the quota of the settings, or is
+// no longer below it, and Debug for all changes on one side of it, which are frequent.
+func quotaChangeLevel(from, to, base overload.Quota) logrus.Level {
+	if (from < base) != (to < base) {
+		return logrus.InfoLevel
+	}
+	return logrus.DebugLevel
+}
+
 // quotaName is a limit as changes are logged: that of the settings has no name.
 func quotaName(limit, base overload.Quota) string {
 	if limit == base {
--- a/internal/server/shedding_log.go
+++ b/internal/server/shedding_log.go
@@ -43,7 +43,7 @@
 		From: from,
 		To:   to,
 		Fields: logrus.Fields{
-			"rank":         state.Threshold,
+			"threshold":    state.Threshold,
 			"offered":      state.Offered,
 			"service_rate": state.ServiceRate,
 			"retry_ratio":  state.RetryRatio,
--- a/internal/tracing/spannames.go
+++ b/internal/tracing/spannames.go
@@ -35,7 +35,7 @@
 // attributeName returns the key of an attribute by the name of a field.
 func attributeName(name string) string {
 	switch name {
-	case "rank":
+	case "threshold":
 		return "place"
 	case "service_rate":
 		return "pace"
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -78,7 +78,7 @@
 	path := filepath.Join(t.TempDir(), "spans.jsonl")
 	tracer, err := New(Config{File: path, Sample: 1, Bytes: 1 << 20}, "n1", "1")
 	require.NoError(t, err)
-	fields := map[string]any{"rank": 7.5, "service_rate": 3.5, "retry_ratio": 0.25, "unhealthy_members": 2, "offered": 4.5}
+	fields := map[string]any{"threshold": 7.5, "service_rate": 3.5, "retry_ratio": 0.25, "unhealthy_members": 2, "offered": 4.5}
 	tracer.Change("shedding threshold", "full", "decreasing", fields)
 	tracer.Change("store state", "", "unresponsive", nil)
 	tracer.Change("store state", "unresponsive", "probing", nil)
