--- a/admission/admission.go
+++ b/admission/admission.go
@@ -14,7 +14,7 @@
 
 func rejectedFor(cause Reason) decision { return decision{rejected: true, cause: cause} }
 
-// receive takes in a request that was read. One that is known is ignored.
+// receive handles a request that was read. One whose ID is known already is ignored.
 func (c *Controller) receive(id RequestID, arrival *Arrival) {
 	if c.requests[id] != nil {
 		return
@@ -50,43 +50,44 @@
 }
 
 // decide decides on a request that was just read: first by the limits that protect the server, then, while
-// all cores are busy, by the fleet's rank and the admission rate, and last by whether it can be answered
-// within its objective. Queued requests of less value may be rejected to make that possible.
+// all cores are busy, by the fleet's rank and the admit probability, and last by whether it can be answered
+// within its objective. Queued requests of less value may be rejected to make that possible. The key of a
+// request that is idempotent by key is reserved once the limits allow it.
 func (c *Controller) decide(request *request) decision {
-	if decision := c.decideByLimits(request); decision.rejected {
+	if decision := c.checkLimits(request); decision.rejected {
 		return decision
 	}
+	if !c.keys.reserve(c.now, request) {
+		return rejectedFor(ReasonMemory)
+	}
 	coresBusy := c.runs.allCoresBusy()
 	switch {
 	case coresBusy && request.fleetRank == RankBelowThreshold:
 		return rejectedFor(ReasonBelowThreshold)
-	case coresBusy && !c.admissionRate.admits():
+	case coresBusy && !c.admitProbability.admits():
 		return rejectedFor(ReasonCPU)
 	case c.settings.Classes[request.class].mustCall() && c.calls.breaker.mayNotProbe():
 		return rejectedFor(ReasonDependency) // its call would not be made
 	}
-	return c.decideByObjective(request)
+	return c.makeRoomByObjective(request)
 }
 
-// decideByLimits rejects a request that a drain leaves no time for, or for which there is no memory. A
-// request that is idempotent by key is remembered from now on.
-func (c *Controller) decideByLimits(request *request) decision {
-	keyed := c.settings.Classes[request.class].Idempotency == IdempotentByKey
+// checkLimits rejects a request that a drain leaves no time for, or that arrives while the memory limit is
+// exceeded.
+func (c *Controller) checkLimits(request *request) decision {
 	switch {
 	case c.drain.started && !c.drain.acceptsRun(request.arrivedAt, c.estimator.finishTime(c.now, request)):
 		return rejectedFor(ReasonDraining)
 	case c.memory.exceeded():
 		return rejectedFor(ReasonMemory)
-	case keyed && !c.keys.reserve(c.now, request):
-		return rejectedFor(ReasonMemory)
 	}
 	return admitted
 }
 
-// decideByObjective admits a request that can be answered within its objective, if need be in the place of
-// queued requests that are worth less. One that can't is admitted all the same while a recovery would go
-// unnoticed without it.
-func (c *Controller) decideByObjective(request *request) decision {
+// makeRoomByObjective admits a request that can be answered within its objective. To make room for it, it
+// rejects queued requests that are worth less, one after the other. A request that still can't be on time is
+// rejected, unless too little is under way to notice a recovery: then it is admitted as a trial.
+func (c *Controller) makeRoomByObjective(request *request) decision {
 	for c.estimator.finishTime(c.now, request) > request.objective {
 		scarce := c.estimator.bottleneck(c.now, request)
 		victim := c.values.findVictim(&c.queue, request, scarce)
--- a/admission/admission_rate.go
+++ b/admission/admission_rate.go
@@ -3,27 +3,29 @@
 import "math/rand/v2"
 
 const (
-	pressureUtilization   = 0.9 // CPU utilization above which the server is under pressure
-	pressureDemandPerCore = 2.0 // CPU demand per core above which it is under pressure
-	admitDecrease         = 0.9 // factor on the admit probability per sweep while overloaded
-	admitIncrease         = 0.02
+	pressureUtilization   = 0.9  // CPU utilization above which the server is under pressure
+	pressureDemandPerCore = 2.0  // CPU demand per core above which it is under pressure
+	admitDecrease         = 0.9  // factor on the admit probability per sweep (100 ms) while overloaded
+	admitIncrease         = 0.02 // added to the admit probability per sweep (100 ms) otherwise
 	minAdmitProbability   = 0.05 // so that some latencies are still measured
 )
 
-// admissionRate is the probability with which a request is admitted while all cores are busy. It is adjusted
-// by additive increase and multiplicative decrease, once per sweep.
-type admissionRate struct {
+// admitProbability is the probability with which a request is admitted while all cores are busy. It is
+// adjusted by additive increase and multiplicative decrease, once per sweep.
+type admitProbability struct {
 	probability float64
 	rng         *rand.Rand
 }
 
-func newAdmissionRate(rng *rand.Rand) admissionRate { return admissionRate{probability: 1, rng: rng} }
+func newAdmitProbability(rng *rand.Rand) admitProbability {
+	return admitProbability{probability: 1, rng: rng}
+}
 
 // admits draws whether the next request is admitted.
-func (a *admissionRate) admits() bool { return a.rng.Float64() < a.probability }
+func (a *admitProbability) admits() bool { return a.rng.Float64() < a.probability }
 
 // adjust lowers the probability while the server is overloaded, and raises it otherwise.
-func (a *admissionRate) adjust(overloaded bool) {
+func (a *admitProbability) adjust(overloaded bool) {
 	if overloaded {
 		a.probability = max(a.probability*admitDecrease, minAdmitProbability)
 		return
@@ -31,11 +33,17 @@
 	a.probability = min(a.probability+admitIncrease, 1)
 }
 
-// reduced reports whether the probability has been lowered by at least one decrease.
-func (a *admissionRate) reduced() bool { return a.probability <= admitDecrease }
+// reduced reports whether the probability is at or below that after one decrease from 1, which is
+// admitDecrease.
+func (a *admitProbability) reduced() bool { return a.probability <= admitDecrease }
+
+// condition is the state that is reported to operators.
+func (a *admitProbability) condition() ConditionChange {
+	return ConditionChange{Condition: ConditionAdmission, Active: a.reduced(), Value: a.probability}
+}
 
 // recovered reports whether all requests are admitted.
-func (a *admissionRate) recovered() bool { return a.probability == 1 }
+func (a *admitProbability) recovered() bool { return a.probability == 1 }
 
 // underCPUPressure reports whether the cores are short of time. An unknown gauge shows no pressure.
 func underCPUPressure(gauges Gauges, cores int) bool {
--- a/admission/admission_rate_test.go
+++ b/admission/admission_rate_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAdmissionRateStaysWithinBounds(t *testing.T) {
+func TestAdmitProbabilityStaysWithinBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	rate := newAdmissionRate(rng)
+	rate := newAdmitProbability(rng)
 	require.True(t, rate.recovered())
 	require.False(t, rate.reduced())
 	for range 100 {
@@ -40,7 +40,7 @@
 		{"full", Gauges{CPUUtilization: 0.95, CPUDemand: 4}, true},
 		{"crowded", Gauges{CPUUtilization: -1, CPUDemand: 9}, true},
 		{"at its limits", Gauges{CPUUtilization: 0.9, CPUDemand: 8}, false},
-		{"unknown", unknownGauges, false},
+		{"unknown", UnknownGauges(), false},
 	} {
 		require.Equal(t, test.want, underCPUPressure(test.gauges, 4), test.name)
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,8 +12,8 @@
 	step := func(use, lat float64) float64 {
 		controller.gauges.CPUUtilization = use
 		controller.estimator.estimates[0].latency = rolling.AverageOf(lat)
-		controller.admissionRate.adjust(controller.estimator.cpuOverloaded(controller.gauges))
-		return controller.admissionRate.probability
+		controller.admitProbability.adjust(controller.estimator.cpuOverloaded(controller.gauges))
+		return controller.admitProbability.probability
 	}
 	if step(0.99, 0.5) != 1 || step(0.5, 9) != 1 {
 		t.Fatal("the probability fell though only one condition held")
@@ -21,7 +21,7 @@
 	if s := step(0.99, 9); s >= 1 {
 		t.Fatal("the probability did not fall")
 	}
-	if low := controller.admissionRate.probability; step(0.5, 9) <= low {
+	if low := controller.admitProbability.probability; step(0.5, 9) <= low {
 		t.Fatal("the probability did not rise when the pressure eased")
 	}
 }
@@ -121,7 +121,7 @@
 
 func TestRejectionOnReadingLeavesQueueCounts(t *testing.T) {
 	controller := startController(t, testSettings())
-	controller.admissionRate.probability = 0 // all that comes while the cores are busy is refused on reading
+	controller.admitProbability.probability = 0 // all that comes while the cores are busy is refused on reading
 	for id := RequestID(1); id <= 40; id++ {
 		controller.Step(0, []Event{arrived(id, 0)}, nil)
 	}
--- a/admission/advertiser.go
+++ b/admission/advertiser.go
@@ -11,6 +11,8 @@
 )
 
 // advertiser decides on the value that is sent along with answers, by which clients limit what they send.
+// Only the simulator uses it: with the settings of the real server, from internal/config, Advert is
+// AdvertOff.
 type advertiser struct {
 	advert  Advert
 	cores   int
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -11,6 +11,9 @@
 
 // clientAdvisor decides what clients are advised: with a rejection, when to come back and whether to try
 // another server; with all answers, how much to send; and how long to keep idle connections.
+//
+// It owns readDelay, which advice depends on and health uses as well, and idleTimeout, which follows from the
+// same arrival rates as advice. Neither is a part of the Controller, which keeps its number of parts small.
 type clientAdvisor struct {
 	clients           int
 	maxRetryAfter     time.Duration
@@ -40,8 +43,8 @@
 	a.advertiser.configure(settings)
 }
 
-// reject returns what the client of a request that never ran is told at now. The cause is why it did not run,
-// and queueTime how many seconds it would take to run all that is queued.
+// reject returns the rejection of a request that never ran. The cause is the rule that decided, and queueTime
+// the number of seconds that running all queued requests would take.
 func (a *clientAdvisor) reject(
 	now time.Duration, request *request, cause Reason, queueTime float64,
 ) Rejection {
@@ -58,8 +61,8 @@
 	return rejection
 }
 
-// rejectionReason is the reason that counts for a client: whatever the cause, too little time may be left for
-// an attempt elsewhere.
+// rejectionReason is the reason that counts for a client: the cause, or ReasonTooLate if too little time is
+// left for an attempt elsewhere.
 func rejectionReason(now time.Duration, request *request, cause Reason) Reason {
 	objective := request.objective - request.firstAttemptAt
 	if now-request.firstAttemptAt > scale(objective, lateRejectionRatio) {
@@ -81,6 +84,7 @@
 		}
 		return request.fleetRank != RankElsewhere
 	case ReasonMemory, ReasonDraining:
+		return false // other servers have memory and don't drain
 	}
 	return false
 }
@@ -106,8 +110,8 @@
 	return retryAfter
 }
 
-// readsInVain reports whether requests wait so long to be read that reading them is of no use.
-func (a *clientAdvisor) readsInVain() bool {
+// readDelayOverLimit reports whether the mean read delay is above the limit for a healthy server.
+func (a *clientAdvisor) readDelayOverLimit() bool {
 	return a.readDelay.exceeds(unhealthyReadDelayRatio, a.shortestObjective)
 }
 
--- a/admission/breaker.go
+++ b/admission/breaker.go
@@ -11,24 +11,30 @@
 	breakerWindow  = 5 * time.Second
 	breakerBuckets = 20
 
-	// BreakerProtectedCalls is how many calls per window of the circuit breaker are never dropped, unless
-	// Controller.SetProtectedCalls says otherwise.
+	// BreakerProtectedCalls is the number of protected calls of a circuit breaker on which
+	// Controller.SetProtectedCalls was not called.
 	BreakerProtectedCalls = 5.0
 )
 
-// circuitBreaker drops calls to a dependency that fails, so that it is not asked in vain. It is the
-// client-side adaptive throttling of Google's SRE book, with some calls that are never dropped. Over a
-// rolling window, of total calls that ended and accepts of them that ended well, the next call is dropped
-// with the probability
+// circuitBreaker drops calls to a dependency that fails, to spare it load. It is the client-side adaptive
+// throttling of Google's SRE book, with a number of protected calls subtracted. With total calls that ended
+// within a rolling window, and accepts of them that succeeded, the next call is dropped with the probability
 //
 //	max(0, (total - protectedCalls - K*accepts) / (total + 1))
 //
-// With K = 1.5, calls are dropped once a third of them fails; while all fail, nearly all are dropped, and the
-// protected ones show when the dependency is back.
+// With K = 1.5, calls are dropped once more than a third of many calls fails. While all fail, nearly all
+// are dropped. With protectedCalls of 0 or more, no call is dropped while at most so many calls are in the
+// window. These numbers are in use:
+//
+//	 5  the default
+//	 1  this server probes: after two failures in the window, the next call is dropped with probability 1/3
+//	 0  after one failure in the window, the next call is dropped with probability 1/2
+//	-1  other servers probe: calls are dropped with a probability that reaches 1 only once no accepted call
+//	    is left in the window; it is 1 for an empty window, too
 type circuitBreaker struct {
 	total          *rolling.Window // number of calls that ended
-	accepts        *rolling.Window // number of those that ended well
-	protectedCalls float64         // per window; below 0: none, and other servers of the fleet probe
+	accepts        *rolling.Window // number of those that succeeded
+	protectedCalls float64         // as in the formula above; below 0: other servers of the fleet probe
 }
 
 func newCircuitBreaker(now time.Duration) *circuitBreaker {
@@ -52,8 +58,7 @@
 	return dropProbability(b.total.Sum(now), b.accepts.Sum(now), b.protectedCalls)
 }
 
-// mayNotProbe reports whether the fleet leaves probing to other servers: while no call is accepted, none is
-// made.
+// mayNotProbe reports whether other servers of the fleet probe, so that requests that must call are rejected.
 func (b *circuitBreaker) mayNotProbe() bool { return b.protectedCalls < 0 }
 
 func dropProbability(total, accepts, protectedCalls float64) float64 {
--- a/admission/call_limiter.go
+++ b/admission/call_limiter.go
@@ -10,36 +10,48 @@
 const (
 	minCallLimitRatio     = 0.37 // least limit, of the calls in flight that this server is allowed
 	initialCallLimitRatio = 0.5
-	maxCallLimitRatio     = 0.75 // the limit while calls are as fast as ever
-	callLimitDecrease     = 0.95 // factor on the limit per sweep while calls are slow
-	callLimitIncrease     = 0.01 // added to it per sweep otherwise
-	slowCallFactor        = 2.5  // times the best mean, above which calls are slow
-	bestCallTimeDrift     = 1.001
-	initialBestCallTime   = 1e9 // seconds; any measured call is faster
-	callTimeGain          = 0.1 // weight of a new call in the mean call time
-	safeCallRatio         = 0.9 // of the calls in flight allowed, that the mean stays below
-	minCallTimeFactor     = 4.0 // mean call times that a call beyond safeCallRatio is given at least
-	waitersPerCall        = 1.0 // waiting calls per call of the limit from which calls are backlogged
+	maxCallLimitRatio     = 0.75  // the limit while calls are as fast as ever
+	callLimitDecrease     = 0.95  // factor on the limit per sweep while calls are slow
+	callLimitIncrease     = 0.01  // added to it per sweep otherwise
+	slowCallFactor        = 2.5   // times the best mean, above which calls are slow
+	bestCallTimeDrift     = 1.001 // factor on the best call time per sweep: it doubles in 70 s of slow calls
+	initialBestCallTime   = 1e9   // seconds; any measured call is faster
+	callTimeGain          = 0.1   // weight of a new call in the mean call time
+	safeCallRatio         = 0.9   // of the calls in flight allowed, that the mean stays below
+	minCallTimeFactor     = 4.0   // mean call times that a call beyond safeCallRatio is given at least
+	waitersPerCall        = 1.0   // waiting calls per call of the limit from which calls are backlogged
 	callCreditWindow      = 300 * time.Millisecond
 	callSecondsBuckets    = 50
 	minCallsWindow        = time.Second
 )
 
-// callLimiter limits the calls in flight from this server, of which it is allowed maxInFlight in the mean.
+// callLimiter limits the calls in flight from this server, of which maxInFlight are allowed on average over
+// callsWindow. Three rules apply:
 //
-// The limit is a part of that, which falls while calls take much longer than at best, as the dependency is
-// crowded then and more calls at once only make it slower; it rises otherwise. A limit is seldom a whole
-// number. One call more than it may be made while there is credit: call-seconds that were left unused, of
-// which little is saved up, as many servers would spend it at once. What was overdrawn is paid back. A call
-// beyond what the dependency survives gets so little time that the mean over callsWindow stays below that.
+//  1. The limit is limitRatio of maxInFlight. Per sweep the ratio falls by a factor while calls take much
+//     longer than the best mean, since more concurrent calls slow an overloaded dependency further; it rises
+//     by a constant otherwise (AIMD).
+//  2. The limit is seldom a whole number, so one call more than it allows may be made while there is credit.
+//     Credit is unused call-seconds under the limit. Little of it is saved, as many servers may spend theirs
+//     at once. Calls beyond the limit make it negative (overdrawn), and no call beyond the limit is made
+//     until unused call-seconds have raised it above 0 again.
+//  3. While more calls are in flight than safeCallRatio of maxInFlight, the timeout of a new call is
+//     capped, so that the mean number of calls over callsWindow stays below that. No call is made if the
+//     cap leaves it too little time.
+//
+// A maxInFlight of 0 means that calls are not limited. limit() is 0 then, and
+//   - timeout ignores it, so that all calls are made, and delaysCalls reports false, so that no waiting
+//     time is estimated;
+//   - adjust goes on changing limitRatio, which ConditionCallLimit still reports;
+//   - backlogged reports true from one waiting request on.
 type callLimiter struct {
 	maxInFlight   float64 // mean calls in flight; 0: any number
 	callsWindow   time.Duration
 	abandonedTime time.Duration // for which an abandoned call occupies the dependency at most
 
-	waiting   int // requests that wait for a call
-	inFlight  int
-	abandoned int // calls that nobody waits for and that may still occupy the dependency
+	waitingCount int // requests that wait for a call; an answered one counts until its run ends
+	inFlight     int // calls
+	abandoned    int // calls that nobody waits for and that may still occupy the dependency
 
 	callTime     rolling.Average // seconds
 	bestCallTime float64         // seconds; the best mean, which drifts up so that it is found anew
@@ -69,8 +81,10 @@
 // limit is how many calls may be in flight. It may be less than one.
 func (l *callLimiter) limit() float64 { return l.limitRatio * l.maxInFlight }
 
-// adjust changes the limit by the mean time of calls, once per sweep. Where the dependency is slow by itself,
-// a low limit costs some calls that would have been on time, hence its lower bound.
+// adjust changes the limit by the mean time of calls, once per sweep. The best call time drifts up
+// meanwhile, so that a dependency that has become slower for good is compared with its new best time after
+// a while. Where the dependency is slow without load, a low limit delays calls that would have been on
+// time, hence the lower bound.
 func (l *callLimiter) adjust() {
 	if !l.callTime.Known() {
 		return
@@ -94,15 +108,16 @@
 // occupied is the number of calls that the dependency may be occupied with.
 func (l *callLimiter) occupied() int { return l.inFlight + l.abandoned }
 
-// advance takes in that the calls in flight went on for elapsed, until now.
+// advance accounts for the calls in flight over the time elapsed until now.
 func (l *callLimiter) advance(now, elapsed time.Duration) {
 	inFlight := float64(l.occupied())
 	l.addCredit(elapsed, inFlight)
 	l.callSeconds.Add(now, elapsed.Seconds()*inFlight)
 }
 
-// addCredit adds the call-seconds under the limit, or takes those over it. At most as much is saved as lasts
-// for callCreditWindow with one call more than the limit; at most the limit's own window is owed.
+// addCredit adds the unused call-seconds under the limit, or subtracts those over it. Credit is bounded above
+// by what calls at the next whole number above the limit use up in callCreditWindow, and below by the
+// call-seconds of the limit over callsWindow.
 func (l *callLimiter) addCredit(elapsed time.Duration, inFlight float64) {
 	limit := l.limit()
 	l.credit += elapsed.Seconds() * (limit - inFlight)
@@ -145,8 +160,8 @@
 // delaysCalls reports whether calls may have to wait for others, by what is known.
 func (l *callLimiter) delaysCalls() bool { return l.maxInFlight > 0 && l.callTime.Known() }
 
-// waitFor is how long a call waits for so many calls ahead of it, and for what is to be paid back before the
-// next call if the limit is below one.
+// waitFor estimates the wait of a call behind ahead others, plus the time to repay overdrawn credit if the
+// limit is below one. The limit must not be 0: see delaysCalls.
 func (l *callLimiter) waitFor(ahead float64) time.Duration {
 	limit := l.limit()
 	overdrawn := 0.0
@@ -158,20 +173,21 @@
 
 // backlogged reports whether so many requests wait for a call that no more should run that need one.
 func (l *callLimiter) backlogged() bool {
-	return float64(l.waiting) >= max(1, waitersPerCall*l.limit())
+	return float64(l.waitingCount) >= max(1, waitersPerCall*l.limit())
 }
 
 // anyPending reports whether a request waits for a call, or is in it, so that a recovery of calls will show.
-func (l *callLimiter) anyPending() bool { return l.waiting+l.inFlight > 0 }
+func (l *callLimiter) anyPending() bool { return l.waitingCount+l.inFlight > 0 }
 
-// expectBest forgets how slow calls were of late, so that the next one is given enough time.
-func (l *callLimiter) expectBest() {
+// resetCallTimeToBest replaces the mean call time by the best one, so that the next call gets enough time.
+func (l *callLimiter) resetCallTimeToBest() {
 	if l.callTime.Known() {
 		l.callTime = rolling.AverageOf(l.bestCallTime)
 	}
 }
 
-// recordCallTime takes in how long a call took.
+// recordCallTime adds the time that a call took to the mean. Calls of all outcomes count, those that failed,
+// timed out or were rejected at once included.
 func (l *callLimiter) recordCallTime(took time.Duration) {
 	l.callTime.Add(took.Seconds(), callTimeGain)
 }
--- a/admission/call_limiter_test.go
+++ b/admission/call_limiter_test.go
@@ -75,11 +75,11 @@
 	}
 	require.InDelta(t, minCallLimitRatio*10, limiter.limit(), 1e-9)
 	require.True(t, limiter.atMinimum())
-	limiter.expectBest()
+	limiter.resetCallTimeToBest()
 	require.InDelta(t, limiter.bestCallTime, limiter.callTime.Value(), 0)
-	limiter.waiting = 3
+	limiter.waitingCount = 3
 	require.False(t, limiter.backlogged())
-	limiter.waiting = 4
+	limiter.waitingCount = 4
 	require.True(t, limiter.backlogged())
 	require.True(t, limiter.anyPending())
 }
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -13,12 +13,12 @@
 	abandonedCallFailedFactor = 2.0                    // mean call times after which an abandoned call failed
 )
 
-// callScheduler leads the calls of running requests through their life: a call waits for its turn, is made,
-// and ends, is retried, or is abandoned with its request. Calls are made in the order in which their requests
-// cease to be useful, as far as the limiter allows and the circuit breaker does not drop them.
+// callScheduler schedules the calls of running requests: a call waits for its turn, is made, and ends, is
+// retried, or is abandoned with its request. Calls are made in the order in which their requests cease to be
+// useful, as far as the limiter allows and the circuit breaker does not drop them.
 type callScheduler struct {
 	classes   []Class
-	waiting   timedqueue.Queue[*request] // by the end of their usefulness; some have ceased to wait
+	waiting   timedqueue.Queue[*request] // by the end of their usefulness; some no longer wait
 	limiter   *callLimiter
 	breaker   *circuitBreaker
 	estimator *estimator
@@ -30,8 +30,8 @@
 
 func (s *callScheduler) configure(settings *Settings) { s.classes = settings.Classes }
 
-// need has a request that is on the CPU wait for a call. A request that has ended is ignored.
-func (s *callScheduler) need(now time.Duration, request *request) {
+// handleCallNeeded queues a call for a request that is on the CPU. A request that has ended is ignored.
+func (s *callScheduler) handleCallNeeded(now time.Duration, request *request) {
 	if request == nil || request.state != running {
 		return
 	}
@@ -39,16 +39,18 @@
 	s.wait(now, request)
 }
 
+// wait puts a request in the queue for calls. It counts in waitingCount until its call is made or skipped, or
+// its run ends: an answered request whose run has not ended still counts.
 func (s *callScheduler) wait(now time.Duration, request *request) {
 	request.state = awaitingCall
 	request.callNeededAt = now
-	s.limiter.waiting++
+	s.limiter.waitingCount++
 	s.waiting.Push(request.usefulUntil, request)
 }
 
-// retry has a request wait again for its call, which has failed.
-func (s *callScheduler) retry(now time.Duration, request *request) {
-	s.limiter.waiting--
+// requeue queues a request again whose call has failed, once its backoff has passed.
+func (s *callScheduler) requeue(now time.Duration, request *request) {
+	s.limiter.waitingCount--
 	request.callTime += now - request.callNeededAt
 	s.wait(now, request)
 }
@@ -93,7 +95,7 @@
 }
 
 func (s *callScheduler) start(now time.Duration, request *request, timeout time.Duration) {
-	s.limiter.waiting--
+	s.limiter.waitingCount--
 	s.limiter.inFlight++
 	request.callTime += now - request.callNeededAt
 	request.state = calling
@@ -102,34 +104,34 @@
 	s.actions.emit(Action{Kind: ActionCall, ID: request.id, Timeout: timeout})
 }
 
-// drop has a request go on without its call where its class allows that; otherwise it fails, as it has run.
+// drop resumes a request without its call if its class allows that, and fails it otherwise.
 func (s *callScheduler) drop(now time.Duration, request *request) {
 	if s.classes[request.class].DegradedValueRatio <= 0 {
 		s.fail(request)
 		return
 	}
-	s.limiter.waiting--
+	s.limiter.waitingCount--
 	s.resume(now, request)
 	s.actions.emit(Action{Kind: ActionSkipCall, ID: request.id})
 }
 
 // fail answers a request that waits for its call with an error. Its run is ended by the owner of the
-// controller.
+// controller, on ActionFail, and reported by EventDone; until then the request counts as waiting.
 func (s *callScheduler) fail(request *request) {
 	request.answered = true
 	s.actions.emit(Action{Kind: ActionFail, ID: request.id})
 }
 
-// resume has the run of a request go on after its call.
+// resume counts the run of a request as on the CPU again, after its call or without it.
 func (s *callScheduler) resume(now time.Duration, request *request) {
 	request.callTime += now - request.callNeededAt
 	request.state = running
 	s.runs.reacquireCPU()
 }
 
-// complete takes in the end of a request's call. That of a request that has ended was accounted for as
-// abandoned.
-func (s *callScheduler) complete(now time.Duration, request *request, completion Completion) {
+// handleCallCompleted handles the end of a request's call. The call of a request that has ended is ignored,
+// as it was counted as abandoned already.
+func (s *callScheduler) handleCallCompleted(now time.Duration, request *request, completion Completion) {
 	if request == nil || request.state != calling {
 		return
 	}
@@ -147,7 +149,7 @@
 	request.callTime += now - request.callNeededAt
 	request.state = awaitingCall
 	request.callNeededAt = now
-	s.limiter.waiting++
+	s.limiter.waitingCount++
 	switch {
 	case request.answered:
 	case s.mayRetry(now, request, outcome):
@@ -168,7 +170,7 @@
 }
 
 // stopWaiting drops the call of a request that has ended while it waited for it.
-func (s *callScheduler) stopWaiting() { s.limiter.waiting-- }
+func (s *callScheduler) stopWaiting() { s.limiter.waitingCount-- }
 
 // abandon drops the call in flight of a request that has ended. If it took long it counts as failed.
 func (s *callScheduler) abandon(now time.Duration, request *request) {
@@ -187,13 +189,13 @@
 	}
 }
 
-// abandonedEnded takes in that an abandoned call no longer occupies the dependency.
+// abandonedEnded stops counting an abandoned call, which no longer occupies the dependency.
 func (s *callScheduler) abandonedEnded() { s.limiter.abandoned-- }
 
-// setProtectedCalls sets how many calls per window the breaker never drops. A probe gets enough time.
+// setProtectedCalls sets the protected calls of the circuit breaker: see Controller.SetProtectedCalls.
 func (s *callScheduler) setProtectedCalls(calls float64) {
 	s.breaker.protectedCalls = calls
 	if calls > 0 {
-		s.limiter.expectBest()
+		s.limiter.resetCallTimeToBest()
 	}
 }
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -221,7 +221,7 @@
 		for id := RequestID(1); id <= 5; id++ { // more than may call at once
 			startToCall(t, ctl, id, 1)
 		}
-		if ctl.calls.limiter.waiting == 0 {
+		if ctl.calls.limiter.waitingCount == 0 {
 			t.Fatal("no call waits")
 		}
 		ctl.calls.limiter.callTime = rolling.AverageOf(controller.took)
--- a/admission/condition.go
+++ b/admission/condition.go
@@ -9,7 +9,7 @@
 	ConditionCallLimit                  // the limit on calls in flight is at its minimum
 	ConditionAdmission                  // the admit probability is reduced
 	ConditionMemory                     // the memory limit is reached, and requests are rejected
-	ConditionHealth                     // health checks are answered badly
+	ConditionHealth                     // the server is reported unhealthy
 	ConditionDrain                      // the process drains; it has no end that is reported
 	conditionCount
 )
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -15,19 +15,19 @@
 	timers   timers
 	actions  actionBuffer
 
-	queue         requestQueue
-	scheduler     runScheduler
-	runs          *concurrencyLimiter
-	calls         callScheduler
-	estimator     *estimator
-	values        requestValues
-	admissionRate admissionRate
-	memory        memoryBudget
-	keys          keyTable
-	advisor       clientAdvisor
-	drain         drain
-	health        health
-	conditions    conditionReporter
+	queue            requestQueue
+	scheduler        runScheduler
+	runs             *concurrencyLimiter
+	calls            callScheduler
+	estimator        *estimator
+	values           requestValues
+	admitProbability admitProbability
+	memory           memoryBudget
+	keys             keyTable
+	advisor          clientAdvisor
+	drain            drain
+	health           health
+	conditions       conditionReporter
 }
 
 // New returns a controller for a server that starts at now. The error is a *SettingsError, which names the
@@ -41,13 +41,13 @@
 	runs := newConcurrencyLimiter(now, &settings)
 	limiter := newCallLimiter(now, &settings)
 	controller := &Controller{
-		now:           now,
-		gauges:        unknownGauges,
-		requests:      map[RequestID]*request{},
-		timers:        timers{sweepAt: now},
-		runs:          runs,
-		admissionRate: newAdmissionRate(rng),
-		advisor:       newClientAdvisor(&settings),
+		now:              now,
+		gauges:           UnknownGauges(),
+		requests:         map[RequestID]*request{},
+		timers:           timers{sweepAt: now},
+		runs:             runs,
+		admitProbability: newAdmitProbability(rng),
+		advisor:          newClientAdvisor(&settings),
 	}
 	queue := &controller.queue
 	estimator := newEstimator(&settings, queue, runs, limiter)
@@ -93,10 +93,12 @@
 // ServiceRate is the work that this server completes per second, in seconds of a standard core.
 func (c *Controller) ServiceRate() float64 { return c.estimator.serviceRate() }
 
-// SetProtectedCalls sets how many calls per window of the circuit breaker are never dropped:
-// BreakerProtectedCalls, unless the fleet coordinates its probes. Below 0 no call is made while none is
-// accepted; above 0 the estimate of the call time is reset to the best one, so that a probe gets enough time.
-// It is called between two steps.
+// SetProtectedCalls sets the number of protected calls in the formula of the circuit breaker (breaker.go),
+// which is BreakerProtectedCalls unless the fleet coordinates its probes. With 5, 1 or 0, no call is dropped
+// while at most so many calls are in the window. With -1, calls are dropped with a probability that reaches 1
+// only once no accepted call is left in the window, and requests that must call are rejected. Above 0 the
+// estimate of the call time is also reset to the best one, so that a probe gets enough time. It is called
+// between two steps.
 func (c *Controller) SetProtectedCalls(calls float64) { c.calls.setProtectedCalls(calls) }
 
 // advanceTime brings the sums that grow with time up to now.
@@ -110,7 +112,8 @@
 	c.now = now
 }
 
-// announceStart has health checks answered well from the first step on, and clients told their credit.
+// announceStart emits, in the first step, the health state that checks are answered with and the initial
+// advertised value, if there is one.
 func (c *Controller) announceStart() {
 	if !c.timers.start() {
 		return
@@ -133,9 +136,9 @@
 	case EventCancelled:
 		c.settle(request)
 	case EventCallNeeded:
-		c.calls.need(c.now, request)
+		c.calls.handleCallNeeded(c.now, request)
 	case EventCallDone:
-		c.calls.complete(c.now, request, event.Completion)
+		c.calls.handleCallCompleted(c.now, request, event.Completion)
 	case EventDrain:
 		c.startDrain(event.Drain)
 	case EventDeregister, EventReregister:
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -18,7 +18,7 @@
 //  4. Deadlines that have passed are acted on: requests that wait are rejected and runs are answered with an error
 //     before their clients give up, calls are retried, keys expire (periodic.go).
 //  5. Ten times a second the periodic decisions are made, a sweep (periodic.go): requests that are too late are
-//     rejected; tenants are weighed by their quotas; the admission rate, the run limit and the limit on calls follow
+//     rejected; tenants are weighed by their quotas; the admit probability, the run limit and the limit on calls follow
 //     what was measured; the idle timeout and the health state are adjusted; changes of conditions are logged.
 //  6. Calls that wait are made, by the end of their requests' usefulness, as far as the call limiter allows and the
 //     circuit breaker does not drop them.
@@ -33,7 +33,7 @@
 //  1. the server drains, and it came too late or can't end in time (drain.go);
 //  2. the memory limit is reached, or there is none for its idempotency key (memory.go, key_table.go);
 //  3. all cores are busy and it ranks below the fleet's shedding threshold;
-//  4. all cores are busy and the admission rate does not admit it (admission_rate.go);
+//  4. all cores are busy and the admit probability does not admit it (admission_rate.go);
 //  5. it must call the dependency, and other servers probe whether that is back (breaker.go);
 //  6. it would be answered after its latency objective, for lack of CPU time or of calls, and no queued request is worth
 //     clearly less for each unit of what is scarce (estimator.go, value.go, tenants.go). If there is one, that is
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -156,7 +156,7 @@
 	if !e.calls.delaysCalls() {
 		return 0
 	}
-	ahead := float64(e.calls.waiting)
+	ahead := float64(e.calls.waitingCount)
 	for i := range e.classes {
 		if e.classes[i].mustCall() {
 			ahead += float64(e.queue.classes[i].count) * e.estimates[i].callsPerRun.Or(1)
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -70,7 +70,7 @@
 	estimator, controller := testEstimator(t)
 	controller.queue.push(&request{class: 0})
 	controller.queue.push(&request{class: 3}) // may go on without its call
-	controller.calls.limiter.waiting = 2
+	controller.calls.limiter.waitingCount = 2
 	require.Zero(t, estimator.callWait(), "nothing is known of calls")
 	controller.calls.limiter.callTime = rolling.AverageOf(0.1)
 	require.InDelta(t, 3*0.1/3, estimator.callWait().Seconds(), 1e-9, "three calls ahead, three in flight at a time")
--- a/admission/event.go
+++ b/admission/event.go
@@ -5,15 +5,20 @@
 // RequestID identifies one attempt of a request. A retry has another one.
 type RequestID uint64
 
-// FleetRank is what the other servers of a fleet make of a request, as far as the controller's owner knows.
+// FleetRank places a request among those offered to the whole fleet, as far as the controller's owner knows.
 type FleetRank uint8
 
-// The kinds of FleetRank.
+// The kinds of FleetRank. All but the last decide only what a rejection for lack of CPU time (ReasonCPU) advises.
 const (
-	RankUnknown        FleetRank = iota // nothing is known of other servers
-	RankElsewhere                       // if it is rejected here, another server runs it
-	RankFull                            // if it is rejected here, it should not be retried elsewhere
-	RankBelowThreshold                  // no server is to run it while CPU is short
+	// RankUnknown: nothing is known of other servers. A rejection allows a retry elsewhere, except in a retry storm.
+	RankUnknown FleetRank = iota
+	// RankElsewhere: another server has room for the request. A rejection always allows a retry elsewhere.
+	RankElsewhere
+	// RankFull: the fleet has no room to spare. A rejection forbids a retry elsewhere.
+	RankFull
+	// RankBelowThreshold: the fleet sheds requests of this value. While all cores are busy the request is rejected with
+	// ReasonBelowThreshold; any rejection of it for lack of CPU time forbids a retry elsewhere.
+	RankBelowThreshold
 )
 
 func (r FleetRank) String() string {
@@ -73,8 +78,10 @@
 	Connections       float64 // open connections
 }
 
-// unknownGauges are the gauges before any was measured.
-var unknownGauges = Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
+// UnknownGauges returns the gauges of a server of which nothing was measured, or not recently.
+func UnknownGauges() Gauges {
+	return Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
+}
 
 // Event is something that happened to a server. Beside Kind and ID only the part of its kind is set. The constructors,
 // from RequestArrived on, set what belongs to a kind.
--- a/admission/example_parts_test.go
+++ b/admission/example_parts_test.go
@@ -19,9 +19,9 @@
 	// 0.00
 }
 
-// The admission rate falls fast under overload and recovers slowly.
-func Example_admissionRate() {
-	rate := newAdmissionRate(rand.New(rand.NewPCG(1, 1)))
+// The admit probability falls fast under overload and recovers slowly.
+func Example_admitProbability() {
+	rate := newAdmitProbability(rand.New(rand.NewPCG(1, 1)))
 	for range 10 {
 		rate.adjust(true)
 	}
--- a/admission/health.go
+++ b/admission/health.go
@@ -7,10 +7,12 @@
 	minHealthDuration       = 500 * time.Millisecond // for which a health state stays at least
 )
 
-// health decides how health checks are answered. They are answered badly while operators have deregistered
-// the server, and for a while when requests wait so long to be read that it reads in vain: rejecting costs
-// work too, and a client that comes seldom has forgotten any advice. A server is unhealthy half of the time
-// at most, so that a fleet in the same state is thinned out and not emptied.
+// health decides how health checks are answered. A server is reported unhealthy while operators have
+// deregistered it, and for a time when the delay before requests are read is over its limit: rejecting them
+// costs work too, and clients that send seldom return after any advice has expired.
+//
+// The state flips back after minHealthDuration even while the delay persists, so that for its delay a server
+// is unhealthy half of the time at most. A fleet whose servers are all late keeps about half of them.
 type health struct {
 	deregistered bool // by an operator
 	unhealthy    bool
@@ -19,8 +21,8 @@
 
 // adjust decides anew at now, once per sweep, and reports whether the answer has changed. During a drain it
 // stays.
-func (h *health) adjust(now time.Duration, readsInVain, draining bool) (changed bool) {
-	unhealthy := !h.unhealthy && readsInVain
+func (h *health) adjust(now time.Duration, readDelayOverLimit, draining bool) (changed bool) {
+	unhealthy := !h.unhealthy && readDelayOverLimit // false if unhealthy now: the state flips back
 	tooSoon := now < h.changedAt+minHealthDuration
 	if draining || h.deregistered || unhealthy == h.unhealthy || tooSoon {
 		return false
@@ -30,9 +32,9 @@
 	return true
 }
 
-// setDeregistered records that operators want clients elsewhere, or back, and reports whether checks are to
-// be answered accordingly. Requests that still arrive are handled as usual: clients notice late. That reading
-// was late is forgotten. During a drain the answer stays.
+// setDeregistered records that operators have deregistered the server, or registered it again, and reports
+// whether the answer to health checks is to be sent anew. Requests that still arrive are handled as usual, as
+// clients notice late. A state caused by the read delay ends. During a drain the answer stays.
 func (h *health) setDeregistered(now time.Duration, deregistered, draining bool) (changed bool) {
 	h.deregistered = deregistered
 	if draining {
@@ -43,7 +45,8 @@
 	return true
 }
 
-// answer is how health checks are answered from now on.
+// answer is how health checks are answered from now on. Cached is always true: the server answers them from
+// its last state, without a check of the agent.
 func (h *health) answer() HealthAnswer {
 	return HealthAnswer{Healthy: !h.unhealthy && !h.deregistered, Cached: true}
 }
--- a/admission/key_table.go
+++ b/admission/key_table.go
@@ -3,8 +3,8 @@
 import "time"
 
 // keyTable remembers requests, so that their retries share one run and its result: requests of classes that
-// are idempotent by key, for the window of their class, and reads whose results are cached. It takes the
-// memory of its entries, and has the owner of the controller remember and forget with it.
+// are idempotent by key, for the window of their class, and reads whose results are cached. It accounts for
+// the memory of its entries, and emits the actions by which the owner of the controller keeps the same ones.
 type keyTable struct {
 	classes   []Class
 	cacheTTL  time.Duration
@@ -45,9 +45,12 @@
 	return false
 }
 
-// reserve remembers a request that is idempotent by key, before it may run; false means that there is no
-// memory, and so it must not run.
+// reserve remembers a request before it may run if it is idempotent by key. False means that there is no
+// memory for its key, and it must not run. Requests of other classes need no entry.
 func (k *keyTable) reserve(now time.Duration, request *request) bool {
+	if k.classes[request.class].Idempotency != IdempotentByKey {
+		return true
+	}
 	if k.memory.wouldExceed(k.memory.keyKB) {
 		return false
 	}
@@ -56,9 +59,10 @@
 	return true
 }
 
-// cache has the result of a read that has just started answer others for a time, where there is memory to
-// spare.
-func (k *keyTable) cache(now time.Duration, request *request) {
+// cacheResult remembers a read that has just started for cacheTTL, so that its result answers retries, if
+// memory allows. Only the simulator caches results: with the settings of the real server, from
+// internal/config, CacheTTL is 0.
+func (k *keyTable) cacheResult(now time.Duration, request *request) {
 	isRead := k.classes[request.class].Idempotency == Safe
 	if k.cacheTTL > 0 && isRead && k.memory.allowsCaching() {
 		k.add(now, request, k.cacheTTL)
--- a/admission/key_table_test.go
+++ b/admission/key_table_test.go
@@ -55,13 +55,13 @@
 	settings := testSettings()
 	settings.CacheTTL = time.Second
 	keys, memory, _, actions := testKeyTable(settings)
-	keys.cache(0, &request{id: 1, class: 0})
+	keys.cacheResult(0, &request{id: 1, class: 0})
 	require.Equal(t, []Action{{Kind: ActionRemember, ID: 1, Duration: time.Second}}, actions.take())
-	keys.cache(0, &request{id: 2, class: 1})
-	keys.cache(0, &request{id: 3, class: 2})
+	keys.cacheResult(0, &request{id: 2, class: 1})
+	keys.cacheResult(0, &request{id: 3, class: 2})
 	require.Empty(t, actions.take(), "not reads")
 	memory.take(memory.limitKB() / 2)
-	keys.cache(0, &request{id: 4, class: 0})
+	keys.cacheResult(0, &request{id: 4, class: 0})
 	require.Empty(t, actions.take(), "half of the memory is in use")
 	for class, shares := range []bool{true, true, false, true} {
 		require.Equal(t, shares, keys.reusesResults(class), class)
--- a/admission/periodic.go
+++ b/admission/periodic.go
@@ -9,14 +9,14 @@
 func (c *Controller) sweep() {
 	c.expireQueued() // even if no core is free
 	c.values.quotas.weigh(c.now)
-	c.admissionRate.adjust(c.estimator.cpuOverloaded(c.gauges))
+	c.admitProbability.adjust(c.estimator.cpuOverloaded(c.gauges))
 	c.runs.adjust(c.gauges.CPUDemand, c.queue.count > 0)
 	c.calls.limiter.adjust()
 	if c.advisor.adjustIdleTimeout(c.now, c.gauges.Connections) {
 		c.actions.emit(Action{Kind: ActionIdleTimeout, Duration: c.advisor.idleTimeout.current})
 	}
 	c.advisor.readDelay.decay()
-	if c.health.adjust(c.now, c.advisor.readsInVain(), c.drain.started) {
+	if c.health.adjust(c.now, c.advisor.readDelayOverLimit(), c.drain.started) {
 		c.actions.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
 	}
 	c.reportConditions()
@@ -24,7 +24,7 @@
 
 // isIdle reports whether nothing is in flight and nothing recovers, so that a sweep would change nothing.
 func (c *Controller) isIdle() bool {
-	recovered := c.calls.limiter.recovered() && c.admissionRate.recovered() && !c.health.unhealthy
+	recovered := c.calls.limiter.recovered() && c.admitProbability.recovered() && !c.health.unhealthy
 	inFlight := len(c.requests) > 0 || c.calls.limiter.abandoned > 0
 	coresIdle := c.gauges.CPUDemand >= 0 && c.gauges.CPUDemand < 1
 	return recovered && !inFlight && !c.drain.started && coresIdle
@@ -45,7 +45,7 @@
 				c.fail(expired.request)
 			}
 		case deadlineCallRetry:
-			c.calls.retry(c.now, expired.request)
+			c.calls.requeue(c.now, expired.request)
 		case deadlineAbandonedCall:
 			c.calls.abandonedEnded()
 		case deadlineKey:
@@ -79,11 +79,10 @@
 // reportConditions logs which conditions begin or end.
 func (c *Controller) reportConditions() {
 	dropProbability := c.calls.breaker.dropProbability(c.now)
-	admitProbability := &c.admissionRate
 	for _, state := range [...]ConditionChange{
 		{Condition: ConditionBreaker, Active: dropProbability > 0, Value: dropProbability},
 		{Condition: ConditionCallLimit, Active: c.calls.limiter.atMinimum(), Value: c.calls.limiter.limit()},
-		{Condition: ConditionAdmission, Active: admitProbability.reduced(), Value: admitProbability.probability},
+		c.admitProbability.condition(),
 		{Condition: ConditionMemory, Active: c.memory.exceeded(), Value: c.memory.usedKB},
 		{Condition: ConditionHealth, Active: c.health.unhealthy, Value: c.advisor.readDelay.mean.Value()},
 	} {
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -43,7 +43,7 @@
 	controller := startController(t, testSettings())
 	controller.SetProtectedCalls(-1)
 	controller.calls.limiter.limitRatio = minCallLimitRatio
-	controller.admissionRate.probability = admitDecrease
+	controller.admitProbability.probability = admitDecrease
 	controller.memory.usedKB = 3900
 	controller.health.unhealthy = true
 	controller.advisor.readDelay.observe(500 * time.Millisecond)
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -44,15 +44,15 @@
 	c.memory.take(c.memory.runningExtraKB(request.memoryKB))
 	c.runs.start(request.work)
 	c.actions.emit(Action{Kind: ActionRun, ID: request.id})
-	c.keys.cache(c.now, request)
+	c.keys.cacheResult(c.now, request)
 	for _, follower := range request.followers {
 		c.reuseResult(follower)
 	}
 	request.followers = nil
 }
 
-// completeRun takes in the end of a run, or of the reuse of a result. It ignores that of a request that has
-// ended, or that was not started.
+// completeRun handles the end of a run, or of the reuse of a result. A request that has ended, or was not
+// started, is ignored.
 func (c *Controller) completeRun(request *request, completion Completion) {
 	if request == nil || request.state < joined {
 		return
@@ -78,8 +78,9 @@
 }
 
 // settle records that no answer to a request is owed any more. A run is stopped where that is possible and
-// loses nothing: the run of a request that is idempotent by key goes on, as its result answers the retries. A
-// request that has ended or has its answer is ignored.
+// loses nothing: the run of a request that is idempotent by key goes on, as its result answers the retries.
+// A request that has ended or has its answer is ignored. Only the simulator stops runs: with the settings
+// of the real server, from internal/config, Halt is HaltOff and runs go on to their end.
 func (c *Controller) settle(request *request) {
 	if request == nil || request.answered {
 		return
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -89,7 +89,7 @@
 	startedAt := map[RequestID]time.Duration{}
 	for id := RequestID(1); id <= 400; id++ {
 		now := time.Duration(id) * 50 * ms
-		events := []Event{arrived(id, int(id)%4), TimerFired(unknownGauges)}
+		events := []Event{arrived(id, int(id)%4), TimerFired(UnknownGauges())}
 		events = append(events, endRuns(now, startedAt)...)
 		before := len(actions)
 		actions = controller.Step(now, events, actions)
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("%d wakes in ten seconds at rest", n)
 	}
 	// While the admit probability recovers it is awake.
-	controller.admissionRate.probability = 0.3 // of which the sweeps left out so far make up for some
+	controller.admitProbability.probability = 0.3 // of which the sweeps left out so far make up for some
 	controller.Step(controller.timers.wakeAt, []Event{TimerFired(calmGauges)}, nil)
 	if n = stepAtTimers(controller, controller.now+2*time.Second, calmGauges); n < 19 {
 		t.Errorf("%d wakes in two seconds of recovery", n)
@@ -121,7 +121,7 @@
 func sweptState(controller *Controller) string {
 	limiter, advisor := controller.calls.limiter, &controller.advisor
 	return fmt.Sprintf("admit %.6f calls %.6f best %.6f runs %.6f delay %.6f idle %v",
-		controller.admissionRate.probability, limiter.limitRatio, limiter.bestCallTime, controller.runs.runLimit,
+		controller.admitProbability.probability, limiter.limitRatio, limiter.bestCallTime, controller.runs.runLimit,
 		advisor.readDelay.mean.Value(), advisor.idleTimeout.current)
 }
 
--- a/internal/overload/store_state.go
+++ b/internal/overload/store_state.go
@@ -37,8 +37,10 @@
 	return callAllowanceNames[min(int(a), len(callAllowanceNames)-1)]
 }
 
-// ProtectedCalls returns the number of calls in each window of the circuit breaker that it never drops: what the
-// breaker is set to while the allowance is in force. A negative number has the breaker drop every call.
+// ProtectedCalls returns the number of protected calls that the circuit breaker is set to while the allowance is in
+// force; package admission has the formula (breaker.go). With 5, 1 or 0, no call is dropped while at most so many calls
+// are in the window. With -1, calls are dropped with a probability that reaches 1 only once no accepted call is left in
+// the window.
 func (a CallAllowance) ProtectedCalls() float64 {
 	switch a {
 	case AllowUnlimited:
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -94,7 +94,7 @@
 		s.member.warmAt = startedAt + settings.SlowStartTime
 	}
 	s.publishStatus()
-	s.admission.enqueue(admission.TimerFired(unknownGauges)) // the first step
+	s.admission.enqueue(admission.TimerFired(admission.UnknownGauges())) // the first step
 	if s.health.deregistered {
 		s.enqueueRegistration()
 	}
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -12,9 +12,6 @@
 	gaugeMaxAge        = time.Second          // older gauges count as unknown
 )
 
-// unknownGauges has the value -1, which stands for a gauge that is not known.
-var unknownGauges = admission.Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
-
 // gaugeReading is the last reading of the agent's gauges. The loop owns it.
 type gaugeReading struct {
 	values admission.Gauges
@@ -27,7 +24,7 @@
 // latest returns the reading if it is fresh, and unknown gauges if not: the controller must not act on an old load.
 func (g *gaugeReading) latest(now time.Duration) admission.Gauges {
 	if !g.fresh(now) {
-		return unknownGauges
+		return admission.UnknownGauges()
 	}
 	return g.values
 }
--- a/internal/server/gauges_test.go
+++ b/internal/server/gauges_test.go
@@ -24,7 +24,7 @@
 	}
 	require.Equal(t, want, timer())
 	server.clock.now += gaugeMaxAge + 1
-	require.Equal(t, unknownGauges, timer())
+	require.Equal(t, admission.UnknownGauges(), timer())
 	server.gauges.record(server.clock.now,
 		agent.Load{CPUUtilization: 0.5, CPUDemand: agent.UnknownGauge, MemoryUtilization: agent.UnknownGauge,
 			Connections: agent.UnknownGauge})
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -11,7 +11,8 @@
 )
 
 // Coordinated probes: the members of a fleet take turns in probing a store that does not respond. Package overload
-// decides whose turn it is; here its allowance becomes what the controller's circuit breaker lets through.
+// decides whose turn it is; here its allowance sets the protected calls of the controller's circuit breaker
+// (overload.CallAllowance.ProtectedCalls).
 
 // coordinationInterval is how often the allowance is updated.
 const coordinationInterval = 250 * time.Millisecond
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"falldeal/admission"
 	"falldeal/internal/agent"
 	"falldeal/internal/announce"
 	"falldeal/internal/config"
@@ -62,7 +63,7 @@
 		idempotency:   newIdempotencyTable(cfg.Limits.MemoryMB),
 		connections:   newConnectionTable(cfg.Settings.IdleTimeout),
 		health:        newHealthState(),
-		gauges:        gaugeReading{values: unknownGauges},
+		gauges:        gaugeReading{values: admission.UnknownGauges()},
 		listeners:     listenerSet{accepting: make(chan struct{})},
 		handover:      newHandoverState(),
 	}
