--- a/admission/action.go
+++ b/admission/action.go
@@ -33,12 +33,23 @@
 
 // The kinds of Reason.
 const (
-	ReasonCPU            Reason = iota // too much work for this server's cores
-	ReasonDependency                   // the dependency is overloaded or failing
-	ReasonTooLate                      // the latency objective has passed or can't be met any more
-	ReasonMemory                       // no memory
-	ReasonDraining                     // this server stops
-	ReasonBelowThreshold               // the fleet is full of requests of more value
+	// ReasonCPU: too much work for this server's cores. All cores were busy and the draw by the admit probability was
+	// against the request; or it would have missed its objective for lack of CPU time; or it was displaced from the
+	// queue by a request of more value that needed its CPU time. It is also the reason for an unknown class.
+	ReasonCPU Reason = iota
+	// ReasonDependency: the dependency is overloaded or failing.
+	ReasonDependency
+	// ReasonTooLate: the latency objective has passed or can't be met any more, or too little time is left for an attempt
+	// elsewhere.
+	ReasonTooLate
+	// ReasonMemory: no memory. The memory limit was exceeded when the request was read; or its idempotency key would have
+	// exceeded it; or the limit was exceeded when it was to wait for the queued attempt that it retries; or its run would
+	// have exceeded the limit though nothing else ran.
+	ReasonMemory
+	// ReasonDraining: this server stops.
+	ReasonDraining
+	// ReasonBelowThreshold: the fleet is full of requests of more value.
+	ReasonBelowThreshold
 )
 
 // String returns the value of the field "reason" in logs.
@@ -61,9 +72,9 @@
 	Condition ConditionChange // ActionLog
 }
 
-// Rejection is what a client is told of a request that did not run.
+// Rejection is the answer to a request that did not run.
 type Rejection struct {
-	Reason           Reason        // the reason for the client: ReasonTooLate once half of its objective has passed, else Cause
+	Reason           Reason        // Cause, or ReasonTooLate once half of the objective has passed
 	Cause            Reason        // the rule that decided, whatever time was left
 	RetryAfter       time.Duration // how long the client is to avoid this server; 0: no advice
 	NoRetryElsewhere bool          // the client is asked not to try other servers
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -47,7 +47,7 @@
 	mean rolling.Average // seconds
 }
 
-// observe takes in the delay of a request that was read.
+// observe adds the delay of a request that was read to the mean.
 func (r *readDelay) observe(waited time.Duration) {
 	r.mean.Add(max(waited, 0).Seconds(), readDelayGain)
 }
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -7,21 +7,21 @@
 	maxRunsPerCore       = 2.2  // upper bound to which measured demand may raise them
 	targetDemandPerCore  = 1.5  // CPU demand per core above which they are lowered
 	runLimitStep         = 0.25 // change of the run limit per sweep
-	safeConcurrencyRatio = 0.8  // of the concurrency that a server survives, calls in flight included
-	coresPerTrialRun     = 3    // one run for this many cores goes on while all requests are late
+	safeConcurrencyRatio = 0.8  // of the concurrency that a server can handle, calls in flight included
+	coresPerTrialRun     = 3    // while all requests are late, one trial run is kept for so many cores
 )
 
 // concurrencyLimiter counts the requests that run and limits them in two ways: those on the CPU, by a run
 // limit that follows the measured CPU demand, and all of them, those that wait for a call included, by what
-// the server survives when they return to the CPU at once. A server that has just started survives less.
+// the server can handle when all return to the CPU at once. That is less while a server warms up.
 type concurrencyLimiter struct {
 	cores      int
-	maxPerCore float64 // runs on the CPU, per core, that a warm server survives
+	maxPerCore float64 // runs on the CPU, per core, that a warm server can handle
 	slowStart  slowStart
 	runLimit   float64 // of runs on the CPU
 
 	running int     // runs, those that wait for calls included
-	onCPU   int     // runs that do not
+	onCPU   int     // runs on the CPU, not waiting for a call
 	work    float64 // of all runs, in seconds of a standard core
 }
 
@@ -39,8 +39,8 @@
 	l.slowStart.configure(settings)
 }
 
-// adjust raises the run limit while cores idle though requests are queued, and lowers it while they are
-// crowded. Demand is the number of cores asked for, below 0 if it is unknown.
+// adjust raises the run limit while requests are queued and CPU demand is below its target, and lowers it
+// while demand is above the target. Demand is the number of cores asked for, below 0 if it is unknown.
 func (l *concurrencyLimiter) adjust(demand float64, requestsQueued bool) {
 	cores := float64(l.cores)
 	target := targetDemandPerCore * cores
@@ -70,10 +70,11 @@
 // allCoresBusy reports whether each core has a run.
 func (l *concurrencyLimiter) allCoresBusy() bool { return l.onCPU >= l.cores }
 
-// enoughTrials reports whether as many requests run as are to run though none can be on time, so that a
-// recovery is noticed.
+// enoughTrials reports whether at least trialRuns requests run. While no request can be on time, so many are
+// still run as trials: their run times show when the server or its dependency has recovered.
 func (l *concurrencyLimiter) enoughTrials() bool { return l.running >= l.trialRuns() }
 
+// trialRuns is one run per coresPerTrialRun cores, and at least one.
 func (l *concurrencyLimiter) trialRuns() int { return max(1, l.cores/coresPerTrialRun) }
 
 // start counts a run that begins on the CPU.
--- a/admission/condition.go
+++ b/admission/condition.go
@@ -1,6 +1,6 @@
 package admission
 
-// Condition is a state of a server that operators are told of when it begins and when it ends.
+// Condition is a state of a server whose begin and end are logged for operators.
 type Condition uint8
 
 // The kinds of Condition.
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -69,7 +69,7 @@
 }
 
 // Step processes the events of one batch, all at now, and appends the actions that answer them. A batch may
-// be empty. The first step starts the timers: from then on the owner is told, by ActionWake, when to step
+// be empty. The first step starts the timers: from then on ActionWake tells the owner when to step
 // next at the latest.
 func (c *Controller) Step(now time.Duration, events []Event, actions []Action) []Action {
 	c.actions.pending = actions
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -28,19 +28,32 @@
 //
 // # Whether a request is admitted
 //
-// A request that was read (admission.go) is rejected if
+// A request that was read (admission.go) is rejected if one of these rules applies. They are checked in this order, which
+// is fixed; the first that applies decides.
 //
-//  1. the server drains, and it came too late or can't end in time (drain.go);
-//  2. the memory limit is reached, or there is none for its idempotency key (memory.go, key_table.go);
-//  3. all cores are busy and it ranks below the fleet's shedding threshold;
-//  4. all cores are busy and the admit probability does not admit it (admission_rate.go);
-//  5. it must call the dependency, and other servers probe whether that is back (breaker.go);
-//  6. it would be answered after its latency objective, for lack of CPU time or of calls, and no queued request is worth
+//  1. Its class is unknown.
+//  2. The server drains, and it came too late or can't end in time (drain.go).
+//  3. The memory limit is exceeded, or there is no memory for its idempotency key (memory.go, key_table.go).
+//  4. All cores are busy and it ranks below the fleet's shedding threshold.
+//  5. All cores are busy and the draw by the admit probability is against it (admission_rate.go).
+//  6. It must call the dependency, and other servers probe whether that is back (breaker.go).
+//  7. It would be answered after its latency objective, for lack of CPU time or of calls, and no queued request is worth
 //     clearly less for each unit of what is scarce (estimator.go, value.go, tenants.go). If there is one, that is
-//     rejected in its place.
+//     rejected in its place. With too few trial runs to notice a recovery, it is admitted all the same.
 //
-// An attempt of a request that is known here shares its run instead (idempotency.go). What the client is told with a
-// rejection follows from the reason, the state of the fleet and the rate of retries (advice.go).
+// An attempt of a request that is known here shares its run instead, after the first rule (idempotency.go); if memory is
+// short it is rejected, or failed if the run may have started.
+//
+// A request that was admitted and has not run is still rejected if
+//
+//   - it is displaced by a request of more value (rule 7);
+//   - its answer deadline passes while it is queued, or waits for the attempt that it retries (periodic.go);
+//   - it is found too late to start, at a sweep or when the next run is chosen (runs.go, scheduler.go);
+//   - it is next to start, and there is no memory to run it though nothing else runs, or a drain leaves no time for it
+//     (runs.go);
+//   - the attempt that it retries ended without a run, and the rules from 2 on, checked anew, reject it (idempotency.go).
+//
+// What a rejection advises the client follows from the reason, the state of the fleet and the rate of retries (advice.go).
 //
 // # Files that decide
 //
@@ -59,7 +72,7 @@
 //	estimator.go       how long requests wait and run
 //	concurrency.go     how many requests run
 //	slow_start.go      how fast a server is that has just started
-//	admission_rate.go  which part of the requests is admitted while the CPU is overloaded
+//	admission_rate.go  the probability with which requests are admitted while the CPU is overloaded
 //	calls.go           the life of a call: retries, doing without, abandoned calls
 //	call_limiter.go    how many calls are in flight, and for how long
 //	breaker.go         the circuit breaker before calls
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -56,14 +56,14 @@
 	e.estimates = append(e.estimates, make([]classEstimates, len(settings.Classes)-len(e.estimates))...)
 }
 
-// advance takes in that the runs on the CPU went on for elapsed.
+// advance adds the core time that the runs on the CPU used in the time elapsed.
 func (e *estimator) advance(elapsed time.Duration) {
 	coresUsed := float64(min(e.runs.onCPU, e.cores))
 	e.busyTime += time.Duration(float64(elapsed) * coresUsed / float64(e.cores))
 	e.speed.Add(e.busyTime, 0, elapsed.Seconds()*coresUsed)
 }
 
-// recordRun takes in a run that ended well at now and took that long, calls included.
+// recordRun updates the estimates by a run that succeeded at now. Took includes its calls.
 func (e *estimator) recordRun(now time.Duration, request *request, took time.Duration) {
 	estimates := &e.estimates[request.class]
 	estimates.cpuTime.Add(request.work, (took - request.callTime).Seconds(), estimateGain)
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -1,6 +1,6 @@
 package admission
 
-// joinAttempt has an attempt share the run and the result of an earlier one that is known here; false means
+// joinAttempt lets an attempt share the run and the result of an earlier one that is known here; false means
 // that it is handled like a first attempt. An earlier attempt that is not in flight any more may have run,
 // and only its result may answer.
 func (c *Controller) joinAttempt(request *request, earlier RequestID) bool {
@@ -26,7 +26,7 @@
 	return true
 }
 
-// reuseResult has a request answered with the result of the run that it retries.
+// reuseResult answers a request with the result of the run that it retries.
 func (c *Controller) reuseResult(request *request) {
 	if request.state != released {
 		request.state = joined
--- a/admission/internal/rolling/average.go
+++ b/admission/internal/rolling/average.go
@@ -1,6 +1,6 @@
 package rolling
 
-// Average is an exponential moving average, which takes its first value whole. The zero Average has no value yet.
+// Average is an exponential moving average that starts at the first value added. The zero Average has no value yet.
 type Average struct {
 	value float64
 	known bool
@@ -9,7 +9,7 @@
 // AverageOf returns an Average that stands at value.
 func AverageOf(value float64) Average { return Average{value: value, known: true} }
 
-// Add moves the average towards value by gain, a part from 0 to 1 of their difference.
+// Add moves the average towards value by gain, a fraction from 0 to 1 of their difference.
 func (a *Average) Add(value, gain float64) {
 	if !a.known {
 		a.value = value
--- a/admission/internal/rolling/decaying.go
+++ b/admission/internal/rolling/decaying.go
@@ -6,7 +6,7 @@
 )
 
 // DecayingPair is a pair of sums that decay exponentially, both by the same factor at the same time, so that their
-// quotient is that of the recent past.
+// quotient is a ratio over the recent past.
 type DecayingPair struct {
 	First  float64
 	Second float64
--- a/admission/internal/rolling/linear_fit.go
+++ b/admission/internal/rolling/linear_fit.go
@@ -5,8 +5,8 @@
 	minX        = 1e-9 // least mean of x that is divided by
 )
 
-// LinearFit is a straight line through recent points, older ones weighing less. Its slope is kept between 0 and that
-// of the line through the origin, so that x values which are rough guesses do not stretch its values.
+// LinearFit is a least-squares line through recent points, older ones weighing less. Its slope is clamped between 0 and
+// that of the line through the origin and the mean point, so that imprecise x values do not lead to extreme values.
 type LinearFit struct {
 	x, y   Average
 	xx, xy Average
@@ -23,7 +23,7 @@
 // Known reports whether a point was added.
 func (f *LinearFit) Known() bool { return f.x.Known() }
 
-// At returns the line's value at x, 0 while it is not known.
+// At returns the line's value at x, or 0 before a point was added.
 func (f *LinearFit) At(x float64) float64 {
 	return f.y.value + f.slope()*(x-f.x.value)
 }
--- a/admission/internal/rolling/window.go
+++ b/admission/internal/rolling/window.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Window is a sum over the recent past, kept in equal buckets of time. What is older than the span leaves the sum a
-// bucket at a time.
+// Window is a sum over the recent past, kept in buckets of equal width. Values older than the span are dropped one bucket
+// at a time.
 type Window struct {
 	width      time.Duration // of a bucket
 	buckets    []float64
--- a/admission/periodic.go
+++ b/admission/periodic.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// startDrain moves the deadlines of all answers before the end of the process, and has clients sent elsewhere
-// unless another process of this server goes on.
+// startDrain moves the deadlines of all answers before the end of the process. Unless another process of this
+// server replaces it, the server is reported unhealthy and advertises a value that turns clients away.
 func (c *Controller) startDrain(signal DrainSignal) {
 	if c.drain.started {
 		return
--- a/admission/request.go
+++ b/admission/request.go
@@ -2,15 +2,19 @@
 
 import "time"
 
-// requestState is the life of a request. The order counts: from running on it has taken memory to run.
+// requestState is the state of a request. The order counts: from running on it has taken memory to run.
+//
+// An attempt that retries one that is known here, its leader, does not run. As a follower it waits for the
+// leader to start (following), and then for the result of the leader's run (joined). If the leader ends
+// without a run, the first of its followers takes its place.
 type requestState uint8
 
 const (
 	received     requestState = iota // read, and not yet decided on
 	queued                           // waits to run
-	following                        // waits for the attempt that it retries to run or end
-	joined                           // waits for the result of the attempt that it retries
-	running                          // on the CPU, or waiting for the disk
+	following                        // waits for its leader to start or end
+	joined                           // waits for the result of its leader's run
+	running                          // executing at the agent
 	awaitingCall                     // waits for a call to be made
 	calling                          // waits for a call to end
 	released                         // has ended; it is in no table any more
@@ -37,15 +41,18 @@
 	retryJitter  time.Duration // of advice to stay away
 	callTime     time.Duration // spent waiting for calls and in them
 	callAttempts int
-	leader       *request   // while following
-	followers    []*request // that follow this one
+	leader       *request   // the attempt that this one follows; set while following
+	followers    []*request // attempts that follow this one until it runs
 
 	firstAttemptAt time.Duration // when its client sent the first attempt, as far as known
 	arrivedAt      time.Duration
 	callNeededAt   time.Duration // since then it waits for its call, or is in it
 	objective      time.Duration // an answer by then has its full value
-	usefulUntil    time.Duration // an answer by then has some value
 	deadline       time.Duration // its client gives up then
+
+	// usefulUntil is the latest time at which an answer has value: the deadline if LateValueRatio > 0, else
+	// the objective.
+	usefulUntil time.Duration
 }
 
 // newRequest returns a request that was read at now, with the times by which it is useful. The latency
@@ -79,7 +86,7 @@
 	return request
 }
 
-// follow has a request wait for leader to run or end.
+// follow makes a request a follower of leader.
 func (r *request) follow(leader *request) {
 	r.state = following
 	r.leader = leader
--- a/admission/request_queue.go
+++ b/admission/request_queue.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// requestQueue holds the requests that wait to run, and owns their counts and sums of work. Within a class
-// they are in order of arrival, and between the fronts of the classes that one is next which must start
-// first. A request that has left the queue stays in its place until it is at the front, and is passed over
-// there.
+// requestQueue holds the requests that wait to run, and owns their counts and sums of work. Each class has
+// its requests in order of arrival, and the next request is the class front with the earliest latest start.
+// Removal is lazy: a removed request stays in its slice until it reaches the front, where it is dropped.
 type requestQueue struct {
 	classes []classQueue
 	count   int
@@ -35,7 +34,8 @@
 	q.work += request.work
 }
 
-// remove takes a request out of the counts and sums. Its state must be changed, so that it is passed over.
+// remove subtracts a request from the counts and sums. The caller must change its state, so that it is
+// skipped.
 func (q *requestQueue) remove(request *request) {
 	class := &q.classes[request.class]
 	class.count--
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -37,7 +37,7 @@
 }
 
 // recoveryWillShow reports whether enough is under way to notice when a scarce resource recovers, so that no
-// further request is to run in vain: enough trial runs, or a call that is waited for.
+// further request is to run although it can't be on time: enough trial runs, or a call that is waited for.
 func (s *runScheduler) recoveryWillShow(scarce resource) bool {
 	callWillEnd := scarce == resourceCalls && s.calls.anyPending()
 	return callWillEnd || s.runs.enoughTrials()
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -76,6 +76,9 @@
 }
 
 // Settings are what a controller knows when it starts. New and Reconfigure check them.
+//
+// Dependency, ConcurrencyWindow and AnswerGrace decide nothing. They are here since the simulator and the configuration
+// file have them: the two times are checked, so that wrong settings are rejected with the protocol's text.
 type Settings struct {
 	Cores     int
 	FleetSize int // servers of this tier at the start
@@ -89,17 +92,17 @@
 
 	Halt                  Halt
 	Advert                Advert
-	Dependency            Dependency    // decides nothing here; MaxCallsInFlight does
+	Dependency            Dependency    // decides nothing, see below; MaxCallsInFlight does
 	MaxCallsInFlight      float64       // DependencyShared: mean calls in flight allowed to this server; 0: any
-	CallsWindow           time.Duration // over which that mean is taken
+	CallsWindow           time.Duration // over which the mean of MaxCallsInFlight is taken
 	AbandonedCallTime     time.Duration // for which an abandoned call occupies the dependency at most
 	WarmingUp             bool          // this server has just been started and is slow at first
 	SlowStartSpeedRatio   float64       // part of its speed that it has at least while it warms up
 	SlowStartTime         time.Duration // after which it is warm
-	MaxConcurrencyPerCore float64       // requests on the CPU, per core, that a warm server survives
-	ConcurrencyWindow     time.Duration // over which that mean is taken; checked, but decides nothing
-	AnswerGrace           time.Duration // for which a late answer still counts; checked, but decides nothing
-	DrainGrace            time.Duration // requests that arrive this long after the drain began are not run
+	MaxConcurrencyPerCore float64       // requests on the CPU, per core, at which a warm server still works
+	ConcurrencyWindow     time.Duration // over which the mean of MaxConcurrencyPerCore is taken; decides nothing, see below
+	AnswerGrace           time.Duration // for which a late answer still counts; decides nothing, see below
+	DrainGrace            time.Duration // requests that arrive up to this long after the drain signal are still run
 	CacheTTL              time.Duration // for which the result of a read may answer others; 0: never
 	IdleTimeout           time.Duration // after which clients close idle connections; 0: not known
 	MaxRetryAfter         time.Duration // longest advice to stay away that clients heed
--- a/admission/settings_check.go
+++ b/admission/settings_check.go
@@ -5,8 +5,31 @@
 	"time"
 )
 
-// SettingsError names a field of Settings with which no server can run. Its text is part of the simulator's
-// protocol, so the names in it are those under which operators know the fields.
+// SettingsError names a field of Settings with which no server can run.
+//
+// Its texts are part of the simulator's protocol (cmd/simhost), and so the names in them stay although fields have
+// other names by now. The configuration file has keys of its own, which internal/config checks first:
+//
+//	text          field                      key of the configuration file
+//	Cores         Cores                      FamilyInfo.Cpus
+//	MemoryKB      MemoryKB                   FamilyInfo.MemoryKb
+//	RunBlow       RunningMemoryFactor        FamilyInfo.Blowup
+//	KeyKB         KeyMemoryKB                FamilyInfo.KbPerKey
+//	CallsOut      MaxCallsInFlight           FamilyInfo.CallsOut
+//	CallsOver     CallsWindow                FamilyInfo.CallsOverUs
+//	CallLingers   AbandonedCallTime          FamilyInfo.StaysForUs
+//	ColdFor       SlowStartTime              Invariants.ColdUs
+//	CrowdOver     ConcurrencyWindow          Invariants.FallUs
+//	AnswerGrace   AnswerGrace                Invariants.GraceToAnswerUs
+//	DrainGrace    DrainGrace                 Invariants.StopSendingWithinUs
+//	FreshFor      CacheTTL                   FamilyInfo.FreshForUs
+//	MaxRetryAfter MaxRetryAfter              Limits.MaxRetryAfterUs
+//	IdleAfter     IdleTimeout                FamilyInfo.IdleUs
+//	Tick          Tick                       TickUs
+//	Classes       Classes                    Lanes
+//	Aim           Class.LatencyObjective     Lanes.AimUs
+//	Deadline      Class.Deadline             Lanes.DeadlineUs
+//	KeyWindow     Class.IdempotencyWindow    Lanes.KeyTtlUs
 type SettingsError struct {
 	Field  string
 	Detail string
@@ -31,7 +54,7 @@
 	return nil
 }
 
-// checkSizes checks what is no time. A NaN passes no check.
+// checkSizes checks the fields that are not times. A NaN passes no check.
 func (s *Settings) checkSizes() error {
 	switch {
 	case s.Cores <= 0:
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// catchUp makes the sweeps that were skipped, before anything new is looked at at now: each finds what it
-// would have found at its time.
+// catchUp makes the sweeps that were skipped, before the events at now are handled, so that each sweep acts
+// on the state of its own time.
 func (t *timers) catchUp(now time.Duration, sweep func()) {
 	t.sweepAt = max(t.sweepAt, now-maxSkippedSweeps*sweepInterval) // the machine may have been suspended
 	for t.idle && t.sweepAt < now {
@@ -103,7 +103,7 @@
 }
 
 // schedule returns when the controller is to be woken: at the next sweep, or at an earlier deadline. False
-// means that it is woken in time as it is.
+// means that an earlier ActionWake is still pending and early enough.
 func (t *timers) schedule(now time.Duration, idle bool) (at time.Duration, ok bool) {
 	t.idle = idle
 	next := t.sweepAt
