--- a/admission/admission.go
+++ b/admission/admission.go
@@ -67,7 +67,7 @@
 	case coresBusy && !c.admitProbability.admits():
 		return rejectedFor(ReasonCPU)
 	case c.settings.Classes[request.class].mustCall() && c.calls.breaker.mayNotProbe():
-		return rejectedFor(ReasonDependency) // its call would not be made
+		return rejectedFor(ReasonDependency) // other servers probe
 	}
 	return c.makeRoomByObjective(request)
 }
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -8,11 +8,11 @@
 	"github.com/sirupsen/logrus"
 )
 
+// Stage three, dispatch: each action of the controller is handed to the part that carries it out.
+
 // millisecondsPerSecond turns seconds into the unit of log fields.
 const millisecondsPerSecond = 1000
 
-// Stage three, dispatch: each action of the controller is handed to the part that carries it out.
-
 // dispatch carries out an action.
 func (s *Server) dispatch(action admission.Action) {
 	switch action.Kind {
