--- a/admission/condition.go
+++ b/admission/condition.go
@@ -1,6 +1,6 @@
 package admission
 
-// Condition is a state of a server that operators are told of when it begins and when it ends.
+// Condition is a state of a server whose begin and end are logged for operators.
 type Condition uint8
 
 // The kinds of Condition.
@@ -9,7 +9,7 @@
 	ConditionCallLimit                  // the limit on calls in flight is at its minimum
 	ConditionAdmission                  // the admit probability is reduced
 	ConditionMemory                     // the memory limit is reached, and requests are rejected
-	ConditionHealth                     // health checks are answered badly
+	ConditionHealth                     // the server is reported unhealthy
 	ConditionDrain                      // the process drains; it has no end that is reported
 	conditionCount
 )
