--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -9,12 +9,16 @@
 
 // Stage two, admit: a valid request is put before the controller.
 
+// Why a request is invalid by its fields. The texts go to front ends, and stay as they are.
 var (
-	errArrivalTime           = errors.New("field at: longer ago than any deadline, or ahead of the clock")
-	errTimeout               = errors.New("field wait: longer than any deadline")
-	errUnknownTenant         = errors.New("field tenant: not one of this site")
+	errArrivalTime = errors.New("field at: longer ago than any deadline, or ahead of the clock")
+	errTimeout     = errors.New("field wait: longer than any deadline")
+	// Unknown tenant.
+	errUnknownTenant = errors.New("field tenant: not one of this site")
+	// No idempotency key.
 	errMissingIdempotencyKey = errors.New("field once: missing in a class whose requests must run once")
-	errKeyConflict           = errors.New("field once: known with another body")
+	// The key belongs to a request with another body.
+	errKeyConflict = errors.New("field once: known with another body")
 )
 
 // The arrival time of a request may be ahead of this clock by maxClockAhead, and behind it by the longest deadline and
@@ -25,13 +29,13 @@
 )
 
 // admit validates an attempt and puts it before the controller, or answers it.
-func (s *Server) admit(conn Connection, call uint32, attempt *Attempt) {
+func (s *Server) admit(conn Connection, callNumber uint32, attempt *Attempt) {
 	class, tenant, err := s.config.classify(attempt)
 	if err == nil {
 		err = s.normalizeTimes(attempt, class)
 	}
 	if err != nil {
-		s.answerInvalid(conn, call, attempt, err)
+		s.answerInvalid(conn, callNumber, attempt, err)
 		return
 	}
 	if !s.admission.started() {
@@ -39,7 +43,7 @@
 		s.countAnswer(class, Rejected)
 		trace := requestTrace{reason: reasonAgentNotReady}
 		s.logTrace(&activeRequest{attempt: *attempt, class: class, trace: trace}, Rejected.String())
-		conn.Answer(call, Answer{Kind: Rejected})
+		conn.Answer(callNumber, Answer{Kind: Rejected})
 		return
 	}
 	request := &activeRequest{
@@ -48,11 +52,11 @@
 		class:             class,
 		tenant:            tenant,
 		connection:        conn,
-		call:              call,
+		callNumber:        callNumber,
 		idempotencyWindow: s.config.Settings.Classes[class].IdempotencyWindow,
 	}
 	s.requests.add(request)
-	s.connections.openCall(s.connections.get(conn), call, request)
+	s.connections.openRequest(s.connections.get(conn), callNumber, request)
 	if s.mustClaim(request) {
 		s.claimKey(request)
 		return
@@ -90,7 +94,8 @@
 	return s.clock.fromUnix(request.attempt.ArrivedAt) + request.attempt.Timeout
 }
 
-// submitToController puts a request before the controller, unless its key is that of another request.
+// submitToController puts a request before the controller. It answers Invalid if the key belongs to a request with
+// another body.
 func (s *Server) submitToController(request *activeRequest) {
 	attempt := &request.attempt
 	arrival := admission.Arrival{
@@ -106,7 +111,7 @@
 		if s.idempotency.conflicts(request) {
 			s.markAnswered(request)
 			s.removeRequest(request)
-			s.answerInvalid(request.connection, request.call, attempt, errKeyConflict)
+			s.answerInvalid(request.connection, request.callNumber, attempt, errKeyConflict)
 			return
 		}
 		arrival.RetryOf = s.idempotency.register(request)
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -122,7 +122,7 @@
 // removeConnection removes a connection that has ended: nobody waits for answers on it.
 func (s *Server) removeConnection(state *connectionState) {
 	s.connections.remove(state)
-	for _, request := range state.openCalls {
+	for _, request := range state.openRequests {
 		s.cancel(request)
 	}
 }
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -8,7 +8,7 @@
 )
 
 // A full table evicts silent connections first, then those that were told to close, then the one that has been idle for
-// longest, and never one with an open call.
+// longest, and never one with an open request.
 func TestFullConnectionTable(t *testing.T) {
 	server, runPosted := newIdleServer(t)
 	server.config.Limits.FileDescriptors = 2 * (reservedConnections + 4)
@@ -17,7 +17,7 @@
 		server.ConnectionOpened(conn)
 	}
 	runPosted()
-	server.connections.openCall(server.connections.get(&busy), 1, &activeRequest{})
+	server.connections.openRequest(server.connections.get(&busy), 1, &activeRequest{})
 	server.HealthCheck(&quiet, 1, false)
 	server.HealthCheck(&notified, 1, false)
 	runPosted()
@@ -29,7 +29,7 @@
 		server.ConnectionOpened(conn)
 		runPosted()
 		if state := server.connections.get(conn); state != nil {
-			server.connections.openCall(state, 1, &activeRequest{})
+			server.connections.openRequest(state, 1, &activeRequest{})
 		}
 		return conn
 	}
@@ -45,7 +45,7 @@
 }
 
 // All front ends of a fleet reconnect at once, with more connections than the limit. Each new one evicts an idle one;
-// those with an open call stay, and where all are busy the new one is closed.
+// those with an open request stay, and where all are busy the new one is closed.
 func TestAllReconnectAtOnce(t *testing.T) {
 	server, runPosted := newIdleServer(t)
 	limit := server.maxConnections()
@@ -56,7 +56,7 @@
 		runPosted()
 		if i%2 == 0 {
 			busy = append(busy, conn)
-			server.connections.openCall(server.connections.get(conn), 1, &activeRequest{})
+			server.connections.openRequest(server.connections.get(conn), 1, &activeRequest{})
 		}
 	}
 	closed := 0
@@ -66,7 +66,7 @@
 		runPosted()
 		require.LessOrEqual(t, server.connections.size(), limit)
 		if state := server.connections.get(conn); state.closing == closeStateOpen {
-			server.connections.openCall(state, 1, &activeRequest{})
+			server.connections.openRequest(state, 1, &activeRequest{})
 		} else {
 			require.Equal(t, []any{"pause"}, conn.recorded)
 			closed++
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// connectionKind sorts the connections without an open call by how little would be lost with one, least first.
+// connectionKind sorts the connections without an open request by how little would be lost with one, least first.
 type connectionKind uint8
 
 const (
@@ -33,29 +33,29 @@
 type connectionState struct {
 	connection      Connection
 	kind            connectionKind
-	openCalls       map[uint32]*activeRequest
-	lastCall        uint32        // highest number of a request so far
+	openRequests    map[uint32]*activeRequest
+	lastCallNumber  uint32        // highest number of a request so far
 	lastUsed        time.Duration // when a message was last received or sent
 	closing         closeState
 	drainReads      int  // how often reading has been paused since it began to close
 	discardingInput bool // its input is discarded
 
-	idleList    *list.List // the list of its kind; nil while it has an open call, or closes
+	idleList    *list.List // the list of its kind; nil while it has an open request, or closes
 	idleElement *list.Element
 }
 
 // busy reports whether answers are owed on the connection.
-func (c *connectionState) busy() bool { return len(c.openCalls) > 0 }
+func (c *connectionState) busy() bool { return len(c.openRequests) > 0 }
 
-// connectionTable holds the connections, and those without an open call by how long they have been idle: what is asked
+// connectionTable holds the connections, and those without an open request by how long they have been idle: what is asked
 // in each turn, or for each new connection, costs the same however many there are. The loop owns it, and its times
 // never go back.
 type connectionTable struct {
-	states    map[Connection]*connectionState
-	idle      [connectionKinds]list.List // by kind, idle for longest first
-	openCalls int                        // on all connections
-	closing   []*connectionState
-	idleTimer idleTimer
+	states       map[Connection]*connectionState
+	idle         [connectionKinds]list.List // by kind, idle for longest first
+	openRequests int                        // on all connections
+	closing      []*connectionState
+	idleTimer    idleTimer
 }
 
 // newConnectionTable returns a table whose connections may be idle for that long; 0 = for ever.
@@ -73,16 +73,16 @@
 func (t *connectionTable) get(conn Connection) *connectionState { return t.states[conn] }
 
 func (t *connectionTable) add(conn Connection, now time.Duration) *connectionState {
-	state := &connectionState{connection: conn, openCalls: map[uint32]*activeRequest{}, lastUsed: now}
+	state := &connectionState{connection: conn, openRequests: map[uint32]*activeRequest{}, lastUsed: now}
 	t.states[conn] = state
 	t.addToIdle(state)
 	return state
 }
 
-// remove removes a connection, and leaves its open calls in its state.
+// remove removes a connection, and leaves its open requests in its state.
 func (t *connectionTable) remove(state *connectionState) {
 	t.removeFromIdle(state)
-	t.openCalls -= len(state.openCalls)
+	t.openRequests -= len(state.openRequests)
 	delete(t.states, state.connection)
 	if state.closing != closeStateOpen {
 		t.closing = slices.DeleteFunc(t.closing, func(other *connectionState) bool { return other == state })
@@ -118,20 +118,20 @@
 	t.touch(state, now)
 }
 
-func (t *connectionTable) openCall(state *connectionState, call uint32, request *activeRequest) {
-	if state.openCalls[call] == nil {
-		t.openCalls++
+func (t *connectionTable) openRequest(state *connectionState, callNumber uint32, request *activeRequest) {
+	if state.openRequests[callNumber] == nil {
+		t.openRequests++
 	}
-	state.openCalls[call] = request
+	state.openRequests[callNumber] = request
 	t.removeFromIdle(state)
 }
 
-func (t *connectionTable) closeCall(state *connectionState, call uint32) {
-	if state.openCalls[call] == nil {
+func (t *connectionTable) closeRequest(state *connectionState, callNumber uint32) {
+	if state.openRequests[callNumber] == nil {
 		return
 	}
-	t.openCalls--
-	delete(state.openCalls, call)
+	t.openRequests--
+	delete(state.openRequests, callNumber)
 	t.addToIdle(state)
 }
 
@@ -150,7 +150,7 @@
 	}
 	state.idleList = &t.idle[state.kind]
 	before := state.idleList.Back()
-	for before != nil && stateOf(before).lastUsed > state.lastUsed { // the last call of state went on for long
+	for before != nil && stateOf(before).lastUsed > state.lastUsed { // the last request of state took long
 		before = before.Prev()
 	}
 	if before == nil {
@@ -183,7 +183,7 @@
 }
 
 // evictionCandidate returns the connection to close for a new one: of the first kind that there is, the one that has
-// been idle for longest. One with an open call is never closed.
+// been idle for longest. One with an open request is never closed.
 func (t *connectionTable) evictionCandidate() *connectionState {
 	for kind := range connectionKinds {
 		if state := t.longestIdle(kind); state != nil {
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -13,7 +13,7 @@
 func referenceEvictionCandidate(t *connectionTable) *connectionState {
 	var candidate *connectionState
 	for _, state := range t.states {
-		if len(state.openCalls) > 0 {
+		if len(state.openRequests) > 0 {
 			continue
 		}
 		if candidate == nil || state.kind < candidate.kind ||
@@ -25,7 +25,7 @@
 }
 
 // Whatever happens to connections, in whatever order, the table finds the same eviction candidate as a look at all of
-// them, and counts the open calls.
+// them, and counts the open requests.
 func TestConnectionTableAgainstReference(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -58,9 +58,9 @@
 	case 1:
 		table.touch(state, now)
 	case 2:
-		table.openCall(state, call, &activeRequest{})
+		table.openRequest(state, call, &activeRequest{})
 	case 3:
-		table.closeCall(state, call)
+		table.closeRequest(state, call)
 	case 4:
 		table.markNotified(state, now)
 	case 5:
@@ -77,9 +77,9 @@
 	t.Helper()
 	open := 0
 	for _, state := range all {
-		open += len(state.openCalls)
+		open += len(state.openRequests)
 	}
-	require.Equal(t, open, table.openCalls)
+	require.Equal(t, open, table.openRequests)
 	require.Equal(t, len(all), table.size())
 	got := table.evictionCandidate()
 	want := referenceEvictionCandidate(table)
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -19,7 +19,7 @@
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
 		s.warnings.WarnFields("idempotency", "second run under an idempotency key prevented", nil, logrus.Fields{
-			"request_id":      request.attempt.ID,
+			fieldRequestID:    request.attempt.ID,
 			"idempotency_key": request.attempt.IdempotencyKey,
 		})
 		s.admission.enqueue(admission.RunCompleted(request.id, admission.Completion{Outcome: admission.OutcomeNotStarted}))
@@ -121,8 +121,8 @@
 func (s *Server) handleCommandRejected(rejection agent.CommandRejection) {
 	s.stats.CommandsRejected++
 	s.warnings.WarnFields("agent "+rejection.Command.String(), "agent rejected a command", nil, logrus.Fields{
-		"command":    rejection.Command.String(),
-		"request_id": rejection.RequestID,
+		"command":      rejection.Command.String(),
+		fieldRequestID: rejection.RequestID,
 	})
 	request := s.requests.byAttemptID[rejection.RequestID]
 	if request != nil && request.running() && rejection.Command == agent.CommandLaunch {
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -10,8 +10,8 @@
 // them may block. The server knows a Connection from ConnectionOpened until it calls Close, or until ReadEnded with
 // Disconnected.
 type Connection interface {
-	// Answer writes the answer to a call.
-	Answer(call uint32, a Answer)
+	// Answer writes the answer to the request or health check with that number.
+	Answer(callNumber uint32, a Answer)
 	// NotifyClosing asks the front end to send no new request on this connection.
 	NotifyClosing()
 	// PauseReading reads what has arrived by now and then waits; ReadEnded reports when that is done.
@@ -23,7 +23,7 @@
 	TryClose() bool
 	// Close closes the connection once all answers handed over are written.
 	Close()
-	// MaxOpenCalls returns how many calls may be open at once.
+	// MaxOpenCalls returns how many requests may be open at once.
 	MaxOpenCalls() int
 }
 
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -129,7 +129,7 @@
 	}},
 	{"a wrong request", func(_ *testing.T, server *Server) {
 		attempt := Attempt{ID: "a1", Client: 2, Class: "preview"}
-		server.answerInvalid(&recordingConnection{}, 1, &attempt, errTooManyOpenCalls)
+		server.answerInvalid(&recordingConnection{}, 1, &attempt, errTooManyOpenRequests)
 	}},
 	{"a request that can't be read", func(_ *testing.T, server *Server) {
 		server.ConnectionOpened(&recordingConnection{})
@@ -139,7 +139,6 @@
 	}},
 	{"a second run under a key", func(_ *testing.T, server *Server) {
 		startAgent(server)
-		server.log.(*logrus.Logger).SetLevel(logrus.WarnLevel) // without the line of the start
 		request := &activeRequest{connection: &recordingConnection{}, attempt: attemptWithKey(server, "a1", "order 7")}
 		server.idempotency.register(request)
 		server.idempotency.markRunning(request)
@@ -263,7 +262,7 @@
 			state.Known, state.Full, state.Threshold, sheddingStateName(&state))
 	}
 	for _, err := range []error{
-		errTooManyOpenCalls,
+		errTooManyOpenRequests,
 		errDuplicateID,
 		errCompletedID,
 		errArrivalTime,
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -13,7 +13,7 @@
 // healthCheck is a health check of a front end that waits for its answer.
 type healthCheck struct {
 	connection Connection
-	call       uint32
+	callNumber uint32
 }
 
 // Health checks of front ends are answered by what the controller has last decided (admission.ActionHealth): it answers
@@ -77,5 +77,5 @@
 	if healthy {
 		kind = Healthy
 	}
-	check.connection.Answer(check.call, Answer{Kind: kind})
+	check.connection.Answer(check.callNumber, Answer{Kind: kind})
 }
--- a/internal/server/memory_test.go
+++ b/internal/server/memory_test.go
@@ -111,7 +111,7 @@
 		"completed IDs":    d.completed.size(),
 		"deep checks":      len(d.health.deepChecks),
 		"deadlines":        d.deadlines.Len(),
-		"open calls":       d.connections.openCalls,
+		"open requests":    d.connections.openRequests,
 	}
 }
 
@@ -159,7 +159,7 @@
 		"completed IDs":    10 * 2 * (maxArrivalAge + 1),
 		"deep checks":      maxDeepChecks,
 		"deadlines":        10*window + 100,
-		"open calls":       10 * 2,
+		"open requests":    10 * 2,
 	} {
 		require.LessOrEqual(t, largest[name], bound, name)
 	}
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -8,10 +8,13 @@
 
 // Stage one, receive: connections put what they read into the inbox.
 
+// Why a request is invalid, whatever its fields are. The texts go to front ends, and stay as they are.
 var (
-	errTooManyOpenCalls = errors.New("too many open requests on this connection")
-	errDuplicateID      = errors.New("field id: a try of this id is in hand")
-	errCompletedID      = errors.New("field id: a try of this id was answered or run before")
+	errTooManyOpenRequests = errors.New("too many open requests on this connection")
+	// An attempt with this ID is active.
+	errDuplicateID = errors.New("field id: a try of this id is in hand")
+	// An attempt with this ID has been answered or run.
+	errCompletedID = errors.New("field id: a try of this id was answered or run before")
 )
 
 // The exported methods of this file may be called from any goroutine; they block while the loop is behind.
@@ -24,22 +27,24 @@
 func (s *Server) ReadEnded(conn Connection, reason EndReason) { s.inbox.put(&readEnded{conn, reason}) }
 
 // Submit receives a request.
-func (s *Server) Submit(conn Connection, call uint32, attempt Attempt) {
-	s.inbox.put(&requestReceived{connection: conn, call: call, attempt: attempt})
+func (s *Server) Submit(conn Connection, callNumber uint32, attempt Attempt) {
+	s.inbox.put(&requestReceived{connection: conn, callNumber: callNumber, attempt: attempt})
 }
 
 // RejectInvalid answers a request that can't be read.
-func (s *Server) RejectInvalid(conn Connection, call uint32, err error) {
-	s.inbox.put(&invalidRequestReceived{conn, call, err})
+func (s *Server) RejectInvalid(conn Connection, callNumber uint32, err error) {
+	s.inbox.put(&invalidRequestReceived{conn, callNumber, err})
 }
 
-// Cancel reports that nobody waits for a call any more.
-func (s *Server) Cancel(conn Connection, call uint32) { s.inbox.put(&callCancelled{conn, call}) }
+// Cancel reports that nobody waits for the answer to a request any more.
+func (s *Server) Cancel(conn Connection, callNumber uint32) {
+	s.inbox.put(&requestCancelled{conn, callNumber})
+}
 
 // HealthCheck answers a health check as the controller last decided, or, for a deep one that it leaves open, by whether
 // the agent completes some work.
-func (s *Server) HealthCheck(conn Connection, call uint32, deep bool) {
-	s.inbox.put(&healthCheckReceived{healthCheck{conn, call}, deep})
+func (s *Server) HealthCheck(conn Connection, callNumber uint32, deep bool) {
+	s.inbox.put(&healthCheckReceived{healthCheck{conn, callNumber}, deep})
 }
 
 // connectionOpened is a new connection.
@@ -97,7 +102,7 @@
 // requestReceived is a request that was read.
 type requestReceived struct {
 	connection Connection
-	call       uint32
+	callNumber uint32
 	attempt    Attempt
 }
 
@@ -112,34 +117,34 @@
 		server.notifyClosing(state) // the front end still uses it
 	}
 	repeated := e.reusesCallNumber(state, server)
-	state.lastCall = max(state.lastCall, e.call)
+	state.lastCallNumber = max(state.lastCallNumber, e.callNumber)
 	if repeated {
-		// Two calls of one number can't be told apart by their answers: only the first one gets its answer.
+		// Two requests of one number can't be told apart by their answers: only the first one gets its answer.
 		state.discardingInput = true
 		server.beginClose(state)
 		return
 	}
 	if err := e.check(state, server); err != nil {
-		server.answerInvalid(e.connection, e.call, &e.attempt, err)
+		server.answerInvalid(e.connection, e.callNumber, &e.attempt, err)
 		return
 	}
-	server.admit(e.connection, e.call, &e.attempt)
+	server.admit(e.connection, e.callNumber, &e.attempt)
 }
 
-// reusesCallNumber reports whether the number of the call is that of an open call on the connection, or that of an attempt
-// which was answered or run.
+// reusesCallNumber reports whether the number of the request is that of an open request on the connection, or that of an
+// attempt which was answered or run.
 func (e *requestReceived) reusesCallNumber(state *connectionState, server *Server) bool {
-	if state.openCalls[e.call] != nil {
+	if state.openRequests[e.callNumber] != nil {
 		return true
 	}
-	return e.call <= state.lastCall && server.completed.contains(e.attempt.ID)
+	return e.callNumber <= state.lastCallNumber && server.completed.contains(e.attempt.ID)
 }
 
 // check returns what makes a request invalid whatever its fields are, or nil.
 func (e *requestReceived) check(state *connectionState, server *Server) error {
 	switch {
-	case len(state.openCalls) >= e.connection.MaxOpenCalls():
-		return errTooManyOpenCalls
+	case len(state.openRequests) >= e.connection.MaxOpenCalls():
+		return errTooManyOpenRequests
 	case server.requests.byAttemptID[e.attempt.ID] != nil:
 		return errDuplicateID
 	case server.completed.contains(e.attempt.ID):
@@ -151,27 +156,27 @@
 // invalidRequestReceived is a request that can't be read.
 type invalidRequestReceived struct {
 	connection Connection
-	call       uint32
+	callNumber uint32
 	err        error
 }
 
 func (e *invalidRequestReceived) handle(server *Server) {
 	if state := server.connections.get(e.connection); state != nil && !state.discardingInput {
 		server.stats.Requests++
-		server.answerInvalid(e.connection, e.call, nil, e.err)
+		server.answerInvalid(e.connection, e.callNumber, nil, e.err)
 	}
 }
 
-// callCancelled is the notification of a front end that it no longer waits for a call.
-type callCancelled struct {
+// requestCancelled is the notification of a front end that it no longer waits for the answer to a request.
+type requestCancelled struct {
 	connection Connection
-	call       uint32
+	callNumber uint32
 }
 
-func (e *callCancelled) handle(server *Server) {
-	if state := server.connections.get(e.connection); state != nil && state.openCalls[e.call] != nil {
+func (e *requestCancelled) handle(server *Server) {
+	if state := server.connections.get(e.connection); state != nil && state.openRequests[e.callNumber] != nil {
 		server.stats.Cancelled++
-		server.cancel(state.openCalls[e.call])
+		server.cancel(state.openRequests[e.callNumber])
 	}
 }
 
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -94,7 +94,7 @@
 	class             int // index among the classes of the configuration
 	tenant            int // index among the tenants of the configuration
 	connection        Connection
-	call              uint32        // its number on that connection
+	callNumber        uint32        // its number on that connection
 	idempotencyWindow time.Duration // in which its key must not run twice
 
 	state     requestState
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -23,14 +23,14 @@
 	s.countAnswer(request.class, answer.Kind)
 	s.logTrace(request, answer.Kind.String())
 	s.markCompleted(request)
-	request.connection.Answer(request.call, answer)
+	request.connection.Answer(request.callNumber, answer)
 }
 
 // answerInvalid answers an invalid request. attempt is nil where the request can't be read.
-func (s *Server) answerInvalid(conn Connection, call uint32, attempt *Attempt, err error) {
+func (s *Server) answerInvalid(conn Connection, callNumber uint32, attempt *Attempt, err error) {
 	s.stats.Invalid++
 	s.warnings.WarnFields("request", "invalid request from a front end", err, attemptFields(attempt))
-	conn.Answer(call, Answer{Kind: Invalid, Reason: err.Error()})
+	conn.Answer(callNumber, Answer{Kind: Invalid, Reason: err.Error()})
 }
 
 // attemptFields are the log fields that identify an attempt; none for nil.
@@ -38,7 +38,7 @@
 	if attempt == nil {
 		return nil
 	}
-	return logrus.Fields{"request_id": attempt.ID, "client": attempt.Client, "class": attempt.Class}
+	return logrus.Fields{fieldRequestID: attempt.ID, "client": attempt.Client, "class": attempt.Class}
 }
 
 // countAnswer counts an answer to a request of a class.
@@ -58,7 +58,7 @@
 func (s *Server) markAnswered(request *activeRequest) {
 	request.answered = true
 	if state := s.connections.get(request.connection); state != nil {
-		s.connections.closeCall(state, request.call)
+		s.connections.closeRequest(state, request.callNumber)
 	}
 }
 
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -12,6 +12,9 @@
 // request can be followed by its ID over all image servers that had an attempt of it. At other levels nothing is
 // collected for it but a few fields of the request.
 
+// fieldRequestID is the log field that identifies a request in all lines about it.
+const fieldRequestID = "request_id"
+
 // requestTrace is what a request collects for its line.
 type requestTrace struct {
 	reason          traceReason   // for which it was rejected or failed
@@ -63,7 +66,7 @@
 	now := s.clock.now
 	arrivedAt := s.clock.fromUnix(attempt.ArrivedAt)
 	fields := logrus.Fields{
-		"request_id":   attempt.ID,
+		fieldRequestID: attempt.ID,
 		"class":        s.config.Classes[request.class],
 		"client":       attempt.Client,
 		"outcome":      outcome,
