--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -36,8 +36,13 @@
 }
 
 // Serve runs the server until it is drained, which SIGTERM and SIGINT start, and returns the error that ended it, if
-// one did. path is the file that conf was read from. Connections that are still open when the drain is over delay the
-// return by server.FinalWriteTimeout at most; the console and the extension end with the server.
+// one did. path is the file that conf was read from. After the end of the server's loop the return is delayed by two
+// waits, one after the other, of server.FinalWriteTimeout at most each:
+//
+//   - until the server's connections are closed; if they are still open after that, Serve returns at once;
+//   - until the extension has ended, which it is asked to do when the first wait is over.
+//
+// The console ends with the extension's context, and is not waited for.
 func Serve(signals *Signals, conf *config.Config, path string, log *logrus.Logger, extension Extension) error {
 	limitResources(&conf.Limits)
 	front, err := listen(conf, logging.NewLimiter(log))
@@ -80,11 +85,12 @@
 
 	finished, err := p.handleSignals(serverDone)
 	if !finished {
+		// The first wait is used up. The extension's context ends with this function, and nothing waits for it.
 		p.log.Warn("drain ended with connections open")
 		return nil
 	}
-	stop()
-	select {
+	stop()   // ends the console and the extension
+	select { // the second wait, for the extension only
 	case <-extensionDone:
 	case <-time.After(server.FinalWriteTimeout):
 	}
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -10,16 +10,19 @@
 //
 //   - at the signal: front ends are notified on each connection, health checks fail and the announcements say so, unless a
 //     successor serves on; new connections are still accepted, and requests run;
-//   - closeListenersAt, after the grace period: the listeners close; what still arrives on open connections is rejected;
+//   - closeListenersAt, after the grace period: the listeners close; the controller decides on what still arrives on open
+//     connections;
 //   - the loop ends once all connections have ended, and at stopAt in any case: what has no answer then is answered;
-//   - FinalWriteTimeout later the process ends, whatever is unwritten;
+//   - the process waits for FinalWriteTimeout at most until all connections are written and closed. If they are not, it
+//     ends there. If they are, it waits for the program's extension, again for FinalWriteTimeout at most (package process);
 //   - shutdownMargin after stopAt the platform kills it.
 
 const (
 	// shutdownMargin is how long before the process is killed its loop ends: the last answers, which the controller gives
 	// a little earlier, are on their way by then.
 	shutdownMargin = 120 * time.Millisecond
-	// FinalWriteTimeout is the part of shutdownMargin after which the process ends, whatever is still unwritten.
+	// FinalWriteTimeout is how long, after the end of the loop, the process waits for the last answers to be written. The
+	// process waits for as long once more, for its extension, where all answers were written in time.
 	FinalWriteTimeout = 90 * time.Millisecond
 	// listenerCloseMargin is how long before the end of the loop the listeners are closed at the latest, so that what
 	// arrived at the last moment is read and answered. Front ends are promised 50 ms for the way between machines.
@@ -52,7 +55,7 @@
 	phase            drainPhase
 	replaced         bool          // a successor serves on
 	requestedAt      time.Duration // when SIGTERM was received
-	closeListenersAt time.Duration // nothing that arrives later would be run
+	closeListenersAt time.Duration // when the listeners close; the controller decides on later requests
 	stopAt           time.Duration // when the loop ends at the latest
 }
 
