--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -23,8 +23,10 @@
 		s.scheduleWake(action.At)
 	case admission.ActionLog:
 		s.logCondition(action.Condition)
-	default: // all others are about one request
-		if request := s.requests.byID[action.ID]; request != nil { // else it has ended in the meantime
+	default:
+		// All others are about one request, but for ActionAdvertise. That has ID 0, which no request has, and is dropped
+		// here without a warning, like an action on a request that has ended.
+		if request := s.requests.byID[action.ID]; request != nil {
 			s.dispatchRequest(request, action)
 		}
 	}
@@ -59,11 +61,12 @@
 	case admission.ActionRemember:
 		s.idempotency.retain(request)
 	case admission.ActionForget:
-		// An entry without a run is dropped with its last attempt; one with a run stays for its window.
+		// The controller's key table accounts for memory only. When a key expires is decided by the idempotencyTable: an
+		// entry without a run is dropped with its last attempt, one with a run stays for its window.
 	case admission.ActionReuse:
 		s.reuseResult(request)
 	default:
-		// Stop and Advertise need settings that the configuration does not admit.
+		// ActionStop: it needs settings that the configuration does not admit.
 		s.warnings.WarnFields("controller", "unsupported action of the admission controller", nil,
 			logrus.Fields{"action": int(action.Kind)})
 	}
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -140,7 +140,9 @@
 	s.resumeClaimed(known.IdempotencyKey)
 }
 
-// handleKeyClaim grants the successor a key that is not known here, and leaves it alone from then on.
+// handleKeyClaim grants the successor a key that is not known here, and runs nothing under it from then on. A claim does
+// not say which class the request has, so the entry gets the longest window of all classes: a shorter one could end while
+// the key must not be run again.
 func (s *Server) handleKeyClaim(link *handover.Link, claim handover.KeyClaim) {
 	entry := s.idempotency.entries[claim.IdempotencyKey]
 	if entry != nil && !entry.expired(claim.ArrivedAt) {
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -18,8 +18,10 @@
 
 // Health checks of front ends are answered by what the controller has last decided (admission.ActionHealth): it answers
 // badly while requests wait for too long to be read, during a drain without a successor, and while an operator has
-// deregistered the server. Before the agent is up all checks fail. A deep check, where the controller leaves it open, has
-// the agent complete some work first.
+// deregistered the server. Before the agent is up all checks fail.
+//
+// A deep check, where the controller leaves it open, has the agent complete some work first. No check gets there today: the
+// controller always has deep checks answered from its own state (HealthAnswer.Cached).
 
 // healthState is what health checks are answered by. The loop owns it.
 type healthState struct {
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -108,7 +108,9 @@
 	}
 }
 
-// adopt adds, or renews, a key that another process has, as if holder had been run under it.
+// adopt adds, or renews, a key that another process has. Its entry counts as running from the start, as that process may
+// have run an attempt: no attempt is run here, and retries wait for the result that the owner sends. holder is an ID that
+// no request here has; it makes the controller treat every attempt under the key as a retry.
 func (t *idempotencyTable) adopt(
 	owner *handover.Link, known handover.KeyKnown, holder admission.RequestID,
 ) *idempotencyEntry {
--- a/internal/server/idempotency_entry.go
+++ b/internal/server/idempotency_entry.go
@@ -36,8 +36,12 @@
 	body []byte
 }
 
-// idempotencyEntry is what is known of one request with a key: it runs once within its window, however often it is
-// tried, and its result answers the other attempts.
+// idempotencyEntry is what is known of one request with a key: it runs once within its window, however many attempts there
+// are, and its result answers the other attempts.
+//
+// The holder of an entry is the one attempt that may run or was run. The controller calls it the leader of the attempts
+// that wait for it, its followers. The owner is the process that the holder belongs to. While the holder has not run,
+// another attempt may take its place; the owner of an entry never changes.
 type idempotencyEntry struct {
 	key       string
 	digest    uint64              // of the body that all its attempts carry
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -80,19 +80,22 @@
 	}
 }
 
-// turn handles events from the inbox, sweeps the deadlines and lets the controller take one step. Input is handled
+// turn handles events from the inbox, runs what is due and lets the controller take one step. Input is handled
 // before deadlines: after a pause of the process, what arrived meanwhile still counts as in time.
 func (s *Server) turn() {
 	s.clock.advance()
 	s.handleWaiting(maxEventsPerTurn)
 	s.clock.advance()
-	s.deadlines.Sweep(s.clock.now)
+	s.runExpired()
 	s.stats.Turns++
 	s.step()
 	s.advanceClosing()
 	s.scheduleIdleCheck()
 }
 
+// runExpired runs the callbacks of all deadlines that have passed.
+func (s *Server) runExpired() { s.deadlines.Sweep(s.clock.now) }
+
 // step lets the controller decide on the events, and carries out its actions.
 func (s *Server) step() {
 	for _, action := range s.admission.step(s.clock.now) {
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -167,7 +167,8 @@
 	}
 }
 
-// expireAfterWindow drops an entry that has a run once no attempt of its window can be taken in any more.
+// expireAfterWindow drops an entry that has a run once no attempt of its window is accepted any more. The controller's key
+// table, which accounts for memory only, has no part in it.
 func (s *Server) expireAfterWindow(entry *idempotencyEntry) {
 	windowEnd := entry.windowEnd
 	s.deadlines.Add(s.clock.fromUnix(windowEnd)+s.config.maxArrivalAge()+windowSlack, func() {
