--- a/internal/stats/counters.go
+++ b/internal/stats/counters.go
@@ -8,43 +8,45 @@
 	// Connections of front ends.
 	Connections       uint64
 	ConnectionsClosed uint64 // to make room for others, or as idle
-	ReadTimeouts      uint64 // closed as no whole message came in time
-	MalformedInputs   uint64 // closed for input that is not of the protocol
+	ReadTimeouts      uint64 // closed as no whole message came in time; logged as silent
+	MalformedInputs   uint64 // closed for input that is not of the protocol; logged as unreadable
 
 	// Messages received from front ends.
 	Requests     uint64
-	Retries      uint64
+	Retries      uint64 // attempts under an idempotency key that is known; logged as repeats
 	Invalid      uint64
 	Cancelled    uint64
-	HealthChecks uint64
+	HealthChecks uint64 // logged as probes
 
 	// Work sent to the agent and calls to the store.
-	Runs           uint64
-	Calls          uint64
+	Runs  uint64
+	Calls uint64
+	// CallsAbandoned counts calls in flight whose reply nobody waits for any more; logged as calls_dropped. Calls that the
+	// circuit breaker drops are not among them: these are never made, and count as CallsSkipped or as a failed request.
 	CallsAbandoned uint64
-	CallsSkipped   uint64
-	DeepChecks     uint64
+	CallsSkipped   uint64 // runs that went on without their call; logged as skips
+	DeepChecks     uint64 // logged as exercises
 
-	Responses     map[string]*ResponseCounts // by the name of the class
-	ResultsReused uint64                     // of those served, with the result of another attempt
+	Responses     map[string]*ResponseCounts // by the name of the class; logged as totals: served, refused and failed
+	ResultsReused uint64                     // of those served, with the result of another attempt; logged as reused
 
 	// What the agent reported.
 	RunsFailed       uint64
 	RunsInterrupted  uint64
-	RunsNotStarted   uint64
-	CommandsRejected uint64
+	RunsNotStarted   uint64 // logged as runs_moot
+	CommandsRejected uint64 // logged as commands_refused
 
 	// How calls to the store ended.
 	CallsOK          uint64
-	CallsRejected    uint64
+	CallsRejected    uint64 // logged as calls_busy
 	CallsFailed      uint64
-	CallsTimedOut    uint64
+	CallsTimedOut    uint64 // logged as calls_late
 	CallsUnreachable uint64
-	CallsAborted     uint64
+	CallsAborted     uint64 // logged as calls_broken
 
 	// Connections opened to the agent and the store.
-	AgentConnections uint64
-	StoreConnections uint64
+	AgentConnections uint64 // logged as agent_links
+	StoreConnections uint64 // logged as store_links
 
 	// Reloads of the configuration.
 	Reloads       uint64
@@ -52,13 +54,17 @@
 
 	// Claims on idempotency keys that were sent to the predecessor process.
 	Claims         uint64
-	ClaimsTimedOut uint64 // without a reply in time
+	ClaimsTimedOut uint64 // without a reply in time; logged as claims_late
 
 	Turns uint64 // iterations of the event loop
 }
 
 // ResponseCounts counts the responses to the requests of one class.
-type ResponseCounts struct{ Served, Rejected, Failed uint64 }
+type ResponseCounts struct {
+	Served   uint64
+	Rejected uint64 // logged as refused
+	Failed   uint64
+}
 
 // Class returns the counts of the class of that name, which may be a new one.
 func (c *Counters) Class(name string) *ResponseCounts {
@@ -86,10 +92,10 @@
 
 // Gauges are numbers of the moment at which the counters are logged.
 type Gauges struct {
-	ActiveRequests  int
-	RunningRequests int
-	IdempotencyKeys int
-	Connections     int // of front ends
+	ActiveRequests  int // logged as now_open
+	RunningRequests int // logged as now_running
+	IdempotencyKeys int // logged as now_keys
+	Connections     int // of front ends; logged as now_connections
 }
 
 // Log logs all counters, and the gauges beside them, as one line. The names of its fields are read by others and stay.
--- a/internal/stats/metrics.go
+++ b/internal/stats/metrics.go
@@ -21,19 +21,31 @@
 	InFlight int // requests that have no reply yet
 }
 
+// The names of metrics. Operators' tools read them.
+const (
+	metricServed          = "success"         // of a class: requests answered with a result
+	metricRejected        = "busy"            // of a class: requests rejected, which did not run
+	metricFailed          = "failure"         // of a class: requests answered with an error, which may have run
+	metricRuns            = "backend_calls"   // runs sent to the agent
+	metricInFlight        = "inflight"        // gauge: requests that have no reply yet
+	metricReloads         = "reconfig_ok"     // reloads of the configuration that were applied
+	metricReloadsFailed   = "reconfig_failed" // reloads that failed, after which the configuration stayed
+	metricClassNamePrefix = "calls."          // before the name of the class
+)
+
 // Append appends the metrics as lines of statsd, NAME:VALUE|c for a counter and NAME:VALUE|g for a gauge.
 func (m Metrics) Append(b []byte) []byte {
 	for _, class := range slices.Sorted(maps.Keys(m.Responses)) {
 		counts := m.Responses[class]
-		prefix := "calls." + sanitize(class) + "."
-		b = appendLine(b, prefix+"success", counts.Served, counter)
-		b = appendLine(b, prefix+"busy", counts.Rejected, counter)
-		b = appendLine(b, prefix+"failure", counts.Failed, counter)
+		prefix := metricClassNamePrefix + sanitize(class) + "."
+		b = appendLine(b, prefix+metricServed, counts.Served, counter)
+		b = appendLine(b, prefix+metricRejected, counts.Rejected, counter)
+		b = appendLine(b, prefix+metricFailed, counts.Failed, counter)
 	}
-	b = appendLine(b, "backend_calls", m.Runs, counter)
-	b = appendLine(b, "inflight", uint64(m.InFlight), gauge)
-	b = appendLine(b, "reconfig_ok", m.Reloads, counter)
-	return appendLine(b, "reconfig_failed", m.ReloadsFailed, counter)
+	b = appendLine(b, metricRuns, m.Runs, counter)
+	b = appendLine(b, metricInFlight, uint64(m.InFlight), gauge)
+	b = appendLine(b, metricReloads, m.Reloads, counter)
+	return appendLine(b, metricReloadsFailed, m.ReloadsFailed, counter)
 }
 
 // appendLine appends one line.
