--- a/admission/event.go
+++ b/admission/event.go
@@ -10,10 +10,16 @@
 
 // The kinds of FleetRank.
 const (
-	RankUnknown        FleetRank = iota // nothing is known of other servers
-	RankElsewhere                       // if it is rejected here, another server runs it
-	RankFull                            // if it is rejected here, it should not be retried elsewhere
-	RankBelowThreshold                  // no server is to run it while CPU is short
+	// RankUnknown: nothing is known of other servers. If the request is rejected for want of CPU, its client is asked not
+	// to retry elsewhere only in a retry storm.
+	RankUnknown FleetRank = iota
+	// RankElsewhere: another server runs the request if it is rejected here for want of CPU; its client may retry there.
+	RankElsewhere
+	// RankFull: if the request is rejected for want of CPU, its client is asked not to retry elsewhere.
+	RankFull
+	// RankBelowThreshold: no server runs the request while its cores are all busy. It is rejected then with
+	// ReasonBelowThreshold, and its client is asked not to retry elsewhere.
+	RankBelowThreshold
 )
 
 func (r FleetRank) String() string {
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// The names of commands in the protocol.
+// The names of commands on the wire, fixed by the agent.
 const (
 	nameSubscribe = "subscribe"
 	nameLaunch    = "launch"
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -19,7 +19,7 @@
 type LeaseTerms struct {
 	Base              Quota         // of this member by its settings; the store bears the sum over all members
 	Reserved          Quota         // part of Base that is never leased out, and all that a process uses after its start
-	Lease             time.Duration // of a lease, from before it is requested
+	Lease             time.Duration // of a lease, measured by the borrower from sending the request
 	CallTime          time.Duration // that the store may work on a call, from its start
 	AbandonedCallTime time.Duration // that the store may go on with a call after its process has died
 }
--- a/internal/overload/verdict.go
+++ b/internal/overload/verdict.go
@@ -5,12 +5,19 @@
 // Verdict is the fleet's view of a request.
 type Verdict uint8
 
-// The verdicts on a request.
+// The verdicts on a request. Each has a consequence for a request that this server rejects for want of CPU; rejections for
+// other reasons are the same whatever the verdict.
 const (
-	VerdictUnknown        Verdict = iota // nothing is known of other members: this server decides by its own load
-	VerdictHasCapacity                   // the fleet has capacity: if this server rejects the request, another runs it
-	VerdictFleetFull                     // the fleet is full and over its retry budget: a rejected client should not retry
-	VerdictBelowThreshold                // the request is below the threshold: no member runs it while cores are short
+	// VerdictUnknown: nothing is known of other members, and this server decides by its own load. A rejected client is
+	// asked not to retry elsewhere only while this server observes a retry storm.
+	VerdictUnknown Verdict = iota
+	// VerdictHasCapacity: the fleet has capacity. A rejected client may retry elsewhere, where another member runs it.
+	VerdictHasCapacity
+	// VerdictFleetFull: the fleet is full and over its retry budget. A rejected client is asked not to retry elsewhere.
+	VerdictFleetFull
+	// VerdictBelowThreshold: the request is below the shedding threshold. It is rejected whenever all cores are busy, at
+	// each member, and its client is asked not to retry elsewhere.
+	VerdictBelowThreshold
 )
 
 var verdictNames = [...]string{"unknown", "has capacity", "fleet full", "below threshold"}
--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what a Link does not find out by itself. No field has a default.
+// Config configures a Link. No field has a default.
 type Config struct {
 	// Backoff sets the delays between dials. A connection that lasts for longer than Backoff.MaxDelay counts as a
 	// success, and the next delay is the first again.
