--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -84,7 +84,7 @@
 // Run keeps a connection open to the address in force until ctx ends, on a goroutine of its own.
 func (l *Link) Run(ctx context.Context) { l.connections.Run(ctx, connectionHandler{l}) }
 
-// SetAddress has a connection opened to another address. The present one is used until that is open.
+// SetAddress opens a connection to another address. The present one is used until that is open.
 func (l *Link) SetAddress(address string) { l.connections.SetAddress(address) }
 
 // SetGauges changes the names of the gauges, in the order in which the agent reports them.
--- a/internal/fleet/nameconflict.go
+++ b/internal/fleet/nameconflict.go
@@ -35,7 +35,7 @@
 	return proven, true
 }
 
-// Receive takes in the record of another process with this name, and returns whether this process has to publish at
+// Receive handles the record of another process with this name, and returns whether this process has to publish at
 // once: a higher incarnation, or that it has released the name.
 //
 // The record is that of a predecessor, which is superseded by a higher incarnation, or that of a process that lives at
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -57,7 +57,7 @@
 // NameReleased reports whether the name has been given up to another process. Nothing more is published then.
 func (s *Self) NameReleased() bool { return s.ownership == nameReleased }
 
-// SetStatus takes in a report of the loop, and returns whether it is to be published at once.
+// SetStatus records a report of the loop, and returns whether it is to be published at once.
 func (s *Self) SetStatus(now time.Duration, status Status) (urgent bool) {
 	s.lastStatus = now
 	s.setReplaced(status.Replaced)
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -75,7 +75,7 @@
 	return entry.record, entry.recordedAt
 }
 
-// ObserveReach takes in what the failure detection says of a process.
+// ObserveReach records what the failure detection reports of a process.
 func (v *View) ObserveReach(now time.Duration, name string, run uint64, reach Reach) {
 	entry := v.entryFor(now, name)
 	if entry == nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// RecordEvidence takes in the result of a dial to a lost process. It counts for as long as the process is lost.
+// RecordEvidence records the result of a dial to a lost process. It counts for as long as the process is lost.
 func (v *View) RecordEvidence(name string, run uint64, evidence Evidence) {
 	entry := v.entries[name]
 	if entry == nil {
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// step has a member end calls, tick, publish and make calls.
+// step makes a member end calls, tick, publish and make calls.
 func (s *coordinatorSimulation) step(member int, storeAnswers bool) {
 	coordinator := s.coordinators[member]
 	s.endCalls(member)
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -89,8 +89,9 @@
 		p.log.Warn("drain ended with connections open")
 		return nil
 	}
-	stop()   // ends the console and the extension
-	select { // the second wait, for the extension only
+	stop()
+	// The second wait, which is for the extension only.
+	select {
 	case <-extensionDone:
 	case <-time.After(server.FinalWriteTimeout):
 	}
--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -51,7 +51,7 @@
 // Address returns the address in force.
 func (l *Link) Address() string { return l.address }
 
-// SetAddress has a connection opened to another address. The one before serves for DrainTimeout at most; it is for
+// SetAddress opens a connection to another address. The one before serves for DrainTimeout at most; it is for
 // the Handler to close it as soon as the new one is open.
 func (l *Link) SetAddress(address string) {
 	if address == l.address {
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A full table evicts silent connections first, then those that were told to close, then the one that has been idle for
+// A full table evicts silent connections first, then those that were notified of closing, then the one that has been idle for
 // longest, and never one with an open request.
 func TestFullConnectionTable(t *testing.T) {
 	server, runPosted := newIdleServer(t)
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// scheduleWake has the controller step at that time, with gauges that are asked for shortly before.
+// scheduleWake lets the controller step at that time, with gauges that are asked for shortly before.
 func (s *Server) scheduleWake(at time.Duration) {
 	if sampleAt := at - gaugeRequestMargin; sampleAt > s.clock.now {
 		s.deadlines.Add(sampleAt, s.agent.SampleGauges)
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -110,7 +110,7 @@
 	}))
 }
 
-// closeListeners has new connections refused.
+// closeListeners closes the listeners, so that new connections are refused.
 func (s *Server) closeListeners() {
 	s.drain.phase = drainListenersClosed
 	s.listeners.open() // so that fronts that do not accept yet end, too
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -14,7 +14,7 @@
 // agentCheckInterval is how often the link is checked while the agent has not sent its handshake.
 const agentCheckInterval = time.Second
 
-// startRun has the agent run a request. A request whose key has a run on record is never run again, whatever the
+// startRun sends a request to the agent to be run. A request whose key has a run on record is never run again, whatever the
 // controller has decided.
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
--- a/internal/server/faults.go
+++ b/internal/server/faults.go
@@ -5,7 +5,7 @@
 // Faults that operators inject into one process, to see how the other members react. Neither exists unless the
 // operators' file asks for it.
 
-// SkewClock has the server take the system's clock to be off by d. It is called before Run.
+// SkewClock makes the server treat the system's clock as off by d. It is called before Run.
 func (s *Server) SkewClock(d time.Duration) {
 	s.clock = clock{read: func() time.Time { return time.Now().Add(d) }}
 	s.clock.advance()
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -228,7 +228,7 @@
 	}},
 }
 
-// Log lines that operators are told to look for.
+// Log lines that the documentation tells operators to look for.
 func TestGoldenLog(t *testing.T) {
 	var got strings.Builder
 	for _, testCase := range goldenLogCases {
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -98,7 +98,7 @@
 	s.openFrontsWhenReady()
 }
 
-// openFrontsWhenReady has connections accepted as soon as their requests can be run.
+// openFrontsWhenReady lets connections be accepted as soon as their requests can be run.
 func (s *Server) openFrontsWhenReady() {
 	if s.handover.synced && s.admission.started() {
 		s.listeners.open()
@@ -209,7 +209,7 @@
 		s.idempotency.lookup(request) == nil
 }
 
-// claimKey has a request wait for the predecessor's answer to the claim on its key. Without one in time it fails, as
+// claimKey claims the key of a request, which then waits for the predecessor's answer. Without one in time it fails, as
 // another attempt may have run.
 func (s *Server) claimKey(request *activeRequest) {
 	request.state = requestClaiming
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -20,7 +20,7 @@
 // badly while requests wait for too long to be read, during a drain without a successor, and while an operator has
 // deregistered the server. Before the agent is up all checks fail.
 //
-// A deep check, where the controller leaves it open, has the agent complete some work first. No check gets there today: the
+// A deep check, where the controller leaves it open, makes the agent complete some work first. No check gets there today: the
 // controller always has deep checks answered from its own state (HealthAnswer.Cached).
 
 // healthState is what health checks are answered by. The loop owns it.
@@ -54,7 +54,7 @@
 	return check, ok
 }
 
-// beginDeepCheck has the agent do work, whose success answers the check.
+// beginDeepCheck sends the agent work, whose success answers the check.
 func (s *Server) beginDeepCheck(check healthCheck) {
 	token := s.health.add(check)
 	s.stats.DeepChecks++
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// awaitResult has a request wait for the run that it retries. If that has ended, or never was, it returns the result
+// awaitResult makes a request wait for the run that it retries. If that has ended, or never was, it returns the result
 // instead.
 func (t *idempotencyTable) awaitResult(request *activeRequest) (result runResult, ended bool) {
 	entry := t.byRequest[request]
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -46,7 +46,7 @@
 // waiting returns the number of events in the inbox.
 func (i *inbox) waiting() int { return len(i.events) }
 
-// post has the loop call f.
+// post makes the loop call f.
 func (s *Server) post(f func()) { s.inbox.put(task(f)) }
 
 // handleWaiting handles the events that wait by now, limit at most.
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -48,7 +48,7 @@
 	LogFields map[string]any
 }
 
-// JoinFleet has the server publish its status to a fleet. It is called before Run, and so are OnStateChange and the
+// JoinFleet makes the server publish its status to a fleet. It is called before Run, and so are OnStateChange and the
 // Enable methods that follow it.
 func (s *Server) JoinFleet(f Fleet) {
 	s.member = &fleetMember{fleet: f, onStateChange: func(StateChange) {}}
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -14,7 +14,7 @@
 // errDraining answers operators once a drain has started.
 var errDraining = errors.New("the server is draining")
 
-// query has the loop call f, and waits for its result.
+// query makes the loop call f, and waits for its result.
 func query[T any](ctx context.Context, server *Server, f func() T) (result T, err error) {
 	results := make(chan T, 1)
 	select {
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -33,7 +33,7 @@
 // known reports whether the controller has been given a limit.
 func (q *quotaLeasing) known() bool { return q.limit >= 0 }
 
-// EnableQuotaLeasing has the server lease its quota at the store within its fleet, where its settings give it one. self is
+// EnableQuotaLeasing makes the server lease its quota at the store within its fleet, where its settings give it one. self is
 // this process as the fleet knows it, lease how long quota is leased for, and reservedRatio the part of the own
 // quota that never is. It is called after JoinFleet and before Run.
 func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedRatio float64) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// applyQuota has the controller hold to the quota that this member has until the next tick.
+// applyQuota limits the controller to the quota that this member has until the next tick.
 func (s *Server) applyQuota(now time.Duration) {
 	quota := s.member.quota
 	limit := quota.LimitUntil(now, now+2*quotaInterval)
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Quota that is leased out must not be used from the moment at which the grant is sent, and a member that hears of no
+// Quota that is leased out must not be used from the moment at which the grant is sent, and a member that knows of no
 // other must have the quota of its settings.
 func TestQuotaIsLeased(t *testing.T) {
 	server, runPosted := newIdleServer(t)
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -23,7 +23,7 @@
 	return server.requests.byAttemptID[id]
 }
 
-// New settings count at once for what arrives: a class that is gone keeps its active requests and takes in those that
+// New settings count at once for what arrives: a class that is gone keeps its active requests and accepts those that
 // front ends, which learn of it late, still send; a new one is served like any other.
 func TestReload(t *testing.T) {
 	server, runPosted := newIdleServer(t)
--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -118,7 +118,7 @@
 	l.onResult(frame.requestID, frame.result, frame.body)
 }
 
-// handleUnsolicitedReply has no further call made on a connection. The one that it carries may still be answered.
+// handleUnsolicitedReply retires a connection: no further call is made on it. The one that it carries may still be answered.
 func (l *Link) handleUnsolicitedReply(conn *connection) {
 	conn.retired = true
 	if conn.call == nil {
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -123,7 +123,7 @@
 	return true
 }
 
-// SetAddress has new calls made at another address. Those in flight may end on their connections, if that is soon.
+// SetAddress directs new calls to another address. Those in flight may end on their connections, if that is soon.
 func (l *Link) SetAddress(address string) {
 	if address == l.address {
 		return
--- a/internal/store/result.go
+++ b/internal/store/result.go
@@ -7,7 +7,7 @@
 
 // The results. The last three are found out by the Link and not sent by the store.
 const (
-	OK                Result = iota //nolint:varnamelen // the protocol's word; with a body
+	OK                Result = iota //nolint:varnamelen // the protocol's name; with a body
 	Rejected                        // it never ran
 	Failed                          // it may have had its effect
 	TimedOut                        // out of time, or its run has ended; it may have had its effect
