--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what a Link does not find out by itself. No field has a default.
+// Config configures a Link. No field has a default.
 type Config struct {
 	// Backoff sets the delays between dials. A connection that lasts for longer than Backoff.MaxDelay counts as a
 	// success, and the next delay is the first again.
@@ -51,7 +51,7 @@
 // Address returns the address in force.
 func (l *Link) Address() string { return l.address }
 
-// SetAddress has a connection opened to another address. The one before serves for DrainTimeout at most; it is for
+// SetAddress opens a connection to another address. The one before serves for DrainTimeout at most; it is for
 // the Handler to close it as soon as the new one is open.
 func (l *Link) SetAddress(address string) {
 	if address == l.address {
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -14,12 +14,12 @@
 // agentCheckInterval is how often the link is checked while the agent has not sent its handshake.
 const agentCheckInterval = time.Second
 
-// startRun has the agent run a request. A request whose key has a run on record is never run again, whatever the
+// startRun sends a request to the agent to be run. A request whose key has a run on record is never run again, whatever the
 // controller has decided.
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
 		s.warnings.WarnFields("idempotency", "second run under an idempotency key prevented", nil, logrus.Fields{
-			"request_id":      request.attempt.ID,
+			fieldRequestID:    request.attempt.ID,
 			"idempotency_key": request.attempt.IdempotencyKey,
 		})
 		s.admission.enqueue(admission.RunCompleted(request.id, admission.Completion{Outcome: admission.OutcomeNotStarted}))
@@ -121,8 +121,8 @@
 func (s *Server) handleCommandRejected(rejection agent.CommandRejection) {
 	s.stats.CommandsRejected++
 	s.warnings.WarnFields("agent "+rejection.Command.String(), "agent rejected a command", nil, logrus.Fields{
-		"command":    rejection.Command.String(),
-		"request_id": rejection.RequestID,
+		"command":      rejection.Command.String(),
+		fieldRequestID: rejection.RequestID,
 	})
 	request := s.requests.byAttemptID[rejection.RequestID]
 	if request != nil && request.running() && rejection.Command == agent.CommandLaunch {
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -98,7 +98,7 @@
 	s.openFrontsWhenReady()
 }
 
-// openFrontsWhenReady has connections accepted as soon as their requests can be run.
+// openFrontsWhenReady lets connections be accepted as soon as their requests can be run.
 func (s *Server) openFrontsWhenReady() {
 	if s.handover.synced && s.admission.started() {
 		s.listeners.open()
@@ -140,7 +140,9 @@
 	s.resumeClaimed(known.IdempotencyKey)
 }
 
-// handleKeyClaim grants the successor a key that is not known here, and leaves it alone from then on.
+// handleKeyClaim grants the successor a key that is not known here, and runs nothing under it from then on. A claim does
+// not say which class the request has, so the entry gets the longest window of all classes: a shorter one could end while
+// the key must not be run again.
 func (s *Server) handleKeyClaim(link *handover.Link, claim handover.KeyClaim) {
 	entry := s.idempotency.entries[claim.IdempotencyKey]
 	if entry != nil && !entry.expired(claim.ArrivedAt) {
@@ -207,7 +209,7 @@
 		s.idempotency.lookup(request) == nil
 }
 
-// claimKey has a request wait for the predecessor's answer to the claim on its key. Without one in time it fails, as
+// claimKey claims the key of a request, which then waits for the predecessor's answer. Without one in time it fails, as
 // another attempt may have run.
 func (s *Server) claimKey(request *activeRequest) {
 	request.state = requestClaiming
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -13,13 +13,15 @@
 // healthCheck is a health check of a front end that waits for its answer.
 type healthCheck struct {
 	connection Connection
-	call       uint32
+	callNumber uint32
 }
 
 // Health checks of front ends are answered by what the controller has last decided (admission.ActionHealth): it answers
 // badly while requests wait for too long to be read, during a drain without a successor, and while an operator has
-// deregistered the server. Before the agent is up all checks fail. A deep check, where the controller leaves it open, has
-// the agent complete some work first.
+// deregistered the server. Before the agent is up all checks fail.
+//
+// A deep check, where the controller leaves it open, makes the agent complete some work first. No check gets there today: the
+// controller always has deep checks answered from its own state (HealthAnswer.Cached).
 
 // healthState is what health checks are answered by. The loop owns it.
 type healthState struct {
@@ -52,7 +54,7 @@
 	return check, ok
 }
 
-// beginDeepCheck has the agent do work, whose success answers the check.
+// beginDeepCheck sends the agent work, whose success answers the check.
 func (s *Server) beginDeepCheck(check healthCheck) {
 	token := s.health.add(check)
 	s.stats.DeepChecks++
@@ -77,5 +79,5 @@
 	if healthy {
 		kind = Healthy
 	}
-	check.connection.Answer(check.call, Answer{Kind: kind})
+	check.connection.Answer(check.callNumber, Answer{Kind: kind})
 }
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -14,7 +14,7 @@
 // errDraining answers operators once a drain has started.
 var errDraining = errors.New("the server is draining")
 
-// query has the loop call f, and waits for its result.
+// query makes the loop call f, and waits for its result.
 func query[T any](ctx context.Context, server *Server, f func() T) (result T, err error) {
 	results := make(chan T, 1)
 	select {
@@ -44,7 +44,7 @@
 // AppendMetrics appends the metrics to b.
 func (s *Server) AppendMetrics(ctx context.Context, b []byte) ([]byte, error) {
 	return query(ctx, s, func() []byte {
-		return stats.Metrics{Counters: &s.stats, InFlight: s.connections.openCalls}.Append(b)
+		return stats.Metrics{Counters: &s.stats, InFlight: s.connections.openRequests}.Append(b)
 	})
 }
 
