--- a/admission/doc.go
+++ b/admission/doc.go
@@ -35,7 +35,7 @@
 //  2. The server drains, and it came too late or can't end in time (drain.go).
 //  3. The memory limit is exceeded, or there is no memory for its idempotency key (memory.go, key_table.go).
 //  4. All cores are busy and it ranks below the fleet's shedding threshold.
-//  5. All cores are busy and the draw by the admit probability is against it (admission_rate.go).
+//  5. All cores are busy and the draw by the admit probability is against it (admit_probability.go).
 //  6. It must call the dependency, and other servers probe whether that is back (breaker.go).
 //  7. It would be answered after its latency objective, for lack of CPU time or of calls, and no queued request is worth
 //     clearly less for each unit of what is scarce (estimator.go, value.go, tenants.go). If there is one, that is
@@ -59,33 +59,33 @@
 //
 // All of them are named under policy in deploy/balancer.toml.
 //
-//	controller.go      the order of a step, and which part an event concerns
-//	periodic.go        the periodic decisions, deadlines, and the start of a drain
-//	admission.go       whether a request is queued or rejected
-//	idempotency.go     attempts that share a run and its result
-//	runs.go            the start and the end of runs
-//	scheduler.go       which queued request runs next, and which is too late
-//	request.go         until when a request is of use
-//	request_queue.go   queued requests, in order, with their sums
-//	value.go           what a request is worth, and which yields to another
-//	tenants.go         how far the quota of its tenant lets a request count
-//	estimator.go       how long requests wait and run
-//	concurrency.go     how many requests run
-//	slow_start.go      how fast a server is that has just started
-//	admission_rate.go  the probability with which requests are admitted while the CPU is overloaded
-//	calls.go           the life of a call: retries, doing without, abandoned calls
-//	call_limiter.go    how many calls are in flight, and for how long
-//	breaker.go         the circuit breaker before calls
-//	memory.go          the memory limit
-//	key_table.go       requests that are remembered
-//	drain.go           what a server still does before it stops
-//	health.go          how health checks are answered
-//	advice.go          what clients are advised with a rejection
-//	arrivals.go        rates of requests and retries, and how late they are read
-//	advertiser.go      the value that is sent along with answers
-//	idle_timeout.go    when idle connections are closed
-//	timers.go          when the next decision is due
-//	reporting.go       which changes of conditions are logged
+//	controller.go          the order of a step, and which part an event concerns
+//	periodic.go            the periodic decisions, deadlines, and the start of a drain
+//	admission.go           whether a request is queued or rejected
+//	idempotency.go         attempts that share a run and its result
+//	runs.go                the start and the end of runs
+//	scheduler.go           which queued request runs next, and which is too late
+//	request.go             until when a request is of use
+//	request_queue.go       queued requests, in order, with their sums
+//	value.go               what a request is worth, and which yields to another
+//	tenants.go             how far the quota of its tenant lets a request count
+//	estimator.go           how long requests wait and run
+//	concurrency.go         how many requests run
+//	slow_start.go          how fast a server is that has just started
+//	admit_probability.go   the probability with which requests are admitted while the CPU is overloaded
+//	calls.go               the life of a call: retries, doing without, abandoned calls
+//	call_limiter.go        how many calls are in flight, and for how long
+//	breaker.go             the circuit breaker before calls
+//	memory.go              the memory limit
+//	key_table.go           requests that are remembered
+//	drain.go               what a server still does before it stops
+//	health.go              how health checks are answered
+//	advice.go              what clients are advised with a rejection
+//	arrivals.go            rates of requests and retries, and how late they are read
+//	advertiser.go          the value that is sent along with answers
+//	idle_timeout.go        when idle connections are closed
+//	timers.go              when the next decision is due
+//	reporting.go           which changes of conditions are logged
 //
 // The other files hold the types that are exchanged with the owner and the settings. The statistics and the queue by time
 // that the parts use are packages of their own, below internal.
