--- a/admission/admission.go
+++ b/admission/admission.go
@@ -69,7 +69,7 @@
 	case c.settings.Classes[request.class].mustCall() && c.calls.breaker.mayNotProbe():
 		return rejectedFor(ReasonDependency) // other servers probe
 	}
-	return c.makeRoomByObjective(request)
+	return c.displaceByObjective(request)
 }
 
 // checkLimits rejects a request that a drain leaves no time for, or that arrives while the memory limit is
@@ -84,10 +84,10 @@
 	return admitted
 }
 
-// makeRoomByObjective admits a request that can be answered within its objective. To make room for it, it
+// displaceByObjective admits a request that can be answered within its objective. To make room for it, it
 // rejects queued requests that are worth less, one after the other. A request that still can't be on time is
 // rejected, unless too little is under way to notice a recovery: then it is admitted as a trial.
-func (c *Controller) makeRoomByObjective(request *request) decision {
+func (c *Controller) displaceByObjective(request *request) decision {
 	for c.estimator.finishTime(c.now, request) > request.objective {
 		scarce := c.estimator.bottleneck(c.now, request)
 		victim := c.values.findVictim(&c.queue, request, scarce)
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -110,8 +110,8 @@
 	return retryAfter
 }
 
-// readDelayOverLimit reports whether the mean read delay is above the limit for a healthy server.
-func (a *clientAdvisor) readDelayOverLimit() bool {
+// readDelayExceeded reports whether the mean read delay is above the limit for a healthy server.
+func (a *clientAdvisor) readDelayExceeded() bool {
 	return a.readDelay.exceeds(unhealthyReadDelayRatio, a.shortestObjective)
 }
 
--- a/admission/health.go
+++ b/admission/health.go
@@ -21,8 +21,8 @@
 
 // adjust decides anew at now, once per sweep, and reports whether the answer has changed. During a drain it
 // stays.
-func (h *health) adjust(now time.Duration, readDelayOverLimit, draining bool) (changed bool) {
-	unhealthy := !h.unhealthy && readDelayOverLimit // false if unhealthy now: the state flips back
+func (h *health) adjust(now time.Duration, readDelayExceeded, draining bool) (changed bool) {
+	unhealthy := !h.unhealthy && readDelayExceeded // false if unhealthy now: the state flips back
 	tooSoon := now < h.changedAt+minHealthDuration
 	if draining || h.deregistered || unhealthy == h.unhealthy || tooSoon {
 		return false
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -15,7 +15,7 @@
 			t.Fatalf("%v kB in use of %v", controller.memory.usedKB, settings.MemoryKB)
 		}
 	}
-	if limit := coldConcurrency(&settings); float64(controller.runs.running) > limit {
+	if limit := slowStartConcurrency(&settings); float64(controller.runs.running) > limit {
 		t.Fatalf("%d runs, a cold server survives %v", controller.runs.running, limit)
 	}
 }
@@ -33,14 +33,14 @@
 			controller.Step(0, []Event{CallNeeded(id)}, nil)
 		}
 	}
-	limit := coldConcurrency(&settings)
+	limit := slowStartConcurrency(&settings)
 	if controller.runs.running == 0 || float64(controller.runs.running) > limit {
 		t.Errorf("%d runs might come back to the cores at once, a cold server survives %v", controller.runs.running, limit)
 	}
 }
 
-// coldConcurrency is how many requests on the CPU a server survives that has just started.
-func coldConcurrency(settings *Settings) float64 {
+// slowStartConcurrency is how many requests on the CPU a server survives that has just started.
+func slowStartConcurrency(settings *Settings) float64 {
 	perCore := 1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio
 	return float64(settings.Cores) * perCore
 }
--- a/admission/periodic.go
+++ b/admission/periodic.go
@@ -16,7 +16,7 @@
 		c.actions.emit(Action{Kind: ActionIdleTimeout, Duration: c.advisor.idleTimeout.current})
 	}
 	c.advisor.readDelay.decay()
-	if c.health.adjust(c.now, c.advisor.readDelayOverLimit(), c.drain.started) {
+	if c.health.adjust(c.now, c.advisor.readDelayExceeded(), c.drain.started) {
 		c.actions.emit(Action{Kind: ActionHealth, Health: c.health.answer()})
 	}
 	c.reportConditions()
--- a/admission/value_test.go
+++ b/admission/value_test.go
@@ -44,7 +44,7 @@
 	require.InDelta(t, 30, values.density(&request{class: 1}, resourceCalls), 1e-9, "few calls per run")
 }
 
-func TestVictimIsWorthClearlyLess(t *testing.T) {
+func TestVictimHasClearlyLessValue(t *testing.T) {
 	settings := &Settings{Classes: []Class{{PriorityWeight: 1}, {PriorityWeight: 0.85, CallsDependency: true},
 		{PriorityWeight: 0.5, CallsDependency: true}}}
 	values, queue := testValues(settings)
