--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	multiplier   = 2 // of the delay, from failure to failure
-	jitterFactor = 2 // up to a delay divided by this is taken off at random
+	multiplier    = 2 // growth of the delay from one failure to the next
+	jitterDivisor = 2 // the jitter subtracted from a delay is at most the delay divided by this
 )
 
-// Config sets the delays of a Backoff. No field has a default.
+// Config configures a Backoff. Every field must be set; there are no defaults.
 type Config struct {
-	// BaseDelay is the delay after the first failure, without its jitter.
+	// BaseDelay is the delay after the first failure, before jitter.
 	BaseDelay time.Duration
-	// MaxDelay is the longest delay, without its jitter.
+	// MaxDelay is the upper bound of the delay, before jitter.
 	MaxDelay time.Duration
-	// Seed is the server's: the jitter follows from it and from Stream alone.
+	// Seed is the random seed of the server. The jitter depends on Seed and Stream alone, so that a simulation can be
+	// repeated.
 	Seed uint64
-	// Stream sets the jitter apart from that of other Backoffs with the same seed.
+	// Stream distinguishes the jitter from that of other Backoffs with the same Seed.
 	Stream uint64
 }
 
-// Backoff yields delays that double from BaseDelay to MaxDelay. Up to half of each delay is taken off at random, so that
-// servers that failed together do not retry together. A Backoff belongs to one goroutine.
+// Backoff computes delays that double from BaseDelay up to MaxDelay. Up to half of each delay is subtracted at random,
+// so that servers that failed together do not retry together. A Backoff is not safe for concurrent use.
 type Backoff struct {
 	config    Config
-	lastDelay time.Duration // without its jitter; 0 after New and Reset
+	lastDelay time.Duration // before jitter; 0 after New and Reset
 	rng       *rand.Rand
 }
 
-// New returns a Backoff that has seen no failure yet.
+// New returns a Backoff whose first delay is BaseDelay.
 func New(config Config) *Backoff {
 	return &Backoff{config: config, rng: rand.New(rand.NewPCG(config.Seed, config.Stream))}
 }
 
-// Next returns the delay after one more failure, from half of the delay without jitter up to the whole of it.
+// Next returns the delay after one more failure: a random value between half of the delay before jitter and all of it.
 func (b *Backoff) Next() time.Duration {
 	b.lastDelay = min(max(multiplier*b.lastDelay, b.config.BaseDelay), b.config.MaxDelay)
-	maxJitter := int64(b.lastDelay / jitterFactor)
+	maxJitter := int64(b.lastDelay / jitterDivisor)
 	return b.lastDelay - time.Duration(b.rng.Int64N(maxJitter+1))
 }
 
-// Reset starts again from BaseDelay, after a success.
+// Reset returns to BaseDelay. It is called after a success.
 func (b *Backoff) Reset() { b.lastDelay = 0 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Delays must double up to MaxDelay, lose at most half to jitter, and start again from BaseDelay after Reset.
 func TestDelaysDoubleWithinBounds(t *testing.T) {
 	delays := New(Config{BaseDelay: 10 * time.Millisecond, MaxDelay: 200 * time.Millisecond, Seed: 7, Stream: 1})
 	for range 2 {
@@ -20,7 +21,7 @@
 	}
 }
 
-// Delays follow from seed and purpose alone, so that a simulation can be repeated.
+// Delays must depend on Seed and Stream alone, so that a simulation can be repeated.
 func TestSameSeedSameDelays(t *testing.T) {
 	config := Config{BaseDelay: 10, MaxDelay: 2000, Seed: 7, Stream: 1}
 	otherStream := config
@@ -35,8 +36,8 @@
 	require.False(t, same)
 }
 
-// A zone is partitioned and 300 servers lose their store at one instant. Without jitter all of them would reconnect
-// at the same time at each attempt; with it, no 20 ms see a fifth of them or more.
+// When a zone is partitioned, 300 servers lose their store at the same instant. Without jitter, all of them would
+// reconnect at the same time on every attempt. With it, no interval of 20 ms may see a fifth of the reconnects.
 func TestJitterSpreadsReconnects(t *testing.T) {
 	const servers = 300
 	slots := map[time.Duration]int{}
@@ -46,7 +47,7 @@
 		for at < 400*time.Millisecond {
 			at += b.Next()
 		}
-		slots[at/(20*time.Millisecond)]++ // the first attempt after the zone is back
+		slots[at/(20*time.Millisecond)]++ // the first attempt after the end of the partition
 	}
 	for slot, n := range slots {
 		require.Less(t, n, servers/5, "in the 20 ms from %v", slot*20*time.Millisecond)
--- a/internal/deadline/bench_test.go
+++ b/internal/deadline/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkAddSweep adds a deadline and sweeps one, with size others in the queue.
+// BenchmarkAddSweep adds one entry and sweeps one, in a queue with size other entries.
 func BenchmarkAddSweep(b *testing.B) {
 	for _, size := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkCancel cancels an entry that was just added: a call that ends before its deadline.
+// BenchmarkCancel adds an entry and cancels it at once, as for a call that ends before its deadline.
 func BenchmarkCancel(b *testing.B) {
 	for _, size := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
--- a/internal/deadline/queue.go
+++ b/internal/deadline/queue.go
@@ -1,5 +1,5 @@
-// Package deadline keeps the callbacks of an event loop in order of the times at which they are due. It has no clock
-// and no goroutine: its owner sweeps the queue.
+// Package deadline provides a queue of callbacks ordered by the times at which they are due, for use by an event loop.
+// It has no clock and no goroutine of its own: its owner passes the current time to Sweep.
 package deadline
 
 import (
@@ -8,20 +8,20 @@
 	"github.com/google/btree"
 )
 
-const degree = 16 // of the tree's nodes
+const degree = 16 // of the B-tree: a node holds up to 31 entries
 
-// Entry is one deadline in a Queue, for Cancel.
+// Entry identifies one callback in a Queue, to be passed to Cancel.
 type Entry struct {
-	deadline time.Duration // on the owner's clock
-	seq      uint64        // counts entries: orders those of one deadline
+	deadline time.Duration // when the callback is due, on the owner's clock
+	seq      uint64        // number of the Add call; orders entries with equal deadlines
 	callback func()
 }
 
-// Queue holds deadlines in order of time, equal times in order of entry. Times are on the owner's clock. All methods are
-// called on the owner's goroutine.
+// Queue holds callbacks ordered by deadline, and by the order of the Add calls among equal deadlines. Times are on the
+// owner's clock. All methods must be called on the owner's goroutine.
 type Queue struct {
 	entries *btree.BTreeG[*Entry]
-	lastSeq uint64
+	lastSeq uint64 // seq of the entry added last
 }
 
 // New returns an empty Queue.
@@ -29,7 +29,7 @@
 	return &Queue{entries: btree.NewG(degree, isBefore)}
 }
 
-// isBefore orders entries by deadline, and those of one deadline by entry.
+// isBefore orders entries by deadline, and entries with equal deadlines by seq.
 func isBefore(left, right *Entry) bool {
 	if left.deadline != right.deadline {
 		return left.deadline < right.deadline
@@ -37,7 +37,7 @@
 	return left.seq < right.seq
 }
 
-// Add enters a callback for the first Sweep at or after the time at. The Entry is for Cancel.
+// Add adds a callback, which the first Sweep at or after the given time calls. The returned Entry can be passed to Cancel.
 func (q *Queue) Add(at time.Duration, callback func()) *Entry {
 	q.lastSeq++
 	entry := &Entry{deadline: at, seq: q.lastSeq, callback: callback}
@@ -45,14 +45,14 @@
 	return entry
 }
 
-// Cancel removes an entry. It does nothing for nil, and for an entry whose callback was called.
+// Cancel removes an entry. It does nothing if entry is nil, or if its callback was called or cancelled before.
 func (q *Queue) Cancel(entry *Entry) {
 	if entry != nil {
 		q.entries.Delete(entry)
 	}
 }
 
-// Next returns the earliest deadline; ok is false where there is none.
+// Next returns the earliest deadline. ok is false if the queue is empty.
 func (q *Queue) Next() (at time.Duration, ok bool) {
 	entry, ok := q.entries.Min()
 	if !ok {
@@ -61,9 +61,9 @@
 	return entry.deadline, true
 }
 
-// Sweep calls, in order, the callbacks that are due at now. An entry that a callback adds waits for the next Sweep,
-// so that a deadline that renews itself in the past can't keep its owner busy for ever; one that a callback cancels
-// is not called.
+// Sweep calls the callbacks that are due at now, in order. An entry that is added during the sweep waits for the next
+// Sweep: a callback that adds itself again with a past deadline would otherwise keep the owner busy forever. A callback
+// that is cancelled during the sweep is not called.
 func (q *Queue) Sweep(now time.Duration) {
 	lastSeq := q.lastSeq
 	for {
@@ -76,7 +76,7 @@
 	}
 }
 
-// firstExpired returns the first entry that is due at now and was added up to lastSeq, or nil.
+// firstExpired returns the first entry that is due at now and whose seq is at most lastSeq, or nil if there is none.
 func (q *Queue) firstExpired(now time.Duration, lastSeq uint64) (expired *Entry) {
 	q.entries.Ascend(func(entry *Entry) bool {
 		if entry.deadline > now {
--- a/internal/deadline/queue_test.go
+++ b/internal/deadline/queue_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Callbacks must run in order of deadline, and in order of insertion for equal deadlines; cancelled ones must not run.
 func TestSweepInOrder(t *testing.T) {
 	queue := New()
 	var got []string
@@ -32,8 +33,8 @@
 	require.False(t, ok)
 }
 
-// A deadline that renews itself in the past must not keep the sweep going for ever, and one that is
-// cancelled by an earlier one of the same sweep must not be called.
+// A callback that adds itself again with a past deadline must not keep the sweep going forever, and a callback that an
+// earlier one of the same sweep has cancelled must not be called.
 func TestSweepWhileQueueChanges(t *testing.T) {
 	queue := New()
 	calls := 0
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// command names the kind of a line in the protocol.
+// command is the value of the field "cmd", which tells the messages of the protocol apart.
 type command string
 
 const (
@@ -22,15 +22,15 @@
 	commandSynced    command = "synced"
 )
 
-// line is a message in the fields of the protocol. Every line has all of them; those that its command does not use are
-// zero.
+// line holds the fields of one line of the protocol. Every line has all of them; fields that its command does not use
+// are zero.
 type line struct {
 	command command
-	key     string        // "once"
-	digest  uint64        // "digest", in hex digits
-	at      time.Duration // "at", nanoseconds on the Unix clock
+	key     string        // "once": the idempotency key
+	digest  uint64        // "digest": of the request body, in hex
+	at      time.Duration // "at": nanoseconds on the Unix clock
 	ok      bool          // "ok"
-	body    []byte        // "body", in base64
+	body    []byte        // "body": result of a run, in base64
 }
 
 func (m KeyKnown) line() line {
@@ -51,7 +51,7 @@
 
 func (KeysSynced) line() line { return line{command: commandSynced} }
 
-// message returns the message of a line, or an error for an unknown command.
+// message converts a line to a Message. It returns an error for an unknown command.
 func (l *line) message() (Message, error) {
 	switch l.command {
 	case commandKnown:
@@ -67,10 +67,10 @@
 	case commandSynced:
 		return KeysSynced{}, nil
 	}
-	return nil, fmt.Errorf("unknown message %.40q", string(l.command))
+	return nil, fmt.Errorf("unknown command %.40q", string(l.command))
 }
 
-// appendMessage appends the line of message. Keys and commands need no escape.
+// appendMessage appends message as a line of JSON. Keys and commands need no escaping.
 func appendMessage(b []byte, message Message) []byte {
 	fields := message.line()
 	b = append(b, `{"cmd":"`...)
@@ -89,11 +89,11 @@
 
 func newParser() *jsonlines.Parser[Message] { return jsonlines.NewParser(decodeMessage) }
 
-// decodeMessage reads a message from the object of a line.
+// decodeMessage decodes the JSON object of a line.
 func decodeMessage(object *fastjson.Value) (Message, error) {
 	fields := line{command: command(jsonlines.Text(object, "cmd"))}
 	if _, err := fields.message(); err != nil {
-		return nil, err // of the command: the other fields of an unknown one mean nothing
+		return nil, err // unknown command: the meaning of its other fields is not known
 	}
 	if fields.command != commandSynced {
 		if err := fields.decode(object); err != nil {
@@ -103,20 +103,20 @@
 	return fields.message()
 }
 
-// decode reads all fields but the command.
+// decode reads all fields except the command.
 func (l *line) decode(object *fastjson.Value) error {
 	l.key = jsonlines.Text(object, "once")
 	if l.key == "" {
-		return fmt.Errorf("%s: once is missing", l.command)
+		return fmt.Errorf("%s: field once: missing", l.command)
 	}
 	var err error
 	l.digest, err = strconv.ParseUint(jsonlines.Text(object, "digest"), 16, 64)
 	if err != nil {
-		return fmt.Errorf("digest: %w", err)
+		return fmt.Errorf("%s: field digest: %w", l.command, err)
 	}
 	at, err := strconv.ParseInt(jsonlines.Text(object, "at"), 10, 64)
 	if err != nil {
-		return fmt.Errorf("at: %w", err)
+		return fmt.Errorf("%s: field at: %w", l.command, err)
 	}
 	l.at = time.Duration(at)
 	l.ok = object.GetBool("ok")
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -15,7 +15,7 @@
 
 const goldenMessages = "messages.jsonl" // in testdata
 
-// goldenCases has every kind of message and every field, one message for each line of the golden file.
+// goldenCases covers every message type and every field, with one message for each line of the golden file.
 var goldenCases = []struct {
 	name    string
 	message Message
@@ -34,7 +34,7 @@
 	{"synced", KeysSynced{}},
 }
 
-// The lines that a process writes must stay as they are: the process at the other end may be of another version.
+// The lines that a process writes must not change: the process at the other end may run another version.
 func TestGoldenMessagesWritten(t *testing.T) {
 	var got []byte
 	for _, testCase := range goldenCases {
@@ -43,7 +43,7 @@
 	golden.RequireFile(t, goldenMessages, string(got))
 }
 
-// Lines that were written before must still be read, each as the message that it was.
+// Lines that other versions have written must be read as the messages that they were.
 func TestGoldenMessagesRead(t *testing.T) {
 	file, err := os.ReadFile(filepath.Join("testdata", goldenMessages))
 	require.NoError(t, err)
@@ -58,7 +58,7 @@
 	}
 }
 
-// A field that a later version has added must be passed over.
+// A field that a later version has added must be ignored.
 func TestGoldenMessageWithAddedField(t *testing.T) {
 	lineParser := newParser()
 	const line = `{"cmd":"claim","once":"ab12","digest":"7","at":"-1","ok":false,"body":"","added":{"a":[1]}}` + "\n"
@@ -67,9 +67,10 @@
 	require.Equal(t, KeyClaim{IdempotencyKey: "ab12", Digest: 7, ArrivedAt: -1}, got)
 }
 
-// Two processes find each other by the names of the socket and of the lock beside it, and nothing else may be left there.
+// Processes of different versions find each other by the names of the socket and of its lock file, so these names must not
+// change. No other file may be left behind.
 func TestGoldenSocketNames(t *testing.T) {
-	dir, err := os.MkdirTemp("", "handover") // short: the path of a socket is limited
+	dir, err := os.MkdirTemp("", "handover") // short, because the length of a socket path is limited
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, os.RemoveAll(dir)) })
 	found := join(filepath.Join(dir, "socket"))
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,5 @@
 // Package handover connects the two processes of one image server over a Unix socket while the successor replaces its
-// predecessor. What they exchange keeps a request with an idempotency key from being run by both.
+// predecessor. Their messages ensure that a request with an idempotency key is not run by both.
 package handover
 
 import (
@@ -16,7 +16,7 @@
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Topics of log lines. Each message has one of its own, so that the limiter does not suppress one for another.
+// Topics of log lines. Each message has its own, so that the limiter does not suppress one message because of another.
 const (
 	topicJoin       = "handover join"
 	topicListen     = "handover listen"
@@ -26,22 +26,21 @@
 
 const messageNotListening = "handover socket not opened, no successor process can connect"
 
-// Loop is what Run needs of the loop that deals with messages. Post hands it a function, from any goroutine; the others
-// are called within the loop.
+// Loop connects Run to the event loop of the server. Post may be called from any goroutine, and makes the event loop call
+// a function. The other functions are called on the event loop.
 type Loop struct {
 	Post          func(func())
-	OnPredecessor func(*Link) // the predecessor is connected; nil: there is none
+	OnPredecessor func(*Link) // the predecessor has connected; nil if there is none
 	OnSuccessor   func(*Link) // a successor has connected
 	OnMessage     func(*Link, Message)
-	OnEnd         func(*Link) // no more messages come from that process
+	OnEnd         func(*Link) // no more messages will come from that process
 }
 
-// Run connects to the predecessor, if one listens at path, and accepts successors there: at once where there is no
-// predecessor, and otherwise from the moment at which serving is closed. It returns once ctx ends and all messages are
-// written.
+// Run connects to the predecessor that listens at path, if there is one, and accepts successors at path: at once if there
+// is no predecessor, and otherwise after serving is closed. It returns after ctx has ended and all messages are written.
 func Run(ctx context.Context, path string, serving <-chan struct{}, loop Loop, log *logging.Limiter) error {
 	group, ctx := errgroup.WithContext(ctx)
-	found := join(path) //nolint:contextcheck // its dial must not end with ctx, as it says
+	found := join(path) //nolint:contextcheck // join says why its dial must not end with ctx
 	if found.dialErr != nil {
 		log.Warn(topicJoin, "predecessor process not reachable, its idempotency keys are unknown", found.dialErr)
 	}
@@ -69,7 +68,7 @@
 	return group.Wait() //nolint:wrapcheck // of functions of this package
 }
 
-// listenOnceServing listens at path once serving is closed. It returns nil where ctx ends before, or listening fails.
+// listenOnceServing listens at path after serving is closed. It returns nil if ctx ends first or if listening fails.
 func listenOnceServing(ctx context.Context, path string, serving <-chan struct{}, log *logging.Limiter) net.Listener {
 	select {
 	case <-serving:
@@ -84,10 +83,10 @@
 	return listener
 }
 
-// acceptSuccessors serves each successor that connects, in group, until ctx ends.
+// acceptSuccessors accepts successors and serves each of them in group, until ctx ends.
 func acceptSuccessors(ctx context.Context, group *errgroup.Group, listener net.Listener, loop Loop, log *logging.Limiter) {
 	defer context.AfterFunc(ctx, func() {
-		_ = listener.Close() // only ends Accept
+		_ = listener.Close() // unblocks Accept
 	})()
 	for {
 		conn, err := listener.Accept()
@@ -95,7 +94,7 @@
 			return
 		}
 		if err != nil {
-			log.Warn(topicAccept, "accepting a successor process failed", err)
+			log.Warn(topicAccept, "accepting a successor process failed, trying again", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(acceptRetryDelay):
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	writeQueueSize = 4096     // batches that wait to be written
-	batchSize      = 32 << 10 // bytes from which on a batch of messages takes no further one
+	writeQueueSize = 4096     // maximum number of batches that wait to be written
+	batchSize      = 32 << 10 // bytes; a batch of this size takes no further message
 )
 
-// Link is the connection to the other process. Any goroutine may use it.
+// Link is the connection to the other process. It is safe for concurrent use.
 type Link struct{ *writequeue.Queue }
 
-// Publish sends messages in batches: one buffer for thousands of results would be copied whenever it grows.
+// Publish sends messages, several at a time. It starts a new buffer for every batchSize bytes: a single buffer for
+// thousands of results would be copied each time it grows.
 func (l *Link) Publish(messages ...Message) {
 	var batch []byte
 	for _, message := range messages {
@@ -36,8 +37,8 @@
 	}
 }
 
-// serveConnection runs one connection to its end, and closes it. After a failed write it goes on to read: what a process
-// sent last before it ended may still be unread.
+// serveConnection serves a connection until it ends, and closes it. After a failed write it continues to read: messages
+// that the other process sent before it ended may still be unread.
 func serveConnection(ctx context.Context, conn net.Conn, loop Loop, onJoined func(*Link), log *logging.Limiter) {
 	defer conn.Close()
 	link := &Link{writequeue.NewHalf(conn, writeQueueSize)}
@@ -46,29 +47,29 @@
 	defer context.AfterFunc(ctx, link.Close)()
 	group.Go(func() error {
 		if link.Run() == nil {
-			_ = conn.Close() // all is written, and this process ends
+			_ = conn.Close() // all messages are written; this ends readMessages
 		}
-		return nil // a write error is left for the reader to find
+		return nil // a broken connection also ends readMessages
 	})
 	group.Go(func() error {
 		defer link.Close()
 		return readMessages(conn, link, loop)
 	})
 	if err := group.Wait(); err != nil {
-		log.Warn(topicConnection, "connection to the other process failed", err)
+		log.Warn(topicConnection, "handover connection closed after an invalid message", err)
 	}
 	loop.Post(func() { loop.OnEnd(link) })
 }
 
-// readMessages hands messages to the loop until the connection ends. Its error wraps a
-// *jsonlines.LineError.
+// readMessages passes messages to the loop until the connection ends. It returns an error, which wraps a
+// *jsonlines.LineError, only for an invalid message.
 func readMessages(conn net.Conn, link *Link, loop Loop) error {
 	err := newParser().ReadEach(conn, func(message Message) {
 		loop.Post(func() { loop.OnMessage(link, message) })
 	})
 	var invalid *jsonlines.LineError
 	if errors.As(err, &invalid) {
-		return fmt.Errorf("read a message: %w", err)
+		return fmt.Errorf("read handover message: %w", err)
 	}
 	return nil // the other process has ended
 }
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -17,13 +17,13 @@
 
 const testTimeout = 30 * time.Second
 
-// process runs one side, and passes on what its loop is handed.
+// process runs one side of a handover, and records what its event loop is given.
 type process struct {
 	*testing.T
 	events   chan any
 	joined   chan *Link
-	loopLock sync.Mutex // held by a test that holds up the loop
-	stop     func()     // ends it, and waits until all is written
+	loopLock sync.Mutex // held by a test to block the event loop
+	stop     func()     // cancels Run, and waits until it has returned
 }
 
 func startProcess(t *testing.T, path string) *process {
@@ -56,7 +56,7 @@
 		case err := <-runDone:
 			require.NoError(t, err)
 		case <-time.After(testTimeout):
-			t.Fatal("Run does not end")
+			t.Fatal("Run did not return in time")
 		}
 	}
 	return started
@@ -68,11 +68,11 @@
 	case got := <-p.events:
 		require.Equal(p, want, got)
 	case <-time.After(testTimeout):
-		p.Fatalf("%v did not come", want)
+		p.Fatalf("%v was not received in time", want)
 	}
 }
 
-// waitForListener waits until a process listens at path: it does as soon as the file is there.
+// waitForListener waits until a process listens at path, which is as soon as the file exists.
 func waitForListener(t *testing.T, path string) {
 	t.Helper()
 	exists := func() bool {
@@ -82,8 +82,8 @@
 	require.Eventually(t, exists, testTimeout, time.Millisecond)
 }
 
-// A process finds one that has taken the place, though that one accepts nobody yet: one that was started before the other
-// served took itself for the only one.
+// A process must find a predecessor that listens but does not accept connections yet. Otherwise a process that starts
+// before the other one serves would consider itself the only one.
 func TestJoinFindsListenerBeforeItServes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first := join(path)
@@ -99,7 +99,7 @@
 	second.predecessor.Close()
 }
 
-// dialUntil dials path again and again until stop is closed or a dial fails.
+// dialUntil dials path repeatedly until stop is closed or a dial fails.
 func dialUntil(stop <-chan struct{}, path string) error {
 	for {
 		select {
@@ -115,7 +115,7 @@
 	}
 }
 
-// acceptAndClose accepts until listener is closed.
+// acceptAndClose accepts connections, and closes them, until listener is closed.
 func acceptAndClose(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -126,7 +126,8 @@
 	}
 }
 
-// The place changes hands while others dial: none of them ever finds it empty, as between another's bind and listen.
+// No dial may fail while the listener is replaced. If a process bound to path directly, dials between its bind and its
+// listen would fail.
 func TestListenReplacesListenerAtomically(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first, err := listen(path)
@@ -148,7 +149,7 @@
 	}
 }
 
-// Of two processes that are started at the same time one waits, at the lock, until the other has taken the place.
+// Of two processes that start at the same time, one must wait at the lock until the other one listens.
 func TestJoinBlocksOnLock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	unlock := acquireLock(path + ".lock")
@@ -167,8 +168,8 @@
 	require.True(t, <-found)
 }
 
-// Each process finds the one before it, messages sent last still arrive, and the socket of one that has ended does not
-// hinder the next.
+// Each process must find its predecessor, messages sent just before a process ends must arrive, and the socket of a process
+// that has ended must not hinder the next one.
 func TestSuccessiveProcesses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first := startProcess(t, path)
@@ -197,7 +198,7 @@
 	third.stop()
 }
 
-// The last messages of the predecessor must not be lost where the successor fails to write to it meanwhile.
+// The last messages of the predecessor must not be lost if writes of the successor to it fail meanwhile.
 func TestLastMessagesSurviveWriteFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first := startProcess(t, path)
@@ -210,14 +211,14 @@
 	first.loopLock.Lock()
 	second.loopLock.Lock()
 	link := <-first.joined
-	last := RunCompleted{IdempotencyKey: "a", OK: true, Result: make([]byte, 2<<10)} // more than is read ahead
+	last := RunCompleted{IdempotencyKey: "a", OK: true, Result: make([]byte, 2<<10)} // 20 of them exceed what is read ahead
 	for range 20 {
 		link.Publish(last)
 	}
 	first.loopLock.Unlock()
 	first.stop()
 	toFirst := <-second.joined
-	for range writeQueueSize { // so many that some fail before the next line
+	for range writeQueueSize { // enough for some writes to fail before the loop is unblocked below
 		toFirst.Publish(KeyClaim{IdempotencyKey: "b"})
 	}
 	second.loopLock.Unlock()
--- a/internal/handover/log_test.go
+++ b/internal/handover/log_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The lines of a process that finds the socket of one that has ended, and of one that can't listen: each cause has a line
-// of its own, and none is suppressed for another.
+// A stale socket and a path at which the process can't listen must be logged with a message each, and neither line may be
+// suppressed because of the other.
 func TestGoldenLog(t *testing.T) {
 	dir := t.TempDir()
 	stale, err := listen(filepath.Join(dir, "stale"))
@@ -30,7 +30,7 @@
 	golden.RequireText(t, "log", lines)
 }
 
-// runWithoutSuccessor runs a process at path until it has connected or listened, and returns its log lines.
+// runWithoutSuccessor runs a process at path until OnPredecessor is called, and returns its log lines.
 func runWithoutSuccessor(t *testing.T, path string) string {
 	t.Helper()
 	var lines bytes.Buffer
@@ -39,7 +39,7 @@
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	serving := make(chan struct{}) // stays open: nothing is opened later
+	serving := make(chan struct{}) // never closed: the process does not listen later
 	loop := Loop{
 		Post:          func(f func()) { f() },
 		OnPredecessor: func(*Link) { cancel() },
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Message is what one of the two processes sends the other. The types of this file are all there are. Idempotency keys
-// consist of hex digits.
+// Message is a message between the predecessor and the successor. The types in this file are the only ones. Idempotency
+// keys consist of hex digits.
 type Message interface {
 	// line returns the message in the fields of the protocol.
 	line() line
@@ -12,34 +12,35 @@
 // KeyKnown announces that an attempt with the key is in flight in the sender, or was run there.
 type KeyKnown struct {
 	IdempotencyKey string
-	Digest         uint64        // of the body that all attempts with the key carry
-	WindowEnd      time.Duration // when the key may run again, on the Unix clock
+	Digest         uint64        // of the request body, which all attempts with the key share
+	WindowEnd      time.Duration // end of the idempotency window, after which the key may run again; Unix time
 }
 
-// RunCompleted announces that the run with the key has ended, as far as the sender knows.
+// RunCompleted announces how the run with the key has ended, as far as the sender knows.
 type RunCompleted struct {
 	IdempotencyKey string
-	OK             bool // the run succeeded
+	OK             bool // the run succeeded, and Result is its result
 	Result         []byte
 }
 
-// KeyReleased announces that nothing was run with the key, and nothing will be.
+// KeyReleased announces that the sender has run no attempt with the key, and will run none.
 type KeyReleased struct {
 	IdempotencyKey string
 }
 
-// KeyClaim asks the predecessor whether an attempt with the key may run. The answer is KeyGranted, or KeyKnown with
-// what follows it.
+// KeyClaim asks the predecessor whether the successor may run an attempt with the key. The answer is KeyGranted, or
+// KeyKnown, followed by RunCompleted or KeyReleased as soon as the outcome is known.
 type KeyClaim struct {
 	IdempotencyKey string
-	Digest         uint64        // of the body that the attempt carries
-	ArrivedAt      time.Duration // of the attempt, on the Unix clock
+	Digest         uint64        // of the body of the attempt
+	ArrivedAt      time.Duration // arrival of the attempt; Unix time
 }
 
-// KeyGranted tells the successor that the attempt may run: the predecessor does not know the key, and leaves it alone.
+// KeyGranted tells the successor that it may run the attempt. The predecessor does not know the key, and will run no
+// attempt with it.
 type KeyGranted struct {
 	IdempotencyKey string
 }
 
-// KeysSynced tells the successor that all keys known so far have been sent.
+// KeysSynced tells the successor that it has been sent all keys known when it connected.
 type KeysSynced struct{}
--- a/internal/handover/message_test.go
+++ b/internal/handover/message_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Every message must be decoded as it was encoded, and invalid lines must be rejected.
 func TestMessageRoundTrip(t *testing.T) {
 	lineParser := newParser()
 	for _, message := range []Message{
@@ -29,6 +30,7 @@
 	}
 }
 
+// A message that was parsed from any input must survive another round trip.
 func FuzzParseMessage(f *testing.F) {
 	f.Add(appendMessage(nil, RunCompleted{IdempotencyKey: "ab12", OK: true, Result: []byte("x")}))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -41,7 +43,7 @@
 			return
 		}
 		fields := message.line()
-		fields.key = "ab" // what stands there is sent without escapes
+		fields.key = "ab" // keys are sent without escaping
 		sent, err := fields.message()
 		require.NoError(t, err)
 		received, err := lineParser.Parse(appendMessage(nil, sent))
--- a/internal/reconnect/dial.go
+++ b/internal/reconnect/dial.go
@@ -1,4 +1,4 @@
-// Package reconnect dials peers, serves connections to them, and keeps one open to an address that may be replaced.
+// Package reconnect dials peers, serves connections to them, and maintains a connection to an address that may change.
 package reconnect
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// DialTimeout bounds a dial to a peer over TCP.
+// DialTimeout is the maximum duration of a TCP dial to a peer.
 const DialTimeout = 2 * time.Second
 
-// DrainTimeout is how long a connection may go on after its peer has moved to another address.
+// DrainTimeout is the maximum time for which a connection stays open after its address was replaced.
 const DrainTimeout = 1500 * time.Millisecond
 
-// UnreachableError reports that no connection to Address could be opened: nothing was sent to the peer.
+// UnreachableError reports that no connection to Address could be opened, so that nothing was sent to the peer.
 type UnreachableError struct {
 	Address string
 	Err     error
@@ -24,7 +24,7 @@
 // Unwrap returns the error of the dial.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Dial opens a connection within timeout, unless ctx ends before. Its error is an *UnreachableError.
+// Dial opens a connection within timeout, unless ctx ends first. A non-nil error is an *UnreachableError.
 func Dial(ctx context.Context, network, address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(ctx, network, address)
--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -12,47 +12,48 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config configures a Link. No field has a default.
+// Config configures a Link. Every field must be set; there are no defaults.
 type Config struct {
-	// Backoff sets the delays between dials. A connection that lasts for longer than Backoff.MaxDelay counts as a
-	// success, and the next delay is the first again.
+	// Backoff configures the delays between attempts to connect. An attempt that lasts longer than Backoff.MaxDelay,
+	// from its dial to the end of its connection, counts as a success and resets the delay.
 	Backoff backoff.Config
-	// WriteQueueSize is how many messages may wait to be written on a connection.
+	// WriteQueueSize is the maximum number of messages that wait to be written on a connection.
 	WriteQueueSize int
 }
 
-// Handler deals with the connections of a Link. Its methods are called on goroutines of Run, those for one connection
-// in the order below; connections to an old and a new address may overlap.
+// Handler handles the connections of a Link. Its methods are called on goroutines of Run. For one connection they are
+// called in the order below; the calls for connections to an old and a new address may overlap.
 type Handler interface {
-	// Opened takes over a connection to address for writing.
+	// Opened is called with the write queue of a new connection to address.
 	Opened(address string, queue *writequeue.Queue)
-	// Read reads from the connection until that fails; its error ends the connection.
+	// Read reads from the connection until that fails. Its error ends the connection.
 	Read(conn net.Conn, queue *writequeue.Queue) error
-	// Closed is called once a connection has ended.
+	// Closed is called after a connection has ended.
 	Closed(queue *writequeue.Queue)
-	// Failed takes the error of a dial to address or of a connection to it, unless the address has been replaced.
+	// Failed is called with the error of a dial to address or of a connection to it, unless the address was replaced.
 	Failed(address string, err error)
 }
 
-// Link keeps a connection open to one address that may be replaced. SetAddress and Address belong to one goroutine.
+// Link maintains a connection to one address, which can be replaced. SetAddress and Address must be called on one
+// goroutine.
 type Link struct {
 	config    Config
-	address   string
-	addresses latest.Value[string] // for Run
+	address   string               // current address
+	addresses latest.Value[string] // passes the current address to Run
 }
 
-// New returns a Link to address, which Run opens.
+// New returns a Link to address. Run opens the connection.
 func New(address string, config Config) *Link {
 	link := &Link{config: config, addresses: latest.New[string]()}
 	link.SetAddress(address)
 	return link
 }
 
-// Address returns the address in force.
+// Address returns the current address.
 func (l *Link) Address() string { return l.address }
 
-// SetAddress opens a connection to another address. The one before serves for DrainTimeout at most; it is for
-// the Handler to close it as soon as the new one is open.
+// SetAddress replaces the address, and does nothing if address is the current one. The connection to the old address
+// stays open for DrainTimeout at most; the Handler should close it as soon as the new one is open.
 func (l *Link) SetAddress(address string) {
 	if address == l.address {
 		return
@@ -61,62 +62,62 @@
 	l.addresses.Set(address)
 }
 
-// Run keeps a connection open to the address in force until ctx ends, and all its connections with that.
+// Run maintains a connection to the current address until ctx ends. It returns once all connections are closed.
 func (l *Link) Run(ctx context.Context, handler Handler) {
 	var group errgroup.Group
-	replace := func() {} // ends the use of the address in force so far
-	defer func() { replace() }()
+	cancelCurrent := func() {} // cancels the context of the current address
+	defer func() { cancelCurrent() }()
 	for {
 		select {
 		case <-ctx.Done():
 			_ = group.Wait() // its functions return no error
 			return
 		case address := <-l.addresses.C():
-			replace()
-			inForce, cancel := context.WithCancel(ctx)
-			replace = cancel
+			cancelCurrent()
+			addressCtx, cancel := context.WithCancel(ctx)
+			cancelCurrent = cancel
 			peer := &peer{address: address, config: l.config, handler: handler}
 			group.Go(func() error {
-				peer.maintainConnection(ctx, inForce)
+				peer.maintainConnection(ctx, addressCtx)
 				return nil
 			})
 		}
 	}
 }
 
-// peer is one address of a Link, for as long as it is in force. It belongs to a goroutine of Run.
+// peer is one address of a Link, for as long as it is the current one. It belongs to a goroutine of Run.
 type peer struct {
 	address string
 	config  Config
 	handler Handler
 }
 
-// maintainConnection opens connections, one after the other, until inForce ends.
-func (p *peer) maintainConnection(ctx, inForce context.Context) {
+// maintainConnection opens one connection after another until addressCtx ends.
+func (p *peer) maintainConnection(ctx, addressCtx context.Context) {
 	delays := backoff.New(p.config.Backoff)
-	for inForce.Err() == nil {
+	for addressCtx.Err() == nil {
 		start := time.Now()
-		if err := p.connect(ctx, inForce); err != nil && inForce.Err() == nil {
+		if err := p.connect(ctx, addressCtx); err != nil && addressCtx.Err() == nil {
 			p.handler.Failed(p.address, err)
 		}
 		if time.Since(start) > p.config.Backoff.MaxDelay {
 			delays.Reset()
 		}
 		select {
-		case <-inForce.Done():
+		case <-addressCtx.Done():
 		case <-time.After(delays.Next()):
 		}
 	}
 }
 
-// connect serves one connection from its dial to its end. After that of inForce it ends within DrainTimeout, and at the
-// end of ctx at once.
-func (p *peer) connect(ctx, inForce context.Context) error {
-	conn, err := Dial(inForce, "tcp", p.address, DialTimeout)
+// connect dials the peer and serves the connection until it ends. When addressCtx ends, the connection stays open for
+// DrainTimeout at most; when ctx ends, it is closed at once.
+func (p *peer) connect(ctx, addressCtx context.Context) error {
+	conn, err := Dial(addressCtx, "tcp", p.address, DialTimeout)
 	if err != nil {
 		return err
 	}
-	stop := context.AfterFunc(inForce, func() {
+	stop := context.AfterFunc(addressCtx, func() {
 		// An error means that the connection is closed already.
 		_ = conn.SetReadDeadline(time.Now().Add(DrainTimeout))
 	})
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -17,19 +17,19 @@
 
 const testTimeout = 30 * time.Second
 
-// receive returns the next value, and fails the test where none comes.
+// receive returns the next value, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, values <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-values:
 		return value
 	case <-time.After(testTimeout):
-		require.Fail(t, "nothing came")
+		require.Fail(t, "no value received in time")
 		panic("unreachable")
 	}
 }
 
-// recorder is a Handler that passes on what it is called with.
+// recorder is a Handler that sends the arguments of its calls to channels.
 type recorder struct {
 	opened chan string
 	queues chan *writequeue.Queue
@@ -59,7 +59,7 @@
 
 func (r *recorder) Failed(_ string, err error) { r.failed <- err }
 
-// startLink runs a Link, and waits at the end of the test until all of it has ended.
+// startLink runs a Link until the end of the test, and waits for Run to return.
 func startLink(t *testing.T, link *Link, handler Handler) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -84,8 +84,8 @@
 	WriteQueueSize: 4,
 }
 
-// A peer that cannot be reached is distinguished from one that fails later, and the text is that of the dial.
-func TestUnreachableError(t *testing.T) {
+// A failed dial must be distinguishable from a later failure, and its text must be that of the dial error.
+func TestFailedDialIsUnreachable(t *testing.T) {
 	address := loopback.ClosedAddress(t)
 	_, err := Dial(context.Background(), "tcp", address, DialTimeout)
 	var unreachable *UnreachableError
@@ -95,8 +95,8 @@
 	require.EqualError(t, err, "dial tcp "+address+": connect: connection refused")
 }
 
-// A peer that is not there yet is dialed again until it is, and again after its connection broke.
-func TestReconnect(t *testing.T) {
+// A peer that does not listen yet must be dialed until it does, and dialed again after its connection breaks.
+func TestFailedConnectionIsRedialed(t *testing.T) {
 	address := loopback.ClosedAddress(t)
 	handler := newRecorder()
 	startLink(t, New(address, testConfig), handler)
@@ -114,7 +114,7 @@
 	}
 }
 
-// What is queued when the context ends is written before the connection is closed.
+// Messages that are queued when the context ends must be written before the connection is closed.
 func TestServeWritesQueuedMessages(t *testing.T) {
 	local, remote := net.Pipe()
 	queue := writequeue.New(local, 4)
@@ -135,9 +135,9 @@
 	require.ErrorIs(t, receive(t, done), io.ErrClosedPipe)
 }
 
-// A new address is dialed at once, while the connection to the old one goes on until the Handler closes it; its end is
-// no failure.
-func TestAddressChange(t *testing.T) {
+// A new address must be dialed at once, while the connection to the old one stays open until the Handler closes it. The
+// end of the old connection must not be reported as a failure.
+func TestAddressChangeKeepsOldConnection(t *testing.T) {
 	first, second := loopback.Listen(t), loopback.Listen(t)
 	link := New(first.Addr().String(), testConfig)
 	handler := newRecorder()
@@ -159,7 +159,7 @@
 	require.Empty(t, handler.failed)
 }
 
-// One that was replaced before it was ever open is abandoned, though its dial hangs or fails.
+// An address that was replaced before a connection to it was open must be abandoned, even if its dial hangs or fails.
 func TestAddressChangeBeforeOpen(t *testing.T) {
 	listener := loopback.Listen(t)
 	link := New(loopback.ClosedAddress(t), testConfig)
@@ -170,8 +170,8 @@
 	require.Empty(t, handler.failed)
 }
 
-// The connection to an address that was replaced ends by itself after DrainTimeout.
-func TestReplacedConnectionDrains(t *testing.T) {
+// A connection to a replaced address must end after DrainTimeout if the Handler does not close it.
+func TestReplacedConnectionEndsAfterDrainTimeout(t *testing.T) {
 	first, second := loopback.Listen(t), loopback.Listen(t)
 	link := New(first.Addr().String(), testConfig)
 	handler := newRecorder()
@@ -185,7 +185,7 @@
 	require.Empty(t, handler.failed)
 }
 
-// The address in force is not dialed again where it is set again.
+// Setting the current address again must not cause another dial.
 func TestSameAddressIsNoChange(t *testing.T) {
 	link := New("agent:1", testConfig)
 	require.Equal(t, "agent:1", receive(t, link.addresses.C()))
--- a/internal/reconnect/serve.go
+++ b/internal/reconnect/serve.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Serve runs queue, and read beside it, until either fails or ctx ends: what is queued by then is still written, and the
-// connection closed, which has read fail. It returns the first error, once both have ended.
+// Serve runs queue and read concurrently until one of them fails or ctx ends. The messages that are queued by then are
+// still written, and the connection is closed, which makes read fail. Serve returns the first error, after both have
+// returned.
 func Serve(ctx context.Context, queue *writequeue.Queue, read func() error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, queue.Close)()
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -1,7 +1,7 @@
-// Package writequeue writes queued messages to a connection, so that whoever queues them never blocks.
+// Package writequeue writes messages to a connection in the background, so that the sender never blocks.
 //
-// The owner of a connection runs Run on a goroutine; any goroutine may call the other methods. A peer that does not
-// read is disconnected as soon as the queue is full or a write takes longer than 20 s.
+// The owner of a connection runs Run on a goroutine; the other methods may be called from any goroutine. A peer that does
+// not read is disconnected when the queue is full or a write takes longer than 20 s.
 package writequeue
 
 import (
@@ -13,22 +13,22 @@
 )
 
 const (
-	writeTimeout  = 20 * time.Second // a peer's machine may be paused for a while
-	maxBatchBytes = 8 << 10          // from which on no further message joins a write
+	writeTimeout  = 20 * time.Second // bridges a pause of the peer's machine
+	maxBatchBytes = 8 << 10          // a batch of this size takes no further message
 )
 
-// Queue is the write side of a connection. It is open until Close, then writes what is queued, and is closed by Run; a
-// failed write, a queue that is full, or Abort end it at once.
+// Queue is the write side of a connection. After Close, Run writes the messages that are still queued and closes the
+// connection. A failed write, a full queue or Abort closes the connection at once.
 type Queue struct {
 	conn           net.Conn
-	closeWriteOnly bool // whether only the write side is closed at the end
-	pending        chan []byte
-	unwritten      atomic.Int64 // messages that were queued and are not written yet
+	closeWriteOnly bool         // Run closes only the write side of conn
+	pending        chan []byte  // messages that Run has yet to take
+	unwritten      atomic.Int64 // number of messages that are queued or being written
 
 	closeOnce sync.Once
 	closing   chan struct{} // closed by Close
 
-	connCloser sync.Once
+	closeConnOnce sync.Once // guards the close by closeConn
 }
 
 // New returns a Queue for conn that holds up to capacity messages.
@@ -36,17 +36,17 @@
 	return &Queue{conn: conn, pending: make(chan []byte, capacity), closing: make(chan struct{})}
 }
 
-// NewHalf returns a Queue that at the end closes only the write side of conn. Its owner closes the connection once it
-// has read what the peer sent meanwhile: a connection that is closed over unread bytes is reset, and what was written
-// last is lost.
+// NewHalf returns a Queue that closes only the write side of conn at the end. The owner closes the connection after it
+// has read everything that the peer has sent: closing a connection with unread input resets it, and the messages
+// written last are lost.
 func NewHalf(conn net.Conn, capacity int) *Queue {
 	queue := New(conn, capacity)
 	queue.closeWriteOnly = true
 	return queue
 }
 
-// Send queues a message, which must not be changed any more. It never blocks: where the queue is full the connection
-// is closed.
+// Send queues a message, which must not be modified afterwards. It never blocks: if the queue is full, it closes the
+// connection.
 func (q *Queue) Send(b []byte) {
 	q.unwritten.Add(1)
 	select {
@@ -56,10 +56,11 @@
 	}
 }
 
-// Close has Run write what is queued and then close the connection. It may be called more than once.
+// Close makes Run write the messages that are still queued, and then close the connection. It may be called repeatedly.
 func (q *Queue) Close() { q.closeOnce.Do(func() { close(q.closing) }) }
 
-// CloseNow is Close for the goroutine that calls Send: where all is written, the connection is closed on return.
+// CloseNow is like Close, but if all messages are written, it closes the connection before it returns. It must be called
+// on the goroutine that calls Send.
 func (q *Queue) CloseNow() {
 	if q.unwritten.Load() == 0 {
 		q.closeConn()
@@ -67,11 +68,11 @@
 	q.Close()
 }
 
-// Abort closes the connection at once, also where messages are queued or a write hangs.
+// Abort closes the connection at once, even if messages are queued or a write is blocked.
 func (q *Queue) Abort() { _ = q.conn.Close() }
 
-// Run writes messages, several at a time where they are queued, until Close is called or a write fails; it returns the
-// error of that write. When it returns, the connection is closed, or its write side.
+// Run writes messages until Close is called or a write fails, and returns the error of that write. Messages that are
+// queued at the same time are written together. On return the connection, or its write side, is closed.
 func (q *Queue) Run() error {
 	defer q.closeConn()
 	for {
@@ -86,7 +87,7 @@
 	}
 }
 
-// flush writes what is queued.
+// flush writes the messages that are still queued.
 func (q *Queue) flush() error {
 	for len(q.pending) > 0 {
 		if err := q.write(<-q.pending); err != nil {
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// write writes a message together with further ones that are queued. The batch is put together in new memory: most
-// connections write little and seldom, so none keeps a buffer.
+// write writes a message together with further queued ones. A batch is assembled in newly allocated memory: most
+// connections write seldom, and a buffer kept for each of them would waste memory.
 func (q *Queue) write(first []byte) error {
 	batch := first
 	messages := int64(1)
@@ -115,17 +116,17 @@
 	return nil
 }
 
-// closeConn closes the connection, or its write side where that is what the owner wants and the connection can do.
+// closeConn closes the connection, or only its write side if closeWriteOnly is set and the connection supports that.
 func (q *Queue) closeConn() {
-	q.connCloser.Do(func() {
+	q.closeConnOnce.Do(func() {
 		if q.closeWriteOnly && closeWrite(q.conn) {
 			return
 		}
-		_ = q.conn.Close() // a connection that is closed already is what is wanted
+		_ = q.conn.Close() // an error means that the connection is closed already
 	})
 }
 
-// closeWrite closes the write side of a connection, and reports whether that can be done.
+// closeWrite closes the write side of a connection, and reports whether that succeeded.
 func closeWrite(conn net.Conn) bool {
 	half, ok := conn.(interface{ CloseWrite() error })
 	return ok && half.CloseWrite() == nil
--- a/internal/writequeue/queue_test.go
+++ b/internal/writequeue/queue_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What was queued before Close is written, so that the last answers of a drain go out.
+// Messages that were queued before Close must be written. Otherwise the last answers of a drain are lost.
 func TestCloseWritesQueuedMessages(t *testing.T) {
 	local, remote := net.Pipe()
 	queue := New(local, 4)
@@ -25,7 +25,7 @@
 	require.NoError(t, <-done)
 }
 
-// Send never blocks; a peer that does not read is disconnected.
+// Send must not block if the peer does not read; the connection is closed instead.
 func TestPeerThatDoesNotReadIsDisconnected(t *testing.T) {
 	local, remote := net.Pipe()
 	queue := New(local, 4)
