--- a/internal/process/harness_test.go
+++ b/internal/process/harness_test.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// testTimeout is when a test that waits in vain fails.
+// testTimeout is how long a test waits for something before it fails.
 const testTimeout = 30 * time.Second
 
 // Messages of log lines that tests wait for.
@@ -29,10 +29,10 @@
 	countersMessage     = "counters"
 )
 
-// fakeFront is a listener that no connection comes to. Serve returns when the test closes released, whatever becomes of
-// its context: until then the server has connections that do not end.
+// fakeFront is a front without connections. Its Serve returns only when the test closes released, whatever happens to its
+// context: until then the server behaves as if connections were open.
 type fakeFront struct {
-	serving  chan struct{} // closed by Serve
+	serving  chan struct{} // closed when Serve is called
 	released chan struct{}
 }
 
@@ -48,7 +48,7 @@
 
 func (f *fakeFront) Close() error { return nil }
 
-// endingFront is a listener that no connection comes to, and that ends as it is closed.
+// endingFront is a front without connections. Its Serve returns when the front is closed.
 type endingFront struct {
 	closed chan struct{}
 }
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// logEntries hands log lines to a test.
+// logEntries is a logrus hook that sends log entries to a test.
 type logEntries chan *logrus.Entry
 
 func (logEntries) Levels() []logrus.Level { return logrus.AllLevels }
@@ -76,24 +76,24 @@
 	return nil
 }
 
-// fixture is a process in the test's own, whose signals the test sends by their channels.
+// fixture is a process that runs within the test. The test sends its signals through the channels of Signals.
 type fixture struct {
 	*testing.T
 	signals    *Signals
 	configPath string
 	log        *logrus.Logger
 	entries    logEntries
-	agents     [2]net.Listener // that the configuration may name
+	agents     [2]net.Listener // whose addresses the configuration may contain
 	process    *process
 	done       chan error // receives the result of run
 }
 
-// newFixture returns a process whose configuration has another agent, a short drain, and changes.
+// newFixture returns a process whose configuration has the first agent and a short drain, with changes by change.
 func newFixture(t *testing.T, extension Extension, change func(*config.Config)) *fixture {
 	t.Helper()
 	created := &fixture{
 		T:          t,
-		signals:    &Signals{terminate: make(chan os.Signal, 1), control: make(chan os.Signal, controlSignals)},
+		signals:    &Signals{terminate: make(chan os.Signal, 1), control: make(chan os.Signal, controlSignalCapacity)},
 		configPath: filepath.Join(t.TempDir(), "config.json"),
 		entries:    make(logEntries, 1000),
 		done:       make(chan error, 1),
@@ -114,7 +114,7 @@
 	return created
 }
 
-// listenLocally opens a socket on a free port, closed when the test is over.
+// listenLocally opens a listener on a free local port, which is closed at the end of the test.
 func listenLocally(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -123,7 +123,7 @@
 	return listener
 }
 
-// writeConfig writes the configuration with one of the agents, and changed by replacements (old, new, ...).
+// writeConfig writes the configuration file with one of the agents and with the replacements (old, new, ...).
 func (f *fixture) writeConfig(agent int, replacements ...string) {
 	f.Helper()
 	text, err := os.ReadFile("../config/testdata/config.json")
@@ -133,12 +133,12 @@
 	require.NoError(f, os.WriteFile(f.configPath, []byte(replaced), 0o600))
 }
 
-// run starts the process with that front.
+// run starts the process with front.
 func (f *fixture) run(front server.Front) {
 	go func() { f.done <- f.process.run(front) }()
 }
 
-// waitForLog returns the next log line with that message, and skips others.
+// waitForLog returns the next log entry with that message, and skips others.
 func (f *fixture) waitForLog(message string) *logrus.Entry {
 	f.Helper()
 	timeout := time.After(testTimeout)
@@ -149,12 +149,12 @@
 				return entry
 			}
 		case <-timeout:
-			f.Fatalf("not logged: %s", message)
+			f.Fatalf("%q was not logged in time", message)
 		}
 	}
 }
 
-// loggedError returns the error of a log line.
+// loggedError returns the error of a log entry.
 func (f *fixture) loggedError(entry *logrus.Entry) error {
 	f.Helper()
 	err, ok := entry.Data[logrus.ErrorKey].(error)
@@ -162,7 +162,7 @@
 	return err
 }
 
-// requireEnds waits for the end of run, and returns its error.
+// requireEnds waits until run returns, and returns its error.
 func (f *fixture) requireEnds() error {
 	f.Helper()
 	return receive(f.T, f.done)
@@ -170,14 +170,14 @@
 
 func (f *fixture) terminate() { f.signals.terminate <- syscall.SIGTERM }
 
-// receive returns the next value of a channel.
+// receive returns the next value of a channel, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, values <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-values:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came in time")
+		t.Fatal("no value received in time")
 		panic("unreachable")
 	}
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs an image server as a process: resource limits, sockets, signals and the console. The programs
-// that serve share it; an Extension is what one of them adds.
+// Package process runs an image server as a process of the operating system: resource limits, sockets, signals and the
+// console. All programs that serve use it; an Extension is what one of them adds.
 package process
 
 import (
@@ -22,27 +22,27 @@
 	"github.com/sirupsen/logrus"
 )
 
-// heapLimitRatio is the part of the memory limit that the garbage collector is to keep the heap within.
+// heapLimitRatio is the fraction of the memory limit that the Go runtime is told to stay within.
 const heapLimitRatio = 0.7
 
-// process is an image server and what it runs with. The goroutine that calls run owns it.
+// process is an image server with its configuration, signals and extension. It belongs to the goroutine that calls run.
 type process struct {
 	signals   *Signals
-	active    *config.Config // the configuration in use
-	path      string         // of the configuration's file, read again on SIGHUP
+	active    *config.Config // current configuration
+	path      string         // of the configuration file, which is read again on SIGHUP
 	log       *logrus.Logger
 	server    *server.Server
 	extension Extension
 }
 
-// Serve runs the server until it is drained, which SIGTERM and SIGINT start, and returns the error that ended it, if
-// one did. path is the file that conf was read from. After the end of the server's loop the return is delayed by two
-// waits, one after the other, of server.FinalWriteTimeout at most each:
+// Serve runs the server until it has drained, and returns the error that ended it, if any. SIGTERM and SIGINT start the
+// drain. path is the file from which conf was read. After the event loop of the server has ended, Serve waits twice, each
+// time for server.FinalWriteTimeout at most:
 //
-//   - until the server's connections are closed; if they are still open after that, Serve returns at once;
-//   - until the extension has ended, which it is asked to do when the first wait is over.
+//   - until the server's connections are closed; if some are still open after that, Serve returns at once;
+//   - until the extension has ended, whose context is cancelled after the first wait.
 //
-// The console ends with the extension's context, and is not waited for.
+// The console ends with the extension's context, and Serve does not wait for it.
 func Serve(signals *Signals, conf *config.Config, path string, log *logrus.Logger, extension Extension) error {
 	limitResources(&conf.Limits)
 	front, err := listen(conf, logging.NewLimiter(log))
@@ -72,7 +72,7 @@
 	return created
 }
 
-// run serves front until the server is drained, and returns the error that ended it, if one did.
+// run serves front until the server has drained, and returns the error that ended it, if any.
 func (p *process) run(front server.Front) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -85,12 +85,12 @@
 
 	finished, err := p.handleSignals(serverDone)
 	if !finished {
-		// The first wait is used up. The extension's context ends with this function, and nothing waits for it.
+		// The first wait has timed out. The extension's context ends when this function returns, and nothing waits for it.
 		p.log.Warn("drain ended with connections open")
 		return nil
 	}
 	stop()
-	// The second wait, which is for the extension only.
+	// The second wait: for the extension.
 	select {
 	case <-extensionDone:
 	case <-time.After(server.FinalWriteTimeout):
@@ -98,29 +98,29 @@
 	return err
 }
 
-// limitResources has the Go runtime keep to the limits of the configuration.
+// limitResources applies the limits of the configuration to the Go runtime: whole cores, at least one, and memory.
 func limitResources(limits *config.Limits) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(limits.Cores)), 1))
 	debug.SetMemoryLimit(int64(heapLimitRatio * float64(limits.MemoryMB<<20)))
 }
 
-// listen opens the socket for front ends, or takes over the one that was left open for this process.
+// listen opens the listener for front ends, or takes over a listening socket that this process has inherited.
 func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Listener, error) {
 	maxConnections := conf.Limits.MaxFrontConnections()
 	if conf.InheritedFD != 0 {
-		return msgpackrpc.ListenInherited(conf.InheritedFD, maxConnections, log) //nolint:wrapcheck // it says what it opens
+		return msgpackrpc.ListenInherited(conf.InheritedFD, maxConnections, log) //nolint:wrapcheck // the error says what was opened
 	}
-	return msgpackrpc.Listen(conf.Listen, maxConnections, log) //nolint:wrapcheck // it says what it opens
+	return msgpackrpc.Listen(conf.Listen, maxConnections, log) //nolint:wrapcheck // the error says what was opened
 }
 
-// startConsole opens the console if it has an address, and serves it until ctx ends.
+// startConsole opens the console, if it has an address, and serves it until ctx ends.
 func (p *process) startConsole(ctx context.Context) error {
 	if p.active.Console == "" {
 		return nil
 	}
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", p.active.Console)
 	if err != nil {
-		return fmt.Errorf("console: %w", err)
+		return fmt.Errorf("open console: %w", err)
 	}
 	instance := instanceWithMetrics{p.server, p.extension.AppendMetrics}
 	go func() {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// startExtension runs the extension until ctx ends. The channel that it returns is closed when that is done.
+// startExtension runs the extension until ctx ends. The returned channel is closed when the extension has ended.
 func (p *process) startExtension(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	if p.extension.Run == nil {
@@ -148,11 +148,11 @@
 	return done
 }
 
-// handleSignals carries out signals until the server has finished, and returns its error, or until connections that
-// are open after the drain have used up their time.
+// handleSignals handles signals until the server has finished, and returns its error. finished is false if connections
+// are still open server.FinalWriteTimeout after the end of the event loop.
 func (p *process) handleSignals(serverDone <-chan error) (finished bool, err error) {
 	drained := p.server.Ended()
-	var closeDeadline <-chan time.Time // nil until the drain is over
+	var closeDeadline <-chan time.Time // nil until the event loop has ended
 	for {
 		select {
 		case sig := <-p.signals.control:
@@ -170,7 +170,7 @@
 	}
 }
 
-// handleControl carries out a signal that does not end the process.
+// handleControl handles a signal that does not end the process.
 func (p *process) handleControl(sig os.Signal) {
 	switch sig {
 	case syscall.SIGUSR1:
@@ -180,7 +180,8 @@
 	}
 }
 
-// reload reads the configuration again. The server logs an error, and goes on with what it has.
+// reload reads the configuration again and applies it. If that fails, the server logs the error and keeps the current
+// configuration.
 func (p *process) reload() {
 	if p.extension.Reload != nil {
 		p.extension.Reload()
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// SIGHUP takes over a good file and leaves everything as it is for a bad one, which is logged with the key at fault;
-// the next good one counts again. A file that lacks a key of the one in use is bad.
-func TestReload(t *testing.T) {
+// SIGHUP must apply a valid configuration file. An invalid file must change nothing, be logged with the key at fault, and
+// not prevent later reloads. A file that lacks a key of the current configuration is invalid.
+func TestReloadOnSIGHUP(t *testing.T) {
 	var reloads atomic.Int32
 	running := newFixture(t, Extension{Reload: func() { reloads.Add(1) }}, nil)
 	running.run(&endingFront{make(chan struct{})})
@@ -49,11 +49,11 @@
 
 	running.terminate()
 	require.NoError(t, running.requireEnds())
-	require.EqualValues(t, 4, reloads.Load(), "the extension is asked each time")
+	require.EqualValues(t, 4, reloads.Load(), "calls of the extension's Reload")
 	require.NotSame(t, first, running.process.active)
 }
 
-// SIGUSR1 logs the counters, also while a drain waits for connections, and a second SIGTERM changes nothing then.
+// SIGUSR1 must log the counters even while a drain waits for connections, and a second SIGTERM must change nothing then.
 func TestControlSignalsDuringDrain(t *testing.T) {
 	front := newFakeFront()
 	running := newFixture(t, Extension{}, func(conf *config.Config) {
@@ -73,8 +73,8 @@
 	require.NoError(t, running.requireEnds())
 }
 
-// A drain that is over ends the process although connections are open, and that is logged.
-func TestConnectionsOpenAfterDrain(t *testing.T) {
+// The process must end after a drain even if connections are open, and log that.
+func TestProcessEndsWithConnectionsOpenAfterDrain(t *testing.T) {
 	front := newFakeFront()
 	running := newFixture(t, Extension{}, nil)
 	running.run(front)
@@ -85,8 +85,8 @@
 	close(front.released)
 }
 
-// The extension runs until the server has ended. One that does not end then delays the process no longer than open
-// connections would.
+// The extension must run until the server has ended. If it does not end then, it must not delay the end of the process for
+// longer than open connections may.
 func TestExtensionEndsWithServer(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		started, stopped, release := make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -108,8 +108,8 @@
 	}
 }
 
-// An extension that fails does not end the server.
-func TestExtensionFails(t *testing.T) {
+// An extension that fails must not end the server.
+func TestExtensionFailureDoesNotEndServer(t *testing.T) {
 	running := newFixture(t, Extension{Run: func(context.Context) error { return errors.New("address in use") }}, nil)
 	running.run(&endingFront{make(chan struct{})})
 	entry := running.waitForLog("extension stopped, the server continues")
@@ -121,7 +121,7 @@
 	require.NoError(t, running.requireEnds())
 }
 
-// The console's metrics are those of the server and then those of the extension.
+// The console must show the metrics of the server, followed by those of the extension.
 func TestExtensionMetrics(t *testing.T) {
 	appendMetrics := func(b []byte) []byte { return append(b, "app.extra:1|g\n"...) }
 	running := newFixture(t, Extension{AppendMetrics: appendMetrics}, nil)
@@ -141,8 +141,8 @@
 	require.Error(t, err, "the server has ended")
 }
 
-// A start without one of its sockets is an error that names the socket.
-func TestAddressInUse(t *testing.T) {
+// A start must fail if one of its sockets can't be opened, with an error that names the socket.
+func TestAddressInUseFailsStart(t *testing.T) {
 	taken := listenLocally(t)
 	running := newFixture(t, Extension{}, func(conf *config.Config) { conf.Console = taken.Addr().String() })
 	running.run(&endingFront{make(chan struct{})})
@@ -157,7 +157,7 @@
 	require.ErrorIs(t, err, syscall.EADDRINUSE)
 }
 
-// A process that is given a listening socket serves that one, and not the address of its configuration.
+// A process that inherits a listening socket must serve that socket, not the address of its configuration.
 func TestInheritedSocket(t *testing.T) {
 	inherited := listenLocally(t)
 	listener, ok := inherited.(*net.TCPListener)
@@ -175,7 +175,7 @@
 	require.NoError(t, front.Close())
 }
 
-// The Go runtime gets whole cores, one at least, and a heap that leaves room within the memory limit.
+// The Go runtime must get whole cores, at least one, and a memory limit that leaves room within that of the process.
 func TestLimitResources(t *testing.T) {
 	cores, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
 	defer func() {
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -9,31 +9,32 @@
 	"falldeal/internal/config"
 )
 
-// controlSignals is how many signals may wait that do not end the process.
-const controlSignals = 4
+// controlSignalCapacity is the number of control signals that may wait to be handled.
+const controlSignalCapacity = 4
 
-// Signals holds the signals that this process has been sent and has not handled.
+// Signals holds the signals that this process has received and not handled yet.
 type Signals struct {
 	terminate chan os.Signal // SIGTERM, SIGINT
 	control   chan os.Signal // SIGUSR1, SIGHUP
 }
 
-// Catch must be the first thing that a program which serves does: until then even SIGUSR1 ends the process, and a
-// SIGHUP that announces a new configuration would be missed. Signals that come during the start are handled after it.
+// Catch starts to receive signals. It must be the first call of a program that serves: before it, even SIGUSR1 and SIGHUP
+// end the process. Signals that arrive during the start are handled after it.
 func Catch() *Signals {
-	// A signal that finds its channel full is dropped. That must not happen to a termination because others wait.
-	signals := &Signals{terminate: make(chan os.Signal, 1), control: make(chan os.Signal, controlSignals)}
+	// A signal is dropped if its channel is full. Terminations have their own channel, so that control signals that wait
+	// cannot cause one to be dropped.
+	signals := &Signals{terminate: make(chan os.Signal, 1), control: make(chan os.Signal, controlSignalCapacity)}
 	signal.Notify(signals.control, syscall.SIGUSR1, syscall.SIGHUP)
 	signal.Notify(signals.terminate, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE) // from a log whose reader is gone
+	signal.Ignore(syscall.SIGPIPE) // sent when the reader of the log has gone
 	return signals
 }
 
-// ErrStopped reports a termination signal before the server was started.
+// ErrStopped reports a termination signal that arrived before the server was started.
 var ErrStopped = errors.New("terminated before the start was complete")
 
-// Load is config.Load, but returns ErrStopped if a termination signal comes meanwhile. The goroutine that reads the
-// file is then left behind: the read may never end, and the process does.
+// Load is config.Load, but returns ErrStopped if a termination signal arrives first. The goroutine that reads the file is
+// then left behind: the read may never return, but the process ends.
 func (s *Signals) Load(path string) (*config.Config, error) {
 	type result struct {
 		conf *config.Config
--- a/internal/process/signals_test.go
+++ b/internal/process/signals_test.go
@@ -10,16 +10,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Signals of the process arrive, each where it is handled, and those that come during the start wait. A termination is
-// not lost behind others that have filled their channel.
-func TestCatch(t *testing.T) {
+// Each signal must arrive on the channel on which it is handled, and wait there during the start. A termination must not be
+// lost because control signals have filled their channel.
+func TestSignalsArriveOnTheirChannels(t *testing.T) {
 	signals := Catch()
 	t.Cleanup(func() {
 		signal.Stop(signals.control)
 		signal.Stop(signals.terminate)
 		signal.Reset(syscall.SIGPIPE)
 	})
-	delivered := make(chan os.Signal, 2*controlSignals)
+	delivered := make(chan os.Signal, 2*controlSignalCapacity)
 	signal.Notify(delivered, syscall.SIGUSR1)
 	t.Cleanup(func() { signal.Stop(delivered) })
 	send := func(sig syscall.Signal) {
@@ -30,18 +30,18 @@
 		require.Equal(t, sig, receive(t, signals.control))
 	}
 	receive(t, delivered)
-	for range 2 * controlSignals {
+	for range 2 * controlSignalCapacity {
 		send(syscall.SIGUSR1)
 		receive(t, delivered)
 	}
-	require.Len(t, signals.control, controlSignals)
+	require.Len(t, signals.control, controlSignalCapacity)
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		send(sig)
 		require.Equal(t, sig, receive(t, signals.terminate))
 	}
 }
 
-// A termination ends the wait for a configuration that nobody finishes writing.
+// A termination must end the wait for a configuration file that is never completely written.
 func TestTerminationDuringLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
@@ -52,11 +52,11 @@
 	require.ErrorIs(t, err, ErrStopped)
 	writer, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the file is being read
 	require.NoError(t, err)
-	require.NoError(t, writer.Close()) // which ends the reader that was left behind
+	require.NoError(t, writer.Close()) // ends the reader that was left behind
 }
 
-// Without a termination Load returns the configuration, or what is wrong with it.
-func TestLoad(t *testing.T) {
+// Without a termination, Load must return the configuration or the error of reading it.
+func TestLoadWithoutTermination(t *testing.T) {
 	signals := &Signals{terminate: make(chan os.Signal, 1)}
 	conf, err := signals.Load("../config/testdata/config.json")
 	require.NoError(t, err)
