--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -7,28 +7,27 @@
 	"falldeal/admission"
 )
 
-// Stage two, admit: a valid request is put before the controller.
+// Stage 2, admit: valid requests are submitted to the controller.
 
-// Why a request is invalid by its fields. The texts go to front ends, and stay as they are.
+// Reasons for which a request is invalid because of its fields. The texts are sent to front ends and must not change.
 var (
-	errArrivalTime = errors.New("field at: longer ago than any deadline, or ahead of the clock")
-	errTimeout     = errors.New("field wait: longer than any deadline")
-	// Unknown tenant.
-	errUnknownTenant = errors.New("field tenant: not one of this site")
-	// No idempotency key.
+	errArrivalTime           = errors.New("field at: longer ago than any deadline, or ahead of the clock")
+	errTimeout               = errors.New("field wait: longer than any deadline")
+	errUnknownTenant         = errors.New("field tenant: not one of this site")
 	errMissingIdempotencyKey = errors.New("field once: missing in a class whose requests must run once")
 	// The key belongs to a request with another body.
 	errKeyConflict = errors.New("field once: known with another body")
 )
 
-// The arrival time of a request may be ahead of this clock by maxClockAhead, and behind it by the longest deadline and
-// arrivalSlack. The controller takes the difference for time spent unread, and idempotency windows are counted from it.
+// The arrival time of a request may be ahead of the server's clock by maxClockAhead at most, and behind it by the longest
+// deadline plus arrivalSlack. The bounds matter because the controller takes the time since the arrival for time spent
+// unread, and because idempotency windows start at the arrival.
 const (
 	maxClockAhead = time.Second
-	arrivalSlack  = time.Second // for a machine that was paused
+	arrivalSlack  = time.Second // allows for a pause of the machine
 )
 
-// admit validates an attempt and puts it before the controller, or answers it.
+// admit validates an attempt, and either submits it to the controller or answers it.
 func (s *Server) admit(conn Connection, callNumber uint32, attempt *Attempt) {
 	class, tenant, err := s.config.classify(attempt)
 	if err == nil {
@@ -39,7 +38,7 @@
 		return
 	}
 	if !s.admission.started() {
-		// The agent is not up, so nothing can be run. No front end sends requests here before it is.
+		// Nothing can be run before the agent is up. Front ends send no requests here before that.
 		s.countAnswer(class, Rejected)
 		trace := requestTrace{reason: reasonAgentNotReady}
 		s.logTrace(&activeRequest{attempt: *attempt, class: class, trace: trace}, Rejected.String())
@@ -64,7 +63,8 @@
 	s.submitToController(request)
 }
 
-// normalizeTimes checks the times of an attempt of that class, and fills in its timeout where it has none.
+// normalizeTimes checks the arrival time and the timeout of an attempt. A missing timeout is set to the deadline of the
+// class.
 func (s *Server) normalizeTimes(attempt *Attempt, class int) error {
 	if s.stampedBeforeClockChange(attempt) {
 		attempt.ArrivedAt -= s.clock.skew
@@ -83,19 +83,19 @@
 	return nil
 }
 
-// stampedBeforeClockChange reports whether an attempt got its arrival time before the system's clock was set back: it
-// lies ahead of the clock now, and did not then.
+// stampedBeforeClockChange reports whether an attempt got its arrival time before the system clock was set back: that
+// time is ahead of the Unix clock, but not of the server's clock, which never goes back.
 func (s *Server) stampedBeforeClockChange(attempt *Attempt) bool {
 	return s.clock.fromUnix(attempt.ArrivedAt) > s.clock.now+maxClockAhead && attempt.ArrivedAt <= s.clock.now
 }
 
-// clientDeadline is when the client of a request gives up, on the clock of the loop.
+// clientDeadline returns when the client of a request gives up, on the clock of the loop.
 func (s *Server) clientDeadline(request *activeRequest) time.Duration {
 	return s.clock.fromUnix(request.attempt.ArrivedAt) + request.attempt.Timeout
 }
 
-// submitToController puts a request before the controller. It answers Invalid if the key belongs to a request with
-// another body.
+// submitToController submits a request to the controller. It answers Invalid if the key belongs to a request with another
+// body.
 func (s *Server) submitToController(request *activeRequest) {
 	attempt := &request.attempt
 	arrival := admission.Arrival{
@@ -123,7 +123,7 @@
 	s.admission.enqueue(admission.RequestArrived(request.id, arrival))
 }
 
-// cancel ends the wait for a request whose client has gone. A run goes on; without one, the request is removed.
+// cancel ends a request that nobody waits for any more. If it is running, its run continues; otherwise it is removed.
 func (s *Server) cancel(request *activeRequest) {
 	if request.answered {
 		return
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -8,9 +8,9 @@
 	"falldeal/internal/store"
 )
 
-// Stage five, calls: calls of runs go to the store, and the replies back to the runs.
+// Stage 5, calls: calls of runs are sent to the store, and the replies are returned to the runs.
 
-// handleCallRequest records the call that a run waits for; the controller decides on it.
+// handleCallRequest records the call that a run waits for, and notifies the controller, which decides on it.
 func (s *Server) handleCallRequest(call agent.CallRequest) {
 	request := s.requests.byAttemptID[call.RequestID]
 	if request == nil || !request.running() {
@@ -21,8 +21,8 @@
 	s.admission.enqueue(admission.CallNeeded(request.id))
 }
 
-// callStore makes the call that the run of a request waits for. The timeout counts from now; 0 stands for the deadline of
-// its class.
+// callStore makes the call that the run of a request waits for. timeout counts from now; 0 stands for the deadline of the
+// request's class.
 func (s *Server) callStore(request *activeRequest, timeout time.Duration) {
 	if timeout <= 0 {
 		timeout = s.config.Settings.Classes[request.class].Deadline
@@ -34,14 +34,14 @@
 	s.store.Call(request.attempt.ID, s.clock.now+timeout, request.callBody)
 }
 
-// abandonCall abandons the call of a request, if one is in flight: nobody waits for its reply.
+// abandonCall abandons the call of a request, if one is in flight, because nobody waits for its reply.
 func (s *Server) abandonCall(request *activeRequest) {
 	if s.store.Abandon(request.attempt.ID) {
 		s.stats.CallsAbandoned++
 	}
 }
 
-// replyOutcomes gives what a reply proves about the call.
+// replyOutcomes maps the result of a call to the outcome that is reported to the controller.
 var replyOutcomes = [...]admission.Outcome{
 	store.OK:                admission.OutcomeOK,
 	store.Rejected:          admission.OutcomeRejected,
@@ -53,8 +53,8 @@
 	store.Expired:           admission.OutcomeTimedOut,
 }
 
-// handleCallEnded handles the end of a call. The run gets the body of a good reply; what becomes of a run whose call
-// went wrong is the controller's decision.
+// handleCallEnded handles the end of a call. If the reply is good, the run gets its body. Otherwise the controller decides
+// what happens to the run.
 func (s *Server) handleCallEnded(id string, reply store.Result, body []byte) {
 	s.recordCallResult(reply)
 	request := s.requests.byAttemptID[id]
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -3,24 +3,24 @@
 import "slices"
 
 const (
-	// maxDrainReads bounds how often the rest of the input of a closing connection is read: a front end that never stops
-	// sending is cut off.
+	// maxDrainReads is how often the remaining input of a closing connection is read. A front end that never stops sending
+	// is cut off after that.
 	maxDrainReads = 8
-	// reservedConnections are left free, so that a new one is accepted while an idle one closes.
+	// reservedConnections are kept free, so that a new connection can be accepted while an idle one closes.
 	reservedConnections = 8
 )
 
-// closeState is how far the closing of a connection has got. What arrives meanwhile is answered, for it may have been
-// sent before the front end could know: the connection closes once no answer is owed on it, and nothing has arrived
-// that was not read.
+// closeState is the state of closing a connection. Requests that arrive meanwhile are answered, because they may have been
+// sent before the front end knew. The connection closes when no request on it waits for its answer, and everything that
+// has arrived was read.
 type closeState uint8
 
 const (
-	closeStateOpen       closeState = iota // it is not closing
-	closeStateDraining                     // it reads what has arrived by now, and then pauses
-	closeStatePaused                       // nothing is read
-	closeStateResumed                      // it is read as ever until all answers are given, and then drained again
-	closeStateUnreadable                   // nothing can be read any more
+	closeStateOpen       closeState = iota // not closing
+	closeStateDraining                     // reading what has arrived by now, and then pausing
+	closeStatePaused                       // not reading
+	closeStateResumed                      // reading until all requests are answered, and then draining again
+	closeStateUnreadable                   // nothing more can be read
 )
 
 func (s closeState) String() string {
@@ -39,7 +39,8 @@
 	return unknownName
 }
 
-// countDrainRead records that reading has been paused. The input of a connection that never stops sending is discarded.
+// countDrainRead records that reading was paused. After more than maxDrainReads pauses, the input of the connection is
+// discarded.
 func (c *connectionState) countDrainRead() {
 	c.drainReads++
 	if c.drainReads > maxDrainReads {
@@ -47,7 +48,8 @@
 	}
 }
 
-// maxConnections is how many connections may be open. Two processes that are one image server share its descriptors.
+// maxConnections returns how many connections may be open. Two processes that form one image server share its file
+// descriptors.
 func (s *Server) maxConnections() int {
 	limit := s.config.Limits.MaxFrontConnections()
 	if s.handover.paired() {
@@ -66,8 +68,8 @@
 	return true
 }
 
-// beginClose starts to close a connection. A request on it may not have been read yet, where the loop is behind or the
-// machine was paused: it is read, and answered. The connection does not count as open from now on.
+// beginClose starts to close a connection, which from then on does not count as open. A request that has arrived on it but
+// was not read, because the loop is behind or the machine was paused, is still read and answered.
 func (s *Server) beginClose(state *connectionState) {
 	if state.closing == closeStateOpen {
 		s.stats.ConnectionsClosed++
@@ -75,13 +77,13 @@
 	}
 }
 
-// drainInput has a closing connection read what has arrived by now.
+// drainInput makes a closing connection read what has arrived by now.
 func (s *Server) drainInput(state *connectionState) {
 	s.connections.setCloseState(state, closeStateDraining)
 	state.connection.PauseReading()
 }
 
-// advanceClosing takes each closing connection one step on.
+// advanceClosing advances each closing connection by one step.
 func (s *Server) advanceClosing() {
 	for _, state := range slices.Clone(s.connections.closing) {
 		if state.busy() {
@@ -92,7 +94,7 @@
 	}
 }
 
-// resumeReading reads a closing connection while answers are owed on it.
+// resumeReading resumes reading from a closing connection on which requests wait for their answers.
 func (s *Server) resumeReading(state *connectionState) {
 	if state.closing == closeStatePaused && !state.discardingInput {
 		s.connections.setCloseState(state, closeStateResumed)
@@ -100,11 +102,11 @@
 	}
 }
 
-// advanceIdleClosing takes a closing connection on which no answer is owed one step on.
+// advanceIdleClosing advances a closing connection on which no request waits for its answer by one step.
 func (s *Server) advanceIdleClosing(state *connectionState) {
 	switch state.closing {
 	case closeStateDraining:
-		return // ReadEnded is to come
+		return // waits for ReadEnded
 	case closeStateResumed:
 		s.drainInput(state)
 		return
@@ -119,7 +121,7 @@
 	state.connection.Close()
 }
 
-// removeConnection removes a connection that has ended: nobody waits for answers on it.
+// removeConnection removes a connection that has ended, and cancels its open requests.
 func (s *Server) removeConnection(state *connectionState) {
 	s.connections.remove(state)
 	for _, request := range state.openRequests {
@@ -127,7 +129,7 @@
 	}
 }
 
-// notifyClosing notifies a front end, once, that a connection closes.
+// notifyClosing notifies the front end that a connection closes, unless it was notified before.
 func (s *Server) notifyClosing(state *connectionState) {
 	if state.kind != closingConnection {
 		s.connections.markNotified(state, s.clock.now)
--- a/internal/server/completed.go
+++ b/internal/server/completed.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// completedIDs holds the IDs of attempts that were run or answered lately: one that is sent again, by a stranger or a
-// faulty front end, is neither run nor served a second time. It holds two generations, and forgets the older one
-// as a whole; an older attempt is rejected for its arrival time. The loop owns it.
+// completedIDs holds the IDs of attempts that were run or answered recently. An attempt whose ID is sent again, by an
+// unknown sender or a faulty front end, is neither run nor served a second time. IDs are kept in two generations, of
+// which the older is dropped as a whole. A copy of an older attempt is invalid because of its arrival time. The loop
+// owns it.
 type completedIDs struct {
 	current, previous map[string]struct{}
-	rotatedAt         time.Duration // when current was begun
+	rotatedAt         time.Duration // when current was started
 }
 
-// add remembers an ID for retention at least, and for twice that at most.
+// add records an ID for at least retention. While IDs are added continually, it is dropped after twice that time at the
+// latest.
 func (c *completedIDs) add(id string, now, retention time.Duration) {
 	if c.current == nil || now-c.rotatedAt > retention {
 		c.rotate(now)
@@ -18,7 +20,7 @@
 	c.current[id] = struct{}{}
 }
 
-// rotate begins a new generation, and forgets the older one of the two.
+// rotate starts a new generation, and drops the older one of the two.
 func (c *completedIDs) rotate(now time.Duration) {
 	c.previous = c.current
 	c.current = map[string]struct{}{}
--- a/internal/server/configuration.go
+++ b/internal/server/configuration.go
@@ -8,12 +8,12 @@
 	"falldeal/internal/config"
 )
 
-// configuration is the current configuration, and what requests look up in it. The loop owns it.
+// configuration is the current configuration, with indices for what requests look up in it. The loop owns it.
 type configuration struct {
-	*config.Config                // replaced as a whole by a reload, never changed in place
-	classes        map[string]int // indices of the accepted classes, by name
-	tenants        map[string]int // indices of the tenants, by name
-	maxTimeout     time.Duration  // longest deadline that a class has had
+	*config.Config                // replaced as a whole by a reload, never modified
+	classes        map[string]int // index of each accepted class, by name
+	tenants        map[string]int // index of each tenant, by name
+	maxTimeout     time.Duration  // longest deadline that any class has had
 }
 
 func newConfiguration(cfg *config.Config) configuration {
@@ -26,18 +26,18 @@
 	return configured
 }
 
-// addClass accepts requests of the class with that index.
+// addClass accepts requests of the class with the given index.
 func (c *configuration) addClass(index int) { c.classes[c.Classes[index]] = index }
 
-// removeClass has requests of the class with that index answered as invalid, unless the class was added again.
+// removeClass makes requests of the class with the given index invalid, unless the class was added again.
 func (c *configuration) removeClass(index int) {
 	if name := c.Classes[index]; c.Settings.Classes[index].Removed && c.classes[name] == index {
 		delete(c.classes, name)
 	}
 }
 
-// indexTenants indexes the tenants of the configuration. Front ends learn late of a new one: requests of a removed
-// tenant count as those of the first.
+// indexTenants indexes the tenants of the configuration. Front ends learn late of a new configuration, so requests of a
+// removed tenant count as requests of the first one.
 func (c *configuration) indexTenants() {
 	for name := range c.tenants {
 		c.tenants[name] = 0
@@ -47,23 +47,23 @@
 	}
 }
 
-// raiseMaxTimeout admits timeouts as long as the deadlines of the configuration. The limit never falls.
+// raiseMaxTimeout raises maxTimeout to the longest deadline of the configuration. It never lowers it.
 func (c *configuration) raiseMaxTimeout() {
 	for _, class := range c.Settings.Classes {
 		c.maxTimeout = max(c.maxTimeout, class.Deadline)
 	}
 }
 
-// maxArrivalAge is how long ago a request may have arrived. It follows the longest deadline that a class has had, as
-// front ends learn late of a new one.
+// maxArrivalAge returns how long ago a request may have arrived. It depends on the longest deadline that any class has
+// had, because front ends learn late of a new one.
 func (c *configuration) maxArrivalAge() time.Duration { return c.maxTimeout + arrivalSlack }
 
-// hasKeys reports whether requests of the class with that index carry idempotency keys.
+// hasKeys reports whether requests of the class with the given index carry idempotency keys.
 func (c *configuration) hasKeys(class int) bool {
 	return c.Settings.Classes[class].Idempotency == admission.IdempotentByKey
 }
 
-// classify returns the indices of the class and the tenant of an attempt; the error says what is wrong with it.
+// classify returns the indices of an attempt's class and tenant, or an error that says why the attempt is invalid.
 func (c *configuration) classify(attempt *Attempt) (class, tenant int, err error) {
 	class, known := c.classes[attempt.Class]
 	if !known {
@@ -79,7 +79,7 @@
 	return class, tenant, nil
 }
 
-// longestIdempotencyWindow is the longest window of any class.
+// longestIdempotencyWindow returns the longest idempotency window of any class.
 func (c *configuration) longestIdempotencyWindow() time.Duration {
 	longest := time.Duration(0)
 	for i, class := range c.Settings.Classes {
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// connectionKind sorts the connections without an open request by how little would be lost with one, least first.
+// connectionKind orders connections without an open request by how little is lost if they are closed, least first.
 type connectionKind uint8
 
 const (
-	silentConnection  connectionKind = iota // nothing that could be read was received on it
+	silentConnection  connectionKind = iota // no valid message was received on it
 	closingConnection                       // its front end was notified that it closes
 	activeConnection                        // a request or a health check was received on it
 	connectionKinds                         // number of kinds
@@ -29,44 +29,44 @@
 	return unknownName
 }
 
-// connectionState is what the loop knows of a connection.
+// connectionState is the state of a connection in the loop.
 type connectionState struct {
 	connection      Connection
 	kind            connectionKind
 	openRequests    map[uint32]*activeRequest
-	lastCallNumber  uint32        // highest number of a request so far
+	lastCallNumber  uint32        // highest call number of a request so far
 	lastUsed        time.Duration // when a message was last received or sent
 	closing         closeState
-	drainReads      int  // how often reading has been paused since it began to close
-	discardingInput bool // its input is discarded
+	drainReads      int  // how often reading was paused since the connection began to close
+	discardingInput bool // messages on it are ignored
 
-	idleList    *list.List // the list of its kind; nil while it has an open request, or closes
+	idleList    *list.List // list of its kind; nil while it has an open request or is closing
 	idleElement *list.Element
 }
 
-// busy reports whether answers are owed on the connection.
+// busy reports whether requests on the connection wait for their answers.
 func (c *connectionState) busy() bool { return len(c.openRequests) > 0 }
 
-// connectionTable holds the connections, and those without an open request by how long they have been idle: what is asked
-// in each turn, or for each new connection, costs the same however many there are. The loop owns it, and its times
-// never go back.
+// connectionTable holds the connections. Those without an open request are listed by how long they have been idle, so that
+// the cost of a turn or a new connection does not depend on their number. The loop owns the table. The times that are
+// passed to it never go back.
 type connectionTable struct {
 	states       map[Connection]*connectionState
-	idle         [connectionKinds]list.List // by kind, idle for longest first
-	openRequests int                        // on all connections
+	idle         [connectionKinds]list.List // by kind, longest idle first
+	openRequests int                        // number on all connections
 	closing      []*connectionState
 	idleTimer    idleTimer
 }
 
-// newConnectionTable returns a table whose connections may be idle for that long; 0 = for ever.
+// newConnectionTable returns a table whose connections may be idle for idleTimeout; 0 = forever.
 func newConnectionTable(idleTimeout time.Duration) connectionTable {
 	return connectionTable{states: map[Connection]*connectionState{}, idleTimer: idleTimer{timeout: idleTimeout}}
 }
 
-// size is the number of connections, without those that are closing.
+// size returns the number of connections, without those that are closing.
 func (t *connectionTable) size() int { return len(t.states) - len(t.closing) }
 
-// empty reports whether there is no connection at all.
+// empty reports whether there are no connections, not even closing ones.
 func (t *connectionTable) empty() bool { return len(t.states) == 0 }
 
 // get returns the state of a connection, or nil after its removal.
@@ -79,7 +79,7 @@
 	return state
 }
 
-// remove removes a connection, and leaves its open requests in its state.
+// remove removes a connection. The connection's state keeps its open requests.
 func (t *connectionTable) remove(state *connectionState) {
 	t.removeFromIdle(state)
 	t.openRequests -= len(state.openRequests)
@@ -89,7 +89,7 @@
 	}
 }
 
-// setCloseState records how far the closing of a connection has got.
+// setCloseState records the state of closing a connection.
 func (t *connectionTable) setCloseState(state *connectionState, closing closeState) {
 	if state.closing == closeStateOpen {
 		t.closing = append(t.closing, state)
@@ -104,7 +104,7 @@
 	t.addToIdle(state)
 }
 
-// markReceived records a message that could be read.
+// markReceived records that a valid message was received.
 func (t *connectionTable) markReceived(state *connectionState, now time.Duration) {
 	if state.kind == silentConnection {
 		state.kind = activeConnection
@@ -142,7 +142,7 @@
 	}
 }
 
-// addToIdle puts a connection behind those of its kind that have been idle for longer.
+// addToIdle inserts a connection behind those of its kind that have been idle for longer.
 func (t *connectionTable) addToIdle(state *connectionState) {
 	t.removeFromIdle(state)
 	if state.busy() || state.closing != closeStateOpen {
@@ -150,7 +150,7 @@
 	}
 	state.idleList = &t.idle[state.kind]
 	before := state.idleList.Back()
-	for before != nil && stateOf(before).lastUsed > state.lastUsed { // the last request of state took long
+	for before != nil && stateOf(before).lastUsed > state.lastUsed { // the last request on this connection may have taken long
 		before = before.Prev()
 	}
 	if before == nil {
@@ -160,21 +160,22 @@
 	}
 }
 
-// longestIdle returns the connection of that kind that has been idle for longest, or nil.
+// longestIdle returns the connection of a kind that has been idle for longest, or nil.
 func (t *connectionTable) longestIdle(kind connectionKind) *connectionState {
 	return stateOf(t.idle[kind].Front())
 }
 
-// stateOf returns the connection of an element of an idle list, or nil for none.
+// stateOf returns the connection of an element of an idle list, or nil for a nil element.
 func stateOf(element *list.Element) *connectionState {
 	if element == nil {
 		return nil
 	}
-	state, _ := element.Value.(*connectionState) // the lists hold nothing else
+	state, _ := element.Value.(*connectionState) // the lists hold no other type
 	return state
 }
 
-// idleSince returns that connection if it was last used at that time or before, or nil.
+// idleSince returns the connection of a kind that has been idle for longest, if it was last used at the given time or
+// before, and otherwise nil.
 func (t *connectionTable) idleSince(kind connectionKind, at time.Duration) *connectionState {
 	if state := t.longestIdle(kind); state != nil && state.lastUsed <= at {
 		return state
@@ -182,8 +183,8 @@
 	return nil
 }
 
-// evictionCandidate returns the connection to close for a new one: of the first kind that there is, the one that has
-// been idle for longest. One with an open request is never closed.
+// evictionCandidate returns the connection to close in favor of a new one, or nil: the one that has been idle for longest,
+// of the first kind that has any. A connection with an open request is never evicted.
 func (t *connectionTable) evictionCandidate() *connectionState {
 	for kind := range connectionKinds {
 		if state := t.longestIdle(kind); state != nil {
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -8,9 +8,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Stage three, dispatch: each action of the controller is handed to the part that carries it out.
+// Stage 3, dispatch: each action of the controller is passed to the part that carries it out.
 
-// millisecondsPerSecond turns seconds into the unit of log fields.
+// millisecondsPerSecond converts seconds to the unit of log fields.
 const millisecondsPerSecond = 1000
 
 // dispatch carries out an action.
@@ -27,15 +27,15 @@
 	case admission.ActionLog:
 		s.logCondition(action.Condition)
 	default:
-		// All others are about one request, but for ActionAdvertise. That has ID 0, which no request has, and is dropped
-		// here without a warning, like an action on a request that has ended.
+		// All other actions concern one request, except for ActionAdvertise. Its ID is 0, which no request has, so it is
+		// dropped here without a warning, like an action on a request that has ended.
 		if request := s.requests.byID[action.ID]; request != nil {
 			s.dispatchRequest(request, action)
 		}
 	}
 }
 
-// conditionFields names the log field that has the value of a condition.
+// conditionFields maps a condition to the log field that holds its value.
 var conditionFields = map[admission.Condition]string{
 	admission.ConditionBreaker:   "drop_probability",
 	admission.ConditionCallLimit: "call_limit",
@@ -44,7 +44,7 @@
 	admission.ConditionHealth:    "read_delay_ms",
 }
 
-// conditionValue returns the value of a change in the unit of its log field.
+// conditionValue returns the value of a condition in the unit of its log field.
 func conditionValue(change admission.ConditionChange) float64 {
 	if change.Condition == admission.ConditionHealth {
 		return change.Value * millisecondsPerSecond
@@ -52,8 +52,8 @@
 	return change.Value
 }
 
-// logCondition logs that a condition of the server begins or ends. One that limits the service is to be looked at; the
-// drain was logged when it started.
+// logCondition logs that a condition of the server begins or ends. Conditions that limit the service begin with a warning.
+// A drain is logged at level debug, because its start was logged before.
 func (s *Server) logCondition(change admission.ConditionChange) {
 	level := logrus.InfoLevel
 	switch {
@@ -85,18 +85,18 @@
 	case admission.ActionRemember:
 		s.idempotency.retain(request)
 	case admission.ActionForget:
-		// The controller's key table accounts for memory only. When a key expires is decided by the idempotencyTable: an
-		// entry without a run is dropped with its last attempt, one with a run stays for its window.
+		// The controller's key table only accounts for memory. The idempotencyTable decides when a key expires: an entry
+		// without a run is dropped with its last attempt, and one with a run stays for its window.
 	case admission.ActionReuse:
 		s.reuseResult(request)
 	default:
-		// ActionStop: it needs settings that the configuration does not admit.
+		// ActionStop: only with settings that the configuration does not allow.
 		s.warnings.WarnFields("controller", "unsupported action of the admission controller", nil,
 			logrus.Fields{"action": int(action.Kind)})
 	}
 }
 
-// scheduleWake lets the controller step at that time, with gauges that are asked for shortly before.
+// scheduleWake schedules a step of the controller at the given time, and requests gauges shortly before it.
 func (s *Server) scheduleWake(at time.Duration) {
 	if sampleAt := at - gaugeRequestMargin; sampleAt > s.clock.now {
 		s.deadlines.Add(sampleAt, s.agent.SampleGauges)
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -6,36 +6,37 @@
 	"falldeal/admission"
 )
 
-// Drain: on SIGTERM everything that was read is answered, and the process ends in time. In order:
+// Drain: after SIGTERM, everything that was read is answered, and the process ends in time. In order:
 //
-//   - at the signal: front ends are notified on each connection, health checks fail and the announcements say so, unless a
-//     successor serves on; new connections are still accepted, and requests run;
-//   - closeListenersAt, after the grace period: the listeners close; the controller decides on what still arrives on open
-//     connections;
-//   - the loop ends once all connections have ended, and at stopAt in any case: what has no answer then is answered;
-//   - the process waits for FinalWriteTimeout at most until all connections are written and closed. If they are not, it
-//     ends there. If they are, it waits for the program's extension, again for FinalWriteTimeout at most (package process);
-//   - shutdownMargin after stopAt the platform kills it.
+//   - At the signal, front ends are notified on each connection, health checks fail and the announcements say so, unless a
+//     successor takes over. New connections are still accepted, and requests run.
+//   - At closeListenersAt, after the grace period, the listeners close. The controller decides on requests that still
+//     arrive on open connections.
+//   - The loop ends when all connections have ended, and at stopAt in any case. Requests without an answer are then
+//     answered.
+//   - The process waits until all connections are written and closed, for FinalWriteTimeout at most. If they are not, it
+//     ends there. If they are, it waits for the program's extension, again for FinalWriteTimeout at most (package process).
+//   - shutdownMargin after stopAt, the platform kills the process.
 
 const (
-	// shutdownMargin is how long before the process is killed its loop ends: the last answers, which the controller gives
-	// a little earlier, are on their way by then.
+	// shutdownMargin is the time between the end of the loop and the moment at which the process is killed. The controller
+	// gives the last answers slightly before the end of the loop, so that they are being sent by then.
 	shutdownMargin = 120 * time.Millisecond
-	// FinalWriteTimeout is how long, after the end of the loop, the process waits for the last answers to be written. The
-	// process waits for as long once more, for its extension, where all answers were written in time.
+	// FinalWriteTimeout is how long the process waits, after the end of the loop, for the last answers to be written. If all
+	// were written in time, the process waits as long once more for its extension.
 	FinalWriteTimeout = 90 * time.Millisecond
-	// listenerCloseMargin is how long before the end of the loop the listeners are closed at the latest, so that what
-	// arrived at the last moment is read and answered. Front ends are promised 50 ms for the way between machines.
+	// listenerCloseMargin is the minimum time between the close of the listeners and the end of the loop, so that requests
+	// that arrive at the last moment are read and answered. Front ends are promised 50 ms for the way between machines.
 	listenerCloseMargin = 100 * time.Millisecond
 )
 
-// drainPhase is how far a drain has got.
+// drainPhase is the phase of a drain.
 type drainPhase uint8
 
 const (
 	drainNotStarted      drainPhase = iota
-	drainAccepting                  // connections are still accepted: their requests can be run
-	drainListenersClosed            // the kernel refuses them, which sends front ends elsewhere at once
+	drainAccepting                  // connections are still accepted, and their requests can be run
+	drainListenersClosed            // the kernel refuses connections, which sends front ends elsewhere at once
 )
 
 func (p drainPhase) String() string {
@@ -53,16 +54,16 @@
 // drainState is the drain of this process. The loop owns it.
 type drainState struct {
 	phase            drainPhase
-	replaced         bool          // a successor serves on
+	replaced         bool          // a successor takes over
 	requestedAt      time.Duration // when SIGTERM was received
-	closeListenersAt time.Duration // when the listeners close; the controller decides on later requests
+	closeListenersAt time.Duration // when the listeners close; the controller decides on requests that arrive later
 	stopAt           time.Duration // when the loop ends at the latest
 }
 
 // started reports whether the process has received SIGTERM.
 func (d *drainState) started() bool { return d.phase != drainNotStarted }
 
-// newDrain returns a drain that starts now. The listeners close after grace, the process is killed after stopTimeout.
+// newDrain returns a drain that starts now. The listeners close after grace, and the process is killed after stopTimeout.
 func newDrain(now, stopTimeout, grace time.Duration, replaced bool) drainState {
 	stopAt := now + max(stopTimeout-shutdownMargin, 0)
 	return drainState{
@@ -74,9 +75,9 @@
 	}
 }
 
-// Drain ends the process once its work is done, or its time is up. If a successor has joined, the image server serves
-// on: no front end is sent elsewhere, and this process only waits for its own connections to end. Drain may be called
-// more than once, and from any goroutine.
+// Drain makes the process end when its work is done, or its time is up. If a successor has joined, that one takes over: no
+// front end is sent elsewhere, and this process only waits for its own connections to end. Drain may be called repeatedly
+// and from any goroutine.
 func (s *Server) Drain() { s.post(s.startDrain) }
 
 func (s *Server) startDrain() {
@@ -101,7 +102,7 @@
 	s.deadlines.Add(s.drain.stopAt, func() {}) // wakes the loop, which checks whether it has finished
 }
 
-// enqueueDrainEvent notifies the controller of the drain, which may have begun before there was a controller.
+// enqueueDrainEvent notifies the controller of the drain, which may have started before there was a controller.
 func (s *Server) enqueueDrainEvent() {
 	s.admission.enqueue(admission.DrainStarted(admission.DrainSignal{
 		StopAt:   s.drain.stopAt,
@@ -113,7 +114,7 @@
 // closeListeners closes the listeners, so that new connections are refused.
 func (s *Server) closeListeners() {
 	s.drain.phase = drainListenersClosed
-	s.listeners.open() // so that fronts that do not accept yet end, too
+	s.listeners.open() // ends fronts that do not accept connections yet, too
 	for _, front := range s.listeners.fronts {
 		if err := front.Close(); err != nil {
 			s.warnings.Warn("listener", "closing a front end listener failed", err)
@@ -121,7 +122,7 @@
 	}
 }
 
-// finished reports whether the loop is to end.
+// finished reports whether the loop must end.
 func (s *Server) finished() bool {
 	if !s.drain.started() {
 		return false
@@ -129,8 +130,8 @@
 	return s.drained() || s.clock.now >= s.drain.stopAt
 }
 
-// drained reports whether all front ends have gone. A replaced process waits also for the results of runs under idempotency
-// keys, to answer their retries.
+// drained reports whether all front ends have gone. A replaced process also waits for the results of its runs with
+// idempotency keys, which answer retries at the successor.
 func (s *Server) drained() bool {
 	if s.drain.phase != drainListenersClosed || s.listeners.serving != 0 || !s.connections.empty() {
 		return false
@@ -138,11 +139,11 @@
 	return !s.drain.replaced || !s.idempotency.hasLocalRun()
 }
 
-// shutDown is the end of the loop: what was read by then is answered, and all answers are still written.
+// shutDown ends the loop. Requests that were read by then are answered, and all answers are still written.
 func (s *Server) shutDown() {
-	// Readers that wait for room in the inbox fill it as it is emptied; this has to end all the same.
+	// Readers that are blocked on a full inbox refill it while it is emptied, so the number of events is bounded.
 	for n := 2 * inboxCapacity; n > 0 && s.inbox.waiting() > 0; n-- {
-		s.handleWaiting(1)
+		s.handlePending(1)
 	}
 	s.step()
 	for _, request := range s.requests.inOrder() {
@@ -157,7 +158,7 @@
 	}
 }
 
-// finalAnswer is the answer to a request that has none when the loop ends: Rejected only if it can't have run.
+// finalAnswer returns the answer to a request that has none when the loop ends: Rejected only if it can't have been run.
 func (s *Server) finalAnswer(request *activeRequest) AnswerKind {
 	if request.state != requestQueued {
 		return Failed
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -9,13 +9,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Stage four, execute: runs go to the agent, and its notifications come back.
+// Stage 4, execute: runs are sent to the agent, and its notifications come back.
 
-// agentCheckInterval is how often the link is checked while the agent has not sent its handshake.
+// agentCheckInterval is the interval between checks of the agent link until the agent has sent its handshake.
 const agentCheckInterval = time.Second
 
-// startRun sends a request to the agent to be run. A request whose key has a run on record is never run again, whatever the
-// controller has decided.
+// startRun sends a request to the agent to be run. If the request's key already has a run, it is not run again, whatever
+// the controller has decided.
 func (s *Server) startRun(request *activeRequest) {
 	if !s.idempotency.mayRun(request) {
 		s.warnings.WarnFields("idempotency", "second run under an idempotency key prevented", nil, logrus.Fields{
@@ -33,10 +33,10 @@
 	s.idempotency.markRunning(request)
 	s.markCompleted(request)
 	s.agent.Launch(request.attempt.ID, request.attempt.Class, request.attempt.Body)
-	request.attempt.Body = nil // the link keeps it for as long as it is needed
+	request.attempt.Body = nil // the link keeps the body for as long as it needs it
 }
 
-// skipCall lets a run go on without the call that it waits for.
+// skipCall lets a run continue without the call that it waits for.
 func (s *Server) skipCall(request *activeRequest) {
 	s.stats.CallsSkipped++
 	s.recordMissedCall()
@@ -59,12 +59,12 @@
 	case agent.CommandRejection:
 		s.handleCommandRejected(notification)
 	case agent.Remark:
-		// Nothing here depends on it.
+		// A remark requires no action.
 	}
 }
 
-// checkAgentUntilUp checks the link each interval until the agent is up, so that a link which leads nowhere is replaced
-// though nothing is sent on it yet.
+// checkAgentUntilUp checks the agent link periodically until the agent is up. A link that leads nowhere is thus replaced
+// even though nothing is sent on it yet.
 func (s *Server) checkAgentUntilUp() {
 	if !s.admission.started() {
 		s.agent.CheckLiveness()
@@ -72,8 +72,8 @@
 	}
 }
 
-// handleHandshake starts the controller: the agent is up, and its age tells whether it is warm. A handshake on a later
-// link changes nothing, as agent and image server start and stop together.
+// handleHandshake creates the controller when the agent is up. The agent's state and age tell whether it is warm. A
+// handshake on a later link changes nothing, because agent and image server start and stop together.
 func (s *Server) handleHandshake(handshake agent.Handshake) {
 	if s.admission.started() {
 		return
@@ -83,7 +83,7 @@
 	startedAt := s.clock.now - handshake.Age
 	controller, err := admission.New(settings, s.config.Seed, startedAt)
 	if err != nil {
-		// The configuration was checked, so that check is incomplete. Without a controller nothing is served.
+		// The check of the configuration should have found this. Without a controller nothing is served.
 		s.log.WithError(err).Error("settings rejected by the admission controller, no requests are served")
 		return
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-// handleRunsLost ends all runs, of which the agent will report nothing any more. They may have had their effect.
+// handleRunsLost fails all runs, because the agent will not report their outcomes. They may have had their effect.
 func (s *Server) handleRunsLost() {
 	for _, request := range s.requests.inOrder() {
 		if s.requests.contains(request) && request.running() {
@@ -116,7 +116,7 @@
 	}
 }
 
-// handleCommandRejected ends a run that the agent would not begin. Other commands are rejected for runs that have
+// handleCommandRejected ends a run that the agent did not start. Other commands are rejected only for runs that have
 // ended, whose outcome is on its way.
 func (s *Server) handleCommandRejected(rejection agent.CommandRejection) {
 	s.stats.CommandsRejected++
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -6,40 +6,40 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Connection is a connection of a front end, in whatever protocol it speaks. The loop calls its methods, and none of
-// them may block. The server knows a Connection from ConnectionOpened until it calls Close, or until ReadEnded with
-// Disconnected.
+// Connection is a connection of a front end, in any protocol. The loop calls its methods, which must not block. The server
+// uses a Connection from ConnectionOpened until it calls Close, or until ReadEnded with Disconnected.
 type Connection interface {
-	// Answer writes the answer to the request or health check with that number.
+	// Answer sends the answer to the request or health check with that call number.
 	Answer(callNumber uint32, a Answer)
 	// NotifyClosing asks the front end to send no new request on this connection.
 	NotifyClosing()
-	// PauseReading reads what has arrived by now and then waits; ReadEnded reports when that is done.
+	// PauseReading reads what has arrived by now and then pauses, which ReadEnded reports.
 	PauseReading()
-	// ResumeReading reads on after ReadPaused or ReadTimeout.
+	// ResumeReading resumes reading after ReadPaused or ReadTimeout.
 	ResumeReading()
-	// TryClose closes the connection unless something has arrived since ReadPaused or ReadTimeout. In that case it
-	// returns false, and what arrived is read as by PauseReading.
+	// TryClose closes the connection unless input has arrived since ReadPaused or ReadTimeout. In that case it returns
+	// false, and reads the input as PauseReading does.
 	TryClose() bool
-	// Close closes the connection once all answers handed over are written.
+	// Close closes the connection when all answers passed to Answer are written.
 	Close()
-	// MaxOpenCalls returns how many requests may be open at once.
+	// MaxOpenCalls returns the maximum number of requests that may be open at once.
 	MaxOpenCalls() int
 }
 
-// EndReason is why reading from a connection ended. After all but Disconnected, answers may still be written, and
-// the server closes the Connection. After ReadTimeout and ReadPaused nothing is read until the server says so.
+// EndReason is why reading from a connection ended. After all reasons but Disconnected, answers can still be written, and
+// the server closes the Connection. After ReadTimeout and ReadPaused, nothing is read until the server calls
+// ResumeReading or TryClose.
 type EndReason uint8
 
 // The reasons for the end of reading.
 const (
-	Disconnected   EndReason = iota // either side closed the connection, or the network did
-	ReadTimeout                     // no message arrived, or one that did not end
-	MalformedInput                  // the input is not of the protocol
+	Disconnected   EndReason = iota // the connection was closed by either side, or by the network
+	ReadTimeout                     // no message arrived in time, or not all of it
+	MalformedInput                  // the input violates the protocol
 	ReadPaused                      // PauseReading was called
 )
 
-// String returns the reason in plain words.
+// String returns the name of the reason.
 func (r EndReason) String() string {
 	switch r {
 	case Disconnected:
@@ -54,23 +54,23 @@
 	return unknownName
 }
 
-// Front accepts connections of one protocol and hands what they send to a Server.
+// Front accepts connections of one protocol, and passes what it reads from them to a Server.
 type Front interface {
-	// Serve returns once the listener is closed or ctx ends; connections run in g.
+	// Serve accepts connections until the listener is closed or ctx ends. Connections run in g.
 	Serve(ctx context.Context, g *errgroup.Group, s *Server) error
 	// Close closes the listener; connections stay open.
 	Close() error
 }
 
-// listenerSet holds the front listeners. The loop owns it, except for accepting, on which other goroutines wait.
+// listenerSet holds the front listeners. The loop owns it, except for accepting, for which other goroutines wait.
 type listenerSet struct {
 	fronts    []Front
-	serving   int           // fronts that may still accept connections
-	accepting chan struct{} // closed once they may accept
-	opened    bool          // accepting is closed
+	serving   int           // number of fronts that may still accept connections
+	accepting chan struct{} // closed when fronts may accept connections
+	opened    bool          // whether accepting is closed
 }
 
-// open lets the fronts accept connections. Further calls do nothing.
+// open lets the fronts accept connections. It may be called repeatedly.
 func (l *listenerSet) open() {
 	if !l.opened {
 		l.opened = true
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	gaugeRequestMargin = 4 * time.Millisecond // gauges are asked for this long before the controller needs them
+	gaugeRequestMargin = 4 * time.Millisecond // gauges are requested this long before the controller needs them
 	gaugeMaxAge        = time.Second          // older gauges count as unknown
 )
 
-// gaugeReading is the last reading of the agent's gauges. The loop owns it.
+// gaugeReading is the latest reading of the agent's gauges. The loop owns it.
 type gaugeReading struct {
 	values admission.Gauges
 	at     time.Duration
@@ -21,7 +21,7 @@
 // fresh reports whether the reading is recent enough to act on.
 func (g *gaugeReading) fresh(now time.Duration) bool { return now-g.at <= gaugeMaxAge }
 
-// latest returns the reading if it is fresh, and unknown gauges if not: the controller must not act on an old load.
+// latest returns the gauges if they are fresh, and unknown gauges otherwise: the controller must not act on an old load.
 func (g *gaugeReading) latest(now time.Duration) admission.Gauges {
 	if !g.fresh(now) {
 		return admission.UnknownGauges()
@@ -29,7 +29,7 @@
 	return g.values
 }
 
-// record sets the reading. Gauges that the agent has not reported are negative in both types.
+// record stores a reading. In both types, a gauge that the agent has not reported is negative.
 func (g *gaugeReading) record(now time.Duration, load agent.Load) {
 	g.at = now
 	g.values = admission.Gauges{
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -6,29 +6,29 @@
 	"falldeal/internal/handover"
 )
 
-// Handover: two processes are one image server while the successor takes the place of its predecessor. A request with
-// an idempotency key is run by one of them: the predecessor knows which, and the successor claims a key before it runs
-// a request under it. Each notifies the other of the ends of its runs, so that their results answer attempts at both.
+// Handover: while a successor takes the place of its predecessor, two processes form one image server. A request with an
+// idempotency key is run by one of them only: the predecessor knows by which, and the successor claims a key before it
+// runs a request with it. Each process notifies the other of the end of its runs, so that results answer attempts at both.
 
 const (
-	claimTimeout       = 500 * time.Millisecond // for the predecessor to answer a claim
+	claimTimeout       = 500 * time.Millisecond // for the predecessor's answer to a claim
 	claimDeadlineSlack = 20 * time.Millisecond  // a claim expires this long before the client's deadline
 )
 
-// handoverState is what the loop knows of the other processes of this image server. The loop owns it.
+// handoverState is the loop's view of the other processes of this image server. The loop owns it.
 type handoverState struct {
-	predecessor *handover.Link              // nil: there is none
-	successor   *handover.Link              // nil: there is none
-	synced      bool                        // the keys of the predecessor are known here
-	claims      map[string][]*activeRequest // that wait for the answer to the claim on their key, by key
+	predecessor *handover.Link              // nil if there is none
+	successor   *handover.Link              // nil if there is none
+	synced      bool                        // all keys of the predecessor are known here
+	claims      map[string][]*activeRequest // requests that wait for the answer to the claim on their key, by key
 }
 
 func newHandoverState() handoverState { return handoverState{claims: map[string][]*activeRequest{}} }
 
-// paired reports whether two processes are this image server, and share its descriptors.
+// paired reports whether this image server consists of two processes, which share its file descriptors.
 func (h *handoverState) paired() bool { return h.predecessor != nil || h.successor != nil }
 
-// publish notifies the other processes of a change to a key of this one.
+// publish notifies the other processes of a change to a key that this process owns.
 func (h *handoverState) publish(message handover.Message) {
 	for _, link := range []*handover.Link{h.predecessor, h.successor} {
 		if link != nil {
@@ -37,15 +37,15 @@
 	}
 }
 
-// addClaim records that a request waits for the answer to the claim on its key, and reports whether it is the first to
-// do so.
+// addClaim records that a request waits for the answer to the claim on its key, and reports whether it is the first
+// request to do so.
 func (h *handoverState) addClaim(request *activeRequest) (first bool) {
 	key := request.attempt.IdempotencyKey
 	h.claims[key] = append(h.claims[key], request)
 	return len(h.claims[key]) == 1
 }
 
-// takeClaims returns the requests that wait for the answer to the claim on a key, once.
+// takeClaims returns the requests that wait for the answer to the claim on a key, and removes them from the claims.
 func (h *handoverState) takeClaims(key string) []*activeRequest {
 	waiting := h.claims[key]
 	delete(h.claims, key)
@@ -62,7 +62,7 @@
 	}
 }
 
-// predecessorJoined records the predecessor; nil: there is none, and nothing to wait for.
+// predecessorJoined records the link to the predecessor. If link is nil, there is no predecessor to wait for.
 func (s *Server) predecessorJoined(link *handover.Link) {
 	s.handover.predecessor = link
 	if link == nil {
@@ -72,12 +72,13 @@
 	s.log.Info("predecessor process connected")
 }
 
-// successorJoined publishes all keys to the successor, and closes idle connections above this process's half.
+// successorJoined sends all keys to the successor, and closes idle connections until this process is within its half of
+// the file descriptors.
 func (s *Server) successorJoined(link *handover.Link) {
 	s.log.Info("successor process connected")
 	s.handover.successor = link
 	if s.drain.started() {
-		s.announcer.Stop() // the successor is to be listed, and not as draining
+		s.announcer.Stop() // the successor must be listed, and not as draining
 	}
 	s.publishStatus()
 	var messages []handover.Message
@@ -92,13 +93,13 @@
 	}
 }
 
-// markSynced records that all keys of the predecessor are known.
+// markSynced records that all keys of the predecessor are known here.
 func (s *Server) markSynced() {
 	s.handover.synced = true
 	s.openFrontsWhenReady()
 }
 
-// openFrontsWhenReady lets connections be accepted as soon as their requests can be run.
+// openFrontsWhenReady lets connections be accepted as soon as requests on them can be run.
 func (s *Server) openFrontsWhenReady() {
 	if s.handover.synced && s.admission.started() {
 		s.listeners.open()
@@ -106,7 +107,7 @@
 	}
 }
 
-// handlePeerMessage handles a message of the other process.
+// handlePeerMessage handles a message from the other process.
 func (s *Server) handlePeerMessage(link *handover.Link, message handover.Message) {
 	switch message := message.(type) {
 	case handover.KeysSynced:
@@ -131,7 +132,7 @@
 	}
 }
 
-// handleKeyKnown adopts a key that the other process has.
+// handleKeyKnown adopts a key that the other process owns.
 func (s *Server) handleKeyKnown(link *handover.Link, known handover.KeyKnown) {
 	entry := s.idempotency.entries[known.IdempotencyKey]
 	if entry == nil || entry.owner == link || entry.expired(s.clock.unix()) {
@@ -140,9 +141,9 @@
 	s.resumeClaimed(known.IdempotencyKey)
 }
 
-// handleKeyClaim grants the successor a key that is not known here, and runs nothing under it from then on. A claim does
-// not say which class the request has, so the entry gets the longest window of all classes: a shorter one could end while
-// the key must not be run again.
+// handleKeyClaim grants the successor a key that is unknown here. From then on, nothing is run with that key here. A claim
+// does not contain the class of the request, so the entry gets the longest window of all classes: a shorter one could end
+// while the key must not be run again.
 func (s *Server) handleKeyClaim(link *handover.Link, claim handover.KeyClaim) {
 	entry := s.idempotency.entries[claim.IdempotencyKey]
 	if entry != nil && !entry.expired(claim.ArrivedAt) {
@@ -157,7 +158,7 @@
 	link.Publish(handover.KeyGranted{IdempotencyKey: claim.IdempotencyKey})
 }
 
-// handleKeyGranted resumes the requests of a key, or gives the key back if none is left.
+// handleKeyGranted resumes the requests that wait for a key. If none of them is left, it releases the key.
 func (s *Server) handleKeyGranted(link *handover.Link, key string) {
 	s.resumeClaimed(key)
 	if s.idempotency.entries[key] == nil {
@@ -165,7 +166,7 @@
 	}
 }
 
-// adoptKey adds a key that another process has.
+// adoptKey adds a key that another process owns.
 func (s *Server) adoptKey(link *handover.Link, known handover.KeyKnown) {
 	entry := s.idempotency.adopt(link, known, s.requests.nextID())
 	s.expireAfterWindow(entry)
@@ -178,8 +179,8 @@
 	}
 }
 
-// peerEnded handles the end of the other process. Its runs whose end is not known may have had their effect, so
-// attempts that wait for them fail.
+// peerEnded handles the end of the other process. Runs of that process whose end is unknown may have had their effect, so
+// the attempts that wait for them fail.
 func (s *Server) peerEnded(link *handover.Link) {
 	switch link {
 	case s.handover.predecessor:
@@ -202,15 +203,15 @@
 	}
 }
 
-// mustClaim reports whether the predecessor has to be asked whether a request may run.
+// mustClaim reports whether the predecessor must be asked before a request may run.
 func (s *Server) mustClaim(request *activeRequest) bool {
 	return s.config.hasKeys(request.class) &&
 		s.handover.predecessor != nil &&
 		s.idempotency.lookup(request) == nil
 }
 
-// claimKey claims the key of a request, which then waits for the predecessor's answer. Without one in time it fails, as
-// another attempt may have run.
+// claimKey claims the key of a request, which then waits for the predecessor's answer. Without an answer in time the
+// request fails, because another attempt may have been run.
 func (s *Server) claimKey(request *activeRequest) {
 	request.state = requestClaiming
 	first := s.handover.addClaim(request)
@@ -227,7 +228,7 @@
 	})
 }
 
-// expireClaim fails a request that still waits for the answer to a claim.
+// expireClaim fails a request if it still waits for the answer to a claim.
 func (s *Server) expireClaim(request *activeRequest) {
 	if request.state != requestClaiming || !s.requests.contains(request) {
 		return
@@ -237,7 +238,7 @@
 	s.removeRequest(request)
 }
 
-// resumeClaimed resumes the requests that waited for an answer to the claim on a key.
+// resumeClaimed resumes the requests that wait for the answer to the claim on a key.
 func (s *Server) resumeClaimed(key string) {
 	for _, request := range s.handover.takeClaims(key) {
 		request.state = requestQueued
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	deepCheckTimeout = 2 * time.Second // for the agent's work of a deep health check
-	maxDeepChecks    = 16              // deep health checks at work at once; further ones are answered without
+	deepCheckTimeout = 2 * time.Second // for the work that the agent does for a deep check
+	maxDeepChecks    = 16              // deep checks in progress at the agent; further ones are answered without it
 )
 
-// healthCheck is a health check of a front end that waits for its answer.
+// healthCheck is a health check from a front end that waits for its answer.
 type healthCheck struct {
 	connection Connection
 	callNumber uint32
 }
 
-// Health checks of front ends are answered by what the controller has last decided (admission.ActionHealth): it answers
-// badly while requests wait for too long to be read, during a drain without a successor, and while an operator has
-// deregistered the server. Before the agent is up all checks fail.
+// Health checks from front ends are answered with the last decision of the controller (admission.ActionHealth). They fail
+// while requests wait too long to be read, during a drain without a successor, while an operator has deregistered the
+// server, and before the agent is up.
 //
-// A deep check, where the controller leaves it open, makes the agent complete some work first. No check gets there today: the
-// controller always has deep checks answered from its own state (HealthAnswer.Cached).
+// A deep check that the controller leaves open is answered after the agent has completed some work. At present none is
+// left open: the controller always has deep checks answered from its own state (HealthAnswer.Cached).
 
-// healthState is what health checks are answered by. The loop owns it.
+// healthState is the state from which health checks are answered. The loop owns it.
 type healthState struct {
-	healthy      bool                   // as the controller last decided; false before it has
-	cached       bool                   // answer deep checks by that, too
+	healthy      bool                   // last decision of the controller; false before the first one
+	cached       bool                   // deep checks are answered with healthy, too
 	deregistered bool                   // by an operator
-	deepChecks   map[string]healthCheck // at work at the agent, by token
+	deepChecks   map[string]healthCheck // in progress at the agent, by token
 	lastToken    uint64
 }
 
 func newHealthState() healthState { return healthState{deepChecks: map[string]healthCheck{}} }
 
-// wantsDeepCheck reports whether a deep check is to be passed on to the agent.
+// wantsDeepCheck reports whether a deep check must be passed on to the agent.
 func (h *healthState) wantsDeepCheck() bool {
 	return h.healthy && !h.cached && len(h.deepChecks) < maxDeepChecks
 }
@@ -47,14 +47,14 @@
 	return token
 }
 
-// take returns the deep check of that token, once.
+// take returns the deep check with the given token, and removes it.
 func (h *healthState) take(token string) (check healthCheck, ok bool) {
 	check, ok = h.deepChecks[token]
 	delete(h.deepChecks, token)
 	return check, ok
 }
 
-// beginDeepCheck sends the agent work, whose success answers the check.
+// beginDeepCheck asks the agent to do some work, whose success answers the check.
 func (s *Server) beginDeepCheck(check healthCheck) {
 	token := s.health.add(check)
 	s.stats.DeepChecks++
@@ -64,7 +64,7 @@
 	}
 }
 
-// completeDeepCheck answers the deep check of that token, unless that was done before.
+// completeDeepCheck answers the deep check with the given token, unless it was answered before.
 func (s *Server) completeDeepCheck(token string, ok bool) {
 	if check, waits := s.health.take(token); waits {
 		s.answerHealthCheck(check, ok && s.health.healthy)
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// windowSlack allows for an attempt that was sent a little after the time it carries.
+	// windowSlack extends each window for an attempt that was sent a little after the arrival time that it carries.
 	windowSlack = 50 * time.Millisecond
-	// resultMemoryDivisor: one byte in this many of the memory limit may hold results for reuse.
+	// resultMemoryDivisor is the divisor of the memory limit that yields the memory for retained results.
 	resultMemoryDivisor = 8
 )
 
-// idempotencyTable finds the attempts of one request by their key, and sees to it that one of them is run at most once
-// within the key's window. The window is counted from the arrival of the attempt that is run. The other processes of
-// this image server are notified of each change. The loop owns it.
+// idempotencyTable finds the attempts of one request by their key, and ensures that at most one of them is run within the
+// key's window. The window starts at the arrival of the attempt that is run. The other processes of this image server are
+// notified of each change. The loop owns it.
 type idempotencyTable struct {
 	entries        map[string]*idempotencyEntry         // by key
 	byRequest      map[*activeRequest]*idempotencyEntry // of active requests
-	resultBytes    int                                  // size of all retained results
-	maxResultBytes int
-	peers          *handoverState // the other processes
+	resultBytes    int                                  // total size of all retained results
+	maxResultBytes int                                  // upper bound of resultBytes
+	peers          *handoverState                       // the other processes of this image server
 }
 
-// newIdempotencyTable returns a table for a process with that memory limit and without other processes.
+// newIdempotencyTable returns a table for a process with the given memory limit and without other processes.
 func newIdempotencyTable(memoryMB int) idempotencyTable {
 	return idempotencyTable{
 		entries:        map[string]*idempotencyEntry{},
@@ -36,14 +36,14 @@
 	}
 }
 
-// conflicts reports whether the key of a request is that of a known request with another body, whose result its sender
-// must not get.
+// conflicts reports whether the key of a request belongs to a known request with another body. The sender of this request
+// must not get the result of that one.
 func (t *idempotencyTable) conflicts(request *activeRequest) bool {
 	entry := t.lookup(request)
 	return entry != nil && entry.digest != bodyDigest(&request.attempt)
 }
 
-// lookup returns the entry that a request falls under, or nil.
+// lookup returns the entry that applies to a request, or nil if there is none.
 func (t *idempotencyTable) lookup(request *activeRequest) *idempotencyEntry {
 	entry := t.entries[request.attempt.IdempotencyKey]
 	if entry == nil || entry.expired(request.attempt.ArrivedAt) {
@@ -52,7 +52,7 @@
 	return entry
 }
 
-// ownedBy returns the entry of a key that another process has, or nil.
+// ownedBy returns the entry of a key if the given process owns it, or nil.
 func (t *idempotencyTable) ownedBy(owner *handover.Link, key string) *idempotencyEntry {
 	entry := t.entries[key]
 	if entry == nil || entry.owner != owner {
@@ -61,7 +61,7 @@
 	return entry
 }
 
-// countOwnedBy returns the number of keys that another process has.
+// countOwnedBy returns the number of entries that the given process owns.
 func (t *idempotencyTable) countOwnedBy(owner *handover.Link) int {
 	count := 0
 	for _, entry := range t.entries {
@@ -74,7 +74,7 @@
 
 func (t *idempotencyTable) size() int { return len(t.entries) }
 
-// register adds a request, and returns the attempt that it retries, or 0 for a first one.
+// register adds a request. It returns the attempt that the request retries, or 0 if the request is a first attempt.
 func (t *idempotencyTable) register(request *activeRequest) admission.RequestID {
 	if entry := t.lookup(request); entry != nil {
 		t.addAttempt(entry, request)
@@ -95,7 +95,7 @@
 	entry.attempts = append(entry.attempts, request)
 }
 
-// setHolder makes a request the holder of an entry. The window is counted from its arrival.
+// setHolder makes a request the holder of an entry. The window then starts at the arrival of that request.
 func (t *idempotencyTable) setHolder(entry *idempotencyEntry, request *activeRequest) {
 	if entry.holder == request.id {
 		return
@@ -108,9 +108,9 @@
 	}
 }
 
-// adopt adds, or renews, a key that another process has. Its entry counts as running from the start, as that process may
-// have run an attempt: no attempt is run here, and retries wait for the result that the owner sends. holder is an ID that
-// no request here has; it makes the controller treat every attempt under the key as a retry.
+// adopt adds or renews the entry of a key that another process owns. The entry counts as running from the start, because
+// its owner may have run an attempt: no attempt is run here, and retries wait for the result that the owner sends. holder
+// is an ID that no request here has. It makes the controller treat every attempt with the key as a retry.
 func (t *idempotencyTable) adopt(
 	owner *handover.Link, known handover.KeyKnown, holder admission.RequestID,
 ) *idempotencyEntry {
@@ -129,20 +129,20 @@
 	return entry
 }
 
-// retain makes a request the holder of its entry, unless that has a run already.
+// retain makes a request the holder of its entry, unless the entry already has a run.
 func (t *idempotencyTable) retain(request *activeRequest) {
 	if entry := t.byRequest[request]; entry != nil && !entry.hasRun() {
 		t.setHolder(entry, request)
 	}
 }
 
-// mayRun reports whether a run of a request would be the first within the window.
+// mayRun reports whether a run of a request would be the first one within its window.
 func (t *idempotencyTable) mayRun(request *activeRequest) bool {
 	entry := t.byRequest[request]
 	return entry == nil || !entry.hasRun()
 }
 
-// markRunning records that a request is run: from now on the entry stays that of this request.
+// markRunning records that a request is run. From then on, the holder of its entry does not change.
 func (t *idempotencyTable) markRunning(request *activeRequest) {
 	if entry := t.byRequest[request]; entry != nil {
 		t.setHolder(entry, request)
@@ -150,8 +150,8 @@
 	}
 }
 
-// awaitResult makes a request wait for the run that it retries. If that has ended, or never was, it returns the result
-// instead.
+// awaitResult makes a request wait for the run that it retries. If that run has ended, or there was none, it returns the
+// result instead.
 func (t *idempotencyTable) awaitResult(request *activeRequest) (result runResult, ended bool) {
 	entry := t.byRequest[request]
 	switch {
@@ -181,8 +181,8 @@
 	return t.complete(entry, result)
 }
 
-// complete records the end of the run of an entry, and returns the attempts that waited for it. The result is retained
-// while there is memory for it.
+// complete records the end of the run of an entry, and returns the attempts that waited for it. A successful result is
+// retained if there is memory for it.
 func (t *idempotencyTable) complete(entry *idempotencyEntry, result runResult) []*activeRequest {
 	entry.state = entryCompleted
 	t.discardResult(entry)
@@ -194,18 +194,18 @@
 	return entry.takeWaiters()
 }
 
-// hasLocalRun reports whether a run under any key has not ended in this process.
+// hasLocalRun reports whether this process has a run with an idempotency key that has not ended.
 func (t *idempotencyTable) hasLocalRun() bool {
 	for _, entry := range t.byRequest {
-		if entry.runsHere() {
+		if entry.runningLocally() {
 			return true
 		}
 	}
 	return false
 }
 
-// release removes a request. It returns an entry that has to stay until its window ends; one without a run is dropped
-// with its last attempt.
+// release removes a request from the table. It returns the request's entry if that must stay until its window ends. An
+// entry without a run is dropped with its last attempt.
 func (t *idempotencyTable) release(request *activeRequest) *idempotencyEntry {
 	entry := t.byRequest[request]
 	delete(t.byRequest, request)
@@ -219,8 +219,8 @@
 	case entry.hasRun():
 		return entry
 	case len(entry.attempts) > 0:
-		// An attempt that comes before the controller has named the next one must not be taken for the first: both
-		// would run.
+		// The entry must have a holder even before the controller names the next one. Otherwise an attempt that arrives
+		// meanwhile would be taken for a first one, and both would run.
 		t.setHolder(entry, entry.attempts[0])
 		return nil
 	}
@@ -239,7 +239,7 @@
 	t.discardResult(entry)
 }
 
-// discardResult frees the memory of the result of an entry.
+// discardResult frees the result of an entry.
 func (t *idempotencyTable) discardResult(entry *idempotencyEntry) {
 	t.resultBytes -= len(entry.result)
 	entry.reusable = false
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	minIdleCheckInterval = 100 * time.Millisecond // between two checks for idle connections
-	closeGracePeriod     = 2 * time.Second        // for a front end to close a connection after its notification
+	minIdleCheckInterval = 100 * time.Millisecond // between checks for idle connections
+	closeGracePeriod     = 2 * time.Second        // for a front end to close a connection after it was notified
 )
 
-// idleTimer is the next check for idle connections. The loop owns it.
+// idleTimer schedules the next check for idle connections. The loop owns it.
 type idleTimer struct {
-	timeout time.Duration // connections idle for longer are notified that they close; 0 = never
+	timeout time.Duration // idle time after which front ends are notified that a connection closes; 0 = never
 	entry   *deadline.Entry
 	at      time.Duration
 }
 
-// closeIdle notifies connections that have been idle for too long that they close, and closes those that stay open
-// after that.
+// closeIdle notifies the front ends of connections that have been idle for too long, and closes connections that have
+// stayed open after such a notification.
 func (s *Server) closeIdle() {
 	s.connections.idleTimer.entry = nil
 	for kind := range connectionKinds {
@@ -34,18 +34,20 @@
 	}
 }
 
-// idleLimit returns how long a connection of that kind may be idle, and what then becomes of it; 0 = for ever.
+// idleLimit returns how long a connection of a kind may be idle, and the function to call after that. A limit of 0 means
+// forever.
 func (s *Server) idleLimit(kind connectionKind) (time.Duration, func(*connectionState)) {
 	switch {
 	case kind != closingConnection:
 		return s.connections.idleTimer.timeout, s.notifyClosing
 	case s.drain.started():
-		return 0, nil // the end of the process is near enough
+		return 0, nil // the end of the process will close them soon
 	}
 	return closeGracePeriod, s.beginClose
 }
 
-// nextIdleLimit returns when the first connection will have been idle for too long.
+// nextIdleLimit returns the earliest time at which a connection will have been idle for too long. ok is false if there is
+// none.
 func (s *Server) nextIdleLimit() (at time.Duration, ok bool) {
 	for kind := range connectionKinds {
 		limit, _ := s.idleLimit(kind)
@@ -62,8 +64,8 @@
 	return at, ok
 }
 
-// scheduleIdleCheck sees to it that closeIdle is called when a connection has been idle for too long, and not before.
-// Each turn ends with it.
+// scheduleIdleCheck schedules closeIdle for the time at which a connection will have been idle for too long. It is called
+// at the end of each turn.
 func (s *Server) scheduleIdleCheck() {
 	at, ok := s.nextIdleLimit()
 	if !ok {
@@ -72,7 +74,7 @@
 	at = max(at, s.clock.now+minIdleCheckInterval)
 	timer := &s.connections.idleTimer
 	if timer.entry != nil && timer.at <= at {
-		return // an earlier check may find nothing, and the turn that it takes ends here again
+		return // the earlier check may find nothing, but its turn ends with another call of this function
 	}
 	s.deadlines.Cancel(timer.entry)
 	timer.at = at
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -7,31 +7,31 @@
 	"falldeal/admission"
 )
 
-// maxEventsPerTurn bounds the events that one turn handles, so that a burst delays neither deadlines nor decisions: at
-// 10 µs an event this is a fraction of the 20 ms by which answers are given before their deadline.
+// maxEventsPerTurn is the maximum number of events handled in one turn, so that a burst delays neither deadlines nor
+// decisions. At 10 µs per event, a turn takes a fraction of the 20 ms by which answers are given before their deadline.
 const maxEventsPerTurn = 128
 
-// admissionState is the controller with its input and output. The loop owns it.
+// admissionState is the admission controller with its input and output. The loop owns it.
 type admissionState struct {
 	controller *admission.Controller // nil until the agent is up
-	events     []admission.Event     // for the next step
-	actions    []admission.Action    // of the last step; kept for its capacity
+	events     []admission.Event     // input of the next step
+	actions    []admission.Action    // output of the last step, reused for its capacity
 }
 
-// started reports whether the agent is up, and with it the controller.
+// started reports whether there is a controller, which is created when the agent is up.
 func (a *admissionState) started() bool { return a.controller != nil }
 
-// pending reports whether events wait for the next step.
+// pending reports whether there are events for the next step.
 func (a *admissionState) pending() bool { return len(a.events) > 0 }
 
-// enqueue adds an event for the next step. Before there is a controller, events are dropped.
+// enqueue adds an event for the next step. Events are dropped while there is no controller.
 func (a *admissionState) enqueue(e admission.Event) {
 	if a.started() {
 		a.events = append(a.events, e)
 	}
 }
 
-// step lets the controller decide on the events. The actions it returns are valid until the next step.
+// step lets the controller decide on the events. The returned actions are valid until the next step.
 func (a *admissionState) step(now time.Duration) []admission.Action {
 	if !a.started() || !a.pending() {
 		return nil
@@ -41,7 +41,7 @@
 	return a.actions
 }
 
-// loop takes turns until a drain is complete or ctx ends.
+// loop runs turns until a drain is complete or ctx ends.
 func (s *Server) loop(ctx context.Context) {
 	defer close(s.inbox.closed)
 	defer s.shutDown()
@@ -62,7 +62,7 @@
 	}
 }
 
-// startPeriodicWork begins what repeats itself by deadlines from now on.
+// startPeriodicWork starts the work that schedules itself again by deadlines.
 func (s *Server) startPeriodicWork() {
 	s.checkAgentUntilUp()
 	s.publishPeriodically()
@@ -71,7 +71,7 @@
 	s.tickProbes()
 }
 
-// resetTimer sets the timer for the next deadline, or for at once where actions of the last turn have caused events.
+// resetTimer sets the timer to the next deadline, or to fire at once if actions of the last turn have caused events.
 func (s *Server) resetTimer(timer *time.Timer) {
 	if s.admission.pending() {
 		timer.Reset(0)
@@ -80,11 +80,11 @@
 	}
 }
 
-// turn handles events from the inbox, runs what is due and lets the controller take one step. Input is handled
-// before deadlines: after a pause of the process, what arrived meanwhile still counts as in time.
+// turn handles events from the inbox, runs expired deadlines and lets the controller take one step. Events are handled
+// before deadlines: after a pause of the process, messages that arrived during the pause still count as in time.
 func (s *Server) turn() {
 	s.clock.advance()
-	s.handleWaiting(maxEventsPerTurn)
+	s.handlePending(maxEventsPerTurn)
 	s.clock.advance()
 	s.runExpired()
 	s.stats.Turns++
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -9,57 +9,58 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Fleet is the membership of a fleet, as the loop uses it. None of its methods blocks.
+// Fleet is the server's access to the fleet that it belongs to. No method blocks.
 type Fleet interface {
 	// Publish sends the status of this member to the others.
 	Publish(status fleet.Status)
-	// Snapshot returns what is known of the other members.
+	// Snapshot returns what is known about the other members.
 	Snapshot() *fleet.Snapshot
-	// Now is the clock by which snapshots go; changes of the system's clock do not move it.
+	// Now returns the time on the clock of the snapshots, which does not follow changes of the system clock.
 	Now() time.Duration
-	// Send sends a message to one member; it may be lost.
+	// Send sends a message to one member. The message may be lost.
 	Send(to *fleet.Member, message []byte)
-	// OnMessage sets what is called, on any goroutine, with each message to this member.
+	// OnMessage sets the function that is called, on any goroutine, with each message to this member.
 	OnMessage(handle func(message []byte))
 }
 
-// publishInterval is how often the status is published: a stalled member is noticed by its absence.
+// publishInterval is the interval at which the status is published. Other members notice a stalled member because its
+// status fails to arrive.
 const publishInterval = time.Second
 
 // fleetMember is this server as a member of a fleet. Its fields are set before Run; the loop owns their state.
 type fleetMember struct {
 	fleet             Fleet
-	warmAt            time.Duration // when the agent has warmed up
-	publishedAnswers  uint64        // requests answered as of the last status
-	publishedUnserved uint64        // and those of them that were not served
-	quota             *quotaLeasing // nil: off
-	shedding          *loadShedding // nil: off
-	probes            *storeProbes  // nil: off
+	warmAt            time.Duration // when the agent will have warmed up
+	publishedAnswers  uint64        // number of requests answered as of the last status
+	publishedUnserved uint64        // number of those that were not served
+	quota             *quotaLeasing // nil if off
+	shedding          *loadShedding // nil if off
+	probes            *storeProbes  // nil if off
 	onStateChange     func(StateChange)
 }
 
-// StateChange is the change of one thing in this server's part of its fleet from one state to another.
+// StateChange reports that one state of this server within its fleet has changed.
 type StateChange struct {
-	Name   string // of what has changed
-	From   string // "": the usual state
-	To     string // "": the usual state
+	Name   string // of the state
+	From   string // old value; "" is the usual one
+	To     string // new value; "" is the usual one
 	Fields map[string]any
-	// LogFields are logged as well, and are of no use to the handler of OnStateChange.
+	// LogFields are logged in addition to Fields. The handler of OnStateChange has no use for them.
 	LogFields map[string]any
 }
 
-// JoinFleet makes the server publish its status to a fleet. It is called before Run, and so are OnStateChange and the
-// Enable methods that follow it.
+// JoinFleet makes the server publish its status to a fleet. It must be called before Run, and before OnStateChange and the
+// Enable methods.
 func (s *Server) JoinFleet(f Fleet) {
 	s.member = &fleetMember{fleet: f, onStateChange: func(StateChange) {}}
 	f.OnMessage(s.receiveMemberMessage)
 }
 
-// OnStateChange has each StateChange handed to handle, on the loop, besides being logged. handle must not block. It is
-// called after JoinFleet and before Run.
+// OnStateChange sets a function that is called with each StateChange, in addition to logging it. It is called on the loop
+// and must not block. OnStateChange must be called after JoinFleet and before Run.
 func (s *Server) OnStateChange(handle func(StateChange)) { s.member.onStateChange = handle }
 
-// recordChange logs a change of state and hands it to the handler of OnStateChange.
+// recordChange logs a change of state, and passes it to the handler of OnStateChange.
 func (s *Server) recordChange(level logrus.Level, change StateChange) {
 	s.member.onStateChange(change)
 	s.log.WithFields(change.Fields).
@@ -68,7 +69,7 @@
 		Log(level, change.Name+" changed")
 }
 
-// stateText is a state as it is logged, where the usual one has a name, too.
+// stateText returns the name of a state in log lines, where the usual one has a name, too.
 func stateText(state string) string {
 	if state == "" {
 		return "normal"
@@ -76,7 +77,7 @@
 	return state
 }
 
-// findProcess returns the member that a message to a process goes to, or nil if that process is not known.
+// findProcess returns the member that runs as the given process, or nil if that process is unknown.
 func findProcess(view *fleet.Snapshot, id overload.ProcessID) *fleet.Member {
 	if to := view.Find(id.Name); to != nil && to.Run == id.Run {
 		return to
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// receiveMemberMessage receives a message of another member. It is called from other goroutines and does not block:
-// messages that find the inbox full are dropped.
+// receiveMemberMessage receives a message from another member. It is called from other goroutines and does not block:
+// messages are dropped while the inbox is full.
 func (s *Server) receiveMemberMessage(b []byte) {
 	message, err := s.member.parseMessage(b)
 	if err != nil {
@@ -96,7 +97,7 @@
 	}
 }
 
-// parseMessage reads a message of another member. It returns nil for one about something that is off here.
+// parseMessage parses a message from another member. It returns nil for a message about a feature that is off here.
 func (m *fleetMember) parseMessage(b []byte) (event, error) {
 	if m.shedding != nil {
 		if attempts, ok := overload.ParseReport(b); ok {
@@ -111,12 +112,12 @@
 	case err == nil && m.quota != nil:
 		return &quotaMessageReceived{message}, nil
 	case err != nil && !overload.IsSheddingMessage(b):
-		return nil, err //nolint:wrapcheck // it says what the message is not
+		return nil, err //nolint:wrapcheck // the error says what is wrong with the message
 	}
 	return nil, nil
 }
 
-// publishPeriodically publishes the status now, and each interval from now on.
+// publishPeriodically publishes the status, and schedules the next publication.
 func (s *Server) publishPeriodically() {
 	if s.member != nil {
 		s.publishStatus()
@@ -138,7 +139,7 @@
 	s.member.fleet.Publish(status)
 }
 
-// replaced reports whether a successor serves on: it has joined, or had when this process began to drain.
+// replaced reports whether a successor takes over: one is connected, or was when this process started to drain.
 func (s *Server) replaced() bool {
 	if s.handover.successor != nil {
 		return true
@@ -146,7 +147,7 @@
 	return s.drain.started() && s.drain.replaced
 }
 
-// takeUnservedRatio returns the part of the requests answered since the last status that were not served.
+// takeUnservedRatio returns the fraction of the requests answered since the last status that were not served.
 func (s *Server) takeUnservedRatio() float64 {
 	var answers, unserved uint64
 	for _, counts := range s.stats.Responses {
@@ -163,7 +164,7 @@
 	return ratio
 }
 
-// addCurrentLoad fills in the load of this server, without UnservedRatio.
+// addCurrentLoad sets the load of this server, except for UnservedRatio.
 func (s *Server) addCurrentLoad(load *fleet.Load) {
 	load.Capacity = float64(s.config.Settings.Cores)
 	load.Busy = s.gauges.latest(s.clock.now).CPUUtilization
@@ -195,7 +196,7 @@
 	return fleet.Serving
 }
 
-// logFleet logs what is known of the other members.
+// logFleet logs what is known about the other members.
 func (s *Server) logFleet() {
 	if s.member == nil {
 		return
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -9,12 +9,12 @@
 	"falldeal/internal/stats"
 )
 
-// What operators ask of a running server. The exported methods may be called from any goroutine.
+// Requests by operators to a running server. The exported methods may be called from any goroutine.
 
-// errDraining answers operators once a drain has started.
+// errDraining is returned to operators after a drain has started.
 var errDraining = errors.New("the server is draining")
 
-// query makes the loop call f, and waits for its result.
+// query makes the loop call f, and returns its result. It fails if the loop has ended, or if ctx ends first.
 func query[T any](ctx context.Context, server *Server, f func() T) (result T, err error) {
 	results := make(chan T, 1)
 	select {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Ready reports whether this process serves, and is to go on serving.
+// Ready reports whether this process serves requests and is not about to stop.
 func (s *Server) Ready(ctx context.Context) (bool, error) {
 	return query(ctx, s, func() bool {
 		return s.admission.started() && s.listeners.opened && !s.drain.started() && !s.health.deregistered
@@ -48,11 +48,11 @@
 	})
 }
 
-// Deregister fails health checks from now on, so that front ends go elsewhere; requests that still arrive are served
+// Deregister makes health checks fail from now on, so that front ends go elsewhere. Requests that still arrive are served
 // as before.
 func (s *Server) Deregister(ctx context.Context) error { return s.setDeregistered(ctx, true) }
 
-// Reregister ends what Deregister began.
+// Reregister reverts Deregister.
 func (s *Server) Reregister(ctx context.Context) error { return s.setDeregistered(ctx, false) }
 
 func (s *Server) setDeregistered(ctx context.Context, deregistered bool) error {
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -10,26 +10,26 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Coordinated probes: the members of a fleet take turns in probing a store that does not respond. Package overload
-// decides whose turn it is; here its allowance sets the protected calls of the controller's circuit breaker
+// Coordinated probes: the members of a fleet take turns in probing a store that does not respond. Package overload decides
+// whose turn it is. This file applies the result as the number of protected calls of the controller's circuit breaker
 // (overload.CallAllowance.ProtectedCalls).
 
-// coordinationInterval is how often the allowance is updated.
+// coordinationInterval is the interval between updates of the allowance.
 const coordinationInterval = 250 * time.Millisecond
 
-// storeProbes is the part of a fleet member that probes the store. The loop owns it.
+// storeProbes is the probing of the store by a fleet member. The loop owns it.
 type storeProbes struct {
 	*overload.ProbeCoordinator
-	allowance overload.CallAllowance // as the controller knows it
+	allowance overload.CallAllowance // allowance that the controller was given
 }
 
-// EnableCoordinatedProbes has the members take turns in probing a store that does not respond. run is this process as the
-// fleet knows it. It is called after JoinFleet and before Run.
+// EnableCoordinatedProbes makes the members take turns in probing a store that does not respond. run identifies this
+// process in the fleet, and zone is its zone. It must be called after JoinFleet and before Run.
 func (s *Server) EnableCoordinatedProbes(run uint64, zone string) {
 	s.member.probes = &storeProbes{ProbeCoordinator: overload.NewProbeCoordinator(run, zone)}
 }
 
-// probes returns the coordinated probes of the fleet, or nil where they are off.
+// probes returns the coordinated probes of this member, or nil if they are off.
 func (s *Server) probes() *storeProbes {
 	if s.member == nil {
 		return nil
@@ -37,14 +37,14 @@
 	return s.member.probes
 }
 
-// recordCallResult records how a call ended.
+// recordCallResult records how a call to the store ended.
 func (s *Server) recordCallResult(reply store.Result) {
 	if probes := s.probes(); probes != nil && reply != store.NotStarted {
 		probes.CallEnded(reply == store.OK)
 	}
 }
 
-// tickProbes updates the allowance now, and each interval from now on.
+// tickProbes updates the allowance, and schedules the next update.
 func (s *Server) tickProbes() {
 	probes := s.probes()
 	if probes == nil {
@@ -71,7 +71,7 @@
 	s.deadlines.Add(s.clock.now+coordinationInterval, s.tickProbes)
 }
 
-// storeStateLevel is the log level of a change to a state: a store that does not answer is to be looked at.
+// storeStateLevel returns the log level for a change to a state: a warning for a store that does not respond.
 func storeStateLevel(state overload.StoreState) logrus.Level {
 	if state == overload.StoreUnresponsive {
 		return logrus.WarnLevel
@@ -79,7 +79,7 @@
 	return logrus.InfoLevel
 }
 
-// storeStateName is a state as changes are logged: the usual one has no name.
+// storeStateName returns the name of a state in log lines. The usual state has no name.
 func storeStateName(state overload.StoreState) string {
 	if state == overload.StoreHealthy {
 		return ""
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -11,31 +11,30 @@
 )
 
 // Quota leasing: members of a fleet lease unused quota of calls in flight at the store to each other. Package overload
-// decides what is leased; here its result becomes the limit that the controller keeps to.
+// decides what is leased. This file applies the result as the controller's limit on calls in flight.
 
 const (
-	// quotaInterval is how often leases are updated. A limit is computed to hold for two intervals.
+	// quotaInterval is the interval between updates of the leases. A limit is computed to hold for two intervals.
 	quotaInterval = 250 * time.Millisecond
-	// minCallLimit is the limit for a quota of nothing: the controller treats 0 as no limit, so that a quota of nothing is
-	// this instead.
+	// minCallLimit replaces a limit of 0, which the controller would take for no limit.
 	minCallLimit = 0.001
-	// unknownQuota is the limit before the first tick.
+	// unknownQuota is the limit before the first update.
 	unknownQuota overload.Quota = -1
 )
 
-// quotaLeasing is the part of a fleet member that leases quota. The loop owns it.
+// quotaLeasing is the quota leasing of a fleet member. The loop owns it.
 type quotaLeasing struct {
 	*overload.QuotaManager
-	reservedRatio float64        // part of the own quota that is never leased out
-	limit         overload.Quota // on calls in flight, as the controller knows it
+	reservedRatio float64        // fraction of the server's own quota that is never leased out
+	limit         overload.Quota // limit on calls in flight that the controller was given
 }
 
 // known reports whether the controller has been given a limit.
 func (q *quotaLeasing) known() bool { return q.limit >= 0 }
 
-// EnableQuotaLeasing makes the server lease its quota at the store within its fleet, where its settings give it one. self is
-// this process as the fleet knows it, lease how long quota is leased for, and reservedRatio the part of the own
-// quota that never is. It is called after JoinFleet and before Run.
+// EnableQuotaLeasing makes the server lease its quota at the store within its fleet, if its settings have such a quota.
+// self identifies this process in the fleet, lease is the duration of a lease, and reservedRatio the fraction of the
+// server's own quota that is never leased out. It must be called after JoinFleet and before Run.
 func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedRatio float64) {
 	settings := s.config.Settings
 	base := overload.QuotaOf(settings.MaxCallsInFlight)
@@ -57,7 +56,7 @@
 	}
 }
 
-// quota returns the quota leasing of the fleet, or nil where it is off.
+// quota returns the quota leasing of this member, or nil if it is off.
 func (s *Server) quota() *quotaLeasing {
 	if s.member == nil {
 		return nil
@@ -65,7 +64,7 @@
 	return s.member.quota
 }
 
-// tickQuota updates the leases now, and each interval from now on.
+// tickQuota updates the leases, and schedules the next update.
 func (s *Server) tickQuota() {
 	quota := s.quota()
 	if quota == nil {
@@ -79,7 +78,7 @@
 	s.deadlines.Add(s.clock.now+quotaInterval, s.tickQuota)
 }
 
-// quotaMessageReceived is a message of another member about a lease.
+// quotaMessageReceived is a message from another member about a lease.
 type quotaMessageReceived struct {
 	message overload.Message
 }
@@ -87,7 +86,7 @@
 func (e *quotaMessageReceived) handle(server *Server) {
 	now := server.member.fleet.Now()
 	reply, ok := server.member.quota.Receive(now, e.message, server.store.InFlight())
-	server.applyQuota(now) // what is leased out must not be used any more when the reply goes out
+	server.applyQuota(now) // quota that is leased out must not be used any more when the reply is sent
 	if ok {
 		server.sendQuotaMessage(reply)
 	}
@@ -99,7 +98,7 @@
 	}
 }
 
-// applyQuota limits the controller to the quota that this member has until the next tick.
+// applyQuota limits the controller to the quota that this member has for the next two intervals.
 func (s *Server) applyQuota(now time.Duration) {
 	quota := s.member.quota
 	limit := quota.LimitUntil(now, now+2*quotaInterval)
@@ -113,7 +112,7 @@
 	s.limitCalls()
 }
 
-// recordQuotaChange records that the limit has changed, where base is that of the settings.
+// recordQuotaChange records a change of the limit. base is the quota of the settings.
 func (s *Server) recordQuotaChange(from, to, base overload.Quota) {
 	s.recordChange(quotaChangeLevel(from, to, base), StateChange{
 		Name:      "store quota",
@@ -123,8 +122,8 @@
 	})
 }
 
-// quotaChangeLevel is the level of the line of a change: Info when the limit falls below the quota of the settings, or is
-// no longer below it, and Debug for all changes on one side of it, which are frequent.
+// quotaChangeLevel returns the log level for a change of the limit: Info if the limit falls below the quota of the
+// settings or is no longer below it, and Debug for other changes, which are frequent.
 func quotaChangeLevel(from, to, base overload.Quota) logrus.Level {
 	if (from < base) != (to < base) {
 		return logrus.InfoLevel
@@ -132,7 +131,7 @@
 	return logrus.DebugLevel
 }
 
-// quotaName is a limit as changes are logged: that of the settings has no name.
+// quotaName returns the name of a limit in log lines. The quota of the settings is the usual state, which has no name.
 func quotaName(limit, base overload.Quota) string {
 	if limit == base {
 		return ""
@@ -140,8 +139,8 @@
 	return strconv.FormatFloat(limit.Calls(), 'g', 4, 64)
 }
 
-// callLimit returns the limit on calls in flight: that of the settings, or of the leases where they have one, and 1 at
-// most while this member probes a store for the others.
+// callLimit returns the limit on calls in flight: that of the leases if there are any, and otherwise that of the settings.
+// While this member probes an unresponsive store for the fleet, the limit is 1 at most.
 func (s *Server) callLimit() float64 {
 	limit := s.config.Settings.MaxCallsInFlight
 	if quota := s.quota(); quota != nil && quota.known() {
@@ -153,7 +152,7 @@
 	return limit
 }
 
-// limitCalls gives the controller its limit on calls in flight, unless the settings have none.
+// limitCalls passes the limit on calls in flight to the controller, unless the settings have no limit.
 func (s *Server) limitCalls() {
 	settings := s.config.Settings
 	if settings.MaxCallsInFlight == 0 || !s.admission.started() {
@@ -181,7 +180,7 @@
 	s.applyQuota(s.member.fleet.Now())
 }
 
-// recordMissedCall records that a call was skipped, or a request rejected, for want of quota.
+// recordMissedCall tells the quota leasing that a call was skipped, or a request rejected because of the store.
 func (s *Server) recordMissedCall() {
 	if quota := s.quota(); quota != nil {
 		quota.CallMissed()
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -6,9 +6,9 @@
 	"falldeal/internal/stats"
 )
 
-// Stage one, receive: connections put what they read into the inbox.
+// Stage 1, receive: connections put what they read into the inbox.
 
-// Why a request is invalid, whatever its fields are. The texts go to front ends, and stay as they are.
+// Reasons for which a request is invalid, whatever its fields are. The texts are sent to front ends and must not change.
 var (
 	errTooManyOpenRequests = errors.New("too many open requests on this connection")
 	// An attempt with this ID is active.
@@ -17,37 +17,37 @@
 	errCompletedID = errors.New("field id: a try of this id was answered or run before")
 )
 
-// The exported methods of this file may be called from any goroutine; they block while the loop is behind.
+// The exported methods of this file may be called from any goroutine. They block while the inbox is full.
 
-// ConnectionOpened makes a connection known.
+// ConnectionOpened registers a new connection.
 func (s *Server) ConnectionOpened(conn Connection) { s.inbox.put(&connectionOpened{conn}) }
 
-// ReadEnded reports that nothing more is read from a connection, for now or for good. After Disconnected nobody waits
-// for answers on it; in all other cases what was read before is still answered.
+// ReadEnded reports that reading from a connection has ended, for now or for good. After Disconnected, requests on it are
+// cancelled. In all other cases, requests that were read before are still answered.
 func (s *Server) ReadEnded(conn Connection, reason EndReason) { s.inbox.put(&readEnded{conn, reason}) }
 
-// Submit receives a request.
+// Submit receives a request that was read from a connection.
 func (s *Server) Submit(conn Connection, callNumber uint32, attempt Attempt) {
 	s.inbox.put(&requestReceived{connection: conn, callNumber: callNumber, attempt: attempt})
 }
 
-// RejectInvalid answers a request that can't be read.
+// RejectInvalid answers a request that could not be read as Invalid, with the text of err as the reason.
 func (s *Server) RejectInvalid(conn Connection, callNumber uint32, err error) {
 	s.inbox.put(&invalidRequestReceived{conn, callNumber, err})
 }
 
-// Cancel reports that nobody waits for the answer to a request any more.
+// Cancel reports that the front end no longer waits for the answer to a request.
 func (s *Server) Cancel(conn Connection, callNumber uint32) {
 	s.inbox.put(&requestCancelled{conn, callNumber})
 }
 
-// HealthCheck answers a health check as the controller last decided, or, for a deep one that it leaves open, by whether
-// the agent completes some work.
+// HealthCheck answers a health check with the controller's last decision. A deep check that the controller leaves open is
+// answered by whether the agent completes some work.
 func (s *Server) HealthCheck(conn Connection, callNumber uint32, deep bool) {
 	s.inbox.put(&healthCheckReceived{healthCheck{conn, callNumber}, deep})
 }
 
-// connectionOpened is a new connection.
+// connectionOpened reports a new connection.
 type connectionOpened struct {
 	connection Connection
 }
@@ -59,12 +59,12 @@
 	if server.drain.started() {
 		server.notifyClosing(state)
 	}
-	if full { // closed like any other: a request on it may have waited for long to be read
+	if full { // closed step by step like any other: a request on it may already wait to be read
 		server.beginClose(state)
 	}
 }
 
-// readEnded is the end of reading from a connection.
+// readEnded reports the end of reading from a connection.
 type readEnded struct {
 	connection Connection
 	reason     EndReason
@@ -87,8 +87,8 @@
 	}
 }
 
-// count counts what ended the reading, unless the connection was closing already: a timeout is expected then. state is
-// nil for a connection that was removed before.
+// count counts the reason for which reading ended, except for a timeout on a connection that was closing already, where
+// it is expected. state is nil for a connection that was removed before.
 func (e *readEnded) count(state *connectionState, counters *stats.Counters) {
 	closing := state != nil && state.closing != closeStateOpen
 	switch {
@@ -99,7 +99,7 @@
 	}
 }
 
-// requestReceived is a request that was read.
+// requestReceived is a request that was read from a connection.
 type requestReceived struct {
 	connection Connection
 	callNumber uint32
@@ -119,7 +119,7 @@
 	repeated := e.reusesCallNumber(state, server)
 	state.lastCallNumber = max(state.lastCallNumber, e.callNumber)
 	if repeated {
-		// Two requests of one number can't be told apart by their answers: only the first one gets its answer.
+		// Answers to two requests with the same call number can't be told apart, so only the first request is answered.
 		state.discardingInput = true
 		server.beginClose(state)
 		return
@@ -131,8 +131,8 @@
 	server.admit(e.connection, e.callNumber, &e.attempt)
 }
 
-// reusesCallNumber reports whether the number of the request is that of an open request on the connection, or that of an
-// attempt which was answered or run.
+// reusesCallNumber reports whether the request has the call number of an open request on the connection, or repeats an
+// attempt that was answered or run with a call number that is not higher than all earlier ones.
 func (e *requestReceived) reusesCallNumber(state *connectionState, server *Server) bool {
 	if state.openRequests[e.callNumber] != nil {
 		return true
@@ -140,7 +140,7 @@
 	return e.callNumber <= state.lastCallNumber && server.completed.contains(e.attempt.ID)
 }
 
-// check returns what makes a request invalid whatever its fields are, or nil.
+// check returns the reason for which a request is invalid whatever its fields are, or nil.
 func (e *requestReceived) check(state *connectionState, server *Server) error {
 	switch {
 	case len(state.openRequests) >= e.connection.MaxOpenCalls():
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// invalidRequestReceived is a request that can't be read.
+// invalidRequestReceived is a request that could not be read.
 type invalidRequestReceived struct {
 	connection Connection
 	callNumber uint32
@@ -167,7 +167,7 @@
 	}
 }
 
-// requestCancelled is the notification of a front end that it no longer waits for the answer to a request.
+// requestCancelled reports that a front end no longer waits for the answer to a request.
 type requestCancelled struct {
 	connection Connection
 	callNumber uint32
@@ -180,7 +180,7 @@
 	}
 }
 
-// healthCheckReceived is a health check that was read.
+// healthCheckReceived is a health check that was read from a connection.
 type healthCheckReceived struct {
 	check healthCheck
 	deep  bool
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -9,14 +9,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Reload puts the peers' addresses and the settings of a new configuration into use, while runs go on. It may be called
+// Reload applies the peers' addresses and the settings of a new configuration without interrupting runs. It may be called
 // from any goroutine.
 func (s *Server) Reload(cfg *config.Config) { s.inbox.put(&configurationLoaded{cfg}) }
 
-// ReloadFailed reports why there is no new configuration: the current one stays. It may be called from any goroutine.
+// ReloadFailed reports why a new configuration could not be read. The current one stays. It may be called from any
+// goroutine.
 func (s *Server) ReloadFailed(err error) { s.inbox.put(&configurationFailed{err}) }
 
-// configurationLoaded is a configuration that was read.
+// configurationLoaded is a configuration that was read and is to be applied.
 type configurationLoaded struct {
 	config *config.Config
 }
@@ -38,7 +39,7 @@
 	server.announcer.SetAddress(e.config.Announce)
 }
 
-// configurationFailed is a configuration that could not be read.
+// configurationFailed reports a configuration that could not be read.
 type configurationFailed struct {
 	err error
 }
@@ -50,11 +51,11 @@
 	s.log.WithError(err).Error("configuration reload failed, current configuration stays")
 }
 
-// applyConfig puts new settings into use.
+// applyConfig applies the settings of a new configuration. On an error, the current configuration is unchanged.
 func (s *Server) applyConfig(loaded *config.Config) error {
 	settings := loaded.Settings
 	if s.drain.started() {
-		// The drain began under the current grace period, which may only become shorter.
+		// The drain started with the current grace period, which may only be shortened.
 		settings.DrainGrace = min(settings.DrainGrace, s.config.Settings.DrainGrace)
 	}
 	current := s.config.Settings.Classes
@@ -62,7 +63,7 @@
 	settings.Classes = classes
 	if s.admission.started() {
 		if err := s.admission.controller.Reconfigure(settings); err != nil {
-			return err //nolint:wrapcheck // it names the setting
+			return err //nolint:wrapcheck // the error names the setting
 		}
 	}
 	merged := *s.config.Config
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// updateClasses accepts requests of new classes, and rejects those of removed ones later: front ends learn of it late,
-// and may retry what they have begun.
+// updateClasses accepts requests of new classes at once, and rejects requests of removed ones only after maxArrivalAge:
+// front ends learn of the change late, and may retry requests that they have begun.
 func (s *Server) updateClasses() {
 	for i, class := range s.config.Settings.Classes {
 		name := s.config.Classes[i]
@@ -94,9 +95,9 @@
 	}
 }
 
-// mergeClasses gives each class of a new configuration the index that it has, or one behind the others. Active requests
-// refer to indices, so those of classes that are gone stay, marked as removed, and so does that of a class whose
-// idempotency has changed.
+// mergeClasses assigns each class of a new configuration the index that it has, or a new one after all others. Active
+// requests refer to classes by index, so classes that are gone keep theirs, marked as removed. A class whose idempotency has
+// changed counts as another class.
 func mergeClasses(current, loaded []admission.Class, currentNames, loadedNames []string) ([]admission.Class, []string) {
 	classes := slices.Clone(current)
 	names := slices.Clone(currentNames)
@@ -115,7 +116,7 @@
 	return classes, names
 }
 
-// findClass returns the index of the class of that name and idempotency, the last one where there are several, or -1.
+// findClass returns the index of the class with the given name and idempotency, the last one if there are several, or -1.
 func findClass(classes []admission.Class, names []string, class admission.Class, className string) int {
 	for i := len(names) - 1; i >= 0; i-- {
 		if names[i] == className && classes[i].Idempotency == class.Idempotency {
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -8,37 +8,37 @@
 	"falldeal/admission"
 )
 
-// Attempt is one attempt of a request, as a front protocol has read it.
+// Attempt is one attempt of a request, as read by a front.
 type Attempt struct {
-	ID             string        // hex digits only: it is passed on to other systems
-	IdempotencyKey string        // the same for all attempts of one request; "" = none
+	ID             string        // hex digits only, because it is passed on to other systems
+	IdempotencyKey string        // shared by all attempts of one request; "" = none
 	Subject        string        // what a read is about
 	Class          string        // name of the request class
-	Tenant         string        // "" = none
-	Retry          bool          // marked as a retry by its sender
-	ArrivedAt      time.Duration // when it reached the machine, on the Unix clock
-	Timeout        time.Duration // how long its client waits from then on; 0 = not given
+	Tenant         string        // name of the tenant; "" = none
+	Retry          bool          // the sender has marked the attempt as a retry
+	ArrivedAt      time.Duration // arrival at this machine; Unix time
+	Timeout        time.Duration // how long the client waits, from ArrivedAt on; 0 = not given
 	Client         int           // number of the client
-	CostHint       time.Duration // expected work; 0 = not given
-	MemoryKB       float64       // expected memory
+	CostHint       time.Duration // expected processing time; 0 = not given
+	MemoryKB       float64       // expected memory use
 	Rank           float64       // rank among requests of equal priority
 	Body           []byte
 }
 
-// AnswerKind is what an Answer says.
+// AnswerKind is the kind of an Answer.
 type AnswerKind uint8
 
 // The kinds of Answer.
 const (
-	Served    AnswerKind = iota // with Body
-	Rejected                    // the request never ran
-	Failed                      // the request may have run
-	Invalid                     // the request was wrong, as Reason says; it never ran
-	Healthy                     // to a health check
-	Unhealthy                   // to a health check
+	Served    AnswerKind = iota // the request was run; Body is its result
+	Rejected                    // the request was never run
+	Failed                      // the request may have been run
+	Invalid                     // the request is wrong, as Reason says; it was never run
+	Healthy                     // answer to a health check
+	Unhealthy                   // answer to a health check
 )
 
-// String returns the kind in plain words.
+// String returns the name of the kind.
 func (k AnswerKind) String() string {
 	switch k {
 	case Served:
@@ -57,22 +57,22 @@
 	return unknownName
 }
 
-// Answer is the one answer to a call.
+// Answer is the answer to a request or a health check.
 type Answer struct {
 	Kind             AnswerKind
-	Body             []byte
-	RetryAfter       time.Duration // Rejected: how long to stay away; 0 = no advice
+	Body             []byte        // Served: the result
+	RetryAfter       time.Duration // Rejected: how long the client should wait before a retry; 0 = no advice
 	NoRetryElsewhere bool          // Rejected: no other server should be tried
-	Reason           string        // Invalid
+	Reason           string        // Invalid: what is wrong with the request
 }
 
-// requestState is how far the server has got with a request.
+// requestState is the state of an active request.
 type requestState uint8
 
 const (
-	requestQueued   requestState = iota // the controller has yet to decide on it
-	requestClaiming                     // waits until the predecessor has answered the claim on its key
-	requestRunning                      // the agent was sent the command to run it
+	requestQueued   requestState = iota // waits for the decision of the controller
+	requestClaiming                     // waits for the predecessor's answer to the claim on its key
+	requestRunning                      // was sent to the agent to be run
 )
 
 func (s requestState) String() string {
@@ -94,20 +94,20 @@
 	class             int // index among the classes of the configuration
 	tenant            int // index among the tenants of the configuration
 	connection        Connection
-	callNumber        uint32        // its number on that connection
-	idempotencyWindow time.Duration // in which its key must not run twice
+	callNumber        uint32        // identifies the request on its connection
+	idempotencyWindow time.Duration // from its arrival on, in which its key must not run again
 
 	state     requestState
-	answered  bool          // it has its answer, or nobody waits for one; its run may go on
-	startedAt time.Duration // of its run, or of its wait for the run of another attempt
+	answered  bool          // it has its answer, or nobody waits for one; its run may continue
+	startedAt time.Duration // start of its run, or of its wait for the run of another attempt
 
 	callBody      []byte        // body of the call that its run waits for
 	callOffset    int64         // offset of the agent's notification that asked for that call
-	callStartedAt time.Duration // of the last call to the store
+	callStartedAt time.Duration // start of the last call to the store
 	trace         requestTrace
 }
 
-// running reports whether the agent was sent the command to run the request.
+// running reports whether the request was sent to the agent to be run.
 func (r *activeRequest) running() bool { return r.state == requestRunning }
 
 // requestTable holds the active requests. The loop owns it.
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -7,9 +7,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Stage six, respond: each request gets one answer, and is removed once it has ended.
+// Stage 6, respond: each request gets one answer, and is removed when it has ended.
 
-// answer gives a request its one answer.
+// answer answers a request, unless it has its answer already or its connection has ended.
 func (s *Server) answer(request *activeRequest, answer Answer) {
 	if request.answered {
 		return
@@ -26,14 +26,14 @@
 	request.connection.Answer(request.callNumber, answer)
 }
 
-// answerInvalid answers an invalid request. attempt is nil where the request can't be read.
+// answerInvalid answers an invalid request. attempt is nil if the request could not be read.
 func (s *Server) answerInvalid(conn Connection, callNumber uint32, attempt *Attempt, err error) {
 	s.stats.Invalid++
 	s.warnings.WarnFields("request", "invalid request from a front end", err, attemptFields(attempt))
 	conn.Answer(callNumber, Answer{Kind: Invalid, Reason: err.Error()})
 }
 
-// attemptFields are the log fields that identify an attempt; none for nil.
+// attemptFields returns the log fields that identify an attempt, or none if attempt is nil.
 func attemptFields(attempt *Attempt) logrus.Fields {
 	if attempt == nil {
 		return nil
@@ -54,7 +54,7 @@
 	}
 }
 
-// markAnswered records that no answer is owed to a request any more.
+// markAnswered records that a request needs no answer any more.
 func (s *Server) markAnswered(request *activeRequest) {
 	request.answered = true
 	if state := s.connections.get(request.connection); state != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// fail answers a request with an error. Its run, if there is one, goes on to its end or next call.
+// fail answers a request as Failed. Its run, if there is one, continues to its end or next call.
 func (s *Server) fail(request *activeRequest) {
 	request.trace.reason = reasonAbandoned
 	s.answer(request, Answer{Kind: Failed})
@@ -139,7 +139,7 @@
 	}
 }
 
-// reuseResult answers a request with the result of the attempt that it retries, now or when that has ended.
+// reuseResult answers a request with the result of the attempt that it retries, as soon as that has ended.
 func (s *Server) reuseResult(request *activeRequest) {
 	request.startedAt = s.clock.now
 	if result, ended := s.idempotency.awaitResult(request); ended {
@@ -147,10 +147,10 @@
 	}
 }
 
-// answerFromResult ends a request that has waited for the run of another attempt.
+// answerFromResult answers and removes a request that has waited for the run of another attempt.
 func (s *Server) answerFromResult(request *activeRequest, result runResult) {
 	if !s.requests.contains(request) {
-		return // it has ended while it waited
+		return // the request ended while it waited
 	}
 	outcome := admission.OutcomeFailed
 	if result.ok {
@@ -170,8 +170,8 @@
 	}
 }
 
-// expireAfterWindow drops an entry that has a run once no attempt of its window is accepted any more. The controller's key
-// table, which accounts for memory only, has no part in it.
+// expireAfterWindow drops an entry that has a run when attempts that arrived within its window are no longer accepted. The
+// controller's key table is not involved, because it only accounts for memory.
 func (s *Server) expireAfterWindow(entry *idempotencyEntry) {
 	windowEnd := entry.windowEnd
 	s.deadlines.Add(s.clock.fromUnix(windowEnd)+s.config.maxArrivalAge()+windowSlack, func() {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -18,14 +18,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// unknownName is the name of a value that is none of its type's constants.
+// unknownName is the String result for a value that is none of its type's constants.
 const unknownName = "unknown"
 
-// Server is one image server. The loop owns all of its state; other goroutines put events into its inbox.
+// Server is one image server. The event loop owns all of its state; other goroutines send events to its inbox.
 type Server struct {
 	log           logrus.FieldLogger
 	warnings      *logging.Limiter
-	traceRequests bool // log a line for each request
+	traceRequests bool // log a trace line for each request
 
 	inbox     inbox
 	clock     clock
@@ -46,10 +46,10 @@
 	listeners   listenerSet
 	drain       drainState
 	handover    handoverState
-	member      *fleetMember // nil: the server is in no fleet
+	member      *fleetMember // nil if the server is in no fleet
 }
 
-// New returns a Server; nothing happens before Run.
+// New returns a Server that does nothing before Run.
 func New(cfg *config.Config, log logrus.FieldLogger) *Server {
 	server := &Server{
 		log:           log,
@@ -76,7 +76,7 @@
 	return server
 }
 
-// connectPeers creates the links to the other processes; nothing is sent before Run.
+// connectPeers creates the links to the other processes. They send nothing before Run.
 func (s *Server) connectPeers(cfg *config.Config) {
 	now := func() time.Duration { return s.clock.now }
 	s.agent = agent.New(
@@ -119,10 +119,10 @@
 		s.loop(ctx)
 		return nil
 	})
-	return g.Wait() //nolint:wrapcheck // each part says what it was doing
+	return g.Wait() //nolint:wrapcheck // each part says what failed
 }
 
-// serveFront serves a front from the moment at which connections may be accepted.
+// serveFront serves a front once connections may be accepted.
 func (s *Server) serveFront(ctx context.Context, g *errgroup.Group, front Front) error {
 	select {
 	case <-s.listeners.accepting:
@@ -130,11 +130,11 @@
 		return nil
 	}
 	defer s.post(func() { s.listeners.serving-- })
-	return front.Serve(ctx, g, s) //nolint:wrapcheck // a front says what it was doing
+	return front.Serve(ctx, g, s) //nolint:wrapcheck // the front says what failed
 }
 
-// Ended is closed when the loop has ended: all requests have their answers, or the time of a drain is up. The last
-// answers may still have to be written, for which there is FinalWriteTimeout.
+// Ended returns a channel that is closed when the event loop has ended: all requests are answered, or the time of a drain
+// is up. The last answers may still have to be written, for which the process waits FinalWriteTimeout at most.
 func (s *Server) Ended() <-chan struct{} { return s.inbox.closed }
 
 // LogCounters logs the counters. It may be called from any goroutine.
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -8,26 +8,26 @@
 	"falldeal/internal/overload"
 )
 
-// Load shedding by the capacity of the fleet as a whole. Package overload computes the threshold from what members
-// publish; here requests are classified by it, and the verdict goes to the controller with the request.
+// Load shedding by the capacity of the whole fleet. Package overload computes a threshold from what the members publish.
+// This file classifies requests by it, and passes the result to the controller with each request.
 
 const (
-	sheddingInterval = 500 * time.Millisecond // between two updates of the threshold
+	sheddingInterval = 500 * time.Millisecond // between updates of the threshold
 	ticksPerReport   = 2                      // updates of the threshold between two reports of attempts
 )
 
-// loadShedding is the part of a fleet member that sheds load. The loop owns it.
+// loadShedding is the load shedding of a fleet member. The loop owns it.
 type loadShedding struct {
 	shedder   overload.Shedder
 	retries   *overload.RetryCounter
 	collector *overload.Collector
 	ages      *overload.AgeEstimator
-	ticks     int
-	logged    overload.SheddingState // the last one that was logged
+	ticks     int                    // updates of the threshold so far
+	logged    overload.SheddingState // state that was logged last
 }
 
-// EnableShedding has requests classified by the capacity of the fleet. self is this process as the fleet knows it. It
-// is called after JoinFleet and before Run.
+// EnableShedding makes the server classify requests by the capacity of its fleet. self identifies this process in the
+// fleet. It must be called after JoinFleet and before Run.
 func (s *Server) EnableShedding(self overload.ProcessID) {
 	s.member.shedding = &loadShedding{
 		retries:   overload.NewRetryCounter(),
@@ -36,7 +36,7 @@
 	}
 }
 
-// shedding returns the load shedding of the fleet, or nil where it is off.
+// shedding returns the load shedding of this member, or nil if it is off.
 func (s *Server) shedding() *loadShedding {
 	if s.member == nil {
 		return nil
@@ -44,8 +44,8 @@
 	return s.member.shedding
 }
 
-// classifyForShedding adds to the arrival of a request its rank against the fleet's threshold, its age where it is a
-// retry, and the jitter of its Retry-After. It uses what was received before, and sends no message.
+// classifyForShedding adds to an arrival its rank against the fleet's threshold, the time since its first attempt if it
+// is a retry, and the jitter of its Retry-After. It uses only what was received before, and sends no message.
 func (s *Server) classifyForShedding(request *activeRequest, arrival *admission.Arrival) {
 	shedding := s.shedding()
 	if shedding == nil {
@@ -64,20 +64,20 @@
 	arrival.RetryJitter = shedding.shedder.RetryJitter(requestFingerprint)
 }
 
-// fingerprint identifies the request of an attempt, in every member alike.
+// fingerprint identifies the request of an attempt. It is the same in all members.
 func fingerprint(attempt *Attempt) uint64 {
 	return overload.Fingerprint(attempt.Class, attempt.Subject, attempt.IdempotencyKey, attempt.Client,
 		attempt.Rank, attempt.CostHint.Seconds())
 }
 
-// recordRejection records a request that will be retried, here or elsewhere.
+// recordRejection records a rejected request that may be retried, here or elsewhere.
 func (s *Server) recordRejection(request *activeRequest, rejection admission.Rejection) {
 	if shedding := s.shedding(); shedding != nil && !rejection.NoRetryElsewhere {
 		shedding.retries.Rejected(s.clock.now, fingerprint(&request.attempt))
 	}
 }
 
-// tickShedding computes the shedding threshold now, and each interval from now on.
+// tickShedding updates the shedding threshold, and schedules the next update.
 func (s *Server) tickShedding() {
 	shedding := s.shedding()
 	if shedding == nil {
@@ -95,7 +95,7 @@
 	s.deadlines.Add(s.clock.now+sheddingInterval, s.tickShedding)
 }
 
-// localLoad is the load of this server alone.
+// localLoad returns the load of this server alone.
 func (s *Server) localLoad(shedding *loadShedding) overload.LocalLoad {
 	load := overload.LocalLoad{
 		Cores:    float64(s.config.Settings.Cores),
@@ -109,7 +109,7 @@
 	return load
 }
 
-// sendPartials sends this server's part of the load of its zone to the members that add it up.
+// sendPartials sends this server's part of the load of its zone to the members that aggregate it.
 func (s *Server) sendPartials(shedding *loadShedding, view *fleet.Snapshot) {
 	var load fleet.Load
 	s.addCurrentLoad(&load)
@@ -130,7 +130,7 @@
 	}
 }
 
-// retryReportReceived is a report of attempts by another member.
+// retryReportReceived is a report of attempts from another member.
 type retryReportReceived struct {
 	attempts []uint64
 }
@@ -148,7 +148,7 @@
 	server.member.shedding.collector.Receive(server.member.fleet.Now(), e.partial)
 }
 
-// addSheddingToLoad adds what other members need to find the threshold.
+// addSheddingToLoad adds to the published load what other members need to compute the threshold.
 func (s *Server) addSheddingToLoad(load *fleet.Load) {
 	shedding := s.member.shedding
 	if s.admission.started() {
--- a/internal/server/shedding_log.go
+++ b/internal/server/shedding_log.go
@@ -6,14 +6,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// States of load shedding as operators see them. That nothing is shed is the usual state, which has no name.
+// States of load shedding in log lines. The usual state, in which nothing is shed, has no name.
 const (
-	sheddingUnknown    = "unknown"    // too little is known of the fleet
-	sheddingFull       = "full"       // more is offered than the fleet has capacity for
-	sheddingDecreasing = "decreasing" // it has capacity again, and the threshold decreases step by step
+	sheddingUnknown    = "unknown"    // too little is known about the fleet
+	sheddingFull       = "full"       // the offered load exceeds the capacity of the fleet
+	sheddingDecreasing = "decreasing" // there is capacity again, and the threshold decreases step by step
 )
 
-// sheddingStateName returns the name of a state, "" for the usual one.
+// sheddingStateName returns the name of a state, which is "" for the usual one.
 func sheddingStateName(state *overload.SheddingState) string {
 	switch {
 	case !state.Known:
@@ -26,8 +26,8 @@
 	return ""
 }
 
-// logSheddingState logs a state of load shedding if its name has changed. A fleet without spare capacity is to be looked
-// at, the other states need nothing.
+// logSheddingState logs the state of load shedding if its name has changed. A fleet without spare capacity is logged as a
+// warning.
 func (s *Server) logSheddingState(shedding *loadShedding, state *overload.SheddingState) {
 	from := sheddingStateName(&shedding.logged)
 	to := sheddingStateName(state)
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -8,45 +8,49 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Request traces: at log level debug, one line for each request tells how it ended and where its time went, so that a
-// request can be followed by its ID over all image servers that had an attempt of it. At other levels nothing is
-// collected for it but a few fields of the request.
+// Request traces: at log level debug, one line per request says how it ended and where its time went, so that a request can
+// be followed by its ID across all image servers that had an attempt of it. At other levels, only a few fields of the
+// request are collected for it.
 
 // fieldRequestID is the log field that identifies a request in all lines about it.
 const fieldRequestID = "request_id"
 
-// requestTrace is what a request collects for its line.
+// requestTrace is what a request collects for its trace line.
 type requestTrace struct {
-	reason          traceReason   // for which it was rejected or failed
-	cause           traceReason   // the rule that rejected it, if that is not the reason
-	calls           int           // made to the store
-	callTime        time.Duration // of all calls that have ended
-	lastCallOutcome string
+	reason          traceReason   // why it was rejected or failed
+	cause           traceReason   // rule that rejected it, if that is not the reason
+	calls           int           // number of calls to the store
+	callTime        time.Duration // total duration of the calls that have ended
+	lastCallOutcome string        // how the last call ended, or callInFlight
 }
 
-// traceReason says why a request was rejected or failed: the text of an admission.Reason, or one of the reasons below.
+// traceReason is why a request was rejected or failed: the text of an admission.Reason, or one of the constants below.
 type traceReason string
 
-// Reasons that are not the controller's reasons for a rejection.
+// Reasons that the controller does not give for a rejection.
 const (
 	// reasonAgentNotReady: rejected because the agent has not sent its handshake yet.
 	reasonAgentNotReady traceReason = "agent_not_ready"
-	// reasonAbandoned: failed by the controller (admission.ActionFail). It covers every such failure: the deadline of a
-	// request that runs or waits for the result of another attempt, which a drain may have moved forward; a call that
-	// the class can't do without and that the circuit breaker drops or that would come too late; and a retry, while
-	// memory is short, of an attempt that may have run. A request whose own run fails has no reason.
+	// reasonAbandoned: failed by the controller (admission.ActionFail), in one of these cases:
+	//
+	//   - A request that runs, or waits for the result of another attempt, reaches its deadline, which a drain may have
+	//     moved forward.
+	//   - A request needs a call that its class can't do without, and the circuit breaker drops it or it would be too late.
+	//   - While memory is short, a request retries an attempt that may have run.
+	//
+	// A request whose own run fails has no reason.
 	reasonAbandoned traceReason = "abandoned"
 	// reasonShutdown: rejected or failed because the loop ended before there was an answer.
 	reasonShutdown traceReason = "shutdown"
 )
 
-// Texts of traces that are neither a name of an AnswerKind or of an outcome, nor a reason.
+// Texts in traces that are neither the name of an AnswerKind or an outcome, nor a reason.
 const (
-	outcomeCancelled = "cancelled" // the client went before there was an answer
+	outcomeCancelled = "cancelled" // the client has gone before there was an answer
 	callInFlight     = "in_flight" // the last call has not ended
 )
 
-// outcomeNames gives how a call ended, by what that proves.
+// outcomeNames gives the names of the outcomes of calls in traces.
 var outcomeNames = [...]string{
 	admission.OutcomeOK:          "ok",
 	admission.OutcomeFailed:      "failed",
@@ -57,7 +61,7 @@
 	admission.OutcomeNotStarted:  "not_started",
 }
 
-// logTrace logs the line of a request that has just got its answer, or whose client has gone.
+// logTrace logs the trace line of a request that was just answered, or whose client has gone.
 func (s *Server) logTrace(request *activeRequest, outcome string) {
 	if !s.traceRequests {
 		return
@@ -96,7 +100,7 @@
 	s.log.WithFields(fields).Debug("request finished")
 }
 
-// debugEnabled reports whether log takes lines of level debug.
+// debugEnabled reports whether log writes lines at level debug.
 func debugEnabled(log logrus.FieldLogger) bool {
 	logger, ok := log.(*logrus.Logger)
 	return ok && logger.IsLevelEnabled(logrus.DebugLevel)
