--- a/internal/server/admit_test.go
+++ b/internal/server/admit_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Before the agent is up nothing can be run: requests are rejected, and health checks fail.
-func TestBeforeAgentIsUp(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+// Nothing can be run before the agent is up: requests must be rejected, and health checks must fail.
+func TestRequestsBeforeAgentIsUpAreRejected(t *testing.T) {
+	server, handleInbox := newServerWithoutLoop(t)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	server.Submit(conn, 1, Attempt{ID: "ab", Class: "preview", ArrivedAt: server.clock.now})
 	server.HealthCheck(conn, 2, true)
-	runPosted()
+	handleInbox()
 	require.Equal(t, []any{Rejected, Unhealthy}, conn.recorded)
 	require.Empty(t, server.requests.byID)
 	server.Drain()
-	runPosted()
-	require.Empty(t, server.admission.events) // they would keep the loop busy
+	handleInbox()
+	require.Empty(t, server.admission.events) // events without a controller would keep the loop busy
 	require.Equal(t, []any{Rejected, Unhealthy, "closing"}, conn.recorded)
 }
 
-// Implausible times are rejected as invalid: the controller would take an old arrival for hours spent unread and fail
-// health checks, and one ahead of the clock would extend the window of an idempotency key.
-func TestImplausibleTimes(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+// Requests with implausible times must be invalid. The controller would take an old arrival for hours spent unread and fail
+// health checks, and an arrival ahead of the clock would extend the window of an idempotency key.
+func TestImplausibleTimesAreInvalid(t *testing.T) {
+	server, handleInbox := newServerWithoutLoop(t)
 	startAgent(server)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
@@ -39,7 +39,7 @@
 	} {
 		attempt.ID, attempt.Class, attempt.MemoryKB = "ab", "preview", 1
 		server.Submit(conn, uint32(i), attempt)
-		runPosted()
+		handleInbox()
 	}
 	require.Equal(t, []any{Invalid, Invalid, Invalid, Invalid}, conn.recorded)
 	require.Empty(t, server.requests.byID)
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The controller's clock must not go back when the system's does, nor stand still until that has caught up.
-func TestClock(t *testing.T) {
+// The server's clock must not go back with the system clock, nor stand still until the system clock has caught up.
+func TestClockNeverGoesBack(t *testing.T) {
 	at := time.Now()
 	serverClock := clock{read: func() time.Time { return at }}
 	began := serverClock.advance()
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -7,27 +7,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A full table evicts silent connections first, then those that were notified of closing, then the one that has been idle for
-// longest, and never one with an open request.
-func TestFullConnectionTable(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+// A full table must evict silent connections first, then those whose front ends were notified of closing, then the one that
+// has been idle for longest, and never one with an open request.
+func TestEvictionOrder(t *testing.T) {
+	server, handleInbox := newServerWithoutLoop(t)
 	server.config.Limits.FileDescriptors = 2 * (reservedConnections + 4)
 	var busy, quiet, silent, notified recordingConnection
 	for _, conn := range []*recordingConnection{&busy, &quiet, &silent, &notified} {
 		server.ConnectionOpened(conn)
 	}
-	runPosted()
+	handleInbox()
 	server.connections.openRequest(server.connections.get(&busy), 1, &activeRequest{})
 	server.HealthCheck(&quiet, 1, false)
 	server.HealthCheck(&notified, 1, false)
-	runPosted()
+	handleInbox()
 	server.clock.now++
 	server.notifyClosing(server.connections.get(&notified))
-	server.connections.touch(server.connections.get(&silent), server.clock.now) // the latest
+	server.connections.touch(server.connections.get(&silent), server.clock.now) // used last of all
 	openBusy := func() *recordingConnection {
 		conn := &recordingConnection{}
 		server.ConnectionOpened(conn)
-		runPosted()
+		handleInbox()
 		if state := server.connections.get(conn); state != nil {
 			server.connections.openRequest(state, 1, &activeRequest{})
 		}
@@ -44,16 +44,16 @@
 	require.Equal(t, 4, server.connections.size())
 }
 
-// All front ends of a fleet reconnect at once, with more connections than the limit. Each new one evicts an idle one;
-// those with an open request stay, and where all are busy the new one is closed.
+// When all front ends of a fleet reconnect at once, there are more connections than the limit. Each new one must evict an
+// idle one; those with an open request must stay, and if all are busy, the new one must be closed.
 func TestAllReconnectAtOnce(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	limit := server.maxConnections()
 	var busy []*recordingConnection
 	for i := range limit {
 		conn := &recordingConnection{}
 		server.ConnectionOpened(conn)
-		runPosted()
+		handleInbox()
 		if i%2 == 0 {
 			busy = append(busy, conn)
 			server.connections.openRequest(server.connections.get(conn), 1, &activeRequest{})
@@ -63,7 +63,7 @@
 	for range 2 * limit {
 		conn := &recordingConnection{}
 		server.ConnectionOpened(conn)
-		runPosted()
+		handleInbox()
 		require.LessOrEqual(t, server.connections.size(), limit)
 		if state := server.connections.get(conn); state.closing == closeStateOpen {
 			server.connections.openRequest(state, 1, &activeRequest{})
@@ -78,16 +78,16 @@
 	}
 }
 
-// BenchmarkOpened is a connection that arrives while the table is full.
+// BenchmarkOpened opens a connection while the table is full.
 func BenchmarkOpened(b *testing.B) {
 	for _, connections := range []int{10, 150, 500} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
-			server, runPosted := newIdleServer(b)
+			server, handleInbox := newServerWithoutLoop(b)
 			server.config.Limits.FileDescriptors = 2 * (reservedConnections + connections)
 			b.ReportAllocs()
 			for b.Loop() {
 				server.ConnectionOpened(&countingConnection{})
-				runPosted()
+				handleInbox()
 			}
 		})
 	}
--- a/internal/server/connections_test.go
+++ b/internal/server/connections_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// referenceEvictionCandidate finds the eviction candidate by looking at every connection.
+// referenceEvictionCandidate finds the eviction candidate by a scan of all connections.
 func referenceEvictionCandidate(t *connectionTable) *connectionState {
 	var candidate *connectionState
 	for _, state := range t.states {
@@ -24,8 +24,8 @@
 	return candidate
 }
 
-// Whatever happens to connections, in whatever order, the table finds the same eviction candidate as a look at all of
-// them, and counts the open requests.
+// After any sequence of changes, the table must find the same eviction candidate as a scan of all connections, and count
+// the open requests correctly.
 func TestConnectionTableAgainstReference(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -33,7 +33,7 @@
 		now := time.Duration(0)
 		var all []*connectionState
 		for step := range 2000 {
-			now += time.Duration(rng.IntN(3)) // several may be of one instant
+			now += time.Duration(rng.IntN(3)) // several changes may have the same time
 			if len(all) == 0 || rng.IntN(8) == 0 {
 				all = append(all, table.add(&recordingConnection{}, now))
 				continue
@@ -48,8 +48,8 @@
 	}
 }
 
-// changeRandomly changes a connection of a table in one of the ways in which the server does, and reports whether it
-// has removed it.
+// changeRandomly makes one of the changes that the server makes to a connection of a table, and reports whether it has
+// removed the connection.
 func changeRandomly(table *connectionTable, state *connectionState, now time.Duration, rng *rand.Rand) (removed bool) {
 	call := uint32(rng.IntN(3))
 	switch rng.IntN(6) {
@@ -72,7 +72,7 @@
 	return false
 }
 
-// requireMatchesReference compares a table with a look at all of its connections.
+// requireMatchesReference compares a table with a scan of all its connections.
 func requireMatchesReference(t *testing.T, table *connectionTable, all []*connectionState, step string) {
 	t.Helper()
 	open := 0
--- a/internal/server/execute_test.go
+++ b/internal/server/execute_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The body of a request is not retained for as long as its idempotency key: over a long day that would fill the memory.
+// The body of a request must not be retained for the window of its idempotency key, or bodies fill the memory over a day.
 func TestBodiesAreNotRetained(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	startAgent(server)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	attempt := attemptWithKey(server, "ab", "k")
 	attempt.Timeout, attempt.Body = time.Second, []byte("x")
 	server.Submit(conn, 1, attempt)
-	runPosted()
+	handleInbox()
 	server.step()
 	request := server.requests.byAttemptID["ab"]
 	require.True(t, request.running())
--- a/internal/server/gauges_test.go
+++ b/internal/server/gauges_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Old gauges count as unknown: the controller must not act on an old load.
-func TestGauges(t *testing.T) {
-	server, _ := newIdleServer(t)
+// Old gauges must count as unknown, because the controller must not act on an old load.
+func TestOldGaugesAreUnknown(t *testing.T) {
+	server, _ := newServerWithoutLoop(t)
 	server.gauges.record(server.clock.now,
 		agent.Load{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9})
 	want := admission.Gauges{CPUUtilization: 0.5, CPUDemand: 3, MemoryUtilization: 0.25, Connections: 9}
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -22,7 +22,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// captureLog has server log to the returned buffer, as a process does whose standard error is a file, without times.
+// captureLog makes server log to the returned buffer at level debug, in the format of a process whose standard error is a
+// file, without times.
 func captureLog(server *Server) *bytes.Buffer {
 	var lines bytes.Buffer
 	log := logrus.New()
@@ -33,9 +34,9 @@
 	return &lines
 }
 
-// The line of a request at log level debug: by how it ended, why, and how its last call ended.
+// The trace line of a request must not change, whatever its outcome, its reason and the outcome of its last call.
 func TestGoldenRequestTrace(t *testing.T) {
-	server, _ := newIdleServer(t)
+	server, _ := newServerWithoutLoop(t)
 	lines := captureLog(server)
 	at := server.clock.now - 40*time.Millisecond
 	attempt := Attempt{
@@ -64,9 +65,10 @@
 	golden.RequireText(t, "trail", lines.String())
 }
 
-// The lines of requests on their way: given up, rejected late and early, with a call in flight, and cancelled.
+// The trace lines of active requests must not change: of one that fails, two that are rejected, and one that is cancelled
+// while a call is in flight.
 func TestGoldenTraceOfRequests(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	startAgent(server)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
@@ -76,7 +78,7 @@
 		attempt.ArrivedAt -= 5 * time.Millisecond
 		attempt.Timeout = 2 * time.Second
 		server.Submit(conn, call, attempt)
-		runPosted()
+		handleInbox()
 		server.step()
 		return server.requests.byAttemptID[id]
 	}
@@ -89,19 +91,20 @@
 	server.handleCallRequest(agent.CallRequest{RequestID: "a2", Payload: []byte("x")})
 	server.step()
 	server.ReadEnded(conn, Disconnected)
-	runPosted()
+	handleInbox()
 	golden.RequireText(t, "trail_of_requests", lines.String())
 }
 
-// The lines of requests that the server answers by itself: before the agent is up, and at the end of the loop.
+// The trace lines of requests that the server answers without the controller must not change: before the agent is up, and
+// at the end of the loop.
 func TestGoldenTraceOfServerReasons(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
 	lines := captureLog(server)
 	submit := func(call uint32, id string) {
 		server.Submit(conn, call, attemptWithKey(server, id, id))
-		runPosted()
+		handleInbox()
 	}
 	submit(1, "a1")
 	startAgent(server)
@@ -113,7 +116,7 @@
 	golden.RequireText(t, "trail_of_server_reasons", lines.String())
 }
 
-// goldenLogCases are what the lines of TestGoldenLog are logged for.
+// goldenLogCases are the events whose log lines TestGoldenLog checks.
 var goldenLogCases = []struct {
 	name string
 	act  func(t *testing.T, server *Server)
@@ -236,14 +239,14 @@
 	}},
 }
 
-// Log lines that the documentation tells operators to look for.
+// The documentation tells operators to look for these log lines, so they must not change by accident.
 func TestGoldenLog(t *testing.T) {
 	var got strings.Builder
 	for _, testCase := range goldenLogCases {
-		server, runPosted := newIdleServer(t)
+		server, handleInbox := newServerWithoutLoop(t)
 		lines := captureLog(server)
 		testCase.act(t, server)
-		runPosted()
+		handleInbox()
 		fmt.Fprintf(&got, "== %s\n%s", testCase.name, lines)
 	}
 	fixture := newHandoverFixture(t)
@@ -254,7 +257,7 @@
 	golden.RequireText(t, "log", got.String())
 }
 
-// Names of states in log lines of changes, and the reasons of invalid requests.
+// The names of states in log lines, and the reasons of invalid requests, must not change.
 func TestGoldenNames(t *testing.T) {
 	var got strings.Builder
 	for state := overload.StoreHealthy; state <= overload.StoreRecovering; state++ {
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -14,25 +14,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// handoverFixture is a server that is up, with one connection; the test plays the other process of the handover.
+// handoverFixture is a server that is up, with one connection. The test acts as the other process of the handover.
 type handoverFixture struct {
 	*Server
 	*recordingConnection
-	t         *testing.T
-	runPosted func()
-	link      *handover.Link
-	published *bufio.Scanner
-	lastCall  uint32
+	t           *testing.T
+	handleInbox func()
+	link        *handover.Link
+	published   *bufio.Scanner
+	lastCall    uint32
 }
 
 func newHandoverFixture(t *testing.T) *handoverFixture {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	startAgent(server)
 	fixture := &handoverFixture{
 		Server:              server,
 		recordingConnection: &recordingConnection{},
 		t:                   t,
-		runPosted:           runPosted,
+		handleInbox:         handleInbox,
 	}
 	here, there := net.Pipe()
 	require.NoError(t, there.SetDeadline(time.Now().Add(30*time.Second)))
@@ -41,7 +41,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = fixture.link.Run() // ends with an error where the test has left messages unread
+		_ = fixture.link.Run() // fails if the test has left messages unread
 	}()
 	t.Cleanup(func() {
 		here.Close()
@@ -50,34 +50,34 @@
 		<-ended
 	})
 	server.ConnectionOpened(fixture.recordingConnection)
-	runPosted()
+	handleInbox()
 	return fixture
 }
 
-// submitWithKey sends an attempt with an idempotency key, and lets the controller decide on it.
+// submitWithKey submits an attempt with an idempotency key, and lets the controller decide on it.
 func (f *handoverFixture) submitWithKey(key string) *activeRequest {
 	f.lastCall++
 	id := string(rune('a' + f.lastCall))
 	f.Submit(f.recordingConnection, f.lastCall, attemptWithKey(f.Server, id, key))
-	f.runPosted()
+	f.handleInbox()
 	f.step()
 	return f.requests.byAttemptID[id]
 }
 
-// receive handles a message of the other process.
+// receive handles a message from the other process.
 func (f *handoverFixture) receive(message handover.Message) {
 	f.handlePeerMessage(f.link, message)
 	f.step()
 }
 
-// expect reads the next message to the other process, which must be that command.
+// expect reads the next message to the other process, which must have the given command.
 func (f *handoverFixture) expect(cmd string) {
 	f.t.Helper()
 	require.True(f.t, f.published.Scan(), "%v", f.published.Err())
 	require.Contains(f.t, f.published.Text(), `{"cmd":"`+cmd+`"`)
 }
 
-// The successor runs nothing under a key before the predecessor has granted it.
+// The successor must not run anything with a key before the predecessor has granted that key.
 func TestSuccessorClaimsKeys(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	fixture.predecessorJoined(fixture.link)
@@ -97,7 +97,7 @@
 	fixture.expect("over")
 	require.Equal(t, []any{Served, Served}, fixture.recorded)
 
-	// A key that the predecessor has: its result is the answer.
+	// A key that the predecessor owns: the predecessor's result is the answer.
 	known := fixture.submitWithKey("bb")
 	fixture.expect("claim")
 	fixture.receive(handover.KeyKnown{IdempotencyKey: "bb", Digest: digest, WindowEnd: windowEnd})
@@ -113,7 +113,7 @@
 	fixture.submitWithKey("cc")
 	require.Equal(t, Invalid, fixture.recorded[4])
 
-	// A claim without an answer in time: nothing is run, and a late grant is given back.
+	// A claim without an answer in time: nothing is run, and a late grant is released.
 	unanswered := fixture.submitWithKey("dd")
 	fixture.expect("claim")
 	fixture.clock.now += claimTimeout
@@ -123,7 +123,7 @@
 	fixture.receive(handover.KeyGranted{IdempotencyKey: "dd"})
 	fixture.expect("free")
 
-	// After the end of the predecessor its runs may have had their effect; what it did not know may run.
+	// After the end of the predecessor, its runs may have had their effect. A key that it did not know may run.
 	fixture.receive(handover.KeyKnown{IdempotencyKey: "ee", Digest: digest, WindowEnd: windowEnd})
 	fixture.submitWithKey("ee")
 	unknown := fixture.submitWithKey("ff")
@@ -137,7 +137,7 @@
 	require.EqualValues(t, 2, fixture.stats.Runs)
 }
 
-// The predecessor publishes all keys that it knows, grants those that it does not, and leaves these alone from then on.
+// The predecessor must send all keys that it knows, grant those that it does not, and not run the granted ones itself.
 func TestPredecessorGrantsKeys(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	completed, running := fixture.submitWithKey("aa"), fixture.submitWithKey("bb")
@@ -163,7 +163,7 @@
 	fixture.completeRun(running, admission.OutcomeFailed, nil)
 	fixture.expect("over")
 
-	// What the successor gave back may be run here.
+	// A key that the successor has released may be run here.
 	claim.IdempotencyKey = "dd"
 	fixture.receive(claim)
 	fixture.expect("grant")
@@ -172,9 +172,9 @@
 	last := string(rune('a' + fixture.lastCall))
 	fixture.expect("known")
 
-	// SIGTERM with a successor: no front end is sent elsewhere, and new connections are the successor's.
+	// SIGTERM with a successor: no front end is sent elsewhere, and new connections go to the successor.
 	fixture.Drain()
-	fixture.runPosted()
+	fixture.handleInbox()
 	fixture.step()
 	require.True(t, fixture.health.healthy)
 	require.True(t, fixture.drain.started())
@@ -188,8 +188,9 @@
 	require.True(t, fixture.finished())
 }
 
-// Two processes share the descriptors of one: the predecessor closes idle connections, and none that is busy.
-func TestSharedDescriptors(t *testing.T) {
+// Two processes share the file descriptors of one: when a successor joins, the predecessor must close idle connections, but
+// no busy ones.
+func TestPredecessorClosesIdleConnectionsForSuccessor(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	fixture.config.Limits.FileDescriptors = 4 * (reservedConnections + 3) // 3 connections for each of two
 	busy := fixture.submitWithKey("aa").connection
@@ -199,13 +200,13 @@
 		fixture.ConnectionOpened(conn)
 		idle = append(idle, conn)
 	}
-	fixture.runPosted()
+	fixture.handleInbox()
 	fixture.successorJoined(fixture.link)
 	require.Equal(t, 3, fixture.connections.size())
 	require.NotNil(t, fixture.connections.get(busy))
 	fixture.peerEnded(fixture.link)
 	fixture.ConnectionOpened(&recordingConnection{})
-	fixture.runPosted()
+	fixture.handleInbox()
 	require.Equal(t, 4, fixture.connections.size())
 	closed := 0
 	for _, conn := range idle {
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordingConnection records the kinds of its answers, and the names of the other calls.
+// recordingConnection records the kinds of its answers, and the names of the other methods that are called.
 type recordingConnection struct {
 	recorded                    []any
-	closeAttempts, failedCloses int // calls of TryClose, and how many of them fail
+	closeAttempts, failedCloses int // calls of TryClose, and how many of the first ones fail
 }
 
 func (c *recordingConnection) Answer(call uint32, a Answer) {
@@ -32,8 +32,8 @@
 }
 func (c *recordingConnection) MaxOpenCalls() int { return 2 }
 
-// newIdleServer returns a server whose loop does not run, and a function that handles the events in its inbox.
-func newIdleServer(t testing.TB) (server *Server, runPosted func()) {
+// newServerWithoutLoop returns a server whose loop does not run, and a function that handles the events in its inbox.
+func newServerWithoutLoop(t testing.TB) (server *Server, handleInbox func()) {
 	text, err := os.ReadFile("../config/testdata/config.json")
 	require.NoError(t, err)
 	cfg, err := config.Parse(text, func(string) string { return "" })
@@ -47,10 +47,10 @@
 	}
 }
 
-// countingConnection only counts its answers, so that nothing grows while it is measured.
+// countingConnection only counts its answers, so that it uses no further memory during a measurement.
 type countingConnection struct {
 	answers int
-	server  *Server // notified when reading has paused; nil: none
+	server  *Server // told that reading has paused; nil if no server is to be told
 }
 
 func (c *countingConnection) Answer(uint32, Answer) { c.answers++ }
@@ -65,18 +65,18 @@
 func (c *countingConnection) TryClose() bool    { return true }
 func (c *countingConnection) MaxOpenCalls() int { return 32 }
 
-// newReadyServer returns an idle server whose agent is up, with one connection.
-func newReadyServer(t *testing.T) (server *Server, conn *recordingConnection, runPosted func()) {
-	server, runPosted = newIdleServer(t)
+// newReadyServer returns a server whose agent is up, with one connection. Its loop does not run.
+func newReadyServer(t *testing.T) (server *Server, conn *recordingConnection, handleInbox func()) {
+	server, handleInbox = newServerWithoutLoop(t)
 	startAgent(server)
 	conn = &recordingConnection{}
 	server.ConnectionOpened(conn)
-	runPosted()
+	handleInbox()
 	server.step()
-	return server, conn, runPosted
+	return server, conn, handleInbox
 }
 
-// startAgent lets the agent of a server report that it is up and warm.
+// startAgent makes the agent of a server report that it is up and warm.
 func startAgent(server *Server) {
 	server.handleHandshake(agent.Handshake{State: agent.Steady})
 }
--- a/internal/server/idempotency_test.go
+++ b/internal/server/idempotency_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requestWithKey returns a request with the idempotency key "k" that arrived at that time.
+// requestWithKey returns a request with the idempotency key "k" that arrived at the given time.
 func requestWithKey(id int, at time.Duration) *activeRequest {
 	return &activeRequest{
 		id:                admission.RequestID(id),
@@ -20,14 +20,14 @@
 	}
 }
 
-// The entry passes from attempt to attempt while none was run; from a run on it is that of the run for the whole
-// window, counted from the arrival of the attempt that was run.
+// While no attempt was run, the entry must pass from attempt to attempt. After a run, it must belong to that run for the
+// whole window, which starts at the arrival of the attempt that was run.
 func TestIdempotencyWindow(t *testing.T) {
 	keys := newIdempotencyTable(64)
 	first, second, third := requestWithKey(1, 0), requestWithKey(2, time.Second), requestWithKey(3, 2*time.Second)
 	require.Zero(t, keys.register(first))
 	require.Equal(t, first.id, keys.register(second))
-	require.Nil(t, keys.release(first)) // rejected: second takes its place
+	require.Nil(t, keys.release(first)) // rejected, so second becomes the holder
 	keys.retain(second)
 	require.Equal(t, second.id, keys.register(third))
 	require.True(t, keys.mayRun(second))
@@ -47,12 +47,12 @@
 	require.True(t, ended)
 	require.Equal(t, runResult{ok: true, body: []byte("x")}, result)
 	require.Zero(t, keys.register(past))
-	keys.drop(entry) // its window ends while the newer entry stands
+	keys.drop(entry) // must not drop the newer entry of the same key
 	require.Equal(t, 1, keys.size())
 	require.Zero(t, keys.resultBytes)
 }
 
-// A retry of an attempt that ended without a run must not wait for it, and what the agent never began may be run by a
+// A retry must not wait for an attempt that ended without a run, and a request that the agent did not start may be run by a
 // later attempt.
 func TestIdempotencyKeyWithoutRun(t *testing.T) {
 	keys := newIdempotencyTable(64)
@@ -72,7 +72,7 @@
 	require.Zero(t, keys.register(requestWithKey(4, 0)))
 }
 
-// Results are dropped before they fill the memory; the record of the run stays.
+// When the memory for results is used up, a result must not be retained, but its request must still not run again.
 func TestIdempotencyResultMemory(t *testing.T) {
 	keys := newIdempotencyTable(64)
 	keys.resultBytes = keys.maxResultBytes
@@ -87,8 +87,8 @@
 	require.False(t, keys.mayRun(second))
 }
 
-// A result that another process reports twice counts once.
-func TestResultReportedTwice(t *testing.T) {
+// A result that another process reports twice must be counted once.
+func TestResultReportedTwiceIsCountedOnce(t *testing.T) {
 	keys := newIdempotencyTable(64)
 	entry := keys.adopt(nil, handover.KeyKnown{IdempotencyKey: "k"}, 1)
 	for range 2 {
@@ -100,9 +100,9 @@
 	require.False(t, entry.reusableResult().ok)
 }
 
-// Whoever learns the key of a request must not get its result, nor a run under that key, by sending another body.
+// A client that knows the key of another request must not get its result, or a run with that key, by sending another body.
 func TestIdempotencyKeyWithAnotherBody(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	startAgent(server)
 	conn := &recordingConnection{}
 	server.ConnectionOpened(conn)
@@ -110,7 +110,7 @@
 		attempt := attemptWithKey(server, string(rune('a'+call)), "k")
 		attempt.Timeout, attempt.Body = time.Second, []byte(body)
 		server.Submit(conn, call, attempt)
-		runPosted()
+		handleInbox()
 	}
 	submit(1, "order")
 	submit(2, "another")
@@ -127,7 +127,7 @@
 	require.EqualValues(t, 1, server.stats.Runs)
 }
 
-// BenchmarkKeys is the life of a key in a table of that size: registered, run, completed, retried, dropped.
+// BenchmarkKeys runs the life cycle of a key in a table with size other keys: register, run, complete, retry, drop.
 func BenchmarkKeys(b *testing.B) {
 	for _, size := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Idle connections are notified that they close, and closed if they stay open after that; busy ones remain.
-// A server without connections has no timer for this.
-func TestIdleConnections(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+// The front ends of idle connections must be notified that they close, and connections that then stay open must be closed;
+// busy ones must remain. A server without connections must have no timer for this.
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	server, handleInbox := newServerWithoutLoop(t)
 	conn := &recordingConnection{}
 	server.connections.idleTimer.timeout = time.Second
 	advance := func(d time.Duration) {
@@ -24,7 +24,7 @@
 	_, ticks := server.deadlines.Next()
 	require.False(t, ticks)
 	server.ConnectionOpened(conn)
-	runPosted()
+	handleInbox()
 	server.scheduleIdleCheck()
 	state := server.connections.get(conn)
 	server.connections.openRequest(state, 1, &activeRequest{})
@@ -45,13 +45,13 @@
 	require.False(t, ticks)
 }
 
-// The limit on idle time may become shorter while the next check is scheduled for much later.
-func TestIdleLimitShrinks(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+// A shorter idle timeout must take effect even if the next check was scheduled for much later.
+func TestShorterIdleTimeoutTakesEffect(t *testing.T) {
+	server, handleInbox := newServerWithoutLoop(t)
 	conn := &recordingConnection{}
 	server.connections.idleTimer.timeout = time.Hour
 	server.ConnectionOpened(conn)
-	runPosted()
+	handleInbox()
 	server.scheduleIdleCheck()
 	server.dispatch(admission.Action{Kind: admission.ActionIdleTimeout, Duration: time.Second})
 	server.scheduleIdleCheck()
--- a/internal/server/loop_test.go
+++ b/internal/server/loop_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Deadlines are met in the middle of a burst: a turn handles a bounded number of events, however many arrive meanwhile.
-// Without the bound it handled a thousand and more, which on a slow core takes longer than an answer may.
+// A turn must handle a bounded number of events, so that deadlines are met during a burst. Without the bound a turn
+// handled more than a thousand events, which on a slow core takes longer than an answer may.
 func TestBurstDoesNotDelayDeadlines(t *testing.T) {
-	server, _ := newIdleServer(t)
+	server, _ := newServerWithoutLoop(t)
 	var repost func()
-	repost = func() { server.inbox.events <- task(repost) } // the inbox never runs dry
+	repost = func() { server.inbox.events <- task(repost) } // the inbox is never empty
 	for range inboxCapacity {
 		server.inbox.events <- task(func() {})
 	}
@@ -27,18 +27,18 @@
 	require.GreaterOrEqual(t, server.inbox.waiting(), inboxCapacity-maxEventsPerTurn)
 }
 
-// BenchmarkTurn is a turn with one health check, beside idle connections.
+// BenchmarkTurn runs a turn with one health check, with the given number of idle connections.
 func BenchmarkTurn(b *testing.B) {
 	for _, connections := range []int{10, 150, 500} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
-			server, runPosted := newIdleServer(b)
+			server, handleInbox := newServerWithoutLoop(b)
 			server.config.Limits.FileDescriptors = 2 * (reservedConnections + connections)
 			for range connections {
 				server.ConnectionOpened(&countingConnection{})
 			}
 			conn := &countingConnection{}
 			server.ConnectionOpened(conn)
-			runPosted()
+			handleInbox()
 			b.ReportAllocs()
 			for b.Loop() {
 				server.HealthCheck(conn, 1, false)
--- a/internal/server/member_test.go
+++ b/internal/server/member_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordingFleet records the last status and the messages sent.
+// recordingFleet is a Fleet that records the last status and the messages that were sent.
 type recordingFleet struct {
 	last         fleet.Status
 	publications int
@@ -28,11 +28,11 @@
 	f.sent = append(f.sent, string(b))
 }
 
-// Each change of state must be published at once, with the part of the requests not served since the last status.
+// Each change of state must be published at once, with the fraction of requests not served since the last status.
 func TestStatusIsPublished(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	server.publishPeriodically()
-	require.Zero(t, server.deadlines.Len(), "in no fleet nothing is published, and no timer set")
+	require.Zero(t, server.deadlines.Len(), "a server in no fleet publishes nothing and sets no timer")
 	fakeFleet := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{})}
 	server.JoinFleet(fakeFleet)
 	server.publishPeriodically()
@@ -58,7 +58,7 @@
 	server.health.deregistered = false
 	publications := fakeFleet.publications
 	server.Drain()
-	runPosted()
+	handleInbox()
 	require.Equal(t, fleet.Draining, fakeFleet.last.State)
 	require.Greater(t, fakeFleet.publications, publications)
 	require.False(t, fakeFleet.last.Replaced)
--- a/internal/server/memory_test.go
+++ b/internal/server/memory_test.go
@@ -12,47 +12,47 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulatedDay is a server whose clock is the test's.
-type simulatedDay struct {
+// simulatedServer is a server with a simulated clock.
+type simulatedServer struct {
 	*Server
-	time         time.Time
+	time         time.Time // current time of the system clock
 	rng          *rand.Rand
 	requestCount int
-	runs         []*activeRequest // that the agent works on
+	runs         []*activeRequest // in progress at the agent
 }
 
-func newSimulatedDay(t testing.TB) *simulatedDay {
-	server, _ := newIdleServer(t)
-	d := &simulatedDay{Server: server, time: time.Now().Round(0), rng: rand.New(rand.NewPCG(3, 3))}
-	server.clock.read = func() time.Time { return d.time }
+func newSimulatedServer(t testing.TB) *simulatedServer {
+	server, _ := newServerWithoutLoop(t)
+	s := &simulatedServer{Server: server, time: time.Now().Round(0), rng: rand.New(rand.NewPCG(3, 3))}
+	server.clock.read = func() time.Time { return s.time }
 	server.clock.advance()
 	startAgent(server)
-	return d
+	return s
 }
 
-// advance lets time pass: deadlines are swept, with the gauges of a machine at rest.
-func (d *simulatedDay) advance(by time.Duration) {
-	d.time = d.time.Add(by)
-	d.gauges.record(d.clock.now,
+// advance advances the clock and runs turns, with the gauges of a lightly loaded machine.
+func (s *simulatedServer) advance(by time.Duration) {
+	s.time = s.time.Add(by)
+	s.gauges.record(s.clock.now,
 		agent.Load{CPUUtilization: 0.3, CPUDemand: 1, MemoryUtilization: 0.1, Connections: 20})
-	d.turn()
-	for len(d.admission.events) > 0 {
-		d.turn()
+	s.turn()
+	for len(s.admission.events) > 0 {
+		s.turn()
 	}
 }
 
-// submit sends a request of its own: ID, key, body, client and connection are new.
-func (d *simulatedDay) submit() {
-	d.requestCount++
-	conn := &countingConnection{server: d.Server}
-	id := fmt.Sprintf("%016x", d.requestCount)
+// submit submits a request with a new ID, key, body and client on a new connection.
+func (s *simulatedServer) submit() {
+	s.requestCount++
+	conn := &countingConnection{server: s.Server}
+	id := fmt.Sprintf("%016x", s.requestCount)
 	attempt := Attempt{
 		ID:        id,
 		Subject:   id,
-		Class:     d.config.Classes[d.rng.IntN(3)],
-		ArrivedAt: time.Duration(d.time.UnixNano()),
+		Class:     s.config.Classes[s.rng.IntN(3)],
+		ArrivedAt: time.Duration(s.time.UnixNano()),
 		Timeout:   2 * time.Second,
-		Client:    d.requestCount,
+		Client:    s.requestCount,
 		CostHint:  10 * time.Millisecond,
 		MemoryKB:  4,
 		Rank:      0.5,
@@ -61,61 +61,61 @@
 	if attempt.Class == "licence-order" {
 		attempt.IdempotencyKey = id
 	}
-	d.ConnectionOpened(conn)
-	d.Submit(conn, 1, attempt)
-	switch d.rng.IntN(10) {
+	s.ConnectionOpened(conn)
+	s.Submit(conn, 1, attempt)
+	switch s.rng.IntN(10) {
 	case 0:
-		d.RejectInvalid(conn, 2, errArrivalTime)
+		s.RejectInvalid(conn, 2, errArrivalTime)
 	case 1:
-		d.HealthCheck(conn, 2, true)
+		s.HealthCheck(conn, 2, true)
 	case 2:
-		d.Cancel(conn, 1)
+		s.Cancel(conn, 1)
 	}
-	d.turn()
-	if r := d.requests.byAttemptID[id]; r != nil {
-		d.runs = append(d.runs, r)
+	s.turn()
+	if r := s.requests.byAttemptID[id]; r != nil {
+		s.runs = append(s.runs, r)
 	}
-	if d.rng.IntN(2) == 0 {
-		d.ReadEnded(conn, Disconnected)
+	if s.rng.IntN(2) == 0 {
+		s.ReadEnded(conn, Disconnected)
 	}
 }
 
-// completeRuns ends all runs, in one of the possible ways; some ask for a call first, which the store, that can't be
-// reached here, never answers.
-func (d *simulatedDay) completeRuns() {
-	for _, request := range d.runs {
+// completeRuns ends all runs, each in one of the possible ways. Some runs first request a call, which gets no reply because
+// the store can't be reached in this test.
+func (s *simulatedServer) completeRuns() {
+	for _, request := range s.runs {
 		run := agent.RunOutcome{RequestID: request.attempt.ID, Result: agent.RunSucceeded, Payload: make([]byte, 100)}
-		switch d.rng.IntN(8) {
+		switch s.rng.IntN(8) {
 		case 0:
 			run.Result = agent.RunFailed
 		case 1:
 			run.Result = agent.RunInterrupted
 		case 2:
-			d.handleCallRequest(agent.CallRequest{RequestID: request.attempt.ID, Payload: []byte("call")})
-			d.turn()
+			s.handleCallRequest(agent.CallRequest{RequestID: request.attempt.ID, Payload: []byte("call")})
+			s.turn()
 		}
-		d.handleOutcome(run)
-		d.turn()
+		s.handleOutcome(run)
+		s.turn()
 	}
-	d.runs = d.runs[:0]
+	s.runs = s.runs[:0]
 }
 
 // tableSizes returns the sizes of all tables that grow with requests or connections.
-func (d *simulatedDay) tableSizes() map[string]int {
+func (s *simulatedServer) tableSizes() map[string]int {
 	return map[string]int{
-		"requests":         len(d.requests.byID),
-		"attempt IDs":      len(d.requests.byAttemptID),
-		"connections":      len(d.connections.states),
-		"idempotency keys": d.idempotency.size(),
-		"keyed requests":   len(d.idempotency.byRequest),
-		"completed IDs":    d.completed.size(),
-		"deep checks":      len(d.health.deepChecks),
-		"deadlines":        d.deadlines.Len(),
-		"open requests":    d.connections.openRequests,
+		"requests":         len(s.requests.byID),
+		"attempt IDs":      len(s.requests.byAttemptID),
+		"connections":      len(s.connections.states),
+		"idempotency keys": s.idempotency.size(),
+		"keyed requests":   len(s.idempotency.byRequest),
+		"completed IDs":    s.completed.size(),
+		"deep checks":      len(s.health.deepChecks),
+		"deadlines":        s.deadlines.Len(),
+		"open requests":    s.connections.openRequests,
 	}
 }
 
-// liveHeap returns the memory in use without garbage.
+// liveHeap returns the size of the heap after a garbage collection.
 func liveHeap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -124,19 +124,19 @@
 	return m.HeapAlloc
 }
 
-// 45 minutes in which nothing comes twice: IDs, keys, bodies, clients and connections are always new. Each table is
-// bounded, and the memory at the end is that at half-time: a leak of eight bytes a request would be more than 100 KB.
+// In 45 minutes in which all IDs, keys, bodies, clients and connections are new, every table must stay within its bound.
+// The heap must grow by less than 64 KB in the second half: a leak of eight bytes per request would be more than 100 KB.
 func TestMemoryIsBoundedInLongRun(t *testing.T) {
 	const length, step = 45 * time.Minute, 100 * time.Millisecond
-	day := newSimulatedDay(t)
+	server := newSimulatedServer(t)
 	var halfway, atEnd uint64
 	largest := map[string]int{}
 	for at := time.Duration(0); at < length; at += step {
-		day.submit()
-		day.advance(step / 2)
-		day.completeRuns()
-		day.advance(step / 2)
-		for name, size := range day.tableSizes() {
+		server.submit()
+		server.advance(step / 2)
+		server.completeRuns()
+		server.advance(step / 2)
+		for name, size := range server.tableSizes() {
 			largest[name] = max(largest[name], size)
 		}
 		if at == length/2 {
@@ -147,13 +147,13 @@
 	if atEnd > halfway {
 		require.Less(t, atEnd-halfway, uint64(64<<10), "of %d KB in use", halfway>>10)
 	}
-	// 10 requests a second; answers within 2 s, keys for their window and the time by which attempts may be late.
-	maxArrivalAge := int(day.config.maxArrivalAge() / time.Second)
-	window := int(day.config.Settings.Classes[2].IdempotencyWindow/time.Second) + maxArrivalAge + 2
+	// 10 requests per second. Answers are given within 2 s; keys stay for their window plus the age that attempts may have.
+	maxArrivalAge := int(server.config.maxArrivalAge() / time.Second)
+	window := int(server.config.Settings.Classes[2].IdempotencyWindow/time.Second) + maxArrivalAge + 2
 	for name, bound := range map[string]int{
 		"requests":         10 * 2,
 		"attempt IDs":      10 * 2,
-		"connections":      day.maxConnections(),
+		"connections":      server.maxConnections(),
 		"idempotency keys": 10 * window,
 		"keyed requests":   10 * 2,
 		"completed IDs":    10 * 2 * (maxArrivalAge + 1),
@@ -163,5 +163,5 @@
 	} {
 		require.LessOrEqual(t, largest[name], bound, name)
 	}
-	require.EqualValues(t, day.requestCount, day.stats.Requests-day.stats.Invalid)
+	require.EqualValues(t, server.requestCount, server.stats.Requests-server.stats.Invalid)
 }
--- a/internal/server/operate_test.go
+++ b/internal/server/operate_test.go
@@ -10,7 +10,7 @@
 
 // newRunningServer returns a server whose loop runs until the end of the test.
 func newRunningServer(t *testing.T) *Server {
-	server, _ := newIdleServer(t)
+	server, _ := newServerWithoutLoop(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	server.listeners.open()
 	go server.loop(ctx)
@@ -18,8 +18,8 @@
 	return server
 }
 
-// While an operator has deregistered the server, health checks fail and requests that still arrive are served; also
-// where the agent is not up yet.
+// While an operator has deregistered the server, health checks must fail, but requests that still arrive must be served.
+// Deregistering must also work before the agent is up.
 func TestDeregister(t *testing.T) {
 	server := newRunningServer(t)
 	ctx := context.Background()
@@ -58,19 +58,19 @@
 		MemoryKB:  1,
 	})
 	require.Equal(t, Unhealthy, health())
-	figures, err := server.AppendMetrics(ctx, nil)
+	metrics, err := server.AppendMetrics(ctx, nil)
 	require.NoError(t, err)
-	require.Contains(t, string(figures), "app.backend_calls:1|c\napp.inflight:1|g\n")
+	require.Contains(t, string(metrics), "app.backend_calls:1|c\napp.inflight:1|g\n")
 
-	// A process that drains is not registered again.
+	// A process that drains can't be registered again.
 	server.Drain()
 	require.ErrorIs(t, server.Reregister(ctx), errDraining)
 	require.False(t, ready())
 }
 
-// Operators get an error, and no wait without end, while the loop does not respond.
-func TestStalledLoop(t *testing.T) {
-	server, _ := newIdleServer(t)
+// Operators must get an error, rather than wait forever, while the loop does not respond.
+func TestStalledLoopIsReportedToOperators(t *testing.T) {
+	server, _ := newServerWithoutLoop(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := server.Ready(ctx)
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Quota that is leased out must not be used from the moment at which the grant is sent, and a member that knows of no
-// other must have the quota of its settings.
+// Quota that is leased out must not be used from the moment at which the grant is sent. A member that knows of no other
+// member must have the quota of its settings.
 func TestQuotaIsLeased(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	fakeFleet := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})}
 	fakeFleet.view.Merge(0, 0, fleet.Record{Name: "n4", Run: 7, Seq: 1, State: fleet.Serving})
 	fakeFleet.view.ObserveReach(0, "n4", 7, fleet.Reached)
@@ -27,8 +27,8 @@
 		server.tickQuota()
 		return quota.limit
 	}
-	require.Zero(t, tickAt(0), "calls of a predecessor may be at work")
-	require.EqualValues(t, 2950, tickAt(time.Second), "and its leases in force")
+	require.Zero(t, tickAt(0), "calls of a predecessor may be in flight")
+	require.EqualValues(t, 2950, tickAt(time.Second), "leases of a predecessor may be valid")
 	require.EqualValues(t, 5900, tickAt(time.Minute))
 	fakeFleet.receive(overload.AppendMessage(nil, overload.Message{
 		Kind:   overload.LeaseRequest,
@@ -38,7 +38,7 @@
 		Amount: 1000,
 	}))
 	fakeFleet.receive([]byte("noise"))
-	runPosted()
+	handleInbox()
 	require.EqualValues(t, 4900, quota.limit)
 	require.Len(t, fakeFleet.sent, 1)
 	got, err := overload.ParseMessage([]byte(fakeFleet.sent[0]))
--- a/internal/server/races_closing_test.go
+++ b/internal/server/races_closing_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// closingTurn is the part of a turn that closes connections.
-func closingTurn(server *Server, runPosted func()) {
-	runPosted()
+// closingTurn runs the part of a turn that closes connections.
+func closingTurn(server *Server, handleInbox func()) {
+	handleInbox()
 	server.step()
 	server.advanceClosing()
 }
 
-// A connection that is to be closed turns out to be in use: a request arrives before the input was drained, between
-// that and the close, or while an answer is owed. All requests are answered before the connection closes.
-func TestMessageDuringClose(t *testing.T) {
+// A request may arrive on a connection that is being closed: before its input is drained, between the drain and the close,
+// or while another request waits for its answer. All requests must be answered before the connection closes.
+func TestRequestsDuringCloseAreAnswered(t *testing.T) {
 	const pause, closed = "pause", "close" // as recordingConnection records them
 	for name, testCase := range map[string]struct {
 		arrivals []string // when a request arrives
@@ -38,10 +38,10 @@
 	}
 }
 
-// closeWithArrivals closes a connection on which requests arrive at the given times, and returns what was called on it.
+// closeWithArrivals closes a connection on which requests arrive at the given times, and returns the calls of its methods.
 func closeWithArrivals(t *testing.T, arrivals []string) []any {
 	t.Helper()
-	server, conn, runPosted := newReadyServer(t)
+	server, conn, handleInbox := newReadyServer(t)
 	calls := uint32(0)
 	arrive := func(when string) {
 		if !slices.Contains(arrivals, when) {
@@ -50,7 +50,7 @@
 		calls++
 		server.Submit(conn, calls, newAttempt(server, when, "preview"))
 	}
-	turn := func() { closingTurn(server, runPosted) }
+	turn := func() { closingTurn(server, handleInbox) }
 	betweenReads := slices.Contains(arrivals, "between")
 	server.beginClose(server.connections.get(conn))
 	turn()
@@ -79,10 +79,10 @@
 	return conn.recorded
 }
 
-// A connection that is to be closed gets input without end: it is closed after a bounded number of reads.
-func TestEndlessInputDuringClose(t *testing.T) {
-	server, conn, runPosted := newReadyServer(t)
-	turn := func() { closingTurn(server, runPosted) }
+// A connection that is being closed must close after a bounded number of reads, even if its input never ends.
+func TestEndlessInputDoesNotPreventClose(t *testing.T) {
+	server, conn, handleInbox := newReadyServer(t)
+	turn := func() { closingTurn(server, handleInbox) }
 	server.beginClose(server.connections.get(conn))
 	turn()
 	conn.failedCloses = 100
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Events that cross in one turn of the loop, in both orders; docs/races.md lists them.
+// Tests of events that cross in one turn of the loop, in both orders. docs/races.md lists them.
 
-// The first attempt of a request is cancelled in the turn in which a third arrives, while a second waits for the first.
-// The third was taken for a first one beside the second, and both ran.
+// A second attempt of a request waits for the first, which is cancelled in the turn in which a third arrives. The third
+// must not be taken for a first attempt: the second and the third would both run.
 func TestFirstAttemptCancelledAgainstThird(t *testing.T) {
 	for _, order := range []string{"before the third", "after the third"} {
 		t.Run(order, func(t *testing.T) {
-			server, conn, runPosted := newReadyServer(t)
+			server, conn, handleInbox := newReadyServer(t)
 			server.Submit(conn, 1, attemptWithKey(server, "a", "k"))
 			server.Submit(conn, 2, attemptWithKey(server, "b", "k"))
-			runPosted()
+			handleInbox()
 			if order == "before the third" {
 				server.Cancel(conn, 1)
 			}
@@ -30,7 +30,7 @@
 			if order == "after the third" {
 				server.Cancel(conn, 1)
 			}
-			runPosted()
+			handleInbox()
 			server.step()
 			require.EqualValues(t, 1, server.stats.Runs)
 			for _, id := range []string{"b", "c"} {
@@ -46,18 +46,18 @@
 	}
 }
 
-// A request is read just as the loop of a drain ends: it is answered before the connection closes. It was left in the
-// inbox, and lost. Later requests find the listener closed, which happens some time before the end.
+// A request that is read just as the loop of a drain ends must not be left in the inbox, but be answered before its
+// connection closes. The listeners have closed some time before that, so no later requests arrive on new connections.
 func TestLastReadDuringShutdown(t *testing.T) {
-	server, conn, runPosted := newReadyServer(t)
+	server, conn, handleInbox := newReadyServer(t)
 	server.config.StopTimeout = time.Second // shorter than the time in which arrivals may be run
 	server.Drain()
 	server.Drain() // a second SIGTERM
-	runPosted()
+	handleInbox()
 	server.step()
 	require.Equal(t, server.drain.stopAt-listenerCloseMargin, server.drain.closeListenersAt)
 	server.Submit(conn, 1, newAttempt(server, "a", "preview"))
-	runPosted()
+	handleInbox()
 	server.step()
 	require.True(t, server.requests.byAttemptID["a"].running())
 	server.clock.now = server.drain.stopAt
@@ -68,15 +68,14 @@
 	require.Equal(t, "close", conn.recorded[3])
 }
 
-// Readers wait for room in the inbox as the loop ends: the requests they have read are answered like those in the
-// inbox. They were left unread.
+// Readers may be blocked on a full inbox when the loop ends. The requests that they have read must be answered, too.
 func TestBlockedReadersDuringShutdown(t *testing.T) {
-	server, conn, runPosted := newReadyServer(t)
+	server, conn, handleInbox := newReadyServer(t)
 	server.Drain()
-	runPosted()
+	handleInbox()
 	server.step()
 	server.clock.now = server.drain.stopAt
-	server.post(func() { // a reader that waited takes the room that this event leaves
+	server.post(func() { // a blocked reader takes the room that this event leaves
 		server.Submit(conn, 1, newAttempt(server, "a", "preview"))
 	})
 	for server.inbox.waiting() < inboxCapacity {
@@ -86,9 +85,9 @@
 	require.Equal(t, []any{"closing", Rejected, "close"}, conn.recorded)
 }
 
-// The link to the agent is checked until the handshake, and no longer: an idle server has no timer for it.
+// The link to the agent must be checked until the handshake and no longer: an idle server has no timer for it.
 func TestAgentIsCheckedUntilHandshake(t *testing.T) {
-	server, _ := newIdleServer(t)
+	server, _ := newServerWithoutLoop(t)
 	server.checkAgentUntilUp()
 	for range 3 {
 		at, ok := server.deadlines.Next()
@@ -103,11 +102,11 @@
 	require.Zero(t, server.deadlines.Len())
 }
 
-// SIGTERM arrives while the agent boots: the time in which new requests may be run counts from the signal, not from
-// when the controller learned of it.
+// If SIGTERM arrives while the agent boots, the time in which new requests may run must count from the signal, not from
+// when the controller learns of it.
 func TestDrainDuringAgentStart(t *testing.T) {
 	for _, drainFirst := range []bool{true, false} {
-		server, runPosted := newIdleServer(t)
+		server, handleInbox := newServerWithoutLoop(t)
 		server.config.StopTimeout = time.Minute
 		handshake := func() {
 			startAgent(server)
@@ -117,7 +116,7 @@
 			handshake()
 		}
 		server.Drain()
-		runPosted()
+		handleInbox()
 		server.step()
 		server.clock.now += 2 * time.Second
 		if drainFirst {
@@ -127,40 +126,42 @@
 		server.ConnectionOpened(conn)
 		server.clock.now += server.config.Settings.DrainGrace - time.Second
 		server.Submit(conn, 1, newAttempt(server, "a", "preview"))
-		runPosted()
+		handleInbox()
 		server.step()
 		require.Equal(t, []any{"closing", Rejected}, conn.recorded, "drain first: %v", drainFirst)
 		require.Zero(t, server.stats.Runs)
 	}
 }
 
-// A configuration with a longer grace period arrives during a drain: the one under which the drain began stays.
-func TestReloadDuringDrain(t *testing.T) {
-	server, _, runPosted := newReadyServer(t)
+// A longer grace period in a configuration that is loaded during a drain must not replace the one with which the drain
+// started.
+func TestReloadDuringDrainKeepsGracePeriod(t *testing.T) {
+	server, _, handleInbox := newReadyServer(t)
 	loaded := *server.config.Config
 	loaded.Settings.DrainGrace *= 2
 	server.Drain()
 	gracePeriod := server.config.Settings.DrainGrace
 	server.Reload(&loaded)
-	runPosted()
+	handleInbox()
 	require.Equal(t, gracePeriod, server.config.Settings.DrainGrace)
 	require.EqualValues(t, 1, server.stats.Reloads)
 }
 
-// A successor joins while this process drains: the successor is to be listed, so this process stops its reports.
+// If a successor joins while this process drains, this process must stop its announcements, so that the successor is listed.
 func TestSuccessorJoinsDuringDrain(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	fixture.Drain()
-	fixture.runPosted()
+	fixture.handleInbox()
 	fixture.successorJoined(fixture.link)
 	fixture.announcer.SetAccepting(false)
 	require.True(t, fixture.announcer.Stopped())
 	fixture.expect("synced")
 }
 
-// The clock is set back after a request was stamped and before it is read: that is no request from the future.
+// If the clock is set back after a request was stamped and before it is read, the request must not be rejected for an
+// arrival time in the future.
 func TestClockSetBackBeforeRequest(t *testing.T) {
-	server, conn, runPosted := newReadyServer(t)
+	server, conn, handleInbox := newReadyServer(t)
 	at := time.Now()
 	server.clock.read = func() time.Time { return at }
 	server.clock.advance()
@@ -169,28 +170,28 @@
 	at = at.Round(0).Add(-time.Hour)
 	server.clock.advance()
 	server.Submit(conn, 1, stamped)
-	runPosted()
+	handleInbox()
 	server.step()
 	require.Empty(t, conn.recorded)
 	require.True(t, server.requests.byAttemptID["a"].running())
-	stamped.ID, stamped.ArrivedAt = "b", stamped.ArrivedAt+time.Hour // one from the future is still wrong
+	stamped.ID, stamped.ArrivedAt = "b", stamped.ArrivedAt+time.Hour // an arrival time in the future is still invalid
 	server.Submit(conn, 2, stamped)
-	runPosted()
+	handleInbox()
 	require.Equal(t, []any{Invalid}, conn.recorded)
 }
 
-// All runs are lost with the agent: each request that waits for them gets one answer, and none runs again.
+// If all runs are lost with the agent, each request that waits for them must get one answer, and none may run again.
 func TestRunsLostAgainstRetry(t *testing.T) {
 	for _, first := range []string{"retry", "loss"} {
-		server, conn, runPosted := newReadyServer(t)
+		server, conn, handleInbox := newReadyServer(t)
 		server.Submit(conn, 1, attemptWithKey(server, "a", "k"))
-		runPosted()
+		handleInbox()
 		server.step()
 		if first == "loss" {
 			server.handleRunsLost()
 		}
 		server.Submit(conn, 2, attemptWithKey(server, "b", "k"))
-		runPosted()
+		handleInbox()
 		server.step()
 		if first == "retry" {
 			server.handleRunsLost()
@@ -202,19 +203,19 @@
 	}
 }
 
-// The window of a key ends while its run goes on: the entry stays until the run has ended, and its result is found.
+// If the window of a key ends during its run, the entry must stay until the run has ended, so that its result is found.
 func TestIdempotencyWindowEndsDuringRun(t *testing.T) {
-	server, conn, runPosted := newReadyServer(t)
+	server, conn, handleInbox := newReadyServer(t)
 	server.Submit(conn, 1, attemptWithKey(server, "a", "k"))
-	runPosted()
+	handleInbox()
 	server.step()
 	request := server.requests.byAttemptID["a"]
 	server.clock.now += server.config.Settings.Classes[2].IdempotencyWindow / 2
 	server.deadlines.Sweep(server.clock.now)
 	server.step()
-	require.Equal(t, []any{Failed}, conn.recorded)           // in time, though it runs
+	require.Equal(t, []any{Failed}, conn.recorded)           // answered in time, although the run continues
 	server.Submit(conn, 2, attemptWithKey(server, "b", "k")) // within the window
-	runPosted()
+	handleInbox()
 	server.step()
 	server.clock.now += 10 * server.config.Settings.Classes[2].IdempotencyWindow
 	server.completeRun(request, admission.OutcomeOK, []byte("done"))
@@ -225,21 +226,20 @@
 	require.Zero(t, server.idempotency.size())
 }
 
-// The predecessor drains while a request that it runs has not ended: it waits for the result, which answers retries at
-// the successor.
-func TestPredecessorEndsDuringItsRun(t *testing.T) {
+// A predecessor that drains must wait for the results of the requests that it runs, which answer retries at the successor.
+func TestPredecessorWaitsForItsRuns(t *testing.T) {
 	fixture := newHandoverFixture(t)
 	run := fixture.submitWithKey("aa")
 	fixture.successorJoined(fixture.link)
 	fixture.expect("known")
 	fixture.expect("synced")
 	fixture.Drain()
-	fixture.runPosted()
+	fixture.handleInbox()
 	fixture.step()
 	fixture.deadlines.Sweep(fixture.clock.now)
 	fixture.listeners.serving = 0
 	fixture.ReadEnded(fixture.recordingConnection, Disconnected)
-	fixture.runPosted()
+	fixture.handleInbox()
 	require.False(t, fixture.finished())
 	fixture.completeRun(run, admission.OutcomeOK, []byte("done"))
 	fixture.expect("over")
--- a/internal/server/shedding_test.go
+++ b/internal/server/shedding_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lastAnswerConnection keeps its last answer.
+// lastAnswerConnection records its last answer.
 type lastAnswerConnection struct {
 	recordingConnection
 	answer Answer
@@ -20,10 +20,10 @@
 
 func (c *lastAnswerConnection) Answer(_ uint32, a Answer) { c.answer = a }
 
-// Requests must be classified by their own priority and work, those that a full fleet has no capacity for must be
-// rejected for good while cores are short, and the demand on this server must be published.
+// Requests must be classified by their own priority and work. While cores are short, those for which a full fleet has no
+// capacity must be rejected without a retry elsewhere. The demand on this server must be published.
 func TestRequestsAreShed(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+	server, handleInbox := newServerWithoutLoop(t)
 	fakeFleet := &recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4}), now: time.Second}
 	fakeFleet.view.Merge(fakeFleet.now, 0, fleet.Record{
 		Name:  "n4",
@@ -39,7 +39,7 @@
 	server.tickShedding()
 	require.True(t, server.member.shedding.shedder.State().Full)
 	var last *lastAnswerConnection
-	for i := range 40 { // the first ones find free cores
+	for i := range 40 { // the first requests find free cores
 		last = &lastAnswerConnection{}
 		server.ConnectionOpened(last)
 		server.Submit(last, 1, Attempt{
@@ -50,7 +50,7 @@
 			ArrivedAt: server.clock.now,
 			CostHint:  90 * time.Millisecond,
 		})
-		runPosted()
+		handleInbox()
 		server.turn()
 	}
 	require.Equal(t, Answer{Kind: Rejected, NoRetryElsewhere: true}, last.answer)
@@ -59,6 +59,6 @@
 	require.Positive(t, fakeFleet.last.Load.ServiceRate)
 	require.Positive(t, fakeFleet.last.Load.Threshold)
 	fakeFleet.receive(overload.AppendReport(nil, overload.Report{Attempts: []uint64{1, 1, 2, 3, 4, 5}}))
-	runPosted()
+	handleInbox()
 	require.Positive(t, server.member.shedding.retries.RetryRatio())
 }
--- a/internal/server/states_test.go
+++ b/internal/server/states_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each state has a name of its own, and a value that is no state has none.
-func TestStateNames(t *testing.T) {
+// Each state must have a distinct name, and a value that is no state must be called unknown.
+func TestStateNamesAreDistinct(t *testing.T) {
 	for _, testCase := range []struct {
 		states  []fmt.Stringer
 		unknown fmt.Stringer
--- a/internal/server/trace_test.go
+++ b/internal/server/trace_test.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request can be followed by its ID: each image server that had an attempt of it logs how it ended and where the time
-// went, once; also for one whose caller has gone. Nothing is logged at other levels.
-func TestRequestTrace(t *testing.T) {
-	server, runPosted := newIdleServer(t)
+// So that a request can be followed by its ID, each image server that had an attempt must log once how the attempt ended
+// and where its time went, even if the client has gone. Nothing may be logged at other levels.
+func TestRequestIsTracedOnce(t *testing.T) {
+	server, handleInbox := newServerWithoutLoop(t)
 	log, hook := test.NewNullLogger()
 	log.SetLevel(logrus.DebugLevel)
 	server.log, server.traceRequests = log, debugEnabled(log)
@@ -29,7 +29,7 @@
 		attempt.IdempotencyKey, attempt.Timeout = id, 2*time.Second
 		attempt.ArrivedAt -= 5 * time.Millisecond
 		server.Submit(conn, call, attempt)
-		runPosted()
+		handleInbox()
 		server.step()
 		return server.requests.byAttemptID[id]
 	}
@@ -75,7 +75,7 @@
 
 	submit(3, "cc", "preview")
 	server.ReadEnded(conn, Disconnected)
-	runPosted()
+	handleInbox()
 	got = lines()
 	require.Len(t, got, 1)
 	require.Equal(t, "cancelled", got[0]["outcome"])
