--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -20,12 +20,13 @@
 // process runs one side of a handover, and records what its event loop is given.
 type process struct {
 	*testing.T
-	events   chan any
-	joined   chan *Link
+	events   chan any   // names of joins, messages and ends, in order
+	joined   chan *Link // links that were passed to OnPredecessor and OnSuccessor
 	loopLock sync.Mutex // held by a test to block the event loop
 	stop     func()     // cancels Run, and waits until it has returned
 }
 
+// startProcess starts a process that may listen at once, as serving is closed.
 func startProcess(t *testing.T, path string) *process {
 	t.Helper()
 	started := &process{T: t, events: make(chan any, 100), joined: make(chan *Link, 10)}
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -33,15 +33,15 @@
 type connectionState struct {
 	connection      Connection
 	kind            connectionKind
-	openRequests    map[uint32]*activeRequest
-	lastCallNumber  uint32        // highest call number of a request so far
-	lastUsed        time.Duration // when a message was last received or sent
+	openRequests    map[uint32]*activeRequest // by call number
+	lastCallNumber  uint32                    // highest call number of a request so far
+	lastUsed        time.Duration             // when a message was last received or sent
 	closing         closeState
 	drainReads      int  // how often reading was paused since the connection began to close
 	discardingInput bool // messages on it are ignored
 
-	idleList    *list.List // list of its kind; nil while it has an open request or is closing
-	idleElement *list.Element
+	idleList    *list.List    // list of its kind; nil while it has an open request or is closing
+	idleElement *list.Element // its element in idleList
 }
 
 // busy reports whether requests on the connection wait for their answers.
@@ -51,10 +51,10 @@
 // the cost of a turn or a new connection does not depend on their number. The loop owns the table. The times that are
 // passed to it never go back.
 type connectionTable struct {
-	states       map[Connection]*connectionState
-	idle         [connectionKinds]list.List // by kind, longest idle first
-	openRequests int                        // number on all connections
-	closing      []*connectionState
+	states       map[Connection]*connectionState // all connections, including closing ones
+	idle         [connectionKinds]list.List      // by kind, longest idle first
+	openRequests int                             // number on all connections
+	closing      []*connectionState              // connections that are closing
 	idleTimer    idleTimer
 }
 
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -97,7 +97,7 @@
 		s.member.warmAt = startedAt + settings.SlowStartTime
 	}
 	s.publishStatus()
-	s.admission.enqueue(admission.TimerFired(admission.UnknownGauges())) // the first step
+	s.admission.enqueue(admission.TimerFired(admission.UnknownGauges())) // makes the controller take its first step
 	if s.health.deregistered {
 		s.enqueueRegistration()
 	}
--- a/internal/server/gauges.go
+++ b/internal/server/gauges.go
@@ -9,13 +9,13 @@
 
 const (
 	gaugeRequestMargin = 4 * time.Millisecond // gauges are requested this long before the controller needs them
-	gaugeMaxAge        = time.Second          // older gauges count as unknown
+	gaugeMaxAge        = time.Second          // older readings count as unknown
 )
 
 // gaugeReading is the latest reading of the agent's gauges. The loop owns it.
 type gaugeReading struct {
 	values admission.Gauges
-	at     time.Duration
+	at     time.Duration // when it was received, on the clock of the loop
 }
 
 // fresh reports whether the reading is recent enough to act on.
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -20,9 +20,9 @@
 	*recordingConnection
 	t           *testing.T
 	handleInbox func()
-	link        *handover.Link
-	published   *bufio.Scanner
-	lastCall    uint32
+	link        *handover.Link // to the process that the test acts as
+	published   *bufio.Scanner // messages that the server has sent on link
+	lastCall    uint32         // call number of the last attempt
 }
 
 func newHandoverFixture(t *testing.T) *handoverFixture {
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -29,7 +29,7 @@
 	cached       bool                   // deep checks are answered with healthy, too
 	deregistered bool                   // by an operator
 	deepChecks   map[string]healthCheck // in progress at the agent, by token
-	lastToken    uint64
+	lastToken    uint64                 // number in the token that was issued last
 }
 
 func newHealthState() healthState { return healthState{deepChecks: map[string]healthCheck{}} }
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -20,7 +20,7 @@
 // notified of each change. The loop owns it.
 type idempotencyTable struct {
 	entries        map[string]*idempotencyEntry         // by key
-	byRequest      map[*activeRequest]*idempotencyEntry // of active requests
+	byRequest      map[*activeRequest]*idempotencyEntry // entries of active requests
 	resultBytes    int                                  // total size of all retained results
 	maxResultBytes int                                  // upper bound of resultBytes
 	peers          *handoverState                       // the other processes of this image server
--- a/internal/server/idempotency_entry.go
+++ b/internal/server/idempotency_entry.go
@@ -48,11 +48,11 @@
 	owner     *handover.Link      // process that owns the entry; nil for this one
 	holder    admission.RequestID // attempt that may run, or was run
 	attempts  []*activeRequest    // active attempts, in order of arrival
-	state     entryState
-	reusable  bool             // the run succeeded, and its result is retained
-	result    []byte           // of the run, if it is retained
-	waiters   []*activeRequest // attempts that wait for the end of the run
-	windowEnd time.Duration    // Unix time
+	state     entryState          // of the holder's run
+	reusable  bool                // the run succeeded, and its result is retained
+	result    []byte              // of the run, if it is retained
+	waiters   []*activeRequest    // attempts that wait for the end of the run
+	windowEnd time.Duration       // Unix time
 }
 
 // reusableResult returns the result for further attempts. It is not ok if the run failed or its result was not retained.
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -13,9 +13,9 @@
 
 // idleTimer schedules the next check for idle connections. The loop owns it.
 type idleTimer struct {
-	timeout time.Duration // idle time after which front ends are notified that a connection closes; 0 = never
-	entry   *deadline.Entry
-	at      time.Duration
+	timeout time.Duration   // idle time after which front ends are notified that a connection closes; 0 = never
+	entry   *deadline.Entry // the next check; nil if none is scheduled
+	at      time.Duration   // time of the next check
 }
 
 // closeIdle notifies the front ends of connections that have been idle for too long, and closes connections that have
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -114,7 +114,7 @@
 	server.connections.markReceived(state, server.clock.now)
 	server.stats.Requests++
 	if state.closing != closeStateOpen {
-		server.notifyClosing(state) // the front end still uses it
+		server.notifyClosing(state) // the front end still uses the connection
 	}
 	repeated := e.reusesCallNumber(state, server)
 	state.lastCallNumber = max(state.lastCallNumber, e.callNumber)
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -12,16 +12,16 @@
 type Attempt struct {
 	ID             string        // hex digits only, because it is passed on to other systems
 	IdempotencyKey string        // shared by all attempts of one request; "" = none
-	Subject        string        // what a read is about
+	Subject        string        // key of what a read request reads; "" = none
 	Class          string        // name of the request class
 	Tenant         string        // name of the tenant; "" = none
 	Retry          bool          // the sender has marked the attempt as a retry
 	ArrivedAt      time.Duration // arrival at this machine; Unix time
 	Timeout        time.Duration // how long the client waits, from ArrivedAt on; 0 = not given
-	Client         int           // number of the client
+	Client         int           // number that identifies the client
 	CostHint       time.Duration // expected processing time; 0 = not given
 	MemoryKB       float64       // expected memory use
-	Rank           float64       // rank among requests of equal priority
+	Rank           float64       // orders requests of equal value: the higher one is shed last
 	Body           []byte
 }
 
@@ -102,7 +102,7 @@
 	startedAt time.Duration // start of its run, or of its wait for the run of another attempt
 
 	callBody      []byte        // body of the call that its run waits for
-	callOffset    int64         // offset of the agent's notification that asked for that call
+	callOffset    int64         // offset of the agent's notification that requested that call
 	callStartedAt time.Duration // start of the last call to the store
 	trace         requestTrace
 }
@@ -112,9 +112,9 @@
 
 // requestTable holds the active requests. The loop owns it.
 type requestTable struct {
-	byID        map[admission.RequestID]*activeRequest
+	byID        map[admission.RequestID]*activeRequest // all active requests
 	byAttemptID map[string]*activeRequest
-	lastID      admission.RequestID
+	lastID      admission.RequestID // ID that was assigned last
 }
 
 func newRequestTable() requestTable {
