--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -86,7 +86,7 @@
 	finished, err := p.handleSignals(serverDone)
 	if !finished {
 		// The first wait has timed out. The extension's context ends when this function returns, and nothing waits for it.
-		p.log.Warn("drain ended with connections open")
+		p.log.Warn("drain ended with connections open, the process ends without closing them")
 		return nil
 	}
 	stop()
@@ -126,7 +126,7 @@
 	go func() {
 		err := console.Serve(ctx, listener, instance, logging.NewLimiter(p.log), p.extension.Pages...)
 		if err != nil {
-			p.log.WithError(err).Error("console stopped")
+			p.log.WithError(err).Error("console stopped, the server continues")
 		}
 	}()
 	return nil
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -160,7 +160,7 @@
 	}
 	settings.MaxCallsInFlight = s.callLimit()
 	if err := s.admission.controller.Reconfigure(settings); err != nil {
-		s.warnings.Warn("call limit", "call limit rejected by the admission controller", err)
+		s.warnings.Warn("call limit", "call limit rejected by the admission controller, the previous limit stays", err)
 	}
 }
 
