--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -86,7 +86,7 @@
 	finished, err := p.handleSignals(serverDone)
 	if !finished {
 		// The first wait has timed out. The extension's context ends when this function returns, and nothing waits for it.
-		p.log.Warn("drain ended with connections open, the process ends without closing them")
+		p.log.Warn("drain ended with connections open, exiting")
 		return nil
 	}
 	stop()
