--- a/internal/fleet/aggregate.go
+++ b/internal/fleet/aggregate.go
@@ -2,22 +2,27 @@
 
 import "time"
 
-// Aggregate is the sum of the fresh records of members that serve.
+// Aggregate is the sum over the members that serve by a fresh record.
 type Aggregate struct {
-	Members, Stale int           // members that count, and members that are alive with records too old to count
-	Capacity, Busy float64       // cores, and cores in use
-	InFlight       int           // requests without a response
-	Oldest         time.Duration // age of the oldest record that counts
+	Members  int           // members in the sum
+	Stale    int           // members that are alive, but not in the sum because their records are too old
+	Capacity float64       // cores
+	Busy     float64       // cores in use
+	InFlight int           // requests that are not answered yet
+	Oldest   time.Duration // age of the oldest record in the sum
 
-	// Of the members that report a service rate: seconds of work that they complete in a second, the requests that
-	// they read in a second, how many of these are retries, and the extremes of their shedding thresholds.
-	ServiceRate, Attempts, Retries float64
-	MinThreshold, MaxThreshold     float64
+	// Of the members that report a service rate.
+	ServiceRate  float64 // seconds of work that they complete per second
+	Attempts     float64 // requests that they read per second
+	Retries      float64 // of these, the retries
+	MinThreshold float64 // least of their shedding thresholds
+	MaxThreshold float64 // greatest of their shedding thresholds
 
-	CallQuota, MeanCalls float64 // mean concurrent calls at stores that all may have, and do have
+	CallQuota float64 // mean concurrent calls that they may have at stores
+	MeanCalls float64 // mean concurrent calls that they have at stores
 }
 
-// Aggregate adds up the records of serving members that are no older than fresh.
+// Aggregate returns the sum over the members that serve by a record no older than fresh.
 func (s *Snapshot) Aggregate(now, fresh time.Duration) (total Aggregate) {
 	for i := range s.Members {
 		member := &s.Members[i]
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// ChangeKind is what has changed. Its text is the message of a log line.
+// ChangeKind says what has changed. Its text is the message of the log line.
 type ChangeKind string
 
-// Kinds of changes.
+// The kinds of changes.
 const (
 	MemberJoined     ChangeKind = "member joined"
 	MemberRestarted  ChangeKind = "member restarted"
-	MemberForgotten  ChangeKind = "member removed from view"
+	MemberRemoved    ChangeKind = "member removed from view"
 	ConditionChanged ChangeKind = "member condition changed"
 	VersionChanged   ChangeKind = "member version changed"
 	ConfigChanged    ChangeKind = "member configuration changed"
@@ -22,20 +22,21 @@
 
 // Change is one difference between two snapshots, for the log.
 type Change struct {
-	Member   string // empty for a zone and for the observer's position
-	Zone     string // of ZoneChanged
+	Member   string // name of the member; empty for ZoneChanged and PositionChanged
+	Zone     string // name of the zone; empty unless ZoneChanged
 	Kind     ChangeKind
-	From, To string
-	Age      time.Duration // of the record that reported it
+	From, To string        // the value before and after; empty: there was none
+	Age      time.Duration // age of the member's record in the later snapshot; 0 for MemberRemoved
 }
 
-// Changes returns the differences from the previous snapshot to s, by member name. Load is left out.
+// Changes returns the differences from the previous snapshot to s: first those of members in the order of their names,
+// then those of zones and of the observer's position. It ignores load.
 func (s *Snapshot) Changes(previous *Snapshot) (changes []Change) {
 	i := 0
 	for j := range s.Members {
 		member := &s.Members[j]
 		for ; i < len(previous.Members) && previous.Members[i].Name < member.Name; i++ {
-			changes = append(changes, previous.Members[i].forgotten())
+			changes = append(changes, previous.Members[i].removed())
 		}
 		if i == len(previous.Members) || previous.Members[i].Name > member.Name {
 			changes = append(changes, member.change(MemberJoined, "", member.Condition(), s.At))
@@ -45,7 +46,7 @@
 		i++
 	}
 	for ; i < len(previous.Members); i++ {
-		changes = append(changes, previous.Members[i].forgotten())
+		changes = append(changes, previous.Members[i].removed())
 	}
 	changes = s.appendZoneChanges(changes, previous)
 	if previous.Position != s.Position {
@@ -56,8 +57,8 @@
 	return changes
 }
 
-func (m *Member) forgotten() Change {
-	return Change{Member: m.Name, Kind: MemberForgotten, From: m.Condition()}
+func (m *Member) removed() Change {
+	return Change{Member: m.Name, Kind: MemberRemoved, From: m.Condition()}
 }
 
 // appendChanges appends the differences from the same member in an earlier snapshot.
@@ -69,7 +70,7 @@
 		changes = append(changes, m.change(ConditionChanged, from, to, now))
 	}
 	if previous.Seq == 0 {
-		return changes // no record of it was received before
+		return changes // the previous snapshot had no record to compare with
 	}
 	if previous.Version != m.Version {
 		changes = append(changes, m.change(VersionChanged, previous.Version, m.Version, now))
@@ -85,6 +86,7 @@
 	return Change{Member: m.Name, Kind: kind, From: from, To: to, Age: m.Age(now)}
 }
 
+// appendZoneChanges appends the zones that became, or are no longer, mostly unreachable.
 func (s *Snapshot) appendZoneChanges(changes []Change, previous *Snapshot) []Change {
 	for i := range s.Zones {
 		zone := &s.Zones[i]
@@ -107,5 +109,5 @@
 	return "reached"
 }
 
-// formatDigest returns the digest of a configuration in hex digits.
+// formatDigest returns the digest of a configuration as 16 hex digits.
 func formatDigest(digest uint64) string { return fmt.Sprintf("%016x", digest) }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,7 +1,19 @@
-// Package fleet is the membership view that one image server holds of its fleet, and the rules by which the records
-// of members are merged into it. The package is pure: it has no socket, file, clock, goroutine or global state. Times
-// are passed in as durations on the observer's monotonic clock, and effects are returned as values.
+// Package fleet holds the membership view of one image server: the members that it knows, how old its knowledge of each
+// is, and which of them it reaches. It makes the decisions of package gossip, which does the networking.
 //
-// Two kinds of knowledge are kept apart. A Record is what a member published of itself. A record may be stale. Reach and Evidence are what this observer found out by itself; they are never passed on
-// to other members as facts. A caller that finds the view empty, old or partitioned acts as it would without a fleet.
+//   - Each process publishes a Record of itself with its state, load and address. Members pass records on.
+//   - A View keeps the greatest record of each name by Record.Less: by incarnation, then process, then sequence number.
+//     Merging is commutative and idempotent, so that all members end up with the same records in any order of receipt.
+//   - The observer adds what it found out itself: Reach, the result of its failure detection, and DialOutcome, the result
+//     of its dial to a lost process. Neither is sent to other members as a fact.
+//   - Liveness combines the two kinds of knowledge. It tells a failed process, a stalled process, a partition and a
+//     member that left apart.
+//   - A Snapshot is an immutable copy of a View for other goroutines.
+//   - Self is what this process publishes, and settles conflicts over its name. Rejoin decides which addresses to dial, so
+//     that a fleet that was partitioned merges again.
+//
+// The package is pure: it has no sockets, files, clocks, goroutines or global state. Times are passed in as durations on
+// the observer's monotonic clock, and effects are returned as values.
+//
+// Records may be stale. A caller that finds the view empty, stale or partitioned must act as it would without a fleet.
 package fleet
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// maxObservations is the number of processes of one name that are observed.
+// maxObservations bounds the observations of one name, one for each of its processes.
 const maxObservations = 4
 
-// observation is what the failure detection and dials found out of one process.
+// observation is what this observer found out about one process by failure detection and dials.
 type observation struct {
-	run      uint64
-	reach    Reach
-	evidence Evidence
-	since    time.Duration // of the reach
+	run         uint64
+	reach       Reach
+	dialOutcome DialOutcome   // of a dial since the process was lost
+	since       time.Duration // when reach took its current value
 }
 
-// entry is what a view holds of one name.
+// entry is what a view knows of one name. Times are on the observer's clock.
 type entry struct {
-	record       *Record       // nil: none was received
-	recordedAt   time.Duration // latest time at which it can have been published
-	start        startEstimate // of the process whose record it is
-	observations []observation // newest last
-	lastReached  time.Duration // when any of its processes was last reached, or else when the entry was made
+	record       *Record       // greatest record received; nil: none
+	recordedAt   time.Duration // latest time at which record can have been published
+	start        startEstimate // of the process that published record
+	observations []observation // newest process last
+	lastReached  time.Duration // when a process of the name was last reached; if never, when the entry was made
 }
 
 // observationOf returns the observation of a process, or nil.
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// observe returns the observation of a process. A new one replaces the oldest if there are too many.
+// observe returns the observation of a process, which it adds if there is none. Beyond maxObservations it drops the
+// oldest.
 func (e *entry) observe(now time.Duration, run uint64) *observation {
 	if known := e.observationOf(run); known != nil {
 		return known
@@ -47,8 +48,8 @@
 	return &e.observations[len(e.observations)-1]
 }
 
-// currentObservation returns the observation of the process whose record is current, or of the newest process if no
-// record was received; nil if there is none.
+// currentObservation returns the observation of the process that published the current record. If no record was
+// received, it returns that of the newest process. It returns nil if there is no such observation.
 func (e *entry) currentObservation() *observation {
 	if e.record != nil {
 		return e.observationOf(e.record.Run)
@@ -59,33 +60,36 @@
 	return &e.observations[len(e.observations)-1]
 }
 
-// startEstimate is the latest time at which a process can have started, on the observer's clock: the least difference of
-// a receipt and the uptime in the record. Time in transit, which nobody counts, makes other records look younger than
-// they are; this shows by how much, as far as an earlier record was faster.
+// startEstimate is an upper bound of the time at which a process started, on the observer's clock. It is the minimum,
+// over the records of the process, of publication time minus uptime.
+//
+// The age that an update carries does not include its time in transit, so that a delayed record looks younger than it is.
+// The uptime in the record, added to the estimate, corrects this as far as an earlier record took less time.
 type startEstimate struct {
-	latest     time.Duration
-	comparedAt time.Duration
+	latest     time.Duration // the upper bound
+	comparedAt time.Duration // when the last record was taken
 }
 
-// begin takes the first record of a process, which has the given age and uptime.
+// begin sets the estimate from the first record of a process, which has the given age and uptime.
 func (s *startEstimate) begin(now, age, up time.Duration) {
 	s.latest = now - age - up
 	s.comparedAt = now
 }
 
-// refine takes a further record of the process. Since the last one the clocks may have drifted.
+// refine lowers the estimate by a further record of the process. It first raises the estimate by the most that the two
+// clocks can have drifted apart since the last record.
 func (s *startEstimate) refine(now, age, up time.Duration) {
 	drift := max(now-s.comparedAt, 0) / clockDriftDivisor
 	s.latest = min(s.latest+drift, now-age-up)
 	s.comparedAt = now
 }
 
-// recordedAt returns the latest time at which a record of the process can have been published.
+// recordedAt returns the latest time at which a record of the process with that age and uptime can have been published.
 func (s *startEstimate) recordedAt(now, age, up time.Duration) time.Duration {
 	return min(now-age, s.latest+up)
 }
 
-// merge is View.Merge for the record's own entry. It keeps the record if that is newer.
+// merge merges a record of the entry's name. It keeps the record, and returns true, if it is greater than the current one.
 func (e *entry) merge(now, age time.Duration, record *Record) (newer bool) {
 	newer = e.record == nil || e.record.Less(record)
 	switch {
@@ -94,7 +98,7 @@
 	case newer:
 		e.start.begin(now, age, record.Up)
 	default:
-		return false // of a process that is superseded
+		return false // from a superseded process
 	}
 	recordedAt := e.start.recordedAt(now, age, record.Up)
 	switch {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -21,15 +21,15 @@
 	goldenNames   = "names.txt"
 )
 
-// goldenSnapshot has members of every liveness and state, and three zones of which one has no name.
+// goldenSnapshot returns a snapshot with members of every liveness and state in three zones, one of which has no name.
 func goldenSnapshot() *Snapshot {
 	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
-	merge := func(at time.Duration, r Record, reach Reach, evidence Evidence) {
+	merge := func(at time.Duration, r Record, reach Reach, outcome DialOutcome) {
 		view.Merge(at, 0, r)
 		if reach != NeverReached {
 			view.ObserveReach(at, r.Name, r.Run, reach)
 		}
-		view.RecordEvidence(r.Name, r.Run, evidence)
+		view.RecordDialOutcome(r.Name, r.Run, outcome)
 	}
 	record := func(name string, state State) Record {
 		return Record{
@@ -39,30 +39,30 @@
 	}
 	own := goldenRecord()
 	own.Stalled = 0
-	merge(99*time.Second, own, Reached, NoEvidence)
-	merge(98*time.Second, record("starting", Starting), Reached, NoEvidence)
+	merge(99*time.Second, own, Reached, OutcomeUnknown)
+	merge(98*time.Second, record("starting", Starting), Reached, OutcomeUnknown)
 	warming := record("warming", Warming)
 	warming.Load = Load{
 		Capacity: 4, Busy: 0.5, InFlight: 3, ServiceRate: 2, Attempts: 8, RetryRatio: 0.25, Threshold: 3.5,
 		CallQuota: 1.5, MeanCalls: 0.5,
 	}
-	merge(97*time.Second, warming, Reached, NoEvidence)
-	merge(97*time.Second, record("draining", Draining), Reached, NoEvidence)
-	merge(96*time.Second, record("newer-state", 200), Reached, NoEvidence)
-	merge(96*time.Second, record("gone", Stopped), Lost, NoEvidence)
-	merge(96*time.Second, record("heard-of", Serving), NeverReached, NoEvidence)
-	merge(50*time.Second, record("suspect", Serving), Reached, NoEvidence)
-	merge(95*time.Second, record("silent", Serving), Lost, Unanswered)
+	merge(97*time.Second, warming, Reached, OutcomeUnknown)
+	merge(97*time.Second, record("draining", Draining), Reached, OutcomeUnknown)
+	merge(96*time.Second, record("newer-state", 200), Reached, OutcomeUnknown)
+	merge(96*time.Second, record("gone", Stopped), Lost, OutcomeUnknown)
+	merge(96*time.Second, record("heard-of", Serving), NeverReached, OutcomeUnknown)
+	merge(50*time.Second, record("suspect", Serving), Reached, OutcomeUnknown)
+	merge(95*time.Second, record("silent", Serving), Lost, NoResponse)
 	merge(95*time.Second, record("dead", Serving), Lost, ConnectionRefused)
 	merge(95*time.Second, record("wedged", Serving), Lost, ConnectionAccepted)
 	stalled := record("stalled", Serving)
 	stalled.Stalled = 4 * time.Second
-	merge(95*time.Second, stalled, Reached, NoEvidence)
+	merge(95*time.Second, stalled, Reached, OutcomeUnknown)
 	view.ObserveReach(94*time.Second, "no-word", 9, Reached)
 	return view.Snapshot(100 * time.Second)
 }
 
-// The report is read by scripts and by falldeal-fleet of other versions.
+// Scripts and other versions of falldeal-fleet read the report, so that its keys and values must not change.
 func TestGoldenReportWritten(t *testing.T) {
 	report := goldenSnapshot().Report(100*time.Second + 250*time.Millisecond)
 	report.Counters = map[string]int64{"calls": 3, "words": 12}
@@ -71,7 +71,7 @@
 	golden.RequireFile(t, goldenReport, string(got)+"\n")
 }
 
-// A report that was written before must be decoded into the same values, without an unknown field.
+// A report that an earlier version wrote must still be decoded, into the same values and without an unknown field.
 func TestGoldenReportRead(t *testing.T) {
 	file, err := os.ReadFile("testdata/" + goldenReport)
 	require.NoError(t, err)
@@ -84,7 +84,7 @@
 	require.Equal(t, want, got)
 }
 
-// A process that knows no other member reports that it received nothing, and a list of itself alone.
+// A process that knows no other member must report that it received no record, and itself as the only member.
 func TestGoldenReportAlone(t *testing.T) {
 	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
 	view.Merge(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Busy: -1}})
@@ -93,7 +93,7 @@
 	golden.RequireFile(t, "report_alone.json", string(got)+"\n")
 }
 
-// The texts of changes between two snapshots stand in the log.
+// The texts of changes between two snapshots appear in the log. Each difference must be reported, in both directions.
 func TestGoldenChanges(t *testing.T) {
 	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
 	record := func(name string, run uint64) Record {
@@ -132,7 +132,8 @@
 	golden.RequireFile(t, goldenChanges, got.String())
 }
 
-// The numbers are sent or published as metrics, the names stand in reports, logs and spans.
+// Numbers are sent to other members or published as metrics, and names appear in reports, logs and spans. Neither must
+// change by accident.
 func TestGoldenNames(t *testing.T) {
 	var got strings.Builder
 	for state := Starting; state <= Stopped; state++ {
@@ -155,8 +156,9 @@
 	require.Equal(t, uint64(0x1a2b), run)
 }
 
-// Whatever a report names comes back as what the program calls it; a name of another version is left as it is.
-func TestNamesOfReports(t *testing.T) {
+// falldeal-fleet prints names from reports of other versions. Each name must map back to the one that the program uses, and
+// an unknown name must be kept.
+func TestReportNamesMapBack(t *testing.T) {
 	for liveness := Unconfirmed; liveness <= Left; liveness++ {
 		member := Member{Record: &Record{}, Liveness: liveness}
 		require.Equal(t, liveness.String(), ConditionName(member.reportedCondition()))
--- a/internal/fleet/golden_update_test.go
+++ b/internal/fleet/golden_update_test.go
@@ -14,7 +14,7 @@
 
 const goldenUpdates = "words.hex"
 
-// updateCase is a record as it is sent. Read changes it into what is received, where that differs.
+// updateCase is a record that is sent. If what is received differs, read changes the record into that.
 type updateCase struct {
 	name   string
 	record Record
@@ -22,7 +22,7 @@
 	read   func(r *Record)
 }
 
-// minimalRecord returns the smallest valid record, changed by change.
+// minimalRecord returns the smallest valid record after change was applied to it.
 func minimalRecord(change func(r *Record)) Record {
 	r := Record{Name: "n1", Run: 7, Load: Load{Busy: -1}}
 	change(&r)
@@ -46,11 +46,11 @@
 	}
 }
 
-// fieldAdded is an encoded field of a newer version.
+// fieldAdded is an encoded field that a newer version might add.
 var fieldAdded = string(protowire.AppendString(protowire.AppendTag(nil, 99, protowire.BytesType), "added"))
 
-// goldenUpdateCases has every field by itself, all of them together, and the bounds of what is sent. The names stand in
-// the golden file.
+// goldenUpdateCases returns records with each field by itself, with all fields, and with values at or beyond the bounds.
+// The golden file contains the names of the cases.
 func goldenUpdateCases() []updateCase {
 	field := func(name string, change func(r *Record)) updateCase {
 		return updateCase{name: name, record: minimalRecord(change)}
@@ -95,7 +95,7 @@
 	return append(cases, goldenBoundCases()...)
 }
 
-// goldenBoundCases are records that are not received as they were sent, and the longest texts.
+// goldenBoundCases returns records with values that the encoding limits or rounds, and one with the longest texts.
 func goldenBoundCases() []updateCase {
 	return []updateCase{
 		{name: "greatest age", record: minimalRecord(func(*Record) {}), age: math.MaxInt64},
@@ -119,7 +119,7 @@
 	}
 }
 
-// The encoding must stay as it is, field by field: members of several versions share a fleet.
+// Members of different versions share a fleet, so that the encoding of each field must not change.
 func TestGoldenUpdatesWritten(t *testing.T) {
 	var frames []golden.Frame
 	for _, testCase := range goldenUpdateCases() {
@@ -129,7 +129,7 @@
 	golden.RequireFrames(t, goldenUpdates, frames)
 }
 
-// Updates that were written before must still be parsed, each into the same record and age.
+// Updates that earlier versions wrote must still be parsed, each into the same record and age.
 func TestGoldenUpdatesRead(t *testing.T) {
 	cases := goldenUpdateCases()
 	frames := golden.ReadFrames(t, goldenUpdates, len(cases))
@@ -146,7 +146,7 @@
 	}
 }
 
-// The first byte distinguishes the kinds of messages; those of the other kind are read by another package.
+// The first byte of a message tells its kind to members of other versions, so that the values must not change.
 func TestGoldenKinds(t *testing.T) {
 	require.Equal(t, 1, kindUpdate)
 	require.Equal(t, 2, KindDirect)
--- a/internal/fleet/liveness.go
+++ b/internal/fleet/liveness.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Reach is what the failure detection of this observer says of a process.
+// Reach is the result of this observer's failure detection for a process.
 type Reach uint8
 
-// Results of the failure detection.
+// The results of the failure detection.
 const (
-	NeverReached Reach = iota // known by records that others passed on only
-	Reached                   // it answers this observer or one that probed for it, or it may still refute a suspicion
-	Lost                      // it did not answer, and did not refute the suspicion in time
+	NeverReached Reach = iota // known only from records that other members passed on
+	Reached                   // it answers this observer or a member that probes for it, or may still refute a suspicion
+	Lost                      // it neither answered nor refuted the suspicion in time
 )
 
-// Evidence is the result of a dial to the address of a lost process. Its loss alone says only that nothing comes back.
-type Evidence uint8
+// DialOutcome is the outcome of a dial to the address of a lost process. It tells the possible causes of the loss apart.
+type DialOutcome uint8
 
-// Results of a dial.
+// The outcomes of a dial.
 const (
-	NoEvidence         Evidence = iota // not dialed, or not finished
-	ConnectionRefused                  // the machine answers, and nothing listens there
-	ConnectionAccepted                 // the connection is accepted, and nothing comes back on it
-	Unanswered                         // nothing comes back, not even a refusal
+	OutcomeUnknown     DialOutcome = iota // not dialed, not finished, or failed in another way
+	ConnectionRefused                     // the machine responds, but no process listens at the address
+	ConnectionAccepted                    // the connection was accepted, but nothing was received on it in time
+	NoResponse                            // the machine did not respond in time
 )
 
-// Liveness is what an observer concludes about a member.
+// Liveness is what an observer concludes about a member from its record, Reach and DialOutcome.
 type Liveness uint8
 
-// Conclusions about a member.
+// The conclusions about a member.
 const (
-	Unconfirmed Liveness = iota // known by records that others passed on only
-	Alive                       // it is reached
-	Suspect                     // it is reached, but its record is overdue, or its next process has not published yet
-	Stalled                     // its process is there and does not work: it is stopped, or its loop stalls
-	Unreachable                 // partitioned from this observer; it may be well
-	Failed                      // its machine answers that it is not there
+	Unconfirmed Liveness = iota // known only from records that other members passed on
+	Alive                       // reached
+	Suspect                     // reached, but its record is overdue or its next process has not published yet
+	Stalled                     // its process exists but does not work: it is stopped, or its loop stalls
+	Unreachable                 // partitioned from this observer; it may work
+	Failed                      // its machine responds, but its process has ended
 	Left                        // it published that it stops
 )
 
@@ -44,10 +44,10 @@
 
 func (l Liveness) String() string { return livenessNames[l] }
 
-// ended reports whether the process of the member has ended.
+// ended reports whether the member's process has ended.
 func (l Liveness) ended() bool { return l == Left || l == Failed }
 
-// liveness is the conclusion about the member now, where records older than fresh are overdue.
+// liveness returns the conclusion about the member at now. A record older than fresh is overdue.
 func (e *entry) liveness(now, fresh time.Duration) Liveness {
 	if e.record != nil && e.record.State == Stopped {
 		return Left
@@ -66,6 +66,7 @@
 	}
 }
 
+// livenessReached is liveness for a process that is reached.
 func (e *entry) livenessReached(now, fresh time.Duration, current *observation) Liveness {
 	switch {
 	case e.record != nil && e.record.Stalled > 0:
@@ -81,18 +82,19 @@
 	return e.record == nil || now-e.recordedAt > fresh
 }
 
+// livenessLost is liveness for a process that is lost.
 func (e *entry) livenessLost(current *observation) Liveness {
 	for i := range e.observations {
 		if e.observations[i].reach == Reached {
-			return Suspect // the next process of the name is there, and its record has not been received yet
+			return Suspect // another process of the name is reached, and its record has not been received yet
 		}
 	}
-	switch current.evidence {
+	switch current.dialOutcome {
 	case ConnectionRefused:
 		return Failed
 	case ConnectionAccepted:
 		return Stalled
-	default: // NoEvidence, Unanswered
+	default: // OutcomeUnknown, NoResponse
 		return Unreachable
 	}
 }
--- a/internal/fleet/nameconflict.go
+++ b/internal/fleet/nameconflict.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// conflictTimeout is how long a rival must prove that it lives until this process releases the name. A process
-	// that is being replaced publishes that within this time.
+	// conflictTimeout is how long a rival must keep proving that it runs before this process releases the name. A
+	// process that is being replaced publishes its replacement within this time and then no longer counts as a rival.
 	conflictTimeout = 3 * time.Second
 	maxRivals       = 8
 )
 
-// rival is a process with the same name that has proved that it lives: its incarnation answers one of this process.
+// rival is another process with the same name that has proved that it runs: it raised its incarnation above this
+// process's, see provesRunning.
 type rival struct {
-	firstProof, lastProof time.Duration // of an unbroken series of proofs
-	lastSeq               uint64        // of the record that was the last proof
+	firstProof, lastProof time.Duration // receipt of the first and last proof of a series without gaps over conflictTimeout
+	lastSeq               uint64        // sequence number of the last record that was a proof
 }
 
-// rivalSet is the rivals of a process by their Run.
+// rivalSet holds the rivals of a process by their Run.
 type rivalSet map[uint64]rival
 
-// prove notes that the process of the record lives. Ok is false for a record that is no new proof, and where there are
-// too many rivals.
-func (s rivalSet) prove(now time.Duration, record *Record) (proven rival, ok bool) {
+// recordProof records that the process that published the record runs. It returns false if the record is not newer than
+// the last proof, or there are maxRivals other rivals.
+func (s rivalSet) recordProof(now time.Duration, record *Record) (proven rival, ok bool) {
 	proven, known := s[record.Run]
 	full := !known && len(s) >= maxRivals
 	if full || record.Seq <= proven.lastSeq {
@@ -35,18 +36,22 @@
 	return proven, true
 }
 
-// Receive handles the record of another process with this name, and returns whether this process has to publish at
-// once: a higher incarnation, or that it has released the name.
+// Receive handles a record of another process with this process's name. It returns true if this process must publish at
+// once, either a higher incarnation or the release of its name.
 //
-// The record is that of a predecessor, which is superseded by a higher incarnation, or that of a process that lives at
-// the same time. A predecessor that has ended can't answer a raise of the incarnation, a living rival does. Of two that
-// live, the one that was started later releases the name.
+// The record is that of a predecessor that has ended, or of a rival that runs at the same time:
+//
+//   - This process raises its incarnation above that of a greater record, so that its own records supersede it.
+//   - A predecessor that has ended cannot react to the raise. A rival raises its own incarnation in turn, which proves
+//     that it runs.
+//   - Of two processes that run, the one that started later releases the name, once the other has kept proving that it
+//     runs for conflictTimeout.
 func (s *Self) Receive(now time.Duration, record *Record) (urgent bool) {
 	if record.Name != s.record.Name || record.Run == s.record.Run || s.ownership != nameOwned {
 		return false
 	}
-	if s.answeredBy(record) {
-		proven, ok := s.rivals.prove(now, record)
+	if s.provesRunning(record) {
+		proven, ok := s.rivals.recordProof(now, record)
 		if !ok {
 			return false
 		}
@@ -63,12 +68,13 @@
 	return true
 }
 
-// answeredBy reports whether a process that lives has raised its incarnation above that of this one.
-func (s *Self) answeredBy(record *Record) bool {
+// provesRunning reports whether the record proves that its process runs: it has raised its incarnation above this
+// process's, and has not stopped.
+func (s *Self) provesRunning(record *Record) bool {
 	return record.Supersedes == s.record.Run && record.State != Stopped
 }
 
-// releaseName gives up the name for good.
+// releaseName releases the name permanently.
 func (s *Self) releaseName() {
 	s.ownership = nameReleased
 	s.record.State = Stopped
--- a/internal/fleet/nameconflict_explore_test.go
+++ b/internal/fleet/nameconflict_explore_test.go
@@ -12,18 +12,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The protocol by which processes settle a conflict over their name, explored exhaustively: every order of publishing,
-// receiving (late, twice, never) and time passing, up to a depth. A predecessor's last records exist from the start.
+// The tests in this file explore the name conflict protocol exhaustively up to a number of steps: every order in which
+// processes publish, receive records (late, twice or never) and time passes. The last records of a predecessor exist from
+// the start.
 
-// world is one state: one or two processes that live, and all records ever published.
-type world struct {
+// conflictState is a state of the protocol: one or two running processes, and all records ever published.
+type conflictState struct {
 	now       time.Duration
 	processes []*Self
 	published []Record
 }
 
-func (w *world) clone() *world {
-	clone := &world{now: w.now, published: slices.Clone(w.published)}
+func (w *conflictState) clone() *conflictState {
+	clone := &conflictState{now: w.now, published: slices.Clone(w.published)}
 	for _, self := range w.processes {
 		process := *self
 		process.rivals = maps.Clone(self.rivals)
@@ -32,7 +33,7 @@
 	return clone
 }
 
-func (w *world) key() string {
+func (w *conflictState) key() string {
 	key := fmt.Sprint(w.now, w.published)
 	for _, self := range w.processes {
 		key += fmt.Sprint(self.record, self.ownership, self.rivals)
@@ -40,8 +41,9 @@
 	return key
 }
 
-// exchange has each process that still owns its name publish a record, which the other one receives with the latest.
-func (w *world) exchange() {
+// exchange makes each process that has not released its name publish a record. The other process receives it together
+// with the latest earlier ones.
+func (w *conflictState) exchange() {
 	for i, self := range w.processes {
 		if !self.NameReleased() {
 			w.published = append(w.published, self.NextRecord(w.now))
@@ -52,35 +54,36 @@
 	}
 }
 
-// alteration changes a record before a process receives it.
-type alteration func(to *Self, record Record) Record
+// mutation changes a record before a process receives it.
+type mutation func(to *Self, record Record) Record
 
-func unaltered(_ *Self, record Record) Record { return record }
+func unchanged(_ *Self, record Record) Record { return record }
 
-// withoutLivenessProof makes any record of another process count as a proof that it lives.
+// withoutLivenessProof makes every record of another process count as a proof that the process runs.
 func withoutLivenessProof(to *Self, record Record) Record {
 	record.Supersedes = to.record.Run
 	return record
 }
 
-// nextSteps returns all that may happen in a state.
-func nextSteps(alter alteration) func(*world) []modelcheck.Step[*world] {
-	return func(from *world) (next []modelcheck.Step[*world]) {
-		add := func(name string, do func(*world)) {
+// nextSteps returns the function that lists the steps possible in a state: time passes, a process publishes, a process
+// receives one of the records.
+func nextSteps(mutate mutation) func(*conflictState) []modelcheck.Step[*conflictState] {
+	return func(from *conflictState) (next []modelcheck.Step[*conflictState]) {
+		add := func(name string, do func(*conflictState)) {
 			changed := from.clone()
 			do(changed)
-			next = append(next, modelcheck.Step[*world]{Name: name, To: changed})
+			next = append(next, modelcheck.Step[*conflictState]{Name: name, To: changed})
 		}
-		add("wait", func(w *world) { w.now += conflictTimeout })
+		add("wait", func(w *conflictState) { w.now += conflictTimeout })
 		for i := range from.processes {
 			if !from.processes[i].NameReleased() {
-				add(fmt.Sprintf("%d publishes", i), func(w *world) {
+				add(fmt.Sprintf("%d publishes", i), func(w *conflictState) {
 					w.published = append(w.published, w.processes[i].NextRecord(w.now))
 				})
 			}
 			for j := range from.published {
-				add(fmt.Sprintf("%d receives %d", i, j), func(w *world) {
-					record := alter(w.processes[i], w.published[j])
+				add(fmt.Sprintf("%d receives %d", i, j), func(w *conflictState) {
+					record := mutate(w.processes[i], w.published[j])
 					w.processes[i].Receive(w.now, &record)
 				})
 			}
@@ -89,7 +92,7 @@
 	}
 }
 
-// lastRecords are those of a process that has ended.
+// lastRecords returns the last records of a process that has ended.
 func lastRecords() []Record {
 	predecessor := newTestSelf(1, 9)
 	return []Record{
@@ -99,54 +102,58 @@
 	}
 }
 
-// worldOfOne has one process, which was started after its clock was set back.
-func worldOfOne() *world {
-	return &world{processes: []*Self{newTestSelf(2, 5)}, published: lastRecords()}
+// restartState returns a state with one process, which started after its clock was set back.
+func restartState() *conflictState {
+	return &conflictState{processes: []*Self{newTestSelf(2, 5)}, published: lastRecords()}
 }
 
-// worldOfTwo has two processes of one name that live.
-func worldOfTwo() *world {
-	return &world{processes: []*Self{newTestSelf(2, 9), newTestSelf(3, 9)}, published: lastRecords()[:1]}
+// rivalState returns a state with two running processes of the same name.
+func rivalState() *conflictState {
+	return &conflictState{processes: []*Self{newTestSelf(2, 9), newTestSelf(3, 9)}, published: lastRecords()[:1]}
 }
 
-// wrongRelease returns what is wrong with who has released the name.
-func wrongRelease(w *world) string {
+// releaseViolation returns a description of the invariant that a state violates, or "": no process releases its name to one
+// that has ended, and the earlier of two running processes does not release it.
+func releaseViolation(w *conflictState) string {
 	if len(w.processes) == 1 && w.processes[0].NameReleased() {
-		return "a process yields to one that is dead"
+		return "a process released its name to one that has ended"
 	}
 	if len(w.processes) == 2 && w.processes[0].NameReleased() {
-		return "the earlier of two yields"
+		return "the earlier of two running processes released its name"
 	}
 	return ""
 }
 
-func TestNameConflictsExplored(t *testing.T) {
+// A process that released its name to a predecessor that has ended, or the wrong one of two processes, would leave a
+// serving member without a record in the fleet.
+func TestNameConflictsExhaustively(t *testing.T) {
 	for name, testCase := range map[string]struct {
-		start *world
+		start *conflictState
 		depth int
 	}{
-		"a predecessor's records": {worldOfOne(), 9},
-		"two at once":             {worldOfTwo(), 6},
+		"records of an ended predecessor": {restartState(), 9},
+		"two running processes":           {rivalState(), 6},
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := modelcheck.Visit(testCase.start, testCase.depth, nextSteps(unaltered), (*world).key, wrongRelease)
+			found := modelcheck.Visit(testCase.start, testCase.depth, nextSteps(unchanged), (*conflictState).key, releaseViolation)
 			require.Empty(t, found.Why, "%v", found.Steps)
 			t.Logf("%d states within %d steps", found.States, testCase.depth)
 		})
 	}
 }
 
-// The exploration must find the fault of a protocol without proof of life.
-func TestNameConflictsExploredWithFault(t *testing.T) {
-	found := modelcheck.Visit(worldOfOne(), 9, nextSteps(withoutLivenessProof), (*world).key, wrongRelease)
+// Without the proof that a rival runs, a process would release its name to a predecessor that has ended. The exploration
+// must find this fault, or it does not test what it claims.
+func TestExplorationFindsMissingLivenessProof(t *testing.T) {
+	found := modelcheck.Visit(restartState(), 9, nextSteps(withoutLivenessProof), (*conflictState).key, releaseViolation)
 	require.NotEmpty(t, found.Why)
 	t.Logf("fault found: %s, by %v", found.Why, found.Steps)
 }
 
-// From whatever state two processes got into, once they receive each other's records the earlier one keeps the name,
-// and its record is the greatest.
-func TestNameConflictsSettle(t *testing.T) {
-	modelcheck.Visit(worldOfTwo(), 4, nextSteps(unaltered), (*world).key, func(state *world) string {
+// From every state that two running processes can reach, once they receive each other's records the earlier process must
+// keep the name, and its record must be the greatest.
+func TestNameConflictsConverge(t *testing.T) {
+	modelcheck.Visit(rivalState(), 4, nextSteps(unchanged), (*conflictState).key, func(state *conflictState) string {
 		final := state.clone()
 		for range 8 {
 			final.exchange()
--- a/internal/fleet/nameconflict_test.go
+++ b/internal/fleet/nameconflict_test.go
@@ -11,7 +11,7 @@
 	return NewSelf(0, Place{Name: "n1", Run: run}, 0, incarnation)
 }
 
-// exchangeRecords has two processes of one name receive each other's records for ten seconds.
+// exchangeRecords lets two processes of the same name receive each other's records for ten seconds.
 func exchangeRecords(earlier, later *Self) {
 	for now := time.Duration(0); now < 10*time.Second; now += time.Second / 2 {
 		earlierRecord, laterRecord := earlier.NextRecord(now), later.NextRecord(now)
@@ -20,8 +20,8 @@
 	}
 }
 
-// A process that starts after its clock was set back must still supersede its predecessor; of two that live under one
-// name the later one must release it, and a process that is being replaced must not conflict with its successor.
+// A process that starts after its clock was set back must still supersede its predecessor. Of two running processes with
+// the same name the later one must release it. A process that is being replaced must not conflict with its successor.
 func TestNameConflicts(t *testing.T) {
 	t.Run("predecessor with a higher incarnation", func(t *testing.T) {
 		predecessor := newTestSelf(1, 500).Record()
@@ -29,19 +29,19 @@
 		require.True(t, successor.Receive(time.Second, &predecessor))
 		raised := successor.NextRecord(time.Second)
 		require.True(t, predecessor.Less(&raised))
-		require.False(t, successor.Receive(time.Second, &predecessor), "once is enough: a dead process does not answer")
+		require.False(t, successor.Receive(time.Second, &predecessor), "the raised incarnation already supersedes the predecessor")
 		for range 10 {
 			successor.Receive(time.Hour, &predecessor)
 		}
 		require.False(t, successor.NameReleased())
 	})
-	t.Run("two that live", func(t *testing.T) {
+	t.Run("two running processes", func(t *testing.T) {
 		earlier, later := newTestSelf(1, 100), newTestSelf(2, 100)
 		exchangeRecords(earlier, later)
 		require.True(t, later.NameReleased())
 		require.False(t, earlier.NameReleased())
 	})
-	t.Run("one that is being replaced", func(t *testing.T) {
+	t.Run("process being replaced", func(t *testing.T) {
 		replaced, successor := newTestSelf(1, 100), newTestSelf(2, 100)
 		replaced.SetStatus(0, Status{State: Serving, Replaced: true})
 		exchangeRecords(replaced, successor)
--- a/internal/fleet/period.go
+++ b/internal/fleet/period.go
@@ -4,20 +4,21 @@
 
 const (
 	minPeriod = time.Second
-	// updatesPerSecond is how many updates of others a member can receive and pass on within one packet of 1,400
-	// bytes to three others five times a second, when each update has to be passed on some eight times to reach all.
+	// updatesPerSecond is the rate of updates that a member can receive and pass on. It sends one packet of 1,400 bytes
+	// to three other members five times a second, and each update has to be passed on about eight times to reach all.
 	updatesPerSecond = 25
-	// missedPeriods is how many updates in a row may be lost, plus the one that is due: one in fifty is lost.
+	// missedPeriods is the number of periods without an update after which a record is overdue: three updates in a row
+	// may be lost while the next one is due. About one update in fifty is lost.
 	missedPeriods = 4
-	// propagationTime is what an update takes to reach all members.
+	// propagationTime is the time in which an update reaches all members.
 	propagationTime = time.Second
 )
 
-// Period is how often a member publishes its load in a fleet of that size. It grows with the fleet, so that the
-// traffic of each member does not. Changes that are urgent are published at once.
+// Period returns the interval at which a member publishes its load in a fleet with that many members: at least 1 s. It
+// grows with the fleet, so that the traffic of each member does not. Urgent changes are published at once.
 func Period(members int) time.Duration {
 	return max(minPeriod, time.Duration(members)*time.Second/updatesPerSecond)
 }
 
-// MaxFreshAge is the greatest age at which a record counts as current in a fleet of that size.
+// MaxFreshAge returns the maximum age of a record that counts as current in a fleet with that many members.
 func MaxFreshAge(members int) time.Duration { return missedPeriods*Period(members) + propagationTime }
--- a/internal/fleet/recorded_run_test.go
+++ b/internal/fleet/recorded_run_test.go
@@ -12,16 +12,16 @@
 
 const recordedSteps = 20_000
 
-// changeKinds numbers the kinds, whose texts are free to change.
+// changeKinds numbers the kinds of changes for the digest, so that their texts may change.
 var changeKinds = []ChangeKind{
-	MemberJoined, MemberRestarted, MemberForgotten, ConditionChanged, VersionChanged, ConfigChanged, ZoneChanged,
+	MemberJoined, MemberRestarted, MemberRemoved, ConditionChanged, VersionChanged, ConfigChanged, ZoneChanged,
 	PositionChanged,
 }
 
-// recordedRun draws the inputs of a run.
+// recordedRun draws the inputs of a run and hashes its results.
 type recordedRun struct{ *recorded.Run }
 
-// advance draws the time until the next step, which is mostly short.
+// advance moves the time on by up to 800 ms, and one time in 500 by 4 minutes more.
 func (r *recordedRun) advance() {
 	r.Now += time.Duration(r.Random.IntN(800)) * time.Millisecond
 	if r.Random.IntN(500) == 0 {
@@ -29,9 +29,9 @@
 	}
 }
 
-// record draws a record of one of so many names.
-func (r *recordedRun) record(names int) Record {
-	name := r.Random.IntN(names)
+// record draws a record of one of nameCount names.
+func (r *recordedRun) record(nameCount int) Record {
+	name := r.Random.IntN(nameCount)
 	load := Load{
 		Capacity: 4, Busy: float64(r.Random.IntN(6)-1) / 4, InFlight: r.Random.IntN(50), CallQuota: 2, MeanCalls: 1.5,
 		ServiceRate: float64(r.Random.IntN(5)), Attempts: float64(r.Random.IntN(40)), RetryRatio: 0.25,
@@ -57,7 +57,7 @@
 // writeRecord hashes the encoded form of a record.
 func (r *recordedRun) writeRecord(record Record) { r.Write(AppendUpdate(nil, &record, 0)) }
 
-// writeSnapshot hashes what a snapshot holds and what has changed since the previous one.
+// writeSnapshot hashes the contents of a snapshot and its changes since the previous one.
 func (r *recordedRun) writeSnapshot(snapshot, previous *Snapshot) {
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
@@ -81,7 +81,7 @@
 		run.advance()
 		record := run.record(30)
 		var known uint64
-		if current := view.Known(record.Name); current != nil {
+		if current := view.CurrentRecord(record.Name); current != nil {
 			known = current.Seq
 			run.Write(record.Urgent(current))
 		}
@@ -91,15 +91,15 @@
 		}
 		other := run.record(30)
 		view.ObserveReach(run.Now, other.Name, other.Run, Reach(run.Random.IntN(3)))
-		view.RecordEvidence(other.Name, other.Run, Evidence(run.Random.IntN(4)))
+		view.RecordDialOutcome(other.Name, other.Run, DialOutcome(run.Random.IntN(4)))
 		if step%20 == 0 {
-			view.Forget(run.Now)
+			view.RemoveExpired(run.Now)
 			snapshot := view.Snapshot(run.Now)
 			run.writeSnapshot(snapshot, previous)
 			previous = snapshot
 		}
 	}
-	run.Write(view.Dropped(), view.Size())
+	run.Write(view.RejectedNames(), view.Size())
 }
 
 func recordSelf(run *recordedRun) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// recordRejoin has one address to dial at a time, as the order of the draws for several new ones is not fixed.
+// recordRejoin has at most one lost member at a time, and so at most one new address to draw a delay for.
 func recordRejoin(run *recordedRun) {
 	rejoin := NewRejoin(nil, run.Random)
 	view := newTestView(30)
@@ -146,8 +146,8 @@
 	}
 }
 
-// What each part decides over a long run of drawn inputs must not change when the code changes its shape: members of
-// different versions share a fleet.
+// Members of different versions share a fleet, so that a refactoring must not change what a part decides. The test compares
+// a digest of the decisions over 20,000 steps of random inputs with the recorded one.
 func TestRecordedRuns(t *testing.T) {
 	for _, run := range []struct {
 		name   string
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -9,28 +9,32 @@
 )
 
 const (
-	initialDialDelay     = time.Second      // doubled with each dial of an address
-	maxDialDelay         = 30 * time.Second // in a small fleet
-	unconfirmedDialDelay = 3 * time.Second  // least delay before a member that was never reached is dialed
+	initialDialDelay     = time.Second      // between the first two dials of an address; doubled with each further dial
+	maxDialDelay         = 30 * time.Second // between two dials of an address in a fleet of up to 3 members
+	unconfirmedDialDelay = 3 * time.Second  // minimum delay before the first dial of a member that was never reached
 	maxDialsPerRound     = 2
 )
 
 // Rejoin decides which addresses to dial: seeds that are not reached, and members that are lost. The failure detection
-// forgets members that have been lost for a while, so that a fleet which was partitioned would not merge again without
-// these dials; nor would two fleets that were started apart.
+// forgets members that have been lost for a while. Without these dials the parts of a partitioned fleet would not merge
+// again, nor would fleets that were started separately.
 //
-// Each address has a schedule of its own. The first dial is delayed at random over a time that grows with the number of
-// members that notice the loss; then the delay between two dials doubles up to a maximum, and half of it is random, so
-// that members do not dial in step. The schedule starts anew once the address was reached.
+// Each address has its own schedule, which starts anew once the address was reached:
 //
-// It belongs to one goroutine.
+//   - The first dial is delayed at random over a time that grows with the number of reached members, as all of them may
+//     dial the address.
+//   - After each dial the delay until the next one doubles, up to a maximum. Half of it is random, so that members do not
+//     dial at the same time.
+//
+// A Rejoin belongs to one goroutine.
 type Rejoin struct {
 	seeds     seedSet
 	random    *rand.Rand
 	schedules map[string]*dialSchedule // by address
 }
 
-// seedSet is the seeds by address, and whether each is this process's own address or that of a reached member.
+// seedSet holds the addresses of the seeds. The value is true if the address is this process's own or that of a reached
+// member.
 type seedSet map[string]bool
 
 func newSeedSet(addresses []string) seedSet {
@@ -55,18 +59,18 @@
 	}
 }
 
-// dialSchedule is when an address is dialed next, and how long after that.
+// dialSchedule is the schedule of the dials of one address.
 type dialSchedule struct {
-	delay  time.Duration
-	nextAt time.Duration
+	delay  time.Duration // from the next dial to the one after it
+	nextAt time.Duration // time of the next dial
 }
 
-// dialCause is why an address is dialed.
+// dialCause is the reason for which an address is dialed.
 type dialCause uint8
 
 const (
-	dialUnconfirmed dialCause = iota // it publishes records, and only the failure detection of this observer misses it
-	dialLost                         // every member of the fleet is likely to miss it, and to dial it
+	dialUnconfirmed dialCause = iota // a member that publishes, but that this observer's failure detection never reached
+	dialLost                         // a lost member or a seed that is not reached; other members are likely to dial it too
 )
 
 func (c dialCause) String() string {
@@ -76,7 +80,7 @@
 	return "unconfirmed"
 }
 
-// NewRejoin returns a Rejoin that draws its delays from random.
+// NewRejoin returns a Rejoin for the addresses of the seeds. It draws its delays from random.
 func NewRejoin(seeds []string, random *rand.Rand) *Rejoin {
 	return &Rejoin{seeds: newSeedSet(seeds), random: random, schedules: map[string]*dialSchedule{}}
 }
@@ -84,7 +88,8 @@
 // SetSeeds replaces the seeds.
 func (r *Rejoin) SetSeeds(seeds []string) { r.seeds = newSeedSet(seeds) }
 
-// NextDials returns the addresses to dial now: those whose dial is the longest overdue, two at most.
+// NextDials returns the addresses to dial now, the longest overdue first, and at most maxDialsPerRound of them. It
+// schedules their next dials.
 func (r *Rejoin) NextDials(now time.Duration, snapshot *Snapshot) []string {
 	causes, reached := r.addressesToDial(now, snapshot)
 	r.dropSchedules(causes)
@@ -97,19 +102,19 @@
 	return overdue
 }
 
-// maxDialDelayOf returns the maximum delay between two dials of an address in a fleet of that size. It grows with the
-// logarithm of the size: of a large fleet only some members need to dial one that is lost.
+// maxDialDelayOf returns the maximum delay between two dials of an address in a fleet with that many members. It grows
+// with the logarithm of the number: in a large fleet only some members need to dial a lost one.
 func maxDialDelayOf(members int) time.Duration {
 	return maxDialDelay * time.Duration(1+log2(members)/2)
 }
 
-// postpone schedules the next dial of an address that is dialed now.
+// postpone schedules the next dial of an address that is being dialed.
 func (r *Rejoin) postpone(schedule *dialSchedule, now, maxDelay time.Duration) {
 	schedule.nextAt = now + schedule.delay/2 + r.drawBelow(schedule.delay/2)
 	schedule.delay = min(2*schedule.delay, maxDelay)
 }
 
-// addressesToDial returns the addresses that are not reached, and how many other members are.
+// addressesToDial returns the addresses that have to be dialed, and the number of other members that are reached.
 func (r *Rejoin) addressesToDial(now time.Duration, snapshot *Snapshot) (causes map[string]dialCause, reached int) {
 	causes = map[string]dialCause{}
 	r.seeds.reset()
@@ -135,7 +140,7 @@
 	return causes, reached
 }
 
-// dialCauseOf returns why a member that is not reached is dialed, if it is to be.
+// dialCauseOf returns whether a member that is not reached has to be dialed, and why.
 func dialCauseOf(member *Member, now, fresh time.Duration) (cause dialCause, needed bool) {
 	switch {
 	case member.Addr == "":
@@ -148,7 +153,7 @@
 	return 0, false
 }
 
-// dropSchedules forgets the delays of addresses that no longer need a dial.
+// dropSchedules removes the schedules of addresses that no longer have to be dialed.
 func (r *Rejoin) dropSchedules(causes map[string]dialCause) {
 	for addr := range r.schedules {
 		if _, ok := causes[addr]; !ok {
@@ -157,8 +162,8 @@
 	}
 }
 
-// addSchedules schedules the first dial of addresses that are new. It draws their delays in the order of the addresses,
-// so that the same seed gives the same dials.
+// addSchedules schedules the first dial of addresses without a schedule. It draws the delays in the order of the
+// addresses, so that the same random seed gives the same dials.
 func (r *Rejoin) addSchedules(now time.Duration, causes map[string]dialCause, reached int) {
 	for _, addr := range slices.Sorted(maps.Keys(causes)) {
 		if r.schedules[addr] == nil {
@@ -168,7 +173,8 @@
 	}
 }
 
-// overdueAddresses returns the addresses whose time to be dialed has come, the longest overdue first.
+// overdueAddresses returns the addresses whose dial is due, the longest overdue first, and at most maxDialsPerRound of
+// them.
 func (r *Rejoin) overdueAddresses(now time.Duration) (overdue []string) {
 	for addr, schedule := range r.schedules {
 		if now >= schedule.nextAt {
@@ -181,10 +187,11 @@
 	return overdue[:min(len(overdue), maxDialsPerRound)]
 }
 
-// firstDelay is the delay before the first dial of an address. All members notice a loss at one instant, so that the
-// delay is spread over a time that grows with their number. An unconfirmed member mostly joins by itself.
+// firstDelay returns the delay before the first dial of an address. All members notice a loss at about the same time, so
+// that the delay is drawn from a range that grows with their number. An unconfirmed member has more time, as it usually
+// joins by itself.
 func (r *Rejoin) firstDelay(cause dialCause, reached int) time.Duration {
-	// Drawn for either cause, so that the sequence of draws does not depend on it.
+	// Drawn for both causes, so that later draws do not depend on the cause.
 	unconfirmedDelay := unconfirmedDialDelay + r.drawBelow(unconfirmedDialDelay)
 	if cause == dialLost {
 		return r.drawBelow(time.Duration(reached) * initialDialDelay / 4)
@@ -192,7 +199,7 @@
 	return unconfirmedDelay
 }
 
-// drawBelow returns a random duration from 0 up to limit, exclusive.
+// drawBelow returns a random duration in [0, limit), or 0 if limit is not positive.
 func (r *Rejoin) drawBelow(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -200,6 +207,7 @@
 	return time.Duration(r.random.Int64N(int64(limit)))
 }
 
+// log2 returns the logarithm of n to base 2, rounded down.
 func log2(n int) (log int) {
 	for ; n > 1; n >>= 1 {
 		log++
--- a/internal/fleet/rejoin_test.go
+++ b/internal/fleet/rejoin_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The same seed must give the same dials, however many addresses are new at once: schedules are replayed by their seed.
+// Simulated schedules are replayed by their seed. The same seed must give the same dials although several addresses become
+// new at once and maps have no order.
 func TestRejoinIsReproducible(t *testing.T) {
 	view := newTestView(100)
 	for i := range 40 {
@@ -21,19 +22,20 @@
 		}
 		view.ObserveReach(0, record.Name, 1, reach)
 	}
-	play := func() (dials [][]string) {
+	run := func() (dials [][]string) {
 		rejoin := NewRejoin([]string{"seed0", "seed1"}, rand.New(rand.NewPCG(1, 1)))
 		for now := time.Duration(0); now < time.Minute; now += time.Second / 4 {
 			dials = append(dials, rejoin.NextDials(now, view.Snapshot(now)))
 		}
 		return dials
 	}
-	first, second := play(), play()
+	first, second := run(), run()
 	require.Equal(t, first, second)
 }
 
-// Lost members and seeds must be dialed, but not all at once, and not ever faster; those that left must not be.
-func TestRejoin(t *testing.T) {
+// Lost members and seeds must be dialed again and again, or a partitioned fleet never merges; but not all in one round, and
+// with delays that stay within bounds. Members that left must not be dialed.
+func TestRejoinDialsLostMembersWithBackoff(t *testing.T) {
 	view := newTestView(100)
 	view.Merge(0, 0, Record{Name: "me", Run: 1, Seq: 1})
 	for i, state := range []State{Serving, Serving, Serving, Stopped} {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Report is a snapshot as the console returns it. Scripts read it: fields are added, never renamed. Times are in
-// milliseconds; an age is a lower bound.
+// Report is a snapshot as the console returns it. Scripts read it: fields may be added, but keys are never renamed. Times
+// are in milliseconds. Ages are lower bounds.
 type Report struct {
 	Self           string           `json:"self"`
 	Position       string           `json:"position"`
-	LastReceivedMs int64            `json:"heard_ms"` // since the last record of another member; -1 = none
-	PeriodMs       int64            `json:"period_ms"`
-	FreshMs        int64            `json:"fresh_ms"` // older records are overdue
+	LastReceivedMs int64            `json:"heard_ms"`  // since the last record of another member was received; -1: never
+	PeriodMs       int64            `json:"period_ms"` // Period of the fleet
+	FreshMs        int64            `json:"fresh_ms"`  // MaxFreshAge of the fleet; older records are overdue
 	Members        []MemberReport   `json:"members"`
 	Zones          []ZoneReport     `json:"zones"`
 	Total          ZoneReport       `json:"total"`
@@ -24,30 +24,30 @@
 	Incarnation        uint64  `json:"incarnation"`
 	Region             string  `json:"region"`
 	Zone               string  `json:"zone"`
-	Condition          string  `json:"condition"` // its reported state where it is alive, else its liveness
-	ReportedState      string  `json:"told"`      // the last state that it reported
-	AgeMs              int64   `json:"age_ms"`    // of that state
-	SinceMs            int64   `json:"since_ms"`  // how long it has been reached, or not
+	Condition          string  `json:"condition"` // its reported state if it is alive, else its liveness
+	ReportedState      string  `json:"told"`      // the state in its last record
+	AgeMs              int64   `json:"age_ms"`    // of that record
+	SinceMs            int64   `json:"since_ms"`  // since its process was first reached, or not reached, without a change
 	Version            string  `json:"version"`
 	Config             string  `json:"config"`
 	Addr               string  `json:"addr"`
 	Cores              float64 `json:"cores"`
-	Busy               float64 `json:"busy"` // -1 = unknown
+	Busy               float64 `json:"busy"` // ratio of the cores in use; -1: unknown
 	InFlight           int     `json:"in_hand"`
 	CallQuota          float64 `json:"share"`
 	UnservedRatio      float64 `json:"shed"`
 	MeanCalls          float64 `json:"calls"`           // recent mean of concurrent calls at the store
-	ServiceRate        float64 `json:"pace,omitempty"`  // seconds of work completed in a second
-	Attempts           float64 `json:"tries,omitempty"` // requests read in a second
+	ServiceRate        float64 `json:"pace,omitempty"`  // seconds of work completed per second
+	Attempts           float64 `json:"tries,omitempty"` // requests read per second
 	RetryRatio         float64 `json:"again,omitempty"` // ratio of the attempts counted there that are retries
-	Threshold          float64 `json:"cut,omitempty"`   // requests of a lower rank are rejected while cores are short
-	StoreState         uint8   `json:"store,omitempty"` // of its store: 0 healthy, 1 failing, 2 trial requests, 3 back
-	ProbeRound         uint64  `json:"round,omitempty"` // latest round of trial requests that it knows of
+	Threshold          float64 `json:"cut,omitempty"`   // shedding threshold: rejects lower priorities while cores are short
+	StoreState         uint8   `json:"store,omitempty"` // of its store: 0 healthy, 1 unresponsive, 2 probing, 3 recovering
+	ProbeRound         uint64  `json:"round,omitempty"` // latest round of probes that it knows of
 	PublishesAggregate bool    `json:"sums,omitempty"`  // it publishes the aggregate of its zone
 	Self               bool    `json:"self,omitempty"`
 }
 
-// ZoneReport counts the members of a zone.
+// ZoneReport counts the members of a zone, or of the fleet.
 type ZoneReport struct {
 	Region            string `json:"region,omitempty"`
 	Zone              string `json:"zone,omitempty"`
@@ -65,24 +65,25 @@
 // AggregateReport is an Aggregate in a report.
 type AggregateReport struct {
 	Members  int     `json:"members"`
-	Stale    int     `json:"stale"` // alive, with records too old to count
+	Stale    int     `json:"stale"` // alive, but not in the sum because their records are too old
 	Cores    float64 `json:"cores"`
 	Busy     float64 `json:"busy"` // cores in use
 	InFlight int     `json:"in_hand"`
 	OldestMs int64   `json:"oldest_ms"`
 
 	// Of the members that report a service rate.
-	ServiceRate  float64 `json:"pace,omitempty"`      // seconds of work that they can complete in a second
-	Attempts     float64 `json:"tries,omitempty"`     // requests read in a second
-	RetryRatio   float64 `json:"again,omitempty"`     // retries for each first attempt
-	MinThreshold float64 `json:"cut_least,omitempty"` // extremes of their shedding thresholds; 0 = nothing is shed
-	MaxThreshold float64 `json:"cut_most,omitempty"`
+	ServiceRate  float64 `json:"pace,omitempty"`      // seconds of work that they complete per second
+	Attempts     float64 `json:"tries,omitempty"`     // requests that they read per second
+	RetryRatio   float64 `json:"again,omitempty"`     // retries per first attempt
+	MinThreshold float64 `json:"cut_least,omitempty"` // least of their shedding thresholds; 0: nothing is shed
+	MaxThreshold float64 `json:"cut_most,omitempty"`  // greatest of their shedding thresholds
 
-	CallQuota float64 `json:"share,omitempty"` // mean concurrent calls that all may have at stores
-	MeanCalls float64 `json:"calls,omitempty"` // and do have
+	CallQuota float64 `json:"share,omitempty"` // mean concurrent calls that they may have at stores
+	MeanCalls float64 `json:"calls,omitempty"` // mean concurrent calls that they have at stores
 }
 
-// LastReceivedMs is how long ago a record of another member was last received, in milliseconds; -1 = never.
+// LastReceivedMs returns the time since a record of another member was last received, in milliseconds. It returns -1 if
+// the observer is alone.
 func (s *Snapshot) LastReceivedMs(now time.Duration) int64 {
 	if s.Position == Alone {
 		return -1
@@ -90,7 +91,7 @@
 	return (now - s.LastReceived).Milliseconds()
 }
 
-// Report returns the snapshot with ages as of now.
+// Report returns the snapshot as a report, with ages at now.
 func (s *Snapshot) Report(now time.Duration) Report {
 	size := len(s.Members)
 	aggregate := s.Aggregate(now, MaxFreshAge(size))
@@ -178,6 +179,7 @@
 	}
 }
 
+// retriesPerFirstAttempt returns 0 if all attempts are retries.
 func (a *Aggregate) retriesPerFirstAttempt() float64 {
 	if a.Attempts <= a.Retries {
 		return 0
--- a/internal/fleet/report_names.go
+++ b/internal/fleet/report_names.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Scripts and falldeal-fleet of other versions read reports, so that the names in them stay as they are, whatever the
-// program calls the same thing elsewhere. This file maps both ways.
+// Scripts and other versions of falldeal-fleet read reports. The names in a Report therefore never change, although the
+// program uses other names for the same things elsewhere. The functions in this file map between the two.
 
 var reportedLiveness = [...]string{
 	Unconfirmed: "heard of", Alive: "alive", Suspect: "suspect", Stalled: "wedged",
@@ -25,7 +25,7 @@
 	return s.String()
 }
 
-// reportedCondition is Member.Condition by its names in a Report.
+// reportedCondition returns Member.Condition by its name in a Report.
 func (m *Member) reportedCondition() string {
 	if m.reportsState() {
 		return m.State.reportName()
@@ -33,8 +33,8 @@
 	return reportedLiveness[m.Liveness]
 }
 
-// ConditionName returns the name that a condition or state of a member in a Report has elsewhere. A name that is not
-// known, of another version, is returned as it is.
+// ConditionName returns the name that the program uses elsewhere for a member's condition or state in a Report. It
+// returns a name that it does not know, from another version, unchanged.
 func ConditionName(reported string) string {
 	if reported == reportedStopped {
 		return Stopped.String()
@@ -47,8 +47,8 @@
 	return reported
 }
 
-// PositionName returns the name that a position in a Report has elsewhere. A name that is not known, of another version,
-// is returned as it is.
+// PositionName returns the name that the program uses elsewhere for a position in a Report. It returns a name that it
+// does not know, from another version, unchanged.
 func PositionName(reported string) string {
 	for position, name := range reportedPositions {
 		if name == reported {
--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// How long members are retained that are not expected to come back, where Limits.ForgetAfter is not shorter.
+// Retention of members that are not expected to return. Limits.ForgetAfter applies instead where it is shorter.
 const (
 	leftRetention        = 5 * time.Minute
 	unconfirmedRetention = 10 * time.Minute
 )
 
-// Forget removes members that have not been reached for long.
-func (v *View) Forget(now time.Duration) {
+// RemoveExpired removes the members that were last reached longer ago than their retention.
+func (v *View) RemoveExpired(now time.Duration) {
 	fresh := v.freshAge()
 	for _, name := range slices.Clone(v.names) {
 		if name == v.self {
@@ -26,7 +26,8 @@
 	}
 }
 
-// retention is how long a member is retained after it was last reached. It is not bounded for those that are there.
+// retention returns how long a member is retained after it was last reached. Members whose process may be running are
+// retained without bound.
 func (v *View) retention(liveness Liveness) (retention time.Duration, bounded bool) {
 	switch liveness {
 	case Alive, Suspect, Stalled:
@@ -40,7 +41,8 @@
 	}
 }
 
-// evict removes the member that left or died longest ago, and returns whether there was one.
+// evict removes, of the members that left or failed, the one that was last reached the longest ago. It returns false if
+// there is none.
 func (v *View) evict(now time.Duration) bool {
 	longestEnded := ""
 	fresh := v.freshAge()
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// stallTimeout is how long the server loop may not report before its process publishes that it stalls. The loop
-// reports each second, also when idle.
+// stallTimeout is the time without a report of the server loop after which its process publishes that the loop stalls.
+// The loop reports every second, also when idle.
 const stallTimeout = 3 * time.Second
 
-// Place is what stays the same for the lifetime of a process.
+// Place identifies a process and its location. It does not change in the lifetime of the process.
 type Place struct {
 	Name, Addr, Region, Zone, Version string
-	Run                               uint64
+	Run                               uint64 // as Record.Run
 }
 
-// nameOwnership is whether the process still speaks for its name.
+// nameOwnership says whether the process publishes records under its name.
 type nameOwnership uint8
 
 const (
 	nameOwned       nameOwnership = iota
-	nameTransferred               // to a newer process that replaces this one
-	nameReleased                  // to an earlier process of the same name, for good
+	nameTransferred               // a newer process replaces this one and publishes instead
+	nameReleased                  // an earlier process has the same name; this one never publishes again
 )
 
 var ownershipNames = [...]string{nameOwned: "owned", nameTransferred: "handed over", nameReleased: "released"}
 
 func (o nameOwnership) String() string { return ownershipNames[o] }
 
-// Self is what this process publishes of itself, and how it settles conflicts over its name (see Receive). It
-// belongs to one goroutine.
+// Self holds the record that this process publishes, and settles conflicts over its name (see Receive). It belongs to
+// one goroutine. All times are on this process's clock.
 type Self struct {
 	record         Record
-	startedAt      time.Duration // on this process's clock, as all times here
-	lastStatus     time.Duration
-	lastPublished  time.Duration
-	stallPublished bool // the last record said that the loop stalls
+	startedAt      time.Duration
+	lastStatus     time.Duration // when the loop last reported
+	lastPublished  time.Duration // when the last record was made
+	stallPublished bool          // the last record says that the loop stalls
 	ownership      nameOwnership
 	rivals         rivalSet
 }
 
-// NewSelf returns the Self of a process that starts at now. The incarnation goes by the system's clock, so that it is
-// above that of a predecessor; Receive corrects it where the clock was set back.
+// NewSelf returns the Self of a process that starts at now. The caller takes the incarnation from the system clock, so
+// that it exceeds the predecessor's. If that clock was set back, Receive raises the incarnation.
 func NewSelf(now time.Duration, place Place, config, incarnation uint64) *Self {
 	return &Self{
 		startedAt: now, lastStatus: now, lastPublished: now,
@@ -51,18 +51,19 @@
 	}
 }
 
-// Record returns the current record.
+// Record returns the current record. It includes changes that have not been published yet.
 func (s *Self) Record() Record { return s.record }
 
-// NameReleased reports whether the name has been given up to another process. Nothing more is published then.
+// NameReleased reports whether this process has released its name to another one. It publishes nothing from then on.
 func (s *Self) NameReleased() bool { return s.ownership == nameReleased }
 
-// SetStatus records a report of the loop, and returns whether it is to be published at once.
+// SetStatus takes a report of the loop. It returns true if the next record must be published at once: the state or the
+// health of the store has changed, or a stall has ended.
 func (s *Self) SetStatus(now time.Duration, status Status) (urgent bool) {
 	s.lastStatus = now
 	s.setReplaced(status.Replaced)
 	if status.Replaced {
-		status.State = Stopped // to the fleet, the newer process is the member
+		status.State = Stopped // other members see the newer process under this name
 	}
 	urgent = status.State != s.record.State || s.stallPublished ||
 		status.Load.StoreState != s.record.Load.StoreState
@@ -81,24 +82,24 @@
 	}
 }
 
-// SetConfig sets the digest of the configuration, and returns whether it has changed.
+// SetConfig sets the digest of the configuration. It returns whether the digest has changed.
 func (s *Self) SetConfig(config uint64) (changed bool) {
 	changed = s.record.Config != config
 	s.record.Config = config
 	return changed
 }
 
-// Stalled reports whether the loop has not reported for too long, and this has not been published yet.
+// Stalled reports whether the loop has not reported for more than stallTimeout and no record has said so yet.
 func (s *Self) Stalled(now time.Duration) bool { return s.loopStalled(now) && !s.stallPublished }
 
 func (s *Self) loopStalled(now time.Duration) bool { return now-s.lastStatus > stallTimeout }
 
-// ShouldPublish reports whether the next record is due in a fleet of that size. A stall is published at once and then
-// once a period, as the loop's own records would be: any single update may miss a member.
+// ShouldPublish reports whether the next record is due in a fleet with that many members. A stall is published at once,
+// and then again every period, because a single update does not reach every member.
 func (s *Self) ShouldPublish(now time.Duration, members int) bool {
 	period := Period(members)
 	if s.record.Load.Aggregate != "" {
-		period = minPeriod // it publishes for its whole zone
+		period = minPeriod // its records carry the aggregate of the whole zone
 	}
 	if s.NameReleased() {
 		return false
@@ -106,7 +107,7 @@
 	return s.Stalled(now) || now-s.lastPublished >= period
 }
 
-// NextRecord advances to the next record and returns it.
+// NextRecord returns the next record, with a new sequence number. The caller publishes it.
 func (s *Self) NextRecord(now time.Duration) Record {
 	s.record.Seq++
 	s.stallPublished = s.loopStalled(now)
@@ -119,7 +120,7 @@
 	return s.record
 }
 
-// LeaveRecord returns the last record of the process, in state Stopped.
+// LeaveRecord returns the last record of the process, whose state is Stopped.
 func (s *Self) LeaveRecord(now time.Duration) Record {
 	s.record.State = Stopped
 	s.lastStatus = now
--- a/internal/fleet/self_test.go
+++ b/internal/fleet/self_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A stalled loop must be published, and nothing that it reported before may pass for current.
-func TestStalledLoop(t *testing.T) {
+// While the loop stalls, other members must learn of it and must not take its last report for current. The stall must be
+// published every period, as a single update does not reach every member, and its end at once.
+func TestStalledLoopIsPublished(t *testing.T) {
 	self := NewSelf(0, Place{Name: "n1", Run: 1}, 0, 1)
 	self.SetStatus(time.Second, Status{State: Serving})
 	require.Zero(t, self.NextRecord(time.Second).Stalled)
@@ -20,8 +21,8 @@
 	require.Equal(t, 4*time.Second, record.Stalled)
 	require.Equal(t, time.Second, record.Up, "the record is as old as the loop's report")
 	require.False(t, self.ShouldPublish(5*time.Second+time.Second/2, 5))
-	require.True(t, self.ShouldPublish(6*time.Second, 5), "it is published again: any one update may miss a member")
+	require.True(t, self.ShouldPublish(6*time.Second, 5), "the stall is published again: a single update may not reach every member")
 	require.Positive(t, self.NextRecord(6*time.Second).Stalled)
-	require.True(t, self.SetStatus(time.Hour, Status{State: Serving}), "and so is its end")
+	require.True(t, self.SetStatus(time.Hour, Status{State: Serving}), "the end of the stall is urgent")
 	require.Zero(t, self.NextRecord(time.Hour).Stalled)
 }
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Member is one member in a snapshot. Its record is shared and never changes.
+// Member is a member in a snapshot. Times are on the observer's clock.
 type Member struct {
-	*Record
+	*Record    // shared between snapshots, and never changed; without a received record it holds just the name and Run
 	Liveness   Liveness
-	Self       bool
-	RecordedAt time.Duration // latest possible time at which the record was published; on the observer's clock
+	Self       bool          // the observer itself
+	RecordedAt time.Duration // latest time at which the record can have been published
 	Since      time.Duration // when its process was first reached, or first not reached, without a change since
 }
 
-// Age is the least age of the record.
+// Age returns the age of the record, a lower bound.
 func (m *Member) Age(now time.Duration) time.Duration { return max(now-m.RecordedAt, 0) }
 
-// Condition is the state that a member reports where it is alive, and else the conclusion of the observer.
+// Condition returns the name of the state that the member reports if it is alive, and else that of its liveness.
 func (m *Member) Condition() string {
 	if m.reportsState() {
 		return m.State.String()
@@ -28,21 +28,21 @@
 	return m.Liveness.String()
 }
 
-// reportsState reports whether the member is alive and has published its state.
+// reportsState reports whether the member is alive and its state is known.
 func (m *Member) reportsState() bool { return m.Liveness == Alive && m.State != 0 }
 
-// AcceptsRequests reports whether the member is alive and accepts requests by its last record, however old that is.
+// AcceptsRequests reports whether the member is alive and accepts requests according to its last record, of whatever age.
 func (m *Member) AcceptsRequests() bool { return m.Liveness == Alive && m.State.acceptsRequests() }
 
-// Serves reports whether the member is alive and accepts requests by a record that is no older than fresh.
+// Serves reports whether the member is alive and accepts requests according to a record no older than fresh.
 func (m *Member) Serves(now, fresh time.Duration) bool {
 	return m.AcceptsRequests() && m.Age(now) <= fresh
 }
 
 func (m *Member) reached() bool { return m.Liveness == Alive || m.Liveness == Suspect }
 
-// lost reports whether the failure detection has lost the member. One that reports itself that its loop stalls is
-// reached.
+// lost reports whether the failure detection has lost the member. A member that itself publishes that its loop stalls is
+// not lost.
 func (m *Member) lost() bool {
 	switch m.Liveness {
 	case Unreachable, Failed:
@@ -54,20 +54,22 @@
 	}
 }
 
-// minZoneMembers is the number of members from which on a zone can be called unreachable, as against one member.
+// minZoneMembers is the minimum number of members of a zone that can be mostly unreachable. With a single member, a
+// partition of the zone looks like that of the member.
 const minZoneMembers = 2
 
 // Zone counts the members of one zone.
 type Zone struct {
 	Region, Zone string
-	Known        int           // all but those that left
-	Count        [Left + 1]int // by Liveness
+	Known        int           // members that have not left
+	Count        [Left + 1]int // members by Liveness
 }
 
-// Reached is how many of its members are reached.
+// Reached returns the number of members that are reached.
 func (z *Zone) Reached() int { return z.Count[Alive] + z.Count[Suspect] }
 
-// MostlyUnreachable reports whether at least half of the zone is unreachable: a partition is likelier than so many failures.
+// MostlyUnreachable reports whether at least half of the zone's members are unreachable. A partition of the zone is then
+// more likely than so many separate failures.
 func (z *Zone) MostlyUnreachable() bool {
 	return z.Known >= minZoneMembers && 2*z.Count[Unreachable] >= z.Known
 }
@@ -79,15 +81,15 @@
 	}
 }
 
-// Position is how well an observer is connected to its fleet.
+// Position says how well an observer is connected to its fleet.
 type Position uint8
 
-// Positions of an observer. Their numbers are published as a metric.
+// The positions of an observer. Their numbers are published as a metric.
 const (
 	Alone              Position = iota // no record of another member was ever received
-	FullyConnected                     // all known members are reached
-	PartiallyConnected                 // most of them are
-	Partitioned                        // as many are unreachable as are reached, or more: it must not act for the fleet
+	FullyConnected                     // no known member is lost or suspect
+	PartiallyConnected                 // some are, but fewer members are unreachable than are reached
+	Partitioned                        // at least as many are unreachable as are reached: it must not act for the fleet
 )
 
 var positionNames = [...]string{
@@ -97,18 +99,18 @@
 
 func (p Position) String() string { return positionNames[p] }
 
-// Snapshot is a view at one instant. It never changes; any goroutine may read it.
+// Snapshot is a View at one instant. It is immutable and safe for concurrent use. Times are on the observer's clock.
 type Snapshot struct {
-	At           time.Duration // on the observer's clock
-	LastReceived time.Duration // when a record of another member was last received; 0 = never
-	Self         string
+	At           time.Duration
+	LastReceived time.Duration // when a record of another member was last received; 0: never
+	Self         string        // name of the observer
 	Position     Position
-	Members      []Member // by name
-	Zones        []Zone   // by region and zone
-	Total        Zone
+	Members      []Member // sorted by name
+	Zones        []Zone   // sorted by region and zone
+	Total        Zone     // counts the members of all zones
 }
 
-// Snapshot returns the view as of now.
+// Snapshot returns a snapshot of the view at now.
 func (v *View) Snapshot(now time.Duration) *Snapshot {
 	snapshot := &Snapshot{
 		At: now, LastReceived: v.lastReceived, Self: v.self, Members: make([]Member, len(v.names)),
@@ -125,7 +127,7 @@
 	return snapshot
 }
 
-// describe sets the member of that name from its entry.
+// describe fills in the member of that name from its entry.
 func (e *entry) describe(member *Member, name string, now, fresh time.Duration) {
 	member.Record = e.record
 	member.RecordedAt = e.recordedAt
@@ -143,7 +145,7 @@
 	}
 }
 
-// selfLiveness is the liveness of the observer itself, which its own failure detection says nothing of.
+// selfLiveness returns the liveness of the observer itself, which its failure detection does not cover.
 func selfLiveness(record *Record) Liveness {
 	if record.Stalled > 0 {
 		return Stalled
@@ -151,7 +153,7 @@
 	return Alive
 }
 
-// placeholderRecord stands for a record that was not received yet.
+// placeholderRecord returns a record with the name and, if known, the Run of a member whose record was not received yet.
 func (e *entry) placeholderRecord(name string) *Record {
 	record := &Record{Name: name}
 	if len(e.observations) > 0 {
@@ -160,7 +162,7 @@
 	return record
 }
 
-// findZone returns the index of a zone, or where it belongs.
+// findZone returns the index of a zone, or the index at which to insert it.
 func (s *Snapshot) findZone(region, zone string) (index int, found bool) {
 	return sort.Find(len(s.Zones), func(i int) int {
 		known := &s.Zones[i]
@@ -171,7 +173,7 @@
 	})
 }
 
-// ensureZone returns a zone, which it adds where it is new.
+// ensureZone returns a zone, which it adds if there is none.
 func (s *Snapshot) ensureZone(region, zone string) *Zone {
 	i, found := s.findZone(region, zone)
 	if !found {
@@ -189,8 +191,8 @@
 	return &s.Zones[i]
 }
 
-// position does not count members that were never met: a record that is still passed on says nothing of the present.
-// Failed members do not make an observer partitioned, as their machines answer.
+// position returns the position of the observer. Unconfirmed members do not count: a record that is still passed on says
+// nothing about the present. Failed members do not make the observer partitioned, as their machines respond to it.
 func (s *Snapshot) position(everReceived bool) Position {
 	total := &s.Total
 	lost := total.Count[Unreachable] + total.Count[Failed] + total.Count[Stalled]
@@ -217,8 +219,8 @@
 	return &s.Members[i]
 }
 
-// Agreement is a digest of what should be the same at all members that reach one another: which processes are alive,
-// and the state that each reports.
+// Agreement returns a digest of what all members that reach one another should agree on: the processes that are alive or
+// stalled, and the state that each reports.
 func (s *Snapshot) Agreement() uint64 {
 	digest := fnv.New64a()
 	var encoded []byte
@@ -229,7 +231,7 @@
 		}
 		encoded = append(encoded[:0], member.Process()...)
 		encoded = append(encoded, byte(member.State), byte(member.Liveness))
-		_, _ = digest.Write(encoded) // a hash takes everything
+		_, _ = digest.Write(encoded) // never returns an error
 	}
 	return digest.Sum64()
 }
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -8,14 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// positionCase is a fleet of nine other members; n0, n3 and n6 are in the first zone.
+// positionCase describes a fleet of nine other members in three zones; n0, n3 and n6 are in the first one.
 type positionCase struct {
 	unreachable, failed, departed int
 	want                          Position
 	unreachableZones              int
 }
 
-// view has the unreachable members first, then the failed ones; those that left are the last.
+// view returns the view of such a fleet. The unreachable members are the first, followed by the failed ones; those that
+// left are the last.
 func (c positionCase) view() *View {
 	view := newTestView(20)
 	view.Merge(0, 0, Record{Name: "me", Run: 1, Seq: 1, Zone: "z0", State: Serving})
@@ -30,14 +31,15 @@
 			view.ObserveReach(time.Second, record.Name, 1, Lost)
 		}
 		if i >= c.unreachable && i < c.unreachable+c.failed {
-			view.RecordEvidence(record.Name, 1, ConnectionRefused)
+			view.RecordDialOutcome(record.Name, 1, ConnectionRefused)
 		}
 	}
 	return view
 }
 
-// 'This observer is partitioned', 'half of a zone is unreachable' and 'these are failed' call for different actions.
-func TestPositions(t *testing.T) {
+// A partition of the observer, a partition of a zone and failures of single members call for different actions and must be
+// told apart.
+func TestPositionTellsPartitionsFromFailures(t *testing.T) {
 	for name, testCase := range map[string]positionCase{
 		"all reached":                    {0, 0, 0, FullyConnected, 0},
 		"one unreachable":                {1, 0, 0, PartiallyConnected, 0},
@@ -77,13 +79,13 @@
 	}
 }
 
-// A zone that is partitioned, as the other zones see it.
+// The example shows a partitioned zone as a member in another zone sees it.
 func ExampleSnapshot() {
 	view, records := newTestFleet(9)
 	for _, record := range records {
 		if record.Zone == "z2" {
-			view.ObserveReach(40*time.Second, record.Name, record.Run, Lost) // no answer for half a minute
-			view.RecordEvidence(record.Name, record.Run, Unanswered)
+			view.ObserveReach(40*time.Second, record.Name, record.Run, Lost) // no response
+			view.RecordDialOutcome(record.Name, record.Run, NoResponse)
 		} else {
 			record.Seq, record.Up = 2, 40*time.Second
 			view.Merge(40*time.Second, 0, record)
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ParseUpdate returns the record and the age of one update. It keeps no reference to b, and uses no more memory than
-// MaxRecordSize whatever b holds. An error means that b is not a whole update that a member can have sent.
+// ParseUpdate decodes an update into its record and the age of that. It keeps no reference to b. Whatever b holds, the
+// texts of the record take at most MaxRecordSize bytes. An error means that b is not a complete, valid update.
 func ParseUpdate(b []byte) (record Record, age time.Duration, err error) {
 	switch {
 	case len(b) < updateHeaderSize || b[0] != kindUpdate:
@@ -24,11 +24,11 @@
 	for rest := b[updateHeaderSize:]; len(rest) > 0; {
 		number, wireType, tagSize := protowire.ConsumeTag(rest)
 		if tagSize < 0 {
-			return record, 0, fmt.Errorf("reading a field: %w", protowire.ParseError(tagSize))
+			return record, 0, fmt.Errorf("reading the tag of a field: %w", protowire.ParseError(tagSize))
 		}
 		valueSize := protowire.ConsumeFieldValue(number, wireType, rest[tagSize:])
 		if valueSize < 0 {
-			return record, 0, fmt.Errorf("reading a field: %w", protowire.ParseError(valueSize))
+			return record, 0, fmt.Errorf("reading field %d: %w", number, protowire.ParseError(valueSize))
 		}
 		size := tagSize + valueSize
 		if number >= firstUnknownField {
@@ -42,8 +42,8 @@
 	return record, age, record.validate()
 }
 
-// decodeField sets a known field. Switches over fields, and not functions in a table, set the values: a call through a
-// table would move each record to the heap.
+// decodeField sets a known field. It selects the field by switches and not by a table of functions, as calls through a
+// table would move every record to the heap.
 func (r *Record) decodeField(number protowire.Number, wireType protowire.Type, value []byte) error {
 	kind := fieldKinds[number]
 	if wireType != wireTypes[kind] {
@@ -61,21 +61,21 @@
 	case durationField:
 		*r.duration(number) = decodeDuration(value)
 	case thousandthsField:
-		r.Load.setFigure(number, decodeThousandths(value))
+		r.Load.setNumber(number, decodeThousandths(value))
 	case ratioField:
 		*r.Load.ratio(number) = min(decodeThousandths(value), 1)
 	}
 	return nil
 }
 
-// fieldError is a field whose wire type or length is wrong.
+// fieldError reports a field whose wire type or length is wrong.
 type fieldError struct {
 	number   protowire.Number
 	wireType protowire.Type
 }
 
 func (e *fieldError) Error() string {
-	return fmt.Sprintf("field %d: wrong type %d or too long", e.number, e.wireType)
+	return fmt.Sprintf("field %d: value too long or of unexpected wire type %d", e.number, e.wireType)
 }
 
 func (r *Record) decodeText(number protowire.Number, value []byte) error {
@@ -143,7 +143,7 @@
 		r.Load.StoreID = uint32(min(decoded, math.MaxUint32))
 	case fieldProbeRound:
 		r.Load.ProbeRound = decoded
-	default: // the other kinds have functions of their own
+	default: // fields of other kinds are not passed here
 	}
 }
 
@@ -164,23 +164,23 @@
 	return float64(min(decoded, math.MaxUint32)) / 1000
 }
 
-func (l *Load) setFigure(number protowire.Number, figure float64) {
+func (l *Load) setNumber(number protowire.Number, value float64) {
 	switch number {
 	case fieldCapacity:
-		l.Capacity = figure
+		l.Capacity = value
 	case fieldBusy:
-		l.Busy = figure - 1 // see appendLoad
+		l.Busy = value - 1 // see appendLoad
 	case fieldCallQuota:
-		l.CallQuota = figure
+		l.CallQuota = value
 	case fieldMeanCalls:
-		l.MeanCalls = figure
+		l.MeanCalls = value
 	case fieldServiceRate:
-		l.ServiceRate = figure
+		l.ServiceRate = value
 	case fieldAttempts:
-		l.Attempts = figure
+		l.Attempts = value
 	case fieldThreshold:
-		l.Threshold = figure
-	default: // the other kinds have functions of their own
+		l.Threshold = value
+	default: // fields of other kinds are not passed here
 	}
 }
 
@@ -191,7 +191,7 @@
 	return &l.RetryRatio
 }
 
-// validate returns an error for a record that no member can have sent.
+// validate returns an error if a required field is missing, a text is not printable or the unknown fields are too long.
 func (r *Record) validate() error {
 	switch {
 	case r.Name == "":
--- a/internal/fleet/update_encode.go
+++ b/internal/fleet/update_encode.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// AppendUpdate appends the update of a record of the given age.
+// AppendUpdate appends the encoded update of a record that has the given age.
 func AppendUpdate(b []byte, record *Record, age time.Duration) []byte {
 	b = append(b, kindUpdate)
 	b = binary.BigEndian.AppendUint32(b, uint32(min(max(age, 0), maxUpdateAge)/time.Millisecond))
@@ -31,7 +31,7 @@
 
 func appendLoad(b []byte, load *Load) []byte {
 	b = appendThousandths(b, fieldCapacity, load.Capacity)
-	b = appendThousandths(b, fieldBusy, load.Busy+1) // so that unknown, -1, is 0
+	b = appendThousandths(b, fieldBusy, load.Busy+1) // so that -1, unknown, is encoded as 0
 	b = appendVarint(b, fieldInFlight, uint64(max(load.InFlight, 0)))
 	b = appendThousandths(b, fieldCallQuota, load.CallQuota)
 	b = appendThousandths(b, fieldUnservedRatio, load.UnservedRatio)
@@ -47,8 +47,8 @@
 	return appendText(b, fieldAggregate, load.Aggregate)
 }
 
-// Fields whose value is empty or zero are not sent. Most fields of a record are, so that the check for that is apart
-// from the encoding, small enough to be inlined.
+// Fields whose value is empty or zero are not sent. As that holds for most fields of most records, the check is in
+// functions of its own that are small enough to be inlined.
 
 func appendText(b []byte, number protowire.Number, text string) []byte {
 	if text == "" {
@@ -101,7 +101,7 @@
 	return appendVarint(b, number, thousandths(value))
 }
 
-// thousandths returns a figure in thousandths, from 0 up to what 32 bits hold. What is no number is 0.
+// thousandths returns a number in thousandths, limited to the range of 32 unsigned bits. NaN gives 0.
 func thousandths(value float64) uint64 {
 	if !(value > 0) {
 		return 0
--- a/internal/fleet/update_fields.go
+++ b/internal/fleet/update_fields.go
@@ -8,16 +8,21 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// An update is how a record travels: one byte for the kind of message, four for the age of the record in milliseconds
-// when it is sent, and the record as the fields of a protobuf message. The number of a field is never used again for
-// another one. Fields of a newer version are kept and passed on unchanged, so that two versions can share a fleet.
+// An update is the encoded form of a record:
+//
+//   - 1 byte: the kind of message, kindUpdate;
+//   - 4 bytes, big endian: the age of the record when it is sent, in milliseconds;
+//   - the fields of the record in the protobuf wire format.
+//
+// The number of a removed field is never reused. Fields with unknown numbers are kept and passed on unchanged, so that
+// members of different versions can share a fleet.
 const (
 	kindUpdate = 1
-	// KindDirect is the first byte of a message from one member to another, which is not passed on. The rest is
-	// defined by other packages.
+	// KindDirect is the first byte of a message to a single member, which is not passed on. Other packages define the
+	// rest of the message.
 	KindDirect = 2
 
-	updateHeaderSize = 5
+	updateHeaderSize = 5 // bytes
 	maxUpdateAge     = time.Duration(math.MaxUint32) * time.Millisecond
 )
 
@@ -53,17 +58,17 @@
 	firstUnknownField
 )
 
-// fieldKind is how the value of a field is encoded.
+// fieldKind is the encoding of a field's value.
 type fieldKind uint8
 
 const (
-	textField        fieldKind = iota + 1 // printable text of up to MaxText bytes
-	opaqueField                           // bytes of another package
-	fixed64Field                          // a whole number that a varint would not shorten
-	varintField                           // a whole number
-	durationField                         // a varint of milliseconds
-	thousandthsField                      // a varint of thousandths of a figure that is not negative
-	ratioField                            // thousandths from 0 to 1
+	textField        fieldKind = iota + 1 // printable ASCII of up to MaxText bytes
+	opaqueField                           // bytes that another package defines
+	fixed64Field                          // an integer that would not be shorter as a varint
+	varintField                           // an integer
+	durationField                         // a varint: milliseconds
+	thousandthsField                      // a varint: thousandths of a number that is not negative
+	ratioField                            // as thousandthsField, from 0 to 1
 )
 
 var fieldKindNames = [...]string{
@@ -73,7 +78,7 @@
 
 func (k fieldKind) String() string { return fieldKindNames[k] }
 
-// wireTypes has the encoding of each kind.
+// wireTypes holds the protobuf wire type of each kind.
 var wireTypes = [...]protowire.Type{
 	textField:        protowire.BytesType,
 	opaqueField:      protowire.BytesType,
@@ -84,7 +89,7 @@
 	ratioField:       protowire.VarintType,
 }
 
-// fieldKinds has the kind of each known field.
+// fieldKinds holds the kind of each known field.
 var fieldKinds = [firstUnknownField]fieldKind{
 	fieldName:          textField,
 	fieldRun:           fixed64Field,
@@ -117,9 +122,9 @@
 }
 
 var (
-	errUnknownKind = errors.New("unknown kind of message")
-	errTooLong     = errors.New("update too long")
+	errUnknownKind = errors.New("not an update: too short or of another kind of message")
+	errTooLong     = errors.New("update or field exceeds its maximum size")
 	errNoName      = errors.New("field 1: name missing")
-	errNoRun       = errors.New("field 2: process missing")
-	errUnprintable = errors.New("text not printable")
+	errNoRun       = errors.New("field 2: run missing")
+	errUnprintable = errors.New("text field contains a space or a character other than printable ASCII")
 )
--- a/internal/fleet/update_test.go
+++ b/internal/fleet/update_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// An update must be received whole, with the fields that a newer version has added.
+// A member passes on records of newer versions. It must keep the fields that it does not know, and encode all others as
+// they were.
 func TestUpdatesPreserveUnknownFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record := drawRecord(t)
@@ -49,7 +50,8 @@
 	})
 }
 
-// Random bytes, and updates that are truncated or too long, must be rejected, and never cost more than their bound.
+// Random bytes, truncated updates and updates beyond their bounds must not crash the parser. What it accepts must be the
+// same after it was encoded and parsed again.
 func FuzzParseUpdate(f *testing.F) {
 	record := Record{Name: "n1", Run: 7, Seq: 1, State: Serving}
 	good := AppendUpdate(nil, &record, time.Second)
@@ -68,6 +70,8 @@
 	})
 }
 
+// An update that is incomplete, exceeds a bound or holds a text that is not printable must be rejected: it would be passed
+// on to all members and appear in their logs.
 func TestMalformedUpdatesAreRejected(t *testing.T) {
 	encode := func(record Record) []byte { return AppendUpdate(nil, &record, time.Second) }
 	good := encode(Record{Name: "n1", Run: 7, Seq: 1, State: Serving})
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// clockDriftDivisor bounds the drift between the clocks of two machines: less than one part in this many.
+// clockDriftDivisor bounds the drift between the clocks of two machines: they drift apart by less than 1/2000 of the
+// elapsed time.
 const clockDriftDivisor = 2000
 
 // Limits bound a view.
 type Limits struct {
-	Members     int           // names that it holds
-	ForgetAfter time.Duration // a member that was not reached for that long is removed
+	Members     int           // maximum number of names
+	ForgetAfter time.Duration // a member that was not reached for longer is removed
 }
 
-// View is the mutable state from which snapshots are made. It belongs to one goroutine.
+// View is what one observer knows of its fleet. It is mutable and belongs to one goroutine; Snapshot copies it for others.
 type View struct {
-	self         string
-	limits       Limits
-	entries      map[string]*entry
-	names        []string // sorted
-	lastReceived time.Duration
-	everReceived bool   // a record of another member was received
-	dropped      uint64 // names rejected for want of room
+	self          string // name of the observer
+	limits        Limits
+	entries       map[string]*entry // by name
+	names         []string          // sorted
+	lastReceived  time.Duration     // when a record of another member was last received
+	everReceived  bool              // a record of another member was received
+	rejectedNames uint64            // attempts to add a name while the view was full
 }
 
-// NewView returns the empty view of the member called self.
+// NewView returns an empty view for the member called self.
 func NewView(self string, limits Limits) *View {
 	return &View{self: self, limits: limits, entries: map[string]*entry{}}
 }
 
-// Dropped is how often a new name was rejected because the view was full.
-func (v *View) Dropped() uint64 { return v.dropped }
+// RejectedNames returns how often a new name was rejected because the view was full.
+func (v *View) RejectedNames() uint64 { return v.rejectedNames }
 
-// Size is how many names are known.
+// Size returns the number of names in the view.
 func (v *View) Size() int { return len(v.names) }
 
-// Merge merges a record of the given age, and returns whether it is newer than what is known of its name.
+// Merge merges a record of the given age. It returns true if the record is greater, by Record.Less, than the one known
+// under its name.
 //
-// Merging is commutative and idempotent: the record that holds of a name in the end is the greatest by Record.Less,
-// whatever the order of receipt. Only its age is an estimate, and a lower bound: time in transit, which nobody counted,
-// is inferred from the member's own uptime, as far as an earlier record was faster.
+// Merging is commutative and idempotent: the view ends up with the greatest record of each name, in whatever order and
+// however often records arrive. The age of a record is an estimate and a lower bound, see startEstimate.
 func (v *View) Merge(now, age time.Duration, record Record) bool {
 	entry := v.entryFor(now, record.Name)
 	if entry == nil {
@@ -53,17 +54,17 @@
 	return entry.merge(now, age, &record)
 }
 
-// Known returns the current record of a name, or nil.
-func (v *View) Known(name string) *Record {
+// CurrentRecord returns the greatest record received of a name, or nil.
+func (v *View) CurrentRecord(name string) *Record {
 	if entry := v.entries[name]; entry != nil {
 		return entry.record
 	}
 	return nil
 }
 
-// SupersededBy returns the record of another process that supersedes the given one, and when it was published; nil if
-// there is none. The sender of the given record has to receive it: a process that was started with a clock that had
-// been set back raises its incarnation then.
+// SupersededBy returns the record of another process that supersedes the given one, and when it was published. It returns
+// nil if there is none. The caller must send the result to the sender of the given record: a process that started after
+// its clock was set back raises its incarnation when it receives it.
 func (v *View) SupersededBy(record *Record) (by *Record, recordedAt time.Duration) {
 	entry := v.entries[record.Name]
 	if entry == nil || entry.record == nil {
@@ -75,7 +76,7 @@
 	return entry.record, entry.recordedAt
 }
 
-// ObserveReach records what the failure detection reports of a process.
+// ObserveReach records a result of the failure detection for a process.
 func (v *View) ObserveReach(now time.Duration, name string, run uint64, reach Reach) {
 	entry := v.entryFor(now, name)
 	if entry == nil {
@@ -84,7 +85,7 @@
 	observed := entry.observe(now, run)
 	if observed.reach != reach {
 		observed.reach = reach
-		observed.evidence = NoEvidence
+		observed.dialOutcome = OutcomeUnknown
 		observed.since = now
 	}
 	if reach == Reached {
@@ -92,28 +93,28 @@
 	}
 }
 
-// RecordEvidence records the result of a dial to a lost process. It counts for as long as the process is lost.
-func (v *View) RecordEvidence(name string, run uint64, evidence Evidence) {
+// RecordDialOutcome records the outcome of a dial to a lost process. The outcome is kept until the process is reached.
+func (v *View) RecordDialOutcome(name string, run uint64, outcome DialOutcome) {
 	entry := v.entries[name]
 	if entry == nil {
 		return
 	}
 	if observed := entry.observationOf(run); observed != nil && observed.reach == Lost {
-		observed.evidence = evidence
+		observed.dialOutcome = outcome
 	}
 }
 
-// freshAge is the greatest age of a record that is not overdue.
+// freshAge returns the maximum age of a record that is not overdue.
 func (v *View) freshAge() time.Duration { return MaxFreshAge(len(v.names)) }
 
-// entryFor returns the entry of a name. A new one is made if there is room: new names must not displace members, so
-// that only one that left or is dead makes room. It returns nil if there is none.
+// entryFor returns the entry of a name, which it adds if there is none. In a full view it evicts a member that left or
+// failed, and never one that may be alive. It returns nil if there is none to evict.
 func (v *View) entryFor(now time.Duration, name string) *entry {
 	if known := v.entries[name]; known != nil {
 		return known
 	}
 	if len(v.names) >= v.limits.Members && !v.evict(now) {
-		v.dropped++
+		v.rejectedNames++
 		return nil
 	}
 	added := &entry{lastReached: now}
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// newTestView returns the empty view of a member called me.
+// newTestView returns the empty view of a member called me, with room for that many members.
 func newTestView(members int) *View {
 	return NewView("me", Limits{Members: members, ForgetAfter: time.Hour})
 }
@@ -31,11 +31,12 @@
 	return view, records
 }
 
-// Two members must hold the same records in the end, whatever the order of updates and however often they come.
+// Members that receive the same updates must end up with the same records, in whatever order and however often the updates
+// arrive.
 func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(drawRecord), 1, 20).Draw(t, "records")
-		newest := map[string]Record{} // the plain reference
+		newest := map[string]Record{} // reference result
 		for _, record := range records {
 			if previous, ok := newest[record.Name]; !ok || previous.Less(&record) {
 				newest[record.Name] = record
@@ -57,8 +58,9 @@
 	})
 }
 
-// A delayed update must not make a record younger, nor a clock that drifts make it older.
-func TestAges(t *testing.T) {
+// The time in transit of an update is not part of its age. A delayed update must not make a record look younger, and the
+// drift of a member's clock must not make its records look older and older.
+func TestAgeAllowsForTransitAndClockDrift(t *testing.T) {
 	view := newTestView(10)
 	merge := func(now time.Duration, seq uint64, up time.Duration) {
 		view.Merge(now, 0, Record{Name: "n1", Run: 1, Seq: seq, Up: up})
@@ -66,9 +68,9 @@
 	age := func(now time.Duration) time.Duration { return view.Snapshot(now).Find("n1").Age(now) }
 	merge(100*time.Second, 1, 10*time.Second)
 	require.Equal(t, 5*time.Second, age(105*time.Second))
-	merge(108*time.Second, 2, 12*time.Second) // 6 s late: nobody counted that, but the member's own clock tells
+	merge(108*time.Second, 2, 12*time.Second) // 6 s in transit, as the member's uptime shows
 	require.InDelta(t, 6*time.Second, age(108*time.Second), float64(20*time.Millisecond))
-	merge(109*time.Second, 2, 12*time.Second) // the same update by another way is not younger
+	merge(109*time.Second, 2, 12*time.Second) // the same update by another path must not look younger
 	require.InDelta(t, 7*time.Second, age(109*time.Second), float64(20*time.Millisecond))
 	for i := range 100 { // a member whose clock is slow by one part in 5000, for 100 hours
 		now := 200*time.Second + time.Duration(i)*time.Hour
@@ -77,24 +79,24 @@
 	}
 }
 
-// A partition, a failure, a stopped process and a stalled loop must not be taken for one another.
-func TestLiveness(t *testing.T) {
+// A partition, a failed process, a stopped process and a stalled loop call for different actions and must be told apart.
+func TestLivenessTellsCausesApart(t *testing.T) {
 	for name, testCase := range map[string]struct {
-		reach    Reach
-		evidence Evidence
-		record   Record
-		want     string
+		reach   Reach
+		outcome DialOutcome
+		record  Record
+		want    string
 	}{
-		"serving":               {Reached, NoEvidence, Record{State: Serving}, "serving"},
-		"warming up":            {Reached, NoEvidence, Record{State: Warming}, "warming"},
-		"loop stalls":           {Reached, NoEvidence, Record{State: Serving, Stalled: 4 * time.Second}, "stalled"},
+		"serving":               {Reached, OutcomeUnknown, Record{State: Serving}, "serving"},
+		"warming up":            {Reached, OutcomeUnknown, Record{State: Warming}, "warming"},
+		"loop stalls":           {Reached, OutcomeUnknown, Record{State: Serving, Stalled: 4 * time.Second}, "stalled"},
 		"process stopped":       {Lost, ConnectionAccepted, Record{State: Serving}, "stalled"},
 		"process killed":        {Lost, ConnectionRefused, Record{State: Serving}, "failed"},
-		"partitioned":           {Lost, Unanswered, Record{State: Serving}, "unreachable"},
-		"lost, not dialed":      {Lost, NoEvidence, Record{State: Serving}, "unreachable"},
+		"partitioned":           {Lost, NoResponse, Record{State: Serving}, "unreachable"},
+		"lost, not dialed":      {Lost, OutcomeUnknown, Record{State: Serving}, "unreachable"},
 		"left":                  {Lost, ConnectionRefused, Record{State: Stopped}, "left"},
-		"known by records only": {NeverReached, NoEvidence, Record{State: Serving}, "unconfirmed"},
-		"newer state":           {Reached, NoEvidence, Record{State: 77}, "state(77)"},
+		"known by records only": {NeverReached, OutcomeUnknown, Record{State: Serving}, "unconfirmed"},
+		"newer state":           {Reached, OutcomeUnknown, Record{State: 77}, "state(77)"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := newTestView(10)
@@ -103,12 +105,14 @@
 			if testCase.reach != NeverReached {
 				view.ObserveReach(0, "n1", 1, testCase.reach)
 			}
-			view.RecordEvidence("n1", 1, testCase.evidence)
+			view.RecordDialOutcome("n1", 1, testCase.outcome)
 			require.Equal(t, testCase.want, view.Snapshot(time.Second).Find("n1").Condition())
 		})
 	}
 }
 
+// A member that is reached, but whose current process has not published in time, must not count as alive: its state is
+// unknown.
 func TestLivenessWhenRecordsAreOverdue(t *testing.T) {
 	view := newTestView(10)
 	view.Merge(0, 0, Record{Name: "n1", Run: 1, Seq: 1, State: Serving})
@@ -120,7 +124,8 @@
 	require.Equal(t, "suspect", condition, "its next process has not published yet")
 }
 
-// Names without end must not displace members, nor use memory; a member that has left makes room.
+// A flood of new names must neither displace members nor use unbounded memory. A member that has left makes room for a new
+// one.
 func TestViewIsBounded(t *testing.T) {
 	view := NewView("me", Limits{Members: 4, ForgetAfter: time.Minute})
 	for i := range 100 {
@@ -132,13 +137,13 @@
 		}
 	}
 	require.Equal(t, 4, view.Size())
-	require.NotZero(t, view.Dropped())
+	require.NotZero(t, view.RejectedNames())
 	require.LessOrEqual(t, len(view.entries["n0"].observations), maxObservations)
 	view.Merge(time.Second, 0, Record{Name: "n1", Run: 9, Incarnation: 1, Seq: 2, State: Stopped})
 	require.True(t, view.Merge(time.Second, 0, Record{Name: "new", Run: 1, Seq: 1}))
 	require.Nil(t, view.entries["n1"])
-	view.Forget(time.Hour)
-	require.Zero(t, view.Size(), "a member that was not reached for long is forgotten")
+	view.RemoveExpired(time.Hour)
+	require.Zero(t, view.Size(), "members that were not reached within ForgetAfter are removed")
 }
 
 func BenchmarkMerge(b *testing.B) {
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -102,7 +102,7 @@
 // mergeUpdate merges an update into the view. It broadcasts one that is newer than what was known, and returns whether
 // it was.
 func (o *viewOwner) mergeUpdate(now time.Duration, update *recordUpdate) (newer bool) {
-	previous := o.view.Known(update.record.Name)
+	previous := o.view.CurrentRecord(update.record.Name)
 	if !o.view.Merge(now, now-update.recordedAt, update.record) {
 		return false
 	}
--- a/internal/gossip/dialobserver.go
+++ b/internal/gossip/dialobserver.go
@@ -48,7 +48,7 @@
 }
 
 // evidence is what the failed dial showed.
-func (o *dialObserver) evidence() fleet.Evidence {
+func (o *dialObserver) evidence() fleet.DialOutcome {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -57,9 +57,9 @@
 	case errors.Is(o.lastError, errNoAnswer):
 		return fleet.ConnectionAccepted
 	case isTimeout(o.lastError):
-		return fleet.Unanswered
+		return fleet.NoResponse
 	}
-	return fleet.NoEvidence
+	return fleet.OutcomeUnknown
 }
 
 func isConnectionLost(err error) bool {
--- a/internal/gossip/dialobserver_test.go
+++ b/internal/gossip/dialobserver_test.go
@@ -17,17 +17,17 @@
 	for name, testCase := range map[string]struct {
 		err      error
 		answered bool
-		want     fleet.Evidence
+		want     fleet.DialOutcome
 	}{
-		"no error":               {nil, false, fleet.NoEvidence},
+		"no error":               {nil, false, fleet.OutcomeUnknown},
 		"refused":                {syscall.ECONNREFUSED, false, fleet.ConnectionRefused},
 		"reset before an answer": {syscall.ECONNRESET, false, fleet.ConnectionRefused},
 		"closed for writing":     {syscall.EPIPE, false, fleet.ConnectionRefused},
 		"closed at once":         {io.EOF, false, fleet.ConnectionRefused},
-		"closed after an answer": {io.EOF, true, fleet.NoEvidence},
+		"closed after an answer": {io.EOF, true, fleet.OutcomeUnknown},
 		"accepted, no answer":    {errNoAnswer, false, fleet.ConnectionAccepted},
-		"timeout":                {os.ErrDeadlineExceeded, false, fleet.Unanswered},
-		"another error":          {errors.New("other"), false, fleet.NoEvidence},
+		"timeout":                {os.ErrDeadlineExceeded, false, fleet.NoResponse},
+		"another error":          {errors.New("other"), false, fleet.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var observer dialObserver
@@ -39,7 +39,7 @@
 			observer.recordError("b", syscall.ECONNREFUSED) // of another connection
 			require.Equal(t, testCase.want, observer.evidence())
 			observer.begin("a")
-			require.Equal(t, fleet.NoEvidence, observer.evidence())
+			require.Equal(t, fleet.OutcomeUnknown, observer.evidence())
 		})
 	}
 }
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -26,7 +26,7 @@
 // dialResult is the result of a failed dial, or the end of a round.
 type dialResult struct {
 	target         dialTarget
-	evidence       fleet.Evidence
+	evidence       fleet.DialOutcome
 	roundCompleted bool
 }
 
@@ -60,7 +60,7 @@
 		o.dialing = false
 		return
 	}
-	o.view.RecordEvidence(result.target.name, result.target.run, result.evidence)
+	o.view.RecordDialOutcome(result.target.name, result.target.run, result.evidence)
 	o.unpublished.changed = true
 }
 
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -83,7 +83,7 @@
 	o.applyReachChanges(now)
 	if now >= o.nextForgetAt {
 		o.nextForgetAt = now + forgetInterval
-		o.view.Forget(now)
+		o.view.RemoveExpired(now)
 	}
 	if o.self.ShouldPublish(now, o.view.Size()) {
 		o.publishRecord()
