--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -9,21 +9,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// An update is retransmitted so many times the logarithm of the number of members.
+// memberlist transmits an update as often as the multiplier times the logarithm of the number of members.
 const (
-	changeRetransmitMultiplier = 3 // where it changes more than load
-	loadRetransmitMultiplier   = 2
-	// minRetransmitNodes is the least number of members that is assumed: in a smaller fleet one update in five would
-	// miss a member.
+	changeRetransmitMultiplier = 3 // of updates that change more than load
+	loadRetransmitMultiplier   = 2 // of updates that change load alone
+	// minRetransmitNodes is the minimum number of members from which the transmissions are computed. With the actual
+	// number of a smaller fleet, one update in five would not reach every member.
 	minRetransmitNodes = 10
 )
 
-// recordUpdate is a record on its way from or to other members. As a memberlist.Broadcast it replaces an older update
-// of the same name.
+// recordUpdate is a record that is received from or sent to other members. As a memberlist.Broadcast it replaces an older
+// update of the same name in the queue.
 type recordUpdate struct {
 	record     fleet.Record
-	recordedAt time.Duration // on this process's clock
-	now        func() time.Duration
+	recordedAt time.Duration        // when the record was published, on this process's clock
+	now        func() time.Duration // returns the time on the same clock
 }
 
 // Name implements memberlist.NamedBroadcast.
@@ -35,7 +35,7 @@
 	return ok && other.record.Name == u.record.Name
 }
 
-// Message implements memberlist.Broadcast. The age in it is that of the time at which it is sent.
+// Message implements memberlist.Broadcast. It encodes the update with the age that the record has when it is sent.
 func (u *recordUpdate) Message() []byte {
 	return fleet.AppendUpdate(nil, &u.record, u.now()-u.recordedAt)
 }
@@ -43,10 +43,10 @@
 // Finished implements memberlist.Broadcast.
 func (u *recordUpdate) Finished() {}
 
-// broadcastQueues hold the updates that memberlist sends with its packets. Any goroutine may use them.
+// broadcastQueues holds the updates that memberlist sends in its gossip packets. It is safe for concurrent use.
 type broadcastQueues struct {
-	changes memberlist.TransmitLimitedQueue // updates that change more than load, which are sent first
-	loads   memberlist.TransmitLimitedQueue
+	changes memberlist.TransmitLimitedQueue // updates that change more than load; they are sent first
+	loads   memberlist.TransmitLimitedQueue // updates that change load alone
 }
 
 func (q *broadcastQueues) init(members func() int) {
@@ -57,7 +57,8 @@
 	q.loads.RetransmitMult = loadRetransmitMultiplier
 }
 
-// next returns the messages for a packet with room for limit bytes, where each message takes overhead bytes more.
+// next returns the messages for a packet with room for limit bytes. Each message takes overhead bytes in addition to its
+// own.
 func (q *broadcastQueues) next(overhead, limit int) [][]byte {
 	messages := q.changes.GetBroadcasts(overhead, limit)
 	for _, message := range messages {
@@ -66,7 +67,7 @@
 	return append(messages, q.loads.GetBroadcasts(overhead, limit)...)
 }
 
-// publishRecord broadcasts the next record of this process.
+// publishRecord makes the next record of this process and broadcasts it.
 func (o *viewOwner) publishRecord() {
 	if o.left {
 		return
@@ -76,7 +77,9 @@
 	o.mergeUpdate(now, &recordUpdate{record, now - record.Stalled, o.Now})
 }
 
-// receiveUpdate merges and passes on an update of another process.
+// receiveUpdate handles an update from another process: it settles a conflict over this process's name, merges the update
+// and broadcasts it if it is new. If a record of another process supersedes it, it broadcasts that one, so that the sender
+// of the update learns of it.
 func (o *viewOwner) receiveUpdate(update *recordUpdate) {
 	if o.left {
 		return
@@ -86,7 +89,7 @@
 	if o.self.Receive(now, &update.record) {
 		o.publishRecord()
 		if o.self.NameReleased() {
-			o.leaveToRival(now, &update.record)
+			o.leaveOnNameConflict(now, &update.record)
 			return
 		}
 	}
@@ -99,8 +102,8 @@
 	}
 }
 
-// mergeUpdate merges an update into the view. It broadcasts one that is newer than what was known, and returns whether
-// it was.
+// mergeUpdate merges an update into the view. If the update is newer than the current record of its name, it broadcasts the
+// update and returns true.
 func (o *viewOwner) mergeUpdate(now time.Duration, update *recordUpdate) (newer bool) {
 	previous := o.view.CurrentRecord(update.record.Name)
 	if !o.view.Merge(now, now-update.recordedAt, update.record) {
@@ -118,7 +121,8 @@
 	return true
 }
 
-func (o *viewOwner) leaveToRival(now time.Duration, rival *fleet.Record) {
+// leaveOnNameConflict leaves the fleet after this process has released its name to an earlier one.
+func (o *viewOwner) leaveOnNameConflict(now time.Duration, rival *fleet.Record) {
 	o.log.WithFields(logrus.Fields{"member": rival.Name, "address": rival.Addr}).
 		Error("member name in use by an earlier process, leaving fleet and serving alone")
 	o.publishSnapshot(now)
--- a/internal/gossip/counters.go
+++ b/internal/gossip/counters.go
@@ -2,17 +2,25 @@
 
 import "sync/atomic"
 
-// Counters count since the start. Any goroutine may read them.
+// Counters count events since the start of the process. They are safe for concurrent use.
 type Counters struct {
-	PacketsOut, BytesOut, Streams, StreamBytes atomic.Int64 // sent by this process
-	Updates, NewUpdates                        atomic.Int64 // received, and those that were newer than what was known
-	Malformed, ForeignPackets, Overflow        atomic.Int64 // dropped: malformed; of another key; too many at once
-	Dials, DialsFailed                         atomic.Int64 // dials to members and seeds that were not reached
-	Direct                                     atomic.Int64 // messages to single members that were sent
-	Suspicions, Refutations                    atomic.Int64 // raised by this process; refuted by this process
+	PacketsOut     atomic.Int64 // UDP packets sent
+	BytesOut       atomic.Int64 // bytes in these packets
+	Streams        atomic.Int64 // TCP connections opened
+	StreamBytes    atomic.Int64 // bytes written to these connections
+	Updates        atomic.Int64 // updates received
+	NewUpdates     atomic.Int64 // of these, the ones that were newer than the current record of their name
+	Malformed      atomic.Int64 // messages dropped because they were malformed
+	ForeignPackets atomic.Int64 // packets dropped because they were of another cluster or key
+	Overflow       atomic.Int64 // updates and direct messages dropped because a queue was full
+	Dials          atomic.Int64 // dials to members and seeds that were not reached
+	DialsFailed    atomic.Int64 // of these, the ones that failed
+	Direct         atomic.Int64 // messages to single members that were sent
+	Suspicions     atomic.Int64 // suspicions that this process raised
+	Refutations    atomic.Int64 // suspicions of this process that it refuted
 }
 
-// values returns the counters by the names under which they are published.
+// values returns the counters by their published names, which operators' tools read.
 func (c *Counters) values() map[string]int64 {
 	return map[string]int64{
 		"packets_out":      c.PacketsOut.Load(),
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	maxJoinStateBytes = 512 << 10 // of the state that a new member receives
-	updatesPerSync    = 32        // in a later exchange
-	lengthPrefixSize  = 2         // of each update in an exchange
+	maxJoinStateBytes = 512 << 10 // bytes of updates in a full exchange after which no further update is added
+	updatesPerSync    = 32        // updates in a full exchange with a member that has joined before
+	lengthPrefixSize  = 2         // bytes of the length before each update in a full exchange
 )
 
-// delegate exchanges messages with memberlist, which calls it from its own goroutines. It must not block.
+// delegate passes messages between memberlist and the owner of the view. memberlist calls it from its own goroutines, which
+// it must not block.
 type delegate struct{ fleet *Fleet }
 
-// NodeMeta implements memberlist.Delegate. Records are sent as messages instead.
+// NodeMeta implements memberlist.Delegate. Nodes have no metadata: records are sent as messages.
 func (d delegate) NodeMeta(int) []byte { return nil }
 
 // NotifyMsg implements memberlist.Delegate.
@@ -31,17 +32,18 @@
 	d.queueUpdate(b)
 }
 
+// queueUpdate queues a received update for the owner of the view, and drops it if it is malformed or the queue is full.
 func (d delegate) queueUpdate(b []byte) {
 	record, age, err := fleet.ParseUpdate(b)
 	if err != nil {
 		d.fleet.Counters.Malformed.Add(1)
-		d.fleet.warn.Warn("gossip message", "malformed message from another member", err)
+		d.fleet.warnings.Warn("gossip message", "malformed message from another member dropped", err)
 		return
 	}
 	select {
 	case d.fleet.updates <- recordUpdate{record, d.fleet.Now() - age, d.fleet.Now}:
 	default:
-		d.fleet.Counters.Overflow.Add(1) // its process soon publishes again
+		d.fleet.Counters.Overflow.Add(1) // its process publishes again within a period
 	}
 }
 
@@ -50,8 +52,8 @@
 	return d.fleet.broadcasts.next(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate. A new member receives the records of all members; in later exchanges a
-// random sample is sent.
+// LocalState implements memberlist.Delegate. A member that joins receives the records of all members; in later exchanges it
+// receives a random sample.
 func (d delegate) LocalState(join bool) []byte {
 	snapshot, now := d.fleet.Snapshot(), d.fleet.Now()
 	known := len(snapshot.Members)
@@ -66,7 +68,7 @@
 		}
 		member := &snapshot.Members[i]
 		if member.Seq == 0 || member.Liveness == fleet.Unconfirmed {
-			continue // no record was received, or none that this process can vouch for
+			continue // no record was received, or the failure detection never confirmed the member
 		}
 		b = appendPrefixedUpdate(b, member, member.Age(now))
 		if len(b) > maxJoinStateBytes {
@@ -76,7 +78,7 @@
 	return b
 }
 
-// MergeRemoteState implements memberlist.Delegate.
+// MergeRemoteState implements memberlist.Delegate. It takes what the other member's LocalState returned.
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
 	for len(b) >= lengthPrefixSize {
 		length := int(binary.BigEndian.Uint16(b))
@@ -90,7 +92,7 @@
 	}
 }
 
-// appendPrefixedUpdate appends a member's update after its length.
+// appendPrefixedUpdate appends the length of a member's update, in 2 bytes big endian, and the update.
 func appendPrefixedUpdate(b []byte, member *fleet.Member, age time.Duration) []byte {
 	start := len(b)
 	b = append(b, make([]byte, lengthPrefixSize)...)
--- a/internal/gossip/dialobserver.go
+++ b/internal/gossip/dialobserver.go
@@ -9,28 +9,28 @@
 	"falldeal/internal/fleet"
 )
 
-// errNoAnswer stands for the timeout of a connection that was accepted.
-var errNoAnswer = errors.New("no response in time after connecting")
+// errNoResponse replaces the timeout error of a read from a connection that was accepted.
+var errNoResponse = errors.New("no response in time after connecting")
 
-// dialObserver follows the dial of one address at a time, to find out why it fails: memberlist's error does not say.
-// Any goroutine may use it.
+// dialObserver records why the dial of one address fails, as memberlist's error does not say. It observes one address at a
+// time and is safe for concurrent use.
 type dialObserver struct {
-	mu        sync.Mutex
-	addr      string // empty before the first dial
-	answered  bool   // something was read
+	mu        sync.Mutex // guards all fields
+	addr      string     // empty before the first dial
+	responded bool       // at least one byte was read
 	lastError error
 }
 
-// begin forgets the last dial, and follows that of addr.
+// begin starts to observe the dial of addr, and discards what was recorded before.
 func (o *dialObserver) begin(addr string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.addr = addr
-	o.answered = false
+	o.responded = false
 	o.lastError = nil
 }
 
-// recordError keeps the last error of the address that is followed.
+// recordError records an error of a connection to addr, if addr is being observed.
 func (o *dialObserver) recordError(addr string, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -39,22 +39,24 @@
 	}
 }
 
-func (o *dialObserver) recordAnswer(addr string) {
+// recordResponse records that something was read from addr, if addr is being observed.
+func (o *dialObserver) recordResponse(addr string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if addr == o.addr {
-		o.answered = true
+		o.responded = true
 	}
 }
 
-// evidence is what the failed dial showed.
-func (o *dialObserver) evidence() fleet.DialOutcome {
+// outcome returns the outcome of the failed dial. A connection that was lost before a response counts as refused: the
+// process had ended.
+func (o *dialObserver) outcome() fleet.DialOutcome {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
-	case errors.Is(o.lastError, syscall.ECONNREFUSED), !o.answered && isConnectionLost(o.lastError):
+	case errors.Is(o.lastError, syscall.ECONNREFUSED), !o.responded && isConnectionLost(o.lastError):
 		return fleet.ConnectionRefused
-	case errors.Is(o.lastError, errNoAnswer):
+	case errors.Is(o.lastError, errNoResponse):
 		return fleet.ConnectionAccepted
 	case isTimeout(o.lastError):
 		return fleet.NoResponse
--- a/internal/gossip/dialobserver_test.go
+++ b/internal/gossip/dialobserver_test.go
@@ -12,34 +12,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The way in which a dial fails must tell a process that has ended from one that is stopped and one that is unreachable.
-func TestDialEvidence(t *testing.T) {
+// A process that has ended, one that is stopped and one that is unreachable call for different actions. The way in which a
+// dial fails must tell them apart.
+func TestDialOutcomeTellsCausesApart(t *testing.T) {
 	for name, testCase := range map[string]struct {
-		err      error
-		answered bool
-		want     fleet.DialOutcome
+		err       error
+		responded bool
+		want      fleet.DialOutcome
 	}{
-		"no error":               {nil, false, fleet.OutcomeUnknown},
-		"refused":                {syscall.ECONNREFUSED, false, fleet.ConnectionRefused},
-		"reset before an answer": {syscall.ECONNRESET, false, fleet.ConnectionRefused},
-		"closed for writing":     {syscall.EPIPE, false, fleet.ConnectionRefused},
-		"closed at once":         {io.EOF, false, fleet.ConnectionRefused},
-		"closed after an answer": {io.EOF, true, fleet.OutcomeUnknown},
-		"accepted, no answer":    {errNoAnswer, false, fleet.ConnectionAccepted},
-		"timeout":                {os.ErrDeadlineExceeded, false, fleet.NoResponse},
-		"another error":          {errors.New("other"), false, fleet.OutcomeUnknown},
+		"no error":                {nil, false, fleet.OutcomeUnknown},
+		"refused":                 {syscall.ECONNREFUSED, false, fleet.ConnectionRefused},
+		"reset before a response": {syscall.ECONNRESET, false, fleet.ConnectionRefused},
+		"closed for writing":      {syscall.EPIPE, false, fleet.ConnectionRefused},
+		"closed at once":          {io.EOF, false, fleet.ConnectionRefused},
+		"closed after a response": {io.EOF, true, fleet.OutcomeUnknown},
+		"accepted, no response":   {errNoResponse, false, fleet.ConnectionAccepted},
+		"timeout":                 {os.ErrDeadlineExceeded, false, fleet.NoResponse},
+		"another error":           {errors.New("other"), false, fleet.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var observer dialObserver
 			observer.begin("a")
 			observer.recordError("a", testCase.err)
-			if testCase.answered {
-				observer.recordAnswer("a")
+			if testCase.responded {
+				observer.recordResponse("a")
 			}
-			observer.recordError("b", syscall.ECONNREFUSED) // of another connection
-			require.Equal(t, testCase.want, observer.evidence())
+			observer.recordError("b", syscall.ECONNREFUSED) // an error of another address must not count
+			require.Equal(t, testCase.want, observer.outcome())
 			observer.begin("a")
-			require.Equal(t, fleet.OutcomeUnknown, observer.evidence())
+			require.Equal(t, fleet.OutcomeUnknown, observer.outcome())
 		})
 	}
 }
--- a/internal/gossip/direct.go
+++ b/internal/gossip/direct.go
@@ -8,17 +8,17 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// directQueueLength is the number of messages to single members that wait to be sent.
+// directQueueLength is the maximum number of messages to single members that wait to be sent.
 const directQueueLength = 256
 
-// directMessage is a message to one member.
+// directMessage is a message to a single member.
 type directMessage struct {
 	to      memberlist.Address
-	payload []byte // with its kind
+	payload []byte // begins with fleet.KindDirect
 }
 
-// Send sends b to a member once, without acknowledgement. It never blocks: a message is dropped if too many wait. Any
-// goroutine may call it; the caller must not use b afterwards.
+// Send sends b to a member once, without acknowledgement. It never blocks: it drops the message if directQueueLength others
+// wait. Any goroutine may call Send. The caller must not use b afterwards.
 func (f *Fleet) Send(to *fleet.Member, b []byte) {
 	message := directMessage{addressOf(to), append([]byte{fleet.KindDirect}, b...)}
 	select {
@@ -28,11 +28,11 @@
 	}
 }
 
-// OnMessage sets the handler of messages to this member. It must not block and must not keep b. Any goroutine may call
-// OnMessage; the handler is called by goroutines of memberlist.
+// OnMessage sets the handler of messages to this member. The handler is called by goroutines of memberlist. It must neither
+// block nor keep b. Any goroutine may call OnMessage.
 func (f *Fleet) OnMessage(handler func(b []byte)) { f.messageHandler.Store(&handler) }
 
-// sendDirectMessages is the goroutine that sends messages to single members. It ends with ctx.
+// sendDirectMessages sends the queued messages to single members until ctx ends.
 func (f *Fleet) sendDirectMessages(ctx context.Context) error {
 	for {
 		select {
@@ -41,7 +41,7 @@
 		case message := <-f.directMessages:
 			f.Counters.Direct.Add(1)
 			if err := f.memberlist.SendToAddress(message.to, message.payload); err != nil {
-				f.warn.Warn("direct message", "message to member not sent", err)
+				f.warnings.Warn("direct message", "message to member not sent", err)
 			}
 		}
 	}
--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -17,57 +17,56 @@
 )
 
 const (
-	updateQueueLength     = 1024 // updates of others that wait for the goroutine that owns the view
-	dialResultQueueLength = 8
+	updateQueueLength     = 1024 // received updates that wait for the goroutine that owns the view
+	dialResultQueueLength = 8    // dial results that wait for the same goroutine
 )
 
-// Config is what a process needs to be a member of a fleet.
+// Config configures the membership of a process in a fleet.
 type Config struct {
-	Place         fleet.Place // Addr: where others reach it
-	Listen        string      // IP and port for TCP and UDP
-	Seeds         []string
-	Keys          [][]byte // the first one encrypts; none: no encryption
-	Digest        uint64   // of the configuration
-	Size          int      // expected members, for pacing
+	Place         fleet.Place // identity and location; Addr is the IP address and port at which other members reach it
+	Listen        string      // IP address and port at which it listens, TCP and UDP
+	Seeds         []string    // addresses that are dialed while they are not reached
+	Keys          [][]byte    // encryption keys: the first one encrypts, all decrypt; none: no encryption
+	Digest        uint64      // digest of the server's configuration
+	Size          int         // expected number of members; the interval of full exchanges grows with it
 	Limits        fleet.Limits
-	ProbeInterval time.Duration // of the failure detection
-	Seed          uint64        // of the random delays of dials
+	ProbeInterval time.Duration // between two probes of the failure detection
+	Seed          uint64        // random seed of the delays of dials
 
-	Incarnation uint64                        // from the system's clock at the start
+	Incarnation uint64                        // from the system clock at the start
 	Transport   memberlist.NodeAwareTransport // nil: sockets at Listen
 }
 
-// Fleet is this process's membership of a fleet. Its methods say which goroutine may call them; Run is called once.
+// Fleet is this process's membership of a fleet. Its methods say which goroutines may call them. Run is called once.
 type Fleet struct {
 	Counters Counters
 
 	config     Config
 	log        logrus.FieldLogger
-	warn       *logging.Limiter
-	startedAt  time.Time
-	keyring    *memberlist.Keyring // nil: no encryption
-	transport  *countingTransport  // set by Listen
-	memberlist *memberlist.Memberlist
+	warnings   *logging.Limiter
+	startedAt  time.Time              // origin of the process's clock, see Now
+	keyring    *memberlist.Keyring    // nil: no encryption
+	transport  *countingTransport     // set by Listen
+	memberlist *memberlist.Memberlist // set by Run
 	broadcasts broadcastQueues
 
 	// Events for the goroutine that owns the view.
-	statuses    chan fleet.Status
-	changes     chan ReloadableConfig
-	updates     chan recordUpdate
+	statuses    chan fleet.Status     // latest status of the server loop
+	reloads     chan ReloadableConfig // latest reloaded configuration
+	updates     chan recordUpdate     // updates received from other members
 	dialResults chan dialResult
 	reach       reachChanges
 
-	// Work and messages for other goroutines.
+	// Work and data for other goroutines.
 	dialRounds     chan []dialTarget
 	directMessages chan directMessage
-	messageHandler atomic.Pointer[func(b []byte)]
-	snapshot       atomic.Pointer[fleet.Snapshot]
+	messageHandler atomic.Pointer[func(b []byte)] // receives direct messages; nil: they are ignored
+	snapshot       atomic.Pointer[fleet.Snapshot] // last published snapshot
 
 	owner *viewOwner // belongs to the goroutine that Run starts for it
 }
 
-// New returns a membership that starts with Listen and Run. An error names the key of [fleet] in the operators' file
-// that is at fault.
+// New returns a membership; Run starts it. An error names the key of table [fleet] in the operators' file that is invalid.
 func New(config Config, logger logrus.FieldLogger) (*Fleet, error) {
 	keyring, err := newKeyring(config.Keys)
 	if err != nil {
@@ -77,11 +76,11 @@
 	member := &Fleet{
 		config:         config,
 		log:            logger,
-		warn:           logging.NewLimiter(logger),
+		warnings:       logging.NewLimiter(logger),
 		startedAt:      time.Now(),
 		keyring:        keyring,
 		statuses:       make(chan fleet.Status, 1),
-		changes:        make(chan ReloadableConfig, 1),
+		reloads:        make(chan ReloadableConfig, 1),
 		updates:        make(chan recordUpdate, updateQueueLength),
 		dialResults:    make(chan dialResult, dialResultQueueLength),
 		reach:          newReachChanges(),
@@ -93,7 +92,7 @@
 	return member, nil
 }
 
-// Listen opens the sockets. Run does so where it was not called.
+// Listen opens the sockets. Run calls it if the caller has not.
 func (f *Fleet) Listen() error {
 	transport := f.config.Transport
 	if transport == nil {
@@ -107,7 +106,7 @@
 	return nil
 }
 
-// Run is a member of the fleet until ctx ends, and then leaves it.
+// Run makes the process a member of the fleet until ctx ends, and then leaves the fleet.
 func (f *Fleet) Run(ctx context.Context) error {
 	if f.transport == nil {
 		if err := f.Listen(); err != nil {
@@ -116,7 +115,7 @@
 	}
 	list, err := memberlist.Create(f.memberlistConfig())
 	if err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return fmt.Errorf("fleet: starting memberlist: %w", err)
 	}
 	f.memberlist = list
 	ctx, cancel := context.WithCancel(ctx)
@@ -125,7 +124,7 @@
 	g.Go(func() error { return f.sendDirectMessages(ctx) })
 	g.Go(func() error {
 		defer cancel()
-		f.owner.ownView(ctx)
+		f.owner.run(ctx)
 		return nil
 	})
 	if err := g.Wait(); err != nil {
@@ -134,18 +133,19 @@
 	return nil
 }
 
-// Now is the time on this process's clock, as in snapshots. The clock runs on while the process is stopped. Any
-// goroutine may call it.
+// Now returns the time since the start of the membership. All times in snapshots are on this clock, which runs on while
+// the process is stopped. Any goroutine may call Now.
 func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
-// Snapshot is the view of the fleet; it is never nil and never changes. Any goroutine may call it.
+// Snapshot returns the last published snapshot of the view. It is never nil. Any goroutine may call Snapshot.
 func (f *Fleet) Snapshot() *fleet.Snapshot { return f.snapshot.Load() }
 
-// Publish publishes the status of the loop. It never blocks: a status that was not taken yet is replaced. One
-// goroutine may call it.
+// Publish sets the status of the server loop that the next records report. It never blocks: it replaces a status that was
+// not taken yet. Only one goroutine may call it.
 func (f *Fleet) Publish(status fleet.Status) { replaceLatest(f.statuses, status) }
 
-// replaceLatest sends value to a channel with room for one, in place of a value that waits there. There is one sender.
+// replaceLatest sends value to a channel with a buffer of one, and discards a value that waits there. The channel must have
+// a single sender.
 func replaceLatest[T any](latest chan T, value T) {
 	select {
 	case <-latest:
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newGoldenPublishedFleet has a value for all that is published, and nothing that depends on the time of a test: the
-// records are in the future, so that their age is 0, or so long ago that they are stale.
+// newGoldenPublishedFleet returns a membership with a value for everything that the page and the metrics contain. The
+// records are in the future, so that their ages are 0 and do not depend on the time at which the test runs.
 func newGoldenPublishedFleet(t *testing.T) *Fleet {
 	t.Helper()
 	member, records := newGoldenFleet(t), goldenRecords()
@@ -37,7 +37,7 @@
 	return member
 }
 
-// The page of the console is read by scripts and by falldeal-fleet of other versions.
+// Scripts and other versions of falldeal-fleet read the page, so that its keys and values must not change.
 func TestGoldenPage(t *testing.T) {
 	page := newGoldenPublishedFleet(t).Page()
 	require.Equal(t, "GET /fleet", page.Pattern)
@@ -45,7 +45,7 @@
 	golden.RequireFile(t, "page.json", string(page.Body()))
 }
 
-// Operators collect the metrics by these names.
+// Operators collect the metrics by name, so that the names must not change.
 func TestGoldenMetrics(t *testing.T) {
 	member := newGoldenPublishedFleet(t)
 	got := string(member.AppendMetrics([]byte("before:1|g\n")))
@@ -54,19 +54,19 @@
 	golden.RequireFile(t, "figures.txt", got)
 }
 
-// Values that depend on the time of a test.
+// Values that depend on the time at which the test runs.
 var (
 	changingMetric = regexp.MustCompile(`(oldest_ms):\d+`)
 	changingKey    = regexp.MustCompile(`"(age_ms|since_ms|oldest_ms)":\d+`)
 )
 
-// The metrics of a member that is alone, in their order.
+// A member without a fleet must publish all metrics too, in the same order.
 func TestGoldenMetricsOfAloneMember(t *testing.T) {
 	metrics := string(newAloneFleet(t).AppendMetrics(nil))
 	golden.RequireFile(t, "figures.golden", changingMetric.ReplaceAllString(metrics, "$1:(time)"))
 }
 
-// The page of a member that is alone: its pattern, its type and its body.
+// A member without a fleet must serve a valid page that reports itself alone.
 func TestGoldenPageOfAloneMember(t *testing.T) {
 	page := newAloneFleet(t).Page()
 	body := page.Body()
@@ -77,7 +77,7 @@
 	require.Equal(t, 1, strings.Count(got, `"counters"`))
 }
 
-// The log lines of changes in the fleet: another member joins, is reached, drains, and starts again.
+// Operators search the log for these lines. The test makes another member join, become reached, drain and restart.
 func TestGoldenChanges(t *testing.T) {
 	member := newAloneFleet(t)
 	var lines bytes.Buffer
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -15,7 +15,7 @@
 
 const goldenFrames = "frames.hex"
 
-// sentFrames are the frames that a process hands to memberlist, by name.
+// sentFrames returns the frames that a process passes to memberlist, by name.
 func sentFrames(t *testing.T) map[string][]byte {
 	t.Helper()
 	member, records := newGoldenFleet(t), goldenRecords()
@@ -43,7 +43,7 @@
 	"state without members that were met", "metadata of a node",
 }
 
-// What is sent to other members must stay as it is: they may be of another version.
+// Other members may be of another version, so that the bytes sent to them must not change.
 func TestGoldenFramesWritten(t *testing.T) {
 	frames := sentFrames(t)
 	require.Len(t, frames, len(frameNames))
@@ -55,7 +55,7 @@
 	golden.RequireFrames(t, goldenFrames, ordered)
 }
 
-// Frames that were written before must still be read.
+// Frames that earlier versions sent must still be decoded.
 func TestGoldenFramesRead(t *testing.T) {
 	frames, records, member := golden.ReadFrames(t, goldenFrames, len(frameNames)), goldenRecords(), newGoldenFleet(t)
 
@@ -76,7 +76,7 @@
 	require.Zero(t, member.Counters.Malformed.Load())
 }
 
-// requireQueuedUpdates takes the updates that wait for the owner of the view, and compares their records.
+// requireQueuedUpdates takes the updates that wait for the owner of the view, and requires that they hold these records.
 func requireQueuedUpdates(t *testing.T, member *Fleet, want []fleet.Record) {
 	t.Helper()
 	var got []fleet.Record
@@ -86,7 +86,7 @@
 	require.Equal(t, want, got)
 }
 
-// The configuration of memberlist decides whether two members understand each other.
+// Two members can communicate only if these settings of memberlist agree.
 func TestGoldenSettings(t *testing.T) {
 	config := newGoldenFleet(t).memberlistConfig()
 	var got strings.Builder
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTestFleet returns a membership that has no sockets, does not run and logs nothing.
+// newTestFleet returns a membership that has no sockets, is not running and logs nothing.
 func newTestFleet(t *testing.T, config Config) *Fleet {
 	t.Helper()
 	log, _ := test.NewNullLogger()
@@ -20,7 +20,7 @@
 	return member
 }
 
-// setCounters gives each counter another value.
+// setCounters sets each counter to a value of its own.
 func setCounters(counters *Counters) {
 	for i, counter := range []*atomic.Int64{
 		&counters.PacketsOut, &counters.BytesOut, &counters.Streams, &counters.StreamBytes, &counters.Updates,
@@ -31,10 +31,11 @@
 	}
 }
 
-// beforeMaxAge is so long ago that the age is the greatest one in an update: bytes do not depend on the time of a test.
+// beforeMaxAge is a publication time so long ago that updates contain the maximum age. Their bytes then do not depend on
+// the time at which the test runs.
 const beforeMaxAge = -100 * 24 * time.Hour
 
-// snapshotOf has the records as members of that liveness. Their age is the greatest one.
+// snapshotOf returns a snapshot with the records as members of that liveness, published at beforeMaxAge.
 func snapshotOf(records []fleet.Record, liveness fleet.Liveness) *fleet.Snapshot {
 	snapshot := &fleet.Snapshot{Self: "n1"}
 	for i := range records {
@@ -56,7 +57,7 @@
 	}
 }
 
-// newGoldenFleet returns the membership by which the golden files of frames, settings and the page are made.
+// newGoldenFleet returns the membership from which the golden files of frames, settings and the page are made.
 func newGoldenFleet(t *testing.T) *Fleet {
 	t.Helper()
 	return newTestFleet(t, Config{
@@ -70,7 +71,7 @@
 	})
 }
 
-// newAloneFleet returns a membership that knows no other member, and whose counters all differ.
+// newAloneFleet returns a membership that knows no other member. Each of its counters has a value of its own.
 func newAloneFleet(t *testing.T) *Fleet {
 	t.Helper()
 	member := newTestFleet(t, Config{
--- a/internal/gossip/leave.go
+++ b/internal/gossip/leave.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	leaveTimeout       = 200 * time.Millisecond // for the failure detection to pass on that this process leaves
-	maxLeaveRecipients = 8                      // members that receive the last record directly
+	leaveTimeout       = 200 * time.Millisecond // for memberlist to tell other members that this process leaves
+	maxLeaveRecipients = 8                      // members to which the last record is sent directly
 )
 
-// leave leaves the fleet: at the end, or when the name belongs to another process. A second call does nothing.
+// leave leaves the fleet: when the process ends, was replaced or has released its name. Further calls do nothing.
 func (o *viewOwner) leave() {
 	if o.left {
 		return
@@ -24,15 +24,15 @@
 	}
 	o.left = true
 	if err := o.memberlist.Leave(leaveTimeout); err != nil {
-		o.log.WithError(err).Debug("leaving not acknowledged by other members")
+		o.log.WithError(err).Debug("departure from fleet not acknowledged by other members")
 	}
 	if err := o.memberlist.Shutdown(); err != nil {
 		o.log.WithError(err).Warn("gossip sockets not closed")
 	}
 }
 
-// sendLastRecord sends the last record of this process to some members directly: the process may have ended before the
-// next packet of gossip is sent.
+// sendLastRecord sends the last record of this process directly to up to maxLeaveRecipients random members that are alive,
+// as the process may end before the next gossip packet is sent.
 func (o *viewOwner) sendLastRecord() {
 	now := o.Now()
 	update := &recordUpdate{o.self.LeaveRecord(now), now, o.Now}
@@ -46,11 +46,12 @@
 		}
 		sent++
 		if err := o.memberlist.SendToAddress(addressOf(member), update.Message()); err != nil {
-			o.log.WithError(err).WithField("member", member.Name).Debug("last record not sent")
+			o.log.WithError(err).WithField("member", member.Name).Debug("last record not sent to member")
 		}
 	}
 }
 
+// addressOf returns the address of a member for memberlist.
 func addressOf(member *fleet.Member) memberlist.Address {
 	return memberlist.Address{Addr: member.Addr, Name: member.Process()}
 }
--- a/internal/gossip/logwriter.go
+++ b/internal/gossip/logwriter.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-// Levels in the log lines of memberlist.
+// Levels in memberlist's log lines.
 const (
 	levelError   = "ERR"
 	levelWarning = "WARN"
 )
 
-// logKeyLength is the length of the beginning of a line by which lines are limited together.
+// logKeyLength is the number of bytes of a line that must be equal for lines to share one rate limit.
 const logKeyLength = 20
 
-// logWriter receives the log lines of memberlist, and counts what it reports by them alone. There can be many lines on
-// packets of another key, so that they are limited together.
+// logWriter receives memberlist's log lines and logs them at a limited rate. It also counts the events that memberlist
+// reports in its log lines only. All lines about packets of another cluster or key share one rate limit, as there can be
+// many of them.
 type logWriter struct{ fleet *Fleet }
 
 // Write implements io.Writer for one line.
@@ -23,20 +24,20 @@
 	level, text := parseLogLine(string(b))
 	if strings.Contains(text, "ecrypt") || strings.Contains(text, "label") {
 		w.fleet.Counters.ForeignPackets.Add(1)
-		w.fleet.warn.Warn("foreign packet", "gossip packet of another cluster or key dropped", errors.New(text))
+		w.fleet.warnings.Warn("foreign packet", "gossip packet of another cluster or key dropped", errors.New(text))
 		return len(b), nil
 	}
 	w.count(level, text)
 	switch level {
 	case levelError, levelWarning:
-		w.fleet.warn.Warn("gossip "+text[:min(len(text), logKeyLength)], "gossip library reported a fault", errors.New(text))
+		w.fleet.warnings.Warn("gossip "+text[:min(len(text), logKeyLength)], "gossip library reported a fault", errors.New(text))
 	default:
-		w.fleet.log.WithField("text", text).Debug("gossip library")
+		w.fleet.log.WithField("text", text).Debug("gossip library log line")
 	}
 	return len(b), nil
 }
 
-// parseLogLine splits a line such as "[WARN] memberlist: text". A line of another form is a warning.
+// parseLogLine splits a line such as "[WARN] memberlist: text". It returns a line of another form as a warning.
 func parseLogLine(line string) (level, text string) {
 	line = strings.TrimSpace(line)
 	line = strings.Replace(line, "memberlist: ", "", 1)
@@ -47,6 +48,7 @@
 	return level, text
 }
 
+// count counts the events that a line reports.
 func (w logWriter) count(level, text string) {
 	counters := &w.fleet.Counters
 	switch {
@@ -60,6 +62,7 @@
 	}
 }
 
+// isMalformedPacket reports whether memberlist logged the text for a packet or stream that it cannot decode.
 func isMalformedPacket(text string) bool {
 	return strings.Contains(text, "ecode") || strings.Contains(text, "type") || strings.Contains(text, "too short")
 }
--- a/internal/gossip/logwriter_test.go
+++ b/internal/gossip/logwriter_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Some counters have no other source than the log lines of memberlist.
+// memberlist reports suspicions, refutations and dropped packets in its log lines only. Each line must add to the right
+// counter and to no other.
 func TestLogLinesAreCounted(t *testing.T) {
 	for line, want := range map[string]string{
 		"[ERR] memberlist: Decrypt packet failed: No installed keys could decrypt": "strangers",
@@ -29,6 +30,7 @@
 	}
 }
 
+// A line whose level cannot be parsed must be logged as a warning and not get lost.
 func TestParseLogLine(t *testing.T) {
 	level, text := parseLogLine("[DEBUG] memberlist: Stream connection\n")
 	require.Equal(t, "DEBUG", level)
--- a/internal/gossip/memberlist.go
+++ b/internal/gossip/memberlist.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	gossipInterval        = 200 * time.Millisecond
+	gossipInterval        = 200 * time.Millisecond // between two rounds of gossip packets
 	streamTimeout         = 2 * time.Second        // of a TCP connection to another process
-	minSyncInterval       = 15 * time.Second       // between two full exchanges with one other member
-	syncIntervalPerMember = 100 * time.Millisecond // the same by the expected size, as an exchange lists all members
-	gossipToDeadTime      = 30 * time.Second       // a lost process still receives gossip, so that it can refute
+	minSyncInterval       = 15 * time.Second       // between two full exchanges, each with one other member
+	syncIntervalPerMember = 100 * time.Millisecond // per expected member, as a full exchange lists all members
+	gossipToDeadTime      = 30 * time.Second       // a lost process still receives gossip, so that it can refute its loss
 )
 
+// memberlistConfig returns the configuration of memberlist. Each process is a node of its own, named by fleet.Process.
 func (f *Fleet) memberlistConfig() *memberlist.Config {
-	host, port, _ := net.SplitHostPort(f.config.Place.Addr) // checked with the configuration
+	host, port, _ := net.SplitHostPort(f.config.Place.Addr) // the operators' file was checked
 	config := memberlist.DefaultLANConfig()
 	config.Name = fleet.Process(f.config.Place.Name, f.config.Place.Run)
 	config.Transport = f.transport
@@ -34,7 +35,7 @@
 	config.GossipToTheDeadTime = gossipToDeadTime
 	config.PushPullInterval = max(minSyncInterval, time.Duration(f.config.Size)*syncIntervalPerMember)
 	config.TCPTimeout = streamTimeout
-	config.EnableCompression = false // packets are small, and processor time is the scarcest resource
+	config.EnableCompression = false // packets are small, and CPU time is the scarcest resource
 	config.Keyring = f.keyring
 	config.Logger = log.New(logWriter{f}, "", 0)
 	config.Delegate = delegate{f}
--- a/internal/gossip/publish.go
+++ b/internal/gossip/monitoring.go
@@ -10,7 +10,7 @@
 	"falldeal/internal/fleet"
 )
 
-// metricType is the type of a metric in the StatsD format.
+// metricType is the type of a metric in a StatsD line.
 type metricType string
 
 const (
@@ -18,21 +18,21 @@
 	counter metricType = "c"
 )
 
-// Page returns the console's page with the report of the last snapshot. It answers also while the loop stalls. Any
-// goroutine may call it.
+// Page returns the console page with the report of the last snapshot. The page responds also while the server loop stalls.
+// Any goroutine may call Page.
 func (f *Fleet) Page() console.Page {
 	return console.Page{Pattern: "GET /fleet", Type: "application/json", Body: func() []byte {
 		report := f.Snapshot().Report(f.Now())
 		report.Counters = f.Counters.values()
 		b, err := json.Marshal(report)
 		if err != nil {
-			return []byte("{}") // every value of a report can be marshalled
+			return []byte("{}") // does not happen: every value of a report can be marshalled
 		}
 		return append(b, '\n')
 	}}
 }
 
-// AppendMetrics appends the metrics of the fleet in the format of the server's own. Any goroutine may call it.
+// AppendMetrics appends the metrics of the fleet as StatsD lines, NAME:VALUE|TYPE. Any goroutine may call it.
 func (f *Fleet) AppendMetrics(b []byte) []byte {
 	snapshot, now := f.Snapshot(), f.Now()
 	aggregate := snapshot.Aggregate(now, fleet.MaxFreshAge(len(snapshot.Members)))
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -9,28 +9,29 @@
 
 const (
 	dialInterval                = time.Second // between two rounds of dials
-	membersPerExtraDialInterval = 256         // and as much more for each so many members
+	membersPerExtraDialInterval = 256         // one more dialInterval for each so many members
 )
 
+// dialRoundInterval returns the time between two rounds of dials in a view with that many members.
 func dialRoundInterval(members int) time.Duration {
 	return dialInterval * time.Duration(1+members/membersPerExtraDialInterval)
 }
 
-// dialTarget is an address to dial, and the process that was last known there.
+// dialTarget is an address to dial, and the process that is known at the address.
 type dialTarget struct {
 	addr string
-	name string // empty for a seed without a known member
+	name string // empty for a seed at whose address no member is known
 	run  uint64
 }
 
 // dialResult is the result of a failed dial, or the end of a round.
 type dialResult struct {
 	target         dialTarget
-	evidence       fleet.DialOutcome
-	roundCompleted bool
+	outcome        fleet.DialOutcome
+	roundCompleted bool // the round has ended; the other fields are empty
 }
 
-// startDialRound has addresses dialed that are not reached. There is one round at a time.
+// startDialRound starts dialing the addresses that are due. Only one round runs at a time.
 func (o *viewOwner) startDialRound(now time.Duration) {
 	snapshot := o.Snapshot()
 	var round []dialTarget
@@ -43,6 +44,7 @@
 	}
 }
 
+// newDialTarget returns the target for an address, with the process that the snapshot has at that address.
 func newDialTarget(addr string, snapshot *fleet.Snapshot) dialTarget {
 	target := dialTarget{addr: addr}
 	for i := range snapshot.Members {
@@ -55,16 +57,18 @@
 	return target
 }
 
+// applyDialResult takes the result of a failed dial or the end of a round.
 func (o *viewOwner) applyDialResult(result dialResult) {
 	if result.roundCompleted {
 		o.dialing = false
 		return
 	}
-	o.view.RecordDialOutcome(result.target.name, result.target.run, result.evidence)
+	o.view.RecordDialOutcome(result.target.name, result.target.run, result.outcome)
 	o.unpublished.changed = true
 }
 
-// runDialRounds is the goroutine that dials, which takes long where nothing answers. It ends with ctx.
+// runDialRounds dials the targets of each round until ctx ends. It has a goroutine of its own, as a dial blocks until its
+// timeout where nothing responds.
 func (f *Fleet) runDialRounds(ctx context.Context) error {
 	for {
 		select {
@@ -76,13 +80,14 @@
 	}
 }
 
+// dialAll dials the targets of a round one after another. It reports each failed dial, and then the end of the round.
 func (f *Fleet) dialAll(ctx context.Context, round []dialTarget) {
 	for _, target := range round {
 		f.Counters.Dials.Add(1)
 		f.transport.dial.begin(target.addr)
 		if _, err := f.memberlist.Join([]string{target.addr}); err != nil {
 			f.Counters.DialsFailed.Add(1)
-			f.reportDial(ctx, dialResult{target: target, evidence: f.transport.dial.evidence()})
+			f.reportDial(ctx, dialResult{target: target, outcome: f.transport.dial.outcome()})
 		}
 	}
 	f.reportDial(ctx, dialResult{roundCompleted: true})
--- a/internal/gossip/reload.go
+++ b/internal/gossip/reload.go
@@ -9,32 +9,32 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// errEncryptionFixed is the error of a reload that adds the first key or removes the last one.
+// errEncryptionFixed is returned for a reload that adds the first key or removes the last one.
 var errEncryptionFixed = errors.New("fleet.key_file: enabling or disabling encryption requires a restart")
 
-// ReloadableConfig is the part of the operators' file that a reload may change.
+// ReloadableConfig is the part of Config that a reload may change.
 type ReloadableConfig struct {
 	Seeds  []string
 	Keys   [][]byte
-	Digest uint64 // of the configuration
+	Digest uint64 // digest of the server's configuration
 }
 
-// Reload applies a change of the operators' file. It never blocks: a change that was not taken yet is replaced. One
-// goroutine may call it.
-func (f *Fleet) Reload(change ReloadableConfig) { replaceLatest(f.changes, change) }
+// Reload replaces the reloadable part of the configuration. It never blocks: it replaces a reload that was not taken yet.
+// Only one goroutine may call it.
+func (f *Fleet) Reload(config ReloadableConfig) { replaceLatest(f.reloads, config) }
 
-// applyChange runs in the goroutine that owns the view.
-func (o *viewOwner) applyChange(change ReloadableConfig) {
-	o.rejoin.SetSeeds(change.Seeds)
-	if o.self.SetConfig(change.Digest) {
+// applyReload applies a reload. It runs in the goroutine that owns the view.
+func (o *viewOwner) applyReload(config ReloadableConfig) {
+	o.rejoin.SetSeeds(config.Seeds)
+	if o.self.SetConfig(config.Digest) {
 		o.publishRecord()
 	}
-	if err := o.replaceKeys(change.Keys); err != nil {
+	if err := o.replaceKeys(config.Keys); err != nil {
 		o.log.WithError(err).Error("encryption keys of fleet not replaced, keeping current ones")
 	}
 }
 
-// newKeyring returns nil where there are no keys.
+// newKeyring returns a keyring whose first key encrypts, or nil if there are no keys.
 func newKeyring(keys [][]byte) (*memberlist.Keyring, error) {
 	if len(keys) == 0 {
 		return nil, nil
@@ -46,7 +46,7 @@
 	return keyring, nil
 }
 
-// replaceKeys replaces the keys. The first one encrypts; all of them decrypt.
+// replaceKeys replaces the encryption keys. The first one encrypts, all of them decrypt. The keyring then holds no other key.
 func (f *Fleet) replaceKeys(keys [][]byte) error {
 	if (len(keys) == 0) != (f.keyring == nil) {
 		return errEncryptionFixed
@@ -65,6 +65,7 @@
 	return f.removeOtherKeys(keys)
 }
 
+// removeOtherKeys removes the keys from the keyring that are not among keys.
 func (f *Fleet) removeOtherKeys(keys [][]byte) error {
 	for _, old := range f.keyring.GetKeys() {
 		if slices.ContainsFunc(keys, func(key []byte) bool { return bytes.Equal(key, old) }) {
--- a/internal/gossip/reload_test.go
+++ b/internal/gossip/reload_test.go
@@ -9,7 +9,7 @@
 
 func testKey(digit byte) []byte { return bytes.Repeat([]byte{digit}, 32) }
 
-// The first key must encrypt after a reload, all of them must decrypt, and no other one.
+// After a reload the first key must encrypt, all new keys must decrypt, and a key that was withdrawn must not.
 func TestReplaceKeys(t *testing.T) {
 	member := newTestFleet(t, Config{Keys: [][]byte{testKey(1), testKey(2)}})
 	require.NoError(t, member.replaceKeys([][]byte{testKey(3), testKey(1)}))
@@ -17,7 +17,7 @@
 	require.ElementsMatch(t, [][]byte{testKey(1), testKey(3)}, member.keyring.GetKeys())
 }
 
-// A reload must not begin or end encryption: members would not understand each other until all of them have reloaded.
+// A reload must not enable or disable encryption: members could not communicate until all of them have reloaded.
 func TestReplaceKeysKeepsEncryption(t *testing.T) {
 	encrypted := newTestFleet(t, Config{Keys: [][]byte{testKey(1)}})
 	require.ErrorIs(t, encrypted.replaceKeys(nil), errEncryptionFixed)
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	membersPerExtraTick = 64          // load alone is published one tick later for so many members
-	maxAggregateDelay   = time.Second // but no later than this where the aggregate of a zone was received
-	maxChangeLines      = 64          // log lines for one snapshot
+	membersPerExtraTick = 64          // changes in load alone wait one tick longer for each so many members
+	maxAggregateDelay   = time.Second // maximum wait once the aggregate of a zone was received
+	maxChangeLines      = 64          // log lines for the changes in one snapshot
 )
 
-// unpublishedChanges is what has changed since the last snapshot. It belongs to the owner of the view.
+// unpublishedChanges says what has changed since the last published snapshot. It belongs to the owner of the view.
 type unpublishedChanges struct {
-	changed     bool // in more than load
-	aggregate   bool // the aggregate of a zone was received
-	publishedAt time.Duration
+	changed     bool          // more than load has changed
+	aggregate   bool          // the aggregate of a zone was received
+	publishedAt time.Duration // time of the last snapshot
 }
 
-// shouldPublish reports whether the next snapshot is to be published. A change in load alone waits for longer in a larger view.
+// shouldPublish reports whether the next snapshot is due in a view with that many members. Changes in more than load are
+// published at the next tick. Changes in load alone wait longer in a larger view.
 func (u *unpublishedChanges) shouldPublish(now time.Duration, members int) bool {
 	if u.changed {
 		return true
@@ -33,7 +34,7 @@
 	return now-u.publishedAt >= wait-tickInterval/2
 }
 
-// publishSnapshot publishes the view, and logs the changes since the last snapshot.
+// publishSnapshot publishes a snapshot of the view, and logs the changes since the previous one.
 func (o *viewOwner) publishSnapshot(now time.Duration) {
 	next, previous := o.view.Snapshot(now), o.Snapshot()
 	o.unpublished = unpublishedChanges{publishedAt: now}
@@ -41,6 +42,7 @@
 	o.snapshot.Store(next)
 }
 
+// logChanges logs up to maxChangeLines changes.
 func (o *viewOwner) logChanges(changes []fleet.Change, position fleet.Position) {
 	for i, change := range changes {
 		if i == maxChangeLines {
@@ -51,7 +53,7 @@
 	}
 }
 
-// changeFields returns the fields of the log line of a change.
+// changeFields returns the fields of a change's log line.
 func changeFields(change *fleet.Change, position fleet.Position) logrus.Fields {
 	fields := logrus.Fields{"from": change.From, "to": change.To, "position": position.String()}
 	switch change.Kind {
@@ -65,7 +67,7 @@
 	return fields
 }
 
-// changeLevel is a warning where this member is no longer connected to the whole fleet.
+// changeLevel returns the level of a change's log line: a warning if this member is no longer fully connected.
 func changeLevel(change *fleet.Change) logrus.Level {
 	if change.Kind == fleet.PositionChanged && change.To != fleet.FullyConnected.String() {
 		return logrus.WarnLevel
--- a/internal/gossip/snapshot_test.go
+++ b/internal/gossip/snapshot_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A change must be published at the next tick, and load alone the later the larger the fleet is.
-func TestSnapshotInterval(t *testing.T) {
+// In a large fleet the load of some member changes at every tick. Changes in load alone must wait the longer the larger the
+// fleet is, while all other changes must be published at the next tick.
+func TestSnapshotDelayGrowsWithFleetForLoadAlone(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		unpublished unpublishedChanges
 		members     int
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -12,21 +12,22 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// boundTransport is memberlist's transport over sockets. It dials from the address at which the process listens, so
-// that a relay between two members can tell which one dials.
+// boundTransport is memberlist's transport over sockets. It dials from the IP address at which the process listens, so
+// that a relay between two members can tell which of them dials.
 type boundTransport struct {
 	*memberlist.NetTransport
-	localIP net.IP
+	localIP net.IP // unspecified: the system chooses the address
 }
 
+// listen opens the TCP and UDP sockets at addr, an IP address and a port.
 func listen(addr string, logger *log.Logger) (*boundTransport, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return nil, fmt.Errorf("reading the address: %w", err)
+		return nil, fmt.Errorf("parsing the address: %w", err)
 	}
 	portNumber, err := strconv.Atoi(port)
 	if err != nil {
-		return nil, fmt.Errorf("reading the port: %w", err)
+		return nil, fmt.Errorf("parsing the port: %w", err)
 	}
 	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
 		BindAddrs: []string{host}, BindPort: portNumber, Logger: logger,
@@ -55,11 +56,11 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
 }
 
-// countingTransport counts what is sent, and follows the dial of the rejoin round.
+// countingTransport counts what is sent, and records how the dials of the rejoin rounds end.
 type countingTransport struct {
 	memberlist.NodeAwareTransport
 	counters *Counters
-	dial     dialObserver
+	dial     dialObserver // of the address that a rejoin round dials
 }
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
@@ -90,7 +91,7 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
 }
 
-// countingConn counts what is written, and records how reading and writing end.
+// countingConn counts what is written, and records the errors of reads and writes.
 type countingConn struct {
 	net.Conn
 	transport *countingTransport
@@ -111,10 +112,10 @@
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.transport.dial.recordAnswer(c.addr)
+		c.transport.dial.recordResponse(c.addr)
 	}
 	if isTimeout(err) {
-		c.transport.dial.recordError(c.addr, errNoAnswer)
+		c.transport.dial.recordError(c.addr, errNoResponse)
 	} else if err != nil {
 		c.transport.dial.recordError(c.addr, err)
 	}
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	tickInterval   = 250 * time.Millisecond // of maintain
-	forgetInterval = 10 * time.Second       // between two searches for members to forget
+	tickInterval   = 250 * time.Millisecond // between two calls of onTick
+	expiryInterval = 10 * time.Second       // between two removals of expired members
 )
 
-// viewOwner is what belongs to the goroutine that owns the view: the view of the fleet, what this process publishes of
-// itself, and when the next rounds are due. Nothing else reads or changes it.
+// viewOwner holds the state of the goroutine that owns the view: the view of the fleet, what this process publishes, and
+// the times of the next periodic tasks. No other goroutine uses it.
 type viewOwner struct {
-	*Fleet       // whose channels bring the events
+	*Fleet       // its channels deliver the events
 	view         *fleet.View
 	self         *fleet.Self
 	rejoin       *fleet.Rejoin
 	unpublished  unpublishedChanges
-	dialing      bool // a round of dials is not over
-	left         bool // this process has left the fleet
-	nextDialAt   time.Duration
-	nextForgetAt time.Duration
+	dialing      bool          // a round of dials is running
+	left         bool          // this process has left the fleet
+	nextDialAt   time.Duration // earliest time of the next round of dials
+	nextExpiryAt time.Duration // time of the next removal of expired members
 }
 
-// newViewOwner returns the owner of a view that holds the process's own record, and publishes that view.
+// newViewOwner returns the owner of a view that holds this process's record alone, and publishes its first snapshot.
 func newViewOwner(member *Fleet, rejoin *fleet.Rejoin) *viewOwner {
 	config := &member.config
 	owner := &viewOwner{
@@ -40,8 +40,8 @@
 	return owner
 }
 
-// ownView is the goroutine of a viewOwner. It ends with ctx, after leaving the fleet.
-func (o *viewOwner) ownView(ctx context.Context) {
+// run handles events until ctx ends, and then leaves the fleet.
+func (o *viewOwner) run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	o.publishRecord()
@@ -52,18 +52,19 @@
 			return
 		case status := <-o.statuses:
 			o.applyStatus(status)
-		case change := <-o.changes:
-			o.applyChange(change)
+		case reload := <-o.reloads:
+			o.applyReload(reload)
 		case update := <-o.updates:
 			o.receiveUpdate(&update)
 		case result := <-o.dialResults:
 			o.applyDialResult(result)
 		case <-ticker.C:
-			o.maintain()
+			o.onTick()
 		}
 	}
 }
 
+// applyStatus takes a status of the server loop, and leaves the fleet once a successor process has replaced this one.
 func (o *viewOwner) applyStatus(status fleet.Status) {
 	if o.self.SetStatus(o.Now(), status) {
 		o.publishRecord()
@@ -74,15 +75,15 @@
 	}
 }
 
-// maintain is what is due at a tick.
-func (o *viewOwner) maintain() {
+// onTick runs the periodic tasks that are due.
+func (o *viewOwner) onTick() {
 	if o.left {
 		return
 	}
 	now := o.Now()
 	o.applyReachChanges(now)
-	if now >= o.nextForgetAt {
-		o.nextForgetAt = now + forgetInterval
+	if now >= o.nextExpiryAt {
+		o.nextExpiryAt = now + expiryInterval
 		o.view.RemoveExpired(now)
 	}
 	if o.self.ShouldPublish(now, o.view.Size()) {
@@ -97,11 +98,12 @@
 	}
 }
 
+// applyReachChanges takes the results of the failure detection since the last call.
 func (o *viewOwner) applyReachChanges(now time.Duration) {
 	o.reach.drain(func(process string, reach fleet.Reach) {
 		name, run, err := fleet.ParseProcess(process)
 		if err != nil {
-			return // a node of another program
+			return // not a node of this program
 		}
 		o.view.ObserveReach(now, name, run, reach)
 		o.unpublished.changed = true
