--- a/internal/configcheck/configcheck_test.go
+++ b/internal/configcheck/configcheck_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Names, ports out of range and text that is no address must be rejected; port 0 is one only where a process listens.
+// An address that cannot be dialed must be found when the configuration is read, not when it is first used. Host names and
+// ports out of range must be rejected; port 0 is valid only for an address at which the process listens.
 func TestAddress(t *testing.T) {
 	for _, test := range []struct {
 		address      string
@@ -32,7 +33,7 @@
 	require.ErrorIs(t, Address(""), ErrMissing)
 }
 
-// text returns the text of an error, or "" for none.
+// text returns the message of err, or "" if it is nil.
 func text(err error) string {
 	if err == nil {
 		return ""
@@ -40,8 +41,8 @@
 	return err.Error()
 }
 
-// A caller finds the key and the cause of a wrapped KeyError.
-func TestKeyError(t *testing.T) {
+// Callers look for the key and for the cause of a KeyError that was wrapped.
+func TestKeyErrorUnwraps(t *testing.T) {
 	cause := errors.New("negative")
 	err := fmt.Errorf("configuration: %w", Errorf("settings.TickUs", "value %d: %w", -1, cause))
 	require.EqualError(t, err, "configuration: settings.TickUs: value -1: negative")
--- a/internal/operators/fault_injection.go
+++ b/internal/operators/fault_injection.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Bounds of the table [drill].
+// Bounds of the keys in table [drill].
 const (
-	maxClockOffset = 24 * time.Hour
-	maxWedge       = time.Minute
+	maxClockOffset = 24 * time.Hour // of clock, in both directions
+	maxStall       = time.Minute    // of wedge
 )
 
-// FaultInjection is the table [drill]: faults that this process injects into itself, for operators to see how the other
-// members react.
+// FaultInjection is the table [drill]: faults that this process injects into itself, so that operators can observe how the
+// other members react.
 type FaultInjection struct {
-	Clock time.Duration // offset of its clock from the start; may be negative
-	Wedge time.Duration // for which a call to the console stalls its event loop; 0: there is no such call
+	Clock time.Duration // offset of its clock from the start on; may be negative
+	Wedge time.Duration // time for which a console request stalls the event loop; 0: there is no such request
 }
 
-// drill is the table [drill] as it is decoded. Errors of the decoder print its name and fields.
+// drill is the table [drill] as it is decoded. The decoder's errors contain the names of the type and its fields.
 type drill struct {
-	Clock *string `toml:"clock"`
-	Wedge *string `toml:"wedge"`
+	Clock *string `toml:"clock"` // a duration such as 500ms
+	Wedge *string `toml:"wedge"` // a duration
 }
 
-// parse checks the table. It returns nil where it is absent.
+// parse returns the checked table, or nil if it is absent.
 func (t *drill) parse() (*FaultInjection, error) {
 	if t == nil {
 		return nil, nil
@@ -30,7 +30,7 @@
 	if err := setDuration("drill.clock", t.Clock, -maxClockOffset, maxClockOffset, &parsed.Clock); err != nil {
 		return nil, err
 	}
-	if err := setDuration("drill.wedge", t.Wedge, 0, maxWedge, &parsed.Wedge); err != nil {
+	if err := setDuration("drill.wedge", t.Wedge, 0, maxStall, &parsed.Wedge); err != nil {
 		return nil, err
 	}
 	return parsed, nil
--- a/internal/operators/fleet.go
+++ b/internal/operators/fleet.go
@@ -9,11 +9,11 @@
 	"falldeal/internal/fleet"
 )
 
-// Bounds and defaults of the table [fleet].
+// Bounds and defaults of the keys in table [fleet].
 const (
 	maxSeeds             = 64
-	maxMembers           = 16384
-	defaultMembers       = maxMembers / 4
+	maxMembers           = 16384          // of size and members_max
+	defaultMembers       = maxMembers / 4 // of members_max
 	defaultSize          = 300
 	minForgetAfter       = time.Minute
 	maxForgetAfter       = 30 * 24 * time.Hour
@@ -23,20 +23,20 @@
 	defaultProbeInterval = 500 * time.Millisecond
 )
 
-// Fleet is the table [fleet]: this instance's membership.
+// Fleet is the table [fleet]: the membership of this instance in a fleet.
 type Fleet struct {
-	Listen        string   // IP address and port, TCP and UDP, at which this instance listens for other members
-	Advertise     string   // where other members reach it, if that is elsewhere
-	Seeds         []string // members to contact first; its own address among them does no harm
-	Region        string
-	Zone          string
+	Listen        string        // IP address and port at which it listens for other members, TCP and UDP
+	Advertise     string        // IP address and port at which other members reach it; default: Listen
+	Seeds         []string      // addresses of members to contact first; its own address is allowed among them
+	Region        string        // location of this instance
+	Zone          string        // location within the region
 	Keys          [][]byte      // encryption keys, newest first; none: messages are not encrypted
-	Size          int           // expected number of members, for pacing
-	Limits        fleet.Limits  // of the membership view
-	ProbeInterval time.Duration // between two probes of other members
+	Size          int           // expected number of members, by which traffic is paced
+	Limits        fleet.Limits  // bounds of the membership view
+	ProbeInterval time.Duration // between two probes of the failure detection
 }
 
-// table is the table [fleet] as it is decoded. Errors of the decoder print its name and fields.
+// table is the table [fleet] as it is decoded. The decoder's errors contain the names of the type and its fields.
 type table struct {
 	Listen     string   `toml:"listen"`
 	Advertise  string   `toml:"advertise"`
@@ -50,7 +50,7 @@
 	Probe      *string  `toml:"probe_every"`
 }
 
-// parse checks the table and reads the key file, whose path is relative to dir.
+// parse returns the checked table. It reads the key file, whose path is relative to dir.
 func (t *table) parse(dir string) (*Fleet, error) {
 	parsed := &Fleet{
 		Listen:        t.Listen,
@@ -85,6 +85,7 @@
 	return parsed, nil
 }
 
+// checkAddresses checks Listen, Advertise and Seeds.
 func (f *Fleet) checkAddresses() error {
 	type keyAddress struct{ key, address string }
 	addresses := []keyAddress{{"fleet.listen", f.Listen}, {"fleet.advertise", f.Advertise}}
@@ -97,14 +98,15 @@
 		}
 	}
 	if host, _, _ := net.SplitHostPort(f.Advertise); net.ParseIP(host).IsUnspecified() {
-		return configcheck.Errorf("fleet.advertise", "%s is an address that nobody can call", f.Advertise)
+		return configcheck.Errorf("fleet.advertise", "%s: unspecified IP address, other members cannot connect to it", f.Advertise)
 	}
 	if len(f.Seeds) > maxSeeds {
-		return configcheck.Errorf("fleet.seeds", "%d, want at most %d", len(f.Seeds), maxSeeds)
+		return configcheck.Errorf("fleet.seeds", "%d seeds, want at most %d", len(f.Seeds), maxSeeds)
 	}
 	return nil
 }
 
+// checkPlace checks Region and Zone.
 func (f *Fleet) checkPlace() error {
 	if err := checkPlaceName(f.Region); err != nil {
 		return &configcheck.KeyError{Key: "fleet.region", Err: err}
@@ -115,6 +117,7 @@
 	return nil
 }
 
+// setSizes sets Size and Limits.Members.
 func (t *table) setSizes(parsed *Fleet) error {
 	if err := setBounded("fleet.size", t.Size, 1, maxMembers, &parsed.Size); err != nil {
 		return err
@@ -123,11 +126,12 @@
 		return err
 	}
 	if parsed.Size > parsed.Limits.Members {
-		return configcheck.Errorf("fleet.size", "%d, and members_max is %d", parsed.Size, parsed.Limits.Members)
+		return configcheck.Errorf("fleet.size", "%d exceeds members_max, which is %d", parsed.Size, parsed.Limits.Members)
 	}
 	return nil
 }
 
+// setDurations sets Limits.ForgetAfter and ProbeInterval.
 func (t *table) setDurations(parsed *Fleet) error {
 	err := setDuration("fleet.forget_after", t.Forget, minForgetAfter, maxForgetAfter, &parsed.Limits.ForgetAfter)
 	if err != nil {
--- a/internal/operators/golden_test.go
+++ b/internal/operators/golden_test.go
@@ -13,17 +13,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Addresses and names that a table fleet must have; a case adds lines, or replaces one of these.
+// The lines of minimalFile that table [fleet] must have. A case adds lines to minimalFile or replaces one of these.
 const (
 	listenLine = "listen = \"10.0.0.1:7946\"\n"
 	regionLine = "region = \"belgium\"\n"
 	zoneLine   = "zone = \"mechelen\"\n"
 )
 
-// replaceLine returns the minimal file with other lines in place of one.
+// replaceLine returns minimalFile with other in place of line.
 func replaceLine(line, other string) string { return strings.Replace(minimalFile, line, other, 1) }
 
-// Files with at most one fault, by the table that has it.
+// Files with at most one invalid value, grouped by the table that contains it.
 var (
 	syntaxCases = []string{
 		"",
@@ -131,7 +131,7 @@
 	}
 )
 
-// The full message for every key that can be at fault.
+// Operators find an invalid value by the message alone. Each message must name the key, and must not change by accident.
 func TestGoldenErrors(t *testing.T) {
 	dir := t.TempDir()
 	key := strings.Repeat("0a", 16) + "\n"
@@ -148,25 +148,25 @@
 	var got strings.Builder
 	for _, text := range slices.Concat(syntaxCases, fleetCases, overloadCases, traceCases, faultInjectionCases) {
 		_, err := Parse([]byte(text), dir)
-		fmt.Fprintf(&got, "%s\n\t%s\n", shown(text), outcome(err))
-		if err != nil && !strings.HasPrefix(err.Error(), "line ") { // the syntax is good
+		fmt.Fprintf(&got, "%s\n\t%s\n", abbreviate(text), outcome(err))
+		if err != nil && !strings.HasPrefix(err.Error(), "line ") { // not a syntax error
 			requireKey(t, err)
 		}
 	}
 	golden.RequireText(t, "errors", strings.ReplaceAll(got.String(), dir, "(folder)"))
 }
 
-// shown returns a file on one line, with the minimal file abbreviated.
-func shown(text string) string {
-	const widest = 100
+// abbreviate returns a file on one line of limited length, with "(least) " for minimalFile.
+func abbreviate(text string) string {
+	const maxWidth = 100
 	line := strings.ReplaceAll(strings.Replace(text, minimalFile, "(least) ", 1), "\n", "; ")
-	if len(line) > widest {
-		line = fmt.Sprintf("%s... (%d bytes)", line[:widest], len(line))
+	if len(line) > maxWidth {
+		line = fmt.Sprintf("%s... (%d bytes)", line[:maxWidth], len(line))
 	}
 	return line
 }
 
-// outcome returns the message of an error, or that there is none.
+// outcome returns the message of err, or "accepted" if it is nil.
 func outcome(err error) string {
 	if err == nil {
 		return "accepted"
@@ -174,7 +174,7 @@
 	return err.Error()
 }
 
-// The messages of a file that can't be read name the file.
+// A file that cannot be loaded must be named in the message.
 func TestGoldenLoad(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
--- a/internal/operators/keyfile.go
+++ b/internal/operators/keyfile.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// maxKeys bounds the keys in a key file.
+// maxKeys is the maximum number of keys in a key file.
 const maxKeys = 8
 
-// keySizes are the sizes of AES keys in bytes.
+// keySizes holds the valid sizes of a key in bytes, those of AES-128, AES-192 and AES-256.
 var keySizes = []int{16, 24, 32}
 
-// readKeyFile reads the file at path, relative to dir. No path means no keys.
+// readKeyFile returns the keys in the file at path, which is relative to dir. An empty path means no keys.
 func readKeyFile(dir, path string) ([][]byte, error) {
 	if path == "" {
 		return nil, nil
@@ -28,8 +28,9 @@
 	return parseKeys(text)
 }
 
-// parseKeys reads a key file: one key of 16, 24 or 32 bytes on each line, in hex digits. Blank lines and those that
-// begin with # are skipped. The first key encrypts; all of them decrypt. Errors never repeat a line: it is a secret.
+// parseKeys parses a key file. Each line holds one key of 16, 24 or 32 bytes in hex digits. Blank lines and lines that
+// begin with # are skipped. The first key encrypts, all of them decrypt. Errors never contain text of the file, which is
+// secret.
 func parseKeys(text []byte) ([][]byte, error) {
 	var keys [][]byte
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -48,7 +49,7 @@
 	case lines.Err() != nil:
 		return nil, lines.Err() //nolint:wrapcheck // the caller names the key of the file
 	case len(keys) == 0:
-		return nil, errors.New("no key in it")
+		return nil, errors.New("file contains no key")
 	case len(keys) > maxKeys:
 		return nil, fmt.Errorf("%d keys, want at most %d", len(keys), maxKeys)
 	}
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators reads the operators' TOML file, checks it and fills in defaults. The file holds what the platform's
-// configuration has no place for; without it there is no fleet.
+// Package operators reads the operators' file, a TOML file with the settings of the fleet, checks it and fills in
+// defaults. The platform's configuration cannot hold these settings. Without the file there is no fleet.
 package operators
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxFileBytes bounds the file and each file that it names.
+// maxFileBytes is the maximum size of the operators' file and of the key file.
 const maxFileBytes = 1 << 20
 
-// File is the operators' file. All tables but [fleet] need that one.
+// File is the operators' file. The other tables require table [fleet].
 type File struct {
 	Fleet          *Fleet          // table [fleet]; nil: absent
 	Overload       *Overload       // table [overload]; nil: absent
@@ -26,7 +26,8 @@
 	FaultInjection *FaultInjection // table [drill]; nil: absent
 }
 
-// Load reads the file at path, and the files that it names. A value that is missing or wrong is a *configcheck.KeyError.
+// Load reads the operators' file at path and the key file that it names. The error is a wrapped *configcheck.KeyError if a
+// value is missing or invalid.
 func Load(path string) (*File, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -43,15 +44,15 @@
 func readFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it names the path
+		return nil, err //nolint:wrapcheck // it contains the path
 	}
 	if info.Size() > maxFileBytes {
 		return nil, fmt.Errorf("%s: %d bytes, want at most %d", path, info.Size(), maxFileBytes)
 	}
-	return os.ReadFile(path) //nolint:gosec,wrapcheck // the operator names the file; an error names the path
+	return os.ReadFile(path) //nolint:gosec,wrapcheck // the operator names the file; an error contains the path
 }
 
-// resolvePath returns a path that a file in dir names.
+// resolvePath returns path relative to dir, unless it is absolute.
 func resolvePath(dir, path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -59,10 +60,10 @@
 	return filepath.Join(dir, path)
 }
 
-// Parse reads the text of a file. Paths in it are relative to dir, unless they are absolute. A value that is missing or
-// wrong is a *configcheck.KeyError.
+// Parse parses the text of an operators' file. Paths in it are relative to dir, unless they are absolute. The error is a
+// *configcheck.KeyError if a value is missing or invalid.
 func Parse(text []byte, dir string) (*File, error) {
-	// Errors of the decoder print this type and its fields: it has to stay anonymous, and the names as they are.
+	// The decoder's errors contain this type and its fields, so that it stays anonymous and the names stay as they are.
 	var tables struct {
 		Fleet    *table    `toml:"fleet"`
 		Overload *overload `toml:"overload"`
@@ -75,9 +76,9 @@
 	}
 	if tables.Fleet == nil {
 		err := requireAbsent(
-			tableGiven{"overload", tables.Overload != nil},
-			tableGiven{"trace", tables.Trace != nil},
-			tableGiven{"drill", tables.Drill != nil})
+			tablePresence{"overload", tables.Overload != nil},
+			tablePresence{"trace", tables.Trace != nil},
+			tablePresence{"drill", tables.Drill != nil})
 		if err != nil {
 			return nil, err
 		}
@@ -100,29 +101,30 @@
 	return &file, nil
 }
 
-// tableGiven says whether a table is in the file.
-type tableGiven struct {
-	name  string
-	given bool
+// tablePresence says whether the file contains a table.
+type tablePresence struct {
+	name    string
+	present bool
 }
 
-// requireAbsent returns a *configcheck.KeyError for the first table that is given without the table [fleet].
-func requireAbsent(tables ...tableGiven) error {
+// requireAbsent returns a *configcheck.KeyError for the first table that is present. It is called if table [fleet] is
+// absent.
+func requireAbsent(tables ...tablePresence) error {
 	for _, table := range tables {
-		if table.given {
-			return configcheck.Errorf(table.name, "needs the table fleet")
+		if table.present {
+			return configcheck.Errorf(table.name, "requires table [fleet]")
 		}
 	}
 	return nil
 }
 
-// decodeError turns an error of the TOML library into one that names the key and line.
+// decodeError converts an error of the TOML library into one with the key, if known, and the line.
 func decodeError(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		unknown := strict.Errors[0]
 		line, _ := unknown.Position()
-		return configcheck.Errorf(strings.Join(unknown.Key(), "."), "no such key (line %d)", line)
+		return configcheck.Errorf(strings.Join(unknown.Key(), "."), "unknown key (line %d)", line)
 	}
 	var decode *toml.DecodeError
 	if !errors.As(err, &decode) {
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// minimalFile has the keys without a default.
+// minimalFile holds just the keys that have no default.
 const minimalFile = "[fleet]\nlisten = \"10.0.0.1:7946\"\nregion = \"belgium\"\nzone = \"mechelen\"\n"
 
-// The file that is shipped as an example must be one that starts, and say what the defaults are.
-func TestShippedFile(t *testing.T) {
+// Operators copy deploy/operators.toml. It must be valid and show the defaults as they are.
+func TestShippedFileIsValidAndShowsDefaults(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile("../../deploy/operators.toml")
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 	require.Nil(t, none.Fleet)
 }
 
-// requireKey returns the key that an error names by its type.
+// requireKey requires a *configcheck.KeyError and returns its key.
 func requireKey(t *testing.T, err error) string {
 	t.Helper()
 	var keyError *configcheck.KeyError
@@ -44,8 +44,9 @@
 	return keyError.Key
 }
 
-// An error must name the key at fault; it must never repeat an encryption key.
-func TestErrorsNameKey(t *testing.T) {
+// An operator must learn from the message which key is invalid. An encryption key must never appear in it, as messages are
+// logged.
+func TestErrorsNameKeyButNoSecret(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"bad":  "secret\n",
@@ -55,31 +56,31 @@
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
 	for want, text := range map[string]string{
-		"fleet.listen: missing":               "[fleet]\n",
-		"fleet.listen: \"host\"":              strings.Replace(minimalFile, "10.0.0.1:7946", "host:7946", 1),
-		"fleet.listen: \"0\"":                 strings.Replace(minimalFile, "7946", "0", 1),
-		"fleet.advertise: 0.0.0.0":            strings.Replace(minimalFile, "10.0.0.1", "0.0.0.0", 1),
-		"fleet.seeds[1]":                      minimalFile + "seeds = [\"10.0.0.2:7946\", \"10.0.0.3\"]",
-		"fleet.seeds: 65":                     minimalFile + "seeds = [" + strings.Repeat("\"10.0.0.2:7946\",", 65) + "]",
-		"fleet.zone: missing":                 strings.Replace(minimalFile, "mechelen", "", 1),
-		"fleet.region: \"bel gium\"":          strings.Replace(minimalFile, "belgium", "bel gium", 1),
-		"fleet.size: 0":                       minimalFile + "size = 0",
-		"fleet.size: 500, and members_max is": minimalFile + "size = 500\nmembers_max = 400",
-		"fleet.forget_after: 1s":              minimalFile + "forget_after = \"1s\"",
-		"fleet.probe_every":                   minimalFile + "probe_every = \"often\"",
-		"fleet.speed: no such key (line 5)":   minimalFile + "speed = 5",
-		"fleet.size":                          minimalFile + "size = \"many\"",
-		"line 1":                              "[fleet",
-		"overload: needs the table":           "[overload]\nshares = true",
-		"overload.lease: 1ms":                 minimalFile + "[overload]\nlease = \"1ms\"",
-		"overload.keep: 2":                    minimalFile + "[overload]\nkeep = 2.0",
-		"drill: needs the table":              "[drill]\nclock = \"1s\"",
-		"drill.clock: -48h":                   minimalFile + "[drill]\nclock = \"-48h\"",
-		"drill.wedge: 2m":                     minimalFile + "[drill]\nwedge = \"2m\"",
-		"fleet.key_file: stat":                minimalFile + "key_file = \"absent\"",
-		"fleet.key_file: line 1: want":        minimalFile + "key_file = \"bad\"",
-		"fleet.key_file: no key":              minimalFile + "key_file = \"none\"",
-		"fleet.key_file: 9 keys":              minimalFile + "key_file = \"many\"",
+		"fleet.listen: missing":                "[fleet]\n",
+		"fleet.listen: \"host\"":               strings.Replace(minimalFile, "10.0.0.1:7946", "host:7946", 1),
+		"fleet.listen: \"0\"":                  strings.Replace(minimalFile, "7946", "0", 1),
+		"fleet.advertise: 0.0.0.0":             strings.Replace(minimalFile, "10.0.0.1", "0.0.0.0", 1),
+		"fleet.seeds[1]":                       minimalFile + "seeds = [\"10.0.0.2:7946\", \"10.0.0.3\"]",
+		"fleet.seeds: 65":                      minimalFile + "seeds = [" + strings.Repeat("\"10.0.0.2:7946\",", 65) + "]",
+		"fleet.zone: missing":                  strings.Replace(minimalFile, "mechelen", "", 1),
+		"fleet.region: \"bel gium\"":           strings.Replace(minimalFile, "belgium", "bel gium", 1),
+		"fleet.size: 0":                        minimalFile + "size = 0",
+		"fleet.size: 500 exceeds members_max":  minimalFile + "size = 500\nmembers_max = 400",
+		"fleet.forget_after: 1s":               minimalFile + "forget_after = \"1s\"",
+		"fleet.probe_every":                    minimalFile + "probe_every = \"often\"",
+		"fleet.speed: unknown key (line 5)":    minimalFile + "speed = 5",
+		"fleet.size":                           minimalFile + "size = \"many\"",
+		"line 1":                               "[fleet",
+		"overload: requires table [fleet]":     "[overload]\nshares = true",
+		"overload.lease: 1ms":                  minimalFile + "[overload]\nlease = \"1ms\"",
+		"overload.keep: 2":                     minimalFile + "[overload]\nkeep = 2.0",
+		"drill: requires table [fleet]":        "[drill]\nclock = \"1s\"",
+		"drill.clock: -48h":                    minimalFile + "[drill]\nclock = \"-48h\"",
+		"drill.wedge: 2m":                      minimalFile + "[drill]\nwedge = \"2m\"",
+		"fleet.key_file: stat":                 minimalFile + "key_file = \"absent\"",
+		"fleet.key_file: line 1: want":         minimalFile + "key_file = \"bad\"",
+		"fleet.key_file: file contains no key": minimalFile + "key_file = \"none\"",
+		"fleet.key_file: 9 keys":               minimalFile + "key_file = \"many\"",
 	} {
 		_, err := Parse([]byte(text), dir)
 		require.ErrorContains(t, err, want)
--- a/internal/operators/overload.go
+++ b/internal/operators/overload.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds and defaults of the table [overload].
+// Bounds and defaults of the keys in table [overload].
 const (
 	minLease             = 500 * time.Millisecond
 	maxLease             = time.Minute
@@ -10,16 +10,16 @@
 	defaultReservedRatio = 0.5
 )
 
-// Overload is the table [overload]: what the members of a fleet do together under load.
+// Overload is the table [overload]: the overload control that the members of a fleet coordinate.
 type Overload struct {
-	QuotaLeasing      bool          // members lease unused quota of the store to others
-	Lease             time.Duration // for which quota is leased out
-	ReservedRatio     float64       // part of the own quota that is never leased out, 0 to 1
-	Shedding          bool          // all members shed by the same threshold
-	CoordinatedProbes bool          // members take turns in probing a store that does not answer
+	QuotaLeasing      bool          // members lease unused call quota of the store to each other
+	Lease             time.Duration // duration of a lease
+	ReservedRatio     float64       // ratio of this instance's quota that it never leases out, 0 to 1
+	Shedding          bool          // all members shed load by the same threshold
+	CoordinatedProbes bool          // members take turns in probing an unresponsive store
 }
 
-// overload is the table [overload] as it is decoded. Errors of the decoder print its name and fields.
+// overload is the table [overload] as it is decoded. The decoder's errors contain the names of the type and its fields.
 type overload struct {
 	Shares bool     `toml:"shares"`
 	Lease  *string  `toml:"lease"`
@@ -28,7 +28,7 @@
 	Probes bool     `toml:"probes"`
 }
 
-// parse checks the table. It returns nil where it is absent.
+// parse returns the checked table, or nil if it is absent.
 func (t *overload) parse() (*Overload, error) {
 	if t == nil {
 		return nil, nil
--- a/internal/operators/trace.go
+++ b/internal/operators/trace.go
@@ -2,29 +2,29 @@
 
 import "falldeal/internal/configcheck"
 
-// Bounds and defaults of the table [trace].
+// Bounds and defaults of the keys in table [trace].
 const (
 	defaultSample  = 1.0
-	defaultTraceMB = 16
-	maxTraceMB     = 1024
+	defaultTraceMB = 16   // of max_mb
+	maxTraceMB     = 1024 // of max_mb
 	bytesPerMB     = 1 << 20
 )
 
-// Trace is the table [trace]: spans of what changes in this instance's part of the fleet.
+// Trace is the table [trace]: the file to which spans of state changes of this instance are written.
 type Trace struct {
-	File   string
+	File   string  // path, absolute or relative to the working directory
 	Sample float64 // ratio of the episodes that are written, 0 to 1
 	Bytes  int64   // maximum size of the file
 }
 
-// trace is the table [trace] as it is decoded. Errors of the decoder print its name and fields.
+// trace is the table [trace] as it is decoded. The decoder's errors contain the names of the type and its fields.
 type trace struct {
 	File   string   `toml:"file"`
 	Sample *float64 `toml:"sample"`
 	MB     *int     `toml:"max_mb"`
 }
 
-// parse checks the table. It returns nil where it is absent. The path of the file is relative to dir.
+// parse returns the checked table, or nil if it is absent. The path in the table is relative to dir.
 func (t *trace) parse(dir string) (*Trace, error) {
 	if t == nil {
 		return nil, nil
--- a/internal/operators/values.go
+++ b/internal/operators/values.go
@@ -9,7 +9,8 @@
 	"falldeal/internal/fleet"
 )
 
-// setBounded sets target to a value that is given and within bounds. NaN is not.
+// setBounded sets target to the given value. It does nothing if given is nil, and returns an error that names key if the
+// value is NaN or not between lowest and highest.
 func setBounded[T cmp.Ordered](key string, given *T, lowest, highest T, target *T) error {
 	if given == nil {
 		return nil
@@ -21,7 +22,7 @@
 	return nil
 }
 
-// setDuration is setBounded for a duration in Go's notation, such as 500ms.
+// setDuration is setBounded for a duration in Go's syntax, such as 500ms.
 func setDuration(key string, given *string, lowest, highest time.Duration, target *time.Duration) error {
 	if given == nil {
 		return nil
@@ -33,7 +34,7 @@
 	return setBounded(key, &duration, lowest, highest, target)
 }
 
-// checkPlaceName accepts the name of a region or zone: printable ASCII without spaces.
+// checkPlaceName checks the name of a region or zone: 1 to fleet.MaxText bytes of printable ASCII without spaces.
 func checkPlaceName(name string) error {
 	switch {
 	case name == "":
@@ -43,7 +44,7 @@
 	}
 	for _, char := range name {
 		if char <= ' ' || char > '~' {
-			return fmt.Errorf("%q has a character that is no printable ASCII", name)
+			return fmt.Errorf("%q contains a space or a character other than printable ASCII", name)
 		}
 	}
 	return nil
