--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,13 +7,13 @@
 	"falldeal/internal/configcheck"
 )
 
-// Smallest limits that a server can work with.
+// Minimum limits with which a server can work.
 const (
 	minMemoryMB        = 32
 	minFileDescriptors = 64
 )
 
-// check reports values that no image server can run with. The controller accepts the rest.
+// check records in root the first value with which no image server can run. The controller accepts all others.
 func (c *Config) check(root object) {
 	c.checkLimits(root)
 	c.checkAddresses(root)
@@ -23,6 +23,7 @@
 	c.checkClasses(settings.objects("Lanes"))
 }
 
+// checkLimits checks StopTimeout and Limits.
 func (c *Config) checkLimits(root object) {
 	limits := root.object("limits")
 	switch {
@@ -37,6 +38,7 @@
 	}
 }
 
+// checkAddresses checks the name and the addresses. The store's is required only if requests call a store.
 func (c *Config) checkAddresses(root object) {
 	if c.Name == "" {
 		root.fail("name", configcheck.ErrMissing)
@@ -63,6 +65,7 @@
 	}
 }
 
+// checkResources checks the settings of cores, memory and calls.
 func (c *Config) checkResources(family object) {
 	settings := &c.Settings
 	switch {
@@ -71,14 +74,15 @@
 	case !(settings.MemoryKB > 0):
 		family.failf("MemoryKb", "%v, want more than 0", settings.MemoryKB)
 	case settings.RunningMemoryFactor < 0:
-		family.failf("Blowup", "negative")
+		family.failf("Blowup", "%v, want at least 0", settings.RunningMemoryFactor)
 	case settings.KeyMemoryKB < 0:
-		family.failf("KbPerKey", "negative")
+		family.failf("KbPerKey", "%v, want at least 0", settings.KeyMemoryKB)
 	case settings.MaxCallsInFlight < 0:
-		family.failf("CallsOut", "negative")
+		family.failf("CallsOut", "%v, want at least 0", settings.MaxCallsInFlight)
 	}
 }
 
+// checkTimes checks that no duration in the settings is negative. checkClasses checks those of classes.
 func (c *Config) checkTimes(root object) {
 	family := root.object("FamilyInfo")
 	invariants := root.object("Invariants")
@@ -100,16 +104,17 @@
 		{root, "TickUs", settings.Tick},
 	} {
 		if duration.value < 0 {
-			duration.parent.failf(duration.key, "negative time %v", duration.value)
+			duration.parent.failf(duration.key, "%v, want at least 0s", duration.value)
 		}
 	}
 }
 
+// checkClasses checks the names and durations of the classes.
 func (c *Config) checkClasses(classes []object) {
 	used := map[string]bool{}
 	for i, class := range classes {
 		if i >= len(c.Settings.Classes) {
-			return // an earlier key of the list was at fault
+			return // an invalid list of classes was recorded before
 		}
 		name := c.Classes[i]
 		settings := c.Settings.Classes[i]
@@ -117,13 +122,13 @@
 		case name == "":
 			class.fail("Name", configcheck.ErrMissing)
 		case used[name]:
-			class.failf("Name", "%q is used twice", name)
+			class.failf("Name", "%q is the name of an earlier class", name)
 		case settings.LatencyObjective <= 0:
-			class.failf("AimUs", "want more than 0")
+			class.failf("AimUs", "%v, want more than 0s", settings.LatencyObjective)
 		case settings.Deadline <= 0:
-			class.failf("DeadlineUs", "want more than 0")
+			class.failf("DeadlineUs", "%v, want more than 0s", settings.Deadline)
 		case settings.IdempotencyWindow < 0:
-			class.failf("KeyTtlUs", "negative time %v", settings.IdempotencyWindow)
+			class.failf("KeyTtlUs", "%v, want at least 0s", settings.IdempotencyWindow)
 		}
 		used[name] = true
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,50 +14,50 @@
 	"github.com/valyala/fastjson"
 )
 
-// Front ends may use one descriptor in frontDescriptorsDivisor, calls to the store one in storeDescriptorsDivisor.
+// Parts of the file descriptors that each kind of connection may use.
 const (
-	frontDescriptorsDivisor = 2
-	storeDescriptorsDivisor = 8
+	frontDescriptorsDivisor = 2 // connections of front ends: one half
+	storeDescriptorsDivisor = 8 // connections to the store: one eighth
 )
 
-// Limits bound this process.
+// Limits bound the resources of this process.
 type Limits struct {
-	Cores           float64
-	MemoryMB        int
-	FileDescriptors int
+	Cores           float64 // default 1
+	MemoryMB        int     // default 192
+	FileDescriptors int     // default 1024
 }
 
-// MaxFrontConnections returns how many connections front ends may have open.
+// MaxFrontConnections returns the maximum number of open connections of front ends.
 func (l Limits) MaxFrontConnections() int { return l.FileDescriptors / frontDescriptorsDivisor }
 
-// MaxStoreConnections returns how many connections to the store may be open.
+// MaxStoreConnections returns the maximum number of open connections to the store.
 func (l Limits) MaxStoreConnections() int { return l.FileDescriptors / storeDescriptorsDivisor }
 
-// Config is the configuration of an image server.
+// Config is the configuration of an image server. Addresses are an IP address and a port.
 type Config struct {
-	Name                string // that the announce service registers
-	Listen              string // addresses are an IP and a port
-	Agent               string
-	Store               string // "" = requests call no store
-	Announce            string
-	Console             string  // where operators call; "" = nowhere
-	InheritedFD         uintptr // descriptor of a socket that listens for front ends already; 0 = none
-	Handover            string  // path of the socket by which processes hand over; "" = there is only one process
-	Seed                uint64
-	StopTimeout         time.Duration // from SIGTERM to the end of the process
+	Name                string        // name under which the announce service registers the server
+	Listen              string        // address for front ends
+	Agent               string        // address of the agent
+	Store               string        // address of the store; "": requests call no store
+	Announce            string        // address of the announce service
+	Console             string        // address for operators; "": no console
+	InheritedFD         uintptr       // descriptor of a socket that already listens for front ends; 0: none
+	Handover            string        // path of the socket for the handover between processes; "": no handover
+	Seed                uint64        // random seed
+	StopTimeout         time.Duration // maximum time from SIGTERM to the end of the process; default 3.2 s
 	ReplacedStopTimeout time.Duration // the same once a successor process serves
 	Limits              Limits
 	Settings            admission.Settings
 	Classes             []string // names, in the order of Settings.Classes
 	Tenants             []string // names, in the order of Settings.Tenants
-	Gauges              []string // names, in the order in which the agent reports them
-	UnsupportedKeys     []string // keys of settings that the protocols can't carry and that are off therefore
+	Gauges              []string // names, in the order in which the agent reports the gauges
+	UnsupportedKeys     []string // keys of settings that were switched off because the protocols do not support them
 
-	keys map[string]bool // that were given, by their paths
+	keys map[string]bool // paths of the keys in the file
 }
 
-// Load reads the file at path, or at GW_CONFIG where path is empty. GW_NAME, GW_LISTEN and GW_CONSOLE, where set,
-// override the file's keys. A value that is missing or wrong is a *configcheck.KeyError.
+// Load reads the file at path, or at GW_CONFIG if path is empty. GW_NAME, GW_LISTEN and GW_CONSOLE override keys of the file
+// if they are set. The error is a *configcheck.KeyError, possibly wrapped, if a value is missing or invalid.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		if path = os.Getenv(envPath); path == "" {
@@ -75,35 +75,35 @@
 	return cfg, nil
 }
 
-// Parse reads a configuration. env returns the value of an environment variable, or "". A value that is missing or wrong
-// is a *configcheck.KeyError.
+// Parse parses the text of a configuration file. env returns the value of an environment variable, or "". The error is a
+// *configcheck.KeyError if a value is missing or invalid.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return nil, err //nolint:wrapcheck // Load adds the path, and the text says that it is of JSON
+		return nil, err //nolint:wrapcheck // Load adds the path, and the message says that it is about JSON
 	}
 	if value.Type() != fastjson.TypeObject {
-		return nil, fmt.Errorf("want an object, got %v", value.Type())
+		return nil, fmt.Errorf("want a JSON object, got %v", value.Type())
 	}
 	root := newObject(value)
 	cfg := read(root)
 	if err := cfg.applyEnvironment(env); err != nil {
 		return nil, err
 	}
-	cfg.dropUnsupported()
+	cfg.disableUnsupported()
 	cfg.applyDefaults(root)
 	cfg.check(root)
 	cfg.Seed = root.hex("seed")
 	cfg.ReplacedStopTimeout = replacedStopTimeout(cfg.Settings.Classes)
 	cfg.keys = map[string]bool{}
 	root.visitKeys(func(key string) { cfg.keys[key] = true })
-	if err := root.failure(); err != nil {
+	if err := root.err(); err != nil {
 		return nil, err
 	}
 	return cfg, nil
 }
 
-// read reads all keys but the seed as they are given.
+// read reads all keys except the seed, without defaults.
 func read(root object) *Config {
 	if !root.value.Exists("settings") {
 		root.fail("settings", configcheck.ErrMissing)
@@ -130,6 +130,7 @@
 	}
 }
 
+// readNames returns the names of classes or tenants.
 func readNames(list []object) []string {
 	var names []string
 	for _, item := range list {
@@ -138,8 +139,9 @@
 	return names
 }
 
-// Successor reads the file at path for a process that runs with c. A key that c was given and the file lacks is a
-// *configcheck.KeyError: the file was cut short or is half written, and does not ask for the default.
+// Successor loads the file at path to replace c, the current configuration. It returns a wrapped *configcheck.KeyError for a
+// key that c has and the file lacks: such a file is taken for truncated or partly written, and not for one that relies on
+// the default.
 func (c *Config) Successor(path string) (*Config, error) {
 	next, err := Load(path)
 	if err != nil {
@@ -153,10 +155,10 @@
 	return next, nil
 }
 
-// dropUnsupported turns off what the settings allow and the protocols can't carry: the agent has no command that stops a
-// run, answers carry no free value, and a read may not be answered with the result of another. No peer depends on any of
-// them, but a controller that counted on one would wait for ever.
-func (c *Config) dropUnsupported() {
+// disableUnsupported switches off features of the settings that the protocols do not support: the agent has no command
+// that stops a run, responses have no field for an advertised value, and a read must not be answered with the result of
+// another one. No peer depends on these features, but a controller that relied on one would wait forever.
+func (c *Config) disableUnsupported() {
 	settings := &c.Settings
 	for _, feature := range []struct {
 		key  string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 
 func noEnvironment(string) string { return "" }
 
-// readSample returns the text of the sample.
+// readSample returns the text of the sample file.
 func readSample(tb testing.TB) string {
 	tb.Helper()
 	text, err := os.ReadFile(samplePath)
@@ -25,6 +25,7 @@
 	return string(text)
 }
 
+// Every part of a valid file must arrive in the configuration, and the result must be one that a controller accepts.
 func TestParse(t *testing.T) {
 	cfg, err := Parse([]byte(readSample(t)), noEnvironment)
 	require.NoError(t, err)
@@ -43,9 +44,10 @@
 	}
 	require.Equal(t, []bool{true, false, true}, callsDependency)
 	_, err = admission.New(cfg.Settings, cfg.Seed, 0)
-	require.NoError(t, err, "what passes the check must start a controller")
+	require.NoError(t, err, "a controller must accept what Parse accepts")
 }
 
+// A file without limits, seed and stop_ms must get the documented defaults.
 func TestDefaults(t *testing.T) {
 	text := strings.Replace(readSample(t), `"seed": "8c1f30d27a5be964", "stop_ms": 3200,`, "", 1)
 	text = strings.Replace(text, `"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},`, "", 1)
@@ -55,6 +57,7 @@
 	require.Equal(t, Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, FileDescriptors: defaultFileDescriptors}, cfg.Limits)
 }
 
+// The environment must override the file, and an invalid or missing variable must be named in the error.
 func TestEnvironment(t *testing.T) {
 	t.Setenv(envName, "n9")
 	t.Setenv(envListen, "127.0.0.2:5050")
@@ -89,7 +92,7 @@
 	require.Error(t, err)
 }
 
-// requireKey has an error name the key at fault, in its text and by its type.
+// requireKey requires that an error is a *configcheck.KeyError for that key, and that its message contains the key.
 func requireKey(t *testing.T, err error, key string) {
 	t.Helper()
 	require.ErrorContains(t, err, key)
@@ -98,8 +101,8 @@
 	require.Equal(t, key, keyError.Key)
 }
 
-// A wrong configuration must prevent the start and name the key; the server must not guess.
-func TestInvalidKeys(t *testing.T) {
+// A server must not start with an invalid value, or replace it by a guess. The error must name the key.
+func TestInvalidKeysAreRejected(t *testing.T) {
 	for _, test := range []struct{ old, new, key string }{
 		{`"n3"`, `""`, "name:"},
 		{`"n3"`, `7`, "name:"},
@@ -145,6 +148,7 @@
 	}
 }
 
+// Whatever Parse accepts must be settings with which a controller starts, or the server would fail later.
 func FuzzParse(f *testing.F) {
 	f.Add(readSample(f))
 	f.Add(`{"settings":{"Lanes":[{}]}}`)
@@ -152,15 +156,16 @@
 		cfg, err := Parse([]byte(text), noEnvironment)
 		if err == nil {
 			_, err = admission.New(cfg.Settings, cfg.Seed, 0)
-			require.NoError(t, err, "what passes the check must start a controller")
+			require.NoError(t, err, "a controller must accept what Parse accepts")
 		}
 	})
 }
 
-// A file that is half written, or has lost a part, must not be taken for one that asks for the defaults.
-func TestSuccessor(t *testing.T) {
+// A reload may read a file that is truncated or partly written. The keys that are missing from it must not be replaced by
+// their defaults; the reload must fail and name the first one.
+func TestSuccessorRejectsTruncatedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	inForce, err := Parse([]byte(readSample(t)), noEnvironment)
+	current, err := Parse([]byte(readSample(t)), noEnvironment)
 	require.NoError(t, err)
 	for _, test := range []struct{ old, new, key string }{
 		{"", "", ""},
@@ -174,7 +179,7 @@
 		{`"DeadlineUs": 7000000`, `"DeadlineUs": "7000000"`, "settings.Lanes[0].DeadlineUs:"},
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(readSample(t), test.old, test.new, 1)), 0o600))
-		_, err := inForce.Successor(path)
+		_, err := current.Successor(path)
 		if test.key == "" {
 			require.NoError(t, err, test.new)
 			continue
@@ -185,19 +190,20 @@
 	}
 	for _, text := range []string{"", readSample(t)[:len(readSample(t))/2]} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := inForce.Successor(path)
+		_, err := current.Successor(path)
 		require.Error(t, err)
 	}
 }
 
-// Settings that the platform's pages allow must start a server, also where the protocols can't carry them: a server with
-// halt "drop" did not start at all once. The controller must not count on them, and Unused names them for the log.
-func TestUnsupportedSettings(t *testing.T) {
+// Settings that the platform allows must not prevent the start of a server, even if the protocols do not support them: with
+// "Halt": "drop", a server once did not start. The controller must not rely on such a feature, and UnsupportedKeys must name
+// its key for the log.
+func TestUnsupportedSettingsAreDisabled(t *testing.T) {
 	off := strings.NewReplacer(`"Below": "shared"`, `"Below": "off"`, `"store": "127.0.0.1:8900",`, ``)
 	for _, test := range []struct {
 		name, old, new string
-		unused         []string
-		safety         admission.Idempotency
+		unsupported    []string
+		idempotency    admission.Idempotency
 	}{
 		{"as it is", "", "", nil, admission.IdempotentByKey},
 		{"halt drop", `"Halt": "off"`, `"Halt": "drop"`, []string{"settings.FamilyInfo.Halt"}, admission.IdempotentByKey},
@@ -224,15 +230,15 @@
 		require.True(t, test.old == "" || text != readSample(t), test.name)
 		cfg, err := Parse([]byte(text), noEnvironment)
 		require.NoError(t, err, test.name)
-		require.Equal(t, test.unused, cfg.UnsupportedKeys, test.name)
+		require.Equal(t, test.unsupported, cfg.UnsupportedKeys, test.name)
 		require.Equal(t, admission.HaltOff, cfg.Settings.Halt, test.name)
 		require.Equal(t, admission.AdvertOff, cfg.Settings.Advert, test.name)
 		require.Zero(t, cfg.Settings.CacheTTL, test.name)
-		require.Equal(t, test.safety, cfg.Settings.Classes[2].Idempotency, test.name)
+		require.Equal(t, test.idempotency, cfg.Settings.Classes[2].Idempotency, test.name)
 		_, err = admission.New(cfg.Settings, cfg.Seed, 0)
 		require.NoError(t, err, test.name)
 	}
-	cfg, err := Parse([]byte(off.Replace(readSample(t))), noEnvironment) // nothing is called, so there is no store to name
+	cfg, err := Parse([]byte(off.Replace(readSample(t))), noEnvironment) // without calls no store is required
 	require.NoError(t, err)
 	require.False(t, cfg.Settings.Classes[0].CallsDependency)
 }
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -6,7 +6,7 @@
 	"falldeal/admission"
 )
 
-// Defaults of keys that may be absent.
+// Defaults of the keys that may be absent.
 const (
 	defaultStopTimeout     = 3200 * time.Millisecond
 	defaultCores           = 1.0
@@ -14,13 +14,15 @@
 	defaultFileDescriptors = 1024
 )
 
-// A process that was replaced gets the longest deadline, up to maxReplacedWait, and replacedMargin to end.
+// A process that was replaced may take the longest deadline of its classes, but at most maxReplacedWait, and then
+// replacedMargin to end.
 const (
 	maxReplacedWait = 3 * time.Second
 	replacedMargin  = 700 * time.Millisecond
 )
 
-// applyDefaults fills in keys that are absent. One that is null is there, and has to make sense.
+// applyDefaults sets the defaults of keys that are absent. A key whose value is null is not absent: it reads as zero, which
+// check then rejects.
 func (c *Config) applyDefaults(root object) {
 	if !root.value.Exists("stop_ms") {
 		c.StopTimeout = defaultStopTimeout
@@ -36,7 +38,7 @@
 	}
 }
 
-// replacedStopTimeout returns how long a process with these classes may take to end once it was replaced.
+// replacedStopTimeout returns the maximum time in which a process with these classes ends after it was replaced.
 func replacedStopTimeout(classes []admission.Class) (timeout time.Duration) {
 	for _, class := range classes {
 		timeout = max(timeout, min(class.Deadline, maxReplacedWait)+replacedMargin)
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -10,9 +10,9 @@
 	"github.com/valyala/fastjson"
 )
 
-// Digest returns a hash of the settings in the file at path, or at GW_CONFIG where path is empty. Instances that are to
-// make the same decisions have the same one: it leaves out what differs between them, which is their addresses and
-// whether a server is warming up.
+// Digest returns a hash of the settings in the file at path, or at GW_CONFIG if path is empty. Instances that must make the
+// same decisions have the same digest. It does not cover what may differ between them: addresses, and whether a server is
+// warming up.
 func Digest(path string) (uint64, error) {
 	if path == "" {
 		path = os.Getenv(envPath)
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -8,7 +8,7 @@
 	"falldeal/internal/configcheck"
 )
 
-// Environment variables that override or complete the file.
+// Environment variables that name, override or complete the file.
 const (
 	envPath      = "GW_CONFIG"
 	envName      = "GW_NAME"
@@ -17,10 +17,12 @@
 	envInherited = "GW_INHERITED_FD"
 )
 
-// handoverSocket is the file, in the directory for temporary files, by which processes of one image server hand over.
+// handoverSocket is the name of the socket, in the directory for temporary files, over which a process of an image server
+// hands over to its successor.
 const handoverSocket = "falldeal.sock"
 
-// applyEnvironment overrides what the environment sets. env returns the value of a variable, or "".
+// applyEnvironment applies the environment variables that override or complete the file. env returns the value of a
+// variable, or "".
 func (c *Config) applyEnvironment(env func(string) string) error {
 	for _, override := range []struct {
 		variable string
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// absent in place of a value removes the key.
+// absent, given as a value to withValue, removes the key.
 const absent = ""
 
-// fullSample is the sample with a value for every key that is read.
+// fullSample returns the sample file with a value for every key that is read.
 func fullSample(t *testing.T) map[string]any {
 	t.Helper()
 	var root map[string]any
@@ -31,8 +31,8 @@
 	return root
 }
 
-// replaced returns the full sample with the value at path, such as settings.Lanes[0].Name, given as JSON text.
-func replaced(t *testing.T, path, value string) []byte {
+// withValue returns fullSample with value, a JSON text, at path, such as settings.Lanes[0].Name.
+func withValue(t *testing.T, path, value string) []byte {
 	t.Helper()
 	const placeholder = "@value@"
 	root := fullSample(t)
@@ -58,7 +58,7 @@
 	return []byte(strings.Replace(string(text), strconv.Quote(placeholder), value, 1))
 }
 
-// child returns the member or element of that name.
+// child returns the member of an object or the element of a list with that name or index.
 func child(t *testing.T, parent any, step string) any {
 	t.Helper()
 	if object, ok := parent.(map[string]any); ok {
@@ -72,26 +72,26 @@
 	return list[i]
 }
 
-// leaves returns the path of every value in one, objects and lists among them, in the order of their names.
-func leaves(path string, value any) (paths []string) {
+// keyPaths returns the paths of all values in value, including objects and lists, in sorted order. path is that of value.
+func keyPaths(path string, value any) (paths []string) {
 	if path != "" {
 		paths = append(paths, path)
 	}
 	switch container := value.(type) {
 	case map[string]any:
 		for name, member := range container {
-			paths = append(paths, leaves(strings.TrimPrefix(path+"."+name, "."), member)...)
+			paths = append(paths, keyPaths(strings.TrimPrefix(path+"."+name, "."), member)...)
 		}
 	case []any:
 		for i, item := range container {
-			paths = append(paths, leaves(fmt.Sprintf("%s[%d]", path, i), item)...)
+			paths = append(paths, keyPaths(fmt.Sprintf("%s[%d]", path, i), item)...)
 		}
 	}
 	slices.Sort(paths)
 	return paths
 }
 
-// outcome returns the message of an error, or that there is none.
+// outcome returns the message of err, or "accepted" if it is nil.
 func outcome(err error) string {
 	if err == nil {
 		return "accepted"
@@ -99,7 +99,7 @@
 	return err.Error()
 }
 
-// keyOutcome is outcome for an error that must name a key.
+// keyOutcome is outcome, and requires that err is nil or a *configcheck.KeyError.
 func keyOutcome(t *testing.T, err error) string {
 	t.Helper()
 	if err != nil {
@@ -109,24 +109,25 @@
 	return outcome(err)
 }
 
-// Every key is read: with a value of the wrong type the message names it. Without the key it has a default or is missed.
+// No key may be ignored by mistake. With a value of the wrong type the message must name the key; without the key it must
+// have its default or be reported as missing.
 func TestGoldenWrongTypeOfEveryKey(t *testing.T) {
 	var got strings.Builder
-	for _, path := range leaves("", fullSample(t)) {
+	for _, path := range keyPaths("", fullSample(t)) {
 		for _, value := range []string{"{}", "[]", `"word"`, "true", "7.5", "null"} {
-			_, err := Parse(replaced(t, path, value), noEnvironment)
+			_, err := Parse(withValue(t, path, value), noEnvironment)
 			fmt.Fprintf(&got, "%s = %s\n\t%s\n", path, value, keyOutcome(t, err))
 		}
 		if !strings.HasSuffix(path, "]") {
-			_, err := Parse(replaced(t, path, absent), noEnvironment)
+			_, err := Parse(withValue(t, path, absent), noEnvironment)
 			fmt.Fprintf(&got, "%s is absent\n\t%s\n", path, keyOutcome(t, err))
 		}
 	}
 	golden.RequireText(t, "types", got.String())
 }
 
-// A value of the right type that makes no sense.
-func TestGoldenWrongValues(t *testing.T) {
+// A value of the right type that is out of range must be rejected with a message that names the key.
+func TestGoldenInvalidValues(t *testing.T) {
 	var got strings.Builder
 	for _, test := range []struct{ path, value string }{
 		{"name", `""`},
@@ -202,13 +203,13 @@
 		{"settings.Lanes[2].Idempotency", `"unsafe"`},
 		{"settings.Tenants", `[3]`},
 	} {
-		_, err := Parse(replaced(t, test.path, test.value), noEnvironment)
+		_, err := Parse(withValue(t, test.path, test.value), noEnvironment)
 		fmt.Fprintf(&got, "%s = %s\n\t%s\n", test.path, test.value, keyOutcome(t, err))
 	}
 	golden.RequireText(t, "values", got.String())
 }
 
-// What is wrong with the whole, or with what the environment sets.
+// A file that cannot be read or parsed, and an invalid environment variable, must be named in the message.
 func TestGoldenLoad(t *testing.T) {
 	dir := t.TempDir()
 	inDirectory := func(name string) string {
@@ -218,13 +219,13 @@
 		return name
 	}
 	for name, text := range map[string]string{
-		"good.json":  string(replaced(t, "name", `"n3"`)),
+		"good.json":  string(withValue(t, "name", `"n3"`)),
 		"word.json":  "word",
 		"list.json":  "[]",
 		"cut.json":   `{"name": "n3",`,
 		"empty.json": "",
 		"none.json":  "{}",
-		"bad.json":   string(replaced(t, "stop_ms", "0")),
+		"bad.json":   string(withValue(t, "stop_ms", "0")),
 	} {
 		require.NoError(t, os.WriteFile(inDirectory(name), []byte(text), 0o600))
 	}
@@ -267,19 +268,19 @@
 	golden.RequireText(t, "load", strings.ReplaceAll(got.String(), dir, "(folder)"))
 }
 
-// A key that was given and is missing from the file that is loaded next.
+// For every key of the current configuration, a file without it must be rejected with a message that names the key.
 func TestGoldenSuccessor(t *testing.T) {
-	inForce, err := Parse(replaced(t, "name", `"n3"`), noEnvironment)
+	current, err := Parse(withValue(t, "name", `"n3"`), noEnvironment)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "next.json")
 	var got strings.Builder
-	for _, key := range leaves("", fullSample(t)) {
+	for _, key := range keyPaths("", fullSample(t)) {
 		if strings.HasSuffix(key, "]") {
 			continue
 		}
-		require.NoError(t, os.WriteFile(path, replaced(t, key, absent), 0o600))
-		_, err := inForce.Successor(path)
+		require.NoError(t, os.WriteFile(path, withValue(t, key, absent), 0o600))
+		_, err := current.Successor(path)
 		fmt.Fprintf(&got, "%s is absent\n\t%s\n", key, outcome(err))
 	}
 	golden.RequireText(t, "successor", strings.ReplaceAll(got.String(), dir, "(folder)"))
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -12,42 +12,43 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxInteger is the largest number up to which a float64 holds every integer.
+// maxInteger is the largest n for which a float64 represents all integers from -n to n.
 const maxInteger = 1 << 53
 
-// object reads the members of a JSON object. Members that are absent or null read as zero. All objects of one document
-// share the first failure.
+// object reads the members of a JSON object. A member that is absent, null or of the wrong type reads as zero. The first
+// invalid member of a document is recorded, so that readers need not handle errors one by one.
 type object struct {
-	value *fastjson.Value
-	path  string
-	first **configcheck.KeyError
+	value      *fastjson.Value
+	path       string                 // of the object in the document; "": the root
+	firstError **configcheck.KeyError // shared by all objects of the document; *firstError is nil if there is none
 }
 
 // newObject returns the object at the root of a document.
 func newObject(value *fastjson.Value) object {
-	return object{value: value, first: new(*configcheck.KeyError)}
+	return object{value: value, firstError: new(*configcheck.KeyError)}
 }
 
-// failure returns the first failure in the document as a *configcheck.KeyError, or nil.
-func (o object) failure() error {
-	if *o.first == nil {
+// err returns a *configcheck.KeyError for the first invalid member of the document, or nil.
+func (o object) err() error {
+	if *o.firstError == nil {
 		return nil
 	}
-	return *o.first
+	return *o.firstError
 }
 
-// fail records that the member of that name is at fault.
+// fail records that the member of that name is invalid, unless another member was recorded before.
 func (o object) fail(name string, err error) {
-	if *o.first == nil {
-		*o.first = &configcheck.KeyError{Key: o.key(name), Err: err}
+	if *o.firstError == nil {
+		*o.firstError = &configcheck.KeyError{Key: o.key(name), Err: err}
 	}
 }
 
+// failf is fail with an error that is formatted as by fmt.Errorf.
 func (o object) failf(name, format string, args ...any) {
 	o.fail(name, fmt.Errorf(format, args...))
 }
 
-// key returns the path of a member.
+// key returns the path of the member of that name in the document.
 func (o object) key(name string) string {
 	if o.path == "" {
 		return name
@@ -55,10 +56,10 @@
 	return o.path + "." + name
 }
 
-// elementName returns the name of an element of a list.
+// elementName returns the name of an element of a list, such as Lanes[0].
 func elementName(name string, i int) string { return name + "[" + strconv.Itoa(i) + "]" }
 
-// get returns the member if it has one of the types, or nil.
+// get returns the member if its type is one of types, or nil. A member of another type is invalid.
 func (o object) get(name string, types ...fastjson.Type) *fastjson.Value {
 	member := o.value.Get(name)
 	if member == nil || member.Type() == fastjson.TypeNull {
@@ -71,14 +72,17 @@
 	return nil
 }
 
+// child returns value, the member of that name, as an object.
 func (o object) child(name string, value *fastjson.Value) object {
-	return object{value: value, path: o.key(name), first: o.first}
+	return object{value: value, path: o.key(name), firstError: o.firstError}
 }
 
+// object returns the member of that name, an object.
 func (o object) object(name string) object {
 	return o.child(name, o.get(name, fastjson.TypeObject))
 }
 
+// objects returns the elements of the member of that name, a list of objects.
 func (o object) objects(name string) []object {
 	var list []object
 	for i, item := range o.list(name) {
@@ -91,8 +95,8 @@
 	return list
 }
 
-// visitKeys calls visit with the path of every key. The objects of a list count as one, whose keys are those that all of
-// them have.
+// visitKeys calls visit with the path of every key in the object and the objects below it. The elements of a list share the
+// path name[]; of their keys, it visits those that all elements have.
 func (o object) visitKeys(visit func(key string)) {
 	o.value.GetObject().Visit(func(key []byte, member *fastjson.Value) {
 		name := string(key)
@@ -106,7 +110,7 @@
 	})
 }
 
-// visitCommonKeys calls visit with the path of every key that all items of a list have.
+// visitCommonKeys calls visit with the path of every key that all items have. o has the path of the items.
 func (o object) visitCommonKeys(items []*fastjson.Value, visit func(key string)) {
 	counts := map[string]int{}
 	for _, item := range items {
@@ -120,6 +124,7 @@
 	}
 }
 
+// list returns the elements of the member of that name, a list.
 func (o object) list(name string) []*fastjson.Value {
 	if member := o.get(name, fastjson.TypeArray); member != nil {
 		return member.GetArray()
@@ -127,6 +132,7 @@
 	return nil
 }
 
+// text returns the member of that name, a string.
 func (o object) text(name string) string {
 	if member := o.get(name, fastjson.TypeString); member != nil {
 		return string(member.GetStringBytes())
@@ -134,6 +140,7 @@
 	return ""
 }
 
+// number returns the member of that name, a finite number.
 func (o object) number(name string) float64 {
 	member := o.get(name, fastjson.TypeNumber)
 	if member == nil {
@@ -147,7 +154,7 @@
 	return number
 }
 
-// hex reads a number that is written as a string of up to 16 hex digits.
+// hex returns the number in the member of that name, a string of up to 16 hex digits.
 func (o object) hex(name string) uint64 {
 	text := o.text(name)
 	if text == "" {
@@ -160,46 +167,52 @@
 	return number
 }
 
+// integer returns the member of that name, an integer between -maxInteger and maxInteger.
 func (o object) integer(name string) int64 {
 	number := o.number(name)
 	if number != math.Trunc(number) || math.Abs(number) > maxInteger {
-		o.failf(name, "want a whole number, got %v", number)
+		o.failf(name, "want an integer between -2^53 and 2^53, got %v", number)
 		return 0
 	}
 	return int64(number)
 }
 
-// microseconds reads a time in microseconds.
+// microseconds returns the duration in the member of that name, an integer of microseconds.
 func (o object) microseconds(name string) time.Duration {
 	count := o.integer(name)
 	if count > math.MaxInt64/1000 || count < math.MinInt64/1000 {
-		o.failf(name, "%d microseconds are too many", count)
+		o.failf(name, "%d microseconds exceed the range of a duration", count)
 		return 0
 	}
 	return time.Duration(count) * time.Microsecond
 }
 
+// boolean returns the member of that name, true or false.
 func (o object) boolean(name string) bool {
 	member := o.get(name, fastjson.TypeTrue, fastjson.TypeFalse)
 	return member != nil && member.GetBool()
 }
 
+// numbers returns the member of that name, a list of numbers.
 func (o object) numbers(name string) []float64 {
 	get := func(item *fastjson.Value) float64 { return item.GetFloat64() }
 	return elements(o, name, "a number", get, fastjson.TypeNumber)
 }
 
+// booleans returns the member of that name, a list of booleans.
 func (o object) booleans(name string) []bool {
 	get := func(item *fastjson.Value) bool { return item.GetBool() }
 	return elements(o, name, "true or false", get, fastjson.TypeTrue, fastjson.TypeFalse)
 }
 
+// texts returns the member of that name, a list of strings.
 func (o object) texts(name string) []string {
 	get := func(item *fastjson.Value) string { return string(item.GetStringBytes()) }
 	return elements(o, name, "a string", get, fastjson.TypeString)
 }
 
-// elements reads a list whose items have one of the types. An item of another type is a failure, and reads as zero.
+// elements returns the member of that name, a list of values that get reads. An item whose type is not one of types is
+// invalid; the message says that the item should be want.
 func elements[T any](o object, name, want string, get func(*fastjson.Value) T, types ...fastjson.Type) []T {
 	var list []T
 	for i, item := range o.list(name) {
@@ -211,7 +224,7 @@
 	return list
 }
 
-// enum reads a text that stands for a value of T.
+// enum returns the value that values has for the member of that name, a string. A string that values lacks is invalid.
 func enum[T any](o object, name string, values map[string]T) T {
 	text := o.text(name)
 	value, ok := values[text]
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// Values of keys that name one of several modes. An absent key has the value of "".
+// The values of the keys that select one of several modes. An absent key has the value of "".
 var (
 	haltNames = map[string]admission.Halt{
 		"":      admission.HaltOff,
@@ -37,8 +37,8 @@
 	}
 )
 
-// Settings reads the settings object that a controller starts from, as both the simulator and the configuration carry
-// it. Unknown keys are ignored. A value that is wrong is a *configcheck.KeyError.
+// Settings parses the JSON object with the settings of a controller. The simulator and the configuration file contain it in
+// the same form. Unknown keys are ignored. The error is a wrapped *configcheck.KeyError if a value is invalid.
 func Settings(text []byte) (admission.Settings, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -46,12 +46,13 @@
 	}
 	root := newObject(value)
 	settings := readSettings(root)
-	if err := root.failure(); err != nil {
+	if err := root.err(); err != nil {
 		return admission.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	return settings, nil
 }
 
+// readSettings reads all settings. Invalid values are recorded in root.
 func readSettings(root object) admission.Settings {
 	family := root.object("FamilyInfo")
 	invariants := root.object("Invariants")
@@ -86,7 +87,7 @@
 		ExcessValueRatio:      root.number("OverShareWorth"),
 		WeightPerWork:         root.text("ValueBy") == "work",
 	}
-	checkUnused(family, mix)
+	checkIgnored(family, mix)
 	var ok bool
 	if settings.Classes, ok = readClasses(root, settings.Dependency); ok {
 		settings.Tenants = readTenants(root)
@@ -94,8 +95,8 @@
 	return settings
 }
 
-// checkUnused reads what decides nothing, but must be valid all the same.
-func checkUnused(family, mix object) {
+// checkIgnored checks the types of keys that have no effect.
+func checkIgnored(family, mix object) {
 	for _, name := range []string{"TellsGone", "PassesDeadline", "ListFollows"} {
 		family.boolean(name)
 	}
@@ -104,26 +105,26 @@
 	}
 }
 
-// readClasses reads the list of classes. Two lists beside it have a value for each class, or none at all. ok is false
-// where the lists don't match.
+// readClasses reads the list of classes, and the two lists in FamilyInfo that hold a value for each class. These may be
+// empty. It returns false if there is no class or the lengths of the lists do not match.
 func readClasses(root object, dependency admission.Dependency) (classes []admission.Class, ok bool) {
 	family := root.object("FamilyInfo")
 	list := root.objects("Lanes")
 	calls := family.booleans("CallsByClass")
 	degradedRatios := family.numbers("ClassSkipWorth")
 	if len(list) == 0 {
-		root.failf("Lanes", "no classes")
+		root.failf("Lanes", "want at least one class")
 		return nil, false
 	}
-	for _, beside := range []struct {
+	for _, perClass := range []struct {
 		key    string
 		values int
 	}{
 		{"CallsByClass", len(calls)},
 		{"ClassSkipWorth", len(degradedRatios)},
 	} {
-		if beside.values != 0 && beside.values != len(list) {
-			family.failf(beside.key, "%d values for %d classes", beside.values, len(list))
+		if perClass.values != 0 && perClass.values != len(list) {
+			family.failf(perClass.key, "%d values, want none or one for each of %d classes", perClass.values, len(list))
 			return nil, false
 		}
 	}
@@ -152,7 +153,7 @@
 
 func readTenants(root object) (tenants []admission.Tenant) {
 	for _, item := range root.objects("Tenants") {
-		item.number("Portion") // decides nothing, but must be valid
+		item.number("Portion") // has no effect, but must be a number
 		tenants = append(tenants, admission.Tenant{QuotaPerSecond: item.number("QuotaPerS")})
 	}
 	return tenants
