--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,5 +1,5 @@
-// Package console serves the operators' HTTP interface of one image server: readiness, metrics, and taking the server
-// out of its front ends' lists and back in.
+// Package console serves the HTTP interface of an image server for its operators: readiness, metrics, deregistration from
+// front ends and registration, and pages that other packages add.
 package console
 
 import (
@@ -18,43 +18,42 @@
 )
 
 const (
-	maxConnections = 32 // open at a time: most of a process's descriptors are for front ends
+	maxConnections = 32 // open connections: most file descriptors of the process are for front ends
 	maxHeaderBytes = 4 << 10
 )
 
-// timeouts bound the parts of a call.
+// timeouts bound the phases of a request.
 type timeouts struct {
-	request  time.Duration // for the client to send it; meanwhile it takes up one of maxConnections
-	handle   time.Duration // for the server to carry it out
+	request  time.Duration // for the client to send the request, which occupies one of maxConnections meanwhile
+	handle   time.Duration // for the server to handle it
 	response time.Duration // for the client to read the response
 }
 
-// defaultTimeouts let a client that keeps to its own part have a response within 1 s.
+// defaultTimeouts give a client that sends its request without delay a response within 1 s.
 var defaultTimeouts = timeouts{request: time.Second, handle: 700 * time.Millisecond, response: 2 * time.Second}
 
-// Instance is the server that the calls are about. Its methods are called from many goroutines at once; an error is
-// answered with status 503.
+// Instance is the image server that a console controls. Its methods must be safe for concurrent use. If one returns an
+// error, the console responds with status 503 and the message.
 type Instance interface {
 	// Ready reports whether this process serves.
 	Ready(ctx context.Context) (bool, error)
-	// AppendMetrics appends the metrics, a line each.
+	// AppendMetrics appends the metrics, one per line.
 	AppendMetrics(ctx context.Context, b []byte) ([]byte, error)
-	// Deregister has front ends go elsewhere: health checks fail from then on.
+	// Deregister makes front ends use other servers: health checks fail from then on.
 	Deregister(ctx context.Context) error
-	// Reregister undoes Deregister.
+	// Reregister reverses Deregister.
 	Reregister(ctx context.Context) error
 }
 
-// Page is a further call, answered by a part of the server. Body returns the response body; it must not block, and is called from
-// many goroutines at once.
+// Page is an additional endpoint of a console.
 type Page struct {
-	Pattern string // as for http.ServeMux
-	Type    string // the body's content type
-	Body    func() []byte
+	Pattern string        // as for http.ServeMux
+	Type    string        // content type of the body
+	Body    func() []byte // returns the body; must not block and must be safe for concurrent use
 }
 
-// Serve answers calls that come to listener until ctx ends, and closes it. It returns an error only if that was not for
-// the end of ctx.
+// Serve handles requests on listener until ctx ends, and then closes listener. It returns an error only if it ends before
+// ctx does.
 func Serve(
 	ctx context.Context, listener net.Listener, instance Instance, limiter *logging.Limiter, pages ...Page,
 ) error {
@@ -73,19 +72,20 @@
 	}
 	server.SetKeepAlivesEnabled(false)
 	stopClosing := context.AfterFunc(ctx, func() {
-		_ = server.Close() // only of its listener and connections, which nothing is left to be done about
+		_ = server.Close() // it closes the listener and all connections; nothing can be done about an error
 	})
 	defer stopClosing()
 	err := server.Serve(netutil.LimitListener(listener, maxConnections))
 	if ctx.Err() != nil {
 		return nil
 	}
-	return fmt.Errorf("serve the console: %w", err)
+	return fmt.Errorf("serving the console: %w", err)
 }
 
-// errorLogWriter passes on what the HTTP server logs about its clients.
+// errorLogWriter logs the errors that the HTTP server reports about its clients, at a limited rate.
 type errorLogWriter struct{ limiter *logging.Limiter }
 
+// Write implements io.Writer for one line.
 func (w errorLogWriter) Write(b []byte) (int, error) {
 	w.limiter.Warn("console", "console request failed", errors.New(strings.TrimSpace(string(b))))
 	return len(b), nil
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeInstance records whether it is deregistered. With hangs set, its calls last until their contexts end.
+// fakeInstance records whether it is deregistered. If hangs is set, its methods block until their contexts end.
 type fakeInstance struct {
 	deregistered bool
 	hangs        bool
@@ -45,12 +45,12 @@
 	return f.wait(ctx)
 }
 
-const testTimeout = 30 * time.Second // after which a test that hangs fails
+const testTimeout = 30 * time.Second // after which a blocked test fails
 
-// testTimeouts are so long that a pause of the machine does not make a test's calls late.
+// testTimeouts are so long that requests do not time out if the machine pauses a test.
 var testTimeouts = timeouts{request: testTimeout, handle: testTimeout, response: testTimeout}
 
-// startConsole serves a console until the test is over.
+// startConsole serves a console until the test ends, and returns its address.
 func startConsole(t *testing.T, instance Instance, limits timeouts, pages ...Page) (addr string) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	return listener.Addr().String()
 }
 
-// dial opens a connection that is closed when the test is over.
+// dial opens a connection that is closed when the test ends.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
@@ -76,7 +76,7 @@
 	return conn
 }
 
-// send makes one call on a connection of its own and returns the response, after which the server must close.
+// send makes a request on a new connection and returns the response. The server must then close the connection.
 func send(t *testing.T, addr, method, path string) (code int, text string) {
 	t.Helper()
 	conn := dial(t, addr)
@@ -88,11 +88,13 @@
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	_, err = in.ReadByte()
-	require.ErrorIs(t, err, io.EOF, "one call a connection")
+	require.ErrorIs(t, err, io.EOF, "want one request per connection")
 	return response.StatusCode, string(body)
 }
 
-func TestCalls(t *testing.T) {
+// Operators' scripts rely on the status and the text of each response. A request by GET must not change the state of the
+// server.
+func TestBuiltInEndpoints(t *testing.T) {
 	addr := startConsole(t, &fakeInstance{}, testTimeouts)
 	for _, test := range []struct {
 		method, path string
@@ -105,7 +107,7 @@
 		{"GET", "/ready", 503, "not ready\n"},
 		{"POST", "/undrain", 200, "registered, health checks succeed while the server is healthy\n"},
 		{"GET", "/ready", 200, "ready\n"},
-		{"GET", "/drain", 405, "Method Not Allowed\n"}, // reading must change nothing
+		{"GET", "/drain", 405, "Method Not Allowed\n"}, // GET must not change the state
 		{"GET", "/", 404, "404 page not found\n"},
 	} {
 		code, text := send(t, addr, test.method, test.path)
@@ -114,8 +116,9 @@
 	}
 }
 
-// A server that is too busy to answer is not ready, and clients learn so in time.
-func TestBusyServer(t *testing.T) {
+// A server that is too busy to handle a request in time must be reported as not ready, instead of leaving the client without
+// a response.
+func TestBusyServerIsNotReady(t *testing.T) {
 	limits := testTimeouts
 	limits.handle = time.Millisecond
 	addr := startConsole(t, &fakeInstance{hangs: true}, limits)
@@ -127,8 +130,9 @@
 	}
 }
 
-// Clients that send nothing, or half a call, take up all connections but lose them in time.
-func TestSilentClients(t *testing.T) {
+// Clients that send nothing, or half of a request, can occupy all connections. The console must close these after the
+// request timeout, or no other client gets a response.
+func TestSilentClientsAreDisconnected(t *testing.T) {
 	limits := testTimeouts
 	limits.request = 100 * time.Millisecond
 	addr := startConsole(t, &fakeInstance{}, limits)
@@ -143,6 +147,6 @@
 	}
 	for _, conn := range silent {
 		_, err := io.Copy(io.Discard, conn)
-		require.NoError(t, err, "want the end of the connection")
+		require.NoError(t, err, "the console must close the connection")
 	}
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// drainingInstance answers every call with an error, as a server does that drains to stop.
+// drainingInstance returns an error from every method, as a server does while it drains to stop.
 type drainingInstance struct{}
 
 var errDraining = errors.New("the server is draining")
@@ -31,7 +31,7 @@
 
 var dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 
-// sendRaw returns all bytes of the response to one call, with the date taken out.
+// sendRaw makes a request on a new connection and returns all bytes of the response, with the date replaced.
 func sendRaw(t *testing.T, addr, method, path string) string {
 	t.Helper()
 	conn := dial(t, addr)
@@ -42,8 +42,9 @@
 	return strings.ReplaceAll(dateHeader.ReplaceAllString(string(b), "Date: (date)"), "\r\n", "\n")
 }
 
-// Status line, headers and body of every call, by the state of the server.
-func TestGoldenCalls(t *testing.T) {
+// Operators' scripts read the responses. The status line, headers and body of every endpoint, in each state of the server,
+// must not change.
+func TestGoldenResponses(t *testing.T) {
 	page := Page{Pattern: "GET /fleet", Type: "application/json", Body: func() []byte { return []byte("{}\n") }}
 	wedge := Page{Pattern: "POST /drill/wedge", Type: "text/plain; charset=utf-8",
 		Body: func() []byte { return []byte("done\n") }}
@@ -84,7 +85,7 @@
 	golden.RequireText(t, "calls", got.String())
 }
 
-// snapshot returns one with a member of every liveness in every state.
+// snapshot returns a snapshot with a member of every liveness in every state.
 func snapshot() *fleet.Snapshot {
 	count := [fleet.Left + 1]int{1, 2, 3, 4, 5, 6, 7}
 	view := &fleet.Snapshot{
@@ -109,7 +110,8 @@
 	return view
 }
 
-// The body of /fleet: keys, their order, which are left out when zero, and the names of positions, liveness and states.
+// Scripts and other versions of falldeal-fleet read the body of /fleet. Its keys, their order, the keys that are omitted if
+// zero, and the names of positions, conditions and states must not change.
 func TestGoldenFleetReport(t *testing.T) {
 	var got strings.Builder
 	alone := *snapshot()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging limits the rate of log lines, so that a fault which repeats does not fill the log.
+// Package logging limits the rate of log lines, so that a recurring fault does not fill the log.
 package logging
 
 import (
@@ -9,34 +9,34 @@
 )
 
 const (
-	minInterval = 5 * time.Second // between two lines under one key
-	maxKeys     = 256             // that are remembered; beyond that all are forgotten at once
+	minInterval = 5 * time.Second // between two lines with the same key
+	maxKeys     = 256             // keys with state; when a further key is added, the state of all others is dropped
 )
 
-// Limiter passes at most one line in minInterval under each key on to a logger, and counts the lines that it suppresses.
-// It is safe for concurrent use.
+// Limiter logs at most one line per key in minInterval, and counts the lines that it suppresses. It is safe for concurrent
+// use.
 type Limiter struct {
 	log logrus.FieldLogger
-	now func() time.Time
+	now func() time.Time // time.Now except in tests
 
-	mu      sync.Mutex
-	records map[string]*record // guarded by mu
+	mu   sync.Mutex
+	keys map[string]*keyState // guarded by mu
 }
 
-// record is what a Limiter remembers of a key.
-type record struct {
-	loggedAt   time.Time // when a line was passed on
-	suppressed int       // lines since then
+// keyState is the state of a Limiter for one key.
+type keyState struct {
+	loggedAt   time.Time // time of the last logged line
+	suppressed int       // lines suppressed since then
 }
 
-// NewLimiter returns a Limiter that passes lines on to log.
+// NewLimiter returns a Limiter that logs to log.
 func NewLimiter(log logrus.FieldLogger) *Limiter {
-	return &Limiter{log: log, records: map[string]*record{}, now: time.Now}
+	return &Limiter{log: log, keys: map[string]*keyState{}, now: time.Now}
 }
 
-// Warn logs a constant message and err, which may be nil, unless a line under the same key was logged less than
-// minInterval ago. The field topic has the key, and suppressed the number of lines under it that were not logged since
-// the last one that was.
+// Warn logs message and err as a warning, unless a line with the same key was logged less than minInterval ago. message
+// should be constant; err may be nil. Field topic holds the key. Field suppressed holds the number of lines with this key
+// that were suppressed since the last logged one; it is absent if there were none.
 func (l *Limiter) Warn(key, message string, err error) { l.WarnFields(key, message, err, nil) }
 
 // WarnFields is Warn with further fields.
@@ -44,7 +44,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	last := l.records[key]
+	last := l.keys[key]
 	if last != nil && now.Sub(last.loggedAt) < minInterval {
 		last.suppressed++
 		return
@@ -56,14 +56,14 @@
 	if err != nil {
 		entry = entry.WithError(err)
 	}
-	l.remember(key, now)
+	l.startInterval(key, now)
 	entry.Warn(message)
 }
 
-// remember starts to count suppressed lines under a key. The caller holds mu.
-func (l *Limiter) remember(key string, now time.Time) {
-	if len(l.records) >= maxKeys {
-		clear(l.records)
+// startInterval records that a line with the key is logged at now. The caller holds mu.
+func (l *Limiter) startInterval(key string, now time.Time) {
+	if len(l.keys) >= maxKeys {
+		clear(l.keys)
 	}
-	l.records[key] = &record{loggedAt: now}
+	l.keys[key] = &keyState{loggedAt: now}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A peer that fails all the time must not fill the log, and what was left out must show.
+// A peer that keeps failing must not fill the log, and the number of suppressed lines must be logged. Many different keys must
+// not use unbounded memory.
 func TestWarnCountsSuppressedLines(t *testing.T) {
 	log, hook := test.NewNullLogger()
 	log.SetLevel(logrus.WarnLevel)
@@ -28,5 +29,5 @@
 	for i := range 2 * maxKeys {
 		limiter.Warn(string(rune('a'+i)), "one of many", nil)
 	}
-	require.LessOrEqual(t, len(limiter.records), maxKeys)
+	require.LessOrEqual(t, len(limiter.keys), maxKeys)
 }
--- a/internal/stats/counters.go
+++ b/internal/stats/counters.go
@@ -1,42 +1,44 @@
-// Package stats counts what an image server receives, sends and replies.
+// Package stats counts the requests, responses, runs, calls and connections of an image server, and formats the counters as
+// a log line and as StatsD metrics.
 package stats
 
 import "github.com/sirupsen/logrus"
 
-// Counters count since the start of the process. They belong to one goroutine, the event loop of the server.
+// Counters count events since the start of the process. They belong to one goroutine, the event loop of the server. Where
+// the name of a log field differs from that of the counter, the comment has it.
 type Counters struct {
 	// Connections of front ends.
-	Connections       uint64
-	ConnectionsClosed uint64 // to make room for others, or as idle
-	ReadTimeouts      uint64 // closed as no whole message came in time; logged as silent
-	MalformedInputs   uint64 // closed for input that is not of the protocol; logged as unreadable
+	Connections       uint64 // accepted
+	ConnectionsClosed uint64 // closed because they were idle or to make room for others
+	ReadTimeouts      uint64 // closed because no complete message arrived in time; logged as silent
+	MalformedInputs   uint64 // closed because of input that violates the protocol; logged as unreadable
 
 	// Messages received from front ends.
-	Requests     uint64
-	Retries      uint64 // attempts under an idempotency key that is known; logged as repeats
-	Invalid      uint64
-	Cancelled    uint64
+	Requests     uint64 // including invalid ones
+	Retries      uint64 // attempts with an idempotency key that is known already; logged as repeats
+	Invalid      uint64 // invalid requests
+	Cancelled    uint64 // requests that a front end cancelled before they were answered
 	HealthChecks uint64 // logged as probes
 
-	// Work sent to the agent and calls to the store.
-	Runs  uint64
-	Calls uint64
-	// CallsAbandoned counts calls in flight whose reply nobody waits for any more; logged as calls_dropped. Calls that the
-	// circuit breaker drops are not among them: these are never made, and count as CallsSkipped or as a failed request.
+	// Work sent to the agent, and calls to the store.
+	Runs  uint64 // runs sent to the agent
+	Calls uint64 // calls sent to the store
+	// CallsAbandoned counts calls in flight whose reply is no longer needed; logged as calls_dropped. It does not include
+	// calls that the circuit breaker drops: these are never sent, and count as CallsSkipped or as a failed request.
 	CallsAbandoned uint64
-	CallsSkipped   uint64 // runs that went on without their call; logged as skips
-	DeepChecks     uint64 // logged as exercises
+	CallsSkipped   uint64 // runs that continued without their call; logged as skips
+	DeepChecks     uint64 // deep health checks; logged as exercises
 
-	Responses     map[string]*ResponseCounts // by the name of the class; logged as totals: served, refused and failed
-	ResultsReused uint64                     // of those served, with the result of another attempt; logged as reused
+	Responses     map[string]*ResponseCounts // by class name; logged as totals over the classes
+	ResultsReused uint64                     // requests served with the result of another attempt; logged as reused
 
-	// What the agent reported.
+	// Reports of the agent.
 	RunsFailed       uint64
 	RunsInterrupted  uint64
 	RunsNotStarted   uint64 // logged as runs_moot
 	CommandsRejected uint64 // logged as commands_refused
 
-	// How calls to the store ended.
+	// Outcomes of calls to the store.
 	CallsOK          uint64
 	CallsRejected    uint64 // logged as calls_busy
 	CallsFailed      uint64
@@ -49,12 +51,12 @@
 	StoreConnections uint64 // logged as store_links
 
 	// Reloads of the configuration.
-	Reloads       uint64
-	ReloadsFailed uint64
+	Reloads       uint64 // applied
+	ReloadsFailed uint64 // failed; the configuration stayed as it was
 
 	// Claims on idempotency keys that were sent to the predecessor process.
 	Claims         uint64
-	ClaimsTimedOut uint64 // without a reply in time; logged as claims_late
+	ClaimsTimedOut uint64 // claims without a reply in time; logged as claims_late
 
 	Turns uint64 // iterations of the event loop
 }
@@ -66,7 +68,7 @@
 	Failed   uint64
 }
 
-// Class returns the counts of the class of that name, which may be a new one.
+// Class returns the counts of the class of that name. It adds a class that is new.
 func (c *Counters) Class(name string) *ResponseCounts {
 	counts := c.Responses[name]
 	if counts == nil {
@@ -79,7 +81,7 @@
 	return counts
 }
 
-// total returns the responses to requests of all classes.
+// total returns the sums of the counts of all classes.
 func (c *Counters) total() ResponseCounts {
 	var total ResponseCounts
 	for _, counts := range c.Responses {
@@ -90,15 +92,15 @@
 	return total
 }
 
-// Gauges are numbers of the moment at which the counters are logged.
+// Gauges are the current values that are logged with the counters.
 type Gauges struct {
 	ActiveRequests  int // logged as now_open
 	RunningRequests int // logged as now_running
 	IdempotencyKeys int // logged as now_keys
-	Connections     int // of front ends; logged as now_connections
+	Connections     int // open connections of front ends; logged as now_connections
 }
 
-// Log logs all counters, and the gauges beside them, as one line. The names of its fields are read by others and stay.
+// Log logs all counters and the gauges in one line. Operators' tools read the names of its fields, which never change.
 func (c *Counters) Log(log logrus.FieldLogger, gauges Gauges) {
 	log.WithFields(c.frontEndFields()).
 		WithFields(c.dependencyFields()).
@@ -107,7 +109,7 @@
 		Info("counters")
 }
 
-// frontEndFields has what front ends sent, and what they were answered.
+// frontEndFields returns the counters of connections, requests and responses of front ends.
 func (c *Counters) frontEndFields() logrus.Fields {
 	total := c.total()
 	return logrus.Fields{
@@ -127,7 +129,7 @@
 	}
 }
 
-// dependencyFields has what the agent and the store were asked for, and how that ended.
+// dependencyFields returns the counters of runs at the agent and calls to the store.
 func (c *Counters) dependencyFields() logrus.Fields {
 	return logrus.Fields{
 		"runs":              c.Runs,
@@ -150,7 +152,7 @@
 	}
 }
 
-// processFields has what concerns this process and its predecessor.
+// processFields returns the counters of this process and of its predecessor.
 func (c *Counters) processFields() logrus.Fields {
 	return logrus.Fields{
 		"claims":         c.Claims,
@@ -161,6 +163,7 @@
 	}
 }
 
+// fields returns the gauges by the names under which they are logged.
 func (g Gauges) fields() logrus.Fields {
 	return logrus.Fields{
 		"now_open":        g.ActiveRequests,
--- a/internal/stats/golden_test.go
+++ b/internal/stats/golden_test.go
@@ -9,7 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The line that SIGUSR1 and the end of a process print: all names of counters, each with its own value.
+// Operators' tools read the line that SIGUSR1 and the end of a process log. Each counter must have its own field, whose name
+// must not change.
 func TestGoldenLog(t *testing.T) {
 	counters := Counters{
 		Connections: 1, ConnectionsClosed: 2, ReadTimeouts: 3, MalformedInputs: 4,
--- a/internal/stats/metrics.go
+++ b/internal/stats/metrics.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// metricKind is the type of a metric in a statsd line.
+// metricKind is the type of a metric in a StatsD line.
 type metricKind string
 
 const (
@@ -15,25 +15,25 @@
 	gauge   metricKind = "g"
 )
 
-// Metrics are what operators monitor while a server runs.
+// Metrics are the counters and the gauge that operators monitor while a server runs.
 type Metrics struct {
 	*Counters
-	InFlight int // requests that have no reply yet
+	InFlight int // requests without a response
 }
 
-// The names of metrics. Operators' tools read them.
+// The names of the metrics. Operators' tools read them.
 const (
-	metricServed          = "success"         // of a class: requests answered with a result
-	metricRejected        = "busy"            // of a class: requests rejected, which did not run
-	metricFailed          = "failure"         // of a class: requests answered with an error, which may have run
-	metricRuns            = "backend_calls"   // runs sent to the agent
-	metricInFlight        = "inflight"        // gauge: requests that have no reply yet
-	metricReloads         = "reconfig_ok"     // reloads of the configuration that were applied
-	metricReloadsFailed   = "reconfig_failed" // reloads that failed, after which the configuration stayed
-	metricClassNamePrefix = "calls."          // before the name of the class
+	metricServed          = "success"         // counter of a class: requests answered with a result
+	metricRejected        = "busy"            // counter of a class: requests that were rejected and did not run
+	metricFailed          = "failure"         // counter of a class: requests answered with an error, which may have run
+	metricRuns            = "backend_calls"   // counter: runs sent to the agent
+	metricInFlight        = "inflight"        // gauge: requests without a response
+	metricReloads         = "reconfig_ok"     // counter: reloads of the configuration that were applied
+	metricReloadsFailed   = "reconfig_failed" // counter: reloads that failed; the configuration stayed as it was
+	metricClassNamePrefix = "calls."          // precedes the name of the class
 )
 
-// Append appends the metrics as lines of statsd, NAME:VALUE|c for a counter and NAME:VALUE|g for a gauge.
+// Append appends the metrics as StatsD lines: NAME:VALUE|c for a counter, NAME:VALUE|g for a gauge.
 func (m Metrics) Append(b []byte) []byte {
 	for _, class := range slices.Sorted(maps.Keys(m.Responses)) {
 		counts := m.Responses[class]
@@ -48,7 +48,7 @@
 	return appendLine(b, metricReloadsFailed, m.ReloadsFailed, counter)
 }
 
-// appendLine appends one line.
+// appendLine appends a metric as a StatsD line, with the prefix app. before its name.
 func appendLine(b []byte, name string, value uint64, kind metricKind) []byte {
 	b = append(b, "app."...)
 	b = append(b, name...)
@@ -59,7 +59,7 @@
 	return append(b, '\n')
 }
 
-// sanitize replaces the characters of a class that would end a part of a name or a line.
+// sanitize replaces the characters in the name of a class that separate the parts of a metric name or of a line.
 func sanitize(class string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || strings.ContainsRune(".:|@#/", r) {
--- a/internal/stats/metrics_test.go
+++ b/internal/stats/metrics_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The names are those that the operators' collector knows; the name of a class must not break a line apart.
-func TestMetrics(t *testing.T) {
+// The operators' collector looks for these names. The name of a class may contain separators, which must not split a metric
+// name or a line.
+func TestMetricNames(t *testing.T) {
 	counters := Counters{
 		Responses:     map[string]*ResponseCounts{"licence-order": {Served: 812, Rejected: 3}, "a.b\nc": {Failed: 1}},
 		Runs:          900,
--- a/internal/tracing/boundedfile.go
+++ b/internal/tracing/boundedfile.go
@@ -9,15 +9,15 @@
 
 const filePerm = 0o640
 
-// boundedFile is a file of a maximum size. A write that does not fit is dropped as a whole, so that no line is cut.
-// Write belongs to one goroutine at a time, the exporter's.
+// boundedFile is a file of limited size. A write that does not fit is dropped as a whole, so that the file does not end in
+// a truncated line. Only one goroutine at a time, the exporter's, may call Write.
 type boundedFile struct {
 	file      *os.File
-	remaining int64 // bytes
-	dropped   atomic.Int64
+	remaining int64        // bytes that may still be written
+	dropped   atomic.Int64 // writes that did not fit
 }
 
-// openBounded opens the file at path for appending. What it holds already counts towards maxBytes.
+// openBounded opens the file at path for appending. Its current size counts towards maxBytes.
 func openBounded(path string, maxBytes int64) (*boundedFile, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, filePerm) //nolint:gosec // operators name the file
 	if err != nil {
@@ -30,7 +30,7 @@
 	return &boundedFile{file: file, remaining: maxBytes - info.Size()}, nil
 }
 
-// Write reports a dropped write as written, as the exporter has no use for the error.
+// Write implements io.Writer. It reports a dropped write as successful: the exporter could do nothing about an error.
 func (f *boundedFile) Write(b []byte) (int, error) {
 	if int64(len(b)) > f.remaining {
 		f.dropped.Add(1)
@@ -44,7 +44,7 @@
 	return written, nil
 }
 
-// Close closes the file.
+// Close implements io.Closer.
 func (f *boundedFile) Close() error {
 	if err := f.file.Close(); err != nil {
 		return fmt.Errorf("closing the file of spans: %w", err)
--- a/internal/tracing/golden_test.go
+++ b/internal/tracing/golden_test.go
@@ -13,12 +13,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// randomFields matches what differs between runs: times, and identifiers but for those of zeros, which mean none.
+// randomFields matches what differs between runs: times, and identifiers. An identifier of zeros means none and does not
+// match.
 var randomFields = regexp.MustCompile(`"(TraceID|SpanID|StartTime|EndTime)":` +
 	`"([0-9a-f]*[1-9a-f][0-9a-f]*|\d{4}-\d\d-\d\dT[^"]+)"`)
 
-// writeSpans writes episodes with every type of attribute, one for each as their order is not fixed, and returns the
-// file.
+// writeSpans writes episodes with every type of attribute, and returns the contents of the file. Each episode has at most
+// one field, as the order of attributes is not fixed.
 func writeSpans(t *testing.T) []byte {
 	t.Helper()
 	t.Setenv("OTEL_RESOURCE_ATTRIBUTES", "")
@@ -39,13 +40,14 @@
 		tracer.Change("store", "trouble", "", nil)
 	}
 	tracer.Change("fleet", "", "torn", nil)
-	require.NoError(t, tracer.Close(context.Background())) // in the middle of an episode
+	require.NoError(t, tracer.Close(context.Background())) // with an open episode
 	file, err := os.ReadFile(path)
 	require.NoError(t, err)
 	return file
 }
 
-// The file of spans is read by the operators' tools: a span for each line, with these names, attributes and resource.
+// Operators' tools read the file. Its format, one span per line, and the names, attributes and resource in it must not
+// change.
 func TestGoldenSpans(t *testing.T) {
 	file := writeSpans(t)
 	got := randomFields.ReplaceAll(file, []byte(`"$1":"drawn"`))
--- a/internal/tracing/spannames.go
+++ b/internal/tracing/spannames.go
@@ -1,10 +1,10 @@
 package tracing
 
-// Operators' tools read spans, so that their names and attributes stay as they are, whatever the server calls the same
-// thing in its log. The functions here give the name in spans for a name of the server's state changes; a name that is
-// not in them is the same in both.
+// Operators' tools read spans. The names and attribute keys in them therefore never change, although the server's log uses
+// other names for the same things. The functions in this file map the names of the server's state changes to those in
+// spans. They return a name that is the same in both unchanged.
 
-// episodeName returns the name of an episode by the name of what changes state.
+// episodeName returns the name in spans of a subject whose state changes.
 func episodeName(name string) string {
 	switch name {
 	case "shedding threshold":
@@ -17,7 +17,7 @@
 	return name
 }
 
-// stateName returns the name of a state in spans.
+// stateName returns the name in spans of a state.
 func stateName(name string) string {
 	switch name {
 	case "decreasing":
@@ -32,7 +32,7 @@
 	return name
 }
 
-// attributeName returns the key of an attribute by the name of a field.
+// attributeName returns the attribute key in spans of a field.
 func attributeName(name string) string {
 	switch name {
 	case "threshold":
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,8 +1,12 @@
-// Package tracing writes OpenTelemetry spans of state changes in a server's part of its fleet to a file of bounded size.
-// A thing that leaves its usual state begins an episode, which ends when it is back. An episode is one trace: a span for
-// the whole of it, and a child span for each state. Spans are sampled by episode, so that one is complete or absent.
+// Package tracing writes OpenTelemetry spans of the state changes that a member of a fleet goes through to a file of bounded
+// size, one span per line.
 //
-// Nothing here blocks the event loop: spans that have ended wait in a bounded queue, and the excess is dropped.
+//   - A subject is something with a state, such as the store. Its normal state is "".
+//   - An episode begins when a subject leaves its normal state and ends when the subject returns to it.
+//   - An episode is one trace: a root span for the episode, and a child span for each state in it.
+//   - Episodes are sampled as a whole, so that sampling never leaves out a part of a trace.
+//
+// The package does not block the event loop: ended spans wait in a bounded queue, and spans beyond its bound are dropped.
 package tracing
 
 import (
@@ -17,31 +21,31 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Bounds of what is kept in memory.
+// Bounds of the queue of ended spans.
 const (
-	maxQueuedSpans = 512 // that wait to be written
-	maxBatchSpans  = 64
+	maxQueuedSpans = 512 // spans that wait to be written
+	maxBatchSpans  = 64  // spans that are written at a time
 )
 
 const serviceName = "falldeal"
 
-// Config says where spans are written.
+// Config configures a Tracer.
 type Config struct {
-	File   string
+	File   string  // path of the file
 	Sample float64 // ratio of the episodes that are written, 0 to 1
-	Bytes  int64   // maximum size of the file, beyond which nothing is written
+	Bytes  int64   // maximum size of the file; spans that do not fit are dropped
 }
 
-// Tracer writes spans. It belongs to one goroutine, the event loop of the server; Close may be called once that has
-// ended.
+// Tracer writes spans. It belongs to one goroutine, the event loop of the server. Close may be called after that goroutine
+// has ended.
 type Tracer struct {
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 	file     *boundedFile
-	episodes map[string]*episode // that have not ended, by what they are about
+	episodes map[string]*episode // open episodes by the name of the subject in spans
 }
 
-// New opens the file, which is appended to. Name and version are those of the server.
+// New returns a Tracer that appends to cfg.File. name and version are those of the server.
 func New(cfg Config, name, version string) (*Tracer, error) {
 	file, err := openBounded(cfg.File, cfg.Bytes)
 	if err != nil {
@@ -68,53 +72,56 @@
 	}, nil
 }
 
-// Change records that something went from one state to another; "" is the usual state. Fields become attributes of the
-// state that begins, or of the episode where it ends. Names are those of the server's log; in spans they are those of
-// spannames.go.
-func (t *Tracer) Change(what, from, to string, fields map[string]any) {
-	what = episodeName(what)
+// Change records that subject changed from one state to another; "" is the normal state. fields become attributes of the
+// span of the new state, or of the episode if the new state is the normal one. All names are those of the server's log. The
+// spans contain the names that episodeName, stateName and attributeName return.
+func (t *Tracer) Change(subject, from, to string, fields map[string]any) {
+	subject = episodeName(subject)
 	from = stateName(from)
 	to = stateName(to)
-	current := t.episodes[what]
+	current := t.episodes[subject]
 	if current == nil {
 		if to == "" {
 			return
 		}
-		current = startEpisode(t.tracer, what)
-		t.episodes[what] = current
+		current = startEpisode(t.tracer, subject)
+		t.episodes[subject] = current
 	}
 	current.endState()
 	if to == "" {
 		current.end(fields)
-		delete(t.episodes, what)
+		delete(t.episodes, subject)
 		return
 	}
-	current.startState(t.tracer, what+": "+to, from, fields)
+	current.startState(t.tracer, subject+": "+to, from, fields)
 }
 
-// Close ends the open episodes and writes the queued spans, as far as ctx gives time.
+// Close ends the open episodes, writes the queued spans until ctx ends, and closes the file.
 func (t *Tracer) Close(ctx context.Context) error {
-	for what := range t.episodes {
-		t.Change(what, "", "", map[string]any{"end": "of the process"})
+	for subject := range t.episodes {
+		t.Change(subject, "", "", map[string]any{"end": "of the process"})
 	}
 	return errors.Join(t.provider.Shutdown(ctx), t.file.Close())
 }
 
-// Lost returns how many writes were dropped for lack of space. It is safe for concurrent use.
-func (t *Tracer) Lost() int64 { return t.file.dropped.Load() }
+// DroppedWrites returns the number of writes that did not fit in the file. Each writes a batch of spans. It is safe for
+// concurrent use.
+func (t *Tracer) DroppedWrites() int64 { return t.file.dropped.Load() }
 
-// episode is a time in which one thing is not in its usual state.
+// episode is a period in which one subject is not in its normal state.
 type episode struct {
-	ctx       context.Context //nolint:containedctx // the parent of the spans of states, made once for all of them
-	span      trace.Span
-	stateSpan trace.Span // nil between two states
+	ctx       context.Context //nolint:containedctx // holds the root span, as the parent of all spans of states
+	span      trace.Span      // root span
+	stateSpan trace.Span      // span of the current state; nil between two states
 }
 
-func startEpisode(tracer trace.Tracer, what string) *episode {
-	ctx, span := tracer.Start(context.Background(), what)
+// startEpisode starts the root span of an episode.
+func startEpisode(tracer trace.Tracer, subject string) *episode {
+	ctx, span := tracer.Start(context.Background(), subject)
 	return &episode{ctx: ctx, span: span}
 }
 
+// startState starts the span of a state.
 func (e *episode) startState(tracer trace.Tracer, name, from string, fields map[string]any) {
 	_, e.stateSpan = tracer.Start(e.ctx, name)
 	if e.stateSpan.IsRecording() {
@@ -122,6 +129,7 @@
 	}
 }
 
+// endState ends the span of the current state, if any.
 func (e *episode) endState() {
 	if e.stateSpan != nil {
 		e.stateSpan.End()
@@ -129,6 +137,7 @@
 	}
 }
 
+// end ends the root span.
 func (e *episode) end(fields map[string]any) {
 	if e.span.IsRecording() {
 		e.span.SetAttributes(attributes(fields)...)
@@ -136,6 +145,7 @@
 	e.span.End()
 }
 
+// attributes returns the fields as attributes. A value of another type than bool, int, int64 and float64 becomes a string.
 func attributes(fields map[string]any) []attribute.KeyValue {
 	var list []attribute.KeyValue
 	for name, field := range fields {
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// spanLine is what the tests read of a span.
+// spanLine holds the parts of a span that the tests compare.
 type spanLine struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -22,20 +22,21 @@
 	}
 }
 
+// readSpans returns the spans in the file at path.
 func readSpans(t *testing.T, path string) (spans []spanLine) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for line := range bytes.Lines(text) {
 		var span spanLine
-		require.NoError(t, json.Unmarshal(line, &span), "a line is whole")
+		require.NoError(t, json.Unmarshal(line, &span), "each line must be complete")
 		spans = append(spans, span)
 	}
 	return spans
 }
 
-// An episode must be one trace with a span for each of its states and their attributes, also where the process ends in
-// the middle. Without sampling nothing must be written, and a full file must neither grow nor end in a cut line.
+// An episode must be one trace with a child span for each of its states, even if the process ends during the episode. With
+// a sample ratio of 0 nothing must be written. A full file must neither grow nor end in a truncated line.
 func TestEpisodesAreTraces(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.jsonl")
 	writeEpisodes := func(cfg Config) *Tracer {
@@ -67,14 +68,14 @@
 	require.NoError(t, err)
 	writeEpisodes(Config{File: path, Sample: 0, Bytes: 1 << 20})
 	full := writeEpisodes(Config{File: path, Sample: 1, Bytes: info.Size() + 100})
-	require.Positive(t, full.Lost())
+	require.Positive(t, full.DroppedWrites())
 	require.Len(t, readSpans(t, path), 5)
 	_, err = New(Config{File: filepath.Join(path, "x")}, "n1", "1")
 	require.Error(t, err)
 }
 
-// Spans keep the names that operators' tools know, whatever the log calls the same thing.
-func TestSpansKeepTheirNames(t *testing.T) {
+// Operators' tools look for the names in spans. They must not change when a name in the server's log does.
+func TestSpanNamesAreStable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.jsonl")
 	tracer, err := New(Config{File: path, Sample: 1, Bytes: 1 << 20}, "n1", "1")
 	require.NoError(t, err)
