--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -36,7 +36,7 @@
 	return *o.firstError
 }
 
-// fail records that the member of that name is invalid, unless another member was recorded before.
+// fail records that the member called name is invalid, unless another member was recorded before.
 func (o object) fail(name string, err error) {
 	if *o.firstError == nil {
 		*o.firstError = &configcheck.KeyError{Key: o.key(name), Err: err}
@@ -48,7 +48,7 @@
 	o.fail(name, fmt.Errorf(format, args...))
 }
 
-// key returns the path of the member of that name in the document.
+// key returns the path of the member called name in the document.
 func (o object) key(name string) string {
 	if o.path == "" {
 		return name
@@ -72,17 +72,17 @@
 	return nil
 }
 
-// child returns value, the member of that name, as an object.
+// child returns value, the member called name, as an object.
 func (o object) child(name string, value *fastjson.Value) object {
 	return object{value: value, path: o.key(name), firstError: o.firstError}
 }
 
-// object returns the member of that name, an object.
+// object returns the member called name, an object.
 func (o object) object(name string) object {
 	return o.child(name, o.get(name, fastjson.TypeObject))
 }
 
-// objects returns the elements of the member of that name, a list of objects.
+// objects returns the elements of the member called name, a list of objects.
 func (o object) objects(name string) []object {
 	var list []object
 	for i, item := range o.list(name) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// list returns the elements of the member of that name, a list.
+// list returns the elements of the member called name, a list.
 func (o object) list(name string) []*fastjson.Value {
 	if member := o.get(name, fastjson.TypeArray); member != nil {
 		return member.GetArray()
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// text returns the member of that name, a string.
+// text returns the member called name, a string.
 func (o object) text(name string) string {
 	if member := o.get(name, fastjson.TypeString); member != nil {
 		return string(member.GetStringBytes())
@@ -140,7 +140,7 @@
 	return ""
 }
 
-// number returns the member of that name, a finite number.
+// number returns the member called name, a finite number.
 func (o object) number(name string) float64 {
 	member := o.get(name, fastjson.TypeNumber)
 	if member == nil {
@@ -154,7 +154,7 @@
 	return number
 }
 
-// hex returns the number in the member of that name, a string of up to 16 hex digits.
+// hex returns the number in the member called name, a string of up to 16 hex digits.
 func (o object) hex(name string) uint64 {
 	text := o.text(name)
 	if text == "" {
@@ -167,7 +167,7 @@
 	return number
 }
 
-// integer returns the member of that name, an integer between -maxInteger and maxInteger.
+// integer returns the member called name, an integer between -maxInteger and maxInteger.
 func (o object) integer(name string) int64 {
 	number := o.number(name)
 	if number != math.Trunc(number) || math.Abs(number) > maxInteger {
@@ -177,7 +177,7 @@
 	return int64(number)
 }
 
-// microseconds returns the duration in the member of that name, an integer of microseconds.
+// microseconds returns the duration in the member called name, an integer of microseconds.
 func (o object) microseconds(name string) time.Duration {
 	count := o.integer(name)
 	if count > math.MaxInt64/1000 || count < math.MinInt64/1000 {
@@ -187,31 +187,31 @@
 	return time.Duration(count) * time.Microsecond
 }
 
-// boolean returns the member of that name, true or false.
+// boolean returns the member called name, true or false.
 func (o object) boolean(name string) bool {
 	member := o.get(name, fastjson.TypeTrue, fastjson.TypeFalse)
 	return member != nil && member.GetBool()
 }
 
-// numbers returns the member of that name, a list of numbers.
+// numbers returns the member called name, a list of numbers.
 func (o object) numbers(name string) []float64 {
 	get := func(item *fastjson.Value) float64 { return item.GetFloat64() }
 	return elements(o, name, "a number", get, fastjson.TypeNumber)
 }
 
-// booleans returns the member of that name, a list of booleans.
+// booleans returns the member called name, a list of booleans.
 func (o object) booleans(name string) []bool {
 	get := func(item *fastjson.Value) bool { return item.GetBool() }
 	return elements(o, name, "true or false", get, fastjson.TypeTrue, fastjson.TypeFalse)
 }
 
-// texts returns the member of that name, a list of strings.
+// texts returns the member called name, a list of strings.
 func (o object) texts(name string) []string {
 	get := func(item *fastjson.Value) string { return string(item.GetStringBytes()) }
 	return elements(o, name, "a string", get, fastjson.TypeString)
 }
 
-// elements returns the member of that name, a list of values that get reads. An item whose type is not one of types is
+// elements returns the member called name, a list of values that get reads. An item whose type is not one of types is
 // invalid; the message says that the item should be want.
 func elements[T any](o object, name, want string, get func(*fastjson.Value) T, types ...fastjson.Type) []T {
 	var list []T
@@ -224,7 +224,7 @@
 	return list
 }
 
-// enum returns the value that values has for the member of that name, a string. A string that values lacks is invalid.
+// enum returns the value that values has for the member called name, a string. A string that values lacks is invalid.
 func enum[T any](o object, name string, values map[string]T) T {
 	text := o.text(name)
 	value, ok := values[text]
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -6,8 +6,8 @@
 //     Merging is commutative and idempotent, so that all members end up with the same records in any order of receipt.
 //   - The observer adds what it found out itself: Reach, the result of its failure detection, and DialOutcome, the result
 //     of its dial to a lost process. Neither is sent to other members as a fact.
-//   - Liveness combines the two kinds of knowledge. It tells a failed process, a stalled process, a partition and a
-//     member that left apart.
+//   - Liveness combines the two kinds of knowledge. It distinguishes a failed process, a stalled process, a partition
+//     and a member that left.
 //   - A Snapshot is an immutable copy of a View for other goroutines.
 //   - Self is what this process publishes, and settles conflicts over its name. Rejoin decides which addresses to dial, so
 //     that a fleet that was partitioned merges again.
--- a/internal/fleet/golden_update_test.go
+++ b/internal/fleet/golden_update_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// The first byte of a message tells its kind to members of other versions, so that the values must not change.
+// The first byte of a message is its kind. Members of other versions read it, so that the values must not change.
 func TestGoldenKinds(t *testing.T) {
 	require.Equal(t, 1, kindUpdate)
 	require.Equal(t, 2, KindDirect)
--- a/internal/fleet/liveness.go
+++ b/internal/fleet/liveness.go
@@ -12,7 +12,7 @@
 	Lost                      // it neither answered nor refuted the suspicion in time
 )
 
-// DialOutcome is the outcome of a dial to the address of a lost process. It tells the possible causes of the loss apart.
+// DialOutcome is the outcome of a dial to the address of a lost process. It distinguishes the possible causes of the loss.
 type DialOutcome uint8
 
 // The outcomes of a dial.
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -127,7 +127,7 @@
 	return snapshot
 }
 
-// describe fills in the member of that name from its entry.
+// describe fills in member, whose name is given, from its entry.
 func (e *entry) describe(member *Member, name string, now, fresh time.Duration) {
 	member.Record = e.record
 	member.RecordedAt = e.recordedAt
@@ -208,7 +208,7 @@
 	return FullyConnected
 }
 
-// Find returns the member of that name, or nil.
+// Find returns the member called name, or nil.
 func (s *Snapshot) Find(name string) *Member {
 	i, found := slices.BinarySearchFunc(s.Members, name, func(member Member, name string) int {
 		return strings.Compare(member.Name, name)
--- a/internal/fleet/snapshot_test.go
+++ b/internal/fleet/snapshot_test.go
@@ -38,8 +38,8 @@
 }
 
 // A partition of the observer, a partition of a zone and failures of single members call for different actions and must be
-// told apart.
-func TestPositionTellsPartitionsFromFailures(t *testing.T) {
+// distinguished.
+func TestPositionDistinguishesPartitionsFromFailures(t *testing.T) {
 	for name, testCase := range map[string]positionCase{
 		"all reached":                    {0, 0, 0, FullyConnected, 0},
 		"one unreachable":                {1, 0, 0, PartiallyConnected, 0},
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ParseUpdate decodes an update into its record and the age of that. It keeps no reference to b. Whatever b holds, the
+// ParseUpdate decodes an update into a record and the age of the record. It keeps no reference to b. Whatever b holds, the
 // texts of the record take at most MaxRecordSize bytes. An error means that b is not a complete, valid update.
 func ParseUpdate(b []byte) (record Record, age time.Duration, err error) {
 	switch {
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// A partition, a failed process, a stopped process and a stalled loop call for different actions and must be told apart.
-func TestLivenessTellsCausesApart(t *testing.T) {
+// A partition, a failed process, a stopped process and a stalled loop call for different actions and must be distinguished.
+func TestLivenessDistinguishesCauses(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		reach   Reach
 		outcome DialOutcome
--- a/internal/gossip/dialobserver_test.go
+++ b/internal/gossip/dialobserver_test.go
@@ -13,8 +13,8 @@
 )
 
 // A process that has ended, one that is stopped and one that is unreachable call for different actions. The way in which a
-// dial fails must tell them apart.
-func TestDialOutcomeTellsCausesApart(t *testing.T) {
+// dial fails must distinguish them.
+func TestDialOutcomeDistinguishesCauses(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		err       error
 		responded bool
--- a/internal/stats/counters.go
+++ b/internal/stats/counters.go
@@ -68,7 +68,7 @@
 	Failed   uint64
 }
 
-// Class returns the counts of the class of that name. It adds a class that is new.
+// Class returns the counts of the class called name. It adds a class that is new.
 func (c *Counters) Class(name string) *ResponseCounts {
 	counts := c.Responses[name]
 	if counts == nil {
