--- a/internal/msgpackrpc/cold_start_test.go
+++ b/internal/msgpackrpc/cold_start_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server starts cold under overload, and its agent is late. What is read before the agent is there is rejected at
-// once, so that clients can go elsewhere, and the connections stay usable. Then no more runs at once than a cold
-// server survives, and all that was read is answered.
-func TestSlowStartUnderOverload(t *testing.T) {
+// A server starts cold under overload, and its agent starts late. Requests read before the agent is ready must be rejected
+// at once, so that clients can go elsewhere, and the connections must stay usable. After that, no more requests may run at
+// a time than a cold server can handle, and every request must be answered.
+func TestColdStartUnderOverload(t *testing.T) {
 	const clients, callsPerClient = 20, maxOpenCalls
 	ln := loopback.Listen(t)
 	peers := startServerBeforeAgent(t, ln, "", `"ColdUs": 18000000`, `"ColdUs": 18000000000`) // stays cold
@@ -34,17 +34,17 @@
 	for _, client := range clientConns {
 		client.sendRequests(callsPerClient)
 	}
-	// Idle cores raise the concurrency, up to the limit of a cold server: four fifths of 2 a core on 6 cores, and one.
-	// A warm server would run 13 by then.
+	// Idle cores raise the concurrency up to the limit of a cold server: four fifths of 2 per core on 6 cores, plus 1. A
+	// warm server would run 13 requests by then.
 	for range 20 {
 		await(peers, peers.samples, "sample")
 	}
 	require.LessOrEqual(t, len(peers.commands), 10)
 
-	// Then the agent completes runs. Each client gets its answers in some order.
+	// The agent now completes runs. Each client receives its answers in any order.
 	answers := make(chan string)
 	for _, client := range clientConns {
-		go client.passOnAnswers(callsPerClient, answers)
+		go client.forwardAnswers(callsPerClient, answers)
 	}
 	outcomes, runs := map[string]int{}, 0
 	for outcomes["served"]+outcomes[codeOverloaded]+outcomes[codeInternal] < clients*callsPerClient {
@@ -64,7 +64,7 @@
 	require.Positive(t, runs)
 }
 
-// sendRequests writes that many requests.
+// sendRequests writes count requests.
 func (c *testClient) sendRequests(count int) {
 	c.Helper()
 	for range count {
@@ -72,9 +72,9 @@
 	}
 }
 
-// passOnAnswers reads that many responses, and sends the name of the error of each, or "served". An error of reading is
-// sent as it is, and ends it.
-func (c *testClient) passOnAnswers(count int, answers chan<- string) {
+// forwardAnswers reads count responses and sends the error code of each, or "served". If reading fails, it sends the text
+// of that error and returns.
+func (c *testClient) forwardAnswers(count int, answers chan<- string) {
 	for passed := 0; passed < count; {
 		value, err := c.decoder.next()
 		if err != nil {
@@ -87,7 +87,7 @@
 			return
 		}
 		if list[0] != int64(kindResponse) {
-			continue // an idle connection may be closing
+			continue // "closing" on an idle connection
 		}
 		passed++
 		if fault, failed := list[2].(arrayValue); failed {
--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	maxOpenCalls       = 32               // requests open on one connection
-	writeQueueCapacity = 4 * maxOpenCalls // messages that wait to be written on one connection
+	maxOpenCalls       = 32               // requests open at a time on one connection
+	writeQueueCapacity = 4 * maxOpenCalls // messages waiting to be written on one connection
 )
 
-// conn is one connection of a client; it implements server.Connection, whose methods the server's loop calls. The
-// write queue and the reader (serve) run on goroutines of their own.
+// conn is one connection of a client. It implements server.Connection, whose methods the server's loop calls. Writing
+// (writeUntilClosed) and reading (serve) run on separate goroutines.
 type conn struct {
 	queue   *writequeue.Queue
 	netConn net.Conn
 	input   input
-	methods methodCache // the reader's
+	methods methodCache // used only by the reader
 
 	closeOnce sync.Once
-	closed    chan struct{} // closed by Close: nothing more is to be read
+	closed    chan struct{} // closed by Close; ends a paused reader
 }
 
 func newConn(netConn net.Conn) *conn {
@@ -40,22 +40,22 @@
 	return connection
 }
 
-// writeUntilClosed writes what is queued until the connection is closed or ctx ends, lets the client read it, and then
-// releases the socket.
+// writeUntilClosed writes queued messages until the connection is closed or ctx ends. It then gives the client up to
+// closeReadTimeout to read them and releases the socket.
 func (c *conn) writeUntilClosed(ctx context.Context) {
 	defer context.AfterFunc(ctx, c.Close)()
-	if c.queue.Run() == nil { // an error is reported by the reader
+	if c.queue.Run() == nil { // the reader reports a write error
 		select {
 		case <-c.input.done:
 		case <-time.After(closeReadTimeout):
 		}
 	}
-	c.Close()             // for a paused reader
+	c.Close()             // ends a paused reader
 	_ = c.netConn.Close() // may be closed already
 }
 
-// serve reads until the connection has ended or is not to be read any more, and reports each end of reading to srv and
-// to onReadEnd. All that has arrived by then has been handed over; what arrives later is discarded.
+// serve reads until the connection ends or must not be read any more. It reports each end of reading to srv and to
+// onReadEnd, after it has handed over all input that had arrived. Later input is discarded.
 func (c *conn) serve(srv *server.Server, onReadEnd func(error)) {
 	defer c.input.discard()
 	err := c.input.applyDeadline()
@@ -74,7 +74,8 @@
 	}
 }
 
-// endReading notes why no more is read for the time being. A client that has disconnected is written to no more.
+// endReading records that reading has paused or ended. If the client has disconnected, it also closes the connection, as
+// nothing more can be written to it.
 func (c *conn) endReading(reason server.EndReason) {
 	if isPause(reason) {
 		c.input.stop(paused)
@@ -86,12 +87,12 @@
 	}
 }
 
-// isPause reports whether reading may go on after it has ended for that reason: the server decides.
+// isPause reports whether the server may resume reading after it has ended for this reason.
 func isPause(reason server.EndReason) bool {
 	return reason == server.ReadPaused || reason == server.ReadTimeout
 }
 
-// awaitResume waits until a paused reader is to go on, and reports whether it is; the connection is closed otherwise.
+// awaitResume waits until a paused reader may continue. It returns false if the connection is closed instead.
 func (c *conn) awaitResume() bool {
 	select {
 	case <-c.input.resumed:
@@ -101,7 +102,7 @@
 	}
 }
 
-// endReason maps the error that ended a read to what the server is told.
+// endReason maps the error that ended reading to the reason reported to the server.
 func endReason(err error) server.EndReason {
 	var netErr net.Error
 	switch {
@@ -115,8 +116,8 @@
 	return server.MalformedInput
 }
 
-// readMessages hands messages to srv until reading pauses or ends. A malformed frame ends the connection, and so does
-// a message that does not arrive in time: a silent connection takes the place of another client.
+// readMessages hands messages to srv until reading pauses or ends. A malformed frame ends reading, and so does a message
+// that does not arrive in time: a silent connection would take the place of another client.
 func (c *conn) readMessages(srv *server.Server) error {
 	for {
 		frame, err := c.input.frames.next()
@@ -131,7 +132,7 @@
 	}
 }
 
-// dispatch hands one message to srv. An unknown notification is ignored.
+// dispatch hands one message to srv. It ignores unknown notifications.
 func (c *conn) dispatch(srv *server.Server, msg message) {
 	switch {
 	case msg.kind == kindNotification:
@@ -178,8 +179,8 @@
 // ResumeReading implements server.Connection.
 func (c *conn) ResumeReading() { c.input.resume() }
 
-// TryClose implements server.Connection. Where all answers are written, only two system calls lie between its look at
-// the unread input and the end of the connection.
+// TryClose implements server.Connection. If all answers are written, only two system calls lie between the check for
+// unread input and the end of the connection.
 func (c *conn) TryClose() bool {
 	if c.input.hasUnread() {
 		c.input.drainMore()
--- a/internal/msgpackrpc/conn_test.go
+++ b/internal/msgpackrpc/conn_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Invalid requests are answered; a malformed frame ends its own connection and no other.
+// An invalid request must be answered. A malformed frame must end its own connection and no other.
 func TestInvalidInputIsAnswered(t *testing.T) {
 	peers := startServer(t)
 	client := peers.dial()
@@ -39,10 +39,10 @@
 	client.expectAnswer(4, "served")
 }
 
-// A frame that is malformed or does not end costs its connection, but what was read before is still answered. The
-// connection was closed at once: requests that had been read were lost, and unread bytes reset the connection before
-// its answers were read.
-func TestBrokenFrameDoesNotLoseAnswers(t *testing.T) {
+// A frame is malformed or incomplete after other requests were read. The connection used to be closed at once: the requests
+// read before were lost, and unread bytes reset the connection before the client had read its answers. Requests read before
+// the frame must still be answered.
+func TestMalformedFrameDoesNotLoseAnswers(t *testing.T) {
 	t.Parallel()
 	garbage := bytes.Repeat([]byte{0xc1}, 100<<10)
 	for name, broken := range map[string]func(client *testClient) []byte{
@@ -64,16 +64,16 @@
 			runID := client.sendRequest("preview", "x")
 			peers.expectCommand("launch", runID)
 			client.write(broken(client))
-			if name != "half frame" { // where more bytes would complete it
+			if name != "half frame" { // these bytes would complete the half frame
 				client.write(encodeHealthCheck(7, nil))
 			}
-			peers.expectNoCommand() // so that the server has read it
+			peers.expectNoCommand() // the server has read it
 			peers.agentSends("outcome", runID, "success", []byte("x"))
 			client.expectAnswer(1, "x")
 			client.expectConnectionEnd()
 		})
 		if name == "same number" {
-			continue // once the first is answered, its number is free
+			continue // the number of an answered call is free again
 		}
 		t.Run(name+" after the answer", func(t *testing.T) {
 			t.Parallel()
@@ -89,14 +89,14 @@
 	}
 }
 
-// After cancelRequest no answer is sent, and later events of the run do no harm.
+// After cancelRequest no answer may be sent, and later notifications about the run must have no effect.
 func TestCancelledRequestGetsNoAnswer(t *testing.T) {
 	peers := startServer(t)
 	client := peers.dial()
 	runID := client.sendRequest("preview", "x")
 	peers.expectCommand("launch", runID)
 	client.write(encodeCancel(1))
-	client.write(encodeCancel(99)) // unknown
+	client.write(encodeCancel(99)) // unknown call
 	client.write(encodeHealthCheck(2, nil))
 	client.expectHealthy(2)
 	peers.agentSends("outcome", runID, "interrupted", nil)
@@ -107,8 +107,8 @@
 	client.expectAnswer(3, "y")
 }
 
-// Connections that send nothing, or begin a message and don't end it, must not keep other clients out. One that has
-// sent a whole message may be silent for as long as idle ones may.
+// A connection that sends nothing, or only the start of a message, must be closed so that it does not keep other clients
+// out. A connection that has sent a complete message may stay silent.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	peers := startServer(t, `"IdleUs": 30000000`, `"IdleUs": 0`)
 	active, silent, half, later := peers.dial(), peers.dial(), peers.dial(), peers.dial()
@@ -125,7 +125,7 @@
 	active.expectHealthy(2)
 }
 
-// The ends of connections are counted by reason.
+// The reason for the end of a connection is counted, so each read error must map to the right reason.
 func TestEndReasonOfError(t *testing.T) {
 	for _, test := range []struct {
 		err  error
--- a/internal/msgpackrpc/doc.go
+++ b/internal/msgpackrpc/doc.go
@@ -1,15 +1,23 @@
-// Package msgpackrpc serves clients over MessagePack-RPC on TCP: the codec, the connections and their listener.
+// Package msgpackrpc serves clients over MessagePack-RPC on TCP. It contains the codec, the connections and their
+// listener.
 //
-// A client sends requests [0, call, method, [fields, body]], health checks (method "alive") and notifications [2,
-// method, params]; it is sent responses [1, call, error, result] and the notification "closing". Fields are a map of
-// strings to strings. The call number, chosen by the client, pairs a response with its request; up to 32 calls may be
-// open on one connection.
+// Messages from a client:
+//   - request [0, call, method, [fields, body]]; the method is the class of the request
+//   - health check [0, call, "alive", [fields]]
+//   - notification [2, method, params]; only "cancelRequest" has an effect
 //
-// A frame is bounded (8 KiB, 128 values, 6 levels of nesting) and is checked while it arrives, before memory is taken
-// for it. A malformed frame (*frameError) ends its connection after the answers to what was read before. A request
-// whose frame is sound but whose content is wrong (*fieldError) is answered with the reason, and the connection goes
-// on.
+// Messages to a client:
+//   - response [1, call, error, result]
+//   - notification [2, "closing", []]: the client should send no new request on this connection
 //
-// Each connection has two goroutines: one reads and hands requests to the server, the other writes what is queued.
+// Fields are a map of strings to strings. The client chooses the call number, which pairs a response with its request.
+// A connection may have up to 32 open calls.
+//
+// A frame is limited to 8 KiB, 128 values and 6 levels of nesting. The limits are checked while the frame arrives, before
+// memory is allocated for it. A malformed frame (*frameError) ends its connection once the requests read before it have
+// been answered. A well-formed frame that holds an invalid request (*fieldError) is answered with the reason, and the
+// connection stays open.
+//
+// Each connection has two goroutines: one reads messages and hands them to the server, the other writes queued messages.
 // The server's loop calls the methods of server.Connection, none of which blocks.
 package msgpackrpc
--- a/internal/msgpackrpc/drain_test.go
+++ b/internal/msgpackrpc/drain_test.go
@@ -14,14 +14,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Replacements in the sample configuration. With longStopTimeout a process that ends has ended by itself; with
-// briefDrainGrace what arrives after the start of a drain is rejected.
+// Replacements in the sample configuration. longStopTimeout rules out that a process ends because of its stop timeout.
+// With briefDrainGrace, requests that arrive after the start of a drain are rejected.
 var (
 	longStopTimeout = []string{`"stop_ms": 3200`, `"stop_ms": 3000000`}
 	briefDrainGrace = []string{`"StopSendingWithinUs": 2500000`, `"StopSendingWithinUs": 1`}
 )
 
-// A drain answers what was read, rejects what arrives after the grace, and ends the server.
+// A drain answers requests that were read, rejects requests that arrive after the grace period, and ends the server.
 func TestDrainAnswersRequestsInFlight(t *testing.T) {
 	peers := startServer(t, append([]string{`"stop_ms": 3200`, `"stop_ms": 60000`}, briefDrainGrace...)...)
 	client := peers.dial()
@@ -33,7 +33,7 @@
 	client.expectClosing()
 	idle.expectClosing()
 	idle.netConn.Close()
-	peers.expectNoCommand() // so that the turn in which the drain began is over: what comes in it is in time
+	peers.expectNoCommand() // the loop iteration in which the drain began is over; requests read in it are in time
 	client.sendRequest("preview", "too late", "at", fmt.Sprint(time.Now().Add(500*time.Millisecond).UnixMilli()))
 	client.expectAnswer(2, codeOverloaded)
 	peers.agentSends("outcome", runID, "success", []byte("done"))
@@ -46,8 +46,8 @@
 	require.Error(t, err)
 }
 
-// A client that stays connected does not keep the process past its stop timeout.
-func TestDrainEndsInTime(t *testing.T) {
+// A client that stays connected must not keep the process running past its stop timeout.
+func TestDrainEndsAtStopTimeout(t *testing.T) {
 	peers := startServer(t, `"stop_ms": 3200`, `"stop_ms": 500`)
 	client := peers.dial()
 	runID := client.sendRequest("preview", "x")
@@ -59,8 +59,8 @@
 	client.expectConnectionEnd()
 }
 
-// A drain closes the listener while the kernel has accepted a connection that the server has not, with a request on
-// it: the request is read and rejected. The connection was reset.
+// A drain closes the listener while the kernel has accepted a connection that the server has not, with a request on it.
+// That connection used to be reset. The request must be read and rejected.
 func TestDrainAnswersConnectionsNotYetAccepted(t *testing.T) {
 	t.Parallel()
 	for _, acceptedBefore := range []bool{true, false} {
@@ -74,23 +74,23 @@
 			peers := startServerWithLimit(t, ln, "", maxConns, slices.Concat(longStopTimeout, briefDrainGrace)...)
 			peers.handshake <- "steady"
 			peers.expectCommand("subscribe", "")
-			peers.expectNoCommand() // so that the handshake is done
+			peers.expectNoCommand() // the handshake is done
 			client := peers.dial()
 			runID := client.sendRequest("preview", "x")
-			peers.expectCommand("launch", runID) // and has the only slot
+			peers.expectCommand("launch", runID) // with maxConns = 1, client has the only slot
 			other := peers.dial()
 			if acceptedBefore {
 				other.write(encodeHealthCheck(1, nil))
 				other.expectHealthy(1)
 				other.lastCall = 1
 			}
-			late := []string{"at", fmt.Sprint(time.Now().Add(500 * time.Millisecond).UnixMilli())} // after the drain began
+			late := []string{"at", fmt.Sprint(time.Now().Add(500 * time.Millisecond).UnixMilli())} // after the start of the drain
 			if !acceptedBefore {
 				other.sendRequest("preview", "y", late...)
 			}
 			peers.server.Drain()
 			client.expectClosing()
-			peers.expectNoCommand() // so that the listener is closed
+			peers.expectNoCommand() // the listener is closed
 			if acceptedBefore {
 				other.sendRequest("preview", "y", late...)
 			}
@@ -106,10 +106,10 @@
 	}
 }
 
-// inFlightEvent is what ends a request in flight, besides a drain.
+// inFlightEvent is an event that ends a request in flight.
 type inFlightEvent struct {
 	name         string
-	timeout      string // the request's, in milliseconds
+	timeout      string // of the request, in milliseconds
 	trigger      func(client *testClient, runID string)
 	expectAnswer func(client *testClient)
 }
@@ -143,8 +143,8 @@
 	},
 }
 
-// A request in flight is answered, cancelled or timed out, or its client disconnects, before or after a drain begins:
-// it is answered once or not at all, and the process ends with its last connection, long before its stop timeout.
+// A request in flight is answered, cancelled or timed out, or its client disconnects, before or after a drain begins. The
+// request must be answered at most once, and the process must end with its last connection, long before its stop timeout.
 func TestDrainEndsAfterRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	for _, event := range inFlightEvents {
@@ -179,7 +179,7 @@
 	}
 }
 
-// startRunToDrain starts a server and a run for a client's request with that timeout.
+// startRunToDrain starts a server and sends it a request with this timeout, in milliseconds, which is then running.
 func startRunToDrain(t *testing.T, timeout string) (client *testClient, runID string) {
 	t.Helper()
 	peers := startServer(t, slices.Concat(longStopTimeout, briefDrainGrace, noIdleClose)...)
@@ -189,8 +189,8 @@
 	return client, runID
 }
 
-// expectAnswerAndClosing reads a response and the notification that the connection is closing, in either order: on a
-// slow machine a deadline may come before the drain.
+// expectAnswerAndClosing reads a response and the "closing" notification in either order: on a slow machine the deadline
+// may pass before the drain begins.
 func (c *testClient) expectAnswerAndClosing() {
 	c.Helper()
 	var kinds []any
@@ -200,9 +200,9 @@
 	require.ElementsMatch(c, []any{int64(kindResponse), int64(kindNotification)}, kinds)
 }
 
-// A configuration with a longer drain grace is loaded before or after a drain begins, and then a request arrives: the
-// grace in force at the start of the drain counts.
-func TestReloadDuringDrainKeepsItsGrace(t *testing.T) {
+// A configuration with a longer drain grace is loaded before or after a drain begins. The grace in force at the start of
+// the drain must apply to requests that arrive later.
+func TestReloadDuringDrainKeepsDrainGrace(t *testing.T) {
 	t.Parallel()
 	for _, first := range []string{"reload", "drain"} {
 		t.Run(first, func(t *testing.T) {
@@ -222,7 +222,7 @@
 			if first == "drain" {
 				peers.server.Reload(&longer)
 			}
-			peers.expectNoCommand() // so that the turn in which the drain began is over
+			peers.expectNoCommand() // the loop iteration in which the drain began is over
 			afterDrain := fmt.Sprint(time.Now().Add(500 * time.Millisecond).UnixMilli())
 			runID := client.sendRequest("preview", "x", "at", afterDrain)
 			if first == "reload" {
@@ -239,8 +239,8 @@
 	}
 }
 
-// A successor process replaces this one: no connection is rejected or left unread, each process answers what it has read,
-// and a request with an idempotency key is run by one of them, whose result answers attempts at both.
+// A successor process replaces this one. No connection may be rejected or left unread, and each process must answer what it
+// has read. A request with an idempotency key must run in only one of them, and its result answers attempts at both.
 func TestReplacementAnswersEveryRequest(t *testing.T) {
 	ln := loopback.Listen(t)
 	path := filepath.Join(t.TempDir(), "s")
@@ -250,11 +250,11 @@
 	runID := client.sendRequest("licence-order", "a", "once", "aa")
 	predecessor.expectCommand("launch", runID)
 	successor := startServerOn(t, ln, path)
-	successor.attempts = 100 // so that its ids differ
+	successor.attempts = 100 // gives its requests other IDs
 	predecessor.server.Drain()
 	client.expectClosing()
 	other := successor.dial()
-	for other.isClosing() { // the predecessor had accepted it
+	for other.isClosing() { // the predecessor accepted the connection
 		other.netConn.Close()
 		other = successor.dial()
 	}
--- a/internal/msgpackrpc/encode.go
+++ b/internal/msgpackrpc/encode.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Each append function appends one MessagePack value to b, or the header of an array or map of up to 15 elements or
-// pairs, and returns the longer slice.
+// Each append function appends one MessagePack value to b and returns the extended slice. appendArray and appendMap append
+// only the header of an array or map, which may have up to 15 elements or pairs.
 
 func appendArray(b []byte, elements int) []byte { return append(b, formatFixarray|byte(elements)) }
 func appendMap(b []byte, pairs int) []byte      { return append(b, formatFixmap|byte(pairs)) }
@@ -31,7 +31,7 @@
 	return binary.BigEndian.AppendUint32(append(b, formatUint32), value)
 }
 
-// appendString truncates a text to math.MaxUint16 bytes; nothing that is sent comes near that.
+// appendString appends text, truncated to math.MaxUint16 bytes. No text that is sent comes close to this limit.
 func appendString(b []byte, text string) []byte {
 	text = text[:min(len(text), math.MaxUint16)]
 	switch length := len(text); {
--- a/internal/msgpackrpc/errors.go
+++ b/internal/msgpackrpc/errors.go
@@ -7,17 +7,17 @@
 
 // The causes that a frameError wraps.
 var (
-	errFrameTooLong  = errors.New("frame too long")
-	errFrameTooDeep  = errors.New("frame nested too deep")
-	errTooManyValues = errors.New("too many values in frame")
+	errFrameTooLong  = fmt.Errorf("frame longer than %d bytes", maxFrame)
+	errFrameTooDeep  = fmt.Errorf("frame nested deeper than %d levels", maxDepth)
+	errTooManyValues = fmt.Errorf("frame of more than %d values", maxValues)
 	errInvalidFormat = errors.New("invalid format byte")
 	errNotRPCMessage = errors.New("not a MessagePack-RPC message")
 )
 
-// errReadPaused ends a read of a connection that the server asked to pause, once all that had arrived was read.
+// errReadPaused ends reading from a connection after PauseReading, once all input that had arrived was read.
 var errReadPaused = errors.New("reading paused")
 
-// frameError reports input that is no message of the protocol. Nothing after it on its connection can be read.
+// frameError reports input that is not a valid message. The rest of the input on its connection cannot be read.
 type frameError struct {
 	cause error
 }
@@ -30,7 +30,7 @@
 
 func frameErrorf(format string, args ...any) error { return &frameError{fmt.Errorf(format, args...)} }
 
-// requestPart is the part of a request that a fieldError is about.
+// requestPart is the part of a request that a fieldError refers to.
 type requestPart uint8
 
 // The parts of a request.
@@ -42,7 +42,7 @@
 	partBody
 )
 
-// String returns the name of the part in error texts.
+// String returns the name of the part, which is used in error texts.
 func (p requestPart) String() string {
 	switch p {
 	case partMethod:
@@ -59,14 +59,14 @@
 	return "unknown part"
 }
 
-// fieldError reports what is wrong with a request whose frame is sound. Its text is sent to the client.
+// fieldError reports an invalid request in a well-formed frame. Its text is sent to the client.
 type fieldError struct {
 	part    requestPart
-	field   string // the name of the field, where part is partField
-	problem string // what was wanted, and for a field what came instead
+	field   string // name of the field; set only for partField
+	problem string // the expected value and, for a field, the received one
 }
 
-// Error implements error. Of a long name only the beginning is shown.
+// Error implements error. It truncates the name of the field to 40 bytes.
 func (e *fieldError) Error() string {
 	if e.part == partField {
 		return fmt.Sprintf("field %.40s: %s", e.field, e.problem)
--- a/internal/msgpackrpc/errors_test.go
+++ b/internal/msgpackrpc/errors_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whoever handles an invalid request can tell which part and field is wrong without reading the text.
+// A caller must be able to tell which part and field of a request is invalid without parsing the error text.
 func TestInvalidRequestIsAFieldError(t *testing.T) {
 	wrongID := sampleFields()
 	wrongID["id"] = "x"
@@ -33,7 +33,7 @@
 	}
 }
 
-// A malformed frame is a frameError with its cause, and no fieldError.
+// A malformed frame must yield a frameError with its cause, and not a fieldError.
 func TestMalformedFrameIsAFrameError(t *testing.T) {
 	for sent, cause := range map[string]error{
 		"\xc1":                                  errInvalidFormat,
@@ -60,7 +60,7 @@
 	}
 }
 
-// Each part has a name of its own in error texts.
+// Each part must have a distinct name in error texts.
 func TestRequestPartNames(t *testing.T) {
 	names := map[string]bool{}
 	for part := partMethod; part <= partBody; part++ {
--- a/internal/msgpackrpc/fields.go
+++ b/internal/msgpackrpc/fields.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// field is a field of a request that has a meaning.
+// field is a request field that this server evaluates.
 type field int
 
 const (
@@ -25,7 +25,7 @@
 	fieldCount
 )
 
-// fieldNames are the names on the wire.
+// fieldNames are the names of the fields on the wire.
 var fieldNames = [fieldCount]string{
 	fieldID:             "id",
 	fieldArrivedAt:      "at",
@@ -41,18 +41,18 @@
 	fieldRetry:          "retry",
 }
 
-// String returns the name on the wire.
+// String returns the name of the field on the wire.
 func (f field) String() string { return fieldNames[f] }
 
-// fields are the values of a request's fields, which refer to the frame, and the first error that was found in them.
-// Of a name that comes twice the last value counts; unknown names are ignored. The methods that read a field note an error
-// in err, and return a value in range then.
+// fields holds the values of a request's fields, which are slices of the frame, and the first error found in them. If a
+// name occurs twice, the last value counts. Unknown names are ignored. A method that reads a field records an invalid
+// value in err and then returns a value within the range.
 type fields struct {
-	values [fieldCount][]byte // nil: absent
+	values [fieldCount][]byte // nil: field absent
 	err    error
 }
 
-// readFields reads the next value of params, which has to be a map of strings to strings.
+// readFields reads the next value of params, which must be a map of strings to strings.
 func readFields(params *cursor) (f fields) {
 	header := params.header()
 	if header.kind != valueMap {
@@ -81,10 +81,10 @@
 
 func (f *fields) has(id field) bool { return f.values[id] != nil }
 
-// isTrue reports whether a flag is set; it is absent or "0" otherwise.
+// isTrue reports whether a flag is "1". Any other value and an absent field mean false.
 func (f *fields) isTrue(id field) bool { return string(f.values[id]) == "1" }
 
-// fail notes that a field is wrong, unless another was found before.
+// fail records that a field is invalid, unless an error is recorded already.
 func (f *fields) fail(id field, want string) {
 	if f.err == nil {
 		problem := fmt.Sprintf("want %s, got %.40q", want, f.values[id])
@@ -107,7 +107,7 @@
 	return time.Duration(f.integer(id, 0, limit.Milliseconds())) * time.Millisecond
 }
 
-// decimal reads a number from 0 to below limit; it is 0 where absent.
+// decimal reads a number that is at least 0 and less than limit. It returns 0 if the field is absent.
 func (f *fields) decimal(id field, limit float64) float64 {
 	if !f.has(id) {
 		return 0
@@ -121,7 +121,7 @@
 	return value
 }
 
-// hex reads hex digits, which are passed on to other peers as they are.
+// hex reads hex digits. They are forwarded to other peers unchanged, so any other character is rejected.
 func (f *fields) hex(id field, minDigits, maxDigits int) string {
 	digits := f.values[id]
 	ok := len(digits) >= minDigits && len(digits) <= maxDigits
@@ -143,7 +143,7 @@
 	return false
 }
 
-// text reads a string of up to maxBytes bytes, which may be absent.
+// text reads a string of up to maxBytes bytes. It returns "" if the field is absent.
 func (f *fields) text(id field, maxBytes int) string {
 	value := f.values[id]
 	if len(value) > maxBytes {
--- a/internal/msgpackrpc/format.go
+++ b/internal/msgpackrpc/format.go
@@ -1,9 +1,9 @@
 package msgpackrpc
 
-// The first byte of a value, by the names of the MessagePack specification. A "fix" format holds the value or its length
-// itself: one that is the first of a range has it in its low bits.
+// The first byte of a value, named as in the MessagePack specification. A "fix" format is a range of bytes, from formatX to
+// formatMaxX, whose low bits encode the value or its length.
 const (
-	formatMaxPositiveFixint = 0x7f // the first is 0
+	formatMaxPositiveFixint = 0x7f // the range starts at 0
 	formatFixmap            = 0x80
 	formatMaxFixmap         = 0x8f
 	formatFixarray          = 0x90
@@ -33,11 +33,11 @@
 	formatArray32           = 0xdd
 	formatMap16             = 0xde
 	formatMap32             = 0xdf
-	formatNegativeFixint    = 0xe0 // up to the last byte
+	formatNegativeFixint    = 0xe0 // the range ends at 0xff
 )
 
 const (
 	maxFixstrLength = formatMaxFixstr - formatFixstr
-	fixLengthMask   = 0x0f // of an array or map
-	fixstrMask      = 0x1f
+	fixLengthMask   = 0x0f // length of a fixarray or fixmap
+	fixstrMask      = 0x1f // length of a fixstr
 )
--- a/internal/msgpackrpc/frame.go
+++ b/internal/msgpackrpc/frame.go
@@ -1,23 +1,23 @@
 package msgpackrpc
 
-// Bounds of a frame, checked on its bytes as they arrive, before memory is taken for what they claim.
+// Limits of a frame. They are checked while its bytes arrive, before memory is allocated for the lengths in its headers.
 const (
-	maxBody   = 2 << 10             // bytes of a request's body
-	maxFrame  = maxBody + (6 << 10) // bytes of body, fields and framing
-	maxDepth  = 6                   // of nested arrays and maps
-	maxValues = 128                 // values in a frame
+	maxBody   = 2 << 10             // bytes of a request body
+	maxFrame  = maxBody + (6 << 10) // bytes; 6 KiB are for the fields and the framing
+	maxDepth  = 6                   // levels of nested arrays and maps
+	maxValues = 128                 // values in a frame, including nested ones
 )
 
-// scanner finds the end of a frame while its bytes arrive. The zero scanner is at the start of a frame.
+// scanner finds the end of a frame while its bytes arrive. The zero value is at the start of a frame.
 type scanner struct {
-	pos       int // bytes passed: whole headers and payloads only
-	values    int // values passed
-	depth     int
-	remaining [maxDepth + 1]int // values that are still to come, by depth; 0 is the frame itself
+	pos       int               // bytes scanned; always the end of a header and its payload
+	values    int               // values scanned
+	depth     int               // of the current array or map; 0 is the frame itself
+	remaining [maxDepth + 1]int // values still expected at each depth
 }
 
-// scan goes on over b, which holds the frame from its start, and returns the length of the frame, or 0 where b ends
-// before it.
+// scan continues over b, which holds the frame from its first byte. It returns the length of the frame, or 0 if b ends
+// before the frame does.
 func (s *scanner) scan(b []byte) (int, error) {
 	if s.pos == 0 {
 		s.remaining[0] = 1
@@ -35,14 +35,14 @@
 			return 0, nil
 		}
 		s.pos = end
-		if s.passValue(header.elements()) {
+		if s.countValue(header.elements()) {
 			return s.pos, nil
 		}
 	}
 }
 
-// checkBounds checks a value that ends at end, but for that many elements. Each element takes a byte at least, so a
-// count that can't fit is rejected before any element has arrived.
+// checkBounds checks the limits for a value whose header and payload end at end and that has that many elements. An
+// element takes at least one byte, so a count that cannot fit is rejected before any element arrives.
 func (s *scanner) checkBounds(end, elements int) error {
 	switch {
 	case end+elements > maxFrame:
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// passValue counts a value that is followed by that many elements, and reports whether the frame is complete.
-func (s *scanner) passValue(elements int) bool {
+// countValue counts a value that is followed by that many elements and reports whether the frame is complete.
+func (s *scanner) countValue(elements int) bool {
 	s.values++
 	s.remaining[s.depth]--
 	if elements > 0 {
--- a/internal/msgpackrpc/frame_reader.go
+++ b/internal/msgpackrpc/frame_reader.go
@@ -3,25 +3,25 @@
 import "io"
 
 const (
-	minBufferSize     = 1 << 10          // of a connection, to begin with
-	maxIdleBufferSize = 4 << 10          // between messages; holds the usual requests
-	maxBufferSize     = maxFrame + 2<<10 // a whole frame, and some bytes read ahead
+	minBufferSize     = 1 << 10          // bytes allocated for the first read
+	maxIdleBufferSize = 4 << 10          // bytes kept between messages; enough for a typical request
+	maxBufferSize     = maxFrame + 2<<10 // bytes; one frame and some input read ahead
 )
 
-// frameReader cuts a stream into frames. It belongs to the goroutine that reads the stream.
+// frameReader splits a stream into frames. It belongs to the goroutine that reads the stream.
 type frameReader struct {
 	source io.Reader
-	// onPartial, where set, is called with true before a read for the rest of a frame, and with false once that frame
-	// is complete, so that the wait can be bounded.
+	// onPartial, if set, is called with true before a read that waits for the rest of a frame, and with false once that
+	// frame is complete, so that the caller can limit the wait.
 	onPartial func(bool) error
 
 	buffer     []byte
-	start, end int  // buffer[start:end] was read and is not handed out yet
-	partial    bool // the last argument of onPartial
+	start, end int  // buffer[start:end] is read but not returned yet
+	partial    bool // last argument of onPartial
 }
 
-// next returns the next whole frame, which is valid until the following call. After an error the stream can't be read
-// on, unless the error is the source's and temporary.
+// next returns the next complete frame, which is valid until the next call. After an error the stream cannot be read any
+// further, unless the error is a temporary one of the source.
 func (f *frameReader) next() ([]byte, error) {
 	f.releaseBuffer()
 	var scanner scanner
@@ -46,7 +46,7 @@
 	}
 }
 
-// releaseBuffer frees a large buffer that holds nothing: hundreds of idle connections share little memory.
+// releaseBuffer frees a large empty buffer, so that hundreds of idle connections use little memory.
 func (f *frameReader) releaseBuffer() {
 	if len(f.buffer) > maxIdleBufferSize && f.start == f.end {
 		f.buffer = nil
@@ -55,7 +55,7 @@
 	}
 }
 
-// setPartial calls onPartial where partial has changed.
+// setPartial calls onPartial if partial has changed.
 func (f *frameReader) setPartial(partial bool) error {
 	if f.onPartial == nil || partial == f.partial {
 		return nil
@@ -64,7 +64,7 @@
 	return f.onPartial(partial)
 }
 
-// fill reads some more bytes, after making room for them.
+// fill reads at least one more byte into the buffer.
 func (f *frameReader) fill() error {
 	f.growBuffer()
 	n, err := f.source.Read(f.buffer[f.end:])
@@ -75,7 +75,8 @@
 	return err //nolint:wrapcheck // the source's own: io.EOF ends a connection in normal service
 }
 
-// growBuffer makes room for a byte at least at the end of the buffer: a frame ends within maxFrame, or scan has rejected it.
+// growBuffer makes room for at least one byte at the end of the buffer. maxBufferSize suffices because scan rejects a
+// frame longer than maxFrame.
 func (f *frameReader) growBuffer() {
 	if f.start > 0 {
 		f.end = copy(f.buffer, f.buffer[f.start:f.end])
--- a/internal/msgpackrpc/frame_test.go
+++ b/internal/msgpackrpc/frame_test.go
@@ -9,38 +9,38 @@
 )
 
 // readFrame reads a frame that arrives in chunks of chunkSize bytes.
-func readFrame(b []byte, piece int) ([]byte, error) {
-	frames := frameReader{source: &chunkReader{b, piece}}
+func readFrame(b []byte, chunkSize int) ([]byte, error) {
+	frames := frameReader{source: &chunkReader{b, chunkSize}}
 	return frames.next()
 }
 
-// chunkReader is a stream that yields a few bytes at a time.
+// chunkReader is a stream that yields up to chunkSize bytes per read.
 type chunkReader struct {
 	data      []byte
 	chunkSize int
 }
 
-func (p *chunkReader) Read(into []byte) (int, error) {
-	if len(p.data) == 0 {
+func (r *chunkReader) Read(into []byte) (int, error) {
+	if len(r.data) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(into[:min(p.chunkSize, len(into))], p.data)
-	p.data = p.data[n:]
+	n := copy(into[:min(r.chunkSize, len(into))], r.data)
+	r.data = r.data[n:]
 	return n, nil
 }
 
-// A frame that claims more than any may have ends the connection before memory is taken for it.
+// A frame that announces more than the limits allow must be rejected before memory is allocated for it.
 func TestOversizedFramesAreRejected(t *testing.T) {
 	for _, encoded := range []string{"\xc1", "\xdd\xff\xff\xff\xff", "\xdf\xff\xff\xff\xff",
 		"\xc6\xff\xff\xff\xff", "\xdb\x7f\xff\xff\xff", "\xde\xff\xff", "\xc9\xff\xff\xff\xff",
 		strings.Repeat("\x91", maxDepth+2),
 		"\xdc\x10\x00" + strings.Repeat("\xc0", 1<<12), "\xc5\xff\xff" + strings.Repeat("x", 1<<16),
 		"\xdc\x00\x80" + strings.Repeat("\xc0", 128)} {
-		for _, piece := range []int{1, 7, len(encoded)} {
-			frames := frameReader{source: &chunkReader{[]byte(encoded), piece}}
+		for _, chunkSize := range []int{1, 7, len(encoded)} {
+			frames := frameReader{source: &chunkReader{[]byte(encoded), chunkSize}}
 			_, err := frames.next()
 			require.Error(t, err, "%.20q", encoded)
-			require.NotErrorIs(t, err, io.EOF, "%.20q", encoded) // it is rejected before its end
+			require.NotErrorIs(t, err, io.EOF, "%.20q", encoded) // rejected before the end of the stream
 			require.LessOrEqual(t, len(frames.buffer), maxBufferSize)
 		}
 	}
@@ -53,31 +53,31 @@
 	require.NoError(t, err)
 }
 
-// A frame is found however its bytes are split, and what follows it is kept.
+// A frame must be found however its bytes are split across reads, and the bytes that follow it must be kept.
 func TestFramesSplitAcrossReads(t *testing.T) {
 	small := encodeRequest(7, "preview", sampleFields(), []byte("body"))
 	large := encodeRequest(8, "preview", sampleFields(), make([]byte, maxBody))
 	stream := append(append(append([]byte{}, small...), large...), small...)
-	for piece := 1; piece <= len(stream); piece++ {
+	for chunkSize := 1; chunkSize <= len(stream); chunkSize++ {
 		var partials []bool
 		frames := frameReader{
-			source:    &chunkReader{append([]byte{}, stream...), piece},
+			source:    &chunkReader{append([]byte{}, stream...), chunkSize},
 			onPartial: func(partial bool) error { partials = append(partials, partial); return nil },
 		}
 		for i, want := range [][]byte{small, large, small} {
 			got, err := frames.next()
-			require.NoError(t, err, "piece %d, frame %d", piece, i)
-			require.Equal(t, want, got, "piece %d, frame %d", piece, i)
+			require.NoError(t, err, "chunkSize %d, frame %d", chunkSize, i)
+			require.Equal(t, want, got, "chunkSize %d, frame %d", chunkSize, i)
 		}
 		_, err := frames.next()
 		require.ErrorIs(t, err, io.EOF)
 		for i, partial := range partials {
-			require.Equal(t, i%2 == 0, partial) // true and false in turn
+			require.Equal(t, i%2 == 0, partial) // true and false alternate
 		}
 	}
 }
 
-// Between messages a connection keeps a small buffer, whatever came on it: hundreds of idle ones share 32 MB.
+// A connection must not keep a large buffer between messages: hundreds of idle connections share 32 MB.
 func TestIdleConnectionsUseSmallBuffers(t *testing.T) {
 	largeFrame := appendBinary(nil, make([]byte, maxFrame-3))
 	frames := frameReader{source: &chunkReader{largeFrame, 100}}
--- a/internal/msgpackrpc/golden_reasons_test.go
+++ b/internal/msgpackrpc/golden_reasons_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// expectInvalid reads the response to the last request, which must be that it was invalid, and returns the reason.
+// expectInvalid reads the response to the last request, which must be an Invalid error, and returns the reason.
 func (c *testClient) expectInvalid() string {
 	c.Helper()
 	fault, result := c.readResponse(int(c.lastCall))
@@ -26,7 +26,7 @@
 	return requireType[string](c, reasons[0].value)
 }
 
-// The reason that a client is sent for a request that is well-formed and that the server does not accept.
+// The reason sent to a client for each well-formed request that the server rejects as invalid.
 func TestGoldenReasons(t *testing.T) {
 	oneTenant := []string{`"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 1, "QuotaPerS": 9}]`}
 	peers := startServer(t, append(oneTenant, noIdleClose...)...)
@@ -59,7 +59,7 @@
 	golden.Require(t, "reasons.golden", cases)
 }
 
-// Each line that is logged of clients. What ends a connection in normal service is not logged.
+// Each log line about client connections. An expected end of a connection must not be logged.
 func TestGoldenLog(t *testing.T) {
 	var lines strings.Builder
 	listener := newListener(nil, 1, logging.NewLimiter(golden.NewLogger(&lines)))
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every response and notification to a client, one frame a line, in hex digits.
+// Every message to a client: one frame per line, in hex digits.
 func TestGoldenAnswers(t *testing.T) {
 	body := func(n int) []byte { return bytes.Repeat([]byte{0xab}, n) }
 	reason := func(n int) string { return strings.Repeat("r", n) }
@@ -64,7 +64,7 @@
 	golden.Require(t, "answers.golden", cases)
 }
 
-// What a client reads until the end of its connection while the server drains.
+// The bytes that a client reads until its connection ends while the server drains.
 func TestGoldenClose(t *testing.T) {
 	var cases []golden.Case
 	for _, test := range []struct {
@@ -96,16 +96,16 @@
 	golden.Require(t, "close.golden", cases)
 }
 
-// parsedCancel is what was read of a cancelRequest; found is false where it has no call.
+// parsedCancel is a parsed cancelRequest; found is false if it names no call.
 type parsedCancel struct {
 	call  uint32
 	found bool
 }
 
-// parsedHealthCheck is what was read of a health check.
+// parsedHealthCheck is a parsed health check; true if it is a deep one.
 type parsedHealthCheck bool
 
-// parseClientMessage reads a message as a connection does.
+// parseClientMessage parses a message as conn.dispatch does.
 func parseClientMessage(msg message) (any, error) {
 	switch {
 	case msg.kind == kindNotification:
@@ -118,7 +118,7 @@
 	return parseRequest(msg, &methodCache{})
 }
 
-// Every message from a client, one frame a line, in hex digits.
+// Every message from a client: one frame per line, in hex digits.
 func TestGoldenRequests(t *testing.T) {
 	minimal := server.Attempt{
 		ID:       "9B1F03AA5C7E2D41",
@@ -180,8 +180,8 @@
 	}
 }
 
-// What is logged of a malformed frame, which ends its connection.
-func TestGoldenBrokenFrames(t *testing.T) {
+// The error that is logged for each malformed frame, which ends its connection.
+func TestGoldenMalformedFrames(t *testing.T) {
 	var cases []golden.Case
 	for _, test := range []struct{ name, sent string }{
 		{"byte that starts no value", "\xc1"},
@@ -208,8 +208,8 @@
 	golden.Require(t, "broken.golden", cases)
 }
 
-// The reason that a client is sent for each wrong field of a request or health check.
-func TestGoldenWrongFields(t *testing.T) {
+// The reason sent to a client for each invalid field of a request or health check.
+func TestGoldenInvalidFields(t *testing.T) {
 	long := strings.Repeat("k", maxKeyLength+1)
 	requests := []struct{ name, frame string }{
 		{"no method", "\x94\x00\x07\xc0\x92\x80\xc4\x00"},
--- a/internal/msgpackrpc/harness_test.go
+++ b/internal/msgpackrpc/harness_test.go
@@ -24,22 +24,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testTimeout is after how long a step of a test fails.
+// testTimeout is the time after which a step of a test fails.
 const testTimeout = 30 * time.Second
 
-// noIdleClose keeps the server from closing idle connections, however slow the machine is.
+// noIdleClose prevents the server from closing idle connections, which could happen on a slow machine.
 var noIdleClose = []string{`"IdleUs": 30000000`, `"IdleUs": 0`}
 
-// testPeers is an image server on real sockets, and a scripted peer on each of its links.
+// testPeers is an image server with real sockets, a simulated agent and a simulated store.
 type testPeers struct {
 	*testing.T
 	server     *server.Server
-	cfg        *config.Config // as the server was started; read only
+	cfg        *config.Config // configuration at the start; must not be changed
 	addr       string
 	serverDone chan error
-	commands   chan agentCommand // to the agent, besides samples
-	samples    chan struct{}     // one for each sample while a test waits for it
-	handshake  chan string       // answers the next handshake, with that state
+	commands   chan agentCommand // commands received by the agent, except samples
+	samples    chan struct{}     // receives a signal for each sample while a test waits for it
+	handshake  chan string       // state to report in the next handshake, which waits for it
 	storeCalls chan storeCall
 
 	mu         sync.Mutex
@@ -48,42 +48,42 @@
 	attempts   int
 }
 
-// agentCommand is a line to the agent.
+// agentCommand is a command received by the agent.
 type agentCommand struct {
 	Cmd, Req, Method, Token string
 	Offset                  int
 	Payload                 []byte
 }
 
-// storeCall is a call to the store, and the connection for its reply.
+// storeCall is a call received by the store, and the connection for its reply.
 type storeCall struct {
 	net.Conn
 	id, body string
 }
 
-// startServer runs an image server with the sample configuration, in which replacements (old, new, old, new) are made.
+// startServer runs an image server with the sample configuration, changed by replacements (old, new, old, new, ...).
 func startServer(t *testing.T, replacements ...string) *testPeers {
 	ln := loopback.Listen(t)
 	peers := startServerOn(t, ln, "", replacements...)
-	require.NoError(t, ln.Close()) // the server has a descriptor of its own
+	require.NoError(t, ln.Close()) // the server has its own descriptor
 	return peers
 }
 
-// startServerOn is startServer on a socket that listens already, for one of the processes that hand over at path.
+// startServerOn is startServer on a listening socket. The process hands over to its successor at path.
 func startServerOn(t *testing.T, ln *net.TCPListener, path string, replacements ...string) *testPeers {
 	peers := startServerBeforeAgent(t, ln, path, replacements...)
 	peers.handshake <- "steady"
 	peers.expectCommand("subscribe", "")
-	peers.expectNoCommand() // the server is ready once it samples
+	peers.expectNoCommand() // the server is ready once it sends samples
 	return peers
 }
 
-// startServerBeforeAgent is startServerOn with an agent that does not answer the handshake yet.
+// startServerBeforeAgent is startServerOn with an agent that does not send its handshake yet.
 func startServerBeforeAgent(t *testing.T, ln *net.TCPListener, path string, replacements ...string) *testPeers {
 	return startServerWithLimit(t, ln, path, 0, replacements...)
 }
 
-// startServerWithLimit is startServerBeforeAgent with at most maxConns connections at a time; 0 = the configured limit.
+// startServerWithLimit is startServerBeforeAgent with up to maxConns connections at a time; 0 means the configured limit.
 func startServerWithLimit(t *testing.T, ln *net.TCPListener, path string, maxConns int, replacements ...string) *testPeers {
 	cfg := sampleConfig(t, replacements...)
 	agent, store := loopback.Listen(t), loopback.Listen(t)
@@ -114,8 +114,8 @@
 	return peers
 }
 
-// sampleConfig returns the sample configuration with replacements. Its deadlines are so long that a machine that stands
-// still for a while does not make a test's requests late, unless replacements change them.
+// sampleConfig returns the sample configuration with replacements. Its deadlines are 10 minutes unless replacements change
+// them, so that requests do not time out if the machine is paused for a while.
 func sampleConfig(t *testing.T, replacements ...string) *config.Config {
 	t.Helper()
 	text, err := os.ReadFile("../config/testdata/config.json")
@@ -128,7 +128,7 @@
 	return cfg
 }
 
-// duplicateDescriptor returns a descriptor of the listener's socket, which the caller owns.
+// duplicateDescriptor returns a duplicate of the listener's descriptor, which the caller owns.
 func duplicateDescriptor(t *testing.T, ln *net.TCPListener) uintptr {
 	t.Helper()
 	file, err := ln.File()
@@ -139,7 +139,7 @@
 	return uintptr(fd)
 }
 
-// serveAgent accepts the server's links, one after the other.
+// serveAgent accepts connections of the server, one after the other.
 func (p *testPeers) serveAgent(ln net.Listener) {
 	for {
 		agentConn, err := ln.Accept()
@@ -160,7 +160,8 @@
 	}
 }
 
-// answerCommand does what the agent does by itself: it answers the handshake once a test lets it, and samples.
+// answerCommand answers the commands that need no decision of the test: it sends a handshake once the test provides its
+// state, and it answers samples.
 func (p *testPeers) answerCommand(agentConn net.Conn, command agentCommand) {
 	switch command.Cmd {
 	case "subscribe":
@@ -222,7 +223,7 @@
 	return call, nil
 }
 
-// await receives a value, or fails the test after testTimeout.
+// await receives a value. It fails the test after testTimeout.
 func await[T any](peers *testPeers, from <-chan T, what string) (value T) {
 	peers.Helper()
 	select {
@@ -233,7 +234,7 @@
 	return value
 }
 
-// expectCommand waits for the next command to the agent.
+// expectCommand waits for the next command to the agent and checks its name and request ID.
 func (p *testPeers) expectCommand(cmd, req string) agentCommand {
 	p.Helper()
 	command := await(p, p.commands, cmd)
@@ -241,7 +242,7 @@
 	return command
 }
 
-// expectNoCommand gives the server time to send a command, and fails the test where it did.
+// expectNoCommand waits for three samples, and fails the test if the server has sent any other command by then.
 func (p *testPeers) expectNoCommand() {
 	p.Helper()
 	for range 3 {
@@ -250,7 +251,7 @@
 	require.Empty(p, p.commands)
 }
 
-// agentSends sends an event of a run.
+// agentSends sends a notification about a run.
 func (p *testPeers) agentSends(command, requestID, result string, payload []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -259,7 +260,7 @@
 		command, p.lastOffset, requestID, result, base64.StdEncoding.EncodeToString(payload))
 }
 
-// breakAgentLink closes the link to the agent; the next one waits for handshake.
+// breakAgentLink closes the connection to the agent. The next connection gets no handshake until the test provides one.
 func (p *testPeers) breakAgentLink() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/msgpackrpc/header.go
+++ b/internal/msgpackrpc/header.go
@@ -11,7 +11,7 @@
 const (
 	valueNil valueKind = iota
 	valueBool
-	valueInt       // of 64 bits with a sign
+	valueInt       // fits into a signed 64-bit integer
 	valueLargeUint // an integer above math.MaxInt64
 	valueFloat
 	valueString
@@ -21,27 +21,28 @@
 	valueExtension
 )
 
-// valueHeader is the first part of a value: its type and its length.
+// valueHeader is the decoded header of a value: its type, and its length or value.
 type valueHeader struct {
 	kind   valueKind
 	size   int   // bytes of the header
-	length int   // valueArray: elements; valueMap: pairs; else the bytes that follow the header
-	value  int64 // valueInt; valueBool: 1 for true
+	length int   // elements of an array, pairs of a map, else bytes that follow the header
+	value  int64 // of a valueInt; for a valueBool, 1 means true
 }
 
-// elements returns how many values an array or map holds directly.
+// elements returns the number of values directly inside an array or map. A pair of a map counts as two.
 func (h valueHeader) elements() int {
 	switch h.kind {
 	case valueArray:
 		return h.length
 	case valueMap:
 		return 2 * h.length
-	default: // holds no values
+	default: // not a container
 		return 0
 	}
 }
 
-// payloadSize returns how many bytes after the header belong to the value, without the elements of an array or map.
+// payloadSize returns the number of bytes after the header that belong to the value, excluding the elements of an array
+// or map.
 func (h valueHeader) payloadSize() int {
 	if h.kind == valueArray || h.kind == valueMap {
 		return 0
@@ -49,8 +50,8 @@
 	return h.length
 }
 
-// parseHeader reads the header of the value at the start of b; ok is false while b does not hold all of it. Its errors are
-// frameErrors.
+// parseHeader parses the header at the start of b. It returns ok = false if b does not hold the complete header yet. Its
+// errors are frameErrors.
 func parseHeader(b []byte) (header valueHeader, ok bool, err error) {
 	if len(b) == 0 {
 		return header, false, nil
@@ -72,7 +73,7 @@
 	return parseSizedHeader(b)
 }
 
-// parseFixHeader reads a format up to formatMaxFixstr, which holds the value or its length.
+// parseFixHeader parses a format up to formatMaxFixstr, which encodes the value or its length itself.
 func parseFixHeader(format byte) valueHeader {
 	switch {
 	case format <= formatMaxPositiveFixint:
@@ -85,14 +86,14 @@
 	return valueHeader{kind: valueString, size: 1, length: int(format & fixstrMask)}
 }
 
-// parseFixextHeader reads the format of an extension of 1, 2, 4, 8 or 16 bytes.
+// parseFixextHeader parses the format of an extension of 1, 2, 4, 8 or 16 bytes.
 func parseFixextHeader(format byte) valueHeader {
 	const typeSize = 1
 	dataSize := 1 << (format - formatFixext1)
 	return valueHeader{kind: valueExtension, size: 1, length: typeSize + dataSize}
 }
 
-// parseConstantHeader reads nil, false or true.
+// parseConstantHeader parses nil, false or true.
 func parseConstantHeader(format byte) (header valueHeader, ok bool, err error) {
 	switch format {
 	case formatNil:
@@ -107,8 +108,8 @@
 
 func invalidFormat(format byte) error { return frameErrorf("%w %#x", errInvalidFormat, format) }
 
-// parseNumberHeader reads a number that follows its format. In each group of formats, floats, unsigned integers and signed
-// ones, the width doubles from format to format.
+// parseNumberHeader parses a number that follows its format byte. The formats come in three groups: floats, unsigned
+// integers and signed integers. Within a group the width doubles from one format to the next.
 func parseNumberHeader(b []byte) (header valueHeader, ok bool) {
 	const integerWidths = 4
 	format := b[0]
@@ -136,16 +137,17 @@
 	return header, true
 }
 
-// signExtend returns the integer that is held in that many bytes.
+// signExtend interprets the low width bytes of value as a signed integer.
 func signExtend(value uint64, width int) int64 {
 	unused := 64 - 8*width
 	return int64(value<<unused) >> unused
 }
 
-// sizedFormats are the ranges of formats that are followed by a length, whose width doubles from format to format.
+// sizedFormats are the ranges of formats that are followed by a length. Within a range the width of the length doubles
+// from one format to the next.
 var sizedFormats = [...]struct {
 	first, last byte
-	width       int // bytes of the length after the first format
+	width       int // bytes of the length after the first format of the range
 	kind        valueKind
 }{
 	{formatBin8, formatBin32, 1, valueBinary},
@@ -155,7 +157,7 @@
 	{formatMap16, formatMap32, 2, valueMap},
 }
 
-// parseSizedHeader reads the header of a value whose length follows its format. Its errors are frameErrors.
+// parseSizedHeader parses the header of a value whose length follows its format byte. Its errors are frameErrors.
 func parseSizedHeader(b []byte) (header valueHeader, ok bool, err error) {
 	for _, formats := range sizedFormats {
 		if b[0] < formats.first || b[0] > formats.last {
@@ -173,14 +175,14 @@
 		}
 		header.length = int(length)
 		if formats.kind == valueExtension {
-			header.length++ // the byte of its type
+			header.length++ // the type byte of the extension
 		}
 		return header, true, nil
 	}
 	return header, false, invalidFormat(b[0])
 }
 
-// bigEndianUint reads an unsigned integer of 1, 2, 4 or 8 bytes.
+// bigEndianUint reads an unsigned integer of width 1, 2, 4 or 8 bytes.
 func bigEndianUint(b []byte, width int) uint64 {
 	switch width {
 	case 1:
--- a/internal/msgpackrpc/idempotency_test.go
+++ b/internal/msgpackrpc/idempotency_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// However often a request with an idempotency key arrives within its window, it runs once, and its result answers
+// A request with an idempotency key arrives several times within its window. It must run once, and its result must answer
 // every attempt.
 func TestIdempotentRequestRunsOnce(t *testing.T) {
 	peers := startServer(t)
@@ -14,7 +14,7 @@
 	once := []string{"once", "ab12"}
 	firstID, firstFrame := client.newRequest("licence-order", "order", once...)
 	_, secondFrame := client.newRequest("licence-order", "order", once...)
-	client.write(append(firstFrame, secondFrame...)) // both may be read at once
+	client.write(append(firstFrame, secondFrame...)) // the server may read both at once
 	peers.expectCommand("launch", firstID)
 	client.sendRequest("licence-order", "order", once...) // during the run
 	peers.expectNoCommand()
@@ -23,12 +23,12 @@
 	client.expectAnswer(2, "done")
 	client.expectAnswer(3, "done")
 	other := peers.dial()
-	other.sendRequest("licence-order", "order", once...) // after it
+	other.sendRequest("licence-order", "order", once...) // after the run
 	other.expectAnswer(1, "done")
 	peers.expectNoCommand()
 
-	// A run that failed may have had its effect: no other attempt may run.
-	past := time.Now().Add(-time.Minute).UnixMilli() // longer than its window
+	// A failed run may have had an effect: no other attempt may run.
+	past := time.Now().Add(-time.Minute).UnixMilli() // longer ago than the window
 	failedID := other.sendRequest("licence-order", "order", "once", "cd34", "at", fmt.Sprint(past))
 	peers.expectCommand("launch", failedID)
 	peers.agentSends("outcome", failedID, "failure", nil)
@@ -36,13 +36,13 @@
 	other.sendRequest("licence-order", "order", "once", "cd34", "at", fmt.Sprint(past+1000))
 	other.expectAnswer(3, codeInternal)
 
-	// The window counts from the attempt that ran; after it the request is a new one.
+	// The window starts with the attempt that ran. After it, the same key starts a new run.
 	repeatedID := other.sendRequest("licence-order", "order", "once", "cd34")
 	peers.expectCommand("launch", repeatedID)
 }
 
-// An attempt that arrives twice, on its connection or on another, before or after its answer, is run once and answered
-// once. After the answer it was taken for a new one, and was run and answered a second time.
+// An attempt arrives twice, on the same or on another connection, before or after its answer. After the answer, the
+// duplicate used to count as a new attempt, which ran and was answered again. It must run once and be answered once.
 func TestDuplicateAttemptRunsOnce(t *testing.T) {
 	t.Parallel()
 	for _, place := range []string{"its connection", "another connection"} {
@@ -55,7 +55,7 @@
 	}
 }
 
-// duplicateAttempt sends an attempt twice, the second time before its answer where early is set.
+// duplicateAttempt sends an attempt twice, the second time before the answer if early is set.
 func duplicateAttempt(t *testing.T, sameConnection, early bool) {
 	t.Helper()
 	peers := startServer(t, append([]string{`"Idempotency": "safe"`, `"Idempotency": "unsafe"`}, noIdleClose...)...)
@@ -75,19 +75,19 @@
 		other = peers.dial()
 	}
 	other.write(frame)
-	peers.expectNoCommand() // nothing runs
+	peers.expectNoCommand() // the duplicate does not run
 	if early {
 		end()
 	}
 	if sameConnection {
-		client.expectConnectionEnd() // a call number was used twice
+		client.expectConnectionEnd() // the call number was used twice
 	} else {
 		other.expectAnswer(1, codeInvalid)
 	}
 }
 
-// An idempotent request is retried before or after its run is lost with the agent: both attempts are answered as
-// failed, once, and nothing runs again.
+// An idempotent request is retried before or after its run is lost because the agent restarts. Both attempts must fail,
+// each with one answer, and nothing may run again.
 func TestRetryOfLostRunFails(t *testing.T) {
 	t.Parallel()
 	for _, first := range []string{"retry", "loss"} {
@@ -99,7 +99,7 @@
 			if first == "retry" {
 				other.sendRequest("licence-order", "order", "once", "ab12")
 				other.write(encodeHealthCheck(2, nil))
-				other.expectHealthy(2) // so that the retry has been read
+				other.expectHealthy(2) // the retry has been read
 			}
 			peers.breakAgentLink()
 			peers.expectCommand("subscribe", "")
--- a/internal/msgpackrpc/input.go
+++ b/internal/msgpackrpc/input.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	messageTimeout = 2 * time.Second // for the first message of a connection, and for the rest of one that has begun
+	messageTimeout = 2 * time.Second // for the first message of a connection, and for the rest of a message that has begun
 
-	maxDrainBytes = maxOpenCalls * maxFrame // read of a connection that pauses: all that it may have open
+	maxDrainBytes = maxOpenCalls * maxFrame // read while draining; the size of all calls that a connection may have open
 
-	// After the last answer some input is still read and discarded, until the client has read its answers and closes:
-	// closing over unread bytes resets the connection, and the answers are lost.
+	// After the last answer the server discards input until the client closes the connection, within these limits.
+	// Closing a connection with unread input would reset it, and the client would lose the answers.
 	closeReadTimeout  = 50 * time.Millisecond
 	maxCloseReadBytes = 1 << 20
 )
 
-// input is the read side of a connection. Its methods are called on the reading goroutine, but for pause, resume,
-// drainMore and hasUnread, which the server's loop calls.
+// input is the read side of a connection. The server's loop calls pause, resume, drainMore and hasUnread. All other methods
+// run on the reading goroutine.
 type input struct {
 	netConn net.Conn
 	state   readStateMachine
-	resumed chan struct{} // wakes a paused reader; holds one signal
-	done    chan struct{} // closed when nothing more is read
+	resumed chan struct{} // wakes a paused reader; buffers one signal
+	done    chan struct{} // closed once reading has ended for good
 
 	frames      frameReader
 	drainBudget int // bytes that may still be read while draining
 }
 
-// init prepares the read side of netConn. The first message has a time limit from the start.
+// init prepares the read side of netConn. The time limit for the first message starts with the first read.
 func (in *input) init(netConn net.Conn) {
 	in.netConn = netConn
 	in.resumed = make(chan struct{}, 1)
@@ -42,7 +42,7 @@
 	in.drainBudget = maxDrainBytes
 }
 
-// setPartial notes that the rest of a message is waited for, or no longer.
+// setPartial records whether the reader waits for the rest of a message, and sets the read deadline accordingly.
 func (in *input) setPartial(partial bool) error {
 	if partial {
 		in.state.transition(receivingMessage, awaitingMessage)
@@ -52,7 +52,8 @@
 	return in.applyDeadline()
 }
 
-// applyDeadline sets the deadline of the current state, and once more where the state changed meanwhile.
+// applyDeadline sets the read deadline of the current state. It repeats this if the state changes meanwhile, so that the
+// deadline of pause is not overwritten.
 func (in *input) applyDeadline() error {
 	for {
 		state := in.state.current()
@@ -65,31 +66,31 @@
 	}
 }
 
-// stop notes that reading has paused or ended, as state says.
+// stop records that reading has paused or ended, as state says, and refills the drain budget.
 func (in *input) stop(state readState) {
 	in.state.transition(state, receivingMessage, awaitingMessage, draining)
 	in.drainBudget = maxDrainBytes
 }
 
-// restart begins to read again after a pause. A message that had begun has its whole time limit once more.
+// restart prepares to read again after a pause. A message that has begun gets the full time limit again.
 func (in *input) restart() error {
 	in.frames.partial = false
 	return in.applyDeadline()
 }
 
-// pause has the reader read what has arrived and then pause.
+// pause makes the reader read what has arrived and then pause.
 func (in *input) pause() {
 	in.state.transition(draining, receivingMessage, awaitingMessage)
-	_ = in.netConn.SetReadDeadline(expiredDeadline) // fails on a closed connection, which has no reader any more
+	_ = in.netConn.SetReadDeadline(expiredDeadline) // fails only on a closed connection, which is not read any more
 }
 
-// resume has a paused reader go on.
+// resume lets a paused reader continue.
 func (in *input) resume() {
 	in.state.transition(awaitingMessage, draining, paused)
 	in.wake()
 }
 
-// drainMore has a paused reader read what has arrived since.
+// drainMore makes a paused reader read what has arrived since it paused, and then pause again.
 func (in *input) drainMore() {
 	in.state.transition(draining, receivingMessage, awaitingMessage, paused)
 	in.wake()
@@ -102,18 +103,18 @@
 	}
 }
 
-// hasUnread reports whether something has arrived that was not read, be it the end of the connection.
+// hasUnread reports whether unread input has arrived, including the end of the stream.
 func (in *input) hasUnread() bool {
 	socket, ok := in.netConn.(syscall.Conn)
 	return ok && readable(socket)
 }
 
-// Read implements io.Reader for the frames. A deadline that has expired counts only where nothing has arrived:
-// after the machine was paused, or while this process is behind, input that came in time may be unread.
+// Read implements io.Reader for the frame reader. An expired deadline counts only if no input has arrived: while the
+// machine was paused or this process was slow, input that came in time may still be unread.
 func (in *input) Read(b []byte) (int, error) {
 	n, err := in.netConn.Read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		return n, err //nolint:wrapcheck // io.Reader: io.EOF has to be returned as it is
+		return n, err //nolint:wrapcheck // an io.Reader must return io.EOF unwrapped
 	}
 	if in.isDrained() {
 		return 0, errReadPaused
@@ -131,22 +132,23 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// isDrained reports whether as much was read as a connection that drains may have open.
+// isDrained reports whether a draining connection has read as much as its drain budget allows.
 func (in *input) isDrained() bool { return in.drainBudget <= 0 && in.state.current() == draining }
 
-// readAvailable reads what has arrived without waiting, and returns 0 and no error where that is nothing.
+// readAvailable reads what has arrived without waiting. It returns 0 and no error if nothing has.
 func (in *input) readAvailable(b []byte) (int, error) {
 	socket, ok := in.netConn.(syscall.Conn)
 	if !ok {
 		return 0, nil
 	}
-	if err := in.netConn.SetReadDeadline(time.Time{}); err != nil { // reading fails at once on an expired one
-		return 0, fmt.Errorf("lift read deadline: %w", err)
+	if err := in.netConn.SetReadDeadline(time.Time{}); err != nil { // an expired deadline would fail the read
+		return 0, fmt.Errorf("clear read deadline: %w", err)
 	}
 	return readAvailable(socket, b)
 }
 
-// discard reads and discards input until the client has closed its side or enough has come.
+// discard reads and discards input until the client closes its side, the connection is closed, or maxCloseReadBytes have
+// arrived.
 func (in *input) discard() {
 	if in.netConn.SetReadDeadline(time.Time{}) == nil {
 		_, _ = io.CopyN(io.Discard, in.netConn, maxCloseReadBytes)
--- a/internal/msgpackrpc/input_test.go
+++ b/internal/msgpackrpc/input_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loopbackConn returns both ends of a loopback connection, the local one as the server has it.
+// loopbackConn returns both ends of a loopback connection; the local end is a conn of the server.
 func loopbackConn(t *testing.T) (*conn, net.Conn) {
 	ln := loopback.Listen(t)
 	remote := loopback.Dial(t, ln.Addr().String())
@@ -24,7 +24,7 @@
 	return newConn(local), remote
 }
 
-// waitForInput waits until size bytes are in the receive buffer of the socket.
+// waitForInput waits until size bytes are in the socket's receive buffer.
 func waitForInput(t *testing.T, conn *conn, size int) {
 	raw, err := requireType[syscall.Conn](t, conn.netConn).SyscallConn()
 	require.NoError(t, err)
@@ -38,8 +38,8 @@
 	}, testTimeout, time.Millisecond)
 }
 
-// A read deadline expires while the machine stands still, or while an idle connection is to be closed, and input that
-// arrived before is unread: it is read. The deadline counted first, and the connection was lost.
+// A read deadline expires while the machine is paused or while an idle connection is being closed, and input that arrived
+// before is unread. The deadline used to take precedence, and the connection was lost. The input must be read first.
 func TestReadTimeoutDoesNotLoseInput(t *testing.T) {
 	t.Parallel()
 	for name, interrupt := range map[string]struct {
@@ -67,13 +67,13 @@
 			n, err := local.input.Read(buffer)
 			require.NoError(t, err)
 			require.Equal(t, "abc", string(buffer[:n]))
-			interrupt.by(local) // and nothing has arrived since
+			interrupt.by(local) // nothing has arrived since
 			_, err = local.input.Read(buffer)
 			require.ErrorIs(t, err, interrupt.err)
 
 			local, remote = loopbackConn(t)
 			interrupt.by(local)
-			remote.Close() // the other order: the end of the connection is still seen
+			remote.Close() // after the deadline: the end of the stream must still be seen
 			require.Eventually(t, func() bool {
 				_, err := local.input.Read(buffer)
 				return errors.Is(err, io.EOF)
@@ -82,8 +82,8 @@
 	}
 }
 
-// Input that arrives after all was read, but before the connection is closed, is read first. It was discarded, for as
-// long as the server took to get to the close.
+// Input arrives after everything was read, but before the server closes the connection. It used to be discarded. It must be
+// read first.
 func TestCloseDoesNotLoseInput(t *testing.T) {
 	t.Parallel()
 	for _, first := range []string{"request", "close"} {
@@ -116,7 +116,7 @@
 			require.Equal(t, "answer", string(written))
 			require.NoError(t, <-done)
 
-			local, remote = loopbackConn(t) // with nothing to write it is closed when TryClose returns
+			local, remote = loopbackConn(t) // if nothing is queued, TryClose closes the connection before it returns
 			require.True(t, local.TryClose())
 			require.NoError(t, remote.SetReadDeadline(time.Now().Add(testTimeout)))
 			_, err = remote.Read(buffer)
--- a/internal/msgpackrpc/lifecycle_test.go
+++ b/internal/msgpackrpc/lifecycle_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each request that is read gets one final answer, bodies and store replies pass unchanged, and neither a slow run
-// nor a broken link to the agent prevents an answer.
+// Each request must get exactly one answer, although a run is slow or the link to the agent breaks. Bodies and store replies
+// must pass through unchanged.
 func TestEveryRequestIsAnsweredOnce(t *testing.T) {
 	peers := startServer(t)
 	client := peers.dial()
@@ -26,17 +26,17 @@
 	peers.agentSends("outcome", id, "success", []byte(body))
 	client.expectAnswer(1, body)
 
-	// A run that does not end: its client is answered in time, and only once.
+	// The outcome of a run arrives after the deadline: the client is answered at the deadline, and only once.
 	slowID := client.sendRequest("hires-crop", "slow", "wait", "150")
 	peers.expectCommand("launch", slowID)
 	client.expectAnswer(2, codeInternal)
 	peers.agentSends("outcome", slowID, "success", []byte("late"))
 
-	// The link breaks during a run. Its outcome, and a request of that time, are not lost.
+	// The link breaks during a run: neither its outcome nor a request sent meanwhile is lost.
 	runID := client.sendRequest("hires-crop", "x")
 	peers.expectCommand("launch", runID)
 	peers.agentSends("request", runID, "", nil) // proves that the launch was read
-	await(peers, peers.storeCalls, "call")      // the server has read the event once it calls the store
+	await(peers, peers.storeCalls, "call")      // the server calls the store after it has read the notification
 	peers.breakAgentLink()
 	waitingID := client.sendRequest("hires-crop", "y")
 	require.Equal(t, peers.lastOffset, peers.expectCommand("subscribe", "").Offset)
@@ -48,8 +48,8 @@
 	client.expectAnswer(4, codeInternal)
 }
 
-// A client cancels, or disconnects, before or after the outcome of its run arrives: it is answered nothing more,
-// nothing runs twice, and a retry is answered with the result.
+// A client cancels or disconnects before or after the outcome of its run arrives. It must get no further answer, nothing may
+// run twice, and a retry must be answered with the result.
 func TestCancelAndOutcomeInEitherOrder(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct{ first, second string }{
@@ -75,21 +75,20 @@
 				peers.expectNoCommand()
 			}
 			other := peers.dial()
-			other.sendRequest("licence-order", "order", once...) // it ran: the retry gets its result
+			other.sendRequest("licence-order", "order", once...) // a retry
 			other.expectAnswer(1, "done")
 			peers.expectNoCommand()
 		})
 	}
 }
 
-// The agent restarts during a run, so no outcome will come: the request is answered as failed at once, and its
-// idempotency key is not run again. The link used to ignore all events of the new agent, whose offsets start at 1
-// again.
+// The agent restarts during a run, so no outcome will arrive. The link used to ignore all notifications of the restarted
+// agent, because its offsets start at 1 again. The request must fail at once, and its idempotency key must not run again.
 func TestAgentRestartFailsRunsInFlight(t *testing.T) {
 	t.Parallel()
 	peers := startServer(t, noIdleClose...)
 	client := peers.dial()
-	for range 3 { // so that the offsets have gone on
+	for range 3 { // advances the offset
 		id := client.sendRequest("preview", "x")
 		peers.expectCommand("launch", id)
 		peers.agentSends("outcome", id, "success", []byte("x"))
@@ -105,7 +104,7 @@
 	peers.lastOffset = 0
 	peers.handshake <- "booting"
 	client.sendRequest("licence-order", "order", "once", "ab12")
-	client.expectAnswer(5, codeInternal) // the run may have had its effect
+	client.expectAnswer(5, codeInternal) // the lost run may have had an effect
 	next := client.sendRequest("preview", "y")
 	peers.expectCommand("launch", next)
 	peers.agentSends("outcome", next, "success", []byte("y"))
--- a/internal/msgpackrpc/limits_test.go
+++ b/internal/msgpackrpc/limits_test.go
@@ -7,11 +7,12 @@
 	"falldeal/internal/server"
 )
 
-// Clients may take half of the descriptors; the connection that is idle for longest is closed for a new one.
+// Client connections may use half of the descriptors, less a reserve. If the limit is reached, the connection that has been
+// idle longest is closed for a new one.
 func TestConnectionLimit(t *testing.T) {
 	peers := startServer(t, `"sockets": 1024`, `"sockets": 64`)
 	var clients []*testClient
-	for i := range 25 { // 8 of 32 are in reserve
+	for i := range 25 { // the limit is 24: 64/2 less a reserve of 8
 		client := peers.dial()
 		client.write(encodeHealthCheck(1, nil))
 		client.expectHealthy(1)
@@ -25,11 +26,11 @@
 	clients[2].expectHealthy(2)
 }
 
-// However many requests are read, no more run at once than the server survives, nor than fit into its memory.
+// However many requests are read, the number of runs at a time must stay within the concurrency limit and the memory limit.
 func TestConcurrencyStaysWithinLimits(t *testing.T) {
 	for name, replacements := range map[string][]string{
 		"crowd":  {`"Cpus": 6`, `"Cpus": 1`, `"FallMultiple": 5.0`, `"FallMultiple": 1.0`},
-		"memory": {`"MemoryKb": 43152.0`, `"MemoryKb": 700`}, // a run takes 392
+		"memory": {`"MemoryKb": 43152.0`, `"MemoryKb": 700`}, // one run takes 392
 	} {
 		t.Run(name, func(t *testing.T) {
 			peers := startServer(t, replacements...)
@@ -47,39 +48,39 @@
 	}
 }
 
-// blockingConnection is a connection that blocks the server's loop while it is answered blockingCall, until release.
+// blockingConnection is a connection that blocks the server's loop in Answer for blockingCall until release.
 type blockingConnection struct {
 	blocked, release chan struct{}
 }
 
 const blockingCall = 1
 
-func (h *blockingConnection) Answer(call uint32, _ server.Answer) {
+func (c *blockingConnection) Answer(call uint32, _ server.Answer) {
 	if call == blockingCall {
-		h.blocked <- struct{}{}
-		<-h.release
+		c.blocked <- struct{}{}
+		<-c.release
 	}
 }
 
-func (h *blockingConnection) NotifyClosing() {}
+func (c *blockingConnection) NotifyClosing() {}
 
-func (h *blockingConnection) PauseReading() {}
+func (c *blockingConnection) PauseReading() {}
 
-func (h *blockingConnection) ResumeReading() {}
+func (c *blockingConnection) ResumeReading() {}
 
-func (h *blockingConnection) TryClose() bool { return true }
+func (c *blockingConnection) TryClose() bool { return true }
 
-func (h *blockingConnection) Close() {}
+func (c *blockingConnection) Close() {}
 
-func (h *blockingConnection) MaxOpenCalls() int { return maxOpenCalls }
+func (c *blockingConnection) MaxOpenCalls() int { return maxOpenCalls }
 
 // silentConnection is a connection that sends nothing and ignores answers.
 type silentConnection struct{ blockingConnection }
 
 func (*silentConnection) Answer(uint32, server.Answer) {}
 
-// The connection that is idle for longest is closed for another one, while a request on it has been read and waits
-// for the server's loop: the request is answered first. It was passed over, and lost.
+// The connection that has been idle longest is evicted for a new one, while a request on it has been read and waits for the
+// server's loop. The request used to be ignored and lost. It must be answered before the connection is closed.
 func TestEvictedConnectionAnswersItsRequests(t *testing.T) {
 	t.Parallel()
 	peers := startServer(t, `"sockets": 1024`, `"sockets": 64`, `"IdleUs": 30000000`, `"IdleUs": 0`)
@@ -91,7 +92,7 @@
 	peers.server.ConnectionOpened(blocker)
 	peers.server.HealthCheck(blocker, blockingCall, false)
 	<-blocker.blocked
-	for range 64/2 - 8 - 2 { // up to the limit, all used later than client
+	for range 64/2 - 8 - 2 { // fills the limit with connections used later than client's
 		silent := &silentConnection{}
 		peers.server.ConnectionOpened(silent)
 		peers.server.HealthCheck(silent, 1, false)
@@ -100,7 +101,7 @@
 	runID := client.sendRequest("preview", "x")
 	blocker.release <- struct{}{}
 	peers.expectCommand("launch", runID)
-	client.expectClosing() // so that no more requests come on it
+	client.expectClosing() // asks for no more requests, but one may already be on its way
 	crossed := client.sendRequest("preview", "y")
 	peers.expectCommand("launch", crossed)
 	peers.agentSends("outcome", runID, "success", []byte("x"))
@@ -110,8 +111,8 @@
 	client.expectConnectionEnd()
 }
 
-// All connections are in use, and one more arrives with a request on it: the request is answered before that
-// connection is closed. The connection was closed unread.
+// All connections are in use and one more arrives with a request on it. It used to be closed unread. The request must be
+// answered before the connection is closed.
 func TestConnectionOverLimitAnswersItsRequest(t *testing.T) {
 	t.Parallel()
 	peers := startServer(t, append([]string{`"sockets": 1024`, `"sockets": 64`}, noIdleClose...)...)
@@ -129,10 +130,10 @@
 		other := peers.dial()
 		other.sendRequest("preview", "x")
 		other.write(encodeHealthCheck(2, nil))
-		other.expectHealthy(2) // so that the request has been read
+		other.expectHealthy(2) // the request has been read
 	}
 	peers.server.HealthCheck(blocker, blockingCall, false)
-	<-blocker.blocked // so that the request is there when the connection is accepted
+	<-blocker.blocked // the request arrives before the loop handles the new connection
 	client := peers.dial()
 	client.sendRequest("preview", "x")
 	blocker.release <- struct{}{}
--- a/internal/msgpackrpc/listener.go
+++ b/internal/msgpackrpc/listener.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	acceptRetryDelay     = 50 * time.Millisecond // after a failed Accept
-	pendingAcceptTimeout = 50 * time.Millisecond // of an Accept for which a connection was pending
+	acceptRetryDelay     = 50 * time.Millisecond // before the next Accept after a failed one
+	pendingAcceptTimeout = 50 * time.Millisecond // of an Accept while a connection is pending
 )
 
-// Listener accepts connections of clients; it implements server.Front. Serve is called once; the other methods may be called
-// on any goroutine.
+// Listener accepts connections of clients and implements server.Front. Serve must be called once. The other methods may be
+// called on any goroutine.
 type Listener struct {
 	ln    net.Listener
-	slots chan struct{} // holds one element for each open connection
+	slots chan struct{} // one element for each open connection
 	log   *logging.Limiter
 
 	closeOnce sync.Once
 	closing   chan struct{} // closed by Close
 }
 
-// interruptible is a net.Listener whose Accept can be given a deadline.
-type interruptible interface {
+// deadlineListener is a net.Listener whose Accept can be given a deadline.
+type deadlineListener interface {
 	SetDeadline(deadline time.Time) error
 }
 
@@ -43,21 +43,21 @@
 	return &Listener{ln: ln, slots: make(chan struct{}, maxConns), log: log, closing: make(chan struct{})}
 }
 
-// Listen opens a Listener on an address that accepts up to maxConns connections at a time; further ones wait.
+// Listen opens a Listener on a TCP address. It accepts up to maxConns connections at a time; further ones wait.
 func Listen(address string, maxConns int, log *logging.Limiter) (*Listener, error) {
 	var config net.ListenConfig
-	ln, err := config.Listen(context.Background(), "tcp", address) // opening a socket does not block
+	ln, err := config.Listen(context.Background(), "tcp", address) // does not block
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	return newListener(ln, maxConns, log), nil
 }
 
-// ListenInherited is Listen on a socket that listens already and was left open for this process.
+// ListenInherited is like Listen for a listening socket that another process left open for this one.
 func ListenInherited(descriptor uintptr, maxConns int, log *logging.Limiter) (*Listener, error) {
 	file := os.NewFile(descriptor, "inherited socket")
 	ln, err := net.FileListener(file)
-	_ = file.Close() // the listener has a descriptor of its own
+	_ = file.Close() // the listener has its own duplicate of the descriptor
 	if err != nil {
 		return nil, fmt.Errorf("inherited socket %d: %w", descriptor, err)
 	}
@@ -67,20 +67,20 @@
 // Addr returns the address of the listener.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
-// Close has Serve accept the connections that the kernel has accepted already, and then close the listener. Further calls
-// do nothing.
+// Close makes Serve accept the connections that the kernel has accepted already, and then close the listener. Further
+// calls have no effect.
 func (l *Listener) Close() (err error) {
 	l.closeOnce.Do(func() {
-		err = l.interruptAccept() // first, as Serve lifts the deadline to accept pending connections
+		err = l.interruptAccept() // before close(l.closing), because acceptPending replaces this deadline
 		close(l.closing)
 	})
 	return err
 }
 
-// interruptAccept ends an Accept that waits.
+// interruptAccept ends a blocked Accept. A listener without deadlines is closed for this.
 func (l *Listener) interruptAccept() error {
 	var err error
-	if ln, ok := l.ln.(interruptible); ok {
+	if ln, ok := l.ln.(deadlineListener); ok {
 		err = ln.SetDeadline(expiredDeadline)
 	} else {
 		err = l.ln.Close()
@@ -120,8 +120,8 @@
 	}
 }
 
-// delayAccept logs a failed Accept and waits before the next. Neither a lack of descriptors nor a client that has
-// disconnected ends the service.
+// delayAccept logs a failed Accept and waits before the next one. Accept fails if descriptors run out or the client
+// disconnects early; neither may end the service.
 func (l *Listener) delayAccept(ctx context.Context, err error) {
 	l.log.WarnFields("accept", "client connection not accepted", err, logrus.Fields{
 		"retry_after_ms": acceptRetryDelay.Milliseconds(),
@@ -132,10 +132,10 @@
 	}
 }
 
-// acceptPending accepts the connections that wait already: requests may have been written to them, and would be lost
-// with the listener.
+// acceptPending accepts the connections that are pending in the kernel. Clients may have written requests to them, which
+// would be lost if the listener were closed.
 func (l *Listener) acceptPending(ctx context.Context, g *errgroup.Group, srv *server.Server) {
-	ln, ok := l.ln.(interruptible)
+	ln, ok := l.ln.(deadlineListener)
 	if !ok {
 		return
 	}
@@ -145,7 +145,8 @@
 		case <-ctx.Done():
 			return
 		}
-		// Another process that shares the socket may accept the connection first, so Accept must not wait for ever.
+		// Another process that shares the socket may accept the connection first. Without a deadline, Accept would then
+		// wait for the next connection.
 		if ln.SetDeadline(time.Now().Add(pendingAcceptTimeout)) != nil {
 			return
 		}
@@ -161,13 +162,13 @@
 	}
 }
 
-// hasPendingConnection reports whether a connection waits to be accepted.
+// hasPendingConnection reports whether a connection is waiting to be accepted.
 func (l *Listener) hasPendingConnection() bool {
 	socket, ok := l.ln.(syscall.Conn)
 	return ok && readable(socket)
 }
 
-// startConn announces a connection to srv and starts its goroutines in g. It is called within Serve, so that srv knows
+// startConn registers a connection with srv and starts its goroutines in g. Serve calls it directly, so that srv knows
 // every connection once Serve has returned.
 func (l *Listener) startConn(ctx context.Context, g *errgroup.Group, netConn net.Conn, srv *server.Server) {
 	connection := newConn(netConn)
@@ -183,9 +184,9 @@
 	})
 }
 
-// logReadError logs why reading a connection ended, unless that is ordinary.
+// logReadError logs why reading from a connection ended, unless the error is expected.
 func (l *Listener) logReadError(netConn net.Conn, err error) {
-	if isOrdinaryEnd(err) {
+	if isExpectedReadError(err) {
 		return
 	}
 	l.log.WarnFields("client connection", "client connection failed", err, logrus.Fields{
@@ -193,7 +194,7 @@
 	})
 }
 
-// isOrdinaryEnd reports whether reading a connection ends with err in normal service.
-func isOrdinaryEnd(err error) bool {
+// isExpectedReadError reports whether err ends reading in normal operation.
+func isExpectedReadError(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, errReadPaused)
 }
--- a/internal/msgpackrpc/listener_test.go
+++ b/internal/msgpackrpc/listener_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// failingListener is a listener whose first Accept finds no descriptor free.
+// failingListener is a listener whose first Accept fails because no descriptor is free.
 type failingListener struct {
 	*net.TCPListener
 	failed bool
@@ -28,20 +28,20 @@
 	return l.TCPListener.Accept()
 }
 
-// serveListener serves clients of a running server on a listener of its own, with so many connections at a time.
+// serveListener starts a server and accepts its clients on ln instead, up to maxConns at a time.
 func serveListener(t *testing.T, ln net.Listener, maxConns int) (*testPeers, *Listener, <-chan error) {
 	t.Helper()
 	peers := startServer(t, noIdleClose...)
 	log, _ := test.NewNullLogger()
-	front := newListener(ln, maxConns, logging.NewLimiter(log))
+	listener := newListener(ln, maxConns, logging.NewLimiter(log))
 	group, ctx := errgroup.WithContext(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- front.Serve(ctx, group, peers.server) }()
+	go func() { done <- listener.Serve(ctx, group, peers.server) }()
 	peers.addr = ln.Addr().String()
-	return peers, front, done
+	return peers, listener, done
 }
 
-// Where all descriptors are in use the next connection waits, and the listener goes on.
+// If no descriptor is free, Accept fails. The listener must continue, and the next connection must be accepted later.
 func TestAcceptContinuesAfterDescriptorsRunOut(t *testing.T) {
 	t.Parallel()
 	peers, listener, done := serveListener(t, &failingListener{TCPListener: loopback.Listen(t)}, 4)
@@ -52,12 +52,12 @@
 	require.NoError(t, await(peers, done, "end of the listener"))
 }
 
-// blockingListener holds the call of SetDeadline that interrupts Accept until it is released.
+// blockingListener blocks the SetDeadline call that interrupts Accept until release is closed.
 type blockingListener struct {
 	*net.TCPListener
-	interrupting chan struct{} // the call has come
+	interrupting chan struct{} // closed when SetDeadline is called to interrupt Accept
 	release      chan struct{}
-	lifted       chan struct{} // holds a signal once the deadline was set to another time
+	lifted       chan struct{} // receives a signal when another deadline is set
 }
 
 func (l *blockingListener) SetDeadline(deadline time.Time) error {
@@ -74,23 +74,23 @@
 	return err
 }
 
-// A connection waits for a slot while the listener is closed: it is accepted and answered. Close used to announce itself
-// before it interrupted Accept, and could so interrupt the Accept of the pending connection, which was then reset.
+// A connection is pending while the listener is closed. Close used to close l.closing before it interrupted Accept, and
+// could thus interrupt the Accept of the pending connection, which was then reset. The connection must be answered.
 func TestCloseAcceptsPendingConnection(t *testing.T) {
 	t.Parallel()
 	blocking := &blockingListener{TCPListener: loopback.Listen(t), interrupting: make(chan struct{}), release: make(chan struct{}),
 		lifted: make(chan struct{}, 1)}
-	peers, front, done := serveListener(t, blocking, 1)
+	peers, listener, done := serveListener(t, blocking, 1)
 	client := peers.dial()
 	client.write(encodeHealthCheck(1, nil))
-	client.expectHealthy(1) // it has the only slot
+	client.expectHealthy(1) // client has the only slot
 	pending := peers.dial()
 	pending.write(encodeHealthCheck(1, nil))
 	closed := make(chan error, 1)
-	go func() { closed <- front.Close() }()
+	go func() { closed <- listener.Close() }()
 	<-blocking.interrupting
 	select {
-	case <-blocking.lifted: // the wrong order: pending connections are accepted before the interruption
+	case <-blocking.lifted: // wrong order: pending connections are accepted before the interruption
 	case <-time.After(200 * time.Millisecond):
 	}
 	close(blocking.release)
@@ -100,7 +100,7 @@
 	require.NoError(t, await(peers, done, "end of the listener"))
 }
 
-// sharedListener has another process take each connection that is accepted after take is set.
+// sharedListener simulates another process that accepts each connection first once take is closed.
 type sharedListener struct {
 	*net.TCPListener
 	take chan struct{}
@@ -119,18 +119,18 @@
 	return l.TCPListener.Accept()
 }
 
-// A successor process that shares the socket accepts the pending connection first: the listener still ends. It waited for
-// another connection, and with it the predecessor, up to its stop timeout.
-func TestCloseEndsThoughPendingConnectionWasTaken(t *testing.T) {
+// A successor process that shares the socket accepts the pending connection first. The listener used to wait for another
+// connection, which kept the predecessor running up to its stop timeout. It must end.
+func TestCloseEndsIfAnotherProcessTakesPendingConnection(t *testing.T) {
 	t.Parallel()
 	shared := &sharedListener{TCPListener: loopback.Listen(t), take: make(chan struct{})}
-	peers, front, done := serveListener(t, shared, 1)
+	peers, listener, done := serveListener(t, shared, 1)
 	client := peers.dial()
 	client.write(encodeHealthCheck(1, nil))
-	client.expectHealthy(1) // it has the only slot
+	client.expectHealthy(1) // client has the only slot
 	peers.dial()
 	close(shared.take)
-	require.NoError(t, front.Close())
+	require.NoError(t, listener.Close())
 	client.netConn.Close()
 	require.NoError(t, await(peers, done, "end of the listener"))
 }
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -1,6 +1,6 @@
 package msgpackrpc
 
-// messageKind is the kind of a message in MessagePack-RPC, as on the wire.
+// messageKind is the type of a MessagePack-RPC message, with its value on the wire.
 type messageKind byte
 
 const (
@@ -9,7 +9,7 @@
 	kindNotification messageKind = 2
 )
 
-// String returns the name of the kind.
+// String returns the name of the message type.
 func (k messageKind) String() string {
 	switch k {
 	case kindRequest:
@@ -22,45 +22,45 @@
 	return "unknown"
 }
 
-// The methods with a meaning of their own; any other method of a request is its class.
+// The reserved methods. Any other method of a request is the name of its class.
 const (
 	methodHealth  = "alive"
 	methodCancel  = "cancelRequest"
 	methodClosing = "closing"
 )
 
-// The parts of a message, which is an array of them.
+// The number of elements of the array that a message consists of.
 const (
-	requestParts      = 4 // kind, call, method, parameters
-	notificationParts = 3 // kind, method, parameters
+	requestElements      = 4 // type, call, method, parameters
+	notificationElements = 3 // type, method, parameters
 )
 
-// noParams is the paramCount of a message whose parameters are no array.
+// noParams is the paramCount of a message whose parameters are not an array.
 const noParams = -1
 
-// message is one frame from a client. It refers to the bytes of the frame.
+// message is one message from a client. Its fields refer to the bytes of the frame.
 type message struct {
 	kind       messageKind
-	call       uint32 // of a request; chosen by the client
-	method     []byte // nil where it is no string
-	params     cursor
-	paramCount int
+	call       uint32 // call number chosen by the client; requests only
+	method     []byte // nil: not a string
+	params     cursor // at the first parameter
+	paramCount int    // noParams: not an array
 }
 
-// parseMessage takes a frame apart. Its errors are frameErrors; what is only wrong about a request is found later, so
-// that it can be answered.
+// parseMessage parses the envelope of a message. Its errors are frameErrors. Faults in the method and the parameters of a
+// request are left to later checks, so that they can be answered.
 func parseMessage(frame []byte) (message, error) {
 	msg := message{paramCount: noParams}
 	parts := cursor{frame}
 	list := parts.header()
-	if list.kind != valueArray || list.length < notificationParts {
-		return msg, frameErrorf("%w: want an array of 3 or 4", errNotRPCMessage)
+	if list.kind != valueArray || list.length < notificationElements {
+		return msg, frameErrorf("%w: want an array of 3 or 4 elements", errNotRPCMessage)
 	}
 	if err := msg.readKind(&parts); err != nil {
 		return msg, err
 	}
-	if want := msg.kind.parts(); list.length != want {
-		return msg, frameErrorf("%w: %d parts instead of %d", errNotRPCMessage, list.length, want)
+	if want := msg.kind.elements(); list.length != want {
+		return msg, frameErrorf("%w: %v has %d elements, want %d", errNotRPCMessage, msg.kind, list.length, want)
 	}
 	msg.method, _ = parts.bytes(valueString)
 	if params := parts.header(); params.kind == valueArray {
@@ -70,15 +70,15 @@
 	return msg, nil
 }
 
-// parts returns how many parts a message of the kind has.
-func (k messageKind) parts() int {
+// elements returns the number of elements that a message of this type has.
+func (k messageKind) elements() int {
 	if k == kindRequest {
-		return requestParts
+		return requestElements
 	}
-	return notificationParts
+	return notificationElements
 }
 
-// readKind reads the kind of a message, and the call of a request. Its errors are frameErrors.
+// readKind reads the type of a message, and the call number of a request. Its errors are frameErrors.
 func (m *message) readKind(parts *cursor) error {
 	kind, ok := parts.uint32()
 	switch {
@@ -88,10 +88,10 @@
 		m.kind = kindNotification
 		return nil
 	default:
-		return frameErrorf("%w: neither request nor notification", errNotRPCMessage)
+		return frameErrorf("%w: type is neither 0 (request) nor 2 (notification)", errNotRPCMessage)
 	}
 	if m.call, ok = parts.uint32(); !ok {
-		return frameErrorf("%w: request without a call number", errNotRPCMessage)
+		return frameErrorf("%w: call number of a request is not an unsigned 32-bit integer", errNotRPCMessage)
 	}
 	return nil
 }
--- a/internal/msgpackrpc/message_test.go
+++ b/internal/msgpackrpc/message_test.go
@@ -23,6 +23,7 @@
 	return source.next()
 }
 
+// The reference decoder is compared with values of every format that were encoded by hand.
 func TestReferenceDecoder(t *testing.T) {
 	for encoded, want := range map[string]any{
 		"\x07": int64(7), "\xff": int64(-1), "\xc0": nil, "\xc2": false, "\xc3": true,
@@ -56,8 +57,8 @@
 	}
 }
 
-// Frames and fields that are parsed in place are those that the reference decoder finds, which builds each value as a
-// tree: both accept the same input, with the same meaning.
+// The in-place parser and the reference decoder, which builds each value as a tree, must accept the same input and find the
+// same meaning.
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeRequest(7, "preview", sampleFields(), []byte("body")), 3)
 	optional := sampleFields()
@@ -71,9 +72,9 @@
 	f.Add(append(encodeClosing(), "\xdf\xff\xff\xff\xff"...), 1)
 	f.Add([]byte("\x94\x00\x01\xa5alive\x91\x81\xa4deep\xa11\x93\x02\xadcancelRequest\x91\x01"), 2)
 	f.Add([]byte("\xd8\x01................\xc7\x01\x05\x00\xca\x3f\x80\x00\x00\xd3\xff\xff\xff\xff\xff\xff\xff\xfe"), 5)
-	f.Fuzz(func(t *testing.T, b []byte, piece int) {
+	f.Fuzz(func(t *testing.T, b []byte, chunkSize int) {
 		reference := decoder{source: bufio.NewReader(bytes.NewReader(b))}
-		frames := frameReader{source: &chunkReader{b, max(piece, 1)}}
+		frames := frameReader{source: &chunkReader{b, max(chunkSize, 1)}}
 		var methods methodCache
 		for {
 			value, referenceErr := reference.next()
@@ -97,8 +98,8 @@
 	})
 }
 
-// requireSameMessage parses a message in each way, as the reference does: both find it valid, with the same meaning, or
-// neither does.
+// requireSameMessage parses a message as a request, a health check and a cancellation with both parsers. Each time, both
+// must find it invalid, or both must find the same meaning.
 func requireSameMessage(t *testing.T, want referenceMessage, msg message, methods *methodCache) {
 	t.Helper()
 	require.Equal(t, want.method, string(msg.method))
@@ -116,7 +117,7 @@
 	}
 }
 
-// requireSameResult requires that both parsers found an error, or both the same value.
+// requireSameResult requires that both parsers returned an error or both returned the same value.
 func requireSameResult[T any](t *testing.T, want, got T, wantErr, err error) {
 	t.Helper()
 	require.Equal(t, wantErr == nil, err == nil, "%v, %v", err, wantErr)
@@ -125,6 +126,7 @@
 	}
 }
 
+// BenchmarkReadRequest compares the in-place parser with the reference parser.
 func BenchmarkReadRequest(b *testing.B) {
 	for _, body := range []int{0, 256, 1024, maxBody} {
 		frame := encodeRequest(7, "preview", sampleFields(), make([]byte, body))
@@ -154,7 +156,7 @@
 	}
 }
 
-// repeatingReader is a stream that repeats one frame, once a read.
+// repeatingReader is a stream that repeats one frame. A read does not cross the end of the frame.
 type repeatingReader struct {
 	frame  []byte
 	offset int
--- a/internal/msgpackrpc/read_state.go
+++ b/internal/msgpackrpc/read_state.go
@@ -6,21 +6,24 @@
 	"time"
 )
 
-// readState is what the reading goroutine of a connection does.
+// readState is the state of the reading goroutine of a connection.
 //
-//	receivingMessage <-> awaitingMessage    by the reader, as messages begin and end
-//	either           ->  draining           by the server's loop: PauseReading
-//	any of these     ->  paused or ended    by the reader, which reports it to the server
-//	paused           ->  awaitingMessage    by the loop: ResumeReading
-//	paused           ->  draining           by the loop: TryClose, where input has arrived since
+//	receivingMessage <-> awaitingMessage    reader: a message begins or is complete
+//	either           ->  draining           loop: PauseReading
+//	any of these     ->  paused or ended    reader: reports the end of reading to the server
+//	paused           ->  awaitingMessage    loop: ResumeReading
+//	paused           ->  draining           loop: TryClose, if input has arrived since the pause
+//
+// ResumeReading also changes draining to awaitingMessage, and TryClose also changes receivingMessage and awaitingMessage
+// to draining.
 type readState int32
 
 const (
-	receivingMessage readState = iota // the first message, or the rest of one that began: has messageTimeout
-	awaitingMessage                   // between messages, for as long as the client likes
-	draining                          // what has arrived is read, then reading pauses
-	paused                            // nothing is read until the server's loop resumes reading or closes the connection
-	ended                             // no more is handed over
+	receivingMessage readState = iota // waiting for the first message or the rest of one; limited by messageTimeout
+	awaitingMessage                   // between messages; no time limit
+	draining                          // reading the input that has arrived, then reading pauses
+	paused                            // not reading until the server resumes reading or closes the connection
+	ended                             // not reading any more
 )
 
 // String returns the name of the state.
@@ -40,10 +43,10 @@
 	return "unknown"
 }
 
-// expiredDeadline is a time in the past: a read or Accept with it returns at once.
+// expiredDeadline is a time in the past. A read or an Accept with this deadline returns at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// readDeadline returns the time until which a read that starts at now may wait in this state; zero means for ever.
+// readDeadline returns the deadline of a read that starts at now. The zero time means no deadline.
 func (s readState) readDeadline(now time.Time) time.Time {
 	switch s {
 	case receivingMessage:
@@ -56,13 +59,13 @@
 	return time.Time{}
 }
 
-// readStateMachine holds the state, which the reader and the server's loop both change. The zero value is
+// readStateMachine holds the state, which both the reader and the server's loop change. The zero value is in state
 // receivingMessage.
 type readStateMachine struct{ state atomic.Int32 }
 
 func (m *readStateMachine) current() readState { return readState(m.state.Load()) }
 
-// transition changes the state where it is one of from, and leaves it alone otherwise.
+// transition sets the state if the current one is in from. Otherwise the state remains.
 func (m *readStateMachine) transition(to readState, from ...readState) {
 	for {
 		current := m.current()
--- a/internal/msgpackrpc/read_state_test.go
+++ b/internal/msgpackrpc/read_state_test.go
@@ -9,12 +9,12 @@
 
 var readStates = []readState{receivingMessage, awaitingMessage, draining, paused, ended}
 
-// Each call changes the states that the diagram of readState says, and no other.
+// Each operation must change the states as documented at readState, and no other.
 func TestReadStateTransitions(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		do   func(t *testing.T, in *input)
-		to   map[readState]readState // where it differs
+		to   map[readState]readState // only the states that change
 	}{
 		{"message begins", func(t *testing.T, in *input) { require.NoError(t, in.setPartial(true)) },
 			map[readState]readState{awaitingMessage: receivingMessage}},
@@ -45,7 +45,7 @@
 	}
 }
 
-// Only a message that has begun, or the first one, has a time limit; draining does not wait at all.
+// Only the first message, and a message that has begun, have a time limit. Draining must not wait at all.
 func TestReadDeadlines(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for state, want := range map[readState]time.Time{
@@ -59,7 +59,7 @@
 	}
 }
 
-// Each state has a name of its own.
+// Each state must have a distinct name.
 func TestReadStateNames(t *testing.T) {
 	names := map[string]bool{}
 	for _, state := range readStates {
--- a/internal/msgpackrpc/reference_decoder_test.go
+++ b/internal/msgpackrpc/reference_decoder_test.go
@@ -7,10 +7,10 @@
 	"math"
 )
 
-// The reference decoder builds each value as a tree. Frames and fields are checked against it, and measured; the test
+// The reference decoder builds each value as a tree. Tests and benchmarks compare the in-place parser with it, and the test
 // clients read responses with it.
 
-// These types are what a decoded value may be, besides nil, bool, int64, uint64, float64 and string.
+// The types of decoded values, in addition to nil, bool, int64, uint64, float64 and string.
 type (
 	binaryValue []byte
 	arrayValue  []any
@@ -19,14 +19,14 @@
 	extValue    struct{}
 )
 
-// decoder reads values from a stream, each frame up to maxFrame bytes.
+// decoder reads values from a stream. A frame may have up to maxFrame bytes and maxValues values.
 type decoder struct {
 	source     *bufio.Reader
-	bytesLeft  int // bytes that are left of the bound on a frame
-	valuesLeft int // values that are left of the bound on a frame
+	bytesLeft  int // bytes that the current frame may still have
+	valuesLeft int // values that the current frame may still have
 }
 
-// next reads one whole value. After an error the stream can't be read on.
+// next reads one complete value. After an error the stream cannot be read any further.
 func (d *decoder) next() (any, error) {
 	d.bytesLeft, d.valuesLeft = maxFrame, maxValues
 	return d.value(0)
@@ -48,7 +48,7 @@
 	return b, nil
 }
 
-// uint reads a big-endian number of 1, 2, 4 or 8 bytes.
+// uint reads a big-endian unsigned integer of 1, 2, 4 or 8 bytes.
 func (d *decoder) uint(size int) (uint64, error) {
 	b, err := d.take(size)
 	if err != nil {
@@ -111,8 +111,9 @@
 	return d.sized(tag, depth)
 }
 
-// firstTags holds, for a tag that is followed by a length, the tag from which the width of the length doubles, starting
-// with 1 byte. For arrays and maps, whose lengths have 2 or 4 bytes, that is the tag before their first.
+// firstTags maps a tag that is followed by a length to the tag from which the width of the length is computed: the width is
+// 1 byte there and doubles with each further tag. The lengths of arrays and maps have 2 or 4 bytes, so their entry is the
+// tag before the first one.
 var firstTags = [256]uint64{0xc4: 0xc4, 0xc5: 0xc4, 0xc6: 0xc4, 0xc7: 0xc7, 0xc8: 0xc7, 0xc9: 0xc7,
 	0xd9: 0xd9, 0xda: 0xd9, 0xdb: 0xd9, 0xdc: 0xdb, 0xdd: 0xdb, 0xde: 0xdd, 0xdf: 0xdd}
 
@@ -151,8 +152,8 @@
 	return string(b), err
 }
 
-// array reads n values. Each takes a byte at least, so a count that can't fit is rejected before
-// memory is taken for it.
+// array reads n values. Each takes at least one byte, so a count that cannot fit is rejected before memory is allocated for
+// it.
 func (d *decoder) array(n, depth int) (any, error) {
 	if n > d.bytesLeft {
 		return nil, errFrameTooLong
--- a/internal/msgpackrpc/reference_parser_test.go
+++ b/internal/msgpackrpc/reference_parser_test.go
@@ -10,7 +10,7 @@
 	"falldeal/internal/server"
 )
 
-// referenceMessage is one frame from a client.
+// referenceMessage is one message from a client.
 type referenceMessage struct {
 	kind   messageKind
 	call   uint32
@@ -18,8 +18,8 @@
 	params arrayValue
 }
 
-// referenceParseMessage takes a frame apart. An error wraps errNotRPCMessage; what is only wrong about a request is
-// found later, so that it can be answered.
+// referenceParseMessage parses the envelope of a message. Its errors wrap errNotRPCMessage. Faults in the method and the
+// parameters of a request are left to later checks, as in parseMessage.
 func referenceParseMessage(v any) (referenceMessage, error) {
 	var msg referenceMessage
 	list, ok := v.(arrayValue)
@@ -47,7 +47,7 @@
 	return msg, nil
 }
 
-// referenceFields is a map of strings to strings that keeps the first error, which names the field.
+// referenceFields is a map of strings to strings. err is the first error and names the field.
 type referenceFields struct {
 	values map[string]string
 	err    error
@@ -100,7 +100,7 @@
 	return value
 }
 
-// hex reads hex digits, which are passed on to other peers as they are.
+// hex reads hex digits. They are forwarded to other peers unchanged, so any other character is rejected.
 func (f *referenceFields) hex(name string, minDigits, maxDigits int) string {
 	digits := f.values[name]
 	ok := len(digits) >= minDigits && len(digits) <= maxDigits
@@ -114,7 +114,7 @@
 	return digits
 }
 
-// referenceParseRequest reads the parameters of a request; an error names the wrong field.
+// referenceParseRequest parses a request. An error names the invalid field.
 func referenceParseRequest(msg referenceMessage) (server.Attempt, error) {
 	attempt := server.Attempt{Class: msg.method}
 	switch {
@@ -159,7 +159,7 @@
 	return attempt, nil
 }
 
-// referenceParseHealthCheck reads the parameters of a health check.
+// referenceParseHealthCheck parses a health check.
 func referenceParseHealthCheck(msg referenceMessage) (deep bool, err error) {
 	if len(msg.params) != 1 {
 		return false, errors.New("parameters: want [FIELDS]")
@@ -168,7 +168,7 @@
 	return params.values["deep"] == "1", params.err
 }
 
-// referenceParseCancel reads which call a client cancels.
+// referenceParseCancel returns the call that a client cancels.
 func referenceParseCancel(msg referenceMessage) (uint32, bool) {
 	if msg.method != methodCancel || len(msg.params) != 1 {
 		return 0, false
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -8,25 +8,26 @@
 	"falldeal/internal/server"
 )
 
-// Bounds of the fields of a request.
+// Limits of the fields of a request.
 const (
-	requestIDDigits         = 16
-	maxArrivedAt            = (1 << 42) * time.Millisecond // on the Unix clock; in the year 2109
+	requestIDDigits         = 16                           // exact number of hex digits
+	maxArrivedAt            = (1 << 42) * time.Millisecond // since the Unix epoch; reaches to the year 2109
 	maxTimeout              = time.Hour
 	maxClient               = math.MaxInt32
-	costLimitMillis         = 1e6  // a cost is below it
-	memoryLimitKB           = 2000 // a request's memory is below it
-	rankLimit               = 1    // a rank is below it
+	costLimitMillis         = 1e6  // milliseconds, exclusive
+	memoryLimitKB           = 2000 // KB, exclusive
+	rankLimit               = 1    // exclusive
 	maxIdempotencyKeyDigits = 64
-	maxKeyLength            = 128 // bytes of a subject or tenant
+	maxKeyLength            = 128 // bytes of a subject, a tenant or a cached method
 )
 
-// maxCachedMethods is how many methods a connection keeps; a site has a few classes.
+// maxCachedMethods is how many method names a connection caches. A site has only a few classes.
 const maxCachedMethods = 16
 
-// methodCache keeps the methods that came on a connection, so that a known one takes no memory again.
+// methodCache holds the method names received on a connection, so that a known name needs no new allocation.
 type methodCache []string
 
+// intern returns method as a string, from the cache if possible.
 func (c *methodCache) intern(method []byte) string {
 	for _, known := range *c {
 		if known == string(method) {
@@ -40,7 +41,7 @@
 	return name
 }
 
-// parseRequest reads a request; its errors are fieldErrors. Nothing in the attempt refers to the frame.
+// parseRequest parses a request. Its errors are fieldErrors. The returned attempt does not refer to the frame.
 func parseRequest(msg message, methods *methodCache) (server.Attempt, error) {
 	attempt := server.Attempt{Class: methods.intern(msg.method)}
 	switch {
@@ -66,7 +67,7 @@
 	return attempt, nil
 }
 
-// readInto sets what the fields say about an attempt. Of several errors the first in this order is reported.
+// readInto copies the fields into attempt. If several fields are invalid, the error of the first in this order is reported.
 func (f *fields) readInto(attempt *server.Attempt) {
 	attempt.ID = f.hex(fieldID, requestIDDigits, requestIDDigits)
 	attempt.ArrivedAt = f.milliseconds(fieldArrivedAt, maxArrivedAt)
@@ -88,7 +89,7 @@
 	attempt.Subject = f.text(fieldSubject, maxKeyLength)
 }
 
-// parseHealthCheck reads a health check, and whether it is a deep one; its errors are fieldErrors.
+// parseHealthCheck parses a health check and reports whether it is a deep one. Its errors are fieldErrors.
 func parseHealthCheck(msg message) (deep bool, err error) {
 	if msg.paramCount != 1 {
 		return false, &fieldError{part: partParameters, problem: "want [FIELDS]"}
@@ -97,7 +98,7 @@
 	return params.isTrue(fieldDeep), params.err
 }
 
-// parseCancel reads which call a client cancels; ok is false for any other notification.
+// parseCancel returns the call that a client cancels. It returns ok = false for any other notification.
 func parseCancel(msg message) (call uint32, ok bool) {
 	if string(msg.method) != methodCancel || msg.paramCount != 1 {
 		return 0, false
--- a/internal/msgpackrpc/request_test.go
+++ b/internal/msgpackrpc/request_test.go
@@ -28,8 +28,8 @@
 	}, got)
 }
 
-// The answer to an invalid request names the field, so that whoever sent it can find the fault.
-func TestParseRequestNamesTheField(t *testing.T) {
+// The error for an invalid request must name the part or field, so that the sender can find the fault.
+func TestInvalidFieldIsNamedInError(t *testing.T) {
 	for name, bad := range map[string][]string{
 		"id": {"", "9b1f", "9b1f03aa5c7e2d4g", "9b1f03aa5c7e2d41\r\n"}, "at": {"", "-1", "x", "99999999999999999999"},
 		"from": {"", "-1"}, "wait": {"", "-5", "1e3", "99999999999"}, "cost": {"", "-1", "nan", "inf"},
@@ -59,8 +59,8 @@
 	}
 }
 
-// Of a field that is sent twice the last value counts; unknown fields are ignored.
-func TestLastValueOfAFieldCounts(t *testing.T) {
+// If a field occurs twice, the last value counts. Unknown fields are ignored.
+func TestLastValueOfRepeatedFieldCounts(t *testing.T) {
 	b := append([]byte("\x94\x00\x07\xa7preview\x92\x8b"), appendFields(nil, sampleFields())[1:]...)
 	b = append(b, "\xa4rank\xa30.5\xa5other\xa1x\xc4\x00"...)
 	attempt, err := parseRequest(mustParse(t, b), &methodCache{})
@@ -69,8 +69,9 @@
 	require.Empty(t, attempt.Body)
 }
 
-// Clients of other sites send neither a timeout nor a cost hint, and their settings name what this protocol has no
-// message for. Their requests run with the deadline of their class; they were answered as invalid.
+// Clients of some sites send neither a timeout nor a cost hint, and the settings of those sites name features that this
+// protocol has no message for. Their requests used to be answered as invalid. They must run with the deadline of their
+// class.
 func TestOptionalFieldsMayBeAbsent(t *testing.T) {
 	peers := startServer(t, `"PassesDeadline": true`, `"PassesDeadline": false`, `"Halt": "off"`, `"Halt": "drop"`,
 		`"DeadlineUs": 7000000`, `"DeadlineUs": 150000`)
@@ -82,15 +83,15 @@
 	client.expectAnswer(1, "x")
 	slowID := client.sendRequest("preview", "y", absentFields...)
 	peers.expectCommand("launch", slowID)
-	client.expectAnswer(2, codeInternal) // by the deadline of its class, though its run goes on
+	client.expectAnswer(2, codeInternal) // at the deadline of its class, although the run continues
 	peers.agentSends("outcome", slowID, "success", nil)
 	client.sendRequest("hires-crop", "z", "kb", absentField)
 	client.expectAnswer(3, codeInvalid)
 }
 
-// Where a site has tenants, a request names its own and marks retries; an unknown tenant is an invalid request. Where
-// it has none, both fields are ignored.
-func TestTenantField(t *testing.T) {
+// At a site with tenants, a request names its tenant and marks retries; an unknown tenant makes the request invalid. At a
+// site without tenants both fields are ignored.
+func TestTenantAndRetryFields(t *testing.T) {
 	peers := startServer(t, `"Tenants": []`,
 		`"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 9}, {"Name": "b", "Portion": 0.5, "QuotaPerS": 9}]`)
 	client := peers.dial()
@@ -102,9 +103,9 @@
 	}
 	client.sendRequest("preview", "x", "tenant", "nobody")
 	client.expectAnswer(3, codeInvalid)
-	untenanted := startServer(t)
-	other := untenanted.dial()
-	untenanted.expectCommand("launch", other.sendRequest("preview", "x", "tenant", "nobody"))
+	withoutTenants := startServer(t)
+	other := withoutTenants.dial()
+	withoutTenants.expectCommand("launch", other.sendRequest("preview", "x", "tenant", "nobody"))
 
 	var attempts []server.Attempt
 	for _, fields := range []map[string]string{
--- a/internal/msgpackrpc/response.go
+++ b/internal/msgpackrpc/response.go
@@ -7,27 +7,27 @@
 	"falldeal/internal/server"
 )
 
-// The names of errors in a response.
+// Error codes in a response.
 const (
 	codeOverloaded = "Overloaded"
 	codeInternal   = "Internal"
 	codeInvalid    = "Invalid"
 )
 
-// The names of an error's details. The values are strings.
+// Names of the details of an error. The values are strings.
 const (
-	detailRetryAfter       = "after" // in milliseconds
-	detailNoRetryElsewhere = "last"
-	detailReason           = "reason"
+	detailRetryAfter       = "after"  // milliseconds until the client may retry
+	detailNoRetryElsewhere = "last"   // "1": the client should not retry on another server
+	detailReason           = "reason" // why the request is invalid
 )
 
-// responseOverhead is how many bytes a response takes besides the body.
+// responseOverhead is the capacity in bytes reserved for a response in addition to its body.
 const responseOverhead = 48
 
 // encodeAnswer returns the response to a call.
 func encodeAnswer(call uint32, answer server.Answer) []byte {
 	b := slices.Grow([]byte(nil), responseOverhead+len(answer.Body))
-	b = appendArray(b, requestParts)
+	b = appendArray(b, requestElements)
 	b = append(b, byte(kindResponse))
 	b = appendUint(b, call)
 	switch answer.Kind {
@@ -44,22 +44,23 @@
 	case server.Invalid:
 		b = appendError(b, codeInvalid, 1)
 		b = appendDetail(b, detailReason, answer.Reason)
-	default: // server.Failed; an unknown kind must not look like a success
+	default: // server.Failed; an unknown kind must not appear as a success
 		b = appendError(b, codeInternal, 0)
 	}
-	return appendNil(b) // in place of a result
+	return appendNil(b) // the result
 }
 
-// appendResultHead appends that there is no error, and the result up to its value; appendResultEnd follows the value.
+// appendResultHead appends a nil error and the start of the result. The caller appends the result's value and calls
+// appendResultEnd.
 func appendResultHead(b []byte) []byte {
 	b = appendNil(b)
 	return appendArray(b, 2)
 }
 
-// appendResultEnd appends what follows the value of a result: an empty map.
+// appendResultEnd appends the rest of a result, which is an empty map.
 func appendResultEnd(b []byte) []byte { return appendMap(b, 0) }
 
-// appendError appends an error up to its details, of which that many follow.
+// appendError appends the error code and the header of the details. The caller appends that many details.
 func appendError(b []byte, code string, details int) []byte {
 	b = appendArray(b, 2)
 	b = appendString(b, code)
@@ -71,7 +72,7 @@
 	return appendString(b, value)
 }
 
-// appendRejection appends the error of a rejected request, with the advice on retries.
+// appendRejection appends the error of a rejected request with its advice on retries.
 func appendRejection(b []byte, answer server.Answer) []byte {
 	retryAfterMillis := answer.RetryAfter.Milliseconds()
 	details := 0
@@ -91,9 +92,9 @@
 	return b
 }
 
-// encodeClosing returns the notification that no new request should come on the connection.
+// encodeClosing returns the notification that asks the client to send no new request on the connection.
 func encodeClosing() []byte {
-	b := appendArray(nil, notificationParts)
+	b := appendArray(nil, notificationElements)
 	b = append(b, byte(kindNotification))
 	b = appendString(b, methodClosing)
 	return appendArray(b, 0)
--- a/internal/msgpackrpc/socket.go
+++ b/internal/msgpackrpc/socket.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// readable reports whether a read, or for a listener an Accept, would find something.
+// readable reports whether a read, or for a listener an Accept, would return without waiting.
 func readable(socket syscall.Conn) (found bool) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -23,8 +23,8 @@
 	return found && err == nil
 }
 
-// readAvailable reads what has arrived without waiting, and returns 0 and no error where that is nothing. The socket has no
-// read deadline.
+// readAvailable reads what has arrived without waiting. It returns 0 and no error if nothing has. The socket must not have
+// a read deadline.
 func readAvailable(socket syscall.Conn, b []byte) (n int, err error) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -48,12 +48,12 @@
 	return n, nil
 }
 
-// readDescriptor reads from a descriptor, again where a signal interrupts it.
+// readDescriptor reads from a descriptor and retries a read that a signal interrupts.
 func readDescriptor(descriptor int, b []byte) (int, error) {
 	for {
 		n, err := syscall.Read(descriptor, b)
 		if !errors.Is(err, syscall.EINTR) {
-			return n, err //nolint:wrapcheck // readAvailable does
+			return n, err //nolint:wrapcheck // readAvailable wraps it
 		}
 	}
 }
--- a/internal/msgpackrpc/testclient_test.go
+++ b/internal/msgpackrpc/testclient_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testClient is a client's connection to the server.
+// testClient is a client with one connection to the server.
 type testClient struct {
 	*testPeers
 	netConn  net.Conn
@@ -21,7 +21,7 @@
 	lastCall uint32
 }
 
-// dial opens a connection of a client.
+// dial opens a client connection.
 func (p *testPeers) dial() *testClient {
 	netConn := loopback.Dial(p, p.addr)
 	require.NoError(p, netConn.SetDeadline(time.Now().Add(testTimeout)))
@@ -33,9 +33,9 @@
 	require.NoError(c, err)
 }
 
-const absentField = "\x00" // in place of a field's value
+const absentField = "\x00" // as the value of a field: leave the field out
 
-// newRequest encodes a request whose fields are changed: name, value, name, value.
+// newRequest encodes a request with the sample fields, changed by changes (name, value, name, value, ...).
 func (c *testClient) newRequest(method, body string, changes ...string) (id string, frame []byte) {
 	c.attempts++
 	c.lastCall++
@@ -52,14 +52,14 @@
 	return id, encodeRequest(c.lastCall, method, fields, []byte(body))
 }
 
-// sendRequest writes a request and returns its id.
+// sendRequest writes a request and returns its ID.
 func (c *testClient) sendRequest(method, body string, changes ...string) string {
 	id, frame := c.newRequest(method, body, changes...)
 	c.write(frame)
 	return id
 }
 
-// requireType returns a value that has to be of type T.
+// requireType returns value, which must be of type T.
 func requireType[T any](t require.TestingT, value any) T {
 	typed, ok := value.(T)
 	require.True(t, ok, "%T: %v", value, value)
@@ -74,7 +74,7 @@
 	return requireType[arrayValue](c, value)
 }
 
-// expectAnswer reads the next message, which must be the response to a call: a body, or the name of an error.
+// expectAnswer reads the next message, which must be the response to call. want is the body or the error code.
 func (c *testClient) expectAnswer(call int, want string) {
 	c.Helper()
 	fault, result := c.readResponse(call)
@@ -85,7 +85,7 @@
 	require.Equal(c, want, fmt.Sprintf("%s", requireType[arrayValue](c, result)[0]))
 }
 
-// expectHealthy reads the next message, which must be the response to a health check of a healthy server.
+// expectHealthy reads the next message, which must be the response of a healthy server to a health check.
 func (c *testClient) expectHealthy(call int) {
 	c.Helper()
 	fault, result := c.readResponse(call)
@@ -93,7 +93,7 @@
 	require.Equal(c, arrayValue{true, mapValue{}}, result)
 }
 
-// readResponse reads the next message, which must be the response to a call, and returns its error and result.
+// readResponse reads the next message, which must be the response to call, and returns its error and result.
 func (c *testClient) readResponse(call int) (fault, result any) {
 	c.Helper()
 	list := c.readMessage()
@@ -102,7 +102,7 @@
 	return list[2], list[3]
 }
 
-// expectConnectionEnd reads the end of the connection.
+// expectConnectionEnd requires that the server ends the connection.
 func (c *testClient) expectConnectionEnd() {
 	c.Helper()
 	value, err := c.decoder.next()
@@ -110,13 +110,13 @@
 	require.NotErrorIs(c, err, os.ErrDeadlineExceeded)
 }
 
-// expectClosing reads the notification that the connection is closing.
+// expectClosing reads the next message, which must be the "closing" notification.
 func (c *testClient) expectClosing() {
 	c.Helper()
 	require.Equal(c, arrayValue{int64(kindNotification), methodClosing, arrayValue{}}, c.readMessage())
 }
 
-// isClosing sends a health check on a new connection, and reports whether "closing" comes instead of a response.
+// isClosing sends a health check on a new connection. It returns true if "closing" arrives instead of a response.
 func (c *testClient) isClosing() bool {
 	c.write(encodeHealthCheck(1, nil))
 	return c.readMessage()[0] == int64(kindNotification)
@@ -137,7 +137,7 @@
 	}
 }
 
-// appendFields appends fields as a map of strings to strings.
+// appendFields appends a map of strings to strings.
 func appendFields(b []byte, fields map[string]string) []byte {
 	b = appendMap(b, len(fields))
 	for name, value := range fields {
