--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -9,16 +9,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// Command is a kind of command to the agent.
+// Command is the type of a command to the agent.
 type Command uint8
 
 // The commands.
 const (
-	CommandUnknown   Command = iota // the agent has named one that there is not
+	CommandUnknown   Command = iota // reported by the agent under an unknown name
 	CommandSubscribe                // send the numbered notifications after an offset
 	CommandLaunch                   // run a request
 	CommandReply                    // hand a run the reply to its call
-	CommandSkipCall                 // let a run go on without its call
+	CommandSkipCall                 // let a run continue without its call
 	CommandSample                   // report the gauges
 	CommandDeepCheck                // do the work of a deep health check
 )
@@ -43,7 +43,7 @@
 	}
 }
 
-// The names of commands on the wire, fixed by the agent.
+// Names of commands on the wire. The agent defines them.
 const (
 	nameSubscribe = "subscribe"
 	nameLaunch    = "launch"
@@ -53,7 +53,7 @@
 	nameDeepCheck = "exercise"
 )
 
-// commandNamed returns the command of a name in the protocol.
+// commandNamed returns the command with this name on the wire.
 func commandNamed(name []byte) Command {
 	switch string(name) {
 	case nameSubscribe:
@@ -73,17 +73,17 @@
 	}
 }
 
-// Each encode function returns a command as a line. Request IDs are hex digits and tokens are the Link's or the server's
-// own, so neither needs an escape.
+// Each encode function returns a command as one line of JSON. Request IDs are hex digits, and tokens come from the Link or
+// the server, so neither needs to be escaped.
 
 const (
 	endOfObject = "}\n"
 
-	requestCommandSize = 80 // bytes of a command about a request, besides its class and payload
-	tokenCommandSize   = 48 // bytes of a command with a number as token
+	requestCommandSize = 80 // bytes reserved for a command about a request, without its class and payload
+	tokenCommandSize   = 48 // bytes reserved for a command with a numeric token
 )
 
-// encodeSubscribe asks for all numbered notifications after offset.
+// encodeSubscribe requests all numbered notifications after offset.
 func encodeSubscribe(offset int64) []byte {
 	return appendOffset(beginCommand(nameSubscribe, tokenCommandSize), offset)
 }
@@ -123,28 +123,29 @@
 	return endToken(b)
 }
 
-// beginCommand returns the object of a command up to the end of its name, which is not closed yet, with that capacity in
-// bytes.
+// beginCommand returns the start of a command, up to its name. The closing quote of the name is left to the caller. capacity
+// is in bytes.
 func beginCommand(name string, capacity int) []byte {
 	b := make([]byte, 0, capacity)
 	b = append(b, `{"`+fieldKind+`":"`...)
 	return append(b, name...)
 }
 
-// appendRequest begins the field that names a request, up to the end of its value.
+// appendRequest appends the request ID. The closing quote of the ID is left to the caller.
 func appendRequest(b []byte, requestID string) []byte {
 	b = append(b, `","`+fieldRequest+`":"`...)
 	return append(b, requestID...)
 }
 
-// appendOffset ends a command with an offset.
+// appendOffset appends an offset and the end of the command.
 func appendOffset(b []byte, offset int64) []byte {
 	b = append(b, `","`+fieldOffset+`":`...)
 	b = strconv.AppendInt(b, offset, 10)
 	return append(b, endOfObject...)
 }
 
-// appendTokenName begins the token, with which a command ends, up to its value; endToken follows that.
+// appendTokenName appends the start of the token, which is the last field of a command. The caller appends the token and
+// calls endToken.
 func appendTokenName(b []byte) []byte { return append(b, `","`+fieldToken+`":"`...) }
 
 func endToken(b []byte) []byte { return append(b, `"`+endOfObject...) }
--- a/internal/agent/command_test.go
+++ b/internal/agent/command_test.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// What an answered sample acknowledges, and what is known of a request, is not sent again; the rest is, in order.
-func TestCommandLog(t *testing.T) {
+// Commands that an answered sample acknowledges, and commands about a request that was heard of, must not be sent again. The
+// others must be sent again in order.
+func TestCommandLogKeepsUnacknowledgedCommands(t *testing.T) {
 	var log commandLog
 	require.Nil(t, log.lines())
 	log.add(command{requestID: "a", line: []byte("1\n")})
--- a/internal/agent/connection.go
+++ b/internal/agent/connection.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// A connection that takes commands is taken for broken once it has brought nothing for maxSilence and the answers to
-	// minUnansweredSamples, which the agent sends at once. The count is for a process that was stopped: time has passed
-	// for it, and answers wait unread.
+	// A ready connection counts as broken after maxSilence without input, if at least minUnansweredSamples samples have
+	// also remained unanswered. The agent answers a sample at once. The count covers a process that was stopped: time has
+	// passed, but the answers may be waiting unread.
 	maxSilence           = 2 * time.Second
 	minUnansweredSamples = 3
 
-	// handshakeTimeout is how long a connection may bring nothing before it takes commands: an agent that boots sends its
-	// handshake once it is up, and takes a new connection as well.
+	// handshakeTimeout limits the silence of a connection that is not ready yet. A booting agent sends its handshake once
+	// it has started, and it can do so on a new connection as well.
 	handshakeTimeout = 10 * time.Second
 )
 
-// connectionState is how far a connection has come. It only moves on:
+// connectionState is the progress of a connection.
 //
-//	disconnected  -> synchronizing  when a connection is opened, which subscribes to the missed notifications
-//	synchronizing -> ready          when the sample that follows the handshake is answered: all of them are in by then
-//	any           -> disconnected   when the connection ends or is aborted
+//	disconnected  -> synchronizing  a connection is opened and subscribes to the missed notifications
+//	synchronizing -> ready          the sample after the handshake is answered: all missed notifications have arrived
+//	any           -> disconnected   the connection ends or is aborted
 type connectionState uint8
 
 const (
 	disconnected connectionState = iota
 	synchronizing
-	ready // takes commands
+	ready // accepts commands
 )
 
 // String returns the name of the state.
@@ -46,14 +46,14 @@
 	}
 }
 
-// replayState is whether the notifications of a connection follow those of the one before. The first numbered one decides
-// it: replayPending becomes replayContiguous or replayGap, and stays that.
+// replayState tells whether the notifications of a connection continue those of the previous one. The first numbered
+// notification changes replayPending to replayContiguous or replayGap, which is final.
 type replayState uint8
 
 const (
-	replayPending    replayState = iota // no numbered one has come
-	replayContiguous                    // the first was the next to that read last
-	replayGap                           // some before the first are lost
+	replayPending    replayState = iota // no numbered notification yet
+	replayContiguous                    // the first one follows the last one read before
+	replayGap                           // notifications before the first one are lost
 )
 
 // String returns the name of the state.
@@ -70,23 +70,23 @@
 	}
 }
 
-// connection is the open connection to the agent. It belongs to the loop.
+// connection is the current connection to the agent. It belongs to the loop.
 type connection struct {
 	queue             *writequeue.Queue
 	state             connectionState
 	replay            replayState
-	lastReceived      time.Duration // when anything came last, or the connection was opened
-	unansweredSamples int           // samples sent since then
+	lastReceived      time.Duration // time of the last input, or of the opening
+	unansweredSamples int           // samples sent since lastReceived
 }
 
-// noteReceived notes at now that the agent still answers.
-func (c *connection) noteReceived(now time.Duration) {
+// recordReceived records that input arrived at now.
+func (c *connection) recordReceived(now time.Duration) {
 	c.unansweredSamples = 0
 	c.lastReceived = now
 }
 
-// noteOffset notes the offset of a new numbered notification, of which the one before had the offset last.
-func (c *connection) noteOffset(offset, last int64) {
+// recordOffset records the offset of a new numbered notification. last is the offset of the one before.
+func (c *connection) recordOffset(offset, last int64) {
 	if c.replay != replayPending {
 		return
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-// isSilent reports whether the connection is to be taken for broken at now.
+// isSilent reports whether the connection counts as broken at now.
 func (c *connection) isSilent(now time.Duration) bool {
 	silence := now - c.lastReceived
 	if c.state != ready {
@@ -105,7 +105,7 @@
 	return c.unansweredSamples >= minUnansweredSamples && silence >= maxSilence
 }
 
-// state returns how far the current connection has come.
+// state returns the state of the current connection.
 func (l *Link) state() connectionState {
 	if l.current == nil {
 		return disconnected
@@ -117,7 +117,8 @@
 	return l.current != nil && l.current.queue == queue
 }
 
-// abortConnection ends the current connection, whatever waits to be written; reconnecting opens another.
+// abortConnection closes the current connection at once and drops unwritten messages. The reconnect.Link then opens
+// another one.
 func (l *Link) abortConnection() {
 	l.current.queue.Abort()
 	l.current = nil
--- a/internal/agent/connection_test.go
+++ b/internal/agent/connection_test.go
@@ -12,15 +12,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStateNames(t *testing.T) {
+func TestConnectionStateNames(t *testing.T) {
 	require.Equal(t, "disconnected synchronizing ready connectionState(3)",
 		fmt.Sprint(disconnected, " ", synchronizing, " ", ready, " ", ready+1))
 	require.Equal(t, "pending contiguous gap replayState(3)",
 		fmt.Sprint(replayPending, " ", replayContiguous, " ", replayGap, " ", replayGap+1))
 }
 
-// What a connection brings decides, by its state, when it is taken for silent.
-func TestSilentConnection(t *testing.T) {
+// When a connection counts as silent depends on its state and on the number of unanswered samples.
+func TestSilenceLimits(t *testing.T) {
 	opened := time.Minute
 	for _, test := range []struct {
 		state      connectionState
@@ -39,19 +39,19 @@
 	}
 }
 
-// Only an agent that is much younger than the known one would be by now is another.
-func TestIncarnation(t *testing.T) {
+// An agent counts as restarted only if it is much younger than the known incarnation would be by now.
+func TestIncarnationMatchesByAge(t *testing.T) {
 	require.False(t, incarnation{}.isKnown())
 	known := newIncarnation(time.Hour)
 	require.True(t, known.isKnown())
 	require.True(t, known.matches(time.Hour))
-	require.True(t, known.matches(time.Hour/2)) // clocks that run apart by far
+	require.True(t, known.matches(time.Hour/2)) // clocks that differ widely
 	require.False(t, known.matches(time.Hour/2-2*ageTolerance))
 	require.False(t, known.matches(0))
-	require.True(t, newIncarnation(time.Second).matches(0)) // too young to be told apart
+	require.True(t, newIncarnation(time.Second).matches(0)) // too young to be distinguished
 }
 
-// requireClosed has a queue write what waits, and requires that it was closed before.
+// requireClosed runs a queue until its messages are written, and requires that the queue was closed before.
 func requireClosed(t *testing.T, queue *writequeue.Queue, remote net.Conn) {
 	t.Helper()
 	written := make(chan error, 1)
@@ -63,9 +63,9 @@
 	require.NoError(t, <-written)
 }
 
-// A connection to an address that has been replaced is closed and counts for nothing; one that a newer connection has
-// replaced is closed, and neither its notifications nor its end count.
-func TestReplacedConnection(t *testing.T) {
+// A connection to an address that has been replaced must be closed and not counted. A connection that a newer one has
+// replaced must be closed, and its notifications and its end must be ignored.
+func TestReplacedConnectionIsIgnored(t *testing.T) {
 	link := newGoldenLink()
 	var queues [3]*writequeue.Queue
 	var remotes [3]net.Conn
--- a/internal/agent/decode.go
+++ b/internal/agent/decode.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"strconv"
@@ -12,7 +11,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// The names of notifications in the protocol.
+// Names of notifications on the wire.
 const (
 	nameHandshake        = "greeting"
 	nameRunOutcome       = "outcome"
@@ -23,7 +22,7 @@
 	nameRemark           = "aside"
 )
 
-// The fields of notifications in the protocol.
+// Names of fields on the wire.
 const (
 	fieldKind    = "cmd"
 	fieldOffset  = "offset"
@@ -35,12 +34,12 @@
 	fieldLoad    = "load"
 )
 
-// maxElapsedMilliseconds is some three years, well within a time.Duration.
+// maxElapsedMilliseconds is about three years, which a time.Duration can hold.
 const maxElapsedMilliseconds = 1e11
 
 func newParser() *jsonlines.Parser[Notification] { return jsonlines.NewParser(decodeNotification) }
 
-// decodeNotification checks the object of a line. Its errors name the field, or the notification, that is wrong.
+// decodeNotification decodes and validates one notification. Its errors name the invalid field or notification.
 func decodeNotification(object *fastjson.Value) (Notification, error) {
 	elapsed, err := decodeElapsed(object)
 	if err != nil {
@@ -69,7 +68,7 @@
 func decodeElapsed(object *fastjson.Value) (time.Duration, error) {
 	milliseconds := object.GetFloat64(fieldElapsed)
 	if math.IsNaN(milliseconds) || milliseconds < 0 || milliseconds > maxElapsedMilliseconds {
-		return 0, fmt.Errorf(fieldElapsed+": %v", milliseconds)
+		return 0, fmt.Errorf(fieldElapsed+": got %v, want 0 to %g", milliseconds, maxElapsedMilliseconds)
 	}
 	return time.Duration(milliseconds * float64(time.Millisecond)), nil
 }
@@ -136,18 +135,19 @@
 }
 
 func decodePayload(object *fastjson.Value) ([]byte, error) {
-	return jsonlines.Base64(object, fieldPayload) //nolint:wrapcheck // it names the field
+	return jsonlines.Base64(object, fieldPayload) //nolint:wrapcheck // the error names the field
 }
 
-// checkRunEvent checks that a notification about a run has its place in the sequence and says which request it is about.
+// checkRunEvent checks that a notification about a run has an offset and a request ID.
 func checkRunEvent(object *fastjson.Value, name string) error {
-	if object.GetInt64(fieldOffset) <= 0 || len(object.GetStringBytes(fieldRequest)) == 0 {
-		return fmt.Errorf("%s: want an offset and a req", name)
+	offset, requestID := object.GetInt64(fieldOffset), object.GetStringBytes(fieldRequest)
+	if offset <= 0 || len(requestID) == 0 {
+		return fmt.Errorf("%s: got offset %d and req %.40q, want an offset above 0 and a req", name, offset, requestID)
 	}
 	return nil
 }
 
-// decodeDeepCheckOutcome takes any result but success for a failure.
+// decodeDeepCheckOutcome treats every result except "success" as a failure.
 func decodeDeepCheckOutcome(object *fastjson.Value) DeepCheckOutcome {
 	return DeepCheckOutcome{
 		Token:     jsonlines.Text(object, fieldToken),
@@ -165,11 +165,12 @@
 func decodeRemark(object *fastjson.Value) (Notification, error) {
 	offset := object.GetInt64(fieldOffset)
 	if offset < 0 {
-		return nil, errors.New(nameRemark + ": negative offset")
+		return nil, fmt.Errorf(nameRemark+": negative offset %d", offset)
 	}
 	return Remark{Offset: offset}, nil
 }
 
+// decodeSequence returns the sequence number of the sample that is answered, or unknownSample if the token is not a number.
 func decodeSequence(object *fastjson.Value) int64 {
 	sequence, err := strconv.ParseInt(string(object.GetStringBytes(fieldToken)), 10, 64)
 	if err != nil {
@@ -178,7 +179,7 @@
 	return sequence
 }
 
-// decodeValues reads the values of the gauges. One that is no number is not known.
+// decodeValues returns the values of the gauges. A value that is not a number becomes UnknownGauge.
 func decodeValues(object *fastjson.Value) []float64 {
 	gauges := object.GetArray(fieldLoad)
 	if len(gauges) == 0 {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -21,7 +21,7 @@
 
 func newGoldenLink() *Link { return newLinkWithLog(io.Discard) }
 
-// newLinkWithLog returns a Link that logs to w.
+// newLinkWithLog returns a Link that logs to w. Its loop runs posted functions at once.
 func newLinkWithLog(w io.Writer) *Link {
 	log := golden.NewLogger(w)
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }}
@@ -29,7 +29,7 @@
 	return New(Config{Address: goldenAddr, Seed: 1}, loop, handler, logging.NewLimiter(log))
 }
 
-// linesWritten returns the lines that link writes to a connection during scenario.
+// linesWritten returns the lines that link writes to a new connection during scenario.
 func linesWritten(t *testing.T, link *Link, scenario func(queue *writequeue.Queue)) []string {
 	t.Helper()
 	local, remote := net.Pipe()
@@ -56,7 +56,7 @@
 	return cases
 }
 
-// Every command, as a link writes it, on a first connection and on one that follows it.
+// Every command as a Link writes it, on a first connection and on the next one.
 func TestGoldenCommands(t *testing.T) {
 	link := newGoldenLink()
 	first := linesWritten(t, link, func(queue *writequeue.Queue) {
@@ -81,7 +81,7 @@
 	golden.Require(t, "commands.golden", cases)
 }
 
-// Every kind of message from the agent, with each of its results.
+// Every kind of notification from the agent, with each of its results.
 func TestGoldenNotifications(t *testing.T) {
 	cases := []struct {
 		name string
@@ -113,7 +113,7 @@
 	}
 }
 
-// What is logged of lines that are no messages.
+// The error that is logged for each line that is not a valid notification.
 func TestGoldenErrors(t *testing.T) {
 	var cases []golden.Case
 	for _, test := range []struct{ name, line string }{
@@ -135,7 +135,7 @@
 	golden.Require(t, "errors.golden", cases)
 }
 
-// Each line that a Link logs.
+// Each log line of a Link.
 func TestGoldenLog(t *testing.T) {
 	var lines strings.Builder
 	link := newLinkWithLog(&lines)
--- a/internal/agent/incarnation.go
+++ b/internal/agent/incarnation.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	// ageTolerance is what an agent's age may lack, where two handshakes report it, though it is the same agent.
+	// ageTolerance is how much lower than expected the reported age of the same agent may be, in addition to
+	// minAgeDivisor.
 	ageTolerance = time.Second
-	// minAgeDivisor: an agent whose age is at least one part in this many of what is expected counts as the same one. Half
-	// leaves room for an agent's clock that runs much slower than this one, or stands still for a while; an agent that
-	// was restarted reports an age of a few moments.
+	// minAgeDivisor sets the lowest age of the same agent: the expected age divided by minAgeDivisor. One half allows for
+	// an agent's clock that runs much slower than this one or stops for a while. A restarted agent reports an age close to
+	// zero.
 	minAgeDivisor = 2
 )
 
-// incarnation identifies a start of the agent by its age at a known time. The zero value is of no known start.
+// incarnation identifies one start of the agent by its age at a known time. The zero value is unknown.
 type incarnation struct {
 	observedAt time.Time
-	age        time.Duration // then
+	age        time.Duration // of the agent at observedAt
 }
 
 func newIncarnation(age time.Duration) incarnation {
@@ -23,8 +24,8 @@
 
 func (i incarnation) isKnown() bool { return !i.observedAt.IsZero() }
 
-// matches reports whether an agent of that age may be of this start: one that was restarted since is much younger than
-// this one would be by now.
+// matches reports whether an agent of this age may be the same incarnation. A restarted agent is much younger than the age
+// expected by now.
 func (i incarnation) matches(age time.Duration) bool {
 	expected := i.age + time.Since(i.observedAt)
 	return age >= expected/minAgeDivisor-ageTolerance
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -1,11 +1,13 @@
-// Package agent holds the link to the agent that runs requests: its protocol, reconnecting, and what makes sure that
-// neither a command nor a notification is lost when a connection breaks.
+// Package agent implements the link to the agent that runs requests: the protocol, reconnecting, and the recovery of
+// commands and notifications after a connection breaks.
 //
-// The agent numbers its notifications about runs and keeps the last 4,000. Each new connection subscribes to those after
-// the last that was read, so a break loses none unless more than that came meanwhile; those that come twice are dropped.
-// Commands have no number. A Link keeps each until the agent is known to have read it, by the answer to a sample that was
-// sent later on the same connection or by a notification about the same request, and sends the rest again on the next
-// connection, once the missed notifications are in.
+// Notifications: the agent numbers its notifications about runs and keeps the last 4,000. Each new connection subscribes
+// to those after the last one read. A disconnection therefore loses notifications only if more than 4,000 were sent in the
+// meantime. Duplicates are dropped.
+//
+// Commands have no number. A Link keeps a command until it knows that the agent has read it: the agent answers a sample
+// that was sent later on the same connection, or sends a notification about the same request. The Link sends the remaining
+// commands again on the next connection, after the missed notifications have arrived.
 package agent
 
 import (
@@ -21,53 +23,53 @@
 )
 
 const (
-	writeQueueSize = 4096 // commands that wait to be written
+	writeQueueSize = 4096 // commands waiting to be written
 	minBackoff     = 10 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
-	jitterStream   = 0xa6e27 // sets the agent's jitter apart from that of other links of one server
+	jitterStream   = 0xa6e27 // separates the random numbers for the agent's backoff from those of other links
 )
 
-// ErrNotConnected reports that no connection to the agent takes commands at present.
+// ErrNotConnected reports that there is no connection to the agent that accepts commands.
 var ErrNotConnected = errors.New("agent not connected")
 
-// Config is what a Link is made with.
+// Config configures a Link.
 type Config struct {
-	Address string
+	Address string   // TCP address of the agent
 	Gauges  []string // names of the gauges, in the order in which the agent reports them
-	Seed    uint64   // of the jitter of reconnecting
+	Seed    uint64   // of the jitter of reconnect delays
 }
 
-// Loop is what a Link needs of the event loop that owns it.
+// Loop is the interface of a Link to the event loop that owns it.
 type Loop struct {
-	Post func(func())         // hands a function to the loop; called on any goroutine
-	Now  func() time.Duration // the loop's clock; called on the loop
+	Post func(func())         // runs a function on the loop; may be called on any goroutine
+	Now  func() time.Duration // clock of the loop; called only on the loop
 }
 
-// Handler is what a Link calls, on the loop.
+// Handler holds the callbacks of a Link, which calls them on the loop.
 type Handler struct {
-	// OnNotification takes each notification once, in the order in which they were read.
+	// OnNotification receives each notification once, in the order in which they were read.
 	OnNotification func(Notification)
-	// OnLost is called where notifications are lost for good, and so the outcome of all runs in flight: the agent no
-	// longer had them at the end of a break, or was restarted.
+	// OnLost is called when notifications are lost, and with them possibly the outcomes of runs in flight: the agent no
+	// longer had them after a disconnection, or was restarted.
 	OnLost func()
 }
 
-// Link is the link to the agent. Its methods but Run are called on the loop, and none of them blocks.
+// Link is the link to the agent. All methods except Run are called on the loop and do not block.
 type Link struct {
 	connections *reconnect.Link
 	loop        Loop
 	handler     Handler
-	gauges      []string // names, in the order in force
+	gauges      []string // names, in the order in which the agent reports them
 	log         *logging.Limiter
 
 	current           *connection // nil: disconnected
 	connectionsOpened uint64
-	incarnation       incarnation // of the agent
-	lastOffset        int64       // of the last numbered notification read from it
+	incarnation       incarnation // of the agent connected last
+	lastOffset        int64       // offset of the last numbered notification read; 0: none
 	commands          commandLog
 }
 
-// New returns a Link that calls handler. Nothing is sent before Run.
+// New returns a Link that calls handler. It sends nothing before Run is called.
 func New(config Config, loop Loop, handler Handler, log *logging.Limiter) *Link {
 	connections := reconnect.New(config.Address, reconnect.Config{
 		Backoff: backoff.Config{
@@ -81,26 +83,28 @@
 	return &Link{connections: connections, loop: loop, handler: handler, gauges: config.Gauges, log: log}
 }
 
-// Run keeps a connection open to the address in force until ctx ends, on a goroutine of its own.
+// Run keeps a connection to the current address open until ctx ends. It needs its own goroutine.
 func (l *Link) Run(ctx context.Context) { l.connections.Run(ctx, connectionHandler{l}) }
 
-// SetAddress opens a connection to another address. The present one is used until that is open.
+// SetAddress connects to another address. The current connection stays in use until the new one is open.
 func (l *Link) SetAddress(address string) { l.connections.SetAddress(address) }
 
-// SetGauges changes the names of the gauges, in the order in which the agent reports them.
+// SetGauges sets the names of the gauges, in the order in which the agent reports them.
 func (l *Link) SetGauges(names []string) { l.gauges = names }
 
-// ConnectionsOpened returns how many connections have been opened.
+// ConnectionsOpened returns the number of connections opened so far.
 func (l *Link) ConnectionsOpened() uint64 { return l.connectionsOpened }
 
-// Launch runs a request. It is sent once a connection takes commands, and again after a break.
+// Launch runs a request. The command is sent as soon as a connection accepts commands, and again after a disconnection
+// unless the agent is known to have read it.
 func (l *Link) Launch(requestID, class string, payload []byte) {
 	l.sendCommand(command{requestID: requestID, line: encodeLaunch(requestID, class, payload)})
 }
 
-// Reply hands a run the reply to the call that it waits for. The protocol gives a reply no number: sent again after a
-// break, it would answer the run's next call if that had come by then. So a sample asks at once whether it was read, not
-// only at the next sweep, and a break leaves in doubt only what the agent reads within a round trip.
+// Reply hands a run the reply to the call that it waits for. The protocol does not number replies: a reply that is sent
+// again after a disconnection would answer the run's next call, if the agent had read it the first time. Reply therefore
+// sends a sample at once if none is unanswered, instead of waiting for the next sweep. A disconnection then leaves only the
+// replies of about the last round trip in doubt.
 func (l *Link) Reply(requestID string, payload []byte) {
 	l.sendCommand(command{requestID: requestID, line: encodeReply(requestID, payload), nonIdempotent: true})
 	if l.state() == ready && l.current.unansweredSamples == 0 {
@@ -108,17 +112,17 @@
 	}
 }
 
-// SkipCall lets a run go on without the call that the notification at offset asked for.
+// SkipCall lets a run continue without the call that the notification with this offset requested.
 func (l *Link) SkipCall(requestID string, offset int64) {
 	l.sendCommand(command{requestID: requestID, line: encodeSkipCall(requestID, offset)})
 }
 
-// DiscardCommands has the commands about a request not sent again: a notification about it proves that they were read,
-// or nobody wants them any more.
+// DiscardCommands prevents the commands about a request from being sent again: a notification about the request proves that
+// they were read, or they are obsolete.
 func (l *Link) DiscardCommands(requestID string) { l.commands.removeRequest(requestID) }
 
-// SampleGauges asks for the gauges, whose GaugeSample is handed to the Handler, and replaces a connection that brings
-// nothing. It is called periodically, at each sweep.
+// SampleGauges requests the gauges; the Handler receives them as a GaugeSample. It also checks the connection as
+// CheckLiveness does. It must be called periodically, at each sweep.
 func (l *Link) SampleGauges() {
 	if l.state() == ready {
 		l.sendSample()
@@ -126,8 +130,8 @@
 	l.CheckLiveness()
 }
 
-// DeepCheck asks for the work of a deep health check, whose DeepCheckOutcome names the token. It is not sent again after
-// a break. Its error is ErrNotConnected.
+// DeepCheck requests the work of a deep health check. The DeepCheckOutcome carries the same token. The command is not sent
+// again after a disconnection. The error is ErrNotConnected if no connection accepts commands.
 func (l *Link) DeepCheck(token string) error {
 	if l.state() != ready {
 		return ErrNotConnected
@@ -136,8 +140,8 @@
 	return nil
 }
 
-// CheckLiveness aborts a connection that brings nothing, for another to be opened. SampleGauges does the same, but is
-// not called before the first handshake.
+// CheckLiveness aborts a silent connection, so that another one is opened. SampleGauges does the same, but is not called
+// before the first handshake.
 func (l *Link) CheckLiveness() {
 	now := l.loop.Now()
 	if l.current == nil || !l.current.isSilent(now) {
@@ -149,7 +153,7 @@
 	l.abortConnection()
 }
 
-// sendCommand numbers a command and sends it, now or once a connection takes commands.
+// sendCommand numbers a command and sends it, at once or when a connection accepts commands.
 func (l *Link) sendCommand(added command) {
 	l.commands.add(added)
 	if l.state() == ready {
@@ -157,7 +161,8 @@
 	}
 }
 
-// sendSample asks for the gauges, and so whether the commands sent before were read. Its token is its number.
+// sendSample requests the gauges. The answer also acknowledges the commands sent before. The token is the sequence number
+// of the sample.
 func (l *Link) sendSample() {
 	l.current.unansweredSamples++
 	l.current.queue.Send(encodeSample(l.commands.nextSequence()))
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An agent that has moved is reached at its new address while the old connection still serves. Runs go on over the new
-// one from the last notification read, and what is not acknowledged is sent again.
+// The agent moves to another address while the old connection still works. The old connection must be used until the new
+// one is open. The new one must subscribe from the last notification read, and unacknowledged commands must be sent again.
 func TestAddressChange(t *testing.T) {
 	remote := newRemoteAgent(t)
 	remote.accept(0)
@@ -21,9 +21,9 @@
 	remote.listener = loopback.Listen(t)
 	remote.SetAddress(remote.listener.Addr().String())
 	remote.Launch("a", "preview", nil)
-	remote.expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`) // on the old one, until the new one is open
+	remote.expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`) // on the old connection, until the new one is open
 	remote.accept(1)
-	require.False(t, oldLines.Scan()) // the old one is closed
+	require.False(t, oldLines.Scan()) // the old connection is closed
 	require.NoError(t, oldLines.Err())
 	remote.runPosted()
 	remote.sendHandshake(9)
@@ -35,11 +35,11 @@
 	require.EqualValues(t, 2, remote.ConnectionsOpened())
 }
 
-// A broken connection loses neither commands nor notifications: what the agent is not known to have read is sent again, but
-// only once the missed notifications are in; those that were read before are dropped.
-func TestReconnect(t *testing.T) {
+// A connection breaks. Commands that the agent is not known to have read must be sent again, but only after the missed
+// notifications have arrived. Notifications that were read before must be dropped.
+func TestReconnectLosesNothing(t *testing.T) {
 	remote := newRemoteAgent(t)
-	remote.Launch("a", "preview", nil) // the agent is not up yet
+	remote.Launch("a", "preview", nil) // before the agent accepts connections
 	remote.accept(0)
 	require.ErrorIs(t, remote.DeepCheck("x"), ErrNotConnected)
 	remote.send(`{"cmd":"greeting","result":"booting","elapsed_ms":1}`)
@@ -48,7 +48,7 @@
 	remote.expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`)
 	remote.SampleGauges()
 	remote.expect(`{"cmd":"sample","token":"3"}`)
-	remote.sendSampled("3") // so the launch was read
+	remote.sendSampled("3") // proves that the launch was read
 	require.Empty(t, remote.commands.unacknowledged)
 	remote.Launch("b", "preview", nil)
 	remote.Launch("c", "preview", nil)
--- a/internal/agent/notification.go
+++ b/internal/agent/notification.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// Notification is a message from the agent: a Handshake, RunOutcome, CallRequest, GaugeSample, DeepCheckOutcome,
-// CommandRejection or Remark. There are no others.
+// Notification is a message from the agent. Its types are Handshake, RunOutcome, CallRequest, GaugeSample,
+// DeepCheckOutcome, CommandRejection and Remark.
 type Notification interface{ isNotification() }
 
 // Handshake is the first message on each connection.
 type Handshake struct {
 	State State
-	Age   time.Duration // since the agent was started
+	Age   time.Duration // time since the agent was started
 }
 
-// RunOutcome reports that a run has ended.
+// RunOutcome reports the end of a run.
 type RunOutcome struct {
-	Offset    int64 // in the sequence of numbered notifications, from 1
+	Offset    int64 // sequence number of the notification, from 1
 	RequestID string
 	Result    RunResult
-	Payload   []byte // of a run that succeeded
+	Payload   []byte // result of a run that succeeded
 }
 
-// CallRequest reports that a run waits for a call.
+// CallRequest reports that a run waits for a call to the store.
 type CallRequest struct {
-	Offset    int64 // in the sequence of numbered notifications, from 1
+	Offset    int64 // sequence number of the notification, from 1
 	RequestID string
 	Payload   []byte
 }
 
-// GaugeSample answers SampleGauges.
+// GaugeSample is the answer to SampleGauges.
 type GaugeSample struct{ Load Load }
 
-// DeepCheckOutcome reports that the work of a deep health check has ended.
+// DeepCheckOutcome reports the end of the work of a deep health check.
 type DeepCheckOutcome struct {
-	Token     string // that of the check
+	Token     string // as passed to DeepCheck
 	Succeeded bool
 }
 
-// CommandRejection reports that a command was not carried out.
+// CommandRejection reports a command that the agent did not execute.
 type CommandRejection struct {
-	RequestID string // empty for a command about no request
+	RequestID string // empty if the command was not about a request
 	Command   Command
 }
 
-// Remark is numbered and otherwise of no consequence.
+// Remark carries no information except its offset.
 type Remark struct {
-	Offset int64 // in the sequence of numbered notifications, from 1; 0: not numbered
+	Offset int64 // sequence number of the notification, from 1; 0: not numbered
 }
 
 func (Handshake) isNotification()        {}
@@ -59,17 +59,17 @@
 func (Remark) isNotification()           {}
 func (sampleAnswer) isNotification()     {}
 
-// sampleAnswer is a GaugeSample as it was read: the Link names its values, by the order in force.
+// sampleAnswer is a GaugeSample as decoded. The Link maps its values to gauges, in the order set by SetGauges.
 type sampleAnswer struct {
-	sequence int64 // of the sample, or unknownSample
-	values   []float64
+	sequence int64     // of the sample that is answered, or unknownSample
+	values   []float64 // in the order in which the agent reports the gauges
 }
 
-// unknownSample is the sequence of an answer whose token is none that a Link sends.
+// unknownSample is the sequence of an answer whose token was not sent by a Link.
 const unknownSample = -1
 
-// offsetOf returns the place of a notification in the sequence of numbered ones, which has no gap; ok is false where it is
-// not numbered.
+// offsetOf returns the offset of a numbered notification. Offsets are consecutive. ok is false if the notification is not
+// numbered.
 func offsetOf(notification Notification) (offset int64, ok bool) {
 	switch numbered := notification.(type) {
 	case RunOutcome:
@@ -78,18 +78,18 @@
 		offset = numbered.Offset
 	case Remark:
 		offset = numbered.Offset
-	default: // the other kinds are never numbered
+	default: // never numbered
 	}
 	return offset, offset > 0
 }
 
-// State is how far the agent has started.
+// State is the startup state of the agent.
 type State uint8
 
 // The states of an agent.
 const (
-	Booting State = iota // its caches are cold
-	Steady
+	Booting State = iota // starting; caches are cold
+	Steady               // started
 )
 
 // String returns the name of the state in log lines.
@@ -104,15 +104,15 @@
 	}
 }
 
-// RunResult is how a run ended.
+// RunResult is the result of a run.
 type RunResult uint8
 
 // The results of a run.
 const (
 	RunSucceeded   RunResult = iota
-	RunFailed                // it may have had its effect
+	RunFailed                // may have had an effect
 	RunInterrupted           // stopped before its end
-	RunNotStarted            // it had no effect
+	RunNotStarted            // had no effect
 )
 
 // String returns the name of the result.
@@ -131,12 +131,12 @@
 	}
 }
 
-// Load is a reading of the agent's gauges. A value that is not known is UnknownGauge.
+// Load is a reading of the agent's gauges. A gauge that was not reported is UnknownGauge.
 type Load struct {
-	CPUUtilization    float64 // part of the cores in use, from 0 to 1
-	CPUDemand         float64 // cores asked for
-	MemoryUtilization float64 // part of the memory in use, from 0 to 1
-	Connections       float64 // open ones
+	CPUUtilization    float64 // fraction of the cores in use, from 0 to 1
+	CPUDemand         float64 // demanded CPU, in cores
+	MemoryUtilization float64 // fraction of the memory in use, from 0 to 1
+	Connections       float64 // open connections
 }
 
 // UnknownGauge is the value of a gauge that the agent has not reported.
@@ -149,7 +149,7 @@
 	Connections:       UnknownGauge,
 }
 
-// The names of gauges in the settings.
+// Names of gauges in the settings.
 const (
 	gaugeCPUUtilization    = "core_use"
 	gaugeCPUDemand         = "on_cores"
@@ -157,8 +157,8 @@
 	gaugeConnections       = "links"
 )
 
-// newLoad returns the reading of the gauges of these names. Values may be missing at the end; those of unknown names are
-// ignored.
+// newLoad returns a Load from values reported for the gauges with these names. Missing values become UnknownGauge. Values of
+// unknown names and surplus values are ignored.
 func newLoad(names []string, values []float64) Load {
 	load := unknownLoad
 	for i, value := range values[:min(len(values), len(names))] {
--- a/internal/agent/notification_test.go
+++ b/internal/agent/notification_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// Values are named in the order of the settings. Those that are missing or not a number are not known, and those of gauges
-// that have no meaning here are passed over.
-func TestLoad(t *testing.T) {
+// Values must be assigned to gauges in the order of the settings. Missing values and values that are not numbers are
+// unknown. Values of unknown gauges are ignored.
+func TestLoadFollowsGaugeOrder(t *testing.T) {
 	names := []string{"core_use", "on_cores", "heap_share", "links"}
 	for _, test := range []struct {
 		names  []string
@@ -59,7 +59,7 @@
 	}
 }
 
-// The Load of a sample follows the order of gauges in force when it is handled.
+// The Load of a sample must follow the gauge order in effect when its answer is handled.
 func TestGaugeOrderChanges(t *testing.T) {
 	var received []Notification
 	link := newGoldenLink()
@@ -84,7 +84,7 @@
 		fmt.Sprint(RunSucceeded, " ", RunFailed, " ", RunInterrupted, " ", RunNotStarted, " ", RunNotStarted+1))
 }
 
-// Each command that the agent may reject has a name in the log.
+// Each command that the agent may reject must have a name in the log.
 func TestCommandNames(t *testing.T) {
 	for name, want := range map[string]string{
 		"subscribe": "subscribe", "launch": "launch", "deliver": "reply", "forgo": "skip call", "sample": "sample",
@@ -108,6 +108,8 @@
 	}
 }
 
+// A notification that is accepted must be valid: its enum values are in range, and a notification about a run has an offset
+// and a request ID.
 func FuzzParseNotification(f *testing.F) {
 	f.Add([]byte(`{"cmd":"outcome","offset":7,"req":"ab","result":"success","elapsed_ms":40,"payload":"AP8="}`))
 	f.Add([]byte(`{"cmd":"sampled","token":"4","load":[0.5,null,nan,2]}`))
@@ -126,7 +128,7 @@
 			valid = notification.Offset > 0 && notification.RequestID != ""
 		case Remark:
 			valid = notification.Offset >= 0
-		case sampleAnswer, DeepCheckOutcome, CommandRejection: // of any content
+		case sampleAnswer, DeepCheckOutcome, CommandRejection: // any content is valid
 		default:
 			valid = false
 		}
--- a/internal/agent/partition_test.go
+++ b/internal/agent/partition_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The agent moves during a partition: the dial to the old address hangs, and is not waited for. What was to be run
-// meanwhile is run at the new address, once, though all notifications come in one burst.
+// The agent moves during a partition while a dial to the old address hangs. The Link must not wait for that dial. Commands
+// issued meanwhile must be sent once to the new address. Notifications that arrive in one burst, one of them twice, must
+// each be handled once.
 func TestAddressChangeDuringPartition(t *testing.T) {
 	unresponsive, err := fakes.NewUnresponsiveListener()
 	require.NoError(t, err)
@@ -26,7 +27,7 @@
 	remote.sendSampled("3")
 	remote.expect(`{"cmd":"launch","req":"a","method":"preview","payload":""}`)
 	remote.expect(`{"cmd":"launch","req":"b","method":"preview","payload":""}`)
-	// All at once, and some of it twice.
+	// All in one write, and one of them twice.
 	_, err = fmt.Fprint(remote.conn, `{"cmd":"outcome","offset":1,"req":"a","result":"success"}`+"\n"+
 		`{"cmd":"outcome","offset":2,"req":"b","result":"success"}`+"\n"+
 		`{"cmd":"outcome","offset":1,"req":"a","result":"success"}`+"\n"+`{"cmd":"aside","offset":3}`+"\n")
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A connection that is open and brings nothing is replaced, and what was to be run goes over the next one. One whose answers
-// come is not, nor is one whose answers are only unread because the process was stopped.
+// A silent open connection must be replaced, and commands must be sent on the next one. A connection must stay if its samples
+// are answered, or if the answers are only unread because the process was stopped.
 func TestSilenceRacesSample(t *testing.T) {
 	for _, responsive := range []bool{true, false} {
 		t.Run(fmt.Sprint("responsive: ", responsive), func(t *testing.T) {
 			remote := newRemoteAgent(t)
 			remote.accept(0)
-			remote.now += handshakeTimeout - 1 // a booting agent may take its time
+			remote.now += handshakeTimeout - 1 // a booting agent may take this long
 			remote.CheckLiveness()
 			require.NotNil(t, remote.current)
 			remote.sendHandshake(3600000)
@@ -29,7 +29,7 @@
 			}
 			if responsive {
 				require.NotNil(t, remote.current)
-				remote.now += 100 * maxSilence // the process is stopped; the answer to its one sample waits
+				remote.now += 100 * maxSilence // the process is stopped, and the answer to its only sample is unread
 				remote.SampleGauges()
 				require.NotNil(t, remote.current)
 				return
@@ -46,8 +46,9 @@
 	}
 }
 
-// A connection without a handshake is broken, or the agent boots: at the timeout another is opened, and the agent sends
-// its handshake on that. One whose handshake comes at the last moment stays.
+// No handshake arrives on a connection because it is broken or because the agent is still booting. At the timeout another
+// connection must be opened, on which the agent can send its handshake. If the handshake arrives at the last moment, the
+// connection must stay.
 func TestSilenceRacesFirstHandshake(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		remote := newRemoteAgent(t)
@@ -69,8 +70,8 @@
 	}
 }
 
-// The connection breaks before or after it is known that the agent has read the reply to a call. A reply that was read is
-// not sent again: it would answer the run's next call.
+// The connection breaks before or after the Link knows that the agent has read the reply to a call. A reply that is known to
+// have been read must not be sent again, because it would answer the run's next call.
 func TestDisconnectRacesReply(t *testing.T) {
 	const reply = `{"cmd":"deliver","req":"a","payload":"eA=="}`
 	for _, known := range []bool{true, false} {
@@ -79,7 +80,7 @@
 		remote.sendHandshake(1)
 		remote.sendSampled(remote.expectSample())
 		remote.SampleGauges()
-		earlier := remote.expectSample() // acknowledges nothing that follows it
+		earlier := remote.expectSample() // sent before the reply, so its answer does not acknowledge the reply
 		remote.Reply("a", []byte("x"))
 		remote.expect(reply)
 		remote.sendSampled(earlier)
@@ -97,7 +98,7 @@
 		remote.Launch("b", "preview", nil)
 		remote.expect(`{"cmd":"launch","req":"b","method":"preview","payload":""}`)
 	}
-	remote := newRemoteAgent(t) // no sample is unanswered: one is sent at once
+	remote := newRemoteAgent(t) // no sample is unanswered, so one is sent at once
 	remote.accept(0)
 	remote.sendHandshake(1)
 	remote.sendSampled(remote.expectSample())
@@ -107,8 +108,8 @@
 	require.Empty(t, remote.commands.unacknowledged)
 }
 
-// More notifications came during a break than the agent keeps: the outcome of runs in flight is lost. With all of them, or
-// some twice, nothing is.
+// After a disconnection, notifications may be missing because the agent keeps only the last 4,000. Then the outcomes of runs
+// in flight are lost, which must be reported once. If all notifications arrive, or some arrive twice, nothing is lost.
 func TestDisconnectRacesNotifications(t *testing.T) {
 	for name, test := range map[string]struct {
 		offsets []int
@@ -128,15 +129,15 @@
 			for _, offset := range test.offsets {
 				remote.send(`{"cmd":"aside","offset":%d}`, offset)
 			}
-			require.Zero(t, remote.lossesReported) // those that came may be of the runs in flight
+			require.Zero(t, remote.lossesReported) // the notifications so far may belong to runs in flight
 			remote.sendSampled(token)
 			require.Equal(t, test.lost, remote.lossesReported)
 		})
 	}
 }
 
-// An agent whose second handshake reports it older by as much as time has passed is the same. One that is far younger was
-// restarted meanwhile and is asked for its notifications from the first.
+// An agent is the same if its next handshake reports an age that has grown with the time elapsed. A much younger agent was
+// restarted: the loss must be reported once, and the Link must subscribe from the first notification.
 func TestHandshakeOfRestartedAgent(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		remote := newRemoteAgent(t)
--- a/internal/agent/receive.go
+++ b/internal/agent/receive.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// connectionHandler implements reconnect.Handler: it hands what happens on connections to the loop.
+// connectionHandler implements reconnect.Handler and forwards the events of connections to the loop.
 type connectionHandler struct{ link *Link }
 
 // Opened implements reconnect.Handler.
@@ -18,7 +18,7 @@
 	h.link.loop.Post(func() { h.link.handleOpened(address, queue) })
 }
 
-// Read implements reconnect.Handler. A line that is no notification ends the connection.
+// Read implements reconnect.Handler. A line that is not a valid notification ends the connection.
 func (h connectionHandler) Read(conn net.Conn, queue *writequeue.Queue) error {
 	err := newParser().ReadEach(conn, func(notification Notification) {
 		h.link.loop.Post(func() { h.link.handleNotification(queue, notification) })
@@ -36,20 +36,21 @@
 	h.link.log.WarnFields("agent", "agent connection failed, reconnecting", err, logrus.Fields{"address": address})
 }
 
-// The handle methods run on the loop.
+// The methods below run on the loop.
 
-// handleOpened makes a new connection the current one, unless the address has been replaced meanwhile.
+// handleOpened makes a new connection the current one and subscribes to the missed notifications. If the address has been
+// replaced meanwhile, it closes the connection.
 func (l *Link) handleOpened(address string, queue *writequeue.Queue) {
 	if address != l.connections.Address() {
 		queue.Close()
 		return
 	}
 	if l.current != nil {
-		l.current.queue.Close() // after what it has still to write
+		l.current.queue.Close() // after writing what is queued
 	}
 	l.connectionsOpened++
 	l.current = &connection{queue: queue, state: synchronizing}
-	l.current.noteReceived(l.loop.Now())
+	l.current.recordReceived(l.loop.Now())
 	queue.Send(encodeSubscribe(l.lastOffset))
 }
 
@@ -59,12 +60,13 @@
 	}
 }
 
-// handleNotification hands a notification to the handler. One that was read on an earlier connection is dropped.
+// handleNotification processes a notification and passes it to the handler. It drops duplicates and notifications read from
+// an earlier connection.
 func (l *Link) handleNotification(queue *writequeue.Queue, notification Notification) {
 	if !l.isCurrent(queue) {
 		return
 	}
-	l.current.noteReceived(l.loop.Now())
+	l.current.recordReceived(l.loop.Now())
 	if offset, numbered := offsetOf(notification); numbered && !l.advanceOffset(offset) {
 		return
 	}
@@ -80,22 +82,22 @@
 		l.DiscardCommands(received.RequestID)
 	case CallRequest:
 		l.DiscardCommands(received.RequestID)
-	default: // says nothing about the link
+	default: // does not affect the link
 	}
 	l.handler.OnNotification(notification)
 }
 
-// advanceOffset notes the offset of a notification, and reports whether it is a new one.
+// advanceOffset records the offset of a notification. It returns false if the notification is a duplicate.
 func (l *Link) advanceOffset(offset int64) bool {
 	if offset <= l.lastOffset {
 		return false
 	}
-	l.current.noteOffset(offset, l.lastOffset)
+	l.current.recordOffset(offset, l.lastOffset)
 	l.lastOffset = offset
 	return true
 }
 
-// handleHandshake begins to synchronize, and reports whether the agent is the one that was connected before.
+// handleHandshake starts to synchronize. It returns false if the agent was restarted since the last handshake.
 func (l *Link) handleHandshake(age time.Duration) (sameAgent bool) {
 	if l.incarnation.isKnown() && !l.incarnation.matches(age) {
 		l.handleRestart(age)
@@ -104,14 +106,14 @@
 	if !l.incarnation.isKnown() {
 		l.incarnation = newIncarnation(age)
 	}
-	// All notifications that were missed come before the answer to this sample. Only then is it known which of the
-	// unacknowledged commands still make sense.
+	// The answer to this sample arrives after all missed notifications. Only then is it known which unacknowledged
+	// commands are still relevant.
 	l.sendSample()
 	return true
 }
 
-// handleRestart aborts the connection to an agent that was restarted: it knows of no run and numbers its notifications
-// anew, so the next connection asks for them from the first.
+// handleRestart aborts the connection to an agent that was restarted. That agent knows no earlier run and numbers its
+// notifications from 1 again, so the next connection subscribes from the first one.
 func (l *Link) handleRestart(age time.Duration) {
 	l.incarnation = newIncarnation(age)
 	l.lastOffset = 0
@@ -122,7 +124,7 @@
 	l.handler.OnLost()
 }
 
-// handleSample deals with the answer to a sample.
+// handleSample processes the answer to a sample.
 func (l *Link) handleSample(sequence int64) {
 	switch {
 	case sequence == unknownSample:
@@ -133,15 +135,17 @@
 	}
 }
 
-// acknowledge drops the commands sent before a sample that was answered: the agent reads in order.
+// acknowledge drops the commands sent before a sample that was answered. It sends another sample if non-idempotent commands
+// remain, as these were sent after the answered one.
 func (l *Link) acknowledge(sequence int64) {
 	l.commands.acknowledge(sequence)
 	if l.commands.hasNonIdempotent() {
-		l.sendSample() // it was sent after the sample
+		l.sendSample()
 	}
 }
 
-// becomeReady has the current connection take commands, beginning with those that the last one may have lost.
+// becomeReady lets the current connection accept commands and sends the unacknowledged ones again. If notifications were
+// lost, it first calls OnLost.
 func (l *Link) becomeReady() {
 	l.current.state = ready
 	if l.current.replay == replayGap {
@@ -149,6 +153,6 @@
 		l.handler.OnLost()
 	}
 	if lines := l.commands.lines(); len(lines) > 0 {
-		l.current.queue.Send(lines) // in one message: the write queue may have no place for so many
+		l.current.queue.Send(lines) // as one message: the write queue may not have room for all of them
 	}
 }
--- a/internal/agent/remote_test.go
+++ b/internal/agent/remote_test.go
@@ -17,7 +17,7 @@
 
 const testTimeout = 30 * time.Second
 
-// remoteAgent is the agent's side of a Link, whose loop and clock are the test's.
+// remoteAgent is the agent's side of a Link. The test runs the Link's loop and sets its clock.
 type remoteAgent struct {
 	*testing.T
 	*Link
@@ -25,8 +25,8 @@
 	posted         chan func()
 	now            time.Duration
 	lossesReported int
-	notifications  []string // kind and request of each
-	conn           net.Conn // accepted last
+	notifications  []string // wire name and request ID of each notification received by the Handler
+	conn           net.Conn // connection accepted last
 	lines          *bufio.Scanner
 }
 
@@ -36,7 +36,7 @@
 	return newRemoteAgentAt(t, listener.Addr().String(), listener)
 }
 
-// newRemoteAgentAt has the Link dial address at first, whatever listener listens at.
+// newRemoteAgentAt is newRemoteAgent with a Link that first dials address, which may differ from that of listener.
 func newRemoteAgentAt(t *testing.T, address string, listener net.Listener) *remoteAgent {
 	t.Helper()
 	remote := &remoteAgent{T: t, listener: listener, posted: make(chan func(), 100)}
@@ -72,10 +72,10 @@
 	r.notifications = append(r.notifications, text)
 }
 
-// runPosted runs the next function that the Link hands to its loop.
+// runPosted runs the next function that the Link posts to its loop.
 func (r *remoteAgent) runPosted() { (<-r.posted)() }
 
-// accept takes the next connection, once the loop knows of it, and its subscription.
+// accept accepts the next connection, waits until the loop has taken it over, and expects its subscription after offset.
 func (r *remoteAgent) accept(offset int) {
 	r.Helper()
 	conn, err := r.listener.Accept()
@@ -84,19 +84,19 @@
 	require.NoError(r, conn.SetDeadline(time.Now().Add(testTimeout)))
 	r.conn, r.lines = conn, bufio.NewScanner(conn)
 	for opened := r.ConnectionsOpened(); r.ConnectionsOpened() == opened; {
-		r.runPosted() // the end of the connection before may come between
+		r.runPosted() // may also be the end of the previous connection
 	}
 	r.expect(fmt.Sprintf(`{"cmd":"subscribe","offset":%d}`, offset))
 }
 
-// expect reads a command.
+// expect reads the next command, which must be want.
 func (r *remoteAgent) expect(want string) {
 	r.Helper()
 	require.True(r, r.lines.Scan(), "%v", r.lines.Err())
 	require.Equal(r, want, r.lines.Text())
 }
 
-// expectSample reads a sample and returns its token.
+// expectSample reads the next command, which must be a sample, and returns its token.
 func (r *remoteAgent) expectSample() (token string) {
 	r.Helper()
 	require.True(r, r.lines.Scan(), "%v", r.lines.Err())
@@ -105,7 +105,7 @@
 	return token
 }
 
-// send sends a line, and runs what the Link hands to its loop for that.
+// send sends a line and runs the function that the Link posts to its loop for it.
 func (r *remoteAgent) send(format string, args ...any) {
 	r.Helper()
 	_, err := fmt.Fprintf(r.conn, format+"\n", args...)
