--- a/internal/store/call.go
+++ b/internal/store/call.go
@@ -7,21 +7,21 @@
 	"falldeal/internal/deadline"
 )
 
-// call is one call that has no reply yet and was not abandoned.
+// call is a call in flight: it has no reply yet and was not abandoned.
 type call struct {
 	requestID  string
 	body       []byte
-	deadline   time.Duration
-	connection *connection     // nil while it waits for one
-	timer      *deadline.Entry // of its deadline
+	deadline   time.Duration   // on the clock of the loop
+	connection *connection     // nil: waiting for a connection
+	timer      *deadline.Entry // abandons the call at its deadline
 }
 
-// callQueue holds calls that wait for a connection, longest first.
+// callQueue holds the calls that wait for a connection, in the order of arrival.
 type callQueue []*call
 
 func (q *callQueue) add(added *call) { *q = append(*q, added) }
 
-// take returns the call that has waited longest, which is removed; nil where none waits.
+// take removes and returns the call that has waited longest, or returns nil if none waits.
 func (q *callQueue) take() *call {
 	if len(*q) == 0 {
 		return nil
@@ -31,7 +31,7 @@
 	return longest
 }
 
-// remove removes a call, and reports whether it waited.
+// remove removes a call. It returns false if the call was not waiting.
 func (q *callQueue) remove(removed *call) bool {
 	i := slices.Index(*q, removed)
 	if i < 0 {
--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	writeQueueSize = 8                     // lines that wait to be written on a connection
+	writeQueueSize = 8                     // messages waiting to be written on a connection
 	readBufferSize = 4 << 10               // bytes
-	idleTimeout    = 50 * time.Millisecond // the store may close one that is idle for longer
+	idleTimeout    = 50 * time.Millisecond // the store may close a connection that is idle for longer
 )
 
-// connection is one connection to the store. It carries a call, or is idle. It belongs to the loop.
+// connection is a connection to the store. It carries one call or is idle. It belongs to the loop.
 type connection struct {
 	queue         *writequeue.Queue
 	address       string
-	retired       bool   // no further call is made on it
-	call          *call  // that it carries; nil: idle
-	lastRequestID string // of the last call that was answered
-	idleTimer     *deadline.Entry
+	retired       bool            // no further call is sent on it
+	call          *call           // the call that it carries; nil: idle
+	lastRequestID string          // request of the last call that was answered on it
+	idleTimer     *deadline.Entry // closes the connection after idleTimeout
 }
 
-// mayCarryCalls reports whether further calls may be made on the connection, where calls go to address.
+// mayCarryCalls reports whether further calls may be sent on the connection, if calls currently go to address.
 func (c *connection) mayCarryCalls(address string) bool { return !c.retired && c.address == address }
 
 // awaits reports whether the connection carries the call for a request.
@@ -37,7 +37,7 @@
 	return c.call != nil && c.call.requestID == requestID
 }
 
-// serve runs one connection from its dial to its end, on a goroutine of Run.
+// serve handles one connection from the dial to its end, on a goroutine of Run.
 func (l *Link) serve(ctx context.Context, request *dial) {
 	defer context.AfterFunc(ctx, request.cancel)()
 	conn, err := request.open()
@@ -53,7 +53,7 @@
 	l.loop.Post(func() { l.handleClosed(queue, err) })
 }
 
-// readReplies hands replies to the loop until one cannot be read.
+// readReplies reads replies and hands them to the loop until reading or parsing fails.
 func (l *Link) readReplies(conn net.Conn, queue *writequeue.Queue) error {
 	reader := bufio.NewReaderSize(conn, readBufferSize)
 	for {
@@ -65,11 +65,12 @@
 	}
 }
 
-// The handle methods run on the loop.
+// The methods below run on the loop.
 
-// handleDialFailed ends the call that has waited longest. A dial that was cancelled proves nothing about calls that wait.
+// handleDialFailed ends the call that has waited longest as refused. A dial that was cancelled says nothing about the store
+// and ends no call.
 func (l *Link) handleDialFailed(failed *dial, err error) {
-	if l.dialer.remove(failed) {
+	if l.dialer.finish(failed) {
 		l.dialer.increaseDelay()
 		l.log.WarnFields("store dial", "store dial failed", err, logrus.Fields{
 			"address":        failed.address,
@@ -82,9 +83,9 @@
 	l.adjustDials()
 }
 
-// handleOpened takes over a connection, unless the address has been replaced meanwhile.
+// handleOpened takes over a new connection. If the address has been replaced meanwhile, it closes the connection.
 func (l *Link) handleOpened(ended *dial, queue *writequeue.Queue) {
-	l.dialer.remove(ended)
+	l.dialer.finish(ended)
 	if ended.address != l.address {
 		queue.Close()
 		l.adjustDials()
@@ -98,7 +99,7 @@
 	l.adjustDials()
 }
 
-// handleReply ends the call that a reply is for.
+// handleReply ends the call that was answered.
 func (l *Link) handleReply(queue *writequeue.Queue, frame replyFrame) {
 	conn := l.connections[queue]
 	if conn == nil {
@@ -118,7 +119,8 @@
 	l.onResult(frame.requestID, frame.result, frame.body)
 }
 
-// handleUnsolicitedReply retires a connection: no further call is made on it. The one that it carries may still be answered.
+// handleUnsolicitedReply retires a connection, so that no further call is sent on it. The call that it carries may still be
+// answered.
 func (l *Link) handleUnsolicitedReply(conn *connection) {
 	conn.retired = true
 	if conn.call == nil {
@@ -127,7 +129,8 @@
 	}
 }
 
-// handleClosed ends the call that a connection carried when it ended. One that was closed here carries none.
+// handleClosed removes a connection that has ended and ends the call that it carried. It ignores a connection that the Link
+// has closed itself.
 func (l *Link) handleClosed(queue *writequeue.Queue, err error) {
 	conn := l.connections[queue]
 	if conn == nil {
@@ -144,7 +147,8 @@
 	}
 }
 
-// assign gives a connection to the call that has waited longest, or keeps it idle for idleTimeout.
+// assign gives a connection to the call that has waited longest. If no call waits, the connection becomes idle and is closed
+// after idleTimeout.
 func (l *Link) assign(conn *connection) {
 	if waiting := l.waiting.take(); waiting != nil {
 		l.startCall(waiting, conn)
@@ -157,14 +161,14 @@
 	})
 }
 
-// removeIdle takes a connection from the idle ones, if it is among them.
+// removeIdle removes a connection from the idle pool, if it is there, and stops its idle timer.
 func (l *Link) removeIdle(conn *connection) {
 	if l.idle.remove(conn) {
 		l.loop.Deadlines.Cancel(conn.idleTimer)
 	}
 }
 
-// closeConnection ends a connection that carries no call any more.
+// closeConnection closes and removes a connection.
 func (l *Link) closeConnection(conn *connection) {
 	conn.queue.Close()
 	delete(l.connections, conn.queue)
--- a/internal/store/dialer.go
+++ b/internal/store/dialer.go
@@ -13,34 +13,34 @@
 const (
 	minBackoff   = 10 * time.Millisecond
 	maxBackoff   = 200 * time.Millisecond
-	jitterStream = 0x5702e // sets the store's jitter apart from that of other links of one server
+	jitterStream = 0x5702e // separates the random numbers for the store's backoff from those of other links
 )
 
-// dial is one attempt to open a connection.
+// dial is an attempt to open a connection.
 type dial struct {
 	address string
-	delay   time.Duration      // before the attempt
-	ctx     context.Context    //nolint:containedctx // the loop cancels what a goroutine of Run carries out
-	cancel  context.CancelFunc // of ctx, at the end of Run too
+	delay   time.Duration      // wait before the attempt
+	ctx     context.Context    //nolint:containedctx // the loop cancels a dial that runs on a goroutine of Run
+	cancel  context.CancelFunc // cancels ctx; also called when Run ends
 }
 
-// open waits for the delay, and dials. It is called on a goroutine of Run. Its error is a *reconnect.UnreachableError.
+// open waits for the delay and then dials. It is called on a goroutine of Run. Its error is a *reconnect.UnreachableError.
 func (d *dial) open() (net.Conn, error) {
 	select {
 	case <-d.ctx.Done():
 	case <-time.After(d.delay):
 	}
-	return reconnect.Dial(d.ctx, "tcp", d.address, reconnect.DialTimeout) //nolint:wrapcheck // an *UnreachableError
+	return reconnect.Dial(d.ctx, "tcp", d.address, reconnect.DialTimeout) //nolint:wrapcheck // already an *UnreachableError
 }
 
-// dialer holds the dials in flight. A dial is wanted until it is cancelled; cancelled or not, it is in flight until its
-// end is reported to remove. A dialer belongs to the loop.
+// dialer holds the dials in flight. A dial is wanted until it is cancelled. Whether cancelled or not, it is in flight until
+// finish is called. A dialer belongs to the loop.
 type dialer struct {
-	requests chan *dial // to Run; has room for all that may be in flight
-	inFlight int        // wanted or cancelled
-	wanted   []*dial    // in order
+	requests chan *dial // to Run; has capacity for all dials in flight
+	inFlight int        // number of dials in flight, including cancelled ones
+	wanted   []*dial    // in the order of start
 	backoff  *backoff.Backoff
-	delay    time.Duration // before the next dial
+	delay    time.Duration // wait before the next dial
 }
 
 func newDialer(maxInFlight int, seed uint64) dialer {
@@ -55,7 +55,7 @@
 	}
 }
 
-// start has Run dial address, after the delay that follows from the dials before.
+// start requests a dial to address, after the current delay.
 func (d *dialer) start(address string) {
 	request := &dial{address: address, delay: d.delay}
 	request.ctx, request.cancel = context.WithCancel(context.Background())
@@ -64,7 +64,7 @@
 	d.requests <- request
 }
 
-// cancelOldest cancels the dial that has been wanted longest.
+// cancelOldest cancels the oldest wanted dial.
 func (d *dialer) cancelOldest() {
 	d.wanted[0].cancel()
 	d.wanted = slices.Delete(d.wanted, 0, 1)
@@ -78,10 +78,10 @@
 	d.wanted = nil
 }
 
-// remove notes the end of a dial, and reports whether it was still wanted.
-func (d *dialer) remove(ended *dial) (wanted bool) {
+// finish removes a dial that has ended and reports whether it was still wanted.
+func (d *dialer) finish(ended *dial) (wanted bool) {
 	d.inFlight--
-	ended.cancel() // frees its context
+	ended.cancel() // releases its context
 	i := slices.Index(d.wanted, ended)
 	if i < 0 {
 		return false
@@ -90,10 +90,10 @@
 	return true
 }
 
-// increaseDelay has the next dial wait longer, after a failure.
+// increaseDelay delays the next dial for longer, after a failure.
 func (d *dialer) increaseDelay() { d.delay = d.backoff.Next() }
 
-// resetDelay has the next dial made at once, after a success or for a new address.
+// resetDelay lets the next dial start at once, after a success or for a new address.
 func (d *dialer) resetDelay() {
 	d.backoff.Reset()
 	d.delay = 0
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// replyResults are the results by their words in the protocol.
+// replyResults maps the status words on the wire to results.
 var replyResults = map[string]Result{
 	"OK":   OK,
 	"BUSY": Rejected,
@@ -20,22 +20,23 @@
 }
 
 const (
-	maxLine = 128      // bytes, without its end
-	maxBody = 64 << 10 // bytes, without its end
+	maxLine = 128      // bytes, without the line end
+	maxBody = 64 << 10 // bytes, without the line end after it
 	newline = "\r\n"
 )
 
-// ErrMalformedReply is wrapped by the error of a connection on which the store sent what is no reply.
+// ErrMalformedReply is wrapped by the error of a connection on which the store sent an invalid reply.
 var ErrMalformedReply = errors.New("malformed reply")
 
-// replyFrame is one reply as the store sends it.
+// replyFrame is a reply from the store.
 type replyFrame struct {
 	requestID string
 	result    Result
-	body      []byte // with OK alone
+	body      []byte // only with OK
 }
 
-// appendCall appends a call that the store may take timeout for, in milliseconds and one at least.
+// appendCall appends the command to make a call. The store may take timeout for it, which is sent in milliseconds and is at
+// least 1 ms.
 func appendCall(b []byte, requestID string, timeout time.Duration, body []byte) []byte {
 	b = append(b, "CALL "...)
 	b = append(b, requestID...)
@@ -48,15 +49,15 @@
 	return append(b, newline...)
 }
 
-// appendDrop appends the end of a call whose reply nobody waits for any more.
+// appendDrop appends the command to abandon a call.
 func appendDrop(b []byte, requestID string) []byte {
 	b = append(b, "DROP "...)
 	b = append(b, requestID...)
 	return append(b, newline...)
 }
 
-// readReply reads one reply. Its error wraps ErrMalformedReply, or is that of reading: a line that does not fit in the
-// buffer, or the end of the stream.
+// readReply reads one reply. The error wraps ErrMalformedReply if the reply is invalid, and otherwise is a read error: the
+// end of the stream, or a line that does not fit into the buffer.
 func readReply(reader *bufio.Reader) (replyFrame, error) {
 	line, err := reader.ReadSlice('\n')
 	if err != nil {
@@ -81,10 +82,10 @@
 type replyHeader struct {
 	requestID  string
 	result     Result
-	bodyLength int // bytes, with OK alone
+	bodyLength int // bytes; only with OK
 }
 
-// parseReplyHeader parses "ID OK LENGTH" or "ID WORD".
+// parseReplyHeader parses "ID OK LENGTH" or "ID STATUS", with a status other than OK.
 func parseReplyHeader(line []byte) (replyHeader, error) {
 	line, terminated := bytes.CutSuffix(line, []byte(newline))
 	fields := bytes.Split(line, []byte(" "))
@@ -106,7 +107,7 @@
 	return header, nil
 }
 
-// fieldCount returns how many fields the line has.
+// fieldCount returns the number of fields in the line.
 func (h replyHeader) fieldCount() int {
 	if h.result == OK {
 		return 3
@@ -119,19 +120,19 @@
 func parseBodyLength(text []byte) (int, error) {
 	length, err := strconv.ParseUint(string(text), 10, 32)
 	if err != nil || length > maxBody {
-		return 0, fmt.Errorf("%w: length %.40q", ErrMalformedReply, text)
+		return 0, fmt.Errorf("%w: body length %.40q, want 0 to %d", ErrMalformedReply, text, maxBody)
 	}
 	return int(length), nil
 }
 
-// readBody reads a body and its end.
+// readBody reads a body and the line end after it.
 func readBody(reader *bufio.Reader, length int) ([]byte, error) {
 	body := make([]byte, length+len(newline))
 	if _, err := io.ReadFull(reader, body); err != nil {
 		return nil, fmt.Errorf("read body of reply: %w", err)
 	}
 	if !bytes.HasSuffix(body, []byte(newline)) {
-		return nil, fmt.Errorf("%w: body of %d bytes without its end", ErrMalformedReply, length)
+		return nil, fmt.Errorf("%w: no line end after a body of %d bytes", ErrMalformedReply, length)
 	}
 	return body[:length], nil
 }
--- a/internal/store/frame_test.go
+++ b/internal/store/frame_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// A reply that is printed names what it is; the numbers stand in maps of other packages.
-func TestReplyNames(t *testing.T) {
+// Results must print as names. Other packages use their numbers as array indices.
+func TestResultNames(t *testing.T) {
 	require.Equal(t, "OK", OK.String())
 	require.Equal(t, "ConnectionRefused", ConnectionRefused.String())
 	require.Equal(t, "Expired", Expired.String())
@@ -51,6 +51,7 @@
 	require.Equal(t, "DROP ab\r\n", string(appendDrop(nil, "ab")))
 }
 
+// A reply that is accepted must have a request ID, a result that the store may send, and a body only with OK.
 func FuzzReadReply(f *testing.F) {
 	f.Add("ab OK 4\r\n\r\nhi\r\ncd BUSY\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -23,7 +23,7 @@
 	goldenOther   = "00000000000000aa"
 )
 
-// Calls and the end of one, as a link writes them on one connection. The text is quoted as in Go.
+// Every command as a Link writes it on one connection, quoted as a Go string.
 func TestGoldenCalls(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return time.Second }, Deadlines: deadline.New()}
@@ -89,7 +89,7 @@
 	}
 }
 
-// What is logged of lines that are no replies.
+// The error that is logged for each invalid reply.
 func TestGoldenErrors(t *testing.T) {
 	var cases []golden.Case
 	for _, test := range []struct{ name, text string }{
@@ -111,7 +111,7 @@
 	golden.Require(t, "errors.golden", cases)
 }
 
-// Each line that a Link logs. The second is under the topic of the first, so it needs a Link of its own.
+// Each log line of a Link. Each case uses a Link of its own.
 func TestGoldenLog(t *testing.T) {
 	var lines strings.Builder
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }, Deadlines: deadline.New()}
--- a/internal/store/idle.go
+++ b/internal/store/idle.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// idlePool holds the connections that carry no call, longest idle first: by the time that one is used again, the close of
-// the store or a second reply would show.
+// idlePool holds the connections that carry no call, longest idle first. The longest idle connection is used first because
+// a close by the store or a duplicate reply is most likely to have been detected on it.
 type idlePool []*connection
 
 func (p *idlePool) add(conn *connection) { *p = append(*p, conn) }
 
-// longestIdle returns the connection that has been idle longest, nil where there is none. One that carried the last call
-// of the same request is left out: a second copy of that reply would be taken for the answer to the next call.
+// longestIdle returns the connection that has been idle longest, or nil if there is none. It skips a connection whose last
+// call was for the same request: a duplicate of that reply would be taken for the reply to the next call.
 func (p *idlePool) longestIdle(requestID string) *connection {
 	for _, conn := range *p {
 		if conn.lastRequestID != requestID {
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// remove removes a connection, and reports whether it was idle.
+// remove removes a connection. It returns false if the connection was not idle.
 func (p *idlePool) remove(removed *connection) bool {
 	i := slices.Index(*p, removed)
 	if i < 0 {
@@ -29,7 +29,7 @@
 	return true
 }
 
-// takeAll returns all connections, and leaves none.
+// takeAll removes and returns all connections.
 func (p *idlePool) takeAll() []*connection {
 	taken := *p
 	*p = nil
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -1,8 +1,8 @@
 // Package store makes calls to the store that all image servers share.
 //
-// Each call has a connection to itself while it is in flight. A call takes an idle connection where there is one, and
-// otherwise waits: for each call that waits one dial is made, up to a limit of connections and dials together, and
-// whatever becomes free first, a new connection or one whose call has ended, goes to the call that has waited longest.
+// A connection carries one call at a time. A new call takes an idle connection if there is one. Otherwise it waits, and the
+// Link starts one dial for each waiting call, up to a limit on connections and dials together. The connection that becomes
+// free first, whether new or reused, goes to the call that has waited longest.
 package store
 
 import (
@@ -17,35 +17,35 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what a Link is made with.
+// Config configures a Link.
 type Config struct {
-	Address        string
-	MaxConnections int    // open ones and dials together
-	Seed           uint64 // of the jitter of dials
+	Address        string // TCP address of the store
+	MaxConnections int    // limit on open connections and dials together
+	Seed           uint64 // of the jitter of dial delays
 }
 
-// Loop is what a Link needs of the event loop that owns it.
+// Loop is the interface of a Link to the event loop that owns it.
 type Loop struct {
-	Post      func(func())         // hands a function to the loop; called on any goroutine
-	Now       func() time.Duration // the loop's clock; called on the loop
-	Deadlines *deadline.Queue
+	Post      func(func())         // runs a function on the loop; may be called on any goroutine
+	Now       func() time.Duration // clock of the loop; called only on the loop
+	Deadlines *deadline.Queue      // timers of the loop; used only on the loop
 }
 
-// ResultHandler takes, on the loop, the end of the call for a request. The body is of a call that ended with OK.
+// ResultHandler receives the result of the call for a request, on the loop. body is set only if the result is OK.
 type ResultHandler func(requestID string, result Result, body []byte)
 
-// Link makes calls, each on a connection that carries no other at the time: a reply that cannot be read, or that never
-// comes, then costs that call and no other. Connections are opened as calls need them, used again while that is soon,
-// and closed otherwise. Its methods but Run are called on the loop, and none of them blocks.
+// Link makes calls. A connection carries one call at a time, so that an unreadable or missing reply affects only that call.
+// The Link opens connections when calls need them, reuses a connection that has been idle for less than idleTimeout, and
+// closes the others. All methods except Run are called on the loop and do not block.
 type Link struct {
-	address        string // in force
-	maxConnections int    // open ones and dials together
+	address        string // for new calls
+	maxConnections int    // limit on open connections and dials together
 	loop           Loop
 	onResult       ResultHandler
 	log            *logging.Limiter
 
-	calls   map[string]*call // in flight, by request
-	waiting callQueue        // those without a connection
+	calls   map[string]*call // in flight, by request ID
+	waiting callQueue        // calls without a connection
 
 	connections       map[*writequeue.Queue]*connection
 	idle              idlePool
@@ -53,7 +53,7 @@
 	dialer            dialer
 }
 
-// New returns a Link that reports the end of each call to onResult. Nothing is opened before Run.
+// New returns a Link that reports the end of each call to onResult. It opens no connection before Run is called.
 func New(config Config, loop Loop, onResult ResultHandler, log *logging.Limiter) *Link {
 	return &Link{
 		address:        config.Address,
@@ -67,7 +67,7 @@
 	}
 }
 
-// Run opens connections as calls need them, until ctx ends, on a goroutine of its own.
+// Run opens connections when calls need them, until ctx ends. It needs its own goroutine.
 func (l *Link) Run(ctx context.Context) {
 	var group errgroup.Group
 	for {
@@ -84,14 +84,14 @@
 	}
 }
 
-// InFlight returns how many calls have no reply yet and were not abandoned.
+// InFlight returns the number of calls that have no reply yet and were not abandoned.
 func (l *Link) InFlight() int { return len(l.calls) }
 
-// ConnectionsOpened returns how many connections have been opened.
+// ConnectionsOpened returns the number of connections opened so far.
 func (l *Link) ConnectionsOpened() uint64 { return l.connectionsOpened }
 
-// Call makes a call for the run of a request and abandons it at deadline, by the clock of the loop. A call in flight for
-// the same request is abandoned.
+// Call makes a call for the run of a request. At deadline, on the clock of the loop, the call is abandoned and reported as
+// Expired. Call first abandons a call in flight for the same request.
 func (l *Link) Call(requestID string, deadline time.Duration, body []byte) {
 	l.Abandon(requestID)
 	added := &call{requestID: requestID, body: body, deadline: deadline}
@@ -109,7 +109,7 @@
 	l.adjustDials()
 }
 
-// Abandon ends the call for a request, and reports whether there is one. Its end is not reported.
+// Abandon abandons the call for a request without reporting a result. It returns false if there is no such call.
 func (l *Link) Abandon(requestID string) bool {
 	abandoned := l.calls[requestID]
 	if abandoned == nil {
@@ -118,12 +118,13 @@
 	l.removeCall(abandoned)
 	if conn := abandoned.connection; conn != nil {
 		conn.queue.Send(appendDrop(nil, requestID))
-		l.closeConnection(conn) // its reply may still come, or never
+		l.closeConnection(conn) // the reply may still arrive, and must not be taken for that of another call
 	}
 	return true
 }
 
-// SetAddress directs new calls to another address. Those in flight may end on their connections, if that is soon.
+// SetAddress sends new calls to another address. Calls in flight may complete on their connections within
+// reconnect.DrainTimeout.
 func (l *Link) SetAddress(address string) {
 	if address == l.address {
 		return
@@ -142,14 +143,14 @@
 	l.adjustDials()
 }
 
-// startCall makes a call on a connection that carries none.
+// startCall sends a call on an idle connection.
 func (l *Link) startCall(started *call, conn *connection) {
 	started.connection = conn
 	conn.call = started
 	conn.queue.Send(appendCall(nil, started.requestID, started.deadline-l.loop.Now(), started.body))
 }
 
-// removeCall removes a call that has ended. Its connection is left to whoever ended it.
+// removeCall removes a call that has ended. The caller decides what happens to its connection.
 func (l *Link) removeCall(ended *call) {
 	l.loop.Deadlines.Cancel(ended.timer)
 	delete(l.calls, ended.requestID)
@@ -162,15 +163,15 @@
 	}
 }
 
-// endCall removes a call that has ended, and reports its result.
+// endCall removes a call that has ended and reports its result.
 func (l *Link) endCall(ended *call, result Result) {
 	l.removeCall(ended)
 	l.onResult(ended.requestID, result, nil)
 }
 
-// adjustDials asks for connections for the calls that wait, as far as there may be more, and cancels the oldest dials that
-// no call waits for any more: where the store does not answer at all they would hang for their whole time, and the calls
-// that come next would wait for them.
+// adjustDials starts a dial for each waiting call, up to the connection limit, and cancels the oldest dials that no call
+// needs any more. If the store does not respond, these would hang until reconnect.DialTimeout and take the places of dials
+// for later calls.
 func (l *Link) adjustDials() {
 	for len(l.dialer.wanted) > len(l.waiting) {
 		l.dialer.cancelOldest()
@@ -180,5 +181,5 @@
 	}
 }
 
-// mayDial reports whether one more connection may be opened.
+// mayDial reports whether another connection may be opened.
 func (l *Link) mayDial() bool { return l.dialer.inFlight+len(l.connections) < l.maxConnections }
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeLoop runs what a Link posts, on the test's goroutine and with a clock of the test's.
+// fakeLoop runs the functions that a Link posts, on the test's goroutine and with the test's clock.
 type fakeLoop struct {
 	*testing.T
 	posted    chan func()
@@ -44,15 +44,15 @@
 	l.outcomes = append(l.outcomes, outcome(requestID, result, string(body)))
 }
 
-// outcome is the end of a call as text.
+// outcome formats the end of a call.
 func outcome(requestID string, result Result, body string) string {
 	return fmt.Sprintf("%s %s %s", requestID, result, body)
 }
 
-// runPosted runs the next function that the Link hands to its loop.
+// runPosted runs the next function that the Link posts to its loop.
 func (l *fakeLoop) runPosted() { (<-l.posted)() }
 
-// acceptCall accepts the connection that a call opens, and reads the call from it.
+// acceptCall accepts the connection opened for a call and reads the call from it.
 func (l *fakeLoop) acceptCall(listener net.Listener, call string, body string) (net.Conn, *bufio.Reader) {
 	l.Helper()
 	conn, err := listener.Accept()
@@ -64,7 +64,7 @@
 	return conn, reader
 }
 
-// expect reads lines.
+// expect reads lines, which must be the given ones.
 func (l *fakeLoop) expect(in *bufio.Reader, lines ...string) {
 	l.Helper()
 	for _, want := range lines {
@@ -74,7 +74,7 @@
 	}
 }
 
-// expectClosed reads the end of a connection.
+// expectClosed requires that the Link ends a connection, and runs the function that it posts for that.
 func (l *fakeLoop) expectClosed(in *bufio.Reader) {
 	l.Helper()
 	_, err := in.ReadByte()
@@ -82,7 +82,7 @@
 	l.runPosted()
 }
 
-// A refused connection proves that no call ran; one that breaks meanwhile proves nothing.
+// A refused connection proves that the call did not run. A connection that breaks during the call does not.
 func TestConnectionRefusedAndBroken(t *testing.T) {
 	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
@@ -96,7 +96,8 @@
 	require.Equal(t, []string{outcome("ab", ConnectionBroken, ""), outcome("cd", ConnectionRefused, "")}, fake.outcomes)
 }
 
-// After the store has moved, new calls go to its new address, and one in flight ends on its connection, if that is soon.
+// After the store has moved, new calls must go to the new address. A call in flight may complete on its connection within
+// the drain timeout.
 func TestAddressChange(t *testing.T) {
 	old, next := loopback.Listen(t), loopback.Listen(t)
 	fake := newFakeLoop(t, old.Addr().String())
@@ -109,7 +110,7 @@
 	fake.acceptCall(next, "CALL ef 3600000 0", "")
 	fmt.Fprint(firstConn, "ab OK 1\r\nx\r\n")
 	fake.runPosted()
-	fake.runPosted() // the end of that connection: the old address gets nothing new
+	fake.runPosted() // the end of that connection, which gets no further call
 	fake.now = reconnect.DrainTimeout
 	fake.deadlines.Sweep(fake.now)
 	fake.expectClosed(secondReader)
@@ -117,7 +118,7 @@
 	require.EqualValues(t, 3, fake.link.ConnectionsOpened())
 }
 
-// A failed dial to the old address proves nothing about the calls that wait.
+// A failed dial to the old address must not end a call that waits for a connection.
 func TestAddressChangeDuringDial(t *testing.T) {
 	old, next := loopback.Listen(t), loopback.Listen(t)
 	require.NoError(t, old.Close())
@@ -132,13 +133,13 @@
 	require.EqualValues(t, 1, fake.link.ConnectionsOpened())
 }
 
-// A call is abandoned at its deadline, and its connection with it: the reply may never come, or be taken for that of a
-// later call.
+// At its deadline a call must be abandoned together with its connection: the reply may never arrive, or might be taken for
+// the reply to a later call.
 func TestCallExpiry(t *testing.T) {
 	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", 100*time.Millisecond, []byte("x"))
-	fake.now = 40 * time.Millisecond // the dial counts
+	fake.now = 40 * time.Millisecond // the time of the dial counts
 	conn, reader := fake.acceptCall(ln, "CALL ab 60 1", "x")
 	fake.now = 100 * time.Millisecond
 	fake.deadlines.Sweep(fake.now)
@@ -146,14 +147,14 @@
 	fmt.Fprint(conn, "ab OK 1\r\nx\r\n")
 	fake.expect(reader, "DROP ab")
 	fake.link.Call("ab", fake.now+time.Second, nil)
-	for len(fake.link.connections) == 0 { // the end of the first connection may come between
+	for len(fake.link.connections) == 0 { // the end of the first connection may be posted before
 		fake.runPosted()
 	}
 	require.Len(t, fake.outcomes, 1)
 }
 
-// A reply that cannot be read costs the call that it was for, and no other in flight.
-func TestOneCallPerConnection(t *testing.T) {
+// A reply that cannot be parsed must end only the call that it was for, and no other call in flight.
+func TestInvalidReplyEndsOnlyItsCall(t *testing.T) {
 	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", time.Hour, nil)
@@ -165,7 +166,7 @@
 	fmt.Fprint(secondConn, "cd OK 1\r\nx\r\n")
 	fake.runPosted()
 	require.Equal(t, []string{outcome("ab", ConnectionBroken, ""), outcome("cd", OK, "x")}, fake.outcomes)
-	fake.link.Call("ef", time.Hour, nil) // the connection is used again, as long as that is soon
+	fake.link.Call("ef", time.Hour, nil) // reuses the connection, within its idle timeout
 	fake.expect(reader, "CALL ef 3600000 0", "")
 	fmt.Fprint(secondConn, "ef BUSY\r\n")
 	fake.runPosted()
@@ -175,9 +176,9 @@
 	require.Empty(t, fake.link.connections)
 }
 
-// An unsolicited reply ends no call, and no further call is made on its connection. A second copy might be taken for the
-// reply to its request's next call, so that is made on another connection.
-func TestUnsolicitedReplies(t *testing.T) {
+// An unsolicited reply must end no call, and its connection must get no further call. A duplicate reply might be taken for
+// the reply to the next call of the same request, so that call must go to another connection.
+func TestUnsolicitedReplyRetiresConnection(t *testing.T) {
 	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
 	fake.link.Call("ab", time.Hour, nil)
@@ -197,8 +198,8 @@
 	require.Equal(t, []string{outcome("ab", OK, "x"), outcome("ab", OK, "z")}, fake.outcomes)
 }
 
-// A store that closes a connection after its reply, or sends more on it, shows that soon: the connection that has been idle
-// longest is used first, and the one that just brought a reply last.
+// If the store closes a connection or sends a second reply after an answer, the Link detects it soon. Calls must therefore
+// use the connection that has been idle longest first.
 func TestLongestIdleConnectionFirst(t *testing.T) {
 	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
@@ -214,7 +215,7 @@
 	fake.expect(firstReader, "CALL ef 3600000 0", "")
 }
 
-// Calls past the number of connections wait for an idle one, in order.
+// Calls beyond the connection limit must wait for an idle connection, in order.
 func TestConnectionLimit(t *testing.T) {
 	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
--- a/internal/store/partition_test.go
+++ b/internal/store/partition_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unresponsiveAddress returns an address on which dials hang, as in a partition.
+// unresponsiveAddress returns an address at which dials hang, as in a network partition.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	unresponsive, err := fakes.NewUnresponsiveListener()
@@ -21,40 +21,40 @@
 	return unresponsive.Addr
 }
 
-// In a partition dials hang. A call that is abandoned cancels its dial: dials for calls that were long over would take the
-// places of those to come, which would then hang too for as long as a dial may take.
+// In a partition dials hang. An abandoned call must cancel its dial. Otherwise dials of calls that ended long ago would take
+// the places of those for later calls, which would then wait until the dial timeout.
 func TestAbandonedCallCancelsItsDial(t *testing.T) {
 	fake := newFakeLoop(t, unresponsiveAddress(t))
 	for i := range 3 * fake.link.maxConnections {
 		id := fmt.Sprint(i)
 		fake.link.Call(id, fake.now+time.Second, nil)
-		require.Len(t, fake.link.dialer.wanted, 1, "call %d", i) // its own
+		require.Len(t, fake.link.dialer.wanted, 1, "call %d", i) // the dial for this call
 		fake.now += time.Second
 		fake.deadlines.Sweep(fake.now)
 		require.Equal(t, outcome(id, Expired, ""), fake.outcomes[i])
 		require.Empty(t, fake.link.dialer.wanted)
 		require.Empty(t, fake.link.waiting)
-		fake.runPosted() // the dial has ended, which ends no call
+		fake.runPosted() // the end of the dial, which ends no call
 		require.Zero(t, fake.link.dialer.inFlight)
 		require.Len(t, fake.outcomes, i+1)
 	}
-	require.Zero(t, fake.link.dialer.delay) // nothing was refused, so the next dial is made at once
+	require.Zero(t, fake.link.dialer.delay) // no dial was refused, so the next one starts at once
 }
 
-// The store moves during a partition. Calls that wait for a connection to the old address get one to the new, without
-// waiting for the dials that hang.
+// The store moves during a partition. Calls that wait for a connection to the old address must get one to the new address,
+// without waiting for the dials that hang.
 func TestAddressChangeDuringPartition(t *testing.T) {
 	fake := newFakeLoop(t, unresponsiveAddress(t))
 	var calls []string
-	for i := range fake.link.maxConnections { // as many dials as there may be
+	for i := range fake.link.maxConnections { // as many dials as are allowed
 		calls = append(calls, fmt.Sprint(i))
 		fake.link.Call(calls[i], time.Hour, nil)
 	}
-	fake.link.Call("more", time.Hour, nil) // has to wait for one of them
+	fake.link.Call("more", time.Hour, nil) // waits for one of them
 	require.Len(t, fake.link.dialer.wanted, fake.link.maxConnections)
 	next := loopback.Listen(t)
 	fake.link.SetAddress(next.Addr().String())
-	for fake.link.dialer.inFlight > 0 { // those that hung end, and new ones are made
+	for fake.link.dialer.inFlight > 0 { // the hanging dials end, and new ones complete
 		fake.runPosted()
 	}
 	for i := range calls {
@@ -68,7 +68,7 @@
 		var wait, length int
 		_, err = fmt.Sscanf(line, "CALL %s %d %d\r\n", &id, &wait, &length)
 		require.NoError(t, err)
-		_, err = reader.ReadString('\n') // the end of its empty body
+		_, err = reader.ReadString('\n') // the line end after the empty body
 		require.NoError(t, err)
 		fmt.Fprintf(conn, "%s OK 0\r\n\r\n", id)
 		for len(fake.outcomes) == 0 {
@@ -76,7 +76,7 @@
 		}
 		require.Equal(t, outcome(id, OK, ""), fake.outcomes[0])
 		fake.outcomes = nil
-		if i == 0 { // the connection is used again for the one that had no place
+		if i == 0 { // the connection is reused for the call that had no dial
 			line, err = reader.ReadString('\n')
 			require.NoError(t, err)
 			require.Contains(t, line, "CALL more ")
--- a/internal/store/races_test.go
+++ b/internal/store/races_test.go
@@ -19,7 +19,7 @@
 	reader   *bufio.Reader
 }
 
-// idleConnection opens a connection to the store that is idle, as its call was answered.
+// idleConnection opens a connection that is idle because its call was answered.
 func (l *fakeLoop) idleConnection() (remote *idleRemote) {
 	listener := loopback.Listen(l.T)
 	l.link.SetAddress(listener.Addr().String())
@@ -30,14 +30,15 @@
 	return &idleRemote{listener, conn, reader}
 }
 
-// The store closes an idle connection, and a call is made before or after that is observed here: on the closed one it may
-// have run and is reported as broken, once; observed in time, the call is made on another connection.
+// The store closes an idle connection, and a call is made before or after the Link observes that. On the closed connection
+// the call may have run, so it must be reported as broken, once. If the close was observed, the call must go to another
+// connection.
 func TestCloseRacesCall(t *testing.T) {
 	for _, observed := range []bool{true, false} {
 		fake := newFakeLoop(t, "127.0.0.1:9")
 		remote := fake.idleConnection()
 		remote.conn.Close()
-		handleClosed := <-fake.posted // runs after the call was made
+		handleClosed := <-fake.posted // runs after the call was made, unless observed
 		if observed {
 			handleClosed()
 		}
@@ -54,13 +55,13 @@
 	}
 }
 
-// A call is abandoned, or the store moves, while its reply is on the way, or after: the reply counts for that call or for
+// A call is abandoned, or the store moves, before or after the reply is handled. The reply must count for that call or for
 // none.
 func TestAbandonRacesReply(t *testing.T) {
 	for name, test := range map[string]struct {
 		act   func(fake *fakeLoop)
-		first bool // before the reply is dealt with
-		want  int  // outcomes reported of the call
+		first bool // before the reply is handled
+		want  int  // results reported for the call
 	}{
 		"drop, reply": {func(fake *fakeLoop) { fake.link.Abandon("cd") }, true, 0},
 		"reply, drop": {func(fake *fakeLoop) { require.False(fake, fake.link.Abandon("cd")) }, false, 1},
@@ -74,7 +75,7 @@
 				fake.link.Call("cd", time.Hour, nil)
 				fake.expect(remote.reader, "CALL cd 3600000 0", "")
 				fmt.Fprintf(remote.conn, "cd %s\r\n", status)
-				reply := <-fake.posted // runs later
+				reply := <-fake.posted // runs before or after act
 				if test.first {
 					test.act(fake)
 				}
--- a/internal/store/result.go
+++ b/internal/store/result.go
@@ -2,19 +2,19 @@
 
 import "strconv"
 
-// Result is how a call ended.
+// Result is the result of a call.
 type Result uint8
 
-// The results. The last three are found out by the Link and not sent by the store.
+// The results. The last three are determined by the Link; the store does not send them.
 const (
-	OK                Result = iota //nolint:varnamelen // the protocol's name; with a body
-	Rejected                        // it never ran
-	Failed                          // it may have had its effect
-	TimedOut                        // out of time, or its run has ended; it may have had its effect
-	NotStarted                      // no run waits for it: it never ran
-	ConnectionRefused               // no connection to the store: it never ran
-	ConnectionBroken                // the connection broke during the call; it may have had its effect
-	Expired                         // abandoned at its deadline; it may have had its effect
+	OK                Result = iota //nolint:varnamelen // the name in the protocol; comes with a body
+	Rejected                        // the call did not run
+	Failed                          // the call may have had an effect
+	TimedOut                        // timed out, or its run has ended; the call may have had an effect
+	NotStarted                      // no run waits for the call, so it did not run
+	ConnectionRefused               // no connection could be opened, so the call did not run
+	ConnectionBroken                // the connection broke during the call, which may have had an effect
+	Expired                         // abandoned at its deadline; the call may have had an effect
 )
 
 // String returns the name of the result.
