--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -1,6 +1,6 @@
-// Package announce reports whether an image server accepts requests to the announce service, which tells front ends of
-// image servers. A report is one UDP datagram, which may be lost; reports are repeated, and an entry of the service lapses
-// 3 s after the last.
+// Package announce reports to the announce service whether an image server accepts requests. Front ends find the image
+// servers through that service. A report is one UDP datagram and may be lost, so reports are repeated. The service drops an
+// entry 3 s after its last report.
 package announce
 
 import (
@@ -17,24 +17,24 @@
 )
 
 const (
-	// reportInterval is short against the 3 s after which an entry lapses, so that it stays though one report in four
-	// is lost: fourteen in a row are not.
+	// reportInterval is short compared with the 3 s after which an entry expires. An entry survives the loss of one report
+	// in four, because it expires only if 14 reports in a row are lost.
 	reportInterval = 200 * time.Millisecond
 
-	// maxAttempts is for the error of an earlier report, which takes the place of the next.
+	// maxAttempts allows for one send that fails with the error of an earlier report.
 	maxAttempts = 2
 )
 
-// state is the life of an Announcer. It only moves on:
+// state is the life cycle of an Announcer.
 //
-//	idle      -> reporting  by the first SetAccepting
-//	any state -> stopped    by Stop
+//	idle      -> reporting  the first SetAccepting
+//	any state -> stopped    Stop
 type state uint8
 
 const (
 	idle      state = iota // nothing to report yet
-	reporting              // the newest report is sent and repeated
-	stopped                // another process reports
+	reporting              // the current report is sent repeatedly
+	stopped                // another process sends the reports
 )
 
 // String returns the name of the state.
@@ -51,27 +51,28 @@
 	}
 }
 
-// Announcer sends the newest report, and repeats it. Its methods but Run are called on the server's loop and never block.
+// Announcer sends the current report repeatedly. All methods except Run are called on the server's loop and do not block.
 type Announcer struct {
-	name    string
+	name    string // of the image server
 	log     *logging.Limiter
 	state   state
-	current report
-	reports latest.Value[report] // for Run
+	current report               // used only on the loop
+	reports latest.Value[report] // hands the current report to Run
 }
 
-// report is what is reported, and where.
+// report is the content of a report and its destination.
 type report struct {
-	address   string // empty: nowhere
+	address   string // of the service; empty: send nothing
 	accepting bool
 }
 
-// New returns an Announcer of the image server called name to the service at address. Nothing is sent before Run.
+// New returns an Announcer that reports for the image server called name to the service at address. It sends nothing before
+// Run is called.
 func New(address, name string, log *logging.Limiter) *Announcer {
 	return &Announcer{name: name, log: log, current: report{address: address}, reports: latest.New[report]()}
 }
 
-// SetAccepting changes what is reported, at once.
+// SetAccepting reports at once whether the server accepts requests.
 func (a *Announcer) SetAccepting(accepting bool) {
 	a.current.accepting = accepting
 	if a.state == idle {
@@ -80,13 +81,13 @@
 	a.publish()
 }
 
-// SetAddress changes the address that is reported to.
+// SetAddress sets the address of the service.
 func (a *Announcer) SetAddress(address string) {
 	a.current.address = address
 	a.publish()
 }
 
-// Stop ends all reports for good: another process makes them.
+// Stop ends all reports permanently, because another process sends them from now on.
 func (a *Announcer) Stop() {
 	if a.state == stopped {
 		return
@@ -95,18 +96,17 @@
 	a.reports.Set(report{accepting: a.current.accepting})
 }
 
-// Stopped reports whether reports have ended.
+// Stopped reports whether Stop was called.
 func (a *Announcer) Stopped() bool { return a.state == stopped }
 
-// publish hands the report in force to Run.
+// publish hands the current report to Run.
 func (a *Announcer) publish() {
 	if a.state == reporting {
 		a.reports.Set(a.current)
 	}
 }
 
-// Run sends reports until ctx ends, on a goroutine of its own: at once where there is a new report, and every
-// reportInterval.
+// Run sends each new report at once and the current one every reportInterval, until ctx ends. It needs its own goroutine.
 func (a *Announcer) Run(ctx context.Context) {
 	var newest report
 	var service socket
@@ -127,7 +127,7 @@
 	}
 }
 
-// sendTo sends a report to the service, and logs where that fails.
+// sendTo sends a report to the service and logs a failure.
 func (a *Announcer) sendTo(ctx context.Context, service *socket, newest report) {
 	conn, err := service.open(ctx)
 	if err != nil {
@@ -139,8 +139,8 @@
 	}
 }
 
-// send sends a report. A first error may be that of an earlier report, which found nobody there: the last report of a
-// server that drains would come an interval late for it.
+// send sends a report. The first attempt may fail with the error of an earlier report that no service received. It is
+// repeated at once; otherwise the last report of a draining server would be delayed by reportInterval.
 func (a *Announcer) send(conn net.Conn, newest report) (err error) {
 	for range maxAttempts {
 		if _, err = fmt.Fprintf(conn, "announce %s %t", a.name, newest.accepting); err == nil {
@@ -150,7 +150,7 @@
 	return fmt.Errorf("send report: %w", err)
 }
 
-// socket is the UDP socket to the service, opened on first use. It belongs to Run.
+// socket is the UDP socket to the service. It is opened on first use and belongs to Run.
 type socket struct {
 	address string
 	conn    net.Conn // nil: not open
@@ -178,7 +178,7 @@
 
 func (s *socket) close() {
 	if s.conn != nil {
-		_ = s.conn.Close() // nothing can be done about an error
+		_ = s.conn.Close() // an error has no consequence
 		s.conn = nil
 	}
 }
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listen opens the service's socket at address.
+// listen opens the socket of the announce service at address.
 func listen(t *testing.T, address string) net.PacketConn {
 	t.Helper()
 	var config net.ListenConfig
 	service, err := config.ListenPacket(t.Context(), "udp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		_ = service.Close() // an error where the test has closed it
+		_ = service.Close() // fails if the test has closed it
 	})
 	return service
 }
@@ -32,8 +32,9 @@
 	return string(datagram[:n])
 }
 
-// A change is reported at once, and a report is repeated so that the entry does not lapse.
-func TestReports(t *testing.T) {
+// A change must be reported at once, and a report must be repeated so that the entry does not expire. The same must hold
+// after the service has moved to another address.
+func TestReportsAreImmediateAndRepeated(t *testing.T) {
 	service := listen(t, "127.0.0.1:0")
 	log, _ := test.NewNullLogger()
 	announcer := New(service.LocalAddr().String(), "n3", logging.NewLimiter(log))
@@ -51,7 +52,7 @@
 	}
 	require.Equal(t, "announce n3 false", receive(t, service))
 	moved := listen(t, "127.0.0.1:0")
-	announcer.SetAddress(moved.LocalAddr().String()) // what was reported holds there too
+	announcer.SetAddress(moved.LocalAddr().String()) // the current report is repeated there
 	require.NoError(t, service.Close())
 	require.Equal(t, "announce n3 false", receive(t, moved))
 	require.Equal(t, "announce n3 false", receive(t, moved))
@@ -59,8 +60,8 @@
 	<-runDone
 }
 
-// Once another process reports, changes here are not reported any more.
-func TestSilence(t *testing.T) {
+// Once another process sends the reports, changes must not be reported any more.
+func TestStopEndsReports(t *testing.T) {
 	announcer := New("127.0.0.1:9", "n3", nil)
 	announcer.SetAddress("127.0.0.1:8")
 	require.Empty(t, announcer.reports.C()) // nothing to report yet
@@ -75,8 +76,8 @@
 	require.Empty(t, announcer.reports.C())
 }
 
-// The service was down for a report, and the error of that takes the place of the next: the last report of a server that
-// drains, which then came 200 ms late.
+// The service was down when a report was sent, and the error of that report fails the next send. The last report of a
+// draining server used to be 200 ms late because of this.
 func TestReportAfterServiceWasDown(t *testing.T) {
 	service := listen(t, "127.0.0.1:0")
 	address := service.LocalAddr().String()
@@ -86,7 +87,7 @@
 	t.Cleanup(func() { conn.Close() })
 	require.NoError(t, service.Close())
 	announcer := New(address, "n3", nil)
-	require.NoError(t, announcer.send(conn, report{address, true})) // nobody is there; the kernel reports it with the next
+	require.NoError(t, announcer.send(conn, report{address, true})) // lost; the kernel reports the error on the next send
 	service = listen(t, address)
 	require.NoError(t, announcer.send(conn, report{address, false}))
 	require.Equal(t, "announce n3 false", receive(t, service))
--- a/internal/announce/golden_test.go
+++ b/internal/announce/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each report, one datagram, which has no end of line.
+// Each report is one datagram without a line end.
 func TestGoldenReports(t *testing.T) {
 	var cases []golden.Case
 	for _, test := range []struct {
@@ -34,7 +34,8 @@
 	golden.Require(t, "reports.golden", cases)
 }
 
-// Each line that an Announcer logs. The second is under the topic of the first, so it needs an Announcer of its own.
+// Each log line of an Announcer. The second case needs an Announcer of its own, because the limiter of the first would
+// suppress a second line with the same topic.
 func TestGoldenLog(t *testing.T) {
 	var lines strings.Builder
 	newAnnouncer := func() *Announcer {
--- a/internal/jsonlines/jsonlines.go
+++ b/internal/jsonlines/jsonlines.go
@@ -1,4 +1,4 @@
-// Package jsonlines reads the messages of a peer that sends JSON objects, one a line, and helps to write them.
+// Package jsonlines reads messages from a peer that sends JSON objects, one per line, and helps to encode such messages.
 package jsonlines
 
 import (
@@ -10,30 +10,30 @@
 	"github.com/valyala/fastjson"
 )
 
-// MaxLineLength bounds a line, in bytes with its end: a result of 4 KiB in base64 fits many times over.
+// MaxLineLength limits a line, in bytes including the line end. A base64-encoded result of 4 KiB fits several times.
 const MaxLineLength = 32 << 10
 
-// LineError reports a line that is not a message: no JSON, or not what the peer may send.
+// LineError reports a line that is not a valid message: it is not JSON, or its content is invalid.
 type LineError struct{ Err error }
 
 func (e *LineError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the error of parsing or decoding the line.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Parser parses lines into messages of type M and reuses its memory from line to line. It belongs to one goroutine.
+// Parser parses lines into messages of type M. It reuses its memory and must be used by one goroutine.
 type Parser[M any] struct {
 	json   fastjson.Parser
 	decode func(*fastjson.Value) (M, error)
 }
 
-// NewParser returns a Parser of messages that decode makes from the object of a line. The message must not refer to
-// the object, which is reused.
+// NewParser returns a Parser that uses decode to convert the JSON object of a line into a message. The message must not
+// refer to the object, because its memory is reused for the next line.
 func NewParser[M any](decode func(*fastjson.Value) (M, error)) *Parser[M] {
 	return &Parser[M]{decode: decode}
 }
 
-// Parse parses one line. Its error is a *LineError; the message is of no use then.
+// Parse parses one line. Its error is a *LineError, and the message is then invalid.
 func (p *Parser[M]) Parse(line []byte) (M, error) {
 	object, err := p.json.ParseBytes(line)
 	if err != nil {
@@ -47,14 +47,14 @@
 	return message, nil
 }
 
-// ReadEach hands each message of r to handle until reading or parsing fails, and returns that error: a *LineError for
-// an invalid line, bufio.ErrBufferFull for one over MaxLineLength, and whatever r returns otherwise, io.EOF included.
+// ReadEach reads messages from r and passes each to handle until reading or parsing fails. It returns a *LineError for an
+// invalid line, bufio.ErrBufferFull for a line longer than MaxLineLength, and otherwise the error of r, including io.EOF.
 func (p *Parser[M]) ReadEach(r io.Reader, handle func(M)) error {
 	lines := bufio.NewReaderSize(r, MaxLineLength)
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
-			return err //nolint:wrapcheck // the caller says what was read
+			return err //nolint:wrapcheck // the caller adds what it was reading
 		}
 		message, err := p.Parse(line)
 		if err != nil {
@@ -64,10 +64,10 @@
 	}
 }
 
-// Text returns a copy of the string member called name, empty where there is none.
+// Text returns a copy of the string member called name, or "" if there is none.
 func Text(object *fastjson.Value, name string) string { return string(object.GetStringBytes(name)) }
 
-// Base64 returns the bytes that the string member called name encodes, none where there is no such member.
+// Base64 decodes the string member called name. It returns no bytes if there is no such member.
 func Base64(object *fastjson.Value, name string) ([]byte, error) {
 	data, err := base64.StdEncoding.AppendDecode(nil, object.GetStringBytes(name))
 	if err != nil {
@@ -76,8 +76,8 @@
 	return data, nil
 }
 
-// AppendBase64 appends to an object that has a member before it the member called name, which needs no escape, with data
-// in base64.
+// AppendBase64 appends a member with data in base64 to an object that already has at least one member. The name must not
+// need escaping.
 func AppendBase64(b []byte, name string, data []byte) []byte {
 	b = append(b, `,"`...)
 	b = append(b, name...)
--- a/internal/jsonlines/jsonlines_test.go
+++ b/internal/jsonlines/jsonlines_test.go
@@ -31,7 +31,7 @@
 	return string(append(AppendBase64([]byte(`{"name":"`+name+`"`), "data", data), "}\n"...))
 }
 
-// Messages come out as they went in, and none refers to the line that it came from.
+// A message must be read as it was written, and must not refer to the memory of its line, which is reused.
 func TestMessageRoundTrip(t *testing.T) {
 	require.Equal(t, `,"data":"AP8KIg=="`, string(AppendBase64(nil, "data", []byte("\x00\xff\n\""))))
 	var got []message
@@ -42,7 +42,7 @@
 	require.ErrorAs(t, err, &invalid) // the empty line
 }
 
-// An invalid line is distinguished from the end of the stream, and its error reads as what is wrong with it.
+// An invalid line must be distinguishable from the end of the stream, and its error must say what is wrong with it.
 func TestLineErrors(t *testing.T) {
 	parser := NewParser(decodeMessage)
 	for input, want := range map[string]error{"{}\n": errNameless, "": io.EOF, `{"name":"a"}`: io.EOF,
--- a/internal/latest/latest_test.go
+++ b/internal/latest/latest_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The receiver gets the newest value once, whatever was set before it.
+// The receiver must get the newest value once, and no value set before it.
 func TestNewestReplacesPending(t *testing.T) {
 	value := New[int]()
 	require.Empty(t, value.C())
