--- a/internal/agent/command_log.go
+++ b/internal/agent/command_log.go
@@ -34,7 +34,6 @@
 	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(sent command) bool { return sent.sequence < sequence })
 }
 
-// removeRequest removes the commands about one request.
 func (c *commandLog) removeRequest(requestID string) {
 	c.unacknowledged = slices.DeleteFunc(c.unacknowledged, func(sent command) bool { return sent.requestID == requestID })
 }
--- a/internal/agent/decode.go
+++ b/internal/agent/decode.go
@@ -53,7 +53,7 @@
 	case nameCallRequest:
 		return decodeCallRequest(object)
 	case nameGaugeSample:
-		return sampleAnswer{sequence: decodeSequence(object), values: decodeValues(object)}, nil
+		return rawSample{sequence: decodeSequence(object), values: decodeValues(object)}, nil
 	case nameDeepCheckOutcome:
 		return decodeDeepCheckOutcome(object), nil
 	case nameCommandRejection:
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -61,7 +61,7 @@
 	link := newGoldenLink()
 	first := linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, Handshake{State: Steady, Age: time.Hour})
-		link.handleNotification(queue, sampleAnswer{sequence: 1})
+		link.handleNotification(queue, rawSample{sequence: 1})
 		link.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
 		link.Launch("00000000000000aa", "né\"<\\>\n", nil)
 		link.Reply(goldenRequest, []byte("reply\r\n"))
@@ -74,7 +74,7 @@
 		"launch of an odd class without a payload", "deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
 	second := linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, Handshake{State: Steady, Age: time.Hour})
-		link.handleNotification(queue, sampleAnswer{sequence: 8})
+		link.handleNotification(queue, rawSample{sequence: 8})
 	})
 	cases = append(cases, nameLines(t, []string{"subscribe after a break", "sample after a break", "launch sent again",
 		"second launch sent again", "deliver sent again", "forgo sent again"}, second)...)
@@ -95,8 +95,8 @@
 		{"outcome interrupted", RunOutcome{Offset: 9, RequestID: goldenRequest, Result: RunInterrupted}},
 		{"outcome nothing", RunOutcome{Offset: 10, RequestID: goldenRequest, Result: RunNotStarted}},
 		{"request", CallRequest{Offset: 4294967296, RequestID: goldenRequest, Payload: []byte("call\r\n")}},
-		{"sampled", sampleAnswer{sequence: 12, values: []float64{0.625, 3, 0.41, 120}}},
-		{"sampled with gauges that are not known", sampleAnswer{sequence: 13, values: []float64{-1, -1, 0.5}}},
+		{"sampled", rawSample{sequence: 12, values: []float64{0.625, 3, 0.41, 120}}},
+		{"sampled with gauges that are not known", rawSample{sequence: 13, values: []float64{-1, -1, 0.5}}},
 		{"exercised success", DeepCheckOutcome{Token: "x1", Succeeded: true}},
 		{"exercised failure", DeepCheckOutcome{Token: "x2"}},
 		{"refusal of a launch", CommandRejection{RequestID: goldenRequest, Command: CommandLaunch}},
@@ -145,12 +145,12 @@
 	connectionHandler{link}.Failed(goldenAddr, io.EOF)
 	linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, steady)
-		link.handleNotification(queue, sampleAnswer{sequence: 1})
+		link.handleNotification(queue, rawSample{sequence: 1})
 	})
 	linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, steady)
 		link.handleNotification(queue, Remark{Offset: 5})
-		link.handleNotification(queue, sampleAnswer{sequence: 2})
+		link.handleNotification(queue, rawSample{sequence: 2})
 	})
 	local, _ := net.Pipe()
 	link.handleOpened(goldenAddr, writequeue.New(local, writeQueueSize))
--- a/internal/agent/notification.go
+++ b/internal/agent/notification.go
@@ -57,10 +57,10 @@
 func (DeepCheckOutcome) isNotification() {}
 func (CommandRejection) isNotification() {}
 func (Remark) isNotification()           {}
-func (sampleAnswer) isNotification()     {}
+func (rawSample) isNotification()        {}
 
-// sampleAnswer is a GaugeSample as decoded. The Link maps its values to gauges, in the order set by SetGauges.
-type sampleAnswer struct {
+// rawSample is a GaugeSample as decoded. The Link maps its values to gauges, in the order set by SetGauges.
+type rawSample struct {
 	sequence int64     // of the sample that is answered, or unknownSample
 	values   []float64 // in the order in which the agent reports the gauges
 }
--- a/internal/agent/notification_test.go
+++ b/internal/agent/notification_test.go
@@ -23,8 +23,8 @@
 		{`{"cmd":"request","offset":8,"req":"ab","payload":"aGk="}`,
 			CallRequest{Offset: 8, RequestID: "ab", Payload: []byte("hi")}},
 		{`{"cmd":"sampled","token":"4","load":[0.5,null,nan,2]}`,
-			sampleAnswer{sequence: 4, values: []float64{0.5, -1, -1, 2}}},
-		{`{"cmd":"sampled","token":"x4","load":[]}`, sampleAnswer{sequence: unknownSample}},
+			rawSample{sequence: 4, values: []float64{0.5, -1, -1, 2}}},
+		{`{"cmd":"sampled","token":"x4","load":[]}`, rawSample{sequence: unknownSample}},
 		{`{"cmd":"exercised","token":"x1","result":"failure"}`,
 			DeepCheckOutcome{Token: "x1"}},
 		{`{"cmd":"refusal","result":"launch","req":"ab"}`,
@@ -67,9 +67,9 @@
 	link.SetGauges([]string{"links"})
 	linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, Handshake{State: Steady})
-		link.handleNotification(queue, sampleAnswer{sequence: 1, values: []float64{3}})
+		link.handleNotification(queue, rawSample{sequence: 1, values: []float64{3}})
 		link.SetGauges([]string{"on_cores"})
-		link.handleNotification(queue, sampleAnswer{sequence: 1, values: []float64{3}})
+		link.handleNotification(queue, rawSample{sequence: 1, values: []float64{3}})
 	})
 	require.Equal(t, []Notification{
 		Handshake{State: Steady},
@@ -128,12 +128,12 @@
 			valid = notification.Offset > 0 && notification.RequestID != ""
 		case Remark:
 			valid = notification.Offset >= 0
-		case sampleAnswer, DeepCheckOutcome, CommandRejection: // any content is valid
+		case rawSample, DeepCheckOutcome, CommandRejection: // any content is valid
 		default:
 			valid = false
 		}
 		if !valid {
-			t.Errorf("read %+v", notification)
+			t.Errorf("accepted an invalid notification: %+v", notification)
 		}
 	})
 }
--- a/internal/agent/receive.go
+++ b/internal/agent/receive.go
@@ -75,7 +75,7 @@
 		if !l.handleHandshake(received.Age) {
 			return
 		}
-	case sampleAnswer:
+	case rawSample:
 		l.handleSample(received.sequence)
 		notification = GaugeSample{Load: newLoad(l.gauges, received.values)}
 	case RunOutcome:
--- a/internal/jsonlines/jsonlines_test.go
+++ b/internal/jsonlines/jsonlines_test.go
@@ -47,7 +47,7 @@
 	parser := NewParser(decodeMessage)
 	for input, want := range map[string]error{"{}\n": errNameless, "": io.EOF, `{"name":"a"}`: io.EOF,
 		`{"name":"` + strings.Repeat("a", MaxLineLength): bufio.ErrBufferFull} {
-		err := parser.ReadEach(strings.NewReader(input), func(message) { t.Fatal("read") })
+		err := parser.ReadEach(strings.NewReader(input), func(message) { t.Fatal("a message was read from invalid input") })
 		require.ErrorIs(t, err, want, "%.40q", input)
 		var invalid *LineError
 		require.Equal(t, errors.Is(want, errNameless), errors.As(err, &invalid), "%.40q", input)
--- a/internal/msgpackrpc/cold_start_test.go
+++ b/internal/msgpackrpc/cold_start_test.go
@@ -57,14 +57,13 @@
 			require.Contains(t, []string{"served", codeOverloaded, codeInternal}, outcome)
 			outcomes[outcome]++
 		case <-time.After(testTimeout):
-			t.Fatalf("no more answers: %v", outcomes)
+			t.Fatalf("no further answer within %v, outcomes so far: %v", testTimeout, outcomes)
 		}
 	}
 	require.Equal(t, runs, outcomes["served"], "%v", outcomes)
 	require.Positive(t, runs)
 }
 
-// sendRequests writes count requests.
 func (c *testClient) sendRequests(count int) {
 	c.Helper()
 	for range count {
@@ -90,8 +89,8 @@
 			continue // "closing" on an idle connection
 		}
 		passed++
-		if fault, failed := list[2].(arrayValue); failed {
-			answers <- fmt.Sprint(fault[0])
+		if rpcError, failed := list[2].(arrayValue); failed {
+			answers <- fmt.Sprint(rpcError[0])
 		} else {
 			answers <- "served"
 		}
--- a/internal/msgpackrpc/frame_reader.go
+++ b/internal/msgpackrpc/frame_reader.go
@@ -72,7 +72,7 @@
 	if n > 0 {
 		return nil
 	}
-	return err //nolint:wrapcheck // the source's own: io.EOF ends a connection in normal service
+	return err //nolint:wrapcheck // the error of the source; io.EOF is the normal end of a connection
 }
 
 // growBuffer makes room for at least one byte at the end of the buffer. maxBufferSize suffices because scan rejects a
--- a/internal/msgpackrpc/golden_reasons_test.go
+++ b/internal/msgpackrpc/golden_reasons_test.go
@@ -16,9 +16,9 @@
 // expectInvalid reads the response to the last request, which must be an Invalid error, and returns the reason.
 func (c *testClient) expectInvalid() string {
 	c.Helper()
-	fault, result := c.readResponse(int(c.lastCall))
+	rpcError, result := c.readResponse(int(c.lastCall))
 	require.Nil(c, result)
-	details := requireType[arrayValue](c, fault)
+	details := requireType[arrayValue](c, rpcError)
 	require.Equal(c, "Invalid", details[0])
 	reasons := requireType[mapValue](c, details[1])
 	require.Len(c, reasons, 1)
--- a/internal/msgpackrpc/harness_test.go
+++ b/internal/msgpackrpc/harness_test.go
@@ -150,7 +150,7 @@
 		for lines.Scan() {
 			var command agentCommand
 			if err := json.Unmarshal(lines.Bytes(), &command); err != nil {
-				p.Errorf("command %q: %v", lines.Text(), err)
+				p.Errorf("agent received an invalid command %q: %v", lines.Text(), err)
 			}
 			if command.Cmd != "sample" {
 				p.commands <- command
@@ -205,7 +205,6 @@
 	}
 }
 
-// readStoreCall reads one call.
 func readStoreCall(reader *bufio.Reader) (call storeCall, err error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -229,7 +228,7 @@
 	select {
 	case value = <-from:
 	case <-time.After(testTimeout):
-		peers.Fatalf("no %s came", what)
+		peers.Fatalf("no %s within %v", what, testTimeout)
 	}
 	return value
 }
--- a/internal/msgpackrpc/header.go
+++ b/internal/msgpackrpc/header.go
@@ -191,7 +191,7 @@
 		return uint64(binary.BigEndian.Uint16(b))
 	case 4:
 		return uint64(binary.BigEndian.Uint32(b))
-	default: // 8
+	default: // 8 bytes
 		return binary.BigEndian.Uint64(b)
 	}
 }
--- a/internal/msgpackrpc/input_test.go
+++ b/internal/msgpackrpc/input_test.go
@@ -43,16 +43,16 @@
 func TestReadTimeoutDoesNotLoseInput(t *testing.T) {
 	t.Parallel()
 	for name, interrupt := range map[string]struct {
-		by  func(local *conn)
-		err error
+		trigger func(local *conn)
+		wantErr error
 	}{
 		"idle close": {
-			by:  func(local *conn) { local.PauseReading() },
-			err: errReadPaused,
+			trigger: func(local *conn) { local.PauseReading() },
+			wantErr: errReadPaused,
 		},
 		"pause": {
-			by:  func(local *conn) { require.NoError(t, local.netConn.SetReadDeadline(expiredDeadline)) },
-			err: os.ErrDeadlineExceeded,
+			trigger: func(local *conn) { require.NoError(t, local.netConn.SetReadDeadline(expiredDeadline)) },
+			wantErr: os.ErrDeadlineExceeded,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -63,16 +63,16 @@
 			_, err := remote.Write([]byte("abc"))
 			require.NoError(t, err)
 			waitForInput(t, local, 3)
-			interrupt.by(local)
+			interrupt.trigger(local)
 			n, err := local.input.Read(buffer)
 			require.NoError(t, err)
 			require.Equal(t, "abc", string(buffer[:n]))
-			interrupt.by(local) // nothing has arrived since
+			interrupt.trigger(local) // nothing has arrived since
 			_, err = local.input.Read(buffer)
-			require.ErrorIs(t, err, interrupt.err)
+			require.ErrorIs(t, err, interrupt.wantErr)
 
 			local, remote = loopbackConn(t)
-			interrupt.by(local)
+			interrupt.trigger(local)
 			remote.Close() // after the deadline: the end of the stream must still be seen
 			require.Eventually(t, func() bool {
 				_, err := local.input.Read(buffer)
--- a/internal/msgpackrpc/limits_test.go
+++ b/internal/msgpackrpc/limits_test.go
@@ -29,8 +29,8 @@
 // However many requests are read, the number of runs at a time must stay within the concurrency limit and the memory limit.
 func TestConcurrencyStaysWithinLimits(t *testing.T) {
 	for name, replacements := range map[string][]string{
-		"crowd":  {`"Cpus": 6`, `"Cpus": 1`, `"FallMultiple": 5.0`, `"FallMultiple": 1.0`},
-		"memory": {`"MemoryKb": 43152.0`, `"MemoryKb": 700`}, // one run takes 392
+		"concurrency": {`"Cpus": 6`, `"Cpus": 1`, `"FallMultiple": 5.0`, `"FallMultiple": 1.0`},
+		"memory":      {`"MemoryKb": 43152.0`, `"MemoryKb": 700`}, // one run takes 392
 	} {
 		t.Run(name, func(t *testing.T) {
 			peers := startServer(t, replacements...)
--- a/internal/msgpackrpc/listener_test.go
+++ b/internal/msgpackrpc/listener_test.go
@@ -57,7 +57,7 @@
 	*net.TCPListener
 	interrupting chan struct{} // closed when SetDeadline is called to interrupt Accept
 	release      chan struct{}
-	lifted       chan struct{} // receives a signal when another deadline is set
+	replaced     chan struct{} // receives a signal when another deadline is set
 }
 
 func (l *blockingListener) SetDeadline(deadline time.Time) error {
@@ -68,7 +68,7 @@
 	}
 	err := l.TCPListener.SetDeadline(deadline)
 	select {
-	case l.lifted <- struct{}{}:
+	case l.replaced <- struct{}{}:
 	default:
 	}
 	return err
@@ -79,7 +79,7 @@
 func TestCloseAcceptsPendingConnection(t *testing.T) {
 	t.Parallel()
 	blocking := &blockingListener{TCPListener: loopback.Listen(t), interrupting: make(chan struct{}), release: make(chan struct{}),
-		lifted: make(chan struct{}, 1)}
+		replaced: make(chan struct{}, 1)}
 	peers, listener, done := serveListener(t, blocking, 1)
 	client := peers.dial()
 	client.write(encodeHealthCheck(1, nil))
@@ -90,7 +90,7 @@
 	go func() { closed <- listener.Close() }()
 	<-blocking.interrupting
 	select {
-	case <-blocking.lifted: // wrong order: pending connections are accepted before the interruption
+	case <-blocking.replaced: // wrong order: pending connections are accepted before the interruption
 	case <-time.After(200 * time.Millisecond):
 	}
 	close(blocking.release)
--- a/internal/msgpackrpc/message_test.go
+++ b/internal/msgpackrpc/message_test.go
@@ -80,7 +80,7 @@
 			value, referenceErr := reference.next()
 			frame, err := frames.next()
 			if (referenceErr == nil) != (err == nil) {
-				t.Fatalf("%v, and by the reference decoder %v", err, referenceErr)
+				t.Fatalf("error of the frame reader: %v; of the reference decoder: %v", err, referenceErr)
 			}
 			if err != nil {
 				return
@@ -88,7 +88,7 @@
 			want, referenceErr := referenceParseMessage(value)
 			msg, err := parseMessage(frame)
 			if (referenceErr == nil) != (err == nil) {
-				t.Fatalf("%v, and by the reference parser %v", err, referenceErr)
+				t.Fatalf("error of the parser: %v; of the reference parser: %v", err, referenceErr)
 			}
 			if err != nil {
 				return
--- a/internal/msgpackrpc/reference_parser_test.go
+++ b/internal/msgpackrpc/reference_parser_test.go
@@ -24,7 +24,7 @@
 	var msg referenceMessage
 	list, ok := v.(arrayValue)
 	if !ok || len(list) < 3 {
-		return msg, fmt.Errorf("%w: want an array of 3 or 4", errNotRPCMessage)
+		return msg, fmt.Errorf("%w: want an array of 3 or 4 elements", errNotRPCMessage)
 	}
 	kind, ok := list[0].(int64)
 	if !ok || kind != int64(kindRequest) && kind != int64(kindNotification) {
@@ -35,12 +35,12 @@
 	if msg.kind == kindRequest {
 		id, ok := rest[0].(int64)
 		if !ok || id < 0 || id > math.MaxUint32 || len(rest) != 3 {
-			return msg, fmt.Errorf("%w: a request of %d parts with id %v", errNotRPCMessage, len(list), rest[0])
+			return msg, fmt.Errorf("%w: request of %d elements with call number %v", errNotRPCMessage, len(list), rest[0])
 		}
 		msg.call, rest = uint32(id), rest[1:]
 	}
 	if len(rest) != 2 {
-		return msg, fmt.Errorf("%w: a notification of %d parts", errNotRPCMessage, len(list))
+		return msg, fmt.Errorf("%w: notification of %d elements", errNotRPCMessage, len(list))
 	}
 	msg.method, _ = rest[0].(string)
 	msg.params, _ = rest[1].(arrayValue)
@@ -159,7 +159,6 @@
 	return attempt, nil
 }
 
-// referenceParseHealthCheck parses a health check.
 func referenceParseHealthCheck(msg referenceMessage) (deep bool, err error) {
 	if len(msg.params) != 1 {
 		return false, errors.New("parameters: want [FIELDS]")
--- a/internal/msgpackrpc/testclient_test.go
+++ b/internal/msgpackrpc/testclient_test.go
@@ -66,7 +66,6 @@
 	return typed
 }
 
-// readMessage reads the next message.
 func (c *testClient) readMessage() arrayValue {
 	c.Helper()
 	value, err := c.decoder.next()
@@ -77,9 +76,9 @@
 // expectAnswer reads the next message, which must be the response to call. want is the body or the error code.
 func (c *testClient) expectAnswer(call int, want string) {
 	c.Helper()
-	fault, result := c.readResponse(call)
-	if fault != nil {
-		require.Equal(c, want, requireType[arrayValue](c, fault)[0], "%v", fault)
+	rpcError, result := c.readResponse(call)
+	if rpcError != nil {
+		require.Equal(c, want, requireType[arrayValue](c, rpcError)[0], "%v", rpcError)
 		return
 	}
 	require.Equal(c, want, fmt.Sprintf("%s", requireType[arrayValue](c, result)[0]))
@@ -88,13 +87,13 @@
 // expectHealthy reads the next message, which must be the response of a healthy server to a health check.
 func (c *testClient) expectHealthy(call int) {
 	c.Helper()
-	fault, result := c.readResponse(call)
-	require.Nil(c, fault)
+	rpcError, result := c.readResponse(call)
+	require.Nil(c, rpcError)
 	require.Equal(c, arrayValue{true, mapValue{}}, result)
 }
 
 // readResponse reads the next message, which must be the response to call, and returns its error and result.
-func (c *testClient) readResponse(call int) (fault, result any) {
+func (c *testClient) readResponse(call int) (rpcError, result any) {
 	c.Helper()
 	list := c.readMessage()
 	require.Len(c, list, 4)
@@ -146,14 +145,12 @@
 	return b
 }
 
-// encodeRequest returns a request.
 func encodeRequest(call uint32, method string, fields map[string]string, body []byte) []byte {
 	b := appendUint(append(appendArray(nil, 4), byte(kindRequest)), call)
 	b = appendFields(appendArray(appendString(b, method), 2), fields)
 	return appendBinary(b, body)
 }
 
-// encodeHealthCheck returns a health check.
 func encodeHealthCheck(call uint32, fields map[string]string) []byte {
 	b := appendUint(append(appendArray(nil, 4), byte(kindRequest)), call)
 	return appendFields(appendArray(appendString(b, methodHealth), 1), fields)
--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -32,8 +32,8 @@
 // mayCarryCalls reports whether further calls may be sent on the connection, if calls currently go to address.
 func (c *connection) mayCarryCalls(address string) bool { return !c.retired && c.address == address }
 
-// awaits reports whether the connection carries the call for a request.
-func (c *connection) awaits(requestID string) bool {
+// carriesCallFor reports whether the connection carries the call for a request.
+func (c *connection) carriesCallFor(requestID string) bool {
 	return c.call != nil && c.call.requestID == requestID
 }
 
@@ -105,7 +105,7 @@
 	if conn == nil {
 		return
 	}
-	if !conn.awaits(frame.requestID) {
+	if !conn.carriesCallFor(frame.requestID) {
 		l.handleUnsolicitedReply(conn)
 		return
 	}
--- a/internal/store/dialer.go
+++ b/internal/store/dialer.go
@@ -70,7 +70,6 @@
 	d.wanted = slices.Delete(d.wanted, 0, 1)
 }
 
-// cancelAll cancels all dials.
 func (d *dialer) cancelAll() {
 	for _, request := range d.wanted {
 		request.cancel()
--- a/internal/store/frame_test.go
+++ b/internal/store/frame_test.go
@@ -62,7 +62,7 @@
 				return
 			}
 			if frame.requestID == "" || frame.result > NotStarted || frame.result != OK && frame.body != nil {
-				t.Errorf("read %+v", frame)
+				t.Errorf("accepted an invalid reply: %+v", frame)
 			}
 		}
 	})
