--- a/internal/msgpackrpc/fields.go
+++ b/internal/msgpackrpc/fields.go
@@ -46,7 +46,7 @@
 
 // fields holds the values of a request's fields, which are slices of the frame, and the first error found in them. If a
 // name occurs twice, the last value counts. Unknown names are ignored. A method that reads a field records an invalid
-// value in err and then returns a value within the range.
+// value in err; what it returns must not be used if err is set.
 type fields struct {
 	values [fieldCount][]byte // nil: field absent
 	err    error
