--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -21,7 +21,7 @@
 
 func newGoldenLink() *Link { return newLinkWithLog(io.Discard) }
 
-// newLinkWithLog returns a Link that logs to w.
+// newLinkWithLog returns a Link that logs to w. Its loop runs posted functions at once.
 func newLinkWithLog(w io.Writer) *Link {
 	log := golden.NewLogger(w)
 	loop := Loop{Post: func(do func()) { do() }, Now: func() time.Duration { return 0 }}
@@ -29,7 +29,7 @@
 	return New(Config{Address: goldenAddr, Seed: 1}, loop, handler, logging.NewLimiter(log))
 }
 
-// linesWritten returns the lines that link writes to a connection during scenario.
+// linesWritten returns the lines that link writes to a new connection during scenario.
 func linesWritten(t *testing.T, link *Link, scenario func(queue *writequeue.Queue)) []string {
 	t.Helper()
 	local, remote := net.Pipe()
@@ -56,12 +56,12 @@
 	return cases
 }
 
-// Every command, as a link writes it, on a first connection and on one that follows it.
+// Every command as a Link writes it, on a first connection and on the next one.
 func TestGoldenCommands(t *testing.T) {
 	link := newGoldenLink()
 	first := linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, Handshake{State: Steady, Age: time.Hour})
-		link.handleNotification(queue, sampleAnswer{sequence: 1})
+		link.handleNotification(queue, rawSample{sequence: 1})
 		link.Launch(goldenRequest, "preview", []byte{0, 0xff, '\n', '"'})
 		link.Launch("00000000000000aa", "né\"<\\>\n", nil)
 		link.Reply(goldenRequest, []byte("reply\r\n"))
@@ -74,14 +74,14 @@
 		"launch of an odd class without a payload", "deliver", "sample after a delivery", "forgo", "sample", "exercise"}, first)
 	second := linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, Handshake{State: Steady, Age: time.Hour})
-		link.handleNotification(queue, sampleAnswer{sequence: 8})
+		link.handleNotification(queue, rawSample{sequence: 8})
 	})
 	cases = append(cases, nameLines(t, []string{"subscribe after a break", "sample after a break", "launch sent again",
 		"second launch sent again", "deliver sent again", "forgo sent again"}, second)...)
 	golden.Require(t, "commands.golden", cases)
 }
 
-// Every kind of message from the agent, with each of its results.
+// Every kind of notification from the agent, with each of its results.
 func TestGoldenNotifications(t *testing.T) {
 	cases := []struct {
 		name string
@@ -95,8 +95,8 @@
 		{"outcome interrupted", RunOutcome{Offset: 9, RequestID: goldenRequest, Result: RunInterrupted}},
 		{"outcome nothing", RunOutcome{Offset: 10, RequestID: goldenRequest, Result: RunNotStarted}},
 		{"request", CallRequest{Offset: 4294967296, RequestID: goldenRequest, Payload: []byte("call\r\n")}},
-		{"sampled", sampleAnswer{sequence: 12, values: []float64{0.625, 3, 0.41, 120}}},
-		{"sampled with gauges that are not known", sampleAnswer{sequence: 13, values: []float64{-1, -1, 0.5}}},
+		{"sampled", rawSample{sequence: 12, values: []float64{0.625, 3, 0.41, 120}}},
+		{"sampled with gauges that are not known", rawSample{sequence: 13, values: []float64{-1, -1, 0.5}}},
 		{"exercised success", DeepCheckOutcome{Token: "x1", Succeeded: true}},
 		{"exercised failure", DeepCheckOutcome{Token: "x2"}},
 		{"refusal of a launch", CommandRejection{RequestID: goldenRequest, Command: CommandLaunch}},
@@ -113,7 +113,7 @@
 	}
 }
 
-// What is logged of lines that are no messages.
+// The error that is logged for each line that is not a valid notification.
 func TestGoldenErrors(t *testing.T) {
 	var cases []golden.Case
 	for _, test := range []struct{ name, line string }{
@@ -135,7 +135,7 @@
 	golden.Require(t, "errors.golden", cases)
 }
 
-// Each line that a Link logs.
+// Each log line of a Link.
 func TestGoldenLog(t *testing.T) {
 	var lines strings.Builder
 	link := newLinkWithLog(&lines)
@@ -145,12 +145,12 @@
 	connectionHandler{link}.Failed(goldenAddr, io.EOF)
 	linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, steady)
-		link.handleNotification(queue, sampleAnswer{sequence: 1})
+		link.handleNotification(queue, rawSample{sequence: 1})
 	})
 	linesWritten(t, link, func(queue *writequeue.Queue) {
 		link.handleNotification(queue, steady)
 		link.handleNotification(queue, Remark{Offset: 5})
-		link.handleNotification(queue, sampleAnswer{sequence: 2})
+		link.handleNotification(queue, rawSample{sequence: 2})
 	})
 	local, _ := net.Pipe()
 	link.handleOpened(goldenAddr, writequeue.New(local, writeQueueSize))
--- a/internal/msgpackrpc/reference_parser_test.go
+++ b/internal/msgpackrpc/reference_parser_test.go
@@ -10,7 +10,7 @@
 	"falldeal/internal/server"
 )
 
-// referenceMessage is one frame from a client.
+// referenceMessage is one message from a client.
 type referenceMessage struct {
 	kind   messageKind
 	call   uint32
@@ -18,13 +18,13 @@
 	params arrayValue
 }
 
-// referenceParseMessage takes a frame apart. An error wraps errNotRPCMessage; what is only wrong about a request is
-// found later, so that it can be answered.
+// referenceParseMessage parses the envelope of a message. Its errors wrap errNotRPCMessage. Faults in the method and the
+// parameters of a request are left to later checks, as in parseMessage.
 func referenceParseMessage(v any) (referenceMessage, error) {
 	var msg referenceMessage
 	list, ok := v.(arrayValue)
 	if !ok || len(list) < 3 {
-		return msg, fmt.Errorf("%w: want an array of 3 or 4", errNotRPCMessage)
+		return msg, fmt.Errorf("%w: want an array of 3 or 4 elements", errNotRPCMessage)
 	}
 	kind, ok := list[0].(int64)
 	if !ok || kind != int64(kindRequest) && kind != int64(kindNotification) {
@@ -35,19 +35,19 @@
 	if msg.kind == kindRequest {
 		id, ok := rest[0].(int64)
 		if !ok || id < 0 || id > math.MaxUint32 || len(rest) != 3 {
-			return msg, fmt.Errorf("%w: a request of %d parts with id %v", errNotRPCMessage, len(list), rest[0])
+			return msg, fmt.Errorf("%w: request of %d elements with call number %v", errNotRPCMessage, len(list), rest[0])
 		}
 		msg.call, rest = uint32(id), rest[1:]
 	}
 	if len(rest) != 2 {
-		return msg, fmt.Errorf("%w: a notification of %d parts", errNotRPCMessage, len(list))
+		return msg, fmt.Errorf("%w: notification of %d elements", errNotRPCMessage, len(list))
 	}
 	msg.method, _ = rest[0].(string)
 	msg.params, _ = rest[1].(arrayValue)
 	return msg, nil
 }
 
-// referenceFields is a map of strings to strings that keeps the first error, which names the field.
+// referenceFields is a map of strings to strings. err is the first error and names the field.
 type referenceFields struct {
 	values map[string]string
 	err    error
@@ -100,7 +100,7 @@
 	return value
 }
 
-// hex reads hex digits, which are passed on to other peers as they are.
+// hex reads hex digits. They are forwarded to other peers unchanged, so any other character is rejected.
 func (f *referenceFields) hex(name string, minDigits, maxDigits int) string {
 	digits := f.values[name]
 	ok := len(digits) >= minDigits && len(digits) <= maxDigits
@@ -114,7 +114,7 @@
 	return digits
 }
 
-// referenceParseRequest reads the parameters of a request; an error names the wrong field.
+// referenceParseRequest parses a request. An error names the invalid field.
 func referenceParseRequest(msg referenceMessage) (server.Attempt, error) {
 	attempt := server.Attempt{Class: msg.method}
 	switch {
@@ -159,7 +159,6 @@
 	return attempt, nil
 }
 
-// referenceParseHealthCheck reads the parameters of a health check.
 func referenceParseHealthCheck(msg referenceMessage) (deep bool, err error) {
 	if len(msg.params) != 1 {
 		return false, errors.New("parameters: want [FIELDS]")
@@ -168,7 +167,7 @@
 	return params.values["deep"] == "1", params.err
 }
 
-// referenceParseCancel reads which call a client cancels.
+// referenceParseCancel returns the call that a client cancels.
 func referenceParseCancel(msg referenceMessage) (uint32, bool) {
 	if msg.method != methodCancel || len(msg.params) != 1 {
 		return 0, false
