--- a/internal/overload/aggregation.go
+++ b/internal/overload/aggregation.go
@@ -6,35 +6,42 @@
 	"falldeal/internal/fleet"
 )
 
-// Bounds on what is believed and for how long.
+// Bounds on the published load of a member or a zone. Loads that exceed them are reduced or ignored, so that a member that
+// misreports its load does not decide for the whole fleet.
 const (
-	maxServiceRatePerCore = 4.0             // seconds of work a second
-	maxDemandFactor       = 4.0             // demand to service rate: rejecting a request costs a quarter of running it
-	loadMaxAge            = 8 * time.Second // of the load of a single member, whatever the size of the fleet
+	maxServiceRatePerCore = 4.0             // seconds of work per second, on one core
+	maxDemandFactor       = 4.0             // ratio of demand to service rate: a rejection costs 1/4 of running a request
+	loadMaxAge            = 8 * time.Second // age of the load of a single member, at any fleet size
 )
 
 // Aggregate is the sum of the load of several members.
 type Aggregate struct {
-	Members           int // that are counted
-	Stale             int // that are reached, but whose load is too old or not known
-	Demand            Demand
-	ServiceRate       float64       // seconds of work completed a second
-	Cores, InUse      float64       // of the members that know how many are in use
-	Attempts, Retries float64       // attempts a second, and how many of them are retries
-	Oldest            time.Duration // age of the oldest load that is counted
+	Members     int           // number of members whose load is counted
+	Stale       int           // number of members that are reached but whose load is too old or not known
+	Demand      Demand        // requested work
+	ServiceRate float64       // completed work, in seconds of work per second
+	Cores       float64       // cores of the members that publish how many are in use
+	CoresInUse  float64       // cores of these members that are in use
+	Attempts    float64       // attempts per second, retries included
+	Retries     float64       // attempts per second that are retries
+	Oldest      time.Duration // age of the oldest load that is counted; of a collector's own aggregate, the mean age
 }
 
-// Busy returns the part of the cores that is in use; -1 if no member knows.
+// Busy returns the ratio of the cores that are in use, 0 to 1. It returns -1 if no member publishes how many are.
 func (a *Aggregate) Busy() float64 {
 	if a.Cores <= 0 {
 		return -1
 	}
-	return a.InUse / a.Cores
+	return a.CoresInUse / a.Cores
 }
 
-// AggregateView sums up the load in a view at a time on the view's clock. In a small fleet that is the load of all other
-// members, since the caller knows its own better. In a large fleet it is the aggregates of the zones, which include this
-// member. No member and no zone counts for more than its cores allow, so that a wrong one does not decide for all.
+// AggregateView sums up the load in a view at a time on the view's clock.
+//
+//   - In a small fleet it sums up the loads of all other members. The caller adds its own load, which it knows better.
+//   - In a fleet of 50 members or more it sums up the aggregates of the zones. These include this member.
+//
+// It reduces the load of a member or a zone to what its cores allow, so that one that misreports does not decide for the
+// whole fleet.
 func AggregateView(view *fleet.Snapshot, at time.Duration) (total Aggregate, includesSelf bool) {
 	if len(view.Members) >= minMembersForCollectors {
 		return aggregateZones(view, at), true
@@ -42,7 +49,7 @@
 	return aggregateMembers(view, at), false
 }
 
-// aggregateMembers sums up the load of all members but this one.
+// aggregateMembers sums up the loads of all members except this one.
 func aggregateMembers(view *fleet.Snapshot, at time.Duration) (total Aggregate) {
 	maxAge := min(fleet.MaxFreshAge(len(view.Members)), loadMaxAge)
 	for i := range view.Members {
@@ -60,7 +67,7 @@
 	return total
 }
 
-// AggregateOf returns the published load of one member as an aggregate, within the bounds of what a server can do.
+// AggregateOf returns the published load of one member as an aggregate, reduced to what its cores allow.
 func AggregateOf(load *fleet.Load) (aggregate Aggregate) {
 	aggregate.Members = 1
 	aggregate.ServiceRate = boundedServiceRate(load.ServiceRate, load.Capacity)
@@ -73,13 +80,13 @@
 	aggregate.Retries = load.Attempts * min(load.RetryRatio, 1)
 	if load.Busy >= 0 {
 		aggregate.Cores = load.Capacity
-		aggregate.InUse = load.Capacity * min(load.Busy, 1)
+		aggregate.CoresInUse = load.Capacity * min(load.Busy, 1)
 	}
 	return aggregate
 }
 
-// boundedServiceRate returns a service rate that a server with so many cores can have. A server that publishes none is
-// assumed to complete a second of work a second on each core.
+// boundedServiceRate returns the service rate of a server, limited to what its cores allow. A server that publishes none
+// is assumed to complete one second of work per second on each core.
 func boundedServiceRate(serviceRate, cores float64) float64 {
 	if serviceRate <= 0 {
 		return cores
@@ -89,10 +96,10 @@
 
 // floatFields returns the fields that are encoded as floats, in the order of the wire format.
 func (a *Aggregate) floatFields() [5]*float64 {
-	return [...]*float64{&a.ServiceRate, &a.Cores, &a.InUse, &a.Attempts, &a.Retries}
+	return [...]*float64{&a.ServiceRate, &a.Cores, &a.CoresInUse, &a.Attempts, &a.Retries}
 }
 
-// add adds other to a. Stale is not a sum of aggregates: whoever makes a total counts it.
+// add adds other to a, except for Stale: only the caller that sums up a view counts stale members.
 func (a *Aggregate) add(other *Aggregate) {
 	a.Members += other.Members
 	a.Oldest = max(a.Oldest, other.Oldest)
@@ -105,12 +112,12 @@
 	}
 }
 
-// clamp limits an aggregate to what so many members with so many cores can have published.
+// clamp reduces the aggregate of a zone to what its members, with the given number of cores in total, allow.
 func (a *Aggregate) clamp(members int, cores float64) {
 	a.Members = min(a.Members, members)
 	a.ServiceRate = min(a.ServiceRate, maxServiceRatePerCore*cores)
 	a.Cores = min(a.Cores, cores)
-	a.InUse = min(a.InUse, a.Cores)
+	a.CoresInUse = min(a.CoresInUse, a.Cores)
 	a.Retries = min(a.Retries, a.Attempts)
 	if demand := a.Demand.Total(); demand > maxDemandFactor*a.ServiceRate {
 		a.Demand.scale(maxDemandFactor * a.ServiceRate / demand)
--- a/internal/overload/attempt_age.go
+++ b/internal/overload/attempt_age.go
@@ -2,25 +2,29 @@
 
 import "time"
 
-// maxEstimatedClasses bounds the classes whose timeouts are learned.
+// maxEstimatedClasses bounds the number of classes with a histogram of timeouts.
 const maxEstimatedClasses = 64
 
-// AgeEstimator estimates the age of requests from their clients' timeouts, by class.
+// AgeEstimator estimates the age of requests from the timeouts of their attempts. It learns the timeouts of first attempts
+// for each class.
 //
-// No attempt is marked as a retry, but each states how long its client still waits. A client that limits the time over
-// all attempts states less with each one, and the difference to the first is the age of the request. Timeouts are
-// configured somewhere, so first attempts come with the same few timeouts over and over and later ones with any. A
-// timeout that is common is therefore that of a first attempt; an attempt that falls short of the next common one is at
-// least that old. If timeouts are all the same or all different, nothing is learned.
+// No attempt is marked as a retry, but each states its timeout: how long its client still waits. A client that limits the
+// time over all attempts states less with each attempt. The difference from the first attempt is the age of the request.
+//
+//   - First attempts have a few configured timeouts, which recur; retries have any. A common timeout is therefore taken to
+//     be that of a first attempt.
+//   - An attempt with another timeout is taken for a retry. Its request is at least as old as the difference to the next
+//     longer common timeout.
+//   - Nothing is learned if the timeouts of a class are all the same or all different.
 //
 // It belongs to one goroutine.
 type AgeEstimator struct{ classes map[string]*timeoutHistogram }
 
-// NewAgeEstimator returns an estimator that has learned nothing.
+// NewAgeEstimator returns an estimator that has not learned any timeouts.
 func NewAgeEstimator() *AgeEstimator { return &AgeEstimator{map[string]*timeoutHistogram{}} }
 
-// Age counts an attempt whose client still waits for the given time. It returns how long ago the first attempt of the
-// request was sent, at least; 0 for a first attempt and if nothing is known.
+// Age counts an attempt with the given remaining timeout, and returns the least time since the first attempt of its
+// request was sent. It returns 0 for a first attempt, and if the age is not known.
 func (e *AgeEstimator) Age(now time.Duration, class string, timeout time.Duration) time.Duration {
 	histogram := e.histogram(now, class)
 	if histogram == nil {
@@ -33,7 +37,7 @@
 	return histogram.age(timeout)
 }
 
-// histogram returns the histogram of a class; nil if there is no room for another one.
+// histogram returns the histogram of a class. It returns nil for a new class if maxEstimatedClasses have one.
 func (e *AgeEstimator) histogram(now time.Duration, class string) *timeoutHistogram {
 	if histogram := e.classes[class]; histogram != nil {
 		return histogram
--- a/internal/overload/collector.go
+++ b/internal/overload/collector.go
@@ -9,43 +9,45 @@
 )
 
 const (
-	minMembersForCollectors = 50 // in a smaller fleet all go by the published load of each member
+	minMembersForCollectors = 50 // a smaller fleet has no collectors: each member uses the published loads of all members
 	collectorsPerZone       = 2
-	collectInterval         = time.Second     // between two partial aggregates, and two publications
-	partialMaxAge           = 3 * time.Second // two were missed
-	maxPartials             = 4096            // that a collector keeps, and members of an aggregate
+	collectInterval         = time.Second     // interval of sending partial aggregates and of publishing aggregates
+	partialMaxAge           = 3 * time.Second // tolerates two lost partial aggregates in a row
+	maxPartials             = 4096            // senders that a collector stores, and the largest Members that is decoded
 )
 
-// PartialAggregate is the load of one member, as it is sent to a collector.
+// PartialAggregate is the load of one member, as that member sends it to the collectors of its zone.
 type PartialAggregate struct {
 	From      ProcessID
-	Aggregate Aggregate // of one member
+	Aggregate Aggregate // the load of the sender alone
 }
 
-// Collector is a member's part in the aggregation of its zone.
+// Collector does the part of one member in summing up the load of its zone.
 //
-// In a large fleet the load of a member spreads by gossip too slowly to shed by: its age grows with the number of
-// members, to minutes. There each member sends its load directly to the collectors of its zone each second. These add up
-// the zone and publish the aggregate in their own load each second, so that every member knows one aggregate for each
-// zone that is a few seconds old at any size.
+// In a large fleet, gossip spreads the load of single members too slowly for load shedding: its age grows with the number
+// of members, up to minutes. Therefore each member sends its load directly to the collectors of its zone once a second.
+// The collectors sum up the load of the zone and publish the aggregate in their own load once a second. At any fleet size,
+// each member so knows an aggregate of each zone that is a few seconds old.
 //
-// Collectors are chosen by rendezvous hashing over the view, without an election. A lost one is replaced as soon as the
-// view shows it, and the other goes on meanwhile. Views that differ make a third collector, which does no harm.
+// Rendezvous hashing over the view chooses the collectors, without an election. A lost collector is replaced once the view
+// shows the loss. The other collector of the zone goes on in the meantime. Members with different views may choose a third
+// collector, which does no harm.
 //
 // It belongs to one goroutine.
 type Collector struct {
 	self      ProcessID
-	partials  map[ProcessID]receivedPartial
-	nextTick  time.Duration
-	published string // encoded aggregate of the zone while this member is a collector
+	partials  map[ProcessID]receivedPartial // latest partial aggregate of each sender
+	nextTick  time.Duration                 // earliest time of the next collection
+	published string                        // encoded aggregate of the zone; empty if this member is not a collector
 }
 
+// receivedPartial is the load of another member of the zone.
 type receivedPartial struct {
 	aggregate  Aggregate
 	receivedAt time.Duration
 }
 
-// NewCollector returns a collector for this process that has received nothing.
+// NewCollector returns a collector that runs in the process self.
 func NewCollector(self ProcessID) *Collector {
 	return &Collector{self: self, partials: map[ProcessID]receivedPartial{}}
 }
@@ -53,13 +55,14 @@
 // Self returns the process that this collector runs in.
 func (c *Collector) Self() ProcessID { return c.self }
 
-// Published returns the encoded aggregate of the zone; it is empty if other members collect or the fleet is small.
+// Published returns the encoded aggregate of the zone. It is empty if this member is not a collector or the fleet has
+// fewer than 50 members.
 func (c *Collector) Published() string { return c.published }
 
 // AddToLoad adds the aggregate of the zone to the load that this member publishes.
 func (c *Collector) AddToLoad(load *fleet.Load) { load.Aggregate = c.published }
 
-// Receive stores a partial aggregate. If there is no room for another sender it is dropped; the next one may fit.
+// Receive stores a partial aggregate. It drops one of a new sender if maxPartials are stored.
 func (c *Collector) Receive(now time.Duration, partial PartialAggregate) {
 	if _, known := c.partials[partial.From]; !known && len(c.partials) >= maxPartials {
 		return
@@ -67,8 +70,8 @@
 	c.partials[partial.From] = receivedPartial{partial.Aggregate, now}
 }
 
-// Tick publishes the aggregate of the zone if this member is one of its collectors. It is called at least once a second,
-// and returns the other collectors, to which this member sends its partial aggregate now.
+// Tick updates the published aggregate of the zone if this member is one of its collectors. It returns the other
+// collectors, to which this member is to send its partial aggregate now. It is to be called at least once a second.
 func (c *Collector) Tick(now time.Duration, own Aggregate, view *fleet.Snapshot) (recipients []ProcessID) {
 	if len(view.Members) < minMembersForCollectors {
 		c.reset()
@@ -95,13 +98,14 @@
 	return recipients
 }
 
-// reset forgets what was collected.
+// reset drops the stored partial aggregates and stops publishing.
 func (c *Collector) reset() {
 	c.published = ""
 	clear(c.partials)
 }
 
-// collect adds up the partial aggregates that are recent, and this member's own.
+// collect returns the sum of the recent partial aggregates and this member's own. It drops partial aggregates that are
+// older than partialMaxAge.
 func (c *Collector) collect(now time.Duration, own Aggregate) Aggregate {
 	total := own
 	ages := time.Duration(0)
@@ -116,11 +120,12 @@
 			ages += age
 		}
 	}
-	total.Oldest = ages / time.Duration(max(total.Members, 1)) // the mean age
+	total.Oldest = ages / time.Duration(max(total.Members, 1)) // the mean age rather than the greatest one
 	return total
 }
 
-// zoneCollectors returns the collectors of this member's zone: the members with the highest hashes of process and zone.
+// zoneCollectors returns the collectors of this member's zone: those of its members that accept requests and have the
+// highest hashes of process and zone.
 func (c *Collector) zoneCollectors(view *fleet.Snapshot) []ProcessID {
 	self := view.Find(c.self.Name)
 	if self == nil {
--- a/internal/overload/demand.go
+++ b/internal/overload/demand.go
@@ -1,9 +1,9 @@
 package overload
 
-// Demand is the work that is requested, by bin of priority, in seconds of work a second.
+// Demand is the requested work by priority bin, in seconds of work per second. Priority defines the bins.
 type Demand [demandBins]float64
 
-// Total returns the demand of all bins.
+// Total returns the sum over all bins, in seconds of work per second.
 func (d *Demand) Total() (total float64) {
 	for _, work := range d {
 		total += work
@@ -17,8 +17,9 @@
 	}
 }
 
-// thresholdFor admits demand from the highest priority down until the capacity is used up, and returns the priority that
-// it reaches; 0 if there is capacity for all.
+// thresholdFor returns the priority down to which the demand fits into capacity (in seconds of work per second), counted
+// from the highest priority. It assumes that the demand of a bin is spread evenly over the bin. It returns 0 if all of
+// the demand fits.
 func (d *Demand) thresholdFor(capacity float64) float64 {
 	for bin := demandBins - 1; bin >= 0; bin-- {
 		if d[bin] > capacity {
--- a/internal/overload/demand_encoding.go
+++ b/internal/overload/demand_encoding.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// How demand is encoded: in steps of equal ratio. Part of the wire format.
+// Each bin of a demand is encoded in one byte, as a step on a logarithmic scale. The scale is part of the wire format.
 const (
-	minPublishedDemand     = 0.01 // seconds of work a second; a bin with less is encoded as empty
-	demandStepsPerDoubling = 8
+	minPublishedDemand     = 0.01 // seconds of work per second, of step 1; a bin with less is encoded as empty
+	demandStepsPerDoubling = 8    // two steps differ by 9%
 )
 
-// Append appends the encoded demand to b: the number of the first bin that has any, then a step for each bin up to the
-// last that has any. Without demand nothing is appended.
+// Append appends the encoded demand to b. The encoding is the index of the first bin that is not empty, followed by one
+// step for each bin from there to the last bin that is not empty. Nothing is appended if all bins are empty.
 func (d *Demand) Append(b []byte) []byte {
 	first, last := demandBins, -1
 	for bin, work := range d {
@@ -27,7 +27,7 @@
 	return b
 }
 
-// demandStep returns the step that is closest to the demand of a bin; 0 stands for none.
+// demandStep returns the step that is closest to the demand of a bin. Step 0 stands for an empty bin.
 func demandStep(work float64) byte {
 	if work < minPublishedDemand {
 		return 0
@@ -35,7 +35,7 @@
 	return byte(min(1+math.Round(demandStepsPerDoubling*math.Log2(work/minPublishedDemand)), math.MaxUint8))
 }
 
-// demandSteps holds the demand that each step stands for.
+// demandSteps holds the demand that each step stands for, in seconds of work per second.
 var demandSteps = func() (steps [math.MaxUint8 + 1]float64) {
 	for step := 1; step < len(steps); step++ {
 		steps[step] = minPublishedDemand * math.Exp2(float64(step-1)/demandStepsPerDoubling)
@@ -43,7 +43,7 @@
 	return steps
 }()
 
-// addEncoded adds encoded demand, times a factor. Bins that do not exist are ignored.
+// addEncoded adds encoded demand, multiplied by factor. It ignores steps beyond the last bin.
 func (d *Demand) addEncoded(encoded string, factor float64) {
 	if encoded == "" {
 		return
@@ -55,7 +55,8 @@
 	}
 }
 
-// encodedDemandTotal returns the total of encoded demand, also of bins that do not exist.
+// encodedDemandTotal returns the sum of encoded demand in seconds of work per second. Unlike addEncoded it counts the
+// steps beyond the last bin, of which a malformed encoding may have some.
 func encodedDemandTotal(encoded string) (total float64) {
 	if encoded == "" {
 		return 0
--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -1,15 +1,15 @@
-// Package overload decides what the members of a fleet do about overload together:
+// Package overload makes the overload decisions that the members of a fleet take together:
 //
-//   - QuotaLedger and QuotaManager lease unused call quota of a store between members;
-//   - Shedder finds the priority below which a full fleet sheds load, from sums by zone that a Collector makes of what
-//     members publish;
-//   - RetryCounter and AgeEstimator recognise retries, which no client marks;
+//   - QuotaLedger and QuotaManager lease unused quota for store calls between members.
+//   - Shedder computes the priority below which a full fleet sheds load. In a large fleet it uses the load of whole
+//     zones, which Collector sums up.
+//   - RetryCounter and AgeEstimator recognise retries, which no client marks.
 //   - ProbeCoordinator coordinates the probes of a store that does not respond.
 //
-// The package is pure: it has no goroutines, sockets or clocks. Times are passed in as readings of this process's
-// monotonic clock; messages and limits are returned. Each type belongs to one goroutine, and without recent updates from
-// other members each does what a server on its own would do.
+// The package has no goroutines, sockets or clocks. The caller passes in times, read from the monotonic clock of this
+// process. It sends the messages and applies the limits that are returned. Each type belongs to one goroutine. A type
+// that has no recent updates from other members decides as a server on its own would.
 //
-// Members of different versions run side by side. Whatever they have to agree on (messages, fingerprints, priorities,
-// who collects, counts or probes) is pinned by the golden files under testdata.
+// Members of different versions run side by side. The golden files under testdata pin what they have to agree on: the
+// messages, fingerprints and priorities, and the choice of the members that collect, count and probe.
 package overload
--- a/internal/overload/expiryset.go
+++ b/internal/overload/expiryset.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// expirySet is a set of fingerprints that are remembered for a while. Members are dropped in the order in which they
-// were added, also where the time of an earlier one was extended.
+// expirySet is a set of fingerprints that expire. Entries are dropped in the order in which they were added. An entry
+// whose expiry was extended keeps its place, and later entries stay until it is dropped.
 type expirySet struct {
-	expires map[uint64]time.Duration
-	order   []uint64 // keys of expires, oldest first
+	expires map[uint64]time.Duration // time of expiry by fingerprint
+	order   []uint64                 // keys of expires, first added first
 }
 
 func newExpirySet() expirySet { return expirySet{expires: map[uint64]time.Duration{}} }
 
+// size returns the number of entries, expired ones included.
 func (s *expirySet) size() int { return len(s.order) }
 
-// has reports whether a fingerprint is in the set, whether it has expired or not.
+// has reports whether a fingerprint is in the set, expired or not.
 func (s *expirySet) has(fingerprint uint64) bool {
 	_, ok := s.expires[fingerprint]
 	return ok
@@ -25,7 +26,7 @@
 	return ok && now < expires
 }
 
-// put adds a fingerprint, or sets anew when it expires.
+// put adds a fingerprint, or replaces its expiry.
 func (s *expirySet) put(fingerprint uint64, expires time.Duration) {
 	if !s.has(fingerprint) {
 		s.order = append(s.order, fingerprint)
@@ -33,12 +34,13 @@
 	s.expires[fingerprint] = expires
 }
 
+// dropOldest drops the entry that was added first. The set must not be empty.
 func (s *expirySet) dropOldest() {
 	delete(s.expires, s.order[0])
 	s.order = s.order[1:]
 }
 
-// dropExpired drops the oldest members up to the first that has not expired.
+// dropExpired drops entries, first added first, up to the first one that has not expired.
 func (s *expirySet) dropExpired(now time.Duration) {
 	for len(s.order) > 0 && s.expires[s.order[0]] <= now {
 		s.dropOldest()
--- a/internal/overload/fingerprint.go
+++ b/internal/overload/fingerprint.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint returns a hash of what is the same in all attempts of a request and seldom the same in two requests. All
-// members compute the same fingerprint. Cost is the cost hint in seconds.
+// Fingerprint identifies the request that an attempt belongs to. It hashes the properties that all attempts of a request
+// share and that two requests seldom share. All members compute the same fingerprint for a request, so the hash must not
+// change. The cost is the cost hint in seconds.
 func Fingerprint(class, key, idempotencyKey string, client int, rank, cost float64) uint64 {
 	var numbers [24]byte
 	binary.LittleEndian.PutUint64(numbers[:], uint64(client))
--- a/internal/overload/golden_shedding_test.go
+++ b/internal/overload/golden_shedding_test.go
@@ -100,13 +100,13 @@
 		{name: "oldest", value: one(func(aggregate *Aggregate) { aggregate.Oldest = 1500 * time.Millisecond })},
 		{name: "pace", value: one(func(aggregate *Aggregate) { aggregate.ServiceRate = 6.75 })},
 		{name: "cores", value: one(func(aggregate *Aggregate) { aggregate.Cores = 7.5 })},
-		{name: "in use", value: one(func(aggregate *Aggregate) { aggregate.InUse = 4.25 })},
+		{name: "in use", value: one(func(aggregate *Aggregate) { aggregate.CoresInUse = 4.25 })},
 		{name: "tries", value: one(func(aggregate *Aggregate) { aggregate.Attempts = 40.5 })},
 		{name: "again", value: one(func(aggregate *Aggregate) { aggregate.Retries = 8.125 })},
 		{name: "offers", value: one(func(aggregate *Aggregate) { aggregate.Demand = demandOf(10, 60, 0, 70) })},
 		{name: "all figures", value: Aggregate{
 			Members: maxPartials, Oldest: time.Hour, Demand: demandOf(0, 1, 2, 3), ServiceRate: 1024,
-			Cores: 2048, InUse: 512, Attempts: 4096.5, Retries: 256.25,
+			Cores: 2048, CoresInUse: 512, Attempts: 4096.5, Retries: 256.25,
 		}},
 		{name: "fraction of a millisecond and of a float", value: fraction, read: &fractionRead},
 		{name: "stale members and a negative age are not told", value: stale, read: &staleRead},
@@ -133,7 +133,7 @@
 		{name: "nothing told", value: PartialAggregate{From: ProcessID{Name: "n1"}}},
 		{name: "all figures", value: PartialAggregate{From: goldenBorrower, Aggregate: Aggregate{
 			Members: 1, Oldest: 20 * time.Millisecond, Demand: demandOf(10, 60, 0, 70), ServiceRate: 6.75,
-			Cores: 7.5, InUse: 4.25, Attempts: 40.5, Retries: 8.125,
+			Cores: 7.5, CoresInUse: 4.25, Attempts: 40.5, Retries: 8.125,
 		}}},
 		{name: "longest name", value: PartialAggregate{From: longProcess, Aggregate: Aggregate{Members: 1}}},
 	}
--- a/internal/overload/lease.go
+++ b/internal/overload/lease.go
@@ -6,20 +6,24 @@
 	"time"
 )
 
-// lease is quota that is granted to or received from a peer.
+// lease is quota that this member has granted to a peer, or received from one.
 type lease struct {
-	peer    ProcessID
-	number  uint64 // of the request that it answers
-	amount  Quota
-	expires time.Duration // granted: reclaimed then without a return; received: no new call begins under it from then on
+	peer   ProcessID // the borrower of a granted lease, the lender of a received one
+	number uint64    // sequence number of the request that the lease answers
+	amount Quota
+
+	// expires is when a lender uses the quota again without a return, and from when a borrower begins no new call under
+	// the lease.
+	expires time.Duration
 }
 
+// is reports whether the lease answers the request of this number, exchanged with this peer.
 func (l *lease) is(peer ProcessID, number uint64) bool { return l.peer == peer && l.number == number }
 
-// leaseList is the leases that a member has granted, or those that it has received.
+// leaseList holds the leases that a member has granted, or those that it has received.
 type leaseList []lease
 
-// unexpired returns the quota of the leases that have not expired.
+// unexpired returns the total quota of the leases that have not expired.
 func (l leaseList) unexpired(now time.Duration) (total Quota) {
 	for i := range l {
 		if now < l[i].expires {
@@ -29,36 +33,36 @@
 	return total
 }
 
-// withoutExpired returns the list without the leases that expired grace ago or longer.
+// withoutExpired returns the list without the leases that expired at least grace ago. It reuses the list's storage.
 func (l leaseList) withoutExpired(now, grace time.Duration) leaseList {
 	return slices.DeleteFunc(l, func(candidate lease) bool { return now >= candidate.expires+grace })
 }
 
-// without returns the list without the lease of a peer's request.
+// without returns the list without the lease that answers a request of a peer. It reuses the list's storage.
 func (l leaseList) without(peer ProcessID, number uint64) leaseList {
 	return slices.DeleteFunc(l, func(candidate lease) bool { return candidate.is(peer, number) })
 }
 
-// hasAnswered reports whether a request of a peer, or a later one of it, has a lease.
+// hasAnswered reports whether the list has a lease for this request of a peer, or for a later request of the peer.
 func (l leaseList) hasAnswered(peer ProcessID, number uint64) bool {
 	return slices.ContainsFunc(l, func(granted lease) bool { return granted.peer == peer && granted.number >= number })
 }
 
-// sortByExpiry sorts the list, first to expire first.
+// sortByExpiry sorts the list by time of expiry, then by peer.
 func (l leaseList) sortByExpiry() {
 	slices.SortFunc(l, func(a, b lease) int {
 		return cmp.Or(cmp.Compare(a.expires, b.expires), a.peer.compare(b.peer))
 	})
 }
 
-// pendingRequest is a request for a lease without an answer.
+// pendingRequest is a lease request that was not answered yet.
 type pendingRequest struct {
-	peer   ProcessID
-	number uint64
+	peer   ProcessID // the member that was asked
+	number uint64    // sequence number of the request
 	sentAt time.Duration
 }
 
-// pendingRequests is the requests without an answer; one for each peer at most.
+// pendingRequests holds the lease requests that were not answered yet, at most one for each peer.
 type pendingRequests []pendingRequest
 
 // has reports whether a request to a peer is pending.
@@ -66,12 +70,12 @@
 	return slices.ContainsFunc(*p, func(request pendingRequest) bool { return request.peer == peer })
 }
 
-// dropTimedOut forgets the requests that were sent timeout ago or earlier.
+// dropTimedOut drops the requests that were sent at least timeout ago.
 func (p *pendingRequests) dropTimedOut(now, timeout time.Duration) {
 	*p = slices.DeleteFunc(*p, func(request pendingRequest) bool { return now >= request.sentAt+timeout })
 }
 
-// take removes the request that a peer has answered. Ok is false if there is none.
+// take removes and returns the request that a peer has answered. ok is false if no such request is pending.
 func (p *pendingRequests) take(peer ProcessID, number uint64) (answered pendingRequest, ok bool) {
 	index := slices.IndexFunc(*p, func(request pendingRequest) bool {
 		return request.peer == peer && request.number == number
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -6,50 +6,53 @@
 )
 
 const (
-	// clockDriftDivisor bounds how far the clocks of two machines drift apart: by one part in so many. Package fleet
-	// assumes the same bound.
+	// clockDriftDivisor bounds the drift between the clocks of two machines: one part in 2000. Package fleet assumes
+	// the same bound.
 	clockDriftDivisor = 2000
 
-	maxLeases          = 64 // granted and received at a time, each
+	maxLeases          = 64 // leases that a member grants, and that it receives, at the same time
 	maxPendingRequests = 4
 )
 
-// LeaseTerms are the rules of a fleet for one store. All members must have the same ones but for Base and Reserved: a
-// member with a shorter Lease or CallTime than others would reclaim quota too early.
+// LeaseTerms are the terms of quota leasing for one store. Only Base and Reserved may differ between members. A member
+// with a shorter Lease or CallTime than others would reclaim quota too early.
 type LeaseTerms struct {
-	Base              Quota         // of this member by its settings; the store bears the sum over all members
-	Reserved          Quota         // part of Base that is never leased out, and all that a process uses after its start
-	Lease             time.Duration // of a lease, measured by the borrower from sending the request
-	CallTime          time.Duration // that the store may work on a call, from its start
-	AbandonedCallTime time.Duration // that the store may go on with a call after its process has died
+	Base              Quota         // quota of this member by its settings; the store bears the sum over all members
+	Reserved          Quota         // part of Base that is never leased out, and the limit of a process after its start
+	Lease             time.Duration // length of a lease; the borrower counts it from when it sent the request
+	CallTime          time.Duration // longest time that the store works on a call
+	AbandonedCallTime time.Duration // longest time that the store goes on with a call after its process has died
 }
 
-// QuotaLedger keeps the quota of one member at a store: its own, what it has leased to other members and what it has
-// leased from them. It belongs to one goroutine.
+// QuotaLedger accounts for the quota of one member at a store: its own quota, what it has leased out to other members and
+// what it has leased from them. It belongs to one goroutine.
 //
-// The number of calls in flight at the store never exceeds the sum of Base over all members, whatever is partitioned,
-// crashed, delayed, duplicated or restarted, by these rules:
+// The calls in flight at the store never exceed the sum of Base over all members, even if members are partitioned, crash
+// or restart and messages are lost, delayed or duplicated. These rules ensure it:
 //
-//   - A member leases out only its own quota that it does not use. It uses that again after the borrower has returned
-//     it, or when the lease and all calls begun under it must be over.
-//   - Both sides measure elapsed time: the borrower from before its request, the lender from after its grant.
-//   - A process that starts may follow one that had calls in flight and had leased out quota. It makes no call until
-//     those calls must be over, and uses no more than Reserved until those leases must be.
+//   - A member leases out only quota of its own that it does not use. It uses that quota again once the borrower has
+//     returned it, or once the lease and all calls made under it must have ended.
+//   - Both sides measure elapsed time on their own clocks. The borrower counts the lease from before it sends the request,
+//     the lender from its grant.
+//   - A new process may follow one that had calls in flight and had leased out quota. It makes no call until those calls
+//     must have ended, and uses at most Reserved until those leases must have ended.
 //
-// Two cases are not covered: a process that is suspended between reading its limit and writing a call, which adds that
-// one call, and a store that works on a call for longer than CallTime.
+// The rules do not cover two cases:
+//
+//   - A process is suspended after it has read its limit and before it sends a call. That call comes on top.
+//   - The store works on a call for longer than CallTime.
 type QuotaLedger struct {
 	terms                LeaseTerms
 	self                 ProcessID
-	predecessorCallsEnd  time.Duration // by when the calls of an earlier process of this member must be over
-	predecessorLeasesEnd time.Duration // by when what it had leased out must be back
-	lastNumber           uint64        // of a request
-	leasedOut            leaseList
-	leased               leaseList
+	predecessorCallsEnd  time.Duration // time at which the calls of earlier processes of this member must have ended
+	predecessorLeasesEnd time.Duration // time at which the leases granted by earlier processes must have ended
+	lastNumber           uint64        // sequence number of the last lease request
+	leasedOut            leaseList     // leases granted to other members
+	leased               leaseList     // leases received from other members
 	pending              pendingRequests
 }
 
-// NewQuotaLedger returns the ledger of a process that starts now.
+// NewQuotaLedger returns the ledger of a process that starts now and may have a predecessor.
 func NewQuotaLedger(now time.Duration, self ProcessID, terms LeaseTerms) *QuotaLedger {
 	ledger := &QuotaLedger{terms: terms, self: self}
 	ledger.predecessorCallsEnd = now + withClockDrift(terms.AbandonedCallTime)
@@ -57,21 +60,21 @@
 	return ledger
 }
 
-// SetBase changes the quota of this member after a reload of its settings. Leases stay as they are.
+// SetBase replaces the own quota of this member, after a reload of its settings. Leases in force are not changed.
 func (l *QuotaLedger) SetBase(base, reserved Quota) {
 	l.terms.Base = base
 	l.terms.Reserved = reserved
 }
 
-// reclaimDelay returns how long after a grant the quota is used again without a return.
+// reclaimDelay returns how long after a grant the lender uses the quota again if it was not returned.
 func (l *QuotaLedger) reclaimDelay() time.Duration {
 	return withClockDrift(l.terms.Lease + l.terms.CallTime)
 }
 
-// withClockDrift returns how long to wait on this clock until d has passed on any other.
+// withClockDrift returns how long to wait on this machine's clock until d has passed on any other machine's clock.
 func withClockDrift(d time.Duration) time.Duration { return d + d/clockDriftDivisor }
 
-// Limit returns the quota that this member may have in flight when it begins a call now.
+// Limit returns the quota that this member may use in total, a call that it begins now included.
 func (l *QuotaLedger) Limit(now time.Duration) Quota {
 	if now < l.predecessorCallsEnd {
 		return 0
@@ -83,26 +86,27 @@
 	return max(limit-l.LeasedOut(now)+l.Leased(now), 0)
 }
 
-// LimitUntil returns the lower of the limits at two times, for a caller that reads the limit next at the second.
+// LimitUntil returns the lower of the limits at now and at then. It is for a caller that applies the limit until then.
 func (l *QuotaLedger) LimitUntil(now, then time.Duration) Quota {
 	return min(l.Limit(now), l.Limit(then))
 }
 
-// Leased returns the quota that this member has leased from others and may use now.
+// Leased returns the quota that this member has leased from others and may use for calls that it begins now.
 func (l *QuotaLedger) Leased(now time.Duration) Quota { return l.leased.unexpired(now) }
 
-// LeasedOut returns the quota that others have leased from this member.
+// LeasedOut returns the quota that this member has leased to others and does not use now.
 func (l *QuotaLedger) LeasedOut(now time.Duration) Quota { return l.leasedOut.unexpired(now) }
 
-// dropExpired forgets what has expired. A received lease stays until its calls must be over, so that it is returned.
+// dropExpired drops expired leases and requests. A received lease stays for another CallTime, in which Return can return
+// it once its calls have ended.
 func (l *QuotaLedger) dropExpired(now time.Duration) {
 	l.leasedOut = l.leasedOut.withoutExpired(now, 0)
 	l.leased = l.leased.withoutExpired(now, l.terms.CallTime)
 	l.pending.dropTimedOut(now, l.terms.Lease)
 }
 
-// RequestLease returns a request for quota to send to a lender. Ok is false if there are too many leases or requests, or
-// one to this lender is pending.
+// RequestLease returns a lease request to send to the lender. ok is false if the amount is not positive, a request to
+// this lender is pending, or maxLeases or maxPendingRequests is reached.
 func (l *QuotaLedger) RequestLease(now time.Duration, lender ProcessID, amount Quota) (request Message, ok bool) {
 	l.dropExpired(now)
 	if amount <= 0 || len(l.pending) >= maxPendingRequests || len(l.leased) >= maxLeases || l.pending.has(lender) {
@@ -114,8 +118,8 @@
 	return request, true
 }
 
-// HandleMessage handles a message of another member, and returns the answer to send if ok. InFlight is the quota that
-// this member's calls use now; needed is the quota that it expects to use itself.
+// HandleMessage handles a message of another member. If ok, answer is to be sent. The caller passes the quota that the
+// calls in flight of this member use, and the quota that it expects to need itself.
 func (l *QuotaLedger) HandleMessage(
 	now time.Duration, message Message, inFlight, needed Quota,
 ) (answer Message, ok bool) {
@@ -134,8 +138,9 @@
 	return Message{}, false
 }
 
-// grant leases out quota that is neither used nor reserved nor leased out already. If there is none the answer says so,
-// and the borrower asks another member. Ok is false for a duplicate, or a request that a later one has overtaken.
+// grant leases out quota that is not used, reserved or leased out already. If there is none, the answer grants 0, so that
+// the borrower can ask another member. ok is false if this request of the borrower, or a later one, was granted before:
+// then it is a duplicate, or a later request has overtaken it.
 func (l *QuotaLedger) grant(now time.Duration, request Message, used Quota) (answer Message, ok bool) {
 	answer = Message{Kind: LeaseGrant, From: l.self, To: request.From, Number: request.Number}
 	if now < l.predecessorLeasesEnd || len(l.leasedOut) >= maxLeases {
@@ -152,7 +157,8 @@
 	return answer, true
 }
 
-// receiveGrant takes a grant that answers a pending request. The lease is counted from before the request was sent.
+// receiveGrant records the lease of a grant that answers a pending request. The lease counts from when the request was
+// sent. Other grants are ignored.
 func (l *QuotaLedger) receiveGrant(grant Message) {
 	request, ok := l.pending.take(grant.From, grant.Number)
 	if !ok || grant.Amount <= 0 {
@@ -162,8 +168,8 @@
 	l.leased = append(l.leased, lease{grant.From, grant.Number, grant.Amount, expires})
 }
 
-// Return gives up leases that have expired or are not needed, and returns the messages that say so. Those that expire
-// last go first, as far as the limit stays at what is in flight and needed.
+// Return ends leases that have expired or are not needed, and returns the messages that return them to the lenders. It
+// starts with the lease that expires last, and ends no lease without which the limit would be below inFlight or needed.
 func (l *QuotaLedger) Return(now time.Duration, inFlight, needed Quota) (returns []Message) {
 	l.dropExpired(now)
 	l.leased.sortByExpiry()
@@ -184,8 +190,8 @@
 	return returns
 }
 
-// returnable reports whether a received lease can be returned: if it has expired once no call is left of it, else if the
-// limit without it suffices.
+// returnable reports whether a received lease can be returned. An expired lease can be once the calls in flight fit into
+// the limit, so that none of them depends on the lease. Another one can be if the limit without it suffices.
 func (l *QuotaLedger) returnable(now time.Duration, received *lease, inFlight, needed Quota) bool {
 	limit := l.Limit(now)
 	if now >= received.expires {
--- a/internal/overload/leasing_wire.go
+++ b/internal/overload/leasing_wire.go
@@ -7,10 +7,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// MaxMessageSize is the largest size of an encoded message in bytes: two names of 64 bytes, and numbers.
+// MaxMessageSize is the largest size of an encoded message in bytes. It has room for two names of 64 bytes and the
+// numbers.
 const MaxMessageSize = 256
 
-// The fields of an encoded message.
+// The field numbers of an encoded message.
 const (
 	fieldKind protowire.Number = iota + 1
 	fieldFrom
@@ -23,7 +24,7 @@
 
 var errInvalidMessage = errors.New("invalid message of quota leasing")
 
-// AppendMessage appends a message to b as the fields of a protobuf message. A negative amount is encoded as 0.
+// AppendMessage appends a message to b, encoded as a protobuf message. A negative amount is encoded as 0.
 func AppendMessage(b []byte, message Message) []byte {
 	b = appendVarint(b, fieldKind, uint64(message.Kind))
 	b = appendString(b, fieldFrom, message.From.Name)
@@ -42,8 +43,9 @@
 	return protowire.AppendString(protowire.AppendTag(b, field, protowire.BytesType), value)
 }
 
-// ParseMessage decodes a message and keeps no reference to b. Fields that a newer version has added are skipped. It
-// returns an error if b is too long or malformed, a field has the wrong type, or the kind or a name is missing.
+// ParseMessage decodes a message and keeps no reference to b. It skips fields of unknown numbers, which a newer version
+// may have added. It returns an error if b is longer than MaxMessageSize or malformed, a field has the wrong type, the
+// kind is missing or unknown, or a name is missing.
 func ParseMessage(b []byte) (message Message, err error) {
 	if len(b) > MaxMessageSize {
 		return message, errInvalidMessage
@@ -66,13 +68,13 @@
 	return message, nil
 }
 
-// valid reports whether a message has all that it needs to be handled.
+// valid reports whether the message has a known kind and both names.
 func (m *Message) valid() bool {
 	return m.Kind >= LeaseRequest && m.Kind <= LeaseReturn && m.From.Name != "" && m.To.Name != ""
 }
 
-// setField sets a field to its encoded value. It reports false if the value is not of the field's type; a field that is
-// not known is ignored.
+// setField sets a field to its encoded value. It returns false if the value is not of the field's type. It ignores a
+// field of an unknown number.
 func (m *Message) setField(field protowire.Number, fieldType protowire.Type, encoded []byte) bool {
 	switch field {
 	case fieldFrom, fieldTo:
@@ -87,11 +89,12 @@
 			return false
 		}
 		m.setNumber(field, number)
-	default: // of a newer version
+	default: // field of a newer version
 	}
 	return true
 }
 
+// setName sets the sender's or the recipient's name.
 func (m *Message) setName(field protowire.Number, name string) {
 	if field == fieldFrom {
 		m.From.Name = name
@@ -100,7 +103,8 @@
 	}
 }
 
-// setNumber sets a field of type varint. Numbers that are out of range are set to the limit, which is no valid kind.
+// setNumber sets a varint field. It reduces a kind or an amount that is out of range to the largest number of its range;
+// for a kind, that is not a valid one.
 func (m *Message) setNumber(field protowire.Number, number uint64) {
 	switch field {
 	case fieldKind:
@@ -113,6 +117,6 @@
 		m.Number = number
 	case fieldAmount:
 		m.Amount = Quota(min(number, math.MaxInt32))
-	default: // the caller passes only those above
+	default: // setField passes only the fields above
 	}
 }
--- a/internal/overload/local_demand.go
+++ b/internal/overload/local_demand.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-const demandTimeConstant = 2 * time.Second // of the mean of demand
+// demandTimeConstant is the time in which a counted request decays to 1/e.
+const demandTimeConstant = 2 * time.Second
 
-// localDemand is the demand at this server: decaying sums of what arrives.
+// localDemand measures the demand at this server by exponentially decaying sums over the attempts that arrive.
 type localDemand struct {
-	work         Demand  // seconds of work, without known retries
-	attempts     float64 // requests
-	knownRetries float64 // part of attempts
-	decayedAt    time.Duration
-	started      bool
+	work         Demand        // sum of the work of all attempts but known retries, in seconds
+	attempts     float64       // number of attempts, known retries included
+	knownRetries float64       // number of attempts that are known to be retries
+	decayedAt    time.Duration // time of the last decay
+	started      bool          // decayedAt is set
 }
 
-// add counts a request. The work of a known retry was counted with its first attempt.
+// add counts an attempt. The work of a known retry is left out, as it was counted with the first attempt.
 func (d *localDemand) add(priority, work float64, knownRetry bool) {
 	d.attempts++
 	if knownRetry {
@@ -26,7 +27,7 @@
 	}
 }
 
-// decay ages what was counted.
+// decay reduces the sums by the time since the last decay.
 func (d *localDemand) decay(now time.Duration) {
 	if d.started {
 		factor := decayFactor(now-d.decayedAt, demandTimeConstant)
@@ -38,12 +39,12 @@
 	d.decayedAt = now
 }
 
-// decayFactor returns what is left of a decaying sum.
+// decayFactor returns the ratio of a decaying sum that is left after the elapsed time.
 func decayFactor(elapsed, timeConstant time.Duration) float64 {
 	return math.Exp(-float64(elapsed) / float64(timeConstant))
 }
 
-// rate returns the demand in seconds of work a second.
+// rate returns the demand in seconds of work per second.
 func (d *localDemand) rate() (demand Demand) {
 	for bin, work := range d.work {
 		demand[bin] = work / demandTimeConstant.Seconds()
@@ -51,5 +52,5 @@
 	return demand
 }
 
-// knownRetryRatio returns the part of the requests that are known to be retries.
+// knownRetryRatio returns the ratio of the attempts that are known to be retries, 0 to 1.
 func (d *localDemand) knownRetryRatio() float64 { return d.knownRetries / max(d.attempts, 1) }
--- a/internal/overload/messages.go
+++ b/internal/overload/messages.go
@@ -5,40 +5,41 @@
 	"math"
 )
 
-// ProcessID names a process of a member. After a restart the member is another process.
+// ProcessID identifies a process of a member. Each restart of a member makes a new process.
 type ProcessID struct {
-	Name string
-	Run  uint64 // larger in a later process of the same name
+	Name string // name of the member
+	Run  uint64 // number that grows with each process of the member
 }
 
+// compare orders processes by name, then by run. The result is as that of cmp.Compare.
 func (p ProcessID) compare(other ProcessID) int {
 	return cmp.Or(cmp.Compare(p.Name, other.Name), cmp.Compare(p.Run, other.Run))
 }
 
-// quotaPerCall is the quota of one call.
+// quotaPerCall is the Quota that one call uses.
 const quotaPerCall = 1000
 
-// Quota is a number of calls in flight at a store, in thousandths of a call: in a large fleet a server's own quota may
-// be less than one call.
+// Quota is a limit on the calls in flight at a store, in thousandths of a call. In a large fleet the quota of one server
+// may be less than one call.
 type Quota int64
 
 // Calls returns the quota in calls.
 func (q Quota) Calls() float64 { return float64(q) / quotaPerCall }
 
-// QuotaOf returns the quota for a number of calls, rounded down; 0 for a negative number.
+// QuotaOf returns the quota for a number of calls, rounded down to a thousandth. It returns 0 for a negative number.
 func QuotaOf(calls float64) Quota { return Quota(math.Floor(max(calls, 0) * quotaPerCall)) }
 
-// quotaOfCalls returns the quota that so many calls in flight use.
+// quotaOfCalls returns the quota that a number of calls in flight uses.
 func quotaOfCalls(calls int) Quota { return Quota(calls) * quotaPerCall }
 
-// MessageKind is the kind of a message of quota leasing.
+// MessageKind is the kind of a quota leasing message.
 type MessageKind uint8
 
-// The kinds of messages, as they are encoded.
+// The kinds of messages. Their numbers are part of the wire format.
 const (
-	LeaseRequest MessageKind = iota + 1 // asks for Amount or less
-	LeaseGrant                          // grants Amount for a lease from the time of the request; 0 = nothing
-	LeaseReturn                         // gives back the lease of this Number
+	LeaseRequest MessageKind = iota + 1 // requests at most Amount
+	LeaseGrant                          // grants Amount for one lease, counted from the time of the request; 0 = denied
+	LeaseReturn                         // returns the lease that was granted for request Number
 )
 
 var messageKindNames = [...]string{"invalid", "lease request", "lease grant", "lease return"}
@@ -50,11 +51,11 @@
 	return messageKindNames[k]
 }
 
-// Message is a message of quota leasing from one process to another. Messages may be lost, delayed, duplicated or
-// reordered, and none has to be answered.
+// Message is a quota leasing message from one process to another. Messages may be lost, delayed, duplicated or
+// reordered, and a process may leave any message unanswered.
 type Message struct {
 	Kind     MessageKind
 	From, To ProcessID
-	Number   uint64 // of the request, counted by the process that sent it
-	Amount   Quota
+	Number   uint64 // sequence number of the request, counted by the process that sent the request
+	Amount   Quota  // quota that is requested, granted or returned
 }
--- a/internal/overload/probe_round.go
+++ b/internal/overload/probe_round.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	roundTimeout = 5 * time.Second // without news of a round, after which the next one begins
-	maxRound     = 1 << 40         // rounds from here on are not believed
+	roundTimeout = 5 * time.Second // a round without a successor for longer is followed by the next one
+	maxRound     = 1 << 40         // update ignores published rounds from this one on
 )
 
-// probeRound is the round of probing that a member knows of. A round names one process of a group: the one with the
-// highest hash of process and round among the unhealthy members. Members whose views are the same agree on it without a
-// message, and a lost member loses its turn when the round times out.
+// probeRound is the latest round of probing that a member knows of. A round selects one process of a group: the unhealthy
+// member with the highest hash of process and round. Members with the same view agree on it without a message. If the
+// selected member is lost, the round times out and the next one begins.
 type probeRound struct {
 	number uint64
-	since  time.Duration // when this member learned of it
+	since  time.Duration // when this member learned of the round
 }
 
-// join takes over the latest round of a group, at the time at which this member becomes unhealthy.
+// join adopts the latest round that the unhealthy members of the group publish. It is called when this member becomes
+// unhealthy.
 func (r *probeRound) join(now time.Duration, unhealthy []*fleet.Member) {
 	r.since = now
 	for _, member := range unhealthy {
@@ -27,7 +28,7 @@
 	}
 }
 
-// update takes over a later round that is published, and starts the next one if a round has timed out.
+// update adopts a later round that another unhealthy member publishes. If the round has timed out it starts the next one.
 func (r *probeRound) update(now time.Duration, unhealthy []*fleet.Member) {
 	for _, member := range unhealthy {
 		if published := member.Load.ProbeRound; published > r.number && published < maxRound {
@@ -39,13 +40,14 @@
 	}
 }
 
+// start sets the round, as of now.
 func (r *probeRound) start(now time.Duration, number uint64) {
 	r.number = number
 	r.since = now
 }
 
-// names reports whether the round names this process and none of the other unhealthy members.
-func (r *probeRound) names(run uint64, unhealthy []*fleet.Member) bool {
+// selects reports whether the round selects this process among the unhealthy members.
+func (r *probeRound) selects(run uint64, unhealthy []*fleet.Member) bool {
 	seed := mix(r.number)
 	ownHash := mix(run ^ seed)
 	for _, member := range unhealthy {
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	failureThreshold       = 6                // consecutive failures until a store counts as unresponsive
-	warnedFailureThreshold = 1                // the same while a quorum of other members finds it unresponsive
-	turnDuration           = 2 * time.Second  // for which a member probes
-	recoveringDuration     = 30 * time.Second // for which a member publishes that its store has recovered
+	failureThreshold       = 6                // consecutive failures after which a store counts as unresponsive
+	warnedFailureThreshold = 1                // the same while a quorum of other members finds the store unresponsive
+	turnDuration           = 2 * time.Second  // time for which a member probes in a round
+	recoveringDuration     = 30 * time.Second // time for which a member publishes StoreRecovering
 )
 
-// ProbeCoordinator decides which members probe a store that does not respond. Members of one zone with the same store
-// are a group, so that a store that is unresponsive from one zone only is probed, and found again, by that zone.
+// ProbeCoordinator decides which members probe a store that does not respond. The members of one zone that use the same
+// store form a group. If a store is unresponsive from one zone only, that zone probes it and finds that it has recovered.
 //
-// The rule, in the order in which Tick applies it:
+// The rules are:
 //
-//  1. A member finds its store unresponsive after failureThreshold consecutive failures; after the first one, if a
-//     quorum of its group already does.
-//  2. Below the quorum the cause may be the member itself, and it probes as its own breaker allows.
-//  3. With a quorum one member probes at a time, in numbered rounds (see probeRound). The others make no call.
-//  4. A member whose call succeeds publishes that the store is recovering. For each such member a few more verify it
-//     with probes of their own, so that no single member can declare the store unresponsive or healthy for all.
+//  1. A member finds its store unresponsive after failureThreshold consecutive failures. If a quorum of its group already
+//     does, one failure is enough, except for a member that finds the store recovering.
+//  2. Below the quorum, the member itself may be the cause. It probes as its own circuit breaker allows.
+//  3. With a quorum, one member of the group probes at a time, in numbered rounds (see probeRound). The others make no
+//     call.
+//  4. A member whose call succeeds publishes StoreRecovering for 30 s. For each such member, a few more members verify the
+//     store with probes of their own. No single member can declare the store unresponsive or healthy for the group.
 //
 // It belongs to one goroutine.
 type ProbeCoordinator struct {
-	run              uint64 // this process
-	zone             string
-	storeID          uint32
+	run              uint64 // run of this process, see ProcessID
+	zone             string // zone of this member
+	storeID          uint32 // hash that identifies the store
 	state            StoreState
-	stateSince       time.Duration
-	calls            callResults
+	stateSince       time.Duration // when state was last set
+	calls            callResults   // calls since then
 	round            probeRound
-	unhealthyMembers int // of the group, this one included
+	unhealthyMembers int // as returned by UnhealthyMembers
 }
 
-// callResults counts calls since the state of the store changed.
+// callResults counts the calls to the store since the state was last set.
 type callResults struct {
 	consecutiveFailures int
 	successes           int
@@ -52,7 +53,7 @@
 	}
 }
 
-// NewProbeCoordinator returns a coordinator for a process, with a store that is assumed to be healthy.
+// NewProbeCoordinator returns a coordinator for the process with this run. It assumes that the store is healthy.
 func NewProbeCoordinator(run uint64, zone string) *ProbeCoordinator {
 	return &ProbeCoordinator{run: run, zone: zone}
 }
@@ -60,21 +61,23 @@
 // State returns the state of the store as this member finds it.
 func (p *ProbeCoordinator) State() StoreState { return p.state }
 
-// UnhealthyMembers returns how many members of the group find the store unresponsive, with this one if it does.
+// UnhealthyMembers returns how many members of the group found the store unresponsive at the last Tick. This member counts
+// if it was unhealthy before that Tick.
 func (p *ProbeCoordinator) UnhealthyMembers() int { return p.unhealthyMembers }
 
-// AddToLoad adds what other members need for their decisions to the load that this one publishes.
+// AddToLoad adds the state of the store and the probe round to the load that this member publishes.
 func (p *ProbeCoordinator) AddToLoad(load *fleet.Load) {
 	load.StoreState = uint8(p.state)
 	load.StoreID = p.storeID
 	load.ProbeRound = p.round.number
 }
 
-// CallEnded notes the end of a call; ok if it was answered in time.
+// CallEnded records the end of a call to the store. ok reports whether the store answered in time.
 func (p *ProbeCoordinator) CallEnded(ok bool) { p.calls.add(ok) }
 
-// Tick returns what this member may probe now. It is called a few times a second. Now is on the clock of this server, at
-// is the time of the view. Another storeID, after a reload of the settings, starts afresh.
+// Tick updates the state of the store and returns the calls that this member may make now. It is to be called a few times
+// a second. The time now is on the clock of this server, at is on the clock of the view. If storeID has changed, after a
+// reload of the settings, the new store is assumed to be healthy.
 func (p *ProbeCoordinator) Tick(
 	now time.Duration, storeID uint32, view *fleet.Snapshot, at time.Duration,
 ) CallAllowance {
@@ -88,7 +91,7 @@
 	return p.tickHealthy(now, &group)
 }
 
-// tickHealthy is the tick of a member whose calls succeed, or that makes none.
+// tickHealthy does Tick for a member that finds the store healthy or recovering.
 func (p *ProbeCoordinator) tickHealthy(now time.Duration, group *storeGroup) CallAllowance {
 	p.unhealthyMembers = len(group.unhealthy)
 	allowance := AllowUnlimited
@@ -107,7 +110,7 @@
 	return allowance
 }
 
-// tickUnhealthy is the tick of a member whose calls fail.
+// tickUnhealthy does Tick for a member that finds the store unresponsive, whether it probes or not.
 func (p *ProbeCoordinator) tickUnhealthy(now time.Duration, group *storeGroup) CallAllowance {
 	p.unhealthyMembers = len(group.unhealthy) + 1
 	if p.calls.successes > 0 {
@@ -124,12 +127,12 @@
 	return AllowNone
 }
 
-// takeTurn reports whether it is this member's turn to probe, and begins or ends the turn. A member that ends its turn
-// starts the next round.
+// takeTurn reports whether it is this member's turn to probe, and begins or ends the turn. A member whose turn has lasted
+// longer than turnDuration starts the next round.
 func (p *ProbeCoordinator) takeTurn(now time.Duration, unhealthy []*fleet.Member) bool {
 	p.round.update(now, unhealthy)
 	switch {
-	case !p.round.names(p.run, unhealthy):
+	case !p.round.selects(p.run, unhealthy):
 		p.setState(now, StoreUnresponsive)
 		return false
 	case p.state != StoreProbing:
@@ -142,7 +145,7 @@
 	return true
 }
 
-// setState sets the state, since now, and forgets the calls that led to it.
+// setState sets the state as of now, and clears the count of calls.
 func (p *ProbeCoordinator) setState(now time.Duration, state StoreState) {
 	p.state = state
 	p.stateSince = now
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -252,7 +252,7 @@
 		}
 		simulation.run(15*time.Second, false)
 		maxInFlight, calls := simulation.run(30*time.Second, false)
-		require.LessOrEqual(t, maxInFlight, 4+verifiersPerRecovered, name)
+		require.LessOrEqual(t, maxInFlight, 4+verifiersPerRecoveredMember, name)
 		require.Positive(t, calls, name)
 		simulation.run(40*time.Second, true)
 		require.Zero(t, simulation.unhealthy(), name)
--- a/internal/overload/quota_manager.go
+++ b/internal/overload/quota_manager.go
@@ -7,42 +7,44 @@
 )
 
 const (
-	requestInterval   = 250 * time.Millisecond // between two requests of a member
-	renewalMargin     = time.Second            // before a lease expires, at which another one is requested
-	reserveDivisor    = 4                      // a member needs its mean usage and one part in so many on top
-	minRequestDivisor = 4                      // the smallest request, and the step after missed calls: Base by this
-	maxWantedFactor   = 8                      // Base times this is wanted at most, as other members have needs as well
-	lenderCandidates  = 3                      // drawn from the view for a request
+	requestInterval   = 250 * time.Millisecond // shortest time between two requests of a member
+	renewalMargin     = time.Second            // a lease is renewed this long before it expires
+	reserveDivisor    = 4                      // a member needs its mean usage and a reserve of 1/4 of it
+	minRequestDivisor = 4                      // the smallest request, and the step after missed calls, is Base/4
+	maxWantedFactor   = 8                      // a member wants at most 8*Base, as other members need quota too
+	lenderCandidates  = 3                      // members drawn from the view for a request
 )
 
-// QuotaManager decides when a member requests quota, of whom and how much, and when it returns quota.
+// QuotaManager decides when a member requests quota, from which member and how much, and when it returns quota.
 //
-// A member needs its mean usage with a reserve, and while calls were missed within the last lease, what would have
-// sufficed for them. It returns what it does not need. After missed calls it requests what its limit is short of that
-// need, or will be when the next leases expire, of the member with the most unused quota among a few drawn ones.
+//   - The needed quota is the mean usage of the member plus a reserve. If calls were missed within the last lease length,
+//     it is at least what missedQuota wants.
+//   - The member returns leases that it does not need.
+//   - While calls were missed within the last lease length, it requests quota if its limit is below the needed quota, or
+//     will be within renewalMargin. It draws a few members and sends the request to the one with the most unused quota.
 //
 // It belongs to one goroutine.
 type QuotaManager struct {
 	*QuotaLedger
-	randomBelow func(n int) int
+	randomBelow func(n int) int // returns a random number from 0 to n-1
 	usage       callUsage
 	missed      missedQuota
-	lastRequest time.Duration
+	lastRequest time.Duration // time of the last lease request
 }
 
-// NewQuotaManager returns a manager of a ledger. RandomBelow draws a random number from 0 to below its argument.
+// NewQuotaManager returns a manager of the ledger. randomBelow must return a random number from 0 to n-1.
 func NewQuotaManager(ledger *QuotaLedger, randomBelow func(n int) int) *QuotaManager {
 	return &QuotaManager{QuotaLedger: ledger, randomBelow: randomBelow}
 }
 
-// CallMissed notes that a call was skipped or a request rejected because the limit was reached.
+// CallMissed records that a call was skipped, or a request rejected, because the quota limit was reached.
 func (m *QuotaManager) CallMissed() { m.missed.calls++ }
 
-// MeanInFlight returns the mean number of calls in flight over the last seconds.
+// MeanInFlight returns the moving average of the calls in flight, with a time constant of 2 s.
 func (m *QuotaManager) MeanInFlight() float64 { return m.usage.mean }
 
-// Tick updates the usage and returns the messages to send: returns and at most one request. It is called a few times a
-// second. Now is on the clock of this server, at is the time of the view.
+// Tick updates the usage and returns the messages to send: lease returns and at most one lease request. It is to be called
+// a few times a second. The time now is on the clock of this server, at is on the clock of the view.
 func (m *QuotaManager) Tick(
 	now time.Duration, callsInFlight int, view *fleet.Snapshot, at time.Duration,
 ) []Message {
@@ -56,12 +58,12 @@
 	return messages
 }
 
-// Receive handles a message of another member, and returns the answer to send if ok.
+// Receive handles a message of another member. If ok, answer is to be sent.
 func (m *QuotaManager) Receive(now time.Duration, message Message, callsInFlight int) (answer Message, ok bool) {
 	return m.HandleMessage(now, message, quotaOfCalls(callsInFlight), m.neededQuota(now))
 }
 
-// neededQuota returns what this member expects to use.
+// neededQuota returns the quota that this member expects to use.
 func (m *QuotaManager) neededQuota(now time.Duration) Quota {
 	needed := QuotaOf(m.usage.mean * (reserveDivisor + 1) / reserveDivisor)
 	if m.missed.isWanted(now) {
@@ -70,7 +72,9 @@
 	return needed
 }
 
-// requestMissing returns a request for what is missing to the needed quota, now or by the time of a renewal.
+// requestMissing returns a request for the quota that the limit falls short of the needed quota, now or within
+// renewalMargin. ok is false if none is missing, no calls were missed lately, the last request is too recent, no lender is
+// found, or RequestLease refuses.
 func (m *QuotaManager) requestMissing(
 	now time.Duration, needed Quota, view *fleet.Snapshot, at time.Duration,
 ) (request Message, ok bool) {
@@ -89,8 +93,8 @@
 	return request, ok
 }
 
-// chooseLender returns the member with the most unused quota among a few that are drawn at random: if all borrowers
-// asked the one with the most of all, all would ask the same.
+// chooseLender draws a few members at random and returns the one with the most unused quota. If every borrower chose the
+// best of all members, all would send their requests to the same one. ok is false if no drawn member has unused quota.
 func (m *QuotaManager) chooseLender(view *fleet.Snapshot, at time.Duration) (lender ProcessID, ok bool) {
 	if len(view.Members) == 0 {
 		return ProcessID{}, false
--- a/internal/overload/recorded_run_test.go
+++ b/internal/overload/recorded_run_test.go
@@ -38,7 +38,7 @@
 	}
 	if r.Random.IntN(4) == 0 {
 		aggregate := Aggregate{Members: r.Random.IntN(60), Oldest: time.Second, ServiceRate: r.eighths(400),
-			Cores: r.eighths(300), InUse: r.eighths(300), Attempts: r.eighths(999), Retries: r.eighths(99)}
+			Cores: r.eighths(300), CoresInUse: r.eighths(300), Attempts: r.eighths(999), Retries: r.eighths(99)}
 		aggregate.Demand[r.Random.IntN(demandBins)] = r.eighths(800)
 		load.Aggregate = string(AppendAggregate(nil, &aggregate))
 	}
--- a/internal/overload/rendezvous.go
+++ b/internal/overload/rendezvous.go
@@ -6,28 +6,29 @@
 	"falldeal/internal/fleet"
 )
 
-// Members agree on who has a task by rendezvous hashing: each computes a hash of the task and every candidate, and the
-// highest has it. No message is needed, and when a candidate is lost only its own tasks move.
+// Members assign tasks by rendezvous hashing. Each member hashes the task with every candidate, and the candidate with
+// the highest hash gets the task. Members with the same view agree without a message. When a candidate is lost, only its
+// own tasks move.
 
-// mix is the finalizer of splitmix64 (Steele, Lea, Flood 2014): every bit of the result depends on all bits of hash.
+// mix is the finalizer of splitmix64 (Steele, Lea and Flood, 2014). Every bit of the result depends on all bits of hash.
 func mix(hash uint64) uint64 {
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
 	return hash ^ hash>>31
 }
 
-// processOf returns the process that a member runs as.
+// processOf returns the current process of a member.
 func processOf(member *fleet.Member) ProcessID { return ProcessID{member.Name, member.Run} }
 
-// inZone reports whether a member is in a zone.
+// inZone reports whether a member is in the given zone of the given region.
 func inZone(member *fleet.Member, region, zone string) bool {
 	return member.Zone == zone && member.Region == region
 }
 
-// highestHashes is the processes with the highest hashes of those that were offered.
+// highestHashes keeps the processes with the highest hashes among those offered.
 type highestHashes struct {
-	limit  int             // processes that are kept
-	ranked []hashedProcess // highest hash first; of equal ones the first that was offered
+	limit  int             // number of processes to keep
+	ranked []hashedProcess // highest hash first; among equal hashes, first offered first
 }
 
 type hashedProcess struct {
@@ -35,7 +36,7 @@
 	process ProcessID
 }
 
-// offer takes a process among the highest if its hash is one of them.
+// offer adds a process if its hash is among the highest.
 func (h *highestHashes) offer(hash uint64, process ProcessID) {
 	if len(h.ranked) == h.limit && hash <= h.ranked[h.limit-1].hash {
 		return
@@ -48,6 +49,7 @@
 	h.ranked = h.ranked[:min(len(h.ranked), h.limit)]
 }
 
+// processes returns the kept processes, highest hash first.
 func (h *highestHashes) processes() (processes []ProcessID) {
 	for _, ranked := range h.ranked {
 		processes = append(processes, ranked.process)
@@ -55,7 +57,8 @@
 	return processes
 }
 
-// countingMember returns the index in the view of the member that counts the attempts of a request; -1 if there is none.
+// countingMember returns the index in the view of the member that counts the attempts of the request with this
+// fingerprint. It returns -1 if no member accepts requests.
 func countingMember(fingerprint uint64, view *fleet.Snapshot) int {
 	bestHash, index := uint64(0), -1
 	for i := range view.Members {
--- a/internal/overload/retries.go
+++ b/internal/overload/retries.go
@@ -8,36 +8,42 @@
 )
 
 const (
-	rejectionMemory   = 4 * time.Second // for which a rejected request is remembered
-	maxRejections     = 4096
-	maxReportAttempts = 32 // in one message
+	rejectionRetention = 4 * time.Second // time after a rejection in which further attempts count as known retries
+	maxRejections      = 4096            // rejected requests that are kept
+	maxReportAttempts  = 32              // attempts in one report
 )
 
-// Report names attempts to the member that counts them.
+// Report lists attempts for the member that counts them.
 type Report struct {
 	To       ProcessID
-	Attempts []uint64 // fingerprints; one that occurs twice stands for two attempts
+	Attempts []uint64 // fingerprint of each attempt; one that occurs twice stands for two attempts of a request
 }
 
-// RetryCounter measures the ratio of attempts that are retries, which no client marks, and recognises retries of
-// requests that were rejected here.
+// RetryCounter measures the ratio of attempts that are retries, which no client marks. It also recognises retries of
+// requests that this server has rejected.
 //
-// The next attempt of a request goes to another server, so that no server sees all of them. All attempts of a request
-// have the same Fingerprint. All members sample the same small part of the fingerprints and report attempts of these to
-// the member that rendezvous hashing names, which tallies the attempts of each request. The number of reports a second
-// is bounded, and no clocks are compared.
+// A client sends the next attempt of a request to another server, so that no server sees all attempts. But all attempts of
+// a request have the same Fingerprint:
+//
+//   - Each member samples the fingerprints of the attempts that arrive at it. Members with the same load sample the same
+//     requests.
+//   - It reports the sampled attempts to the members that rendezvous hashing chooses. All attempts of a request go to the
+//     same member.
+//   - That member counts the requests and their attempts, and publishes the ratio.
+//
+// The reports per second are bounded, and no clocks are compared.
 //
 // It belongs to one goroutine.
 type RetryCounter struct {
 	sample      attemptSample
-	tally       retryTally // of the requests that this member is named for
-	rejected    expirySet  // requests that were rejected here
-	attemptRate float64    // mean of the attempts that arrive in a second
-	lastTick    time.Duration
-	started     bool
+	tally       retryTally    // counts of the requests that rendezvous hashing assigns to this member
+	rejected    expirySet     // requests that this server has rejected
+	attemptRate float64       // moving average of the attempts per second that arrive here
+	lastTick    time.Duration // time of the last Tick
+	started     bool          // lastTick is set
 }
 
-// NewRetryCounter returns a counter that has counted nothing.
+// NewRetryCounter returns a counter without any attempts.
 func NewRetryCounter() *RetryCounter {
 	return &RetryCounter{
 		sample:   attemptSample{divisor: minSampleDivisor},
@@ -46,21 +52,22 @@
 	}
 }
 
-// Arrived counts an attempt, and reports whether it is known to be a retry of a request that was rejected here.
+// Arrived counts an attempt that arrives now. It reports whether the attempt is known to be a retry, because this server
+// rejected the request within the last 4 s.
 func (c *RetryCounter) Arrived(now time.Duration, fingerprint uint64) (knownRetry bool) {
 	c.sample.add(fingerprint)
 	return c.rejected.hasUnexpired(now, fingerprint)
 }
 
-// Rejected notes that an attempt was rejected in a way that makes its client retry.
+// Rejected records that an attempt was rejected in a way that makes its client retry.
 func (c *RetryCounter) Rejected(now time.Duration, fingerprint uint64) {
 	if !c.rejected.has(fingerprint) && c.rejected.size() >= maxRejections {
 		c.rejected.dropOldest()
 	}
-	c.rejected.put(fingerprint, now+rejectionMemory)
+	c.rejected.put(fingerprint, now+rejectionRetention)
 }
 
-// Tick returns the reports to send. It is called once a second or so.
+// Tick updates the rates and returns the reports to send. It is to be called about once a second.
 func (c *RetryCounter) Tick(now time.Duration, view *fleet.Snapshot) []Report {
 	elapsed := now - c.lastTick
 	if c.started && elapsed > 0 {
@@ -75,33 +82,34 @@
 	return reports
 }
 
-// HandleReport counts the attempts that another member reports.
+// HandleReport counts the attempts that another member reports. It ignores those beyond maxReportAttempts.
 func (c *RetryCounter) HandleReport(now time.Duration, attempts []uint64) {
 	for _, fingerprint := range attempts[:min(len(attempts), maxReportAttempts)] {
 		c.tally.add(now, fingerprint)
 	}
 }
 
-// RetryRatio returns the part of the attempts counted here that are retries; 0 if too few requests were counted.
+// RetryRatio returns the ratio of the attempts counted here that are retries, 0 to 1. It returns 0 if too few requests
+// were counted lately.
 func (c *RetryCounter) RetryRatio() float64 { return c.tally.retryRatio() }
 
-// AttemptRate returns the mean number of attempts that arrive here in a second.
+// AttemptRate returns the moving average of the attempts per second that arrive here.
 func (c *RetryCounter) AttemptRate() float64 { return c.attemptRate }
 
-// AddToLoad adds the attempts that are counted here to the load that this server publishes.
+// AddToLoad adds the attempt rate and the retry ratio to the load that this server publishes.
 func (c *RetryCounter) AddToLoad(load *fleet.Load) {
 	load.Attempts = c.AttemptRate()
 	load.RetryRatio = c.RetryRatio()
 }
 
-// updateRates ages the counts and takes the arrivals since the last tick into the mean.
+// updateRates decays the tally, and adds the arrivals since the last tick to the attempt rate.
 func (c *RetryCounter) updateRates(elapsed time.Duration) {
 	factor := decayFactor(elapsed, retryRatioTimeConstant)
 	c.tally.decay(factor)
 	c.attemptRate += (1 - factor) * (c.sample.arrivals/elapsed.Seconds() - c.attemptRate)
 }
 
-// reportSample tallies the sampled attempts that this member is named for, and returns reports of the others.
+// reportSample counts the sampled attempts that are assigned to this member, and returns reports of the others.
 func (c *RetryCounter) reportSample(now time.Duration, view *fleet.Snapshot) (reports []Report) {
 	for _, fingerprint := range c.sample.pending {
 		index := countingMember(fingerprint, view)
@@ -117,7 +125,7 @@
 	return reports
 }
 
-// addToReports adds an attempt to the report to a process that has room for it, or to a new one.
+// addToReports adds an attempt to a report to the given process, and begins a new report if none has room.
 func addToReports(reports []Report, to ProcessID, fingerprint uint64) []Report {
 	index := slices.IndexFunc(reports, func(report Report) bool {
 		return report.To == to && len(report.Attempts) < maxReportAttempts
--- a/internal/overload/retries_test.go
+++ b/internal/overload/retries_test.go
@@ -133,8 +133,8 @@
 	counter := NewRetryCounter()
 	require.False(t, counter.Arrived(0, 7))
 	counter.Rejected(0, 7)
-	require.True(t, counter.Arrived(rejectionMemory-1, 7))
-	require.False(t, counter.Arrived(rejectionMemory, 7))
+	require.True(t, counter.Arrived(rejectionRetention-1, 7))
+	require.False(t, counter.Arrived(rejectionRetention, 7))
 	for fingerprint := range uint64(3 * maxRejections) {
 		counter.Rejected(0, fingerprint)
 	}
--- a/internal/overload/retry_sample.go
+++ b/internal/overload/retry_sample.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	targetReportRate = 16 // attempts that each server reports a second, about
-	minSampleDivisor = 1  // one fingerprint in so many is sampled
+	targetReportRate = 16 // sampled attempts per second that a server aims to stay below
+	minSampleDivisor = 1
 	maxSampleDivisor = 1 << 12
-	maxPending       = 4 * targetReportRate
-	minTickSeconds   = 0.1 // for which the rate of arrivals is taken at least
+	maxPending       = 4 * targetReportRate // attempts that are reported at one tick
+	minTickSeconds   = 0.1                  // shortest time to compute a rate of arrivals over
 )
 
-// attemptSample chooses the fingerprints whose attempts are reported: those that its divisor divides. The divisor is a
-// power of two that follows the load, so that two servers with about the same load sample the same requests. One with
-// more load samples a part of what the others do, and reports less of each request.
+// attemptSample chooses the requests whose attempts are reported: those whose fingerprint is divisible by divisor. The
+// divisor is a power of two that grows with the load. Two servers with about the same load therefore sample the same
+// requests. A server with more load samples a subset of the requests that the others sample.
 type attemptSample struct {
-	divisor  uint64
-	pending  []uint64 // fingerprints to report at the next tick
-	arrivals float64  // attempts since the last tick
+	divisor  uint64   // one fingerprint in this many is sampled
+	pending  []uint64 // fingerprints of the attempts to report at the next tick
+	arrivals float64  // attempts since the last tick, sampled or not
 }
 
-// add counts an attempt, and has it reported if it is sampled.
+// add counts an attempt. If it is sampled and fewer than maxPending are pending, it will be reported at the next tick.
 func (s *attemptSample) add(fingerprint uint64) {
 	s.arrivals++
 	if fingerprint%s.divisor == 0 && len(s.pending) < maxPending {
@@ -27,8 +27,8 @@
 	}
 }
 
-// reset adjusts the divisor to the arrivals in the time that has elapsed, and begins to count anew. The divisor falls
-// only once a quarter of it would do, so that it does not alternate.
+// reset adjusts the divisor to the rate of arrivals in the elapsed time, and clears the counts. It lowers the divisor only
+// if a quarter of it suffices, so that the divisor does not alternate between two values.
 func (s *attemptSample) reset(elapsed time.Duration) {
 	divisor := uint64(minSampleDivisor)
 	seconds := max(elapsed.Seconds(), minTickSeconds)
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	retryPriorityPenalty = 1.0 // bins that a known retry ranks below a first attempt of the same value
-	maxRequestWork       = 1e4 // seconds of one request; a larger claim is not believed
+	retryPriorityPenalty = 1.0 // bins by which a known retry has a lower priority than a first attempt of the request
+	maxRequestWork       = 1e4 // seconds; a request that states this much work or more is not valid
 )
 
-// Shedder finds the shedding threshold of the fleet and classifies requests by it.
+// Shedder computes the shedding threshold of the fleet and classifies requests by it.
 //
-// Each member adds up what all members have published: demand by bins of priority, service rate, cores in use and
-// retries. The fleet is full while demand exceeds the service rate. Then the threshold is the priority down to which
-// demand fits into the capacity, and requests below it are shed by every member that is short of cores. All members
-// come to about the same threshold without a message, as they know about the same (see SheddingState).
+//   - Each member sums up what all members have published: demand by priority bin, service rate, cores in use and retries.
+//   - The fleet is full while demand exceeds the service rate (see SheddingState for the hysteresis).
+//   - While the fleet is full, the threshold is the priority down to which the demand fits into the capacity. Every member
+//     that is short of CPU time sheds the requests below the threshold.
+//
+// The members agree on about the same threshold without a message, as they sum up about the same data.
 //
 // The zero value is ready for use. It belongs to one goroutine.
 type Shedder struct {
 	demand localDemand
-	state  SheddingState
+	state  SheddingState // result of the last Tick
 }
 
-// RetryJitter returns the time to add to the Retry-After of a rejected request. It lies within the state's Window and
-// depends on the fingerprint, so that clients don't all come back at once.
+// RetryJitter returns the time to add to the Retry-After of a rejected request. It is spread over SheddingState.Window by
+// the fingerprint, so that the rejected clients do not all come back at once.
 func (s *Shedder) RetryJitter(fingerprint uint64) time.Duration {
 	const mantissaBits = 53
 	fraction := float64(fingerprint>>(64-mantissaBits)) / (1 << mantissaBits)
@@ -35,7 +37,7 @@
 // State returns the result of the last Tick.
 func (s *Shedder) State() SheddingState { return s.state }
 
-// Demand returns the demand at this server, in seconds of work a second.
+// Demand returns the demand at this server, in seconds of work per second.
 func (s *Shedder) Demand() Demand { return s.demand.rate() }
 
 // AddToLoad adds the demand and the threshold of this server to the load that it publishes.
@@ -45,11 +47,12 @@
 	load.Threshold = s.state.Threshold
 }
 
-// Classify counts a request that arrived at this server and returns the fleet's verdict on it. Work is in seconds; a
-// request without valid work or value is neither counted nor known.
+// Classify counts an attempt that arrived at this server, and returns the verdict on its request by the load of the fleet.
+// The work is in seconds. An attempt with work or value that is not positive, or with work of maxRequestWork or more, is
+// not counted, and its verdict is VerdictUnknown.
 func (s *Shedder) Classify(value, work, rank float64, knownRetry bool) Verdict {
 	valid := work > 0 && work < maxRequestWork && value > 0
-	if !valid { // also if one is NaN
+	if !valid { // also if work or value is NaN
 		return VerdictUnknown
 	}
 	priority := Priority(value, work, rank)
@@ -62,11 +65,11 @@
 
 // LocalLoad is the load of this server by its own measurements.
 type LocalLoad struct {
-	ServiceRate float64 // seconds of work completed a second; 0 = unknown
+	ServiceRate float64 // completed work in seconds of work per second; 0 = unknown
 	Cores       float64
-	Busy        float64 // part of the cores in use; -1 = unknown
-	Attempts    float64 // a second
-	Retries     float64 // part of the attempts that are retries
+	Busy        float64 // ratio of the cores that are in use, 0 to 1; -1 = unknown
+	Attempts    float64 // attempts per second, retries included
+	Retries     float64 // ratio of the attempts that are retries, 0 to 1
 }
 
 // aggregate returns the load and the demand of this server as an aggregate of one member.
@@ -80,13 +83,14 @@
 	}
 	if l.Busy >= 0 {
 		aggregate.Cores = l.Cores
-		aggregate.InUse = l.Cores * l.Busy
+		aggregate.CoresInUse = l.Cores * l.Busy
 	}
 	return aggregate
 }
 
-// Tick finds the threshold anew from what other members have published. It is called a few times a second. Now is on the
-// clock of this server, at is the time of the view.
+// Tick computes the state from the load of this server and what the members have published. The state is unknown if the
+// view has no recent load of other members, or if this member is partitioned from most of them. Tick is to be called a few
+// times a second. The time now is on the clock of this server, at is on the clock of the view.
 func (s *Shedder) Tick(now time.Duration, own LocalLoad, view *fleet.Snapshot, at time.Duration) SheddingState {
 	s.demand.decay(now)
 	total, includesSelf := AggregateView(view, at)
@@ -102,12 +106,12 @@
 	return s.state
 }
 
-// connected reports whether a member is reached by enough of its fleet to decide for it.
+// connected reports whether this member reaches enough of the fleet to know its load.
 func connected(view *fleet.Snapshot) bool {
 	return view.Position != fleet.Partitioned && view.Position != fleet.Alone
 }
 
-// nextState returns the state for the load of the whole fleet, of which it corrects the demand for retries.
+// nextState returns the state that follows from the load of the whole fleet. It first corrects total.Demand for retries.
 func (s *Shedder) nextState(total *Aggregate) SheddingState {
 	if total.firstAttempts() > 0 {
 		total.Demand.scale(firstAttemptRatio(total.Retries/total.Attempts, s.demand.knownRetryRatio()))
--- a/internal/overload/shedding_state.go
+++ b/internal/overload/shedding_state.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// RetryBudget is the number of retries for each first attempt that a full fleet tolerates.
+// RetryBudget is the number of retries per first attempt up to which a full fleet lets rejected clients retry elsewhere.
 const RetryBudget = 0.1
 
 const (
-	overloadEnterRatio   = 1.0  // of demand to service rate, above which the fleet is full
-	overloadExitRatio    = 0.9  // and down to which it stays so
-	targetUtilization    = 0.96 // of the cores of a full fleet
-	utilizationGain      = 2.0  // capacity that is added for each part of utilization short of the target
-	minCapacityFactor    = 0.85 // of the service rate
-	maxCapacityFactor    = 1.3  // of the service rate
-	thresholdGain        = 0.5  // weight of a new threshold against the previous one
+	overloadEnterRatio   = 1.0  // the fleet becomes full above this ratio of demand to service rate
+	overloadExitRatio    = 0.9  // a full fleet stays full above this ratio
+	targetUtilization    = 0.96 // ratio of the cores that a full fleet is to keep in use
+	utilizationGain      = 2.0  // increase of the capacity factor per unit of utilization below the target
+	minCapacityFactor    = 0.85 // lower bound of the capacity factor
+	maxCapacityFactor    = 1.3  // upper bound of the capacity factor
+	thresholdGain        = 0.5  // weight of a new threshold against the previous one, in a fleet that stays full
 	thresholdDecayStep   = 1.5  // bins by which the threshold falls at each tick once the fleet has capacity again
 	maxRetryWindow       = 4 * time.Second
-	minFreeCapacityRatio = 0.05 // of the service rate, assumed to be free for retries at least
-	minFirstAttemptRatio = 0.4  // of the demand, assumed to be first attempts at least
+	minFreeCapacityRatio = 0.05 // smallest ratio of the service rate that is taken to be free for retries
+	minFirstAttemptRatio = 0.4  // smallest ratio of the demand that is taken to be first attempts
 	minDivisor           = 1e-3 // keeps quotients finite
 )
 
-// SheddingState is what a member knows of the load of its fleet, and the shedding threshold that follows from it.
+// SheddingState is the load of the fleet as this member knows it, and the shedding threshold that follows from it.
 type SheddingState struct {
-	Known               bool // there are recent updates, and this member is not partitioned from most others
-	Full                bool
-	Threshold           float64       // requests of lower priority are below the threshold; 0 = none are
-	Offered             float64       // demand of the fleet, corrected for retries, in seconds of work a second
-	ServiceRate         float64       // that the fleet completes, in seconds of work a second
-	RetryRatio          float64       // retries for each first attempt in the fleet
-	RetryBudgetExceeded bool          // RetryRatio exceeds RetryBudget while the fleet is full
-	Window              time.Duration // over which rejected clients should spread their retries, to fit into free capacity
-	Members             int           // whose updates count, this one included
-	Stale               int           // members whose updates are too old
-	Oldest              time.Duration // age of the oldest update that counts
+	Known               bool          // there are recent updates, and this member is not partitioned from most others
+	Full                bool          // demand exceeds the service rate, with hysteresis
+	Threshold           float64       // requests of a lower priority are to be shed; 0 = none
+	Offered             float64       // demand of the fleet, corrected for retries, in seconds of work per second
+	ServiceRate         float64       // work that the fleet completes, in seconds of work per second
+	RetryRatio          float64       // retries per first attempt in the fleet
+	RetryBudgetExceeded bool          // the fleet is full and RetryRatio exceeds RetryBudget
+	Window              time.Duration // time over which rejected clients are to spread their retries, 4 s at most
+	Members             int           // number of members whose updates count, this one included
+	Stale               int           // number of members whose updates are too old or missing
+	Oldest              time.Duration // age of the oldest update that counts, see Aggregate.Oldest
 }
 
-// classify returns the verdict on a request of a priority.
+// classify returns the verdict on a request of the given priority.
 func (s *SheddingState) classify(priority float64) Verdict {
 	switch {
 	case !s.Known:
@@ -48,9 +48,9 @@
 	return VerdictHasCapacity
 }
 
-// next returns the state that follows s for a load of the whole fleet. While the fleet is full the threshold moves a
-// part of the way to its new value at each tick. Once the fleet has capacity again it falls in steps, as the clients
-// that were rejected come back then.
+// next returns the state that follows s, given the load of the whole fleet. In a fleet that stays full, the threshold moves
+// by thresholdGain of the way to its new value at each tick. Once the fleet has capacity again, the threshold falls in
+// steps of thresholdDecayStep, as the rejected clients come back then.
 func (s *SheddingState) next(total *Aggregate) SheddingState {
 	next := SheddingState{
 		Known:       true,
@@ -75,7 +75,7 @@
 	return next
 }
 
-// fullRatio returns the ratio of demand to service rate above which the fleet is full next.
+// fullRatio returns the ratio of demand to service rate above which the next state is full.
 func (s *SheddingState) fullRatio() float64 {
 	if s.Full {
 		return overloadExitRatio
@@ -83,7 +83,7 @@
 	return overloadEnterRatio
 }
 
-// retryWindow returns how long the free capacity needs for the work of the retries.
+// retryWindow returns how long the free capacity of the fleet needs for the work of the retries, at most maxRetryWindow.
 func (s *SheddingState) retryWindow() time.Duration {
 	retryWork := s.Offered * s.RetryRatio * demandTimeConstant.Seconds()
 	free := max(s.ServiceRate-s.Offered, minFreeCapacityRatio*s.ServiceRate)
@@ -91,18 +91,18 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// firstAttemptRatio returns the part of the demand that is due to first attempts, given the part of all attempts that
-// are retries and the part that is known to be. Most retries are known and not counted as demand, but one that follows
-// its rejection at once looks like a first attempt.
+// firstAttemptRatio returns the ratio of the counted demand that is due to first attempts. retryRatio is the ratio of all
+// attempts that are retries, and knownRatio the ratio of attempts that are known retries. Known retries are not counted as
+// demand; a retry that is not known, such as one that follows its rejection at once, is counted like a first attempt.
 func firstAttemptRatio(retryRatio, knownRatio float64) float64 {
 	ratio := (1 - retryRatio) / max(1-knownRatio, minDivisor)
 	return min(max(ratio, minFirstAttemptRatio), 1)
 }
 
-// firstAttempts returns the attempts a second that are not retries.
+// firstAttempts returns the attempts per second that are not retries.
 func (a *Aggregate) firstAttempts() float64 { return a.Attempts - a.Retries }
 
-// retriesPerFirstAttempt returns the number of retries for each first attempt; 0 without first attempts.
+// retriesPerFirstAttempt returns the number of retries per first attempt. It returns 0 if there are no first attempts.
 func (a *Aggregate) retriesPerFirstAttempt() float64 {
 	if a.firstAttempts() <= 0 {
 		return 0
@@ -110,8 +110,9 @@
 	return a.Retries / a.firstAttempts()
 }
 
-// capacityFactor returns by how much the admitted demand exceeds the service rate. It is more than 1 while cores idle
-// although the fleet is full, since demand then includes retries that look like first attempts.
+// capacityFactor returns the ratio of the demand to admit to the service rate. It exceeds 1 while cores are idle although
+// the fleet is full: then demand includes retries that were counted like first attempts. It is 1 if no member publishes how
+// many cores are in use.
 func (a *Aggregate) capacityFactor() float64 {
 	busy := a.Busy()
 	if busy < 0 {
--- a/internal/overload/shedding_wire.go
+++ b/internal/overload/shedding_wire.go
@@ -9,25 +9,26 @@
 	"falldeal/internal/fleet"
 )
 
-// The first byte of a message of load shedding. A message of quota leasing never begins with one of these, as its first
-// byte is the tag of its first field.
+// The first byte of a load shedding message. A quota leasing message never begins with one of these, as its first byte is
+// the tag of its first field.
 const (
-	kindReport  = 0xff
-	kindPartial = 0xfe
+	kindReport  = 0xff // report of attempts
+	kindPartial = 0xfe // partial aggregate
 )
 
 const (
-	fingerprintSize = 8 // bytes
+	// Sizes in bytes of encoded values.
+	fingerprintSize = 8
 	floatSize       = 4
 	runSize         = 8
 
-	maxAggregateAge = time.Hour
+	maxAggregateAge = time.Hour // largest Aggregate.Oldest that is decoded
 )
 
 var errInvalidAggregate = errors.New("invalid zone aggregate")
 
-// IsSheddingMessage reports whether a message between members is one of load shedding: a report of attempts, or a
-// partial aggregate.
+// IsSheddingMessage reports whether an encoded message between members is a load shedding message: a report of attempts,
+// or a partial aggregate.
 func IsSheddingMessage(b []byte) bool {
 	if len(b) == 0 {
 		return false
@@ -35,7 +36,7 @@
 	return b[0] == kindReport || b[0] == kindPartial
 }
 
-// AppendReport appends the attempts of an encoded report to b. The recipient is not part of it.
+// AppendReport appends an encoded report to b. The recipient, Report.To, is not encoded.
 func AppendReport(b []byte, report Report) []byte {
 	b = append(b, kindReport)
 	for _, fingerprint := range report.Attempts {
@@ -44,7 +45,8 @@
 	return b
 }
 
-// ParseReport returns the attempts of a report. Ok is false if b is not a report or has too many attempts.
+// ParseReport returns the attempts of an encoded report. ok is false if b is not a report, or has more than
+// maxReportAttempts attempts.
 func ParseReport(b []byte) (attempts []uint64, ok bool) {
 	if len(b) < 1 || b[0] != kindReport || len(b)%fingerprintSize != 1 || len(b) > 1+fingerprintSize*maxReportAttempts {
 		return nil, false
@@ -55,7 +57,7 @@
 	return attempts, true
 }
 
-// AppendPartial appends an encoded partial aggregate to b. The name of the sender has at most fleet.MaxText bytes.
+// AppendPartial appends an encoded partial aggregate to b. The name of the sender must have at most fleet.MaxText bytes.
 func AppendPartial(b []byte, partial PartialAggregate) []byte {
 	b = append(b, kindPartial, byte(len(partial.From.Name)))
 	b = append(b, partial.From.Name...)
@@ -63,7 +65,7 @@
 	return AppendAggregate(b, &partial.Aggregate)
 }
 
-// ParsePartial decodes a partial aggregate. Ok is false if b is not one, or one of more than a single member.
+// ParsePartial decodes a partial aggregate. ok is false if b is not one, or if it counts more than one member.
 func ParsePartial(b []byte) (partial PartialAggregate, ok bool) {
 	if len(b) < 2 || b[0] != kindPartial {
 		return partial, false
@@ -79,8 +81,8 @@
 	return partial, err == nil && aggregate.Members <= 1
 }
 
-// AppendAggregate appends an encoded aggregate to b: the number of members and the age in milliseconds as varints, the
-// float fields in 32 bits each, then the demand. Stale is not encoded.
+// AppendAggregate appends an encoded aggregate to b. The encoding is the number of members and the age in milliseconds as
+// varints, the float fields in 32 bits each, then the demand. Stale is not encoded, and a negative age is encoded as 0.
 func AppendAggregate(b []byte, aggregate *Aggregate) []byte {
 	b = binary.AppendUvarint(b, uint64(aggregate.Members))
 	b = binary.AppendUvarint(b, uint64(max(aggregate.Oldest, 0)/time.Millisecond))
@@ -90,8 +92,8 @@
 	return aggregate.Demand.Append(b)
 }
 
-// ParseAggregate decodes an aggregate. It returns an error if b is too short or too long, or a field is out of range:
-// too many members, too old, negative, infinite or NaN.
+// ParseAggregate decodes an aggregate. It returns an error if b is too short or too long, Members exceeds 4096, Oldest
+// exceeds one hour, or a float field is negative, infinite or NaN.
 func ParseAggregate(b []byte) (aggregate Aggregate, err error) {
 	members, b, ok := consumeUvarint(b, maxPartials)
 	if !ok {
@@ -115,7 +117,7 @@
 	return aggregate, nil
 }
 
-// consumeUvarint reads a varint of at most limit and returns the rest of b.
+// consumeUvarint reads a varint and returns it with the rest of b. ok is false if b has none, or one above limit.
 func consumeUvarint(b []byte, limit uint64) (value uint64, rest []byte, ok bool) {
 	value, n := binary.Uvarint(b)
 	if n <= 0 || value > limit {
@@ -124,13 +126,14 @@
 	return value, b[n:], true
 }
 
-// consumeFloat reads a 32-bit float that is finite and not negative, and returns the rest of b.
+// consumeFloat reads a 32-bit float and returns it with the rest of b. ok is false if b has none, or one that is negative,
+// infinite or NaN.
 func consumeFloat(b []byte) (value float64, rest []byte, ok bool) {
 	if len(b) < floatSize {
 		return 0, nil, false
 	}
 	value = float64(math.Float32frombits(binary.BigEndian.Uint32(b)))
-	if !(value >= 0 && value < math.MaxFloat32) { // also if it is NaN
+	if !(value >= 0 && value < math.MaxFloat32) { // also if value is NaN
 		return 0, nil, false
 	}
 	return value, b[floatSize:], true
--- a/internal/overload/store_group.go
+++ b/internal/overload/store_group.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	minUnhealthyMembers    = 2  // a single unhealthy member may itself be the cause
-	unhealthyQuorumDivisor = 10 // one member in so many must be unhealthy
-	verifiersPerRecovered  = 3  // members that verify the store for each one that has recovered
+	minUnhealthyMembers         = 2  // smallest quorum: a single unhealthy member may itself be the cause
+	unhealthyQuorumDivisor      = 10 // one member in 10 is a quorum
+	verifiersPerRecoveredMember = 3  // members that verify the store, for each member that finds it recovered
 )
 
-// storeGroup is what is known of the other members with the same store in the same zone, by their recent load.
+// storeGroup describes the members that use the same store in the same zone. It counts only members that accept requests
+// and whose published load is recent.
 type storeGroup struct {
-	size      int             // members, this one included
-	unhealthy []*fleet.Member // whose calls to the store fail
-	recovered int             // members that publish that the store has recovered
+	size      int             // number of members, this one included
+	unhealthy []*fleet.Member // other members whose calls to the store fail
+	recovered int             // number of other members that publish StoreRecovering
 }
 
-// storeGroupOf returns the group of a member in this zone with this store. At is the time on the view's clock.
+// storeGroupOf returns the group of this member, which is in the given zone and uses the given store. The time at is on
+// the clock of the view.
 func storeGroupOf(view *fleet.Snapshot, at time.Duration, zone string, storeID uint32) storeGroup {
 	maxAge := fleet.MaxFreshAge(len(view.Members))
 	group := storeGroup{size: 1}
@@ -40,14 +42,15 @@
 	return group
 }
 
-// quorum returns how many members must find the store unresponsive for the store to be the cause.
+// quorum returns how many members must find the store unresponsive before the store counts as the cause, rather than
+// these members.
 func (g *storeGroup) quorum() int { return max(minUnhealthyMembers, g.size/unhealthyQuorumDivisor) }
 
-// hasQuorum reports whether so many unhealthy members are enough for the store to be the cause.
+// hasQuorum reports whether this number of unhealthy members is a quorum.
 func (g *storeGroup) hasQuorum(unhealthy int) bool { return unhealthy >= g.quorum() }
 
-// verifies reports whether a process of the group is one of those that verify a recovery: the first by a hash, a fixed
-// number for each member that has recovered.
+// verifies reports whether an unhealthy process of the group is one of those that verify a recovery. These are the ones
+// with the lowest hashes: verifiersPerRecoveredMember for each member that publishes StoreRecovering.
 func (g *storeGroup) verifies(run uint64) bool {
 	ownHash := mix(run)
 	rank := 0
@@ -56,5 +59,5 @@
 			rank++
 		}
 	}
-	return rank < verifiersPerRecovered*g.recovered
+	return rank < verifiersPerRecoveredMember*g.recovered
 }
--- a/internal/overload/store_state.go
+++ b/internal/overload/store_state.go
@@ -2,45 +2,48 @@
 
 import "falldeal/admission"
 
-// StoreState is the state of a store as one member finds it, and publishes it.
+// StoreState is the state of a store, as one member finds it and publishes it to the others.
 type StoreState uint8
 
-// The states of a store, as they are encoded.
+// The states of a store. Their numbers are part of the wire format.
 const (
-	StoreHealthy      StoreState = iota // as far as the member knows
-	StoreUnresponsive                   // calls fail
+	StoreHealthy      StoreState = iota // no failure is known
+	StoreUnresponsive                   // calls fail, and this member does not probe
 	StoreProbing                        // calls fail, and it is this member's turn to probe
 	StoreRecovering                     // calls succeed again
 )
 
 var storeStateNames = [...]string{"healthy", "unresponsive", "probing", "recovering"}
 
+// String returns the name of the state; a number that is not defined reads as StoreRecovering.
 func (s StoreState) String() string { return storeStateNames[min(int(s), len(storeStateNames)-1)] }
 
-// unhealthy reports whether calls to the store fail.
+// unhealthy reports whether the member finds that calls to the store fail.
 func (s StoreState) unhealthy() bool { return s == StoreUnresponsive || s == StoreProbing }
 
-// CallAllowance limits the calls that a member may make to probe its store.
+// CallAllowance limits the calls that a member may make to its store.
 type CallAllowance uint8
 
 // The allowances.
 const (
-	AllowUnlimited CallAllowance = iota // as the member's own breaker allows
-	AllowCautious                       // the same, but the first failure counts: other members have warned
-	AllowSingle                         // one call at a time
-	AllowNone
+	AllowUnlimited CallAllowance = iota // only the circuit breaker of the member limits its calls
+	AllowCautious                       // the same, but the breaker protects no call: a quorum of other members warns
+	AllowSingle                         // the member probes the store with one call at a time
+	AllowNone                           // the member makes no call: others probe the store
 )
 
 var callAllowanceNames = [...]string{"unlimited", "cautious", "single", "none"}
 
+// String returns the name of the allowance; a number that is not defined reads as AllowNone.
 func (a CallAllowance) String() string {
 	return callAllowanceNames[min(int(a), len(callAllowanceNames)-1)]
 }
 
-// ProtectedCalls returns the number of protected calls that the circuit breaker is set to while the allowance is in
-// force; package admission has the formula (breaker.go). With 5, 1 or 0, no call is dropped while at most so many calls
-// are in the window. With -1, calls are dropped with a probability that reaches 1 only once no accepted call is left in
-// the window.
+// ProtectedCalls returns the number of protected calls to set in the circuit breaker while the allowance is in force.
+// Package admission has the breaker's formula (breaker.go):
+//
+//   - With 5, 1 or 0, the breaker drops no call while its window holds at most that many calls.
+//   - With -1, it drops calls with a probability that reaches 1 only once no accepted call is left in the window.
 func (a CallAllowance) ProtectedCalls() float64 {
 	switch a {
 	case AllowUnlimited:
--- a/internal/overload/timeout_histogram.go
+++ b/internal/overload/timeout_histogram.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	timeoutBucketWidth          = 10 * time.Millisecond // a first attempt may be off by one bucket
-	commonTimeoutRatio          = 0.04                  // of the attempts of a class, from which a timeout is common
-	minCommonTimeoutAttempts    = 6.0                   // and attempts, from which it is
-	minClassAttempts            = 25.0                  // of a class, before any timeout is common
+	timeoutBucketWidth          = 10 * time.Millisecond // timeouts of first attempts may be off by one bucket
+	commonTimeoutRatio          = 0.04                  // a common timeout has at least 4% of the attempts of its class
+	minCommonTimeoutAttempts    = 6.0                   // and at least 6 attempts
+	minClassAttempts            = 25.0                  // a class with fewer attempts has no common timeout
 	attemptCountHalvingInterval = 10 * time.Second
-	minBucketCount              = 0.25 // a bucket with less is dropped
-	maxTimeoutBuckets           = 1024 // of a class
+	minBucketCount              = 0.25 // a bucket with a lower count is dropped
+	maxTimeoutBuckets           = 1024 // buckets of one class
 )
 
-// timeoutHistogram counts the attempts of a class by the time that their clients still wait.
+// timeoutHistogram counts the attempts of a class by their remaining timeouts, and finds the common timeouts. The counts
+// are halved every 10 s.
 type timeoutHistogram struct {
-	counts          map[int]float64 // by bucket, decayed
-	total           float64
-	nextDecay       time.Duration
-	nextUpdateTotal float64 // total from which common buckets are looked for again
-	commonBuckets   []int   // in ascending order
+	counts          map[int]float64 // decayed count of attempts by bucket
+	total           float64         // sum of counts
+	nextDecay       time.Duration   // when the counts are halved next
+	nextUpdateTotal float64         // total from which the common buckets are found again before nextDecay
+	commonBuckets   []int           // buckets of the common timeouts, in ascending order
 }
 
 func newTimeoutHistogram(now time.Duration) *timeoutHistogram {
@@ -33,10 +34,10 @@
 	}
 }
 
-// timeoutBucket returns the bucket of a timeout.
+// timeoutBucket returns the index of the bucket that a timeout falls into.
 func timeoutBucket(timeout time.Duration) int { return int(timeout / timeoutBucketWidth) }
 
-// count counts an attempt, unless there is no room for another bucket.
+// count counts an attempt. It ignores the attempt if that would exceed maxTimeoutBuckets.
 func (h *timeoutHistogram) count(timeout time.Duration) {
 	bucket := timeoutBucket(timeout)
 	if _, ok := h.counts[bucket]; ok || len(h.counts) < maxTimeoutBuckets {
@@ -45,13 +46,13 @@
 	}
 }
 
-// age returns how much a timeout falls short of the next common one; 0 if it is within a bucket of a common one, or
-// longer than all.
+// age returns the difference from a timeout to the next longer common one. It returns 0 if the timeout is within one
+// bucket of a common one or longer than all of them.
 func (h *timeoutHistogram) age(timeout time.Duration) time.Duration {
 	bucket := timeoutBucket(timeout)
 	for _, common := range h.commonBuckets {
 		switch {
-		case bucket > common+1: // longer than this one
+		case bucket > common+1: // longer than this common timeout
 		case bucket >= common-1:
 			return 0
 		default:
@@ -61,13 +62,13 @@
 	return 0
 }
 
-// shouldUpdate reports whether the common timeouts are to be found anew.
+// shouldUpdate reports whether the common timeouts are to be found again now.
 func (h *timeoutHistogram) shouldUpdate(now time.Duration) bool {
 	return now >= h.nextDecay || h.total >= h.nextUpdateTotal
 }
 
-// update finds the common timeouts, and halves the counts when it is time. The next update is due when the total has
-// doubled, or else at the next decay.
+// update finds the common timeouts, and halves the counts if nextDecay has come. Before the first halving, updates are
+// also due each time the total has doubled, from minClassAttempts on. After it, they are due at each halving only.
 func (h *timeoutHistogram) update(now time.Duration) {
 	h.nextUpdateTotal = 2 * h.total
 	h.findCommonBuckets()
@@ -78,6 +79,7 @@
 	}
 }
 
+// findCommonBuckets sets commonBuckets by the current counts.
 func (h *timeoutHistogram) findCommonBuckets() {
 	h.commonBuckets = h.commonBuckets[:0]
 	if h.total < minClassAttempts {
@@ -91,13 +93,14 @@
 	slices.Sort(h.commonBuckets)
 }
 
-// isCommon reports whether a bucket and its neighbours have enough attempts, and none of the two has more than it.
+// isCommon reports whether a bucket has a common timeout: it and its two neighbours together have enough attempts, and
+// neither neighbour has more than the bucket.
 func (h *timeoutHistogram) isCommon(bucket int) bool {
 	below, count, above := h.counts[bucket-1], h.counts[bucket], h.counts[bucket+1]
 	return below+count+above >= max(commonTimeoutRatio*h.total, minCommonTimeoutAttempts) && count >= max(below, above)
 }
 
-// decay halves the counts and drops buckets that have next to none.
+// decay halves the counts and drops the buckets that are then below minBucketCount.
 func (h *timeoutHistogram) decay() {
 	h.total = 0
 	for bucket, count := range h.counts {
--- a/internal/overload/usage.go
+++ b/internal/overload/usage.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// usageTimeConstant is that of the mean number of calls in flight.
+// usageTimeConstant is the time constant of callUsage.mean.
 const usageTimeConstant = 2 * time.Second
 
-// callUsage is the exponentially weighted mean of the number of calls in flight.
+// callUsage is the exponentially weighted moving average of the calls in flight at the store.
 type callUsage struct {
-	mean       float64
-	measuredAt time.Duration
-	started    bool
+	mean       float64       // calls in flight
+	measuredAt time.Duration // time of the last measurement
+	started    bool          // measuredAt is set
 }
 
-// measure takes the number of calls in flight now into the mean. It counts for the time since the last measurement.
+// measure adds the number of calls in flight now to the mean, weighted by the time since the last measurement.
 func (u *callUsage) measure(now time.Duration, callsInFlight int) {
 	if elapsed := now - u.measuredAt; u.started && elapsed > 0 {
 		weight := min(float64(elapsed)/float64(usageTimeConstant), 1)
@@ -22,15 +22,16 @@
 	u.measuredAt = now
 }
 
-// missedQuota is the quota that would have sufficed when calls were last missed. It is wanted for the length of a lease:
-// otherwise a lease would be returned as soon as it helps, and requested again.
+// missedQuota is the quota that this member wants because calls were missed: skipped, or their request rejected, for
+// lack of quota. The quota stays wanted for the length of a lease. Otherwise a lease would be returned as soon as it
+// takes effect, and then be requested again.
 type missedQuota struct {
-	calls       int // missed since the last update
-	wanted      Quota
-	wantedUntil time.Duration
+	calls       int           // calls missed since the last update
+	wanted      Quota         // quota that this member wants until wantedUntil
+	wantedUntil time.Duration // one lease length after the last update that found missed calls
 }
 
-// update raises what is wanted if calls were missed since the last update.
+// update sets the wanted quota to a step above the limit if calls were missed since the last update.
 func (q *missedQuota) update(now time.Duration, limit Quota, terms *LeaseTerms) {
 	if q.calls == 0 {
 		return
@@ -40,5 +41,5 @@
 	q.wantedUntil = now + terms.Lease
 }
 
-// isWanted reports whether calls were missed within the length of a lease.
+// isWanted reports whether calls were missed within the last lease length, so that the quota is still wanted.
 func (q *missedQuota) isWanted(now time.Duration) bool { return now < q.wantedUntil }
--- a/internal/overload/verdict.go
+++ b/internal/overload/verdict.go
@@ -2,26 +2,28 @@
 
 import "falldeal/admission"
 
-// Verdict is the fleet's view of a request.
+// Verdict classifies a request by the load of the whole fleet.
 type Verdict uint8
 
-// The verdicts on a request. Each has a consequence for a request that this server rejects for want of CPU; rejections for
-// other reasons are the same whatever the verdict.
+// The verdicts on a request. A verdict matters only for rejections for lack of CPU time; it does not change rejections
+// for other reasons.
 const (
-	// VerdictUnknown: nothing is known of other members, and this server decides by its own load. A rejected client is
-	// asked not to retry elsewhere only while this server observes a retry storm.
+	// VerdictUnknown: the load of the other members is not known, or the request has no valid work or value. This server
+	// decides by its own load. It asks a rejected client not to retry elsewhere only while it observes a retry storm.
 	VerdictUnknown Verdict = iota
-	// VerdictHasCapacity: the fleet has capacity. A rejected client may retry elsewhere, where another member runs it.
+	// VerdictHasCapacity: the fleet has capacity, or is full but within its retry budget. A rejected client may retry
+	// elsewhere.
 	VerdictHasCapacity
 	// VerdictFleetFull: the fleet is full and over its retry budget. A rejected client is asked not to retry elsewhere.
 	VerdictFleetFull
-	// VerdictBelowThreshold: the request is below the shedding threshold. It is rejected whenever all cores are busy, at
-	// each member, and its client is asked not to retry elsewhere.
+	// VerdictBelowThreshold: the priority of the request is below the shedding threshold. Each member rejects it while
+	// all its cores are busy, and asks the client not to retry elsewhere.
 	VerdictBelowThreshold
 )
 
 var verdictNames = [...]string{"unknown", "has capacity", "fleet full", "below threshold"}
 
+// String returns the name of the verdict; a number that is not defined reads as VerdictUnknown.
 func (v Verdict) String() string {
 	if int(v) >= len(verdictNames) {
 		return verdictNames[VerdictUnknown]
@@ -29,7 +31,7 @@
 	return verdictNames[v]
 }
 
-// fleetRanks gives the controller's rank for each verdict.
+// fleetRanks maps each verdict to the rank that the admission controller knows it by.
 var fleetRanks = [...]admission.FleetRank{
 	VerdictUnknown:        admission.RankUnknown,
 	VerdictHasCapacity:    admission.RankElsewhere,
@@ -37,7 +39,7 @@
 	VerdictBelowThreshold: admission.RankBelowThreshold,
 }
 
-// FleetRank returns the rank that a request with this verdict has at the admission controller.
+// FleetRank returns the rank to pass to the admission controller with a request of this verdict.
 func (v Verdict) FleetRank() admission.FleetRank {
 	if int(v) >= len(fleetRanks) {
 		return admission.RankUnknown
--- a/internal/overload/zone_aggregate.go
+++ b/internal/overload/zone_aggregate.go
@@ -6,20 +6,20 @@
 	"falldeal/internal/fleet"
 )
 
-// zoneAggregateMaxAge bounds the age of the aggregate of a zone, its way through the fleet included.
+// zoneAggregateMaxAge is the greatest age of a collector's load at which its aggregate of the zone counts.
 const zoneAggregateMaxAge = 5 * time.Second
 
-// zoneAggregate is what is known of one zone.
+// zoneAggregate is the load of one zone, as one of its collectors has published it.
 type zoneAggregate struct {
 	region, zone string
-	serving      int       // members that take work, by the view
-	cores        float64   // of these, as they have published at any time: a machine does not change
-	best         Aggregate // of the collector that counted the most members
-	found        bool
-	age          time.Duration // of best
+	serving      int           // number of members that accept requests, by the view
+	cores        float64       // cores of these members by their last load, however old: a machine does not change
+	best         Aggregate     // of the aggregates that the collectors published, the one that counts the most members
+	found        bool          // best is set
+	age          time.Duration // age of the load that best was published in
 }
 
-// aggregateZones sums up the aggregates of all zones. The members of a zone without a recent one count as stale.
+// aggregateZones sums up the aggregates of all zones. Members of a zone without a recent aggregate count as stale.
 func aggregateZones(view *fleet.Snapshot, at time.Duration) (total Aggregate) {
 	var zones []zoneAggregate
 	for i := range view.Members {
@@ -40,7 +40,7 @@
 	return total
 }
 
-// indexOfZone returns the index of a member's zone; -1 if it is not among zones.
+// indexOfZone returns the index of the zone that a member is in, or -1 if zones has no entry for it.
 func indexOfZone(zones []zoneAggregate, member *fleet.Member) int {
 	for i := range zones {
 		if inZone(member, zones[i].region, zones[i].zone) {
@@ -50,7 +50,8 @@
 	return -1
 }
 
-// addMember counts a member of the zone and takes its aggregate if it is a better one.
+// addMember counts a member of the zone. If the member publishes a recent aggregate that counts more members than the
+// best one so far, that becomes the best one.
 func (z *zoneAggregate) addMember(member *fleet.Member, at time.Duration) {
 	z.serving++
 	z.cores += member.Load.Capacity
@@ -68,7 +69,7 @@
 	}
 }
 
-// addTo adds the zone to the total of the fleet.
+// addTo adds the load of the zone to the total of the fleet.
 func (z *zoneAggregate) addTo(total *Aggregate) {
 	if !z.found {
 		total.Stale += z.serving
