--- a/internal/permit/acquire.go
+++ b/internal/permit/acquire.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// prospect is the fleet as it is before or would be after a grant.
-type prospect struct {
-	instances   map[string]Instance // all that are known, by name
-	unavailable map[string]bool     // those that are out by permit or lost
+// availability describes which instances are unavailable before a grant, or would be after it.
+type availability struct {
+	instances   map[string]Instance // all known instances, by name
+	unavailable map[string]bool     // names of the instances that have a permit or are lost
 }
 
-// acquire grants permits for all names of the command, or for none of them.
+// acquire grants permits for all names of the command. It returns an error and grants none if one of them is denied.
 func (s *State) acquire(command *Command, decision *Decision) error {
 	if err := s.checkGrantable(command); err != nil {
 		return err
 	}
-	after := s.prospectOf(&command.View)
+	after := s.availabilityBefore(&command.View)
 	if err := s.checkNames(command.Names, after.instances); err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// checkGrantable returns why no permit can be granted now, whichever instances are named.
+// checkGrantable returns an error if no permit can be granted now, whichever instances the command names.
 func (s *State) checkGrantable(command *Command) error {
 	switch {
 	case s.halted:
@@ -60,15 +60,15 @@
 	return nil
 }
 
-// prospectOf returns the fleet as it is before a grant.
-func (s *State) prospectOf(view *FleetView) prospect {
-	before := prospect{instances: map[string]Instance{}, unavailable: map[string]bool{}}
+// availabilityBefore returns the availability of the fleet before a grant.
+func (s *State) availabilityBefore(view *FleetView) availability {
+	before := availability{instances: map[string]Instance{}, unavailable: map[string]bool{}}
 	for _, instance := range view.Instances {
 		before.instances[instance.Name] = instance
 	}
 	for name, permit := range s.permits {
 		before.unavailable[name] = true
-		if _, ok := before.instances[name]; !ok { // an instance that is out counts even where the proposer has forgotten it
+		if _, ok := before.instances[name]; !ok { // an instance with a permit counts even if the proposer does not list it
 			before.instances[name] = permit.instance
 		}
 	}
@@ -78,7 +78,7 @@
 	return before
 }
 
-// checkNames returns an error unless each name is that of a known instance without a permit.
+// checkNames returns an *InstanceError unless each name is that of a known instance without a permit.
 func (s *State) checkNames(names []string, instances map[string]Instance) error {
 	for _, name := range names {
 		if permit, ok := s.permits[name]; ok {
@@ -91,9 +91,9 @@
 	return nil
 }
 
-// checkLimits returns a *LimitError for the first limit that would be exceeded. Only domains that one of the names is in
-// count: losses elsewhere must not delay this command.
-func (r *Rules) checkLimits(after prospect, names []string) error {
+// checkLimits returns a *LimitError for the first limit that would be exceeded. It checks only the domains of the named
+// instances, as losses in other domains must not block the command.
+func (r *Rules) checkLimits(after availability, names []string) error {
 	for i := range r.Limits {
 		limit := &r.Limits[i]
 		total, unavailable := limit.count(after)
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// count returns the number of instances by domain, and of those that would be unavailable.
-func (l *Limit) count(after prospect) (total, unavailable map[string]int) {
+// count returns, by domain, the number of instances that the limit selects, and how many of them would be unavailable.
+func (l *Limit) count(after availability) (total, unavailable map[string]int) {
 	total, unavailable = map[string]int{}, map[string]int{}
 	for name, instance := range after.instances {
 		domain, ok := l.domainOf(instance)
@@ -129,7 +129,7 @@
 	return total, unavailable
 }
 
-// domainsOf returns the domains that the named instances are counted in, sorted.
+// domainsOf returns the sorted domains in which the limit counts the named instances.
 func (l *Limit) domainsOf(names []string, instances map[string]Instance) []string {
 	domains := map[string]bool{}
 	for _, name := range names {
@@ -140,10 +140,10 @@
 	return slices.Sorted(maps.Keys(domains))
 }
 
-// checkLoad returns a *LoadError where the load would not fit into the remaining capacity less the margin.
-func (r *Rules) checkLoad(after prospect, view *FleetView) error {
+// checkLoad returns a *LoadError if the load would exceed the remaining capacity less the margin.
+func (r *Rules) checkLoad(after availability, view *FleetView) error {
 	remaining := 0.0
-	for _, name := range slices.Sorted(maps.Keys(after.instances)) { // sums of floats depend on the order
+	for _, name := range slices.Sorted(maps.Keys(after.instances)) { // a sum of floats depends on the order of the terms
 		if !after.unavailable[name] {
 			remaining += view.Capacity[name]
 		}
--- a/internal/permit/acquire_test.go
+++ b/internal/permit/acquire_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// newFleetView returns n instances in two zones, each with the capacity of one core.
+// newFleetView returns a view of n instances in two zones, each with a capacity of one second of work per second.
 func newFleetView(n int) FleetView {
 	view := FleetView{Capacity: map[string]float64{}}
 	for i := range n {
@@ -20,13 +20,14 @@
 	return view
 }
 
+// newStateWithLimits returns a state in which only these limits are in force, with a margin of 10%.
 func newStateWithLimits(limits ...Limit) *State {
 	state := NewState()
 	state.Apply(Command{Kind: SetRules, Rules: Rules{Version: 1, Limits: limits, Margin: 0.1}})
 	return state
 }
 
-// acquireCommand asks for permits for the first process of each name.
+// acquireCommand returns a command that requests a permit for process 1 of each name.
 func acquireCommand(view FleetView, names ...string) Command {
 	command := Command{Kind: Acquire, Owner: "op", Names: names, View: view, Incarnations: map[string]uint64{}}
 	for _, name := range names {
@@ -35,7 +36,7 @@
 	return command
 }
 
-// denialText is the text of a denial, empty for a grant.
+// denialText returns the text of a denial, or "" for a grant.
 func denialText(decision Decision) string {
 	if decision.Granted() {
 		return ""
@@ -43,8 +44,9 @@
 	return decision.Denial.Error()
 }
 
-// Each request must be granted, or denied for its own reason, which names the limit.
-func TestAcquire(t *testing.T) {
+// A command denied for the wrong reason would send operators to the wrong limit. Each case must be granted, or denied with
+// the text of its own reason.
+func TestAcquireDecisions(t *testing.T) {
 	view := newFleetView(6)
 	lost, busy, half, three := view, view, newFleetView(6), newFleetView(3)
 	lost.Lost = []string{"n2"}
@@ -64,15 +66,15 @@
 		limits  []Limit
 		before  []Command
 		command Command
-		denial  string // empty: granted
+		denial  string // part of the text of the denial; empty = granted
 	}{
 		"one":                      {onePerZone, nil, acquire("n0"), ""},
 		"one of each zone":         {onePerZone, nil, acquire("n0", "n1"), ""},
 		"two of a zone":            {onePerZone, nil, acquire("n0", "n2"), "limits[0]: 2 of 3 instances in belgium/z0"},
-		"another is out there":     {onePerZone, []Command{acquire("n2")}, acquire("n0"), "limits[0]: 2 of 3"},
-		"another is out elsewhere": {onePerZone, []Command{acquire("n2")}, acquire("n1"), ""},
-		"another is lost there":    {onePerZone, nil, acquireCommand(lost, "n0"), "limits[0]: 2 of 3"},
-		"it is lost itself":        {onePerZone, nil, acquireCommand(lost, "n2"), ""}, // going changes nothing
+		"another out in the zone":  {onePerZone, []Command{acquire("n2")}, acquire("n0"), "limits[0]: 2 of 3"},
+		"another out elsewhere":    {onePerZone, []Command{acquire("n2")}, acquire("n1"), ""},
+		"another lost in the zone": {onePerZone, nil, acquireCommand(lost, "n0"), "limits[0]: 2 of 3"},
+		"it is lost itself":        {onePerZone, nil, acquireCommand(lost, "n2"), ""}, // its departure changes no count
 		"two limits":               {onePerZoneAndOne, []Command{acquire("n1")}, acquire("n0"), "limits[1]: 2 of 6 instances in all"},
 		"ratio":                    {third, []Command{acquire("n1")}, acquire("n0"), ""},
 		"ratio exceeded": {third, []Command{acquire("n1", "n2")}, acquire("n0"),
@@ -102,7 +104,8 @@
 	}
 }
 
-// Replicas must come to the same sum of capacities, to the last bit, or they could decide differently.
+// A sum of floats depends on the order of its terms. If replicas summed up capacities in the random order of a map, they
+// could decide differently. All sums must be equal to the last bit.
 func TestRemainingCapacityIsDeterministic(t *testing.T) {
 	const replicas = 100
 	view := newFleetView(12)
@@ -122,8 +125,8 @@
 	}
 }
 
-// Whatever is applied, in whatever order, no grant may leave more unavailable than a limit allows, by plain counting;
-// replicas that apply the same must hold the same.
+// Random commands must never lead to a grant after which more instances are unavailable than a limit allows. The test
+// counts these itself. Replicas that apply the same commands must hold the same permits.
 func TestGrantsNeverExceedLimits(t *testing.T) {
 	limits := []Limit{{Per: PerZone, MaxUnavailable: 2}, {MaxUnavailableRatio: 0.5}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -172,7 +175,7 @@
 	return command
 }
 
-// unavailableNames returns the instances that are out by permit or lost.
+// unavailableNames returns the names of the instances that have a permit or are lost.
 func unavailableNames(state *State, view FleetView) map[string]bool {
 	unavailable := map[string]bool{}
 	for _, permit := range state.Permits() {
@@ -184,7 +187,7 @@
 	return unavailable
 }
 
-// unavailableByZone counts the unavailable instances in each zone that one of the names is in.
+// unavailableByZone counts the unavailable instances in each zone that has one of the named instances.
 func unavailableByZone(view FleetView, unavailable map[string]bool, names []string) map[string]int {
 	zones := map[string]bool{}
 	for _, instance := range view.Instances {
--- a/internal/permit/command.go
+++ b/internal/permit/command.go
@@ -5,12 +5,12 @@
 // Instance is the location of one instance.
 type Instance struct{ Name, Region, Zone string }
 
-// FleetView is what the proposer of a command observed of the fleet.
+// FleetView is the state of the fleet as the proposer of a command observed it.
 type FleetView struct {
-	Instances []Instance         // all that belong to the fleet, also those that are out or lost
-	Lost      []string           // names of instances that are out without a permit
-	Load      float64            // seconds of work per second that the whole fleet is asked for
-	Capacity  map[string]float64 // seconds of work per second that each instance can do; 0 where it is absent
+	Instances []Instance         // all instances of the fleet, unavailable ones included
+	Lost      []string           // names of the instances that are unavailable without a permit
+	Load      float64            // work requested of the whole fleet, in seconds of work per second
+	Capacity  map[string]float64 // seconds of work per second that each instance can do, by name; 0 if absent
 }
 
 // CommandKind is the type of a Command. Its numbers are part of the replicated log.
@@ -18,14 +18,14 @@
 
 // The kinds of Command.
 const (
-	Acquire   CommandKind = iota + 1 // Owner wants permits for all of Names or none
-	Departed                         // the instance reports that it has begun to go
+	Acquire   CommandKind = iota + 1 // Owner requests permits for all of Names; all or none are granted
+	Departed                         // the instance reports that it leaves service
 	Recovered                        // the instance reports that it serves and is warm
-	Release                          // the instance gives back its permit of Epoch, which it no longer knows when it reports so
+	Release                          // the instance gives back its permit of Epoch, which it must not use after it has proposed this
 	WriteOff                         // Owner releases the permit of an instance, for Reason
 	Halt                             // no permit is granted until Resume
-	Resume
-	SetRules
+	Resume                           // ends Halt
+	SetRules                         // replaces the rules by Rules
 )
 
 var commandKindNames = [...]string{
@@ -39,6 +39,7 @@
 	SetRules:  "set rules",
 }
 
+// String returns the name of the kind as operators see it.
 func (k CommandKind) String() string {
 	if int(k) < len(commandKindNames) {
 		return commandKindNames[k]
@@ -46,21 +47,22 @@
 	return fmt.Sprintf("command(%d)", uint8(k))
 }
 
-// Command is one entry of the replicated log. The comment of a field lists the kinds that use it.
+// Command is one entry of the replicated log. Where only some kinds use a field, its comment begins with these kinds.
 type Command struct {
 	Kind         CommandKind
-	Owner        string // who proposed it
-	Reason       string
-	Names        []string          // of instances: one or more for Acquire, exactly one for the others
-	Incarnations map[string]uint64 // Acquire: of each process that is to go; Departed, Recovered: of the one that reports
+	Owner        string            // who proposed the command
+	Reason       string            // why; required for WriteOff
+	Names        []string          // names of instances: one or more for Acquire, exactly one for the kinds about one instance
+	Incarnations map[string]uint64 // Acquire: process that may depart, by name; Departed, Recovered: process that reports
 	Seq          uint64            // Departed, Recovered: sequence number among the reports of the process
-	Epoch        uint64            // Release
-	KnownHalts   uint64            // Acquire: State.Halts as the proposer knew it
-	Rules        Rules             // SetRules
-	View         FleetView         // Acquire
+	Epoch        uint64            // Release: epoch of the permit
+	KnownHalts   uint64            // Acquire: State.Halts as the proposer read it
+	Rules        Rules             // SetRules: the new rules
+	View         FleetView         // Acquire: state of the fleet
 }
 
-// instanceName returns the one instance that a command of any kind but Acquire is about.
+// instanceName returns the name in a command about one instance: Departed, Recovered, Release or WriteOff. It returns
+// ErrNotOneInstance if the command does not have exactly one name.
 func (c *Command) instanceName() (string, error) {
 	if len(c.Names) != 1 {
 		return "", ErrNotOneInstance
@@ -68,15 +70,15 @@
 	return c.Names[0], nil
 }
 
-// Decision is the result of a command, as the log of decisions keeps it.
+// Decision is the result of a command, as State.Log returns it.
 type Decision struct {
-	Epoch  uint64
-	Kind   CommandKind
+	Epoch  uint64      // number of commands applied so far, this one included
+	Kind   CommandKind // kind of the command, as the next three fields are its owner, names and reason
 	Owner  string
 	Names  []string
-	Reason string // at most maxReasonBytes
-	Denial error  // why the command changed nothing; nil where it was granted
+	Reason string // truncated to 200 bytes
+	Denial error  // why the command was denied and changed nothing; nil if it was applied
 }
 
-// Granted reports whether the command was carried out.
+// Granted reports whether the command was applied.
 func (d *Decision) Granted() bool { return d.Denial == nil }
--- a/internal/permit/errors.go
+++ b/internal/permit/errors.go
@@ -10,18 +10,18 @@
 	ErrHalted         = errors.New("grants are halted")
 	ErrHaltedSince    = errors.New("grants were halted since the request was prepared") // after the proposer read State.Halts
 	ErrNoLimits       = errors.New("no limits are set")
-	ErrBatchSize      = errors.New("too many names, or none") // instances named, permitted or lost
+	ErrBatchSize      = errors.New("no instance is named, or too many are named, permitted or lost")
 	ErrNotOneInstance = errors.New("exactly one instance must be named")
 	ErrNotHolder      = errors.New("not the holder of this permit")
 	ErrReasonRequired = errors.New("writing off a permit requires a reason")
 	ErrUnknownCommand = errors.New("unknown command")
 )
 
-// Denials that concern one instance. They come wrapped in an InstanceError.
+// Denials that concern one instance. They are returned wrapped in an InstanceError.
 var (
 	ErrUnknownInstance    = errors.New("unknown instance")
 	ErrAlreadyPermitted   = errors.New("already has a permit")
-	ErrNoPermit           = errors.New("has no permit")
+	ErrNoPermit           = errors.New("has no permit") // for Departed: or has one for another process
 	ErrDeparted           = errors.New("has departed")
 	ErrNotDeparted        = errors.New("has not departed yet")
 	ErrEarlierIncarnation = errors.New("report of an earlier process")
@@ -29,21 +29,22 @@
 
 // InstanceError is a denial because of one instance.
 type InstanceError struct {
-	Name string
-	Err  error
+	Name string // name of the instance
+	Err  error  // why, one of the errors above
 }
 
 func (e *InstanceError) Error() string { return e.Name + ": " + e.Err.Error() }
 
 func (e *InstanceError) Unwrap() error { return e.Err }
 
-// LimitError is a denial by a limit. A limit that allows none at all can never be met.
+// LimitError is a denial because a limit would be exceeded. A limit that allows no unavailable instance in a domain denies
+// every command for that domain.
 type LimitError struct {
-	Index       int    // in Rules.Limits
-	Domain      string // in which it would be exceeded
-	Instances   int    // in that domain
-	Unavailable int    // instances that would be out or lost
-	Allowed     int
+	Index       int    // index of the limit in Rules.Limits
+	Domain      string // domain in which the limit would be exceeded: REGION/ZONE, REGION or all
+	Instances   int    // number of instances that the limit selects in the domain
+	Unavailable int    // number of these that would be unavailable
+	Allowed     int    // number of these that may be unavailable
 }
 
 func (e *LimitError) Error() string {
@@ -56,8 +57,9 @@
 
 // LoadError is a denial because the remaining instances could not carry the load.
 type LoadError struct {
-	Load, Remaining float64 // seconds of work per second: asked for, and capacity of what would remain
-	Margin          float64 // part of the remaining capacity that the load must not take
+	Load      float64 // work requested of the fleet, in seconds of work per second
+	Remaining float64 // capacity that would remain, in seconds of work per second
+	Margin    float64 // ratio of the remaining capacity to keep free of load
 }
 
 func (e *LoadError) Error() string {
@@ -65,7 +67,7 @@
 	return fmt.Sprintf("load: %.1f exceeds remaining capacity %.1f less a margin of %.0f%%", e.Load, e.Remaining, percent*e.Margin)
 }
 
-// StaleRulesError is a denial of rules whose version is not above the one in force.
+// StaleRulesError is a denial of SetRules because the version is not above that of the rules in force.
 type StaleRulesError struct{ Version, Current uint64 }
 
 func (e *StaleRulesError) Error() string {
--- a/internal/permit/errors_test.go
+++ b/internal/permit/errors_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller must find out by type what a command was denied for.
+// Callers decide by the type of a denial what to tell the operator. Each denial must have its type, with the figures that
+// led to it.
 func TestDenialTypes(t *testing.T) {
 	view := newFleetView(4)
 	state := newStateWithLimits(Limit{MaxUnavailable: 1})
--- a/internal/permit/example_test.go
+++ b/internal/permit/example_test.go
@@ -7,7 +7,7 @@
 	"falldeal/internal/permit"
 )
 
-// One instance of each zone may be out at a time.
+// The rules allow one unavailable instance per zone.
 func Example() {
 	state := permit.NewState()
 	state.Apply(permit.Command{
--- a/internal/permit/golden_test.go
+++ b/internal/permit/golden_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The numbers of the kinds are part of the replicated log, and their names are shown to operators.
-func TestGoldenKinds(t *testing.T) {
+// A changed number would change the meaning of commands in the replicated log; operators know the kinds by their names.
+func TestGoldenCommandKinds(t *testing.T) {
 	var got strings.Builder
 	for kind := Acquire; kind <= SetRules; kind++ {
 		fmt.Fprintf(&got, "%d: %s\n", kind, kind)
@@ -20,7 +20,7 @@
 	golden.RequireFile(t, "kinds.txt", got.String())
 }
 
-// goldenView returns six instances in three zones.
+// goldenView returns a view of six instances in three zones, modified by change.
 func goldenView(change func(view *FleetView)) FleetView {
 	view := FleetView{Capacity: map[string]float64{}}
 	for i, zone := range []string{"a", "a", "b", "b", "c", "c"} {
@@ -34,7 +34,7 @@
 
 func noChange(*FleetView) {}
 
-// goldenAcquire requests permits for process 5 of each name.
+// goldenAcquire returns a command that requests a permit for process 5 of each name.
 func goldenAcquire(knownHalts uint64, view FleetView, names ...string) Command {
 	incarnations := map[string]uint64{}
 	for _, name := range names {
@@ -55,7 +55,7 @@
 	return Command{Kind: SetRules, Owner: "operator", Rules: Rules{Version: version, Margin: 0.2, Limits: limits}}
 }
 
-// goldenReport is a report of n0 about itself.
+// goldenReport returns a report of instance n0 about itself.
 func goldenReport(kind CommandKind, incarnation, seq uint64) Command {
 	const name = "n0"
 	return Command{
@@ -67,7 +67,7 @@
 	}
 }
 
-// goldenCommands lead to every possible decision.
+// goldenCommands returns commands that lead to every possible decision when applied in this order.
 func goldenCommands() []Command {
 	view := goldenView(noChange)
 	return []Command{
@@ -109,7 +109,8 @@
 	}
 }
 
-// The same commands must lead to the same decisions, with the same texts, and to the same permits.
+// A change of a decision would make replicas of different versions diverge. The commands must lead to the recorded
+// decisions, texts and permits.
 func TestGoldenDecisions(t *testing.T) {
 	var got strings.Builder
 	state := NewState()
@@ -127,7 +128,7 @@
 	golden.RequireFile(t, "decisions.txt", got.String())
 }
 
-// The texts of errors name the key of the operators' rules that is at fault.
+// An operator must find the invalid key of the rules by the text of the error.
 func TestGoldenRuleErrors(t *testing.T) {
 	var got strings.Builder
 	for _, test := range []struct {
--- a/internal/permit/modelcheck_test.go
+++ b/internal/permit/modelcheck_test.go
@@ -11,19 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fault is a planted fault, which the model checker has to find.
+// fault is an injected fault, which the model checker must find.
 type fault string
 
 const (
 	noFault          fault = ""
-	expiringPermits  fault = "freed by expiry"
-	grantDespiteHalt fault = "a grant crosses a halt"
+	expiringPermits  fault = "permits expire"
+	grantDespiteHalt fault = "a request prepared before a halt is granted after it"
 )
 
-// expiration stands in the log for time that went by. Only expiringPermits makes something of it.
+// expiration is a log entry for the passing of time. It has an effect only with the fault expiringPermits.
 const expiration CommandKind = 100
 
-// modelDepth is the number of steps that are explored.
+// modelDepth is the number of steps to which the model is explored.
 const modelDepth = 9
 
 var modelNames = [2]string{"n0", "n1"}
@@ -34,14 +34,14 @@
 	incarnation, halts uint64
 }
 
-// modelState is a state of the protocol: the log, the requests in flight, and what each of two instances does.
+// modelState is a state of the protocol: the log, the requests in flight, and the state of each of two instances.
 type modelState struct {
 	log         []Command
 	inFlight    []request
 	serving     [2]bool
-	incarnation [2]uint64
-	seq         [2]uint64 // of the latest report
-	expirations int
+	incarnation [2]uint64 // current process of each instance
+	seq         [2]uint64 // sequence number of its latest report
+	expirations int       // expiration entries in the log
 }
 
 func (m *modelState) clone() modelState {
@@ -51,17 +51,17 @@
 	return state
 }
 
-// replay applies the log.
-func (m *modelState) replay(planted fault) *State {
+// replay returns the state after the log, with an injected fault.
+func (m *modelState) replay(injected fault) *State {
 	state := newStateWithLimits(Limit{MaxUnavailable: 1})
 	for _, command := range m.log {
 		if command.Kind == expiration {
-			if planted == expiringPermits {
+			if injected == expiringPermits {
 				clear(state.permits)
 			}
 			continue
 		}
-		if planted == grantDespiteHalt {
+		if injected == grantDespiteHalt {
 			command.KnownHalts = state.halts
 			if command.Kind == Acquire {
 				state.halted = false
@@ -72,7 +72,7 @@
 	return state
 }
 
-// report appends a report of instance i about itself.
+// report appends a report of instance i about itself to the log.
 func (m *modelState) report(kind CommandKind, i int) {
 	name := modelNames[i]
 	m.log = append(m.log, Command{
@@ -96,10 +96,10 @@
 	m.report(Recovered, i)
 }
 
-// transmit appends request k to the log. It stays in flight where it is to be delivered again.
-func (m *modelState) transmit(view FleetView, k int, stays bool) {
+// transmit appends request k to the log. If duplicated, the request stays in flight and can be delivered again.
+func (m *modelState) transmit(view FleetView, k int, duplicated bool) {
 	delivered := m.inFlight[k]
-	if !stays {
+	if !duplicated {
 		m.inFlight = slices.Delete(m.inFlight, k, k+1)
 	}
 	name := modelNames[delivered.instance]
@@ -108,7 +108,7 @@
 	m.log = append(m.log, command)
 }
 
-// modelSteps collects what may happen in a state.
+// modelSteps collects the steps that are possible in a state.
 type modelSteps struct {
 	current modelState
 	steps   []modelcheck.Step[modelState]
@@ -120,36 +120,36 @@
 	s.steps = append(s.steps, modelcheck.Step[modelState]{Name: name, To: next})
 }
 
-// addOfInstance adds what instance i may do: request a permit, depart by one that it was notified of, and restart.
+// addOfInstance adds the steps of instance i: it requests a permit, departs by a permit of its process, or restarts.
 func (s *modelSteps) addOfInstance(i int, state *State) {
 	name, current := modelNames[i], &s.current
 	if len(current.inFlight) < 2 {
-		s.add(name+" asks", func(m *modelState) {
+		s.add(name+" requests a permit", func(m *modelState) {
 			m.inFlight = append(m.inFlight, request{instance: i, incarnation: m.incarnation[i], halts: state.halts})
 		})
 	}
 	permit, ok := state.permits[name]
-	if ok && permit.Incarnation == current.incarnation[i] && current.serving[i] { // halted or not: it was granted before
-		s.add(name+" goes by its permit", func(m *modelState) { m.depart(i) })
+	if ok && permit.Incarnation == current.incarnation[i] && current.serving[i] { // even if halted: the grant came before
+		s.add(name+" departs", func(m *modelState) { m.depart(i) })
 	}
 	if !current.serving[i] && current.incarnation[i] < 2 {
-		s.add(name+" comes back", func(m *modelState) { m.restart(i) })
+		s.add(name+" restarts", func(m *modelState) { m.restart(i) })
 	}
 }
 
-// nextSteps returns what may happen to two instances of which one may be out: requests are lost, late and duplicated,
-// instances depart by permit, are killed and come back, and operators halt.
-func nextSteps(planted fault) func(modelState) []modelcheck.Step[modelState] {
+// nextSteps returns a function that lists the steps from a state. Requests are lost, delayed and duplicated, instances
+// depart by permit and restart, and operators halt grants. The rules allow one of the two instances to be out.
+func nextSteps(injected fault) func(modelState) []modelcheck.Step[modelState] {
 	view := newFleetView(2)
 	view.Capacity["n0"], view.Capacity["n1"] = 10, 10
 	return func(current modelState) []modelcheck.Step[modelState] {
-		state := current.replay(planted)
+		state := current.replay(injected)
 		next := modelSteps{current: current}
 		if state.halts < 1 {
 			next.add("halt", func(m *modelState) { m.log = append(m.log, Command{Kind: Halt}) })
 		}
 		if current.expirations < 1 {
-			next.add("time goes by", func(m *modelState) {
+			next.add("time passes", func(m *modelState) {
 				m.expirations++
 				m.log = append(m.log, Command{Kind: expiration})
 			})
@@ -158,39 +158,40 @@
 			next.addOfInstance(i, state)
 		}
 		for k, delivered := range current.inFlight {
-			for _, stays := range []bool{false, true} {
-				name := fmt.Sprintf("the ask of %s arrives, stays %v", modelNames[delivered.instance], stays)
-				next.add(name, func(m *modelState) { m.transmit(view, k, stays) })
+			for _, duplicated := range []bool{false, true} {
+				name := fmt.Sprintf("request of %s arrives, duplicated: %v", modelNames[delivered.instance], duplicated)
+				next.add(name, func(m *modelState) { m.transmit(view, k, duplicated) })
 			}
 		}
 		return next.steps
 	}
 }
 
-// violation returns what is wrong with a state: both instances are out, or a permit was granted despite a halt.
-func violation(planted fault) func(modelState) string {
+// violation returns a function that says how a state violates the invariant: both instances are out, or a permit was
+// granted while grants were halted. With an injected fault, the end of a halt counts as well, as no step resumes grants.
+func violation(injected fault) func(modelState) string {
 	return func(m modelState) string {
 		if !m.serving[0] && !m.serving[1] {
-			return "both are out"
+			return "both instances are out"
 		}
-		state := m.replay(planted)
+		state := m.replay(injected)
 		if state.halted && len(state.permits) > 0 {
 			latest := state.log[len(state.log)-1]
 			if latest.Kind == Acquire && latest.Granted() {
-				return "let out while halted"
+				return "granted while halted"
 			}
 		}
-		if planted != noFault && state.halts > 0 && !state.halted {
-			return "let out while halted"
+		if injected != noFault && state.halts > 0 && !state.halted {
+			return "halt ended without resume"
 		}
 		return ""
 	}
 }
 
-// stateKey tells states apart.
-func stateKey(planted fault) func(modelState) string {
+// stateKey returns a function that maps states to keys, equal ones for states with the same future.
+func stateKey(injected fault) func(modelState) string {
 	return func(m modelState) string {
-		state := m.replay(planted)
+		state := m.replay(injected)
 		key := fmt.Sprint(m.inFlight, m.serving, m.incarnation, m.seq, m.expirations, state.halted, state.halts)
 		for _, name := range slices.Sorted(maps.Keys(state.permits)) {
 			permit := state.permits[name]
@@ -200,19 +201,19 @@
 	}
 }
 
-// Of two instances never more than one may be out by permit, and a request that a halt has overtaken must not be
-// granted. The model checker must find planted faults.
+// Lost, delayed or duplicated requests, restarts and halts must not lead to a state in which both of two instances are out,
+// nor to a grant of a request that was prepared before a halt. The model checker must find the injected faults.
 func TestModelCheckPermits(t *testing.T) {
 	start := modelState{serving: [2]bool{true, true}, incarnation: [2]uint64{1, 1}}
-	visit := func(planted fault) modelcheck.Result {
-		return modelcheck.Visit(start, modelDepth, nextSteps(planted), stateKey(planted), violation(planted))
+	visit := func(injected fault) modelcheck.Result {
+		return modelcheck.Visit(start, modelDepth, nextSteps(injected), stateKey(injected), violation(injected))
 	}
 	found := visit(noFault)
 	require.Empty(t, found.Why, "%v", found.Steps)
-	t.Logf("%d states, nothing broken", found.States)
-	for _, planted := range []fault{expiringPermits, grantDespiteHalt} {
-		found := visit(planted)
-		require.NotEmpty(t, found.Why, planted)
-		t.Logf("planted: %s: found after %d states: %v", planted, found.States, found.Steps)
+	t.Logf("%d states, no violation", found.States)
+	for _, injected := range []fault{expiringPermits, grantDespiteHalt} {
+		found := visit(injected)
+		require.NotEmpty(t, found.Why, injected)
+		t.Logf("injected fault: %s: found after %d states: %v", injected, found.States, found.Steps)
 	}
 }
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,30 +1,35 @@
 // Package permit implements disruption budgets: it decides which instances may be drained, replaced or removed so that
-// the remaining ones can still carry the load.
+// the remaining instances can still carry the load.
 //
-// State is a replicated state machine without I/O, clock, randomness or goroutines: replicas that apply the same
-// commands in the same order hold the same state and return the same decisions. What a command needs to know of the
-// fleet (losses, load, capacity) comes with it, as its proposer observed it.
+// State is a replicated state machine without I/O, clock, randomness or goroutines. Replicas that apply the same commands
+// in the same order hold the same state and return the same decisions. A command carries what it needs to know of the
+// fleet (losses, load, capacity), as its proposer observed it.
 //
-// A permit never expires, and it outlives its holder. It is released only when the instance was observed serving and
-// warm after it had departed, when the instance gives it back before departing, or when an operator writes it off with a
-// reason. Coming back needs no permit. Where no command can be applied, nothing is granted and everything else goes on.
+// A permit never expires, and it stays in force after its instance has stopped. Only these events release it:
+//
+//   - The instance reports that it serves and is warm, after it had departed.
+//   - The instance gives the permit back before it departs.
+//   - An operator writes the permit off, with a reason.
+//
+// An instance needs no permit to come back. While no command can be applied, no permit is granted; nothing else is
+// blocked.
 package permit
 
 // Permit allows one instance to be out of service.
 type Permit struct {
-	Name        string // of the instance
-	Incarnation uint64 // process that departs; a later process of the same name releases the permit
-	Owner       string
-	Reason      string
-	Epoch       uint64 // of the command that granted it; later permits have higher ones
-	Departed    bool   // the instance has begun to go
-	departedSeq uint64 // sequence number of the report of that
-	instance    Instance
+	Name        string   // name of the instance
+	Incarnation uint64   // the process that may depart; a report of a later process of the instance releases the permit
+	Owner       string   // who requested the permit
+	Reason      string   // the owner's reason
+	Epoch       uint64   // epoch of the command that granted the permit; later permits have higher epochs
+	Departed    bool     // the instance has reported that it leaves service
+	departedSeq uint64   // sequence number of that report
+	instance    Instance // location, for a command whose proposer does not list the instance
 }
 
-// checkRecovered returns an error unless a report that the instance serves shows that it is back. A report of an earlier
-// process does not, nor one of the permitted process from before its departure. An instance that restarts in a loop is
-// never reported as warm.
+// checkRecovered returns an error unless a Recovered report shows that the instance is back. A report by an earlier
+// process than the permitted one does not show that, nor does one that the permitted process made before its departure.
+// An instance that restarts in a loop never reports that it is warm, so that it keeps its permit.
 func (p *Permit) checkRecovered(incarnation, seq uint64) error {
 	reportedAfterDeparture := p.Departed && seq > p.departedSeq
 	switch {
@@ -36,7 +41,8 @@
 	return nil
 }
 
-// checkReleasedBy returns an error unless owner is the instance itself, means this very permit and has not departed.
+// checkReleasedBy returns an error unless owner is the instance itself, epoch is that of this permit, and the instance has
+// not departed.
 func (p *Permit) checkReleasedBy(owner string, epoch uint64) error {
 	switch {
 	case owner != p.Name || epoch != p.Epoch:
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -6,36 +6,36 @@
 	"falldeal/internal/configcheck"
 )
 
-// Domain is the part of the fleet for which a limit is counted separately.
+// Domain is the kind of part of the fleet in which a Limit counts instances separately.
 type Domain string
 
 // The domains of a Limit.
 const (
-	WholeFleet Domain = "" // one count for all instances that the limit selects
-	PerZone    Domain = "zone"
-	PerRegion  Domain = "region"
+	WholeFleet Domain = ""       // one count for all instances that the limit selects
+	PerZone    Domain = "zone"   // one count for each zone
+	PerRegion  Domain = "region" // one count for each region
 )
 
-// Limit bounds how many instances may be unavailable at once, by permit or lost. An instance that several limits select
-// has to satisfy all of them.
+// Limit bounds how many instances may be unavailable at once, because they have a permit or are lost. If several limits
+// select an instance, it has to satisfy all of them.
 type Limit struct {
-	Region, Zone        string  // the instances it selects; empty: any
-	Per                 Domain  // in which they are counted
-	MaxUnavailable      int     // instances; 0: MaxUnavailableRatio holds
-	MaxUnavailableRatio float64 // of the instances in the domain, 0 to 1
+	Region, Zone        string  // the limit selects the instances in this region and zone; empty = any
+	Per                 Domain  // the limit counts instances separately in each of these
+	MaxUnavailable      int     // number of instances; 0 = MaxUnavailableRatio applies
+	MaxUnavailableRatio float64 // ratio of the selected instances in the domain, 0 to 1
 }
 
-// Rules are set by operators. Only a version above the one in force replaces it.
+// Rules are the limits that operators set. New rules replace those in force only if their version is higher.
 type Rules struct {
 	Version uint64
 	Limits  []Limit
-	Margin  float64 // part of the remaining capacity that the load must not take, 0 up to but not including 1
+	Margin  float64 // ratio of the remaining capacity to keep free of load, at least 0 and below 1
 }
 
-// Check returns a *configcheck.KeyError for rules that make no sense.
+// Check returns a *configcheck.KeyError if the rules are not valid. Its keys are those of the operators' configuration.
 func (r *Rules) Check() error {
 	if !(r.Margin >= 0 && r.Margin < 1) {
-		return configcheck.Errorf("margin", "%v is not between 0 and 1", r.Margin)
+		return configcheck.Errorf("margin", "%v is not at least 0 and below 1", r.Margin)
 	}
 	if len(r.Limits) == 0 {
 		return &configcheck.KeyError{Key: "limits", Err: configcheck.ErrMissing}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// check returns a *configcheck.KeyError for a limit that makes no sense. Key is that of the limit.
+// check returns a *configcheck.KeyError if the limit is not valid. key is the path of the limit.
 func (l *Limit) check(key string) error {
 	switch l.Per {
 	case WholeFleet, PerZone, PerRegion:
@@ -56,7 +56,7 @@
 		return configcheck.Errorf(key+".each", "%q is neither zone nor region", l.Per)
 	}
 	if l.MaxUnavailable < 0 || (l.MaxUnavailable > 0) == (l.MaxUnavailableRatio > 0) {
-		return configcheck.Errorf(key, "set exactly one of out and share")
+		return configcheck.Errorf(key, "exactly one of out and share must be set, to a value above 0")
 	}
 	if !(l.MaxUnavailableRatio >= 0 && l.MaxUnavailableRatio <= 1) {
 		return configcheck.Errorf(key+".share", "%v is not between 0 and 1", l.MaxUnavailableRatio)
@@ -64,14 +64,14 @@
 	return nil
 }
 
-// selects reports whether an instance counts for the limit.
+// selects reports whether the limit applies to an instance.
 func (l *Limit) selects(instance Instance) bool {
 	inRegion := l.Region == "" || l.Region == instance.Region
 	inZone := l.Zone == "" || l.Zone == instance.Zone
 	return inRegion && inZone
 }
 
-// domainOf returns the domain in which an instance is counted. ok is false where the limit does not select it.
+// domainOf returns the domain in which an instance is counted. ok is false if the limit does not select the instance.
 func (l *Limit) domainOf(instance Instance) (domain string, ok bool) {
 	if !l.selects(instance) {
 		return "", false
@@ -86,8 +86,8 @@
 	return "all", true
 }
 
-// maxUnavailable returns how many of so many instances may be unavailable. A ratio is rounded down, so that it is never
-// exceeded.
+// maxUnavailable returns how many instances may be unavailable in a domain with the given number of instances. A ratio is
+// rounded down, so that it is never exceeded.
 func (l *Limit) maxUnavailable(instances int) int {
 	if l.MaxUnavailable > 0 {
 		return l.MaxUnavailable
--- a/internal/permit/state.go
+++ b/internal/permit/state.go
@@ -6,34 +6,35 @@
 	"strings"
 )
 
-// Bounds of what a State keeps.
+// Bounds on the size of a State and of the commands that it accepts.
 const (
-	maxPermits     = 4096
+	maxPermits     = 4096 // permits in force
 	maxLost        = 4096 // names in FleetView.Lost
-	maxReasonBytes = 200
-	maxLogEntries  = 1024
+	maxReasonBytes = 200  // bytes of Decision.Reason
+	maxLogEntries  = 1024 // decisions in State.Log
 )
 
-// State is the state that all replicas agree on. It is not safe for concurrent use.
+// State is the replicated state: the rules, the permits in force and the latest decisions. It is not safe for concurrent
+// use.
 type State struct {
-	epoch   uint64
-	rules   Rules
-	permits map[string]Permit // by the name of the instance
-	halts   uint64
-	halted  bool
-	log     []Decision
+	epoch   uint64            // number of commands applied so far
+	rules   Rules             // rules in force
+	permits map[string]Permit // permits in force, by name of the instance
+	halts   uint64            // number of Halt commands applied so far
+	halted  bool              // the latest Halt was not followed by Resume
+	log     []Decision        // latest decisions, oldest first
 }
 
-// NewState returns a state without rules, in which nothing is out and nothing is granted.
+// NewState returns a state without permits and rules. It grants no permit until SetRules is applied.
 func NewState() *State { return &State{permits: map[string]Permit{}} }
 
-// Halted reports whether grants are halted.
+// Halted reports whether grants are halted: a Halt was applied, and no Resume since.
 func (s *State) Halted() bool { return s.halted }
 
-// Halts returns how many halts were ordered so far.
+// Halts returns the number of Halt commands applied so far.
 func (s *State) Halts() uint64 { return s.halts }
 
-// Permits returns those in force, in the order in which they were granted.
+// Permits returns the permits in force, in the order in which they were granted.
 func (s *State) Permits() []Permit {
 	permits := make([]Permit, 0, len(s.permits))
 	for _, p := range s.permits {
@@ -45,7 +46,7 @@
 	return permits
 }
 
-// Log returns the latest decisions, oldest first. The caller must not change them.
+// Log returns the latest 1024 decisions, oldest first. The caller must not modify them.
 func (s *State) Log() []Decision { return s.log }
 
 // Apply applies the next command of the replicated log and returns the decision.
@@ -66,7 +67,7 @@
 	return decision
 }
 
-// apply carries out a command, or returns why it can't and changes nothing.
+// apply applies a command. If it is denied, apply returns why and changes nothing.
 func (s *State) apply(command *Command, decision *Decision) error {
 	switch command.Kind {
 	case Acquire:
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// setRules replaces the rules by newer ones that make sense.
+// setRules replaces the rules if the new ones are valid and have a higher version.
 func (s *State) setRules(rules Rules) error {
 	if rules.Version <= s.rules.Version {
 		return &StaleRulesError{Version: rules.Version, Current: s.rules.Version}
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// markDeparted records that an instance has begun to go. The earliest report counts.
+// markDeparted records that an instance leaves service. Of several reports, the one with the lowest sequence number counts.
 func (s *State) markDeparted(command *Command) error {
 	name, err := command.instanceName()
 	if err != nil {
@@ -136,7 +137,7 @@
 		err = permit.checkRecovered(command.Incarnations[name], command.Seq)
 	case Release:
 		err = permit.checkReleasedBy(command.Owner, command.Epoch)
-	default: // WriteOff: an operator may release any permit
+	default: // WriteOff releases any permit
 	}
 	if err != nil {
 		return err
--- a/internal/permit/state_test.go
+++ b/internal/permit/state_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A permit must be released by what shows that its instance is back, and by nothing else.
-func TestRelease(t *testing.T) {
+// A permit released while its instance is still out would let another instance depart as well. Only a report that shows
+// that the instance is back, a return before departure or a write-off with a reason may release it.
+func TestPermitReleasedOnlyWhenInstanceIsBack(t *testing.T) {
 	view := newFleetView(4)
 	names := []string{"n0"}
 	report := func(kind CommandKind, incarnation, seq uint64) Command {
--- a/internal/release/criteria.go
+++ b/internal/release/criteria.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Criteria bound the errors of a Judge. Rates and effects are between 0 and 1, both excluded.
+// Criteria bound the error rates of a Judge. The first three fields must be above 0 and below 1.
 type Criteria struct {
-	FalseHaltRate float64 // chance to reject a version that is no worse, over a whole rollout with any number of looks
-	FalsePassRate float64 // chance to pass a version that is worse by MinEffect, in each group
-	MinEffect     float64 // by how much the error ratio must be higher to matter: 0.02 is two requests in a hundred
-	MinRequests   int     // requests of the new version in each group before it can pass; at least 1
+	FalseHaltRate float64 // largest probability to reject a canary that is no worse, at any time in the whole rollout
+	FalsePassRate float64 // largest probability to pass a group in which the canary is worse by MinEffect
+	MinEffect     float64 // smallest increase of the error ratio that matters: 0.02 is two requests in a hundred
+	MinRequests   int     // requests of the canary in each group before it can pass; at least 1
 }
 
-// check returns an error for criteria that bound nothing.
+// check returns an error if a field is out of its range.
 func (c *Criteria) check() error {
 	for _, rate := range []struct {
 		field string
@@ -21,7 +21,7 @@
 		{"MinEffect", c.MinEffect},
 	} {
 		if !(rate.value > 0 && rate.value < 1) {
-			return fmt.Errorf("%s: %v is not between 0 and 1", rate.field, rate.value)
+			return fmt.Errorf("%s: %v is not above 0 and below 1", rate.field, rate.value)
 		}
 	}
 	if c.MinRequests < 1 {
--- a/internal/release/example_test.go
+++ b/internal/release/example_test.go
@@ -6,7 +6,7 @@
 	"falldeal/internal/release"
 )
 
-// A new version of which one request in ten fails, beside an old one of which one in a hundred does.
+// With the new version one request in ten fails, with the old version one in a hundred.
 func ExampleJudge() {
 	judge, err := release.NewJudge(release.Criteria{
 		FalseHaltRate: 0.01,
@@ -20,7 +20,7 @@
 	}
 	group := release.Group{Zone: "eu-a", Class: "preview", Metric: "failed"}
 	for round := 1; ; round++ {
-		if err := judge.Observe(group, release.Block{Old: 900, OldBad: 9, New: 100, NewBad: 10}); err != nil {
+		if err := judge.Observe(group, release.Block{Baseline: 900, BaselineBad: 9, Canary: 100, CanaryBad: 10}); err != nil {
 			fmt.Println(err)
 			return
 		}
--- a/internal/release/golden_test.go
+++ b/internal/release/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The numbers and names of verdicts and the texts of errors are shown to operators.
+// Operators read the names of verdicts and the texts of errors, which must not change by accident.
 func TestGoldenTexts(t *testing.T) {
 	var got strings.Builder
 	for v := Inconclusive; v <= Rejected; v++ {
@@ -32,13 +32,13 @@
 	judge, err := NewJudge(valid)
 	require.NoError(t, err)
 	group := Group{Zone: "eu-a", Class: "thumb", Metric: "failed"}
-	err = judge.Observe(group, Block{Old: 1, OldBad: 2})
+	err = judge.Observe(group, Block{Baseline: 1, BaselineBad: 2})
 	require.ErrorIs(t, err, ErrInvalidBlock)
 	fmt.Fprintf(&got, "block: %s\n", err)
 	for i := range maxGroups {
-		require.NoError(t, judge.Observe(Group{Zone: fmt.Sprint("z", i)}, Block{Old: 1, New: 1}))
+		require.NoError(t, judge.Observe(Group{Zone: fmt.Sprint("z", i)}, Block{Baseline: 1, Canary: 1}))
 	}
-	err = judge.Observe(group, Block{Old: 1, New: 1})
+	err = judge.Observe(group, Block{Baseline: 1, Canary: 1})
 	require.ErrorIs(t, err, ErrTooManyGroups)
 	fmt.Fprintf(&got, "block: %s\n", err)
 	golden.RequireFile(t, "texts.txt", got.String())
--- a/internal/release/judge.go
+++ b/internal/release/judge.go
@@ -1,6 +1,5 @@
-// Package release decides how the rollout of a new version goes on. So far it holds the canary analysis: it compares
-// the new version (the canary) with the old one (the baseline) while both serve the same zones and classes. It has no
-// I/O, clock or randomness.
+// Package release implements the canary analysis of a rollout. It compares the new version (the canary) with the old one
+// (the baseline) while both serve the same zones and classes. It has no I/O, clock or randomness.
 package release
 
 import (
@@ -9,55 +8,60 @@
 	"math"
 )
 
-// maxGroups bounds what a Judge keeps.
+// maxGroups bounds the number of groups of a Judge.
 const maxGroups = 512
 
 // Errors of Judge.Observe.
 var (
-	ErrInvalidBlock  = errors.New("more bad requests than requests")
+	ErrInvalidBlock  = errors.New("negative count, or more bad requests than requests")
 	ErrTooManyGroups = fmt.Errorf("limit of %d groups reached", maxGroups)
 )
 
-// Group is a part of the traffic that is compared separately: a new version may be bad in one class only. Metric is what
-// went wrong: failed, late, poorer, crashed.
+// Group is a part of the traffic that is compared separately, as a new version may be worse in one class only. Metric says
+// what counts as a bad request: one that failed, was late, got a poorer answer or crashed the instance.
 type Group struct{ Zone, Class, Metric string }
 
-// Block counts the requests of one group over the same time at instances of both versions.
+// Block counts the requests of one group that instances of both versions have served over the same time.
 type Block struct {
-	Old, OldBad int // of the baseline: requests, and those of them that went wrong
-	New, NewBad int // of the canary
+	Baseline, BaselineBad int // requests of the baseline, and how many of these were bad
+	Canary, CanaryBad     int // requests of the canary, and how many of these were bad
 }
 
-// valid reports whether the counts are possible.
+// valid reports whether no count is negative and no version has more bad requests than requests.
 func (b *Block) valid() bool {
-	return b.OldBad >= 0 && b.OldBad <= b.Old && b.NewBad >= 0 && b.NewBad <= b.New
+	return b.BaselineBad >= 0 && b.BaselineBad <= b.Baseline && b.CanaryBad >= 0 && b.CanaryBad <= b.Canary
 }
 
-// Verdict is what is known of a new version so far.
+// Verdict is the result of a canary analysis so far.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Inconclusive Verdict = iota // too few requests so far
-	Passed                      // enough requests, and it is not worse by MinEffect
-	Rejected                    // it is worse
+	Inconclusive Verdict = iota // too few requests, or too little evidence
+	Passed                      // in each group, the canary had enough requests and is not worse by MinEffect
+	Rejected                    // the canary is worse
 )
 
+// String returns the name of the verdict as operators see it.
 func (v Verdict) String() string { return [...]string{"inconclusive", "passed", "rejected"}[v] }
 
-// Judge compares two versions block by block with e-processes: products of e-variables for two binomials (Turner, Ly and
-// Grünwald, 2021). The chance that one ever exceeds 1/a under the hypothesis that it speaks against is at most a, however
-// often it is looked at (Ville's inequality), so that the rate of false halts holds for the whole rollout without a fixed
-// number of looks. Groups are combined by their mean, which is an e-process again.
+// Judge compares two versions by a sequential test, which may be evaluated after each block:
+//
+//   - Each group has two e-processes: products of e-variables for two binomials (Turner, Ly and Grünwald, 2021). One
+//     measures the evidence that the canary is worse, the other the evidence that it is not worse by MinEffect.
+//   - The probability that an e-process ever reaches 1/a although its null hypothesis is true is at most a, however often
+//     it is evaluated (Ville's inequality). The false halt rate therefore holds for the whole rollout.
+//   - The canary is rejected by the mean of the first e-process over the groups, which is an e-process again. It passes if
+//     the second e-process of each group suffices.
 //
 // A Judge is not safe for concurrent use.
 type Judge struct {
 	criteria Criteria
 	groups   map[Group]*evidence
-	order    []Group // in which they were first observed
+	order    []Group // groups in the order in which they were first observed
 }
 
-// NewJudge returns a Judge that has observed nothing. Criteria that bound nothing are an error.
+// NewJudge returns a Judge without any blocks. It returns an error if a field of criteria is out of its range.
 func NewJudge(criteria Criteria) (*Judge, error) {
 	if err := criteria.check(); err != nil {
 		return nil, err
@@ -65,7 +69,8 @@
 	return &Judge{criteria: criteria, groups: map[Group]*evidence{}}, nil
 }
 
-// Observe adds a block. It returns an error that wraps ErrInvalidBlock or ErrTooManyGroups where it changed nothing.
+// Observe adds a block to a group. If it cannot, it changes nothing and returns an error that wraps ErrInvalidBlock or
+// ErrTooManyGroups.
 func (j *Judge) Observe(group Group, block Block) error {
 	if !block.valid() {
 		return fmt.Errorf("group %+v, block %+v: %w", group, block, ErrInvalidBlock)
@@ -78,7 +83,7 @@
 	return nil
 }
 
-// evidenceOf returns the evidence of a group, which may be a new one.
+// evidenceOf returns the evidence of a group. It adds the group if it is new and fewer than maxGroups are known.
 func (j *Judge) evidenceOf(group Group) (*evidence, error) {
 	if known, ok := j.groups[group]; ok {
 		return known, nil
@@ -92,7 +97,8 @@
 	return added, nil
 }
 
-// Verdict returns what is known so far, and the group with the strongest evidence against the new version.
+// Verdict returns the verdict on the blocks observed so far, and the group with the strongest evidence that the canary is
+// worse. Further blocks may change the verdict.
 func (j *Judge) Verdict() (Verdict, Group) {
 	if len(j.order) == 0 {
 		return Inconclusive, Group{}
--- a/internal/release/judge_test.go
+++ b/internal/release/judge_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// errorRatios says which ratio of the requests of a class goes wrong with a version in a round.
+// errorRatios returns the ratio of bad requests of a class, with the canary or the baseline, in a round.
 type errorRatios func(class string, canary bool, round int) float64
 
-// constantly has the same ratio go wrong in all classes and rounds.
+// constantly returns the same ratios for all classes and rounds.
 func constantly(baselineRatio, canaryRatio float64) errorRatios {
 	return func(_ string, canary bool, _ int) float64 {
 		if canary {
@@ -20,14 +20,15 @@
 	}
 }
 
-// result is how a rollout ended.
+// result is the result of a simulated rollout.
 type result struct {
 	verdict Verdict
-	rounds  int // before the rejection, or all of them
-	worst   Group
+	rounds  int   // rounds before the rejection; all rounds without one
+	worst   Group // group with the strongest evidence that the canary is worse
 }
 
-// rollout simulates a canary of one instance in ten: each round brings some requests of each class from both versions.
+// rollout simulates a canary of one instance in ten. In each round, both versions serve some requests of each class. It
+// ends at a rejection or after maxRounds.
 func rollout(t *testing.T, seed uint64, maxRounds int, ratios errorRatios) result {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 5))
@@ -44,9 +45,9 @@
 	end := result{rounds: maxRounds}
 	for round := range maxRounds {
 		for _, class := range []string{"preview", "hires-crop", "licence-order"} {
-			block := Block{Old: 90 + random.IntN(40), New: 8 + random.IntN(10)}
-			block.OldBad = countBad(block.Old, ratios(class, false, round))
-			block.NewBad = countBad(block.New, ratios(class, true, round))
+			block := Block{Baseline: 90 + random.IntN(40), Canary: 8 + random.IntN(10)}
+			block.BaselineBad = countBad(block.Baseline, ratios(class, false, round))
+			block.CanaryBad = countBad(block.Canary, ratios(class, true, round))
 			require.NoError(t, judge.Observe(Group{"z0", class, "failed"}, block))
 		}
 		if end.verdict, end.worst = judge.Verdict(); end.verdict == Rejected {
@@ -57,7 +58,7 @@
 	return end
 }
 
-// countVerdicts returns how often so many rollouts ended with each verdict.
+// countVerdicts returns how many of the simulated rollouts ended with each verdict.
 func countVerdicts(t *testing.T, rollouts uint64, maxRounds int, ratios errorRatios) map[Verdict]int {
 	t.Helper()
 	counts := map[Verdict]int{}
@@ -67,24 +68,25 @@
 	return counts
 }
 
-// A version that is no worse must not be rejected more often than stated, though it is looked at after each round and the
-// ratio that goes wrong changes for both versions.
+// A version that is no worse must not be rejected more often than FalseHaltRate. Evaluating the test after each round, and
+// faults that change the error ratio of both versions, would raise the rate of a test with a fixed sample size.
 func TestFalseHaltRate(t *testing.T) {
 	const rollouts = 400
 	counts := countVerdicts(t, rollouts, 200, func(_ string, _ bool, round int) float64 {
 		return []float64{0.01, 0.05, 0.2}[round/20%3] // faults of the whole fleet
 	})
 	require.LessOrEqual(t, float64(counts[Rejected]), 0.02*rollouts)
-	t.Logf("no worse: %d of %d rejected (stated: 2%%), %d passed within 200 rounds",
+	t.Logf("no worse: %d of %d rollouts rejected (bound: 2%%), %d passed within 200 rounds",
 		counts[Rejected], rollouts, counts[Passed])
 }
 
-// A version that is worse must be found soon, and in the class that it is worse in.
+// A worse version must be rejected within a bounded number of rounds, and the verdict must name the class in which it is
+// worse. Evidence of no difference from many early rounds, or from other classes, must not hide it.
 func TestWorseVersionIsRejected(t *testing.T) {
 	for name, test := range map[string]struct {
 		ratios    errorRatios
 		maxRounds int
-		class     string // empty: any
+		class     string // class that the verdict must name; empty = any
 	}{
 		"fails in all classes": {constantly(0.01, 0.15), 60, ""},
 		"fails in one class": {func(class string, canary bool, _ int) float64 {
@@ -116,35 +118,36 @@
 			}
 		}
 		require.LessOrEqual(t, last, test.maxRounds, name)
-		t.Logf("%s: found after at most %d rounds", name, last)
+		t.Logf("%s: rejected after at most %d rounds", name, last)
 	}
 }
 
-// A version that is worse by an effect that matters must not pass more often than stated.
+// A version that is worse by MinEffect must not pass more often than FalsePassRate.
 func TestFalsePassRate(t *testing.T) {
 	counts := countVerdicts(t, 100, 100, constantly(0.02, 0.05))
 	require.LessOrEqual(t, counts[Passed], 5)
 }
 
-// A handful of requests must not be enough for a verdict.
-func TestTooFewRequests(t *testing.T) {
+// Few requests are no evidence, even if none of them went wrong: the verdict must stay inconclusive.
+func TestTooFewRequestsAreInconclusive(t *testing.T) {
 	require.Equal(t, Inconclusive, rollout(t, 1, 3, constantly(0.01, 0.01)).verdict)
 }
 
-// A block that makes no sense must change nothing, and requests of one version alone must compare nothing.
-func TestInvalidBlocks(t *testing.T) {
+// Impossible counts would corrupt the evidence and must be an error. A block with requests of one version only must not
+// count as a comparison.
+func TestInvalidBlocksAreNoEvidence(t *testing.T) {
 	judge, err := NewJudge(Criteria{FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10, FalsePassRate: 0.05})
 	require.NoError(t, err)
-	for _, block := range []Block{{Old: 1, OldBad: 2}, {New: -1}, {New: 3, NewBad: 4}, {OldBad: -1}} {
+	for _, block := range []Block{{Baseline: 1, BaselineBad: 2}, {Canary: -1}, {Canary: 3, CanaryBad: 4}, {BaselineBad: -1}} {
 		require.ErrorIs(t, judge.Observe(Group{}, block), ErrInvalidBlock)
 	}
-	require.NoError(t, judge.Observe(Group{}, Block{New: 5, NewBad: 5}))
+	require.NoError(t, judge.Observe(Group{}, Block{Canary: 5, CanaryBad: 5}))
 	verdict, _ := judge.Verdict()
 	require.Equal(t, Inconclusive, verdict)
 }
 
-// Criteria that bound nothing must not be accepted.
-func TestInvalidCriteria(t *testing.T) {
+// A Judge with a missing or impossible criterion bounds no error rate. It must not be created.
+func TestNewJudgeRejectsInvalidCriteria(t *testing.T) {
 	for _, criteria := range []Criteria{
 		{},
 		{FalseHaltRate: 0.05, MinEffect: 0.02, MinRequests: 10},
