--- a/internal/overload/aggregation_test.go
+++ b/internal/overload/aggregation_test.go
@@ -14,18 +14,18 @@
 
 const (
 	zones      = 3
-	zonedCores = 4.0 // of each member of a zonedFleet, and its service rate
+	zonedCores = 4.0 // cores of each member of a zonedFleet, and its service rate in seconds of work per second
 )
 
-// zonedFleet is a fleet in three zones whose members publish their load as seldom as its size asks for.
+// zonedFleet simulates a fleet in three zones. Its members publish their load with the period for a fleet of that size.
 type zonedFleet struct {
 	random     *rand.Rand
 	now        time.Duration
-	load       fleet.Load // of each member
+	load       fleet.Load // load of each member
 	collectors []*Collector
 	view       *fleet.View
-	dead       map[int]bool
-	misreport  func(member int, load *fleet.Load)
+	dead       map[int]bool                       // members that have stopped, by index
+	misreport  func(member int, load *fleet.Load) // changes the published load of a member; nil = no change
 }
 
 func newZonedFleet(members int) *zonedFleet {
@@ -50,7 +50,7 @@
 	return zoned
 }
 
-// run simulates some seconds and returns the aggregate of the fleet at the end of the last one.
+// run simulates some seconds and returns the aggregate of the fleet in the last one.
 func (f *zonedFleet) run(t *testing.T, seconds int) Aggregate {
 	t.Helper()
 	for range seconds {
@@ -91,13 +91,13 @@
 	}
 }
 
-// publishesNow reports whether it is time for the load of a member that is not a collector.
+// publishesNow reports whether a member that is not a collector publishes its load now.
 func (f *zonedFleet) publishesNow(member int) bool {
 	period := int(fleet.Period(len(f.collectors)) / time.Second)
 	return f.now <= 2*time.Second || (int(f.now/time.Second)+member)%period == 0
 }
 
-// sendPartials has all members tick and send their load to the collectors; one in twenty is lost.
+// sendPartials ticks all members and has them send their load to the collectors. One partial aggregate in 20 is lost.
 func (f *zonedFleet) sendPartials() {
 	snapshot := f.view.Snapshot(f.now)
 	for member, collector := range f.collectors {
@@ -114,7 +114,7 @@
 	}
 }
 
-// publishing returns the members that publish the aggregate of their zone.
+// publishing returns the indexes of the members that publish the aggregate of their zone.
 func (f *zonedFleet) publishing() (members []int) {
 	for member, collector := range f.collectors {
 		if collector.Published() != "" && !f.dead[member] {
@@ -124,7 +124,7 @@
 	return members
 }
 
-// requireAggregate compares an aggregate with the load of so many members.
+// requireAggregate requires that an aggregate is about the load of this number of members, and recent.
 func (f *zonedFleet) requireAggregate(t *testing.T, aggregate Aggregate, members int, when string) {
 	t.Helper()
 	require.InEpsilon(t, float64(members), float64(aggregate.Members), 0.03, when)
@@ -135,7 +135,7 @@
 	require.LessOrEqual(t, aggregate.Oldest, zoneAggregateMaxAge, when)
 }
 
-// exaggerate makes an encoded aggregate as large as it can be.
+// exaggerate replaces the published aggregate by one with the largest figures that can be encoded.
 func exaggerate(load *fleet.Load) {
 	aggregate, err := ParseAggregate([]byte(load.Aggregate))
 	if err != nil {
@@ -148,9 +148,10 @@
 	load.Aggregate = string(AppendAggregate(nil, &aggregate))
 }
 
-// In a fleet whose members publish seldom all know the aggregate of all within seconds, though partial aggregates are
-// lost, collectors die and one of them publishes nonsense; a zone without a collector is not known.
-func TestZoneAggregates(t *testing.T) {
+// In a large fleet the loads of single members are too old for shedding. The zone aggregates must stay recent and right if
+// partial aggregates are lost and all collectors die. A collector that misreports must not count for more than its zone's
+// cores allow, and a lost zone must not count at all.
+func TestZoneAggregatesSurviveFaults(t *testing.T) {
 	const members, live = 150, 150 - zones*collectorsPerZone
 	zoned := newZonedFleet(members)
 	zoned.requireAggregate(t, zoned.run(t, 8), members, "at rest")
@@ -170,7 +171,7 @@
 	aggregate := zoned.run(t, 3)
 	cores := zonedCores * float64(live)
 	require.LessOrEqual(t, aggregate.ServiceRate, cores/zones*maxServiceRatePerCore+cores,
-		"one zone counts for what its members can do at most")
+		"a zone counts for at most what its cores allow")
 	require.LessOrEqual(t, aggregate.Demand.Total(), maxDemandFactor*aggregate.ServiceRate)
 
 	zoned.misreport = nil
@@ -185,9 +186,9 @@
 	require.Empty(t, NewCollector(ProcessID{"n0", 1}).Tick(time.Second, Aggregate{}, small))
 }
 
-// A decoded aggregate is what was encoded, within the steps of the encoding and the bounds of a record. No bytes of
-// another member break the decoding or come out as a field that is out of range.
-func TestAggregateEncoding(t *testing.T) {
+// An encoded aggregate must fit into a fleet record and be decoded with at most the error of the demand steps. Noise from
+// another member must not make the decoder panic or return a field that is out of range.
+func TestAggregateEncodingAndNoise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		aggregate := Aggregate{
 			Members: rapid.IntRange(0, maxPartials).Draw(t, "members"),
@@ -217,7 +218,8 @@
 	})
 }
 
-// An aggregate of a zone counts while it is recent; then the members of the zone are stale.
+// An old zone aggregate says nothing about the load now. Once it is older than zoneAggregateMaxAge, all members of its zone
+// must count as stale.
 func TestZoneAggregateExpires(t *testing.T) {
 	const members = minMembersForCollectors
 	encoded := string(AppendAggregate(nil, &Aggregate{Members: members, ServiceRate: 1}))
--- a/internal/overload/attempt_age_test.go
+++ b/internal/overload/attempt_age_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// firstTimeout draws how long the client of a first attempt waits.
+// firstTimeout draws the timeout of a first attempt.
 type firstTimeout func(random *rand.Rand) time.Duration
 
 func alwaysFourSeconds(*rand.Rand) time.Duration { return 4 * time.Second }
@@ -25,14 +25,16 @@
 	return time.Duration(100+random.IntN(60000)) * time.Millisecond
 }
 
-// ageCounts says how many attempts were taken for what.
+// ageCounts counts first attempts and retries by how the estimator classified them.
 type ageCounts struct {
-	first, firstTakenForLater int
-	later, laterKnown         int
+	firstCorrect   int // first attempts that were taken for first ones
+	firstWrong     int // first attempts that were taken for retries
+	retries        int // retries, however classified
+	retriesCorrect int // retries that were taken for retries
 }
 
-// estimateAges plays requests whose clients limit the time over all attempts, and counts what the estimator finds. Check
-// is called for each later attempt.
+// estimateAges simulates requests whose clients limit the time over all attempts, and counts how the estimator classifies
+// them after a learning phase. It calls check for each retry.
 func estimateAges(
 	estimator *AgeEstimator, timeout firstTimeout, check func(age, estimate time.Duration),
 ) (counts ageCounts) {
@@ -61,24 +63,24 @@
 func (c *ageCounts) count(age, estimate time.Duration) {
 	switch {
 	case age == 0 && estimate > 0:
-		c.firstTakenForLater++
+		c.firstWrong++
 	case age == 0:
-		c.first++
+		c.firstCorrect++
 	default:
-		c.later++
+		c.retries++
 		if estimate > 0 {
-			c.laterKnown++
+			c.retriesCorrect++
 		}
 	}
 }
 
-// If clients wait for a few different times over all attempts, later attempts are found and not taken for older than
-// they are; if the timeouts say nothing, nothing is read into them.
-func TestAgeEstimator(t *testing.T) {
+// If clients use a few timeouts, retries must be recognised and must not be taken for older than they are. First attempts
+// must not be taken for retries, even if all timeouts differ. The memory for classes and buckets must be bounded.
+func TestAgeEstimatorRecognisesRetries(t *testing.T) {
 	for name, test := range map[string]struct {
 		timeout  firstTimeout
-		minKnown float64 // part of the later attempts
-		exact    bool    // the only timeout: the age is exact
+		minKnown float64 // smallest ratio of the retries to be recognised
+		exact    bool    // first attempts have only one timeout, so that the age must be exact
 	}{
 		"one timeout":       {alwaysFourSeconds, 0.97, true},
 		"three timeouts":    {oneOfThree, 0.9, false},
@@ -92,9 +94,9 @@
 				require.InDelta(t, age, estimate, float64(2*timeoutBucketWidth), name)
 			}
 		})
-		require.GreaterOrEqual(t, float64(counts.laterKnown), test.minKnown*float64(counts.later), name)
-		wrong := float64(counts.firstTakenForLater)
-		require.LessOrEqual(t, wrong, 0.01*(float64(counts.first)+wrong), name)
+		require.GreaterOrEqual(t, float64(counts.retriesCorrect), test.minKnown*float64(counts.retries), name)
+		wrong := float64(counts.firstWrong)
+		require.LessOrEqual(t, wrong, 0.01*(float64(counts.firstCorrect)+wrong), name)
 		for _, histogram := range estimator.classes {
 			require.LessOrEqual(t, len(histogram.counts), maxTimeoutBuckets)
 		}
--- a/internal/overload/bench_test.go
+++ b/internal/overload/bench_test.go
@@ -8,7 +8,7 @@
 	"falldeal/internal/fleet"
 )
 
-// BenchmarkClassify is what each request costs: its fingerprint, its age and the verdict.
+// BenchmarkClassify measures the work for each request: its fingerprint, its age and the verdict.
 func BenchmarkClassify(b *testing.B) {
 	view := viewOf(300, time.Second, func(int) fleet.Load {
 		return fleet.Load{Capacity: 4, ServiceRate: 4, Demand: string([]byte{10, 120, 120, 120})}
@@ -23,6 +23,7 @@
 	}
 }
 
+// BenchmarkShedderTick measures Shedder.Tick in fleets of different sizes.
 func BenchmarkShedderTick(b *testing.B) {
 	for _, members := range []int{10, 100, 300, 3000} {
 		view := viewOf(members, time.Second, func(int) fleet.Load {
--- a/internal/overload/collector_test.go
+++ b/internal/overload/collector_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A collector counts a partial aggregate until it is too old, and publishes the mean age of what it counts.
+// A collector that kept the load of a lost member would overstate the zone for good. It must drop a partial aggregate that
+// is older than partialMaxAge, and publish the mean age of those that it counts.
 func TestCollectorDropsOldPartials(t *testing.T) {
 	view := viewOf(minMembersForCollectors, time.Second, func(int) fleet.Load { return fleet.Load{} })
 	self := NewCollector(processOf(&view.Members[0])).zoneCollectors(view)[0]
--- a/internal/overload/demand_test.go
+++ b/internal/overload/demand_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Decoded demand is about what was encoded, in few bytes, and the threshold admits the capacity. No bytes of another
-// member break the decoding.
+// Encoded demand must fit into a fleet record and be decoded with an error of at most 5%. The threshold must admit as much
+// demand as the capacity allows. Noise from another member must not make the decoder panic.
 func TestDemandEncodingAndThreshold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var demand Demand
--- a/internal/overload/golden_agreement_test.go
+++ b/internal/overload/golden_agreement_test.go
@@ -10,7 +10,7 @@
 	"falldeal/lab/golden"
 )
 
-// goldenView returns the first member's view of a fleet whose members all serve, in two zones.
+// goldenView returns the first member's view of a fleet in two zones. All members serve and find their store unresponsive.
 func goldenView(members int) *fleet.Snapshot {
 	view := fleet.NewView("n000", fleet.Limits{Members: members, ForgetAfter: time.Hour})
 	for member := range members {
@@ -29,8 +29,8 @@
 	return view.Snapshot(time.Second)
 }
 
-// What each member computes for itself is the same at all of them. Otherwise they would not agree on who counts the
-// attempts of a request, collects a zone or probes a store, nor on the fingerprint and the priority of a request.
+// Members compute for themselves who counts the attempts of a request, collects a zone or probes a store, and the
+// fingerprint and priority of a request. If versions computed it differently, their members would not agree.
 func TestGoldenAgreement(t *testing.T) {
 	var got strings.Builder
 	writeFingerprints(&got)
@@ -44,6 +44,7 @@
 	golden.RequireFile(t, goldenAgreement, got.String())
 }
 
+// writeFingerprints writes the fingerprint of requests, each with one property set, and of one with all.
 func writeFingerprints(out *strings.Builder) {
 	for _, request := range []struct {
 		class, key, idempotencyKey string
@@ -66,6 +67,7 @@
 	}
 }
 
+// writeCountingMembers writes which member counts the attempts of some requests.
 func writeCountingMembers(out *strings.Builder) {
 	view := goldenView(10)
 	for fingerprint := range uint64(8) {
@@ -74,6 +76,7 @@
 	}
 }
 
+// writeCollectors writes which members collect each of the two zones.
 func writeCollectors(out *strings.Builder) {
 	view := goldenView(60)
 	for _, index := range []int{0, 1} {
@@ -84,8 +87,8 @@
 	}
 }
 
-// writeProbers has each member of a fleet find its store failing, with the same view of the others, and writes which of
-// them probe it in a round.
+// writeProbers writes which members probe in each of four rounds. All members find their store unresponsive and have the
+// same view.
 func writeProbers(out *strings.Builder) {
 	const members, store, failures = 10, 5, failureThreshold
 	for round := range uint64(4) {
@@ -110,6 +113,7 @@
 	}
 }
 
+// writePriorities writes the priority of requests, and the highest value per second of work at that priority.
 func writePriorities(out *strings.Builder) {
 	for _, request := range []struct{ value, work, rank float64 }{
 		{1, 1, 0}, {1, 1, 0.5}, {1, 1, 2}, {8, 0.125, 0}, {1e9, 1e-3, 1}, {1e-9, 1, 0.25}, {0, 1, 0},
--- a/internal/overload/golden_shedding_test.go
+++ b/internal/overload/golden_shedding_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenReportCases are the fingerprints of reports; whom a report is for is not part of the frame.
+// goldenReportCases returns the fingerprints of reports. The recipient of a report is not part of the frame.
 func goldenReportCases() []frameCase[[]uint64] {
 	full := make([]uint64, maxReportAttempts)
 	for i := range full {
@@ -22,14 +22,15 @@
 	}
 }
 
-// The encoding of reports stays as it is: the member that counts the attempts may be of another version.
-func TestGoldenReportsWritten(t *testing.T) {
+// The member that counts the attempts may run another version. A changed encoding would lose them.
+func TestGoldenReportsEncoded(t *testing.T) {
 	requireFrames(t, goldenReports, goldenReportCases(), func(b []byte, attempts []uint64) []byte {
 		return AppendReport(b, Report{To: goldenLender, Attempts: attempts})
 	})
 }
 
-func TestGoldenReportsRead(t *testing.T) {
+// Reports of other versions must be decoded, and not be taken for partial aggregates.
+func TestGoldenReportsDecoded(t *testing.T) {
 	requireRead(t, goldenReports, goldenReportCases(), func(b []byte) []uint64 {
 		require.True(t, IsSheddingMessage(b))
 		_, isPartial := ParsePartial(b)
@@ -40,7 +41,7 @@
 	})
 }
 
-// demandOf returns the demand that is encoded with these steps, from the bin first on.
+// demandOf returns the demand that is encoded by these steps, beginning with bin first.
 func demandOf(first int, steps ...byte) (demand Demand) {
 	for i, step := range steps {
 		demand[first+i] = demandSteps[step]
@@ -68,14 +69,16 @@
 	}
 }
 
-// The encoding of demand stays as it is: it is part of the load of members and of the aggregates of zones.
-func TestGoldenDemandsWritten(t *testing.T) {
+// Demand is part of the loads and zone aggregates that members of other versions read. A changed encoding would give them
+// another threshold.
+func TestGoldenDemandsEncoded(t *testing.T) {
 	requireFrames(t, goldenDemands, goldenDemandCases(), func(b []byte, demand Demand) []byte {
 		return demand.Append(b)
 	})
 }
 
-func TestGoldenDemandsRead(t *testing.T) {
+// Demand published by other versions must be decoded.
+func TestGoldenDemandsDecoded(t *testing.T) {
 	requireRead(t, goldenDemands, goldenDemandCases(), func(b []byte) (demand Demand) {
 		demand.addEncoded(string(b), 1)
 		return demand
@@ -113,14 +116,15 @@
 	}
 }
 
-// The encoding of aggregates stays as it is: the load that holds them spreads through a fleet of several versions.
-func TestGoldenAggregatesWritten(t *testing.T) {
+// Zone aggregates spread through a fleet of several versions. A changed encoding would make their zones stale.
+func TestGoldenAggregatesEncoded(t *testing.T) {
 	requireFrames(t, goldenAggregates, goldenAggregateCases(), func(b []byte, aggregate Aggregate) []byte {
 		return AppendAggregate(b, &aggregate)
 	})
 }
 
-func TestGoldenAggregatesRead(t *testing.T) {
+// Aggregates published by other versions must be decoded.
+func TestGoldenAggregatesDecoded(t *testing.T) {
 	requireRead(t, goldenAggregates, goldenAggregateCases(), func(b []byte) Aggregate {
 		aggregate, err := ParseAggregate(b)
 		require.NoError(t, err)
@@ -139,12 +143,13 @@
 	}
 }
 
-// The encoding of partial aggregates stays as it is: the collector may be of another version.
-func TestGoldenPartialsWritten(t *testing.T) {
+// The collector may run another version. A changed encoding would leave the sender out of its zone's aggregate.
+func TestGoldenPartialsEncoded(t *testing.T) {
 	requireFrames(t, goldenPartials, goldenPartialCases(), AppendPartial)
 }
 
-func TestGoldenPartialsRead(t *testing.T) {
+// Partial aggregates of other versions must be decoded, and not be taken for reports.
+func TestGoldenPartialsDecoded(t *testing.T) {
 	requireRead(t, goldenPartials, goldenPartialCases(), func(b []byte) PartialAggregate {
 		require.True(t, IsSheddingMessage(b))
 		_, isReport := ParseReport(b)
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -21,14 +21,14 @@
 	goldenAgreement  = "agreement.txt"
 )
 
-// frameCase is a value with the name of its frame. Read is what the receiver makes of it, where that differs.
+// frameCase is a value with the name of its frame in a golden file.
 type frameCase[T any] struct {
 	name  string
 	value T
-	read  *T
+	read  *T // value that the frame is decoded to; nil = the same
 }
 
-// requireFrames compares the encoded values of the cases with a golden file.
+// requireFrames requires that the values of the cases are encoded as the frames of a golden file.
 func requireFrames[T any](t *testing.T, file string, cases []frameCase[T], appendTo func(b []byte, v T) []byte) {
 	t.Helper()
 	var frames []golden.Frame
@@ -38,7 +38,7 @@
 	golden.RequireFrames(t, file, frames)
 }
 
-// requireRead reads each frame of a golden file and compares it with the value of its case.
+// requireRead requires that each frame of a golden file is decoded to the value of its case.
 func requireRead[T any](t *testing.T, file string, cases []frameCase[T], parse func(b []byte) T) {
 	t.Helper()
 	frames := golden.ReadFrames(t, file, len(cases))
@@ -87,13 +87,13 @@
 	}
 }
 
-// The encoding of quota leasing stays as it is: members of several versions lease quota from each other.
-func TestGoldenLeasesWritten(t *testing.T) {
+// Members of different versions lease quota from each other. A changed encoding would break that.
+func TestGoldenLeasesEncoded(t *testing.T) {
 	requireFrames(t, goldenLeases, goldenLeaseCases(), AppendMessage)
 }
 
-// Messages that were encoded before are still decoded, also with a field that a newer version has added.
-func TestGoldenLeasesRead(t *testing.T) {
+// Messages of other versions must be decoded, even with a field that a newer version has added.
+func TestGoldenLeasesDecoded(t *testing.T) {
 	parse := func(b []byte) Message {
 		require.False(t, IsSheddingMessage(b))
 		message, err := ParseMessage(b)
--- a/internal/overload/helpers_test.go
+++ b/internal/overload/helpers_test.go
@@ -7,7 +7,8 @@
 	"falldeal/internal/fleet"
 )
 
-// viewOf returns a view of members with these loads, in which the first one, n0, is the observer.
+// viewOf returns the view of the first member, n0, of members n0, n1 and so on, which all serve. load returns the load of
+// each.
 func viewOf(members int, now time.Duration, load func(member int) fleet.Load) *fleet.Snapshot {
 	view := fleet.NewView("n0", fleet.Limits{Members: members})
 	for member := range members {
@@ -24,14 +25,14 @@
 	return view.Snapshot(now)
 }
 
-// setObserver makes another member the observer of a view.
+// setObserver marks the member with this index as the observer of a view.
 func setObserver(view *fleet.Snapshot, observer int) {
 	for i := range view.Members {
 		view.Members[i].Self = view.Members[i].Name == fmt.Sprint("n", observer)
 	}
 }
 
-// totalOf returns the sum of values.
+// totalOf returns the sum of the values.
 func totalOf(values []float64) (total float64) {
 	for _, value := range values {
 		total += value
--- a/internal/overload/leasing_modelcheck_test.go
+++ b/internal/overload/leasing_modelcheck_test.go
@@ -12,35 +12,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-var modelCheckDepth = flag.Int("depth", 8, "steps to which the lease exchange is explored")
+var modelCheckDepth = flag.Int("depth", 8, "number of steps to which the lease exchange is explored")
 
 const (
-	tick          = time.Second // of the model's clock
-	maxInTransit  = 3           // messages
-	plantedDepth  = 11          // steps within which a planted fault has to be found
-	storeCapacity = 4           // calls, the sum of Base over both members
-	borrower      = 0           // the member that requests leases; the other one grants them
-	lender        = 1
-	noMember      = -1 // made a call and has died
+	tick          = time.Second // step of the model's clock
+	maxInTransit  = 3           // messages in transit at the same time
+	faultDepth    = 11          // number of steps within which an injected fault must be found
+	storeCapacity = 4           // calls that the store bears: the sum of Base over both members
+	borrower      = 0           // index of the member that requests leases
+	lender        = 1           // index of the member that grants them
+	noMember      = -1          // in place of an index; for a call: its process was replaced
 )
 
 // leasingState is a state of two members that share a store.
 type leasingState struct {
 	now      time.Duration
 	ledgers  [2]*QuotaLedger
-	messages []Message // in transit
-	calls    []modelCall
+	messages []Message   // messages in transit
+	calls    []modelCall // calls that the store works on
 }
 
 // modelCall is a call that the store works on.
 type modelCall struct {
-	member    int
+	member    int // index of the member that made the call, or noMember
 	startedAt time.Duration
 }
 
-// leasingFault changes the ledger of a member after it has handled a message or restarted.
+// leasingFault injects a fault into the ledger of a member, after it has handled a message or restarted.
 type leasingFault func(state *leasingState, member int)
 
+// newLeasingState returns a state in which no process has a predecessor whose calls or leases still count.
 func newLeasingState() leasingState {
 	state := leasingState{now: 100 * time.Second}
 	for member := range state.ledgers {
@@ -63,8 +64,8 @@
 	return state
 }
 
-// inFlight returns the quota that a member knows its calls to use. A process that was restarted does not know of the
-// calls of its predecessor.
+// inFlight returns the quota that the known calls of a member use. A restarted process does not know the calls of its
+// predecessor.
 func (s *leasingState) inFlight(member int) (quota Quota) {
 	for _, call := range s.calls {
 		if call.member == member {
@@ -74,14 +75,14 @@
 	return quota
 }
 
-// leasingSteps collects the steps that can be taken from a state.
+// leasingSteps collects the steps that are possible in a state.
 type leasingSteps struct {
 	from  leasingState
 	fault leasingFault
 	steps []modelcheck.Step[leasingState]
 }
 
-// nextSteps returns a function that lists the steps from a state.
+// nextSteps returns a function that lists the steps from a state, with an injected fault.
 func nextSteps(fault leasingFault) func(leasingState) []modelcheck.Step[leasingState] {
 	return func(from leasingState) []modelcheck.Step[leasingState] {
 		next := leasingSteps{from: from, fault: fault}
@@ -96,12 +97,14 @@
 	}
 }
 
+// add adds a step that changes a copy of the state.
 func (n *leasingSteps) add(name string, apply func(*leasingState)) {
 	state := n.from.clone()
 	apply(&state)
 	n.steps = append(n.steps, modelcheck.Step[leasingState]{Name: name, To: state})
 }
 
+// wait advances the clock by one tick and ends the calls that have taken CallTime.
 func wait(state *leasingState) {
 	state.now += tick
 	state.calls = slices.DeleteFunc(state.calls, func(call modelCall) bool {
@@ -109,7 +112,7 @@
 	})
 }
 
-// addMemberSteps adds what a member does by itself.
+// addMemberSteps adds the steps that a member takes by itself: it requests or returns quota, makes a call, or restarts.
 func (n *leasingSteps) addMemberSteps(member int) {
 	ledger := n.from.ledgers[member]
 	if len(n.from.messages) < maxInTransit-1 && member == borrower {
@@ -136,7 +139,8 @@
 	}
 }
 
-// restart replaces the process of a member; its calls go on for a while.
+// restart replaces the process of a member. The store goes on with the calls of the old process for at most
+// AbandonedCallTime.
 func (s *leasingState) restart(member int) {
 	s.ledgers[member] = NewQuotaLedger(s.now, ProcessID{s.ledgers[member].self.Name, 2}, testTerms)
 	for i, call := range s.calls {
@@ -147,13 +151,13 @@
 	}
 }
 
-// addMessageSteps adds what can happen to a message: it arrives, it arrives and will again, or it is lost.
+// addMessageSteps adds the steps of a message: it arrives, it arrives and is duplicated, or it is lost.
 func (n *leasingSteps) addMessageSteps(index int) {
 	message := n.from.messages[index]
-	for _, stays := range []bool{false, true} {
-		name := fmt.Sprintf("%d of %s arrives, stays %v", message.Kind, message.From.Name, stays)
+	for _, duplicated := range []bool{false, true} {
+		name := fmt.Sprintf("%s of %s arrives, duplicated: %v", message.Kind, message.From.Name, duplicated)
 		n.add(name, func(state *leasingState) {
-			if !stays {
+			if !duplicated {
 				state.messages = slices.Delete(state.messages, index, index+1)
 			}
 			n.transmit(state, message)
@@ -162,6 +166,7 @@
 	n.add("lost", func(state *leasingState) { state.messages = slices.Delete(state.messages, index, index+1) })
 }
 
+// transmit has the recipient handle a message, and puts the answer in transit if there is room.
 func (n *leasingSteps) transmit(state *leasingState, message Message) {
 	for member, ledger := range state.ledgers {
 		if ledger.self != message.To {
@@ -175,7 +180,7 @@
 	}
 }
 
-// stateKey returns the same text for states that differ only by the time at which they are reached.
+// stateKey returns the same key for states that differ only in the time at which they are reached.
 func stateKey(state leasingState) string {
 	key := ""
 	for _, ledger := range state.ledgers {
@@ -191,7 +196,7 @@
 	return key + fmt.Sprint(state.messages)
 }
 
-// remainingLeases returns the leases that have not expired, with the time that is left of each.
+// remainingLeases returns the leases that have not expired. In place of the time of expiry they have the remaining time.
 func remainingLeases(leases []lease, now time.Duration) (remaining []lease) {
 	for _, unexpired := range leases {
 		if unexpired.expires -= now; unexpired.expires > 0 {
@@ -201,40 +206,41 @@
 	return remaining
 }
 
+// overcommitted returns the violation of the invariant if the store has more calls than it bears.
 func overcommitted(state leasingState) string {
 	if calls := len(state.calls); calls > storeCapacity {
-		return fmt.Sprintf("%d calls at a store that survives %d", calls, storeCapacity)
+		return fmt.Sprintf("%d calls in flight at a store with a quota of %d", calls, storeCapacity)
 	}
 	return ""
 }
 
-// The store never sees more calls than the sum of the quotas, whatever is lost, late, doubled or restarted; and the
-// model checker finds each fault that a careless change would bring.
+// Lost, delayed or duplicated messages and restarts must not lead to more calls at the store than the sum of the quotas.
+// The model checker must find each injected fault: a rule of QuotaLedger that is left out.
 func TestLeasingModelCheck(t *testing.T) {
 	steps := nextSteps(func(*leasingState, int) {})
 	found := modelcheck.Visit(newLeasingState(), *modelCheckDepth, steps, stateKey, overcommitted)
 	require.Empty(t, found.Why, "%v", found.Steps)
-	t.Logf("%d states within %d steps, nothing broken", found.States, *modelCheckDepth)
+	t.Logf("%d states within %d steps, no violation", found.States, *modelCheckDepth)
 	for name, fault := range map[string]leasingFault{
-		"the lender goes on using what it has leased out": func(state *leasingState, member int) {
+		"the lender uses quota that it has leased out": func(state *leasingState, member int) {
 			for i := range state.ledgers[member].leasedOut {
 				state.ledgers[member].leasedOut[i].expires = state.now
 			}
 		},
-		"reclaimed when the lease is over, not its calls": func(state *leasingState, member int) {
+		"the lender reclaims quota while calls under the expired lease go on": func(state *leasingState, member int) {
 			for i, granted := range state.ledgers[member].leasedOut {
 				state.ledgers[member].leasedOut[i].expires = min(granted.expires, state.now+testTerms.Lease)
 			}
 		},
-		"a restart forgets what was leased out": func(state *leasingState, member int) {
+		"a restarted process ignores the leases of its predecessor": func(state *leasingState, member int) {
 			state.ledgers[member].predecessorLeasesEnd = 0
 		},
-		"a restart forgets the calls in flight": func(state *leasingState, member int) {
+		"a restarted process ignores the calls of its predecessor": func(state *leasingState, member int) {
 			state.ledgers[member].predecessorCallsEnd = 0
 		},
 	} {
-		found := modelcheck.Visit(newLeasingState(), plantedDepth, nextSteps(fault), stateKey, overcommitted)
+		found := modelcheck.Visit(newLeasingState(), faultDepth, nextSteps(fault), stateKey, overcommitted)
 		require.NotEmpty(t, found.Why, name)
-		t.Logf("planted: %s: found after %d states: %v", name, found.States, found.Steps)
+		t.Logf("injected fault: %s: found after %d states: %v", name, found.States, found.Steps)
 	}
 }
--- a/internal/overload/leasing_test.go
+++ b/internal/overload/leasing_test.go
@@ -18,14 +18,15 @@
 	AbandonedCallTime: time.Second,
 }
 
-// A lender grants what is neither in flight nor needed nor reserved, and grants nothing twice for one request.
-func TestGrantAmounts(t *testing.T) {
+// A lender that grants quota which it uses, needs or has reserved, or grants a request twice, would overcommit the store.
+// Limits on both sides must follow the lease through its expiry and reclaim.
+func TestGrantLeavesUsedAndReservedQuota(t *testing.T) {
 	for name, test := range map[string]struct{ requested, inFlight, needed, want Quota }{
-		"all but the reserve": {5000, 0, 0, 1000},
-		"less":                {300, 0, 0, 300},
-		"in flight":           {5000, 1500, 0, 500},
-		"needed":              {5000, 0, 1800, 200},
-		"nothing left":        {5000, 2000, 0, 0},
+		"all but the reserved": {5000, 0, 0, 1000},
+		"less":                 {300, 0, 0, 300},
+		"in flight":            {5000, 1500, 0, 500},
+		"needed":               {5000, 0, 1800, 200},
+		"nothing left":         {5000, 2000, 0, 0},
 	} {
 		state := newLeasingState()
 		now, borrowerLedger, lenderLedger := state.now, state.ledgers[borrower], state.ledgers[lender]
@@ -41,21 +42,21 @@
 		require.Equal(t, 2000+test.want, borrowerLedger.Limit(now), name)
 		require.Equal(t, 2000-test.want, lenderLedger.Limit(now), name)
 		expired := now + testTerms.Lease
-		require.Equal(t, Quota(2000), borrowerLedger.Limit(expired), "the lease is over")
-		require.Equal(t, 2000-test.want, lenderLedger.Limit(expired+testTerms.CallTime), "its calls may not be")
+		require.Equal(t, Quota(2000), borrowerLedger.Limit(expired), "the lease has expired")
+		require.Equal(t, 2000-test.want, lenderLedger.Limit(expired+testTerms.CallTime), "calls under the lease may go on")
 		require.Equal(t, Quota(2000), lenderLedger.Limit(expired+testTerms.CallTime+time.Second))
 	}
 	ledger := NewQuotaLedger(0, ProcessID{"n0", 1}, testTerms)
-	require.Zero(t, ledger.Limit(0), "a predecessor's calls may be in flight")
-	require.Equal(t, testTerms.Reserved, ledger.Limit(2*time.Second), "what it leased out may be in use")
-	require.Equal(t, testTerms.Base, ledger.Limit(time.Minute), "alone, a member has what its settings give")
+	require.Zero(t, ledger.Limit(0), "calls of a predecessor may be in flight")
+	require.Equal(t, testTerms.Reserved, ledger.Limit(2*time.Second), "leases of a predecessor may be in use")
+	require.Equal(t, testTerms.Base, ledger.Limit(time.Minute), "without leases, a member has the quota of its settings")
 }
 
-// With random requests, losses, delays, restarts and drifting clocks the calls in flight stay within the sum of the
-// quotas at every instant, and quota does move to busy members. A borrower that counts its lease from the grant, a fault
-// with more steps than the model checker can visit, is found.
-func TestLeasingRandomised(t *testing.T) {
-	const seeds, plantedSeeds = 1000, 300
+// Random requests, losses, delays, restarts and drifting clocks must not lead to more calls in flight than the sum of the
+// quotas, while quota moves to busy members. The simulation must find a borrower that counts its lease from the grant: that
+// fault takes more steps than the model checker can explore.
+func TestLeasingSimulationNeverOvercommits(t *testing.T) {
+	const seeds, faultSeeds = 1000, 300
 	moved := Quota(0)
 	for seed := range uint64(seeds) {
 		simulation := newLeasingSimulation(seed, func(*QuotaLedger, time.Duration) {})
@@ -65,7 +66,7 @@
 	}
 	require.NotZero(t, moved)
 	found := 0
-	for seed := range uint64(plantedSeeds) {
+	for seed := range uint64(faultSeeds) {
 		simulation := newLeasingSimulation(seed, func(ledger *QuotaLedger, now time.Duration) {
 			if last := len(ledger.leased) - 1; last >= 0 {
 				ledger.leased[last].expires = now + testTerms.Lease
@@ -77,31 +78,34 @@
 		}
 	}
 	require.NotZero(t, found)
-	t.Logf("%d seeds, %.0f call-seconds borrowed, nothing broken; planted: found by %d of %d",
-		seeds, moved.Calls()*simulationStep.Seconds(), found, plantedSeeds)
+	t.Logf("%d seeds, %.0f call-seconds leased, no violation; injected fault: found by %d of %d seeds",
+		seeds, moved.Calls()*simulationStep.Seconds(), found, faultSeeds)
 }
 
+// simulationStep is the step of the simulation's clock.
 const simulationStep = 50 * time.Millisecond
 
-// leasingSimulation is a number of members that share a store and exchange messages over an unreliable network.
+// leasingSimulation simulates members that share a store and exchange messages over an unreliable network.
 type leasingSimulation struct {
 	random         *rand.Rand
-	now            time.Duration // true time, from which the members' clocks drift
+	now            time.Duration // true time, from which the clocks of the members drift
 	members        []*simulatedMember
-	abandonedCalls []time.Duration // ends of the calls of processes that were killed
+	abandonedCalls []time.Duration // end times of the calls of processes that were killed
 	messages       []delayedMessage
-	afterGrant     func(*QuotaLedger, time.Duration) // called when a member has handled a grant; may plant a fault
-	moved          Quota                             // sum over all steps of the quota that was leased
-	excess         int                               // calls beyond the store's capacity, at the worst instant
+	afterGrant     func(*QuotaLedger, time.Duration) // called after a member has handled a grant; may inject a fault
+	moved          Quota                             // sum over all steps of the quota that is leased
+	excess         int                               // largest number of calls beyond the sum of the quotas, at any step
 }
 
+// simulatedMember is a member with a drifting clock.
 type simulatedMember struct {
 	*QuotaLedger
-	clockRate float64
-	calls     []time.Duration // their ends in true time
-	busy      bool
+	clockRate float64         // time on the clock of the member per true time
+	calls     []time.Duration // end times of its calls, in true time
+	busy      bool            // it needs more quota than it has
 }
 
+// delayedMessage is a message in transit.
 type delayedMessage struct {
 	message   Message
 	arrivesAt time.Duration
@@ -134,7 +138,7 @@
 	}
 }
 
-// step has a member make calls, request and return quota, and sometimes restart.
+// step has a member request quota, make calls, return quota, and sometimes restart.
 func (s *leasingSimulation) step(member *simulatedMember) {
 	member.calls = s.unfinished(member.calls)
 	clock := member.clock(s.now)
@@ -159,7 +163,7 @@
 	}
 }
 
-// restart kills the process of a member and starts another one.
+// restart replaces the process of a member. The store goes on with its calls for up to AbandonedCallTime.
 func (s *leasingSimulation) restart(member *simulatedMember) {
 	for _, end := range member.calls {
 		s.abandonedCalls = append(s.abandonedCalls, min(end, s.now+testTerms.AbandonedCallTime))
@@ -168,7 +172,7 @@
 	member.QuotaLedger, member.calls = NewQuotaLedger(member.clock(s.now), successor, testTerms), nil
 }
 
-// unfinished drops the calls that have ended.
+// unfinished returns the end times without those that have passed.
 func (s *leasingSimulation) unfinished(ends []time.Duration) []time.Duration {
 	return slices.DeleteFunc(ends, func(end time.Duration) bool { return end <= s.now })
 }
@@ -177,11 +181,12 @@
 	s.messages = append(s.messages, s.delayed(message))
 }
 
+// delayed returns the message with a random delay of less than 3 s.
 func (s *leasingSimulation) delayed(message Message) delayedMessage {
 	return delayedMessage{message, s.now + time.Duration(s.random.IntN(3000))*time.Millisecond}
 }
 
-// transmitMessages delivers what has arrived. Some messages are lost, some arrive twice.
+// transmitMessages delivers the messages that have arrived. One in five is lost, and one in ten is duplicated.
 func (s *leasingSimulation) transmitMessages() {
 	var undelivered []delayedMessage
 	for _, delayed := range s.messages {
@@ -202,6 +207,7 @@
 	s.messages = undelivered
 }
 
+// transmit has the recipient of a message handle it, unless that process has been replaced.
 func (s *leasingSimulation) transmit(message Message) (answer Message, ok bool) {
 	for _, member := range s.members {
 		if member.self != message.To {
@@ -216,7 +222,7 @@
 	return answer, ok
 }
 
-// clock returns the reading of the member's clock at a true time.
+// clock returns the reading of the member's clock at the true time now.
 func (m *simulatedMember) clock(now time.Duration) time.Duration {
 	return time.Duration(float64(now) * m.clockRate)
 }
--- a/internal/overload/leasing_wire_test.go
+++ b/internal/overload/leasing_wire_test.go
@@ -7,8 +7,9 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// What is encoded is decoded as it was, and what is not a message is an error.
-func TestMessageRoundTrip(t *testing.T) {
+// A message must be decoded as it was encoded. Noise, or a message without a valid kind or a name, must be an error, not a
+// message that changes a ledger.
+func TestMessageRoundTripAndInvalidMessages(t *testing.T) {
 	message := Message{Kind: LeaseGrant, From: ProcessID{"n1", 7}, To: ProcessID{"n2", 1 << 60}, Number: 9, Amount: 250}
 	decoded, err := ParseMessage(AppendMessage(nil, message))
 	require.NoError(t, err)
@@ -25,7 +26,8 @@
 	}
 }
 
-func TestKindString(t *testing.T) {
+// Every kind, including one that is out of range, must have a name.
+func TestMessageKindString(t *testing.T) {
 	for kind, want := range map[MessageKind]string{
 		0:               "invalid",
 		LeaseRequest:    "lease request",
@@ -37,7 +39,8 @@
 	}
 }
 
-// A field of the wrong type is an error, also where its bytes could be read as the right one and a right one follows.
+// A field of the wrong type must be an error, even if its bytes could be read as the right type and a valid field of the
+// same number follows.
 func TestParseMessageRejectsWrongTypes(t *testing.T) {
 	message := Message{Kind: LeaseGrant, From: ProcessID{"n1", 7}, To: ProcessID{"n2", 8}, Number: 9, Amount: 250}
 	encoded := AppendMessage(nil, message)
--- a/internal/overload/probe_round_test.go
+++ b/internal/overload/probe_round_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A member takes a later round that others publish, unless it is out of range, and starts the next one when nothing is
-// published about a round for too long.
-func TestRoundsOfProbing(t *testing.T) {
+// Members that did not adopt later rounds would probe at the same time. A published round from maxRound on must be ignored,
+// as a member may misreport it. If the selected member is lost, the round must time out.
+func TestProbeRoundAdoptsLaterRoundsAndTimesOut(t *testing.T) {
 	const own, published = 5, 7
 	for _, test := range []struct {
 		name      string
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -11,29 +11,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coordinatorSimulation is a group of members with one store that dies and comes back. The members' updates are late and
-// sometimes lost.
+// coordinatorSimulation simulates a group of members whose store stops answering and recovers. The members' updates are
+// delayed and sometimes lost.
 type coordinatorSimulation struct {
 	random       *rand.Rand
 	now          time.Duration
 	coordinators []*ProbeCoordinator
-	allowances   []CallAllowance
+	allowances   []CallAllowance // of each member, from its last tick
 	alive        []bool
-	received     [][]fleet.Load // the last load that each member has received of each
-	updates      []loadUpdate   // in transit, by time of arrival
-	misreport    func(member int, load *fleet.Load)
-	calls        [][]trialCall // in flight, by member
-	inFlight     int
-	callCount    int
+	received     [][]fleet.Load                     // by receiving member, the last load of each sending member
+	updates      []loadUpdate                       // updates in transit, by time of arrival
+	misreport    func(member int, load *fleet.Load) // changes the published load of a member; nil = no change
+	calls        [][]simulatedCall                  // calls in flight, by member
+	inFlight     int                                // number of calls in flight
+	callCount    int                                // number of calls made so far
 }
 
+// loadUpdate is an update in transit between two members.
 type loadUpdate struct {
 	arrivesAt time.Duration
-	from, to  int
+	from, to  int // indexes of the members
 	load      fleet.Load
 }
 
-type trialCall struct {
+// simulatedCall is a call in flight.
+type simulatedCall struct {
 	endsAt time.Duration
 	ok     bool
 }
@@ -42,7 +44,7 @@
 	simulation := &coordinatorSimulation{
 		random:     rand.New(rand.NewPCG(seed, 7)),
 		allowances: make([]CallAllowance, members),
-		calls:      make([][]trialCall, members),
+		calls:      make([][]simulatedCall, members),
 	}
 	for member := range members {
 		simulation.coordinators = append(simulation.coordinators, NewProbeCoordinator(uint64(member+1), "z"))
@@ -52,8 +54,8 @@
 	return simulation
 }
 
-// run simulates a span of time in which the store answers or not. It returns the largest number of calls in flight, and
-// how many were made.
+// run simulates a span of time in which the store answers or not. It returns the largest number of calls in flight and the
+// number of calls that were made.
 func (s *coordinatorSimulation) run(span time.Duration, storeAnswers bool) (maxInFlight, calls int) {
 	const step = 250 * time.Millisecond
 	callsBefore := s.callCount
@@ -69,7 +71,8 @@
 	return maxInFlight, s.callCount - callsBefore
 }
 
-// receiveUpdates delivers the updates that have arrived. One that has been overtaken is dropped.
+// receiveUpdates delivers the updates that have arrived. It drops one of an earlier round than the last, unless the state of
+// the store differs.
 func (s *coordinatorSimulation) receiveUpdates() {
 	for len(s.updates) > 0 && s.updates[0].arrivesAt <= s.now {
 		update := s.updates[0]
@@ -81,7 +84,7 @@
 	}
 }
 
-// step makes a member end calls, tick, publish and make calls.
+// step has a member end calls, tick, publish its load and make calls.
 func (s *coordinatorSimulation) step(member int, storeAnswers bool) {
 	coordinator := s.coordinators[member]
 	s.endCalls(member)
@@ -106,12 +109,12 @@
 	s.calls[member] = unfinished
 }
 
-// startCalls makes as many calls as a member with much to do may make.
+// startCalls makes as many calls as a busy member may make.
 func (s *coordinatorSimulation) startCalls(member int, storeAnswers bool) {
 	for len(s.calls[member]) < s.callLimit(member) {
-		call := trialCall{s.now + 2*time.Second, false}
+		call := simulatedCall{s.now + 2*time.Second, false}
 		if storeAnswers {
-			call = trialCall{s.now + 50*time.Millisecond, true}
+			call = simulatedCall{s.now + 50*time.Millisecond, true}
 		}
 		s.calls[member] = append(s.calls[member], call)
 		s.inFlight++
@@ -119,11 +122,12 @@
 	}
 }
 
+// callLimit returns the number of calls that a member may have in flight by its allowance.
 func (s *coordinatorSimulation) callLimit(member int) int {
 	switch s.allowances[member] {
 	case AllowUnlimited:
 		if s.coordinators[member].State() == StoreUnresponsive {
-			return 1 // about what the member's breaker lets through
+			return 1 // about what the member's circuit breaker admits
 		}
 		return 4
 	case AllowCautious:
@@ -135,7 +139,7 @@
 	return 0
 }
 
-// publish sends a member's load to all others, up to 1.5 s late, and one in twenty not at all.
+// publish sends a member's load to all others. The updates arrive up to 1.5 s later, and one in 20 is lost.
 func (s *coordinatorSimulation) publish(member int) {
 	var load fleet.Load
 	s.coordinators[member].AddToLoad(&load)
@@ -156,7 +160,7 @@
 	s.updates = append(s.updates[:position:position], append(sent, s.updates[position:]...)...)
 }
 
-// view is the view of a member by the updates that it has received.
+// view returns the view of a member, by the updates that it has received.
 func (s *coordinatorSimulation) view(observer int) *fleet.Snapshot {
 	view := &fleet.Snapshot{At: s.now}
 	for member, load := range s.received[observer] {
@@ -180,13 +184,13 @@
 	return view
 }
 
-// kill ends a member's process; the store does not go on with its calls.
+// kill ends the process and the calls of a member.
 func (s *coordinatorSimulation) kill(member int) {
 	s.alive[member] = false
 	s.inFlight -= len(s.calls[member])
 }
 
-// count returns how many living members find the store in a state.
+// count returns how many of the members that are alive find the store in a state.
 func (s *coordinatorSimulation) count(state StoreState) (members int) {
 	for member, coordinator := range s.coordinators {
 		if s.alive[member] && coordinator.State() == state {
@@ -196,13 +200,14 @@
 	return members
 }
 
+// unhealthy returns how many of the members that are alive find that calls to the store fail.
 func (s *coordinatorSimulation) unhealthy() int {
 	return s.count(StoreUnresponsive) + s.count(StoreProbing)
 }
 
-// A dead store has a handful of calls in flight, whatever the number of members; the member whose turn it is may die;
-// and when the store is back all members come to use it again, some at a time.
-func TestDeadStoreProbedByTurns(t *testing.T) {
+// If every member probed a dead store, a large group would keep many calls in flight at it. At any group size, only a few
+// probes may be in flight, even after the loss of the probing member. Once the store answers, members must return in steps.
+func TestDeadStoreIsProbedInTurns(t *testing.T) {
 	for _, members := range []int{3, 10, 50, 150} {
 		simulation := newCoordinatorSimulation(members, uint64(members))
 		simulation.run(5*time.Second, true)
@@ -211,17 +216,17 @@
 		require.Equal(t, members, simulation.unhealthy(), "%d members", members)
 		maxInFlight, calls := simulation.run(20*time.Second, false)
 		require.LessOrEqual(t, maxInFlight, 4, "%d members", members)
-		require.Greater(t, calls, 3, "%d members: it is probed", members)
+		require.Greater(t, calls, 3, "%d members: the store is probed", members)
 		for member, coordinator := range simulation.coordinators {
 			if coordinator.State() == StoreProbing && members > 3 {
 				simulation.kill(member)
 			}
 		}
 		maxInFlight, calls = simulation.run(20*time.Second, false)
-		require.LessOrEqual(t, maxInFlight, 4, "%d members, after a loss", members)
-		require.Greater(t, calls, 3, "%d members: the turn has passed on", members)
+		require.LessOrEqual(t, maxInFlight, 4, "%d members, probing member lost", members)
+		require.Greater(t, calls, 3, "%d members: another member probes", members)
 		maxInFlight, _ = simulation.run(time.Second, true)
-		require.LessOrEqual(t, maxInFlight, 8, "%d members: not all at once", members)
+		require.LessOrEqual(t, maxInFlight, 8, "%d members: they return in steps", members)
 		simulation.run(25*time.Second, true)
 		require.Zero(t, simulation.unhealthy(), "%d members", members)
 		simulation.run(recoveringDuration+2*time.Second, true)
@@ -229,8 +234,8 @@
 	}
 }
 
-// A member that publishes that a dead store has recovered, or that a healthy one fails, does not decide that for the
-// others; nor does one whose turns never end, or whose rounds are out of range.
+// One member that misreports must not decide for its group: it publishes that a dead store has recovered or that a healthy
+// one fails, that it probes all the time, or rounds that are out of range.
 func TestMisreportingMemberIsContained(t *testing.T) {
 	const members, misreporting = 30, 3
 	for name, misreport := range map[string]func(load *fleet.Load){
--- a/internal/overload/quota_manager_test.go
+++ b/internal/overload/quota_manager_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quotaFleet is a number of members that lease quota from each other; the first one may be busy.
+// quotaFleet simulates members that lease quota from each other. The first one may be busy, the others are idle.
 type quotaFleet struct {
 	terms        LeaseTerms
 	managers     []*QuotaManager
 	view         *fleet.View
-	idleMessages int // sent by the idle members on their own
+	idleMessages int // messages of the idle members that are not answers
 }
 
 func newQuotaFleet(members int, terms LeaseTerms) *quotaFleet {
@@ -29,7 +29,7 @@
 	return quotas
 }
 
-// run plays a span of time, and returns the lowest limit that the first member had in it.
+// run simulates the time from from to to, and returns the lowest limit of the first member in it.
 func (f *quotaFleet) run(from, to time.Duration, busy bool) Quota {
 	const interval = 250 * time.Millisecond
 	minLimit := Quota(1 << 40)
@@ -50,6 +50,7 @@
 	}
 }
 
+// tick ticks all members and returns their messages. A busy first member wants 10 calls in flight.
 func (f *quotaFleet) tick(now time.Duration, busy bool) (messages []Message) {
 	const wantedCalls = 10
 	for i, manager := range f.managers {
@@ -69,7 +70,7 @@
 	return messages
 }
 
-// transmit hands out messages, and the answers to them.
+// transmit delivers messages and the answers to them.
 func (f *quotaFleet) transmit(now time.Duration, messages []Message) {
 	for len(messages) > 0 {
 		message := messages[0]
@@ -82,8 +83,8 @@
 	}
 }
 
-// A busy member among idle ones gets several times its quota and keeps it while it needs it, and returns it soon after;
-// idle members do not request any.
+// A busy member among idle ones must get at least twice its quota and keep it: returning it as soon as it helps would make
+// the limit oscillate. It must return the quota once it is idle, and idle members must not request any.
 func TestQuotaMovesToBusyMember(t *testing.T) {
 	terms := LeaseTerms{
 		Base:              4000,
@@ -94,7 +95,7 @@
 	}
 	quotas := newQuotaFleet(9, terms)
 	quotas.run(10*time.Second, 20*time.Second, true)
-	require.GreaterOrEqual(t, quotas.run(20*time.Second, 60*time.Second, true), 2*terms.Base, "while it needs them")
+	require.GreaterOrEqual(t, quotas.run(20*time.Second, 60*time.Second, true), 2*terms.Base, "while it is busy")
 	quotas.run(60*time.Second, 75*time.Second, false)
 	require.Equal(t, terms.Base, quotas.managers[0].Limit(75*time.Second))
 	for _, manager := range quotas.managers {
@@ -103,8 +104,8 @@
 	require.Zero(t, quotas.idleMessages)
 }
 
-// A member does not request quota of itself, nor of one that has nothing unused.
-func TestChooseLender(t *testing.T) {
+// A request to itself or to a member without unused quota would be wasted, and delay the next one by requestInterval.
+func TestChooseLenderNeedsUnusedQuota(t *testing.T) {
 	const self, full, free = 0, 1, 2
 	view := viewOf(3, time.Second, func(member int) fleet.Load {
 		return map[int]fleet.Load{self: {CallQuota: 9}, full: {CallQuota: 4, MeanCalls: 4}, free: {CallQuota: 4}}[member]
--- a/internal/overload/recorded_run_test.go
+++ b/internal/overload/recorded_run_test.go
@@ -9,12 +9,13 @@
 	"falldeal/lab/recorded"
 )
 
+// recordedSteps scales the length of the runs.
 const recordedSteps = 20_000
 
-// recordedRun draws the inputs of a run.
+// recordedRun draws the random inputs of a run.
 type recordedRun struct{ *recorded.Run }
 
-// advance draws the time until the next step, which is mostly short.
+// advance moves the clock to the next step: mostly by less than 400 ms, sometimes by 20 s more.
 func (r *recordedRun) advance() {
 	r.Now += time.Duration(r.Random.IntN(400)) * time.Millisecond
 	if r.Random.IntN(200) == 0 {
@@ -22,10 +23,10 @@
 	}
 }
 
-// eighths draws a number from 0 up to limit whose sums are exact in any order.
+// eighths draws a multiple of 1/8 from 0 to below limit. Sums of such numbers are exact in any order.
 func (r *recordedRun) eighths(limit int) float64 { return float64(r.Random.IntN(8*limit)) / 8 }
 
-// load draws what a member publishes; some of it is more than a member can have.
+// load draws the published load of a member. Some figures exceed what a member can have.
 func (r *recordedRun) load() fleet.Load {
 	demand := make([]byte, r.Random.IntN(30))
 	for i := range demand {
@@ -45,7 +46,7 @@
 	return load
 }
 
-// view draws a view of members of which some are lost, old or not serving.
+// view draws a view in which some members are lost or draining, and loads may be old.
 func (r *recordedRun) view(members int) *fleet.Snapshot {
 	age := time.Duration(r.Random.IntN(6000)) * time.Millisecond
 	view := viewOf(members, max(r.Now-age, 0), func(int) fleet.Load { return r.load() })
@@ -65,6 +66,7 @@
 	return view
 }
 
+// recordShedding classifies random requests and ticks the shedder in a fleet of random loads.
 func recordShedding(run *recordedRun, members int) {
 	shedder := &Shedder{}
 	for range recordedSteps / members {
@@ -82,6 +84,7 @@
 	}
 }
 
+// recordCollecting has each member of a large fleet receive random partial aggregates and publish its zone.
 func recordCollecting(run *recordedRun) {
 	const members, steps = 52, 20
 	for self := range members {
@@ -100,6 +103,7 @@
 	}
 }
 
+// recordRetries counts random attempts, rejections and reports of a few thousand requests.
 func recordRetries(run *recordedRun) {
 	counter := NewRetryCounter()
 	for range recordedSteps / 10 {
@@ -117,6 +121,7 @@
 	}
 }
 
+// recordAges estimates the age of attempts, half of which have one of three common timeouts.
 func recordAges(run *recordedRun) {
 	estimator := NewAgeEstimator()
 	for range 10 * recordedSteps {
@@ -129,6 +134,7 @@
 	}
 }
 
+// recordProbing coordinates the probes of a store whose calls mostly fail, and which is sometimes replaced by another.
 func recordProbing(run *recordedRun) {
 	coordinator := NewProbeCoordinator(5, "a")
 	storeID := uint32(1)
@@ -148,13 +154,14 @@
 	}
 }
 
-// leasingRun is a number of members that lease quota from each other, and their messages.
+// leasingRun is a run of members that lease quota from each other.
 type leasingRun struct {
 	*recordedRun
 	managers  []*QuotaManager
-	inTransit []Message
+	inTransit []Message // messages that were sent and have not arrived, or arrive again
 }
 
+// recordLeasing has six members lease quota from each other, with reordered and duplicated messages.
 func recordLeasing(run *recordedRun) {
 	const members = 6
 	terms := LeaseTerms{Base: 2000, Reserved: 500, Lease: 5 * time.Second, CallTime: time.Second,
@@ -170,7 +177,7 @@
 	}
 }
 
-// step is the tick of a random member, and the arrival of some messages.
+// step ticks a random member and delivers some messages.
 func (l *leasingRun) step() {
 	i := l.Random.IntN(len(l.managers))
 	manager := l.managers[i]
@@ -189,7 +196,7 @@
 		manager.MeanInFlight())
 }
 
-// transmit has a random message arrive, which may arrive once more later.
+// transmit delivers a random message. One in ten stays in transit and arrives again.
 func (l *leasingRun) transmit(inFlight int) {
 	at := l.Random.IntN(len(l.inTransit))
 	message := l.inTransit[at]
@@ -203,9 +210,9 @@
 	l.Write(AppendMessage(nil, message))
 }
 
-// What each part decides over a long run of drawn inputs must not change when the code changes its shape. Members of
-// different versions run side by side, so that a digest changes only where a change of behaviour is meant.
-func TestRecordedRuns(t *testing.T) {
+// A refactoring that changes a decision would make members of different versions disagree. The decisions over long runs of
+// random inputs must have the recorded digests. A digest may change only with an intended change of behaviour.
+func TestRecordedRunDigests(t *testing.T) {
 	for _, run := range []struct {
 		name   string
 		play   func(*recordedRun)
--- a/internal/overload/retries_test.go
+++ b/internal/overload/retries_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// retrySimulation is a number of servers whose clients retry at another one, and that report attempts to each other.
+// retrySimulation simulates servers that report attempts to each other. Their clients retry at random servers.
 type retrySimulation struct {
 	random     *rand.Rand
 	counters   []*RetryCounter
-	retryRatio float64 // probability of a further attempt
-	lossRatio  float64 // of reports
-	dead       int     // the member that was lost; noMember until then
-	attempts   float64 // that reached a server
-	requests   float64 // of which at least one attempt did
+	retryRatio float64 // probability that a further attempt follows an attempt
+	lossRatio  float64 // probability that a report is lost
+	dead       int     // index of the member that was lost; noMember before the loss
+	attempts   float64 // number of attempts that reached a server
+	requests   float64 // number of requests with at least one such attempt
 }
 
 func newRetrySimulation(members int, retryRatio, lossRatio float64) *retrySimulation {
@@ -35,8 +35,8 @@
 	return simulation
 }
 
-// run simulates 20 seconds, with the loss of a member in the middle: what it has counted is lost, and what it would have
-// counted goes to others.
+// run simulates 20 seconds, with the loss of a member in the middle. Its counts are lost, and its requests are assigned to
+// other members.
 func (s *retrySimulation) run(t *testing.T) {
 	t.Helper()
 	const end, lossAt, requestsPerMember, lost = 20 * time.Second, 10 * time.Second, 60, 2
@@ -54,7 +54,7 @@
 	}
 }
 
-// request plays all attempts of a request, each at a random server.
+// request simulates all attempts of a request, each at a random server.
 func (s *retrySimulation) request(now time.Duration) {
 	fingerprint := Fingerprint("preview", "k", "", s.random.IntN(6), s.random.Float64(), s.random.Float64())
 	reached := false
@@ -74,7 +74,7 @@
 	}
 }
 
-// sendReports delivers the reports of a member, of which some are lost.
+// sendReports delivers the reports of a member; some are lost.
 func (s *retrySimulation) sendReports(t *testing.T, now time.Duration, member int) {
 	t.Helper()
 	reports := s.counters[member].Tick(now, s.view(now, member))
@@ -89,6 +89,7 @@
 	}
 }
 
+// view returns the view of a member, in which the lost member has failed.
 func (s *retrySimulation) view(now time.Duration, observer int) *fleet.Snapshot {
 	view := viewOf(len(s.counters), now, func(int) fleet.Load { return fleet.Load{} })
 	setObserver(view, observer)
@@ -100,8 +101,8 @@
 	return view
 }
 
-// Retries that nobody marks are counted within a stated error by members that each see a part of them, though some
-// reports are lost and a member that counts dies.
+// Retries are not marked, and each member sees only some attempts of a request. The members together must estimate the
+// ratio of retries within maxError, even if reports and a counting member are lost.
 func TestRetryCounterAccuracy(t *testing.T) {
 	for _, test := range []struct {
 		members               int
@@ -128,8 +129,9 @@
 	}
 }
 
-// A rejected request is remembered for a while, and no more than a bounded number is.
-func TestRetryCounterRemembersRejections(t *testing.T) {
+// An attempt must count as a known retry only within rejectionRetention after the rejection. The set of rejected requests
+// must be bounded, or a retry storm would exhaust memory.
+func TestRetryCounterRejectionsExpire(t *testing.T) {
 	counter := NewRetryCounter()
 	require.False(t, counter.Arrived(0, 7))
 	counter.Rejected(0, 7)
--- a/internal/overload/shedding_test.go
+++ b/internal/overload/shedding_test.go
@@ -11,16 +11,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-const serverCapacity = 4.0 // seconds of work a second, and cores, of a simulated server
+// serverCapacity is the service rate of a simulated server in seconds of work per second, and its number of cores.
+const serverCapacity = 4.0
 
-// sheddingSimulation is a number of servers that get random requests and shed what is below the threshold.
+// sheddingSimulation simulates servers that receive random requests and shed those below the threshold.
 type sheddingSimulation struct {
 	random    *rand.Rand
 	shedders  []*Shedder
-	loads     []fleet.Load // as published
-	misreport func(member int, load *fleet.Load)
-	admitted  []float64 // work of each server in the last step, in seconds a second
-	rejected  []float64
+	loads     []fleet.Load                       // published load of each server
+	misreport func(member int, load *fleet.Load) // changes the published load of a server; nil = no change
+	admitted  []float64                          // admitted work of each server in the last step, in seconds per second
+	rejected  []float64                          // rejected work of each server in the last step, in seconds per second
 }
 
 func newSheddingSimulation(servers int, misreport func(member int, load *fleet.Load)) *sheddingSimulation {
@@ -35,7 +36,7 @@
 	return simulation
 }
 
-// run simulates a span of time with so many requests a second at all servers together.
+// run simulates a span of time. requestRate is the number of requests per second at all servers together.
 func (s *sheddingSimulation) run(span time.Duration, requestRate float64) {
 	const step = 500 * time.Millisecond
 	for now := step; now < span; now += step {
@@ -83,7 +84,7 @@
 	}
 }
 
-// One member of the simulation misreports its load.
+// misreporting is the index of the member that misreports its load.
 const misreporting = 3
 
 func reportTenfoldDemand(member int, load *fleet.Load) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// tenfold makes encoded demand ten times as large.
+// tenfold returns encoded demand that is ten times as large.
 func tenfold(encoded string) string {
 	steps := []byte(encoded)
 	for i := 1; i < len(steps); i++ {
@@ -115,15 +116,15 @@
 	return string(steps)
 }
 
-// A fleet with capacity sheds nothing, and a full one admits about its capacity, with about the same threshold at all
-// servers. One server that misreports its load neither starves the others nor floods them.
+// A fleet with capacity must shed nothing. A full fleet must admit about its capacity, with about the same threshold at all
+// servers. A server that misreports its load must neither starve the others nor flood them.
 func TestShedderAdmitsCapacity(t *testing.T) {
 	const servers, meanWork = 12, 0.12
 	for _, test := range []struct {
 		name                     string
-		load                     float64 // of the capacity
+		load                     float64 // ratio of the requested work to the capacity
 		misreport                func(member int, load *fleet.Load)
-		minAdmitted, maxAdmitted float64 // of the capacity
+		minAdmitted, maxAdmitted float64 // bounds on the ratio of the admitted work to the capacity
 	}{
 		{"at a tenth", 0.1, nil, 0.07, 0.13},
 		{"at 80%", 0.8, nil, 0.7, 0.9},
@@ -138,7 +139,7 @@
 		simulation.run(20*time.Second, test.load*servers*serverCapacity/meanWork)
 		admitted := totalOf(simulation.admitted) / (servers * serverCapacity)
 		inRange := admitted > test.minAdmitted && admitted < test.maxAdmitted
-		require.True(t, inRange, "%s: %.2f of the capacity is admitted", test.name, admitted)
+		require.True(t, inRange, "%s: admitted %.2f of the capacity", test.name, admitted)
 		if test.load < 1 && test.misreport == nil {
 			require.Zero(t, totalOf(simulation.rejected), test.name)
 		}
@@ -150,7 +151,8 @@
 	}
 }
 
-// Without other members, with old updates only, or partitioned from most members, the verdict is unknown.
+// A server that knows only its own or old loads must not shed for the fleet. The verdict must be unknown if there are no
+// other members, their updates are old, or this server is partitioned from most. Invalid requests must not panic.
 func TestShedderUnknownWithoutPeers(t *testing.T) {
 	full := func(int) fleet.Load {
 		return fleet.Load{Capacity: serverCapacity, ServiceRate: serverCapacity, Demand: string([]byte{10, 120, 120, 120})}
@@ -176,6 +178,7 @@
 	}
 }
 
+// Every verdict, including one that is out of range, must have a name.
 func TestVerdictString(t *testing.T) {
 	for verdict, want := range map[Verdict]string{
 		VerdictUnknown:            "unknown",
@@ -188,13 +191,14 @@
 	}
 }
 
-// The fleet is full from a higher demand on than the one down to which it stays so.
-func TestFullHasHysteresis(t *testing.T) {
+// Demand that varies around the service rate would make the fleet alternate between full and not full. A full fleet must
+// stay full down to a lower ratio than the one at which it becomes full.
+func TestFleetFullHasHysteresis(t *testing.T) {
 	const between = (overloadEnterRatio + overloadExitRatio) / 2
 	for _, test := range []struct {
 		name             string
 		wasFull, full    bool
-		demandMultiplier float64
+		demandMultiplier float64 // ratio of demand to service rate
 	}{
 		{"below both", true, false, overloadExitRatio * 0.99},
 		{"between, not full before", false, false, between},
--- a/internal/overload/store_state_test.go
+++ b/internal/overload/store_state_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Every allowance must have a name.
 func TestCallAllowanceString(t *testing.T) {
 	for allowance, want := range map[CallAllowance]string{
 		AllowUnlimited: "unlimited",
@@ -19,7 +20,7 @@
 	}
 }
 
-// While an allowance is in force the breaker protects just the calls that it stands for.
+// A wrong number of protected calls would make members that may not probe flood a dead store, or stop those that may.
 func TestProtectedCallsOfAllowances(t *testing.T) {
 	require.InDelta(t, admission.BreakerProtectedCalls, AllowUnlimited.ProtectedCalls(), 0)
 	require.InDelta(t, 0, AllowCautious.ProtectedCalls(), 0, "the first failure counts")
