--- a/internal/overload/collector.go
+++ b/internal/overload/collector.go
@@ -26,8 +26,8 @@
 //
 // In a large fleet, gossip spreads the load of single members too slowly for load shedding: its age grows with the number
 // of members, up to minutes. Therefore each member sends its load directly to the collectors of its zone once a second.
-// The collectors sum up the load of the zone and publish the aggregate in their own load once a second. At any fleet size,
-// each member so knows an aggregate of each zone that is a few seconds old.
+// The collectors sum up the load of the zone and publish the aggregate in their own load once a second. Each member then
+// knows an aggregate of each zone that is a few seconds old, at any fleet size.
 //
 // Rendezvous hashing over the view chooses the collectors, without an election. A lost collector is replaced once the view
 // shows the loss. The other collector of the zone goes on in the meantime. Members with different views may choose a third
--- a/internal/overload/lease.go
+++ b/internal/overload/lease.go
@@ -17,8 +17,10 @@
 	expires time.Duration
 }
 
-// is reports whether the lease answers the request of this number, exchanged with this peer.
-func (l *lease) is(peer ProcessID, number uint64) bool { return l.peer == peer && l.number == number }
+// answers reports whether the lease answers the request of this number, exchanged with this peer.
+func (l *lease) answers(peer ProcessID, number uint64) bool {
+	return l.peer == peer && l.number == number
+}
 
 // leaseList holds the leases that a member has granted, or those that it has received.
 type leaseList []lease
@@ -40,7 +42,7 @@
 
 // without returns the list without the lease that answers a request of a peer. It reuses the list's storage.
 func (l leaseList) without(peer ProcessID, number uint64) leaseList {
-	return slices.DeleteFunc(l, func(candidate lease) bool { return candidate.is(peer, number) })
+	return slices.DeleteFunc(l, func(candidate lease) bool { return candidate.answers(peer, number) })
 }
 
 // hasAnswered reports whether the list has a lease for this request of a peer, or for a later request of the peer.
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -169,7 +169,8 @@
 }
 
 // Return ends leases that have expired or are not needed, and returns the messages that return them to the lenders. It
-// starts with the lease that expires last, and ends no lease without which the limit would be below inFlight or needed.
+// starts with the lease that expires last. It ends an unexpired lease only if the limit without it is at least inFlight and
+// needed.
 func (l *QuotaLedger) Return(now time.Duration, inFlight, needed Quota) (returns []Message) {
 	l.dropExpired(now)
 	l.leased.sortByExpiry()
--- a/internal/permit/acquire.go
+++ b/internal/permit/acquire.go
@@ -55,7 +55,7 @@
 	case len(command.Names) == 0,
 		len(s.permits)+len(command.Names) > maxPermits,
 		len(command.View.Lost) > maxLost:
-		return ErrBatchSize
+		return ErrInstanceCount
 	}
 	return nil
 }
--- a/internal/permit/errors.go
+++ b/internal/permit/errors.go
@@ -10,7 +10,7 @@
 	ErrHalted         = errors.New("grants are halted")
 	ErrHaltedSince    = errors.New("grants were halted since the request was prepared") // after the proposer read State.Halts
 	ErrNoLimits       = errors.New("no limits are set")
-	ErrBatchSize      = errors.New("no instance is named, or too many are named, permitted or lost")
+	ErrInstanceCount  = errors.New("no instance is named, or too many are named, permitted or lost")
 	ErrNotOneInstance = errors.New("exactly one instance must be named")
 	ErrNotHolder      = errors.New("not the holder of this permit")
 	ErrReasonRequired = errors.New("writing off a permit requires a reason")
--- a/internal/permit/modelcheck_test.go
+++ b/internal/permit/modelcheck_test.go
@@ -120,8 +120,8 @@
 	s.steps = append(s.steps, modelcheck.Step[modelState]{Name: name, To: next})
 }
 
-// addOfInstance adds the steps of instance i: it requests a permit, departs by a permit of its process, or restarts.
-func (s *modelSteps) addOfInstance(i int, state *State) {
+// addInstanceSteps adds the steps of instance i: it requests a permit, departs by a permit of its process, or restarts.
+func (s *modelSteps) addInstanceSteps(i int, state *State) {
 	name, current := modelNames[i], &s.current
 	if len(current.inFlight) < 2 {
 		s.add(name+" requests a permit", func(m *modelState) {
@@ -155,7 +155,7 @@
 			})
 		}
 		for i := range modelNames {
-			next.addOfInstance(i, state)
+			next.addInstanceSteps(i, state)
 		}
 		for k, delivered := range current.inFlight {
 			for _, duplicated := range []bool{false, true} {
--- a/internal/release/judge_test.go
+++ b/internal/release/judge_test.go
@@ -128,7 +128,7 @@
 	require.LessOrEqual(t, counts[Passed], 5)
 }
 
-// Few requests are no evidence, even if none of them went wrong: the verdict must stay inconclusive.
+// A few requests are not enough evidence for a verdict, which must stay inconclusive.
 func TestTooFewRequestsAreInconclusive(t *testing.T) {
 	require.Equal(t, Inconclusive, rollout(t, 1, 3, constantly(0.01, 0.01)).verdict)
 }
