--- a/internal/overload/golden_shedding_test.go
+++ b/internal/overload/golden_shedding_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenReportCases are the fingerprints of reports; whom a report is for is not part of the frame.
+// goldenReportCases returns the fingerprints of reports. The recipient of a report is not part of the frame.
 func goldenReportCases() []frameCase[[]uint64] {
 	full := make([]uint64, maxReportAttempts)
 	for i := range full {
@@ -22,14 +22,15 @@
 	}
 }
 
-// The encoding of reports stays as it is: the member that counts the attempts may be of another version.
-func TestGoldenReportsWritten(t *testing.T) {
+// The member that counts the attempts may run another version. A changed encoding would lose them.
+func TestGoldenReportsEncoded(t *testing.T) {
 	requireFrames(t, goldenReports, goldenReportCases(), func(b []byte, attempts []uint64) []byte {
 		return AppendReport(b, Report{To: goldenLender, Attempts: attempts})
 	})
 }
 
-func TestGoldenReportsRead(t *testing.T) {
+// Reports of other versions must be decoded, and not be taken for partial aggregates.
+func TestGoldenReportsDecoded(t *testing.T) {
 	requireRead(t, goldenReports, goldenReportCases(), func(b []byte) []uint64 {
 		require.True(t, IsSheddingMessage(b))
 		_, isPartial := ParsePartial(b)
@@ -40,7 +41,7 @@
 	})
 }
 
-// demandOf returns the demand that is encoded with these steps, from the bin first on.
+// demandOf returns the demand that is encoded by these steps, beginning with bin first.
 func demandOf(first int, steps ...byte) (demand Demand) {
 	for i, step := range steps {
 		demand[first+i] = demandSteps[step]
@@ -68,14 +69,16 @@
 	}
 }
 
-// The encoding of demand stays as it is: it is part of the load of members and of the aggregates of zones.
-func TestGoldenDemandsWritten(t *testing.T) {
+// Demand is part of the loads and zone aggregates that members of other versions read. A changed encoding would give them
+// another threshold.
+func TestGoldenDemandsEncoded(t *testing.T) {
 	requireFrames(t, goldenDemands, goldenDemandCases(), func(b []byte, demand Demand) []byte {
 		return demand.Append(b)
 	})
 }
 
-func TestGoldenDemandsRead(t *testing.T) {
+// Demand published by other versions must be decoded.
+func TestGoldenDemandsDecoded(t *testing.T) {
 	requireRead(t, goldenDemands, goldenDemandCases(), func(b []byte) (demand Demand) {
 		demand.addEncoded(string(b), 1)
 		return demand
@@ -100,27 +103,28 @@
 		{name: "oldest", value: one(func(aggregate *Aggregate) { aggregate.Oldest = 1500 * time.Millisecond })},
 		{name: "pace", value: one(func(aggregate *Aggregate) { aggregate.ServiceRate = 6.75 })},
 		{name: "cores", value: one(func(aggregate *Aggregate) { aggregate.Cores = 7.5 })},
-		{name: "in use", value: one(func(aggregate *Aggregate) { aggregate.InUse = 4.25 })},
+		{name: "in use", value: one(func(aggregate *Aggregate) { aggregate.CoresInUse = 4.25 })},
 		{name: "tries", value: one(func(aggregate *Aggregate) { aggregate.Attempts = 40.5 })},
 		{name: "again", value: one(func(aggregate *Aggregate) { aggregate.Retries = 8.125 })},
 		{name: "offers", value: one(func(aggregate *Aggregate) { aggregate.Demand = demandOf(10, 60, 0, 70) })},
 		{name: "all figures", value: Aggregate{
 			Members: maxPartials, Oldest: time.Hour, Demand: demandOf(0, 1, 2, 3), ServiceRate: 1024,
-			Cores: 2048, InUse: 512, Attempts: 4096.5, Retries: 256.25,
+			Cores: 2048, CoresInUse: 512, Attempts: 4096.5, Retries: 256.25,
 		}},
 		{name: "fraction of a millisecond and of a float", value: fraction, read: &fractionRead},
 		{name: "stale members and a negative age are not told", value: stale, read: &staleRead},
 	}
 }
 
-// The encoding of aggregates stays as it is: the load that holds them spreads through a fleet of several versions.
-func TestGoldenAggregatesWritten(t *testing.T) {
+// Zone aggregates spread through a fleet of several versions. A changed encoding would make their zones stale.
+func TestGoldenAggregatesEncoded(t *testing.T) {
 	requireFrames(t, goldenAggregates, goldenAggregateCases(), func(b []byte, aggregate Aggregate) []byte {
 		return AppendAggregate(b, &aggregate)
 	})
 }
 
-func TestGoldenAggregatesRead(t *testing.T) {
+// Aggregates published by other versions must be decoded.
+func TestGoldenAggregatesDecoded(t *testing.T) {
 	requireRead(t, goldenAggregates, goldenAggregateCases(), func(b []byte) Aggregate {
 		aggregate, err := ParseAggregate(b)
 		require.NoError(t, err)
@@ -133,18 +137,19 @@
 		{name: "nothing told", value: PartialAggregate{From: ProcessID{Name: "n1"}}},
 		{name: "all figures", value: PartialAggregate{From: goldenBorrower, Aggregate: Aggregate{
 			Members: 1, Oldest: 20 * time.Millisecond, Demand: demandOf(10, 60, 0, 70), ServiceRate: 6.75,
-			Cores: 7.5, InUse: 4.25, Attempts: 40.5, Retries: 8.125,
+			Cores: 7.5, CoresInUse: 4.25, Attempts: 40.5, Retries: 8.125,
 		}}},
 		{name: "longest name", value: PartialAggregate{From: longProcess, Aggregate: Aggregate{Members: 1}}},
 	}
 }
 
-// The encoding of partial aggregates stays as it is: the collector may be of another version.
-func TestGoldenPartialsWritten(t *testing.T) {
+// The collector may run another version. A changed encoding would leave the sender out of its zone's aggregate.
+func TestGoldenPartialsEncoded(t *testing.T) {
 	requireFrames(t, goldenPartials, goldenPartialCases(), AppendPartial)
 }
 
-func TestGoldenPartialsRead(t *testing.T) {
+// Partial aggregates of other versions must be decoded, and not be taken for reports.
+func TestGoldenPartialsDecoded(t *testing.T) {
 	requireRead(t, goldenPartials, goldenPartialCases(), func(b []byte) PartialAggregate {
 		require.True(t, IsSheddingMessage(b))
 		_, isReport := ParseReport(b)
