--- a/admission/action_buffer.go
+++ b/admission/action_buffer.go
@@ -1,11 +1,12 @@
 package admission
 
-// actionBuffer collects the actions of one step. It belongs to the controller; parts that cause actions share it.
+// actionBuffer collects the actions of one step. The controller owns it and shares it with the parts that
+// emit actions.
 type actionBuffer struct{ pending []Action }
 
 func (b *actionBuffer) emit(action Action) { b.pending = append(b.pending, action) }
 
-// take returns the actions that were collected and keeps none of them.
+// take returns the collected actions and empties the buffer.
 func (b *actionBuffer) take() []Action {
 	actions := b.pending
 	b.pending = nil
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,20 +1,20 @@
 package admission
 
-// retryObjectiveRatio is the part of its latency objective that a request marked as a retry is taken to have
-// left.
+// retryObjectiveRatio is the part of the latency objective that an attempt marked as a retry is assumed to
+// have left.
 const retryObjectiveRatio = 0.4
 
-// decision is whether a request that was read is admitted, and if not, why.
+// decision says whether a request is admitted, and the reason if it is rejected.
 type decision struct {
 	rejected bool
-	cause    Reason // if rejected
+	cause    Reason // set if rejected
 }
 
 var admitted = decision{}
 
 func rejectedFor(cause Reason) decision { return decision{rejected: true, cause: cause} }
 
-// receive handles a request that was read. One whose ID is known already is ignored.
+// receive handles a request that was read. A request whose ID is already known is ignored.
 func (c *Controller) receive(id RequestID, arrival *Arrival) {
 	if c.requests[id] != nil {
 		return
@@ -24,23 +24,23 @@
 		return
 	}
 	request := newRequest(c.now, id, arrival, &c.settings.Classes[arrival.Class])
-	request.tenant = c.values.quotas.known(request.tenant)
+	request.tenant = c.values.quotas.resolve(request.tenant)
 	request.work = c.estimator.recordHint(request.class, arrival.CostHint)
 	c.requests[id] = request
-	c.memory.take(request.memoryKB)
+	c.memory.reserve(request.memoryKB)
 	if !request.retry {
 		c.values.quotas.count(c.now, request.tenant)
 	}
 	c.advisor.arrivals.add(c.now, request.retry)
 	c.advisor.readDelay.observe(arrival.Waited)
 	c.timers.add(c.drain.answerDeadline(request), deadline{kind: deadlineAnswer, request: request})
-	if arrival.RetryOf != 0 && c.joinAttempt(request, arrival.RetryOf) {
+	if arrival.RetryOf != 0 && c.shareRun(request, arrival.RetryOf) {
 		return
 	}
 	c.admit(request)
 }
 
-// admit queues a request, or rejects it.
+// admit queues a request or rejects it.
 func (c *Controller) admit(request *request) {
 	if decision := c.decide(request); decision.rejected {
 		c.reject(request, decision.cause)
@@ -49,10 +49,10 @@
 	c.queue.push(request)
 }
 
-// decide decides on a request that was just read: first by the limits that protect the server, then, while
-// all cores are busy, by the fleet's rank and the admit probability, and last by whether it can be answered
-// within its objective. Queued requests of less value may be rejected to make that possible. The key of a
-// request that is idempotent by key is reserved once the limits allow it.
+// decide decides whether a request is admitted. The limits that protect the server come first. While all
+// cores are busy, the fleet's rank and the admit probability are next. Last is whether the request can be
+// answered within its objective; queued requests of less value may be rejected to make that possible. The key
+// of a request that is idempotent by key is reserved once the limits allow it.
 func (c *Controller) decide(request *request) decision {
 	if decision := c.checkLimits(request); decision.rejected {
 		return decision
@@ -67,9 +67,9 @@
 	case coresBusy && !c.admitProbability.admits():
 		return rejectedFor(ReasonCPU)
 	case c.settings.Classes[request.class].mustCall() && c.calls.breaker.mayNotProbe():
-		return rejectedFor(ReasonDependency) // other servers probe
+		return rejectedFor(ReasonDependency) // other servers probe the dependency
 	}
-	return c.displaceByObjective(request)
+	return c.admitByObjective(request)
 }
 
 // checkLimits rejects a request that a drain leaves no time for, or that arrives while the memory limit is
@@ -84,10 +84,10 @@
 	return admitted
 }
 
-// displaceByObjective admits a request that can be answered within its objective. To make room for it, it
-// rejects queued requests that are worth less, one after the other. A request that still can't be on time is
-// rejected, unless too little is under way to notice a recovery: then it is admitted as a trial.
-func (c *Controller) displaceByObjective(request *request) decision {
+// admitByObjective admits a request that can be answered within its objective. To make room for it, queued
+// requests of less value are rejected one after the other. A request that would still be late is rejected,
+// unless too few runs or calls are under way to notice a recovery. In that case it is admitted as a trial.
+func (c *Controller) admitByObjective(request *request) decision {
 	for c.estimator.finishTime(c.now, request) > request.objective {
 		scarce := c.estimator.bottleneck(c.now, request)
 		victim := c.values.findVictim(&c.queue, request, scarce)
@@ -95,7 +95,7 @@
 			c.reject(victim, scarce.rejectionReason())
 			continue
 		}
-		if c.scheduler.recoveryWillShow(scarce) {
+		if c.scheduler.recoveryObservable(scarce) {
 			return rejectedFor(scarce.rejectionReason())
 		}
 		return admitted
@@ -103,7 +103,7 @@
 	return admitted
 }
 
-// reject answers a request that never ran.
+// reject answers a request that never ran with a rejection, and releases it.
 func (c *Controller) reject(request *request, cause Reason) {
 	queueTime := c.queue.work / c.estimator.serviceRate()
 	rejection := c.advisor.reject(c.now, request, cause, queueTime)
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -7,7 +7,7 @@
 	"falldeal/admission/internal/rolling"
 )
 
-func TestAdmitProbabilityFallsOnlyUnderPressureAndLate(t *testing.T) {
+func TestAdmitProbabilityFallsOnlyIfCPUIsShortAndRequestsAreLate(t *testing.T) {
 	controller := startController(t, testSettings())
 	step := func(use, lat float64) float64 {
 		controller.gauges.CPUUtilization = use
@@ -68,7 +68,7 @@
 
 // The fleet's rank of a request counts only while the CPU is short: a server with a free core runs any request, and a
 // request that another server would run is not ended here.
-func TestFleetRank(t *testing.T) {
+func TestFleetRankCountsOnlyWhileCoresAreBusy(t *testing.T) {
 	for _, test := range []struct {
 		rank       FleetRank
 		storm, end bool
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestValuableArrivalsEvictLessValuable(t *testing.T) {
+func TestMoreValuableArrivalDisplacesQueuedRequest(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0
 	settings.Dependency = DependencyNone
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestRejectionOnReadingLeavesQueueCounts(t *testing.T) {
+func TestRejectionOnArrivalLeavesQueueCounts(t *testing.T) {
 	controller := startController(t, testSettings())
 	controller.admitProbability.probability = 0 // all that comes while the cores are busy is refused on reading
 	for id := RequestID(1); id <= 40; id++ {
@@ -152,7 +152,7 @@
 
 // A retry whose age is known has only the rest of its latency objective, so that no run is in vain; advice to stay away is
 // jittered as the event says, up to the longest that is heeded.
-func TestAttemptAgeAndRetryJitter(t *testing.T) {
+func TestAttemptAgeShortensObjectiveAndJitterExtendsRetryAfter(t *testing.T) {
 	first := func(age, spread time.Duration) (ran bool, rejected *Action) {
 		controller := startController(t, testSettings())
 		var events []Event
--- a/admission/admit_probability_test.go
+++ b/admission/admit_probability_test.go
@@ -30,7 +30,7 @@
 	require.True(t, rate.recovered())
 }
 
-func TestCPUPressure(t *testing.T) {
+func TestCPUPressureThresholds(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		gauges Gauges
--- a/admission/advertiser.go
+++ b/admission/advertiser.go
@@ -1,22 +1,21 @@
 package admission
 
-// creditPerCore is how many requests per core all clients together may have outstanding.
+// creditPerCore is the number of outstanding requests per core that all clients together are allowed.
 const creditPerCore = 2.5
 
-// The values that turn clients away from a server that drains.
+// Values that are advertised in a drain, so that clients turn away from the server.
 const (
-	levelOfNone  = 1 // no request ranks above it
-	creditOfNone = 0
-	weightOfNone = 0
+	drainingLevel  = 1 // AdvertLevel: no request ranks above it
+	drainingCredit = 0 // AdvertCredit: no outstanding request
+	drainingWeight = 0 // AdvertWeight: all clients skip the server
 )
 
-// advertiser decides on the value that is sent along with answers, by which clients limit what they send.
-// Only the simulator uses it: with the settings of the real server, from internal/config, Advert is
-// AdvertOff.
+// advertiser decides the value that is sent along with answers, by which clients limit what they send. Only
+// the simulator uses it: the settings of the real server (internal/config) have Advert set to AdvertOff.
 type advertiser struct {
 	advert  Advert
 	cores   int
-	clients int
+	clients int // that share the credit
 }
 
 func (a *advertiser) configure(settings *Settings) {
@@ -25,8 +24,8 @@
 	a.clients = settings.Clients
 }
 
-// atStart returns the value that is sent from the start: the credit of each client. There is none for other
-// adverts.
+// atStart returns the value that is sent from the start: the credit of each client, for AdvertCredit. Other
+// adverts have no initial value.
 func (a *advertiser) atStart() (value float64, ok bool) {
 	if a.advert != AdvertCredit {
 		return 0, false
@@ -41,11 +40,11 @@
 	case AdvertOff:
 		return 0, false
 	case AdvertLevel:
-		return levelOfNone, true
+		return drainingLevel, true
 	case AdvertCredit:
-		return creditOfNone, true
+		return drainingCredit, true
 	case AdvertWeight:
-		return weightOfNone, true
+		return drainingWeight, true
 	}
 	return 0, false
 }
--- a/admission/advertiser_test.go
+++ b/admission/advertiser_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAdvertiser(t *testing.T) {
+func TestAdvertisedValueAtStartAndDrain(t *testing.T) {
 	for _, test := range []struct {
 		advert   Advert
 		start    float64
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	minRetryAfter      = 100 * time.Millisecond // shortest advice to stay away
-	lateRejectionRatio = 0.5                    // of its objective, after which a request is too late
-	lateReadDelayRatio = 0.08                   // read delay, of the shortest objective, that is late
-	queuedAheadRatio   = 0.5                    // part of the queue that is ahead of a request in the mean
+	minRetryAfter      = 100 * time.Millisecond // shortest RetryAfter
+	lateRejectionRatio = 0.5                    // part of its objective after which a request is too late
+	lateReadDelayRatio = 0.08                   // part of the shortest objective; reading is late above it
+	queuedAheadRatio   = 0.5                    // mean part of the queue that is ahead of a request
 )
 
 // clientAdvisor decides what clients are advised: with a rejection, when to come back and whether to try
-// another server; with all answers, how much to send; and how long to keep idle connections.
+// another server; with all answers, how much to send. It also decides how long idle connections are kept.
 //
-// It owns readDelay, which advice depends on and health uses as well, and idleTimeout, which follows from the
-// same arrival rates as advice. Neither is a part of the Controller, which keeps its number of parts small.
+// It owns readDelay, which both advice and health depend on, and idleTimeout, which follows from the same
+// arrival rates as the advice. Neither is a field of Controller, to keep the number of its parts small.
 type clientAdvisor struct {
-	clients           int
-	maxRetryAfter     time.Duration
-	sendsRetryAfter   bool
-	marksRetries      bool
-	shortestObjective time.Duration // of all classes
+	clients           int           // number of clients of the tier
+	maxRetryAfter     time.Duration // upper bound of RetryAfter
+	sendsRetryAfter   bool          // RetryAfter is passed on to clients
+	marksRetries      bool          // clients mark retries
+	shortestObjective time.Duration // of all configured classes
 	arrivals          arrivalRate
 	readDelay         readDelay
 	advertiser        advertiser
@@ -43,8 +43,8 @@
 	a.advertiser.configure(settings)
 }
 
-// reject returns the rejection of a request that never ran. The cause is the rule that decided, and queueTime
-// the number of seconds that running all queued requests would take.
+// reject returns the rejection of a request that never ran. cause is the rule that decided, and queueTime the
+// number of seconds that running all queued requests would take.
 func (a *clientAdvisor) reject(
 	now time.Duration, request *request, cause Reason, queueTime float64,
 ) Rejection {
@@ -57,11 +57,11 @@
 	if !noRetry {
 		rejection.RetryAfter = min(a.retryAfter(reason, queueTime)+request.retryJitter, a.maxRetryAfter)
 	}
-	rejection.RetryAfter = a.coverClientInterval(rejection.RetryAfter)
+	rejection.RetryAfter = a.extendToClientInterval(rejection.RetryAfter)
 	return rejection
 }
 
-// rejectionReason is the reason that counts for a client: the cause, or ReasonTooLate if too little time is
+// rejectionReason returns the reason that the client is given: cause, or ReasonTooLate if too little time is
 // left for an attempt elsewhere.
 func rejectionReason(now time.Duration, request *request, cause Reason) Reason {
 	objective := request.objective - request.firstAttemptAt
@@ -71,9 +71,9 @@
 	return cause
 }
 
-// noRetryElsewhere reports whether the client is not to try another server: where that can't help, and in a
-// retry storm. In one the other servers are as full, and each attempt there costs reading and mostly a new
-// connection.
+// noRetryElsewhere reports whether the client is asked not to try another server, because that would not help
+// or because of a retry storm. In a retry storm the other servers are as full, and each attempt costs them
+// reading and, mostly, a new connection.
 func (a *clientAdvisor) noRetryElsewhere(request *request, reason Reason) bool {
 	switch reason {
 	case ReasonDependency, ReasonTooLate, ReasonBelowThreshold:
@@ -84,12 +84,12 @@
 		}
 		return request.fleetRank != RankElsewhere
 	case ReasonMemory, ReasonDraining:
-		return false // other servers have memory and don't drain
+		return false // other servers have memory and do not drain
 	}
 	return false
 }
 
-// retryAfter is how long the client is to avoid this server: until half of the queue has run.
+// retryAfter returns how long the client should avoid this server: until half of the queue has run.
 func (a *clientAdvisor) retryAfter(reason Reason, queueTime float64) time.Duration {
 	if !a.sendsRetryAfter && a.maxRetryAfter <= 0 {
 		return 0
@@ -100,9 +100,10 @@
 	return min(max(seconds(queueTime*queuedAheadRatio), minRetryAfter), a.maxRetryAfter)
 }
 
-// coverClientInterval prolongs advice while reading is late. Reading takes the CPU from all else then, and
-// advice that ends before a client would have come anyway has no effect: in a large fleet each comes seldom.
-func (a *clientAdvisor) coverClientInterval(retryAfter time.Duration) time.Duration {
+// extendToClientInterval prolongs retryAfter to the mean interval between two requests of a client while
+// reading is late. Reading then takes CPU time from all other work. In a large fleet each client seldom sends
+// a request to this server, so advice that ends before its next request would have no effect.
+func (a *clientAdvisor) extendToClientInterval(retryAfter time.Duration) time.Duration {
 	interval := a.arrivals.meanClientInterval(a.clients)
 	if a.readDelay.exceeds(lateReadDelayRatio, a.shortestObjective) && interval > minRetryAfter {
 		return max(retryAfter, min(interval, a.maxRetryAfter))
@@ -115,7 +116,8 @@
 	return a.readDelay.exceeds(unhealthyReadDelayRatio, a.shortestObjective)
 }
 
-// adjustIdleTimeout adjusts the idle timeout once per sweep, and reports whether it has changed.
+// adjustIdleTimeout adjusts the idle timeout, once per periodic decision, and reports whether it has changed.
+// connections is the number of open connections, negative if unknown.
 func (a *clientAdvisor) adjustIdleTimeout(now time.Duration, connections float64) (changed bool) {
 	clients := max(float64(a.clients), connections)
 	return a.idleTimeout.adjust(now, clients, &a.arrivals)
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -21,7 +21,7 @@
 			event := arrived(id, 1)
 			event.Arrival.Waited = waited
 			event.Arrival.CostHint = work
-			if action := findAction(controller.Step(now, []Event{event, TimerFired(calmGauges)}, nil), ActionReject, id); action != nil {
+			if action := findAction(controller.Step(now, []Event{event, TimerFired(idleGauges)}, nil), ActionReject, id); action != nil {
 				last = action
 			}
 		}
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestIdleTimeoutIsShortForRareClients(t *testing.T) {
+func TestIdleTimeoutIsShortForInfrequentClients(t *testing.T) {
 	for clients, closed := range map[int]bool{5: false, 1000: true} {
 		settings := testSettings()
 		settings.Clients = clients
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestNoAdviceWhereNoneIsHeeded(t *testing.T) {
+func TestNoRetryAfterIfClientsIgnoreIt(t *testing.T) {
 	settings := testSettings()
 	settings.SendsRetryAfter = false
 	settings.MaxRetryAfter = 0
--- a/admission/arrivals_test.go
+++ b/admission/arrivals_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestArrivalRate(t *testing.T) {
+func TestRetryStormAndMeanClientInterval(t *testing.T) {
 	arrivals := newArrivalRate()
 	require.Equal(t, 10*offeredTimeConstant, arrivals.meanClientInterval(10), "nothing is known")
 	for i := range 100 {
@@ -26,7 +26,7 @@
 	require.True(t, calm.retryStorm())
 }
 
-func TestReadDelay(t *testing.T) {
+func TestReadDelayIsAveragedAndDecays(t *testing.T) {
 	var delay readDelay
 	require.False(t, delay.exceeds(0.4, time.Second))
 	delay.observe(-time.Second) // the clocks differ
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDropProbabilityByHand(t *testing.T) {
+func TestDropProbabilityFormula(t *testing.T) {
 	for _, x := range []struct{ total, accepts, want float64 }{
 		{0, 0, 0}, {5, 0, 0}, {6, 0, 1.0 / 7}, {100, 100, 0}, {100, 60, 5.0 / 101}, {100, 0, 95.0 / 101}, {35, 10, 15.0 / 36},
 	} {
@@ -46,7 +46,7 @@
 
 // While a fleet coordinates its probes, the breaker lets through what the fleet allows: no call on a server that does not
 // probe, and the first calls on one that does, however long calls took before the store went away.
-func TestProtectedCallsFollowFleet(t *testing.T) {
+func TestProtectedCallsDecideWhetherServerProbes(t *testing.T) {
 	calls := func(protect float64) (n int) {
 		controller := startController(t, testSettings())
 		controller.calls.limiter.callTime = rolling.AverageOf(0.03)
--- a/admission/call_limiter.go
+++ b/admission/call_limiter.go
@@ -8,56 +8,57 @@
 )
 
 const (
-	minCallLimitRatio     = 0.37 // least limit, of the calls in flight that this server is allowed
-	initialCallLimitRatio = 0.5
-	maxCallLimitRatio     = 0.75  // the limit while calls are as fast as ever
-	callLimitDecrease     = 0.95  // factor on the limit per sweep while calls are slow
-	callLimitIncrease     = 0.01  // added to it per sweep otherwise
-	slowCallFactor        = 2.5   // times the best mean, above which calls are slow
-	bestCallTimeDrift     = 1.001 // factor on the best call time per sweep: it doubles in 70 s of slow calls
-	initialBestCallTime   = 1e9   // seconds; any measured call is faster
-	callTimeGain          = 0.1   // weight of a new call in the mean call time
-	safeCallRatio         = 0.9   // of the calls in flight allowed, that the mean stays below
-	minCallTimeFactor     = 4.0   // mean call times that a call beyond safeCallRatio is given at least
-	waitersPerCall        = 1.0   // waiting calls per call of the limit from which calls are backlogged
-	callCreditWindow      = 300 * time.Millisecond
+	minCallLimitRatio     = 0.37                   // lower bound of limitRatio
+	initialCallLimitRatio = 0.5                    // limitRatio at the start
+	maxCallLimitRatio     = 0.75                   // upper bound of limitRatio
+	callLimitDecrease     = 0.95                   // factor on limitRatio per 100 ms while calls are slow
+	callLimitIncrease     = 0.01                   // added to limitRatio per 100 ms otherwise
+	slowCallFactor        = 2.5                    // calls are slow above this multiple of the best mean
+	bestCallTimeDrift     = 1.001                  // on the best call time per 100 ms: doubles it in 70 s
+	initialBestCallTime   = 1e9                    // seconds; any measured call is faster
+	callTimeGain          = 0.1                    // weight of a new call in the mean call time
+	safeCallRatio         = 0.9                    // of maxInFlight: bound of the mean of calls in flight
+	minCallTimeFactor     = 4.0                    // mean call times; least timeout beyond safeCallRatio
+	waitersPerCall        = 1.0                    // of the limit: waiting calls that are a backlog
+	callCreditWindow      = 300 * time.Millisecond // bounds the credit that is saved up
 	callSecondsBuckets    = 50
 	minCallsWindow        = time.Second
 )
 
-// callLimiter limits the calls in flight from this server, of which maxInFlight are allowed on average over
-// callsWindow. Three rules apply:
+// callLimiter limits the calls in flight from this server to a mean of maxInFlight over callsWindow. It has
+// three rules:
 //
-//  1. The limit is limitRatio of maxInFlight. Per sweep the ratio falls by a factor while calls take much
-//     longer than the best mean, since more concurrent calls slow an overloaded dependency further; it rises
-//     by a constant otherwise (AIMD).
-//  2. The limit is seldom a whole number, so one call more than it allows may be made while there is credit.
-//     Credit is unused call-seconds under the limit. Little of it is saved, as many servers may spend theirs
-//     at once. Calls beyond the limit make it negative (overdrawn), and no call beyond the limit is made
-//     until unused call-seconds have raised it above 0 again.
-//  3. While more calls are in flight than safeCallRatio of maxInFlight, the timeout of a new call is
-//     capped, so that the mean number of calls over callsWindow stays below that. No call is made if the
-//     cap leaves it too little time.
+//  1. The limit is limitRatio times maxInFlight. At each periodic decision the ratio decreases by a factor
+//     while calls take much longer than the best mean, since more concurrent calls slow an overloaded
+//     dependency further. Otherwise it increases by a constant (AIMD).
+//  2. The limit is seldom a whole number, so one call beyond it may be made while there is credit. Credit is
+//     the unused call-seconds under the limit. Only little is saved up, since many servers may spend their
+//     credit at the same time. Calls beyond the limit make the credit negative (overdrawn). No further call
+//     beyond the limit is made until unused call-seconds have raised the credit above 0 again.
+//  3. While more calls are in flight than safeCallRatio times maxInFlight, the timeout of a new call is
+//     capped so that the mean number of calls over callsWindow stays below that value. If the cap leaves the
+//     call too little time, it is not made.
 //
-// A maxInFlight of 0 means that calls are not limited. limit() is 0 then, and
-//   - timeout ignores it, so that all calls are made, and delaysCalls reports false, so that no waiting
-//     time is estimated;
-//   - adjust goes on changing limitRatio, which ConditionCallLimit still reports;
-//   - backlogged reports true from one waiting request on.
+// If maxInFlight is 0, calls are not limited and limit() is 0. In this case
+//
+//   - timeout ignores the limit, so all calls are made, and delaysCalls returns false, so no waiting time is
+//     estimated;
+//   - adjust still changes limitRatio, and ConditionCallLimit is still reported;
+//   - backlogged returns true from one waiting request on.
 type callLimiter struct {
-	maxInFlight   float64 // mean calls in flight; 0: any number
-	callsWindow   time.Duration
-	abandonedTime time.Duration // for which an abandoned call occupies the dependency at most
+	maxInFlight   float64       // mean number of calls in flight that this server is allowed; 0: unlimited
+	callsWindow   time.Duration // time over which the mean is taken
+	abandonedTime time.Duration // longest time for which an abandoned call occupies the dependency
 
 	waitingCount int // requests that wait for a call; an answered one counts until its run ends
-	inFlight     int // calls
-	abandoned    int // calls that nobody waits for and that may still occupy the dependency
-
-	callTime     rolling.Average // seconds
-	bestCallTime float64         // seconds; the best mean, which drifts up so that it is found anew
-	limitRatio   float64         // the limit, of maxInFlight
-	credit       float64         // call-seconds under the limit, or over it if negative
-	callSeconds  *rolling.Window // call-seconds in flight
+	inFlight     int // calls in flight
+	abandoned    int // abandoned calls that may still occupy the dependency
+
+	callTime     rolling.Average // mean time of a call, in seconds
+	bestCallTime float64         // lowest mean, in seconds; it drifts up, so that it is measured again
+	limitRatio   float64         // the limit, as a part of maxInFlight
+	credit       float64         // unused call-seconds under the limit; negative if overdrawn
+	callSeconds  *rolling.Window // call-seconds in flight, over callsWindow
 }
 
 func newCallLimiter(now time.Duration, settings *Settings) *callLimiter {
@@ -67,7 +68,7 @@
 	return limiter
 }
 
-// configure takes over the limits of settings. A new window begins empty.
+// configure applies the limits of settings. If the length of the window changes, the new window is empty.
 func (l *callLimiter) configure(now time.Duration, settings *Settings) {
 	newWindow := l.callSeconds == nil || settings.CallsWindow != l.callsWindow
 	l.maxInFlight = settings.MaxCallsInFlight
@@ -78,13 +79,13 @@
 	}
 }
 
-// limit is how many calls may be in flight. It may be less than one.
+// limit returns the number of calls that may be in flight. It may be fractional and less than one.
 func (l *callLimiter) limit() float64 { return l.limitRatio * l.maxInFlight }
 
-// adjust changes the limit by the mean time of calls, once per sweep. The best call time drifts up
-// meanwhile, so that a dependency that has become slower for good is compared with its new best time after
-// a while. Where the dependency is slow without load, a low limit delays calls that would have been on
-// time, hence the lower bound.
+// adjust changes the limit according to the mean call time, once per periodic decision. The best call time
+// drifts up, so that a dependency that has become slower for good is compared with its new best time after a
+// while. limitRatio has a lower bound because a dependency may be slow without load: a low limit would then
+// only delay calls that would have been on time.
 func (l *callLimiter) adjust() {
 	if !l.callTime.Known() {
 		return
@@ -97,27 +98,28 @@
 	l.limitRatio = min(l.limitRatio+callLimitIncrease, maxCallLimitRatio)
 }
 
-// atMinimum reports whether the limit is as low as it gets.
+// atMinimum reports whether the limit is at its lower bound.
 func (l *callLimiter) atMinimum() bool { return l.limitRatio <= minCallLimitRatio }
 
-// recovered reports whether the limit is as high as it gets, or nothing is known of calls.
+// recovered reports whether the limit is at its upper bound, or no call was measured yet.
 func (l *callLimiter) recovered() bool {
 	return l.limitRatio >= maxCallLimitRatio || !l.callTime.Known()
 }
 
-// occupied is the number of calls that the dependency may be occupied with.
+// occupied returns the number of calls that may occupy the dependency: those in flight and abandoned ones.
 func (l *callLimiter) occupied() int { return l.inFlight + l.abandoned }
 
-// advance accounts for the calls in flight over the time elapsed until now.
+// advance accounts for the calls in flight during the time elapsed until now.
 func (l *callLimiter) advance(now, elapsed time.Duration) {
 	inFlight := float64(l.occupied())
 	l.addCredit(elapsed, inFlight)
 	l.callSeconds.Add(now, elapsed.Seconds()*inFlight)
 }
 
-// addCredit adds the unused call-seconds under the limit, or subtracts those over it. Credit is bounded above
-// by what calls at the next whole number above the limit use up in callCreditWindow, and below by the
-// call-seconds of the limit over callsWindow.
+// addCredit adds the unused call-seconds under the limit, or subtracts those beyond it. The upper bound of
+// the credit is what the next whole number of calls above the limit uses up in a part of callCreditWindow,
+// chosen so that the mean over that window is the limit. The lower bound is minus the call-seconds of the
+// limit over callsWindow.
 func (l *callLimiter) addCredit(elapsed time.Duration, inFlight float64) {
 	limit := l.limit()
 	l.credit += elapsed.Seconds() * (limit - inFlight)
@@ -126,7 +128,8 @@
 	l.credit = max(min(l.credit, most), -limit*l.callsWindow.Seconds())
 }
 
-// timeout is how long the next call may take, 0 if none may be made now. Its request is of use for left.
+// timeout returns how long the next call may take, or 0 if no call may be made now. The request of the call
+// is useful for the given time left.
 func (l *callLimiter) timeout(now, left time.Duration) time.Duration {
 	safe := safeCallRatio * l.maxInFlight
 	if safe <= 0 {
@@ -141,14 +144,14 @@
 	}
 	unused := safe*l.callsWindow.Seconds() - l.callSeconds.Sum(now)
 	timeout := seconds(unused/inFlight) - l.abandonedTime
-	if timeout < seconds(minCallTimeFactor*l.callTime.Or(0)) {
+	if timeout < seconds(minCallTimeFactor*l.callTime.ValueOr(0)) {
 		return 0
 	}
 	return min(left, timeout)
 }
 
-// allows reports whether so many calls may be in flight: up to the limit any, and one more while there is
-// credit.
+// allows reports whether the given number of calls may be in flight. It may reach the limit, and exceed it by
+// less than one while there is credit.
 func (l *callLimiter) allows(inFlight float64) bool {
 	limit := l.limit()
 	if l.credit > 0 {
@@ -157,11 +160,11 @@
 	return inFlight <= limit
 }
 
-// delaysCalls reports whether calls may have to wait for others, by what is known.
+// delaysCalls reports whether calls are limited and the mean call time is known, so that waitFor can be used.
 func (l *callLimiter) delaysCalls() bool { return l.maxInFlight > 0 && l.callTime.Known() }
 
-// waitFor estimates the wait of a call behind ahead others, plus the time to repay overdrawn credit if the
-// limit is below one. The limit must not be 0: see delaysCalls.
+// waitFor estimates how long a call waits behind the given number of other calls. If the limit is below one,
+// this includes the time until overdrawn credit is restored. The limit must not be 0, see delaysCalls.
 func (l *callLimiter) waitFor(ahead float64) time.Duration {
 	limit := l.limit()
 	overdrawn := 0.0
@@ -171,23 +174,26 @@
 	return seconds((ahead*l.callTime.Value() + overdrawn) / limit)
 }
 
-// backlogged reports whether so many requests wait for a call that no more should run that need one.
+// backlogged reports whether so many requests wait for a call that no further request that needs one should
+// run.
 func (l *callLimiter) backlogged() bool {
 	return float64(l.waitingCount) >= max(1, waitersPerCall*l.limit())
 }
 
-// anyPending reports whether a request waits for a call, or is in it, so that a recovery of calls will show.
+// anyPending reports whether a call is waiting or in flight, so that a recovery of the dependency will be
+// noticed.
 func (l *callLimiter) anyPending() bool { return l.waitingCount+l.inFlight > 0 }
 
-// resetCallTimeToBest replaces the mean call time by the best one, so that the next call gets enough time.
+// resetCallTimeToBest replaces the mean call time with the best one, so that the next call gets a sufficient
+// timeout.
 func (l *callLimiter) resetCallTimeToBest() {
 	if l.callTime.Known() {
 		l.callTime = rolling.AverageOf(l.bestCallTime)
 	}
 }
 
-// recordCallTime adds the time that a call took to the mean. Calls of all outcomes count, those that failed,
-// timed out or were rejected at once included.
+// recordCallTime adds the time that a call took to the mean. Calls count whatever their outcome, including
+// those that failed, timed out or were rejected immediately.
 func (l *callLimiter) recordCallTime(took time.Duration) {
 	l.callTime.Add(took.Seconds(), callTimeGain)
 }
--- a/admission/call_limiter_test.go
+++ b/admission/call_limiter_test.go
@@ -85,7 +85,7 @@
 }
 
 // New settings begin a new window only if the window is another one.
-func TestCallLimiterReconfigured(t *testing.T) {
+func TestReconfigureKeepsCallWindowUnlessItsLengthChanges(t *testing.T) {
 	settings := &Settings{MaxCallsInFlight: 10, CallsWindow: 5 * time.Second}
 	limiter := newCallLimiter(0, settings)
 	limiter.callSeconds.Add(0, 7)
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxCallAttempts           = 2                      // of one call
+	maxCallAttempts           = 2                      // per call
 	callBackoff               = 100 * time.Millisecond // before a call is retried
-	abandonedCallFailedFactor = 2.0                    // mean call times after which an abandoned call failed
+	abandonedCallFailedFactor = 2.0                    // mean call times; an abandoned call failed after that
 )
 
-// callScheduler schedules the calls of running requests: a call waits for its turn, is made, and ends, is
-// retried, or is abandoned with its request. Calls are made in the order in which their requests cease to be
-// useful, as far as the limiter allows and the circuit breaker does not drop them.
+// callScheduler schedules the calls of running requests. A call waits for its turn, is made, and then ends,
+// is retried, or is abandoned with its request. Calls are made in the order of the usefulUntil times of their
+// requests, as far as the limiter allows and the circuit breaker does not drop them.
 type callScheduler struct {
 	classes   []Class
-	waiting   timedqueue.Queue[*request] // by the end of their usefulness; some no longer wait
+	waiting   timedqueue.Queue[*request] // ordered by usefulUntil; may contain requests that no longer wait
 	limiter   *callLimiter
 	breaker   *circuitBreaker
 	estimator *estimator
@@ -30,7 +30,7 @@
 
 func (s *callScheduler) configure(settings *Settings) { s.classes = settings.Classes }
 
-// handleCallNeeded queues a call for a request that is on the CPU. A request that has ended is ignored.
+// handleCallNeeded queues the call of a request that is on the CPU. A request that has ended is ignored.
 func (s *callScheduler) handleCallNeeded(now time.Duration, request *request) {
 	if request == nil || request.state != running {
 		return
@@ -39,8 +39,8 @@
 	s.wait(now, request)
 }
 
-// wait puts a request in the queue for calls. It counts in waitingCount until its call is made or skipped, or
-// its run ends: an answered request whose run has not ended still counts.
+// wait adds a request to the queue for calls. The request counts in waitingCount until its call is made or
+// skipped, or its run ends. An answered request still counts until its run ends.
 func (s *callScheduler) wait(now time.Duration, request *request) {
 	request.state = awaitingCall
 	request.callNeededAt = now
@@ -48,14 +48,14 @@
 	s.waiting.Push(request.usefulUntil, request)
 }
 
-// requeue queues a request again whose call has failed, once its backoff has passed.
+// requeue adds a request to the queue again after its call has failed and the backoff has passed.
 func (s *callScheduler) requeue(now time.Duration, request *request) {
 	s.limiter.waitingCount--
 	request.callTime += now - request.callNeededAt
 	s.wait(now, request)
 }
 
-// startWaiting makes calls that wait, as far as the limits allow.
+// startWaiting makes waiting calls as far as the limits allow.
 func (s *callScheduler) startWaiting(now time.Duration) {
 	s.skipLate(now)
 	for s.waiting.Len() > 0 {
@@ -83,7 +83,8 @@
 	}
 }
 
-// skipLate lets runs that wait for a call go on without it once that is better.
+// skipLate continues runs without their calls where the calls should be left to other requests (see
+// estimator.skipsCall).
 func (s *callScheduler) skipLate(now time.Duration) {
 	s.waiting.DeleteFunc(func(request *request) bool {
 		if request.state != awaitingCall || request.answered || !s.estimator.skipsCall(now, request) {
@@ -94,6 +95,7 @@
 	})
 }
 
+// start makes the call of a request that waits for it.
 func (s *callScheduler) start(now time.Duration, request *request, timeout time.Duration) {
 	s.limiter.waitingCount--
 	s.limiter.inFlight++
@@ -104,7 +106,8 @@
 	s.actions.emit(Action{Kind: ActionCall, ID: request.id, Timeout: timeout})
 }
 
-// drop resumes a request without its call if its class allows that, and fails it otherwise.
+// drop continues the run of a request without its call if its class allows that, and fails the request
+// otherwise.
 func (s *callScheduler) drop(now time.Duration, request *request) {
 	if s.classes[request.class].DegradedValueRatio <= 0 {
 		s.fail(request)
@@ -115,22 +118,22 @@
 	s.actions.emit(Action{Kind: ActionSkipCall, ID: request.id})
 }
 
-// fail answers a request that waits for its call with an error. Its run is ended by the owner of the
-// controller, on ActionFail, and reported by EventDone; until then the request counts as waiting.
+// fail answers a request that waits for its call with an error. On ActionFail the owner of the controller
+// ends the run and reports that with EventDone. Until then the request counts as waiting.
 func (s *callScheduler) fail(request *request) {
 	request.answered = true
 	s.actions.emit(Action{Kind: ActionFail, ID: request.id})
 }
 
-// resume counts the run of a request as on the CPU again, after its call or without it.
+// resume counts a run as on the CPU again, after its call or without it.
 func (s *callScheduler) resume(now time.Duration, request *request) {
 	request.callTime += now - request.callNeededAt
 	request.state = running
 	s.runs.reacquireCPU()
 }
 
-// handleCallCompleted handles the end of a request's call. The call of a request that has ended is ignored,
-// as it was counted as abandoned already.
+// handleCallCompleted handles the end of a call. The call of a request that has ended is ignored, since it
+// was counted when it was abandoned.
 func (s *callScheduler) handleCallCompleted(now time.Duration, request *request, completion Completion) {
 	if request == nil || request.state != calling {
 		return
@@ -159,8 +162,8 @@
 	}
 }
 
-// mayRetry reports whether a call that ended in outcome is made once more: it must not have had an effect,
-// and there must be time for it.
+// mayRetry reports whether a call that ended with outcome is retried. The call must not have had an effect,
+// and there must be time for a retry.
 func (s *callScheduler) mayRetry(now time.Duration, request *request, outcome Outcome) bool {
 	if request.callAttempts >= maxCallAttempts || now+callBackoff >= request.usefulUntil {
 		return false
@@ -169,13 +172,14 @@
 	return endedRead || outcome.NeverRan()
 }
 
-// stopWaiting drops the call of a request that has ended while it waited for it.
+// stopWaiting removes a request that has ended while it waited for its call from waitingCount.
 func (s *callScheduler) stopWaiting() { s.limiter.waitingCount-- }
 
-// abandon drops the call in flight of a request that has ended. If it took long it counts as failed.
+// abandon gives up the call in flight of a request that has ended. The circuit breaker counts the call as
+// timed out if it took longer than abandonedCallFailedFactor times the mean.
 func (s *callScheduler) abandon(now time.Duration, request *request) {
 	s.limiter.inFlight--
-	if now-request.callNeededAt > seconds(abandonedCallFailedFactor*s.limiter.callTime.Or(0)) {
+	if now-request.callNeededAt > seconds(abandonedCallFailedFactor*s.limiter.callTime.ValueOr(0)) {
 		s.breaker.record(now, OutcomeTimedOut)
 	}
 	s.trackAbandoned(now)
@@ -189,10 +193,10 @@
 	}
 }
 
-// abandonedEnded stops counting an abandoned call, which no longer occupies the dependency.
-func (s *callScheduler) abandonedEnded() { s.limiter.abandoned-- }
+// untrackAbandoned stops counting an abandoned call that no longer occupies the dependency.
+func (s *callScheduler) untrackAbandoned() { s.limiter.abandoned-- }
 
-// setProtectedCalls sets the protected calls of the circuit breaker: see Controller.SetProtectedCalls.
+// setProtectedCalls implements Controller.SetProtectedCalls.
 func (s *callScheduler) setProtectedCalls(calls float64) {
 	s.breaker.protectedCalls = calls
 	if calls > 0 {
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestCallRetriedOnlyIfItNeverRan(t *testing.T) {
+func TestCallIsRetriedOnlyIfItHadNoEffect(t *testing.T) {
 	for _, test := range []struct {
 		class     int
 		outcome   Outcome
@@ -30,7 +30,7 @@
 	}{{0, OutcomeFailed, true}, {1, OutcomeFailed, false}, {1, OutcomeAborted, false}, {1, OutcomeTimedOut, false}, {1, OutcomeUnreachable, true},
 		{2, OutcomeRejected, true}, {2, OutcomeFailed, false}} {
 		controller := startController(t, testSettings())
-		requireAction(t, startToCall(t, controller, 1, test.class), ActionCall, 1)
+		requireAction(t, startAndNeedCall(t, controller, 1, test.class), ActionCall, 1)
 		actions := controller.Step(10*ms, []Event{CallCompleted(1, Completion{Outcome: test.outcome, Took: 9 * ms})}, nil)
 		actions = controller.Step(300*ms, nil, actions)
 		if got := findAction(actions, ActionCall, 1) != nil; got != test.wantRetry {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestCallsShrinkWhileSlowAndGrowBack(t *testing.T) {
+func TestCallLimitFallsWhileCallsAreSlowAndRecovers(t *testing.T) {
 	controller := startController(t, testSettings())
 	limiter := controller.calls.limiter
 	limiter.callTime = rolling.AverageOf(0.05)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestFractionalCallLimitHoldsInTheMean(t *testing.T) {
+func TestFractionalCallLimitHoldsOnAverage(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 1.95
 	settings.Dependency = DependencyShared
@@ -142,7 +142,7 @@
 
 // A request that would have to wait until overdrawn calls are paid back is rejected before it runs: an idempotent request
 // that fails at its call has run, and no retry of it may.
-func TestOverdrawnCallsCountAsWaiting(t *testing.T) {
+func TestOverdrawnCreditCountsAsCallWait(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
 	controller := startController(t, settings)
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestCallLimitStaysBelowWhatIsSurvived(t *testing.T) {
+func TestCallsBeyondSafeRatioHaveCappedTimeouts(t *testing.T) {
 	controller := startController(t, testSettings())
 	controller.calls.limiter.limitRatio = 5
 	controller.calls.limiter.callTime = rolling.AverageOf(0.5)
@@ -219,13 +219,13 @@
 	}{{0.01, false}, {1, true}} {
 		ctl := startController(t, settings)
 		for id := RequestID(1); id <= 5; id++ { // more than may call at once
-			startToCall(t, ctl, id, 1)
+			startAndNeedCall(t, ctl, id, 1)
 		}
 		if ctl.calls.limiter.waitingCount == 0 {
 			t.Fatal("no call waits")
 		}
 		ctl.calls.limiter.callTime = rolling.AverageOf(controller.took)
-		actions := startToCall(t, ctl, 7, 3)
+		actions := startAndNeedCall(t, ctl, 7, 3)
 		if got := findAction(actions, ActionSkipCall, 7) != nil; got != controller.skips {
 			t.Errorf("calls take %v s: skipped is %v", controller.took, got)
 		}
@@ -236,8 +236,8 @@
 	}
 }
 
-// startToCall brings request id of class to its call within the first millisecond.
-func startToCall(t *testing.T, controller *Controller, id RequestID, class int) []Action {
+// startAndNeedCall brings request id of class to its call within the first millisecond.
+func startAndNeedCall(t *testing.T, controller *Controller, id RequestID, class int) []Action {
 	t.Helper()
 	requireAction(t, controller.Step(0, []Event{arrived(id, class)}, nil), ActionRun, id)
 	return controller.Step(ms, []Event{CallNeeded(id)}, nil)
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	initialRunsPerCore   = 1.33 // runs on the CPU, per core, to begin with
-	maxRunsPerCore       = 2.2  // upper bound to which measured demand may raise them
-	targetDemandPerCore  = 1.5  // CPU demand per core above which they are lowered
-	runLimitStep         = 0.25 // change of the run limit per sweep
-	safeConcurrencyRatio = 0.8  // of the concurrency that a server can handle, calls in flight included
-	coresPerTrialRun     = 3    // while all requests are late, one trial run is kept for so many cores
+	initialRunsPerCore   = 1.33 // initial run limit, per core
+	maxRunsPerCore       = 2.2  // upper bound of the run limit, per core
+	targetDemandPerCore  = 1.5  // CPU demand per core; the run limit rises below it and falls above it
+	runLimitStep         = 0.25 // change of the run limit per periodic decision (100 ms)
+	safeConcurrencyRatio = 0.8  // part of the concurrency that a server can handle, calls in flight included
+	coresPerTrialRun     = 3    // while all requests are late, one trial run is kept per this number of cores
 )
 
-// concurrencyLimiter counts the requests that run and limits them in two ways: those on the CPU, by a run
-// limit that follows the measured CPU demand, and all of them, those that wait for a call included, by what
-// the server can handle when all return to the CPU at once. That is less while a server warms up.
+// concurrencyLimiter counts the requests that run and applies two limits:
+//
+//   - The run limit bounds the runs on the CPU. It follows the measured CPU demand.
+//   - The concurrency limit bounds all runs, including those that wait for a call, to what the server can
+//     handle when all of them return to the CPU at once. It is lower during a slow start.
 type concurrencyLimiter struct {
 	cores      int
-	maxPerCore float64 // runs on the CPU, per core, that a warm server can handle
+	maxPerCore float64 // runs on the CPU per core that a server can handle after its slow start
 	slowStart  slowStart
-	runLimit   float64 // of runs on the CPU
+	runLimit   float64 // of runs on the CPU; may be fractional
 
-	running int     // runs, those that wait for calls included
-	onCPU   int     // runs on the CPU, not waiting for a call
+	running int     // all runs, including those in or waiting for calls
+	onCPU   int     // runs that are not in or waiting for a call
 	work    float64 // of all runs, in seconds of a standard core
 }
 
@@ -32,15 +34,16 @@
 	return limiter
 }
 
-// configure takes over the limits of settings. The run limit follows with the next sweep.
+// configure applies the limits of settings. The run limit follows at the next periodic decision.
 func (l *concurrencyLimiter) configure(settings *Settings) {
 	l.cores = settings.Cores
 	l.maxPerCore = settings.MaxConcurrencyPerCore
 	l.slowStart.configure(settings)
 }
 
-// adjust raises the run limit while requests are queued and CPU demand is below its target, and lowers it
-// while demand is above the target. Demand is the number of cores asked for, below 0 if it is unknown.
+// adjust raises the run limit while requests are queued and the CPU demand is below its target, and lowers it
+// while the demand is above the target. Demand is the number of cores requested; a negative value means
+// unknown.
 func (l *concurrencyLimiter) adjust(demand float64, requestsQueued bool) {
 	cores := float64(l.cores)
 	target := targetDemandPerCore * cores
@@ -53,7 +56,7 @@
 	l.runLimit = min(max(l.runLimit, cores), maxRunsPerCore*cores)
 }
 
-// concurrencyLimit bounds all runs at now.
+// concurrencyLimit returns the limit on all runs at now. It is at least 1.
 func (l *concurrencyLimiter) concurrencyLimit(now time.Duration) float64 {
 	perCore := 1 + (l.maxPerCore-1)*l.slowStart.speedRatio(now)
 	return max(1, safeConcurrencyRatio*float64(l.cores)*perCore)
@@ -64,17 +67,17 @@
 	return l.underRunLimit() && float64(l.running) < l.concurrencyLimit(now)
 }
 
-// underRunLimit reports whether one more run may be on the CPU.
+// underRunLimit reports whether the run limit allows one more run on the CPU.
 func (l *concurrencyLimiter) underRunLimit() bool { return float64(l.onCPU) < l.runLimit }
 
-// allCoresBusy reports whether each core has a run.
+// allCoresBusy reports whether there is at least one run on the CPU per core.
 func (l *concurrencyLimiter) allCoresBusy() bool { return l.onCPU >= l.cores }
 
-// enoughTrials reports whether at least trialRuns requests run. While no request can be on time, so many are
-// still run as trials: their run times show when the server or its dependency has recovered.
+// enoughTrials reports whether at least trialRuns requests run. While no request can meet its objective, that
+// many still run as trials: their run times show when the server or its dependency has recovered.
 func (l *concurrencyLimiter) enoughTrials() bool { return l.running >= l.trialRuns() }
 
-// trialRuns is one run per coresPerTrialRun cores, and at least one.
+// trialRuns returns one run per coresPerTrialRun cores, and at least one.
 func (l *concurrencyLimiter) trialRuns() int { return max(1, l.cores/coresPerTrialRun) }
 
 // start counts a run that begins on the CPU.
@@ -84,13 +87,13 @@
 	l.work += work
 }
 
-// releaseCPU counts a run that waits for a call, or ends, from now on.
+// releaseCPU counts a run that leaves the CPU to wait for a call or to end.
 func (l *concurrencyLimiter) releaseCPU() { l.onCPU-- }
 
-// reacquireCPU counts a run that goes on after a call.
+// reacquireCPU counts a run that returns to the CPU after a call.
 func (l *concurrencyLimiter) reacquireCPU() { l.onCPU++ }
 
-// end drops a run that is not on the CPU any more.
+// end removes a run that has left the CPU.
 func (l *concurrencyLimiter) end(work float64) {
 	l.running--
 	l.work = max(l.work-work, 0)
--- a/admission/concurrency_test.go
+++ b/admission/concurrency_test.go
@@ -30,7 +30,7 @@
 }
 
 // The counts of runs stay those of a plain set of runs.
-func TestRunsAreCounted(t *testing.T) {
+func TestRunCountsMatchReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	limiter := newConcurrencyLimiter(0, &Settings{Cores: 4, MaxConcurrencyPerCore: 5})
 	var onCPU, waiting []float64 // their work
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Controller decides for one server. Each of its parts has one rule; the controller passes them what happens
-// and asks them in order. It belongs to one goroutine.
+// Controller makes the admission decisions for one server. Each of its parts implements one rule; the
+// controller passes events to the parts and runs them in a fixed order. It is not safe for concurrent use.
 type Controller struct {
 	settings Settings
-	now      time.Duration // of the batch that is processed
-	gauges   Gauges        // as last measured
+	now      time.Duration // time of the batch that is processed
+	gauges   Gauges        // latest measurements of the server
 	requests map[RequestID]*request
 	timers   timers
 	actions  actionBuffer
@@ -30,8 +30,8 @@
 	conditions       conditionReporter
 }
 
-// New returns a controller for a server that starts at now. The error is a *SettingsError, which names the
-// field that cannot be served. Random choices follow from seed.
+// New returns a controller for a server that starts at now. The seed determines all random choices. If a
+// field of the settings is invalid, New returns a *SettingsError that names it.
 func New(settings Settings, seed uint64, now time.Duration) (*Controller, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 		now:              now,
 		gauges:           UnknownGauges(),
 		requests:         map[RequestID]*request{},
-		timers:           timers{sweepAt: now},
+		timers:           timers{nextPeriodicAt: now},
 		runs:             runs,
 		admitProbability: newAdmitProbability(rng),
 		advisor:          newClientAdvisor(&settings),
@@ -68,20 +68,20 @@
 	return controller, nil
 }
 
-// Step processes the events of one batch, all at now, and appends the actions that answer them. A batch may
-// be empty. The first step starts the timers: from then on ActionWake tells the owner when to step
-// next at the latest.
+// Step processes a batch of events that all happened at now, and appends the resulting actions to actions.
+// The batch may be empty. The first step starts the timers. From then on, ActionWake tells the owner the
+// latest time of the next step.
 func (c *Controller) Step(now time.Duration, events []Event, actions []Action) []Action {
 	c.actions.pending = actions
 	c.advanceTime(now)
-	c.announceStart()
-	c.timers.catchUp(now, c.sweep)
+	c.emitInitialState()
+	c.timers.catchUp(now, c.runPeriodic)
 	for i := range events {
 		c.handleEvent(&events[i])
 	}
 	c.expireDeadlines()
-	if c.timers.shouldSweep(c.now) {
-		c.sweep()
+	if c.timers.periodicDue(c.now) {
+		c.runPeriodic()
 	}
 	c.dispatch()
 	if at, ok := c.timers.schedule(c.now, c.isIdle()); ok {
@@ -90,18 +90,22 @@
 	return c.actions.take()
 }
 
-// ServiceRate is the work that this server completes per second, in seconds of a standard core.
+// ServiceRate returns the work that the server completes per second, in seconds of a standard core.
 func (c *Controller) ServiceRate() float64 { return c.estimator.serviceRate() }
 
-// SetProtectedCalls sets the number of protected calls in the formula of the circuit breaker (breaker.go),
-// which is BreakerProtectedCalls unless the fleet coordinates its probes. With 5, 1 or 0, no call is dropped
-// while at most so many calls are in the window. With -1, calls are dropped with a probability that reaches 1
-// only once no accepted call is left in the window, and requests that must call are rejected. Above 0 the
-// estimate of the call time is also reset to the best one, so that a probe gets enough time. It is called
-// between two steps.
+// SetProtectedCalls sets the number of protected calls in the formula of the circuit breaker (breaker.go).
+// The default is BreakerProtectedCalls; other values are set while the fleet coordinates its probes of the
+// dependency.
+//
+//   - With 0, 1 or 5, no call is dropped while the window holds at most that many calls.
+//   - With -1, calls are dropped with a probability that reaches 1 only when the window holds no accepted
+//     call, and requests that must call the dependency are rejected.
+//
+// A value above 0 also resets the estimated call time to the best one, so that a probe gets a sufficient
+// timeout. SetProtectedCalls must be called between two steps.
 func (c *Controller) SetProtectedCalls(calls float64) { c.calls.setProtectedCalls(calls) }
 
-// advanceTime brings the sums that grow with time up to now.
+// advanceTime brings the sums that grow with time up to date at now.
 func (c *Controller) advanceTime(now time.Duration) {
 	elapsed := now - c.now
 	if elapsed <= 0 {
@@ -112,9 +116,9 @@
 	c.now = now
 }
 
-// announceStart emits, in the first step, the health state that checks are answered with and the initial
-// advertised value, if there is one.
-func (c *Controller) announceStart() {
+// emitInitialState emits, in the first step only, the health state and the initial advertised value, if there
+// is one.
+func (c *Controller) emitInitialState() {
 	if !c.timers.start() {
 		return
 	}
@@ -124,8 +128,7 @@
 	}
 }
 
-// handleEvent passes an event to the part that deals with it. Events about requests that have ended are
-// ignored.
+// handleEvent passes an event to the part that handles it. Events about requests that have ended are ignored.
 func (c *Controller) handleEvent(event *Event) {
 	request := c.requests[event.ID]
 	switch event.Kind {
@@ -134,7 +137,7 @@
 	case EventDone:
 		c.completeRun(request, event.Completion)
 	case EventCancelled:
-		c.settle(request)
+		c.abandonRequest(request)
 	case EventCallNeeded:
 		c.calls.handleCallNeeded(c.now, request)
 	case EventCallDone:
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,92 +1,100 @@
-// Package admission is the admission and overload controller of an image server: it decides which requests run, in
-// which order, and which are rejected or failed, and which calls to the dependency below are made.
+// Package admission is the admission controller of an image server. It decides which requests run and in
+// which order, which requests are rejected or failed, and which calls to the dependency are made.
 //
-// The package is pure. It does no I/O and has no clock, goroutine or global state: its owner feeds it events with
-// Controller.Step and carries out the actions that Step returns, in their order. A Controller belongs to one goroutine.
-// Times are durations on the owner's clock; work is in seconds of a standard core.
+// The package does no I/O and has no clock, goroutine or global state. Its owner (the server or the
+// simulator) passes events to Controller.Step and carries out the returned actions in order. A Controller is
+// not safe for concurrent use. Times are durations on the owner's clock. Work is measured in seconds of a
+// standard core.
 //
 // # A step
 //
-// Controller.Step (controller.go) takes a batch of events at one time and asks the parts in this order:
+// Controller.Step (controller.go) processes a batch of events that share one time, in this order:
 //
-//  1. The sums that grow with time are brought up to now: core time in use (estimator.go), and call-seconds in flight
-//     and the credit that is left of them (call_limiter.go).
+//  1. Sums that grow with time are brought up to date: the core time used (estimator.go), the call-seconds in
+//     flight and the remaining call credit (call_limiter.go).
 //  2. Periodic decisions that were skipped while the server was idle are made up for (timers.go).
-//  3. Each event goes to the part that it concerns. A request that was read is decided on: see below. The end of a run
-//     improves the estimates and frees what the run took (runs.go). A call that is needed waits for its turn, and one
-//     that has ended is retried, done without, or lets its run go on (calls.go).
-//  4. Deadlines that have passed are acted on: requests that wait are rejected and runs are answered with an error
-//     before their clients give up, calls are retried, keys expire (periodic.go).
-//  5. Ten times a second the periodic decisions are made, a sweep (periodic.go): requests that are too late are
-//     rejected; tenants are weighed by their quotas; the admit probability, the run limit and the limit on calls follow
-//     what was measured; the idle timeout and the health state are adjusted; changes of conditions are logged.
-//  6. Calls that wait are made, by the end of their requests' usefulness, as far as the call limiter allows and the
-//     circuit breaker does not drop them.
-//  7. Queued requests are started, by their latest start, as far as the concurrency limiter and the memory allow
-//     (runs.go, scheduler.go).
-//  8. The owner is asked to step again, at the latest at the next deadline or sweep.
+//  3. Each event is handled. A request that was read is admitted or rejected, see below. The end of a run
+//     updates the estimates and frees the resources of the run (runs.go). A call that is needed is queued. A
+//     call that has ended is retried or skipped, or its run continues or fails (calls.go).
+//  4. Expired deadlines are handled (periodic.go). Requests that still wait are rejected, and runs are
+//     answered with an error, before their clients give up. Calls are retried and keys expire.
+//  5. Every 100 ms the periodic decisions are made (periodic.go). Requests that are too late are rejected.
+//     The value factors of tenants, the admit probability, the run limit, the call limit, the idle timeout
+//     and the health state are adjusted to the latest measurements. Changes of conditions are logged.
+//  6. Waiting calls are made, as far as the call limiter allows and the circuit breaker does not drop them.
+//     The call whose request ceases to be useful first goes first.
+//  7. Queued requests are started, as far as the concurrency limiter and the memory limit allow. The request
+//     with the earliest latest start goes first (runs.go, scheduler.go).
+//  8. The owner is asked to step again at the next deadline or periodic decision at the latest.
 //
 // # Whether a request is admitted
 //
-// A request that was read (admission.go) is rejected if one of these rules applies. They are checked in this order, which
-// is fixed; the first that applies decides.
+// A request that was read (admission.go) is rejected if one of these rules applies. The rules are checked in
+// this fixed order, and the first that applies decides:
 //
-//  1. Its class is unknown.
-//  2. The server drains, and it came too late or can't end in time (drain.go).
-//  3. The memory limit is exceeded, or there is no memory for its idempotency key (memory.go, key_table.go).
-//  4. All cores are busy and it ranks below the fleet's shedding threshold.
-//  5. All cores are busy and the draw by the admit probability is against it (admit_probability.go).
-//  6. It must call the dependency, and other servers probe whether that is back (breaker.go).
-//  7. It would be answered after its latency objective, for lack of CPU time or of calls, and no queued request is worth
-//     clearly less for each unit of what is scarce (estimator.go, value.go, tenants.go). If there is one, that is
-//     rejected in its place. With too few trial runs to notice a recovery, it is admitted all the same.
+//  1. The class of the request is unknown.
+//  2. The server drains, and the request arrived too late or cannot end in time (drain.go).
+//  3. The memory limit is exceeded, or there is no memory for the request's idempotency key (memory.go,
+//     key_table.go).
+//  4. All cores are busy and the request ranks below the fleet's shedding threshold.
+//  5. All cores are busy and the random draw with the admit probability fails (admit_probability.go).
+//  6. The request must call the dependency, and other servers of the fleet probe whether the dependency has
+//     recovered (breaker.go).
+//  7. The request would be answered after its latency objective for lack of CPU time or of calls, and no
+//     queued request has clearly less value per unit of the scarce resource (estimator.go, value.go,
+//     tenants.go). If there is such a request, it is rejected instead. If too few trial runs are under way to
+//     notice a recovery, the request is admitted anyway.
 //
-// An attempt of a request that is known here shares its run instead, after the first rule (idempotency.go); if memory is
-// short it is rejected, or failed if the run may have started.
+// If results of its class are reused, an attempt that retries a known request shares the run of that request
+// instead; only rule 1 is checked before. If the memory limit is exceeded, the attempt is rejected, or failed
+// if the run may have started (idempotency.go).
 //
-// A request that was admitted and has not run is still rejected if
+// A request that was admitted and has not run is still rejected in these cases:
 //
-//   - it is displaced by a request of more value (rule 7);
-//   - its answer deadline passes while it is queued, or waits for the attempt that it retries (periodic.go);
-//   - it is found too late to start, at a sweep or when the next run is chosen (runs.go, scheduler.go);
-//   - it is next to start, and there is no memory to run it though nothing else runs, or a drain leaves no time for it
-//     (runs.go);
-//   - the attempt that it retries ended without a run, and the rules from 2 on, checked anew, reject it (idempotency.go).
+//   - A request of more value displaces it (rule 7).
+//   - Its answer deadline passes while it is queued or waits for the attempt that it retries (periodic.go).
+//   - It is found too late to start, at a periodic decision or when the next run is chosen (runs.go,
+//     scheduler.go).
+//   - It is next to start, and there is no memory to run it although nothing else runs, or a drain leaves no
+//     time for it (runs.go).
+//   - The attempt that it retries ended without a run, and rules 2 to 7, checked again, reject it
+//     (idempotency.go).
 //
-// What a rejection advises the client follows from the reason, the state of the fleet and the rate of retries (advice.go).
+// The advice that a client gets with a rejection depends on the reason, the state of the fleet and the rate
+// of retries (advice.go).
 //
 // # Files that decide
 //
-// All of them are named under policy in deploy/balancer.toml.
+// All of them are listed under policy in deploy/balancer.toml.
 //
-//	controller.go          the order of a step, and which part an event concerns
-//	periodic.go            the periodic decisions, deadlines, and the start of a drain
+//	controller.go          the order of a step, and the part that handles each event
+//	periodic.go            the periodic decisions, expired deadlines, and the start of a drain
 //	admission.go           whether a request is queued or rejected
 //	idempotency.go         attempts that share a run and its result
 //	runs.go                the start and the end of runs
 //	scheduler.go           which queued request runs next, and which is too late
-//	request.go             until when a request is of use
-//	request_queue.go       queued requests, in order, with their sums
-//	value.go               what a request is worth, and which yields to another
-//	tenants.go             how far the quota of its tenant lets a request count
-//	estimator.go           how long requests wait and run
+//	request.go             until when a request is useful
+//	request_queue.go       queued requests in order, with their counts and sums of work
+//	value.go               the value of a request, and which queued request it displaces
+//	tenants.go             how far the quota of a tenant reduces the value of its requests
+//	estimator.go           estimates of waiting and run times
 //	concurrency.go         how many requests run
-//	slow_start.go          how fast a server is that has just started
-//	admit_probability.go   the probability with which requests are admitted while the CPU is overloaded
-//	calls.go               the life of a call: retries, doing without, abandoned calls
-//	call_limiter.go        how many calls are in flight, and for how long
-//	breaker.go             the circuit breaker before calls
+//	slow_start.go          the speed of a server that has just started
+//	admit_probability.go   the probability of admission while the CPU is overloaded
+//	calls.go               the life cycle of a call: retries, skipped calls, abandoned calls
+//	call_limiter.go        how many calls are in flight, and their timeouts
+//	breaker.go             the circuit breaker for calls
 //	memory.go              the memory limit
-//	key_table.go           requests that are remembered
+//	key_table.go           requests that are remembered for their retries
 //	drain.go               what a server still does before it stops
-//	health.go              how health checks are answered
-//	advice.go              what clients are advised with a rejection
-//	arrivals.go            rates of requests and retries, and how late they are read
+//	health.go              the answer to health checks
+//	advice.go              the advice to clients with a rejection
+//	arrivals.go            the rates of requests and retries, and the read delay
 //	advertiser.go          the value that is sent along with answers
 //	idle_timeout.go        when idle connections are closed
 //	timers.go              when the next decision is due
 //	reporting.go           which changes of conditions are logged
 //
-// The other files hold the types that are exchanged with the owner and the settings. The statistics and the queue by time
-// that the parts use are packages of their own, below internal.
+// The other files hold the types that are exchanged with the owner, the settings and helpers. The statistics
+// and the queue ordered by time are packages below internal.
 package admission
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDrainRunsNothingLateAndAnswersAll(t *testing.T) {
+func TestDrainRejectsLateArrivalsAndAnswersAll(t *testing.T) {
 	controller := startController(t, testSettings())
 	actions := controller.Step(0, []Event{arrived(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second})}, nil)
 	requireAction(t, actions, ActionRun, 1)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAnswersByDeadlineWithoutAnyOutcome(t *testing.T) {
+func TestEveryRequestAnsweredByDeadlineWhenRunsHang(t *testing.T) {
 	controller := startController(t, testSettings())
 	var actions []Action
 	for id := RequestID(1); id <= 40; id++ {
@@ -53,7 +53,7 @@
 }
 
 // A process that another one replaces answers what it has read, but the server goes on: no client is sent elsewhere.
-func TestReplacedServerKeepsItsHealth(t *testing.T) {
+func TestDrainOfReplacedProcessKeepsHealth(t *testing.T) {
 	controller := startController(t, testSettings())
 	actions := controller.Step(0, []Event{arrived(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second, Replaced: true})}, nil)
 	requireAction(t, actions, ActionRun, 1)
@@ -67,7 +67,7 @@
 	requireAction(t, actions, ActionFail, 1)
 }
 
-func TestDrainBoundsAnswers(t *testing.T) {
+func TestDrainBoundsAnswerDeadlinesAndRuns(t *testing.T) {
 	drain := drain{grace: time.Second}
 	request := &request{deadline: 20 * time.Second}
 	require.Equal(t, 20*time.Second-answerMargin, drain.answerDeadline(request))
--- a/admission/durations.go
+++ b/admission/durations.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxSeconds is the longest time that an estimate is taken for, so that a Duration does not overflow.
+// maxSeconds is the upper bound of an estimate. It prevents an overflow of time.Duration.
 const maxSeconds = 1e6
 
-// seconds turns an estimate in seconds into a Duration of maxSeconds at most.
+// seconds converts an estimate in seconds to a Duration of at most maxSeconds.
 func seconds(value float64) time.Duration {
 	return time.Duration(min(value, maxSeconds) * float64(time.Second))
 }
 
-// scale multiplies a Duration by factor.
+// scale returns duration multiplied by factor.
 func scale(duration time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(duration) * factor)
 }
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -9,35 +9,35 @@
 const (
 	estimateGain      = 0.1             // weight of a new run in the estimates of its class
 	latencyGain       = 0.1             // weight of a new run in the mean latency of its class
-	defaultWorkRatio  = 0.1             // work of a request without a hint, as a part of its objective
-	defaultCallTime   = 0.05            // seconds that a call takes before one was measured
-	speedTimeConstant = 2 * time.Second // of fully used CPU time, over which speed is averaged
-	minCoreSpeed      = 0.01            // least speed of a core, of a standard one
-	minSpeedSample    = 1e-3            // core-seconds; least sum that work is divided by
-	runningWorkAhead  = 0.5             // part of the running work that is left in the mean
-	skipWaitRatio     = 0.3             // of the time left, that a call which may be skipped is waited for
+	defaultWorkRatio  = 0.1             // of the objective: work of a request before the first hint
+	defaultCallTime   = 0.05            // seconds that a call is assumed to take until one was measured
+	speedTimeConstant = 2 * time.Second // of fully used CPU time, over which the speed is averaged
+	minCoreSpeed      = 0.01            // lower bound of the speed of a core, relative to a standard core
+	minSpeedSample    = 1e-3            // core-seconds; lower bound of the sum that work is divided by
+	runningWorkAhead  = 0.5             // mean part of the running work that is still to be done
+	skipWaitRatio     = 0.3             // of the time left: longest wait for a call that may be skipped
 )
 
-// estimator estimates how long requests wait and run, from the runs that have ended, the requests that are
-// queued and running, and the calls to the dependency. Work is in seconds of a standard core.
+// estimator estimates waiting and run times from the runs that have ended, the queued and running requests,
+// and the calls to the dependency. Work is in seconds of a standard core.
 type estimator struct {
 	classes   []Class
 	cores     int
-	estimates []classEstimates     // by class
+	estimates []classEstimates     // indexed by class
 	speed     rolling.DecayingPair // First: work completed; Second: core-seconds used
-	busyTime  time.Duration        // time for which all cores together were in use
+	busyTime  time.Duration        // time that all cores together were in use; the clock of speed
 
 	queue *requestQueue
 	runs  *concurrencyLimiter
 	calls *callLimiter
 }
 
-// classEstimates are what is known of the runs of one class.
+// classEstimates holds the moving averages of the runs of one class.
 type classEstimates struct {
-	work        rolling.Average   // work of a request that came with a hint
-	cpuTime     rolling.LinearFit // seconds on the CPU for a given work
-	callsPerRun rolling.Average
-	latency     rolling.Average // seconds from arrival to end without calls
+	work        rolling.Average   // of the work hints, in seconds of a standard core
+	cpuTime     rolling.LinearFit // run time without calls, in seconds, as a function of work
+	callsPerRun rolling.Average   // calls made by a run
+	latency     rolling.Average   // seconds from arrival to the end of the run, without calls
 }
 
 func newEstimator(
@@ -50,20 +50,21 @@
 	return estimator
 }
 
+// configure applies the cores and classes of settings. The estimates of known classes are kept.
 func (e *estimator) configure(settings *Settings) {
 	e.classes = settings.Classes
 	e.cores = settings.Cores
 	e.estimates = append(e.estimates, make([]classEstimates, len(settings.Classes)-len(e.estimates))...)
 }
 
-// advance adds the core time that the runs on the CPU used in the time elapsed.
+// advance adds the core time that the runs on the CPU used while the given time elapsed.
 func (e *estimator) advance(elapsed time.Duration) {
 	coresUsed := float64(min(e.runs.onCPU, e.cores))
 	e.busyTime += time.Duration(float64(elapsed) * coresUsed / float64(e.cores))
 	e.speed.Add(e.busyTime, 0, elapsed.Seconds()*coresUsed)
 }
 
-// recordRun updates the estimates by a run that succeeded at now. Took includes its calls.
+// recordRun updates the estimates with a run that succeeded at now. The time that it took includes its calls.
 func (e *estimator) recordRun(now time.Duration, request *request, took time.Duration) {
 	estimates := &e.estimates[request.class]
 	estimates.cpuTime.Add(request.work, (took - request.callTime).Seconds(), estimateGain)
@@ -72,44 +73,44 @@
 	e.speed.Add(e.busyTime, request.work, 0)
 }
 
-// recordHint returns the work of a request of a class by its hint, which counts in the mean of the class from
-// now on. Without a hint, 0, it is that mean.
+// recordHint returns the work of a request, in seconds of a standard core. A hint above 0 is the work, and is
+// added to the mean of the class. Without a hint, the work is that mean.
 func (e *estimator) recordHint(class int, hint time.Duration) float64 {
 	estimates := &e.estimates[class]
 	work := hint.Seconds()
 	if work <= 0 {
-		return estimates.work.Or(defaultWorkRatio * e.classes[class].LatencyObjective.Seconds())
+		return estimates.work.ValueOr(defaultWorkRatio * e.classes[class].LatencyObjective.Seconds())
 	}
 	estimates.work.Add(work, estimateGain)
 	return work
 }
 
-// serviceRate is the work that this server completes per second.
+// serviceRate returns the work that the server completes per second, in seconds of a standard core.
 func (e *estimator) serviceRate() float64 {
 	coreSpeed := e.speed.First / max(e.speed.Second, minSpeedSample)
 	return max(coreSpeed, minCoreSpeed) * float64(e.cores)
 }
 
-// anyClassLate reports whether runs of some class take longer than its latency objective.
+// anyClassLate reports whether the mean latency of any configured class exceeds its latency objective.
 func (e *estimator) anyClassLate() bool {
 	for i := range e.estimates {
 		class := &e.classes[i]
-		if !class.Removed && e.estimates[i].latency.Or(0) > class.LatencyObjective.Seconds() {
+		if !class.Removed && e.estimates[i].latency.ValueOr(0) > class.LatencyObjective.Seconds() {
 			return true
 		}
 	}
 	return false
 }
 
-// cpuOverloaded reports whether the cores are short of time and requests are late for it.
+// cpuOverloaded reports whether the cores are short of time and requests are late.
 func (e *estimator) cpuOverloaded(gauges Gauges) bool {
 	return e.anyClassLate() && underCPUPressure(gauges, e.cores)
 }
 
-// callsPerRun is the mean number of calls that a run of a class makes.
-func (e *estimator) callsPerRun(class int) float64 { return e.estimates[class].callsPerRun.Or(1) }
+// callsPerRun returns the mean number of calls that a run of a class makes, 1 until it is known.
+func (e *estimator) callsPerRun(class int) float64 { return e.estimates[class].callsPerRun.ValueOr(1) }
 
-// serviceTime is how long a request takes once it runs, calls included.
+// serviceTime estimates how long a request takes from its start to its end, calls included.
 func (e *estimator) serviceTime(now time.Duration, request *request) time.Duration {
 	class := &e.estimates[request.class]
 	estimate := request.work * initialRunsPerCore * float64(e.cores) / e.serviceRate()
@@ -117,17 +118,17 @@
 		estimate = class.cpuTime.At(request.work)
 	}
 	if e.needsCall(now, request) {
-		estimate += class.callsPerRun.Or(1) * e.calls.callTime.Or(defaultCallTime)
+		estimate += class.callsPerRun.ValueOr(1) * e.calls.callTime.ValueOr(defaultCallTime)
 	}
 	return seconds(estimate)
 }
 
-// latestStart is when a request must start to meet its objective.
+// latestStart returns the latest time at which a request can start and meet its objective.
 func (e *estimator) latestStart(now time.Duration, request *request) time.Duration {
 	return request.objective - e.serviceTime(now, request)
 }
 
-// finishTime is when a request would be answered if it were admitted now.
+// finishTime estimates when a request would be answered if it were admitted now.
 func (e *estimator) finishTime(now time.Duration, request *request) time.Duration {
 	wait := e.cpuWait(request)
 	if e.needsCall(now, request) {
@@ -136,8 +137,9 @@
 	return now + wait + e.serviceTime(now, request)
 }
 
-// cpuWait is how long a request waits for a core: for a part of the running work, and what is queued ahead.
-// Of a class with a longer objective, only a part of its queue is ahead.
+// cpuWait estimates how long a request waits for a core: the time to complete a part of the running work and
+// the queued work ahead of it. The queue of a class with a longer objective counts in proportion to the
+// objectives, as only a part of it is started before the request.
 func (e *estimator) cpuWait(request *request) time.Duration {
 	if e.runs.underRunLimit() && e.queue.count == 0 {
 		return 0
@@ -150,8 +152,8 @@
 	return seconds(ahead / e.serviceRate())
 }
 
-// callWait is how long a new request waits for calls that others make first. Requests that may do without
-// their calls don't count: they yield.
+// callWait estimates how long a new request waits for the calls of others. Queued requests that may skip
+// their calls do not count, since they skip them when calls are scarce.
 func (e *estimator) callWait() time.Duration {
 	if !e.calls.delaysCalls() {
 		return 0
@@ -159,26 +161,26 @@
 	ahead := float64(e.calls.waitingCount)
 	for i := range e.classes {
 		if e.classes[i].mustCall() {
-			ahead += float64(e.queue.classes[i].count) * e.estimates[i].callsPerRun.Or(1)
+			ahead += float64(e.queue.classes[i].count) * e.estimates[i].callsPerRun.ValueOr(1)
 		}
 	}
 	return e.calls.waitFor(ahead)
 }
 
-// needsCall reports whether a request will call the dependency.
+// needsCall reports whether a request is expected to call the dependency.
 func (e *estimator) needsCall(now time.Duration, request *request) bool {
 	return e.classes[request.class].CallsDependency && !e.skipsCall(now, request)
 }
 
-// skipsCall reports whether a request may do without its call and would wait for it so long that requests
-// which may not should have it.
+// skipsCall reports whether a request may skip its call and the expected wait exceeds skipWaitRatio of its
+// time left. The call is then left to requests that must not skip theirs.
 func (e *estimator) skipsCall(now time.Duration, request *request) bool {
 	mayDegrade := e.classes[request.class].DegradedValueRatio > 0
 	return mayDegrade && e.callWait() > scale(request.objective-now, skipWaitRatio)
 }
 
-// bottleneck is what a request that can't be on time waits for. Cores that are idle beside a queue show that
-// it is calls, whatever the estimates say.
+// bottleneck returns the resource that makes a request late. Idle cores beside a non-empty queue show that it
+// is calls, whatever the estimates say.
 func (e *estimator) bottleneck(now time.Duration, request *request) resource {
 	if !e.needsCall(now, request) {
 		return resourceCPU
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -16,7 +16,7 @@
 	return controller.estimator, controller
 }
 
-func TestWorkIsThatOfTheHintOrOfTheClass(t *testing.T) {
+func TestWorkFollowsHintOrClassMean(t *testing.T) {
 	estimator, _ := testEstimator(t)
 	const class = 1
 	require.InDelta(t, defaultWorkRatio*1, estimator.recordHint(class, 0), 1e-12)
@@ -41,7 +41,7 @@
 	require.Equal(t, seconds(0.2), estimator.serviceTime(0, &request{class: 0, work: 0.1}).Round(time.Microsecond))
 }
 
-func TestServiceTimeHasCalls(t *testing.T) {
+func TestServiceTimeIncludesCalls(t *testing.T) {
 	estimator, controller := testEstimator(t)
 	withCall := &request{class: 1, work: 0.1, objective: time.Second}
 	want := 0.1*initialRunsPerCore + defaultCallTime
@@ -55,7 +55,7 @@
 }
 
 // Of a queue with a longer objective, only a part is ahead of a request.
-func TestCPUWaitCountsWhatIsAhead(t *testing.T) {
+func TestCPUWaitCountsWorkAhead(t *testing.T) {
 	estimator, controller := testEstimator(t)
 	urgent, patient := &request{class: 1, work: 0.4}, &request{class: 0, work: 0.4}
 	require.Zero(t, estimator.cpuWait(urgent))
@@ -66,7 +66,7 @@
 	require.InDelta(t, (0.2+0.8+0.8)/4, estimator.cpuWait(patient).Seconds(), 1e-9)
 }
 
-func TestCallWaitCountsThoseWhoMustCall(t *testing.T) {
+func TestCallWaitCountsOnlyRequiredCalls(t *testing.T) {
 	estimator, controller := testEstimator(t)
 	controller.queue.push(&request{class: 0})
 	controller.queue.push(&request{class: 3}) // may go on without its call
@@ -87,7 +87,7 @@
 	require.Zero(t, estimator.callWait(), "any number of calls")
 }
 
-func TestAnyClassLate(t *testing.T) {
+func TestAnyClassLateIgnoresRemovedClasses(t *testing.T) {
 	estimator, _ := testEstimator(t)
 	require.False(t, estimator.anyClassLate())
 	estimator.estimates[2].latency = rolling.AverageOf(1.5)
--- a/admission/event.go
+++ b/admission/event.go
@@ -2,22 +2,26 @@
 
 import "time"
 
-// RequestID identifies one attempt of a request. A retry has another one.
+// RequestID identifies one attempt of a request. A retry has its own ID.
 type RequestID uint64
 
-// FleetRank places a request among those offered to the whole fleet, as far as the controller's owner knows.
+// FleetRank ranks a request among the requests offered to the whole fleet, as far as the owner of the
+// controller knows.
 type FleetRank uint8
 
-// The kinds of FleetRank. All but the last decide only what a rejection for lack of CPU time (ReasonCPU) advises.
+// The kinds of FleetRank. All but RankBelowThreshold affect only the advice in a rejection for lack of CPU
+// time (ReasonCPU).
 const (
-	// RankUnknown: nothing is known of other servers. A rejection allows a retry elsewhere, except in a retry storm.
+	// RankUnknown: nothing is known about other servers. A rejection allows a retry elsewhere, except in a
+	// retry storm.
 	RankUnknown FleetRank = iota
-	// RankElsewhere: another server has room for the request. A rejection always allows a retry elsewhere.
+	// RankElsewhere: another server has capacity for the request. A rejection always allows a retry
+	// elsewhere.
 	RankElsewhere
-	// RankFull: the fleet has no room to spare. A rejection forbids a retry elsewhere.
+	// RankFull: the fleet has no spare capacity. A rejection forbids a retry elsewhere.
 	RankFull
-	// RankBelowThreshold: the fleet sheds requests of this value. While all cores are busy the request is rejected with
-	// ReasonBelowThreshold; any rejection of it for lack of CPU time forbids a retry elsewhere.
+	// RankBelowThreshold: the fleet sheds requests of this value. While all cores are busy the request is
+	// rejected with ReasonBelowThreshold. Any rejection of it for lack of CPU time forbids a retry elsewhere.
 	RankBelowThreshold
 )
 
@@ -25,20 +29,20 @@
 	return [...]string{"unknown", "elsewhere", "full", "below threshold"}[r]
 }
 
-// EventKind distinguishes events.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The kinds of Event.
 const (
 	EventRequest    EventKind = iota // a request was read
 	EventDone                        // a run, or the reuse of a result, has ended
-	EventCancelled                   // nobody waits for this request any more
-	EventCallNeeded                  // a running request waits for a call to the dependency
-	EventCallDone                    // such a call has ended
-	EventDrain                       // this process is to stop
+	EventCancelled                   // the client no longer waits for the request
+	EventCallNeeded                  // a running request needs a call to the dependency
+	EventCallDone                    // a call to the dependency has ended
+	EventDrain                       // the process is asked to stop
 	EventTimer                       // the time of an ActionWake has come; Gauges are set
-	EventDeregister                  // operators want clients elsewhere; the process stays
-	EventReregister                  // operators want clients back
+	EventDeregister                  // an operator deregisters the server; the process continues
+	EventReregister                  // an operator registers the server again
 )
 
 func (k EventKind) String() string {
@@ -51,106 +55,106 @@
 
 // The kinds of Outcome.
 const (
-	OutcomeOK          Outcome = iota
-	OutcomeFailed              // it failed and may have had its effect
-	OutcomeRejected            // a call was rejected: it never ran
-	OutcomeTimedOut            // a call was abandoned and may have had its effect
-	OutcomeUnreachable         // the dependency was not reached: the call never ran
-	OutcomeAborted             // a call was interrupted and may have had its effect
-	OutcomeCancelled           // a run was stopped, or ended since no answer was owed
-	OutcomeNotStarted          // nothing was started: the request had ended before
+	OutcomeOK          Outcome = iota // it succeeded
+	OutcomeFailed                     // it failed and may have had its effect
+	OutcomeRejected                   // a call was rejected and never ran
+	OutcomeTimedOut                   // a call was abandoned and may have had its effect
+	OutcomeUnreachable                // the dependency was not reached, so the call never ran
+	OutcomeAborted                    // a call was interrupted and may have had its effect
+	OutcomeCancelled                  // a run was stopped, or ended because no answer was needed
+	OutcomeNotStarted                 // nothing was started, because the request had already ended
 )
 
 func (o Outcome) String() string {
 	return [...]string{"ok", "failed", "rejected", "timed out", "unreachable", "aborted", "cancelled", "not started"}[o]
 }
 
-// NeverRan reports whether the outcome proves that nothing was run.
+// NeverRan reports whether the outcome proves that nothing ran.
 func (o Outcome) NeverRan() bool {
 	return o == OutcomeRejected || o == OutcomeUnreachable || o == OutcomeNotStarted
 }
 
 // Gauges are a server's own measurements. A negative value means unknown.
 type Gauges struct {
-	CPUUtilization    float64 // part of the cores in use over the last half second
-	CPUDemand         float64 // cores asked for at present: by runs, reading, health checks, handshakes
+	CPUUtilization    float64 // part of the cores in use over the last 500 ms
+	CPUDemand         float64 // cores requested at present by runs, reading, health checks and handshakes
 	MemoryUtilization float64 // part of the memory in use
 	Connections       float64 // open connections
 }
 
-// UnknownGauges returns the gauges of a server of which nothing was measured, or not recently.
+// UnknownGauges returns Gauges whose values are all unknown.
 func UnknownGauges() Gauges {
 	return Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 }
 
-// Event is something that happened to a server. Beside Kind and ID only the part of its kind is set. The constructors,
-// from RequestArrived on, set what belongs to a kind.
+// Event is something that happened to a server. Beside Kind and ID, only the field of its kind is set. The
+// constructors below, from RequestArrived on, set the fields of each kind.
 type Event struct {
 	Kind       EventKind
-	ID         RequestID   // of the request that it is about; 0 for those that are about the server
+	ID         RequestID   // request that the event is about; 0 for an event about the server
 	Arrival    Arrival     // EventRequest
 	Completion Completion  // EventDone, EventCallDone
 	Drain      DrainSignal // EventDrain
 	Gauges     Gauges      // EventTimer
 }
 
-// Arrival is what is known of a request that was read.
+// Arrival describes a request that was read.
 type Arrival struct {
 	Class             int           // index into Settings.Classes
 	Tenant            int           // index into Settings.Tenants
-	MemoryKB          float64       // memory while queued
+	MemoryKB          float64       // memory of the request while queued, in kB
 	CostHint          time.Duration // expected work on a standard core; 0: unknown
-	Retry             bool          // it is marked as a retry
-	RetryOf           RequestID     // the remembered request that it retries; 0: none
-	FleetRank         FleetRank
-	Deadline          time.Duration // when its client gives up; 0: not known
-	Waited            time.Duration // since it reached the machine
-	SinceFirstAttempt time.Duration // from the first attempt of its client to this one; 0: none, or not known
-	RetryJitter       time.Duration // added to advice to stay away, so that clients don't return at one instant
+	Retry             bool          // marked as a retry
+	RetryOf           RequestID     // known request that this one retries; 0: none
+	FleetRank         FleetRank     // rank among the requests offered to the fleet
+	Deadline          time.Duration // when the client gives up, on the owner's clock; 0: unknown
+	Waited            time.Duration // time between reaching the machine and being read
+	SinceFirstAttempt time.Duration // time from the client's first attempt to this one; 0: none, or unknown
+	RetryJitter       time.Duration // added to RetryAfter, so that clients do not return simultaneously
 }
 
-// Completion is the end of a run, of the reuse of a result, or of a call.
+// Completion describes the end of a run, of the reuse of a result, or of a call.
 type Completion struct {
 	Outcome Outcome
-	Took    time.Duration // since it was started
+	Took    time.Duration // time since the start
 }
 
-// DrainSignal is the request that a process stops.
+// DrainSignal asks a process to stop.
 type DrainSignal struct {
-	Waited   time.Duration // since the signal
-	StopAt   time.Duration // when the process ends
-	Replaced bool          // another process of this server goes on: health stays
+	Waited   time.Duration // time since the signal was given
+	StopAt   time.Duration // when the process ends, on the owner's clock
+	Replaced bool          // another process takes over this server, so its health state does not change
 }
 
-// RequestArrived is an EventRequest.
+// RequestArrived returns an EventRequest.
 func RequestArrived(id RequestID, arrival Arrival) Event {
 	return Event{Kind: EventRequest, ID: id, Arrival: arrival}
 }
 
-// RunCompleted is an EventDone.
+// RunCompleted returns an EventDone.
 func RunCompleted(id RequestID, completion Completion) Event {
 	return Event{Kind: EventDone, ID: id, Completion: completion}
 }
 
-// RequestCancelled is an EventCancelled.
+// RequestCancelled returns an EventCancelled.
 func RequestCancelled(id RequestID) Event { return Event{Kind: EventCancelled, ID: id} }
 
-// CallNeeded is an EventCallNeeded.
+// CallNeeded returns an EventCallNeeded.
 func CallNeeded(id RequestID) Event { return Event{Kind: EventCallNeeded, ID: id} }
 
-// CallCompleted is an EventCallDone.
+// CallCompleted returns an EventCallDone.
 func CallCompleted(id RequestID, completion Completion) Event {
 	return Event{Kind: EventCallDone, ID: id, Completion: completion}
 }
 
-// DrainStarted is an EventDrain.
+// DrainStarted returns an EventDrain.
 func DrainStarted(signal DrainSignal) Event { return Event{Kind: EventDrain, Drain: signal} }
 
-// TimerFired is an EventTimer.
+// TimerFired returns an EventTimer.
 func TimerFired(gauges Gauges) Event { return Event{Kind: EventTimer, Gauges: gauges} }
 
-// ServerDeregistered is an EventDeregister.
+// ServerDeregistered returns an EventDeregister.
 func ServerDeregistered() Event { return Event{Kind: EventDeregister} }
 
-// ServerReregistered is an EventReregister.
+// ServerReregistered returns an EventReregister.
 func ServerReregistered() Event { return Event{Kind: EventReregister} }
--- a/admission/example_parts_test.go
+++ b/admission/example_parts_test.go
@@ -69,7 +69,7 @@
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond { // 20 requests a second
 		quotas.count(now, 0)
 	}
-	quotas.weigh(time.Minute)
+	quotas.updateValueFactors(time.Minute)
 	fmt.Printf("%.1f\n", quotas.valueFactor(0))
 	// Output: 0.5
 }
@@ -78,7 +78,7 @@
 func Example_memoryBudget() {
 	var memory memoryBudget
 	memory.configure(&Settings{MemoryKB: 1000, RunningMemoryFactor: 4})
-	memory.take(900)
+	memory.reserve(900)
 	fmt.Println(memory.exceeded(), memory.wouldExceed(memory.runningExtraKB(10)))
 	// Output: false true
 }
--- a/admission/health.go
+++ b/admission/health.go
@@ -3,26 +3,28 @@
 import "time"
 
 const (
-	unhealthyReadDelayRatio = 0.4                    // delay before reading, of the shortest objective
-	minHealthDuration       = 500 * time.Millisecond // for which a health state stays at least
+	unhealthyReadDelayRatio = 0.4                    // of the shortest objective: limit of the read delay
+	minHealthDuration       = 500 * time.Millisecond // a health state lasts at least this long
 )
 
 // health decides how health checks are answered. A server is reported unhealthy while operators have
-// deregistered it, and for a time when the delay before requests are read is over its limit: rejecting them
-// costs work too, and clients that send seldom return after any advice has expired.
+// deregistered it, and temporarily when the mean read delay is over its limit. In that case rejecting
+// requests is not enough: a rejection costs work as well, and clients that seldom send a request return only
+// after the advised time has passed anyway.
 //
-// The state flips back after minHealthDuration even while the delay persists, so that for its delay a server
-// is unhealthy half of the time at most. A fleet whose servers are all late keeps about half of them.
+// The state flips back after minHealthDuration even if the read delay is still over its limit. A server is
+// therefore unhealthy for its read delay at most half of the time, and a fleet whose servers are all late
+// keeps about half of its servers.
 type health struct {
-	deregistered bool // by an operator
-	unhealthy    bool
-	changedAt    time.Duration
+	deregistered bool          // by an operator
+	unhealthy    bool          // because of the read delay
+	changedAt    time.Duration // time of the last change of the state
 }
 
-// adjust decides anew at now, once per sweep, and reports whether the answer has changed. During a drain it
-// stays.
+// adjust updates the state, once per periodic decision, and reports whether the answer to health checks has
+// changed. The answer does not change during a drain.
 func (h *health) adjust(now time.Duration, readDelayExceeded, draining bool) (changed bool) {
-	unhealthy := !h.unhealthy && readDelayExceeded // false if unhealthy now: the state flips back
+	unhealthy := !h.unhealthy && readDelayExceeded // an unhealthy state flips back
 	tooSoon := now < h.changedAt+minHealthDuration
 	if draining || h.deregistered || unhealthy == h.unhealthy || tooSoon {
 		return false
@@ -32,9 +34,10 @@
 	return true
 }
 
-// setDeregistered records that operators have deregistered the server, or registered it again, and reports
-// whether the answer to health checks is to be sent anew. Requests that still arrive are handled as usual, as
-// clients notice late. A state caused by the read delay ends. During a drain the answer stays.
+// setDeregistered records that operators have deregistered the server or registered it again, and reports
+// whether the answer to health checks must be sent again. It ends an unhealthy state that the read delay has
+// caused. Requests that still arrive are handled as usual, since clients notice the change late. The answer
+// does not change during a drain.
 func (h *health) setDeregistered(now time.Duration, deregistered, draining bool) (changed bool) {
 	h.deregistered = deregistered
 	if draining {
@@ -45,7 +48,7 @@
 	return true
 }
 
-// answer is how health checks are answered from now on. Cached is always true: the server answers them from
+// answer returns how health checks are answered from now on. Cached is always true: the server answers from
 // its last state, without a check of the agent.
 func (h *health) answer() HealthAnswer {
 	return HealthAnswer{Healthy: !h.unhealthy && !h.deregistered, Cached: true}
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLateReaderIsUnhealthyHalfOfTheTime(t *testing.T) {
+func TestServerWithLongReadDelayIsUnhealthyHalfOfTheTime(t *testing.T) {
 	controller := startController(t, testSettings())
 	off, answers := time.Duration(0), 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestHealthAnswers(t *testing.T) {
+func TestHealthStateTransitions(t *testing.T) {
 	var health health
 	require.Equal(t, HealthAnswer{Healthy: true, Cached: true}, health.answer())
 	require.False(t, health.adjust(time.Second, false, false), "nothing has changed")
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -1,9 +1,9 @@
 package admission
 
-// joinAttempt lets an attempt share the run and the result of an earlier one that is known here; false means
-// that it is handled like a first attempt. An earlier attempt that is not in flight any more may have run,
-// and only its result may answer.
-func (c *Controller) joinAttempt(request *request, earlier RequestID) bool {
+// shareRun makes an attempt share the run and the result of an earlier attempt. It returns false if results
+// of the class are not reused; the attempt is then handled like a first attempt. If the earlier attempt is no
+// longer queued, it may have run, and only its result may answer the new attempt.
+func (c *Controller) shareRun(request *request, earlier RequestID) bool {
 	if !c.keys.reusesResults(request.class) {
 		return false
 	}
@@ -26,16 +26,18 @@
 	return true
 }
 
-// reuseResult answers a request with the result of the run that it retries.
+// reuseResult answers a request with the result of the run that it retries. A request that has ended is
+// ignored.
 func (c *Controller) reuseResult(request *request) {
 	if request.state != released {
-		request.state = joined
+		request.state = awaitingResult
 		c.actions.emit(Action{Kind: ActionReuse, ID: request.id})
 	}
 }
 
-// promoteFollower gives the place of an attempt that ended without a run to the first of its followers that
-// still waits. The others follow that one, so that an idempotent request never runs twice.
+// promoteFollower replaces an attempt that ended without a run by the first of its followers that still waits
+// and is admitted. The remaining followers follow the new leader, so that an idempotent request never runs
+// twice.
 func (c *Controller) promoteFollower(followers []*request) {
 	var leader *request
 	for _, follower := range followers {
--- a/admission/idempotency_test.go
+++ b/admission/idempotency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestIdempotentRequestRunsOneTime(t *testing.T) {
+func TestIdempotentRequestRunsOnce(t *testing.T) {
 	controller := startController(t, testSettings())
 	actions := controller.Step(0, []Event{arrived(1, 1)}, nil)
 	requireAction(t, actions, ActionRemember, 1)
@@ -40,7 +40,7 @@
 	requireAction(t, actions, ActionRun, 2)
 }
 
-func TestNoMemoryForKeyMeansNoRun(t *testing.T) {
+func TestRequestIsRejectedWithoutMemoryForKey(t *testing.T) {
 	settings := testSettings()
 	settings.KeyMemoryKB = settings.MemoryKB
 	controller := startController(t, settings)
--- a/admission/idle_timeout.go
+++ b/admission/idle_timeout.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	idleConnectionPayoff = 0.5 // mean interval of a client, of the timeout, above which it is shortened
-	shortIdleTimeout     = 500 * time.Millisecond
+	idleConnectionPayoff = 0.5                    // of the timeout: client interval that shortens it
+	shortIdleTimeout     = 500 * time.Millisecond // while clients seldom return
 )
 
-// idleTimeout is the time after which idle connections are closed. It weighs open connections, which cost CPU
-// and a place in a table of unknown size, against new ones, which cost work once. Where a client returns well
-// within the configured timeout it keeps its connection; where it seldom does, connections are closed soon,
-// before rare clients fill the table.
+// idleTimeout decides how long idle connections are kept. An open connection costs CPU time and a place in a
+// table of unknown size; a new connection costs work once. If clients return well within the configured
+// timeout, they keep their connections. If they seldom do, connections are closed soon, before infrequent
+// clients fill the table.
 type idleTimeout struct {
-	configured time.Duration
-	current    time.Duration
+	configured time.Duration // from the settings
+	current    time.Duration // in effect
 }
 
-// adjust sets the timeout for so many clients, once per sweep, and reports whether it has changed.
+// adjust sets the timeout for the given number of clients, once per periodic decision, and reports whether it
+// has changed.
 func (t *idleTimeout) adjust(now time.Duration, clients float64, arrivals *arrivalRate) (changed bool) {
 	arrivals.counts.DecayTo(now)
-	requests := arrivals.counts.First // in offeredTimeConstant
+	requests := arrivals.counts.First // per offeredTimeConstant
 	timeout := t.configured
 	if clients*offeredTimeConstant.Seconds() > idleConnectionPayoff*timeout.Seconds()*requests {
 		timeout = min(timeout, shortIdleTimeout)
--- a/admission/idle_timeout_test.go
+++ b/admission/idle_timeout_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestIdleTimeoutWeighsClientIntervals(t *testing.T) {
+func TestIdleTimeoutFollowsMeanClientInterval(t *testing.T) {
 	arrivals := newArrivalRate()
 	for range 80 { // 10 requests a second
 		arrivals.add(0, false)
--- a/admission/internal/rolling/decaying.go
+++ b/admission/internal/rolling/decaying.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// DecayingPair is a pair of sums that decay exponentially, both by the same factor at the same time, so that their
-// quotient is a ratio over the recent past.
+// DecayingPair is a pair of exponentially decaying sums. Both decay by the same factor at the same time, so
+// that their quotient is a ratio over the recent past.
 type DecayingPair struct {
-	First  float64
-	Second float64
+	First  float64 // as of the last DecayTo or Add
+	Second float64 // as of the last DecayTo or Add
 
-	timeConstant time.Duration
-	updatedAt    time.Duration
+	timeConstant time.Duration // in which the sums decay to 1/e
+	updatedAt    time.Duration // time of the last decay
 }
 
-// NewDecayingPair returns a pair of sums at time 0 that decay to 1/e of their values in each timeConstant.
+// NewDecayingPair returns a pair with the given sums at time 0. The sums decay to 1/e of their values in each
+// timeConstant.
 func NewDecayingPair(timeConstant time.Duration, first, second float64) DecayingPair {
 	return DecayingPair{First: first, Second: second, timeConstant: timeConstant}
 }
 
-// Add lets both sums decay until now and adds to them.
+// Add decays both sums to now and then adds first and second to them.
 func (d *DecayingPair) Add(now time.Duration, first, second float64) {
 	d.DecayTo(now)
 	d.First += first
 	d.Second += second
 }
 
-// DecayTo lets both sums decay until now.
+// DecayTo decays both sums to now. A time before the last decay changes nothing.
 func (d *DecayingPair) DecayTo(now time.Duration) {
 	if now <= d.updatedAt {
 		return
--- a/admission/internal/rolling/doc.go
+++ b/admission/internal/rolling/doc.go
@@ -1,3 +1,4 @@
-// Package rolling has statistics of the recent past: sums over a window of time, sums and averages that decay, and a
-// line fitted to recent points. None of them reads a clock: the time is an argument and must not go back.
+// Package rolling implements statistics over the recent past: sums over a time window, sums and averages that
+// decay, and a line fitted to recent points. It reads no clock: each method that depends on time takes it as
+// an argument, which must not go backwards.
 package rolling
--- a/admission/internal/rolling/example_test.go
+++ b/admission/internal/rolling/example_test.go
@@ -33,7 +33,7 @@
 	var average rolling.Average
 	average.Add(10, 0.5)
 	average.Add(20, 0.5)
-	fmt.Println(average.Or(0))
+	fmt.Println(average.ValueOr(0))
 	// Output: 15
 }
 
--- a/admission/internal/rolling/linear_fit.go
+++ b/admission/internal/rolling/linear_fit.go
@@ -1,18 +1,19 @@
 package rolling
 
 const (
-	minVariance = 1e-9 // of x, below which all points are taken to have one x
-	minX        = 1e-9 // least mean of x that is divided by
+	minVariance = 1e-9 // variance of x at or below which the slope is taken as 0
+	minX        = 1e-9 // lower bound of the mean of x that is divided by
 )
 
-// LinearFit is a least-squares line through recent points, older ones weighing less. Its slope is clamped between 0 and
-// that of the line through the origin and the mean point, so that imprecise x values do not lead to extreme values.
+// LinearFit is a least-squares line through recent points, with exponentially decreasing weights. Its slope
+// is clamped between 0 and that of the line through the origin and the mean point, so that imprecise x values
+// do not lead to extreme estimates.
 type LinearFit struct {
-	x, y   Average
-	xx, xy Average
+	x, y   Average // means of x and y
+	xx, xy Average // means of x*x and x*y
 }
 
-// Add adds a point. Gain is its weight against all earlier points, from 0 to 1.
+// Add adds a point. gain, from 0 to 1, is its weight relative to all earlier points.
 func (f *LinearFit) Add(x, y, gain float64) {
 	f.x.Add(x, gain)
 	f.y.Add(y, gain)
@@ -23,7 +24,7 @@
 // Known reports whether a point was added.
 func (f *LinearFit) Known() bool { return f.x.Known() }
 
-// At returns the line's value at x, or 0 before a point was added.
+// At returns the value of the line at x, or 0 if no point was added.
 func (f *LinearFit) At(x float64) float64 {
 	return f.y.value + f.slope()*(x-f.x.value)
 }
--- a/admission/internal/rolling/rolling_test.go
+++ b/admission/internal/rolling/rolling_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestWindowForgetsAllAfterItsSpan(t *testing.T) {
+func TestWindowDropsValuesAfterSpan(t *testing.T) {
 	window := NewWindow(time.Hour, time.Second, 10)
 	window.Add(time.Hour, 0.1)
 	window.Add(time.Hour+300*time.Millisecond, 0.2)
@@ -52,7 +52,7 @@
 	require.Zero(t, window.Sum(time.Hour+10*time.Second))
 }
 
-func TestWindowOfNoSpanHasBuckets(t *testing.T) {
+func TestWindowWithZeroSpan(t *testing.T) {
 	window := NewWindow(0, 0, 4)
 	window.Add(1, 2)
 	require.InDelta(t, 2, window.Sum(1), 0)
@@ -77,10 +77,10 @@
 func TestAverage(t *testing.T) {
 	var average Average
 	require.False(t, average.Known())
-	require.InDelta(t, 7, average.Or(7), 0)
+	require.InDelta(t, 7, average.ValueOr(7), 0)
 	require.Zero(t, average.Value())
 	average.Add(10, 0.1)
-	require.InDelta(t, 10, average.Or(7), 0, "the first value counts whole")
+	require.InDelta(t, 10, average.ValueOr(7), 0, "the first value counts whole")
 	average.Add(20, 0.1)
 	require.InDelta(t, 11, average.Value(), 1e-12)
 	average.Scale(0.5)
--- a/admission/internal/rolling/window.go
+++ b/admission/internal/rolling/window.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Window is a sum over the recent past, kept in buckets of equal width. Values older than the span are dropped one bucket
-// at a time.
+// Window is a sum over the recent past, kept in buckets of equal width. Values older than the span are
+// dropped one bucket at a time.
 type Window struct {
 	width      time.Duration // of a bucket
-	buckets    []float64
-	sum        float64
-	lastBucket int64 // number of the newest bucket since time 0
+	buckets    []float64     // sum of each bucket; bucket number n is at n modulo their count
+	sum        float64       // of all buckets
+	lastBucket int64         // number of the newest bucket, counted from time 0
 }
 
 // NewWindow returns an empty window that ends at now.
@@ -19,20 +19,20 @@
 	return window
 }
 
-// Add adds a value at now.
+// Add adds value to the newest bucket at now.
 func (w *Window) Add(now time.Duration, value float64) {
 	w.advance(now)
 	w.buckets[w.lastBucket%int64(len(w.buckets))] += value
 	w.sum += value
 }
 
-// Sum returns the sum of the window that ends at now. Rounding never makes it negative.
+// Sum returns the sum of the window that ends at now. It is never negative, despite rounding.
 func (w *Window) Sum(now time.Duration) float64 {
 	w.advance(now)
 	return max(w.sum, 0)
 }
 
-// advance drops the buckets that have left the window at now.
+// advance drops the buckets that are outside the window at now.
 func (w *Window) advance(now time.Duration) {
 	newest := int64(now / w.width)
 	steps := newest - w.lastBucket
--- a/admission/internal/timedqueue/queue.go
+++ b/admission/internal/timedqueue/queue.go
@@ -1,4 +1,4 @@
-// Package timedqueue has a priority queue of values by time.
+// Package timedqueue implements a priority queue of values ordered by time.
 package timedqueue
 
 import (
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Queue yields values by time, equal times in order of entry. Values that no longer matter may be left in it; whoever
-// takes them out ignores them. The zero Queue is empty.
+// Queue yields values ordered by time; values with equal times are ordered by insertion. Obsolete values may
+// be left in the queue; the caller then ignores them when it takes them out. The zero Queue is empty.
 type Queue[T any] struct {
-	heap     []item[T] // a binary heap: no item comes before its parent, which is at (index-1)/2
-	sequence uint64
+	heap     []item[T] // a binary heap: no item comes before its parent at (index-1)/2
+	sequence uint64    // number of values pushed
 }
 
 // item is an entry of a Queue.
 type item[T any] struct {
 	at       time.Duration
-	sequence uint64 // order of entry
+	sequence uint64 // order of insertion
 	value    T
 }
 
-// Push adds a value.
+// Push adds a value to be yielded in the order of at.
 func (q *Queue[T]) Push(at time.Duration, value T) {
 	q.sequence++
 	q.heap = append(q.heap, item[T]{at: at, sequence: q.sequence, value: value})
@@ -30,7 +30,7 @@
 // Len returns the number of values.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// Peek returns the earliest value and its time; false means that the queue is empty.
+// Peek returns the earliest value and its time, or false if the queue is empty.
 func (q *Queue[T]) Peek() (value T, at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return value, 0, false
@@ -47,7 +47,7 @@
 	q.moveDown(0)
 }
 
-// DeleteFunc removes all values for which remove returns true. They are visited in no particular order.
+// DeleteFunc removes all values for which remove returns true. It visits the values in no particular order.
 func (q *Queue[T]) DeleteFunc(remove func(T) bool) {
 	before := len(q.heap)
 	q.heap = slices.DeleteFunc(q.heap, func(entry item[T]) bool { return remove(entry.value) })
@@ -59,6 +59,7 @@
 	}
 }
 
+// before reports whether the item at left is yielded before the item at right.
 func (q *Queue[T]) before(left, right int) bool {
 	if q.heap[left].at != q.heap[right].at {
 		return q.heap[left].at < q.heap[right].at
@@ -70,7 +71,7 @@
 	q.heap[left], q.heap[right] = q.heap[right], q.heap[left]
 }
 
-// moveUp moves the item at index towards the front until its parent comes before it.
+// moveUp moves the item at index towards the root until its parent comes before it.
 func (q *Queue[T]) moveUp(index int) {
 	for index > 0 {
 		parent := (index - 1) / 2
@@ -82,7 +83,7 @@
 	}
 }
 
-// moveDown moves the item at index towards the back until it comes before its children.
+// moveDown moves the item at index away from the root until it comes before its children.
 func (q *Queue[T]) moveDown(index int) {
 	for {
 		child := 2*index + 1
--- a/admission/key_table.go
+++ b/admission/key_table.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// keyTable remembers requests, so that their retries share one run and its result: requests of classes that
-// are idempotent by key, for the window of their class, and reads whose results are cached. It accounts for
-// the memory of its entries, and emits the actions by which the owner of the controller keeps the same ones.
+// keyTable remembers requests so that their retries share one run and its result. It remembers requests of
+// classes that are idempotent by key for the window of the class, and reads whose results are cached. It
+// accounts for the memory of its entries and emits the actions that keep the owner's copy of the table in
+// step.
 type keyTable struct {
 	classes   []Class
-	cacheTTL  time.Duration
-	tick      time.Duration
-	expiresAt map[RequestID]time.Duration
+	cacheTTL  time.Duration               // for which the result of a read may answer others; 0: never
+	tick      time.Duration               // shortest time for which a request is remembered
+	expiresAt map[RequestID]time.Duration // by ID of the remembered request
 	memory    *memoryBudget
 	timers    *timers
 	actions   *actionBuffer
@@ -33,7 +34,8 @@
 // len returns the number of entries.
 func (k *keyTable) len() int { return len(k.expiresAt) }
 
-// reusesResults reports whether the result of one attempt of a request of a class may answer others.
+// reusesResults reports whether the result of one attempt may answer other attempts of the same request, for
+// a class.
 func (k *keyTable) reusesResults(class int) bool {
 	switch k.classes[class].Idempotency {
 	case IdempotentByKey:
@@ -45,8 +47,8 @@
 	return false
 }
 
-// reserve remembers a request before it may run if it is idempotent by key. False means that there is no
-// memory for its key, and it must not run. Requests of other classes need no entry.
+// reserve remembers a request that is idempotent by key before it may run. It returns false if there is no
+// memory for the key; the request must then not run. Requests of other classes need no entry.
 func (k *keyTable) reserve(now time.Duration, request *request) bool {
 	if k.classes[request.class].Idempotency != IdempotentByKey {
 		return true
@@ -59,9 +61,9 @@
 	return true
 }
 
-// cacheResult remembers a read that has just started for cacheTTL, so that its result answers retries, if
-// memory allows. Only the simulator caches results: with the settings of the real server, from
-// internal/config, CacheTTL is 0.
+// cacheResult remembers a read that has just started for cacheTTL, if memory allows, so that its result
+// answers retries. Only the simulator caches results: the settings of the real server (internal/config) have
+// a CacheTTL of 0.
 func (k *keyTable) cacheResult(now time.Duration, request *request) {
 	isRead := k.classes[request.class].Idempotency == Safe
 	if k.cacheTTL > 0 && isRead && k.memory.allowsCaching() {
@@ -69,9 +71,10 @@
 	}
 }
 
+// add remembers a request for the given duration.
 func (k *keyTable) add(now time.Duration, request *request, duration time.Duration) {
 	request.remembered = true
-	k.memory.take(k.memory.keyKB)
+	k.memory.reserve(k.memory.keyKB)
 	k.expiresAt[request.id] = now + duration
 	k.timers.add(now+duration, deadline{kind: deadlineKey, id: request.id})
 	k.actions.emit(Action{Kind: ActionRemember, ID: request.id, Duration: duration})
@@ -81,13 +84,13 @@
 func (k *keyTable) forget(now time.Duration, request *request) {
 	request.remembered = false
 	if expiresAt, known := k.expiresAt[request.id]; known && expiresAt > now {
-		k.memory.giveBack(k.memory.keyKB)
+		k.memory.release(k.memory.keyKB)
 		k.actions.emit(Action{Kind: ActionForget, ID: request.id})
 		delete(k.expiresAt, request.id)
 	}
 }
 
-// runEnded forgets a read whose run ended without a result that could answer others.
+// runEnded drops the entry of a read whose run ended without a result that could answer others.
 func (k *keyTable) runEnded(now time.Duration, request *request, outcome Outcome) {
 	noResult := outcome == OutcomeCancelled || outcome == OutcomeFailed
 	isRead := k.classes[request.class].Idempotency == Safe
@@ -96,10 +99,11 @@
 	}
 }
 
-// expire drops an entry at the end of its time; the owner of the controller does so by itself.
+// expire drops an entry whose time has passed. It emits no action, since the owner drops its own entry by
+// itself.
 func (k *keyTable) expire(id RequestID) {
 	if _, known := k.expiresAt[id]; known {
-		k.memory.giveBack(k.memory.keyKB)
+		k.memory.release(k.memory.keyKB)
 		delete(k.expiresAt, id)
 	}
 }
--- a/admission/key_table_test.go
+++ b/admission/key_table_test.go
@@ -44,14 +44,14 @@
 	require.Zero(t, memory.usedKB)
 }
 
-func TestKeyTableNeedsMemory(t *testing.T) {
+func TestKeyIsNotReservedWithoutMemory(t *testing.T) {
 	keys, memory, _, actions := testKeyTable(testSettings())
-	memory.take(memory.limitKB() - 9)
+	memory.reserve(memory.limitKB() - 9)
 	require.False(t, keys.reserve(0, &request{id: 1, class: 1}))
 	require.Empty(t, actions.take())
 }
 
-func TestResultsOfReadsAreCachedWhileThereIsMemory(t *testing.T) {
+func TestReadResultsAreCachedWhileMemoryAllows(t *testing.T) {
 	settings := testSettings()
 	settings.CacheTTL = time.Second
 	keys, memory, _, actions := testKeyTable(settings)
@@ -60,7 +60,7 @@
 	keys.cacheResult(0, &request{id: 2, class: 1})
 	keys.cacheResult(0, &request{id: 3, class: 2})
 	require.Empty(t, actions.take(), "not reads")
-	memory.take(memory.limitKB() / 2)
+	memory.reserve(memory.limitKB() / 2)
 	keys.cacheResult(0, &request{id: 4, class: 0})
 	require.Empty(t, actions.take(), "half of the memory is in use")
 	for class, shares := range []bool{true, true, false, true} {
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestMemoryAndConcurrencyLimits(t *testing.T) {
+func TestMemoryAndSlowStartLimitsHold(t *testing.T) {
 	settings := testSettings()
 	settings.WarmingUp = true
 	settings.MemoryKB = 300
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -1,16 +1,16 @@
 package admission
 
 const (
-	safeMemoryRatio  = 0.92 // of the memory; the rest is for requests that are being read
-	cacheMemoryRatio = 0.5  // of the limit, up to which results of reads are cached
+	safeMemoryRatio  = 0.92 // of the memory: the limit; the rest is for requests being read
+	cacheMemoryRatio = 0.5  // of the limit: up to there results of reads are cached
 )
 
-// memoryBudget counts the memory that requests and keys take, and limits it. All sizes are in kB.
+// memoryBudget tracks and limits the memory that requests and remembered keys use. All sizes are in kB.
 type memoryBudget struct {
-	capacityKB    float64
+	capacityKB    float64 // memory of the server
 	runningFactor float64 // memory of a running request, as a multiple of that of a queued one
 	keyKB         float64 // memory of one remembered key
-	usedKB        float64
+	usedKB        float64 // reserved by requests and keys
 }
 
 func (m *memoryBudget) configure(settings *Settings) {
@@ -19,26 +19,29 @@
 	m.keyKB = settings.KeyMemoryKB
 }
 
+// limitKB returns the limit on the memory in use.
 func (m *memoryBudget) limitKB() float64 { return safeMemoryRatio * m.capacityKB }
 
-// exceeded reports whether more is in use than the limit, so that a new request is not admitted.
+// exceeded reports whether the memory in use is above the limit, so that new requests are rejected.
 func (m *memoryBudget) exceeded() bool { return m.usedKB > m.limitKB() }
 
-// wouldExceed reports whether more is in use than the limit once so much more is taken.
+// wouldExceed reports whether reserving moreKB would exceed the limit.
 func (m *memoryBudget) wouldExceed(moreKB float64) bool { return m.usedKB+moreKB > m.limitKB() }
 
-// allowsCaching reports whether there is so much left that results of reads may be cached.
+// allowsCaching reports whether enough memory is free to cache results of reads.
 func (m *memoryBudget) allowsCaching() bool { return m.usedKB < cacheMemoryRatio*m.limitKB() }
 
-// runningExtraKB is the memory that a request takes beyond that of a queued one while it runs.
+// runningExtraKB returns the memory that a request needs while it runs, beyond the requestKB that it needs
+// while queued.
 func (m *memoryBudget) runningExtraKB(requestKB float64) float64 {
 	return (m.runningFactor - 1) * requestKB
 }
 
-func (m *memoryBudget) take(kB float64)     { m.usedKB += kB }
-func (m *memoryBudget) giveBack(kB float64) { m.usedKB -= kB }
+func (m *memoryBudget) reserve(kB float64) { m.usedKB += kB }
+func (m *memoryBudget) release(kB float64) { m.usedKB -= kB }
 
-// recount adds up what requests and so many keys take, once the sizes of settings have changed.
+// recount computes the memory in use anew after the sizes in the settings have changed. keys is the number of
+// remembered keys.
 func (m *memoryBudget) recount(requests map[RequestID]*request, keys int) {
 	m.usedKB = float64(keys) * m.keyKB
 	for _, request := range requests {
--- a/admission/memory_test.go
+++ b/admission/memory_test.go
@@ -6,20 +6,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMemoryBudget(t *testing.T) {
+func TestMemoryBudgetLimits(t *testing.T) {
 	var memory memoryBudget
 	memory.configure(&Settings{MemoryKB: 1000, RunningMemoryFactor: 4, KeyMemoryKB: 10})
 	require.InDelta(t, 920, memory.limitKB(), 1e-9)
 	require.InDelta(t, 60, memory.runningExtraKB(20), 0)
-	memory.take(459)
+	memory.reserve(459)
 	require.True(t, memory.allowsCaching())
-	memory.take(461)
+	memory.reserve(461)
 	require.False(t, memory.allowsCaching())
 	require.False(t, memory.exceeded(), "at the limit")
 	require.True(t, memory.wouldExceed(1))
-	memory.take(1)
+	memory.reserve(1)
 	require.True(t, memory.exceeded())
-	memory.giveBack(1)
+	memory.release(1)
 	require.False(t, memory.exceeded())
 	requests := map[RequestID]*request{1: {memoryKB: 10, state: queued}, 2: {memoryKB: 20, state: awaitingCall}}
 	memory.recount(requests, 3)
--- a/admission/periodic.go
+++ b/admission/periodic.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// sweep makes the periodic decisions.
-func (c *Controller) sweep() {
-	c.expireQueued() // even if no core is free
-	c.values.quotas.weigh(c.now)
+// runPeriodic makes the periodic decisions. It is called every periodicInterval.
+func (c *Controller) runPeriodic() {
+	c.expireQueued() // also while no core is free
+	c.values.quotas.updateValueFactors(c.now)
 	c.admitProbability.adjust(c.estimator.cpuOverloaded(c.gauges))
 	c.runs.adjust(c.gauges.CPUDemand, c.queue.count > 0)
 	c.calls.limiter.adjust()
@@ -22,7 +22,8 @@
 	c.reportConditions()
 }
 
-// isIdle reports whether nothing is in flight and nothing recovers, so that a sweep would change nothing.
+// isIdle reports whether nothing is in flight and no limit is recovering, so that the periodic decisions
+// would change nothing.
 func (c *Controller) isIdle() bool {
 	recovered := c.calls.limiter.recovered() && c.admitProbability.recovered() && !c.health.unhealthy
 	inFlight := len(c.requests) > 0 || c.calls.limiter.abandoned > 0
@@ -30,7 +31,7 @@
 	return recovered && !inFlight && !c.drain.started && coresIdle
 }
 
-// expireDeadlines acts on all deadlines that have passed.
+// expireDeadlines handles all deadlines that have passed.
 func (c *Controller) expireDeadlines() {
 	for {
 		expired, ok := c.timers.expired(c.now)
@@ -47,15 +48,16 @@
 		case deadlineCallRetry:
 			c.calls.requeue(c.now, expired.request)
 		case deadlineAbandonedCall:
-			c.calls.abandonedEnded()
+			c.calls.untrackAbandoned()
 		case deadlineKey:
 			c.keys.expire(expired.id)
 		}
 	}
 }
 
-// startDrain moves the deadlines of all answers before the end of the process. Unless another process of this
-// server replaces it, the server is reported unhealthy and advertises a value that turns clients away.
+// startDrain starts a drain and moves the deadlines of all answers before the end of the process. Unless
+// another process of this server replaces this one, the server is reported unhealthy and advertises a value
+// that turns clients away. Further drain signals are ignored.
 func (c *Controller) startDrain(signal DrainSignal) {
 	if c.drain.started {
 		return
@@ -76,7 +78,7 @@
 	}
 }
 
-// reportConditions logs which conditions begin or end.
+// reportConditions emits a log action for each condition that began or ended.
 func (c *Controller) reportConditions() {
 	dropProbability := c.calls.breaker.dropProbability(c.now)
 	for _, state := range [...]ConditionChange{
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -31,7 +31,7 @@
 }
 
 // Every file of this package that decides is named in the deploy file, and no other.
-func TestPolicyNamesEveryFileThatDecides(t *testing.T) {
+func TestPolicyListsEveryFileThatDecides(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	require.NoError(t, err)
 	var deciding []string
@@ -47,7 +47,7 @@
 }
 
 // No file that decides is longer or wider than what can be read at a glance.
-func TestSizeAndWidthOfThePolicyFiles(t *testing.T) {
+func TestPolicyFilesAreShortAndNarrow(t *testing.T) {
 	const maxLines, maxColumns = 250, 110
 	for _, path := range policyFiles(t) {
 		text, err := os.ReadFile("../" + path)
@@ -78,7 +78,7 @@
 }
 
 // Names of classes, tenants and clients decide nothing, since none reaches the package: settings and events have no text.
-func TestNamesDecideNothing(t *testing.T) {
+func TestSettingsAndEventsCarryNoText(t *testing.T) {
 	for _, v := range []any{Settings{}, Event{}, Arrival{}, Completion{}, DrainSignal{}, Gauges{}, Class{}, Tenant{}} {
 		ty := reflect.TypeOf(v)
 		for i := range ty.NumField() {
--- a/admission/random_server_test.go
+++ b/admission/random_server_test.go
@@ -10,8 +10,8 @@
 type attemptPhase uint8
 
 const (
-	attemptWaiting attemptPhase = iota
-	attemptJoined               // waits for the result of another one
+	attemptWaiting        attemptPhase = iota
+	attemptAwaitingResult              // waits for the result of another one
 	attemptRunning
 	attemptAwaitingCall
 	attemptCalling
@@ -113,7 +113,7 @@
 	}
 	atCall := current.phase == attemptAwaitingCall || current.phase == attemptCalling
 	switch roll := s.rng.IntN(40); {
-	case current.phase == attemptJoined && roll < 4:
+	case current.phase == attemptAwaitingResult && roll < 4:
 		return done(Outcome(s.rng.IntN(2)), 5*ms)
 	case current.phase == attemptCalling && roll < 6:
 		return append(events, s.endCall(id, current))
@@ -171,7 +171,7 @@
 			if a.answered || a.ran {
 				s.t.Fatalf("reuse for %d out of place", action.ID)
 			}
-			a.phase = attemptJoined
+			a.phase = attemptAwaitingResult
 		case ActionStop:
 			if s.settings.Halt == HaltOff {
 				s.t.Fatal("stop where nothing can be stopped")
--- a/admission/reconfigure.go
+++ b/admission/reconfigure.go
@@ -1,8 +1,9 @@
 package admission
 
-// Reconfigure replaces the settings while requests are in flight. Classes are identified by their index: those that
-// there were keep theirs, and new ones follow. A server warms up once, at its start. It is called between two steps.
-// On an error, a *SettingsError, the old settings stay.
+// Reconfigure replaces the settings while requests are in flight. Classes are identified by their index:
+// existing classes keep theirs, and new ones are appended. WarmingUp keeps its value, as a server warms up
+// only once, at its start. Reconfigure must be called between two steps. If the settings are invalid, it
+// returns a *SettingsError and the old settings stay in effect.
 func (c *Controller) Reconfigure(settings Settings) error {
 	if err := settings.check(); err != nil {
 		return err
@@ -29,5 +30,5 @@
 	c.advisor.configure(&c.settings)
 	c.drain.grace = settings.DrainGrace
 	c.values.configure(&c.settings)
-	c.values.quotas.weigh(c.now)
+	c.values.quotas.updateValueFactors(c.now)
 }
--- a/admission/recorded_events_test.go
+++ b/admission/recorded_events_test.go
@@ -119,7 +119,7 @@
 	if !request.answered && s.rng.Float64() < s.episode.cancelledRatio {
 		request.answered = true
 		events = append(events, RequestCancelled(request.id))
-		if request.phase == attemptWaiting || request.phase == attemptJoined {
+		if request.phase == attemptWaiting || request.phase == attemptAwaitingResult {
 			request.phase = attemptCompleted
 		}
 	}
@@ -133,7 +133,7 @@
 		request.phase = attemptAwaitingCall
 		request.endsAt = 0
 		return append(events, CallNeeded(request.id))
-	case request.phase == attemptRunning || request.phase == attemptJoined:
+	case request.phase == attemptRunning || request.phase == attemptAwaitingResult:
 		outcome := OutcomeOK
 		if s.rng.IntN(20) == 0 {
 			outcome = []Outcome{OutcomeFailed, OutcomeCancelled}[s.rng.IntN(2)]
@@ -192,14 +192,14 @@
 			request.callsAhead = 1 + s.rng.IntN(6)/5 - s.rng.IntN(4)/3
 		}
 	case ActionReuse:
-		request.phase = attemptJoined
+		request.phase = attemptAwaitingResult
 		request.startedAt = s.now
 		request.endsAt = s.now + time.Duration(s.rng.IntN(100))*ms
 	case ActionStop:
 		request.stopped = true
 	case ActionReject, ActionFail:
 		request.answered = true
-		if request.phase == attemptWaiting || request.phase == attemptJoined {
+		if request.phase == attemptWaiting || request.phase == attemptAwaitingResult {
 			request.phase = attemptCompleted
 		}
 	case ActionCall:
--- a/admission/reporting.go
+++ b/admission/reporting.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// reportInterval is the least time between two log lines about one condition.
+// reportInterval is the minimum time between two log lines about the same condition.
 const reportInterval = 5 * time.Second
 
-// conditionReporter decides which changes of conditions are logged: a condition that comes and goes is
-// reported seldom.
+// conditionReporter decides which changes of conditions are logged. It limits the rate for conditions that
+// flap.
 type conditionReporter struct {
-	states [conditionCount]conditionState
+	states [conditionCount]conditionState // indexed by Condition
 }
 
-// conditionState is what was reported last of a condition, and when.
+// conditionState is the last reported state of a condition.
 type conditionState struct {
 	active     bool
-	reportedAt time.Duration // 0: never
+	reportedAt time.Duration // time of the last report; 0: never
 }
 
-// changed reports whether a change of a condition is to be logged at now.
+// changed reports whether the state of a condition differs from the reported one and is to be logged at now.
 func (r *conditionReporter) changed(now time.Duration, condition Condition, active bool) bool {
 	state := &r.states[condition]
 	tooSoon := state.reportedAt > 0 && now < state.reportedAt+reportInterval
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestConditionChangesAreLoggedSeldom(t *testing.T) {
+func TestConditionChangeLogsAreRateLimited(t *testing.T) {
 	controller := startController(t, testSettings())
 	lines := map[string]int{}
 	for i := range 200 { // 20 s, the state flips at each sweep
-		now := time.Duration(i+1) * sweepInterval
+		now := time.Duration(i+1) * periodicInterval
 		controller.calls.limiter.limitRatio = []float64{minCallLimitRatio, maxCallLimitRatio}[i%2]
 		for _, action := range controller.Step(now, nil, nil) {
 			if action.Kind == ActionLog {
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestConditionReporterWaitsBetweenReports(t *testing.T) {
+func TestConditionReporterEnforcesReportInterval(t *testing.T) {
 	var reporter conditionReporter
 	require.False(t, reporter.changed(0, ConditionMemory, false))
 	require.True(t, reporter.changed(0, ConditionMemory, true), "even at time 0")
@@ -39,7 +39,7 @@
 }
 
 // A change of a condition has the measurement behind it.
-func TestConditionChangesHaveValues(t *testing.T) {
+func TestConditionChangesCarryMeasuredValues(t *testing.T) {
 	controller := startController(t, testSettings())
 	controller.SetProtectedCalls(-1)
 	controller.calls.limiter.limitRatio = minCallLimitRatio
--- a/admission/request.go
+++ b/admission/request.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// requestState is the state of a request. The order counts: from running on it has taken memory to run.
+// requestState is the state of a request. The order of the values matters: from running on, a request holds
+// the memory of a run.
 //
-// An attempt that retries one that is known here, its leader, does not run. As a follower it waits for the
-// leader to start (following), and then for the result of the leader's run (joined). If the leader ends
-// without a run, the first of its followers takes its place.
+// An attempt that retries a known attempt, its leader, does not run. It is a follower: it waits for the
+// leader to start (following) and then for the result of the leader's run (awaitingResult). If the leader
+// ends without a run, the first of its followers takes its place.
 type requestState uint8
 
 const (
-	received     requestState = iota // read, and not yet decided on
-	queued                           // waits to run
-	following                        // waits for its leader to start or end
-	joined                           // waits for the result of its leader's run
-	running                          // executing at the agent
-	awaitingCall                     // waits for a call to be made
-	calling                          // waits for a call to end
-	released                         // has ended; it is in no table any more
+	received       requestState = iota // read, not decided on yet
+	queued                             // waits to run
+	following                          // waits for its leader to start or end
+	awaitingResult                     // waits for the result of its leader's run
+	running                            // running at the agent, not in a call
+	awaitingCall                       // waits for its call to be made
+	calling                            // its call is in flight
+	released                           // ended, and removed from all tables
 )
 
 func (s requestState) String() string {
-	return [...]string{"received", "queued", "following", "joined", "running", "awaiting call", "calling",
-		"released"}[s]
+	return [...]string{"received", "queued", "following", "awaiting result", "running", "awaiting call",
+		"calling", "released"}[s]
 }
 
-// request is what the controller knows of one attempt.
+// request is what the controller knows about one attempt.
 type request struct {
 	id           RequestID
 	class        int // index into Settings.Classes
-	tenant       int // index into the states of tenantQuotas
+	tenant       int // index into tenantQuotas.states
 	state        requestState
 	fleetRank    FleetRank
-	retry        bool // marked as a retry
-	answered     bool // no answer is owed any more
-	ran          bool // it was started
-	remembered   bool // it has an entry in the keyTable
-	memoryKB     float64
-	work         float64       // seconds of a standard core
-	retryJitter  time.Duration // of advice to stay away
-	callTime     time.Duration // spent waiting for calls and in them
-	callAttempts int
-	leader       *request   // the attempt that this one follows; set while following
-	followers    []*request // attempts that follow this one until it runs
+	retry        bool          // marked as a retry
+	answered     bool          // answered or cancelled: needs no answer any more
+	ran          bool          // was started
+	remembered   bool          // has an entry in the keyTable
+	memoryKB     float64       // memory while queued, in kB
+	work         float64       // in seconds of a standard core
+	retryJitter  time.Duration // added to the RetryAfter of a rejection
+	callTime     time.Duration // total time spent waiting for calls and in calls
+	callAttempts int           // number of calls made
+	leader       *request      // the attempt that this one follows; set while following
+	followers    []*request    // attempts that follow this one until it runs
 
-	firstAttemptAt time.Duration // when its client sent the first attempt, as far as known
-	arrivedAt      time.Duration
-	callNeededAt   time.Duration // since then it waits for its call, or is in it
-	objective      time.Duration // an answer by then has its full value
-	deadline       time.Duration // its client gives up then
+	firstAttemptAt time.Duration // when the client sent the first attempt; arrivedAt if unknown
+	arrivedAt      time.Duration // when the request reached the machine
+	callNeededAt   time.Duration // since when the request has been in its state awaitingCall or calling
+	objective      time.Duration // latest time of an answer that has the full value
+	deadline       time.Duration // when the client gives up
 
-	// usefulUntil is the latest time at which an answer has value: the deadline if LateValueRatio > 0, else
-	// the objective.
+	// usefulUntil is the latest time at which an answer has any value: the deadline if the class has a
+	// LateValueRatio above 0, else the objective.
 	usefulUntil time.Duration
 }
 
-// newRequest returns a request that was read at now, with the times by which it is useful. The latency
-// objective counts from its first attempt; how long ago that was is seldom known, and retryObjectiveRatio
-// stands for it.
+// newRequest returns a request that was read at now. The latency objective counts from the first attempt. The
+// time since then is seldom known, so retryObjectiveRatio approximates what is left for attempts marked as
+// retries.
 func newRequest(now time.Duration, id RequestID, arrival *Arrival, class *Class) *request {
 	request := &request{
 		id:          id,
@@ -86,7 +87,7 @@
 	return request
 }
 
-// follow makes a request a follower of leader.
+// follow makes r a follower of leader.
 func (r *request) follow(leader *request) {
 	r.state = following
 	r.leader = leader
--- a/admission/request_queue.go
+++ b/admission/request_queue.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// requestQueue holds the requests that wait to run, and owns their counts and sums of work. Each class has
-// its requests in order of arrival, and the next request is the class front with the earliest latest start.
-// Removal is lazy: a removed request stays in its slice until it reaches the front, where it is dropped.
+// requestQueue holds the requests that wait to run, and maintains their counts and sums of work. Each class
+// has a FIFO queue. The next request is the class front with the earliest latest start. Removal is lazy: a
+// removed request stays in its slice and is dropped when it reaches the front.
 type requestQueue struct {
-	classes []classQueue
-	count   int
-	work    float64 // in seconds of a standard core
+	classes []classQueue // indexed by class
+	count   int          // queued requests of all classes
+	work    float64      // sum over all classes, in seconds of a standard core
 }
 
-// classQueue has the queued requests of one class.
+// classQueue holds the queued requests of one class.
 type classQueue struct {
-	requests []*request // in order of arrival
-	count    int
-	work     float64
+	requests []*request // in order of entry; may contain requests that were removed
+	count    int        // queued requests, without removed ones
+	work     float64    // in seconds of a standard core, without removed requests
 }
 
-// grow makes a queue for each of so many classes.
+// grow extends the queue to the given number of classes.
 func (q *requestQueue) grow(classes int) {
 	q.classes = append(q.classes, make([]classQueue, classes-len(q.classes))...)
 }
 
-// push adds a request behind the others of its class.
+// push appends a request to the queue of its class.
 func (q *requestQueue) push(request *request) {
 	request.state = queued
 	class := &q.classes[request.class]
@@ -34,8 +34,8 @@
 	q.work += request.work
 }
 
-// remove subtracts a request from the counts and sums. The caller must change its state, so that it is
-// skipped.
+// remove subtracts a request from the counts and sums. The caller must then change the state of the request,
+// so that the queue skips it.
 func (q *requestQueue) remove(request *request) {
 	class := &q.classes[request.class]
 	class.count--
@@ -44,7 +44,7 @@
 	q.work = max(q.work-request.work, 0)
 }
 
-// front returns the first queued request of a class, or nil, and forgets those before it that have left.
+// front returns the first queued request of a class, or nil. It drops the removed requests before it.
 func (q *requestQueue) front(class int) *request {
 	queue := &q.classes[class]
 	for len(queue.requests) > 0 && queue.requests[0].state != queued {
@@ -57,8 +57,8 @@
 	return queue.requests[0]
 }
 
-// next returns the front with the earliest latest start, or nil. Fronts for which skip returns true are
-// passed over.
+// next returns the class front with the earliest latest start, or nil. Fronts for which skip returns true are
+// skipped.
 func (q *requestQueue) next(latestStart func(*request) time.Duration, skip func(*request) bool) *request {
 	var next *request
 	var earliest time.Duration
@@ -75,8 +75,9 @@
 	return next
 }
 
-// lowestValued returns the queued request of a class with the lowest value below limit, and that value, or
-// nil. It examines the newest depth places only, from the back.
+// lowestValued returns the queued request of a class with the lowest value below limit, and that value. If
+// there is none, it returns nil and limit. It examines only the depth newest entries of the class, newest
+// first.
 func (q *requestQueue) lowestValued(
 	class, depth int, limit float64, value func(*request) float64,
 ) (*request, float64) {
--- a/admission/request_queue_test.go
+++ b/admission/request_queue_test.go
@@ -73,7 +73,7 @@
 	require.Nil(t, queue.next(byObjective, func(*request) bool { return true }))
 }
 
-func TestLowestValuedIsTheNewestOfEqualOnes(t *testing.T) {
+func TestLowestValuedPrefersNewestOfEqualValues(t *testing.T) {
 	var queue requestQueue
 	queue.grow(1)
 	for id, work := range []float64{1, 5, 2, 2, 7} {
@@ -91,7 +91,7 @@
 	require.InDelta(t, 1, value, 0)
 }
 
-func TestNewRequestTimes(t *testing.T) {
+func TestNewRequestObjectiveAndDeadline(t *testing.T) {
 	class := &Class{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second}
 	late := &Class{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, LateValueRatio: 0.2}
 	const now = 100 * time.Second
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -87,7 +87,7 @@
 	return variants
 }
 
-func TestRulesForRandomEvents(t *testing.T) {
+func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	for i, variant := range settingsVariants() {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprint(i, "-", seed), func(t *testing.T) { playRandom(t, variant, seed) })
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestEqualEventsGiveEqualActions(t *testing.T) {
+func TestStepIsDeterministic(t *testing.T) {
 	for i, variant := range settingsVariants() {
 		if !reflect.DeepEqual(playRandom(t, variant, 5), playRandom(t, variant, 5)) {
 			t.Fatalf("variant %d acts differently on the same events", i)
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -1,6 +1,6 @@
 package admission
 
-// dispatch starts calls that wait and then runs, as far as every limit allows.
+// dispatch makes waiting calls and then starts queued requests, as far as all limits allow.
 func (c *Controller) dispatch() {
 	c.calls.startWaiting(c.now)
 	for c.runs.mayStart(c.now) {
@@ -24,8 +24,9 @@
 	}
 }
 
-// expireQueued rejects the fronts of the queue that are too late, and reports whether there were any. Their
-// rejection may have changed the fronts of other classes.
+// expireQueued rejects the requests at the fronts of the class queues that are too late, and reports whether
+// there were any. After a rejection the caller must check again, since the fronts of other classes may have
+// changed.
 func (c *Controller) expireQueued() (rejected bool) {
 	for class := range c.queue.classes {
 		for late := c.scheduler.tooLate(c.now, class); late != nil; late = c.scheduler.tooLate(c.now, class) {
@@ -36,12 +37,12 @@
 	return rejected
 }
 
-// startRun starts a queued request. Its followers wait for its result from now on.
+// startRun starts a queued request. From now on its followers wait for its result.
 func (c *Controller) startRun(request *request) {
 	c.queue.remove(request)
 	request.state = running
 	request.ran = true
-	c.memory.take(c.memory.runningExtraKB(request.memoryKB))
+	c.memory.reserve(c.memory.runningExtraKB(request.memoryKB))
 	c.runs.start(request.work)
 	c.actions.emit(Action{Kind: ActionRun, ID: request.id})
 	c.keys.cacheResult(c.now, request)
@@ -51,10 +52,10 @@
 	request.followers = nil
 }
 
-// completeRun handles the end of a run, or of the reuse of a result. A request that has ended, or was not
-// started, is ignored.
+// completeRun handles the end of a run or of the reuse of a result. A request that has ended or has not
+// started is ignored.
 func (c *Controller) completeRun(request *request, completion Completion) {
-	if request == nil || request.state < joined {
+	if request == nil || request.state < awaitingResult {
 		return
 	}
 	outcome := completion.Outcome
@@ -68,20 +69,23 @@
 	c.release(request)
 }
 
-// fail answers a request with an error, unless it has its answer.
+// fail answers a request with an error, unless the request no longer needs an answer.
 func (c *Controller) fail(request *request) {
 	if request.answered {
 		return
 	}
 	c.actions.emit(Action{Kind: ActionFail, ID: request.id})
-	c.settle(request)
+	c.abandonRequest(request)
 }
 
-// settle records that no answer to a request is owed any more. A run is stopped where that is possible and
-// loses nothing: the run of a request that is idempotent by key goes on, as its result answers the retries.
-// A request that has ended or has its answer is ignored. Only the simulator stops runs: with the settings
-// of the real server, from internal/config, Halt is HaltOff and runs go on to their end.
-func (c *Controller) settle(request *request) {
+// abandonRequest records that a request no longer needs an answer, because it was answered or cancelled. A
+// request without a run of its own is released. A run is stopped if the server can stop runs and the class is
+// not idempotent by key: the result of a keyed run still answers its retries. A request that has ended or
+// needs no answer is ignored.
+//
+// Only the simulator stops runs. The settings of the real server (internal/config) have Halt set to HaltOff,
+// so its runs always continue to their end.
+func (c *Controller) abandonRequest(request *request) {
 	if request == nil || request.answered {
 		return
 	}
@@ -96,7 +100,7 @@
 	}
 }
 
-// release ends a request and gives back what it took.
+// release ends a request and frees the resources that it holds.
 func (c *Controller) release(request *request) {
 	switch request.state {
 	case queued:
@@ -107,11 +111,11 @@
 		c.calls.stopWaiting()
 	case calling:
 		c.calls.abandon(c.now, request)
-	case received, following, joined, released: // took no more than the memory of a request
+	case received, following, awaitingResult, released: // hold only the memory of a queued request
 	}
-	c.memory.giveBack(request.memoryKB)
+	c.memory.release(request.memoryKB)
 	if request.state >= running {
-		c.memory.giveBack(c.memory.runningExtraKB(request.memoryKB))
+		c.memory.release(c.memory.runningExtraKB(request.memoryKB))
 		c.runs.end(request.work)
 	}
 	request.state = released
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// runScheduler decides which queued request runs next, and which is not to run any more.
+// runScheduler decides which queued request runs next, and which queued requests are too late to run.
 type runScheduler struct {
 	queue     *requestQueue
 	estimator *estimator
@@ -10,8 +10,8 @@
 	calls     *callLimiter
 }
 
-// next returns the queued request that must start first to meet its objective, or nil. While calls are
-// backlogged, requests that need one are passed over.
+// next returns the queued request with the earliest latest start, or nil. While calls are backlogged,
+// requests that need a call are skipped.
 func (s *runScheduler) next(now time.Duration) *request {
 	backlogged := s.calls.backlogged()
 	latestStart := func(request *request) time.Duration { return s.estimator.latestStart(now, request) }
@@ -21,8 +21,9 @@
 	return s.queue.next(latestStart, skip)
 }
 
-// tooLate returns the first queued request of a class if it is too late to start it, or nil. Without enough
-// trial runs that is only once it is of no use at all, so that a recovery is noticed.
+// tooLate returns the first queued request of a class if it is too late to start, or nil. Normally that is a
+// request that would miss its objective. While fewer than trialRuns requests run, it must also be past the
+// time at which an answer has any value, so that trial runs can show a recovery.
 func (s *runScheduler) tooLate(now time.Duration, class int) *request {
 	front := s.queue.front(class)
 	if front == nil {
@@ -36,9 +37,10 @@
 	return nil
 }
 
-// recoveryWillShow reports whether enough is under way to notice when a scarce resource recovers, so that no
-// further request is to run although it can't be on time: enough trial runs, or a call that is waited for.
-func (s *runScheduler) recoveryWillShow(scarce resource) bool {
+// recoveryObservable reports whether enough is under way to notice when a scarce resource recovers: enough
+// trial runs or, for calls, a call that is waiting or in flight. If so, a request that would be late need not
+// run as a trial.
+func (s *runScheduler) recoveryObservable(scarce resource) bool {
 	callWillEnd := scarce == resourceCalls && s.calls.anyPending()
 	return callWillEnd || s.runs.enoughTrials()
 }
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -8,7 +8,7 @@
 	"falldeal/admission/internal/rolling"
 )
 
-func TestRoughHintsDoNotStretchEstimates(t *testing.T) {
+func TestImpreciseHintsDoNotSkewEstimates(t *testing.T) {
 	var field rolling.LinearFit
 	for i := range 400 { // true time 0.3, hints between 0.1 and 0.9
 		field.Add([]float64{0.1, 0.3, 0.9}[i%3], 0.3, 0.1)
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestHungServerRejectsAndRunsTrials(t *testing.T) {
+func TestHungServerRejectsAndBoundsQueue(t *testing.T) {
 	controller := startController(t, testSettings())
 	var actions []Action
 	for i := range 400 { // 4 s of arrivals, no run ends
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestServerLateForAllStillRunsTrials(t *testing.T) {
+func TestTrialRunStartsThoughEveryRequestIsLate(t *testing.T) {
 	for _, cores := range []int{1, 2, 6} {
 		settings := testSettings()
 		settings.Cores = cores
--- a/admission/settings_check.go
+++ b/admission/settings_check.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// SettingsError names a field of Settings with which no server can run.
+// SettingsError reports an invalid field of Settings.
 //
-// Its texts are part of the simulator's protocol (cmd/simhost), and so the names in them stay although fields have
-// other names by now. The configuration file has keys of its own, which internal/config checks first:
+// Its text is part of the simulator's protocol (cmd/simhost). The names of fields in the text are therefore
+// fixed, and some differ from the Go names. The configuration file has its own keys, which internal/config
+// validates first:
 //
 //	text          field                      key of the configuration file
 //	Cores         Cores                      FamilyInfo.Cpus
@@ -31,8 +32,8 @@
 //	Deadline      Class.Deadline             Lanes.DeadlineUs
 //	KeyWindow     Class.IdempotencyWindow    Lanes.KeyTtlUs
 type SettingsError struct {
-	Field  string
-	Detail string
+	Field  string // name of the field in the text, see above
+	Detail string // what is wrong with it
 }
 
 func (e *SettingsError) Error() string { return "settings: " + e.Field + ": " + e.Detail }
@@ -41,8 +42,8 @@
 	return &SettingsError{Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
-// check returns a *SettingsError for the first field that cannot be served, and raises factors below their
-// least sensible value.
+// check returns a *SettingsError for the first invalid field, and raises RunningMemoryFactor and
+// MaxConcurrencyPerCore to their lower bound of 1.
 func (s *Settings) check() error {
 	for _, check := range []func() error{s.checkSizes, s.checkTimes, s.checkClasses} {
 		if err := check(); err != nil {
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// checkSizes checks the fields that are not times. A NaN passes no check.
+// checkSizes validates the fields that are not times. NaN is invalid.
 func (s *Settings) checkSizes() error {
 	switch {
 	case s.Cores <= 0:
@@ -80,6 +81,7 @@
 	return nil
 }
 
+// checkTimes returns an error for the first negative time.
 func (s *Settings) checkTimes() error {
 	for _, field := range []struct {
 		name  string
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestInvalidSettings(t *testing.T) {
+func TestInvalidSettingsErrorNamesField(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
 		"Cores": func(settings *Settings) { settings.Cores = 0 }, "Classes": func(settings *Settings) { settings.Classes = nil },
 		"MemoryKB": func(settings *Settings) { settings.MemoryKB = 0 }, "ColdFor": func(settings *Settings) { settings.SlowStartTime = -1 },
@@ -24,7 +24,7 @@
 }
 
 // New settings leave running requests alone, and the memory in use is counted again by them.
-func TestReconfigure(t *testing.T) {
+func TestReconfigureKeepsRunsAndRecountsMemory(t *testing.T) {
 	controller := startController(t, testSettings())
 	requireAction(t, controller.Step(0, []Event{arrived(1, 1)}, nil), ActionRun, 1)
 	settings := testSettings()
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestSettingsOfLargeFleetsAreServed(t *testing.T) {
+func TestExtremeSettingsAreServed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no fleet":            func(settings *Settings) { settings.FleetSize = 0 },
 		"negative fleet":      func(settings *Settings) { settings.FleetSize = -5 },
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestInvalidCallLimitIsNamed(t *testing.T) {
+func TestInvalidCallLimitErrorNamesField(t *testing.T) {
 	for _, v := range []float64{math.NaN(), -1} {
 		settings := testSettings()
 		settings.MaxCallsInFlight = v
--- a/admission/slow_start.go
+++ b/admission/slow_start.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// minSlowStartSpeed is the least part of its speed that is assumed of a server that has just started.
+// minSlowStartSpeed is the lower bound of assumedInitialRatio.
 const minSlowStartSpeed = 0.1
 
-// slowStart tells how fast a server is that has just been started: its speed rises in a straight line, from
-// an initial part of it to all of it.
+// slowStart models the speed of a server that has just started. It rises linearly from an initial part of the
+// full speed to the full speed.
 type slowStart struct {
-	warmingUp    bool
-	initialRatio float64 // of its speed, at the start
-	duration     time.Duration
-	startedAt    time.Duration
+	warmingUp    bool          // the server started cold
+	initialRatio float64       // part of the full speed at the start
+	duration     time.Duration // time until the server has its full speed
+	startedAt    time.Duration // when the server started
 }
 
-// configure takes over what settings say of the start. Whether a server warms up does not change later on.
+// configure applies the slow-start settings. Whether a server started cold never changes.
 func (s *slowStart) configure(settings *Settings) {
 	s.warmingUp = settings.WarmingUp
 	s.initialRatio = settings.SlowStartSpeedRatio
 	s.duration = settings.SlowStartTime
 }
 
-// speedRatio is the part of its speed that the server has at now, from initialRatio to 1.
+// speedRatio returns the part of its full speed that the server has at now, from initialRatio to 1.
 func (s *slowStart) speedRatio(now time.Duration) float64 {
 	age := now - s.startedAt
 	if !s.warmingUp || age >= s.duration {
@@ -30,7 +30,8 @@
 	return s.initialRatio + (1-s.initialRatio)*float64(age)/float64(s.duration)
 }
 
-// assumedInitialRatio is the part of its speed that estimates begin with, before any run was measured.
+// assumedInitialRatio returns the part of the full speed that estimates start with, before any run was
+// measured.
 func (s *slowStart) assumedInitialRatio() float64 {
 	if !s.warmingUp {
 		return 1
--- a/admission/slow_start_test.go
+++ b/admission/slow_start_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSlowStart(t *testing.T) {
+func TestSlowStartSpeedRisesLinearly(t *testing.T) {
 	cold := slowStart{warmingUp: true, initialRatio: 0.2, duration: 10 * time.Second, startedAt: time.Second}
 	for _, test := range []struct {
 		at   time.Duration
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -43,7 +43,7 @@
 	for _, k := range []EventKind{EventDone, EventCancelled, EventCallNeeded, EventCallDone} {
 		controller.Step(0, []Event{{Kind: k, ID: 99}}, nil)
 	}
-	requireAction(t, startToCall(t, controller, 1, 0), ActionCall, 1)
+	requireAction(t, startAndNeedCall(t, controller, 1, 0), ActionCall, 1)
 	ev := CallCompleted(1, Completion{Took: ms})
 	controller.Step(2*ms, []Event{ev, ev, CallNeeded(5)}, nil)
 	controller.Step(3*ms, []Event{RunCompleted(1, Completion{}), RunCompleted(1, Completion{}), arrived(2, 77)}, nil)
--- a/admission/tenants.go
+++ b/admission/tenants.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	offeredTimeConstant = 8 * time.Second // of the rates at which tenants and all clients offer requests
+	offeredTimeConstant = 8 * time.Second // of the request rates of tenants and of all clients
 	minOfferedRate      = 1e-9            // requests per second; least rate that is divided by
 )
 
-// tenantQuotas weighs requests by the quotas of their tenants: where a tenant offers more than its quota, the
-// value of its requests falls so that no more than its quota counts in full.
+// tenantQuotas reduces the value of requests whose tenant exceeds its quota. If a tenant sends more than its
+// quota, the value factor of its requests falls to quota divided by rate, so that its requests count together
+// as much as its quota.
 type tenantQuotas struct {
-	tenants          []Tenant
-	fleetSize        int
-	excessValueRatio float64 // least part of its value that a request keeps
-	states           []tenantState
+	tenants          []Tenant      // as configured
+	fleetSize        int           // number of servers that share the quotas
+	excessValueRatio float64       // lower bound of a value factor
+	states           []tenantState // indexed by tenant; entries are never removed
 }
 
-// tenantState is what one tenant offers of late.
+// tenantState holds the recent request rate of one tenant and the resulting value factor.
 type tenantState struct {
 	offered     rolling.DecayingPair // First: requests that are not marked as retries
-	valueFactor float64              // on the value of its requests, from 0 to 1
+	valueFactor float64              // factor on the value of the tenant's requests, from 0 to 1
 }
 
-// configure takes over the quotas of settings. Tenants are identified by their index; there is at least one.
+// configure applies the quotas of settings. Tenants are identified by their index. Without configured tenants
+// there is one, without a quota.
 func (q *tenantQuotas) configure(settings *Settings) {
 	q.tenants = settings.Tenants
 	q.fleetSize = settings.FleetSize
@@ -37,22 +39,22 @@
 	}
 }
 
-// known returns the index of a tenant, 0 for an unknown one.
-func (q *tenantQuotas) known(tenant int) int {
+// resolve returns the index of a tenant, or 0 if the tenant is unknown.
+func (q *tenantQuotas) resolve(tenant int) int {
 	if tenant < 0 || tenant >= len(q.states) {
 		return 0
 	}
 	return tenant
 }
 
-// count records a first attempt of a request at now.
+// count records the first attempt of a request.
 func (q *tenantQuotas) count(now time.Duration, tenant int) { q.states[tenant].offered.Add(now, 1, 0) }
 
-// valueFactor is the part of its value that a request of a tenant keeps, as of the last call of weigh.
+// valueFactor returns the factor on the value of a tenant's requests, as of the last updateValueFactors.
 func (q *tenantQuotas) valueFactor(tenant int) float64 { return q.states[tenant].valueFactor }
 
-// weigh sets the value factors from what each tenant has offered until now.
-func (q *tenantQuotas) weigh(now time.Duration) {
+// updateValueFactors sets the value factors from the request rates of the tenants at now.
+func (q *tenantQuotas) updateValueFactors(now time.Duration) {
 	for tenant := range q.states {
 		state := &q.states[tenant]
 		state.offered.DecayTo(now)
@@ -64,7 +66,7 @@
 	}
 }
 
-// serverQuota is the part of a tenant's quota that this server serves, in requests per second; 0: no quota.
+// serverQuota returns this server's share of a tenant's quota, in requests per second. 0 means no quota.
 func (q *tenantQuotas) serverQuota(tenant int) float64 {
 	if tenant >= len(q.tenants) || q.tenants[tenant].QuotaPerSecond <= 0 {
 		return 0
--- a/admission/tenants_test.go
+++ b/admission/tenants_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTenantQuotas(t *testing.T) {
+func TestValueFactorFollowsTenantQuota(t *testing.T) {
 	var quotas tenantQuotas
 	quotas.configure(&Settings{FleetSize: 4, ExcessValueRatio: 0.25,
 		Tenants: []Tenant{{QuotaPerSecond: 40}, {QuotaPerSecond: 4}, {}}})
@@ -16,20 +16,20 @@
 			quotas.count(now, tenant)
 		}
 	}
-	quotas.weigh(time.Minute)
+	quotas.updateValueFactors(time.Minute)
 	require.InDelta(t, 0.5, quotas.valueFactor(0), 0.02, "10 of 20 requests count")
 	require.InDelta(t, 0.25, quotas.valueFactor(1), 0, "the least part")
 	require.InDelta(t, 1, quotas.valueFactor(2), 0, "no quota")
-	quotas.weigh(2 * time.Minute)
+	quotas.updateValueFactors(2 * time.Minute)
 	require.InDelta(t, 1, quotas.valueFactor(0), 0, "nothing is offered any more")
-	require.Equal(t, 0, quotas.known(-1))
-	require.Equal(t, 2, quotas.known(2))
-	require.Equal(t, 0, quotas.known(3))
+	require.Equal(t, 0, quotas.resolve(-1))
+	require.Equal(t, 2, quotas.resolve(2))
+	require.Equal(t, 0, quotas.resolve(3))
 	quotas.configure(&Settings{}) // states of tenants stay
-	require.Equal(t, 2, quotas.known(2))
+	require.Equal(t, 2, quotas.resolve(2))
 	require.Zero(t, quotas.serverQuota(2))
 	var none tenantQuotas
 	none.configure(&Settings{})
-	require.Equal(t, 0, none.known(5))
+	require.Equal(t, 0, none.resolve(5))
 	require.InDelta(t, 1, none.valueFactor(0), 0)
 }
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	sweepInterval    = 100 * time.Millisecond // between two periodic decisions
-	maxSkippedSweeps = 10                     // while idle; gauges stay valid for that long
+	periodicInterval    = 100 * time.Millisecond // between two periodic decisions
+	maxSkippedIntervals = 10                     // while idle; gauges stay valid for that long
 )
 
-// deadlineKind distinguishes what a deadline is about.
+// deadlineKind is what is due when a deadline passes.
 type deadlineKind uint8
 
 const (
 	deadlineAnswer        deadlineKind = iota // a request must be answered
-	deadlineCallRetry                         // a call may be retried
+	deadlineCallRetry                         // the backoff of a call has passed
 	deadlineAbandonedCall                     // an abandoned call no longer occupies the dependency
-	deadlineKey                               // a key expires
+	deadlineKey                               // a remembered request expires
 )
 
 func (k deadlineKind) String() string {
 	return [...]string{"answer", "call retry", "abandoned call", "key"}[k]
 }
 
-// deadline is something that is due at a time.
+// deadline is an entry of the timers. The time at which it is due is its key in timers.deadlines.
 type deadline struct {
 	kind    deadlineKind
-	request *request  // deadlineAnswer, deadlineCallRetry
-	id      RequestID // deadlineKey
+	request *request  // set for deadlineAnswer and deadlineCallRetry
+	id      RequestID // set for deadlineKey and deadlineCallRetry
 }
 
-// obsolete reports whether nothing is to be done about a deadline any more.
+// obsolete reports whether a deadline no longer requires any action.
 func (d *deadline) obsolete() bool {
 	switch d.kind {
 	case deadlineAnswer:
@@ -44,15 +44,15 @@
 	return false
 }
 
-// timers tells when the controller has something to do: at deadlines, and at the periodic decisions, the
-// sweeps. While the server is idle a sweep would change nothing, and some are skipped. They are made up for
-// when something happens, or after maxSkippedSweeps.
+// timers decides when the controller has something to do: at deadlines and at the periodic decisions. While
+// the server is idle, a periodic decision would change nothing, so some are skipped. They are made up for at
+// the next event, and at the latest after maxSkippedIntervals.
 type timers struct {
-	deadlines timedqueue.Queue[deadline]
-	started   bool          // the first step was taken
-	wakeAt    time.Duration // of the last ActionWake
-	sweepAt   time.Duration // of the next sweep
-	idle      bool          // sweeps are skipped
+	deadlines      timedqueue.Queue[deadline]
+	started        bool          // the first step was taken
+	wakeAt         time.Duration // time of the last ActionWake
+	nextPeriodicAt time.Duration // time of the next periodic decisions
+	idle           bool          // periodic decisions are skipped
 }
 
 // start reports whether this is the first step.
@@ -62,9 +62,11 @@
 	return first
 }
 
+// add schedules a deadline.
 func (t *timers) add(at time.Duration, due deadline) { t.deadlines.Push(at, due) }
 
-// expired removes and returns the next deadline that has passed at now; false means that there is none.
+// expired removes and returns the earliest deadline that has passed at now. It returns false if there is
+// none. Obsolete deadlines are dropped.
 func (t *timers) expired(now time.Duration) (deadline, bool) {
 	for {
 		next, at, ok := t.deadlines.Peek()
@@ -82,33 +84,35 @@
 	}
 }
 
-// catchUp makes the sweeps that were skipped, before the events at now are handled, so that each sweep acts
-// on the state of its own time.
-func (t *timers) catchUp(now time.Duration, sweep func()) {
-	t.sweepAt = max(t.sweepAt, now-maxSkippedSweeps*sweepInterval) // the machine may have been suspended
-	for t.idle && t.sweepAt < now {
-		sweep()
-		t.sweepAt += sweepInterval
+// catchUp makes the periodic decisions that were skipped. It runs before the events at now are handled, so
+// that each decision is based on the state at its own time.
+func (t *timers) catchUp(now time.Duration, runPeriodic func()) {
+	// Limits the number of decisions after the machine was suspended.
+	t.nextPeriodicAt = max(t.nextPeriodicAt, now-maxSkippedIntervals*periodicInterval)
+	for t.idle && t.nextPeriodicAt < now {
+		runPeriodic()
+		t.nextPeriodicAt += periodicInterval
 	}
 	t.idle = false
 }
 
-// shouldSweep reports whether a sweep is due at now, and expects the next one after a sweepInterval.
-func (t *timers) shouldSweep(now time.Duration) bool {
-	if now < t.sweepAt {
+// periodicDue reports whether the periodic decisions are due at now. If so, the next ones are due a
+// periodicInterval later.
+func (t *timers) periodicDue(now time.Duration) bool {
+	if now < t.nextPeriodicAt {
 		return false
 	}
-	t.sweepAt = now + sweepInterval
+	t.nextPeriodicAt = now + periodicInterval
 	return true
 }
 
-// schedule returns when the controller is to be woken: at the next sweep, or at an earlier deadline. False
-// means that an earlier ActionWake is still pending and early enough.
+// schedule returns the time of the next ActionWake: that of the next periodic decisions, or of an earlier
+// deadline. It returns false if the last ActionWake is still pending and early enough.
 func (t *timers) schedule(now time.Duration, idle bool) (at time.Duration, ok bool) {
 	t.idle = idle
-	next := t.sweepAt
+	next := t.nextPeriodicAt
 	if idle {
-		next += (maxSkippedSweeps - 1) * sweepInterval
+		next += (maxSkippedIntervals - 1) * periodicInterval
 	}
 	if _, deadlineAt, known := t.deadlines.Peek(); known {
 		next = min(next, deadlineAt)
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -11,40 +11,40 @@
 
 // A server of a large fleet is idle for most of the time. It used to wake up ten times a second all the same, with two
 // more wakes for the gauges each time.
-func TestIdleServerSkipsSweeps(t *testing.T) {
+func TestIdleServerSkipsPeriodicDecisions(t *testing.T) {
 	controller := startController(t, testSettings())
-	controller.Step(1, []Event{TimerFired(calmGauges)}, nil)
-	n := stepAtTimers(controller, 10*time.Second, calmGauges)
+	controller.Step(1, []Event{TimerFired(idleGauges)}, nil)
+	n := stepAtTimers(controller, 10*time.Second, idleGauges)
 	if n < 9 || n > 12 {
 		t.Errorf("%d wakes in ten seconds at rest", n)
 	}
 	// While the admit probability recovers it is awake.
 	controller.admitProbability.probability = 0.3 // of which the sweeps left out so far make up for some
-	controller.Step(controller.timers.wakeAt, []Event{TimerFired(calmGauges)}, nil)
-	if n = stepAtTimers(controller, controller.now+2*time.Second, calmGauges); n < 19 {
+	controller.Step(controller.timers.wakeAt, []Event{TimerFired(idleGauges)}, nil)
+	if n = stepAtTimers(controller, controller.now+2*time.Second, idleGauges); n < 19 {
 		t.Errorf("%d wakes in two seconds of recovery", n)
 	}
 	// And while something is in flight.
 	controller.Step(controller.now+1, []Event{arrived(1, 1)}, nil)
-	if n = stepAtTimers(controller, controller.now+time.Second, calmGauges); n < 9 {
+	if n = stepAtTimers(controller, controller.now+time.Second, idleGauges); n < 9 {
 		t.Errorf("%d wakes in a second with a run", n)
 	}
 }
 
 // Skipped sweeps are made up for: a controller that is woken only when it asks acts as one that is woken for every sweep,
 // and its state is the same.
-func TestSkippedSweepsChangeNoDecision(t *testing.T) {
+func TestSkippedPeriodicDecisionsChangeNoAction(t *testing.T) {
 	for seed := range uint64(30) {
 		sleeps, sweeps := startController(t, testSettings()), startController(t, testSettings())
 		rng := rand.New(rand.NewPCG(seed, 5))
 		now, id := time.Duration(0), RequestID(0)
-		sleeps.Step(1, []Event{TimerFired(calmGauges)}, nil)
-		sweeps.Step(1, []Event{TimerFired(calmGauges)}, nil)
+		sleeps.Step(1, []Event{TimerFired(idleGauges)}, nil)
+		sweeps.Step(1, []Event{TimerFired(idleGauges)}, nil)
 		for round := range 20 {
 			now += time.Duration(rng.IntN(60)+1) * 100 * ms
-			stepAtTimers(sleeps, now, calmGauges)
-			for sweeps.timers.sweepAt <= now {
-				sweeps.Step(sweeps.timers.sweepAt, []Event{TimerFired(calmGauges)}, nil)
+			stepAtTimers(sleeps, now, idleGauges)
+			for sweeps.timers.nextPeriodicAt <= now {
+				sweeps.Step(sweeps.timers.nextPeriodicAt, []Event{TimerFired(idleGauges)}, nil)
 			}
 			now = max(sweeps.now, sleeps.now) + 50*ms // within a sweep
 			id++
@@ -60,10 +60,10 @@
 			// Both see the end of the recovery awake.
 			for range 40 {
 				now += 100 * ms
-				sleeps.Step(now, []Event{TimerFired(calmGauges)}, nil)
-				sweeps.Step(now, []Event{TimerFired(calmGauges)}, nil)
+				sleeps.Step(now, []Event{TimerFired(idleGauges)}, nil)
+				sweeps.Step(now, []Event{TimerFired(idleGauges)}, nil)
 			}
-			require.Equalf(t, sweptState(sweeps), sweptState(sleeps), "seed %d, round %d", seed, round)
+			require.Equalf(t, periodicState(sweeps), periodicState(sleeps), "seed %d, round %d", seed, round)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	return n
 }
 
-var calmGauges = Gauges{CPUUtilization: 0.02, CPUDemand: 0, MemoryUtilization: 0.1, Connections: 20}
+var idleGauges = Gauges{CPUUtilization: 0.02, CPUDemand: 0, MemoryUtilization: 0.1, Connections: 20}
 
 // BenchmarkStep is a step that receives one request and ends another, with so many in flight.
 func BenchmarkStep(b *testing.B) {
@@ -117,23 +117,23 @@
 	return text
 }
 
-// sweptState formats what sweeps change, rounded.
-func sweptState(controller *Controller) string {
+// periodicState formats what sweeps change, rounded.
+func periodicState(controller *Controller) string {
 	limiter, advisor := controller.calls.limiter, &controller.advisor
 	return fmt.Sprintf("admit %.6f calls %.6f best %.6f runs %.6f delay %.6f idle %v",
 		controller.admitProbability.probability, limiter.limitRatio, limiter.bestCallTime, controller.runs.runLimit,
 		advisor.readDelay.mean.Value(), advisor.idleTimeout.current)
 }
 
-func TestTimersSkipSweepsWhileIdle(t *testing.T) {
+func TestTimersSkipPeriodicDecisionsWhileIdle(t *testing.T) {
 	var timers timers
 	require.True(t, timers.start())
 	require.False(t, timers.start())
-	require.True(t, timers.shouldSweep(0))
-	require.False(t, timers.shouldSweep(50*ms))
+	require.True(t, timers.periodicDue(0))
+	require.False(t, timers.periodicDue(50*ms))
 	at, ok := timers.schedule(50*ms, false)
 	require.True(t, ok)
-	require.Equal(t, sweepInterval, at)
+	require.Equal(t, periodicInterval, at)
 	_, ok = timers.schedule(60*ms, false)
 	require.False(t, ok, "it wakes in time")
 	timers.add(80*ms, deadline{kind: deadlineAbandonedCall})
@@ -147,14 +147,14 @@
 	require.Equal(t, deadlineAbandonedCall, due.kind)
 	at, ok = timers.schedule(80*ms, true)
 	require.True(t, ok)
-	require.Equal(t, maxSkippedSweeps*sweepInterval, at)
+	require.Equal(t, maxSkippedIntervals*periodicInterval, at)
 	sweeps := 0
 	timers.catchUp(450*ms, func() { sweeps++ })
 	require.Equal(t, 4, sweeps, "at 100, 200, 300 and 400 ms")
 	timers.schedule(450*ms, true)
 	sweeps = 0
 	timers.catchUp(time.Hour, func() { sweeps++ })
-	require.Equal(t, maxSkippedSweeps, sweeps, "after a suspension")
+	require.Equal(t, maxSkippedIntervals, sweeps, "after a suspension")
 }
 
 func TestObsoleteDeadlinesAreDropped(t *testing.T) {
--- a/admission/value.go
+++ b/admission/value.go
@@ -1,13 +1,13 @@
 package admission
 
 const (
-	victimScanDepth        = 16   // requests examined from the back of a queue for the least valuable
-	victimMargin           = 0.8  // a queued request yields to one worth more than 1/victimMargin of it
-	minWorkForValueDensity = 1e-3 // seconds; a request with less work is valued as if it had this much
-	minCallsPerRun         = 0.1  // least calls per run that a request is valued by
+	victimScanDepth        = 16   // newest entries of a class queue that are examined
+	victimMargin           = 0.8  // of the newcomer's value density; a victim must be below that
+	minWorkForValueDensity = 1e-3 // seconds of work; a request with less is valued as if it had this
+	minCallsPerRun         = 0.1  // least calls per run that a value is divided by
 )
 
-// resource is what requests compete for.
+// resource is a resource that requests compete for.
 type resource uint8
 
 const (
@@ -17,7 +17,7 @@
 
 func (r resource) String() string { return [...]string{"cpu", "calls"}[r] }
 
-// rejectionReason is why a request is rejected that the resource does not suffice for.
+// rejectionReason returns the reason for rejecting a request because the resource is scarce.
 func (r resource) rejectionReason() Reason {
 	if r == resourceCalls {
 		return ReasonDependency
@@ -25,8 +25,8 @@
 	return ReasonCPU
 }
 
-// requestValues tells what requests are worth. A request's value is the weight of its class, for each unit of
-// its work if so configured, times the part of it that its tenant's quota leaves.
+// requestValues computes the value of requests. The value of a request is the weight of its class, multiplied
+// by its work if weightPerWork is set, and by the value factor of its tenant.
 type requestValues struct {
 	classes       []Class
 	weightPerWork bool
@@ -40,7 +40,7 @@
 	v.quotas.configure(settings)
 }
 
-// density is the value of a request for each unit that its run takes of a scarce resource.
+// density returns the value of a request per unit of the scarce resource that its run uses.
 func (v *requestValues) density(request *request, scarce resource) float64 {
 	value := v.classes[request.class].PriorityWeight * v.quotas.valueFactor(request.tenant)
 	if v.weightPerWork {
@@ -52,14 +52,14 @@
 	return value / max(request.work, minWorkForValueDensity)
 }
 
-// competes reports whether requests of a class use a scarce resource.
+// competes reports whether requests of a class use the scarce resource.
 func (v *requestValues) competes(class int, scarce resource) bool {
 	return scarce == resourceCPU || v.classes[class].CallsDependency
 }
 
-// findVictim returns the queued request that uses a scarce resource and is worth least for each unit of it,
-// if that is clearly less than newcomer is worth, or nil. Of requests of a class that are worth as much it is
-// the newest.
+// findVictim returns the queued request with the lowest value density of those that use the scarce resource,
+// or nil if none is clearly below the density of newcomer (see victimMargin). Of equally valued requests of a
+// class it is the newest.
 func (v *requestValues) findVictim(queue *requestQueue, newcomer *request, scarce resource) *request {
 	density := func(candidate *request) float64 { return v.density(candidate, scarce) }
 	var victim *request
--- a/cmd/simhost/serve_test.go
+++ b/cmd/simhost/serve_test.go
@@ -24,7 +24,7 @@
 	return "CREATE " + node + " 7 " + strings.ReplaceAll(settings, "\n", "") + "\n"
 }
 
-func TestRetiredIncarnationIsDiscarded(t *testing.T) {
+func TestRecreatedNodeIgnoresEventsOfPredecessor(t *testing.T) {
 	out, err := converse("SYNC 5\nOVER_TO_YOU\n" +
 		"SYNC 10\n" + createLine("3", sampleSettings) + "OVER_TO_YOU\n" +
 		"SYNC 20\nORDER 3 9 0 5 0 1000 - 0 0 0 0 0 0 0\nOVER_TO_YOU\n" +
@@ -36,7 +36,7 @@
 	require.Equal(t, 2, strings.Count(out, "HEALTH 3 1 1"), out)
 }
 
-func TestBadSettingsBreakOnlyThatInstance(t *testing.T) {
+func TestInvalidSettingsBreakOnlyThatNode(t *testing.T) {
 	bad := strings.Replace(sampleSettings, `"Cpus": 2`, `"Cpus": 0`, 1)
 	out, err := converse("SYNC 1\n" + createLine("3", bad) + createLine("4", sampleSettings) +
 		"OVER_TO_YOU\nSYNC 2\nDROPPED 3 1\nOVER_TO_YOU\n")
@@ -45,7 +45,7 @@
 	require.Contains(t, out, "HEALTH 4")
 }
 
-func TestUnknownInstance(t *testing.T) {
+func TestEventForUnknownNode(t *testing.T) {
 	_, err := converse("SYNC 1\nDROPPED 3 1\nOVER_TO_YOU\n")
 	require.ErrorContains(t, err, "line 2: field NodeId")
 	var lineErr *wire.LineError
--- a/wire/fields.go
+++ b/wire/fields.go
@@ -13,8 +13,8 @@
 // unset stands for a field that has no value.
 const unset = "-"
 
-// noGauge is the value of a gauge that was not reported.
-const noGauge = -1
+// unknownGauge is the value of a gauge that was not reported.
+const unknownGauge = -1
 
 // The names of the gauges on the wire.
 const (
@@ -136,7 +136,7 @@
 // gauges reads name:value pairs, separated by commas, and ignores names that it does not know.
 func (f *fieldReader) gauges(name string) admission.Gauges {
 	gauges := admission.Gauges{
-		CPUUtilization: noGauge, CPUDemand: noGauge, MemoryUtilization: noGauge, Connections: noGauge,
+		CPUUtilization: unknownGauge, CPUDemand: unknownGauge, MemoryUtilization: unknownGauge, Connections: unknownGauge,
 	}
 	list := f.next()
 	if f.exhausted {
