--- a/admission/admission.go
+++ b/admission/admission.go
@@ -50,9 +50,10 @@
 }
 
 // decide decides whether a request is admitted. The limits that protect the server come first. While all
-// cores are busy, the fleet's rank and the admit probability are next. Last is whether the request can be
-// answered within its objective; queued requests of less value may be rejected to make that possible. The key
-// of a request that is idempotent by key is reserved once the limits allow it.
+// cores are busy, the fleet's rank and the admit probability are next. A request that must call the
+// dependency is then rejected if only other servers probe it. Last is whether the request can be answered
+// within its objective; queued requests of less value may be rejected to make that possible. The key of a
+// request that is idempotent by key is reserved once the limits allow it.
 func (c *Controller) decide(request *request) decision {
 	if decision := c.checkLimits(request); decision.rejected {
 		return decision
@@ -67,7 +68,7 @@
 	case coresBusy && !c.admitProbability.admits():
 		return rejectedFor(ReasonCPU)
 	case c.settings.Classes[request.class].mustCall() && c.calls.breaker.mayNotProbe():
-		return rejectedFor(ReasonDependency) // other servers probe the dependency
+		return rejectedFor(ReasonDependency)
 	}
 	return c.admitByObjective(request)
 }
--- a/cmd/simhost/golden_test.go
+++ b/cmd/simhost/golden_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
-// What the simulator reads, the exit code and the messages, by what it has written.
+// The golden file fixes the output, the exit code and the error messages for valid and invalid input.
 func TestGoldenConversations(t *testing.T) {
 	broken := strings.Replace(sampleSettings, `"Cpus": 2`, `"Cpus": 0`, 1)
 	const request = "ORDER 3 9 0 5 0 1000 - 0 0 0 0 0 0 0\n"
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -7,24 +7,25 @@
 	"falldeal/wire"
 )
 
-// node is one simulated instance.
+// node is one simulated server.
 type node struct {
-	controller *admission.Controller // nil if the settings were bad or the controller panicked
-	events     []admission.Event     // of this batch
-	pending    bool                  // it is to be stepped in this batch
+	controller *admission.Controller // nil if the settings were invalid or the controller panicked
+	events     []admission.Event     // events of this batch
+	pending    bool                  // the node must be stepped in this batch
 }
 
-// host runs the controllers of all nodes. It is used by one goroutine.
+// host runs the controllers of all nodes. It is not safe for concurrent use.
 type host struct {
-	nodes   map[int]*node
-	pending []int              // ids of the nodes to be stepped in this batch, as they first appear
-	actions []admission.Action // of one step; kept for its memory
-	reply   []byte             // to this batch; kept for its memory
+	nodes   map[int]*node      // by ID
+	pending []int              // IDs of the nodes to step in this batch, in order of first appearance
+	actions []admission.Action // actions of one step; kept to reuse its memory
+	reply   []byte             // reply to this batch; kept to reuse its memory
 }
 
 func newHost() *host { return &host{nodes: map[int]*node{}} }
 
-// handle takes in a batch, steps the nodes concerned and returns the reply, which is valid until the next call.
+// handle processes a batch, steps the nodes that it is about, and returns the reply. The reply is valid until the
+// next call.
 func (h *host) handle(batch *wire.Batch) ([]byte, error) {
 	h.reply = h.reply[:0]
 	h.pending = h.pending[:0]
@@ -36,7 +37,7 @@
 	for _, id := range h.pending {
 		target := h.nodes[id]
 		if target == nil || !target.pending {
-			continue // it has been retired, or is listed twice as it has been replaced
+			continue // retired, or listed twice because it was replaced
 		}
 		target.pending = false
 		h.step(id, target, batch)
@@ -46,10 +47,11 @@
 	return h.reply, nil
 }
 
+// receive applies a message: it creates or retires a node, or queues an event for the next step of its node.
 func (h *host) receive(message *wire.Message, batch *wire.Batch) error {
 	target := h.nodes[message.Node]
 	if target == nil && message.Kind != wire.MessageCreate {
-		return &wire.LineError{Line: message.Line, Err: fmt.Errorf("field NodeId: unknown instance %d", message.Node)}
+		return &wire.LineError{Line: message.Line, Err: fmt.Errorf("field NodeId: unknown node %d", message.Node)}
 	}
 	switch message.Kind {
 	case wire.MessageCreate:
@@ -63,6 +65,7 @@
 	return nil
 }
 
+// markPending records that a node must be stepped in this batch.
 func (h *host) markPending(id int, target *node) {
 	if !target.pending {
 		target.pending = true
@@ -70,7 +73,8 @@
 	}
 }
 
-// create starts a node, in place of the one of that id if there is one. Its first step is due in this batch.
+// create starts a node and replaces an existing node of the same ID. The first step of the node is made in this
+// batch.
 func (h *host) create(message *wire.Message, batch *wire.Batch) {
 	created := &node{}
 	h.nodes[message.Node] = created
@@ -92,7 +96,7 @@
 	return admission.New(settings, message.Seed, batch.Now) //nolint:wrapcheck // see above
 }
 
-// step has a node's controller decide on the events of this batch. A panic breaks that node only.
+// step passes the events of this batch to the controller of a node. A panic of the controller breaks only that node.
 func (h *host) step(id int, target *node, batch *wire.Batch) {
 	if target.controller == nil {
 		return
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs falldeal's admission decisions on the simulator's pipe: it hosts one controller for each node,
-// reads batches of events from standard input and answers each with the actions of the nodes concerned.
+// Command simhost connects falldeal's admission controller to the simulator. It runs one controller per simulated
+// node, reads batches of events from standard input, and replies to each batch on standard output with the actions of
+// the nodes that the batch is about.
 package main
 
 import (
--- a/cmd/simhost/serve.go
+++ b/cmd/simhost/serve.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	replyEnd         = "FINISHED\n"
+	replyEnd         = "FINISHED\n" // last line of each reply
 	replyBufferBytes = 64 << 10
 )
 
-// serve answers the batches of in on out until in ends.
+// serve replies on out to the batches read from in, until in ends.
 func serve(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), bufio.NewWriterSize(out, replyBufferBytes)
-	simulated := newHost()
+	nodes := newHost()
 	var batch wire.Batch
 	for {
 		err := reader.Read(&batch)
@@ -27,7 +27,7 @@
 		if err != nil {
 			return err //nolint:wrapcheck // it names the line and the field
 		}
-		reply, err := simulated.handle(&batch)
+		reply, err := nodes.handle(&batch)
 		if err != nil {
 			return err
 		}
@@ -37,13 +37,13 @@
 	}
 }
 
-// write sends a reply at once: the simulator waits for it.
+// write writes a reply and flushes it, since the simulator waits for it.
 func write(writer *bufio.Writer, reply []byte) error {
 	if _, err := writer.Write(reply); err != nil {
-		return fmt.Errorf("reply: %w", err)
+		return fmt.Errorf("write reply: %w", err)
 	}
 	if err := writer.Flush(); err != nil {
-		return fmt.Errorf("reply: %w", err)
+		return fmt.Errorf("write reply: %w", err)
 	}
 	return nil
 }
--- a/cmd/simhost/serve_test.go
+++ b/cmd/simhost/serve_test.go
@@ -13,7 +13,7 @@
 const sampleSettings = `{"FleetSize": 3, "TickUs": 1000, "FamilyInfo": {"Cpus": 2, "MemoryKb": 1000, "Blowup": 4},
  "Invariants": {"FallMultiple": 4}, "Lanes": [{"AimUs": 900000, "DeadlineUs": 2000000}]}`
 
-// converse returns the replies to an input.
+// converse returns the replies to input.
 func converse(input string) (string, error) {
 	var out bytes.Buffer
 	err := serve(strings.NewReader(input), &out)
@@ -24,6 +24,8 @@
 	return "CREATE " + node + " 7 " + strings.ReplaceAll(settings, "\n", "") + "\n"
 }
 
+// A node that is retired and created again in one batch starts anew: a late event of its predecessor must not affect
+// it.
 func TestRecreatedNodeIgnoresEventsOfPredecessor(t *testing.T) {
 	out, err := converse("SYNC 5\nOVER_TO_YOU\n" +
 		"SYNC 10\n" + createLine("3", sampleSettings) + "OVER_TO_YOU\n" +
@@ -36,6 +38,8 @@
 	require.Equal(t, 2, strings.Count(out, "HEALTH 3 1 1"), out)
 }
 
+// A node with invalid settings is reported as broken. Other nodes, and later events for the broken one, must not
+// fail.
 func TestInvalidSettingsBreakOnlyThatNode(t *testing.T) {
 	bad := strings.Replace(sampleSettings, `"Cpus": 2`, `"Cpus": 0`, 1)
 	out, err := converse("SYNC 1\n" + createLine("3", bad) + createLine("4", sampleSettings) +
@@ -45,6 +49,7 @@
 	require.Contains(t, out, "HEALTH 4")
 }
 
+// An event for a node that was never created is an error of the input, reported with its line.
 func TestEventForUnknownNode(t *testing.T) {
 	_, err := converse("SYNC 1\nDROPPED 3 1\nOVER_TO_YOU\n")
 	require.ErrorContains(t, err, "line 2: field NodeId")
--- a/wire/append.go
+++ b/wire/append.go
@@ -12,13 +12,14 @@
 const (
 	verbBroken = "BROKEN"
 
-	// timerName is what a node calls its only timer; the simulator sends it back when the timer fires.
+	// timerName is the name of the only timer of a node. The simulator sends it back when the timer fires.
 	timerName = "w"
 
-	advertPrecision = 6 // digits of an advertised value
+	// advertPrecision is the number of significant digits of an advertised value.
+	advertPrecision = 6
 )
 
-// actionVerbs are the first words of the lines, by the kind of the action.
+// actionVerbs are the first words of the output lines, by the kind of the action.
 var actionVerbs = [...]string{
 	admission.ActionRun:         "SERVE",
 	admission.ActionStop:        "YANK",
@@ -36,7 +37,7 @@
 	admission.ActionLog:         "REMARK",
 }
 
-// AppendAction appends the line of an action of node. The action's kind must be one of package admission's.
+// AppendAction appends the line for an action of a node. The kind of the action must be one of package admission.
 func AppendAction(b []byte, node int, action admission.Action) []byte {
 	if action.Kind == admission.ActionLog {
 		return appendRemark(b, node, action.Condition.String())
@@ -45,19 +46,19 @@
 	return append(appendArguments(b, &action), '\n')
 }
 
-// appendRemark appends the line of a text for the operators.
+// appendRemark appends the line for a log message.
 func appendRemark(b []byte, node int, text string) []byte {
 	b = append(appendVerb(b, actionVerbs[admission.ActionLog], node), ' ')
 	return append(append(b, oneLine(text)...), '\n')
 }
 
-// appendVerb appends the first word of a line and the node that it is about.
+// appendVerb appends the first word of a line and the ID of the node that the line is about.
 func appendVerb(b []byte, verb string, node int) []byte {
 	b = append(append(b, verb...), ' ')
 	return strconv.AppendInt(b, int64(node), 10)
 }
 
-// appendArguments appends the fields behind the verb and the node, each after a space.
+// appendArguments appends the fields after the verb and the node, each preceded by a space.
 func appendArguments(b []byte, action *admission.Action) []byte {
 	switch action.Kind {
 	case admission.ActionRun, admission.ActionStop, admission.ActionFail, admission.ActionSkipCall,
@@ -79,7 +80,7 @@
 	case admission.ActionWake:
 		const roundUp = time.Microsecond - 1 // a timer must not fire before its time
 		return append(appendMicroseconds(b, action.At+roundUp), " "+timerName...)
-	case admission.ActionLog: // has a line of its own: see appendRemark
+	case admission.ActionLog: // see appendRemark
 	}
 	return b
 }
@@ -99,10 +100,10 @@
 	return append(b, " 0"...)
 }
 
-// AppendBroken appends the line that reports that node's controller has failed and takes part no more.
+// AppendBroken appends the line that reports that the controller of a node has failed and takes no further part.
 func AppendBroken(b []byte, node int, err error) []byte {
 	return append(fmt.Appendf(b, "%s %d %s", verbBroken, node, oneLine(err.Error())), '\n')
 }
 
-// oneLine returns text with spaces in place of line ends.
+// oneLine returns text with line breaks replaced by spaces.
 func oneLine(text string) string { return strings.NewReplacer("\n", " ", "\r", " ").Replace(text) }
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,6 +1,7 @@
-// Package wire translates between the lines of the simulator's pipe and the types of package admission.
+// Package wire encodes and decodes the text protocol between the simulator and cmd/simhost, in terms of package
+// admission.
 //
-// Input comes in batches. A batch starts with "SYNC" and the time of the simulator's clock in microseconds, holds a
-// line for each message and ends with "OVER_TO_YOU". Fields are separated by single spaces; "-" stands for a field
-// that is not set. Output is a line for each action; the host ends each reply itself.
+// Input consists of batches. A batch starts with a line "SYNC" and the time of the simulator's clock in microseconds,
+// has one line per message, and ends with a line "OVER_TO_YOU". Fields are separated by single spaces; "-" stands for
+// a field that is not set. Output has one line per action; the host terminates each reply itself.
 package wire
--- a/wire/fields.go
+++ b/wire/fields.go
@@ -10,13 +10,13 @@
 	"falldeal/admission"
 )
 
-// unset stands for a field that has no value.
+// unset is the text of a field that has no value.
 const unset = "-"
 
 // unknownGauge is the value of a gauge that was not reported.
 const unknownGauge = -1
 
-// The names of the gauges on the wire.
+// Names of the gauges in the protocol.
 const (
 	gaugeCPUUtilization    = "core_use"
 	gaugeCPUDemand         = "on_cores"
@@ -24,7 +24,7 @@
 	gaugeConnections       = "links"
 )
 
-// outcomes are the endings of runs and calls, by their names on the wire.
+// outcomes maps the names of outcomes in the protocol to the outcomes of runs and calls.
 var outcomes = map[string]admission.Outcome{
 	"OK":                 admission.OutcomeOK,
 	"INTERNAL":           admission.OutcomeFailed,
@@ -36,14 +36,14 @@
 	"TOO_LATE":           admission.OutcomeNotStarted,
 }
 
-// fieldReader reads the fields of a line one after the other and keeps the first error, which finish returns.
+// fieldReader reads the fields of a line one after the other. It keeps the first error, which finish returns.
 type fieldReader struct {
-	rest      string // not read yet
-	exhausted bool   // a field was asked for behind the last one
-	err       error
+	rest      string // the fields that were not read yet
+	exhausted bool   // a field was requested after the last one
+	err       error  // the first error
 }
 
-// next returns the text of the next field, "" behind the last one.
+// next returns the text of the next field, or "" after the last one.
 func (f *fieldReader) next() string {
 	if f.rest == "" {
 		f.exhausted = true
@@ -54,20 +54,21 @@
 	return text
 }
 
-// remainder returns the text of all fields that are left.
+// remainder returns the text of all remaining fields.
 func (f *fieldReader) remainder() string {
 	text := f.rest
 	f.rest = ""
 	return text
 }
 
+// fail records a FieldError, unless there is an error already.
 func (f *fieldReader) fail(name, got, want string) {
 	if f.err == nil {
 		f.err = &FieldError{Field: name, Want: want, Got: got}
 	}
 }
 
-// finish returns the first error; fields that are left are one.
+// finish returns the first error. Remaining fields are an error.
 func (f *fieldReader) finish() error {
 	if f.err == nil && f.rest != "" {
 		f.err = fmt.Errorf("more fields than expected: %q", f.rest)
@@ -75,7 +76,7 @@
 	return f.err
 }
 
-// integer reads a whole number, of which the simulator writes some as signed and some as unsigned ones of 64 bits.
+// integer reads a whole number. The simulator writes some numbers as signed and some as unsigned 64-bit integers.
 func (f *fieldReader) integer(name string) int64 {
 	text := f.next()
 	if text == unset {
@@ -128,19 +129,19 @@
 	text := f.next()
 	outcome, ok := outcomes[text]
 	if !ok {
-		f.fail(name, text, "an ending")
+		f.fail(name, text, "an outcome")
 	}
 	return outcome
 }
 
-// gauges reads name:value pairs, separated by commas, and ignores names that it does not know.
+// gauges reads name:value pairs that are separated by commas. Unknown names are ignored.
 func (f *fieldReader) gauges(name string) admission.Gauges {
 	gauges := admission.Gauges{
 		CPUUtilization: unknownGauge, CPUDemand: unknownGauge, MemoryUtilization: unknownGauge, Connections: unknownGauge,
 	}
 	list := f.next()
 	if f.exhausted {
-		f.fail(name, list, "gauges")
+		f.fail(name, list, "a list of gauges")
 	}
 	for pair := range strings.SplitSeq(list, ",") {
 		if pair == unset || pair == "" {
@@ -154,7 +155,7 @@
 	return gauges
 }
 
-// setGauge sets the gauge of a name:value pair; false means that it is none.
+// setGauge sets the gauge of a name:value pair. It returns false if pair is not of that form.
 func setGauge(gauges *admission.Gauges, pair string) bool {
 	name, number, found := strings.Cut(pair, ":")
 	value, err := strconv.ParseFloat(number, 64)
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every action in both states of its flags, and the figures that are rounded.
+// The golden file fixes the output line of every action, in both states of its flags and with rounded numbers.
 func TestGoldenActions(t *testing.T) {
 	const largest = admission.RequestID(1<<64 - 1)
 	var cases []golden.Case
@@ -50,7 +50,7 @@
 	golden.Require(t, "actions.golden", cases)
 }
 
-// trimNewline returns a line without its end.
+// trimNewline returns a line without its newline, and checks that it is a single line.
 func trimNewline(t *testing.T, line []byte) string {
 	t.Helper()
 	text, found := strings.CutSuffix(string(line), "\n")
@@ -59,7 +59,8 @@
 	return text
 }
 
-// Every message of the simulator, with each outcome.
+// The golden file fixes the lines that the simulator writes. Each kind of message, with each outcome, must be parsed
+// from its line.
 func TestGoldenEvents(t *testing.T) {
 	type eventCase struct {
 		name string
@@ -91,7 +92,7 @@
 		withEvent("elapsed with some gauges", timer(-1, 0, -1, 5)),
 		withEvent("elapsed without gauges", timer(-1, -1, -1, -1)),
 	}
-	for _, ending := range []struct {
+	for _, end := range []struct {
 		name    string
 		outcome admission.Outcome
 	}{
@@ -105,9 +106,9 @@
 		{"moot", admission.OutcomeNotStarted},
 	} {
 		cases = append(cases,
-			withEvent("done, "+ending.name, admission.RunCompleted(5, admission.Completion{Outcome: ending.outcome,
+			withEvent("done, "+end.name, admission.RunCompleted(5, admission.Completion{Outcome: end.outcome,
 				Took: 9 * microsecond})),
-			withEvent("call result, "+ending.name, admission.CallCompleted(5, admission.Completion{Outcome: ending.outcome, Took: 9 * microsecond})))
+			withEvent("call result, "+end.name, admission.CallCompleted(5, admission.Completion{Outcome: end.outcome, Took: 9 * microsecond})))
 	}
 	lines := golden.Read(t, "events.golden", len(cases))
 	for _, test := range cases {
@@ -120,7 +121,7 @@
 	}
 }
 
-// The message for each kind of input that can't be read.
+// The golden file fixes the error for each kind of invalid input, with the line and the field at fault.
 func TestGoldenErrors(t *testing.T) {
 	var cases []golden.Case
 	for _, test := range []struct{ name, input string }{
--- a/wire/parse.go
+++ b/wire/parse.go
@@ -6,10 +6,10 @@
 	"falldeal/admission"
 )
 
-// messageParser sets what a line holds behind its verb and node.
+// messageParser parses the fields of a line after its verb and node.
 type messageParser func(line *fieldReader, message *Message)
 
-// parsers has a parser for each verb of a message.
+// parsers maps the verb of a message to its parser.
 var parsers = map[string]messageParser{
 	"CREATE": func(line *fieldReader, message *Message) {
 		message.Kind = MessageCreate
@@ -42,7 +42,7 @@
 		return admission.DrainStarted(admission.DrainSignal{StopAt: line.duration("DeadlineUs")})
 	}),
 	"ELAPSED": eventParser(func(line *fieldReader) admission.Event {
-		line.next() // the name of the timer; a node has only one
+		line.next() // name of the timer; a node has only one
 		return admission.TimerFired(line.gauges("Feedback"))
 	}),
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-// parseMessage reads a line between the first and the last one of a batch.
+// parseMessage parses a line between the first and the last line of a batch.
 func parseMessage(line *fieldReader, message *Message) error {
 	verb := line.next()
 	message.Node = int(line.integer("NodeId"))
@@ -70,15 +70,15 @@
 	return nil
 }
 
-// parseRequest reads all fields of a request. Those that decide nothing are checked all the same.
+// parseRequest parses the fields of a request. Fields that affect no decision are validated as well.
 func parseRequest(line *fieldReader) admission.Event {
 	var arrival admission.Arrival
 	id := line.id("Xid")
-	line.integer("By") // the number of the client
+	line.integer("By") // ID of the client
 	arrival.MemoryKB = line.float("MemKb")
 	arrival.Tenant = int(line.integer("Owner"))
 	arrival.CostHint = line.duration("PredictedUs")
-	line.next() // the subject of a read
+	line.next() // subject of a read
 	arrival.Retry = line.flag("Repeat")
 	line.flag("Mutates")
 	arrival.RetryOf = line.id("Forerunner")
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -11,7 +11,7 @@
 	"falldeal/admission"
 )
 
-// The lines around the messages of a batch.
+// Lines that start and end a batch.
 const (
 	verbBatchStart = "SYNC"
 	batchEnd       = "OVER_TO_YOU"
@@ -19,17 +19,17 @@
 
 const readBufferBytes = 64 << 10
 
-// MessageKind tells what a message asks of the host.
+// MessageKind is the kind of a Message.
 type MessageKind uint8
 
 // The kinds of Message.
 const (
-	MessageCreate MessageKind = iota // a node starts: Seed and Settings are set
-	MessageRetire                    // a node has died
-	MessageEvent                     // Event is set
+	MessageCreate MessageKind = iota // a node starts; Seed and Settings are set
+	MessageRetire                    // a node has ended
+	MessageEvent                     // something happened to a node; Event is set
 )
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k MessageKind) String() string {
 	switch k {
 	case MessageCreate:
@@ -42,35 +42,35 @@
 	return fmt.Sprintf("MessageKind(%d)", uint8(k))
 }
 
-// Message is one line of a batch.
+// Message is one line of a batch. Beside Kind, Node and Line, only the fields of its kind are set.
 type Message struct {
 	Kind     MessageKind
-	Node     int
-	Line     int // in the input, from 1
-	Seed     uint64
-	Settings []byte // JSON, to be read by ParseSettings
+	Node     int    // ID of the node that the message is about
+	Line     int    // number of the line in the input, from 1
+	Seed     uint64 // of the node's random choices
+	Settings []byte // JSON for ParseSettings
 	Event    admission.Event
 }
 
-// Batch is what the simulator sends at one time.
+// Batch is the set of messages that the simulator sends at one time.
 type Batch struct {
-	Now      time.Duration // of the simulator's clock
+	Now      time.Duration // time of the simulator's clock
 	Messages []Message
 }
 
 // Reader reads batches. It is not safe for concurrent use.
 type Reader struct {
 	in       *bufio.Reader
-	line     int         // the last one that was read, from 1
+	line     int         // number of lines read
 	overflow []byte      // a line that is longer than the buffer of in
-	fields   fieldReader // of the last line; here as it would be allocated for each one
+	fields   fieldReader // of the last line; a field of Reader to avoid an allocation per line
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, readBufferBytes)} }
 
-// Read reads a batch into batch, whose memory it uses again. At the end of input between two batches
-// it returns io.EOF; an error of the input's text is a *LineError, others are those of the underlying reader.
+// Read reads the next batch into batch and reuses its memory. It returns io.EOF if the input ends between two
+// batches, a *LineError for invalid input, and the error of the underlying reader otherwise.
 func (r *Reader) Read(batch *Batch) error {
 	batch.Messages = batch.Messages[:0]
 	if err := r.readStart(batch); err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// appendMessage reads the line of a message.
+// appendMessage parses the line of a message and appends the message to batch.
 func (r *Reader) appendMessage(batch *Batch, text string) error {
 	last := len(batch.Messages)
 	batch.Messages = append(batch.Messages, Message{Line: r.line})
@@ -122,10 +122,10 @@
 	return nil
 }
 
-// lineError returns err as that of the last line that was read.
+// lineError returns a LineError for the last line read.
 func (r *Reader) lineError(err error) error { return &LineError{r.line, err} }
 
-// nextLine returns the next line without its end, valid until the following call.
+// nextLine returns the next line without its line ending. The line is valid until the next call.
 func (r *Reader) nextLine() ([]byte, error) {
 	r.overflow = r.overflow[:0]
 	for {
@@ -150,7 +150,7 @@
 	}
 }
 
-// trimLineEnd cuts "\n" or "\r\n" off a line that ends with one of them.
+// trimLineEnd removes the trailing "\n" or "\r\n" of line.
 func trimLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r"))
 }
--- a/wire/reader_test.go
+++ b/wire/reader_test.go
@@ -14,7 +14,7 @@
 
 const microsecond = time.Microsecond
 
-// eventLine writes an event as the simulator does; the test's half of the codec.
+// eventLine encodes an event as the simulator does.
 func eventLine(node int, event admission.Event) string {
 	bit := map[bool]int{true: 1}
 	names := map[admission.Outcome]string{}
@@ -40,11 +40,12 @@
 	case admission.EventTimer:
 		return fmt.Sprintf("ELAPSED %d w core_use:%g,on_cores:%g,heap_share:%g,links:%g,unknown:7", node,
 			event.Gauges.CPUUtilization, event.Gauges.CPUDemand, event.Gauges.MemoryUtilization, event.Gauges.Connections)
-	default: // the simulator has no operators
+	default: // the simulator sends no operator events
 		panic(fmt.Sprintf("no line for an event of kind %d", event.Kind))
 	}
 }
 
+// Each event that is encoded as the simulator does must be decoded to the same event.
 func TestReadEvents(t *testing.T) {
 	events := []admission.Event{
 		admission.RequestArrived(3233622311735748, admission.Arrival{MemoryKB: 24.5, Tenant: 1,
@@ -70,6 +71,7 @@
 	}
 }
 
+// An invalid line must be reported with its number and field, and must not be mistaken for the end of the input.
 func TestReadErrorsNameLineAndField(t *testing.T) {
 	for input, want := range map[string]string{
 		"HELLO\n":                                     "line 1",
@@ -79,8 +81,8 @@
 		"SYNC 1\nDROPPED 3 4 5\nOVER_TO_YOU\n":        "more fields",
 		"SYNC 1\nJUMP 3\nOVER_TO_YOU\n":               `unknown event "JUMP"`,
 		"SYNC 1\nELAPSED 3 w core_use\nOVER_TO_YOU\n": "field Feedback",
-		"SYNC 1\nDROPPED 3 4\n":                       "ends within a batch",
-		"SYNC 1\nDROPPED 3":                           "cut short",
+		"SYNC 1\nDROPPED 3 4\n":                       "ends within a batch: OVER_TO_YOU is missing",
+		"SYNC 1\nDROPPED 3":                           "truncated: no newline at the end of the input",
 	} {
 		var batch Batch
 		err := NewReader(strings.NewReader(input)).Read(&batch)
@@ -91,6 +93,7 @@
 	require.ErrorIs(t, NewReader(strings.NewReader("")).Read(&batch), io.EOF, "end of input between batches")
 }
 
+// Callers find the line and the field of an error with errors.As, and truncated input with errors.Is.
 func TestReadErrorsAreTyped(t *testing.T) {
 	var batch Batch
 	err := NewReader(strings.NewReader("SYNC 1\nDONE 3 4 FINE 5\nOVER_TO_YOU\n")).Read(&batch)
@@ -99,7 +102,7 @@
 	require.Equal(t, 2, lineErr.Line)
 	var fieldErr *FieldError
 	require.ErrorAs(t, err, &fieldErr)
-	require.Equal(t, FieldError{Field: "Disposition", Want: "an ending", Got: "FINE"}, *fieldErr)
+	require.Equal(t, FieldError{Field: "Disposition", Want: "an outcome", Got: "FINE"}, *fieldErr)
 	for input, want := range map[string]error{"SYNC 1\n": ErrIncompleteBatch, "SYNC 1": ErrTruncated} {
 		err := NewReader(strings.NewReader(input)).Read(&batch)
 		require.ErrorIs(t, err, want, input)
--- a/wire/settings_test.go
+++ b/wire/settings_test.go
@@ -18,6 +18,8 @@
  {"AimUs": 2100000, "DeadlineUs": 5400000, "Idempotency": "keyed", "KeyTtlUs": 16101000, "Name": "reserve", "Value": 3}],
  "Tenants": [{"Name": "NAME", "Portion": 0.57, "QuotaPerS": 158.0}]}`
 
+// Settings are read from the simulator's JSON. Unknown keys are ignored, and names of classes and tenants must not
+// change the result.
 func TestParseSettings(t *testing.T) {
 	settings, err := ParseSettings([]byte(sampleSettings))
 	require.NoError(t, err)
@@ -34,6 +36,7 @@
 	require.Equal(t, settings, renamed, "names of classes and tenants change the settings")
 }
 
+// Wrong enum values, lists of the wrong length and values of the wrong type must be rejected.
 func TestParseSettingsErrors(t *testing.T) {
 	for _, test := range []struct{ good, bad string }{
 		{`"drop"`, `"maybe"`},
