--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -7,40 +7,46 @@
 	"falldeal/admission/internal/rolling"
 )
 
+// High CPU utilization without late requests, or late requests on idle cores (a slow dependency), must not
+// make the server reject requests for lack of CPU time.
 func TestAdmitProbabilityFallsOnlyIfCPUIsShortAndRequestsAreLate(t *testing.T) {
 	controller := startController(t, testSettings())
-	step := func(use, lat float64) float64 {
-		controller.gauges.CPUUtilization = use
-		controller.estimator.estimates[0].latency = rolling.AverageOf(lat)
+	step := func(utilization, latency float64) float64 {
+		controller.gauges.CPUUtilization = utilization
+		controller.estimator.estimates[0].latency = rolling.AverageOf(latency)
 		controller.admitProbability.adjust(controller.estimator.cpuOverloaded(controller.gauges))
 		return controller.admitProbability.probability
 	}
 	if step(0.99, 0.5) != 1 || step(0.5, 9) != 1 {
-		t.Fatal("the probability fell though only one condition held")
+		t.Fatal("the admit probability fell although only one of the conditions held")
 	}
-	if s := step(0.99, 9); s >= 1 {
-		t.Fatal("the probability did not fall")
+	if probability := step(0.99, 9); probability >= 1 {
+		t.Fatal("the admit probability did not fall under CPU pressure with late requests")
 	}
 	if low := controller.admitProbability.probability; step(0.5, 9) <= low {
-		t.Fatal("the probability did not rise when the pressure eased")
+		t.Fatal("the admit probability did not rise after the CPU pressure had ended")
 	}
 }
 
+// A retry whose first attempt is unknown must not get the full objective again: its answer would be late for
+// the client.
 func TestRetriesHaveShorterObjective(t *testing.T) {
 	controller := startController(t, testSettings())
 	again := arrived(1, 0)
 	again.Arrival.Retry = true
 	controller.Step(0, []Event{again}, nil)
 	if got := controller.requests[1].objective; got >= 2*time.Second {
-		t.Errorf("a retry has its whole objective of %v left", got)
+		t.Errorf("a retry has an objective of %v, want less than that of a first attempt", got)
 	}
 }
 
+// A client may try another server if only this one is overloaded, but not in a retry storm or if its
+// objective is nearly over: such retries only add load.
 func TestRejectionsAdviseOnRetryElsewhere(t *testing.T) {
 	rejection := func(prepare func(*Controller, *Event)) *Action {
 		controller := startController(t, testSettings())
 		controller.advisor.marksRetries = true
-		controller.estimator.speed.First = 1e-6 // so slow that nothing is in time
+		controller.estimator.speed.First = 1e-6 // too slow for any objective
 		for id := RequestID(100); id < 110; id++ {
 			controller.Step(0, []Event{arrived(id, 0)}, nil)
 		}
@@ -49,7 +55,7 @@
 		return requireAction(t, controller.Step(0, []Event{event}, nil), ActionReject, 1)
 	}
 	if action := rejection(func(*Controller, *Event) {}); action.Rejection.NoRetryElsewhere || action.Rejection.RetryAfter <= 0 {
-		t.Errorf("trouble of this server alone: %+v", *action)
+		t.Errorf("only this server is overloaded: %+v, want RetryAfter and a retry elsewhere allowed", *action)
 	}
 	for _, marks := range []bool{true, false} {
 		storm := func(controller *Controller, _ *Event) {
@@ -58,21 +64,21 @@
 			controller.advisor.arrivals.counts.Second = 9
 		}
 		if action := rejection(storm); !action.Rejection.NoRetryElsewhere {
-			t.Errorf("in a storm the client is sent on (retries marked: %v)", marks)
+			t.Errorf("a retry elsewhere is allowed in a retry storm (retries marked: %v)", marks)
 		}
 	}
 	if action := rejection(func(_ *Controller, event *Event) { event.Arrival.Waited = 1500 * ms }); !action.Rejection.NoRetryElsewhere {
-		t.Error("a request whose objective is nearly over is sent on")
+		t.Error("a retry elsewhere is allowed for a request whose objective is nearly over")
 	}
 }
 
-// The fleet's rank of a request counts only while the CPU is short: a server with a free core runs any request, and a
-// request that another server would run is not ended here.
+// A server with a free core runs a request of any rank. While the cores are busy, the rank decides the reason
+// and the advice: a request that another server would run must not be kept from it.
 func TestFleetRankCountsOnlyWhileCoresAreBusy(t *testing.T) {
 	for _, test := range []struct {
-		rank       FleetRank
-		storm, end bool
-		why        Reason
+		rank           FleetRank
+		storm, noRetry bool
+		reason         Reason
 	}{{RankUnknown, false, false, ReasonCPU}, {RankUnknown, true, true, ReasonCPU}, {RankElsewhere, true, false, ReasonCPU},
 		{RankFull, false, true, ReasonCPU}, {RankBelowThreshold, false, true, ReasonBelowThreshold}} {
 		controller := startController(t, testSettings())
@@ -82,7 +88,7 @@
 		for id := RequestID(100); id < 110; id++ {
 			controller.Step(0, []Event{arrived(id, 0)}, nil)
 		}
-		controller.estimator.speed.First = 1e-6 // so slow that nothing is in time
+		controller.estimator.speed.First = 1e-6 // too slow for any objective
 		if test.storm {
 			controller.advisor.arrivals.counts.First = 10
 			controller.advisor.arrivals.counts.Second = 9
@@ -90,12 +96,13 @@
 		event.ID = 2
 		action := requireAction(t, controller.Step(0, []Event{event}, nil), ActionReject, 2)
 		rejection := action.Rejection
-		if rejection.NoRetryElsewhere != test.end || rejection.Reason != test.why || test.end == (rejection.RetryAfter > 0) {
+		if rejection.NoRetryElsewhere != test.noRetry || rejection.Reason != test.reason || test.noRetry == (rejection.RetryAfter > 0) {
 			t.Errorf("%+v: %+v", test, *action)
 		}
 	}
 }
 
+// A full queue of requests of little value must not keep out a request of more value.
 func TestMoreValuableArrivalDisplacesQueuedRequest(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0
@@ -115,21 +122,25 @@
 	actions := controller.Step(0, []Event{arrived(id, 1)}, nil)
 	requireNoAction(t, actions, ActionReject, id)
 	if controller.requests[id] == nil {
-		t.Error("a keyed request worth more was rejected for queued ones of less value")
+		t.Error("a request was rejected although queued ones have less value")
 	}
 }
 
+// A request that is rejected on arrival was never queued. If its release subtracted it from the queue anyway,
+// the counts and sums of work would be too low.
 func TestRejectionOnArrivalLeavesQueueCounts(t *testing.T) {
 	controller := startController(t, testSettings())
-	controller.admitProbability.probability = 0 // all that comes while the cores are busy is refused on reading
+	controller.admitProbability.probability = 0 // rejects all arrivals while the cores are busy
 	for id := RequestID(1); id <= 40; id++ {
 		controller.Step(0, []Event{arrived(id, 0)}, nil)
 	}
 	if controller.queue.count != 0 || controller.queue.work != 0 || controller.queue.classes[0].count != 0 {
-		t.Errorf("%d queued, %v s of work, %d of the class", controller.queue.count, controller.queue.work, controller.queue.classes[0].count)
+		t.Errorf("%d queued, %v s of work, %d of the class, want 0", controller.queue.count, controller.queue.work, controller.queue.classes[0].count)
 	}
 }
 
+// If nearly all arrivals are rejected, further retries elsewhere only add load. Where clients do not mark
+// retries, the rejections stand for them.
 func TestRetryStormIsDetected(t *testing.T) {
 	for _, marks := range []bool{true, false} {
 		settings := testSettings()
@@ -145,32 +156,32 @@
 			}
 		}
 		if last == nil || !last.Rejection.NoRetryElsewhere {
-			t.Errorf("marks %v: %+v after 60 arrivals that are nearly all rejected", marks, last)
+			t.Errorf("retries marked: %v: %+v after 60 arrivals, want NoRetryElsewhere", marks, last)
 		}
 	}
 }
 
-// A retry whose age is known has only the rest of its latency objective, so that no run is in vain; advice to stay away is
-// jittered as the event says, up to the longest that is heeded.
+// A retry whose age is known has only the rest of its latency objective, so that it does not run in vain. The
+// jitter of a request is added to its RetryAfter, up to MaxRetryAfter.
 func TestAttemptAgeShortensObjectiveAndJitterExtendsRetryAfter(t *testing.T) {
-	first := func(age, spread time.Duration) (ran bool, rejected *Action) {
+	offer := func(age, jitter time.Duration) (accepted bool, rejection *Action) {
 		controller := startController(t, testSettings())
 		var events []Event
-		for id := RequestID(1); id <= 16; id++ { // cores are taken, and some are queued
+		for id := RequestID(1); id <= 16; id++ { // all cores are busy, and some requests are queued
 			events = append(events, arrived(id, 0))
 		}
 		controller.Step(10*ms, events, nil)
 		event := arrived(99, 0)
 		event.Arrival.SinceFirstAttempt = age
-		event.Arrival.RetryJitter = spread
+		event.Arrival.RetryJitter = jitter
 		actions := controller.Step(20*ms, []Event{event}, nil)
 		return findAction(actions, ActionReject, 99) == nil, findAction(actions, ActionReject, 99)
 	}
-	if ran, _ := first(0, 0); !ran {
-		t.Error("a first attempt that can be in time is rejected")
+	if accepted, _ := offer(0, 0); !accepted {
+		t.Error("a first attempt that can meet its objective was rejected")
 	}
-	if ran, action := first(1900*ms, 0); ran || !action.Rejection.NoRetryElsewhere {
-		t.Errorf("an attempt that can't be in time any more: %v %+v", ran, action)
+	if accepted, action := offer(1900*ms, 0); accepted || !action.Rejection.NoRetryElsewhere {
+		t.Errorf("an attempt that cannot meet its objective: accepted %v, %+v", accepted, action)
 	}
 	controller := startController(t, testSettings())
 	for id := RequestID(1); id <= 400; id++ {
@@ -182,7 +193,7 @@
 		}
 		retryAfter := action.Rejection.RetryAfter
 		if retryAfter < min(event.Arrival.RetryJitter, time.Second) || retryAfter > time.Second {
-			t.Fatalf("%+v", *action)
+			t.Fatalf("RetryAfter does not cover the jitter or exceeds MaxRetryAfter: %+v", *action)
 		}
 	}
 }
--- a/admission/admit_probability_test.go
+++ b/admission/admit_probability_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The probability must not reach 0: then no request would run while the cores are busy, and no latency would
+// show a recovery.
 func TestAdmitProbabilityStaysWithinBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	rate := newAdmitProbability(rng)
@@ -30,6 +32,8 @@
 	require.True(t, rate.recovered())
 }
 
+// Either gauge alone indicates pressure. Unknown gauges must not, or a server without them would reject
+// requests.
 func TestCPUPressureThresholds(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/admission/advertiser_test.go
+++ b/admission/advertiser_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Each advert has its own value for a draining server, and only the credit has one from the start.
 func TestAdvertisedValueAtStartAndDrain(t *testing.T) {
 	for _, test := range []struct {
 		advert   Advert
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Half of a fleet's clients ask one server for the same subjects. Reading alone then takes its CPU, and advice of a tenth
-// of a second does not change when a client returns that comes every few seconds.
+// In a large fleet each client sends to this server only every few seconds. While reading takes its CPU time,
+// a RetryAfter of 100 ms would not keep any client away.
 func TestRetryAfterCoversClientInterval(t *testing.T) {
 	rejection := func(clients int, waited, work time.Duration) *Action {
 		settings := testSettings()
@@ -17,7 +17,7 @@
 		now := time.Duration(0)
 		var last *Action
 		for id := RequestID(1); id <= 400; id++ {
-			now += 50 * ms // 20 requests a second
+			now += 50 * ms // 20 requests per second
 			event := arrived(id, 1)
 			event.Arrival.Waited = waited
 			event.Arrival.CostHint = work
@@ -30,41 +30,45 @@
 		}
 		return last
 	}
-	// 150 clients with 20 requests a second come every 7.5 s, so they are sent off for as long as they heed, and
-	// those whose time is over hear so too, beside the wish to try nowhere else.
+	// 150 clients with 20 requests per second: each returns after 7.5 s, so RetryAfter is MaxRetryAfter, also for
+	// requests that are too late and must not be retried elsewhere.
 	late := rejection(150, 900*ms, time.Second)
 	if late.Rejection.Reason != ReasonTooLate || !late.Rejection.NoRetryElsewhere || late.Rejection.RetryAfter != time.Second {
 		t.Errorf("%+v", *late)
 	}
-	// Ten come every half second.
+	// 10 clients: each returns after 500 ms.
 	if action := rejection(10, 900*ms, time.Second); action.Rejection.RetryAfter < 400*ms || action.Rejection.RetryAfter > 600*ms {
 		t.Errorf("%+v", *action)
 	}
-	// One client that sends all of them would leave the server idle: the advice is as it was.
+	// A single client sends all requests: RetryAfter is not extended, since the server would be idle meanwhile.
 	if action := rejection(1, 900*ms, time.Second); action.Rejection.RetryAfter != 0 {
 		t.Errorf("%+v", *action)
 	}
-	// Where reading is in time it is as it was as well.
+	// Reading is not late: RetryAfter is not extended.
 	if action := rejection(150, 0, 3*time.Second); action.Rejection.RetryAfter >= time.Second {
 		t.Errorf("%+v", *action)
 	}
 }
 
+// Connections of many clients that seldom return would fill the connection table, so they must be closed
+// early.
 func TestIdleTimeoutIsShortForInfrequentClients(t *testing.T) {
 	for clients, closed := range map[int]bool{5: false, 1000: true} {
 		settings := testSettings()
 		settings.Clients = clients
 		controller := startController(t, settings)
-		for i := range 1000 { // 10 requests a second
+		for i := range 1000 { // 10 requests per second
 			controller.Step(time.Duration(i)*100*ms, []Event{arrived(RequestID(i+1), 0)}, nil)
 			controller.Step(time.Duration(i)*100*ms+50*ms, []Event{RunCompleted(RequestID(i+1), Completion{})}, nil)
 		}
 		if got := controller.advisor.idleTimeout.current < settings.IdleTimeout; got != closed {
-			t.Errorf("%d clients: idle timeout %v", clients, controller.advisor.idleTimeout.current)
+			t.Errorf("%d clients: unexpected idle timeout %v", clients, controller.advisor.idleTimeout.current)
 		}
 	}
 }
 
+// The credits of all clients together must not exceed what the server can run and queue, however many clients
+// there are.
 func TestCreditIsDividedAmongClients(t *testing.T) {
 	settings := testSettings()
 	settings.Advert = AdvertCredit
@@ -76,7 +80,8 @@
 	}
 }
 
-// What a client is told follows from why its request did not run and what the fleet knows of it.
+// The reason and the advice in a rejection follow from its cause, the rank of the request in the fleet, and
+// the time that is left.
 func TestRejectionByCauseAndRank(t *testing.T) {
 	const (
 		early = time.Second / 10
@@ -114,6 +119,7 @@
 	}
 }
 
+// Without MaxRetryAfter and SendsRetryAfter, a rejection carries no RetryAfter.
 func TestNoRetryAfterIfClientsIgnoreIt(t *testing.T) {
 	settings := testSettings()
 	settings.SendsRetryAfter = false
--- a/admission/arrivals_test.go
+++ b/admission/arrivals_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A retry storm is detected from marked retries, or from rejections where retries are not marked. Without
+// arrivals, the mean interval of a client must not be infinite.
 func TestRetryStormAndMeanClientInterval(t *testing.T) {
 	arrivals := newArrivalRate()
 	require.Equal(t, 10*offeredTimeConstant, arrivals.meanClientInterval(10), "nothing is known")
@@ -26,10 +28,12 @@
 	require.True(t, calm.retryStorm())
 }
 
+// A negative delay, due to differing clocks, counts as 0. Without arrivals the mean must decay, or the server
+// would stay unhealthy.
 func TestReadDelayIsAveragedAndDecays(t *testing.T) {
 	var delay readDelay
 	require.False(t, delay.exceeds(0.4, time.Second))
-	delay.observe(-time.Second) // the clocks differ
+	delay.observe(-time.Second) // differing clocks
 	require.False(t, delay.exceeds(0, time.Second))
 	for range 100 {
 		delay.observe(500 * ms)
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -11,60 +11,63 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Values computed by hand, around the number of protected calls and the accept ratio of 1/K.
 func TestDropProbabilityFormula(t *testing.T) {
-	for _, x := range []struct{ total, accepts, want float64 }{
+	for _, test := range []struct{ total, accepts, want float64 }{
 		{0, 0, 0}, {5, 0, 0}, {6, 0, 1.0 / 7}, {100, 100, 0}, {100, 60, 5.0 / 101}, {100, 0, 95.0 / 101}, {35, 10, 15.0 / 36},
 	} {
-		if got := dropProbability(x.total, x.accepts, BreakerProtectedCalls); math.Abs(got-x.want) > 1e-12 {
-			t.Errorf("dropProbability(%v, %v) = %v, want %v", x.total, x.accepts, got, x.want)
+		if got := dropProbability(test.total, test.accepts, BreakerProtectedCalls); math.Abs(got-test.want) > 1e-12 {
+			t.Errorf("dropProbability(%v, %v) = %v, want %v", test.total, test.accepts, got, test.want)
 		}
 	}
 }
 
+// The breaker must close again after successful calls, and without any call once the failures have left the
+// window: otherwise no call would ever show the recovery.
 func TestBreakerRecoversAndIdleWindowForgets(t *testing.T) {
 	controller := startController(t, testSettings())
 	for range 100 {
 		controller.calls.breaker.record(controller.now, OutcomeFailed)
 	}
 	if d := controller.calls.breaker.dropProbability(controller.now); math.Abs(d-95.0/101) > 1e-9 {
-		t.Fatalf("drop chance %v after 100 failures", d)
+		t.Fatalf("drop probability %v after 100 failures", d)
 	}
 	for range 200 {
 		controller.calls.breaker.record(controller.now, OutcomeOK)
 	}
 	if d := controller.calls.breaker.dropProbability(controller.now); d != 0 {
-		t.Fatalf("drop chance %v after recovery", d)
+		t.Fatalf("drop probability %v after recovery", d)
 	}
 	for range 500 {
 		controller.calls.breaker.record(controller.now, OutcomeFailed)
 	}
 	controller.advanceTime(breakerWindow + time.Second)
 	if d := controller.calls.breaker.dropProbability(controller.now); d != 0 {
-		t.Fatalf("drop chance %v after an idle window", d)
+		t.Fatalf("drop probability %v after an idle window", d)
 	}
 }
 
-// While a fleet coordinates its probes, the breaker lets through what the fleet allows: no call on a server that does not
-// probe, and the first calls on one that does, however long calls took before the store went away.
+// While the fleet coordinates its probes, a server that does not probe must make no call, and one that probes
+// must make its first calls, however long calls took before the dependency failed.
 func TestProtectedCallsDecideWhetherServerProbes(t *testing.T) {
-	calls := func(protect float64) (n int) {
+	calls := func(protectedCalls float64) (n int) {
 		controller := startController(t, testSettings())
 		controller.calls.limiter.callTime = rolling.AverageOf(0.03)
 		controller.calls.limiter.bestCallTime = 0.03
-		if protect > 0 {
+		if protectedCalls > 0 {
 			controller.calls.limiter.callTime = rolling.AverageOf(1.9)
 		}
 		for range 4 {
 			controller.calls.breaker.record(controller.now, OutcomeTimedOut)
 		}
-		controller.SetProtectedCalls(protect)
+		controller.SetProtectedCalls(protectedCalls)
 		for id := RequestID(1); id < 4; id++ {
 			controller.Step(controller.now+1, []Event{arrived(id, 3)}, nil)
 			actions := controller.Step(controller.now+1, []Event{CallNeeded(id)}, nil)
 			if findAction(actions, ActionCall, id) != nil {
 				n++
 			} else if findAction(actions, ActionSkipCall, id) == nil {
-				t.Errorf("request %d neither calls nor goes on", id)
+				t.Errorf("request %d neither makes its call nor skips it", id)
 			}
 		}
 		return n
@@ -72,17 +75,17 @@
 	controller := startController(t, testSettings())
 	controller.SetProtectedCalls(-1)
 	if action := requireAction(t, controller.Step(0, []Event{arrived(1, 1)}, nil), ActionReject, 1); action.Rejection.Reason != ReasonDependency {
-		t.Errorf("a request that would fail at its call: %+v", *action)
+		t.Errorf("a request that must call, on a server that does not probe: %+v", *action)
 	}
 	if n := calls(-1); n != 0 {
-		t.Errorf("%d calls by one whose turn it is not", n)
+		t.Errorf("%d calls by a server that does not probe, want 0", n)
 	}
 	if n := calls(BreakerProtectedCalls); n != 3 {
-		t.Errorf("%d calls of 3 within what is protected", n)
+		t.Errorf("%d of 3 protected calls were made", n)
 	}
 }
 
-// The breaker's probability is that of its formula over a plain list of the calls in the window.
+// The probability must be that of the formula over a plain list of the calls in the window.
 func TestBreakerAgainstPlainList(t *testing.T) {
 	const bucket = breakerWindow / breakerBuckets
 	type call struct {
@@ -117,6 +120,8 @@
 	}
 }
 
+// Every outcome but OutcomeOK counts as a failure. With protectedCalls below 0, a server does not even make
+// the first call.
 func TestBreakerCountsOnlyOKAsAccepted(t *testing.T) {
 	for outcome := OutcomeOK; outcome <= OutcomeNotStarted; outcome++ {
 		breaker := newCircuitBreaker(0)
--- a/admission/call_limiter_test.go
+++ b/admission/call_limiter_test.go
@@ -9,6 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The timeout of the next call at the limit, with and without credit, and beyond the safe part of
+// maxInFlight.
 func TestCallTimeout(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -20,16 +22,16 @@
 		used        float64 // call-seconds in the window
 		want        time.Duration
 	}{
-		{"any number of calls", 0, 50, 0, 0, 0.1, 0, time.Second},
+		{"unlimited calls", 0, 50, 0, 0, 0.1, 0, time.Second},
 		{"below the limit of 3", 6, 2, 0, 0, 0.1, 0, time.Second},
 		{"above the limit of 3.5, with credit", 7, 3, 0, 0.1, 0.1, 0, time.Second},
 		{"above the limit of 3.5, without credit", 7, 3, 0, 0, 0.1, 0, 0},
 		{"one more than the limit of 3.5", 7, 4, 0, 0.1, 0.1, 0, 0},
-		{"a whole limit is kept", 6, 3, 0, 0.1, 0.1, 0, 0},
+		{"at a whole limit, with credit", 6, 3, 0, 0.1, 0.1, 0, 0},
 		{"abandoned calls count", 6, 1, 2, 0, 0.1, 0, 0},
-		{"beyond what is safe, little used", 1, 0, 0, 0.1, 0.1, 0, time.Second},
-		{"beyond what is safe, some used", 1, 0, 0, 0.1, 0.1, 3.6, 700 * ms},
-		{"beyond what is safe, too little left for a call", 1, 0, 0, 0.1, 0.2, 3.6, 0},
+		{"beyond the safe ratio, little used", 1, 0, 0, 0.1, 0.1, 0, time.Second},
+		{"beyond the safe ratio, some used", 1, 0, 0, 0.1, 0.1, 3.6, 700 * ms},
+		{"beyond the safe ratio, too little time for a call", 1, 0, 0, 0.1, 0.2, 3.6, 0},
 	} {
 		limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: test.maxInFlight, CallsWindow: 5 * time.Second,
 			AbandonedCallTime: 200 * ms})
@@ -42,7 +44,8 @@
 	}
 }
 
-// The credit is bounded: little is saved up, and no more is owed than the limit's own window.
+// Without an upper bound, an idle server could save up credit for a burst. Without a lower bound, one long
+// overload could block calls for longer than the window.
 func TestCallCreditIsBounded(t *testing.T) {
 	limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: 3, CallsWindow: 5 * time.Second})
 	for now := ms; now < 10*time.Second; now += ms {
@@ -57,10 +60,12 @@
 	require.InDelta(t, 5*9, limiter.callSeconds.Sum(20*time.Second), 9*0.2)
 }
 
+// The limit must stay within its bounds, do nothing before a call was measured, and determine from when calls
+// are backlogged.
 func TestCallLimitBounds(t *testing.T) {
 	limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: 10})
 	limiter.adjust()
-	require.InDelta(t, initialCallLimitRatio*10, limiter.limit(), 1e-9, "nothing is known")
+	require.InDelta(t, initialCallLimitRatio*10, limiter.limit(), 1e-9, "no call was measured")
 	require.True(t, limiter.recovered())
 	limiter.recordCallTime(10 * ms)
 	require.False(t, limiter.recovered())
@@ -84,7 +89,7 @@
 	require.True(t, limiter.anyPending())
 }
 
-// New settings begin a new window only if the window is another one.
+// New limits must not discard the calls in the window; a window of another length starts empty.
 func TestReconfigureKeepsCallWindowUnlessItsLengthChanges(t *testing.T) {
 	settings := &Settings{MaxCallsInFlight: 10, CallsWindow: 5 * time.Second}
 	limiter := newCallLimiter(0, settings)
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -8,6 +8,8 @@
 	"falldeal/admission/internal/rolling"
 )
 
+// A call that the circuit breaker drops must end the wait of its run: the run continues if its class may skip
+// the call, and fails otherwise. A request that has run must not be rejected.
 func TestDroppedCallIsSkippedOrFails(t *testing.T) {
 	for class, kind := range map[int]ActionKind{1: ActionFail, 3: ActionSkipCall} {
 		settings := testSettings()
@@ -22,6 +24,8 @@
 	}
 }
 
+// A call that may have had an effect must not be made again, as the effect would happen twice. A failed read
+// may.
 func TestCallIsRetriedOnlyIfItHadNoEffect(t *testing.T) {
 	for _, test := range []struct {
 		class     int
@@ -34,7 +38,7 @@
 		actions := controller.Step(10*ms, []Event{CallCompleted(1, Completion{Outcome: test.outcome, Took: 9 * ms})}, nil)
 		actions = controller.Step(300*ms, nil, actions)
 		if got := findAction(actions, ActionCall, 1) != nil; got != test.wantRetry {
-			t.Errorf("class %d, outcome %d: repeated %v, want %v", test.class, test.outcome, got, test.wantRetry)
+			t.Errorf("class %d, outcome %d: retried %v, want %v", test.class, test.outcome, got, test.wantRetry)
 		}
 		if !test.wantRetry {
 			requireAction(t, actions, ActionFail, 1)
@@ -42,6 +46,7 @@
 	}
 }
 
+// All calls that are wanted at once must not exceed the safe part of MaxCallsInFlight.
 func TestCallsInFlightStayBelowLimit(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 3
@@ -57,10 +62,12 @@
 		}
 	}
 	if out == 0 || float64(out) > safeCallRatio*settings.MaxCallsInFlight {
-		t.Fatalf("%d calls in flight of %v allowed", out, settings.MaxCallsInFlight)
+		t.Fatalf("%d calls in flight, with MaxCallsInFlight %v", out, settings.MaxCallsInFlight)
 	}
 }
 
+// The limit must fall while calls are much slower than at best, stay above its minimum, and rise again
+// afterwards.
 func TestCallLimitFallsWhileCallsAreSlowAndRecovers(t *testing.T) {
 	controller := startController(t, testSettings())
 	limiter := controller.calls.limiter
@@ -79,10 +86,11 @@
 		limiter.adjust()
 	}
 	if low >= high/1.5 || limiter.limit() < high*0.99 || low < minCallLimitRatio*limiter.maxInFlight*0.99 {
-		t.Errorf("limit %v, then %v while slow, then %v", high, low, limiter.limit())
+		t.Errorf("limit %v at first, %v while calls are slow, %v afterwards", high, low, limiter.limit())
 	}
 }
 
+// With a fractional limit, one call more than the limit is made only while the mean is below it.
 func TestFractionalCallLimitHoldsOnAverage(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 1.95
@@ -93,26 +101,26 @@
 	limiter.limitRatio = 0.7
 	limiter.inFlight = 1
 	if limiter.timeout(controller.now, time.Second) <= 0 {
-		t.Error("no second call though the mean is far below the limit")
+		t.Error("no second call although the mean is far below the limit")
 	}
 	limiter.callSeconds.Add(controller.now, limiter.limit()*settings.CallsWindow.Seconds()+0.1)
 	limiter.credit = -0.1
 	if limiter.timeout(controller.now, time.Second) > 0 {
-		t.Error("a second call though the mean is above the limit")
+		t.Error("a second call although the mean is above the limit")
 	}
 	limiter.inFlight = 0
 	if limiter.timeout(controller.now, time.Second) <= 0 {
-		t.Error("no call at all")
+		t.Error("no call although none is in flight")
 	}
 	limiter.maxInFlight = 0.3
 	if got := limiter.timeout(controller.now, 3*time.Second); got > 0 {
-		t.Errorf("a call of %v though the limit is used up", got)
+		t.Errorf("a call with timeout %v although the limit is used up", got)
 	}
 }
 
-// In a fleet of 300 each server may have a tenth of a call in flight. While the store is slow, one call takes far more than
-// that, and what is overdrawn has to be paid back: it used to be forgotten after 1.5 s, and the fleet had three times the
-// calls in flight that it may have.
+// In a fleet of 300, each server may have 0.1 calls in flight. While the dependency is slow, one call takes
+// far more, and the overdrawn credit must be restored before the next. Credit that was forgotten after 1.5 s
+// once let the fleet have three times its calls in flight.
 func TestFractionalCallLimitHoldsForLongCalls(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
@@ -120,13 +128,13 @@
 	limiter := controller.calls.limiter
 	limiter.limitRatio = minCallLimitRatio
 	const step = 10 * ms
-	var inHand, total time.Duration
+	var inFlightTime, total time.Duration
 	var ends time.Duration
 	for now := step; now <= 60*time.Second; now += step {
 		controller.advanceTime(now)
 		total += step
 		if limiter.inFlight == 1 {
-			inHand += step
+			inFlightTime += step
 			if now >= ends {
 				limiter.inFlight = 0
 			}
@@ -135,13 +143,13 @@
 			ends = now + 300*ms
 		}
 	}
-	if mean, limit := inHand.Seconds()/total.Seconds(), limiter.limit(); mean > 1.2*limit || mean < 0.8*limit {
-		t.Errorf("%.3f calls in flight in the mean, with a limit of %.3f", mean, limit)
+	if mean, limit := inFlightTime.Seconds()/total.Seconds(), limiter.limit(); mean > 1.2*limit || mean < 0.8*limit {
+		t.Errorf("%.3f calls in flight on average, with a limit of %.3f", mean, limit)
 	}
 }
 
-// A request that would have to wait until overdrawn calls are paid back is rejected before it runs: an idempotent request
-// that fails at its call has run, and no retry of it may.
+// A request that would wait for overdrawn credit must be rejected before it runs: an idempotent request that
+// fails at its call has run, so none of its retries may run.
 func TestOverdrawnCreditCountsAsCallWait(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
@@ -150,28 +158,29 @@
 	controller.calls.limiter.callTime = rolling.AverageOf(0.3)
 	controller.calls.limiter.credit = 0.01
 	if w := controller.estimator.callWait(); w != 0 {
-		t.Errorf("a wait of %v with nothing overdrawn", w)
+		t.Errorf("a wait of %v although no credit is overdrawn", w)
 	}
 	controller.calls.limiter.credit = -0.2
 	if w, want := controller.estimator.callWait().Seconds(), 0.2/controller.calls.limiter.limit(); math.Abs(w-want) > 1e-6 {
 		t.Errorf("a wait of %v s, want %v", w, want)
 	}
-	// One runs all the same, so that a recovery is noticed. It waits for its call, and no further one runs in vain.
+	// One request runs as a trial, so that a recovery is noticed. While it waits for its call, no other one runs.
 	requireAction(t, controller.Step(controller.now+1, []Event{arrived(1, 1)}, nil), ActionRun, 1)
 	controller.Step(controller.now+1, []Event{CallNeeded(1)}, nil)
 	actions := controller.Step(controller.now+1, []Event{arrived(2, 1)}, nil)
 	if action := requireAction(t, actions, ActionReject, 2); action.Rejection.Reason != ReasonDependency {
-		t.Errorf("rejected since %v", action.Rejection.Reason)
+		t.Errorf("rejected with reason %v, want ReasonDependency", action.Rejection.Reason)
 	}
-	settings.MaxCallsInFlight = 20 // with whole calls the limit itself admits the next one
+	settings.MaxCallsInFlight = 20 // the limit itself allows the next call
 	controller = startController(t, settings)
 	controller.calls.limiter.callTime = rolling.AverageOf(0.3)
 	controller.calls.limiter.credit = -1
 	if w := controller.estimator.callWait(); w != 0 {
-		t.Errorf("a wait of %v though calls are free", w)
+		t.Errorf("a wait of %v although calls are available", w)
 	}
 }
 
+// If limitRatio were far too high, uncapped calls beyond maxInFlight would overload the dependency.
 func TestCallsBeyondSafeRatioHaveCappedTimeouts(t *testing.T) {
 	controller := startController(t, testSettings())
 	controller.calls.limiter.limitRatio = 5
@@ -179,55 +188,57 @@
 	limiter := controller.calls.limiter
 	for limiter.inFlight = 0; limiter.timeout(controller.now, 10*time.Second) == 10*time.Second; limiter.inFlight++ {
 		if float64(limiter.inFlight) > limiter.maxInFlight {
-			t.Fatalf("an uncut call beside %d of %v allowed", limiter.inFlight, limiter.maxInFlight)
+			t.Fatalf("a call with an uncapped timeout beside %d in flight, with maxInFlight %v", limiter.inFlight, limiter.maxInFlight)
 		}
 	}
 }
 
+// After an idle time, credit must not allow several calls in a row: with a limit below 1, each call must be
+// followed by a pause.
 func TestFractionalCallLimitIsNotUsedInOneBurst(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.5
 	settings.AbandonedCallTime = 0
 	controller := startController(t, settings)
 	limiter := controller.calls.limiter
-	controller.advanceTime(20 * time.Second) // a long time without a call saves nothing up
+	controller.advanceTime(20 * time.Second) // idle time saves up little credit
 	limiter.inFlight = 1
 	controller.advanceTime(21 * time.Second)
 	limiter.inFlight = 0
 	if got := limiter.timeout(controller.now, time.Second); got > 0 {
-		t.Errorf("a call of %v right after one of 1 s with %v allowed", got, settings.MaxCallsInFlight)
+		t.Errorf("a call with timeout %v right after one of 1 s, with MaxCallsInFlight %v", got, settings.MaxCallsInFlight)
 	}
 	controller.advanceTime(23 * time.Second)
 	if got := limiter.timeout(controller.now, time.Second); got > 0 {
-		t.Errorf("a call of %v after 2 s, though one of 1 s takes 4 s of a limit of %v", got, limiter.limit())
+		t.Errorf("a call with timeout %v 2 s after one of 1 s, which uses up 4 s of a limit of %v", got, limiter.limit())
 	}
 	controller.advanceTime(24*time.Second + 100*ms)
 	if limiter.timeout(controller.now, time.Second) <= 0 {
-		t.Error("no call though the last one is paid back")
+		t.Error("no call although the overdrawn credit is restored")
 	}
 }
 
-// While the dependency is slow, calls are scarce: requests that may go on without theirs do so at once and leave them to
-// requests that may not, instead of being rejected, or of delaying the others until both are late.
+// While the dependency is slow, requests that may skip their calls must do so at once. Otherwise they would
+// be rejected, or would delay requests that must call until both are late.
 func TestCallsThatWouldWaitTooLongAreSkipped(t *testing.T) {
 	settings := testSettings()
 	settings.MemoryKB = 1e6
 	settings.Cores = 12
-	for _, controller := range []struct {
-		took  float64 // seconds that a call takes of late
+	for _, test := range []struct {
+		took  float64 // recent mean call time in seconds
 		skips bool
 	}{{0.01, false}, {1, true}} {
-		ctl := startController(t, settings)
-		for id := RequestID(1); id <= 5; id++ { // more than may call at once
-			startAndNeedCall(t, ctl, id, 1)
+		controller := startController(t, settings)
+		for id := RequestID(1); id <= 5; id++ { // more than may call at the same time
+			startAndNeedCall(t, controller, id, 1)
 		}
-		if ctl.calls.limiter.waitingCount == 0 {
+		if controller.calls.limiter.waitingCount == 0 {
 			t.Fatal("no call waits")
 		}
-		ctl.calls.limiter.callTime = rolling.AverageOf(controller.took)
-		actions := startAndNeedCall(t, ctl, 7, 3)
-		if got := findAction(actions, ActionSkipCall, 7) != nil; got != controller.skips {
-			t.Errorf("calls take %v s: skipped is %v", controller.took, got)
+		controller.calls.limiter.callTime = rolling.AverageOf(test.took)
+		actions := startAndNeedCall(t, controller, 7, 3)
+		if got := findAction(actions, ActionSkipCall, 7) != nil; got != test.skips {
+			t.Errorf("calls take %v s: skipped is %v", test.took, got)
 		}
 		for id := RequestID(1); id <= 5; id++ {
 			requireNoAction(t, actions, ActionSkipCall, id)
@@ -236,7 +247,8 @@
 	}
 }
 
-// startAndNeedCall brings request id of class to its call within the first millisecond.
+// startAndNeedCall runs request id of a class at time 0 and has it need its call after 1 ms. It returns the
+// actions of that step.
 func startAndNeedCall(t *testing.T, controller *Controller, id RequestID, class int) []Action {
 	t.Helper()
 	requireAction(t, controller.Step(0, []Event{arrived(id, class)}, nil), ActionRun, id)
--- a/admission/concurrency_test.go
+++ b/admission/concurrency_test.go
@@ -7,16 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The run limit must rise only while requests are queued on cores that are not fully used, and must not
+// follow unknown demand.
 func TestRunLimitFollowsDemand(t *testing.T) {
 	limiter := newConcurrencyLimiter(0, &Settings{Cores: 4, MaxConcurrencyPerCore: 5})
 	for _, test := range []struct {
 		name   string
 		demand float64
 		queued bool
-		want   float64 // after many sweeps
+		want   float64 // after many periodic decisions
 	}{
 		{"idle cores beside a queue", 2, true, maxRunsPerCore * 4},
-		{"crowded", 9, true, 4},
+		{"demand over target", 9, true, 4},
 		{"idle cores without a queue", 2, false, 4},
 		{"unknown", -1, true, 4},
 	} {
@@ -29,7 +31,7 @@
 	require.Equal(t, 1, limiter.trialRuns())
 }
 
-// The counts of runs stay those of a plain set of runs.
+// The counts and the sum of work must stay those of plain lists of runs, through calls and ends in any order.
 func TestRunCountsMatchReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	limiter := newConcurrencyLimiter(0, &Settings{Cores: 4, MaxConcurrencyPerCore: 5})
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A request that arrives after the grace period must not run, and a run that hangs must be answered before
+// the process ends.
 func TestDrainRejectsLateArrivalsAndAnswersAll(t *testing.T) {
 	controller := startController(t, testSettings())
 	actions := controller.Step(0, []Event{arrived(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second})}, nil)
@@ -21,6 +23,7 @@
 	requireAction(t, actions, ActionFail, 1)
 }
 
+// A draining server must be reported unhealthy and advertise a value that turns clients away.
 func TestDrainAdvertisesNoCapacity(t *testing.T) {
 	for advert, value := range map[Advert]float64{AdvertLevel: 1, AdvertCredit: 0, AdvertWeight: 0} {
 		settings := testSettings()
@@ -36,6 +39,7 @@
 	}
 }
 
+// If no run ever ends, every request must still get an answer by its deadline.
 func TestEveryRequestAnsweredByDeadlineWhenRunsHang(t *testing.T) {
 	controller := startController(t, testSettings())
 	var actions []Action
@@ -47,18 +51,18 @@
 	}
 	for id := RequestID(1); id <= 40; id++ {
 		if findAction(actions, ActionReject, id) == nil && findAction(actions, ActionFail, id) == nil {
-			t.Errorf("request %d has no answer though the work hangs", id)
+			t.Errorf("request %d has no answer at its deadline", id)
 		}
 	}
 }
 
-// A process that another one replaces answers what it has read, but the server goes on: no client is sent elsewhere.
+// A process that is replaced answers what it has read. The server continues, so no client may be turned away.
 func TestDrainOfReplacedProcessKeepsHealth(t *testing.T) {
 	controller := startController(t, testSettings())
 	actions := controller.Step(0, []Event{arrived(1, 0), DrainStarted(DrainSignal{StopAt: 3 * time.Second, Replaced: true})}, nil)
 	requireAction(t, actions, ActionRun, 1)
 	if findAction(actions, ActionHealth, 0) != nil {
-		t.Error("health changed though the server stays")
+		t.Error("the health state changed although another process continues the server")
 	}
 	actions = nil
 	for now := time.Duration(0); now < 3*time.Second; now += 5 * ms {
@@ -67,11 +71,13 @@
 	requireAction(t, actions, ActionFail, 1)
 }
 
+// Deadlines and runs are bounded by the end of the process, and new runs by the grace period after the
+// signal.
 func TestDrainBoundsAnswerDeadlinesAndRuns(t *testing.T) {
 	drain := drain{grace: time.Second}
 	request := &request{deadline: 20 * time.Second}
 	require.Equal(t, 20*time.Second-answerMargin, drain.answerDeadline(request))
-	require.True(t, drain.acceptsRun(time.Hour, time.Hour), "there is no drain")
+	require.True(t, drain.acceptsRun(time.Hour, time.Hour), "no drain has started")
 	require.True(t, drain.acceptsEnd(time.Hour))
 	drain.start(10*time.Second, DrainSignal{Waited: 2 * time.Second, StopAt: 14 * time.Second})
 	require.Equal(t, 14*time.Second-stopMargin, drain.answerDeadline(request))
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -9,24 +9,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testEstimator returns the estimator of a controller that has taken its first step, and the controller.
+// testEstimator returns a controller that has taken its first step, and its estimator.
 func testEstimator(t *testing.T) (*estimator, *Controller) {
 	t.Helper()
 	controller := startController(t, testSettings())
 	return controller.estimator, controller
 }
 
+// A request without a hint is estimated by the mean hint of its class, or by a part of the objective before
+// any hint.
 func TestWorkFollowsHintOrClassMean(t *testing.T) {
 	estimator, _ := testEstimator(t)
 	const class = 1
 	require.InDelta(t, defaultWorkRatio*1, estimator.recordHint(class, 0), 1e-12)
 	require.InDelta(t, 0.3, estimator.recordHint(class, 300*ms), 1e-12)
-	require.InDelta(t, 0.3, estimator.recordHint(class, 0), 1e-12, "as others of its class")
+	require.InDelta(t, 0.3, estimator.recordHint(class, 0), 1e-12, "the mean of its class")
 	require.InDelta(t, 0.5, estimator.recordHint(class, 500*ms), 1e-12)
 	require.InDelta(t, 0.32, estimator.recordHint(class, 0), 1e-12)
 }
 
-// The service rate is the work done for the core time used, whether or not cores were idle.
+// The service rate is the work done per core time used. Idle cores must not make a server look slow.
 func TestServiceRateFollowsRuns(t *testing.T) {
 	estimator, controller := testEstimator(t)
 	require.InDelta(t, 4, estimator.serviceRate(), 1e-9, "a standard core each")
@@ -41,6 +43,7 @@
 	require.Equal(t, seconds(0.2), estimator.serviceTime(0, &request{class: 0, work: 0.1}).Round(time.Microsecond))
 }
 
+// The estimate must include the expected calls of a class, and no calls for a class without them.
 func TestServiceTimeIncludesCalls(t *testing.T) {
 	estimator, controller := testEstimator(t)
 	withCall := &request{class: 1, work: 0.1, objective: time.Second}
@@ -54,7 +57,7 @@
 	require.InDelta(t, 0.1*initialRunsPerCore, estimator.serviceTime(0, withCall).Seconds(), 1e-6)
 }
 
-// Of a queue with a longer objective, only a part is ahead of a request.
+// Only a part of a queue with a longer objective is ahead of a request.
 func TestCPUWaitCountsWorkAhead(t *testing.T) {
 	estimator, controller := testEstimator(t)
 	urgent, patient := &request{class: 1, work: 0.4}, &request{class: 0, work: 0.4}
@@ -66,12 +69,13 @@
 	require.InDelta(t, (0.2+0.8+0.8)/4, estimator.cpuWait(patient).Seconds(), 1e-9)
 }
 
+// Queued requests that may skip their calls must not add to the wait of those that must call.
 func TestCallWaitCountsOnlyRequiredCalls(t *testing.T) {
 	estimator, controller := testEstimator(t)
 	controller.queue.push(&request{class: 0})
-	controller.queue.push(&request{class: 3}) // may go on without its call
+	controller.queue.push(&request{class: 3}) // may skip its call
 	controller.calls.limiter.waitingCount = 2
-	require.Zero(t, estimator.callWait(), "nothing is known of calls")
+	require.Zero(t, estimator.callWait(), "no call was measured")
 	controller.calls.limiter.callTime = rolling.AverageOf(0.1)
 	require.InDelta(t, 3*0.1/3, estimator.callWait().Seconds(), 1e-9, "three calls ahead, three in flight at a time")
 	degradable := &request{class: 3, objective: 200 * ms}
@@ -84,9 +88,10 @@
 	controller.runs.work = 100
 	require.Equal(t, resourceCPU, estimator.bottleneck(0, &request{class: 0}))
 	controller.calls.limiter.maxInFlight = 0
-	require.Zero(t, estimator.callWait(), "any number of calls")
+	require.Zero(t, estimator.callWait(), "unlimited calls")
 }
 
+// A late class that is no longer configured must not count, as its latency may never be updated again.
 func TestAnyClassLateIgnoresRemovedClasses(t *testing.T) {
 	estimator, _ := testEstimator(t)
 	require.False(t, estimator.anyClassLate())
--- a/admission/example_parts_test.go
+++ b/admission/example_parts_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A circuit breaker drops calls while the dependency fails, and forgets the failures after its window.
+// The circuit breaker drops calls while the dependency fails, and forgets the failures after its window.
 func Example_circuitBreaker() {
 	breaker := newCircuitBreaker(0)
 	for range 100 {
@@ -21,21 +21,21 @@
 
 // The admit probability falls fast under overload and recovers slowly.
 func Example_admitProbability() {
-	rate := newAdmitProbability(rand.New(rand.NewPCG(1, 1)))
+	admission := newAdmitProbability(rand.New(rand.NewPCG(1, 1)))
 	for range 10 {
-		rate.adjust(true)
+		admission.adjust(true)
 	}
-	fmt.Printf("%.2f\n", rate.probability)
+	fmt.Printf("%.2f\n", admission.probability)
 	for range 10 {
-		rate.adjust(false)
+		admission.adjust(false)
 	}
-	fmt.Printf("%.2f\n", rate.probability)
+	fmt.Printf("%.2f\n", admission.probability)
 	// Output:
 	// 0.35
 	// 0.55
 }
 
-// A server that has just started survives less concurrency than a warm one.
+// A server that has just started allows less concurrency than a warm one.
 func Example_concurrencyLimiter() {
 	limiter := newConcurrencyLimiter(0, &Settings{Cores: 4, MaxConcurrencyPerCore: 5, WarmingUp: true,
 		SlowStartSpeedRatio: 0.2, SlowStartTime: 10 * time.Second})
@@ -46,7 +46,7 @@
 	// 16.00
 }
 
-// The limit on calls in flight falls while calls take much longer than at best.
+// The limit on calls in flight falls while calls are much slower than at best.
 func Example_callLimiter() {
 	limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: 8, CallsWindow: 5 * time.Second})
 	fmt.Printf("%.1f\n", limiter.limit())
@@ -62,11 +62,11 @@
 	// 3.0
 }
 
-// A tenant that offers twice its quota has requests of half the value.
+// If a tenant sends twice its quota, its requests have half their value.
 func Example_tenantQuotas() {
 	var quotas tenantQuotas
 	quotas.configure(&Settings{FleetSize: 1, Tenants: []Tenant{{QuotaPerSecond: 10}}, ExcessValueRatio: 0.05})
-	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond { // 20 requests a second
+	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond { // 20 requests per second
 		quotas.count(now, 0)
 	}
 	quotas.updateValueFactors(time.Minute)
@@ -74,7 +74,7 @@
 	// Output: 0.5
 }
 
-// Of what is left of the memory, a part is kept for requests that are being read.
+// The limit is below the memory of the server; the rest is for requests that are being read.
 func Example_memoryBudget() {
 	var memory memoryBudget
 	memory.configure(&Settings{MemoryKB: 1000, RunningMemoryFactor: 4})
@@ -83,7 +83,7 @@
 	// Output: false true
 }
 
-// A request that arrives long after the drain signal is not run.
+// A request is not run if it arrives after the grace period or cannot end in time.
 func Example_drain() {
 	drain := drain{grace: time.Second}
 	drain.start(10*time.Second, DrainSignal{StopAt: 14 * time.Second})
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,7 +7,7 @@
 	"falldeal/admission"
 )
 
-// A server feeds what happens to it and carries out the actions in order.
+// The owner of a controller passes events to Step and carries out the actions in order.
 func Example() {
 	controller, err := admission.New(admission.Settings{
 		Cores: 2, FleetSize: 1, MemoryKB: 64000, RunningMemoryFactor: 4, MaxConcurrencyPerCore: 4, Tick: time.Millisecond,
--- a/admission/golden_test.go
+++ b/admission/golden_test.go
@@ -9,7 +9,8 @@
 	"falldeal/lab/golden"
 )
 
-// The full message for every field of the settings that can be at fault.
+// The texts of settings errors are part of the simulator's protocol. The golden file fixes the text for each
+// invalid field.
 func TestGoldenSettingsErrors(t *testing.T) {
 	var got strings.Builder
 	for _, test := range []struct {
@@ -49,7 +50,8 @@
 	golden.RequireText(t, "settings", got.String())
 }
 
-// The texts for the operators' log: every condition that begins and ends, and the drain.
+// The golden file fixes the texts for the operators' log: the beginning and the end of each condition, and
+// the drain.
 func TestGoldenReports(t *testing.T) {
 	var got strings.Builder
 	for _, test := range []struct {
@@ -90,6 +92,7 @@
 	golden.RequireText(t, "reports", got.String())
 }
 
+// logged writes the texts of the log actions to got.
 func logged(got *strings.Builder, actions []Action) {
 	for _, action := range actions {
 		if action.Kind == ActionLog {
@@ -98,11 +101,11 @@
 	}
 }
 
-// The reasons of rejections, as they stand in the log line of a request.
+// The golden file fixes the reasons of rejections, which are log field values.
 func TestGoldenReasons(t *testing.T) {
 	var got strings.Builder
-	for why := ReasonCPU; why <= ReasonBelowThreshold; why++ {
-		fmt.Fprintf(&got, "%d %s\n", why, why)
+	for reason := ReasonCPU; reason <= ReasonBelowThreshold; reason++ {
+		fmt.Fprintf(&got, "%d %s\n", reason, reason)
 	}
 	golden.RequireText(t, "reasons", got.String())
 }
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -7,29 +7,31 @@
 	"github.com/stretchr/testify/require"
 )
 
+// If all servers of a fleet were unhealthy for as long as they are late, no server would be left. The state
+// must flip back after minHealthDuration, recover without load, and not change during a drain.
 func TestServerWithLongReadDelayIsUnhealthyHalfOfTheTime(t *testing.T) {
 	controller := startController(t, testSettings())
-	off, answers := time.Duration(0), 0
+	unhealthyFor, changes := time.Duration(0), 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
 		event := arrived(RequestID(now+1), 0)
 		event.Arrival.Waited = 900 * ms
 		for _, action := range controller.Step(now, []Event{event}, nil) {
 			if action.Kind == ActionHealth {
-				answers++
+				changes++
 			}
 		}
 		if controller.health.unhealthy {
-			off += 50 * ms
+			unhealthyFor += 50 * ms
 		}
 	}
-	if off < 4*time.Second || off > 5*time.Second+minHealthDuration || answers > 20 {
-		t.Errorf("off for %v of 10 s, %d answers", off, answers)
+	if unhealthyFor < 4*time.Second || unhealthyFor > 5*time.Second+minHealthDuration || changes > 20 {
+		t.Errorf("unhealthy for %v of 10 s, with %d changes", unhealthyFor, changes)
 	}
 	for now := 10 * time.Second; now < 20*time.Second; now += 50 * ms {
 		controller.Step(now, nil, nil)
 	}
 	if controller.health.unhealthy || controller.advisor.readDelay.mean.Value() > 0.2 {
-		t.Errorf("unhealthy %v, wait %v s, though nothing comes any more", controller.health.unhealthy, controller.advisor.readDelay.mean.Value())
+		t.Errorf("unhealthy %v, mean read delay %v s, although no requests arrive", controller.health.unhealthy, controller.advisor.readDelay.mean.Value())
 	}
 	controller.Step(20*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
 	event := arrived(1, 0)
@@ -39,27 +41,30 @@
 	requireNoAction(t, actions, ActionHealth, 0)
 }
 
-// A server that operators have deregistered stays so until they take it back, whatever the load; requests are run meanwhile.
+// A server that an operator has deregistered must stay unhealthy until it is registered again, whatever its
+// load, and run requests meanwhile. A draining server must not become healthy again.
 func TestDeregisteredUntilReregistered(t *testing.T) {
 	controller := startController(t, testSettings())
 	if requireAction(t, controller.Step(time.Second, []Event{ServerDeregistered()}, nil), ActionHealth, 0).Health.Healthy {
-		t.Error("health is not bad after EventDeregister")
+		t.Error("healthy after EventDeregister")
 	}
 	for now := 1100 * ms; now < 5*time.Second; now += 100 * ms {
 		if findAction(controller.Step(now, []Event{TimerFired(Gauges{})}, nil), ActionHealth, 0) != nil {
-			t.Error("health changed by itself")
+			t.Error("the health state changed while deregistered")
 		}
 	}
 	requireAction(t, controller.Step(5*time.Second, []Event{arrived(1, 0)}, nil), ActionRun, 1)
 	if !requireAction(t, controller.Step(6*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0).Health.Healthy {
-		t.Error("health is not good after Restore")
+		t.Error("unhealthy after EventReregister")
 	}
 	controller.Step(7*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 9 * time.Second})}, nil)
 	if findAction(controller.Step(7*time.Second, []Event{ServerReregistered()}, nil), ActionHealth, 0) != nil {
-		t.Error("a server that drains came back")
+		t.Error("EventReregister changed the health state during a drain")
 	}
 }
 
+// The health state must stay for minHealthDuration, flip back after it, and follow operators first. A drain
+// freezes it.
 func TestHealthStateTransitions(t *testing.T) {
 	var health health
 	require.Equal(t, HealthAnswer{Healthy: true, Cached: true}, health.answer())
--- a/admission/helpers_test.go
+++ b/admission/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// testSettings are those of a warm server of 4 cores with one class of each kind.
+// testSettings returns the settings of a warm server with 4 cores and a class of each kind.
 func testSettings() Settings {
 	return Settings{
 		Cores:               4,
@@ -56,12 +56,12 @@
 	return controller
 }
 
-// arrived is the arrival of a small request with a hint of its work.
+// arrived returns the arrival of a small request with a cost hint.
 func arrived(id RequestID, class int) Event {
 	return RequestArrived(id, Arrival{Class: class, MemoryKB: 10, CostHint: 100 * ms})
 }
 
-// findAction returns the first action of a kind on a request, or nil.
+// findAction returns the first action of a kind for a request, or nil.
 func findAction(actions []Action, kind ActionKind, id RequestID) *Action {
 	for i := range actions {
 		if actions[i].Kind == kind && actions[i].ID == id {
@@ -71,18 +71,20 @@
 	return nil
 }
 
+// requireAction fails the test if there is no such action, and returns it otherwise.
 func requireAction(t *testing.T, actions []Action, kind ActionKind, id RequestID) *Action {
 	t.Helper()
 	action := findAction(actions, kind, id)
 	if action == nil {
-		t.Fatalf("no action %v for %d in %+v", kind, id, actions)
+		t.Fatalf("no action %v for request %d in %+v", kind, id, actions)
 	}
 	return action
 }
 
+// requireNoAction fails the test if there is such an action.
 func requireNoAction(t *testing.T, actions []Action, kind ActionKind, id RequestID) {
 	t.Helper()
 	if action := findAction(actions, kind, id); action != nil {
-		t.Fatalf("unwanted action %+v", *action)
+		t.Fatalf("unexpected action %+v", *action)
 	}
 }
--- a/admission/idempotency_test.go
+++ b/admission/idempotency_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// Retries of a request that is idempotent by key must get the result of its run, during the run and after it,
+// and must not run again.
 func TestIdempotentRequestRunsOnce(t *testing.T) {
 	controller := startController(t, testSettings())
 	actions := controller.Step(0, []Event{arrived(1, 1)}, nil)
@@ -20,12 +22,14 @@
 	requireAction(t, controller.Step(time.Second, []Event{again}, nil), ActionReuse, 3)
 }
 
+// A retry follows the queued first attempt. If that attempt is cancelled, the retry must run instead, or it
+// would never be answered.
 func TestFollowerIsPromotedWhenLeaderIsCancelled(t *testing.T) {
 	settings := testSettings()
 	settings.Cores = 1
 	controller := startController(t, settings)
 	requireAction(t, controller.Step(0, []Event{arrived(8, 0)}, nil), ActionRun, 8)
-	requireAction(t, controller.Step(0, []Event{arrived(9, 0)}, nil), ActionRun, 9) // no more run at a time
+	requireAction(t, controller.Step(0, []Event{arrived(9, 0)}, nil), ActionRun, 9) // with one core, at most two requests run
 	controller.Step(0, []Event{arrived(1, 1)}, nil)
 	if controller.requests[1] == nil || controller.requests[1].state != queued {
 		t.Fatal("request 1 is not queued")
@@ -40,6 +44,7 @@
 	requireAction(t, actions, ActionRun, 2)
 }
 
+// A request that ran without an entry for its key would run again with its retry.
 func TestRequestIsRejectedWithoutMemoryForKey(t *testing.T) {
 	settings := testSettings()
 	settings.KeyMemoryKB = settings.MemoryKB
--- a/admission/idle_timeout_test.go
+++ b/admission/idle_timeout_test.go
@@ -7,14 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The timeout is shortened only if clients return after more than half of it, and is never longer than
+// configured.
 func TestIdleTimeoutFollowsMeanClientInterval(t *testing.T) {
 	arrivals := newArrivalRate()
-	for range 80 { // 10 requests a second
+	for range 80 { // 10 requests per second
 		arrivals.add(0, false)
 	}
 	timeout := idleTimeout{configured: 30 * time.Second, current: 30 * time.Second}
-	require.False(t, timeout.adjust(0, 100, &arrivals), "each client returns within 10 s")
-	require.True(t, timeout.adjust(0, 200, &arrivals), "each returns within 20 s")
+	require.False(t, timeout.adjust(0, 100, &arrivals), "each client returns after 10 s")
+	require.True(t, timeout.adjust(0, 200, &arrivals), "each client returns after 20 s")
 	require.Equal(t, shortIdleTimeout, timeout.current)
 	require.False(t, timeout.adjust(0, 200, &arrivals))
 	require.True(t, timeout.adjust(0, 100, &arrivals))
--- a/admission/internal/rolling/example_test.go
+++ b/admission/internal/rolling/example_test.go
@@ -7,7 +7,7 @@
 	"falldeal/admission/internal/rolling"
 )
 
-// A window counts what happened in the last seconds.
+// A Window counts the events of the last seconds.
 func ExampleWindow() {
 	window := rolling.NewWindow(0, 5*time.Second, 10)
 	window.Add(time.Second, 3)
@@ -19,7 +19,7 @@
 	// 1
 }
 
-// The quotient of two sums that decay is a rate of the recent past.
+// The quotient of a DecayingPair is a ratio over the recent past.
 func ExampleDecayingPair() {
 	work := rolling.NewDecayingPair(time.Second, 0, 0)
 	work.Add(0, 10, 5)
@@ -28,7 +28,7 @@
 	// Output: 3.0
 }
 
-// An average takes its first value whole.
+// An Average starts at its first value.
 func ExampleAverage() {
 	var average rolling.Average
 	average.Add(10, 0.5)
@@ -37,7 +37,7 @@
 	// Output: 15
 }
 
-// A fit estimates the time of a run from a hint of its work.
+// A LinearFit estimates the time of a run from a hint of its work.
 func ExampleLinearFit() {
 	var fit rolling.LinearFit
 	for range 100 {
--- a/admission/internal/rolling/rolling_test.go
+++ b/admission/internal/rolling/rolling_test.go
@@ -15,7 +15,7 @@
 	value float64
 }
 
-// A window holds what was added in its newest buckets, as a plain sum over all points shows.
+// The sum must be that of all values in the newest buckets, also after pauses longer than the window.
 func TestWindowAgainstPlainSum(t *testing.T) {
 	const (
 		buckets = 20
@@ -43,6 +43,8 @@
 	}
 }
 
+// Each value must leave the window one span after it was added, also in a window that does not start at time
+// 0.
 func TestWindowDropsValuesAfterSpan(t *testing.T) {
 	window := NewWindow(time.Hour, time.Second, 10)
 	window.Add(time.Hour, 0.1)
@@ -52,6 +54,7 @@
 	require.Zero(t, window.Sum(time.Hour+10*time.Second))
 }
 
+// A span of 0 must not cause a division by a bucket width of 0.
 func TestWindowWithZeroSpan(t *testing.T) {
 	window := NewWindow(0, 0, 4)
 	window.Add(1, 2)
@@ -59,7 +62,7 @@
 	require.Zero(t, window.Sum(5))
 }
 
-// Both sums decay by the same factor, however the time is divided.
+// Both sums must decay by the same factor, into however many steps the time is divided.
 func TestDecayingPairAgainstClosedForm(t *testing.T) {
 	pair := NewDecayingPair(2*time.Second, 3, 5)
 	for now := time.Duration(0); now <= 4*time.Second; now += 100 * time.Millisecond {
@@ -70,17 +73,18 @@
 	pair.Add(4*time.Second, 1, 2)
 	require.InDelta(t, 3*math.Exp(-2)+1, pair.First, 1e-9)
 	require.InDelta(t, 5*math.Exp(-2)+2, pair.Second, 1e-9)
-	pair.DecayTo(time.Second) // the past changes nothing
+	pair.DecayTo(time.Second) // an earlier time changes nothing
 	require.InDelta(t, 3*math.Exp(-2)+1, pair.First, 1e-9)
 }
 
+// The first value must count in full: starting from 0 would take many values to correct.
 func TestAverage(t *testing.T) {
 	var average Average
 	require.False(t, average.Known())
 	require.InDelta(t, 7, average.ValueOr(7), 0)
 	require.Zero(t, average.Value())
 	average.Add(10, 0.1)
-	require.InDelta(t, 10, average.ValueOr(7), 0, "the first value counts whole")
+	require.InDelta(t, 10, average.ValueOr(7), 0, "the first value counts in full")
 	average.Add(20, 0.1)
 	require.InDelta(t, 11, average.Value(), 1e-12)
 	average.Scale(0.5)
@@ -92,7 +96,8 @@
 	require.Equal(t, Average{value: 3, known: true}, AverageOf(3))
 }
 
-// A fit finds a rising line; falling and steep ones are kept within its bounds.
+// A rising line must be found. A falling line, or one steeper than the line from the origin, must be bounded,
+// or estimates for unusual hints would be extreme.
 func TestLinearFitSlopeIsBounded(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -102,7 +107,7 @@
 		{"through the origin", func(x float64) float64 { return 3 * x }, 6},
 		{"with an intercept", func(x float64) float64 { return 1 + x }, 3},
 		{"falling: the mean", func(x float64) float64 { return 2 - x }, 1.5},
-		{"steeper than from the origin", func(x float64) float64 { return 4*x - 1 }, 4},
+		{"steeper than the line from the origin", func(x float64) float64 { return 4*x - 1 }, 4},
 	} {
 		var fit LinearFit
 		require.False(t, fit.Known())
--- a/admission/internal/timedqueue/example_test.go
+++ b/admission/internal/timedqueue/example_test.go
@@ -7,7 +7,7 @@
 	"falldeal/admission/internal/timedqueue"
 )
 
-// Values come out by time.
+// Values are yielded in order of their times.
 func ExampleQueue() {
 	var queue timedqueue.Queue[string]
 	queue.Push(3*time.Second, "later")
--- a/admission/internal/timedqueue/queue_test.go
+++ b/admission/internal/timedqueue/queue_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// entry is a value of the plain reference: a list that is searched.
+// entry is a value of the reference implementation, a list that is searched.
 type entry struct {
 	at    time.Duration
 	value int
 }
 
-// earliest returns the place of the first of the earliest entries.
+// earliest returns the index of the first entry with the earliest time.
 func earliest(entries []entry) int {
 	best := 0
 	for i := range entries {
@@ -26,6 +26,8 @@
 	return best
 }
 
+// The queue must yield the same values in the same order as a list that is searched, with values of equal
+// time and deletions.
 func TestQueueAgainstPlainList(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -63,6 +65,7 @@
 	}
 }
 
+// All methods that allow it must work on an empty queue, including its zero value.
 func TestEmptyQueue(t *testing.T) {
 	var queue Queue[string]
 	_, _, ok := queue.Peek()
--- a/admission/key_table_test.go
+++ b/admission/key_table_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// testKeyTable returns a key table and the parts that it uses.
 func testKeyTable(settings Settings) (*keyTable, *memoryBudget, *timers, *actionBuffer) {
 	memory, timers, actions := &memoryBudget{}, &timers{}, &actionBuffer{}
 	memory.configure(&settings)
@@ -15,6 +16,8 @@
 	return &keys, memory, timers, actions
 }
 
+// An entry must last until the window of its class ends, counted from the arrival, and at least one tick. Its
+// memory is released exactly once, whether it expires or is forgotten.
 func TestKeyTableRemembersForTheWindow(t *testing.T) {
 	keys, memory, timers, actions := testKeyTable(testSettings())
 	known := &request{id: 4, class: 1, arrivedAt: time.Second}
@@ -31,11 +34,11 @@
 	keys.expire(4)
 	require.Zero(t, memory.usedKB)
 	require.Zero(t, keys.len())
-	require.Empty(t, actions.take(), "the owner forgets by itself")
+	require.Empty(t, actions.take(), "the owner drops an expired entry by itself")
 
 	old := &request{id: 5, class: 1}
 	require.True(t, keys.reserve(time.Hour, old))
-	require.Equal(t, 5*ms, actions.take()[0].Duration, "one tick at least")
+	require.Equal(t, 5*ms, actions.take()[0].Duration, "at least one tick")
 	keys.forget(time.Hour, old)
 	require.False(t, old.remembered)
 	require.Equal(t, []Action{{Kind: ActionForget, ID: 5}}, actions.take())
@@ -44,6 +47,7 @@
 	require.Zero(t, memory.usedKB)
 }
 
+// A key that would exceed the memory limit must not be remembered.
 func TestKeyIsNotReservedWithoutMemory(t *testing.T) {
 	keys, memory, _, actions := testKeyTable(testSettings())
 	memory.reserve(memory.limitKB() - 9)
@@ -51,6 +55,7 @@
 	require.Empty(t, actions.take())
 }
 
+// Only results of reads are cached, only with a CacheTTL, and only while enough memory is free.
 func TestReadResultsAreCachedWhileMemoryAllows(t *testing.T) {
 	settings := testSettings()
 	settings.CacheTTL = time.Second
@@ -63,12 +68,12 @@
 	memory.reserve(memory.limitKB() / 2)
 	keys.cacheResult(0, &request{id: 4, class: 0})
 	require.Empty(t, actions.take(), "half of the memory is in use")
-	for class, shares := range []bool{true, true, false, true} {
-		require.Equal(t, shares, keys.reusesResults(class), class)
+	for class, reuses := range []bool{true, true, false, true} {
+		require.Equal(t, reuses, keys.reusesResults(class), class)
 	}
 	settings.CacheTTL = 0
 	keys.configure(&settings)
-	for class, shares := range []bool{false, true, false, false} {
-		require.Equal(t, shares, keys.reusesResults(class), class)
+	for class, reuses := range []bool{false, true, false, false} {
+		require.Equal(t, reuses, keys.reusesResults(class), class)
 	}
 }
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -4,6 +4,7 @@
 	"testing"
 )
 
+// A burst on a cold server must exceed neither its memory nor the concurrency that it can handle.
 func TestMemoryAndSlowStartLimitsHold(t *testing.T) {
 	settings := testSettings()
 	settings.WarmingUp = true
@@ -16,10 +17,12 @@
 		}
 	}
 	if limit := slowStartConcurrency(&settings); float64(controller.runs.running) > limit {
-		t.Fatalf("%d runs, a cold server survives %v", controller.runs.running, limit)
+		t.Fatalf("%d runs, a cold server can handle %v", controller.runs.running, limit)
 	}
 }
 
+// Runs that wait for calls may all return to the CPU at once, so they must count towards the concurrency
+// limit.
 func TestRunsAwaitingCallsCountAsConcurrency(t *testing.T) {
 	settings := testSettings()
 	settings.WarmingUp = true
@@ -35,11 +38,11 @@
 	}
 	limit := slowStartConcurrency(&settings)
 	if controller.runs.running == 0 || float64(controller.runs.running) > limit {
-		t.Errorf("%d runs might come back to the cores at once, a cold server survives %v", controller.runs.running, limit)
+		t.Errorf("%d runs may return to the CPU at once, a cold server can handle %v", controller.runs.running, limit)
 	}
 }
 
-// slowStartConcurrency is how many requests on the CPU a server survives that has just started.
+// slowStartConcurrency returns how many requests on the CPU a server can handle that has just started.
 func slowStartConcurrency(settings *Settings) float64 {
 	perCore := 1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio
 	return float64(settings.Cores) * perCore
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -13,13 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// filesWithoutDecisions hold types that are exchanged with the owner, settings and helpers. All others decide.
+// filesWithoutDecisions are the files with types that are exchanged with the owner, settings and helpers. All
+// other files decide.
 var filesWithoutDecisions = []string{
 	"action.go", "condition.go", "doc.go", "durations.go", "event.go", "action_buffer.go", "reconfigure.go", "settings.go",
 	"settings_check.go",
 }
 
-// policyFiles returns the files that deploy/balancer.toml names under policy.
+// policyFiles returns the files that deploy/balancer.toml lists under policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -30,7 +31,8 @@
 	return deploy.Policy
 }
 
-// Every file of this package that decides is named in the deploy file, and no other.
+// A new file that decides must be added to policy in deploy/balancer.toml, and files that do not decide must
+// not be listed.
 func TestPolicyListsEveryFileThatDecides(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	require.NoError(t, err)
@@ -46,7 +48,7 @@
 	}
 }
 
-// No file that decides is longer or wider than what can be read at a glance.
+// Files that decide must stay short and narrow enough to be read at a glance.
 func TestPolicyFilesAreShortAndNarrow(t *testing.T) {
 	const maxLines, maxColumns = 250, 110
 	for _, path := range policyFiles(t) {
@@ -62,7 +64,7 @@
 	}
 }
 
-// The controller asks its parts and holds little itself.
+// Rules belong into the parts of the controller: it must not gain fields or methods.
 func TestControllerStaysShort(t *testing.T) {
 	const maxFields, maxMethods = 19, 29
 	assert.LessOrEqual(t, reflect.TypeFor[Controller]().NumField(), maxFields)
@@ -77,13 +79,14 @@
 	assert.LessOrEqual(t, methods, maxMethods)
 }
 
-// Names of classes, tenants and clients decide nothing, since none reaches the package: settings and events have no text.
+// Decisions must not depend on the names of classes, tenants or clients. Settings and events therefore have
+// no text fields.
 func TestSettingsAndEventsCarryNoText(t *testing.T) {
 	for _, v := range []any{Settings{}, Event{}, Arrival{}, Completion{}, DrainSignal{}, Gauges{}, Class{}, Tenant{}} {
 		ty := reflect.TypeOf(v)
 		for i := range ty.NumField() {
 			if ty.Field(i).Type.Kind() == reflect.String {
-				t.Errorf("%s.%s carries text", ty.Name(), ty.Field(i).Name)
+				t.Errorf("%s.%s is a string", ty.Name(), ty.Field(i).Name)
 			}
 		}
 	}
--- a/admission/random_server_test.go
+++ b/admission/random_server_test.go
@@ -6,53 +6,53 @@
 	"time"
 )
 
-// attemptPhase is how far an attempt has got, as its server knows.
+// attemptPhase is the phase of an attempt, as its server knows it.
 type attemptPhase uint8
 
 const (
 	attemptWaiting        attemptPhase = iota
-	attemptAwaitingResult              // waits for the result of another one
+	attemptAwaitingResult              // waits for the result of another attempt
 	attemptRunning
 	attemptAwaitingCall
 	attemptCalling
 	attemptCompleted
 )
 
-// attempt is what the random server knows of one attempt.
+// attempt is what the random server knows about one attempt.
 type attempt struct {
 	class        int
 	arrivedAt    time.Duration
 	deadline     time.Duration
 	phase        attemptPhase
 	ran          bool
-	answered     bool // or cancelled
+	answered     bool // answered or cancelled
 	cancelled    bool
-	origin       int // the request that it is an attempt of
-	callsThatRan int
-	memoryKB     float64
+	origin       int     // ID of the first attempt of the request
+	callsThatRan int     // calls since the last CallNeeded that may have had an effect
+	memoryKB     float64 // memory while queued
 }
 
-// hasStarted reports whether the run of the attempt is under way.
+// hasStarted reports whether the attempt is running, including its calls.
 func (a *attempt) hasStarted() bool {
 	return a.phase == attemptRunning || a.phase == attemptAwaitingCall || a.phase == attemptCalling
 }
 
-// randomServer answers a controller's actions in odd but legal ways, and checks that the rules hold: each request is
-// answered once and in time, nothing with an effect runs twice, a drain runs nothing late, and memory and calls stay
-// within their limits.
+// randomServer answers the actions of a controller in unusual but legal ways and checks these invariants:
+// each request is answered once and in time, nothing with an effect runs twice, no late arrival runs in a
+// drain, and memory and calls stay within their limits.
 type randomServer struct {
 	t              *testing.T
 	settings       Settings
 	rng            *rand.Rand
 	now            time.Duration
 	attempts       map[RequestID]*attempt
-	live           []RequestID
-	keys           map[RequestID]time.Duration // until when each is remembered
-	runs           map[int]int                 // of each request
-	drainStartedAt time.Duration               // 0: none
-	log            []Action
+	live           []RequestID                 // attempts that have not completed
+	keys           map[RequestID]time.Duration // time until which each attempt is remembered
+	runs           map[int]int                 // number of runs, by origin
+	drainStartedAt time.Duration               // 0: no drain
+	log            []Action                    // all actions so far
 	lastID         RequestID
-	lastIdempotent map[int]RequestID // by class
+	lastIdempotent map[int]RequestID // last first attempt that is idempotent by key, by class
 	sendsDeadlines bool              // requests carry the deadlines of their clients
 }
 
@@ -83,7 +83,7 @@
 	return event
 }
 
-// drawEvents draws what happens next to each live attempt, and new requests.
+// drawEvents draws the next events of all live attempts, and new requests.
 func (s *randomServer) drawEvents() []Event {
 	var events []Event
 	live := s.live[:0]
@@ -94,7 +94,7 @@
 		live = append(live, id)
 		events = s.progress(events, id, s.attempts[id])
 		if s.rng.IntN(50) == 0 && len(events) > 0 {
-			events = append(events, events[len(events)-1]) // the same outcome twice
+			events = append(events, events[len(events)-1]) // a duplicate event
 		}
 	}
 	s.live = live
@@ -104,7 +104,7 @@
 	return events
 }
 
-// progress draws what happens next to one attempt.
+// progress draws the next event of one attempt, if any.
 func (s *randomServer) progress(events []Event, id RequestID, current *attempt) []Event {
 	done := func(outcome Outcome, took time.Duration) []Event {
 		current.phase = attemptCompleted
@@ -139,6 +139,7 @@
 	return events
 }
 
+// endCall draws the outcome of a call.
 func (s *randomServer) endCall(id RequestID, current *attempt) Event {
 	outcomes := []Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeRejected, OutcomeTimedOut,
 		OutcomeUnreachable, OutcomeAborted}
@@ -169,18 +170,18 @@
 		case ActionReuse:
 			a := s.attempts[action.ID]
 			if a.answered || a.ran {
-				s.t.Fatalf("reuse for %d out of place", action.ID)
+				s.t.Fatalf("unexpected ActionReuse for request %d", action.ID)
 			}
 			a.phase = attemptAwaitingResult
 		case ActionStop:
 			if s.settings.Halt == HaltOff {
-				s.t.Fatal("stop where nothing can be stopped")
+				s.t.Fatal("ActionStop although runs cannot be stopped")
 			}
 		case ActionAdvertise:
 			if s.settings.Advert == AdvertOff {
-				s.t.Fatal("free value where there is none")
+				s.t.Fatal("ActionAdvertise although no value is advertised")
 			}
-		case ActionHealth, ActionIdleTimeout, ActionWake, ActionLog: // no rule is about these
+		case ActionHealth, ActionIdleTimeout, ActionWake, ActionLog: // no invariant
 		}
 	}
 }
@@ -188,15 +189,15 @@
 func (s *randomServer) run(id RequestID) {
 	current := s.attempts[id]
 	if current.answered || current.ran {
-		s.t.Fatalf("%d run again or after its answer", id)
+		s.t.Fatalf("request %d runs again or after its answer", id)
 	}
 	if s.drainStartedAt > 0 && current.arrivedAt > s.drainStartedAt+s.settings.DrainGrace {
-		s.t.Fatalf("%d run though it came too late in a drain", id)
+		s.t.Fatalf("request %d runs although it arrived after the grace period of a drain", id)
 	}
 	s.runs[current.origin]++
 	keyed := s.settings.Classes[current.class].Idempotency == IdempotentByKey
 	if keyed && (s.runs[current.origin] > 1 || s.keys[id] <= s.now && s.keys[id] == 0) {
-		s.t.Fatalf("keyed %d: run %d, entry until %v at %v", id, s.runs[current.origin], s.keys[id], s.now)
+		s.t.Fatalf("idempotent request %d: run number %d, remembered until %v, now %v", id, s.runs[current.origin], s.keys[id], s.now)
 	}
 	current.ran = true
 	current.phase = attemptRunning
@@ -204,18 +205,18 @@
 
 func (s *randomServer) answer(action *Action) {
 	current := s.attempts[action.ID]
-	if current.cancelled { // its cancellation may come later in the batch that this answers
+	if current.cancelled { // the cancellation may come later in the batch that caused this action
 		return
 	}
 	if current.answered {
-		s.t.Fatalf("%d answered twice", action.ID)
+		s.t.Fatalf("request %d answered twice", action.ID)
 	}
 	safe := s.settings.Classes[current.class].Idempotency == Safe
 	if action.Kind == ActionReject && !safe && s.runs[current.origin] > 0 {
-		s.t.Fatalf("%d rejected after a run", action.ID)
+		s.t.Fatalf("request %d rejected after a run", action.ID)
 	}
 	if s.now > current.deadline+s.settings.AnswerGrace {
-		s.t.Fatalf("%d answered %v late", action.ID, s.now-current.deadline)
+		s.t.Fatalf("request %d answered %v late", action.ID, s.now-current.deadline)
 	}
 	current.answered = true
 	if !current.hasStarted() {
@@ -228,13 +229,13 @@
 	class := &s.settings.Classes[current.class]
 	if action.Kind == ActionSkipCall {
 		if class.DegradedValueRatio == 0 || current.phase != attemptAwaitingCall {
-			s.t.Fatalf("skip of %d out of place", action.ID)
+			s.t.Fatalf("unexpected ActionSkipCall for request %d", action.ID)
 		}
 		current.phase = attemptRunning
 		return
 	}
 	if current.phase != attemptAwaitingCall || class.Idempotency != Safe && current.callsThatRan > 0 {
-		s.t.Fatalf("call of %d out of place or repeated", action.ID)
+		s.t.Fatalf("unexpected or repeated ActionCall for request %d", action.ID)
 	}
 	current.phase = attemptCalling
 }
@@ -245,18 +246,18 @@
 	keyed := class.Idempotency == IdempotentByKey
 	if action.Kind == ActionForget {
 		if current.ran && keyed {
-			s.t.Fatalf("entry of %d forgotten after its run", action.ID)
+			s.t.Fatalf("request %d forgotten after its run", action.ID)
 		}
 		delete(s.keys, action.ID)
 		return
 	}
 	s.keys[action.ID] = s.now + action.Duration
 	if keyed && s.keys[action.ID] < current.arrivedAt+class.IdempotencyWindow {
-		s.t.Fatalf("entry of %d too short", action.ID)
+		s.t.Fatalf("request %d remembered for less than its window", action.ID)
 	}
 }
 
-// check checks what must hold between batches.
+// check checks the invariants between batches.
 func (s *randomServer) check() {
 	callsInFlight := 0
 	for _, current := range s.attempts {
@@ -264,21 +265,21 @@
 			continue
 		}
 		if !current.answered && s.now > current.deadline+s.settings.AnswerGrace {
-			s.t.Fatalf("a request is lost: due %v, now %v", current.deadline, s.now)
+			s.t.Fatalf("a request is not answered: deadline %v, now %v", current.deadline, s.now)
 		}
 		if current.phase == attemptCalling && !current.answered {
 			callsInFlight++
 		}
 	}
 	if memoryKB := s.memoryInUse(); memoryKB > s.settings.MemoryKB {
-		s.t.Fatalf("%v kB of %v in use", memoryKB, s.settings.MemoryKB)
+		s.t.Fatalf("%v kB of %v kB in use", memoryKB, s.settings.MemoryKB)
 	}
 	if s.settings.MaxCallsInFlight >= 1 && float64(callsInFlight) > s.settings.MaxCallsInFlight {
-		s.t.Fatalf("%d calls in flight of %v", callsInFlight, s.settings.MaxCallsInFlight)
+		s.t.Fatalf("%d calls in flight, with MaxCallsInFlight %v", callsInFlight, s.settings.MaxCallsInFlight)
 	}
 }
 
-// memoryInUse is the memory of requests and keys, in kB.
+// memoryInUse returns the memory of requests and remembered keys, in kB.
 func (s *randomServer) memoryInUse() float64 {
 	memoryKB := 0.0
 	for _, current := range s.attempts {
--- a/admission/recorded_events_test.go
+++ b/admission/recorded_events_test.go
@@ -24,8 +24,8 @@
 	return s.unusualEvents(events, step)
 }
 
-// advanceClock lets time pass until the next step: mostly some milliseconds, seldom none, or as long as a machine may
-// stand still.
+// advanceClock advances the time to the next step: mostly by milliseconds, seldom by nothing, or by seconds
+// as if the machine had been suspended.
 func (s *recordedServer) advanceClock() {
 	switch s.rng.IntN(500) {
 	case 0:
@@ -36,7 +36,7 @@
 	}
 }
 
-// unusualEvents adds a drain, operators' events, and events that a controller has to ignore.
+// unusualEvents adds a drain, events by operators, and events that a controller must ignore.
 func (s *recordedServer) unusualEvents(events []Event, step int) []Event {
 	if step == s.drainStep || step == s.drainStep+20 {
 		events = append(events, DrainStarted(DrainSignal{StopAt: s.now + 1500*ms, Replaced: s.rng.IntN(2) == 0,
@@ -57,13 +57,13 @@
 		events = append(events, CallCompleted(s.lastID+7, Completion{Took: ms}))
 	case 7:
 		if len(events) > 0 {
-			events = append(events, events[s.rng.IntN(len(events))]) // the same again
+			events = append(events, events[s.rng.IntN(len(events))]) // a duplicate event
 		}
 	}
 	return events
 }
 
-// arrival draws a request: a new one, a retry, or one with an odd field.
+// arrival draws a new request, a retry, or a request with an unusual field.
 func (s *recordedServer) arrival() Event {
 	s.lastID++
 	request := &recordedRequest{id: s.lastID, class: s.rng.IntN(len(s.settings.Classes)),
@@ -85,10 +85,10 @@
 	}
 	switch s.rng.IntN(300) {
 	case 0:
-		event.Arrival.Class = -1 + (len(s.settings.Classes)+1)*s.rng.IntN(2) // no such class
+		event.Arrival.Class = -1 + (len(s.settings.Classes)+1)*s.rng.IntN(2) // unknown class
 	case 1:
 		if len(s.live) > 0 {
-			event.ID = s.live[s.rng.IntN(len(s.live))].id // known already
+			event.ID = s.live[s.rng.IntN(len(s.live))].id // ID that is already known
 			return event
 		}
 	}
@@ -96,6 +96,7 @@
 	return event
 }
 
+// makeRetry turns an arrival into a retry, in most cases of an earlier attempt.
 func (s *recordedServer) makeRetry(event *Event) {
 	event.Arrival.Retry = true
 	event.Arrival.RetryJitter = time.Duration(s.rng.IntN(300)) * ms
@@ -114,7 +115,7 @@
 	}
 }
 
-// progress returns what happened to a request since the last step.
+// progress appends the events of a request since the last step.
 func (s *recordedServer) progress(events []Event, request *recordedRequest) []Event {
 	if !request.answered && s.rng.Float64() < s.episode.cancelledRatio {
 		request.answered = true
@@ -181,7 +182,7 @@
 	}
 }
 
-// carryOutFor carries out an action that is about one request.
+// carryOutFor carries out an action for a request.
 func (s *recordedServer) carryOutFor(request *recordedRequest, action *Action) {
 	switch action.Kind {
 	case ActionRun:
@@ -209,6 +210,6 @@
 	case ActionSkipCall:
 		request.phase = attemptRunning
 		request.endsAt = s.now + request.work/4
-	default: // not about one request
+	default: // not about a request
 	}
 }
--- a/admission/recorded_run_test.go
+++ b/admission/recorded_run_test.go
@@ -18,11 +18,12 @@
 	recordedSeeds        = 96
 	recordedStepsPerSeed = 2500
 
-	// recordedDigest is the digest of all actions of the recorded runs. A change of it is a change of what is decided.
+	// recordedDigest is the digest of all actions of the recorded runs. It changes only if decisions change.
 	recordedDigest = "cc4e9efe391454f1889593192d24a55fe731184594758bf367f8e2721993781b"
 )
 
-// recordedAction has the figures of an action that belong to the digest. Its form is independent of that of Action.
+// recordedAction holds the fields of an Action that are part of the digest. Its layout is independent of
+// Action, so that a change of Action does not change the digest.
 type recordedAction struct {
 	Kind       uint8
 	ID         uint64
@@ -33,11 +34,11 @@
 	Duration   int64
 	Healthy    bool
 	Cached     bool
-	Value      uint64 // bits
+	Value      uint64 // bits of the float64
 	At         int64
 }
 
-// recordAction returns the form of an action for the digest. Texts for operators are not part of it.
+// recordAction returns an action in its layout for the digest, which excludes texts for operators.
 func recordAction(action *Action) recordedAction {
 	return recordedAction{
 		Kind:       uint8(action.Kind),
@@ -62,7 +63,7 @@
 	events           map[EventKind]int
 	outcomes         map[Outcome]int
 	ranks            map[FleetRank]int
-	reconfigured     int
+	reconfigured     int // Reconfigure succeeded
 	rejectedSettings int // Reconfigure returned an error
 }
 
@@ -89,7 +90,7 @@
 	}
 }
 
-// record adds what one step decided to the digest.
+// record adds the actions of one step to the digest.
 func record(t *testing.T, digest hash.Hash, now time.Duration, actions []Action) {
 	t.Helper()
 	require.NoError(t, binary.Write(digest, binary.LittleEndian, [2]int64{int64(now), int64(len(actions))}))
@@ -98,8 +99,8 @@
 	}
 }
 
-// The decisions of a controller on seeded events of every kind, under settings of every kind, stay what they were
-// when they were recorded. A change of the code that is to change no decision leaves the digest as it is.
+// A change of the code that is meant to keep all decisions must not change the digest of the actions, for
+// random events of every kind under random settings of every kind.
 func TestRecordedRun(t *testing.T) {
 	digest := sha256.New()
 	coverage := newRecordedCoverage()
@@ -110,7 +111,7 @@
 	require.Equal(t, recordedDigest, hex.EncodeToString(digest.Sum(nil)))
 }
 
-// playRecorded runs a controller on the events that follow from seed.
+// playRecorded passes the events that follow from seed to a controller.
 func playRecorded(t *testing.T, seed uint64, digest hash.Hash, coverage *recordedCoverage) {
 	t.Helper()
 	const stream = 17
@@ -136,7 +137,7 @@
 	}
 }
 
-// requireCoverage checks that the recorded runs are no empty exercise.
+// requireCoverage checks that every kind of event and action occurred in the recorded runs.
 func requireCoverage(t *testing.T, coverage *recordedCoverage) {
 	t.Helper()
 	const minimum = 20 // of each kind
--- a/admission/recorded_server_test.go
+++ b/admission/recorded_server_test.go
@@ -16,27 +16,28 @@
 	work       time.Duration
 	phase      attemptPhase
 	startedAt  time.Duration
-	endsAt     time.Duration // of its run, its call or its reuse
+	endsAt     time.Duration // end of the run, the call or the reuse; 0: none is in progress
 	calledAt   time.Duration
-	callsAhead int
+	callsAhead int // calls that the run still makes
 	stopped    bool
 	answered   bool
 }
 
-// recordedEpisode is what the load and the dependency are like for some time.
+// recordedEpisode is the behaviour of the clients and the dependency for some time.
 type recordedEpisode struct {
 	load           float64 // arrivals per step
-	lateReading    bool
+	lateReading    bool    // requests wait up to 2.5 s to be read
 	gauges         func(*recordedServer) Gauges
 	callTime       time.Duration
 	callOutcomes   []Outcome
 	fleetRanks     []FleetRank
-	longestStep    time.Duration
-	retryRatio     float64
-	cancelledRatio float64
+	longestStep    time.Duration // longest time between two steps
+	retryRatio     float64       // part of arrivals that are retries
+	cancelledRatio float64       // probability per step that a client cancels a request
 }
 
-// recordedServer is a simple seeded model of a server with its clients and its dependency.
+// recordedServer is a simple model of a server with its clients and its dependency. A seed determines its
+// behaviour.
 type recordedServer struct {
 	t          *testing.T
 	rng        *rand.Rand
@@ -45,10 +46,10 @@
 	now        time.Duration
 	wakeAt     time.Duration
 	lastID     RequestID
-	live       []*recordedRequest // by ID
-	remembered []RequestID
+	live       []*recordedRequest // in order of ID
+	remembered []RequestID        // in order of ActionRemember
 	episode    recordedEpisode
-	drainStep  int // step of the drain; past the last one if there is none
+	drainStep  int // step of the drain; beyond the last step if there is none
 }
 
 func newRecordedServer(t *testing.T, rng *rand.Rand, seed uint64) *recordedServer {
@@ -65,7 +66,7 @@
 	return server
 }
 
-// drawRecordedSettings draws every setting that switches a rule.
+// drawRecordedSettings draws the settings that switch rules.
 func drawRecordedSettings(rng *rand.Rand, seed uint64) Settings {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	settings := testSettings()
@@ -119,7 +120,7 @@
 	settings.Classes[0].DegradedValueRatio = []float64{0, 0.4}[rng.IntN(2)]
 }
 
-// operate has the operators and the fleet act on the server from time to time, and begins a new episode.
+// operate applies occasional actions of operators and the fleet, and starts a new episode when one is due.
 func (s *recordedServer) operate(step int, coverage *recordedCoverage) {
 	const stepsPerEpisode = 125
 	if step%stepsPerEpisode == 0 {
@@ -135,7 +136,8 @@
 	}
 }
 
-// reconfigure changes settings in flight; one time in five to settings that cannot be served.
+// reconfigure changes the settings while requests are in flight. On average one third of the changes are
+// invalid.
 func (s *recordedServer) reconfigure(coverage *recordedCoverage) {
 	settings := s.settings
 	settings.Classes = slices.Clone(settings.Classes)
@@ -168,16 +170,16 @@
 }
 
 func (s *recordedServer) drawEpisode() recordedEpisode {
-	capacity := float64(s.settings.Cores) / 8 // runs per step, roughly
+	capacity := float64(s.settings.Cores) / 8 // approximate runs per step
 	measured := func(s *recordedServer) Gauges { return s.measuredGauges() }
 	unknown := func(*recordedServer) Gauges { return Gauges{-1, -1, -1, -1} }
-	crowded := func(s *recordedServer) Gauges {
+	overloaded := func(s *recordedServer) Gauges {
 		return Gauges{CPUUtilization: 0.97, CPUDemand: 2.5 * float64(s.settings.Cores), MemoryUtilization: 0.9, Connections: 400}
 	}
 	episode := recordedEpisode{
 		load:           capacity * []float64{0, 0.2, 0.7, 1.2, 3, 6}[s.rng.IntN(6)],
 		lateReading:    s.rng.IntN(6) == 0,
-		gauges:         []func(*recordedServer) Gauges{measured, measured, crowded, unknown}[s.rng.IntN(4)],
+		gauges:         []func(*recordedServer) Gauges{measured, measured, overloaded, unknown}[s.rng.IntN(4)],
 		callTime:       []time.Duration{10 * ms, 40 * ms, 400 * ms, 1500 * ms}[s.rng.IntN(4)],
 		callOutcomes:   []Outcome{OutcomeOK},
 		fleetRanks:     []FleetRank{RankUnknown},
--- a/admission/reporting_test.go
+++ b/admission/reporting_test.go
@@ -7,10 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A condition that flips at every periodic decision must not flood the log.
 func TestConditionChangeLogsAreRateLimited(t *testing.T) {
 	controller := startController(t, testSettings())
 	lines := map[string]int{}
-	for i := range 200 { // 20 s, the state flips at each sweep
+	for i := range 200 { // 20 s; the state flips at each periodic decision
 		now := time.Duration(i+1) * periodicInterval
 		controller.calls.limiter.limitRatio = []float64{minCallLimitRatio, maxCallLimitRatio}[i%2]
 		for _, action := range controller.Step(now, nil, nil) {
@@ -20,25 +21,27 @@
 		}
 	}
 	if n := lines["call limit at minimum: begins"]; n == 0 || n > 4 {
-		t.Errorf("log lines %v", lines)
+		t.Errorf("log lines in 20 s: %v, want 1 to 4 of the call limit", lines)
 	}
 	actions := controller.Step(21*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
 	if action := requireAction(t, actions, ActionLog, 0); action.Condition.String() != "draining" {
-		t.Errorf("log line %q", action.Condition.String())
+		t.Errorf("log line %q, want draining", action.Condition.String())
 	}
 }
 
+// A change within reportInterval of the last report of the same condition must not be reported before the
+// interval has passed. Other conditions are not affected.
 func TestConditionReporterEnforcesReportInterval(t *testing.T) {
 	var reporter conditionReporter
 	require.False(t, reporter.changed(0, ConditionMemory, false))
-	require.True(t, reporter.changed(0, ConditionMemory, true), "even at time 0")
+	require.True(t, reporter.changed(0, ConditionMemory, true), "the first change, at time 0")
 	require.False(t, reporter.changed(time.Second, ConditionMemory, false), "too soon")
 	require.True(t, reporter.changed(time.Second, ConditionHealth, true), "another condition")
-	require.False(t, reporter.changed(reportInterval+1, ConditionMemory, true), "it goes on")
+	require.False(t, reporter.changed(reportInterval+1, ConditionMemory, true), "unchanged")
 	require.True(t, reporter.changed(reportInterval+1, ConditionMemory, false))
 }
 
-// A change of a condition has the measurement behind it.
+// Each change must carry the measurement of its own condition, in the documented unit.
 func TestConditionChangesCarryMeasuredValues(t *testing.T) {
 	controller := startController(t, testSettings())
 	controller.SetProtectedCalls(-1)
--- a/admission/request_queue_test.go
+++ b/admission/request_queue_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// plainQueue is a list of queued requests, in order of arrival, that is searched.
+// plainQueue is the reference: a list of queued requests in order of entry.
 type plainQueue []*request
 
 func (p plainQueue) front(class int) *request {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// The queue holds what a plain list holds, and its counts and sums are those of the list.
+// The queue removes lazily. Its fronts, counts and sums must be those of a plain list, whatever is removed.
 func TestRequestQueueAgainstPlainList(t *testing.T) {
 	const classes = 3
 	for seed := range uint64(10) {
@@ -73,6 +73,8 @@
 	require.Nil(t, queue.next(byObjective, func(*request) bool { return true }))
 }
 
+// The search must be bounded by depth, and prefer the newest of equally valued requests, which has waited
+// least.
 func TestLowestValuedPrefersNewestOfEqualValues(t *testing.T) {
 	var queue requestQueue
 	queue.grow(1)
@@ -81,7 +83,7 @@
 	}
 	byWork := func(request *request) float64 { return request.work }
 	least, value := queue.lowestValued(0, 4, 6, byWork)
-	require.Equal(t, RequestID(3), least.id, "the first request is out of reach")
+	require.Equal(t, RequestID(3), least.id, "the first request is beyond depth")
 	require.InDelta(t, 2, value, 0)
 	least, value = queue.lowestValued(0, 5, 6, byWork)
 	require.Equal(t, RequestID(0), least.id)
@@ -91,6 +93,8 @@
 	require.InDelta(t, 1, value, 0)
 }
 
+// The objective counts from the first attempt, the deadline from the arrival, and neither starts in the
+// future if clocks differ.
 func TestNewRequestObjectiveAndDeadline(t *testing.T) {
 	class := &Class{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second}
 	late := &Class{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, LateValueRatio: 0.2}
@@ -102,13 +106,13 @@
 		objective, usefulUntil, deadline time.Duration // from now
 	}{
 		{"first attempt", class, Arrival{}, 2000 * ms, 2000 * ms, 6000 * ms},
-		{"it waited to be read", class, Arrival{Waited: 500 * ms}, 1500 * ms, 1500 * ms, 5500 * ms},
-		{"its clock is ahead", class, Arrival{Waited: -500 * ms}, 2000 * ms, 2000 * ms, 6000 * ms},
-		{"late answers have a value", late, Arrival{}, 2000 * ms, 6000 * ms, 6000 * ms},
-		{"a deadline of its own", late, Arrival{Deadline: now + 3000*ms}, 2000 * ms, 3000 * ms, 3000 * ms},
-		{"a short deadline of its own", class, Arrival{Deadline: now + 1000*ms}, 1000 * ms, 1000 * ms, 1000 * ms},
-		{"a retry", class, Arrival{Retry: true}, 800 * ms, 800 * ms, 6000 * ms},
-		{"its age is known", class, Arrival{SinceFirstAttempt: 700 * ms}, 1300 * ms, 1300 * ms, 6000 * ms},
+		{"waited to be read", class, Arrival{Waited: 500 * ms}, 1500 * ms, 1500 * ms, 5500 * ms},
+		{"negative wait, due to differing clocks", class, Arrival{Waited: -500 * ms}, 2000 * ms, 2000 * ms, 6000 * ms},
+		{"late answers have value", late, Arrival{}, 2000 * ms, 6000 * ms, 6000 * ms},
+		{"deadline of the request", late, Arrival{Deadline: now + 3000*ms}, 2000 * ms, 3000 * ms, 3000 * ms},
+		{"deadline of the request before the objective", class, Arrival{Deadline: now + 1000*ms}, 1000 * ms, 1000 * ms, 1000 * ms},
+		{"retry of unknown age", class, Arrival{Retry: true}, 800 * ms, 800 * ms, 6000 * ms},
+		{"age of the request is known", class, Arrival{SinceFirstAttempt: 700 * ms}, 1300 * ms, 1300 * ms, 6000 * ms},
 	} {
 		request := newRequest(now, 1, &test.arrival, test.class)
 		require.Equal(t, test.objective, request.objective-now, test.name)
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// playRandom has a controller decide on random events, the last of them in a drain, and returns its actions.
+// playRandom passes random events to a controller, checks the invariants of randomServer after each step, and
+// returns all actions. After step 1200 the server drains.
 func playRandom(t *testing.T, variant settingsVariant, seed uint64) []Action {
 	t.Helper()
 	settings := variant.settings
@@ -20,7 +21,7 @@
 		keys: map[RequestID]time.Duration{}, runs: map[int]int{}, lastIdempotent: map[int]RequestID{}, sendsDeadlines: variant.sendsDeadlines}
 	stopAt := time.Duration(0)
 	for i := 0; i < 1500 && (stopAt == 0 || server.now < stopAt); i++ {
-		server.now += time.Duration(1+server.rng.IntN(15)) * ms // late timers, uneven batches
+		server.now += time.Duration(1+server.rng.IntN(15)) * ms // timers fire late and batches vary in size
 		events := server.drawEvents()
 		if i == 1200 {
 			server.drainStartedAt = server.now
@@ -38,18 +39,19 @@
 	}
 	for _, a := range server.attempts {
 		if stopAt > 0 && server.now >= stopAt && !a.answered {
-			t.Fatal("a request read is unanswered at the end of a drain")
+			t.Fatal("a request is not answered at the end of the drain")
 		}
 	}
 	return server.log
 }
 
-// settingsVariant is what a random server is like.
+// settingsVariant is a configuration of a random server.
 type settingsVariant struct {
 	settings       Settings
-	sendsDeadlines bool
+	sendsDeadlines bool // requests carry the deadlines of their clients
 }
 
+// settingsVariants returns variants of the settings that switch rules, and of small servers in large fleets.
 func settingsVariants() []settingsVariant {
 	var variants []settingsVariant
 	for i := range 12 {
@@ -87,6 +89,7 @@
 	return variants
 }
 
+// Unforeseen sequences of events must not break an invariant of randomServer.
 func TestInvariantsHoldForRandomEvents(t *testing.T) {
 	for i, variant := range settingsVariants() {
 		for seed := range uint64(4) {
@@ -95,10 +98,12 @@
 	}
 }
 
+// Equal events and seeds must give equal actions, for example independent of map iteration order. Otherwise
+// failures cannot be reproduced.
 func TestStepIsDeterministic(t *testing.T) {
 	for i, variant := range settingsVariants() {
 		if !reflect.DeepEqual(playRandom(t, variant, 5), playRandom(t, variant, 5)) {
-			t.Fatalf("variant %d acts differently on the same events", i)
+			t.Fatalf("variant %d: different actions for the same events", i)
 		}
 	}
 }
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -8,24 +8,27 @@
 	"falldeal/admission/internal/rolling"
 )
 
+// Cost hints that do not correlate with run times must not make large hints look slow. Hints that do must be
+// used.
 func TestImpreciseHintsDoNotSkewEstimates(t *testing.T) {
-	var field rolling.LinearFit
-	for i := range 400 { // true time 0.3, hints between 0.1 and 0.9
-		field.Add([]float64{0.1, 0.3, 0.9}[i%3], 0.3, 0.1)
+	var fit rolling.LinearFit
+	for i := range 400 { // hints from 0.1 to 0.9, all runs take 0.3
+		fit.Add([]float64{0.1, 0.3, 0.9}[i%3], 0.3, 0.1)
 	}
-	if got := field.At(0.9); math.Abs(got-0.3) > 0.01 {
-		t.Errorf("a hint of 0.9 is taken for %v", got)
+	if got := fit.At(0.9); math.Abs(got-0.3) > 0.01 {
+		t.Errorf("estimate %v for a hint of 0.9, want 0.3", got)
 	}
-	field = rolling.LinearFit{}
-	for i := range 400 { // good hints
+	fit = rolling.LinearFit{}
+	for i := range 400 { // run times in proportion to the hints
 		x := []float64{0.1, 0.3, 0.9}[i%3]
-		field.Add(x, 2*x, 0.1)
+		fit.Add(x, 2*x, 0.1)
 	}
-	if got := field.At(0.9); math.Abs(got-1.8) > 0.01 {
-		t.Errorf("a good hint of 0.9 is taken for %v", got)
+	if got := fit.At(0.9); math.Abs(got-1.8) > 0.01 {
+		t.Errorf("estimate %v for a hint of 0.9, want 1.8", got)
 	}
 }
 
+// If no run ends, new requests must be rejected and the queue must not grow.
 func TestHungServerRejectsAndBoundsQueue(t *testing.T) {
 	controller := startController(t, testSettings())
 	var actions []Action
@@ -35,10 +38,12 @@
 	requireAction(t, actions, ActionReject, 400)
 	controller.Step(4100*ms, nil, nil)
 	if controller.queue.count > 2*controller.settings.Cores {
-		t.Errorf("%d requests queued by a hung server", controller.queue.count)
+		t.Errorf("%d requests queued on a hung server", controller.queue.count)
 	}
 }
 
+// If all requests were rejected while the estimates say that none can be on time, no run would ever correct
+// the estimates.
 func TestTrialRunStartsThoughEveryRequestIsLate(t *testing.T) {
 	for _, cores := range []int{1, 2, 6} {
 		settings := testSettings()
@@ -50,6 +55,8 @@
 	}
 }
 
+// Requests that wait behind runs that hang must be rejected once their objective has passed, not only when a
+// core is free.
 func TestTooLateRequestsExpireWithoutFreeCore(t *testing.T) {
 	controller := startController(t, testSettings())
 	var actions []Action
@@ -57,12 +64,12 @@
 		actions = controller.Step(0, []Event{arrived(id, 0)}, actions)
 	}
 	if controller.queue.count == 0 {
-		t.Fatal("nothing queued")
+		t.Fatal("no request is queued")
 	}
 	for now := time.Duration(0); now <= 2100*ms; now += 10 * ms { // no run ends
 		controller.Step(now, nil, nil)
 	}
 	if controller.queue.count != 0 {
-		t.Errorf("%d queued after their objective", controller.queue.count)
+		t.Errorf("%d requests queued after their objective", controller.queue.count)
 	}
 }
--- a/admission/slow_start_test.go
+++ b/admission/slow_start_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The speed of a cold server rises linearly to 1. Estimates never start at 0, and a warm server starts at 1.
 func TestSlowStartSpeedRisesLinearly(t *testing.T) {
 	cold := slowStart{warmingUp: true, initialRatio: 0.2, duration: 10 * time.Second, startedAt: time.Second}
 	for _, test := range []struct {
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The state of a controller does not grow with the clients, subjects and keys that it meets over weeks.
+// The memory of a controller that runs for weeks must not grow with the number of requests, clients and keys
+// that it has seen.
 func TestStateIsBoundedForManyClientsAndKeys(t *testing.T) {
 	settings := testSettings()
 	settings.Cores = 2
@@ -21,7 +22,7 @@
 		event.Arrival.Tenant = int(id) % 9
 		event.Arrival.Retry = id%7 == 0
 		events := []Event{event}
-		for _, action := range actions { // what ran in the last batch is done in this one
+		for _, action := range actions { // runs end in the next batch
 			if action.Kind == ActionRun {
 				events = append(events, RunCompleted(action.ID, Completion{Took: 100 * ms}))
 			}
@@ -34,18 +35,20 @@
 		largest = max(largest, size)
 	}
 	if largest > 500 {
-		t.Errorf("%d things kept at once for 10 requests a second", largest)
+		t.Errorf("%d entries kept at the same time for 10 requests per second", largest)
 	}
 }
 
+// Events for unknown or ended requests, and duplicates, must not release resources twice: the counts would
+// become negative.
 func TestUnexpectedEventsChangeNothing(t *testing.T) {
 	controller := startController(t, testSettings())
 	for _, k := range []EventKind{EventDone, EventCancelled, EventCallNeeded, EventCallDone} {
 		controller.Step(0, []Event{{Kind: k, ID: 99}}, nil)
 	}
 	requireAction(t, startAndNeedCall(t, controller, 1, 0), ActionCall, 1)
-	ev := CallCompleted(1, Completion{Took: ms})
-	controller.Step(2*ms, []Event{ev, ev, CallNeeded(5)}, nil)
+	completed := CallCompleted(1, Completion{Took: ms})
+	controller.Step(2*ms, []Event{completed, completed, CallNeeded(5)}, nil)
 	controller.Step(3*ms, []Event{RunCompleted(1, Completion{}), RunCompleted(1, Completion{}), arrived(2, 77)}, nil)
 	require.Empty(t, controller.requests)
 	require.Zero(t, controller.runs.running)
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -9,66 +9,67 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server of a large fleet is idle for most of the time. It used to wake up ten times a second all the same, with two
-// more wakes for the gauges each time.
+// An idle server must not wake up ten times per second, as each wake also costs two wake-ups for the gauges.
+// While it recovers or a request is in flight, it must not skip any decision.
 func TestIdleServerSkipsPeriodicDecisions(t *testing.T) {
 	controller := startController(t, testSettings())
 	controller.Step(1, []Event{TimerFired(idleGauges)}, nil)
 	n := stepAtTimers(controller, 10*time.Second, idleGauges)
 	if n < 9 || n > 12 {
-		t.Errorf("%d wakes in ten seconds at rest", n)
+		t.Errorf("%d wakes in 10 s while idle, want about 10", n)
 	}
-	// While the admit probability recovers it is awake.
-	controller.admitProbability.probability = 0.3 // of which the sweeps left out so far make up for some
+	// While the admit probability recovers, nothing is skipped.
+	controller.admitProbability.probability = 0.3 // the decisions skipped so far make up for a part of it
 	controller.Step(controller.timers.wakeAt, []Event{TimerFired(idleGauges)}, nil)
 	if n = stepAtTimers(controller, controller.now+2*time.Second, idleGauges); n < 19 {
-		t.Errorf("%d wakes in two seconds of recovery", n)
+		t.Errorf("%d wakes in 2 s of recovery, want about 20", n)
 	}
-	// And while something is in flight.
+	// While a request is in flight, nothing is skipped either.
 	controller.Step(controller.now+1, []Event{arrived(1, 1)}, nil)
 	if n = stepAtTimers(controller, controller.now+time.Second, idleGauges); n < 9 {
-		t.Errorf("%d wakes in a second with a run", n)
+		t.Errorf("%d wakes in 1 s with a run, want about 10", n)
 	}
 }
 
-// Skipped sweeps are made up for: a controller that is woken only when it asks acts as one that is woken for every sweep,
-// and its state is the same.
+// A controller that is woken only when it asks must take the same actions, and end in the same state, as one
+// that is woken for every periodic decision.
 func TestSkippedPeriodicDecisionsChangeNoAction(t *testing.T) {
 	for seed := range uint64(30) {
-		sleeps, sweeps := startController(t, testSettings()), startController(t, testSettings())
+		onDemand, everyInterval := startController(t, testSettings()), startController(t, testSettings())
 		rng := rand.New(rand.NewPCG(seed, 5))
 		now, id := time.Duration(0), RequestID(0)
-		sleeps.Step(1, []Event{TimerFired(idleGauges)}, nil)
-		sweeps.Step(1, []Event{TimerFired(idleGauges)}, nil)
+		onDemand.Step(1, []Event{TimerFired(idleGauges)}, nil)
+		everyInterval.Step(1, []Event{TimerFired(idleGauges)}, nil)
 		for round := range 20 {
 			now += time.Duration(rng.IntN(60)+1) * 100 * ms
-			stepAtTimers(sleeps, now, idleGauges)
-			for sweeps.timers.nextPeriodicAt <= now {
-				sweeps.Step(sweeps.timers.nextPeriodicAt, []Event{TimerFired(idleGauges)}, nil)
+			stepAtTimers(onDemand, now, idleGauges)
+			for everyInterval.timers.nextPeriodicAt <= now {
+				everyInterval.Step(everyInterval.timers.nextPeriodicAt, []Event{TimerFired(idleGauges)}, nil)
 			}
-			now = max(sweeps.now, sleeps.now) + 50*ms // within a sweep
+			now = max(everyInterval.now, onDemand.now) + 50*ms // between two periodic decisions
 			id++
 			class := 1 + rng.IntN(3)
 			script := [][]Event{{arrived(id, class)}, {CallNeeded(id)},
 				{CallCompleted(id, Completion{Outcome: OutcomeOK, Took: time.Duration(rng.IntN(40)) * ms})},
 				{RunCompleted(id, Completion{Outcome: OutcomeOK, Took: 30 * ms})}}
 			for _, events := range script {
-				got, want := withoutWakes(sleeps.Step(now, events, nil)), withoutWakes(sweeps.Step(now, events, nil))
+				got, want := withoutWakes(onDemand.Step(now, events, nil)), withoutWakes(everyInterval.Step(now, events, nil))
 				require.Equalf(t, want, got, "seed %d, round %d", seed, round)
 				now += 10 * ms
 			}
-			// Both see the end of the recovery awake.
+			// Both are woken for every decision until the recovery has ended.
 			for range 40 {
 				now += 100 * ms
-				sleeps.Step(now, []Event{TimerFired(idleGauges)}, nil)
-				sweeps.Step(now, []Event{TimerFired(idleGauges)}, nil)
+				onDemand.Step(now, []Event{TimerFired(idleGauges)}, nil)
+				everyInterval.Step(now, []Event{TimerFired(idleGauges)}, nil)
 			}
-			require.Equalf(t, periodicState(sweeps), periodicState(sleeps), "seed %d, round %d", seed, round)
+			require.Equalf(t, periodicState(everyInterval), periodicState(onDemand), "seed %d, round %d", seed, round)
 		}
 	}
 }
 
-// stepAtTimers steps c at the times that it asks for, up to until, and returns how often that was.
+// stepAtTimers steps a controller at the times that it asks for, up to until, and returns the number of
+// steps.
 func stepAtTimers(controller *Controller, until time.Duration, g Gauges) (n int) {
 	for ; controller.timers.wakeAt <= until; n++ {
 		controller.Step(controller.timers.wakeAt, []Event{TimerFired(g)}, nil)
@@ -78,10 +79,11 @@
 
 var idleGauges = Gauges{CPUUtilization: 0.02, CPUDemand: 0, MemoryUtilization: 0.1, Connections: 20}
 
-// BenchmarkStep is a step that receives one request and ends another, with so many in flight.
+// BenchmarkStep measures a step that receives one request and ends another, by the number of requests in
+// flight.
 func BenchmarkStep(b *testing.B) {
-	for _, inHand := range []int{0, 10, 100, 1000, 10000} {
-		b.Run(fmt.Sprintf("held=%d", inHand), func(b *testing.B) {
+	for _, inFlight := range []int{0, 10, 100, 1000, 10000} {
+		b.Run(fmt.Sprintf("held=%d", inFlight), func(b *testing.B) {
 			settings := testSettings()
 			settings.MemoryKB = 1e9
 			settings.Cores = 64
@@ -91,7 +93,7 @@
 			}
 			controller := startController(b, settings)
 			now, id := time.Duration(1), RequestID(0)
-			for range inHand {
+			for range inFlight {
 				id++
 				controller.Step(now, []Event{RequestArrived(id, Arrival{Class: 0, MemoryKB: 1, CostHint: time.Microsecond})}, nil)
 			}
@@ -117,7 +119,7 @@
 	return text
 }
 
-// periodicState formats what sweeps change, rounded.
+// periodicState formats the state that the periodic decisions change, rounded.
 func periodicState(controller *Controller) string {
 	limiter, advisor := controller.calls.limiter, &controller.advisor
 	return fmt.Sprintf("admit %.6f calls %.6f best %.6f runs %.6f delay %.6f idle %v",
@@ -125,6 +127,8 @@
 		advisor.readDelay.mean.Value(), advisor.idleTimeout.current)
 }
 
+// Wakes are asked for only if the pending one is too late. Skipped decisions are made up for, but only
+// maxSkippedIntervals of them after the machine was suspended.
 func TestTimersSkipPeriodicDecisionsWhileIdle(t *testing.T) {
 	var timers timers
 	require.True(t, timers.start())
@@ -135,7 +139,7 @@
 	require.True(t, ok)
 	require.Equal(t, periodicInterval, at)
 	_, ok = timers.schedule(60*ms, false)
-	require.False(t, ok, "it wakes in time")
+	require.False(t, ok, "the pending wake is early enough")
 	timers.add(80*ms, deadline{kind: deadlineAbandonedCall})
 	at, ok = timers.schedule(60*ms, false)
 	require.True(t, ok)
@@ -148,15 +152,16 @@
 	at, ok = timers.schedule(80*ms, true)
 	require.True(t, ok)
 	require.Equal(t, maxSkippedIntervals*periodicInterval, at)
-	sweeps := 0
-	timers.catchUp(450*ms, func() { sweeps++ })
-	require.Equal(t, 4, sweeps, "at 100, 200, 300 and 400 ms")
+	decisions := 0
+	timers.catchUp(450*ms, func() { decisions++ })
+	require.Equal(t, 4, decisions, "at 100, 200, 300 and 400 ms")
 	timers.schedule(450*ms, true)
-	sweeps = 0
-	timers.catchUp(time.Hour, func() { sweeps++ })
-	require.Equal(t, maxSkippedIntervals, sweeps, "after a suspension")
+	decisions = 0
+	timers.catchUp(time.Hour, func() { decisions++ })
+	require.Equal(t, maxSkippedIntervals, decisions, "after the machine was suspended")
 }
 
+// Deadlines of requests that have ended or need no answer must not be acted on, nor stay in the queue.
 func TestObsoleteDeadlinesAreDropped(t *testing.T) {
 	var timers timers
 	answered := &request{state: running, answered: true}
