--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,7 +1,7 @@
 package admission
 
-// retryObjectiveRatio is the part of the latency objective that an attempt marked as a retry is assumed to
-// have left.
+// retryObjectiveRatio is the fraction of the latency objective that an attempt marked as a retry is assumed
+// to have left.
 const retryObjectiveRatio = 0.4
 
 // decision says whether a request is admitted, and the reason if it is rejected.
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -4,9 +4,9 @@
 
 const (
 	minRetryAfter      = 100 * time.Millisecond // shortest RetryAfter
-	lateRejectionRatio = 0.5                    // part of its objective after which a request is too late
-	lateReadDelayRatio = 0.08                   // part of the shortest objective; reading is late above it
-	queuedAheadRatio   = 0.5                    // mean part of the queue that is ahead of a request
+	lateRejectionRatio = 0.5                    // fraction of its objective after which a request is too late
+	lateReadDelayRatio = 0.08                   // fraction of the shortest objective that is a late read
+	queuedAheadRatio   = 0.5                    // mean fraction of the queue ahead of a request
 )
 
 // clientAdvisor decides what clients are advised: with a rejection, when to come back and whether to try
--- a/admission/arrivals.go
+++ b/admission/arrivals.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	retryStormRatio = 0.4  // part of arrivals that are retries, above which there is a retry storm
+	retryStormRatio = 0.4  // fraction of retries in arrivals above which there is a retry storm
 	readDelayGain   = 0.1  // weight of a new request in the mean read delay
 	readDelayDecay  = 0.98 // factor on the mean read delay per periodic decision (100 ms)
 )
--- a/admission/call_limiter.go
+++ b/admission/call_limiter.go
@@ -17,7 +17,7 @@
 	bestCallTimeDrift     = 1.001                  // on the best call time per 100 ms: doubles it in 70 s
 	initialBestCallTime   = 1e9                    // seconds; any measured call is faster
 	callTimeGain          = 0.1                    // weight of a new call in the mean call time
-	safeCallRatio         = 0.9                    // of maxInFlight: bound of the mean of calls in flight
+	safeCallRatio         = 0.9                    // fraction of maxInFlight that bounds the mean in flight
 	minCallTimeFactor     = 4.0                    // mean call times; least timeout beyond safeCallRatio
 	waitersPerCall        = 1.0                    // of the limit: waiting calls that are a backlog
 	callCreditWindow      = 300 * time.Millisecond // bounds the credit that is saved up
@@ -56,7 +56,7 @@
 
 	callTime     rolling.Average // mean time of a call, in seconds
 	bestCallTime float64         // lowest mean, in seconds; it drifts up, so that it is measured again
-	limitRatio   float64         // the limit, as a part of maxInFlight
+	limitRatio   float64         // the limit, as a fraction of maxInFlight
 	credit       float64         // unused call-seconds under the limit; negative if overdrawn
 	callSeconds  *rolling.Window // call-seconds in flight, over callsWindow
 }
--- a/admission/call_limiter_test.go
+++ b/admission/call_limiter_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The timeout of the next call at the limit, with and without credit, and beyond the safe part of
+// The timeout of the next call at the limit, with and without credit, and beyond safeCallRatio of
 // maxInFlight.
 func TestCallTimeout(t *testing.T) {
 	for _, test := range []struct {
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -119,7 +119,7 @@
 }
 
 // fail answers a request that waits for its call with an error. On ActionFail the owner of the controller
-// ends the run and reports that with EventDone. Until then the request counts as waiting.
+// ends the run and reports that with EventRunCompleted. Until then the request counts as waiting.
 func (s *callScheduler) fail(request *request) {
 	request.answered = true
 	s.actions.emit(Action{Kind: ActionFail, ID: request.id})
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// All calls that are wanted at once must not exceed the safe part of MaxCallsInFlight.
+// Calls that are needed at the same time must not exceed safeCallRatio of MaxCallsInFlight.
 func TestCallsInFlightStayBelowLimit(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 3
@@ -188,7 +188,8 @@
 	limiter := controller.calls.limiter
 	for limiter.inFlight = 0; limiter.timeout(controller.now, 10*time.Second) == 10*time.Second; limiter.inFlight++ {
 		if float64(limiter.inFlight) > limiter.maxInFlight {
-			t.Fatalf("a call with an uncapped timeout beside %d in flight, with maxInFlight %v", limiter.inFlight, limiter.maxInFlight)
+			t.Fatalf("a call with an uncapped timeout beside %d in flight, with maxInFlight %v",
+				limiter.inFlight, limiter.maxInFlight)
 		}
 	}
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -132,15 +132,15 @@
 func (c *Controller) handleEvent(event *Event) {
 	request := c.requests[event.ID]
 	switch event.Kind {
-	case EventRequest:
+	case EventRequestArrived:
 		c.receive(event.ID, &event.Arrival)
-	case EventDone:
+	case EventRunCompleted:
 		c.completeRun(request, event.Completion)
-	case EventCancelled:
+	case EventRequestCancelled:
 		c.abandonRequest(request)
 	case EventCallNeeded:
 		c.calls.handleCallNeeded(c.now, request)
-	case EventCallDone:
+	case EventCallCompleted:
 		c.calls.handleCallCompleted(c.now, request, event.Completion)
 	case EventDrain:
 		c.startDrain(event.Drain)
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -9,13 +9,13 @@
 const (
 	estimateGain      = 0.1             // weight of a new run in the estimates of its class
 	latencyGain       = 0.1             // weight of a new run in the mean latency of its class
-	defaultWorkRatio  = 0.1             // of the objective: work of a request before the first hint
+	defaultWorkRatio  = 0.1             // fraction of the objective: work of a request before the first hint
 	defaultCallTime   = 0.05            // seconds that a call is assumed to take until one was measured
 	speedTimeConstant = 2 * time.Second // of fully used CPU time, over which the speed is averaged
 	minCoreSpeed      = 0.01            // lower bound of the speed of a core, relative to a standard core
 	minSpeedSample    = 1e-3            // core-seconds; lower bound of the sum that work is divided by
-	runningWorkAhead  = 0.5             // mean part of the running work that is still to be done
-	skipWaitRatio     = 0.3             // of the time left: longest wait for a call that may be skipped
+	runningWorkAhead  = 0.5             // mean fraction of the running work that is still to be done
+	skipWaitRatio     = 0.3             // fraction of the time left that a skippable call is waited for
 )
 
 // estimator estimates waiting and run times from the runs that have ended, the queued and running requests,
@@ -137,9 +137,9 @@
 	return now + wait + e.serviceTime(now, request)
 }
 
-// cpuWait estimates how long a request waits for a core: the time to complete a part of the running work and
-// the queued work ahead of it. The queue of a class with a longer objective counts in proportion to the
-// objectives, as only a part of it is started before the request.
+// cpuWait estimates how long a request waits for a core: the time to complete a fraction of the running work
+// and the queued work ahead of it. The queue of a class with a longer objective counts in proportion to the
+// objectives, as only some of it is started before the request.
 func (e *estimator) cpuWait(request *request) time.Duration {
 	if e.runs.underRunLimit() && e.queue.count == 0 {
 		return 0
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -16,8 +16,8 @@
 	return controller.estimator, controller
 }
 
-// A request without a hint is estimated by the mean hint of its class, or by a part of the objective before
-// any hint.
+// A request without a hint is estimated by the mean hint of its class, or by a fraction of the objective
+// before any hint.
 func TestWorkFollowsHintOrClassMean(t *testing.T) {
 	estimator, _ := testEstimator(t)
 	const class = 1
@@ -57,7 +57,7 @@
 	require.InDelta(t, 0.1*initialRunsPerCore, estimator.serviceTime(0, withCall).Seconds(), 1e-6)
 }
 
-// Only a part of a queue with a longer objective is ahead of a request.
+// Only some of a queue with a longer objective is ahead of a request.
 func TestCPUWaitCountsWorkAhead(t *testing.T) {
 	estimator, controller := testEstimator(t)
 	urgent, patient := &request{class: 1, work: 0.4}, &request{class: 0, work: 0.4}
--- a/admission/event.go
+++ b/admission/event.go
@@ -34,15 +34,15 @@
 
 // The kinds of Event.
 const (
-	EventRequest    EventKind = iota // a request was read
-	EventDone                        // a run, or the reuse of a result, has ended
-	EventCancelled                   // the client no longer waits for the request
-	EventCallNeeded                  // a running request needs a call to the dependency
-	EventCallDone                    // a call to the dependency has ended
-	EventDrain                       // the process is asked to stop
-	EventTimer                       // the time of an ActionWake has come; Gauges are set
-	EventDeregister                  // an operator deregisters the server; the process continues
-	EventReregister                  // an operator registers the server again
+	EventRequestArrived   EventKind = iota // a request was read
+	EventRunCompleted                      // a run, or the reuse of a result, has ended
+	EventRequestCancelled                  // the client no longer waits for the request
+	EventCallNeeded                        // a running request needs a call to the dependency
+	EventCallCompleted                     // a call to the dependency has ended
+	EventDrain                             // the process is asked to stop
+	EventTimer                             // the time of an ActionWake has come; Gauges are set
+	EventDeregister                        // an operator deregisters the server; the process continues
+	EventReregister                        // an operator registers the server again
 )
 
 func (k EventKind) String() string {
@@ -76,9 +76,9 @@
 
 // Gauges are a server's own measurements. A negative value means unknown.
 type Gauges struct {
-	CPUUtilization    float64 // part of the cores in use over the last 500 ms
+	CPUUtilization    float64 // fraction of the cores in use over the last 500 ms
 	CPUDemand         float64 // cores requested at present by runs, reading, health checks and handshakes
-	MemoryUtilization float64 // part of the memory in use
+	MemoryUtilization float64 // fraction of the memory in use
 	Connections       float64 // open connections
 }
 
@@ -92,8 +92,8 @@
 type Event struct {
 	Kind       EventKind
 	ID         RequestID   // request that the event is about; 0 for an event about the server
-	Arrival    Arrival     // EventRequest
-	Completion Completion  // EventDone, EventCallDone
+	Arrival    Arrival     // EventRequestArrived
+	Completion Completion  // EventRunCompleted, EventCallCompleted
 	Drain      DrainSignal // EventDrain
 	Gauges     Gauges      // EventTimer
 }
@@ -126,25 +126,25 @@
 	Replaced bool          // another process takes over this server, so its health state does not change
 }
 
-// RequestArrived returns an EventRequest.
+// RequestArrived returns an EventRequestArrived.
 func RequestArrived(id RequestID, arrival Arrival) Event {
-	return Event{Kind: EventRequest, ID: id, Arrival: arrival}
+	return Event{Kind: EventRequestArrived, ID: id, Arrival: arrival}
 }
 
-// RunCompleted returns an EventDone.
+// RunCompleted returns an EventRunCompleted.
 func RunCompleted(id RequestID, completion Completion) Event {
-	return Event{Kind: EventDone, ID: id, Completion: completion}
+	return Event{Kind: EventRunCompleted, ID: id, Completion: completion}
 }
 
-// RequestCancelled returns an EventCancelled.
-func RequestCancelled(id RequestID) Event { return Event{Kind: EventCancelled, ID: id} }
+// RequestCancelled returns an EventRequestCancelled.
+func RequestCancelled(id RequestID) Event { return Event{Kind: EventRequestCancelled, ID: id} }
 
 // CallNeeded returns an EventCallNeeded.
 func CallNeeded(id RequestID) Event { return Event{Kind: EventCallNeeded, ID: id} }
 
-// CallCompleted returns an EventCallDone.
+// CallCompleted returns an EventCallCompleted.
 func CallCompleted(id RequestID, completion Completion) Event {
-	return Event{Kind: EventCallDone, ID: id, Completion: completion}
+	return Event{Kind: EventCallCompleted, ID: id, Completion: completion}
 }
 
 // DrainStarted returns an EventDrain.
--- a/admission/health.go
+++ b/admission/health.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	unhealthyReadDelayRatio = 0.4                    // of the shortest objective: limit of the read delay
+	unhealthyReadDelayRatio = 0.4                    // fraction of the shortest objective: read delay limit
 	minHealthDuration       = 500 * time.Millisecond // a health state lasts at least this long
 )
 
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -31,7 +31,8 @@
 		controller.Step(now, nil, nil)
 	}
 	if controller.health.unhealthy || controller.advisor.readDelay.mean.Value() > 0.2 {
-		t.Errorf("unhealthy %v, mean read delay %v s, although no requests arrive", controller.health.unhealthy, controller.advisor.readDelay.mean.Value())
+		t.Errorf("unhealthy %v, mean read delay %v s, although no requests arrive",
+			controller.health.unhealthy, controller.advisor.readDelay.mean.Value())
 	}
 	controller.Step(20*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
 	event := arrived(1, 0)
--- a/admission/idempotency_test.go
+++ b/admission/idempotency_test.go
@@ -29,7 +29,8 @@
 	settings.Cores = 1
 	controller := startController(t, settings)
 	requireAction(t, controller.Step(0, []Event{arrived(8, 0)}, nil), ActionRun, 8)
-	requireAction(t, controller.Step(0, []Event{arrived(9, 0)}, nil), ActionRun, 9) // with one core, at most two requests run
+	requireAction(t, controller.Step(0, []Event{arrived(9, 0)}, nil), ActionRun, 9)
+	// One core runs at most two requests, so the next one is queued.
 	controller.Step(0, []Event{arrived(1, 1)}, nil)
 	if controller.requests[1] == nil || controller.requests[1].state != queued {
 		t.Fatal("request 1 is not queued")
--- a/admission/idle_timeout.go
+++ b/admission/idle_timeout.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	idleConnectionPayoff = 0.5                    // of the timeout: client interval that shortens it
+	idleConnectionPayoff = 0.5                    // client interval, of the timeout, that shortens it
 	shortIdleTimeout     = 500 * time.Millisecond // while clients seldom return
 )
 
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -1,8 +1,8 @@
 package admission
 
 const (
-	safeMemoryRatio  = 0.92 // of the memory: the limit; the rest is for requests being read
-	cacheMemoryRatio = 0.5  // of the limit: up to there results of reads are cached
+	safeMemoryRatio  = 0.92 // fraction of the memory that is the limit; the rest is for requests being read
+	cacheMemoryRatio = 0.5  // fraction of the limit up to which results of reads are cached
 )
 
 // memoryBudget tracks and limits the memory that requests and remembered keys use. All sizes are in kB.
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// Rules belong into the parts of the controller: it must not gain fields or methods.
+// Rules belong in the parts of the controller: it must not gain fields or methods.
 func TestControllerStaysShort(t *testing.T) {
 	const maxFields, maxMethods = 19, 29
 	assert.LessOrEqual(t, reflect.TypeFor[Controller]().NumField(), maxFields)
--- a/admission/recorded_run_test.go
+++ b/admission/recorded_run_test.go
@@ -75,11 +75,11 @@
 func (r *recordedCoverage) countEvent(event *Event) {
 	r.events[event.Kind]++
 	switch event.Kind {
-	case EventRequest:
+	case EventRequestArrived:
 		r.ranks[event.Arrival.FleetRank]++
-	case EventDone, EventCallDone:
+	case EventRunCompleted, EventCallCompleted:
 		r.outcomes[event.Completion.Outcome]++
-	case EventCancelled, EventCallNeeded, EventDrain, EventTimer, EventDeregister, EventReregister: // nothing more
+	case EventRequestCancelled, EventCallNeeded, EventDrain, EventTimer, EventDeregister, EventReregister: // nothing more
 	}
 }
 
@@ -148,7 +148,7 @@
 	for reason := ReasonCPU; reason <= ReasonBelowThreshold; reason++ {
 		assert.GreaterOrEqualf(t, coverage.reasons[reason], minimum, "reason %v", reason)
 	}
-	for kind := EventRequest; kind <= EventReregister; kind++ {
+	for kind := EventRequestArrived; kind <= EventReregister; kind++ {
 		assert.GreaterOrEqualf(t, coverage.events[kind], minimum, "event %v", kind)
 	}
 	for outcome := OutcomeOK; outcome <= OutcomeNotStarted; outcome++ {
--- a/admission/recorded_server_test.go
+++ b/admission/recorded_server_test.go
@@ -32,7 +32,7 @@
 	callOutcomes   []Outcome
 	fleetRanks     []FleetRank
 	longestStep    time.Duration // longest time between two steps
-	retryRatio     float64       // part of arrivals that are retries
+	retryRatio     float64       // fraction of arrivals that are retries
 	cancelledRatio float64       // probability per step that a client cancels a request
 }
 
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -79,9 +79,9 @@
 }
 
 // abandonRequest records that a request no longer needs an answer, because it was answered or cancelled. A
-// request without a run of its own is released. A run is stopped if the server can stop runs and the class is
-// not idempotent by key: the result of a keyed run still answers its retries. A request that has ended or
-// needs no answer is ignored.
+// request without a run of its own is released. A run outside a call is stopped if the server can stop runs
+// and the class is not idempotent by key: the result of a keyed run still answers its retries. A request that
+// has ended or needs no answer is ignored.
 //
 // Only the simulator stops runs. The settings of the real server (internal/config) have Halt set to HaltOff,
 // so its runs always continue to their end.
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -61,9 +61,9 @@
 	Idempotency        Idempotency
 	IdempotencyWindow  time.Duration // IdempotentByKey: a retry may arrive this long after the first attempt
 	PriorityWeight     float64       // value of one request, or of one unit of its work (WeightPerWork)
-	LateValueRatio     float64       // part of its value that a later answer keeps until the deadline
+	LateValueRatio     float64       // fraction of its value that a later answer keeps until the deadline
 	CallsDependency    bool          // requests of the class may call the dependency
-	DegradedValueRatio float64       // part of its value without the call; 0: the call must not be skipped
+	DegradedValueRatio float64       // fraction of its value without the call; 0: never skip the call
 	Removed            bool          // no longer configured; requests in flight are still served
 }
 
@@ -98,7 +98,7 @@
 	CallsWindow           time.Duration // over which the mean of MaxCallsInFlight is taken
 	AbandonedCallTime     time.Duration // longest time that an abandoned call occupies the dependency
 	WarmingUp             bool          // the server has just started and is slow at first
-	SlowStartSpeedRatio   float64       // part of its full speed that a server starts with if WarmingUp
+	SlowStartSpeedRatio   float64       // fraction of its full speed that a server starts with if WarmingUp
 	SlowStartTime         time.Duration // after which a server that warms up has its full speed
 	MaxConcurrencyPerCore float64       // runs per core that a warm server can handle; below 1 counts as 1
 	ConcurrencyWindow     time.Duration // averaging time of MaxConcurrencyPerCore; affects no decision
@@ -111,7 +111,7 @@
 	MarksRetries          bool          // clients mark retries
 	Tick                  time.Duration // minimum time between two batches
 	WeightPerWork         bool          // PriorityWeight is the value per unit of work, not per request
-	ExcessValueRatio      float64       // least part of its value that a request over a tenant's quota keeps
+	ExcessValueRatio      float64       // least fraction of its value that a request over a quota keeps
 }
 
 // shortestObjective returns the shortest latency objective of all classes that are not removed.
--- a/admission/slow_start.go
+++ b/admission/slow_start.go
@@ -5,11 +5,11 @@
 // minSlowStartSpeed is the lower bound of assumedInitialRatio.
 const minSlowStartSpeed = 0.1
 
-// slowStart models the speed of a server that has just started. It rises linearly from an initial part of the
-// full speed to the full speed.
+// slowStart models the speed of a server that has just started. The speed rises linearly from a fraction of
+// the full speed to the full speed.
 type slowStart struct {
 	warmingUp    bool          // the server started cold
-	initialRatio float64       // part of the full speed at the start
+	initialRatio float64       // fraction of the full speed at the start
 	duration     time.Duration // time until the server has its full speed
 	startedAt    time.Duration // when the server started
 }
@@ -21,7 +21,7 @@
 	s.duration = settings.SlowStartTime
 }
 
-// speedRatio returns the part of its full speed that the server has at now, from initialRatio to 1.
+// speedRatio returns the fraction of its full speed that the server has at now, from initialRatio to 1.
 func (s *slowStart) speedRatio(now time.Duration) float64 {
 	age := now - s.startedAt
 	if !s.warmingUp || age >= s.duration {
@@ -30,7 +30,7 @@
 	return s.initialRatio + (1-s.initialRatio)*float64(age)/float64(s.duration)
 }
 
-// assumedInitialRatio returns the part of the full speed that estimates start with, before any run was
+// assumedInitialRatio returns the fraction of the full speed that estimates start with, before any run was
 // measured.
 func (s *slowStart) assumedInitialRatio() float64 {
 	if !s.warmingUp {
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -43,7 +43,7 @@
 // become negative.
 func TestUnexpectedEventsChangeNothing(t *testing.T) {
 	controller := startController(t, testSettings())
-	for _, k := range []EventKind{EventDone, EventCancelled, EventCallNeeded, EventCallDone} {
+	for _, k := range []EventKind{EventRunCompleted, EventRequestCancelled, EventCallNeeded, EventCallCompleted} {
 		controller.Step(0, []Event{{Kind: k, ID: 99}}, nil)
 	}
 	requireAction(t, startAndNeedCall(t, controller, 1, 0), ActionCall, 1)
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("%d wakes in 10 s while idle, want about 10", n)
 	}
 	// While the admit probability recovers, nothing is skipped.
-	controller.admitProbability.probability = 0.3 // the decisions skipped so far make up for a part of it
+	controller.admitProbability.probability = 0.3 // the decisions that were skipped so far raise it at the next step
 	controller.Step(controller.timers.wakeAt, []Event{TimerFired(idleGauges)}, nil)
 	if n = stepAtTimers(controller, controller.now+2*time.Second, idleGauges); n < 19 {
 		t.Errorf("%d wakes in 2 s of recovery, want about 20", n)
--- a/admission/value.go
+++ b/admission/value.go
@@ -2,7 +2,7 @@
 
 const (
 	victimScanDepth        = 16   // newest entries of a class queue that are examined
-	victimMargin           = 0.8  // of the newcomer's value density; a victim must be below that
+	victimMargin           = 0.8  // fraction of the newcomer's value density that a victim must be below
 	minWorkForValueDensity = 1e-3 // seconds of work; a request with less is valued as if it had this
 	minCallsPerRun         = 0.1  // least calls per run that a value is divided by
 )
--- a/wire/reader_test.go
+++ b/wire/reader_test.go
@@ -22,18 +22,18 @@
 		names[outcome] = name
 	}
 	switch event.Kind {
-	case admission.EventRequest:
+	case admission.EventRequestArrived:
 		arrival := &event.Arrival
 		return fmt.Sprintf("ORDER %d %d 17 %g %d %d acct/x %d 0 %d 0.625 %d %d %d", node, event.ID, arrival.MemoryKB,
 			arrival.Tenant, arrival.CostHint/microsecond, bit[arrival.Retry], arrival.RetryOf,
 			arrival.Deadline/microsecond, arrival.Waited/microsecond, arrival.Class)
-	case admission.EventDone:
+	case admission.EventRunCompleted:
 		return fmt.Sprintf("DONE %d %d %s %d", node, event.ID, names[event.Completion.Outcome], event.Completion.Took/microsecond)
-	case admission.EventCancelled:
+	case admission.EventRequestCancelled:
 		return fmt.Sprintf("DROPPED %d %d", node, event.ID)
 	case admission.EventCallNeeded:
 		return fmt.Sprintf("WANTS_CALL %d %d", node, event.ID)
-	case admission.EventCallDone:
+	case admission.EventCallCompleted:
 		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, event.ID, event.Completion.Took/microsecond, names[event.Completion.Outcome])
 	case admission.EventDrain:
 		return fmt.Sprintf("NOTICE %d %d", node, event.Drain.StopAt/microsecond)
