--- a/admission/advice.go
+++ b/admission/advice.go
@@ -3,10 +3,14 @@
 import "time"
 
 const (
-	minRetryAfter      = 100 * time.Millisecond // shortest RetryAfter
-	lateRejectionRatio = 0.5                    // fraction of its objective after which a request is too late
-	lateReadDelayRatio = 0.08                   // fraction of the shortest objective that is a late read
-	queuedAheadRatio   = 0.5                    // mean fraction of the queue ahead of a request
+	// Shortest RetryAfter, unless MaxRetryAfter is shorter.
+	minRetryAfter = 100 * time.Millisecond
+	// Fraction of its objective after which a request is too late for an attempt elsewhere.
+	lateRejectionRatio = 0.5
+	// Mean read delay above which reading is late, as a fraction of the shortest objective.
+	lateReadDelayRatio = 0.08
+	// Mean fraction of the queue that is ahead of a request.
+	queuedAheadRatio = 0.5
 )
 
 // clientAdvisor decides what clients are advised: with a rejection, when to come back and whether to try
--- a/admission/call_limiter.go
+++ b/admission/call_limiter.go
@@ -8,21 +8,33 @@
 )
 
 const (
-	minCallLimitRatio     = 0.37                   // lower bound of limitRatio
-	initialCallLimitRatio = 0.5                    // limitRatio at the start
-	maxCallLimitRatio     = 0.75                   // upper bound of limitRatio
-	callLimitDecrease     = 0.95                   // factor on limitRatio per 100 ms while calls are slow
-	callLimitIncrease     = 0.01                   // added to limitRatio per 100 ms otherwise
-	slowCallFactor        = 2.5                    // calls are slow above this multiple of the best mean
-	bestCallTimeDrift     = 1.001                  // on the best call time per 100 ms: doubles it in 70 s
-	initialBestCallTime   = 1e9                    // seconds; any measured call is faster
-	callTimeGain          = 0.1                    // weight of a new call in the mean call time
-	safeCallRatio         = 0.9                    // fraction of maxInFlight that bounds the mean in flight
-	minCallTimeFactor     = 4.0                    // mean call times; least timeout beyond safeCallRatio
-	waitersPerCall        = 1.0                    // of the limit: waiting calls that are a backlog
-	callCreditWindow      = 300 * time.Millisecond // bounds the credit that is saved up
-	callSecondsBuckets    = 50
-	minCallsWindow        = time.Second
+	// Bounds and initial value of limitRatio.
+	minCallLimitRatio     = 0.37
+	initialCallLimitRatio = 0.5
+	maxCallLimitRatio     = 0.75
+	// Changes of limitRatio per periodic decision (100 ms): a factor while calls are slow, and a summand
+	// otherwise. Calls are slow if their mean time exceeds slowCallFactor times the best mean.
+	callLimitDecrease = 0.95
+	callLimitIncrease = 0.01
+	slowCallFactor    = 2.5
+	// Factor on the best call time per periodic decision. It doubles the best call time in 70 s of slow
+	// calls.
+	bestCallTimeDrift = 1.001
+	// Seconds. Any measured call is faster.
+	initialBestCallTime = 1e9
+	// Weight of a new call in the mean call time.
+	callTimeGain = 0.1
+	// Fraction of maxInFlight that the mean number of calls in flight stays below.
+	safeCallRatio = 0.9
+	// Minimum timeout of a call beyond safeCallRatio, in mean call times.
+	minCallTimeFactor = 4.0
+	// Number of waiting calls, per call of the limit, from which calls are backlogged.
+	waitersPerCall = 1.0
+	// Window that bounds the credit that is saved up.
+	callCreditWindow = 300 * time.Millisecond
+	// Number of buckets and minimum span of the window of callSeconds.
+	callSecondsBuckets = 50
+	minCallsWindow     = time.Second
 )
 
 // callLimiter limits the calls in flight from this server to a mean of maxInFlight over callsWindow. It has
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -7,15 +7,23 @@
 )
 
 const (
-	estimateGain      = 0.1             // weight of a new run in the estimates of its class
-	latencyGain       = 0.1             // weight of a new run in the mean latency of its class
-	defaultWorkRatio  = 0.1             // fraction of the objective: work of a request before the first hint
-	defaultCallTime   = 0.05            // seconds that a call is assumed to take until one was measured
-	speedTimeConstant = 2 * time.Second // of fully used CPU time, over which the speed is averaged
-	minCoreSpeed      = 0.01            // lower bound of the speed of a core, relative to a standard core
-	minSpeedSample    = 1e-3            // core-seconds; lower bound of the sum that work is divided by
-	runningWorkAhead  = 0.5             // mean fraction of the running work that is still to be done
-	skipWaitRatio     = 0.3             // fraction of the time left that a skippable call is waited for
+	// Weights of a new run in the estimates and in the mean latency of its class.
+	estimateGain = 0.1
+	latencyGain  = 0.1
+	// Work of a request before the first hint of its class, as a fraction of its objective.
+	defaultWorkRatio = 0.1
+	// Seconds that a call is assumed to take until one was measured.
+	defaultCallTime = 0.05
+	// Time over which the speed is averaged, as busy time of all cores.
+	speedTimeConstant = 2 * time.Second
+	// Lower bound of the speed of a core, relative to a standard core.
+	minCoreSpeed = 0.01
+	// Core-seconds. Lower bound of the sum that work is divided by.
+	minSpeedSample = 1e-3
+	// Mean fraction of the running work that is still to be done.
+	runningWorkAhead = 0.5
+	// Longest expected wait for a call that may be skipped, as a fraction of the time left.
+	skipWaitRatio = 0.3
 )
 
 // estimator estimates waiting and run times from the runs that have ended, the queued and running requests,
--- a/admission/health.go
+++ b/admission/health.go
@@ -3,8 +3,10 @@
 import "time"
 
 const (
-	unhealthyReadDelayRatio = 0.4                    // fraction of the shortest objective: read delay limit
-	minHealthDuration       = 500 * time.Millisecond // a health state lasts at least this long
+	// Limit of the mean read delay, as a fraction of the shortest objective.
+	unhealthyReadDelayRatio = 0.4
+	// Minimum duration of a health state.
+	minHealthDuration = 500 * time.Millisecond
 )
 
 // health decides how health checks are answered. A server is reported unhealthy while operators have
--- a/admission/idle_timeout.go
+++ b/admission/idle_timeout.go
@@ -3,8 +3,10 @@
 import "time"
 
 const (
-	idleConnectionPayoff = 0.5                    // client interval, of the timeout, that shortens it
-	shortIdleTimeout     = 500 * time.Millisecond // while clients seldom return
+	// Mean interval of a client, as a fraction of the timeout, above which the timeout is shortened.
+	idleConnectionPayoff = 0.5
+	// Timeout while clients seldom return.
+	shortIdleTimeout = 500 * time.Millisecond
 )
 
 // idleTimeout decides how long idle connections are kept. An open connection costs CPU time and a place in a
--- a/admission/value.go
+++ b/admission/value.go
@@ -1,10 +1,14 @@
 package admission
 
 const (
-	victimScanDepth        = 16   // newest entries of a class queue that are examined
-	victimMargin           = 0.8  // fraction of the newcomer's value density that a victim must be below
-	minWorkForValueDensity = 1e-3 // seconds of work; a request with less is valued as if it had this
-	minCallsPerRun         = 0.1  // least calls per run that a value is divided by
+	// Number of newest entries of a class queue that are examined for the least valuable request.
+	victimScanDepth = 16
+	// A queued request is displaced only if its value density is below this fraction of the newcomer's.
+	victimMargin = 0.8
+	// Seconds of work. A request with less is valued as if it had this much.
+	minWorkForValueDensity = 1e-3
+	// Lower bound of the calls per run that a value is divided by.
+	minCallsPerRun = 0.1
 )
 
 // resource is a resource that requests compete for.
