--- a/admission/action.go
+++ b/admission/action.go
@@ -59,7 +59,7 @@
 		"below_shedding_threshold"}[r]
 }
 
-// Action is an instruction to the owner, to be carried out in the order given. Beside Kind and ID, only the
+// Action is an instruction to the owner, to be carried out in the order given. Apart from Kind and ID, only the
 // field of its kind is set.
 type Action struct {
 	Kind      ActionKind
--- a/admission/event.go
+++ b/admission/event.go
@@ -87,7 +87,7 @@
 	return Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 }
 
-// Event is something that happened to a server. Beside Kind and ID, only the field of its kind is set. The
+// Event is something that happened to a server. Apart from Kind and ID, only the field of its kind is set. The
 // constructors below, from RequestArrived on, set the fields of each kind.
 type Event struct {
 	Kind       EventKind
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("MessageKind(%d)", uint8(k))
 }
 
-// Message is one line of a batch. Beside Kind, Node and Line, only the fields of its kind are set.
+// Message is one line of a batch. Apart from Kind, Node and Line, only the fields of its kind are set.
 type Message struct {
 	Kind     MessageKind
 	Node     int    // ID of the node that the message is about
