--- a/admission/action.go
+++ b/admission/action.go
@@ -59,8 +59,8 @@
 		"below_shedding_threshold"}[r]
 }
 
-// Action is an instruction to the owner, to be carried out in the order given. Apart from Kind and ID, only the
-// field of its kind is set.
+// Action is an instruction to the owner, to be carried out in the order given. Apart from Kind and ID, only
+// the field of its kind is set.
 type Action struct {
 	Kind      ActionKind
 	ID        RequestID       // request that the action is about; 0 for an action about the server
--- a/admission/event.go
+++ b/admission/event.go
@@ -87,8 +87,8 @@
 	return Gauges{CPUUtilization: -1, CPUDemand: -1, MemoryUtilization: -1, Connections: -1}
 }
 
-// Event is something that happened to a server. Apart from Kind and ID, only the field of its kind is set. The
-// constructors below, from RequestArrived on, set the fields of each kind.
+// Event is something that happened to a server. Apart from Kind and ID, only the field of its kind is set.
+// The constructors below, from RequestArrived on, set the fields of each kind.
 type Event struct {
 	Kind       EventKind
 	ID         RequestID   // request that the event is about; 0 for an event about the server
