--- a/admission/advertiser_test.go
+++ b/admission/advertiser_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAdvertiser(t *testing.T) {
+// Each advert has its own value for a draining server, and only the credit has one from the start.
+func TestAdvertisedValueAtStartAndDrain(t *testing.T) {
 	for _, test := range []struct {
 		advert   Advert
 		start    float64
