--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -93,10 +93,10 @@
 		Self: "n3", Position: "whole", LastReceivedMs: 250, PeriodMs: 1000, FreshMs: 5000,
 		Members: []fleet.MemberReport{
 			{Name: "n3", Process: "n3/0000000000000007", Zone: "mechelen", Region: "belgium", Condition: "serving",
-				ReportedState: "serving", SinceMs: 61500, Version: "1.2.3", Config: "0123456789abcdef", Cores: 6, Busy: 0.5,
-				InFlight: 12, UnservedRatio: 0.25, Self: true},
+				ReportedState: "serving", SinceMs: 61500, Version: "1.2.3", Config: "0123456789abcdef", Cores: 6,
+				Utilization: 0.5, InFlight: 12, UnservedRatio: 0.25, Self: true},
 			{Name: "n4", Zone: "zaventem", Region: "belgium", Condition: "cut off", ReportedState: "warming", AgeMs: 3120,
-				SinceMs: 900, Version: "dev", Config: "01", Cores: 2.5, Busy: -1, StoreState: 1},
+				SinceMs: 900, Version: "dev", Config: "01", Cores: 2.5, Utilization: -1, StoreState: 1},
 			{Name: "n5", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 40,
 				StoreState: 2, ProbeRound: 7},
 			{Name: "n6", Zone: "zaventem", Region: "belgium", Condition: "serving", ReportedState: "serving", AgeMs: 50,
@@ -108,7 +108,7 @@
 				Unconfirmed: 7, MostlyUnreachable: true},
 		},
 		Total: fleet.ZoneReport{Known: 22, Alive: 2, Suspect: 2, Stalled: 3, Unreachable: 4, Failed: 5, Left: 6, Unconfirmed: 7},
-		Fresh: fleet.AggregateReport{Members: 2, Stale: 1, Cores: 8.5, Busy: 3, InFlight: 12, OldestMs: 1100},
+		Fresh: fleet.AggregateReport{Members: 2, Stale: 1, Cores: 8.5, CoresInUse: 3, InFlight: 12, OldestMs: 1100},
 	}
 	full := whole
 	full.Position = "torn"
--- a/cmd/falldeal-fleet/members.go
+++ b/cmd/falldeal-fleet/members.go
@@ -30,14 +30,15 @@
 }
 
 func printMember(table io.Writer, member *fleet.MemberReport) {
-	name, busy := member.Name, "-"
+	name, utilization := member.Name, "-"
 	if member.Self {
 		name += " *"
 	}
-	if member.Busy >= 0 {
-		busy = fmt.Sprintf("%.0f%%", 100*member.Busy)
+	if member.Utilization >= 0 {
+		utilization = fmt.Sprintf("%.0f%%", 100*member.Utilization)
 	}
 	fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%g\t%s\t%d\t%.0f%%\t%s\t%.8s\n",
 		name, member.Zone, fleet.ConditionName(member.Condition), seconds(member.SinceMs),
-		fleet.ConditionName(member.ReportedState), seconds(member.AgeMs), member.Cores, busy, member.InFlight, 100*member.UnservedRatio, member.Version, member.Config)
+		fleet.ConditionName(member.ReportedState), seconds(member.AgeMs), member.Cores, utilization, member.InFlight,
+		100*member.UnservedRatio, member.Version, member.Config)
 }
--- a/cmd/falldeal-fleet/status.go
+++ b/cmd/falldeal-fleet/status.go
@@ -35,7 +35,7 @@
 func printServing(out io.Writer, fresh *fleet.AggregateReport) {
 	fmt.Fprintf(out, "serving: %d members, %g cores, %.1f of them in use, %d requests in flight; "+
 		"oldest update: %s; %d members left out as stale\n",
-		fresh.Members, fresh.Cores, fresh.Busy, fresh.InFlight, seconds(fresh.OldestMs), fresh.Stale)
+		fresh.Members, fresh.Cores, fresh.CoresInUse, fresh.InFlight, seconds(fresh.OldestMs), fresh.Stale)
 }
 
 // printOverload prints the shedding threshold and the retries, where members publish a service rate.
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -102,11 +102,11 @@
 				RecordedAt: time.Duration(n) * 10 * time.Millisecond, Since: time.Second})
 		}
 	}
-	view.Members[0].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, UnservedRatio: 0.25, MeanCalls: 1.5,
-		ServiceRate: 3.5, Demand: "o", Attempts: 40, RetryRatio: 0.125, Threshold: 12.5, StoreState: 2, StoreID: 3,
+	view.Members[0].Load = fleet.Load{Capacity: 4, Utilization: 0.5, InFlight: 6, CallQuota: 5.9, UnservedRatio: 0.25,
+		MeanCalls: 1.5, ServiceRate: 3.5, Demand: "o", Attempts: 40, RetryRatio: 0.125, Threshold: 12.5, StoreState: 2, StoreID: 3,
 		ProbeRound: 4, Aggregate: "s"}
-	view.Members[8].Load = fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 6, CallQuota: 5.9, MeanCalls: 1.5, ServiceRate: 3.5,
-		Attempts: 40, RetryRatio: 0.125, Threshold: 12.5}
+	view.Members[8].Load = fleet.Load{Capacity: 4, Utilization: 0.5, InFlight: 6, CallQuota: 5.9, MeanCalls: 1.5,
+		ServiceRate: 3.5, Attempts: 40, RetryRatio: 0.125, Threshold: 12.5}
 	return view
 }
 
--- a/internal/fleet/aggregate.go
+++ b/internal/fleet/aggregate.go
@@ -4,12 +4,12 @@
 
 // Aggregate is the sum over the members that serve by a fresh record.
 type Aggregate struct {
-	Members  int           // members in the sum
-	Stale    int           // members that are alive, but not in the sum because their records are too old
-	Capacity float64       // cores
-	Busy     float64       // cores in use
-	InFlight int           // requests that are not answered yet
-	Oldest   time.Duration // age of the oldest record in the sum
+	Members    int     // members in the sum
+	Stale      int     // members that are alive, but not in the sum because their records are too old
+	Capacity   float64 // cores
+	CoresInUse float64
+	InFlight   int           // requests that are not answered yet
+	OldestAge  time.Duration // age of the oldest record in the sum
 
 	// Of the members that report a service rate.
 	ServiceRate  float64 // seconds of work that they complete per second
@@ -43,9 +43,9 @@
 	a.CallQuota += load.CallQuota
 	a.MeanCalls += load.MeanCalls
 	a.Capacity += load.Capacity
-	a.Busy += load.Capacity * max(load.Busy, 0)
+	a.CoresInUse += load.Capacity * max(load.Utilization, 0)
 	a.InFlight += load.InFlight
-	a.Oldest = max(a.Oldest, member.Age(now))
+	a.OldestAge = max(a.OldestAge, member.Age(now))
 }
 
 func (a *Aggregate) addServiceRate(load *Load) {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -34,7 +34,7 @@
 	record := func(name string, state State) Record {
 		return Record{
 			Name: name, Run: 7, Incarnation: 3, Seq: 1, Region: "eu", Zone: "eu-b", Version: "1.2.3",
-			State: state, Load: Load{Busy: -1},
+			State: state, Load: Load{Utilization: -1},
 		}
 	}
 	own := goldenRecord()
@@ -43,7 +43,7 @@
 	merge(98*time.Second, record("starting", Starting), Reached, OutcomeUnknown)
 	warming := record("warming", Warming)
 	warming.Load = Load{
-		Capacity: 4, Busy: 0.5, InFlight: 3, ServiceRate: 2, Attempts: 8, RetryRatio: 0.25, Threshold: 3.5,
+		Capacity: 4, Utilization: 0.5, InFlight: 3, ServiceRate: 2, Attempts: 8, RetryRatio: 0.25, Threshold: 3.5,
 		CallQuota: 1.5, MeanCalls: 0.5,
 	}
 	merge(97*time.Second, warming, Reached, OutcomeUnknown)
@@ -87,7 +87,7 @@
 // A process that knows no other member must report that it received no record, and itself as the only member.
 func TestGoldenReportAlone(t *testing.T) {
 	view := NewView("n1", Limits{Members: 20, ForgetAfter: time.Hour})
-	view.Merge(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Busy: -1}})
+	view.Merge(0, 0, Record{Name: "n1", Run: 7, Seq: 1, State: Starting, Load: Load{Utilization: -1}})
 	got, err := json.MarshalIndent(view.Snapshot(0).Report(time.Second), "", "  ")
 	require.NoError(t, err)
 	golden.RequireFile(t, "report_alone.json", string(got)+"\n")
--- a/internal/fleet/golden_update_test.go
+++ b/internal/fleet/golden_update_test.go
@@ -24,14 +24,14 @@
 
 // minimalRecord returns the smallest valid record after change was applied to it.
 func minimalRecord(change func(r *Record)) Record {
-	r := Record{Name: "n1", Run: 7, Load: Load{Busy: -1}}
+	r := Record{Name: "n1", Run: 7, Load: Load{Utilization: -1}}
 	change(&r)
 	return r
 }
 
 func goldenLoad() Load {
 	return Load{
-		Capacity: 7.5, Busy: 0.625, InFlight: 17, CallQuota: 3.25, UnservedRatio: 0.125, MeanCalls: 2.5,
+		Capacity: 7.5, Utilization: 0.625, InFlight: 17, CallQuota: 3.25, UnservedRatio: 0.125, MeanCalls: 2.5,
 		ServiceRate: 6.75, Demand: "\x0a\x3c\x00\x46", Attempts: 40.5, RetryRatio: 0.2, Threshold: 23.5,
 		StoreState: 2, StoreID: 0x89abcdef, ProbeRound: 77, Aggregate: "\x01\x02\xff",
 	}
@@ -75,8 +75,8 @@
 		field("state gone", func(r *Record) { r.State = Stopped }),
 		field("state of a newer version", func(r *Record) { r.State = 200 }),
 		field("load capacity", func(r *Record) { r.Load.Capacity = 7.5 }),
-		field("load busy none", func(r *Record) { r.Load.Busy = 0 }),
-		field("load busy", func(r *Record) { r.Load.Busy = 0.625 }),
+		field("load busy none", func(r *Record) { r.Load.Utilization = 0 }),
+		field("load busy", func(r *Record) { r.Load.Utilization = 0.625 }),
 		field("load in hand", func(r *Record) { r.Load.InFlight = 17 }),
 		field("load share", func(r *Record) { r.Load.CallQuota = 3.25 }),
 		field("load shed", func(r *Record) { r.Load.UnservedRatio = 0.125 }),
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -45,7 +45,7 @@
 // Load is the amount of work that a member has, and the health of its store.
 type Load struct {
 	Capacity      float64 // cores of its agent; 0: not reported
-	Busy          float64 // ratio of these cores in use, 0 to 1; below 0: unknown
+	Utilization   float64 // ratio of these cores in use, 0 to 1; below 0: unknown
 	InFlight      int     // requests that it has not answered yet
 	CallQuota     float64 // mean concurrent calls that it may have at the store; 0: unlimited
 	UnservedRatio float64 // ratio of the requests since its previous record that it rejected or failed, 0 to 1
--- a/internal/fleet/recorded_run_test.go
+++ b/internal/fleet/recorded_run_test.go
@@ -33,7 +33,7 @@
 func (r *recordedRun) record(nameCount int) Record {
 	name := r.Random.IntN(nameCount)
 	load := Load{
-		Capacity: 4, Busy: float64(r.Random.IntN(6)-1) / 4, InFlight: r.Random.IntN(50), CallQuota: 2, MeanCalls: 1.5,
+		Capacity: 4, Utilization: float64(r.Random.IntN(6)-1) / 4, InFlight: r.Random.IntN(50), CallQuota: 2, MeanCalls: 1.5,
 		ServiceRate: float64(r.Random.IntN(5)), Attempts: float64(r.Random.IntN(40)), RetryRatio: 0.25,
 		Threshold: float64(r.Random.IntN(30)), StoreState: uint8(r.Random.IntN(4)), StoreID: 7,
 		ProbeRound: r.Random.Uint64N(5),
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -32,7 +32,7 @@
 	Config             string  `json:"config"`
 	Addr               string  `json:"addr"`
 	Cores              float64 `json:"cores"`
-	Busy               float64 `json:"busy"` // ratio of the cores in use; -1: unknown
+	Utilization        float64 `json:"busy"` // ratio of the cores in use; -1: unknown
 	InFlight           int     `json:"in_hand"`
 	CallQuota          float64 `json:"share"`
 	UnservedRatio      float64 `json:"shed"`
@@ -64,12 +64,12 @@
 
 // AggregateReport is an Aggregate in a report.
 type AggregateReport struct {
-	Members  int     `json:"members"`
-	Stale    int     `json:"stale"` // alive, but not in the sum because their records are too old
-	Cores    float64 `json:"cores"`
-	Busy     float64 `json:"busy"` // cores in use
-	InFlight int     `json:"in_hand"`
-	OldestMs int64   `json:"oldest_ms"`
+	Members    int     `json:"members"`
+	Stale      int     `json:"stale"` // alive, but not in the sum because their records are too old
+	Cores      float64 `json:"cores"`
+	CoresInUse float64 `json:"busy"`
+	InFlight   int     `json:"in_hand"`
+	OldestMs   int64   `json:"oldest_ms"`
 
 	// Of the members that report a service rate.
 	ServiceRate  float64 `json:"pace,omitempty"`      // seconds of work that they complete per second
@@ -129,7 +129,7 @@
 		Config:             formatDigest(m.Config),
 		Addr:               m.Addr,
 		Cores:              m.Load.Capacity,
-		Busy:               m.Load.Busy,
+		Utilization:        m.Load.Utilization,
 		InFlight:           m.Load.InFlight,
 		CallQuota:          m.Load.CallQuota,
 		UnservedRatio:      m.Load.UnservedRatio,
@@ -166,9 +166,9 @@
 		Members:      a.Members,
 		Stale:        a.Stale,
 		Cores:        a.Capacity,
-		Busy:         a.Busy,
+		CoresInUse:   a.CoresInUse,
 		InFlight:     a.InFlight,
-		OldestMs:     a.Oldest.Milliseconds(),
+		OldestMs:     a.OldestAge.Milliseconds(),
 		ServiceRate:  a.ServiceRate,
 		Attempts:     a.Attempts,
 		RetryRatio:   a.retriesPerFirstAttempt(),
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -46,7 +46,7 @@
 		record: Record{
 			Name: place.Name, Run: place.Run, Incarnation: incarnation, Seq: 1,
 			Addr: place.Addr, Region: place.Region, Zone: place.Zone, Version: place.Version,
-			Config: config, State: Starting, Load: Load{Busy: -1},
+			Config: config, State: Starting, Load: Load{Utilization: -1},
 		},
 	}
 }
--- a/internal/fleet/update_decode.go
+++ b/internal/fleet/update_decode.go
@@ -19,7 +19,7 @@
 		return record, 0, errTooLong
 	}
 	age = time.Duration(binary.BigEndian.Uint32(b[1:])) * time.Millisecond
-	record.Load.Busy = -1
+	record.Load.Utilization = -1
 	var unknown []byte
 	for rest := b[updateHeaderSize:]; len(rest) > 0; {
 		number, wireType, tagSize := protowire.ConsumeTag(rest)
@@ -168,8 +168,8 @@
 	switch number {
 	case fieldCapacity:
 		l.Capacity = value
-	case fieldBusy:
-		l.Busy = value - 1 // see appendLoad
+	case fieldUtilization:
+		l.Utilization = value - 1 // see appendLoad
 	case fieldCallQuota:
 		l.CallQuota = value
 	case fieldMeanCalls:
--- a/internal/fleet/update_encode.go
+++ b/internal/fleet/update_encode.go
@@ -31,7 +31,7 @@
 
 func appendLoad(b []byte, load *Load) []byte {
 	b = appendThousandths(b, fieldCapacity, load.Capacity)
-	b = appendThousandths(b, fieldBusy, load.Busy+1) // so that -1, unknown, is encoded as 0
+	b = appendThousandths(b, fieldUtilization, load.Utilization+1) // so that -1, unknown, is encoded as 0
 	b = appendVarint(b, fieldInFlight, uint64(max(load.InFlight, 0)))
 	b = appendThousandths(b, fieldCallQuota, load.CallQuota)
 	b = appendThousandths(b, fieldUnservedRatio, load.UnservedRatio)
--- a/internal/fleet/update_fields.go
+++ b/internal/fleet/update_fields.go
@@ -41,7 +41,7 @@
 	fieldConfig
 	fieldState
 	fieldCapacity
-	fieldBusy
+	fieldUtilization
 	fieldInFlight
 	fieldCallQuota
 	fieldUnservedRatio
@@ -105,7 +105,7 @@
 	fieldConfig:        fixed64Field,
 	fieldState:         varintField,
 	fieldCapacity:      thousandthsField,
-	fieldBusy:          thousandthsField,
+	fieldUtilization:   thousandthsField,
 	fieldInFlight:      varintField,
 	fieldCallQuota:     thousandthsField,
 	fieldUnservedRatio: ratioField,
--- a/internal/fleet/update_test.go
+++ b/internal/fleet/update_test.go
@@ -25,7 +25,7 @@
 		Config:      rapid.Uint64().Draw(t, "config"),
 		State:       State(rapid.IntRange(0, 9).Draw(t, "state")),
 		Load: Load{
-			Capacity: 5.5, Busy: -1, InFlight: rapid.IntRange(0, 1e6).Draw(t, "in flight"), UnservedRatio: 0.25,
+			Capacity: 5.5, Utilization: -1, InFlight: rapid.IntRange(0, 1e6).Draw(t, "in flight"), UnservedRatio: 0.25,
 			Demand: string(opaque(MaxDemand).Draw(t, "demand")), Threshold: 23.5,
 			StoreState: 2, StoreID: 1 << 31, ProbeRound: 77,
 			Aggregate: string(opaque(MaxAggregate).Draw(t, "aggregate")),
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -23,7 +23,7 @@
 		records[i] = Record{
 			Name: fmt.Sprintf("n%d", i), Run: 1, Incarnation: 1, Seq: 1,
 			Addr: fmt.Sprintf("10.0.%d.%d:7946", i>>8, i&255), Region: "belgium", Zone: fmt.Sprintf("z%d", i%3),
-			Version: "1", State: Serving, Load: Load{Capacity: 6, Busy: 0.5},
+			Version: "1", State: Serving, Load: Load{Capacity: 6, Utilization: 0.5},
 		}
 		view.Merge(0, 0, records[i])
 		view.ObserveReach(0, records[i].Name, 1, Reached)
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -51,9 +51,9 @@
 		{
 			Name: "n2", Run: 8, Incarnation: 3, Seq: 4, Up: time.Minute,
 			Addr: "10.0.0.2:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3",
-			Config: 9, State: fleet.Serving, Load: fleet.Load{Capacity: 4, Busy: 0.5, InFlight: 3},
+			Config: 9, State: fleet.Serving, Load: fleet.Load{Capacity: 4, Utilization: 0.5, InFlight: 3},
 		},
-		{Name: "n3", Run: 9, Seq: 1, State: fleet.Stopped, Load: fleet.Load{Busy: -1}},
+		{Name: "n3", Run: 9, Seq: 1, State: fleet.Stopped, Load: fleet.Load{Utilization: -1}},
 	}
 }
 
--- a/internal/gossip/monitoring.go
+++ b/internal/gossip/monitoring.go
@@ -51,7 +51,7 @@
 		{"stale", int64(aggregate.Stale)},
 		{"position", int64(snapshot.Position)},
 		{"heard_ms", snapshot.LastReceivedMs(now)},
-		{"oldest_ms", aggregate.Oldest.Milliseconds()},
+		{"oldest_ms", aggregate.OldestAge.Milliseconds()},
 	} {
 		b = appendMetric(b, metric.name, metric.value, gauge)
 	}
--- a/internal/overload/aggregation.go
+++ b/internal/overload/aggregation.go
@@ -24,11 +24,11 @@
 	CoresInUse  float64       // cores of these members that are in use
 	Attempts    float64       // attempts per second, retries included
 	Retries     float64       // attempts per second that are retries
-	Oldest      time.Duration // age of the oldest load that is counted; of a collector's own aggregate, the mean age
+	OldestAge   time.Duration // age of the oldest load that is counted; of a collector's own aggregate, the mean age
 }
 
-// Busy returns the ratio of the cores that are in use, 0 to 1. It returns -1 if no member publishes how many are.
-func (a *Aggregate) Busy() float64 {
+// Utilization returns the ratio of the cores that are in use, 0 to 1. It returns -1 if no member publishes how many are.
+func (a *Aggregate) Utilization() float64 {
 	if a.Cores <= 0 {
 		return -1
 	}
@@ -58,7 +58,7 @@
 		case member.Self: // the caller adds its own load
 		case member.Serves(at, maxAge):
 			aggregate := AggregateOf(&member.Load)
-			aggregate.Oldest = member.Age(at)
+			aggregate.OldestAge = member.Age(at)
 			total.add(&aggregate)
 		case member.Liveness == fleet.Alive && member.Age(at) > maxAge:
 			total.Stale++
@@ -78,9 +78,9 @@
 	aggregate.Demand.addEncoded(load.Demand, factor)
 	aggregate.Attempts = load.Attempts
 	aggregate.Retries = load.Attempts * min(load.RetryRatio, 1)
-	if load.Busy >= 0 {
+	if load.Utilization >= 0 {
 		aggregate.Cores = load.Capacity
-		aggregate.CoresInUse = load.Capacity * min(load.Busy, 1)
+		aggregate.CoresInUse = load.Capacity * min(load.Utilization, 1)
 	}
 	return aggregate
 }
@@ -102,7 +102,7 @@
 // add adds other to a, except for Stale: only the caller that sums up a view counts stale members.
 func (a *Aggregate) add(other *Aggregate) {
 	a.Members += other.Members
-	a.Oldest = max(a.Oldest, other.Oldest)
+	a.OldestAge = max(a.OldestAge, other.OldestAge)
 	fields, otherFields := a.floatFields(), other.floatFields()
 	for i := range fields {
 		*fields[i] += *otherFields[i]
--- a/internal/overload/aggregation_test.go
+++ b/internal/overload/aggregation_test.go
@@ -35,7 +35,7 @@
 		load: fleet.Load{
 			Capacity:    zonedCores,
 			ServiceRate: zonedCores,
-			Busy:        0.5,
+			Utilization: 0.5,
 			Attempts:    10,
 			RetryRatio:  0.2,
 			Demand:      string([]byte{10, 60, 70}),
@@ -130,9 +130,9 @@
 	require.InEpsilon(t, float64(members), float64(aggregate.Members), 0.03, when)
 	require.InEpsilon(t, zonedCores*float64(members), aggregate.ServiceRate, 0.03, when)
 	require.InEpsilon(t, float64(members)*encodedDemandTotal(f.load.Demand), aggregate.Demand.Total(), 0.05, when)
-	require.InDelta(t, 0.5, aggregate.Busy(), 0.01, when)
+	require.InDelta(t, 0.5, aggregate.Utilization(), 0.01, when)
 	require.InDelta(t, 0.2, aggregate.Retries/aggregate.Attempts, 0.01, when)
-	require.LessOrEqual(t, aggregate.Oldest, zoneAggregateMaxAge, when)
+	require.LessOrEqual(t, aggregate.OldestAge, zoneAggregateMaxAge, when)
 }
 
 // exaggerate replaces the published aggregate by one with the largest figures that can be encoded.
@@ -191,8 +191,8 @@
 func TestAggregateEncodingAndNoise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		aggregate := Aggregate{
-			Members: rapid.IntRange(0, maxPartials).Draw(t, "members"),
-			Oldest:  time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond,
+			Members:   rapid.IntRange(0, maxPartials).Draw(t, "members"),
+			OldestAge: time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond,
 		}
 		for _, field := range aggregate.floatFields() {
 			*field = rapid.Float64Range(0, 1e9).Draw(t, "field")
@@ -205,7 +205,7 @@
 		decoded, err := ParseAggregate(encoded)
 		require.NoError(t, err)
 		require.Equal(t, aggregate.Members, decoded.Members)
-		require.Equal(t, aggregate.Oldest, decoded.Oldest)
+		require.Equal(t, aggregate.OldestAge, decoded.OldestAge)
 		require.InEpsilon(t, aggregate.Demand.Total(), decoded.Demand.Total(), 0.05)
 
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 120).Draw(t, "noise")
@@ -227,7 +227,7 @@
 	recent, _ := AggregateView(view, time.Second+zoneAggregateMaxAge)
 	require.Equal(t, members, recent.Members)
 	require.Zero(t, recent.Stale)
-	require.Equal(t, zoneAggregateMaxAge, recent.Oldest)
+	require.Equal(t, zoneAggregateMaxAge, recent.OldestAge)
 	expired, _ := AggregateView(view, time.Second+zoneAggregateMaxAge+1)
 	require.Zero(t, expired.Members)
 	require.Equal(t, members, expired.Stale)
--- a/internal/overload/attempt_age.go
+++ b/internal/overload/attempt_age.go
@@ -23,9 +23,9 @@
 // NewAgeEstimator returns an estimator that has not learned any timeouts.
 func NewAgeEstimator() *AgeEstimator { return &AgeEstimator{map[string]*timeoutHistogram{}} }
 
-// Age counts an attempt with the given remaining timeout, and returns the least time since the first attempt of its
-// request was sent. It returns 0 for a first attempt, and if the age is not known.
-func (e *AgeEstimator) Age(now time.Duration, class string, timeout time.Duration) time.Duration {
+// RecordAttempt counts an attempt with the given remaining timeout. It returns the least time since the first attempt of its
+// request was sent, or 0 for a first attempt and if the age is not known.
+func (e *AgeEstimator) RecordAttempt(now time.Duration, class string, timeout time.Duration) (age time.Duration) {
 	histogram := e.histogram(now, class)
 	if histogram == nil {
 		return 0
--- a/internal/overload/attempt_age_test.go
+++ b/internal/overload/attempt_age_test.go
@@ -44,7 +44,7 @@
 		now := time.Duration(request) * 20 * time.Millisecond
 		first := timeout(random)
 		for age := time.Duration(0); age < first; age += time.Duration(30+random.IntN(1500)) * time.Millisecond {
-			estimate := estimator.Age(now, "preview", first-age)
+			estimate := estimator.RecordAttempt(now, "preview", first-age)
 			if request < learning {
 				continue
 			}
@@ -103,7 +103,7 @@
 	}
 	estimator := NewAgeEstimator()
 	for class := range 3 * maxEstimatedClasses {
-		estimator.Age(0, string(rune('a'+class)), time.Second)
+		estimator.RecordAttempt(0, string(rune('a'+class)), time.Second)
 	}
 	require.Len(t, estimator.classes, maxEstimatedClasses)
 }
--- a/internal/overload/bench_test.go
+++ b/internal/overload/bench_test.go
@@ -18,8 +18,8 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		fingerprint := Fingerprint("hires-crop", "0011223344556677", "", i&7, float64(i&1023)/1024, 0.09)
-		age := estimator.Age(time.Second, "hires-crop", time.Duration(4000-(i&3)*(i&1023))*time.Millisecond)
-		shedder.Classify(2, 0.09, 0.5, counter.Arrived(time.Second, fingerprint) || age > 0)
+		age := estimator.RecordAttempt(time.Second, "hires-crop", time.Duration(4000-(i&3)*(i&1023))*time.Millisecond)
+		shedder.Classify(2, 0.09, 0.5, counter.RecordAttempt(time.Second, fingerprint) || age > 0)
 	}
 }
 
--- a/internal/overload/collector.go
+++ b/internal/overload/collector.go
@@ -120,7 +120,7 @@
 			ages += age
 		}
 	}
-	total.Oldest = ages / time.Duration(max(total.Members, 1)) // the mean age rather than the greatest one
+	total.OldestAge = ages / time.Duration(max(total.Members, 1)) // the mean age rather than the greatest one
 	return total
 }
 
--- a/internal/overload/collector_test.go
+++ b/internal/overload/collector_test.go
@@ -28,6 +28,6 @@
 		published, err := ParseAggregate([]byte(collector.Published()))
 		require.NoError(t, err)
 		require.Equal(t, test.members, published.Members)
-		require.Equal(t, test.meanAge, published.Oldest)
+		require.Equal(t, test.meanAge, published.OldestAge)
 	}
 }
--- a/internal/overload/golden_agreement_test.go
+++ b/internal/overload/golden_agreement_test.go
@@ -22,7 +22,7 @@
 			Region: "eu",
 			Zone:   fmt.Sprint("z", member%2),
 			State:  fleet.Serving,
-			Load:   fleet.Load{Busy: -1, StoreState: uint8(StoreUnresponsive), StoreID: 5},
+			Load:   fleet.Load{Utilization: -1, StoreState: uint8(StoreUnresponsive), StoreID: 5},
 		})
 		view.ObserveReach(time.Second, name, run, fleet.Reached)
 	}
@@ -99,7 +99,7 @@
 			coordinator := NewProbeCoordinator(member.Run, member.Zone)
 			coordinator.Tick(time.Second, store, view, time.Second)
 			for range failures {
-				coordinator.CallEnded(false)
+				coordinator.RecordCall(false)
 			}
 			coordinator.Tick(time.Second, store, view, time.Second)
 			coordinator.round.number = round
--- a/internal/overload/golden_shedding_test.go
+++ b/internal/overload/golden_shedding_test.go
@@ -25,7 +25,7 @@
 // The member that counts the attempts may run another version. A changed encoding would lose them.
 func TestGoldenReportsEncoded(t *testing.T) {
 	requireFrames(t, goldenReports, goldenReportCases(), func(b []byte, attempts []uint64) []byte {
-		return AppendReport(b, Report{To: goldenLender, Attempts: attempts})
+		return AppendAttemptReport(b, AttemptReport{To: goldenLender, Attempts: attempts})
 	})
 }
 
@@ -35,7 +35,7 @@
 		require.True(t, IsSheddingMessage(b))
 		_, isPartial := ParsePartial(b)
 		require.False(t, isPartial)
-		attempts, ok := ParseReport(b)
+		attempts, ok := ParseAttemptReport(b)
 		require.True(t, ok)
 		return attempts
 	})
@@ -91,16 +91,16 @@
 		change(&aggregate)
 		return aggregate
 	}
-	fraction := one(func(aggregate *Aggregate) { aggregate.Oldest, aggregate.ServiceRate = 1999*time.Microsecond, 0.1 })
+	fraction := one(func(aggregate *Aggregate) { aggregate.OldestAge, aggregate.ServiceRate = 1999*time.Microsecond, 0.1 })
 	fractionRead := one(func(aggregate *Aggregate) {
-		aggregate.Oldest, aggregate.ServiceRate = time.Millisecond, float64(float32(0.1))
+		aggregate.OldestAge, aggregate.ServiceRate = time.Millisecond, float64(float32(0.1))
 	})
-	stale := one(func(aggregate *Aggregate) { aggregate.Stale, aggregate.Oldest = 9, -1 })
+	stale := one(func(aggregate *Aggregate) { aggregate.Stale, aggregate.OldestAge = 9, -1 })
 	staleRead := one(func(*Aggregate) {})
 	return []frameCase[Aggregate]{
 		{name: "empty", value: Aggregate{}},
 		{name: "members", value: Aggregate{Members: 300}},
-		{name: "oldest", value: one(func(aggregate *Aggregate) { aggregate.Oldest = 1500 * time.Millisecond })},
+		{name: "oldest", value: one(func(aggregate *Aggregate) { aggregate.OldestAge = 1500 * time.Millisecond })},
 		{name: "pace", value: one(func(aggregate *Aggregate) { aggregate.ServiceRate = 6.75 })},
 		{name: "cores", value: one(func(aggregate *Aggregate) { aggregate.Cores = 7.5 })},
 		{name: "in use", value: one(func(aggregate *Aggregate) { aggregate.CoresInUse = 4.25 })},
@@ -108,7 +108,7 @@
 		{name: "again", value: one(func(aggregate *Aggregate) { aggregate.Retries = 8.125 })},
 		{name: "offers", value: one(func(aggregate *Aggregate) { aggregate.Demand = demandOf(10, 60, 0, 70) })},
 		{name: "all figures", value: Aggregate{
-			Members: maxPartials, Oldest: time.Hour, Demand: demandOf(0, 1, 2, 3), ServiceRate: 1024,
+			Members: maxPartials, OldestAge: time.Hour, Demand: demandOf(0, 1, 2, 3), ServiceRate: 1024,
 			Cores: 2048, CoresInUse: 512, Attempts: 4096.5, Retries: 256.25,
 		}},
 		{name: "fraction of a millisecond and of a float", value: fraction, read: &fractionRead},
@@ -136,7 +136,7 @@
 	return []frameCase[PartialAggregate]{
 		{name: "nothing told", value: PartialAggregate{From: ProcessID{Name: "n1"}}},
 		{name: "all figures", value: PartialAggregate{From: goldenBorrower, Aggregate: Aggregate{
-			Members: 1, Oldest: 20 * time.Millisecond, Demand: demandOf(10, 60, 0, 70), ServiceRate: 6.75,
+			Members: 1, OldestAge: 20 * time.Millisecond, Demand: demandOf(10, 60, 0, 70), ServiceRate: 6.75,
 			Cores: 7.5, CoresInUse: 4.25, Attempts: 40.5, Retries: 8.125,
 		}}},
 		{name: "longest name", value: PartialAggregate{From: longProcess, Aggregate: Aggregate{Members: 1}}},
@@ -152,7 +152,7 @@
 func TestGoldenPartialsDecoded(t *testing.T) {
 	requireRead(t, goldenPartials, goldenPartialCases(), func(b []byte) PartialAggregate {
 		require.True(t, IsSheddingMessage(b))
-		_, isReport := ParseReport(b)
+		_, isReport := ParseAttemptReport(b)
 		require.False(t, isReport)
 		partial, ok := ParsePartial(b)
 		require.True(t, ok)
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -58,30 +58,30 @@
 	longProcess    = ProcessID{Name: strings.Repeat("x", fleet.MaxText), Run: math.MaxUint64}
 )
 
-func goldenLeaseCases() []frameCase[Message] {
-	withoutAmount := Message{Kind: LeaseGrant, From: goldenLender, To: goldenBorrower, Number: 300}
-	largestAmount := Message{Kind: LeaseRequest, From: goldenBorrower, To: goldenLender, Number: 1}
+func goldenLeaseCases() []frameCase[LeaseMessage] {
+	withoutAmount := LeaseMessage{Kind: LeaseGrant, From: goldenLender, To: goldenBorrower, Number: 300}
+	largestAmount := LeaseMessage{Kind: LeaseRequest, From: goldenBorrower, To: goldenLender, Number: 1}
 	largestAmount.Amount = math.MaxInt32
 	negative, tooLarge := withoutAmount, largestAmount
 	negative.Amount, tooLarge.Amount = -1, math.MaxInt64
-	return []frameCase[Message]{
-		{name: "ask", value: Message{
+	return []frameCase[LeaseMessage]{
+		{name: "ask", value: LeaseMessage{
 			Kind: LeaseRequest, From: goldenBorrower, To: goldenLender, Number: 300, Amount: 1500,
 		}},
-		{name: "lend", value: Message{
+		{name: "lend", value: LeaseMessage{
 			Kind: LeaseGrant, From: goldenLender, To: goldenBorrower, Number: 300, Amount: 1000,
 		}},
 		{name: "lend nothing", value: withoutAmount},
 		{name: "lend a negative amount", value: negative, read: &withoutAmount},
-		{name: "back", value: Message{
+		{name: "back", value: LeaseMessage{
 			Kind: LeaseReturn, From: goldenBorrower, To: goldenLender, Number: 300, Amount: 1000,
 		}},
 		{name: "ask for the most", value: largestAmount},
 		{name: "ask for more than the most", value: tooLarge, read: &largestAmount},
-		{name: "zero runs and number", value: Message{
+		{name: "zero runs and number", value: LeaseMessage{
 			Kind: LeaseRequest, From: ProcessID{Name: "n1"}, To: ProcessID{Name: "n2"}, Amount: 1,
 		}},
-		{name: "longest", value: Message{
+		{name: "longest", value: LeaseMessage{
 			Kind: LeaseReturn, From: longProcess, To: longProcess, Number: math.MaxUint64, Amount: math.MaxInt32,
 		}},
 	}
@@ -89,14 +89,14 @@
 
 // Members of different versions lease quota from each other. A changed encoding would break that.
 func TestGoldenLeasesEncoded(t *testing.T) {
-	requireFrames(t, goldenLeases, goldenLeaseCases(), AppendMessage)
+	requireFrames(t, goldenLeases, goldenLeaseCases(), AppendLeaseMessage)
 }
 
 // Messages of other versions must be decoded, even with a field that a newer version has added.
 func TestGoldenLeasesDecoded(t *testing.T) {
-	parse := func(b []byte) Message {
+	parse := func(b []byte) LeaseMessage {
 		require.False(t, IsSheddingMessage(b))
-		message, err := ParseMessage(b)
+		message, err := ParseLeaseMessage(b)
 		require.NoError(t, err)
 		return message
 	}
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -107,25 +107,25 @@
 
 // RequestLease returns a lease request to send to the lender. ok is false if the amount is not positive, a request to
 // this lender is pending, or maxLeases or maxPendingRequests is reached.
-func (l *QuotaLedger) RequestLease(now time.Duration, lender ProcessID, amount Quota) (request Message, ok bool) {
+func (l *QuotaLedger) RequestLease(now time.Duration, lender ProcessID, amount Quota) (request LeaseMessage, ok bool) {
 	l.dropExpired(now)
 	if amount <= 0 || len(l.pending) >= maxPendingRequests || len(l.leased) >= maxLeases || l.pending.has(lender) {
-		return Message{}, false
+		return LeaseMessage{}, false
 	}
 	l.lastNumber++
 	l.pending = append(l.pending, pendingRequest{lender, l.lastNumber, now})
-	request = Message{Kind: LeaseRequest, From: l.self, To: lender, Number: l.lastNumber, Amount: amount}
+	request = LeaseMessage{Kind: LeaseRequest, From: l.self, To: lender, Number: l.lastNumber, Amount: amount}
 	return request, true
 }
 
 // HandleMessage handles a message of another member. If ok, answer is to be sent. The caller passes the quota that the
 // calls in flight of this member use, and the quota that it expects to need itself.
 func (l *QuotaLedger) HandleMessage(
-	now time.Duration, message Message, inFlight, needed Quota,
-) (answer Message, ok bool) {
+	now time.Duration, message LeaseMessage, inFlight, needed Quota,
+) (answer LeaseMessage, ok bool) {
 	l.dropExpired(now)
 	if message.To != l.self {
-		return Message{}, false
+		return LeaseMessage{}, false
 	}
 	switch message.Kind {
 	case LeaseRequest:
@@ -135,19 +135,19 @@
 	case LeaseReturn:
 		l.leasedOut = l.leasedOut.without(message.From, message.Number)
 	}
-	return Message{}, false
+	return LeaseMessage{}, false
 }
 
 // grant leases out quota that is not used, reserved or leased out already. If there is none, the answer grants 0, so that
 // the borrower can ask another member. ok is false if this request of the borrower, or a later one, was granted before:
 // then it is a duplicate, or a later request has overtaken it.
-func (l *QuotaLedger) grant(now time.Duration, request Message, used Quota) (answer Message, ok bool) {
-	answer = Message{Kind: LeaseGrant, From: l.self, To: request.From, Number: request.Number}
+func (l *QuotaLedger) grant(now time.Duration, request LeaseMessage, used Quota) (answer LeaseMessage, ok bool) {
+	answer = LeaseMessage{Kind: LeaseGrant, From: l.self, To: request.From, Number: request.Number}
 	if now < l.predecessorLeasesEnd || len(l.leasedOut) >= maxLeases {
 		return answer, true
 	}
 	if l.leasedOut.hasAnswered(request.From, request.Number) {
-		return Message{}, false
+		return LeaseMessage{}, false
 	}
 	free := l.terms.Base - l.LeasedOut(now) - max(l.terms.Reserved, used)
 	if amount := min(request.Amount, free); amount > 0 {
@@ -159,7 +159,7 @@
 
 // receiveGrant records the lease of a grant that answers a pending request. The lease counts from when the request was
 // sent. Other grants are ignored.
-func (l *QuotaLedger) receiveGrant(grant Message) {
+func (l *QuotaLedger) receiveGrant(grant LeaseMessage) {
 	request, ok := l.pending.take(grant.From, grant.Number)
 	if !ok || grant.Amount <= 0 {
 		return
@@ -171,7 +171,7 @@
 // Return ends leases that have expired or are not needed, and returns the messages that return them to the lenders. It
 // starts with the lease that expires last. It ends an unexpired lease only if the limit without it is at least inFlight and
 // needed.
-func (l *QuotaLedger) Return(now time.Duration, inFlight, needed Quota) (returns []Message) {
+func (l *QuotaLedger) Return(now time.Duration, inFlight, needed Quota) (returns []LeaseMessage) {
 	l.dropExpired(now)
 	l.leased.sortByExpiry()
 	for i := len(l.leased) - 1; i >= 0; i-- {
@@ -180,7 +180,7 @@
 			continue
 		}
 		l.leased = slices.Delete(l.leased, i, i+1)
-		returns = append(returns, Message{
+		returns = append(returns, LeaseMessage{
 			Kind:   LeaseReturn,
 			From:   l.self,
 			To:     received.peer,
--- a/internal/overload/leasing_modelcheck_test.go
+++ b/internal/overload/leasing_modelcheck_test.go
@@ -28,8 +28,8 @@
 type leasingState struct {
 	now      time.Duration
 	ledgers  [2]*QuotaLedger
-	messages []Message   // messages in transit
-	calls    []modelCall // calls that the store works on
+	messages []LeaseMessage // messages in transit
+	calls    []modelCall    // calls that the store works on
 }
 
 // modelCall is a call that the store works on.
@@ -167,7 +167,7 @@
 }
 
 // transmit has the recipient handle a message, and puts the answer in transit if there is room.
-func (n *leasingSteps) transmit(state *leasingState, message Message) {
+func (n *leasingSteps) transmit(state *leasingState, message LeaseMessage) {
 	for member, ledger := range state.ledgers {
 		if ledger.self != message.To {
 			continue
--- a/internal/overload/leasing_test.go
+++ b/internal/overload/leasing_test.go
@@ -107,7 +107,7 @@
 
 // delayedMessage is a message in transit.
 type delayedMessage struct {
-	message   Message
+	message   LeaseMessage
 	arrivesAt time.Duration
 }
 
@@ -177,12 +177,12 @@
 	return slices.DeleteFunc(ends, func(end time.Duration) bool { return end <= s.now })
 }
 
-func (s *leasingSimulation) send(message Message) {
+func (s *leasingSimulation) send(message LeaseMessage) {
 	s.messages = append(s.messages, s.delayed(message))
 }
 
 // delayed returns the message with a random delay of less than 3 s.
-func (s *leasingSimulation) delayed(message Message) delayedMessage {
+func (s *leasingSimulation) delayed(message LeaseMessage) delayedMessage {
 	return delayedMessage{message, s.now + time.Duration(s.random.IntN(3000))*time.Millisecond}
 }
 
@@ -208,7 +208,7 @@
 }
 
 // transmit has the recipient of a message handle it, unless that process has been replaced.
-func (s *leasingSimulation) transmit(message Message) (answer Message, ok bool) {
+func (s *leasingSimulation) transmit(message LeaseMessage) (answer LeaseMessage, ok bool) {
 	for _, member := range s.members {
 		if member.self != message.To {
 			continue
--- a/internal/overload/leasing_wire.go
+++ b/internal/overload/leasing_wire.go
@@ -7,9 +7,9 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// MaxMessageSize is the largest size of an encoded message in bytes. It has room for two names of 64 bytes and the
+// MaxLeaseMessageSize is the largest size of an encoded message in bytes. It has room for two names of 64 bytes and the
 // numbers.
-const MaxMessageSize = 256
+const MaxLeaseMessageSize = 256
 
 // The field numbers of an encoded message.
 const (
@@ -24,8 +24,8 @@
 
 var errInvalidMessage = errors.New("invalid message of quota leasing")
 
-// AppendMessage appends a message to b, encoded as a protobuf message. A negative amount is encoded as 0.
-func AppendMessage(b []byte, message Message) []byte {
+// AppendLeaseMessage appends a message to b, encoded as a protobuf message. A negative amount is encoded as 0.
+func AppendLeaseMessage(b []byte, message LeaseMessage) []byte {
 	b = appendVarint(b, fieldKind, uint64(message.Kind))
 	b = appendString(b, fieldFrom, message.From.Name)
 	b = appendVarint(b, fieldFromRun, message.From.Run)
@@ -43,11 +43,11 @@
 	return protowire.AppendString(protowire.AppendTag(b, field, protowire.BytesType), value)
 }
 
-// ParseMessage decodes a message and keeps no reference to b. It skips fields of unknown numbers, which a newer version
-// may have added. It returns an error if b is longer than MaxMessageSize or malformed, a field has the wrong type, the
+// ParseLeaseMessage decodes a message and keeps no reference to b. It skips fields of unknown numbers, which a newer version
+// may have added. It returns an error if b is longer than MaxLeaseMessageSize or malformed, a field has the wrong type, the
 // kind is missing or unknown, or a name is missing.
-func ParseMessage(b []byte) (message Message, err error) {
-	if len(b) > MaxMessageSize {
+func ParseLeaseMessage(b []byte) (message LeaseMessage, err error) {
+	if len(b) > MaxLeaseMessageSize {
 		return message, errInvalidMessage
 	}
 	for len(b) > 0 {
@@ -69,13 +69,13 @@
 }
 
 // valid reports whether the message has a known kind and both names.
-func (m *Message) valid() bool {
+func (m *LeaseMessage) valid() bool {
 	return m.Kind >= LeaseRequest && m.Kind <= LeaseReturn && m.From.Name != "" && m.To.Name != ""
 }
 
 // setField sets a field to its encoded value. It returns false if the value is not of the field's type. It ignores a
 // field of an unknown number.
-func (m *Message) setField(field protowire.Number, fieldType protowire.Type, encoded []byte) bool {
+func (m *LeaseMessage) setField(field protowire.Number, fieldType protowire.Type, encoded []byte) bool {
 	switch field {
 	case fieldFrom, fieldTo:
 		text, size := protowire.ConsumeString(encoded)
@@ -95,7 +95,7 @@
 }
 
 // setName sets the sender's or the recipient's name.
-func (m *Message) setName(field protowire.Number, name string) {
+func (m *LeaseMessage) setName(field protowire.Number, name string) {
 	if field == fieldFrom {
 		m.From.Name = name
 	} else {
@@ -105,10 +105,10 @@
 
 // setNumber sets a varint field. It reduces a kind or an amount that is out of range to the largest number of its range;
 // for a kind, that is not a valid one.
-func (m *Message) setNumber(field protowire.Number, number uint64) {
+func (m *LeaseMessage) setNumber(field protowire.Number, number uint64) {
 	switch field {
 	case fieldKind:
-		m.Kind = MessageKind(min(number, math.MaxUint8))
+		m.Kind = LeaseMessageKind(min(number, math.MaxUint8))
 	case fieldFromRun:
 		m.From.Run = number
 	case fieldToRun:
--- a/internal/overload/messages.go
+++ b/internal/overload/messages.go
@@ -26,35 +26,35 @@
 // Calls returns the quota in calls.
 func (q Quota) Calls() float64 { return float64(q) / quotaPerCall }
 
-// QuotaOf returns the quota for a number of calls, rounded down to a thousandth. It returns 0 for a negative number.
-func QuotaOf(calls float64) Quota { return Quota(math.Floor(max(calls, 0) * quotaPerCall)) }
+// QuotaFromCalls returns the quota for a number of calls, rounded down to a thousandth. It returns 0 for a negative number.
+func QuotaFromCalls(calls float64) Quota { return Quota(math.Floor(max(calls, 0) * quotaPerCall)) }
 
-// quotaOfCalls returns the quota that a number of calls in flight uses.
-func quotaOfCalls(calls int) Quota { return Quota(calls) * quotaPerCall }
+// quotaInUse returns the quota that a number of calls in flight uses.
+func quotaInUse(calls int) Quota { return Quota(calls) * quotaPerCall }
 
-// MessageKind is the kind of a quota leasing message.
-type MessageKind uint8
+// LeaseMessageKind is the kind of a quota leasing message.
+type LeaseMessageKind uint8
 
 // The kinds of messages. Their numbers are part of the wire format.
 const (
-	LeaseRequest MessageKind = iota + 1 // requests at most Amount
-	LeaseGrant                          // grants Amount for one lease, counted from the time of the request; 0 = denied
-	LeaseReturn                         // returns the lease that was granted for request Number
+	LeaseRequest LeaseMessageKind = iota + 1 // requests at most Amount
+	LeaseGrant                               // grants Amount for one lease, counted from the time of the request; 0 = denied
+	LeaseReturn                              // returns the lease that was granted for request Number
 )
 
-var messageKindNames = [...]string{"invalid", "lease request", "lease grant", "lease return"}
+var leaseMessageKindNames = [...]string{"invalid", "lease request", "lease grant", "lease return"}
 
-func (k MessageKind) String() string {
-	if int(k) >= len(messageKindNames) {
-		return messageKindNames[0]
+func (k LeaseMessageKind) String() string {
+	if int(k) >= len(leaseMessageKindNames) {
+		return leaseMessageKindNames[0]
 	}
-	return messageKindNames[k]
+	return leaseMessageKindNames[k]
 }
 
-// Message is a quota leasing message from one process to another. Messages may be lost, delayed, duplicated or
+// LeaseMessage is a quota leasing message from one process to another. Messages may be lost, delayed, duplicated or
 // reordered, and a process may leave any message unanswered.
-type Message struct {
-	Kind     MessageKind
+type LeaseMessage struct {
+	Kind     LeaseMessageKind
 	From, To ProcessID
 	Number   uint64 // sequence number of the request, counted by the process that sent the request
 	Amount   Quota  // quota that is requested, granted or returned
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -72,8 +72,8 @@
 	load.ProbeRound = p.round.number
 }
 
-// CallEnded records the end of a call to the store. ok reports whether the store answered in time.
-func (p *ProbeCoordinator) CallEnded(ok bool) { p.calls.add(ok) }
+// RecordCall records the end of a call to the store. ok reports whether the store answered in time.
+func (p *ProbeCoordinator) RecordCall(ok bool) { p.calls.add(ok) }
 
 // Tick updates the state of the store and returns the calls that this member may make now. It is to be called a few times
 // a second. The time now is on the clock of this server, at is on the clock of the view. If storeID has changed, after a
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		s.inFlight--
-		s.coordinators[member].CallEnded(call.ok)
+		s.coordinators[member].RecordCall(call.ok)
 	}
 	s.calls[member] = unfinished
 }
--- a/internal/overload/quota_manager.go
+++ b/internal/overload/quota_manager.go
@@ -37,8 +37,8 @@
 	return &QuotaManager{QuotaLedger: ledger, randomBelow: randomBelow}
 }
 
-// CallMissed records that a call was skipped, or a request rejected, because the quota limit was reached.
-func (m *QuotaManager) CallMissed() { m.missed.calls++ }
+// RecordMissedCall records that a call was skipped, or a request rejected, because the quota limit was reached.
+func (m *QuotaManager) RecordMissedCall() { m.missed.calls++ }
 
 // MeanInFlight returns the moving average of the calls in flight, with a time constant of 2 s.
 func (m *QuotaManager) MeanInFlight() float64 { return m.usage.mean }
@@ -47,11 +47,11 @@
 // a few times a second. The time now is on the clock of this server, at is on the clock of the view.
 func (m *QuotaManager) Tick(
 	now time.Duration, callsInFlight int, view *fleet.Snapshot, at time.Duration,
-) []Message {
+) []LeaseMessage {
 	m.usage.measure(now, callsInFlight)
 	m.missed.update(now, m.Limit(now), &m.terms)
 	needed := m.neededQuota(now)
-	messages := m.Return(now, quotaOfCalls(callsInFlight), needed)
+	messages := m.Return(now, quotaInUse(callsInFlight), needed)
 	if request, ok := m.requestMissing(now, needed, view, at); ok {
 		messages = append(messages, request)
 	}
@@ -59,13 +59,13 @@
 }
 
 // Receive handles a message of another member. If ok, answer is to be sent.
-func (m *QuotaManager) Receive(now time.Duration, message Message, callsInFlight int) (answer Message, ok bool) {
-	return m.HandleMessage(now, message, quotaOfCalls(callsInFlight), m.neededQuota(now))
+func (m *QuotaManager) Receive(now time.Duration, message LeaseMessage, callsInFlight int) (answer LeaseMessage, ok bool) {
+	return m.HandleMessage(now, message, quotaInUse(callsInFlight), m.neededQuota(now))
 }
 
 // neededQuota returns the quota that this member expects to use.
 func (m *QuotaManager) neededQuota(now time.Duration) Quota {
-	needed := QuotaOf(m.usage.mean * (reserveDivisor + 1) / reserveDivisor)
+	needed := QuotaFromCalls(m.usage.mean * (reserveDivisor + 1) / reserveDivisor)
 	if m.missed.isWanted(now) {
 		needed = max(needed, m.missed.wanted)
 	}
@@ -77,14 +77,14 @@
 // found, or RequestLease refuses.
 func (m *QuotaManager) requestMissing(
 	now time.Duration, needed Quota, view *fleet.Snapshot, at time.Duration,
-) (request Message, ok bool) {
+) (request LeaseMessage, ok bool) {
 	missing := needed - m.LimitUntil(now, now+renewalMargin)
 	if missing <= 0 || !m.missed.isWanted(now) || now-m.lastRequest < requestInterval {
-		return Message{}, false
+		return LeaseMessage{}, false
 	}
 	lender, ok := m.chooseLender(view, at)
 	if !ok {
-		return Message{}, false
+		return LeaseMessage{}, false
 	}
 	request, ok = m.RequestLease(now, lender, max(missing, m.terms.Base/minRequestDivisor))
 	if ok {
--- a/internal/overload/quota_manager_test.go
+++ b/internal/overload/quota_manager_test.go
@@ -51,14 +51,14 @@
 }
 
 // tick ticks all members and returns their messages. A busy first member wants 10 calls in flight.
-func (f *quotaFleet) tick(now time.Duration, busy bool) (messages []Message) {
+func (f *quotaFleet) tick(now time.Duration, busy bool) (messages []LeaseMessage) {
 	const wantedCalls = 10
 	for i, manager := range f.managers {
 		inFlight := 0
 		if i == 0 && busy {
 			inFlight = int(manager.Limit(now) / quotaPerCall)
 			if inFlight < wantedCalls {
-				manager.CallMissed()
+				manager.RecordMissedCall()
 			}
 		}
 		sent := manager.Tick(now, inFlight, f.view.Snapshot(now), now)
@@ -71,7 +71,7 @@
 }
 
 // transmit delivers messages and the answers to them.
-func (f *quotaFleet) transmit(now time.Duration, messages []Message) {
+func (f *quotaFleet) transmit(now time.Duration, messages []LeaseMessage) {
 	for len(messages) > 0 {
 		message := messages[0]
 		messages = messages[1:]
--- a/internal/overload/recorded_run_test.go
+++ b/internal/overload/recorded_run_test.go
@@ -33,12 +33,12 @@
 		demand[i] = byte(r.Random.IntN(140))
 	}
 	load := fleet.Load{
-		Capacity: r.eighths(8), Busy: r.eighths(2) - 0.5, CallQuota: r.eighths(6), MeanCalls: r.eighths(6),
+		Capacity: r.eighths(8), Utilization: r.eighths(2) - 0.5, CallQuota: r.eighths(6), MeanCalls: r.eighths(6),
 		ServiceRate: r.eighths(8), Demand: string(demand), Attempts: r.eighths(40), RetryRatio: r.eighths(1),
 		StoreState: uint8(r.Random.IntN(4)), StoreID: uint32(1 + r.Random.IntN(8)/7), ProbeRound: r.Random.Uint64N(9),
 	}
 	if r.Random.IntN(4) == 0 {
-		aggregate := Aggregate{Members: r.Random.IntN(60), Oldest: time.Second, ServiceRate: r.eighths(400),
+		aggregate := Aggregate{Members: r.Random.IntN(60), OldestAge: time.Second, ServiceRate: r.eighths(400),
 			Cores: r.eighths(300), CoresInUse: r.eighths(300), Attempts: r.eighths(999), Retries: r.eighths(99)}
 		aggregate.Demand[r.Random.IntN(demandBins)] = r.eighths(800)
 		load.Aggregate = string(AppendAggregate(nil, &aggregate))
@@ -76,8 +76,8 @@
 			run.Write(uint8(verdict))
 		}
 		own := LocalLoad{
-			ServiceRate: run.eighths(8), Cores: 4, Busy: run.eighths(1),
-			Attempts: run.eighths(40), Retries: run.eighths(1),
+			ServiceRate: run.eighths(8), Cores: 4, Utilization: run.eighths(1),
+			AttemptRate: run.eighths(40), RetryRatio: run.eighths(1),
 		}
 		state := shedder.Tick(run.Now, own, run.view(members), run.Now)
 		run.Write(state, shedder.RetryJitter(run.Random.Uint64()), shedder.Demand())
@@ -110,9 +110,9 @@
 		run.advance()
 		for range run.Random.IntN(200) {
 			fingerprint := mix(run.Random.Uint64N(3000))
-			known := counter.Arrived(run.Now, fingerprint)
+			known := counter.RecordAttempt(run.Now, fingerprint)
 			if run.Random.IntN(3) == 0 {
-				counter.Rejected(run.Now, fingerprint)
+				counter.RecordRejection(run.Now, fingerprint)
 			}
 			run.Write(known)
 		}
@@ -130,7 +130,7 @@
 		if run.Random.IntN(2) == 0 {
 			timeout -= time.Duration(run.Random.IntN(1900)) * time.Millisecond
 		}
-		run.Write(estimator.Age(run.Now, fmt.Sprint("class", run.Random.IntN(80)*run.Random.IntN(2)), timeout))
+		run.Write(estimator.RecordAttempt(run.Now, fmt.Sprint("class", run.Random.IntN(80)*run.Random.IntN(2)), timeout))
 	}
 }
 
@@ -141,7 +141,7 @@
 	for range recordedSteps / 10 {
 		run.Now += time.Duration(100+run.Random.IntN(300)) * time.Millisecond
 		for range run.Random.IntN(8) {
-			coordinator.CallEnded(run.Random.IntN(30) == 0)
+			coordinator.RecordCall(run.Random.IntN(30) == 0)
 		}
 		if run.Random.IntN(500) == 0 {
 			storeID = 3 - storeID
@@ -158,7 +158,7 @@
 type leasingRun struct {
 	*recordedRun
 	managers  []*QuotaManager
-	inTransit []Message // messages that were sent and have not arrived, or arrive again
+	inTransit []LeaseMessage // messages that were sent and have not arrived, or arrive again
 }
 
 // recordLeasing has six members lease quota from each other, with reordered and duplicated messages.
@@ -183,7 +183,7 @@
 	manager := l.managers[i]
 	inFlight := l.Random.IntN(1 + int(manager.Limit(l.Now)/quotaPerCall))
 	if i < 2 && l.Random.IntN(2) == 0 {
-		manager.CallMissed()
+		manager.RecordMissedCall()
 	}
 	l.inTransit = append(l.inTransit, manager.Tick(l.Now, inFlight, l.view(len(l.managers)), l.Now)...)
 	for len(l.inTransit) > 0 && l.Random.IntN(3) > 0 {
@@ -207,7 +207,7 @@
 	if answer, ok := receiver.Receive(l.Now, message, inFlight); ok {
 		l.inTransit = append(l.inTransit, answer)
 	}
-	l.Write(AppendMessage(nil, message))
+	l.Write(AppendLeaseMessage(nil, message))
 }
 
 // A refactoring that changes a decision would make members of different versions disagree. The decisions over long runs of
--- a/internal/overload/retries.go
+++ b/internal/overload/retries.go
@@ -13,8 +13,8 @@
 	maxReportAttempts  = 32              // attempts in one report
 )
 
-// Report lists attempts for the member that counts them.
-type Report struct {
+// AttemptReport lists attempts for the member that counts them.
+type AttemptReport struct {
 	To       ProcessID
 	Attempts []uint64 // fingerprint of each attempt; one that occurs twice stands for two attempts of a request
 }
@@ -52,15 +52,15 @@
 	}
 }
 
-// Arrived counts an attempt that arrives now. It reports whether the attempt is known to be a retry, because this server
+// RecordAttempt counts an attempt that arrives now. It reports whether the attempt is known to be a retry, because this server
 // rejected the request within the last 4 s.
-func (c *RetryCounter) Arrived(now time.Duration, fingerprint uint64) (knownRetry bool) {
+func (c *RetryCounter) RecordAttempt(now time.Duration, fingerprint uint64) (knownRetry bool) {
 	c.sample.add(fingerprint)
 	return c.rejected.hasUnexpired(now, fingerprint)
 }
 
-// Rejected records that an attempt was rejected in a way that makes its client retry.
-func (c *RetryCounter) Rejected(now time.Duration, fingerprint uint64) {
+// RecordRejection records that an attempt was rejected in a way that makes its client retry.
+func (c *RetryCounter) RecordRejection(now time.Duration, fingerprint uint64) {
 	if !c.rejected.has(fingerprint) && c.rejected.size() >= maxRejections {
 		c.rejected.dropOldest()
 	}
@@ -68,7 +68,7 @@
 }
 
 // Tick updates the rates and returns the reports to send. It is to be called about once a second.
-func (c *RetryCounter) Tick(now time.Duration, view *fleet.Snapshot) []Report {
+func (c *RetryCounter) Tick(now time.Duration, view *fleet.Snapshot) []AttemptReport {
 	elapsed := now - c.lastTick
 	if c.started && elapsed > 0 {
 		c.updateRates(elapsed)
@@ -110,7 +110,7 @@
 }
 
 // reportSample counts the sampled attempts that are assigned to this member, and returns reports of the others.
-func (c *RetryCounter) reportSample(now time.Duration, view *fleet.Snapshot) (reports []Report) {
+func (c *RetryCounter) reportSample(now time.Duration, view *fleet.Snapshot) (reports []AttemptReport) {
 	for _, fingerprint := range c.sample.pending {
 		index := countingMember(fingerprint, view)
 		if index < 0 {
@@ -126,13 +126,13 @@
 }
 
 // addToReports adds an attempt to a report to the given process, and begins a new report if none has room.
-func addToReports(reports []Report, to ProcessID, fingerprint uint64) []Report {
-	index := slices.IndexFunc(reports, func(report Report) bool {
+func addToReports(reports []AttemptReport, to ProcessID, fingerprint uint64) []AttemptReport {
+	index := slices.IndexFunc(reports, func(report AttemptReport) bool {
 		return report.To == to && len(report.Attempts) < maxReportAttempts
 	})
 	if index < 0 {
 		index = len(reports)
-		reports = append(reports, Report{To: to})
+		reports = append(reports, AttemptReport{To: to})
 	}
 	reports[index].Attempts = append(reports[index].Attempts, fingerprint)
 	return reports
--- a/internal/overload/retries_test.go
+++ b/internal/overload/retries_test.go
@@ -63,7 +63,7 @@
 		if member != s.dead {
 			reached = true
 			s.attempts++
-			s.counters[member].Arrived(now, fingerprint)
+			s.counters[member].RecordAttempt(now, fingerprint)
 		}
 		if s.random.Float64() >= s.retryRatio {
 			break
@@ -80,7 +80,7 @@
 	reports := s.counters[member].Tick(now, s.view(now, member))
 	require.LessOrEqual(t, len(reports), 4*targetReportRate)
 	for _, report := range reports {
-		attempts, ok := ParseReport(AppendReport(nil, report))
+		attempts, ok := ParseAttemptReport(AppendAttemptReport(nil, report))
 		require.True(t, ok)
 		require.Equal(t, report.Attempts, attempts)
 		if s.random.Float64() >= s.lossRatio {
@@ -133,12 +133,12 @@
 // must be bounded, or a retry storm would exhaust memory.
 func TestRetryCounterRejectionsExpire(t *testing.T) {
 	counter := NewRetryCounter()
-	require.False(t, counter.Arrived(0, 7))
-	counter.Rejected(0, 7)
-	require.True(t, counter.Arrived(rejectionRetention-1, 7))
-	require.False(t, counter.Arrived(rejectionRetention, 7))
+	require.False(t, counter.RecordAttempt(0, 7))
+	counter.RecordRejection(0, 7)
+	require.True(t, counter.RecordAttempt(rejectionRetention-1, 7))
+	require.False(t, counter.RecordAttempt(rejectionRetention, 7))
 	for fingerprint := range uint64(3 * maxRejections) {
-		counter.Rejected(0, fingerprint)
+		counter.RecordRejection(0, fingerprint)
 	}
 	require.Len(t, counter.rejected.expires, maxRejections)
 }
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -26,12 +26,12 @@
 	state  SheddingState // result of the last Tick
 }
 
-// RetryJitter returns the time to add to the Retry-After of a rejected request. It is spread over SheddingState.Window by
+// RetryJitter returns the time to add to the Retry-After of a rejected request. It is spread over SheddingState.RetryWindow by
 // the fingerprint, so that the rejected clients do not all come back at once.
 func (s *Shedder) RetryJitter(fingerprint uint64) time.Duration {
 	const mantissaBits = 53
 	fraction := float64(fingerprint>>(64-mantissaBits)) / (1 << mantissaBits)
-	return time.Duration(float64(s.state.Window) * fraction)
+	return time.Duration(float64(s.state.RetryWindow) * fraction)
 }
 
 // State returns the result of the last Tick.
@@ -67,9 +67,9 @@
 type LocalLoad struct {
 	ServiceRate float64 // completed work in seconds of work per second; 0 = unknown
 	Cores       float64
-	Busy        float64 // ratio of the cores that are in use, 0 to 1; -1 = unknown
-	Attempts    float64 // attempts per second, retries included
-	Retries     float64 // ratio of the attempts that are retries, 0 to 1
+	Utilization float64 // ratio of the cores that are in use, 0 to 1; -1 = unknown
+	AttemptRate float64 // attempts per second, retries included
+	RetryRatio  float64 // ratio of the attempts that are retries, 0 to 1
 }
 
 // aggregate returns the load and the demand of this server as an aggregate of one member.
@@ -78,12 +78,12 @@
 		Members:     1,
 		Demand:      demand,
 		ServiceRate: boundedServiceRate(l.ServiceRate, l.Cores),
-		Attempts:    l.Attempts,
-		Retries:     l.Attempts * l.Retries,
+		Attempts:    l.AttemptRate,
+		Retries:     l.AttemptRate * l.RetryRatio,
 	}
-	if l.Busy >= 0 {
+	if l.Utilization >= 0 {
 		aggregate.Cores = l.Cores
-		aggregate.CoresInUse = l.Cores * l.Busy
+		aggregate.CoresInUse = l.Cores * l.Utilization
 	}
 	return aggregate
 }
--- a/internal/overload/shedding_state.go
+++ b/internal/overload/shedding_state.go
@@ -25,14 +25,14 @@
 	Known               bool          // there are recent updates, and this member is not partitioned from most others
 	Full                bool          // demand exceeds the service rate, with hysteresis
 	Threshold           float64       // requests of a lower priority are to be shed; 0 = none
-	Offered             float64       // demand of the fleet, corrected for retries, in seconds of work per second
+	TotalDemand         float64       // demand of the fleet, corrected for retries, in seconds of work per second
 	ServiceRate         float64       // work that the fleet completes, in seconds of work per second
 	RetryRatio          float64       // retries per first attempt in the fleet
 	RetryBudgetExceeded bool          // the fleet is full and RetryRatio exceeds RetryBudget
-	Window              time.Duration // time over which rejected clients are to spread their retries, 4 s at most
+	RetryWindow         time.Duration // time over which rejected clients are to spread their retries, 4 s at most
 	Members             int           // number of members whose updates count, this one included
 	Stale               int           // number of members whose updates are too old or missing
-	Oldest              time.Duration // age of the oldest update that counts, see Aggregate.Oldest
+	OldestAge           time.Duration // age of the oldest update that counts, see Aggregate.OldestAge
 }
 
 // classify returns the verdict on a request of the given priority.
@@ -54,15 +54,15 @@
 func (s *SheddingState) next(total *Aggregate) SheddingState {
 	next := SheddingState{
 		Known:       true,
-		Offered:     total.Demand.Total(),
+		TotalDemand: total.Demand.Total(),
 		ServiceRate: total.ServiceRate,
 		RetryRatio:  total.retriesPerFirstAttempt(),
 		Members:     total.Members,
 		Stale:       total.Stale,
-		Oldest:      total.Oldest,
+		OldestAge:   total.OldestAge,
 	}
-	next.Window = next.retryWindow()
-	next.Full = next.Offered > s.fullRatio()*total.ServiceRate
+	next.RetryWindow = next.retryWindow()
+	next.Full = next.TotalDemand > s.fullRatio()*total.ServiceRate
 	if !next.Full {
 		next.Threshold = max(s.Threshold-thresholdDecayStep, 0)
 		return next
@@ -85,8 +85,8 @@
 
 // retryWindow returns how long the free capacity of the fleet needs for the work of the retries, at most maxRetryWindow.
 func (s *SheddingState) retryWindow() time.Duration {
-	retryWork := s.Offered * s.RetryRatio * demandTimeConstant.Seconds()
-	free := max(s.ServiceRate-s.Offered, minFreeCapacityRatio*s.ServiceRate)
+	retryWork := s.TotalDemand * s.RetryRatio * demandTimeConstant.Seconds()
+	free := max(s.ServiceRate-s.TotalDemand, minFreeCapacityRatio*s.ServiceRate)
 	seconds := min(retryWork/max(free, minDivisor), maxRetryWindow.Seconds())
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -114,9 +114,9 @@
 // the fleet is full: then demand includes retries that were counted like first attempts. It is 1 if no member publishes how
 // many cores are in use.
 func (a *Aggregate) capacityFactor() float64 {
-	busy := a.Busy()
-	if busy < 0 {
+	utilization := a.Utilization()
+	if utilization < 0 {
 		return 1
 	}
-	return min(max(1+utilizationGain*(targetUtilization-busy), minCapacityFactor), maxCapacityFactor)
+	return min(max(1+utilizationGain*(targetUtilization-utilization), minCapacityFactor), maxCapacityFactor)
 }
--- a/internal/overload/shedding_test.go
+++ b/internal/overload/shedding_test.go
@@ -53,7 +53,7 @@
 	view := viewOf(len(s.shedders), now, func(member int) fleet.Load { return s.loads[member] })
 	for member, shedder := range s.shedders {
 		setObserver(view, member)
-		own := LocalLoad{ServiceRate: serverCapacity, Cores: serverCapacity, Busy: s.loads[member].Busy}
+		own := LocalLoad{ServiceRate: serverCapacity, Cores: serverCapacity, Utilization: s.loads[member].Utilization}
 		shedder.Tick(now, own, view, now)
 	}
 }
@@ -75,7 +75,7 @@
 		s.loads[member] = fleet.Load{
 			Capacity:    serverCapacity,
 			ServiceRate: serverCapacity,
-			Busy:        min(s.admitted[member]/serverCapacity, 1),
+			Utilization: min(s.admitted[member]/serverCapacity, 1),
 			Demand:      string(demand.Append(nil)),
 		}
 		if s.misreport != nil {
@@ -159,7 +159,7 @@
 	}
 	var shedder Shedder
 	verdictOf := func(view *fleet.Snapshot, at time.Duration) Verdict {
-		shedder.Tick(at, LocalLoad{ServiceRate: serverCapacity, Cores: serverCapacity, Busy: 1}, view, at)
+		shedder.Tick(at, LocalLoad{ServiceRate: serverCapacity, Cores: serverCapacity, Utilization: 1}, view, at)
 		return shedder.Classify(1, 5, 0, false)
 	}
 	view := viewOf(4, time.Second, full)
--- a/internal/overload/shedding_wire.go
+++ b/internal/overload/shedding_wire.go
@@ -22,7 +22,7 @@
 	floatSize       = 4
 	runSize         = 8
 
-	maxAggregateAge = time.Hour // largest Aggregate.Oldest that is decoded
+	maxAggregateAge = time.Hour // largest Aggregate.OldestAge that is decoded
 )
 
 var errInvalidAggregate = errors.New("invalid zone aggregate")
@@ -36,8 +36,8 @@
 	return b[0] == kindReport || b[0] == kindPartial
 }
 
-// AppendReport appends an encoded report to b. The recipient, Report.To, is not encoded.
-func AppendReport(b []byte, report Report) []byte {
+// AppendAttemptReport appends an encoded report to b. The recipient, AttemptReport.To, is not encoded.
+func AppendAttemptReport(b []byte, report AttemptReport) []byte {
 	b = append(b, kindReport)
 	for _, fingerprint := range report.Attempts {
 		b = binary.BigEndian.AppendUint64(b, fingerprint)
@@ -45,9 +45,9 @@
 	return b
 }
 
-// ParseReport returns the attempts of an encoded report. ok is false if b is not a report, or has more than
+// ParseAttemptReport returns the attempts of an encoded report. ok is false if b is not a report, or has more than
 // maxReportAttempts attempts.
-func ParseReport(b []byte) (attempts []uint64, ok bool) {
+func ParseAttemptReport(b []byte) (attempts []uint64, ok bool) {
 	if len(b) < 1 || b[0] != kindReport || len(b)%fingerprintSize != 1 || len(b) > 1+fingerprintSize*maxReportAttempts {
 		return nil, false
 	}
@@ -85,15 +85,15 @@
 // varints, the float fields in 32 bits each, then the demand. Stale is not encoded, and a negative age is encoded as 0.
 func AppendAggregate(b []byte, aggregate *Aggregate) []byte {
 	b = binary.AppendUvarint(b, uint64(aggregate.Members))
-	b = binary.AppendUvarint(b, uint64(max(aggregate.Oldest, 0)/time.Millisecond))
+	b = binary.AppendUvarint(b, uint64(max(aggregate.OldestAge, 0)/time.Millisecond))
 	for _, field := range aggregate.floatFields() {
 		b = binary.BigEndian.AppendUint32(b, math.Float32bits(float32(*field)))
 	}
 	return aggregate.Demand.Append(b)
 }
 
-// ParseAggregate decodes an aggregate. It returns an error if b is too short or too long, Members exceeds 4096, Oldest
-// exceeds one hour, or a float field is negative, infinite or NaN.
+// ParseAggregate decodes an aggregate. It returns an error if b is too short or too long, Members exceeds 4096,
+// OldestAge exceeds one hour, or a float field is negative, infinite or NaN.
 func ParseAggregate(b []byte) (aggregate Aggregate, err error) {
 	members, b, ok := consumeUvarint(b, maxPartials)
 	if !ok {
@@ -104,7 +104,7 @@
 		return aggregate, errInvalidAggregate
 	}
 	aggregate.Members = int(members)
-	aggregate.Oldest = time.Duration(age) * time.Millisecond
+	aggregate.OldestAge = time.Duration(age) * time.Millisecond
 	for _, field := range aggregate.floatFields() {
 		if *field, b, ok = consumeFloat(b); !ok {
 			return aggregate, errInvalidAggregate
--- a/internal/overload/zone_aggregate.go
+++ b/internal/overload/zone_aggregate.go
@@ -75,7 +75,7 @@
 		total.Stale += z.serving
 		return
 	}
-	z.best.Oldest += z.age
+	z.best.OldestAge += z.age
 	z.best.clamp(z.serving, z.cores)
 	total.add(&z.best)
 	total.Stale += z.serving - z.best.Members
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -212,7 +212,7 @@
 	}},
 	{"the quota falls, stays low, returns and rises", func(_ *testing.T, server *Server) {
 		server.JoinFleet(&recordingFleet{view: fleet.NewView("n3", fleet.Limits{Members: 4})})
-		base := overload.QuotaOf(5)
+		base := overload.QuotaFromCalls(5)
 		limits := []overload.Quota{base, base / 2, base / 4, base, base * 2, base}
 		for i, to := range limits[1:] {
 			server.recordQuotaChange(limits[i], to, base)
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -100,14 +100,14 @@
 // parseMessage parses a message from another member. It returns nil for a message about a feature that is off here.
 func (m *fleetMember) parseMessage(b []byte) (event, error) {
 	if m.shedding != nil {
-		if attempts, ok := overload.ParseReport(b); ok {
+		if attempts, ok := overload.ParseAttemptReport(b); ok {
 			return &retryReportReceived{attempts}, nil
 		}
 		if partial, ok := overload.ParsePartial(b); ok {
 			return &partialReceived{partial}, nil
 		}
 	}
-	message, err := overload.ParseMessage(b)
+	message, err := overload.ParseLeaseMessage(b)
 	switch {
 	case err == nil && m.quota != nil:
 		return &quotaMessageReceived{message}, nil
@@ -167,7 +167,7 @@
 // addCurrentLoad sets the load of this server, except for UnservedRatio.
 func (s *Server) addCurrentLoad(load *fleet.Load) {
 	load.Capacity = float64(s.config.Settings.Cores)
-	load.Busy = s.gauges.latest(s.clock.now).CPUUtilization
+	load.Utilization = s.gauges.latest(s.clock.now).CPUUtilization
 	load.InFlight = s.requests.size()
 	load.CallQuota = s.config.Settings.MaxCallsInFlight
 	if quota := s.quota(); quota != nil {
--- a/internal/server/probes.go
+++ b/internal/server/probes.go
@@ -40,7 +40,7 @@
 // recordCallResult records how a call to the store ended.
 func (s *Server) recordCallResult(reply store.Result) {
 	if probes := s.probes(); probes != nil && reply != store.NotStarted {
-		probes.CallEnded(reply == store.OK)
+		probes.RecordCall(reply == store.OK)
 	}
 }
 
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -37,7 +37,7 @@
 // server's own quota that is never leased out. It must be called after JoinFleet and before Run.
 func (s *Server) EnableQuotaLeasing(self overload.ProcessID, lease time.Duration, reservedRatio float64) {
 	settings := s.config.Settings
-	base := overload.QuotaOf(settings.MaxCallsInFlight)
+	base := overload.QuotaFromCalls(settings.MaxCallsInFlight)
 	if base == 0 {
 		return
 	}
@@ -80,7 +80,7 @@
 
 // quotaMessageReceived is a message from another member about a lease.
 type quotaMessageReceived struct {
-	message overload.Message
+	message overload.LeaseMessage
 }
 
 func (e *quotaMessageReceived) handle(server *Server) {
@@ -92,9 +92,9 @@
 	}
 }
 
-func (s *Server) sendQuotaMessage(message overload.Message) {
+func (s *Server) sendQuotaMessage(message overload.LeaseMessage) {
 	if to := findProcess(s.member.fleet.Snapshot(), message.To); to != nil {
-		s.member.fleet.Send(to, overload.AppendMessage(nil, message))
+		s.member.fleet.Send(to, overload.AppendLeaseMessage(nil, message))
 	}
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	if quota.known() {
-		s.recordQuotaChange(quota.limit, limit, overload.QuotaOf(s.config.Settings.MaxCallsInFlight))
+		s.recordQuotaChange(quota.limit, limit, overload.QuotaFromCalls(s.config.Settings.MaxCallsInFlight))
 	}
 	quota.limit = limit
 	s.limitCalls()
@@ -174,7 +174,7 @@
 		s.limitCalls()
 		return
 	}
-	base := overload.QuotaOf(s.config.Settings.MaxCallsInFlight)
+	base := overload.QuotaFromCalls(s.config.Settings.MaxCallsInFlight)
 	quota.SetBase(base, overload.Quota(quota.reservedRatio*float64(base)))
 	quota.limit = unknownQuota
 	s.applyQuota(s.member.fleet.Now())
@@ -183,6 +183,6 @@
 // recordMissedCall tells the quota leasing that a call was skipped, or a request rejected because of the store.
 func (s *Server) recordMissedCall() {
 	if quota := s.quota(); quota != nil {
-		quota.CallMissed()
+		quota.RecordMissedCall()
 	}
 }
--- a/internal/server/quota_test.go
+++ b/internal/server/quota_test.go
@@ -30,7 +30,7 @@
 	require.Zero(t, tickAt(0), "calls of a predecessor may be in flight")
 	require.EqualValues(t, 2950, tickAt(time.Second), "leases of a predecessor may be valid")
 	require.EqualValues(t, 5900, tickAt(time.Minute))
-	fakeFleet.receive(overload.AppendMessage(nil, overload.Message{
+	fakeFleet.receive(overload.AppendLeaseMessage(nil, overload.LeaseMessage{
 		Kind:   overload.LeaseRequest,
 		From:   overload.ProcessID{Name: "n4", Run: 7},
 		To:     overload.ProcessID{Name: "n3", Run: 1},
@@ -41,7 +41,7 @@
 	handleInbox()
 	require.EqualValues(t, 4900, quota.limit)
 	require.Len(t, fakeFleet.sent, 1)
-	got, err := overload.ParseMessage([]byte(fakeFleet.sent[0]))
+	got, err := overload.ParseLeaseMessage([]byte(fakeFleet.sent[0]))
 	require.NoError(t, err)
 	require.Equal(t, overload.LeaseGrant, got.Kind)
 	require.EqualValues(t, 1000, got.Amount)
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -53,8 +53,8 @@
 	}
 	attempt := &request.attempt
 	requestFingerprint := fingerprint(attempt)
-	arrival.SinceFirstAttempt = shedding.ages.Age(s.clock.now, attempt.Class, attempt.Timeout)
-	retry := shedding.retries.Arrived(s.clock.now, requestFingerprint) || arrival.SinceFirstAttempt > 0
+	arrival.SinceFirstAttempt = shedding.ages.RecordAttempt(s.clock.now, attempt.Class, attempt.Timeout)
+	retry := shedding.retries.RecordAttempt(s.clock.now, requestFingerprint) || arrival.SinceFirstAttempt > 0
 	value := s.config.Settings.Classes[request.class].PriorityWeight
 	work := attempt.CostHint.Seconds()
 	if s.config.Settings.WeightPerWork {
@@ -73,7 +73,7 @@
 // recordRejection records a rejected request that may be retried, here or elsewhere.
 func (s *Server) recordRejection(request *activeRequest, rejection admission.Rejection) {
 	if shedding := s.shedding(); shedding != nil && !rejection.NoRetryElsewhere {
-		shedding.retries.Rejected(s.clock.now, fingerprint(&request.attempt))
+		shedding.retries.RecordRejection(s.clock.now, fingerprint(&request.attempt))
 	}
 }
 
@@ -98,10 +98,10 @@
 // localLoad returns the load of this server alone.
 func (s *Server) localLoad(shedding *loadShedding) overload.LocalLoad {
 	load := overload.LocalLoad{
-		Cores:    float64(s.config.Settings.Cores),
-		Busy:     s.gauges.latest(s.clock.now).CPUUtilization,
-		Attempts: shedding.retries.AttemptRate(),
-		Retries:  shedding.retries.RetryRatio(),
+		Cores:       float64(s.config.Settings.Cores),
+		Utilization: s.gauges.latest(s.clock.now).CPUUtilization,
+		AttemptRate: shedding.retries.AttemptRate(),
+		RetryRatio:  shedding.retries.RetryRatio(),
 	}
 	if s.admission.started() {
 		load.ServiceRate = s.admission.controller.ServiceRate()
@@ -125,7 +125,7 @@
 func (s *Server) sendRetryReports(shedding *loadShedding, view *fleet.Snapshot) {
 	for _, report := range shedding.retries.Tick(s.clock.now, view) {
 		if to := findProcess(view, report.To); to != nil {
-			s.member.fleet.Send(to, overload.AppendReport(nil, report))
+			s.member.fleet.Send(to, overload.AppendAttemptReport(nil, report))
 		}
 	}
 }
--- a/internal/server/shedding_log.go
+++ b/internal/server/shedding_log.go
@@ -44,12 +44,12 @@
 		To:   to,
 		Fields: logrus.Fields{
 			"threshold":    state.Threshold,
-			"offered":      state.Offered,
+			"offered":      state.TotalDemand,
 			"service_rate": state.ServiceRate,
 			"retry_ratio":  state.RetryRatio,
 			"members":      state.Members,
 			"stale":        state.Stale,
-			"oldest_ms":    state.Oldest.Milliseconds(),
+			"oldest_ms":    state.OldestAge.Milliseconds(),
 		},
 	})
 	shedding.logged = *state
--- a/internal/server/shedding_test.go
+++ b/internal/server/shedding_test.go
@@ -58,7 +58,7 @@
 	require.NotEmpty(t, fakeFleet.last.Load.Demand)
 	require.Positive(t, fakeFleet.last.Load.ServiceRate)
 	require.Positive(t, fakeFleet.last.Load.Threshold)
-	fakeFleet.receive(overload.AppendReport(nil, overload.Report{Attempts: []uint64{1, 1, 2, 3, 4, 5}}))
+	fakeFleet.receive(overload.AppendAttemptReport(nil, overload.AttemptReport{Attempts: []uint64{1, 1, 2, 3, 4, 5}}))
 	handleInbox()
 	require.Positive(t, server.member.shedding.retries.RetryRatio())
 }
--- a/lab/model/actions.go
+++ b/lab/model/actions.go
@@ -55,7 +55,7 @@
 
 func (s *server) reject(attempt *attempt, rejection admission.Rejection) {
 	if s.shedding != nil && !rejection.NoRetryElsewhere {
-		s.shedding.retries.Rejected(s.sim.now, attempt.fingerprint)
+		s.shedding.retries.RecordRejection(s.sim.now, attempt.fingerprint)
 	}
 	delete(s.attempts, attempt.id)
 	attempt.respond(response{
--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -135,7 +135,7 @@
 
 func (s *server) addToLoad(load *fleet.Load) {
 	load.Capacity = float64(s.sim.opts.Cores)
-	load.Busy = s.cores.Utilization()
+	load.Utilization = s.cores.Utilization()
 	load.InFlight = len(s.attempts)
 	load.CallQuota = s.sim.settings.MaxCallsInFlight
 	if s.shedding != nil {
--- a/lab/model/processing.go
+++ b/lab/model/processing.go
@@ -94,7 +94,7 @@
 	attempt.call = nil
 	succeeded := outcome == admission.OutcomeOK
 	if s.probes != nil {
-		s.probes.CallEnded(succeeded)
+		s.probes.RecordCall(succeeded)
 	}
 	if succeeded {
 		s.collectCompleted()
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -38,8 +38,8 @@
 	name := request.class.Name
 	work := request.work.Seconds()
 	attempt.fingerprint = overload.Fingerprint(name, "", "", request.client, request.rank, work)
-	arrival.SinceFirstAttempt = s.ages.Age(now, name, attempt.deadline-attempt.arrivedAt)
-	knownRetry := s.retries.Arrived(now, attempt.fingerprint) || arrival.SinceFirstAttempt > 0
+	arrival.SinceFirstAttempt = s.ages.RecordAttempt(now, name, attempt.deadline-attempt.arrivedAt)
+	knownRetry := s.retries.RecordAttempt(now, attempt.fingerprint) || arrival.SinceFirstAttempt > 0
 	arrival.FleetRank = s.shedder.Classify(request.class.Value, work, request.rank, knownRetry).FleetRank()
 	arrival.RetryJitter = s.shedder.RetryJitter(attempt.fingerprint)
 }
@@ -56,8 +56,8 @@
 	s.collectCompleted()
 	retries := s.shedding.retries
 	local := overload.LocalLoad{
-		ServiceRate: s.controller.ServiceRate(), Cores: float64(s.sim.opts.Cores), Busy: s.cores.Utilization(),
-		Attempts: retries.AttemptRate(), Retries: retries.RetryRatio(),
+		ServiceRate: s.controller.ServiceRate(), Cores: float64(s.sim.opts.Cores), Utilization: s.cores.Utilization(),
+		AttemptRate: retries.AttemptRate(), RetryRatio: retries.RetryRatio(),
 	}
 	s.withSnapshot(func(snapshot *fleet.Snapshot) {
 		s.shedding.shedder.Tick(s.sim.now, local, snapshot, s.sim.now)
--- a/lab/schedule/member.go
+++ b/lab/schedule/member.go
@@ -72,7 +72,7 @@
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
-		load := fleet.Load{Capacity: 6, Busy: 0.5, InFlight: n % 7, CallQuota: 5.9}
+		load := fleet.Load{Capacity: 6, Utilization: 0.5, InFlight: n % 7, CallQuota: 5.9}
 		process.Publish(fleet.Status{State: state, Load: load})
 		select {
 		case <-ctx.Done():
