--- a/admission/admission.go
+++ b/admission/admission.go
@@ -32,7 +32,7 @@
 		c.values.quotas.count(c.now, request.tenant)
 	}
 	c.advisor.arrivals.add(c.now, request.retry)
-	c.advisor.readDelay.observe(arrival.Waited)
+	c.advisor.readDelay.observe(arrival.ReadDelay)
 	c.timers.add(c.drain.answerDeadline(request), deadline{kind: deadlineAnswer, request: request})
 	if arrival.RetryOf != 0 && c.shareRun(request, arrival.RetryOf) {
 		return
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -67,7 +67,7 @@
 			t.Errorf("a retry elsewhere is allowed in a retry storm (retries marked: %v)", marks)
 		}
 	}
-	if action := rejection(func(_ *Controller, event *Event) { event.Arrival.Waited = 1500 * ms }); !action.Rejection.NoRetryElsewhere {
+	if action := rejection(func(_ *Controller, event *Event) { event.Arrival.ReadDelay = 1500 * ms }); !action.Rejection.NoRetryElsewhere {
 		t.Error("a retry elsewhere is allowed for a request whose objective is nearly over")
 	}
 }
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -19,7 +19,7 @@
 		for id := RequestID(1); id <= 400; id++ {
 			now += 50 * ms // 20 requests per second
 			event := arrived(id, 1)
-			event.Arrival.Waited = waited
+			event.Arrival.ReadDelay = waited
 			event.Arrival.CostHint = work
 			if action := findAction(controller.Step(now, []Event{event, TimerFired(idleGauges)}, nil), ActionReject, id); action != nil {
 				last = action
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -144,7 +144,7 @@
 	if outcome == OutcomeTimedOut || outcome == OutcomeAborted {
 		s.trackAbandoned(now)
 	}
-	s.limiter.recordCallTime(completion.Took)
+	s.limiter.recordCallTime(completion.Duration)
 	if outcome == OutcomeOK {
 		s.resume(now, request)
 		return
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -35,7 +35,7 @@
 		{2, OutcomeRejected, true}, {2, OutcomeFailed, false}} {
 		controller := startController(t, testSettings())
 		requireAction(t, startAndNeedCall(t, controller, 1, test.class), ActionCall, 1)
-		actions := controller.Step(10*ms, []Event{CallCompleted(1, Completion{Outcome: test.outcome, Took: 9 * ms})}, nil)
+		actions := controller.Step(10*ms, []Event{CallCompleted(1, Completion{Outcome: test.outcome, Duration: 9 * ms})}, nil)
 		actions = controller.Step(300*ms, nil, actions)
 		if got := findAction(actions, ActionCall, 1) != nil; got != test.wantRetry {
 			t.Errorf("class %d, outcome %d: retried %v, want %v", test.class, test.outcome, got, test.wantRetry)
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -17,10 +17,10 @@
 	grace     time.Duration // requests that arrive up to this long after the signal are still run
 }
 
-// start begins a drain whose signal was given signal.Waited before now.
+// start begins a drain whose signal was given signal.Age before now.
 func (d *drain) start(now time.Duration, signal DrainSignal) {
 	d.started = true
-	d.startedAt = now - signal.Waited
+	d.startedAt = now - signal.Age
 	d.stopAt = signal.StopAt
 }
 
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -79,7 +79,7 @@
 	require.Equal(t, 20*time.Second-answerMargin, drain.answerDeadline(request))
 	require.True(t, drain.acceptsRun(time.Hour, time.Hour), "no drain has started")
 	require.True(t, drain.acceptsEnd(time.Hour))
-	drain.start(10*time.Second, DrainSignal{Waited: 2 * time.Second, StopAt: 14 * time.Second})
+	drain.start(10*time.Second, DrainSignal{Age: 2 * time.Second, StopAt: 14 * time.Second})
 	require.Equal(t, 14*time.Second-stopMargin, drain.answerDeadline(request))
 	require.True(t, drain.acceptsRun(9*time.Second, 13*time.Second))
 	require.False(t, drain.acceptsRun(9*time.Second+1, 13*time.Second), "after the grace, which began with the signal")
--- a/admission/event.go
+++ b/admission/event.go
@@ -108,20 +108,20 @@
 	RetryOf           RequestID     // known request that this one retries; 0: none
 	FleetRank         FleetRank     // rank among the requests offered to the fleet
 	Deadline          time.Duration // when the client gives up, on the owner's clock; 0: unknown
-	Waited            time.Duration // time between reaching the machine and being read
+	ReadDelay         time.Duration // time between reaching the machine and being read
 	SinceFirstAttempt time.Duration // time from the client's first attempt to this one; 0: none, or unknown
 	RetryJitter       time.Duration // added to RetryAfter, so that clients do not return simultaneously
 }
 
 // Completion describes the end of a run, of the reuse of a result, or of a call.
 type Completion struct {
-	Outcome Outcome
-	Took    time.Duration // time since the start
+	Outcome  Outcome
+	Duration time.Duration // time since the start
 }
 
 // DrainSignal asks a process to stop.
 type DrainSignal struct {
-	Waited   time.Duration // time since the signal was given
+	Age      time.Duration // time since the signal was given
 	StopAt   time.Duration // when the process ends, on the owner's clock
 	Replaced bool          // another process takes over this server, so its health state does not change
 }
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -23,7 +23,7 @@
 		fmt.Println(action.Kind, action.ID)
 	}
 	now += 60 * time.Millisecond
-	completion := admission.Completion{Outcome: admission.OutcomeOK, Took: 60 * time.Millisecond}
+	completion := admission.Completion{Outcome: admission.OutcomeOK, Duration: 60 * time.Millisecond}
 	actions := controller.Step(now, []admission.Event{admission.RunCompleted(1, completion)}, nil)
 	fmt.Println(len(actions), "more actions")
 	// Output:
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -14,7 +14,7 @@
 	unhealthyFor, changes := time.Duration(0), 0
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
 		event := arrived(RequestID(now+1), 0)
-		event.Arrival.Waited = 900 * ms
+		event.Arrival.ReadDelay = 900 * ms
 		for _, action := range controller.Step(now, []Event{event}, nil) {
 			if action.Kind == ActionHealth {
 				changes++
@@ -36,7 +36,7 @@
 	}
 	controller.Step(20*time.Second, []Event{DrainStarted(DrainSignal{StopAt: 25 * time.Second})}, nil)
 	event := arrived(1, 0)
-	event.Arrival.Waited = 5 * time.Second
+	event.Arrival.ReadDelay = 5 * time.Second
 	actions := controller.Step(21*time.Second, []Event{event}, nil)
 	actions = controller.Step(23*time.Second, nil, actions)
 	requireNoAction(t, actions, ActionHealth, 0)
--- a/admission/idempotency_test.go
+++ b/admission/idempotency_test.go
@@ -17,7 +17,9 @@
 	actions = controller.Step(ms, []Event{again}, nil)
 	requireAction(t, actions, ActionReuse, 2)
 	requireNoAction(t, actions, ActionRun, 2)
-	controller.Step(200*ms, []Event{RunCompleted(1, Completion{Took: 200 * ms}), RunCompleted(2, Completion{Took: 200 * ms})}, nil)
+	controller.Step(200*ms, []Event{
+		RunCompleted(1, Completion{Duration: 200 * ms}), RunCompleted(2, Completion{Duration: 200 * ms}),
+	}, nil)
 	again.ID = 3
 	requireAction(t, controller.Step(time.Second, []Event{again}, nil), ActionReuse, 3)
 }
@@ -39,7 +41,7 @@
 	retry.Arrival.RetryOf = 1
 	requireNoAction(t, controller.Step(ms, []Event{retry}, nil), ActionReuse, 2)
 	actions := controller.Step(2*ms, []Event{RequestCancelled(1)}, nil)
-	ended := []Event{RunCompleted(8, Completion{Took: 100 * ms}), RunCompleted(9, Completion{Took: 100 * ms})}
+	ended := []Event{RunCompleted(8, Completion{Duration: 100 * ms}), RunCompleted(9, Completion{Duration: 100 * ms})}
 	actions = controller.Step(100*ms, ended, actions)
 	requireAction(t, actions, ActionRemember, 2)
 	requireAction(t, actions, ActionRun, 2)
--- a/admission/random_server_test.go
+++ b/admission/random_server_test.go
@@ -61,7 +61,7 @@
 	s.lastID++
 	class := s.rng.IntN(len(s.settings.Classes))
 	event := RequestArrived(s.lastID, Arrival{Class: class, Tenant: s.rng.IntN(2), MemoryKB: 5 + 20*s.rng.Float64(),
-		CostHint: time.Duration(s.rng.IntN(300)) * ms, Retry: s.rng.IntN(4) == 0, Waited: time.Duration(s.rng.IntN(50)) * ms})
+		CostHint: time.Duration(s.rng.IntN(300)) * ms, Retry: s.rng.IntN(4) == 0, ReadDelay: time.Duration(s.rng.IntN(50)) * ms})
 	origin := int(s.lastID)
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && s.rng.IntN(2) == 0 {
 		if leader, ok := s.lastIdempotent[class]; ok && s.keys[leader] > s.now {
@@ -72,12 +72,12 @@
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && event.Arrival.RetryOf == 0 {
 		s.lastIdempotent[class] = event.ID
 	}
-	deadline := s.now - event.Arrival.Waited + s.settings.Classes[class].Deadline
+	deadline := s.now - event.Arrival.ReadDelay + s.settings.Classes[class].Deadline
 	if s.sendsDeadlines {
 		deadline = s.now + time.Duration(s.rng.IntN(3000))*ms
 		event.Arrival.Deadline = deadline
 	}
-	s.attempts[event.ID] = &attempt{class: class, arrivedAt: s.now - event.Arrival.Waited, deadline: max(deadline, s.now),
+	s.attempts[event.ID] = &attempt{class: class, arrivedAt: s.now - event.Arrival.ReadDelay, deadline: max(deadline, s.now),
 		origin: origin, memoryKB: event.Arrival.MemoryKB}
 	s.live = append(s.live, event.ID)
 	return event
@@ -109,7 +109,7 @@
 	done := func(outcome Outcome, took time.Duration) []Event {
 		current.phase = attemptCompleted
 		current.answered = true
-		return append(events, RunCompleted(id, Completion{Outcome: outcome, Took: took}))
+		return append(events, RunCompleted(id, Completion{Outcome: outcome, Duration: took}))
 	}
 	atCall := current.phase == attemptAwaitingCall || current.phase == attemptCalling
 	switch roll := s.rng.IntN(40); {
@@ -151,7 +151,7 @@
 	if outcome == OutcomeOK {
 		current.phase = attemptRunning
 	}
-	return CallCompleted(id, Completion{Outcome: outcome, Took: 20 * ms})
+	return CallCompleted(id, Completion{Outcome: outcome, Duration: 20 * ms})
 }
 
 // carryOut carries out actions and checks that each is allowed.
--- a/admission/recorded_events_test.go
+++ b/admission/recorded_events_test.go
@@ -40,7 +40,7 @@
 func (s *recordedServer) unusualEvents(events []Event, step int) []Event {
 	if step == s.drainStep || step == s.drainStep+20 {
 		events = append(events, DrainStarted(DrainSignal{StopAt: s.now + 1500*ms, Replaced: s.rng.IntN(2) == 0,
-			Waited: time.Duration(s.rng.IntN(30)) * ms}))
+			Age: time.Duration(s.rng.IntN(30)) * ms}))
 	}
 	switch s.rng.IntN(400) {
 	case 0:
@@ -54,7 +54,7 @@
 	case 5:
 		events = append(events, CallNeeded(s.lastID+7))
 	case 6:
-		events = append(events, CallCompleted(s.lastID+7, Completion{Took: ms}))
+		events = append(events, CallCompleted(s.lastID+7, Completion{Duration: ms}))
 	case 7:
 		if len(events) > 0 {
 			events = append(events, events[s.rng.IntN(len(events))]) // a duplicate event
@@ -73,9 +73,9 @@
 	if s.rng.IntN(4) > 0 {
 		event.Arrival.CostHint = request.work
 	}
-	event.Arrival.Waited = time.Duration(s.rng.IntN(10)) * ms
+	event.Arrival.ReadDelay = time.Duration(s.rng.IntN(10)) * ms
 	if s.episode.lateReading {
-		event.Arrival.Waited = time.Duration(s.rng.IntN(2500)) * ms
+		event.Arrival.ReadDelay = time.Duration(s.rng.IntN(2500)) * ms
 	}
 	if s.rng.IntN(3) == 0 {
 		event.Arrival.Deadline = s.now + time.Duration(s.rng.IntN(4000))*ms
@@ -148,7 +148,7 @@
 
 func (s *recordedServer) endRun(events []Event, request *recordedRequest, outcome Outcome) []Event {
 	request.phase = attemptCompleted
-	return append(events, RunCompleted(request.id, Completion{Outcome: outcome, Took: s.now - request.startedAt}))
+	return append(events, RunCompleted(request.id, Completion{Outcome: outcome, Duration: s.now - request.startedAt}))
 }
 
 func (s *recordedServer) endCall(events []Event, request *recordedRequest) []Event {
@@ -159,7 +159,7 @@
 		request.phase = attemptRunning
 		request.endsAt = s.now + request.work/4
 	}
-	return append(events, CallCompleted(request.id, Completion{Outcome: outcome, Took: s.now - request.calledAt}))
+	return append(events, CallCompleted(request.id, Completion{Outcome: outcome, Duration: s.now - request.calledAt}))
 }
 
 // carryOut carries out an action.
--- a/admission/request.go
+++ b/admission/request.go
@@ -69,7 +69,7 @@
 		fleetRank:   arrival.FleetRank,
 		retryJitter: arrival.RetryJitter,
 	}
-	request.arrivedAt = now - max(arrival.Waited, 0)
+	request.arrivedAt = now - max(arrival.ReadDelay, 0)
 	request.firstAttemptAt = request.arrivedAt - arrival.SinceFirstAttempt
 	request.deadline = request.arrivedAt + class.Deadline
 	if arrival.Deadline > 0 {
--- a/admission/request_queue_test.go
+++ b/admission/request_queue_test.go
@@ -106,8 +106,8 @@
 		objective, usefulUntil, deadline time.Duration // from now
 	}{
 		{"first attempt", class, Arrival{}, 2000 * ms, 2000 * ms, 6000 * ms},
-		{"waited to be read", class, Arrival{Waited: 500 * ms}, 1500 * ms, 1500 * ms, 5500 * ms},
-		{"negative wait, due to differing clocks", class, Arrival{Waited: -500 * ms}, 2000 * ms, 2000 * ms, 6000 * ms},
+		{"waited to be read", class, Arrival{ReadDelay: 500 * ms}, 1500 * ms, 1500 * ms, 5500 * ms},
+		{"negative wait, due to differing clocks", class, Arrival{ReadDelay: -500 * ms}, 2000 * ms, 2000 * ms, 6000 * ms},
 		{"late answers have value", late, Arrival{}, 2000 * ms, 6000 * ms, 6000 * ms},
 		{"deadline of the request", late, Arrival{Deadline: now + 3000*ms}, 2000 * ms, 3000 * ms, 3000 * ms},
 		{"deadline of the request before the objective", class, Arrival{Deadline: now + 1000*ms}, 1000 * ms, 1000 * ms, 1000 * ms},
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -60,7 +60,7 @@
 	}
 	outcome := completion.Outcome
 	if outcome == OutcomeOK && request.state == running {
-		c.estimator.recordRun(c.now, request, completion.Took)
+		c.estimator.recordRun(c.now, request, completion.Duration)
 	}
 	if outcome == OutcomeCancelled && !request.answered {
 		c.actions.emit(Action{Kind: ActionFail, ID: request.id})
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -42,7 +42,9 @@
 		t.Errorf("%v kB in use after Reconfigure", controller.memory.usedKB)
 	}
 	requireAction(t, controller.Step(100*ms, []Event{arrived(2, 4)}, nil), ActionRun, 2)
-	controller.Step(200*ms, []Event{RunCompleted(1, Completion{Took: 200 * ms}), RunCompleted(2, Completion{Took: 100 * ms})}, nil)
+	controller.Step(200*ms, []Event{
+		RunCompleted(1, Completion{Duration: 200 * ms}), RunCompleted(2, Completion{Duration: 100 * ms}),
+	}, nil)
 	if controller.runs.running != 0 || controller.memory.usedKB != 20 {
 		t.Errorf("%d runs and %v kB in use after all runs have ended", controller.runs.running, controller.memory.usedKB)
 	}
@@ -111,7 +113,7 @@
 func endRuns(now time.Duration, startedAt map[RequestID]time.Duration) (events []Event) {
 	for _, id := range slices.Sorted(maps.Keys(startedAt)) {
 		if at := startedAt[id]; now > at+100*ms {
-			events = append(events, RunCompleted(id, Completion{Took: now - at}))
+			events = append(events, RunCompleted(id, Completion{Duration: now - at}))
 			delete(startedAt, id)
 		}
 	}
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -24,7 +24,7 @@
 		events := []Event{event}
 		for _, action := range actions { // runs end in the next batch
 			if action.Kind == ActionRun {
-				events = append(events, RunCompleted(action.ID, Completion{Took: 100 * ms}))
+				events = append(events, RunCompleted(action.ID, Completion{Duration: 100 * ms}))
 			}
 		}
 		actions = controller.Step(now, events, actions[:0])
@@ -47,7 +47,7 @@
 		controller.Step(0, []Event{{Kind: k, ID: 99}}, nil)
 	}
 	requireAction(t, startAndNeedCall(t, controller, 1, 0), ActionCall, 1)
-	completed := CallCompleted(1, Completion{Took: ms})
+	completed := CallCompleted(1, Completion{Duration: ms})
 	controller.Step(2*ms, []Event{completed, completed, CallNeeded(5)}, nil)
 	controller.Step(3*ms, []Event{RunCompleted(1, Completion{}), RunCompleted(1, Completion{}), arrived(2, 77)}, nil)
 	require.Empty(t, controller.requests)
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -50,8 +50,8 @@
 			id++
 			class := 1 + rng.IntN(3)
 			script := [][]Event{{arrived(id, class)}, {CallNeeded(id)},
-				{CallCompleted(id, Completion{Outcome: OutcomeOK, Took: time.Duration(rng.IntN(40)) * ms})},
-				{RunCompleted(id, Completion{Outcome: OutcomeOK, Took: 30 * ms})}}
+				{CallCompleted(id, Completion{Outcome: OutcomeOK, Duration: time.Duration(rng.IntN(40)) * ms})},
+				{RunCompleted(id, Completion{Outcome: OutcomeOK, Duration: 30 * ms})}}
 			for _, events := range script {
 				got, want := withoutWakes(onDemand.Step(now, events, nil)), withoutWakes(everyInterval.Step(now, events, nil))
 				require.Equalf(t, want, got, "seed %d, round %d", seed, round)
--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -99,13 +99,13 @@
 func (s *Server) submitToController(request *activeRequest) {
 	attempt := &request.attempt
 	arrival := admission.Arrival{
-		Class:    request.class,
-		Tenant:   request.tenant,
-		Retry:    attempt.Retry,
-		MemoryKB: attempt.MemoryKB,
-		CostHint: attempt.CostHint,
-		Deadline: s.clientDeadline(request),
-		Waited:   max(s.clock.now-s.clock.fromUnix(attempt.ArrivedAt), 0),
+		Class:     request.class,
+		Tenant:    request.tenant,
+		Retry:     attempt.Retry,
+		MemoryKB:  attempt.MemoryKB,
+		CostHint:  attempt.CostHint,
+		Deadline:  s.clientDeadline(request),
+		ReadDelay: max(s.clock.now-s.clock.fromUnix(attempt.ArrivedAt), 0),
 	}
 	if s.config.hasKeys(request.class) {
 		if s.idempotency.conflicts(request) {
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -69,7 +69,7 @@
 	outcome := replyOutcomes[reply]
 	request.trace.callTime += took
 	request.trace.lastCallOutcome = outcomeNames[outcome]
-	s.admission.enqueue(admission.CallCompleted(request.id, admission.Completion{Outcome: outcome, Took: took}))
+	s.admission.enqueue(admission.CallCompleted(request.id, admission.Completion{Outcome: outcome, Duration: took}))
 }
 
 func (s *Server) countReply(reply store.Result) {
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -106,7 +106,7 @@
 func (s *Server) enqueueDrainEvent() {
 	s.admission.enqueue(admission.DrainStarted(admission.DrainSignal{
 		StopAt:   s.drain.stopAt,
-		Waited:   s.clock.now - s.drain.requestedAt,
+		Age:      s.clock.now - s.drain.requestedAt,
 		Replaced: s.drain.replaced,
 	}))
 }
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -125,8 +125,8 @@
 // enqueueDone notifies the controller that a run, or the reuse of a result, has ended.
 func (s *Server) enqueueDone(request *activeRequest, outcome admission.Outcome) {
 	s.admission.enqueue(admission.RunCompleted(request.id, admission.Completion{
-		Outcome: outcome,
-		Took:    s.clock.now - request.startedAt,
+		Outcome:  outcome,
+		Duration: s.clock.now - request.startedAt,
 	}))
 }
 
--- a/lab/model/processing.go
+++ b/lab/model/processing.go
@@ -47,7 +47,7 @@
 	request := attempt.request
 	arrival := admission.Arrival{
 		Class: request.classIndex, MemoryKB: requestMemoryKB, CostHint: request.work,
-		Deadline: attempt.deadline, Waited: s.sim.now - attempt.arrivedAt,
+		Deadline: attempt.deadline, ReadDelay: s.sim.now - attempt.arrivedAt,
 	}
 	if s.shedding != nil {
 		s.shedding.classify(s.sim.now, attempt, &arrival)
@@ -77,7 +77,7 @@
 	delete(s.attempts, attempt.id)
 	attempt.dropCall()
 	s.enqueue(admission.RunCompleted(attempt.id, admission.Completion{
-		Outcome: outcome, Took: s.sim.now - attempt.admittedAt,
+		Outcome: outcome, Duration: s.sim.now - attempt.admittedAt,
 	}))
 	if outcome == admission.OutcomeOK {
 		attempt.respond(response{outcome: history.OutcomeServed, degraded: attempt.degraded})
@@ -102,6 +102,6 @@
 		s.cores.scheduleCompletion()
 	}
 	s.enqueue(admission.CallCompleted(attempt.id, admission.Completion{
-		Outcome: outcome, Took: s.sim.now - attempt.calledAt,
+		Outcome: outcome, Duration: s.sim.now - attempt.calledAt,
 	}))
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -81,7 +81,7 @@
 		{"retire", Message{Kind: MessageRetire, Node: 3, Line: 2}},
 		withEvent("order", admission.RequestArrived(3233622311735748, admission.Arrival{MemoryKB: 24.5,
 			Tenant: 1, CostHint: 12 * time.Millisecond, Retry: true, RetryOf: 1422162698119961,
-			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2})),
+			Deadline: 8652250 * microsecond, ReadDelay: 1850 * microsecond, Class: 2})),
 		withEvent("order that mutates",
 			admission.RequestArrived(8, admission.Arrival{MemoryKB: 2, Class: 1})),
 		withEvent("order that tells little", admission.RequestArrived(1<<64-1, admission.Arrival{})),
@@ -107,8 +107,9 @@
 	} {
 		cases = append(cases,
 			withEvent("done, "+end.name, admission.RunCompleted(5, admission.Completion{Outcome: end.outcome,
-				Took: 9 * microsecond})),
-			withEvent("call result, "+end.name, admission.CallCompleted(5, admission.Completion{Outcome: end.outcome, Took: 9 * microsecond})))
+				Duration: 9 * microsecond})),
+			withEvent("call result, "+end.name, admission.CallCompleted(5, admission.Completion{Outcome: end.outcome,
+				Duration: 9 * microsecond})))
 	}
 	lines := golden.Read(t, "events.golden", len(cases))
 	for _, test := range cases {
--- a/wire/parse.go
+++ b/wire/parse.go
@@ -22,7 +22,7 @@
 		id := line.id("Xid")
 		var completion admission.Completion
 		completion.Outcome = line.outcome("Disposition")
-		completion.Took = line.duration("WaitTimeUs")
+		completion.Duration = line.duration("WaitTimeUs")
 		return admission.RunCompleted(id, completion)
 	}),
 	"DROPPED": eventParser(func(line *fieldReader) admission.Event {
@@ -34,7 +34,7 @@
 	"CALL_RESULT": eventParser(func(line *fieldReader) admission.Event {
 		id := line.id("Xid")
 		var completion admission.Completion
-		completion.Took = line.duration("WaitTimeUs")
+		completion.Duration = line.duration("WaitTimeUs")
 		completion.Outcome = line.outcome("Disposition")
 		return admission.CallCompleted(id, completion)
 	}),
@@ -84,7 +84,7 @@
 	arrival.RetryOf = line.id("Forerunner")
 	line.float("Prio")
 	arrival.Deadline = line.duration("DeadlineUs")
-	arrival.Waited = line.duration("WaitedUs")
+	arrival.ReadDelay = line.duration("WaitedUs")
 	arrival.Class = int(line.integer("Kind"))
 	return admission.RequestArrived(id, arrival)
 }
--- a/wire/reader_test.go
+++ b/wire/reader_test.go
@@ -26,15 +26,17 @@
 		arrival := &event.Arrival
 		return fmt.Sprintf("ORDER %d %d 17 %g %d %d acct/x %d 0 %d 0.625 %d %d %d", node, event.ID, arrival.MemoryKB,
 			arrival.Tenant, arrival.CostHint/microsecond, bit[arrival.Retry], arrival.RetryOf,
-			arrival.Deadline/microsecond, arrival.Waited/microsecond, arrival.Class)
+			arrival.Deadline/microsecond, arrival.ReadDelay/microsecond, arrival.Class)
 	case admission.EventRunCompleted:
-		return fmt.Sprintf("DONE %d %d %s %d", node, event.ID, names[event.Completion.Outcome], event.Completion.Took/microsecond)
+		return fmt.Sprintf("DONE %d %d %s %d", node, event.ID, names[event.Completion.Outcome],
+			event.Completion.Duration/microsecond)
 	case admission.EventRequestCancelled:
 		return fmt.Sprintf("DROPPED %d %d", node, event.ID)
 	case admission.EventCallNeeded:
 		return fmt.Sprintf("WANTS_CALL %d %d", node, event.ID)
 	case admission.EventCallCompleted:
-		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, event.ID, event.Completion.Took/microsecond, names[event.Completion.Outcome])
+		return fmt.Sprintf("CALL_RESULT %d %d %d %s", node, event.ID, event.Completion.Duration/microsecond,
+			names[event.Completion.Outcome])
 	case admission.EventDrain:
 		return fmt.Sprintf("NOTICE %d %d", node, event.Drain.StopAt/microsecond)
 	case admission.EventTimer:
@@ -50,7 +52,7 @@
 	events := []admission.Event{
 		admission.RequestArrived(3233622311735748, admission.Arrival{MemoryKB: 24.5, Tenant: 1,
 			CostHint: 12000 * microsecond, Retry: true, RetryOf: 1422162698119961,
-			Deadline: 8652250 * microsecond, Waited: 1850 * microsecond, Class: 2}),
+			Deadline: 8652250 * microsecond, ReadDelay: 1850 * microsecond, Class: 2}),
 		admission.RequestCancelled(7),
 		admission.CallNeeded(7),
 		admission.DrainStarted(admission.DrainSignal{StopAt: 11912250 * microsecond}),
@@ -59,8 +61,8 @@
 	}
 	for _, outcome := range outcomes {
 		events = append(events,
-			admission.RunCompleted(5, admission.Completion{Outcome: outcome, Took: 9 * microsecond}),
-			admission.CallCompleted(5, admission.Completion{Outcome: outcome, Took: 9 * microsecond}))
+			admission.RunCompleted(5, admission.Completion{Outcome: outcome, Duration: 9 * microsecond}),
+			admission.CallCompleted(5, admission.Completion{Outcome: outcome, Duration: 9 * microsecond}))
 	}
 	for _, event := range events {
 		line := eventLine(3, event)
