--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -90,7 +90,7 @@
 // reports are those of several instances, by the names of their consoles in the golden file.
 func reports() map[string]fleet.Report {
 	whole := fleet.Report{
-		Self: "n3", Position: "whole", LastReceivedMs: 250, PeriodMs: 1000, FreshMs: 5000,
+		Self: "n3", Position: "whole", LastReceivedMs: 250, PublishIntervalMs: 1000, FreshMs: 5000,
 		Members: []fleet.MemberReport{
 			{Name: "n3", Process: "n3/0000000000000007", Zone: "mechelen", Region: "belgium", Condition: "serving",
 				ReportedState: "serving", SinceMs: 61500, Version: "1.2.3", Config: "0123456789abcdef", Cores: 6,
--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -116,7 +116,7 @@
 	m.run = runNumber(now, binary.BigEndian.Uint64(random[:]))
 	table := m.operators.Fleet
 	m.fleet, err = gossip.New(gossip.Config{
-		Place: fleet.Place{
+		Process: fleet.ProcessInfo{
 			Name: m.config.Name, Addr: table.Advertise, Region: table.Region, Zone: table.Zone,
 			Version: version, Run: m.run,
 		},
--- a/cmd/falldeal-fleet/status.go
+++ b/cmd/falldeal-fleet/status.go
@@ -29,7 +29,7 @@
 		lastReceived = seconds(report.LastReceivedMs) + " ago"
 	}
 	fmt.Fprintf(out, "fleet as seen by %s: %s; last update received: %s; updates published every %s, stale after %s\n",
-		report.Self, fleet.PositionName(report.Position), lastReceived, seconds(report.PeriodMs), seconds(report.FreshMs))
+		report.Self, fleet.PositionName(report.Position), lastReceived, seconds(report.PublishIntervalMs), seconds(report.FreshMs))
 }
 
 func printServing(out io.Writer, fresh *fleet.AggregateReport) {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -148,7 +148,7 @@
 	}
 	fmt.Fprintf(&got, "zone reached: %s\nzone dark: %s\n", describeReachability(false), describeReachability(true))
 	fmt.Fprintf(&got, "process: %s\n", Process("n1", 0x1a2b))
-	fmt.Fprintf(&got, "agreement: %016x\n", goldenSnapshot().Agreement())
+	fmt.Fprintf(&got, "agreement: %016x\n", goldenSnapshot().AgreementDigest())
 	golden.RequireFile(t, goldenNames, got.String())
 	name, run, err := ParseProcess("n1/0000000000001a2b")
 	require.NoError(t, err)
--- a/internal/fleet/nameconflict_test.go
+++ b/internal/fleet/nameconflict_test.go
@@ -8,7 +8,7 @@
 )
 
 func newTestSelf(run, incarnation uint64) *Self {
-	return NewSelf(0, Place{Name: "n1", Run: run}, 0, incarnation)
+	return NewSelf(0, ProcessInfo{Name: "n1", Run: run}, 0, incarnation)
 }
 
 // exchangeRecords lets two processes of the same name receive each other's records for ten seconds.
--- a/internal/fleet/period.go
+++ b/internal/fleet/period.go
@@ -3,22 +3,24 @@
 import "time"
 
 const (
-	minPeriod = time.Second
+	minPublishInterval = time.Second
 	// updatesPerSecond is the rate of updates that a member can receive and pass on. It sends one packet of 1,400 bytes
 	// to three other members five times a second, and each update has to be passed on about eight times to reach all.
 	updatesPerSecond = 25
-	// missedPeriods is the number of periods without an update after which a record is overdue: three updates in a row
-	// may be lost while the next one is due. About one update in fifty is lost.
-	missedPeriods = 4
+	// missedIntervals is the number of publish intervals without an update after which a record is overdue: three
+	// updates in a row may be lost while the next one is due. About one update in fifty is lost.
+	missedIntervals = 4
 	// propagationTime is the time in which an update reaches all members.
 	propagationTime = time.Second
 )
 
-// Period returns the interval at which a member publishes its load in a fleet with that many members: at least 1 s. It
-// grows with the fleet, so that the traffic of each member does not. Urgent changes are published at once.
-func Period(members int) time.Duration {
-	return max(minPeriod, time.Duration(members)*time.Second/updatesPerSecond)
+// PublishInterval returns the interval at which a member publishes its load in a fleet with that many members: at least
+// 1 s. It grows with the fleet, so that the traffic of each member does not. Urgent changes are published at once.
+func PublishInterval(members int) time.Duration {
+	return max(minPublishInterval, time.Duration(members)*time.Second/updatesPerSecond)
 }
 
 // MaxFreshAge returns the maximum age of a record that counts as current in a fleet with that many members.
-func MaxFreshAge(members int) time.Duration { return missedPeriods*Period(members) + propagationTime }
+func MaxFreshAge(members int) time.Duration {
+	return missedIntervals*PublishInterval(members) + propagationTime
+}
--- a/internal/fleet/recorded_run_test.go
+++ b/internal/fleet/recorded_run_test.go
@@ -67,7 +67,7 @@
 	for i := range snapshot.Zones {
 		r.Write(snapshot.Zones[i], snapshot.Zones[i].MostlyUnreachable(), snapshot.Zones[i].Reached())
 	}
-	r.Write(snapshot.At, snapshot.LastReceived, uint8(snapshot.Position), snapshot.Total, snapshot.Agreement(),
+	r.Write(snapshot.At, snapshot.LastReceived, uint8(snapshot.Position), snapshot.Total, snapshot.AgreementDigest(),
 		snapshot.Aggregate(r.Now, MaxFreshAge(10)))
 	for _, change := range snapshot.Changes(previous) {
 		r.Write(slices.Index(changeKinds, change.Kind), cmp.Or(change.Member, change.Zone), change.Age)
@@ -105,7 +105,7 @@
 func recordSelf(run *recordedRun) {
 	for process := range uint64(20) {
 		run.Now = 0
-		self := NewSelf(0, Place{Name: "n00", Run: 1 + process%3}, 9, 1+process%2)
+		self := NewSelf(0, ProcessInfo{Name: "n00", Run: 1 + process%3}, 9, 1+process%2)
 		for range recordedSteps / 20 {
 			run.advance()
 			if run.Random.IntN(3) == 0 {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -5,16 +5,16 @@
 // Report is a snapshot as the console returns it. Scripts read it: fields may be added, but keys are never renamed. Times
 // are in milliseconds. Ages are lower bounds.
 type Report struct {
-	Self           string           `json:"self"`
-	Position       string           `json:"position"`
-	LastReceivedMs int64            `json:"heard_ms"`  // since the last record of another member was received; -1: never
-	PeriodMs       int64            `json:"period_ms"` // Period of the fleet
-	FreshMs        int64            `json:"fresh_ms"`  // MaxFreshAge of the fleet; older records are overdue
-	Members        []MemberReport   `json:"members"`
-	Zones          []ZoneReport     `json:"zones"`
-	Total          ZoneReport       `json:"total"`
-	Fresh          AggregateReport  `json:"fresh"`
-	Counters       map[string]int64 `json:"counters,omitempty"`
+	Self              string           `json:"self"`
+	Position          string           `json:"position"`
+	LastReceivedMs    int64            `json:"heard_ms"`  // since the last record of another member was received; -1: never
+	PublishIntervalMs int64            `json:"period_ms"` // PublishInterval of the fleet
+	FreshMs           int64            `json:"fresh_ms"`  // MaxFreshAge of the fleet; older records are overdue
+	Members           []MemberReport   `json:"members"`
+	Zones             []ZoneReport     `json:"zones"`
+	Total             ZoneReport       `json:"total"`
+	Fresh             AggregateReport  `json:"fresh"`
+	Counters          map[string]int64 `json:"counters,omitempty"`
 }
 
 // MemberReport is one member in a report.
@@ -96,14 +96,14 @@
 	size := len(s.Members)
 	aggregate := s.Aggregate(now, MaxFreshAge(size))
 	report := Report{
-		Self:           s.Self,
-		Position:       s.Position.ReportName(),
-		LastReceivedMs: s.LastReceivedMs(now),
-		PeriodMs:       Period(size).Milliseconds(),
-		FreshMs:        MaxFreshAge(size).Milliseconds(),
-		Members:        make([]MemberReport, 0, size),
-		Total:          s.Total.report(),
-		Fresh:          aggregate.report(),
+		Self:              s.Self,
+		Position:          s.Position.ReportName(),
+		LastReceivedMs:    s.LastReceivedMs(now),
+		PublishIntervalMs: PublishInterval(size).Milliseconds(),
+		FreshMs:           MaxFreshAge(size).Milliseconds(),
+		Members:           make([]MemberReport, 0, size),
+		Total:             s.Total.report(),
+		Fresh:             aggregate.report(),
 	}
 	for i := range s.Members {
 		report.Members = append(report.Members, s.Members[i].report(now))
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -6,8 +6,8 @@
 // The loop reports every second, also when idle.
 const stallTimeout = 3 * time.Second
 
-// Place identifies a process and its location. It does not change in the lifetime of the process.
-type Place struct {
+// ProcessInfo identifies a process and its location. It does not change in the lifetime of the process.
+type ProcessInfo struct {
 	Name, Addr, Region, Zone, Version string
 	Run                               uint64 // as Record.Run
 }
@@ -39,13 +39,13 @@
 
 // NewSelf returns the Self of a process that starts at now. The caller takes the incarnation from the system clock, so
 // that it exceeds the predecessor's. If that clock was set back, Receive raises the incarnation.
-func NewSelf(now time.Duration, place Place, config, incarnation uint64) *Self {
+func NewSelf(now time.Duration, info ProcessInfo, config, incarnation uint64) *Self {
 	return &Self{
 		startedAt: now, lastStatus: now, lastPublished: now,
 		rivals: rivalSet{},
 		record: Record{
-			Name: place.Name, Run: place.Run, Incarnation: incarnation, Seq: 1,
-			Addr: place.Addr, Region: place.Region, Zone: place.Zone, Version: place.Version,
+			Name: info.Name, Run: info.Run, Incarnation: incarnation, Seq: 1,
+			Addr: info.Addr, Region: info.Region, Zone: info.Zone, Version: info.Version,
 			Config: config, State: Starting, Load: Load{Utilization: -1},
 		},
 	}
@@ -95,16 +95,16 @@
 func (s *Self) loopStalled(now time.Duration) bool { return now-s.lastStatus > stallTimeout }
 
 // ShouldPublish reports whether the next record is due in a fleet with that many members. A stall is published at once,
-// and then again every period, because a single update does not reach every member.
+// and then again every interval, because a single update does not reach every member.
 func (s *Self) ShouldPublish(now time.Duration, members int) bool {
-	period := Period(members)
+	interval := PublishInterval(members)
 	if s.record.Load.Aggregate != "" {
-		period = minPeriod // its records carry the aggregate of the whole zone
+		interval = minPublishInterval // its records carry the aggregate of the whole zone
 	}
 	if s.NameReleased() {
 		return false
 	}
-	return s.Stalled(now) || now-s.lastPublished >= period
+	return s.Stalled(now) || now-s.lastPublished >= interval
 }
 
 // NextRecord returns the next record, with a new sequence number. The caller publishes it.
--- a/internal/fleet/self_test.go
+++ b/internal/fleet/self_test.go
@@ -8,9 +8,9 @@
 )
 
 // While the loop stalls, other members must learn of it and must not take its last report for current. The stall must be
-// published every period, as a single update does not reach every member, and its end at once.
+// published every interval, as a single update does not reach every member, and its end at once.
 func TestStalledLoopIsPublished(t *testing.T) {
-	self := NewSelf(0, Place{Name: "n1", Run: 1}, 0, 1)
+	self := NewSelf(0, ProcessInfo{Name: "n1", Run: 1}, 0, 1)
 	self.SetStatus(time.Second, Status{State: Serving})
 	require.Zero(t, self.NextRecord(time.Second).Stalled)
 	require.False(t, self.ShouldPublish(3*time.Second/2, 5))
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -219,9 +219,9 @@
 	return &s.Members[i]
 }
 
-// Agreement returns a digest of what all members that reach one another should agree on: the processes that are alive or
-// stalled, and the state that each reports.
-func (s *Snapshot) Agreement() uint64 {
+// AgreementDigest returns a digest of what all members that reach one another should agree on: the processes that are
+// alive or stalled, and the state that each reports.
+func (s *Snapshot) AgreementDigest() uint64 {
 	digest := fnv.New64a()
 	var encoded []byte
 	for i := range s.Members {
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -43,7 +43,7 @@
 	select {
 	case d.fleet.updates <- recordUpdate{record, d.fleet.Now() - age, d.fleet.Now}:
 	default:
-		d.fleet.Counters.Overflow.Add(1) // its process publishes again within a period
+		d.fleet.Counters.Overflow.Add(1) // its process publishes again within a publish interval
 	}
 }
 
--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -23,12 +23,12 @@
 
 // Config configures the membership of a process in a fleet.
 type Config struct {
-	Place         fleet.Place // identity and location; Addr is the IP address and port at which other members reach it
-	Listen        string      // IP address and port at which it listens, TCP and UDP
-	Seeds         []string    // addresses that are dialed while they are not reached
-	Keys          [][]byte    // encryption keys: the first one encrypts, all decrypt; none: no encryption
-	Digest        uint64      // digest of the server's configuration
-	Size          int         // expected number of members; the interval of full exchanges grows with it
+	Process       fleet.ProcessInfo // identity and location; Addr is the IP address and port at which other members reach it
+	Listen        string            // IP address and port at which it listens, TCP and UDP
+	Seeds         []string          // addresses that are dialed while they are not reached
+	Keys          [][]byte          // encryption keys: the first one encrypts, all decrypt; none: no encryption
+	Digest        uint64            // digest of the server's configuration
+	Size          int               // expected number of members; the interval of full exchanges grows with it
 	Limits        fleet.Limits
 	ProbeInterval time.Duration // between two probes of the failure detection
 	Seed          uint64        // random seed of the delays of dials
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	random := rand.New(rand.NewPCG(config.Seed, config.Place.Run))
+	random := rand.New(rand.NewPCG(config.Seed, config.Process.Run))
 	member := &Fleet{
 		config:         config,
 		log:            logger,
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -61,7 +61,7 @@
 func newGoldenFleet(t *testing.T) *Fleet {
 	t.Helper()
 	return newTestFleet(t, Config{
-		Place: fleet.Place{
+		Process: fleet.ProcessInfo{
 			Name: "n1", Addr: "10.0.0.1:7946", Region: "eu", Zone: "eu-a", Version: "1.2.3", Run: 0x1a2b,
 		},
 		Listen:        "10.0.0.1:7946",
@@ -75,7 +75,7 @@
 func newAloneFleet(t *testing.T) *Fleet {
 	t.Helper()
 	member := newTestFleet(t, Config{
-		Place: fleet.Place{
+		Process: fleet.ProcessInfo{
 			Name: "n3", Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Run: 7,
 		},
 		Digest:      0xabc,
--- a/internal/gossip/memberlist.go
+++ b/internal/gossip/memberlist.go
@@ -21,9 +21,9 @@
 
 // memberlistConfig returns the configuration of memberlist. Each process is a node of its own, named by fleet.Process.
 func (f *Fleet) memberlistConfig() *memberlist.Config {
-	host, port, _ := net.SplitHostPort(f.config.Place.Addr) // the operators' file was checked
+	host, port, _ := net.SplitHostPort(f.config.Process.Addr) // the operators' file was checked
 	config := memberlist.DefaultLANConfig()
-	config.Name = fleet.Process(f.config.Place.Name, f.config.Place.Run)
+	config.Name = fleet.Process(f.config.Process.Name, f.config.Process.Run)
 	config.Transport = f.transport
 	config.AdvertiseAddr = host
 	config.AdvertisePort, _ = strconv.Atoi(port)
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -31,8 +31,8 @@
 	config := &member.config
 	owner := &viewOwner{
 		Fleet:  member,
-		view:   fleet.NewView(config.Place.Name, config.Limits),
-		self:   fleet.NewSelf(0, config.Place, config.Digest, config.Incarnation),
+		view:   fleet.NewView(config.Process.Name, config.Limits),
+		self:   fleet.NewSelf(0, config.Process, config.Digest, config.Incarnation),
 		rejoin: rejoin,
 	}
 	owner.view.Merge(0, 0, owner.self.Record())
--- a/internal/overload/aggregation_test.go
+++ b/internal/overload/aggregation_test.go
@@ -17,7 +17,7 @@
 	zonedCores = 4.0 // cores of each member of a zonedFleet, and its service rate in seconds of work per second
 )
 
-// zonedFleet simulates a fleet in three zones. Its members publish their load with the period for a fleet of that size.
+// zonedFleet simulates a fleet in three zones. Its members publish their load at the interval for a fleet of that size.
 type zonedFleet struct {
 	random     *rand.Rand
 	now        time.Duration
@@ -93,8 +93,8 @@
 
 // publishesNow reports whether a member that is not a collector publishes its load now.
 func (f *zonedFleet) publishesNow(member int) bool {
-	period := int(fleet.Period(len(f.collectors)) / time.Second)
-	return f.now <= 2*time.Second || (int(f.now/time.Second)+member)%period == 0
+	interval := int(fleet.PublishInterval(len(f.collectors)) / time.Second)
+	return f.now <= 2*time.Second || (int(f.now/time.Second)+member)%interval == 0
 }
 
 // sendPartials ticks all members and has them send their load to the collectors. One partial aggregate in 20 is lost.
--- a/lab/fleetlab/membership_test.go
+++ b/lab/fleetlab/membership_test.go
@@ -153,7 +153,7 @@
 	output = lab.runProgram(t, "fleet", "members", "--console", lab.Members[0].ConsoleAddr)
 	require.Regexp(t, `n1 +z0 +left`, output)
 	lab.requireInvalidOperatorsFiles(t, leaving)
-	require.Greater(t, fleet.MaxFreshAge(3), fleet.Period(3))
+	require.Greater(t, fleet.MaxFreshAge(3), fleet.PublishInterval(3))
 }
 
 // runProgram runs a command of the shipped program, which must succeed, and returns its output.
--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -13,7 +13,7 @@
 	gossipReach          = 4                      // after a hop, servers that know an update for each one that did before
 	failureDetectionTime = 4 * time.Second        // until the others see that a server is down
 	aggregateInterval    = time.Second            // between the updates of a server that publishes an aggregate
-	publishTolerance     = time.Millisecond       // by which a period may be short, as ticks are
+	publishTolerance     = time.Millisecond       // by which an interval may be short, as ticks are
 	processNumberBits    = 32                     // of a process's run that hold the number of its server
 )
 
@@ -155,17 +155,17 @@
 	}
 }
 
-// shouldPublish reports whether a record may be published now: the period is over, or it is urgent.
+// shouldPublish reports whether a record may be published now: the interval is over, or it is urgent.
 func (s *server) shouldPublish(record *fleet.Record) bool {
 	last := s.publisher.last()
 	if last == nil {
 		return true
 	}
-	period := fleet.Period(len(s.sim.servers))
+	interval := fleet.PublishInterval(len(s.sim.servers))
 	if record.Load.Aggregate != "" {
-		period = aggregateInterval
+		interval = aggregateInterval
 	}
-	if s.sim.now-s.publisher.publishedAt >= period-publishTolerance {
+	if s.sim.now-s.publisher.publishedAt >= interval-publishTolerance {
 		return true
 	}
 	return last.Run != record.Run || record.Urgent(last)
--- a/lab/schedule/agreement.go
+++ b/lab/schedule/agreement.go
@@ -22,7 +22,7 @@
 		if alive := countAlive(snapshot); alive != len(live) {
 			return fmt.Errorf("%s sees %d alive of %d", member.Name, alive, len(live))
 		}
-		if agreement := snapshot.Agreement(); i == 0 {
+		if agreement := snapshot.AgreementDigest(); i == 0 {
 			first = agreement
 		} else if agreement != first {
 			return fmt.Errorf("%s and %s have different views", live[0].Name, member.Name)
--- a/lab/schedule/cluster.go
+++ b/lab/schedule/cluster.go
@@ -84,7 +84,7 @@
 // gossipConfig returns the configuration of a process. It draws the process's seed.
 func (c *Cluster) gossipConfig(member *Member, incarnation uint64) gossip.Config {
 	return gossip.Config{
-		Place: fleet.Place{
+		Process: fleet.ProcessInfo{
 			Name: member.Name, Addr: member.Addr, Region: "belgium", Zone: member.Zone, Version: "1", Run: member.Run,
 		},
 		Seeds: c.seeds, Digest: configDigest, Size: len(c.Members),
--- a/lab/schedule/scenarios_test.go
+++ b/lab/schedule/scenarios_test.go
@@ -189,7 +189,7 @@
 				for _, observer := range cluster.Members {
 					snapshot := observer.Fleet.Snapshot()
 					observed += len(snapshot.Members)
-					missed += countOlder(snapshot, 2*fleet.Period(n)+time.Second/2)
+					missed += countOlder(snapshot, 2*fleet.PublishInterval(n)+time.Second/2)
 				}
 			}
 			require.Lessf(t, missed, observed/100, "%d members", n)
