--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -51,7 +51,7 @@
 	}
 	log := logrus.New()
 	log.SetLevel(opts.logLevel)
-	created := &member{opts: opts, config: conf, operators: file, log: log, retryBind: conf.Handover != ""}
+	created := &member{opts: opts, config: conf, operators: file, log: log, retryBind: conf.HandoverPath != ""}
 	if file.Fleet == nil {
 		return created, nil
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -42,7 +42,7 @@
 	Announce            string        // address of the announce service
 	Console             string        // address for operators; "": no console
 	InheritedFD         uintptr       // descriptor of a socket that already listens for front ends; 0: none
-	Handover            string        // path of the socket for the handover between processes; "": no handover
+	HandoverPath        string        // of the socket for the handover between processes; "": no handover
 	Seed                uint64        // random seed
 	StopTimeout         time.Duration // maximum time from SIGTERM to the end of the process; default 3.2 s
 	ReplacedStopTimeout time.Duration // the same once a successor process serves
@@ -139,10 +139,10 @@
 	return names
 }
 
-// Successor loads the file at path to replace c, the current configuration. It returns a wrapped *configcheck.KeyError for a
+// LoadNext loads the file at path to replace c, the current configuration. It returns a wrapped *configcheck.KeyError for a
 // key that c has and the file lacks: such a file is taken for truncated or partly written, and not for one that relies on
 // the default.
-func (c *Config) Successor(path string) (*Config, error) {
+func (c *Config) LoadNext(path string) (*Config, error) {
 	next, err := Load(path)
 	if err != nil {
 		return nil, err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -72,14 +72,14 @@
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.2:15000", cfg.Console)
 
-	require.Empty(t, cfg.Handover)
+	require.Empty(t, cfg.HandoverPath)
 	t.Setenv(envInherited, "3")
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	cfg, err = Load("")
 	require.NoError(t, err)
 	require.EqualValues(t, 3, cfg.InheritedFD)
-	require.Equal(t, filepath.Join(dir, "falldeal.sock"), cfg.Handover)
+	require.Equal(t, filepath.Join(dir, "falldeal.sock"), cfg.HandoverPath)
 	require.Equal(t, maxReplacedWait+replacedMargin, cfg.ReplacedStopTimeout)
 	t.Setenv(envInherited, "stdin")
 	_, err = Load("")
@@ -163,7 +163,7 @@
 
 // A reload may read a file that is truncated or partly written. The keys that are missing from it must not be replaced by
 // their defaults; the reload must fail and name the first one.
-func TestSuccessorRejectsTruncatedFile(t *testing.T) {
+func TestLoadNextRejectsTruncatedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	current, err := Parse([]byte(readSample(t)), noEnvironment)
 	require.NoError(t, err)
@@ -179,7 +179,7 @@
 		{`"DeadlineUs": 7000000`, `"DeadlineUs": "7000000"`, "settings.Lanes[0].DeadlineUs:"},
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(readSample(t), test.old, test.new, 1)), 0o600))
-		_, err := current.Successor(path)
+		_, err := current.LoadNext(path)
 		if test.key == "" {
 			require.NoError(t, err, test.new)
 			continue
@@ -190,7 +190,7 @@
 	}
 	for _, text := range []string{"", readSample(t)[:len(readSample(t))/2]} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := current.Successor(path)
+		_, err := current.LoadNext(path)
 		require.Error(t, err)
 	}
 }
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -45,6 +45,6 @@
 		return configcheck.Errorf(envInherited, "%q is no descriptor", inherited)
 	}
 	c.InheritedFD = uintptr(fd)
-	c.Handover = filepath.Join(os.TempDir(), handoverSocket)
+	c.HandoverPath = filepath.Join(os.TempDir(), handoverSocket)
 	return nil
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -269,7 +269,7 @@
 }
 
 // For every key of the current configuration, a file without it must be rejected with a message that names the key.
-func TestGoldenSuccessor(t *testing.T) {
+func TestGoldenLoadNext(t *testing.T) {
 	current, err := Parse(withValue(t, "name", `"n3"`), noEnvironment)
 	require.NoError(t, err)
 	dir := t.TempDir()
@@ -280,7 +280,7 @@
 			continue
 		}
 		require.NoError(t, os.WriteFile(path, withValue(t, key, absent), 0o600))
-		_, err := current.Successor(path)
+		_, err := current.LoadNext(path)
 		fmt.Fprintf(&got, "%s is absent\n\t%s\n", key, outcome(err))
 	}
 	golden.RequireText(t, "successor", strings.ReplaceAll(got.String(), dir, "(folder)"))
--- a/internal/msgpackrpc/harness_test.go
+++ b/internal/msgpackrpc/harness_test.go
@@ -88,7 +88,7 @@
 	cfg := sampleConfig(t, replacements...)
 	agent, store := loopback.Listen(t), loopback.Listen(t)
 	cfg.Agent, cfg.Store = agent.Addr().String(), store.Addr().String()
-	cfg.Handover, cfg.ReplacedStopTimeout = path, time.Hour
+	cfg.HandoverPath, cfg.ReplacedStopTimeout = path, time.Hour
 	if maxConns == 0 {
 		maxConns = cfg.Limits.MaxFrontConnections()
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -186,7 +186,7 @@
 	if p.extension.Reload != nil {
 		p.extension.Reload()
 	}
-	next, err := p.active.Successor(p.path)
+	next, err := p.active.LoadNext(p.path)
 	if err != nil {
 		p.server.ReloadFailed(err)
 		return
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -101,7 +101,7 @@
 	for _, front := range fronts {
 		g.Go(func() error { return s.serveFront(ctx, g, front) })
 	}
-	if path := s.config.Handover; path != "" {
+	if path := s.config.HandoverPath; path != "" {
 		g.Go(func() error {
 			return handover.Run(ctx, path, s.listeners.accepting, s.handoverLoop(), s.warnings)
 		})
