--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -90,9 +90,9 @@
 		AppendMetrics: m.fleet.AppendMetrics,
 		Pages:         []console.Page{m.fleet.Page()},
 	}
-	if faults.Wedge > 0 {
-		stall := func() bool { return instance.StallLoop(faults.Wedge) }
-		m.extension.Pages = append(m.extension.Pages, stallPage(faults.Wedge, stall))
+	if faults.StallDuration > 0 {
+		stall := func() bool { return instance.StallLoop(faults.StallDuration) }
+		m.extension.Pages = append(m.extension.Pages, stallPage(faults.StallDuration, stall))
 	}
 	return nil
 }
@@ -109,10 +109,10 @@
 	}
 	if m.operators.FaultInjection != nil {
 		m.log.WithFields(logrus.Fields{
-			"clock_skew_ms": faults.Clock.Milliseconds(), "stall_ms": faults.Wedge.Milliseconds(),
+			"clock_skew_ms": faults.ClockOffset.Milliseconds(), "stall_ms": faults.StallDuration.Milliseconds(),
 		}).Warn("fault injection enabled")
 	}
-	now := uint64(time.Now().Add(faults.Clock).UnixMilli())
+	now := uint64(time.Now().Add(faults.ClockOffset).UnixMilli())
 	m.run = runNumber(now, binary.BigEndian.Uint64(random[:]))
 	table := m.operators.Fleet
 	m.fleet, err = gossip.New(gossip.Config{
@@ -139,7 +139,7 @@
 	if table == nil {
 		return nil
 	}
-	settings := tracing.Config{File: table.File, Sample: table.Sample, Bytes: table.Bytes}
+	settings := tracing.Config{File: table.File, Sample: table.Sample, MaxBytes: table.MaxBytes}
 	tracer, err := tracing.New(settings, m.config.Name, version)
 	if err != nil {
 		return fmt.Errorf("trace.file: %w", err)
@@ -155,8 +155,8 @@
 			m.tracer.Change(change.Name, change.From, change.To, change.Fields)
 		})
 	}
-	if faults.Clock != 0 {
-		instance.SkewClock(faults.Clock)
+	if faults.ClockOffset != 0 {
+		instance.SkewClock(faults.ClockOffset)
 	}
 	table := m.operators.Overload
 	if table == nil {
--- a/internal/operators/fault_injection.go
+++ b/internal/operators/fault_injection.go
@@ -11,8 +11,8 @@
 // FaultInjection is the table [drill]: faults that this process injects into itself, so that operators can observe how the
 // other members react.
 type FaultInjection struct {
-	Clock time.Duration // offset of its clock from the start on; may be negative
-	Wedge time.Duration // time for which a console request stalls the event loop; 0: there is no such request
+	ClockOffset   time.Duration // from the start on; may be negative
+	StallDuration time.Duration // time for which a console request stalls the event loop; 0: there is no such request
 }
 
 // drill is the table [drill] as it is decoded. The decoder's errors contain the names of the type and its fields.
@@ -27,10 +27,10 @@
 		return nil, nil
 	}
 	parsed := &FaultInjection{}
-	if err := setDuration("drill.clock", t.Clock, -maxClockOffset, maxClockOffset, &parsed.Clock); err != nil {
+	if err := setDuration("drill.clock", t.Clock, -maxClockOffset, maxClockOffset, &parsed.ClockOffset); err != nil {
 		return nil, err
 	}
-	if err := setDuration("drill.wedge", t.Wedge, 0, maxStall, &parsed.Wedge); err != nil {
+	if err := setDuration("drill.wedge", t.Wedge, 0, maxStall, &parsed.StallDuration); err != nil {
 		return nil, err
 	}
 	return parsed, nil
--- a/internal/operators/trace.go
+++ b/internal/operators/trace.go
@@ -12,9 +12,9 @@
 
 // Trace is the table [trace]: the file to which spans of state changes of this instance are written.
 type Trace struct {
-	File   string  // path, absolute or relative to the working directory
-	Sample float64 // ratio of the episodes that are written, 0 to 1
-	Bytes  int64   // maximum size of the file
+	File     string  // path, absolute or relative to the working directory
+	Sample   float64 // ratio of the episodes that are written, 0 to 1
+	MaxBytes int64   // of the file
 }
 
 // trace is the table [trace] as it is decoded. The decoder's errors contain the names of the type and its fields.
@@ -40,5 +40,5 @@
 	if err := setBounded("trace.max_mb", t.MB, 1, maxTraceMB, &megabytes); err != nil {
 		return nil, err
 	}
-	return &Trace{File: resolvePath(dir, t.File), Sample: sample, Bytes: int64(megabytes) * bytesPerMB}, nil
+	return &Trace{File: resolvePath(dir, t.File), Sample: sample, MaxBytes: int64(megabytes) * bytesPerMB}, nil
 }
--- a/internal/tracing/golden_test.go
+++ b/internal/tracing/golden_test.go
@@ -25,7 +25,7 @@
 	t.Setenv("OTEL_RESOURCE_ATTRIBUTES", "")
 	t.Setenv("OTEL_SERVICE_NAME", "")
 	path := filepath.Join(t.TempDir(), "spans.jsonl")
-	tracer, err := New(Config{File: path, Sample: 1, Bytes: 1 << 20}, "n1", "1.2.3")
+	tracer, err := New(Config{File: path, Sample: 1, MaxBytes: 1 << 20}, "n1", "1.2.3")
 	require.NoError(t, err)
 	tracer.Change("cutoff", "", "full", map[string]any{"place": 7.5})
 	tracer.Change("cutoff", "full", "sinking", nil)
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -31,9 +31,9 @@
 
 // Config configures a Tracer.
 type Config struct {
-	File   string  // path of the file
-	Sample float64 // ratio of the episodes that are written, 0 to 1
-	Bytes  int64   // maximum size of the file; spans that do not fit are dropped
+	File     string  // path of the file
+	Sample   float64 // ratio of the episodes that are written, 0 to 1
+	MaxBytes int64   // of the file; spans that do not fit are dropped
 }
 
 // Tracer writes spans. It belongs to one goroutine, the event loop of the server. Close may be called after that goroutine
@@ -47,7 +47,7 @@
 
 // New returns a Tracer that appends to cfg.File. name and version are those of the server.
 func New(cfg Config, name, version string) (*Tracer, error) {
-	file, err := openBounded(cfg.File, cfg.Bytes)
+	file, err := openBounded(cfg.File, cfg.MaxBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -50,7 +50,7 @@
 		require.NoError(t, tracer.Close(context.Background()))
 		return tracer
 	}
-	writeEpisodes(Config{File: path, Sample: 1, Bytes: 1 << 20})
+	writeEpisodes(Config{File: path, Sample: 1, MaxBytes: 1 << 20})
 	byName := map[string]spanLine{}
 	for _, span := range readSpans(t, path) {
 		byName[span.Name] = span
@@ -66,8 +66,8 @@
 
 	info, err := os.Stat(path)
 	require.NoError(t, err)
-	writeEpisodes(Config{File: path, Sample: 0, Bytes: 1 << 20})
-	full := writeEpisodes(Config{File: path, Sample: 1, Bytes: info.Size() + 100})
+	writeEpisodes(Config{File: path, Sample: 0, MaxBytes: 1 << 20})
+	full := writeEpisodes(Config{File: path, Sample: 1, MaxBytes: info.Size() + 100})
 	require.Positive(t, full.DroppedWrites())
 	require.Len(t, readSpans(t, path), 5)
 	_, err = New(Config{File: filepath.Join(path, "x")}, "n1", "1")
@@ -77,7 +77,7 @@
 // Operators' tools look for the names in spans. They must not change when a name in the server's log does.
 func TestSpanNamesAreStable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.jsonl")
-	tracer, err := New(Config{File: path, Sample: 1, Bytes: 1 << 20}, "n1", "1")
+	tracer, err := New(Config{File: path, Sample: 1, MaxBytes: 1 << 20}, "n1", "1")
 	require.NoError(t, err)
 	fields := map[string]any{"threshold": 7.5, "service_rate": 3.5, "retry_ratio": 0.25, "unhealthy_members": 2, "offered": 4.5}
 	tracer.Change("shedding threshold", "full", "decreasing", fields)
@@ -104,7 +104,7 @@
 func BenchmarkChange(b *testing.B) {
 	for name, sample := range map[string]float64{"sampled": 1, "not": 0} {
 		b.Run(name, func(b *testing.B) {
-			tracer, err := New(Config{File: filepath.Join(b.TempDir(), "spans"), Sample: sample, Bytes: 1 << 20}, "n1", "1")
+			tracer, err := New(Config{File: filepath.Join(b.TempDir(), "spans"), Sample: sample, MaxBytes: 1 << 20}, "n1", "1")
 			require.NoError(b, err)
 			fields := map[string]any{"place": 7.5, "members": 12, "known": true}
 			b.ReportAllocs()
