--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -87,7 +87,7 @@
 	s.handlePending(maxEventsPerTurn)
 	s.clock.advance()
 	s.runExpired()
-	s.stats.Turns++
+	s.stats.LoopIterations++
 	s.step()
 	s.advanceClosing()
 	s.scheduleIdleCheck()
--- a/internal/stats/counters.go
+++ b/internal/stats/counters.go
@@ -58,7 +58,7 @@
 	Claims         uint64
 	ClaimsTimedOut uint64 // claims without a reply in time; logged as claims_late
 
-	Turns uint64 // iterations of the event loop
+	LoopIterations uint64 // of the event loop; logged as turns
 }
 
 // ResponseCounts counts the responses to the requests of one class.
@@ -159,7 +159,7 @@
 		"claims_late":    c.ClaimsTimedOut,
 		"reloads":        c.Reloads,
 		"reloads_failed": c.ReloadsFailed,
-		"turns":          c.Turns,
+		"turns":          c.LoopIterations,
 	}
 }
 
