--- a/cmd/falldeal-fleet/status.go
+++ b/cmd/falldeal-fleet/status.go
@@ -29,13 +29,13 @@
 		lastReceived = seconds(report.LastReceivedMs) + " ago"
 	}
 	fmt.Fprintf(out, "fleet as seen by %s: %s; last update received: %s; updates published every %s, stale after %s\n",
-		report.Self, fleet.PositionName(report.Position), lastReceived, seconds(report.PeriodMs), seconds(report.FreshMs))
+		report.Self, fleet.PositionName(report.Position), lastReceived, seconds(report.PublishIntervalMs), seconds(report.FreshMs))
 }
 
 func printServing(out io.Writer, fresh *fleet.AggregateReport) {
 	fmt.Fprintf(out, "serving: %d members, %g cores, %.1f of them in use, %d requests in flight; "+
 		"oldest update: %s; %d members left out as stale\n",
-		fresh.Members, fresh.Cores, fresh.Busy, fresh.InFlight, seconds(fresh.OldestMs), fresh.Stale)
+		fresh.Members, fresh.Cores, fresh.CoresInUse, fresh.InFlight, seconds(fresh.OldestMs), fresh.Stale)
 }
 
 // printOverload prints the shedding threshold and the retries, where members publish a service rate.
--- a/internal/fleet/recorded_run_test.go
+++ b/internal/fleet/recorded_run_test.go
@@ -33,7 +33,7 @@
 func (r *recordedRun) record(nameCount int) Record {
 	name := r.Random.IntN(nameCount)
 	load := Load{
-		Capacity: 4, Busy: float64(r.Random.IntN(6)-1) / 4, InFlight: r.Random.IntN(50), CallQuota: 2, MeanCalls: 1.5,
+		Capacity: 4, Utilization: float64(r.Random.IntN(6)-1) / 4, InFlight: r.Random.IntN(50), CallQuota: 2, MeanCalls: 1.5,
 		ServiceRate: float64(r.Random.IntN(5)), Attempts: float64(r.Random.IntN(40)), RetryRatio: 0.25,
 		Threshold: float64(r.Random.IntN(30)), StoreState: uint8(r.Random.IntN(4)), StoreID: 7,
 		ProbeRound: r.Random.Uint64N(5),
@@ -67,7 +67,7 @@
 	for i := range snapshot.Zones {
 		r.Write(snapshot.Zones[i], snapshot.Zones[i].MostlyUnreachable(), snapshot.Zones[i].Reached())
 	}
-	r.Write(snapshot.At, snapshot.LastReceived, uint8(snapshot.Position), snapshot.Total, snapshot.Agreement(),
+	r.Write(snapshot.At, snapshot.LastReceived, uint8(snapshot.Position), snapshot.Total, snapshot.AgreementDigest(),
 		snapshot.Aggregate(r.Now, MaxFreshAge(10)))
 	for _, change := range snapshot.Changes(previous) {
 		r.Write(slices.Index(changeKinds, change.Kind), cmp.Or(change.Member, change.Zone), change.Age)
@@ -105,7 +105,7 @@
 func recordSelf(run *recordedRun) {
 	for process := range uint64(20) {
 		run.Now = 0
-		self := NewSelf(0, Place{Name: "n00", Run: 1 + process%3}, 9, 1+process%2)
+		self := NewSelf(0, ProcessInfo{Name: "n00", Run: 1 + process%3}, 9, 1+process%2)
 		for range recordedSteps / 20 {
 			run.advance()
 			if run.Random.IntN(3) == 0 {
