--- a/internal/permit/acquire_test.go
+++ b/internal/permit/acquire_test.go
@@ -27,7 +27,7 @@
 	return state
 }
 
-// acquireCommand returns a command that requests a permit for process 1 of each name.
+// acquireCommand returns a command that requests permits for the named instances, each with incarnation 1.
 func acquireCommand(view FleetView, names ...string) Command {
 	command := Command{Kind: Acquire, Owner: "op", Names: names, View: view, Incarnations: map[string]uint64{}}
 	for _, name := range names {
--- a/internal/permit/command.go
+++ b/internal/permit/command.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Instance is the location of one instance.
+// Instance is the name and the location of an instance.
 type Instance struct{ Name, Region, Zone string }
 
 // FleetView is the state of the fleet as the proposer of a command observed it.
 type FleetView struct {
 	Instances []Instance         // all instances of the fleet, unavailable ones included
 	Lost      []string           // names of the instances that are unavailable without a permit
-	Load      float64            // work requested of the whole fleet, in seconds of work per second
-	Capacity  map[string]float64 // seconds of work per second that each instance can do, by name; 0 if absent
+	Load      float64            // demand on the whole fleet, in seconds of work requested per second
+	Capacity  map[string]float64 // seconds of work that each instance can complete per second, by name; 0 if absent
 }
 
 // CommandKind is the type of a Command. Its numbers are part of the replicated log.
@@ -19,10 +19,10 @@
 // The kinds of Command.
 const (
 	Acquire   CommandKind = iota + 1 // Owner requests permits for all of Names; all or none are granted
-	Departed                         // the instance reports that it leaves service
-	Recovered                        // the instance reports that it serves and is warm
-	Release                          // the instance gives back its permit of Epoch, which it must not use after it has proposed this
-	WriteOff                         // Owner releases the permit of an instance, for Reason
+	Departed                         // the instance reports that it is leaving service
+	Recovered                        // the instance reports that it serves requests and has finished warming up
+	Release                          // the instance returns its unused permit of Epoch; it must not use it after proposing this
+	WriteOff                         // an operator releases the permit of an instance, whatever its state; requires Reason
 	Halt                             // no permit is granted until Resume
 	Resume                           // ends Halt
 	SetRules                         // replaces the rules by Rules
@@ -53,12 +53,12 @@
 	Owner        string            // who proposed the command
 	Reason       string            // why; required for WriteOff
 	Names        []string          // names of instances: one or more for Acquire, exactly one for the kinds about one instance
-	Incarnations map[string]uint64 // Acquire: process that may depart, by name; Departed, Recovered: process that reports
+	Incarnations map[string]uint64 // by name; Acquire: of the process that may depart; Departed, Recovered: of the reporter
 	Seq          uint64            // Departed, Recovered: sequence number among the reports of the process
 	Epoch        uint64            // Release: epoch of the permit
-	KnownHalts   uint64            // Acquire: State.Halts as the proposer read it
+	KnownHalts   uint64            // Acquire: State.Halts when the proposer prepared the command; denied if it has changed
 	Rules        Rules             // SetRules: the new rules
-	View         FleetView         // Acquire: state of the fleet
+	View         FleetView         // Acquire: the fleet as the proposer observed it
 }
 
 // instanceName returns the name in a command about one instance: Departed, Recovered, Release or WriteOff. It returns
@@ -70,10 +70,10 @@
 	return c.Names[0], nil
 }
 
-// Decision is the result of a command, as State.Log returns it.
+// Decision is the result of a command. State.Apply returns it, and State.Log the latest ones.
 type Decision struct {
-	Epoch  uint64      // number of commands applied so far, this one included
-	Kind   CommandKind // kind of the command, as the next three fields are its owner, names and reason
+	Epoch  uint64      // position of the command in the replicated log, from 1; denied commands count
+	Kind   CommandKind // Kind, Owner, Names and Reason are copied from the command
 	Owner  string
 	Names  []string
 	Reason string // truncated to 200 bytes
--- a/internal/permit/golden_test.go
+++ b/internal/permit/golden_test.go
@@ -34,7 +34,7 @@
 
 func noChange(*FleetView) {}
 
-// goldenAcquire returns a command that requests a permit for process 5 of each name.
+// goldenAcquire returns a command that requests permits for the named instances, each with incarnation 5.
 func goldenAcquire(knownHalts uint64, view FleetView, names ...string) Command {
 	incarnations := map[string]uint64{}
 	for _, name := range names {
@@ -67,7 +67,8 @@
 	}
 }
 
-// goldenCommands returns commands that lead to every possible decision when applied in this order.
+// goldenCommands returns commands which, applied in this order, include a granted command of each kind and each kind of
+// denial.
 func goldenCommands() []Command {
 	view := goldenView(noChange)
 	return []Command{
