--- a/internal/fleet/aggregate.go
+++ b/internal/fleet/aggregate.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Aggregate is the sum over the members that serve by a fresh record.
+// Aggregate is the sum over the members that serve according to a recent enough record.
 type Aggregate struct {
 	Members    int     // members in the sum
 	Stale      int     // members that are alive, but not in the sum because their records are too old
@@ -22,14 +22,14 @@
 	MeanCalls float64 // mean concurrent calls that they have at stores
 }
 
-// Aggregate returns the sum over the members that serve by a record no older than fresh.
-func (s *Snapshot) Aggregate(now, fresh time.Duration) (total Aggregate) {
+// Aggregate returns the sum over the members that serve according to a record no older than maxAge.
+func (s *Snapshot) Aggregate(now, maxAge time.Duration) (total Aggregate) {
 	for i := range s.Members {
 		member := &s.Members[i]
 		switch {
-		case member.Serves(now, fresh):
+		case member.Serves(now, maxAge):
 			total.add(member, now)
-		case member.Liveness == Alive && member.Age(now) > fresh:
+		case member.Liveness == Alive && member.Age(now) > maxAge:
 			total.Stale++
 		}
 	}
--- a/internal/fleet/liveness.go
+++ b/internal/fleet/liveness.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Reach is the result of this observer's failure detection for a process.
+// Reach says whether this observer's failure detection reaches a process.
 type Reach uint8
 
 // The results of the failure detection.
 const (
-	NeverReached Reach = iota // known only from records that other members passed on
-	Reached                   // it answers this observer or a member that probes for it, or may still refute a suspicion
-	Lost                      // it neither answered nor refuted the suspicion in time
+	NeverReached Reach = iota // not reached so far; known only from records that other members passed on
+	Reached                   // answers probes of this observer or on its behalf, or is suspected and may still refute that
+	Lost                      // did not answer, and did not refute the suspicion in time
 )
 
 // DialOutcome is the outcome of a dial to the address of a lost process. It distinguishes the possible causes of the loss.
@@ -30,9 +30,9 @@
 const (
 	Unconfirmed Liveness = iota // known only from records that other members passed on
 	Alive                       // reached
-	Suspect                     // reached, but its record is overdue or its next process has not published yet
-	Stalled                     // its process exists but does not work: it is stopped, or its loop stalls
-	Unreachable                 // partitioned from this observer; it may work
+	Suspect                     // reached, but its record is overdue, or that of its new process has not arrived yet
+	Stalled                     // its process exists but makes no progress: it is suspended, or its server loop stalls
+	Unreachable                 // lost, and no dial has shown why: it may be partitioned from this observer and still work
 	Failed                      // its machine responds, but its process has ended
 	Left                        // it published that it stops
 )
@@ -47,8 +47,8 @@
 // ended reports whether the member's process has ended.
 func (l Liveness) ended() bool { return l == Left || l == Failed }
 
-// liveness returns the conclusion about the member at now. A record older than fresh is overdue.
-func (e *entry) liveness(now, fresh time.Duration) Liveness {
+// liveness returns the conclusion about the member at now. A record older than maxAge is overdue.
+func (e *entry) liveness(now, maxAge time.Duration) Liveness {
 	if e.record != nil && e.record.State == Stopped {
 		return Left
 	}
@@ -58,7 +58,7 @@
 	}
 	switch current.reach {
 	case Reached:
-		return e.livenessReached(now, fresh, current)
+		return e.livenessReached(now, maxAge, current)
 	case Lost:
 		return e.livenessLost(current)
 	default: // NeverReached
@@ -66,27 +66,28 @@
 	}
 }
 
-// livenessReached is liveness for a process that is reached.
-func (e *entry) livenessReached(now, fresh time.Duration, current *observation) Liveness {
+// livenessReached is liveness for a process that is reached. A record can be overdue only once the process has been reached
+// for longer than maxAge, as its first record takes time to arrive.
+func (e *entry) livenessReached(now, maxAge time.Duration, current *observation) Liveness {
 	switch {
 	case e.record != nil && e.record.Stalled > 0:
 		return Stalled
-	case now-current.since > fresh && e.overdue(now, fresh):
+	case now-current.since > maxAge && e.overdue(now, maxAge):
 		return Suspect
 	}
 	return Alive
 }
 
-// overdue reports whether no record was received, or the last one is older than fresh.
-func (e *entry) overdue(now, fresh time.Duration) bool {
-	return e.record == nil || now-e.recordedAt > fresh
+// overdue reports whether no record was received, or the last one is older than maxAge.
+func (e *entry) overdue(now, maxAge time.Duration) bool {
+	return e.record == nil || now-e.recordedAt > maxAge
 }
 
 // livenessLost is liveness for a process that is lost.
 func (e *entry) livenessLost(current *observation) Liveness {
 	for i := range e.observations {
 		if e.observations[i].reach == Reached {
-			return Suspect // another process of the name is reached, and its record has not been received yet
+			return Suspect // a new process with this name is reached, but its record has not arrived yet
 		}
 	}
 	switch current.dialOutcome {
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -118,7 +118,7 @@
 func (r *Rejoin) addressesToDial(now time.Duration, snapshot *Snapshot) (causes map[string]dialCause, reached int) {
 	causes = map[string]dialCause{}
 	r.seeds.reset()
-	fresh := MaxFreshAge(len(snapshot.Members))
+	maxAge := MaxFreshAge(len(snapshot.Members))
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
 		if member.Self || member.reached() {
@@ -128,7 +128,7 @@
 			}
 			continue
 		}
-		if cause, needed := dialCauseOf(member, now, fresh); needed {
+		if cause, needed := dialCauseOf(member, now, maxAge); needed {
 			causes[member.Addr] = cause
 		}
 	}
@@ -141,11 +141,11 @@
 }
 
 // dialCauseOf returns whether a member that is not reached has to be dialed, and why.
-func dialCauseOf(member *Member, now, fresh time.Duration) (cause dialCause, needed bool) {
+func dialCauseOf(member *Member, now, maxAge time.Duration) (cause dialCause, needed bool) {
 	switch {
 	case member.Addr == "":
 		return 0, false
-	case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= fresh:
+	case member.Liveness == Unconfirmed && member.Seq > 0 && member.Age(now) <= maxAge:
 		return dialUnconfirmed, true
 	case member.lost():
 		return dialLost, true
--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -13,13 +13,13 @@
 
 // RemoveExpired removes the members that were last reached longer ago than their retention.
 func (v *View) RemoveExpired(now time.Duration) {
-	fresh := v.freshAge()
+	maxAge := v.maxRecordAge()
 	for _, name := range slices.Clone(v.names) {
 		if name == v.self {
 			continue
 		}
 		entry := v.entries[name]
-		retention, bounded := v.retention(entry.liveness(now, fresh))
+		retention, bounded := v.retention(entry.liveness(now, maxAge))
 		if bounded && now-entry.lastReached > retention {
 			v.remove(name)
 		}
@@ -45,10 +45,10 @@
 // there is none.
 func (v *View) evict(now time.Duration) bool {
 	longestEnded := ""
-	fresh := v.freshAge()
+	maxAge := v.maxRecordAge()
 	for _, name := range v.names {
 		entry := v.entries[name]
-		if name == v.self || !entry.liveness(now, fresh).ended() {
+		if name == v.self || !entry.liveness(now, maxAge).ended() {
 			continue
 		}
 		if longestEnded == "" || entry.lastReached < v.entries[longestEnded].lastReached {
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -34,9 +34,9 @@
 // AcceptsRequests reports whether the member is alive and accepts requests according to its last record, of whatever age.
 func (m *Member) AcceptsRequests() bool { return m.Liveness == Alive && m.State.acceptsRequests() }
 
-// Serves reports whether the member is alive and accepts requests according to a record no older than fresh.
-func (m *Member) Serves(now, fresh time.Duration) bool {
-	return m.AcceptsRequests() && m.Age(now) <= fresh
+// Serves reports whether the member is alive and accepts requests according to a record no older than maxAge.
+func (m *Member) Serves(now, maxAge time.Duration) bool {
+	return m.AcceptsRequests() && m.Age(now) <= maxAge
 }
 
 func (m *Member) reached() bool { return m.Liveness == Alive || m.Liveness == Suspect }
@@ -115,11 +115,11 @@
 	snapshot := &Snapshot{
 		At: now, LastReceived: v.lastReceived, Self: v.self, Members: make([]Member, len(v.names)),
 	}
-	fresh := v.freshAge()
+	maxAge := v.maxRecordAge()
 	for i, name := range v.names {
 		member := &snapshot.Members[i]
 		member.Self = name == v.self
-		v.entries[name].describe(member, name, now, fresh)
+		v.entries[name].describe(member, name, now, maxAge)
 		snapshot.ensureZone(member.Region, member.Zone).add(member.Liveness)
 		snapshot.Total.add(member.Liveness)
 	}
@@ -128,7 +128,7 @@
 }
 
 // describe fills in member, whose name is given, from its entry.
-func (e *entry) describe(member *Member, name string, now, fresh time.Duration) {
+func (e *entry) describe(member *Member, name string, now, maxAge time.Duration) {
 	member.Record = e.record
 	member.RecordedAt = e.recordedAt
 	if e.record == nil {
@@ -139,7 +139,7 @@
 	if current := e.currentObservation(); current != nil {
 		member.Since = current.since
 	}
-	member.Liveness = e.liveness(now, fresh)
+	member.Liveness = e.liveness(now, maxAge)
 	if member.Self && member.Liveness != Left {
 		member.Liveness = selfLiveness(member.Record)
 	}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// freshAge returns the maximum age of a record that is not overdue.
-func (v *View) freshAge() time.Duration { return MaxFreshAge(len(v.names)) }
+// maxRecordAge returns the maximum age of a record that is not overdue.
+func (v *View) maxRecordAge() time.Duration { return MaxFreshAge(len(v.names)) }
 
 // entryFor returns the entry of a name, which it adds if there is none. In a full view it evicts a member that left or
 // failed, and never one that may be alive. It returns nil if there is none to evict.
