--- a/internal/overload/lease.go
+++ b/internal/overload/lease.go
@@ -12,12 +12,12 @@
 	number uint64    // sequence number of the request that the lease answers
 	amount Quota
 
-	// expires is when a lender uses the quota again without a return, and from when a borrower begins no new call under
-	// the lease.
+	// expires is a time on this member's clock. From then on, a lender uses the quota again even if it was not returned,
+	// and a borrower begins no new call under the lease.
 	expires time.Duration
 }
 
-// answers reports whether the lease answers the request of this number, exchanged with this peer.
+// answers reports whether the lease was granted for the request with this number, which was sent by or to this peer.
 func (l *lease) answers(peer ProcessID, number uint64) bool {
 	return l.peer == peer && l.number == number
 }
@@ -40,13 +40,13 @@
 	return slices.DeleteFunc(l, func(candidate lease) bool { return now >= candidate.expires+grace })
 }
 
-// without returns the list without the lease that answers a request of a peer. It reuses the list's storage.
+// without returns the list without the lease that was granted for a request. It reuses the list's storage.
 func (l leaseList) without(peer ProcessID, number uint64) leaseList {
 	return slices.DeleteFunc(l, func(candidate lease) bool { return candidate.answers(peer, number) })
 }
 
-// hasAnswered reports whether the list has a lease for this request of a peer, or for a later request of the peer.
-func (l leaseList) hasAnswered(peer ProcessID, number uint64) bool {
+// grantedSince reports whether the list has a lease that was granted to a peer for this request or a later one.
+func (l leaseList) grantedSince(peer ProcessID, number uint64) bool {
 	return slices.ContainsFunc(l, func(granted lease) bool { return granted.peer == peer && granted.number >= number })
 }
 
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -146,7 +146,7 @@
 	if now < l.predecessorLeasesEnd || len(l.leasedOut) >= maxLeases {
 		return answer, true
 	}
-	if l.leasedOut.hasAnswered(request.From, request.Number) {
+	if l.leasedOut.grantedSince(request.From, request.Number) {
 		return LeaseMessage{}, false
 	}
 	free := l.terms.Base - l.LeasedOut(now) - max(l.terms.Reserved, used)
