--- a/admission/advertiser.go
+++ b/admission/advertiser.go
@@ -3,19 +3,20 @@
 // creditPerCore is the number of outstanding requests per core that all clients together are allowed.
 const creditPerCore = 2.5
 
-// Values that are advertised in a drain, so that clients turn away from the server.
+// Values that are advertised during a drain, so that clients use other servers.
 const (
-	drainingLevel  = 1 // AdvertLevel: no request ranks above it
-	drainingCredit = 0 // AdvertCredit: no outstanding request
-	drainingWeight = 0 // AdvertWeight: all clients skip the server
+	drainingLevel  = 1 // AdvertLevel: top of the rank scale; clients do not send requests that rank below it
+	drainingCredit = 0 // AdvertCredit: clients may have no outstanding request
+	drainingWeight = 0 // AdvertWeight: each client always skips the server
 )
 
-// advertiser decides the value that is sent along with answers, by which clients limit what they send. Only
-// the simulator uses it: the settings of the real server (internal/config) have Advert set to AdvertOff.
+// advertiser determines the value that the server adds to its answers (ActionAdvertise). Clients use the
+// value to limit the requests that they send to this server. Only the simulator uses it: the settings of the
+// real server (internal/config) have Advert set to AdvertOff.
 type advertiser struct {
-	advert  Advert
+	advert  Advert // meaning of the value
 	cores   int
-	clients int // that share the credit
+	clients int // number of clients that share the credit
 }
 
 func (a *advertiser) configure(settings *Settings) {
@@ -24,8 +25,8 @@
 	a.clients = settings.Clients
 }
 
-// atStart returns the value that is sent from the start: the credit of each client, for AdvertCredit. Other
-// adverts have no initial value.
+// atStart returns the value that is advertised when the server starts. Only AdvertCredit has one: the credit
+// of each client.
 func (a *advertiser) atStart() (value float64, ok bool) {
 	if a.advert != AdvertCredit {
 		return 0, false
@@ -34,7 +35,7 @@
 	return total / float64(max(a.clients, 1)), true
 }
 
-// atDrain returns the value that is sent from the start of a drain, if any.
+// atDrain returns the value that is advertised when a drain starts. AdvertOff has none.
 func (a *advertiser) atDrain() (value float64, ok bool) {
 	switch a.advert {
 	case AdvertOff:
--- a/admission/idempotency_test.go
+++ b/admission/idempotency_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Retries of a request that is idempotent by key must get the result of its run, during the run and after it,
-// and must not run again.
+// Retries of a request that is idempotent by key must get the result of its run and must not run again,
+// whether they arrive during the run or after it.
 func TestIdempotentRequestRunsOnce(t *testing.T) {
 	controller := startController(t, testSettings())
 	actions := controller.Step(0, []Event{arrived(1, 1)}, nil)
@@ -24,8 +24,8 @@
 	requireAction(t, controller.Step(time.Second, []Event{again}, nil), ActionReuse, 3)
 }
 
-// A retry follows the queued first attempt. If that attempt is cancelled, the retry must run instead, or it
-// would never be answered.
+// A retry does not run while the first attempt, its leader, is queued. If the first attempt is cancelled
+// then, the retry must run instead, or it would never be answered.
 func TestFollowerIsPromotedWhenLeaderIsCancelled(t *testing.T) {
 	settings := testSettings()
 	settings.Cores = 1
@@ -47,7 +47,8 @@
 	requireAction(t, actions, ActionRun, 2)
 }
 
-// A request that ran without an entry for its key would run again with its retry.
+// A request must be rejected if there is no memory for its key. Without an entry for the key, a retry would
+// run the request again.
 func TestRequestIsRejectedWithoutMemoryForKey(t *testing.T) {
 	settings := testSettings()
 	settings.KeyMemoryKB = settings.MemoryKB
--- a/admission/idle_timeout_test.go
+++ b/admission/idle_timeout_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The timeout is shortened only if clients return after more than half of it, and is never longer than
-// configured.
+// The timeout must be shortened only while the mean interval between the requests of a client exceeds half of
+// it, and must never be longer than configured.
 func TestIdleTimeoutFollowsMeanClientInterval(t *testing.T) {
 	arrivals := newArrivalRate()
-	for range 80 { // 10 requests per second
+	for range 80 { // 10 requests per second over offeredTimeConstant
 		arrivals.add(0, false)
 	}
 	timeout := idleTimeout{configured: 30 * time.Second, current: 30 * time.Second}
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -38,11 +38,12 @@
 	}
 	limit := slowStartConcurrency(&settings)
 	if controller.runs.running == 0 || float64(controller.runs.running) > limit {
-		t.Errorf("%d runs may return to the CPU at once, a cold server can handle %v", controller.runs.running, limit)
+		t.Errorf("%d runs, including those in calls, want 1 to the %v that a cold server can handle", controller.runs.running, limit)
 	}
 }
 
-// slowStartConcurrency returns how many requests on the CPU a server can handle that has just started.
+// slowStartConcurrency returns the number of runs on the CPU that a server can handle at the beginning of its
+// slow start.
 func slowStartConcurrency(settings *Settings) float64 {
 	perCore := 1 + (settings.MaxConcurrencyPerCore-1)*settings.SlowStartSpeedRatio
 	return float64(settings.Cores) * perCore
