--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// maxObservations bounds the observations of one name, one for each of its processes.
+// maxObservations is the maximum number of observations of one name. Each process with the name has its own.
 const maxObservations = 4
 
 // observation is what this observer found out about one process by failure detection and dials.
 type observation struct {
-	run         uint64
+	run         uint64 // Record.Run of the process
 	reach       Reach
 	dialOutcome DialOutcome   // of a dial since the process was lost
 	since       time.Duration // when reach took its current value
@@ -64,24 +64,25 @@
 // over the records of the process, of publication time minus uptime.
 //
 // The age that an update carries does not include its time in transit, so that a delayed record looks younger than it is.
-// The uptime in the record, added to the estimate, corrects this as far as an earlier record took less time.
+// The estimate plus the uptime in the record is another upper bound of the time of publication. It is lower, and so closer,
+// if an earlier record of the process had less delay.
 type startEstimate struct {
-	latest     time.Duration // the upper bound
-	comparedAt time.Duration // when the last record was taken
+	latest    time.Duration // the upper bound
+	updatedAt time.Duration // when the estimate was last updated
 }
 
 // begin sets the estimate from the first record of a process, which has the given age and uptime.
 func (s *startEstimate) begin(now, age, up time.Duration) {
 	s.latest = now - age - up
-	s.comparedAt = now
+	s.updatedAt = now
 }
 
 // refine lowers the estimate by a further record of the process. It first raises the estimate by the most that the two
 // clocks can have drifted apart since the last record.
 func (s *startEstimate) refine(now, age, up time.Duration) {
-	drift := max(now-s.comparedAt, 0) / clockDriftDivisor
+	drift := max(now-s.updatedAt, 0) / clockDriftDivisor
 	s.latest = min(s.latest+drift, now-age-up)
-	s.comparedAt = now
+	s.updatedAt = now
 }
 
 // recordedAt returns the latest time at which a record of the process with that age and uptime can have been published.
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -191,7 +191,7 @@
 // that the delay is drawn from a range that grows with their number. An unconfirmed member has more time, as it usually
 // joins by itself.
 func (r *Rejoin) firstDelay(cause dialCause, reached int) time.Duration {
-	// Drawn for both causes, so that later draws do not depend on the cause.
+	// Drawn for dialLost too, which does not use it: without this draw, the same random seed would give other delays.
 	unconfirmedDelay := unconfirmedDialDelay + r.drawBelow(unconfirmedDialDelay)
 	if cause == dialLost {
 		return r.drawBelow(time.Duration(reached) * initialDialDelay / 4)
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -14,13 +14,14 @@
 	Liveness   Liveness
 	Self       bool          // the observer itself
 	RecordedAt time.Duration // latest time at which the record can have been published
-	Since      time.Duration // when its process was first reached, or first not reached, without a change since
+	Since      time.Duration // since when its process has been reached, or has not been reached
 }
 
 // Age returns the age of the record, a lower bound.
 func (m *Member) Age(now time.Duration) time.Duration { return max(now-m.RecordedAt, 0) }
 
-// Condition returns the name of the state that the member reports if it is alive, and else that of its liveness.
+// Condition returns the name of the state that the member reports. If the member is not alive or its state is not known, it
+// returns the name of its liveness.
 func (m *Member) Condition() string {
 	if m.reportsState() {
 		return m.State.String()
@@ -54,8 +55,8 @@
 	}
 }
 
-// minZoneMembers is the minimum number of members of a zone that can be mostly unreachable. With a single member, a
-// partition of the zone looks like that of the member.
+// minZoneMembers is the minimum size of a zone that MostlyUnreachable can report. In a zone of a single member, a partition
+// of the zone cannot be told from a partition of the member alone.
 const minZoneMembers = 2
 
 // Zone counts the members of one zone.
