--- a/internal/permit/acquire.go
+++ b/internal/permit/acquire.go
@@ -17,7 +17,7 @@
 	if err := s.checkGrantable(command); err != nil {
 		return err
 	}
-	after := s.availabilityBefore(&command.View)
+	after := s.currentAvailability(&command.View) // updated below to what it would be after the grant
 	if err := s.checkNames(command.Names, after.instances); err != nil {
 		return err
 	}
@@ -60,22 +60,22 @@
 	return nil
 }
 
-// availabilityBefore returns the availability of the fleet before a grant.
-func (s *State) availabilityBefore(view *FleetView) availability {
-	before := availability{instances: map[string]Instance{}, unavailable: map[string]bool{}}
+// currentAvailability returns the availability of the fleet before the grant that is being decided.
+func (s *State) currentAvailability(view *FleetView) availability {
+	current := availability{instances: map[string]Instance{}, unavailable: map[string]bool{}}
 	for _, instance := range view.Instances {
-		before.instances[instance.Name] = instance
+		current.instances[instance.Name] = instance
 	}
 	for name, permit := range s.permits {
-		before.unavailable[name] = true
-		if _, ok := before.instances[name]; !ok { // an instance with a permit counts even if the proposer does not list it
-			before.instances[name] = permit.instance
+		current.unavailable[name] = true
+		if _, ok := current.instances[name]; !ok { // an instance with a permit counts even if the proposer does not list it
+			current.instances[name] = permit.instance
 		}
 	}
 	for _, name := range view.Lost {
-		before.unavailable[name] = true
+		current.unavailable[name] = true
 	}
-	return before
+	return current
 }
 
 // checkNames returns an *InstanceError unless each name is that of a known instance without a permit.
--- a/internal/permit/errors.go
+++ b/internal/permit/errors.go
@@ -57,8 +57,8 @@
 
 // LoadError is a denial because the remaining instances could not carry the load.
 type LoadError struct {
-	Load      float64 // work requested of the fleet, in seconds of work per second
-	Remaining float64 // capacity that would remain, in seconds of work per second
+	Load      float64 // demand on the whole fleet, in seconds of work requested per second
+	Remaining float64 // capacity that would remain, in seconds of work completed per second
 	Margin    float64 // ratio of the remaining capacity to keep free of load
 }
 
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -7,8 +7,8 @@
 //
 // A permit never expires, and it stays in force after its instance has stopped. Only these events release it:
 //
-//   - The instance reports that it serves and is warm, after it had departed.
-//   - The instance gives the permit back before it departs.
+//   - The instance reports, after it has departed, that it serves requests and has finished warming up.
+//   - The instance returns the permit before it departs.
 //   - An operator writes the permit off, with a reason.
 //
 // An instance needs no permit to come back. While no command can be applied, no permit is granted; nothing else is
@@ -18,18 +18,18 @@
 // Permit allows one instance to be out of service.
 type Permit struct {
 	Name        string   // name of the instance
-	Incarnation uint64   // the process that may depart; a report of a later process of the instance releases the permit
+	Incarnation uint64   // of the process that may depart; a Recovered report of a later process releases the permit
 	Owner       string   // who requested the permit
 	Reason      string   // the owner's reason
 	Epoch       uint64   // epoch of the command that granted the permit; later permits have higher epochs
 	Departed    bool     // the instance has reported that it leaves service
 	departedSeq uint64   // sequence number of that report
-	instance    Instance // location, for a command whose proposer does not list the instance
+	instance    Instance // as listed in the Acquire command; used if the view of a later command does not list it
 }
 
 // checkRecovered returns an error unless a Recovered report shows that the instance is back. A report by an earlier
-// process than the permitted one does not show that, nor does one that the permitted process made before its departure.
-// An instance that restarts in a loop never reports that it is warm, so that it keeps its permit.
+// process than the one that may depart does not show that, nor does a report that this one made before its departure.
+// An instance that restarts in a loop never finishes warming up, so that its permit stays in force.
 func (p *Permit) checkRecovered(incarnation, seq uint64) error {
 	reportedAfterDeparture := p.Departed && seq > p.departedSeq
 	switch {
--- a/internal/permit/state.go
+++ b/internal/permit/state.go
@@ -17,7 +17,7 @@
 // State is the replicated state: the rules, the permits in force and the latest decisions. It is not safe for concurrent
 // use.
 type State struct {
-	epoch   uint64            // number of commands applied so far
+	epoch   uint64            // number of commands in the log so far, denied ones included
 	rules   Rules             // rules in force
 	permits map[string]Permit // permits in force, by name of the instance
 	halts   uint64            // number of Halt commands applied so far
