--- a/admission/advertiser_test.go
+++ b/admission/advertiser_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each advert has its own value for a draining server, and only the credit has one from the start.
+// Each kind of Advert except AdvertOff must have its value for a draining server. Only AdvertCredit must have
+// an initial value.
 func TestAdvertisedValueAtStartAndDrain(t *testing.T) {
 	for _, test := range []struct {
 		advert   Advert
@@ -26,5 +27,5 @@
 		require.InDelta(t, test.drain, value, 0, test.advert)
 	}
 	value, _ := (&advertiser{advert: AdvertCredit, cores: 4}).atStart()
-	require.InDelta(t, 10, value, 0, "without clients")
+	require.InDelta(t, 10, value, 0, "zero clients count as one")
 }
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -7,7 +7,7 @@
 	minRetryAfter = 100 * time.Millisecond
 	// Fraction of its objective after which a request is too late for an attempt elsewhere.
 	lateRejectionRatio = 0.5
-	// Mean read delay above which reading is late, as a fraction of the shortest objective.
+	// Mean read delay above which RetryAfter is extended, as a fraction of the shortest objective.
 	lateReadDelayRatio = 0.08
 	// Mean fraction of the queue that is ahead of a request.
 	queuedAheadRatio = 0.5
@@ -17,7 +17,7 @@
 // another server; with all answers, how much to send. It also decides how long idle connections are kept.
 //
 // It owns readDelay, which both advice and health depend on, and idleTimeout, which follows from the same
-// arrival rates as the advice. Neither is a field of Controller, to keep the number of its parts small.
+// arrival rates as the advice. They are fields of clientAdvisor so that Controller has fewer fields.
 type clientAdvisor struct {
 	clients           int           // number of clients of the tier
 	maxRetryAfter     time.Duration // upper bound of RetryAfter
@@ -76,8 +76,8 @@
 }
 
 // noRetryElsewhere reports whether the client is asked not to try another server, because that would not help
-// or because of a retry storm. In a retry storm the other servers are as full, and each attempt costs them
-// reading and, mostly, a new connection.
+// or because of a retry storm. In a retry storm the other servers are as full, and each attempt costs one of
+// them the CPU time to read the request and, usually, to accept a new connection.
 func (a *clientAdvisor) noRetryElsewhere(request *request, reason Reason) bool {
 	switch reason {
 	case ReasonDependency, ReasonTooLate, ReasonBelowThreshold:
@@ -88,7 +88,7 @@
 		}
 		return request.fleetRank != RankElsewhere
 	case ReasonMemory, ReasonDraining:
-		return false // other servers have memory and do not drain
+		return false // other servers are assumed to have memory and not to drain
 	}
 	return false
 }
@@ -104,9 +104,10 @@
 	return min(max(seconds(queueTime*queuedAheadRatio), minRetryAfter), a.maxRetryAfter)
 }
 
-// extendToClientInterval prolongs retryAfter to the mean interval between two requests of a client while
-// reading is late. Reading then takes CPU time from all other work. In a large fleet each client seldom sends
-// a request to this server, so advice that ends before its next request would have no effect.
+// extendToClientInterval extends retryAfter to the mean interval between two requests of a client while the
+// mean read delay is above lateReadDelayRatio: reading requests then takes CPU time from all other work. In a
+// large fleet each client seldom sends a request to this server, so advice that ends before its next request
+// would have no effect.
 func (a *clientAdvisor) extendToClientInterval(retryAfter time.Duration) time.Duration {
 	interval := a.arrivals.meanClientInterval(a.clients)
 	if a.readDelay.exceeds(lateReadDelayRatio, a.shortestObjective) && interval > minRetryAfter {
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -44,7 +44,7 @@
 	if action := rejection(1, 900*ms, time.Second); action.Rejection.RetryAfter != 0 {
 		t.Errorf("%+v", *action)
 	}
-	// Reading is not late: RetryAfter is not extended.
+	// The read delay is below its limit: RetryAfter is not extended.
 	if action := rejection(150, 0, 3*time.Second); action.Rejection.RetryAfter >= time.Second {
 		t.Errorf("%+v", *action)
 	}
