--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -14,13 +14,14 @@
 	Liveness   Liveness
 	Self       bool          // the observer itself
 	RecordedAt time.Duration // latest time at which the record can have been published
-	Since      time.Duration // when its process was first reached, or first not reached, without a change since
+	Since      time.Duration // since when its process has been reached, or has not been reached
 }
 
 // Age returns the age of the record, a lower bound.
 func (m *Member) Age(now time.Duration) time.Duration { return max(now-m.RecordedAt, 0) }
 
-// Condition returns the name of the state that the member reports if it is alive, and else that of its liveness.
+// Condition returns the name of the state that the member reports. If the member is not alive or its state is not known, it
+// returns the name of its liveness.
 func (m *Member) Condition() string {
 	if m.reportsState() {
 		return m.State.String()
@@ -34,9 +35,9 @@
 // AcceptsRequests reports whether the member is alive and accepts requests according to its last record, of whatever age.
 func (m *Member) AcceptsRequests() bool { return m.Liveness == Alive && m.State.acceptsRequests() }
 
-// Serves reports whether the member is alive and accepts requests according to a record no older than fresh.
-func (m *Member) Serves(now, fresh time.Duration) bool {
-	return m.AcceptsRequests() && m.Age(now) <= fresh
+// Serves reports whether the member is alive and accepts requests according to a record no older than maxAge.
+func (m *Member) Serves(now, maxAge time.Duration) bool {
+	return m.AcceptsRequests() && m.Age(now) <= maxAge
 }
 
 func (m *Member) reached() bool { return m.Liveness == Alive || m.Liveness == Suspect }
@@ -54,8 +55,8 @@
 	}
 }
 
-// minZoneMembers is the minimum number of members of a zone that can be mostly unreachable. With a single member, a
-// partition of the zone looks like that of the member.
+// minZoneMembers is the minimum size of a zone that MostlyUnreachable can report. In a zone of a single member, a partition
+// of the zone cannot be told from a partition of the member alone.
 const minZoneMembers = 2
 
 // Zone counts the members of one zone.
@@ -115,11 +116,11 @@
 	snapshot := &Snapshot{
 		At: now, LastReceived: v.lastReceived, Self: v.self, Members: make([]Member, len(v.names)),
 	}
-	fresh := v.freshAge()
+	maxAge := v.maxRecordAge()
 	for i, name := range v.names {
 		member := &snapshot.Members[i]
 		member.Self = name == v.self
-		v.entries[name].describe(member, name, now, fresh)
+		v.entries[name].describe(member, name, now, maxAge)
 		snapshot.ensureZone(member.Region, member.Zone).add(member.Liveness)
 		snapshot.Total.add(member.Liveness)
 	}
@@ -128,7 +129,7 @@
 }
 
 // describe fills in member, whose name is given, from its entry.
-func (e *entry) describe(member *Member, name string, now, fresh time.Duration) {
+func (e *entry) describe(member *Member, name string, now, maxAge time.Duration) {
 	member.Record = e.record
 	member.RecordedAt = e.recordedAt
 	if e.record == nil {
@@ -139,7 +140,7 @@
 	if current := e.currentObservation(); current != nil {
 		member.Since = current.since
 	}
-	member.Liveness = e.liveness(now, fresh)
+	member.Liveness = e.liveness(now, maxAge)
 	if member.Self && member.Liveness != Left {
 		member.Liveness = selfLiveness(member.Record)
 	}
