--- a/lab/faults/endpoint.go
+++ b/lab/faults/endpoint.go
@@ -16,37 +16,37 @@
 
 const (
 	maxDatagramBytes = 64 << 10
-	// maxPending bounds the delayed datagrams of a relay; further ones are lost.
+	// maxPending is the maximum number of delayed datagrams of a relay. Datagrams beyond it are lost.
 	maxPending = 1 << 14
-	// dialTimeout bounds the dial of a process.
+	// dialTimeout bounds the dial to the real address of a process.
 	dialTimeout = 5 * time.Second
 )
 
-// errNotTCP reports a socket that can't be reset or filtered.
+// errNotTCP reports a stream socket that is not a plain TCP socket, which the relay cannot reset or filter.
 var errNotTCP = errors.New("not a TCP socket")
 
-// endpoint is the advertised address of one process.
+// endpoint is the advertised address of one process, at which the relay receives the traffic to it.
 type endpoint struct {
 	relay     *Relay
-	name      string
+	name      string // of the process
 	target    string // real address of the process
 	targetUDP *net.UDPAddr
 	udp       *net.UDPConn
 	tcp       *net.TCPListener
 }
 
-// listen opens the sockets of the advertised address.
+// listen opens the UDP and TCP sockets on the advertised address.
 func (e *endpoint) listen(ctx context.Context, advertised string) error {
 	advertisedUDP, err := net.ResolveUDPAddr("udp", advertised)
 	if err != nil {
-		return fmt.Errorf("advertised address of %s: %w", e.name, err)
+		return fmt.Errorf("resolve advertised address of %s: %w", e.name, err)
 	}
 	if e.udp, err = net.ListenUDP("udp", advertisedUDP); err != nil {
 		return fmt.Errorf("listen for datagrams to %s: %w", e.name, err)
 	}
-	_ = e.udp.SetReadBuffer(udpReadBuffer) // a smaller one loses more datagrams, as a busy machine does
+	_ = e.udp.SetReadBuffer(udpReadBuffer) // on an error the buffer is smaller and more datagrams are lost
 	var config net.ListenConfig
-	config.SetMultipathTCP(false) // sockets of multipath TCP take no filter
+	config.SetMultipathTCP(false) // a socket filter cannot be attached to a multipath TCP socket
 	listener, err := config.Listen(ctx, "tcp", advertised)
 	if err != nil {
 		closeQuietly(e.udp)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// relayDatagrams relays datagrams until the relay is closed.
+// relayDatagrams relays datagrams to the process until the relay is closed.
 func (e *endpoint) relayDatagrams() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -70,7 +70,7 @@
 			return
 		}
 		if err != nil {
-			continue // an ICMP error for an earlier datagram to a process that is not running
+			continue // ICMP error for an earlier datagram: the process is not running
 		}
 		rule := e.relay.ruleFor(e.relay.senderOf(source.Addr()), e.name)
 		for _, delay := range e.relay.drawDelays(rule) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// forward sends a datagram to the process, after a delay. Errors are losses, which UDP allows.
+// forward sends a datagram to the process after a delay. Write errors are ignored: they lose the datagram.
 func (e *endpoint) forward(datagram []byte, delay time.Duration) {
 	if delay <= 0 {
 		_, _ = e.udp.WriteToUDP(datagram, e.targetUDP)
@@ -96,7 +96,7 @@
 	})
 }
 
-// acceptStreams has a goroutine relay each stream, until the relay is closed.
+// acceptStreams accepts streams until the relay is closed, and relays each in its own goroutine.
 func (e *endpoint) acceptStreams() {
 	for {
 		inbound, err := e.tcp.AcceptTCP()
@@ -107,14 +107,15 @@
 	}
 }
 
-// relayStream relays a stream in both directions until both have ended, a rule resets it or the relay is closed.
+// relayStream relays a stream in both directions until both have ended, a rule resets the stream, or the relay is
+// closed.
 func (e *endpoint) relayStream(inbound *net.TCPConn) {
 	defer closeQuietly(inbound)
 	from := ""
 	if source, err := netip.ParseAddrPort(inbound.RemoteAddr().String()); err == nil {
 		from = e.relay.senderOf(source.Addr())
 	}
-	reset := func() { _ = inbound.SetLinger(0) } // so that closing it sends a RST
+	reset := func() { _ = inbound.SetLinger(0) } // Close then sends a RST
 	outbound, err := e.dial()
 	if err != nil {
 		reset()
@@ -150,11 +151,11 @@
 	return stream, nil
 }
 
-// dropFrom has the listening socket drop what comes from the blocked IPv4 addresses.
+// dropFrom attaches a socket filter to the listening socket that drops packets from the blocked IPv4 addresses.
 func (e *endpoint) dropFrom(blocked []uint32) error {
 	instructions, err := bpf.Assemble(dropFilter(blocked))
 	if err != nil {
-		return fmt.Errorf("assemble filter: %w", err)
+		return fmt.Errorf("assemble socket filter: %w", err)
 	}
 	code := make([]unix.SockFilter, len(instructions))
 	for i, op := range instructions {
@@ -162,26 +163,26 @@
 	}
 	conn, err := e.tcp.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("filter streams to %s: %w", e.name, err)
+		return fmt.Errorf("access listening socket of %s: %w", e.name, err)
 	}
 	var optionErr error
 	controlErr := conn.Control(func(fd uintptr) {
-		first := (*unix.SockFilter)(unsafe.Pointer(&code[0])) //nolint:gosec // as the system call takes it
+		first := (*unix.SockFilter)(unsafe.Pointer(&code[0])) //nolint:gosec // the system call takes a pointer to the first instruction
 		program := &unix.SockFprog{Len: uint16(len(code)), Filter: first}
 		optionErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
 	})
 	if err := errors.Join(controlErr, optionErr); err != nil {
-		return fmt.Errorf("filter streams to %s: %w", e.name, err)
+		return fmt.Errorf("attach socket filter for streams to %s: %w", e.name, err)
 	}
 	return nil
 }
 
-// dropFilter returns a socket filter that drops packets from the blocked IPv4 addresses.
+// dropFilter returns a socket filter that drops packets from the blocked IPv4 addresses and accepts all others.
 func dropFilter(blocked []uint32) []bpf.Instruction {
 	const (
-		networkHeader = 0xfff00000 // SKF_NET_OFF
-		sourceAddress = 12         // in an IPv4 header
-		wholePacket   = 0xffffffff
+		networkHeader = 0xfff00000 // SKF_NET_OFF: offsets are relative to the IP header
+		sourceAddress = 12         // offset of the source address in the IPv4 header
+		wholePacket   = 0xffffffff // accepts the packet without truncation
 	)
 	filter := []bpf.Instruction{bpf.LoadAbsolute{Off: networkHeader + sourceAddress, Size: 4}}
 	for _, ip := range blocked {
--- a/lab/faults/fault.go
+++ b/lab/faults/fault.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Kind says what a Fault does, as it stands in scripts and in the requests of `lab fault`.
+// Kind is the effect of a Fault. Its values are used in scripts and in the requests of `lab fault`.
 type Kind string
 
-// Kinds of faults of links. They are in force from Fault.Start for Fault.Duration.
+// Kinds of link faults. They are in force from Fault.Start for Fault.Duration.
 const (
 	KindPartition Kind = "cut"    // nothing arrives
-	KindLoss      Kind = "loss"   // datagrams are lost, by Ratio
-	KindDuplicate Kind = "double" // datagrams arrive twice, by Ratio
-	KindDelay     Kind = "delay"  // everything is delayed by Delay, datagrams by up to Jitter more
+	KindLoss      Kind = "loss"   // a fraction Ratio of the datagrams is lost
+	KindDuplicate Kind = "double" // a fraction Ratio of the datagrams arrives twice
+	KindDelay     Kind = "delay"  // all traffic is delayed by Delay, datagrams by up to Jitter more
 	KindThrottle  Kind = "slow"   // each stream carries at most BytesPerSecond
 	KindReset     Kind = "reset"  // streams are reset
 )
 
-// Kinds of faults of processes. They are done once, at Fault.Start.
+// Kinds of process faults. They are applied once, at Fault.Start; some are reverted after Fault.Duration.
 const (
-	KindKill              Kind = "kill"    // SIGKILL; started again at the end, if there is one
+	KindKill              Kind = "kill"    // SIGKILL; the process is restarted at the end, if the fault has one
 	KindPause             Kind = "stop"    // SIGSTOP, and SIGCONT at the end
-	KindTerminate         Kind = "term"    // SIGTERM; started again at the end, if there is one
-	KindRestart           Kind = "restart" // SIGKILL, and started again at once under the same name
-	KindDelayedStart      Kind = "late"    // not started before the end
-	KindSlowAgent         Kind = "slowrun" // the agent is slower by the factor Ratio until the end
-	KindUnresponsiveStore Kind = "mute"    // the store of its zone accepts calls and answers none until the end
-	KindStall             Kind = "wedge"   // the server's loop blocks for a while; the rest of the process goes on
-	KindClockSkew         Kind = "clock"   // started again with its clock off by Delay, which may be negative, until the end
+	KindTerminate         Kind = "term"    // SIGTERM; the process is restarted at the end, if the fault has one
+	KindRestart           Kind = "restart" // SIGKILL, and an immediate restart under the same name
+	KindDelayedStart      Kind = "late"    // the process is not started before the end
+	KindSlowAgent         Kind = "slowrun" // the agent is slowed down by the factor Ratio until the end
+	KindUnresponsiveStore Kind = "mute"    // the store of the zone accepts calls but answers none of them until the end
+	KindStall             Kind = "wedge"   // the server blocks its event loop for a while; the rest of the process keeps running
+	KindClockSkew         Kind = "clock"   // restart with the clock offset by Delay (may be negative), and without it at the end
 )
 
 var (
@@ -44,34 +44,34 @@
 // AllMembers is the pattern that matches every member.
 const AllMembers = "*"
 
-// Fault is one thing that goes wrong. Target and Peer are patterns: the name of a member, zone:NAME, region:NAME, or
-// * for all members. Times are on the laboratory's clock.
+// Fault is one fault of a script. Target and Peer are patterns: the name of a member, zone:NAME, region:NAME, or *
+// for all members.
 type Fault struct {
 	Kind           Kind          `json:"Kind"`
-	Target         string        `json:"Who"`    // whose process, or the sender
-	Peer           string        `json:"To"`     // links: the receiver
-	OneWay         bool          `json:"OneWay"` // links: only from Target to Peer
-	Start          time.Duration `json:"At"`
-	Duration       time.Duration `json:"For"` // 0 = without an end
-	Ratio          float64       `json:"Share"`
-	Delay          time.Duration `json:"Delay"`
-	Jitter         time.Duration `json:"Jitter"`
-	BytesPerSecond int           `json:"Rate"`
+	Target         string        `json:"Who"`    // process faults: the members affected; link faults: the sender
+	Peer           string        `json:"To"`     // link faults: the receiver
+	OneWay         bool          `json:"OneWay"` // link faults: affects only the direction from Target to Peer
+	Start          time.Duration `json:"At"`     // on the laboratory's clock
+	Duration       time.Duration `json:"For"`    // 0 = until the laboratory ends
+	Ratio          float64       `json:"Share"`  // lost or duplicated fraction, or slowdown factor; see Kind
+	Delay          time.Duration `json:"Delay"`  // delay, or clock offset; see Kind
+	Jitter         time.Duration `json:"Jitter"` // maximum additional delay of a datagram
+	BytesPerSecond int           `json:"Rate"`   // maximum rate of each stream
 }
 
-// AffectsLink reports whether the fault is one of links, and not of processes.
+// AffectsLink reports whether the fault is a link fault.
 func (f *Fault) AffectsLink() bool { return slices.Contains(linkKinds, f.Kind) }
 
-// ActiveAt reports whether the fault is in force.
+// ActiveAt reports whether the fault is in force at now.
 func (f *Fault) ActiveAt(now time.Duration) bool {
 	hasEnded := f.Duration > 0 && now >= f.Start+f.Duration
 	return now >= f.Start && !hasEnded
 }
 
-// Location is where a member is.
+// Location is the name, zone and region of a member.
 type Location struct{ Name, Zone, Region string }
 
-// matches reports whether a pattern matches the member.
+// matches reports whether the pattern matches the member.
 func (l *Location) matches(pattern string) bool {
 	if zone, ok := strings.CutPrefix(pattern, "zone:"); ok {
 		return l.Zone == zone
@@ -82,7 +82,7 @@
 	return pattern == AllMembers || pattern == l.Name
 }
 
-// FieldError reports that the value of a fault's field cannot be used. Key is the key of the field in a script.
+// FieldError reports an invalid value in a field of a fault. Key is the key of the field in a script.
 type FieldError struct {
 	Key string
 	Err error
@@ -90,15 +90,14 @@
 
 func (e *FieldError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the value.
+// Unwrap returns the error that describes what is wrong with the value.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 func fieldError(key, format string, args ...any) error {
 	return &FieldError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// Check returns a FieldError if the fault does not make sense, or if no member among the locations matches its
-// patterns.
+// Check returns a FieldError if a field of the fault is invalid, or if a pattern matches none of the locations.
 func (f *Fault) Check(locations []Location) error {
 	err := f.checkKind()
 	if err == nil {
@@ -129,7 +128,7 @@
 	return nil
 }
 
-// knownKinds lists the kinds of faults for readers.
+// knownKinds returns a comma-separated list of all kinds, for error messages.
 func knownKinds() string {
 	var names []string
 	for _, kind := range slices.Concat(linkKinds, processKinds) {
@@ -138,11 +137,11 @@
 	return strings.Join(names, ", ")
 }
 
-// checkLink checks the fields that the kinds of links need.
+// checkLink checks the fields that link faults require.
 func (f *Fault) checkLink() error {
 	switch f.Kind {
 	case KindLoss, KindDuplicate:
-		if !(f.Ratio > 0 && f.Ratio <= 1) { // so that NaN is an error too
+		if !(f.Ratio > 0 && f.Ratio <= 1) { // negated so that NaN is rejected
 			return fieldError("share", "%v, want more than 0 and at most 1", f.Ratio)
 		}
 	case KindDelay:
@@ -151,18 +150,18 @@
 		}
 	case KindThrottle:
 		if f.BytesPerSecond <= 0 {
-			return fieldError("rate", "want more than 0 bytes per second")
+			return fieldError("rate", "%d, want more than 0 bytes per second", f.BytesPerSecond)
 		}
-	default: // needs no field
+	default: // requires no field
 	}
 	return nil
 }
 
-// checkProcess checks the fields that the kinds of processes need.
+// checkProcess checks the fields that process faults require.
 func (f *Fault) checkProcess() error {
 	switch f.Kind {
 	case KindSlowAgent:
-		if !(f.Ratio >= 1) { // so that NaN is an error too
+		if !(f.Ratio >= 1) { // negated so that NaN is rejected
 			return fieldError("share", "%v, want a slowdown factor of at least 1", f.Ratio)
 		}
 	case KindClockSkew:
@@ -175,14 +174,14 @@
 		}
 	case KindDelayedStart:
 		return f.checkDelayedStart()
-	default: // needs no field
+	default: // requires no field
 	}
 	return nil
 }
 
 func (f *Fault) checkDelayedStart() error {
 	if f.Start != 0 || f.Duration == 0 {
-		return fieldError("for", "a delayed start begins at 0 and needs a duration")
+		return fieldError("for", "%v, at %v: a delayed start begins at 0 and needs a duration", f.Duration, f.Start)
 	}
 	return nil
 }
@@ -194,20 +193,21 @@
 	return nil
 }
 
-// affects reports whether a fault of links affects what one member sends to another.
+// affects reports whether a link fault affects the traffic from one member to another.
 func (f *Fault) affects(from, to *Location) bool {
 	if f.Target == AllMembers && f.Peer == AllMembers {
 		return true
 	}
-	if f.crossedBy(from, to) {
+	if f.matchesLink(from, to) {
 		return true
 	}
-	return !f.OneWay && f.crossedBy(to, from)
+	return !f.OneWay && f.matchesLink(to, from)
 }
 
-// crossedBy reports whether what one member sends to another goes from the fault's target to its peer. Where the peer
-// is AllMembers, that means all others: links within the target, such as a zone, are not affected.
-func (f *Fault) crossedBy(from, to *Location) bool {
+// matchesLink reports whether from matches the target of the fault and to matches its peer. If the peer is AllMembers,
+// it stands for all members outside the target, so that a partition of a zone does not affect the links within the
+// zone.
+func (f *Fault) matchesLink(from, to *Location) bool {
 	if !from.matches(f.Target) || !to.matches(f.Peer) {
 		return false
 	}
--- a/lab/faults/relay.go
+++ b/lab/faults/relay.go
@@ -1,11 +1,16 @@
-// Package faults injects faults between processes and into them. Other processes reach a process at an advertised
-// address, where a relay takes its traffic and passes it on to the real address, as far as the rules in force allow.
-// All addresses are in 127.0.0.0/8; nothing of the system is changed, and no privilege is needed.
+// Package faults defines faults of processes and of the links between them, and injects the link faults. Other
+// processes reach a process at an advertised address. A relay receives the traffic there and forwards it to the real
+// address as the rules in force allow. All addresses are in 127.0.0.0/8. The relay changes no system settings and
+// needs no privilege.
 //
-// The relay tells the sender by its source address, so a process has to send from the address that it listens on. A
-// TCP connection through a partition is not established, as with a real one: the relay's listening socket drops the
-// SYN packets of partitioned senders (a socket filter, Linux). Unlike a real machine, whose kernel refuses
-// connections to a process that was killed, the relay accepts them and resets them at once.
+// The relay identifies the sender of a packet by its source address. Each process must therefore send from the
+// address that it listens on.
+//
+// Differences from faults between machines:
+//   - A TCP connection through a partition is never established, as on a real network: a socket filter (Linux) on the
+//     relay's listening socket drops the SYN packets of partitioned senders.
+//   - The kernel of a real machine refuses connections to a process that was killed. The relay accepts and then
+//     resets them.
 package faults
 
 import (
@@ -23,59 +28,60 @@
 )
 
 const (
-	// udpReadBuffer is asked of the system, which may give less.
+	// udpReadBuffer is the requested receive buffer in bytes. The kernel may limit it to less.
 	udpReadBuffer = 1 << 20
-	// randStream keeps the random sequence apart from those of other parts with the same seed.
+	// randStream selects a random sequence that differs from those of other packages with the same seed.
 	randStream = 3
 )
 
-// Relay passes traffic between processes by rules. Its methods may be called from any goroutine.
+// Relay forwards traffic between processes by rules. Its methods are safe for concurrent use.
 type Relay struct {
 	closed  atomic.Bool
-	loops   sync.WaitGroup // of the endpoints' sockets
-	pending atomic.Int64   // delayed datagrams
-
-	mu        sync.Mutex
-	rand      *rand.Rand
-	rule      func(from, to string) Rule
-	names     map[netip.Addr]string // of processes, by real address
-	endpoints []*endpoint
-	conns     map[net.Conn]struct{} // of open streams
+	readers sync.WaitGroup // goroutines that read the sockets of the endpoints
+	pending atomic.Int64   // number of delayed datagrams
+
+	// mu guards the fields below.
+	mu         sync.Mutex
+	rand       *rand.Rand
+	rule       func(from, to string) Rule
+	nameByAddr map[netip.Addr]string // of the processes, by real address
+	endpoints  []*endpoint
+	conns      map[net.Conn]struct{} // both connections of each open stream
 }
 
-// NewRelay returns a relay without processes and faults, which draws losses and delays from seed. The caller closes
-// it.
+// NewRelay returns a relay without endpoints or rules. It draws losses and delays from seed. The caller must call
+// Close.
 func NewRelay(seed uint64) *Relay {
 	return &Relay{
-		rand:  rand.New(rand.NewPCG(seed, randStream)),
-		rule:  func(string, string) Rule { return Rule{} },
-		names: map[netip.Addr]string{},
-		conns: map[net.Conn]struct{}{},
+		rand:       rand.New(rand.NewPCG(seed, randStream)),
+		rule:       func(string, string) Rule { return Rule{} },
+		nameByAddr: map[netip.Addr]string{},
+		conns:      map[net.Conn]struct{}{},
 	}
 }
 
-// Add relays TCP and UDP from the advertised address to the process called name at its real address, target. The sockets
-// are open until Close, whatever becomes of ctx.
+// Add relays TCP and UDP traffic from the advertised address to target, the real address of the named process. The
+// sockets stay open until Close, even if ctx ends earlier.
 func (r *Relay) Add(ctx context.Context, name, advertised, target string) error {
 	targetUDP, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
-		return fmt.Errorf("address of %s: %w", name, err)
+		return fmt.Errorf("resolve real address of %s: %w", name, err)
 	}
 	added := &endpoint{relay: r, name: name, target: target, targetUDP: targetUDP}
 	if err := added.listen(ctx, advertised); err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.names[targetUDP.AddrPort().Addr().Unmap()] = name
+	r.nameByAddr[targetUDP.AddrPort().Addr().Unmap()] = name
 	r.endpoints = append(r.endpoints, added)
 	r.mu.Unlock()
-	r.loops.Go(added.relayDatagrams)
-	r.loops.Go(added.acceptStreams)
+	r.readers.Go(added.relayDatagrams)
+	r.readers.Go(added.acceptStreams)
 	return nil
 }
 
-// SetRules replaces the rules in force, also for open streams. Rule is called with the names of two processes, "" for
-// an unknown one, while the relay is locked.
+// SetRules replaces the rules in force. The new ones also apply to open streams. The relay calls rule with the names
+// of two processes while it holds its lock; the name of an unknown process is "".
 func (r *Relay) SetRules(rule func(from, to string) Rule) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,10 +93,10 @@
 	return all
 }
 
-// partitionedFrom returns the real addresses of the processes between which and the one called name there is a
-// partition in either direction. The caller holds the lock.
+// partitionedFrom returns the real IPv4 addresses of the processes that are partitioned from the named one in either
+// direction. The caller must hold r.mu.
 func (r *Relay) partitionedFrom(name string) (blocked []uint32) {
-	for ip, other := range r.names {
+	for ip, other := range r.nameByAddr {
 		if r.rule(other, name).Partition || r.rule(name, other).Partition {
 			octets := ip.As4()
 			blocked = append(blocked, binary.BigEndian.Uint32(octets[:]))
@@ -99,7 +105,8 @@
 	return blocked
 }
 
-// Close closes all sockets and ends what the relay carries. Streams in a delay end after it.
+// Close closes all sockets and waits until no more traffic is read from them. Streams that wait for a delay end
+// later.
 func (r *Relay) Close() {
 	r.closed.Store(true)
 	r.mu.Lock()
@@ -111,10 +118,11 @@
 		closeQuietly(conn)
 	}
 	r.mu.Unlock()
-	r.loops.Wait()
+	r.readers.Wait()
 }
 
-// track has Close close a connection, until untrack; a relay that is closed already does so at once.
+// track registers a connection that Close must close. It closes the connection at once if the relay is already
+// closed.
 func (r *Relay) track(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,11 +138,11 @@
 	delete(r.conns, conn)
 }
 
-// senderOf returns the name of the process with a source address; "" if there is none.
+// senderOf returns the name of the process with the source address, or "" if it is unknown.
 func (r *Relay) senderOf(source netip.Addr) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.names[source.Unmap()]
+	return r.nameByAddr[source.Unmap()]
 }
 
 func (r *Relay) ruleFor(from, to string) Rule {
@@ -143,7 +151,7 @@
 	return r.rule(from, to)
 }
 
-// drawDelays draws how often a datagram arrives, and after which delays.
+// drawDelays draws the delay of each copy of a datagram that arrives. It returns nil if the datagram is lost.
 func (r *Relay) drawDelays(rule Rule) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +165,7 @@
 	return delays
 }
 
-// drawDelay draws the delay of one datagram. The caller holds the lock.
+// drawDelay draws the delay of one copy of a datagram. The caller must hold r.mu.
 func (r *Relay) drawDelay(rule Rule) time.Duration {
 	delay := rule.Delay
 	if rule.Jitter > 0 {
@@ -166,5 +174,5 @@
 	return delay
 }
 
-// closeQuietly closes a socket that is not used any more, so that an error is of no interest.
+// closeQuietly closes a socket that is no longer used and ignores the error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/lab/faults/relay_test.go
+++ b/lab/faults/relay_test.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// relayTest is a relay between the processes n0 and n1, which the test plays: n0 sends and n1 receives.
+// relayTest is a relay between two processes, n0 and n1, that the test simulates: n0 sends and n1 receives.
 type relayTest struct {
 	*Relay
-	octet    int // second one of all addresses, so that test runs at the same time do not meet
+	octet    int // second octet of all addresses, which differs between concurrent test runs
 	sender   *net.UDPConn
 	receiver net.PacketConn
 }
@@ -51,7 +51,7 @@
 	require.NoError(t, err)
 }
 
-// receive returns the next datagram that n1 receives.
+// receive returns the next datagram that arrives at n1.
 func (r *relayTest) receive(t *testing.T) string {
 	t.Helper()
 	buffer := make([]byte, 10)
@@ -66,7 +66,7 @@
 	return (&net.Dialer{Timeout: timeout, LocalAddr: local}).Dial("tcp", r.advertised(1))
 }
 
-// requireReset opens a stream that must be reset while it connects or as soon as it has.
+// requireReset opens a stream, which must be reset during the dial or right after it.
 func (r *relayTest) requireReset(t *testing.T) {
 	t.Helper()
 	conn, err := r.dial(time.Minute)
@@ -77,7 +77,7 @@
 	require.ErrorIs(t, err, syscall.ECONNRESET)
 }
 
-// acceptStreams has n1 accept streams and write "welcome" to each.
+// acceptStreams accepts streams as n1 and writes "welcome" to each.
 func (r *relayTest) acceptStreams(t *testing.T) {
 	t.Helper()
 	ln := loopback.ListenAt(t, r.real(1))
@@ -89,11 +89,12 @@
 	}()
 }
 
-// partitionBack returns a partition from n1 to n0, one way.
+// partitionBack returns the rules of a one-way partition from n1 to n0.
 func partitionBack(from, to string) Rule { return Rule{Partition: from == "n1" && to == "n0"} }
 
-// Datagrams must arrive without a fault and through a partition of the other direction, and twice if duplicated.
-func TestRelayDatagrams(t *testing.T) {
+// A datagram must arrive if there is no fault, and also during a partition of the opposite direction. A duplicated
+// datagram must arrive twice.
+func TestRelayForwardsAndDuplicatesDatagrams(t *testing.T) {
 	relay := newRelayTest(t)
 	relay.send(t, "hello")
 	require.Equal(t, "hello", relay.receive(t))
@@ -109,9 +110,9 @@
 	require.Equal(t, "twice", relay.receive(t))
 }
 
-// Streams must be reset where the process is not running or a rule says so, time out through a partition in either
-// direction, and carry everything otherwise.
-func TestRelayStreams(t *testing.T) {
+// A stream must be reset if the process is not running or a rule resets it, and time out through a partition in
+// either direction. Without such a fault it must carry all data.
+func TestRelayResetsAndPartitionsStreams(t *testing.T) {
 	relay := newRelayTest(t)
 	relay.requireReset(t) // n1 does not accept streams yet
 	relay.acceptStreams(t)
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -15,7 +15,7 @@
 	Locations []Location
 }
 
-// raw is a fault as it stands in a script. Errors of the decoder print the names of the type and its fields.
+// raw is a fault as written in a script. Errors of the TOML decoder contain the names of this type and of its fields.
 type raw struct {
 	Kind   string  `toml:"kind"`
 	Who    string  `toml:"who"`
@@ -29,8 +29,8 @@
 	Rate   int     `toml:"rate"`
 }
 
-// Parse reads a script in TOML: a list of tables [[fault]]. An error names the fault and the key; it wraps a
-// FieldError where the value does not make sense.
+// Parse parses a script in TOML: a list of [[fault]] tables. An error names the index of the fault and the key. It
+// wraps a FieldError if a value is invalid.
 func Parse(text []byte, locations []Location) (*Script, error) {
 	var file struct {
 		Fault []raw `toml:"fault"`
@@ -39,7 +39,7 @@
 	if err := decoder.Decode(&file); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
-			return nil, errors.New(strict.String()) // its text shows the unknown keys in their lines
+			return nil, errors.New(strict.String()) // the text of strict shows the lines with the unknown keys
 		}
 		return nil, fmt.Errorf("decode script: %w", err)
 	}
@@ -54,6 +54,7 @@
 	return script, nil
 }
 
+// parse returns the fault after checking it. The peer of a link fault defaults to AllMembers.
 func (r *raw) parse(locations []Location) (fault Fault, err error) {
 	fault = Fault{
 		Kind: Kind(r.Kind), Target: r.Who, Peer: r.To, OneWay: r.OneWay, Ratio: r.Share, BytesPerSecond: r.Rate,
@@ -81,7 +82,7 @@
 	return fault, fault.Check(locations)
 }
 
-// parseDuration reads a duration; 0 where there is none.
+// parseDuration parses a duration. The empty text is 0.
 func parseDuration(key, text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -97,7 +98,7 @@
 	return fieldError(key, "%q is not a valid duration", text)
 }
 
-// AffectedMembers returns the names of the members whose process a fault affects.
+// AffectedMembers returns the names of the members that match the target of a process fault.
 func (s *Script) AffectedMembers(f *Fault) (names []string) {
 	for i := range s.Locations {
 		if s.Locations[i].matches(f.Target) {
@@ -107,8 +108,8 @@
 	return names
 }
 
-// RulesAt returns the rules that the faults of links make together at a time. Traffic with a process that is no
-// member is not affected.
+// RulesAt returns the combined effect of the link faults that are active at now, as a function of the names of sender
+// and receiver. Traffic from or to a process that is not a member is not affected.
 func (s *Script) RulesAt(now time.Duration) func(from, to string) Rule {
 	var active []Fault
 	for i := range s.Faults {
@@ -135,19 +136,19 @@
 	}
 }
 
-// Rule is the effect of faults on the traffic from one process to another. The zero value is none.
+// Rule is the combined effect of faults on the traffic from one process to another. The zero value has no effect.
 type Rule struct {
-	Partition      bool
-	LossRatio      float64       // of datagrams that are lost, from 0 to 1
-	DuplicateRatio float64       // of datagrams that arrive twice, from 0 to 1
-	Delay          time.Duration // of datagrams, and of each chunk that a stream carries
-	Jitter         time.Duration // up to which datagrams are delayed further, so that they overtake one another
-	BytesPerSecond int           // that each stream carries at most; 0 = no bound
-	Reset          bool          // streams are reset, open ones and new ones
+	Partition      bool          // nothing arrives
+	LossRatio      float64       // fraction of datagrams that are lost, from 0 to 1
+	DuplicateRatio float64       // fraction of datagrams that arrive twice, from 0 to 1
+	Delay          time.Duration // of each datagram, and of each chunk of a stream
+	Jitter         time.Duration // maximum additional delay of a datagram; datagrams may overtake one another
+	BytesPerSecond int           // maximum rate of each stream; 0 = unlimited
+	Reset          bool          // streams are reset, both open and new ones
 }
 
-// add adds a fault of links to the rule. Losses are independent of each other, delays add up, and the lowest rate
-// counts.
+// add adds the effect of a link fault to the rule. Losses and duplications are independent of each other, delays add
+// up, and the lowest rate applies.
 func (r *Rule) add(fault *Fault) {
 	switch fault.Kind {
 	case KindPartition:
@@ -165,6 +166,6 @@
 		}
 	case KindReset:
 		r.Reset = true
-	default: // of a process
+	default: // a process fault
 	}
 }
--- a/lab/faults/script_test.go
+++ b/lab/faults/script_test.go
@@ -11,6 +11,8 @@
 
 var testLocations = []Location{{"n0", "a", "r"}, {"n1", "b", "r"}, {"n2", "a", "r"}}
 
+// An invalid script must be rejected with an error that names the fault and the key. Only an error about a value is a
+// FieldError; one about an unknown key is not.
 func TestParseRejectsInvalidScripts(t *testing.T) {
 	for want, text := range map[string]string{
 		"fault[0].kind: \"flood\"":               `kind = "flood"`,
@@ -32,9 +34,9 @@
 	}
 }
 
-// A partition of a zone must not affect the links within it; faults must add up; and each must end after its
-// duration.
-func TestRulesAt(t *testing.T) {
+// A partition of a zone must not affect the links within the zone, the effects of several faults must add up, and
+// each fault must end after its duration.
+func TestRulesAtCombinesActiveFaults(t *testing.T) {
 	script, err := Parse([]byte(`
 [[fault]]
 kind = "cut"
--- a/lab/faults/stream.go
+++ b/lab/faults/stream.go
@@ -10,7 +10,8 @@
 
 const (
 	streamBufferBytes = 16 << 10
-	// streamInterval is how often a throttled stream carries a chunk, and a partitioned one looks whether it may go on.
+	// streamInterval is the time between two chunks of a throttled stream, and between two checks of the rules in a
+	// partitioned one.
 	streamInterval = 20 * time.Millisecond
 )
 
@@ -19,10 +20,10 @@
 	relay            *Relay
 	from, to         *net.TCPConn
 	sender, receiver string // names of the processes
-	reset            func() // has the closing of the stream reset it
+	reset            func() // makes the inbound connection send a RST when it is closed
 }
 
-// run copies until the sender has closed its direction, the stream breaks or a rule resets it.
+// run copies data until the sender closes its direction, the stream breaks, or a rule resets it.
 func (s *streamCopy) run() {
 	buffer := make([]byte, streamBufferBytes)
 	for {
@@ -37,8 +38,8 @@
 	}
 }
 
-// forward writes a chunk by the rules in force, which may change meanwhile; in a partition it waits. It returns false
-// if the stream is over.
+// forward writes a chunk to the receiver. It applies the rules in force, which may change while it delays the chunk
+// or waits for the end of a partition. It returns false if the stream has ended.
 func (s *streamCopy) forward(chunk []byte) bool {
 	for first := true; len(chunk) > 0; first = false {
 		rule := s.relay.ruleFor(s.sender, s.receiver)
@@ -71,10 +72,10 @@
 	return true
 }
 
-// finish passes the end of the stream on, as what it was: closed, reset or broken.
+// finish passes the end of the stream on to the receiver: a half-close, a reset, or a close for any other error.
 func (s *streamCopy) finish(readErr error) {
 	if errors.Is(readErr, io.EOF) {
-		_ = s.to.CloseWrite() // an error means that the other end is gone as well
+		_ = s.to.CloseWrite() // an error means that the receiver has closed the stream too
 		return
 	}
 	if errors.Is(readErr, syscall.ECONNRESET) {
--- a/lab/fleetlab/dependencies.go
+++ b/lab/fleetlab/dependencies.go
@@ -13,8 +13,8 @@
 	"falldeal/lab/workerpool"
 )
 
-// A store crashes when it has more than storeCrashMultiple times its slots in flight for storeCrashTolerance, and is
-// then down for storeDowntime.
+// A store crashes after it has had more than storeCrashMultiple calls per slot in flight for storeCrashTolerance. It
+// is then down for storeDowntime.
 const (
 	storeCrashMultiple  = 5
 	storeCrashTolerance = 5 * time.Second
@@ -32,11 +32,12 @@
 	return nil
 }
 
-// startStore starts the fake store of a zone. Its goroutine ends when Close closes the socket.
+// startStore starts the fake store of the zone with the given index. Its goroutine ends when Close closes the
+// listener.
 func (l *Lab) startStore(ctx context.Context, zone int) error {
 	ln, err := listenTCP(ctx, l.storeAddr(zone))
 	if err != nil {
-		return fmt.Errorf("start store: %w", err)
+		return fmt.Errorf("start store of zone %s: %w", l.options.Zones[zone], err)
 	}
 	l.closers = append(l.closers, ln)
 	name := l.options.Zones[zone]
@@ -46,6 +47,7 @@
 	return nil
 }
 
+// newStore returns the fake store of a zone, which records its calls in the history.
 func (l *Lab) newStore(zone string) *fakes.Store {
 	slots := l.options.Slots
 	log := func(kind history.Kind) func(id string, inFlight int) {
@@ -67,7 +69,8 @@
 	}
 }
 
-// newAgent returns the fake agent of a member's next process. Only the first one starts warmed up.
+// newAgent returns the fake agent for the member's next process. The agent of the first process starts warmed up;
+// later ones start cold.
 func (m *Member) newAgent() *fakes.Agent {
 	log := m.lab.Log
 	curve := workerpool.AgentCurve(m.lab.options.Cores, workerpool.CoreSpeed(m.number))
@@ -92,7 +95,7 @@
 	}
 }
 
-// planRun takes the work of a run from the body of its request, where package clients puts it.
+// planRun returns the plan of a run. Its work, in ns, is the body of the launch: package clients encodes it there.
 func planRun(launch fakes.Launch) fakes.RunPlan {
 	work, err := strconv.ParseInt(string(launch.Body), 10, 64)
 	if err != nil {
@@ -105,14 +108,15 @@
 	return plan
 }
 
-// TotalCores returns the work that all agents together do in a second, in seconds on a core of speed 1.
+// TotalCores returns the work that all agents together do per second, in seconds on a core of speed 1.
 func (l *Lab) TotalCores() float64 { return workerpool.TotalCores(len(l.Members), l.options.Cores) }
 
-// Capacity returns how many requests a second all agents together can read and run, without calls.
+// Capacity returns how many requests per second all agents together can read and run, not counting calls to the
+// stores.
 func (l *Lab) Capacity() float64 { return clients.Capacity(l.TotalCores(), l.options.Classes) }
 
-// ReadRequest has the agent of a member read a request; the channel is closed when it has been read. Nil: the member
-// has no process.
+// ReadRequest makes the agent of a member spend the work of reading one request. The returned channel is closed when
+// the request has been read. It is nil if the member has no running process.
 func (l *Lab) ReadRequest(server string) <-chan struct{} {
 	agent := l.runningAgent(server)
 	if agent == nil {
@@ -121,14 +125,14 @@
 	return agent.ReadRequest(clients.ReadWork(l.options.Classes), l.options.Cores)
 }
 
-// CompleteAttempt informs the agent of a member that an attempt has its answer or is abandoned.
+// CompleteAttempt tells the agent of a member that an attempt was answered or abandoned.
 func (l *Lab) CompleteAttempt(server, attemptID string) {
 	if agent := l.runningAgent(server); agent != nil {
 		agent.CompleteRequest(attemptID)
 	}
 }
 
-// runningAgent returns the agent of a member whose process runs; nil without one.
+// runningAgent returns the agent of a member, or nil if the member has no running process.
 func (l *Lab) runningAgent(server string) *fakes.Agent {
 	member := l.FindMember(server)
 	member.mu.Lock()
--- a/lab/fleetlab/expectation_test.go
+++ b/lab/fleetlab/expectation_test.go
@@ -12,37 +12,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// expectation is what the view of a member must hold of a subject.
+// expectation is a value that the view of an observer must have for a subject.
 type expectation struct{ subject, value string }
 
-// Subjects of expectations beside members, which go by their names.
+// Subjects other than members. The subject of a member is its name.
 const (
 	subjectPosition   = "position" // of the observer
 	subjectZonePrefix = "zone "
 )
 
-// Values of expectations of zones.
+// Values for zones.
 const (
 	zoneReachable   = "reachable"
 	zoneUnreachable = "unreachable"
 )
 
-// member expects a condition of a member.
+// member expects the observer to report the condition for the named member.
 func member(name string, condition history.Condition) expectation {
 	return expectation{subject: name, value: string(condition)}
 }
 
-// zone expects a state of a zone.
+// zone expects the observer to report the state for the named zone.
 func zone(name, state string) expectation {
 	return expectation{subject: subjectZonePrefix + name, value: state}
 }
 
-// position expects a position of the observer.
+// position expects the observer to report the position for itself.
 func position(expected fleet.Position) expectation {
 	return expectation{subject: subjectPosition, value: expected.ReportName()}
 }
 
-// members expects a condition of several members.
+// members expects the observer to report the condition for each named member.
 func members(condition history.Condition, names ...string) (expected []expectation) {
 	for _, name := range names {
 		expected = append(expected, member(name, condition))
@@ -50,15 +50,15 @@
 	return expected
 }
 
-// serving expects members to be serving.
+// serving expects the observer to report each named member as serving.
 func serving(names ...string) []expectation { return members(history.ConditionServing, names...) }
 
-// unreachable expects members to be unreachable.
+// unreachable expects the observer to report each named member as unreachable.
 func unreachable(names ...string) []expectation {
 	return members(history.ConditionUnreachable, names...)
 }
 
-// requireViews waits until the views of all observers are as expected.
+// requireViews waits until the views of all observers meet all expectations. It fails the test after waitTimeout.
 func (l *Lab) requireViews(t *testing.T, observers []string, expected ...expectation) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
@@ -74,13 +74,14 @@
 	}
 }
 
-// requireFullyConnected waits until all observers see all of each other serving.
+// requireFullyConnected waits until each observer reports all of them as serving and itself as fully connected.
 func (l *Lab) requireFullyConnected(t *testing.T, observers []string) {
 	t.Helper()
 	l.requireViews(t, observers, append(serving(observers...), position(fleet.FullyConnected))...)
 }
 
-// mismatch describes how the view of one of the observers differs from what is expected; empty if none does.
+// mismatch describes the first expectation that the view of an observer does not meet. It returns "" if there is
+// none.
 func (l *Lab) mismatch(ctx context.Context, observers []string, expected []expectation) string {
 	for _, name := range observers {
 		observed, err := l.FindMember(name).observe(ctx)
@@ -96,7 +97,7 @@
 	return ""
 }
 
-// observe returns the values in the member's view, by subject.
+// observe returns the values in the member's view by subject.
 func (m *Member) observe(ctx context.Context) (observed map[string]string, err error) {
 	report, err := m.FleetReport(ctx)
 	if err != nil {
@@ -116,7 +117,7 @@
 	return observed, nil
 }
 
-// isInPosition reports whether the member's process answers and reports that position of itself.
+// isInPosition reports whether the member's process answers and reports the expected position for itself.
 func (m *Member) isInPosition(ctx context.Context, expected fleet.Position) bool {
 	report, err := m.FleetReport(ctx)
 	return err == nil && report.Position == expected.ReportName()
--- a/lab/fleetlab/files.go
+++ b/lab/fleetlab/files.go
@@ -13,7 +13,7 @@
 	"falldeal/lab/clients"
 )
 
-// Names of the files of a member.
+// Files in the directory of a member.
 const (
 	configFile    = "config.json"
 	operatorsFile = "operators.toml"
@@ -21,13 +21,13 @@
 	logFile       = "log"
 )
 
-// Modes of the directories and files of members: their owner's alone.
+// Only the owner can access the directories and files of members.
 const (
 	dirMode  = 0o700
 	fileMode = 0o600
 )
 
-// stallTime is for how long the loop of a server blocks on faults.KindStall.
+// stallTime is how long the event loop of a server is blocked by a faults.KindStall.
 const stallTime = 15 * time.Second
 
 //go:embed config.json.tmpl
@@ -35,27 +35,27 @@
 
 var configTemplate = template.Must(template.New(configFile).Parse(configText))
 
-// configValues are what the configurations of members differ by.
+// configValues are the values of config.json.tmpl.
 type configValues struct {
 	Name, FrontAddr, AgentAddr, AnnounceAddr, StoreAddr, ConsoleAddr string
 
 	Seed                 uint64
 	Members, Cores       int
-	CallQuota            float64 // calls in flight to the store
-	WarmupMicros         int64
-	CallsByClass         string
-	DegradedValueByClass string
-	Classes              string
+	CallQuota            float64 // maximum calls in flight to the store
+	WarmupMicros         int64   // warm-up time of the agent in µs
+	CallsByClass         string  // JSON list elements: whether requests of the class call the store
+	DegradedValueByClass string  // JSON list elements: value of the class without the call, as a ratio of its full value
+	Classes              string  // JSON list elements, see classConfig
 }
 
-// writeFiles writes the files that the member's process is started with.
+// writeFiles writes the configuration and the operators' file that the member's process is started with.
 func (m *Member) writeFiles() error {
 	if err := os.MkdirAll(m.dir, dirMode); err != nil {
 		return fmt.Errorf("create directory: %w", err)
 	}
 	var config strings.Builder
 	if err := configTemplate.Execute(&config, m.configValues()); err != nil {
-		return fmt.Errorf("configuration of %s: %w", m.Name, err)
+		return fmt.Errorf("generate configuration of %s: %w", m.Name, err)
 	}
 	if err := m.writeFile(configFile, config.String()); err != nil {
 		return err
@@ -63,6 +63,7 @@
 	return m.WriteOperatorsFile(m.lab.key)
 }
 
+// configValues returns the values of the member's configuration.
 func (m *Member) configValues() configValues {
 	options := &m.lab.options
 	var classes, calls, degraded []string
@@ -90,7 +91,7 @@
 	}
 }
 
-// classConfig returns the configuration of a class, in JSON.
+// classConfig returns the configuration of a class as a JSON object.
 func classConfig(class *clients.Class) string {
 	idempotency := "safe"
 	window := defaultIdempotencyWindow
@@ -104,8 +105,8 @@
 		idempotency, window.Microseconds(), class.Value)
 }
 
-// WriteOperatorsFile writes the operators' file and, unless the first key is empty, the file of the fleet's keys, of
-// which the first one encrypts. The process reads them at its next start or SIGHUP.
+// WriteOperatorsFile writes the operators' file. It also writes the key file unless keys is empty or the first key is
+// "". The first key encrypts; the others only decrypt. The process reads the files at its next start or on SIGHUP.
 func (m *Member) WriteOperatorsFile(keys ...string) error {
 	options := &m.lab.options
 	var text strings.Builder
@@ -126,7 +127,6 @@
 	return m.writeFile(operatorsFile, text.String())
 }
 
-// writeFile writes a file of the member.
 func (m *Member) writeFile(name, text string) error {
 	if err := os.WriteFile(filepath.Join(m.dir, name), []byte(text), fileMode); err != nil {
 		return fmt.Errorf("write %s of %s: %w", name, m.Name, err)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// seedList returns the advertised addresses of one member in each zone, as elements of a TOML array.
+// seedList returns the advertised gossip addresses of the first member of each zone, as elements of a TOML array.
 func (l *Lab) seedList() string {
 	var seeds []string
 	for i := range min(len(l.options.Zones), l.options.Members) {
--- a/lab/fleetlab/harness_test.go
+++ b/lab/fleetlab/harness_test.go
@@ -20,15 +20,16 @@
 )
 
 const (
-	// waitTimeout bounds each wait for a condition; a verdict never depends on how long one took.
+	// waitTimeout bounds each wait for a condition. It only limits how long a failing test runs: no test passes or
+	// fails because of how long a condition took.
 	waitTimeout = 90 * time.Second
-	// answerSlack is by how much an answer may be late on a busy machine.
+	// answerSlack is how late an answer may be because the machine is busy.
 	answerSlack = 200 * time.Millisecond
-	// logTail is how many lines of a process's log a failed test shows.
+	// logTail is the number of log lines of each process that a failed test prints.
 	logTail = 40
 )
 
-// buildPrograms builds the shipped programs with the race detector, and returns the path of falldeal.
+// buildPrograms builds the shipped programs with the race detector and returns the path of falldeal.
 func buildPrograms(tb testing.TB) (binary string) {
 	tb.Helper()
 	dir := tb.TempDir()
@@ -38,8 +39,8 @@
 	return filepath.Join(dir, "falldeal")
 }
 
-// startLab starts a fleet that ends with the test. The test fails if a process has reported a data race, and shows
-// the ends of the processes' logs if it has failed.
+// startLab starts a fleet that is closed at the end of the test. The test fails if a process has reported a data
+// race. A failed test prints the last log lines of each process.
 func startLab(t *testing.T, configure func(*Options)) *Lab {
 	t.Helper()
 	options := Defaults()
@@ -57,6 +58,8 @@
 	return started
 }
 
+// checkLog fails the test if the member's process reported a data race, and prints the last log lines of a failed
+// test.
 func (m *Member) checkLog(t *testing.T) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(m.dir, logFile))
@@ -68,7 +71,7 @@
 	}
 }
 
-// inject starts a fault now. It lasts until the function is called that it returns.
+// inject starts a fault now. The returned function ends it.
 func (l *Lab) inject(t *testing.T, fault faults.Fault) (end func()) {
 	t.Helper()
 	fault.Start = l.Log.Now()
@@ -81,7 +84,7 @@
 	}
 }
 
-// endInjected has a fault of the script end now.
+// endInjected sets the duration of an injected fault so that it ends now.
 func (l *Lab) endInjected(fault faults.Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,13 +103,13 @@
 	return names
 }
 
-// without returns the names without one.
+// without returns a copy of names without name.
 func without(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == name })
 }
 
-// generateLoad has front ends send requests at a rate (per second) and watches the views, until the returned function is
-// called, which may be called again.
+// generateLoad sends requests from front ends at a total rate per second, and records changes of the views, until
+// stop is called. Stop may be called more than once.
 func (l *Lab) generateLoad(frontEnds int, rate float64, policies ...clients.Policy) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	workload := clients.Workload{
@@ -128,7 +131,7 @@
 	}
 }
 
-// requireNoViolations checks the history against all rules.
+// requireNoViolations checks the recorded history against all rules.
 func (l *Lab) requireNoViolations(t *testing.T) {
 	t.Helper()
 	rules := history.Rules{Slack: answerSlack, IdempotencyWindow: IdempotencyWindow}
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -1,9 +1,11 @@
-// Package fleetlab starts fleets of real processes of the shipped program on loopback, with fakes of all services
-// that they depend on, and injects faults (package faults). Each process has addresses of its own in 127.0.0.0/8.
+// Package fleetlab runs fleets of falldeal processes on loopback, together with fakes of the agents, the stores and
+// the announce service that the processes depend on. It injects faults into the processes and into the links between
+// them (package faults). Each process has its own addresses in 127.0.0.0/8.
 //
-// All processes share one machine, so a large fleet is slower than one on machines of its own, and the network's
-// bandwidth is not modelled. A blocked loop and a skewed clock are injected by the program itself, as its operators'
-// file allows.
+// The laboratory differs from a real fleet as follows:
+//   - All processes share one machine, so a large fleet is slower than one with a machine per process.
+//   - Network bandwidth is not modelled.
+//   - The server process itself stalls its event loop and skews its clock, as enabled in its operators' file.
 package fleetlab
 
 import (
@@ -23,26 +25,27 @@
 	"falldeal/lab/history"
 )
 
-// Lab is a fleet of processes with the fakes of its dependencies. Its methods may be called from any goroutine.
+// Lab is a fleet of server processes and the fakes of their dependencies. Its methods are safe for concurrent use.
 type Lab struct {
-	Log      *history.Log
-	Relay    *faults.Relay // of the gossip between members
+	Log      *history.Log  // records all events; its clock is the laboratory's clock
+	Relay    *faults.Relay // carries the gossip between members
 	Members  []*Member
 	Announce *fakes.AnnounceService
 	Stores   map[string]*fakes.Store // by zone
 
 	options Options
 	subnet  int         // second octet of all addresses
-	closers []io.Closer // sockets of the fakes, and the one that reserves the subnet
-	key     string
+	closers []io.Closer // sockets of the fakes, and the listener that reserves the subnet
+	key     string      // gossip encryption key in hexadecimal; empty if the gossip is not encrypted
 
+	// mu guards the fields below.
 	mu        sync.Mutex
 	script    []*scriptedFault
-	snapshots []registrySnapshot // oldest first
+	snapshots []registrySnapshot // registered servers over time, oldest first
 }
 
-// New prepares a fleet and starts the fakes, which run until Close whatever becomes of ctx. StartMembers starts the
-// processes. The caller closes the fleet.
+// New creates the members of a fleet and starts the fakes, which run until Close even if ctx ends earlier.
+// StartMembers starts the server processes. The caller must call Close.
 func New(ctx context.Context, options Options) (*Lab, error) {
 	if err := os.MkdirAll(options.Dir, dirMode); err != nil {
 		return nil, fmt.Errorf("create directory: %w", err)
@@ -84,21 +87,21 @@
 	return nil
 }
 
-// Close ends all processes, the relay and the fakes.
+// Close kills all server processes and stops the relay and the fakes.
 func (l *Lab) Close() {
 	for _, m := range l.Members {
-		m.Signal(killSignal) // also ends a paused process
+		m.Signal(killSignal) // SIGKILL also ends a paused process
 	}
 	for _, m := range l.Members {
 		m.Wait()
 	}
 	l.Relay.Close()
 	for _, c := range l.closers {
-		_ = c.Close() // the fleet ends
+		_ = c.Close() // nothing uses the sockets any more
 	}
 }
 
-// FindMember returns the member of that name, or nil.
+// FindMember returns the member with the given name, or nil if there is none.
 func (l *Lab) FindMember(name string) *Member {
 	for _, m := range l.Members {
 		if m.Name == name {
@@ -108,10 +111,10 @@
 	return nil
 }
 
-// Key returns the key of the fleet's gossip, in hexadecimal; empty if it is not encrypted.
+// Key returns the gossip encryption key in hexadecimal, or "" if the gossip is not encrypted.
 func (l *Lab) Key() string { return l.key }
 
-// fleetKey derives the key of a fleet's gossip from a seed.
+// fleetKey derives the gossip encryption key from the seed of the fleet.
 func fleetKey(seed uint64) string {
 	const keyBytes, randStream = 32, 9
 	key := make([]byte, keyBytes)
@@ -122,7 +125,7 @@
 	return hex.EncodeToString(key)
 }
 
-// addMember adds member i, with its addresses and files.
+// addMember creates member i, registers it with the relay and writes its files.
 func (l *Lab) addMember(ctx context.Context, i int) error {
 	zone := i % len(l.options.Zones)
 	host := 1 + i/len(l.options.Zones)
@@ -140,42 +143,44 @@
 	}
 	l.Members = append(l.Members, added)
 	if err := l.Relay.Add(ctx, added.Name, added.GossipAddr, added.GossipListenAddr); err != nil {
-		return fmt.Errorf("relay to %s: %w", added.Name, err)
+		return fmt.Errorf("add relay endpoint of %s: %w", added.Name, err)
 	}
 	return added.writeFiles()
 }
 
-// Addresses are 127.SUBNET.NET.HOST. Those of members have a net for each zone.
+// Addresses have the form 127.SUBNET.NETWORK.HOST. Members, agents and relay endpoints use one network per zone: the
+// constant plus the index of the zone.
 const (
-	memberNet   = 10
-	agentNet    = 60
-	relayNet    = 110
-	announceNet = 200
-	storeNet    = 201
-	guardNet    = 255
-
-	frontPort    = 5050
-	consolePort  = 5051
-	gossipPort   = 7946
-	agentPort    = 4400
-	announcePort = 8761
-	storePort    = 8900
-	guardPort    = 7000
-	guardHost    = 254
+	memberNet      = 10
+	agentNet       = 60
+	relayNet       = 110
+	announceNet    = 200
+	storeNet       = 201
+	reservationNet = 255
+
+	frontPort       = 5050
+	consolePort     = 5051
+	gossipPort      = 7946
+	agentPort       = 4400
+	announcePort    = 8761
+	storePort       = 8900
+	reservationPort = 7000
+	reservationHost = 254
 
 	minSubnet      = 16
 	subnets        = 230
 	subnetAttempts = 200
 )
 
-// reserveSubnet chooses a part of loopback that no other laboratory uses now, and keeps others off it by a listener.
+// reserveSubnet picks a random subnet of loopback and reserves it by listening on an address in it. The listener
+// fails on a subnet that another laboratory on this machine uses.
 func (l *Lab) reserveSubnet(ctx context.Context) (err error) {
 	for range subnetAttempts {
 		l.subnet = minSubnet + rand.IntN(subnets)
-		var guard net.Listener
-		guard, err = listenTCP(ctx, l.addr(guardNet, guardHost, guardPort))
+		var reservation net.Listener
+		reservation, err = listenTCP(ctx, l.addr(reservationNet, reservationHost, reservationPort))
 		if err == nil {
-			l.closers = append(l.closers, guard)
+			l.closers = append(l.closers, reservation)
 			return nil
 		}
 	}
@@ -194,12 +199,12 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", l.subnet, network, host, port)
 }
 
-// gossipAddr returns the advertised address of member i for gossip, at the relay.
+// gossipAddr returns the gossip address that member i advertises, which is an endpoint of the relay.
 func (l *Lab) gossipAddr(i int) string {
 	return l.addr(relayNet+i%len(l.options.Zones), 1+i/len(l.options.Zones), gossipPort)
 }
 
 func (l *Lab) announceAddr() string { return l.addr(announceNet, 1, announcePort) }
 
-// storeAddr returns the address of the store of zone number zone.
+// storeAddr returns the address of the store of the zone with the given index.
 func (l *Lab) storeAddr(zone int) string { return l.addr(storeNet, 1+zone, storePort) }
--- a/lab/fleetlab/member.go
+++ b/lab/fleetlab/member.go
@@ -16,30 +16,31 @@
 	"falldeal/lab/history"
 )
 
-// Member is one server of the fleet and, while it runs, its process. Its methods may be called from any goroutine.
+// Member is one server of the fleet, and its process while one runs. Its methods are safe for concurrent use.
 type Member struct {
 	Name, Zone       string
-	FrontAddr        string // for front ends
-	ConsoleAddr      string // for operators
-	GossipAddr       string // advertised to the other members, at the relay
-	GossipListenAddr string // of the process itself
+	FrontAddr        string // listen address for front ends
+	ConsoleAddr      string // listen address of the operators' console
+	GossipAddr       string // gossip address advertised to the other members, an endpoint of the relay
+	GossipListenAddr string // gossip address that the process listens on
 
 	lab       *Lab
-	number    int
-	dir       string // of its files
-	agentAddr string
+	number    int    // index in Lab.Members
+	dir       string // directory of the member's files
+	agentAddr string // address of the member's agent
 
+	// mu guards the fields below.
 	mu        sync.Mutex
-	cmd       *exec.Cmd     // nil while no process runs
-	exited    chan struct{} // closed after the end of the last process; nil before the first
-	agent     *fakes.Agent  // of the last process; nil before the first
-	starts    int
-	clockSkew time.Duration // of its next process
+	cmd       *exec.Cmd     // running process; nil while there is none
+	exited    chan struct{} // closed when the last process has exited; nil before the first start
+	agent     *fakes.Agent  // agent of the last process; nil before the first start
+	starts    int           // number of processes started
+	clockSkew time.Duration // clock offset of the next process
 }
 
 const killSignal = syscall.SIGKILL
 
-// signalStates are the states of a process that signals lead to.
+// signalStates maps each signal to the process state that is logged when it is sent.
 var signalStates = map[syscall.Signal]history.ProcessState{
 	killSignal:      history.ProcessKilled,
 	syscall.SIGSTOP: history.ProcessPaused,
@@ -48,7 +49,8 @@
 	syscall.SIGHUP:  history.ProcessReloading,
 }
 
-// Start starts a process of the member, and an agent for it. It fails if one runs already. The process outlives ctx.
+// Start starts the member's process and its agent. It fails if a process is already running. The process continues to
+// run when ctx ends.
 func (m *Member) Start(ctx context.Context) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,10 +63,10 @@
 	}
 	agent := m.newAgent()
 	m.agent = agent
-	go func() { _ = agent.Serve(ln) }() // until awaitExit closes ln
+	go func() { _ = agent.Serve(ln) }() // ends when awaitExit closes ln
 	cmd, err := m.startProcess(ctx)
 	if err != nil {
-		_ = ln.Close() // nothing has connected to it
+		_ = ln.Close() // no process was started that connects to it
 		return err
 	}
 	m.starts++
@@ -75,13 +77,13 @@
 	return nil
 }
 
-// startProcess starts the program, with its output in the file log.
+// startProcess starts the server program with its output appended to the member's log file.
 func (m *Member) startProcess(ctx context.Context) (*exec.Cmd, error) {
 	output, err := os.OpenFile(filepath.Join(m.dir, logFile), os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("log of %s: %w", m.Name, err)
+		return nil, fmt.Errorf("open log file of %s: %w", m.Name, err)
 	}
-	defer func() { _ = output.Close() }()                                                 // the process has a descriptor of its own
+	defer func() { _ = output.Close() }()                                                 // the process has its own descriptor
 	cmd := exec.CommandContext(context.WithoutCancel(ctx), m.lab.options.Binary, "serve", //nolint:gosec // the path of falldeal
 		"--config", filepath.Join(m.dir, configFile),
 		"--operators", filepath.Join(m.dir, operatorsFile),
@@ -95,19 +97,19 @@
 	return cmd, nil
 }
 
-// awaitExit waits for the end of a process and ends its agent.
+// awaitExit waits until the process exits, then stops its agent and closes exited.
 func (m *Member) awaitExit(cmd *exec.Cmd, agentListener net.Listener, exited chan<- struct{}) {
 	err := cmd.Wait()
 	state := history.ProcessEnded
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() > 0 {
-		state = history.ProcessFailed // by itself: its log says why
+		state = history.ProcessFailed // the log file of the process has the reason
 	}
 	m.mu.Lock()
 	m.cmd = nil
 	agent := m.agent
 	m.mu.Unlock()
-	_ = agentListener.Close() // no process is left that would connect
+	_ = agentListener.Close() // no process is left that connects to it
 	agent.Disconnect()
 	m.logState(state, 0)
 	close(exited)
@@ -117,7 +119,7 @@
 	m.lab.Log.Add(history.Event{Kind: history.ProcessChanged, Server: m.Name, Detail: string(state), Count: pid})
 }
 
-// Signal sends a signal to the member's process, if there is one.
+// Signal sends a signal to the member's process. It does nothing if none is running.
 func (m *Member) Signal(signal syscall.Signal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,13 +130,13 @@
 	_ = m.cmd.Process.Signal(signal) // fails only if the process has just ended
 }
 
-// Kill kills the process and waits for its end.
+// Kill kills the process and waits until it has exited.
 func (m *Member) Kill() {
 	m.Signal(killSignal)
 	m.Wait()
 }
 
-// Wait waits for the end of the process, if there is one.
+// Wait waits until the process has exited. It returns at once if none is running.
 func (m *Member) Wait() {
 	m.mu.Lock()
 	exited := m.exited
@@ -144,10 +146,10 @@
 	}
 }
 
-// Running reports whether a process runs.
+// Running reports whether a process is running.
 func (m *Member) Running() bool { return m.PID() != 0 }
 
-// PID returns the identifier of the process; 0 if none runs.
+// PID returns the process ID, or 0 if no process is running.
 func (m *Member) PID() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,7 +159,8 @@
 	return m.cmd.Process.Pid
 }
 
-// setAgentSlowdown makes the cores of the agent slower by factor, if there has been a process.
+// setAgentSlowdown slows the cores of the agent down by factor; 1 is normal speed. It does nothing before the first
+// start.
 func (m *Member) setAgentSlowdown(factor float64) {
 	m.mu.Lock()
 	agent := m.agent
@@ -167,7 +170,7 @@
 	}
 }
 
-// restartWithClock starts the member's process again with another clock.
+// restartWithClock kills the member's process and starts it again with its clock offset by skew.
 func (m *Member) restartWithClock(ctx context.Context, skew time.Duration) error {
 	m.Kill()
 	m.mu.Lock()
--- a/lab/fleetlab/membership_test.go
+++ b/lab/fleetlab/membership_test.go
@@ -20,9 +20,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// In a fleet of six processes in three zones, under load, all members that can know it must see a zone that is
-// partitioned, a process that is killed behind the partition, one that is paused and one that is started again, each
-// as what it is; after that all must agree. What clients and fakes saw must keep the rules all along.
+// Guards against wrong membership views: a partitioned zone, a process killed during the partition, a paused process
+// and a restarted process must each be reported with the right condition by every member that can know it. After
+// recovery all members must agree, and the recorded history must satisfy all rules. The fleet has six processes in
+// three zones, under load.
 func TestZonePartitionAndLostProcesses(t *testing.T) {
 	lab := startLab(t, func(*Options) {})
 	all := memberNames(6)
@@ -43,7 +44,7 @@
 	n4Failed := member("n4", history.ConditionFailed)
 	lab.requireViews(t, without(majority, "n4"), n4Failed, member("n2", history.ConditionUnreachable),
 		member("n0", history.ConditionServing))
-	lab.requireViews(t, isolated, unreachable("n4")...) // the failure can't be seen through the partition
+	lab.requireViews(t, isolated, unreachable("n4")...) // the partition hides the failure from them
 
 	heal()
 	live := without(all, "n4")
@@ -65,8 +66,9 @@
 	require.NotZero(t, history.SummarizeRequests(lab.Log.Events())[""].Served)
 }
 
-// A process whose loop alone is blocked must be told from one that is gone, by its own report. Clocks that are an
-// hour ahead or behind must not part a member from the fleet, before a restart under its name or after.
+// Guards against two false failures. A process whose event loop is blocked must be reported as stalled, not as
+// failed. A member whose clock is an hour ahead or behind must rejoin the fleet, also after a restart under the same
+// name.
 func TestStalledLoopAndClockSkew(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 5, []string{"z0", "z1"} })
 	all := memberNames(5)
@@ -77,14 +79,15 @@
 	endAhead := lab.inject(t, faults.Fault{Kind: faults.KindClockSkew, Target: "n1", Delay: time.Hour})
 	endBehind := lab.inject(t, faults.Fault{Kind: faults.KindClockSkew, Target: "n2", Delay: -time.Hour})
 	lab.requireFullyConnected(t, all)
-	endAhead() // the next incarnation is an hour behind what the others know by its name
+	endAhead() // the next incarnation number is an hour behind the one that the others know
 	endBehind()
 	lab.requireFullyConnected(t, all)
 	lab.requireNoViolations(t)
 }
 
-// Traffic of a process without the fleet's key, and what is no message, must be counted and dropped, and change
-// nothing. A key that is in force on one half of the fleet first must not part it where all know both keys.
+// Malformed messages and messages without the fleet's key must be counted and dropped, without an effect on
+// membership. A key rotation must not partition the fleet while members encrypt with different keys, as long as all
+// know both.
 func TestForeignTrafficAndKeyRotation(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 3, []string{"z0"} })
 	all := memberNames(3)
@@ -102,7 +105,7 @@
 	}
 
 	last := lab.Members[2]
-	require.NoError(t, last.WriteOperatorsFile(first)) // which the others have forgotten
+	require.NoError(t, last.WriteOperatorsFile(first)) // the others no longer accept this key
 	last.Kill()
 	require.NoError(t, last.Start(t.Context()))
 	require.Eventually(t, func() bool { return last.isInPosition(t.Context(), fleet.Alone) }, waitTimeout, time.Second/10)
@@ -112,7 +115,7 @@
 	lab.requireFullyConnected(t, all)
 }
 
-// sendForeignTraffic sends what is no message to a member, until the member has counted some of it.
+// sendForeignTraffic sends malformed messages to a member until it has counted at least 8 of them.
 func sendForeignTraffic(t *testing.T, target *Member) {
 	t.Helper()
 	udp, err := (&net.Dialer{}).DialContext(t.Context(), "udp", target.GossipListenAddr)
@@ -125,15 +128,15 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
 		for _, packet := range [][]byte{{0}, []byte("noise"), make([]byte, 60000), {1, 2, 3}} {
-			_, _ = udp.Write(packet) // the counters show whether enough of them have arrived
+			_, _ = udp.Write(packet) // lost packets are sent again until the counters suffice
 		}
 		report, err := target.FleetReport(t.Context())
 		return err == nil && report.Counters["strangers"]+report.Counters["spoilt"] >= 8
 	}, waitTimeout, 100*time.Millisecond)
 }
 
-// A server that is drained and terminated must be seen by all as having left. It must not start again with an
-// operators' file that makes no sense.
+// A server that is drained and terminated must be reported as left, not as failed. A restart with an invalid
+// operators' file must fail.
 func TestGracefulLeaveAndInvalidOperatorsFiles(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.Members, o.Zones = 3, []string{"z0"} })
 	all := memberNames(3)
@@ -156,7 +159,7 @@
 	require.Greater(t, fleet.MaxFreshAge(3), fleet.PublishInterval(3))
 }
 
-// runProgram runs a command of the shipped program, which must succeed, and returns its output.
+// runProgram runs a command of the shipped program and returns its output. The command must succeed.
 func (l *Lab) runProgram(t *testing.T, args ...string) string {
 	t.Helper()
 	output, err := exec.CommandContext(t.Context(), l.options.Binary, args...).CombinedOutput()
@@ -164,8 +167,8 @@
 	return string(output)
 }
 
-// requireInvalidOperatorsFiles starts a member that does not run with values in its operators' file that make no
-// sense. Each start must fail with an error that names the key.
+// requireInvalidOperatorsFiles starts a stopped member with invalid values in its operators' file. Each start must
+// fail with an error that names the key.
 func (l *Lab) requireInvalidOperatorsFiles(t *testing.T, stopped *Member) {
 	t.Helper()
 	path := filepath.Join(stopped.dir, operatorsFile)
--- a/lab/fleetlab/options.go
+++ b/lab/fleetlab/options.go
@@ -6,37 +6,38 @@
 	"falldeal/lab/clients"
 )
 
-// IdempotencyWindow is how long the servers remember an idempotency key, by their settings.
+// IdempotencyWindow is how long the servers remember the idempotency key of a request.
 const IdempotencyWindow = 17457 * time.Millisecond
 
-// defaultIdempotencyWindow is that of classes without keys, which the settings need as well.
+// defaultIdempotencyWindow is written for classes without idempotency keys, because the configuration requires a
+// value.
 const defaultIdempotencyWindow = 5 * time.Second
 
-// Options say which fleet to start.
+// Options describes the fleet to start.
 type Options struct {
-	Binary  string // path of the falldeal program, with the programs that it starts beside it
-	Dir     string // for the files of the processes; created if missing
+	Binary  string // path of the falldeal program; falldeal-fleet must be in the same directory
+	Dir     string // directory for the files of the processes; created if missing
 	Members int
-	Zones   []string // members are spread over them round robin
+	Zones   []string // members are assigned to the zones round robin
 	Region  string
 	Seed    uint64
-	// ProbeInterval is that of the membership's failure detector.
+	// ProbeInterval is the time between two probes of the failure detector of the fleet's membership.
 	ProbeInterval time.Duration
-	Encrypted     bool // the gossip is encrypted, with a key derived from Seed
-	LogLevel      string
+	Encrypted     bool   // encrypt the gossip, with a key derived from Seed
+	LogLevel      string // of the server processes
 
-	QuotaLeasing      bool // servers lease call quotas to one another
-	Shedding          bool // the fleet sheds load at one threshold
-	CoordinatedProbes bool // one server at a time probes a store that does not answer
+	QuotaLeasing      bool // servers lease call quota to one another
+	Shedding          bool // all servers shed load at one threshold
+	CoordinatedProbes bool // only one server at a time probes an unresponsive store
 
-	Cores      int           // of each agent; those of every other member are slower
-	WarmupTime time.Duration // of an agent that was restarted
-	Slots      int           // of the store of each zone
-	CallTime   time.Duration // of a call in a slot
+	Cores      int           // cores of each agent; the agent of every other member has slower cores
+	WarmupTime time.Duration // how long an agent warms up after a restart
+	Slots      int           // calls that the store of each zone works at concurrently
+	CallTime   time.Duration // work of a call in a slot of a store
 	Classes    []clients.Class
 }
 
-// Defaults returns the options of a small fleet in three zones, without Binary and Dir.
+// Defaults returns the options of a fleet of six members in three zones. Binary and Dir are left empty.
 func Defaults() Options {
 	const timeout, latencyObjective = 4 * time.Second, 1900 * time.Millisecond
 	return Options{
@@ -67,12 +68,12 @@
 	}
 }
 
-// Classes of requests that the settings of the servers and the fakes know.
+// Request classes in the configuration of the servers.
 const (
 	classPreview      = "preview"
 	classHiresCrop    = "hires-crop"
 	classLicenceOrder = "licence-order"
 )
 
-// callsStore reports whether a request of a class makes a call to the store.
+// callsStore reports whether the run of a request of the class makes a call to the store.
 func callsStore(class string) bool { return class != classHiresCrop }
--- a/lab/fleetlab/overload_test.go
+++ b/lab/fleetlab/overload_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Five processes under half as much load again as they can serve, one of them killed and one paused meanwhile, whose
-// clients retry without limit: all that live must shed load, at about the same threshold, and stop when the load is
-// gone.
+// Guards against members that shed load at different thresholds. Five processes get 1.6 times the load that they can
+// serve, from clients that retry without limit; one process is killed and one paused. All live members must shed at
+// about the same threshold, and stop shedding when the load has ended.
 func TestFleetShedsAtOneThreshold(t *testing.T) {
 	lab := startLab(t, func(o *Options) {
 		o.Members, o.Zones, o.Cores = 5, []string{"z0", "z1"}, 1
@@ -29,7 +29,7 @@
 	stopLoad := lab.generateLoad(4, 1.6*lab.Capacity(),
 		clients.Policy{HonorRetryAfter: true}, clients.Policy{RouteByKey: true})
 	defer stopLoad()
-	const tolerance = 6 // of thresholds, as priorities
+	const tolerance = 6 // maximum difference between thresholds, which are priorities
 	shedding := func(lowest, highest float64) bool { return lowest > 0 && highest-lowest < tolerance }
 	lab.requireThresholds(t, all, shedding)
 	lab.FindMember("n4").Kill()
@@ -44,8 +44,8 @@
 	lab.requireNoViolations(t)
 }
 
-// requireThresholds waits until the lowest and the highest shedding threshold of members, in all their views, meet a
-// condition.
+// requireThresholds waits until the lowest and the highest shedding threshold, of all members in the views of all
+// members, meet the condition.
 func (l *Lab) requireThresholds(t *testing.T, members []string, condition func(lowest, highest float64) bool) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -65,9 +65,9 @@
 	}, waitTimeout, time.Second/5)
 }
 
-// Stores that answer nothing must come to be probed by one server at a time, with a second call in flight at most
-// where the next server takes over. When they answer again, all servers must come to use them. The stores' own
-// records are the judge.
+// Guards against every server probing an unresponsive store on its own. Only one server at a time may probe it; a
+// second call may be in flight while the next server takes over. When the stores answer again, all servers must use
+// them again. The calls are counted by the stores.
 func TestUnresponsiveStoresAreProbedByOneServer(t *testing.T) {
 	lab := startLab(t, func(o *Options) { o.CoordinatedProbes, o.Slots = true, 24 })
 	all := memberNames(6)
@@ -89,7 +89,7 @@
 	wait("calls are made", inUse)
 	restore := lab.inject(t, faults.Fault{Kind: faults.KindUnresponsiveStore, Target: "*", Duration: time.Hour})
 	wait("one probe at a time", probesOnly)
-	lab.FindMember("n4").Kill() // which may be the one that probes
+	lab.FindMember("n4").Kill() // it may be the server that probes
 	wait("one probe at a time still", probesOnly)
 	restore()
 	wait("all servers use the stores again", func() bool {
@@ -99,7 +99,8 @@
 	lab.requireNoViolations(t)
 }
 
-// recentCalls returns how many calls the stores have got in the last 6 s, and how many one of them had in flight at most.
+// recentCalls returns the number of calls that the stores received in the last 6 s, and the maximum that one store
+// had in flight.
 func (l *Lab) recentCalls() (started, maxInFlight int) {
 	from := l.Log.Now() - 6*time.Second
 	for _, e := range l.Log.Events() {
@@ -111,7 +112,7 @@
 	return started, maxInFlight
 }
 
-// allUseStores reports whether members see each other's stores as answering.
+// allUseStores reports whether each of the members reports the stores of all of them as answering.
 func (l *Lab) allUseStores(ctx context.Context, members []string) bool {
 	notInUse := func(m fleet.MemberReport) bool {
 		state := overload.StoreState(m.StoreState)
--- a/lab/fleetlab/script.go
+++ b/lab/fleetlab/script.go
@@ -11,10 +11,10 @@
 	"falldeal/lab/history"
 )
 
-// scriptInterval is how often the script is looked at for faults to start and to end.
+// scriptInterval is the time between two checks for faults that are due to start or to end.
 const scriptInterval = 20 * time.Millisecond
 
-// faultState is how far a fault of the script has come.
+// faultState is the progress of a fault of the script.
 type faultState uint8
 
 const (
@@ -23,14 +23,14 @@
 	faultEnded
 )
 
-// scriptedFault is a fault of the script. It belongs to the lock of the Lab.
+// scriptedFault is a fault of the script. It is guarded by Lab.mu.
 type scriptedFault struct {
 	faults.Fault
 	state faultState
 }
 
-// advance moves the fault to the state that it should have, and reports whether it starts and whether it ends. A
-// short fault may do both at once.
+// advance sets the state that the fault must have at now. It reports whether the fault starts and whether it ends;
+// both are true for a fault that is shorter than scriptInterval.
 func (f *scriptedFault) advance(now time.Duration) (starts, ends bool) {
 	if f.state == faultPending && now >= f.Start {
 		f.state = faultActive
@@ -43,7 +43,7 @@
 	return starts, ends
 }
 
-// Locations returns where the members are, for scripts.
+// Locations returns the zone and region of each member, which the patterns of a fault script are matched against.
 func (l *Lab) Locations() (locations []faults.Location) {
 	for _, m := range l.Members {
 		locations = append(locations, faults.Location{Name: m.Name, Zone: m.Zone, Region: l.options.Region})
@@ -51,7 +51,8 @@
 	return locations
 }
 
-// AddFault adds a fault to the script. It fails if the fault does not make sense for this fleet.
+// AddFault adds a fault to the script. It returns an error if the fault is invalid or matches no member of this
+// fleet.
 func (l *Lab) AddFault(fault faults.Fault) error {
 	if err := fault.Check(l.Locations()); err != nil {
 		return fmt.Errorf("%s: %w", fault.Kind, err)
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// StartMembers starts all members except those whose start a fault of the script delays.
+// StartMembers starts all members except those that a faults.KindDelayedStart of the script applies to.
 func (l *Lab) StartMembers(ctx context.Context) error {
 	delayed := l.delayedMembers()
 	for _, m := range l.Members {
@@ -76,6 +77,7 @@
 	return nil
 }
 
+// delayedMembers returns the names of the members that a faults.KindDelayedStart of the script applies to.
 func (l *Lab) delayedMembers() map[string]bool {
 	delayed := map[string]bool{}
 	l.mu.Lock()
@@ -93,7 +95,7 @@
 	return delayed
 }
 
-// currentScript returns a copy of the script. The caller holds the lock.
+// currentScript returns a copy of the script. The caller must hold l.mu.
 func (l *Lab) currentScript() faults.Script {
 	script := faults.Script{Locations: l.Locations()}
 	for _, f := range l.script {
@@ -102,8 +104,8 @@
 	return script
 }
 
-// RunScript starts and ends the faults of the script until ctx ends. It returns an error when a process can't be
-// started again or the rules between processes can't be set.
+// RunScript starts and ends the faults of the script when they are due, until ctx ends. It returns an error if a
+// process cannot be restarted at the end of its fault or the rules of the relay cannot be set.
 func (l *Lab) RunScript(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := l.applyFaults(ctx); err != nil {
@@ -123,7 +125,7 @@
 	starting, ending, script := l.advanceScript(now)
 	if affectLinks(starting) || affectLinks(ending) {
 		if err := l.Relay.SetRules(script.RulesAt(now)); err != nil {
-			return fmt.Errorf("rules between processes: %w", err)
+			return fmt.Errorf("set relay rules: %w", err)
 		}
 	}
 	for i := range starting {
@@ -145,7 +147,8 @@
 	return nil
 }
 
-// advanceScript advances the faults of the script. It returns those that start, those that end, and the whole script.
+// advanceScript advances all faults of the script to now. It returns the faults that start, the faults that end, and
+// a copy of the script.
 func (l *Lab) advanceScript(now time.Duration) (starting, ending []faults.Fault, script faults.Script) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,6 +164,7 @@
 	return starting, ending, l.currentScript()
 }
 
+// affectLinks reports whether any of the faults affects links.
 func affectLinks(changed []faults.Fault) bool {
 	for i := range changed {
 		if changed[i].AffectsLink() {
@@ -170,7 +174,7 @@
 	return false
 }
 
-// faultName names a fault in the history.
+// faultName returns the name of a fault in the history.
 func faultName(fault *faults.Fault) string {
 	text := string(fault.Kind) + " " + fault.Target
 	if fault.Peer != "" && fault.Peer != faults.AllMembers {
@@ -182,7 +186,8 @@
 	return text
 }
 
-// startFault starts a fault of a process. Faults of links are in the rules of the relay.
+// startFault applies a fault to the process, agent or store of a member. It ignores link faults, which the rules of
+// the relay apply.
 func (l *Lab) startFault(ctx context.Context, fault *faults.Fault, member *Member) {
 	switch fault.Kind {
 	case faults.KindKill:
@@ -202,11 +207,11 @@
 		member.stallLoop(ctx)
 	case faults.KindClockSkew:
 		member.logStartError(member.restartWithClock(ctx, fault.Delay))
-	default: // of links, or a delayed start, which StartMembers takes care of
+	default: // a link fault, or a delayed start, which StartMembers handles
 	}
 }
 
-// endFault ends a fault of a process.
+// endFault reverts a fault of the process, agent or store of a member.
 func (l *Lab) endFault(ctx context.Context, fault *faults.Fault, member *Member) error {
 	switch fault.Kind {
 	case faults.KindKill, faults.KindTerminate, faults.KindDelayedStart:
@@ -220,23 +225,24 @@
 		l.Stores[member.Zone].SetUnresponsive(false)
 	case faults.KindClockSkew:
 		return member.restartWithClock(ctx, 0)
-	default: // nothing of the process has to be undone
+	default: // nothing to revert
 	}
 	return nil
 }
 
-// logStartError logs that the process could not be started again. The fault has begun nevertheless, so the script
-// goes on.
+// logStartError records a failure to start the process in the history. It does not return the error because the start
+// is part of the fault: RunScript continues with the other faults.
 func (m *Member) logStartError(err error) {
 	if err != nil {
 		m.logState(history.ProcessState("not started: "+err.Error()), 0)
 	}
 }
 
-// stallLoop has the member's process block its loop. A process that does not answer does not stall.
+// stallLoop asks the member's process to block its event loop. Errors are ignored: a process that does not answer
+// does not stall.
 func (m *Member) stallLoop(ctx context.Context) {
 	response, err := m.callConsole(ctx, http.MethodPost, "/drill/wedge")
 	if err == nil {
-		_ = response.Body.Close() // nothing was read
+		_ = response.Body.Close() // the body is not needed
 	}
 }
--- a/lab/fleetlab/views.go
+++ b/lab/fleetlab/views.go
@@ -12,13 +12,14 @@
 	"falldeal/lab/history"
 )
 
-// consoleClient calls the consoles of members. It dials for each request, as a process may have been replaced.
+// consoleClient sends requests to the consoles of members. It dials for each request, because a member's process may
+// have been replaced since the last one.
 var consoleClient = &http.Client{
 	Timeout:   2 * time.Second,
 	Transport: &http.Transport{DisableKeepAlives: true},
 }
 
-// FleetReport asks the member's process for its view of the fleet.
+// FleetReport returns the view of the fleet that the member's process has, from its console.
 func (m *Member) FleetReport(ctx context.Context) (report fleet.Report, err error) {
 	response, err := m.callConsole(ctx, http.MethodGet, "/fleet")
 	if err != nil {
@@ -26,30 +27,30 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return report, fmt.Errorf("report of %s: %s", m.Name, response.Status)
+		return report, fmt.Errorf("fleet report of %s: unexpected HTTP status %s", m.Name, response.Status)
 	}
 	if err := json.NewDecoder(response.Body).Decode(&report); err != nil {
-		return report, fmt.Errorf("decode report of %s: %w", m.Name, err)
+		return report, fmt.Errorf("decode fleet report of %s: %w", m.Name, err)
 	}
 	return report, nil
 }
 
-// callConsole sends a request without a body to the console of the member's process. The caller closes the body of the
-// response.
+// callConsole sends a request without a body to the console of the member's process. The caller must close the body
+// of the response.
 func (m *Member) callConsole(ctx context.Context, method, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+m.ConsoleAddr+path, http.NoBody)
 	if err != nil {
-		return nil, fmt.Errorf("console of %s: %w", m.Name, err)
+		return nil, fmt.Errorf("create request to console of %s: %w", m.Name, err)
 	}
 	response, err := consoleClient.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("console of %s: %w", m.Name, err)
+		return nil, fmt.Errorf("request to console of %s: %w", m.Name, err)
 	}
 	return response, nil
 }
 
-// WatchViews polls the views of all running members until ctx ends, and logs when what one reports of another
-// changes.
+// WatchViews polls the views of all running members every interval until ctx ends. It records each change of the
+// condition that one member reports for another.
 func (l *Lab) WatchViews(ctx context.Context, interval time.Duration) {
 	last := map[viewKey]string{}
 	for ctx.Err() == nil {
@@ -63,17 +64,18 @@
 	}
 }
 
-// viewKey is the view that one member has of another.
+// viewKey identifies the view that observer has of member.
 type viewKey struct{ observer, member string }
 
-// pollView logs what has changed in the view of one member since the last conditions.
+// pollView records what has changed in the view of observer. Last holds the conditions that were recorded last, and
+// is updated.
 func (l *Lab) pollView(ctx context.Context, observer *Member, last map[viewKey]string) {
 	if !observer.Running() {
 		return
 	}
 	report, err := observer.FleetReport(ctx)
 	if err != nil {
-		return // the process is paused or about to end
+		return // the process is paused or is exiting
 	}
 	for i := range report.Members {
 		member := &report.Members[i]
@@ -88,16 +90,17 @@
 	}
 }
 
-// snapshotInterval is how often the registry is read for the lists of front ends.
+// snapshotInterval is the minimum time between two snapshots of the registered servers.
 const snapshotInterval = 100 * time.Millisecond
 
-// registrySnapshot is what the announce service had registered at a time.
+// registrySnapshot holds the servers that were registered as accepting work at a time.
 type registrySnapshot struct {
-	at    time.Duration
+	at    time.Duration // on the laboratory's clock
 	names []string
 }
 
-// Servers returns a function that lists the registered members as they were lag ago.
+// Servers returns a function that lists the members that were registered lag ago. It models front ends whose server
+// lists are out of date.
 func (l *Lab) Servers(lag time.Duration) clients.ServerLister {
 	return func() (servers []clients.Server) {
 		for _, name := range l.registered(lag) {
@@ -109,8 +112,8 @@
 	}
 }
 
-// registered returns the names that were registered lag ago, or at the first snapshot if that is later. Snapshots
-// before that are dropped: all callers are expected to use the same lag.
+// registered returns the names of the members that were registered lag ago, or in the first snapshot if that is more
+// recent. It drops snapshots that are older than the one it returns, so all callers must use the same lag.
 func (l *Lab) registered(lag time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
