--- a/lab/clients/attempt.go
+++ b/lab/clients/attempt.go
@@ -9,15 +9,16 @@
 	"falldeal/lab/history"
 )
 
-// answerGrace is how long past the deadline a client still listens, so that a late answer is recorded as late.
+// answerGrace is how long after the deadline a client still waits, so that a late answer is recorded as late instead
+// of abandoned.
 const answerGrace = time.Second
 
-// answer is how one attempt ended.
+// answer is the result of one attempt.
 type answer struct {
 	outcome    history.Outcome
-	retryAfter time.Duration // that a rejection asks for; 0 = none
-	noRetry    bool          // the rejection asks not to retry at another server
-	degraded   bool          // served without the call
+	retryAfter time.Duration // requested by a rejection; 0 = none
+	noRetry    bool          // the rejection asks not to retry at another server either
+	degraded   bool          // served without the call to the store
 }
 
 // attempt sends a request to one server and waits for its answer.
@@ -46,7 +47,7 @@
 	}
 	answers, ok := conn.send(message)
 	if !ok {
-		f.forget(target, conn)
+		f.removeConn(target, conn)
 		f.logAnswer(message.ID, target, history.OutcomeLost)
 		return answer{outcome: history.OutcomeLost}
 	}
@@ -56,11 +57,11 @@
 	return f.awaitAnswer(pending, target, conn, message.ID, answers)
 }
 
-// requestMemoryKB is the memory that a request claims to take.
+// requestMemoryKB is the memory demand that each request declares, in KB.
 const requestMemoryKB = 24
 
-// message returns the message of a new attempt. Its body is the work of the request, which the fake agent takes from
-// there.
+// message returns the message of a new attempt. Its body is the work of the request in ns, which the fake agent plans
+// the run with.
 func (f *frontEnd) message(pending *request) *frontrpc.Request {
 	remaining := pending.deadline() - f.log.Now()
 	message := &frontrpc.Request{
@@ -82,7 +83,8 @@
 	return message
 }
 
-// startRead has a server begin to read a request. The channel is closed when it has; nil: there is nothing to wait for.
+// startRead makes a server begin to read a request. The returned channel is closed when the request has been read. It
+// is nil if there is nothing to wait for.
 func (f *frontEnd) startRead(target Server) <-chan struct{} {
 	if f.workload.ReadRequest == nil {
 		return nil
@@ -90,7 +92,7 @@
 	return f.workload.ReadRequest(target.Name)
 }
 
-// awaitRead waits until a server has read a request, and reports whether it has by the deadline.
+// awaitRead waits until a server has read a request or the deadline has passed. It returns false in the latter case.
 func (f *frontEnd) awaitRead(read <-chan struct{}, deadline time.Duration) bool {
 	select {
 	case <-read:
@@ -100,8 +102,9 @@
 	}
 }
 
-// redial returns a connection that is still open after a read: a server ends a connection on which nothing has come
-// for 2 s, and one that warms up may take longer to read.
+// redial returns a connection that is still open after a read. A server closes a connection on which it has received
+// nothing for 2 s, and a server that is warming up may take longer than that to read. If the dial fails, redial
+// returns previous.
 func (f *frontEnd) redial(target Server, previous *serverConn) *serverConn {
 	if conn := f.dial(target); conn != nil {
 		return conn
@@ -109,13 +112,14 @@
 	return previous
 }
 
+// awaitAnswer waits for the answer to an attempt until answerGrace after the deadline of the request.
 func (f *frontEnd) awaitAnswer(
 	pending *request, target Server, conn *serverConn, id string, answers <-chan answer,
 ) answer {
 	select {
 	case reply, open := <-answers:
 		if !open {
-			f.forget(target, conn)
+			f.removeConn(target, conn)
 			reply = answer{outcome: history.OutcomeLost}
 		}
 		f.logAnswer(id, target, reply.outcome)
--- a/lab/clients/clients.go
+++ b/lab/clients/clients.go
@@ -1,6 +1,9 @@
-// Package clients generates the load of front ends on a fleet: requests that arrive at random times, drawn from a
-// seed, whether or not earlier ones were answered; registries that lag; and retries by a configurable policy. It
-// leaves out health checks, measured load reports, and connections that are closed when idle.
+// Package clients generates the load of front ends on a fleet. It is an open loop: requests arrive at random times,
+// drawn from a seed, whether or not earlier ones have been answered. Front ends use server lists that may be out of
+// date, and retry by a configurable policy.
+//
+// Unlike real front ends, these do not check the health of servers, do not use the load that servers report, and do
+// not close idle connections.
 package clients
 
 import (
@@ -13,44 +16,42 @@
 	"falldeal/lab/history"
 )
 
-// Policy is how a front end chooses servers and retries.
+// Policy determines how a front end chooses servers and retries.
 type Policy struct {
-	RouteByKey      bool // by a hash of the request's key; else round robin
-	MaxAttempts     int  // for each request; 0 = no limit
-	HonorRetryAfter bool // avoids servers that ask for it, and does not retry a rejection that forbids it
+	RouteByKey      bool // choose the server by a hash of the request's key; otherwise round robin
+	MaxAttempts     int  // per request; 0 = unlimited
+	HonorRetryAfter bool // avoid servers for the time that they ask for, and do not retry a rejection that forbids it
 }
 
-// Workload is the load of a number of front ends.
+// Workload describes the load of a number of front ends.
 type Workload struct {
 	FrontEnds         int
 	RequestsPerSecond float64 // of all front ends together
 	Classes           []Class
 	Policies          []Policy // assigned to front ends round robin
-	KeyCount          int      // different keys of requests that are not idempotent by key
+	KeyCount          int      // number of distinct keys that requests are routed by
 	Seed              uint64
-	// ReadRequest has a server read the request of an attempt, which takes of its cores. The attempt waits until the
-	// channel is closed; a nil channel is not waited for. Nil: reading costs nothing.
+	// ReadRequest makes a server spend the work of reading the request of an attempt. The attempt waits until the
+	// returned channel is closed; it does not wait for a nil channel. If ReadRequest is nil, reading costs nothing.
 	ReadRequest func(server string) <-chan struct{}
-	// AttemptCompleted is called when an attempt at a server has its answer or is abandoned. May be nil.
+	// AttemptCompleted is called when an attempt at a server was answered or abandoned. It may be nil.
 	AttemptCompleted func(server, attemptID string)
 }
 
-// Server is where a front end may send requests.
+// Server is a server that front ends may send requests to.
 type Server struct{ Name, Addr string }
 
-// ServerLister returns the servers that are registered as a front end sees it now. It may be called from any
-// goroutine.
+// ServerLister returns the registered servers as a front end sees them now. It must be safe for concurrent use.
 type ServerLister func() []Server
 
-// attemptIDs numbers the attempts of all front ends. A run starts at another number, so that the attempts of two runs
-// against one fleet do not share identifiers.
+// attemptIDs is the ID of the last attempt of all front ends. Run sets it to the current time, so that two runs
+// against one fleet do not use the same IDs.
 var attemptIDs atomic.Uint64
 
-// frontEndSeedOffset keeps the random sequences of front ends apart from those of other parts with the same seed.
+// frontEndSeedOffset selects random sequences that differ from those of other packages with the same seed.
 const frontEndSeedOffset = 100
 
-// Run sends requests until ctx ends, and returns when those in flight have ended. What happens to them is added to
-// log.
+// Run sends requests until ctx ends and returns when those in flight have ended. It records all events in log.
 func Run(ctx context.Context, workload Workload, servers ServerLister, log *history.Log) {
 	attemptIDs.Store(uint64(time.Now().UnixNano()))
 	var frontEnds sync.WaitGroup
@@ -65,7 +66,7 @@
 			rand:         rand.New(rand.NewPCG(workload.Seed, uint64(i)+frontEndSeedOffset)),
 			backoffUntil: map[string]time.Duration{},
 		}
-		frontEnds.Go(func() { sender.generate(ctx) })
+		frontEnds.Go(func() { sender.generateRequests(ctx) })
 	}
 	frontEnds.Wait()
 }
--- a/lab/clients/clients_test.go
+++ b/lab/clients/clients_test.go
@@ -15,6 +15,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// A response must be classified as served, degraded, rejected or failed. Retry advice that cannot be parsed must be
+// ignored.
 func TestParseAnswer(t *testing.T) {
 	overloaded := func(fields map[string]any) []any { return []any{"Overloaded", fields} }
 	for name, testCase := range map[string]struct {
@@ -26,9 +28,9 @@
 			nil, []any{[]byte(fakes.DegradedResult)},
 			answer{outcome: history.OutcomeServed, degraded: true},
 		},
-		"another error":     {[]any{"Timeout"}, nil, answer{outcome: history.OutcomeFailed}},
-		"error of no shape": {"oops", nil, answer{outcome: history.OutcomeFailed}},
-		"rejected":          {[]any{"Overloaded"}, nil, answer{outcome: history.OutcomeRejected}},
+		"another error":   {[]any{"Timeout"}, nil, answer{outcome: history.OutcomeFailed}},
+		"malformed error": {"oops", nil, answer{outcome: history.OutcomeFailed}},
+		"rejected":        {[]any{"Overloaded"}, nil, answer{outcome: history.OutcomeRejected}},
 		"rejected with retry-after": {
 			overloaded(map[string]any{"after": "2.5"}), nil,
 			answer{outcome: history.OutcomeRejected, retryAfter: 2500 * time.Microsecond},
@@ -42,8 +44,8 @@
 	}
 }
 
-// startServer serves MessagePack-RPC until the test ends: answer returns the error and the result of a request. It
-// returns the server and counts its requests.
+// startServer serves MessagePack-RPC until the end of the test. It answers each request with the error and the result
+// that answer returns. It returns the server and the number of requests received.
 func startServer(t *testing.T, name string, answer func() (failure, result any)) (Server, *atomic.Int64) {
 	t.Helper()
 	ln := loopback.Listen(t)
@@ -72,9 +74,9 @@
 	}
 }
 
-// Front ends must serve requests at the server that accepts them, retry what another rejects, and stay away from it for
-// as long as it asks if they honor that.
-func TestRun(t *testing.T) {
+// Guards against lost requests and against retries at a server that asked for a pause: each request must end as
+// served by the accepting server, and every attempt must be recorded.
+func TestFrontEndsRetryRejectedRequests(t *testing.T) {
 	rejecting, rejected := startServer(t, "rejecting", func() (failure, result any) {
 		return []any{"Overloaded", map[string]string{"after": "3600000"}}, nil
 	})
@@ -107,8 +109,8 @@
 	require.Empty(t, history.Check(events, history.Rules{Slack: time.Minute}))
 }
 
-// Without a server, a request must end as rejected when its client abandons it.
-func TestRunWithoutServers(t *testing.T) {
+// Guards against a front end that waits forever for a server: a request without one must end as rejected at its timeout.
+func TestRequestsWithoutServersEndAsRejected(t *testing.T) {
 	workload := Workload{
 		FrontEnds:         1,
 		RequestsPerSecond: 100,
--- a/lab/clients/conn.go
+++ b/lab/clients/conn.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	maxPending  = 32 // requests on one connection (protocol)
-	dialTimeout = time.Second
+	maxPending  = 32          // maximum requests in flight on one connection; the protocol defines it
+	dialTimeout = time.Second // bounds a dial and the write of a request
 )
 
-// serverConn is a connection to a server, shared by the requests of one front end. A goroutine of its own reads the
+// serverConn is a connection to a server, shared by the requests of one front end. Its own goroutine reads the
 // answers until the connection ends.
 type serverConn struct {
 	conn net.Conn
 
-	mu       sync.Mutex // of the fields below
+	// mu guards the fields below.
+	mu       sync.Mutex
 	writer   *bufio.Writer
 	encoder  *msgpack.Encoder
-	lastCall uint32
-	pending  map[uint32]chan answer // by call
-	closing  bool                   // the server accepts no more requests on it, or it has ended
+	lastCall uint32                 // call number of the last request
+	pending  map[uint32]chan answer // by call number
+	closing  bool                   // the server accepts no more requests on the connection, or the connection has ended
 }
 
-// dial returns a connection to a server that accepts one more request, or nil if there is none and none can be made.
-// A connection that is full is replaced, and goes on until its answers are in.
+// dial returns a connection to a server with capacity for one more request. It opens a new one if the current one is
+// full or closing; requests on the old connection still get their answers. It returns nil if the dial fails.
 func (f *frontEnd) dial(target Server) *serverConn {
 	f.mu.Lock()
 	existing := f.conns[target]
@@ -59,8 +60,8 @@
 	return conn
 }
 
-// forget removes a connection that has ended, unless another one has replaced it.
-func (f *frontEnd) forget(target Server, conn *serverConn) {
+// removeConn removes a connection that has ended, unless another one has already replaced it.
+func (f *frontEnd) removeConn(target Server, conn *serverConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conns[target] == conn {
@@ -73,18 +74,19 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, conn := range f.conns {
-		_ = conn.conn.Close() // its requests have ended
+		_ = conn.conn.Close() // all requests have ended
 	}
 }
 
+// hasCapacity reports whether the connection accepts one more request.
 func (c *serverConn) hasCapacity() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closing && len(c.pending) < maxPending
 }
 
-// send writes a request. The channel delivers its answer, or is closed with the connection. It returns false if the
-// connection has ended.
+// send writes a request. The returned channel delivers the answer, or is closed if the connection ends without one.
+// It returns false if the connection has ended.
 func (c *serverConn) send(request *frontrpc.Request) (<-chan answer, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,15 +98,16 @@
 	c.pending[c.lastCall] = answers
 	if err := c.write(request); err != nil {
 		delete(c.pending, c.lastCall)
-		_ = c.conn.Close() // it is broken already
+		_ = c.conn.Close() // the write error means that it is broken
 		return nil, false
 	}
 	return answers, true
 }
 
+// write writes the request with the call number lastCall.
 func (c *serverConn) write(request *frontrpc.Request) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(dialTimeout)); err != nil {
-		return fmt.Errorf("set deadline: %w", err)
+		return fmt.Errorf("set write deadline: %w", err)
 	}
 	if err := request.Encode(c.encoder, c.lastCall); err != nil {
 		return fmt.Errorf("write request: %w", err)
@@ -115,7 +118,7 @@
 	return nil
 }
 
-// readAnswers hands out answers until the connection ends, and then closes the channels of all pending requests.
+// readAnswers delivers answers until the connection ends. It then closes the channels of all pending requests.
 func (c *serverConn) readAnswers() {
 	defer c.abort()
 	decoder := msgpack.NewDecoder(bufio.NewReader(c.conn))
@@ -126,7 +129,7 @@
 		}
 		drained := false
 		switch len(message) {
-		case frontrpc.NotificationParts: // the only one is closing
+		case frontrpc.NotificationParts: // the protocol's only notification: the connection is closing
 			drained = c.startClosing()
 		case frontrpc.ResponseParts:
 			drained = c.complete(callNumber(message[1]), parseAnswer(message[2], message[3]))
@@ -139,7 +142,7 @@
 	}
 }
 
-// startClosing lets the pending requests end, and reports whether there are none.
+// startClosing marks the connection as closing. It reports whether no request is pending.
 func (c *serverConn) startClosing() (drained bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,20 +150,21 @@
 	return len(c.pending) == 0
 }
 
-// complete delivers the answer to a pending request, and reports whether it was the last one of a closing connection.
+// complete delivers the answer to a pending request. It reports whether that was the last one of a closing
+// connection.
 func (c *serverConn) complete(call uint32, reply answer) (drained bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answers := c.pending[call]; answers != nil {
 		delete(c.pending, call)
-		answers <- reply // has a buffer for it
+		answers <- reply // does not block: the channel has a buffer of 1
 	}
 	return c.closing && len(c.pending) == 0
 }
 
-// abort ends the connection and all requests that are pending on it.
+// abort closes the connection and the channels of all pending requests.
 func (c *serverConn) abort() {
-	_ = c.conn.Close() // it has ended or is abandoned
+	_ = c.conn.Close() // the connection has ended or is no longer used
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
@@ -170,7 +174,8 @@
 	}
 }
 
-// callNumber converts the number of a call from any integer type that the decoder returns; 0 belongs to no call.
+// callNumber converts a call number from any integer type that the decoder returns. It returns 0, which no call has,
+// for other types.
 func callNumber(value any) uint32 {
 	switch number := value.(type) {
 	case int8:
@@ -193,7 +198,8 @@
 	return 0
 }
 
-// parseAnswer reads a response: failure is nil, or a list of the error's name and its fields.
+// parseAnswer converts the error and the result of a response. Failure is nil or a list of the error's name and
+// fields.
 func parseAnswer(failure, result any) answer {
 	if failure == nil {
 		return answer{outcome: history.OutcomeServed, degraded: isDegraded(result)}
--- a/lab/clients/frontend.go
+++ b/lab/clients/frontend.go
@@ -11,40 +11,41 @@
 	"falldeal/lab/history"
 )
 
-// retryPause is how long a front end waits when it finds no server, or cannot reach the one that it has chosen.
+// retryPause is how long a front end waits when it finds no server or cannot connect to the chosen one.
 const retryPause = 20 * time.Millisecond
 
-// frontEnd sends the requests of one front end. Each request has a goroutine of its own.
+// frontEnd is one front end. Each of its requests has its own goroutine.
 type frontEnd struct {
 	number   int
 	workload *Workload
 	policy   Policy
 	servers  ServerLister
 	log      *history.Log
-	rand     *rand.Rand // of the goroutine in generate alone
+	rand     *rand.Rand // used only by the goroutine of generateRequests
 
+	// mu guards the fields below.
 	mu           sync.Mutex
 	conns        map[Server]*serverConn
-	nextServer   int
-	backoffUntil map[string]time.Duration // by server, on the clock of the log
+	nextServer   int                      // index for round robin
+	backoffUntil map[string]time.Duration // by server name, on the clock of log
 }
 
-// request is one request of a client.
+// request is one request of a client, with all its attempts.
 type request struct {
 	class          *Class
-	work           time.Duration
-	rank           float64
-	key            int
-	idempotencyKey string
-	arrival        time.Duration
-	attempts       int
+	work           time.Duration // of its run
+	rank           float64       // orders requests of equal value: the server sheds the higher one last
+	key            int           // for routing; also the subject in the message, unless the class is idempotent by key
+	idempotencyKey string        // sent if the class is idempotent by key
+	arrival        time.Duration // on the clock of the log
+	attempts       int           // sent so far
 }
 
-// deadline returns when the client abandons the request.
+// deadline returns the time at which the client abandons the request.
 func (r *request) deadline() time.Duration { return r.arrival + r.class.Timeout }
 
-// generate has requests arrive in a Poisson process until ctx ends, and waits for those in flight.
-func (f *frontEnd) generate(ctx context.Context) {
+// generateRequests generates requests as a Poisson process until ctx ends, and waits for those in flight.
+func (f *frontEnd) generateRequests(ctx context.Context) {
 	var inFlight sync.WaitGroup
 	defer f.close()
 	defer inFlight.Wait()
@@ -57,7 +58,7 @@
 			return
 		case <-time.After(max(arrival-f.log.Now(), 0)):
 		}
-		inFlight.Go(func() { f.serve(arrived) })
+		inFlight.Go(func() { f.sendUntilFinal(arrived) })
 	}
 }
 
@@ -80,8 +81,8 @@
 	}
 }
 
-// serve attempts a request until it is served, its client abandons it or the policy allows no further attempt.
-func (f *frontEnd) serve(pending *request) {
+// sendUntilFinal makes attempts until the result of a request is final, and records the result.
+func (f *frontEnd) sendUntilFinal(pending *request) {
 	result := f.attemptUntilFinal(pending)
 	f.log.Add(history.Event{
 		Kind:        history.RequestCompleted,
@@ -96,17 +97,18 @@
 	})
 }
 
-// requestResult is how a request ended, over all its attempts.
+// requestResult is the final result of a request over all its attempts.
 type requestResult struct {
 	outcome history.Outcome
-	value   float64 // served
+	value   float64 // value served
 }
 
-// attemptUntilFinal makes attempts until the result of a request is final.
+// attemptUntilFinal makes attempts until a request is served, its client abandons it, or the policy allows no further
+// attempt.
 func (f *frontEnd) attemptUntilFinal(pending *request) requestResult {
 	result := requestResult{outcome: history.OutcomeRejected}
 	for {
-		target, ok := f.choose(pending)
+		target, ok := f.chooseServer(pending)
 		if !ok {
 			time.Sleep(retryPause)
 			if f.log.Now() >= pending.deadline() {
@@ -116,7 +118,7 @@
 		}
 		reply := f.attempt(pending, target)
 		if reply.outcome == history.OutcomeServed {
-			return f.rate(pending, reply)
+			return f.resultOf(pending, reply)
 		}
 		result.outcome = reply.outcome
 		if reply.outcome == history.OutcomeUnreachable {
@@ -129,16 +131,17 @@
 	}
 }
 
-// rate returns the result of a served request, which may be late.
-func (f *frontEnd) rate(served *request, reply answer) requestResult {
+// resultOf returns the result of a request that was answered. The result is late if it took longer than the latency
+// objective.
+func (f *frontEnd) resultOf(served *request, reply answer) requestResult {
 	if f.log.Now()-served.arrival > served.class.LatencyObjective {
 		return requestResult{outcome: history.OutcomeLate}
 	}
 	return requestResult{outcome: history.OutcomeServed, value: served.class.ValueServed(reply.degraded)}
 }
 
-// mayRetry reports whether another attempt is allowed and makes sense. A request that is idempotent by key may have
-// run unless the server rejected it or was not reached; it is then not sent again.
+// mayRetry reports whether another attempt is allowed before the deadline. A request that is idempotent by key is
+// retried only if the server rejected it or was unreachable, because it may have run otherwise.
 func (f *frontEnd) mayRetry(pending *request, reply answer) bool {
 	notRun := reply.outcome == history.OutcomeRejected || reply.outcome == history.OutcomeUnreachable
 	switch {
@@ -153,7 +156,7 @@
 	}
 }
 
-// backOff avoids a server for as long as it asked for, where the policy honours that.
+// backOff avoids a server for the time that it asked for, if the policy honors that.
 func (f *frontEnd) backOff(target Server, retryAfter time.Duration) {
 	if retryAfter <= 0 || !f.policy.HonorRetryAfter {
 		return
@@ -163,8 +166,8 @@
 	f.backoffUntil[target.Name] = f.log.Now() + retryAfter
 }
 
-// choose returns the server for the next attempt; ok is false while there is none.
-func (f *frontEnd) choose(pending *request) (target Server, ok bool) {
+// chooseServer returns the server for the next attempt. Ok is false if there is none at present.
+func (f *frontEnd) chooseServer(pending *request) (target Server, ok bool) {
 	servers := f.servers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -173,7 +176,7 @@
 		i := f.nextServer
 		f.nextServer++
 		if f.policy.RouteByKey {
-			i = keyHash(pending.key) + pending.attempts // the same server for all steps of this loop
+			i = keyHash(pending.key) + pending.attempts // the same server in every iteration
 		}
 		candidate := servers[i%len(servers)]
 		if !f.policy.HonorRetryAfter || f.backoffUntil[candidate.Name] <= now {
@@ -183,7 +186,7 @@
 	return Server{}, false
 }
 
-// keyHash spreads keys over servers; it is never negative.
+// keyHash returns a non-negative hash that distributes keys over servers.
 func keyHash(key int) int {
 	hash := fnv.New32a()
 	fmt.Fprint(hash, key)
--- a/lab/commandtest/commandtest.go
+++ b/lab/commandtest/commandtest.go
@@ -1,5 +1,4 @@
-// Package commandtest runs a command's own test binary as that command.
-// Only tests import it.
+// Package commandtest runs the test binary of a command as the command itself. Only tests import it.
 package commandtest
 
 import (
@@ -13,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ProgramVariable is the environment variable that, if it is not empty, has a test binary be the command.
+// ProgramVariable is the environment variable that makes a test binary run the command if it is not empty.
 const ProgramVariable = "FALLDEAL_TEST_AS_PROGRAM"
 
-// Main is a command's TestMain: it runs the tests, or program where ProgramVariable says so.
+// Main is the TestMain of a command. It runs program if ProgramVariable is set, and the tests otherwise.
 func Main(m *testing.M, program func()) {
 	if os.Getenv(ProgramVariable) != "" {
 		program()
@@ -25,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// Run runs the command with args in the folder dir and returns its exit code and what it wrote. Of the variables that
-// configure a server it has those of env only.
+// Run runs the command with args in the directory dir. It returns the exit code and the output as one text. Variables
+// that configure a server are unset except those in env.
 func Run(t *testing.T, dir string, env []string, input string, args ...string) string {
 	t.Helper()
 	self, err := os.Executable()
--- a/lab/costs/main.go
+++ b/lab/costs/main.go
@@ -1,4 +1,4 @@
-// Command costs splits CPU profiles of an image server by the part of its work that the time went to.
+// Command costs splits CPU profiles of an image server by the part of the server's work that the time was spent on.
 //
 //	go run ./lab/costs PROFILE...
 package main
@@ -27,10 +27,10 @@
 	if err != nil {
 		return fmt.Errorf("open profile: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file is only read
 	parsed, err := profile.Parse(file)
 	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("parse profile %s: %w", path, err)
 	}
 	cpuTimes, total := splitByPart(parsed)
 	fmt.Fprintf(w, "%s: %.2f s of CPU time\n", path, total.Seconds())
@@ -41,18 +41,18 @@
 	return nil
 }
 
-// splitByPart returns the processor time of each part, and of all.
+// splitByPart returns the CPU time of each part and the total.
 func splitByPart(parsed *profile.Profile) (cpuTimes map[string]time.Duration, total time.Duration) {
 	cpuTimes = map[string]time.Duration{}
 	for _, sample := range parsed.Sample {
-		cpu := time.Duration(sample.Value[len(sample.Value)-1]) // the last value is in ns
+		cpu := time.Duration(sample.Value[len(sample.Value)-1]) // the last value of a CPU profile is in ns
 		cpuTimes[partOf(sample)] += cpu
 		total += cpu
 	}
 	return cpuTimes, total
 }
 
-// printRow prints the percentage of a part, unless it is 0.
+// printRow prints the percentage of a part. It prints nothing if the part has no CPU time.
 func printRow(w io.Writer, name string, cpuTimes map[string]time.Duration, total time.Duration) {
 	if cpuTimes[name] > 0 {
 		fmt.Fprintf(w, "  %-28s %5.1f%%\n", name, 100*float64(cpuTimes[name])/float64(total))
--- a/lab/costs/main_test.go
+++ b/lab/costs/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sample returns a sample of a stack, from its leaf to its root, that took so many ns.
+// sample returns a sample of nanos ns for a stack that is listed from leaf to root.
 func sample(nanos int64, stack ...string) *profile.Sample {
 	made := &profile.Sample{Value: []int64{1, nanos}}
 	for i, function := range stack {
@@ -22,7 +22,8 @@
 	return made
 }
 
-func TestPartOf(t *testing.T) {
+// A sample must be attributed to the part that its innermost matching function belongs to.
+func TestSampleBelongsToInnermostMatchingPart(t *testing.T) {
 	for want, stack := range map[string][]string{
 		"garbage collection": {"runtime.scanobject", "runtime.gcBgMarkWorker"},
 		"socket writes":      {"syscall.write", "net.(*conn).Write", "falldeal/internal/writequeue.(*Queue).flush"},
@@ -38,6 +39,7 @@
 	}
 }
 
+// The report must list the percentage of each part, and fail for a missing file.
 func TestReport(t *testing.T) {
 	loop := sample(3e9, "falldeal/internal/server.(*Server).step")
 	unknown := sample(1e9, "main.main")
--- a/lab/costs/parts.go
+++ b/lab/costs/parts.go
@@ -12,12 +12,14 @@
 	prefixes []string // of the names of its functions
 }
 
-// otherPart is what belongs to no part.
+// otherPart is the name for samples that belong to no part.
 const otherPart = "other"
 
-// parts are the parts of the server's work. They are tried in order on each frame of a stack, from its leaf to its
-// root; the first match decides. What the runtime does for a part, such as allocating, so goes to the part. The
-// prefixes name functions of the server: where those are renamed, the prefixes have to follow.
+// parts lists the parts of the server's work. A sample is matched frame by frame from the leaf of its stack to the
+// root, and each frame is matched with the parts in this order. The first match decides. Work of the Go runtime for a
+// part, such as allocation, is therefore attributed to that part.
+//
+// The prefixes are names of functions of the server and must be updated when those are renamed.
 var parts = []part{
 	{name: "garbage collection", prefixes: []string{
 		"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcAssistAlloc",
@@ -85,7 +87,7 @@
 	return false
 }
 
-// partOfFunction returns the name of the part that a function belongs to; ok is false if there is none.
+// partOfFunction returns the name of the part that a function belongs to. Ok is false if there is none.
 func partOfFunction(function string) (name string, ok bool) {
 	for i := range parts {
 		if parts[i].matches(function) {
--- a/lab/costs/parts_test.go
+++ b/lab/costs/parts_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// functionNames returns the names of the functions in a package of this module, as profiles have them.
+// functionNames returns the names of the functions in a package of this module, as they appear in profiles.
 func functionNames(t *testing.T, importPath string) (names []string) {
 	t.Helper()
 	dir := filepath.Join("..", "..", strings.TrimPrefix(importPath, "falldeal/"))
@@ -31,7 +31,7 @@
 	return names
 }
 
-// symbol returns the name of a function within its package, with its receiver.
+// symbol returns the name of a function within its package, including the receiver.
 func symbol(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return function.Name.Name
@@ -43,7 +43,8 @@
 	return fmt.Sprintf("%s.%s", receiver, function.Name.Name)
 }
 
-// Each prefix of a name in this module must match a function, or its part would get nothing after a renaming.
+// Guards against a part that gets no CPU time after a rename: each prefix of a name in this module must match a
+// function.
 func TestPrefixesMatchFunctions(t *testing.T) {
 	for _, part := range parts {
 		for _, prefix := range part.prefixes {
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -1,7 +1,7 @@
-// Package fakes has fakes of the services that an image server depends on: the render farm agent, the store and the
-// announce service. They listen on loopback and follow the protocol page. They are for the laboratory and for tests;
-// no server imports them. A fake without a worker pool (package workerpool) takes exactly the time it is configured
-// with.
+// Package fakes implements fakes of the services that an image server depends on: the render farm agent, the store
+// and the announce service. They listen on loopback and speak the protocol of the real services. The laboratory and
+// tests use them; no server imports them. A fake without a worker pool (package workerpool) takes exactly the
+// configured time.
 package fakes
 
 import (
@@ -15,42 +15,44 @@
 	"falldeal/lab/workerpool"
 )
 
-// notificationBacklog is how many numbered notifications an agent keeps for connections that resume (protocol).
+// notificationBacklog is the maximum number of notifications that an agent keeps for connections that resume. The
+// protocol defines it.
 const notificationBacklog = 4000
 
-// Agent is a fake render farm agent. Its exported fields are set before Serve and not changed after it. Its methods
-// may be called from any goroutine.
+// Agent is a fake render farm agent. Its exported fields must be set before Serve and must not change afterwards. Its
+// methods are safe for concurrent use.
 type Agent struct {
-	State string        // of the handshake: booting or steady
-	Age   time.Duration // of the agent, as the handshake reports it
-	Load  [4]float64    // what samples are answered with; computed from Cores where they are set
-	// PlanRun plans the course of a run. Nil: every run succeeds at once, without a call.
+	State string        // in the handshake: "booting" or "steady"
+	Age   time.Duration // age of the agent in the handshake
+	Load  [4]float64    // gauges in the answer to a sample command; computed if Cores is set
+	// PlanRun returns the plan of a run. If nil, every run succeeds at once, without a call.
 	PlanRun func(l Launch) RunPlan
 
-	Cores *workerpool.Pool     // shared by all runs and reads; nil: each run takes the time of its plan
+	Cores *workerpool.Pool     // shared by all runs and reads; nil: each run takes the time in its plan
 	Now   func() time.Duration // clock of Cores
-	// OnRunStarted and OnRunEnded are called while the agent is locked, and must not call its methods.
+	// OnRunStarted and OnRunEnded are called while the agent holds its lock. They must not call methods of the agent.
 	OnRunStarted func(l Launch)
 	OnRunEnded   func(l Launch, result RunResult)
 
+	// mu guards the fields below and Cores.
 	mu      sync.Mutex
-	conn    net.Conn      // the newest connection; nil before the first
-	encoder *json.Encoder // writes to conn
-	offset  int           // number of the last notification
-	backlog []notification
-	runs    map[string]*run // by request, including completed ones
-	timer   completionTimer // of Cores
-
-	readQueue   []*pendingRead
-	activeReads map[string]*pendingRead // by their identifier in Cores
-	maxReads    int
-	readCount   int
+	conn    net.Conn        // the newest connection; nil before the first
+	encoder *json.Encoder   // writes to conn
+	offset  int             // number of the last numbered notification
+	backlog []notification  // most recent numbered notifications, oldest first
+	runs    map[string]*run // by request ID, including completed runs
+	timer   completionTimer // fires at the next completion in Cores
+
+	readQueue   []*pendingRead          // reads that wait for a place in Cores
+	activeReads map[string]*pendingRead // reads in Cores, by their ID there
+	maxReads    int                     // maximum number of activeReads
+	readCount   int                     // number of reads so far, for their IDs
 }
 
-// Serve accepts connections of image servers until ln is closed, and returns the listener's error.
+// Serve accepts connections of image servers until ln is closed. It returns the listener's error.
 func (a *Agent) Serve(ln net.Listener) error { return accept(ln, a.handleConn) }
 
-// accept has a goroutine of its own handle each connection, until ln is closed.
+// accept handles each connection in its own goroutine, until ln is closed.
 func accept(ln net.Listener, handle func(net.Conn)) error {
 	for {
 		conn, err := ln.Accept()
@@ -67,18 +69,19 @@
 	for {
 		var cmd command
 		if decoder.Decode(&cmd) != nil {
-			return // the connection ended, or sent something that is not a command
+			return // the connection has ended or sent a malformed command
 		}
 		a.handleCommand(conn, cmd)
 	}
 }
 
-// Disconnect closes the connection, as a fault does. The next connection gets the notifications that it missed.
+// Disconnect closes the current connection to simulate a fault. The next connection receives the notifications after
+// the offset that it subscribes with.
 func (a *Agent) Disconnect() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		_ = a.conn.Close() // as a fault does
+		_ = a.conn.Close() // the fault that the caller injects
 	}
 }
 
@@ -104,11 +107,11 @@
 	case commandReply, commandSkipCall:
 		a.resumeRun(cmd)
 	default:
-		_ = conn.Close() // the protocol ends a connection on an unknown command
+		_ = conn.Close() // the protocol requires it on an unknown command
 	}
 }
 
-// subscribe makes conn the agent's connection and sends it the handshake and the notifications after offset.
+// subscribe makes conn the current connection. It sends the handshake and the notifications after offset.
 func (a *Agent) subscribe(conn net.Conn, offset int) {
 	if a.runs == nil {
 		a.runs = map[string]*run{}
@@ -123,7 +126,7 @@
 	}
 }
 
-// sample returns the gauges of the agent's load; those of memory and connections are fixed.
+// sample returns the load gauges of the agent. With Cores set, the gauges of memory and connections are constant.
 func (a *Agent) sample() []float64 {
 	if a.Cores != nil {
 		a.advance()
@@ -132,7 +135,7 @@
 	return a.Load[:]
 }
 
-// publish numbers a notification, adds it to the backlog and sends it.
+// publish assigns the next number to a notification, adds it to the backlog and sends it.
 func (a *Agent) publish(event notification) {
 	a.offset++
 	event.Offset = a.offset
@@ -143,8 +146,8 @@
 	a.send(event)
 }
 
-// send writes a notification to the current connection. An error needs no handling: the next connection resumes from
-// the backlog.
+// send writes a notification to the current connection. It ignores errors: the next connection receives numbered
+// notifications from the backlog.
 func (a *Agent) send(n notification) {
 	if a.encoder != nil {
 		_ = a.encoder.Encode(n)
--- a/lab/fakes/agent_cores.go
+++ b/lab/fakes/agent_cores.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// readIDPrefix begins the identifiers of reads in the pool, where runs are named by their request.
+// readIDPrefix distinguishes the IDs of reads in the pool from those of runs, which are request IDs.
 const readIDPrefix = "read "
 
-// pendingRead is the reading of one request, which takes of the same cores as runs.
+// pendingRead is a request that is being read or waits to be. Reads and runs share the same cores.
 type pendingRead struct {
 	id   string
 	work time.Duration
 	done chan struct{} // closed when the request has been read
 }
 
-// ReadRequest has the cores read a request. At most limit requests are read at a time; the others queue. The channel
-// is closed when the request has been read. Cores must be set.
+// ReadRequest spends work on the cores to read a request. The returned channel is closed when the request has been
+// read. At most limit requests are read at a time; the others wait in a queue. Cores must be set.
 func (a *Agent) ReadRequest(work time.Duration, limit int) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -30,7 +30,7 @@
 	return read.done
 }
 
-// startReads moves reads from the queue into the pool, as many as the limit allows.
+// startReads moves reads from the queue into the pool up to the limit.
 func (a *Agent) startReads() {
 	if a.activeReads == nil {
 		a.activeReads = map[string]*pendingRead{}
@@ -43,7 +43,7 @@
 	}
 }
 
-// SetSlowdown makes the cores slower by factor from now on; 1 is their normal speed. Cores must be set.
+// SetSlowdown slows the cores down by factor from now on; 1 is normal speed. Cores must be set.
 func (a *Agent) SetSlowdown(factor float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,7 +52,7 @@
 	a.scheduleAdvance()
 }
 
-// advance brings the pool to the present and finishes the runs and reads that have completed.
+// advance advances the pool to the present and finishes the runs and reads that have completed.
 func (a *Agent) advance() {
 	for _, id := range a.Cores.Advance(a.Now()) {
 		if read := a.activeReads[id]; read != nil {
--- a/lab/fakes/agent_run.go
+++ b/lab/fakes/agent_run.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// DegradedResult is the result of a run that went on without its call.
+// DegradedResult is the result of a run that continued without its call.
 const DegradedResult = "without its call"
 
-// Launch is a run that an image server asks for.
+// Launch is the command of an image server to start a run.
 type Launch struct {
 	RequestID string
 	Class     string
 	Body      []byte
 }
 
-// RunPlan is the course of a run. Unless it is interrupted it succeeds, with the body of its launch as the
-// result.
+// RunPlan is the plan of a run. The run makes its call, if any, and then does its work. It succeeds unless it is
+// interrupted. Its result is the body of its launch, or DegradedResult if the call was skipped.
 type RunPlan struct {
-	Work time.Duration // processor time without calls; 0 = none
-	Call []byte        // body of a call that the run makes first; nil = none
+	Work time.Duration // processor time, not counting the call; 0 = none
+	Call []byte        // body of the call that the run makes first; nil = none
 }
 
-// run is the state of one run. All fields belong to the agent's lock.
+// run is the state of one run. Agent.mu guards all fields.
 type run struct {
 	launch       Launch
 	plan         RunPlan
@@ -27,6 +27,7 @@
 	completed    bool
 }
 
+// startRun starts a run: with its call if the plan has one, otherwise with its work.
 func (a *Agent) startRun(started *run) {
 	a.runs[started.launch.RequestID] = started
 	if a.OnRunStarted != nil {
@@ -43,7 +44,7 @@
 	a.publish(notification{Name: notificationRequest, Req: started.launch.RequestID, Payload: started.plan.Call})
 }
 
-// resumeRun continues a run whose call was answered (deliver) or is skipped (forgo).
+// resumeRun continues a run whose call was answered or skipped.
 func (a *Agent) resumeRun(cmd command) {
 	resumed := a.runs[cmd.Req]
 	if resumed == nil || !resumed.awaitingCall {
@@ -75,8 +76,8 @@
 	})
 }
 
-// CompleteRequest informs the agent that a request has its final answer or that its client has abandoned it. A run of it
-// that waits for a call ends as interrupted.
+// CompleteRequest tells the agent that a request was answered or abandoned by its client. A run of the request that
+// waits for its call ends as interrupted.
 func (a *Agent) CompleteRequest(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,6 +87,7 @@
 	}
 }
 
+// finishRun ends a run and publishes its outcome. It does nothing if the run has already ended.
 func (a *Agent) finishRun(finished *run, result RunResult) {
 	if finished.completed {
 		return
--- a/lab/fakes/agent_test.go
+++ b/lab/fakes/agent_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startAgent serves an agent until the test ends, and returns its address.
+// startAgent serves an agent until the end of the test and returns its address.
 func startAgent(t *testing.T, agent *Agent) (addr string) {
 	t.Helper()
 	ln := loopback.Listen(t)
@@ -31,7 +31,7 @@
 	decoder *json.Decoder
 }
 
-// subscribe connects to an agent and asks for the notifications after offset.
+// subscribe connects to an agent and requests the notifications after offset.
 func subscribe(t *testing.T, addr string, offset int) *agentClient {
 	t.Helper()
 	conn := loopback.Dial(t, addr)
@@ -53,8 +53,9 @@
 	return n
 }
 
-// A run must succeed with its body; with a call, it must wait for the call to be answered, skipped, or abandoned.
-func TestAgentRuns(t *testing.T) {
+// A run must succeed with its body as the result. A run with a call must wait until the call is answered or skipped,
+// and end as interrupted if its request is completed before that.
+func TestAgentRunOutcomes(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		call   []byte
 		resume func(t *testing.T, agent *Agent, client *agentClient)
@@ -101,8 +102,9 @@
 	}
 }
 
-// A connection that resumes must get the notifications after its offset, and a run must not start twice.
-func TestAgentResumes(t *testing.T) {
+// Guards against notifications that are lost with a connection, and against a second run for a repeated launch. A new
+// connection must receive the notifications after its offset.
+func TestAgentResendsMissedNotifications(t *testing.T) {
 	agent := &Agent{}
 	addr := startAgent(t, agent)
 	first := subscribe(t, addr, 0)
@@ -121,8 +123,8 @@
 	require.Equal(t, notificationSampled, second.receive(t).Name)
 }
 
-// Runs and reads must share the cores: two of 50 ms on one core take 100 ms.
-func TestAgentDividesCores(t *testing.T) {
+// Runs and reads must share the cores: a run and a read of 50 ms each take 100 ms together on one core.
+func TestAgentSharesCoresBetweenRunsAndReads(t *testing.T) {
 	started := time.Now()
 	now := func() time.Duration { return time.Since(started) }
 	agent := &Agent{
--- a/lab/fakes/announce.go
+++ b/lab/fakes/announce.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// registrationTTL is how long an image server stays registered after its last report (protocol).
+	// registrationTTL is how long an image server stays registered after its last report. The protocol defines it.
 	registrationTTL = 3 * time.Second
-	// maxReportBytes bounds a datagram of the announce protocol.
+	// maxReportBytes is the maximum size of a datagram of the announce protocol.
 	maxReportBytes = 512
 )
 
@@ -22,14 +22,14 @@
 	receivedAt time.Time
 }
 
-// AnnounceService is a fake announce service: a registry of image servers, with the last report of each. Its methods
-// may be called from any goroutine.
+// AnnounceService is a fake announce service: a registry that holds the last report of each image server. Its methods
+// are safe for concurrent use.
 type AnnounceService struct {
 	mu      sync.Mutex
-	reports map[string]report // by image server
+	reports map[string]report // by name of the image server
 }
 
-// Serve reads reports until conn is closed, and returns the connection's error. Malformed datagrams are dropped.
+// Serve reads reports until conn is closed, and returns the connection's error. It drops malformed datagrams.
 func (a *AnnounceService) Serve(conn net.PacketConn) error {
 	packet := make([]byte, maxReportBytes)
 	for {
@@ -55,7 +55,7 @@
 	a.reports[name] = report{accepting: accepting, receivedAt: time.Now()}
 }
 
-// AcceptingServers returns the names of the image servers that are registered as accepting work, sorted.
+// AcceptingServers returns the sorted names of the image servers that are registered as accepting work.
 func (a *AnnounceService) AcceptingServers() (names []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/lab/fakes/completion_timer.go
+++ b/lab/fakes/completion_timer.go
@@ -7,14 +7,14 @@
 	"falldeal/lab/workerpool"
 )
 
-// completionTimer has the owner of a worker pool collect completed items when they are due, by the wall clock. It
-// belongs to the owner's lock.
+// completionTimer calls back when items of a worker pool complete, by the wall clock. The lock that guards the pool
+// also guards the timer.
 type completionTimer struct {
 	timer *time.Timer // nil before the first use
 }
 
-// schedule replaces the timer by one for the pool's next completion, if there is one. Then, and for each completion
-// after that, collect is called with the lock held, which guards the pool. The caller holds it.
+// schedule sets the timer to the pool's next completion, if there is one, and replaces an earlier setting. The timer
+// calls collect with the lock held, and then sets itself to the next completion. The caller must hold the lock.
 func (c *completionTimer) schedule(lock *sync.Mutex, pool *workerpool.Pool, now func() time.Duration, collect func()) {
 	if c.timer != nil {
 		c.timer.Stop()
--- a/lab/fakes/protocol.go
+++ b/lab/fakes/protocol.go
@@ -1,6 +1,6 @@
 package fakes
 
-// commandName names a command of an image server to the agent, as it stands on the wire.
+// commandName is the name of a command from an image server to the agent, on the wire.
 type commandName string
 
 const (
@@ -12,7 +12,7 @@
 	commandSkipCall  commandName = "forgo"
 )
 
-// command is one command of an image server; which fields are set depends on its name.
+// command is a command of an image server. Its name determines which fields are set.
 type command struct {
 	Name    commandName `json:"cmd"`
 	Req     string      `json:"req"`
@@ -22,7 +22,7 @@
 	Payload []byte      `json:"payload"`
 }
 
-// notificationName names a notification of the agent, as it stands on the wire.
+// notificationName is the name of a notification from the agent, on the wire.
 type notificationName string
 
 const (
@@ -33,7 +33,7 @@
 	notificationOutcome     notificationName = "outcome"
 )
 
-// notification is one message of the agent to an image server; which fields are set depends on its name.
+// notification is a message from the agent to an image server. Its name determines which fields are set.
 type notification struct {
 	Name    notificationName `json:"cmd"`
 	Offset  int              `json:"offset,omitempty"`
@@ -45,16 +45,16 @@
 	Payload []byte           `json:"payload,omitempty"`
 }
 
-// RunResult is how a run ended, as it stands on the wire.
+// RunResult is the result of a run, on the wire.
 type RunResult string
 
-// Results of runs that the agent reports.
+// Results that the agent reports.
 const (
 	RunSucceeded   RunResult = "success"
 	RunInterrupted RunResult = "interrupted"
 )
 
-// callStatus is the status in a store's reply, as it stands on the wire.
+// callStatus is the status in a reply of the store, on the wire.
 type callStatus string
 
 const (
--- a/lab/fakes/store.go
+++ b/lab/fakes/store.go
@@ -12,38 +12,40 @@
 	"falldeal/lab/workerpool"
 )
 
-// Store is a fake store. Its exported fields are set before Serve and not changed after it. Its methods may be called
-// from any goroutine.
+// Store is a fake store. Its exported fields must be set before Serve and must not change afterwards. Its methods are
+// safe for concurrent use.
 type Store struct {
 	Slots    *workerpool.Pool      // shared by all calls; nil: calls are answered at once
-	CallWork time.Duration         // of a call in a slot
-	Crash    workerpool.CrashModel // under more calls than the store survives
+	CallWork time.Duration         // work of a call in a slot
+	Crash    workerpool.CrashModel // when the store crashes under too many calls, and for how long
 	Now      func() time.Duration  // clock of Slots
-	// OnCallStarted and OnCallEnded are called while the store is locked, and must not call its methods.
+	// OnCallStarted and OnCallEnded are called while the store holds its lock. They must not call methods of the
+	// store.
 	OnCallStarted func(id string, inFlight int)
 	OnCallEnded   func(id string, inFlight int)
 
 	unresponsive atomic.Bool
 
+	// mu guards the fields below, Slots and Crash.
 	mu           sync.Mutex
-	inFlight     map[string]replyFunc // by identifier in Slots
-	hangingCalls int                  // that an unresponsive store holds
-	timer        completionTimer      // of Slots
+	inFlight     map[string]replyFunc // by ID in Slots
+	hangingCalls int                  // number of calls that the unresponsive store holds until their timeout
+	timer        completionTimer      // fires at the next completion in Slots
 }
 
-// replyFunc writes the reply to one call. It may be called from any goroutine.
+// replyFunc writes the reply to one call. It is safe for concurrent use.
 type replyFunc func(callStatus)
 
-// SetUnresponsive makes the store accept calls without answering any of them before its timeout, or returns it to
-// normal. Calls that it holds already stay as they are.
+// SetUnresponsive sets whether the store holds each new call until its timeout instead of answering it. Calls that
+// the store has already received are not affected.
 func (s *Store) SetUnresponsive(on bool) { s.unresponsive.Store(on) }
 
-// Serve accepts connections of image servers until ln is closed, and returns the listener's error.
+// Serve accepts connections of image servers until ln is closed. It returns the listener's error.
 func (s *Store) Serve(ln net.Listener) error { return accept(ln, s.handleConn) }
 
 func (s *Store) handleConn(conn net.Conn) {
 	defer conn.Close()
-	var writing sync.Mutex // calls of one connection complete in any order
+	var writing sync.Mutex // calls of one connection may complete in any order
 	reader := bufio.NewReader(conn)
 	for {
 		call, err := readCall(reader)
@@ -69,7 +71,7 @@
 	}
 }
 
-// hang holds a call until its timeout has elapsed.
+// hang holds a call until its timeout and then replies that it is late.
 func (s *Store) hang(id string, timeout time.Duration, reply replyFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +94,7 @@
 	}
 }
 
-// startCall puts a call into the slots. An abandoned call stays there until its work is done.
+// startCall adds a call to the slots. The call stays there until its work is done, even if the image server drops it.
 func (s *Store) startCall(id string, reply replyFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +107,7 @@
 		return
 	}
 	for s.inFlight[id] != nil {
-		id += "+" // a second call of a request: the store works at both
+		id += "+" // another call with the same ID: the store works on both
 	}
 	s.inFlight[id] = reply
 	s.Slots.Add(id, s.CallWork)
@@ -118,7 +120,7 @@
 	s.scheduleAdvance()
 }
 
-// failAll fails the calls in all slots, as a crash does.
+// failAll fails all calls in the slots, as a crash does.
 func (s *Store) failAll() {
 	for id := range s.inFlight {
 		s.Slots.Cancel(id)
@@ -126,8 +128,8 @@
 	}
 }
 
-// finishCall replies on a goroutine of its own, which ends once the reply is written or the connection has ended: a
-// client that does not read must not block the store.
+// finishCall removes a call and replies to it in a new goroutine, so that an image server that does not read cannot
+// block the store. The goroutine ends when the reply is written or the connection has ended.
 func (s *Store) finishCall(id string, status callStatus) {
 	reply := s.inFlight[id]
 	delete(s.inFlight, id)
@@ -137,7 +139,7 @@
 	go reply(status)
 }
 
-// advance brings the slots to the present and finishes the calls that have completed.
+// advance advances the slots to the present and finishes the calls that have completed.
 func (s *Store) advance() {
 	for _, id := range s.Slots.Advance(s.Now()) {
 		s.finishCall(id, callOK)
@@ -153,11 +155,11 @@
 type storeCall struct {
 	id      string
 	timeout time.Duration
-	body    []byte // with its line end
+	body    []byte // including its line end
 }
 
-// readCall reads the next call with its body. It skips all other lines: a DROP needs no action, as the image server
-// ignores the reply to a call that it has dropped.
+// readCall reads the next call and its body. It skips all other commands. DROP needs no action, because the image
+// server ignores the reply to a call that it has dropped.
 func readCall(reader *bufio.Reader) (*storeCall, error) {
 	var id string
 	var timeoutMillis, length int
@@ -177,7 +179,8 @@
 	return &storeCall{id: id, timeout: time.Duration(timeoutMillis) * time.Millisecond, body: body}, nil
 }
 
-// writeReply writes the reply to a call, whose result is its body. An error of the connection ends its reader.
+// writeReply writes the reply to a call. The result of a call is its body. Write errors are ignored: they also end
+// the goroutine that reads the connection.
 func (c *storeCall) writeReply(w io.Writer, status callStatus) {
 	if status == callOK {
 		fmt.Fprintf(w, "%s OK %d\r\n%s", c.id, len(c.body)-len("\r\n"), c.body)
--- a/lab/fakes/store_test.go
+++ b/lab/fakes/store_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// call makes a call to a store and returns its status.
+// call makes one call to a store and returns the status of the reply.
 func call(t *testing.T, store *Store, id string, timeout time.Duration) (status string) {
 	t.Helper()
 	local, remote := net.Pipe()
@@ -37,8 +37,9 @@
 	return &Store{Now: now, Slots: workerpool.NewPool(curve, now()), CallWork: time.Millisecond, Crash: crash}
 }
 
-// Calls must be answered, time out at an unresponsive store, and fail at one that has crashed.
-func TestStore(t *testing.T) {
+// Guards against a fake store whose faults differ from those of the protocol: a call must be answered, time out if
+// the store is unresponsive, and fail while the store is down after a crash.
+func TestStoreAnswersTimesOutAndCrashes(t *testing.T) {
 	require.Equal(t, "OK", call(t, &Store{}, "a", time.Second))
 
 	store := testStore(workerpool.CrashModel{})
@@ -57,8 +58,8 @@
 	require.Equal(t, "ERR", call(t, crashing, "c", time.Second), "while it is down")
 }
 
-// A server must be registered while it reports that it accepts work.
-func TestAnnounceService(t *testing.T) {
+// Only a server that reports that it accepts work must be listed.
+func TestAnnounceServiceListsAcceptingServers(t *testing.T) {
 	conn, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	service := &AnnounceService{}
@@ -77,8 +78,8 @@
 	require.ErrorIs(t, <-served, net.ErrClosed)
 }
 
-// A dial of an unresponsive listener must neither succeed nor be refused.
-func TestUnresponsiveListener(t *testing.T) {
+// A dial to an unresponsive listener must time out. It must neither succeed nor be refused.
+func TestDialOfUnresponsiveListenerTimesOut(t *testing.T) {
 	listener, err := NewUnresponsiveListener()
 	require.NoError(t, err)
 	defer listener.Close()
--- a/lab/fakes/unresponsive.go
+++ b/lab/fakes/unresponsive.go
@@ -7,18 +7,18 @@
 	"syscall"
 )
 
-// UnresponsiveListener is an address on which a dial neither succeeds nor fails, as behind a network partition: a
-// socket listens there, but its backlog is full and the kernel drops further SYN packets (Linux).
+// UnresponsiveListener is an address on which dials time out, as behind a network partition. Its socket listens with
+// a full backlog, so the kernel drops further SYN packets (Linux).
 type UnresponsiveListener struct {
 	Addr string
 
 	fd          int
-	backlogConn net.Conn // fills the backlog
+	backlogConn net.Conn // connection that fills the backlog
 }
 
-var errNotIPv4 = errors.New("the socket's address is not IPv4")
+var errNotIPv4 = errors.New("socket address is not IPv4")
 
-// NewUnresponsiveListener opens one on a free port of 127.0.0.1. The caller closes it.
+// NewUnresponsiveListener opens an UnresponsiveListener on a free port of 127.0.0.1. The caller must call Close.
 func NewUnresponsiveListener() (*UnresponsiveListener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 	bound, err := syscall.Getsockname(l.fd)
 	if err != nil {
-		return fmt.Errorf("address of the socket: %w", err)
+		return fmt.Errorf("get socket address: %w", err)
 	}
 	addr, ok := bound.(*syscall.SockaddrInet4)
 	if !ok {
@@ -49,12 +49,12 @@
 	}
 	l.Addr = fmt.Sprintf("127.0.0.1:%d", addr.Port)
 	if l.backlogConn, err = (&net.Dialer{}).Dial("tcp", l.Addr); err != nil {
-		return fmt.Errorf("fill the backlog: %w", err)
+		return fmt.Errorf("fill backlog: %w", err)
 	}
 	return nil
 }
 
-// Close frees the address.
+// Close closes the socket, which frees the address.
 func (l *UnresponsiveListener) Close() {
 	if l.backlogConn != nil {
 		_ = l.backlogConn.Close() // nothing was written
--- a/lab/frontrpc/failure.go
+++ b/lab/frontrpc/failure.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Fields of the error that rejects a request, as they stand on the wire.
+// Names on the wire of the fields of the error that rejects a request.
 const (
 	fieldRetryAfterMillis = "after"
-	fieldNoRetryElsewhere = "last" // "1" where it is set
+	fieldNoRetryElsewhere = "last" // "1" if set
 )
 
 // Failure is the error of a response.
 type Failure struct {
 	Name             string
-	RetryAfter       time.Duration // 0: not advised
-	NoRetryElsewhere bool
+	RetryAfter       time.Duration // 0 = not given
+	NoRetryElsewhere bool          // the request must not be retried at another server either
 }
 
-// ParseFailure reads the error of a response: a list of its name and its fields. Ok is false where it has another form.
-// Fields that can't be read are left out.
+// ParseFailure parses the error of a response: a list of its name and, optionally, its fields. Ok is false if the
+// value has another form. Fields that cannot be parsed are left zero.
 func ParseFailure(value any) (failure Failure, ok bool) {
 	list, isList := value.([]any)
 	if !isList || len(list) == 0 {
@@ -42,7 +42,7 @@
 	return failure, true
 }
 
-// parseMillis reads a number of milliseconds; 0 where there is none.
+// parseMillis parses a number of milliseconds. It returns 0 if the text is not a number.
 func parseMillis(text string) time.Duration {
 	millis, err := strconv.ParseFloat(text, 64)
 	if err != nil {
--- a/lab/frontrpc/frontrpc.go
+++ b/lab/frontrpc/frontrpc.go
@@ -1,6 +1,5 @@
-// Package frontrpc has the messages between front ends and image servers (MessagePack-RPC), as the protocol page
-// describes them, for load generators. Its codec is a library's and not that of the server, so that each checks the
-// other.
+// Package frontrpc encodes and decodes the messages between front ends and image servers (MessagePack-RPC) for load
+// generators. It uses a MessagePack library instead of the server's codec, so that each codec checks the other.
 package frontrpc
 
 import (
@@ -13,9 +12,11 @@
 
 // Types of messages, and how many elements they have.
 const (
+	// Types of messages.
 	RequestType  = 0
 	ResponseType = 1
 
+	// Numbers of elements of messages.
 	NotificationParts = 3
 	ResponseParts     = 4
 )
@@ -23,7 +24,7 @@
 // ErrorOverloaded is the name of the error that rejects a request.
 const ErrorOverloaded = "Overloaded"
 
-// Fields of requests, as they stand on the wire.
+// Names on the wire of the fields of requests.
 const (
 	fieldID             = "id"
 	fieldClient         = "from"
@@ -36,22 +37,22 @@
 	fieldSubject        = "key"
 )
 
-// Request is a request of a front end. It has an idempotency key or a subject.
+// Request is a request of a front end. It carries either an idempotency key or a subject.
 type Request struct {
 	Class          string
 	ID             string
-	Client         int // number of the front end
-	MemoryKB       float64
+	Client         int     // number of the front end
+	MemoryKB       float64 // declared memory demand
 	Rank           float64
 	SentAt         time.Time
 	Timeout        time.Duration
-	CostHint       time.Duration // processor time
-	IdempotencyKey string        // empty: none
+	CostHint       time.Duration // declared processor time
+	IdempotencyKey string        // "" = none; Subject is sent instead
 	Subject        string
 	Body           []byte
 }
 
-// Encode writes the request as the call of that number.
+// Encode writes the request with the given call number.
 func (r *Request) Encode(encoder *msgpack.Encoder, call uint32) error {
 	err := encoder.Encode([]any{RequestType, call, r.Class, []any{r.fields(), r.Body}})
 	if err != nil {
--- a/lab/frontrpc/frontrpc_test.go
+++ b/lab/frontrpc/frontrpc_test.go
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// decodeRequest returns the parts of the message that a request is encoded as.
+// decodeRequest encodes a request and returns the elements of the message.
 func decodeRequest(t *testing.T, request *Request) []any {
 	t.Helper()
 	var buffer bytes.Buffer
@@ -19,8 +19,8 @@
 	return message
 }
 
-// A request must have the fields of the protocol page, and either an idempotency key or a subject.
-func TestRequestEncode(t *testing.T) {
+// A request must have the fields that the protocol defines, and either an idempotency key or a subject.
+func TestEncodedRequestHasProtocolFields(t *testing.T) {
 	request := &Request{
 		Class: "preview", ID: "a1", Client: 3, MemoryKB: 24, Rank: 0.25, SentAt: time.UnixMilli(1700000000000),
 		Timeout: 1500 * time.Millisecond, CostHint: 2500 * time.Microsecond, Subject: "s1", Body: []byte("body"),
@@ -38,6 +38,7 @@
 	require.Equal(t, want, decodeRequest(t, request))
 }
 
+// Retry advice that is missing or cannot be parsed must not hide the name of an error.
 func TestParseFailure(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		value any
--- a/lab/golden/golden.go
+++ b/lab/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden compares what a test produces with files in its testdata folder: whole texts, named texts one a line, or
-// named binary forms one a line. With the flag -update a test records its files anew instead.
+// Package golden compares the output of a test with files in its testdata directory. A file holds a whole text, or
+// one named text per line, or one named byte string per line. With the flag -update, a test writes its files instead
+// of failing.
 package golden
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew")
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
 const (
 	folder        = "testdata"
@@ -36,15 +37,15 @@
 	if *update {
 		require.NoError(t, os.WriteFile(path, []byte(got), fileMode))
 	}
-	want, err := os.ReadFile(path) //nolint:gosec // a file of the test that calls
+	want, err := os.ReadFile(path) //nolint:gosec // the calling test names the file
 	require.NoError(t, err)
 	require.Equal(t, string(want), got)
 }
 
-// Case is one line of a golden file: the name of a form, and the form as text without a line break.
+// Case is one line of a golden file: a name, and a text without a line break.
 type Case struct{ Name, Form string }
 
-// Require compares cases with a file in testdata, which must hold just these, in this order.
+// Require compares cases with a file in testdata. The file must hold exactly these cases in this order.
 func Require(t *testing.T, file string, cases []Case) {
 	t.Helper()
 	var got strings.Builder
@@ -54,10 +55,10 @@
 	RequireFile(t, file, got.String())
 }
 
-// Read returns the forms of a file in testdata by name. It must have as many as the test has cases.
+// Read returns the texts of a file in testdata by name. The file must hold count cases.
 func Read(t *testing.T, file string, count int) map[string]string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(folder, file)) //nolint:gosec // a file of the test that calls
+	text, err := os.ReadFile(filepath.Join(folder, file)) //nolint:gosec // the calling test names the file
 	require.NoError(t, err)
 	forms := map[string]string{}
 	for line := range strings.Lines(string(text)) {
@@ -70,14 +71,14 @@
 	return forms
 }
 
-// Frame is one line of a golden file of binary forms: the name of a form, and its bytes, which the file has as 0x and hex
+// Frame is one line of a golden file of byte strings: a name, and bytes that the file holds as 0x and hexadecimal
 // digits.
 type Frame struct {
 	Name  string
 	Bytes []byte
 }
 
-// RequireFrames compares frames with a file in testdata, which must hold just these, in this order.
+// RequireFrames compares frames with a file in testdata. The file must hold exactly these frames in this order.
 func RequireFrames(t *testing.T, file string, frames []Frame) {
 	t.Helper()
 	var cases []Case
@@ -87,7 +88,7 @@
 	Require(t, file, cases)
 }
 
-// ReadFrames returns the bytes of the frames of a file in testdata by name. It must have as many as the test has cases.
+// ReadFrames returns the byte strings of a file in testdata by name. The file must hold count frames.
 func ReadFrames(t *testing.T, file string, count int) map[string][]byte {
 	t.Helper()
 	frames := map[string][]byte{}
--- a/lab/golden/golden_test.go
+++ b/lab/golden/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// writeGolden makes a golden file in the testdata folder of a new working directory.
+// writeGolden writes a golden file to the testdata directory of a new working directory.
 func writeGolden(t *testing.T, file, text string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
@@ -16,15 +16,16 @@
 	require.NoError(t, os.WriteFile(filepath.Join(folder, file), []byte(text), 0o600))
 }
 
-// A file is read as it was compared: by name, forms as they stand, whatever they hold after the first separator.
-func TestRequireAndRead(t *testing.T) {
+// Guards against a text that changes between writing and reading: text after the first separator must be kept as it
+// is.
+func TestReadReturnsRequiredCases(t *testing.T) {
 	writeGolden(t, "forms.golden", "a: 1\nb: x: y \n")
 	Require(t, "forms.golden", []Case{{"a", "1"}, {"b", "x: y "}})
 	require.Equal(t, map[string]string{"a": "1", "b": "x: y "}, Read(t, "forms.golden", 2))
 }
 
-// Frames are read as they were compared, and an empty one is a frame.
-func TestRequireAndReadFrames(t *testing.T) {
+// Guards against bytes that change between writing and reading: an empty byte string is a frame too.
+func TestReadFramesReturnsRequiredFrames(t *testing.T) {
 	writeGolden(t, "frames.hex", "a: 0x00ff\nb: 0x\n")
 	RequireFrames(t, "frames.hex", []Frame{{"a", []byte{0, 0xff}}, {"b", nil}})
 	require.Equal(t, map[string][]byte{"a": {0, 0xff}, "b": {}}, ReadFrames(t, "frames.hex", 2))
--- a/lab/golden/log.go
+++ b/lab/golden/log.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// NewLogger returns a logger that writes lines of all levels to w, without their time.
+// NewLogger returns a logger that writes lines of all levels to w without timestamps.
 func NewLogger(w io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(w)
--- a/lab/load/bench_test.go
+++ b/lab/load/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// usage is what this process has used so far.
+// usage is what this process has used since its start.
 type usage struct {
 	cpu      time.Duration
 	switches int64 // voluntary context switches
@@ -24,7 +24,7 @@
 	return usage{cpu: time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano()), switches: rusage.Nvcsw}
 }
 
-// reportUsage reports what was used since before, per operation.
+// reportUsage reports the usage per operation since before.
 func reportUsage(b *testing.B, before usage) {
 	b.Helper()
 	now := currentUsage(b)
@@ -32,8 +32,8 @@
 	b.ReportMetric(float64(now.switches-before.switches)/float64(b.N), "waits/op")
 }
 
-// BenchmarkRequest measures what a request costs the server's process, kernel and runtime included. Previews make a
-// call.
+// BenchmarkRequest measures the cost of a request to the server's process, including the kernel and the Go runtime.
+// Requests of the class preview make a call to the store.
 func BenchmarkRequest(b *testing.B) {
 	for _, class := range []string{"hires-crop", "preview"} {
 		for _, clients := range []int{1, 8, 64} {
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkIdle measures what a second without requests costs the server's process, with idle connections.
+// BenchmarkIdle measures the cost of one second without requests to the server's process, with idle connections.
 func BenchmarkIdle(b *testing.B) {
 	for _, connections := range []int{0, 150} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
--- a/lab/load/dependencies_test.go
+++ b/lab/load/dependencies_test.go
@@ -13,8 +13,8 @@
 	"falldeal/lab/fakes"
 )
 
-// The fakes and the load run in a process of their own, so that processor time and profile of the test process are
-// the server's alone. That process is the test program again, with this variable set.
+// runAsDependencies is the environment variable that makes the test program serve the fakes and generate the load.
+// They run in their own process, so that the CPU time and profile of the test process are those of the server alone.
 const runAsDependencies = "FALLDEAL_BENCH_DEPENDENCIES"
 
 func TestMain(m *testing.M) {
@@ -27,11 +27,11 @@
 	}
 }
 
-// addresses are those of the fakes, as their process writes them to its standard output.
+// addresses are the addresses of the fakes, which their process writes to its standard output.
 type addresses struct{ Agent, Store, Announce string }
 
-// serveDependencies starts the fakes and writes their addresses. It then carries out the plans that it reads, and
-// writes their reports, until the input ends.
+// serveDependencies starts the fakes and writes their addresses to out. It then runs each plan that it reads from in
+// and writes the report, until in ends.
 func serveDependencies(in io.Reader, out io.Writer) error {
 	addrs, err := startFakes(context.Background())
 	if err != nil {
@@ -82,7 +82,8 @@
 	}, nil
 }
 
-// planRun has previews make a call of 96 bytes, and everything else succeed at once.
+// planRun returns a plan with a call of 96 bytes for the class preview, and one that succeeds at once for other
+// classes.
 func planRun(launch fakes.Launch) fakes.RunPlan {
 	if launch.Class == "preview" {
 		return fakes.RunPlan{Call: make([]byte, 96)}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,4 +1,4 @@
-// Package load generates a closed-loop load on one image server over MessagePack-RPC, as package frontrpc has it.
+// Package load generates closed-loop load on one image server over MessagePack-RPC (package frontrpc).
 package load
 
 import (
@@ -13,22 +13,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// timeoutSlack is how long a client waits for a connection, and for an answer past the timeout of its request.
+// timeoutSlack bounds the dial of a client, and how long it waits for an answer after the timeout of the request.
 const timeoutSlack = 10 * time.Second
 
-// Plan is a closed loop: each client has one connection and one request in flight on it, until Requests were sent.
+// Plan describes a closed loop: each client has one connection with one request in flight, until Requests have been
+// sent.
 type Plan struct {
-	Addr              string
+	Addr              string // of the image server
 	Clients           int
 	Requests          int           // of all clients together
-	Classes           []string      // sent round robin by each client
-	IdempotentClasses []string      // those of Classes whose requests carry an idempotency key
-	BodyBytes         int           // size of a request's body
+	Classes           []string      // each client sends them round robin
+	IdempotentClasses []string      // the Classes whose requests carry an idempotency key
+	BodyBytes         int           // size of the body of a request
 	Timeout           time.Duration // of a request
-	CostHint          time.Duration // processor time that a request claims to take
+	CostHint          time.Duration // processor time that a request declares
 }
 
-// Report counts answers.
+// Report counts the answers by their outcome.
 type Report struct{ Served, Rejected, Failed int64 }
 
 // Total returns the number of all answers.
@@ -52,8 +53,8 @@
 	return Report{Served: c.served.Load(), Rejected: c.rejected.Load(), Failed: c.failed.Load()}
 }
 
-// Run carries out a plan. It returns an error when an answer does not come in time or can't be read, or when ctx
-// ends; the report then counts the answers until then.
+// Run runs a plan. It returns an error if an answer is late or malformed, or if ctx ends. The report then counts the
+// answers received before.
 func Run(ctx context.Context, plan Plan) (Report, error) {
 	var counts counters
 	var remaining atomic.Int64
@@ -68,14 +69,14 @@
 	return counts.report(), nil
 }
 
-// runClient sends requests one by one while any of the plan remain.
+// runClient sends one request after the other while requests of the plan remain.
 func (p *Plan) runClient(ctx context.Context, client int, remaining *atomic.Int64, counts *counters) error {
 	conn, err := (&net.Dialer{Timeout: timeoutSlack}).DialContext(ctx, "tcp", p.Addr)
 	if err != nil {
 		return fmt.Errorf("client %d: %w", client, err)
 	}
 	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { _ = conn.Close() })() // so that waiting for an answer ends
+	defer context.AfterFunc(ctx, func() { _ = conn.Close() })() // unblocks a read or write when ctx ends
 	writer := bufio.NewWriter(conn)
 	encoder := msgpack.NewEncoder(writer)
 	decoder := msgpack.NewDecoder(bufio.NewReader(conn))
--- a/lab/load/rpc.go
+++ b/lab/load/rpc.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	subjectKeys     = 1000 // different keys of requests without an idempotency key
-	requestMemoryKB = 4    // that a request claims to take
-	requestRank     = 0.5
+	subjectKeys     = 1000 // distinct subjects of requests without an idempotency key
+	requestMemoryKB = 4    // memory demand that each request declares
+	requestRank     = 0.5  // of all requests; a rank orders requests of equal value
 )
 
-// attemptIDs numbers requests, unique within a process. It starts at another number in each, so that the requests of
-// two processes to one server do not share identifiers.
+// attemptIDs is the ID of the last request of this process. It starts at the time of the process start, so that two
+// processes do not send the same IDs to one server.
 var attemptIDs atomic.Uint64
 
 func init() { attemptIDs.Store(uint64(time.Now().UnixNano())) }
 
+// writeRequest writes the request of a client with the given call number.
 func (p *Plan) writeRequest(encoder *msgpack.Encoder, client int, call uint32) error {
 	class := p.Classes[int(call)%len(p.Classes)]
 	id := attemptIDs.Add(1)
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// outcome is how a request ended.
+// outcome is the result of a request.
 type outcome uint8
 
 const (
@@ -58,7 +59,7 @@
 	outcomeFailed
 )
 
-// errUnexpectedAnswer reports a message that is not the response to the call.
+// errUnexpectedAnswer reports a message that is not a valid response to the call.
 var errUnexpectedAnswer = errors.New("not the answer to the call")
 
 // readAnswer reads the response to a call.
@@ -86,7 +87,8 @@
 	return outcomeFailed, nil
 }
 
-// readResponseHeader reads what comes before a response's error and result, and checks that it belongs to the call.
+// readResponseHeader reads the part of a response before its error and result, and checks that it belongs to the
+// call.
 func readResponseHeader(decoder *msgpack.Decoder, call uint32) error {
 	parts, err := decoder.DecodeArrayLen()
 	if err != nil {
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -19,14 +19,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testServer is a server in this process. Its dependencies and its load are in another process.
+// testServer is a server in this process. Its dependencies and its load run in another process.
 type testServer struct {
 	addr    string
 	plans   *json.Encoder // to the other process
 	reports *json.Decoder // from it
 }
 
-// newTestServer starts a server, which is ready when the function returns and ends with the test.
+// newTestServer starts a server and returns when it is ready. The server ends with the test.
 func newTestServer(tb testing.TB) *testServer {
 	tb.Helper()
 	started, addrs := startDependencies(tb)
@@ -50,11 +50,11 @@
 	return started
 }
 
-// startDependencies starts the process of the fakes and the load, and returns what speaks to it. The process ends
-// after the test, with its input.
+// startDependencies starts the process of the fakes and the load, and returns the pipes to it. The process ends after
+// the test, when its input is closed.
 func startDependencies(tb testing.TB) (*testServer, addresses) {
 	tb.Helper()
-	dependencies := exec.CommandContext(context.Background(), os.Args[0]) // it ends with its input
+	dependencies := exec.CommandContext(context.Background(), os.Args[0]) // ends when its input is closed
 	dependencies.Env = append(os.Environ(), runAsDependencies+"=1")
 	dependencies.Stderr = os.Stderr
 	stdin, err := dependencies.StdinPipe()
@@ -72,8 +72,8 @@
 	return started, addrs
 }
 
-// testConfig returns the example configuration with the addresses of the fakes. Its deadlines are 10 minutes, so that a
-// machine that is busy for a while does not make requests late.
+// testConfig returns the example configuration with the addresses of the fakes. Its deadlines are 10 minutes, so that
+// requests do not become late while the machine is busy.
 func testConfig(tb testing.TB, addrs addresses) *config.Config {
 	tb.Helper()
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
@@ -91,7 +91,7 @@
 	return cfg
 }
 
-// run has the other process carry out a plan.
+// run makes the other process run a plan.
 func (s *testServer) run(tb testing.TB, plan Plan) Report {
 	tb.Helper()
 	plan.Addr, plan.Timeout, plan.CostHint = s.addr, 10*time.Minute, time.Millisecond
@@ -101,8 +101,9 @@
 	return report
 }
 
-// A server with the fakes as its dependencies must serve all requests, to a client whose codec is not the server's.
-func TestServedThroughFakes(t *testing.T) {
+// Guards against a codec that only understands itself: a server with the fakes as its dependencies must serve all
+// requests of a client whose MessagePack codec is a different implementation.
+func TestServesClientWithIndependentCodec(t *testing.T) {
 	srv := newTestServer(t)
 	report := srv.run(t, Plan{
 		Clients:           8,
--- a/lab/loopback/loopback.go
+++ b/lab/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback opens sockets on 127.0.0.1 for tests. They are closed at the end of the test, if it has not closed them.
+// Package loopback opens sockets on 127.0.0.1 for tests. Sockets that a test has not closed are closed at its end.
 package loopback
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// anyPort has the kernel choose a free port.
+// anyPort makes the kernel choose a free port.
 const anyPort = "127.0.0.1:0"
 
 // Listen returns a listener on a free port.
@@ -24,7 +24,7 @@
 	listener, err := config.Listen(tb.Context(), "tcp", address)
 	require.NoError(tb, err)
 	tb.Cleanup(func() {
-		_ = listener.Close() // an error where the test has closed it
+		_ = listener.Close() // fails if the test has already closed it
 	})
 	tcpListener, ok := listener.(*net.TCPListener)
 	require.True(tb, ok, "%T", listener)
@@ -38,7 +38,7 @@
 	conn, err := dialer.DialContext(tb.Context(), "tcp", address)
 	require.NoError(tb, err)
 	tb.Cleanup(func() {
-		_ = conn.Close() // an error where the test has closed it
+		_ = conn.Close() // fails if the test has already closed it
 	})
 	return conn
 }
--- a/lab/loopback/loopback_test.go
+++ b/lab/loopback/loopback_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A listener takes connections until it is closed, and its port can be listened on again.
+// A listener must accept connections until it is closed. Afterwards dials must be refused, and its port must be free
+// to listen on again.
 func TestListenAndDial(t *testing.T) {
 	listener := Listen(t)
 	address := listener.Addr().String()
--- a/lab/memnet/conn.go
+++ b/lab/memnet/conn.go
@@ -10,12 +10,13 @@
 
 // conn is one end of a stream.
 type conn struct {
-	net.Conn      // a pipe
+	net.Conn      // one end of a net.Pipe
 	local, remote *Host
-	remoteAddr    string
+	remoteAddr    string // address of the remote host
 }
 
-// Write drops what is written into a partition, as the network does with what a socket has taken.
+// Write discards the data if the network has a partition in this direction, as the kernel accepts data that then does
+// not arrive.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.local.network.fault(c.local.addr, c.remote.addr).Partition {
 		return len(b), nil
@@ -23,7 +24,7 @@
 	return c.Conn.Write(b) //nolint:wrapcheck // callers of a net.Conn compare errors as they are
 }
 
-// Read turns the error of a pipe whose other end was closed into that of a socket.
+// Read reports a closed pipe as a connection reset, the error of a socket whose peer was killed.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if errors.Is(err, io.ErrClosedPipe) {
@@ -32,7 +33,7 @@
 	return n, err
 }
 
-// Close ends the stream for both ends.
+// Close closes both ends of the stream.
 func (c *conn) Close() error {
 	c.local.network.mu.Lock()
 	delete(c.local.conns, c)
@@ -40,7 +41,7 @@
 	return c.Conn.Close() //nolint:wrapcheck // callers of a net.Conn compare errors as they are
 }
 
-// RemoteAddr returns the address of the host at the other end.
+// RemoteAddr returns the address of the remote host.
 func (c *conn) RemoteAddr() net.Addr {
 	addr := udpAddr(c.remoteAddr)
 	return &net.TCPAddr{IP: addr.IP, Port: addr.Port}
--- a/lab/memnet/host.go
+++ b/lab/memnet/host.go
@@ -9,49 +9,51 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Host is one end of a network. It is a memberlist.NodeAwareTransport; its methods may be called from any goroutine.
+// Host is a host in a Network. It implements memberlist.NodeAwareTransport. Its methods are safe for concurrent use.
 type Host struct {
 	network *Network
 	addr    string
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	// Under the network's lock.
-	down  bool
+
+	// Guarded by network.mu.
+	down  bool // the host was killed or shut down
 	conns map[*conn]bool
 }
 
 var _ memberlist.NodeAwareTransport = (*Host)(nil)
 
-// Kill takes the host down at once: it sends and receives nothing more, its streams end, and dials to it are refused.
+// Kill takes the host down at once: it sends and receives nothing more, its streams are closed, and dials to it are
+// refused.
 func (h *Host) Kill() {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.down = true
 	for c := range h.conns {
-		_ = c.Conn.Close() // a pipe reports none
+		_ = c.Conn.Close() // net.Pipe returns no error
 	}
 }
 
-// Shutdown takes the host down for memberlist, and closes the streams that were not accepted.
+// Shutdown implements memberlist.Transport. It takes the host down and closes streams that were not accepted.
 func (h *Host) Shutdown() error {
 	h.Kill()
 	for {
 		select {
 		case c := <-h.streams:
-			_ = c.Close() // a pipe reports none
+			_ = c.Close() // net.Pipe returns no error
 		default:
 			return nil
 		}
 	}
 }
 
-// FinalAdvertiseAddr returns the host's address, whatever is asked for.
+// FinalAdvertiseAddr returns the host's address and ignores the requested one.
 func (h *Host) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	addr := udpAddr(h.addr)
 	return addr.IP, addr.Port, nil
 }
 
-// WriteTo sends a packet and returns the time of that. A packet that is lost is no error.
+// WriteTo sends a packet and returns the time of sending. A lost packet is not an error.
 func (h *Host) WriteTo(b []byte, addr string) (time.Time, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -63,24 +65,24 @@
 	return now, nil
 }
 
-// WriteToAddress is WriteTo for an address with a name, which is ignored.
+// WriteToAddress is WriteTo for an address with a node name, which it ignores.
 func (h *Host) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	return h.WriteTo(b, to.Addr)
 }
 
-// PacketCh delivers the packets that arrive.
+// PacketCh returns the channel of received packets.
 func (h *Host) PacketCh() <-chan *memberlist.Packet { return h.packets }
 
-// StreamCh delivers the streams that others open.
+// StreamCh returns the channel of streams that other hosts have opened.
 func (h *Host) StreamCh() <-chan net.Conn { return h.streams }
 
-// DialAddressTimeout is DialTimeout for an address with a name, which is ignored.
+// DialAddressTimeout is DialTimeout for an address with a node name, which it ignores.
 func (h *Host) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return h.DialTimeout(to.Addr, timeout)
 }
 
-// DialTimeout opens a stream. It times out behind a partition in either direction and where there was never a host,
-// and is refused by a host that is down or has too many unaccepted streams.
+// DialTimeout opens a stream. It times out if there is a partition in either direction or no host has ever had the
+// address. It is refused if the host is down or has too many streams that it has not accepted.
 func (h *Host) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	network := h.network
 	network.mu.Lock()
@@ -104,7 +106,7 @@
 	select {
 	case target.streams <- accepted:
 	default:
-		_ = localEnd.Close() // a pipe reports none
+		_ = localEnd.Close() // net.Pipe returns no error
 		return nil, dialError(syscall.ECONNREFUSED)
 	}
 	h.conns[dialed] = true
--- a/lab/memnet/memnet_test.go
+++ b/lab/memnet/memnet_test.go
@@ -16,7 +16,7 @@
 	second = "10.0.0.2:7946"
 )
 
-// received counts the packets that have arrived at a host.
+// received returns the number of packets that have arrived at a host.
 func received(h *Host) (n int) {
 	for {
 		select {
@@ -28,8 +28,8 @@
 	}
 }
 
-// Packets must arrive, be lost, be duplicated and be delayed as the rule says.
-func TestPackets(t *testing.T) {
+// A packet must arrive, be lost, be duplicated and be delayed as the rule requires.
+func TestPacketsFollowRule(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		fault Fault
 		want  int // copies of a packet
@@ -55,8 +55,9 @@
 	}
 }
 
-// A stream must carry bytes, end with the host at its other end, and not be opened through a partition.
-func TestStreams(t *testing.T) {
+// A stream must carry data, be reset when the host at its other end is killed, and time out when it is opened through
+// a partition.
+func TestStreamsEndWithHostAndTimeOutInPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(1)
 		from, to := network.Host(first), network.Host(second)
--- a/lab/memnet/network.go
+++ b/lab/memnet/network.go
@@ -1,7 +1,7 @@
-// Package memnet is a network in memory between the members of a fleet, with faults for each pair of hosts. It is for
-// tests in a testing/synctest bubble, where hundreds of members live for minutes within a second. Losses and delays
-// are drawn from a seed. It leaves out bandwidth and queues on the way. Each host queues a bounded number of packets
-// and drops the rest; nothing of a host runs on after it.
+// Package memnet is an in-memory network between the members of a fleet, with faults for each pair of hosts. It is
+// for tests in a testing/synctest bubble, in which hundreds of members run for minutes of simulated time within a
+// second. Losses and delays are drawn from a seed. Bandwidth and queues within the network are not modelled. Each
+// host queues a bounded number of packets and drops the rest. A host has no goroutine that would have to be stopped.
 package memnet
 
 import (
@@ -14,33 +14,34 @@
 )
 
 const (
-	packetQueue = 512 // unread packets of a host
-	streamQueue = 64  // unaccepted streams of a host
-	// randStream keeps the random sequence apart from those of other parts with the same seed.
+	packetQueue = 512 // maximum unread packets of a host
+	streamQueue = 64  // maximum unaccepted streams of a host
+	// randStream selects a random sequence that differs from those of other packages with the same seed.
 	randStream = 1
 )
 
-// Fault is the effect of faults on the traffic from one host to another. The zero value is none.
+// Fault is the combined effect of faults on the traffic from one host to another. The zero value has no effect.
 type Fault struct {
 	Partition      bool          // nothing arrives
-	LossRatio      float64       // of packets that are lost, from 0 to 1
-	DuplicateRatio float64       // of packets that arrive twice, from 0 to 1
-	Delay          time.Duration // of packets and dials
-	Jitter         time.Duration // up to which packets are delayed further, so that they overtake one another
+	LossRatio      float64       // fraction of packets that are lost, from 0 to 1
+	DuplicateRatio float64       // fraction of packets that arrive twice, from 0 to 1
+	Delay          time.Duration // of each packet and each dial
+	Jitter         time.Duration // maximum additional delay of a packet; packets may overtake one another
 }
 
-// Network connects hosts. Its methods may be called from any goroutine.
+// Network connects hosts. Its methods are safe for concurrent use.
 type Network struct {
+	// mu guards the fields below.
 	mu    sync.Mutex
 	rand  *rand.Rand
 	hosts map[string]*Host // by address
 	rule  func(from, to string) Fault
 
-	// Packets and Bytes count what hosts have sent. They may be read once all hosts are down.
+	// Packets and Bytes count what all hosts have sent. They may be read without the lock once all hosts are down.
 	Packets, Bytes int64
 }
 
-// New returns a network without hosts and faults, which draws losses and delays from seed.
+// New returns a network without hosts or faults. It draws losses and delays from seed.
 func New(seed uint64) *Network {
 	return &Network{
 		rand:  rand.New(rand.NewPCG(seed, randStream)),
@@ -49,14 +50,14 @@
 	}
 }
 
-// SetRule replaces the faults. Rule is called with the addresses of two hosts, while the network is locked.
+// SetRule replaces the faults. The network calls rule with the addresses of two hosts while it holds its lock.
 func (n *Network) SetRule(rule func(from, to string) Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rule = rule
 }
 
-// Host returns a new host at an address, IP and port. A host that had the address before must be down.
+// Host adds a host at an address of the form IP:PORT. An earlier host at the address must be down.
 func (n *Network) Host(addr string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,14 +72,14 @@
 	return added
 }
 
-// fault returns the present effect on the traffic from one host to another.
+// fault returns the current effect on the traffic from one host to another.
 func (n *Network) fault(from, to string) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rule(from, to)
 }
 
-// send sends a packet. The caller holds the network's lock.
+// send sends a packet. The caller must hold n.mu.
 func (n *Network) send(from, to string, payload []byte) {
 	n.Packets++
 	n.Bytes += int64(len(payload))
@@ -89,7 +90,7 @@
 	}
 }
 
-// drawCopies draws how often a packet arrives.
+// drawCopies draws the number of copies of a packet that arrive.
 func (n *Network) drawCopies(fault Fault) int {
 	if fault.Partition || n.rand.Float64() < fault.LossRatio {
 		return 0
@@ -100,7 +101,7 @@
 	return 1
 }
 
-// drawDelay draws for how long one copy of a packet is under way.
+// drawDelay draws the delay of one copy of a packet.
 func (n *Network) drawDelay(fault Fault) time.Duration {
 	delay := fault.Delay
 	if fault.Jitter > 0 {
@@ -109,7 +110,7 @@
 	return delay
 }
 
-// receive queues a packet at its host, and drops it if that is down or its queue is full.
+// receive queues a packet at its host. It drops the packet if the host is down or its queue is full.
 func (n *Network) receive(addr string, packet *memberlist.Packet) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,7 +128,7 @@
 func udpAddr(addr string) *net.UDPAddr {
 	resolved, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
-		panic(err) // hosts have IP addresses and port numbers, so nothing is looked up
+		panic(err) // addresses of hosts are IP:PORT, which needs no lookup
 	}
 	return resolved
 }
