--- a/cmd/falldeal-fleet/check.go
+++ b/cmd/falldeal-fleet/check.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// check prints a summary of the files that a member was made from, which have no fault.
-func check(checked *member, out io.Writer) {
+// printCheckSummary prints a summary of the configuration and the operators' file, which newMember has validated.
+func printCheckSummary(checked *member, out io.Writer) {
 	conf := checked.config
 	fmt.Fprintf(out, "configuration of %s is valid: %d classes, listening on %s\n",
 		conf.Name, len(conf.Classes), conf.Listen)
--- a/cmd/falldeal-fleet/golden_test.go
+++ b/cmd/falldeal-fleet/golden_test.go
@@ -28,7 +28,7 @@
 
 var timeOfLine = regexp.MustCompile(`time="[^"]*"`)
 
-// Help, flags, exit codes and messages of each command.
+// Compares help, flags, exit codes and messages of each command with a golden file, so that none changes unnoticed.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile(sampleConfig)
@@ -87,7 +87,7 @@
 	golden.RequireText(t, "commands", got.String())
 }
 
-// reports are those of several instances, by the names of their consoles in the golden file.
+// reports returns fleet reports by the name of their console in the golden file.
 func reports() map[string]fleet.Report {
 	whole := fleet.Report{
 		Self: "n3", Position: "whole", LastReceivedMs: 250, PublishIntervalMs: 1000, FreshMs: 5000,
@@ -121,8 +121,8 @@
 	return map[string]fleet.Report{"whole": whole, "full": full, "room": room, "alone": alone}
 }
 
-// What is printed for each kind of response of an instance.
-func TestGoldenAnswers(t *testing.T) {
+// Compares what is printed for each kind of console response with a golden file.
+func TestGoldenQueryOutput(t *testing.T) {
 	consoles := map[string]http.HandlerFunc{
 		"in no fleet": http.NotFound,
 		"busy":        func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
--- a/cmd/falldeal-fleet/main.go
+++ b/cmd/falldeal-fleet/main.go
@@ -1,6 +1,6 @@
-// Command falldeal-fleet is the image server as a member of a fleet, and the client that asks members about it.
-// falldeal execs it for `serve --operators`, `check --operators` and `fleet`, so that a server without a fleet does not
-// link it.
+// Command falldeal-fleet runs the image server as a member of a fleet, and queries members for their view of the
+// fleet. The command falldeal execs it for `serve --operators`, `check --operators` and `fleet`, so that a server
+// without a fleet does not link the membership code.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/spf13/pflag"
 )
 
-// version is set by the linker when a release is built. Members publish it.
+// version is set by the linker in a release build. Members publish it to the fleet.
 var version = "dev"
 
 func main() {
@@ -30,7 +30,7 @@
 // options is the command line of serve and check.
 type options struct {
 	command       string
-	configPath    string // "": that of the variable GW_CONFIG
+	configPath    string // "" = value of the environment variable GW_CONFIG
 	operatorsPath string
 	logLevel      logrus.Level
 }
@@ -52,7 +52,7 @@
 	return &opts, nil
 }
 
-// run carries out a command line.
+// run runs a command line.
 func run(args []string, out io.Writer) error {
 	if len(args) > 0 && args[0] == "fleet" {
 		return query(args[1:], out)
@@ -78,7 +78,7 @@
 	case "serve":
 		return serve(member, signals)
 	case "check":
-		check(member, out)
+		printCheckSummary(member, out)
 		return nil
 	default:
 		return fmt.Errorf("unknown command %q", opts.command)
--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -20,11 +20,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// bindRetryInterval is the time between attempts to bind the fleet's address while the process that this one replaces
-// still has it.
+// bindRetryInterval is the time between two attempts to bind the gossip address while the predecessor process still
+// uses it.
 const bindRetryInterval = 500 * time.Millisecond
 
-// member is this process as a member of a fleet, or as a single server where the operators' file has no fleet.
+// member is this process as a member of a fleet. If the operators' file has no fleet table, it is a single server.
 type member struct {
 	opts      *options
 	config    *config.Config
@@ -32,14 +32,14 @@
 	log       *logrus.Logger
 	extension process.Extension // empty without a fleet
 
-	fleet     *gossip.Fleet   // nil: no fleet
-	tracer    *tracing.Tracer // nil: no tracing
-	run       uint64          // tells processes of one name apart; later ones have larger numbers
-	retryBind bool            // another process may have the fleet's address at first
+	fleet     *gossip.Fleet   // nil without a fleet
+	tracer    *tracing.Tracer // nil without tracing
+	run       uint64          // identifies this process among those with the same name; grows with each start
+	retryBind bool            // the predecessor process may still use the gossip address at first
 }
 
-// newMember reads the configuration, by load, and the operators' file, and prepares the member that they describe. It
-// opens the file of traces but no socket.
+// newMember reads the configuration with load, reads the operators' file, and prepares the member that they describe.
+// It opens the trace file but no socket.
 func newMember(opts *options, load func(path string) (*config.Config, error)) (*member, error) {
 	conf, err := load(opts.configPath)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	file, err := operators.Load(opts.operatorsPath)
 	if err != nil {
-		return nil, err //nolint:wrapcheck // it names the file
+		return nil, err //nolint:wrapcheck // the error names the file
 	}
 	log := logrus.New()
 	log.SetLevel(opts.logLevel)
@@ -61,12 +61,12 @@
 	return created, nil
 }
 
-// fileError adds the operators' file to an error about its contents.
+// fileError adds the path of the operators' file to an error about its contents.
 func (m *member) fileError(err error) error {
 	return fmt.Errorf("operators' file %s: %w", m.opts.operatorsPath, err)
 }
 
-// joinFleet sets fleet, tracer and extension.
+// joinFleet sets fleet, tracer and extension. It does not contact other members.
 func (m *member) joinFleet() error {
 	var faults operators.FaultInjection
 	if m.operators.FaultInjection != nil {
@@ -78,7 +78,7 @@
 	if err := m.openTrace(); err != nil {
 		return err
 	}
-	var instance *server.Server // set before a page is asked for
+	var instance *server.Server // set by Prepare, before the console serves a page
 	m.extension = process.Extension{
 		Fleet: m.fleet,
 		Prepare: func(prepared *server.Server) {
@@ -97,15 +97,15 @@
 	return nil
 }
 
-// createFleet sets run and fleet. It does not listen.
+// createFleet sets run and fleet. It opens no socket.
 func (m *member) createFleet(faults operators.FaultInjection) error {
 	digest, err := config.Digest(m.opts.configPath)
 	if err != nil {
-		return fmt.Errorf("digest of the configuration: %w", err)
+		return fmt.Errorf("compute digest of the configuration: %w", err)
 	}
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return fmt.Errorf("drawing the number of the process: %w", err)
+		return fmt.Errorf("draw run number: %w", err)
 	}
 	if m.operators.FaultInjection != nil {
 		m.log.WithFields(logrus.Fields{
@@ -123,17 +123,17 @@
 		Listen: table.Listen, Seeds: table.Seeds, Keys: table.Keys, Digest: digest, Size: table.Size,
 		Limits: table.Limits, ProbeInterval: table.ProbeInterval, Seed: m.config.Seed, Incarnation: now,
 	}, m.log)
-	return err //nolint:wrapcheck // it names the key of the operators' file
+	return err //nolint:wrapcheck // the error names the key of the operators' file
 }
 
-// runNumber returns a number that grows with the time of a start, in milliseconds, and tells starts at the same time
-// apart by 20 random bits.
+// runNumber returns the start time in milliseconds, followed by 20 random bits that distinguish starts at the same
+// time. Numbers of later starts are larger.
 func runNumber(nowMs, random uint64) uint64 {
 	const randomBits = 20
 	return nowMs<<randomBits | random>>(64-randomBits)
 }
 
-// openTrace sets tracer where the operators' file asks for one.
+// openTrace sets tracer if the operators' file has a trace table.
 func (m *member) openTrace() error {
 	table := m.operators.Trace
 	if table == nil {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// prepare sets up a server that does not run yet.
+// prepare configures a server that has not been started: tracing, clock skew and overload handling.
 func (m *member) prepare(instance *server.Server, faults operators.FaultInjection) {
 	if m.tracer != nil {
 		instance.OnStateChange(func(change server.StateChange) {
@@ -174,19 +174,20 @@
 	}
 }
 
-// runFleet takes part in the fleet until ctx ends, after a replaced process has released the address.
+// runFleet takes part in the fleet until ctx ends. It first waits until the predecessor process has released the
+// gossip address.
 func (m *member) runFleet(ctx context.Context) error {
 	for m.retryBind {
 		err := m.fleet.Listen()
 		if err == nil {
 			break
 		}
-		m.log.WithError(err).Debug("fleet address still in use, retrying")
+		m.log.WithError(err).Debug("cannot bind gossip address, retrying")
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-time.After(bindRetryInterval):
 		}
 	}
-	return m.fleet.Run(ctx) //nolint:wrapcheck // it says that it is the fleet's
+	return m.fleet.Run(ctx) //nolint:wrapcheck // the error names the fleet
 }
--- a/cmd/falldeal-fleet/query.go
+++ b/cmd/falldeal-fleet/query.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	queryTimeout  = 5 * time.Second
-	maxReplyBytes = 64 << 20
+	queryTimeout  = 5 * time.Second // bounds a query of a console
+	maxReplyBytes = 64 << 20        // maximum size of a report
 )
 
 const queryUsage = `Usage: falldeal fleet COMMAND --console ADDRESS [flags]
@@ -30,21 +30,21 @@
 Flags:
 `
 
-// Commands of a query.
+// Commands of `falldeal fleet`.
 const (
 	commandMembers = "members"
 	commandStatus  = "status"
 )
 
-// queryOptions is the command line of a query.
+// queryOptions is the command line of `falldeal fleet`.
 type queryOptions struct {
 	command string // commandMembers or commandStatus
-	addr    string // of a console
-	json    bool   // print the report as it was received
-	check   bool   // fail unless all known members are reached
+	addr    string // address of the console
+	json    bool   // print the report as received
+	check   bool   // fail unless the instance is fully connected
 }
 
-// parseQuery reads the command line of a query. It prints the usage where the command is missing or not known.
+// parseQuery parses the command line of a query. It prints the usage if the command is missing or unknown.
 func parseQuery(args []string, out io.Writer) (*queryOptions, error) {
 	var opts queryOptions
 	flags := pflag.NewFlagSet("falldeal fleet", pflag.ContinueOnError)
@@ -59,7 +59,7 @@
 	known := opts.command == commandMembers || opts.command == commandStatus
 	if flags.NArg() != 1 || !known {
 		flags.Usage()
-		return nil, fmt.Errorf("fleet: unknown command %q", opts.command)
+		return nil, fmt.Errorf("fleet: want one command, members or status, got %q", flags.Args())
 	}
 	if opts.addr == "" {
 		return nil, errors.New("flag --console: missing")
@@ -67,7 +67,7 @@
 	return &opts, nil
 }
 
-// query carries out `fleet`: it prints the report of one instance about its fleet.
+// query runs `falldeal fleet`: it gets the report of one instance and prints it.
 func query(args []string, out io.Writer) error {
 	opts, err := parseQuery(args, out)
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 	var report fleet.Report
 	if err := json.Unmarshal(encoded, &report); err != nil {
-		return fmt.Errorf("%s: reading the report: %w", opts.addr, err)
+		return fmt.Errorf("%s: decode report: %w", opts.addr, err)
 	}
 	if err := opts.print(out, encoded, &report); err != nil {
 		return err
@@ -90,12 +90,12 @@
 	return nil
 }
 
-// print prints a report, which is also given as it was received.
+// print prints the report in the requested form. Encoded is the report as received.
 func (o *queryOptions) print(out io.Writer, encoded []byte, report *fleet.Report) error {
 	switch {
 	case o.json:
 		if _, err := out.Write(encoded); err != nil {
-			return fmt.Errorf("printing the report: %w", err)
+			return fmt.Errorf("write report: %w", err)
 		}
 		return nil
 	case o.command == commandMembers:
@@ -105,7 +105,7 @@
 	}
 }
 
-// fetchReport gets the report, JSON, from the console of an instance.
+// fetchReport gets the JSON report from the console of an instance.
 func fetchReport(addr string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
@@ -115,7 +115,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("querying the console: %w", err)
+		return nil, fmt.Errorf("query console: %w", err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusNotFound {
@@ -123,13 +123,13 @@
 	}
 	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return nil, fmt.Errorf("%s: receiving the report: %w", addr, err)
+		return nil, fmt.Errorf("%s: read response: %w", addr, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s: %s", addr, response.Status)
+		return nil, fmt.Errorf("%s: unexpected HTTP status %s", addr, response.Status)
 	}
 	return encoded, nil
 }
 
-// seconds formats a number of milliseconds.
-func seconds(ms int64) string { return fmt.Sprintf("%.1fs", float64(ms)/1000) }
+// formatSeconds formats a number of milliseconds as seconds.
+func formatSeconds(ms int64) string { return fmt.Sprintf("%.1fs", float64(ms)/1000) }
--- a/cmd/falldeal-fleet/reload.go
+++ b/cmd/falldeal-fleet/reload.go
@@ -10,11 +10,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// errFleetRemoved reports an operators' file that has lost its fleet while the process is a member of one.
+// errFleetRemoved reports an operators' file without a fleet table while the process is a member of a fleet.
 var errFleetRemoved = errors.New("fleet: joining or leaving a fleet requires a restart")
 
-// reload puts seeds, keys and the digest of the configuration into use; other keys of the operators' file count from
-// the next start. A bad file is logged and changes nothing.
+// reload applies the seeds and keys of the operators' file, and the digest of the configuration. Other settings
+// require a restart. An invalid file is logged and changes nothing.
 func (m *member) reload() {
 	file, err := operators.Load(m.opts.operatorsPath)
 	if err == nil && file.Fleet == nil {
--- a/cmd/falldeal-fleet/serve.go
+++ b/cmd/falldeal-fleet/serve.go
@@ -8,10 +8,10 @@
 	"falldeal/internal/process"
 )
 
-// traceCloseTimeout bounds how long the end of a process waits for its last spans to be written.
+// traceCloseTimeout bounds how long the process waits at its end for the last spans to be written.
 const traceCloseTimeout = 200 * time.Millisecond
 
-// serve runs an image server as the given member until a signal ends it.
+// serve runs an image server as the given member until a signal stops it.
 func serve(served *member, signals *process.Signals) error {
 	if served.fleet != nil && !served.retryBind {
 		if err := served.fleet.Listen(); err != nil {
@@ -20,7 +20,7 @@
 	}
 	err := process.Serve(signals, served.config, served.opts.configPath, served.log, served.extension)
 	if served.tracer == nil {
-		return err //nolint:wrapcheck // it says what has failed
+		return err //nolint:wrapcheck // the error names what failed
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), traceCloseTimeout)
 	defer cancel()
--- a/cmd/falldeal-fleet/status.go
+++ b/cmd/falldeal-fleet/status.go
@@ -11,9 +11,10 @@
 	"falldeal/internal/overload"
 )
 
-const maxStoreMembers = 5 // named in the line of a store
+// maxStoreMembers is the maximum number of members named in the line of a store.
+const maxStoreMembers = 5
 
-// printStatus prints how the instance is connected, what the fleet serves, how it is with its stores, and its zones.
+// printStatus prints the connection to the fleet, the load, the overload state, the stores and the zones.
 func printStatus(out io.Writer, report *fleet.Report) error {
 	printConnection(out, report)
 	printServing(out, &report.Fresh)
@@ -26,19 +27,20 @@
 func printConnection(out io.Writer, report *fleet.Report) {
 	lastReceived := "never"
 	if report.LastReceivedMs >= 0 {
-		lastReceived = seconds(report.LastReceivedMs) + " ago"
+		lastReceived = formatSeconds(report.LastReceivedMs) + " ago"
 	}
 	fmt.Fprintf(out, "fleet as seen by %s: %s; last update received: %s; updates published every %s, stale after %s\n",
-		report.Self, fleet.PositionName(report.Position), lastReceived, seconds(report.PublishIntervalMs), seconds(report.FreshMs))
+		report.Self, fleet.PositionName(report.Position), lastReceived,
+		formatSeconds(report.PublishIntervalMs), formatSeconds(report.FreshMs))
 }
 
 func printServing(out io.Writer, fresh *fleet.AggregateReport) {
 	fmt.Fprintf(out, "serving: %d members, %g cores, %.1f of them in use, %d requests in flight; "+
 		"oldest update: %s; %d members left out as stale\n",
-		fresh.Members, fresh.Cores, fresh.CoresInUse, fresh.InFlight, seconds(fresh.OldestMs), fresh.Stale)
+		fresh.Members, fresh.Cores, fresh.CoresInUse, fresh.InFlight, formatSeconds(fresh.OldestMs), fresh.Stale)
 }
 
-// printOverload prints the shedding threshold and the retries, where members publish a service rate.
+// printOverload prints the shedding threshold and the retries, if members publish a service rate.
 func printOverload(out io.Writer, fresh *fleet.AggregateReport) {
 	if fresh.ServiceRate <= 0 {
 		return
@@ -54,7 +56,7 @@
 		threshold, fresh.Attempts, fresh.RetryRatio, overload.RetryBudget, fresh.ServiceRate)
 }
 
-// printCalls prints the quota of calls to stores, where there is one.
+// printCalls prints the quota of calls to stores, if there is one.
 func printCalls(out io.Writer, fresh *fleet.AggregateReport) {
 	if fresh.CallQuota <= 0 {
 		return
@@ -63,8 +65,8 @@
 		fresh.CallQuota, fresh.MeanCalls)
 }
 
-// printStores prints a line for each zone and state of its store, but for healthy stores, with the members that
-// report it.
+// printStores prints a line for each zone and state of its store, with the members that report it. It omits healthy
+// stores.
 func printStores(out io.Writer, members []fleet.MemberReport) {
 	reporters := map[string][]string{} // by zone and state
 	for i := range members {
@@ -79,7 +81,7 @@
 		}
 		store := member.Zone + " " + state.String()
 		reporters[store] = append(reporters[store],
-			fmt.Sprintf("%s (%s ago%s)", member.Name, seconds(member.AgeMs), round))
+			fmt.Sprintf("%s (%s ago%s)", member.Name, formatSeconds(member.AgeMs), round))
 	}
 	for _, store := range slices.Sorted(maps.Keys(reporters)) {
 		names := reporters[store]
@@ -88,7 +90,7 @@
 	}
 }
 
-// printZones prints a line for each zone and one for all of them.
+// printZones prints a row for each zone and one for the whole fleet.
 func printZones(out io.Writer, report *fleet.Report) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "REGION\tZONE\tKNOWN\tALIVE\tSUSPECT\tSTALLED\tUNREACHABLE\tFAILED\tLEFT\t")
@@ -103,5 +105,5 @@
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", zone.Region, zone.Zone,
 			zone.Known, zone.Alive, zone.Suspect, zone.Stalled, zone.Unreachable, zone.Failed, zone.Left, mark)
 	}
-	return flush(table)
+	return flushTable(table)
 }
--- a/cmd/falldeal-lab/compare.go
+++ b/cmd/falldeal-lab/compare.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	// settlingTime is the time from the start of a fault to when its effect is measured.
+	// settlingTime is the time after the start of a fault before its effect is measured.
 	settlingTime = 8 * time.Second
 
-	maxComparedViolations = 3 // printed of each run
+	maxComparedViolations = 3 // printed per run
 
-	minOptimalValue = 1e-9 // keeps a ratio to the optimum finite
+	minOptimalValue = 1e-9 // avoids a division by zero in the ratio to the optimum
 )
 
-// comparisonColumns are the heads of the columns behind the seed and the features.
+// comparisonColumns are the headers of the columns after the seed and the features.
 var comparisonColumns = []string{
 	"value served", "ratio to optimum", "served in full", "rejected", "attempts per request", "store calls",
 	"mean in flight", "max in flight", "time over limit", "rejection fairness", "unresponsive store: calls/s",
 	"max in flight", "recovery time", "violations",
 }
 
-// errNoRequest reports a run whose load was empty.
+// errNoRequest reports a run in which no request was completed.
 var errNoRequest = errors.New("no request was completed")
 
 // comparedRun is the result of one of the two runs with a seed.
 type comparedRun struct {
 	opts       *options
-	enabled    bool // opts.features were on
+	enabled    bool // whether opts.features were turned on
 	events     []history.Event
-	cores      float64 // of all agents
+	cores      float64 // work that all agents together do per second, in seconds
 	requests   *history.RequestSummary
 	violations int
 }
 
-// valueRatio returns the part of the requests' value that was served.
+// valueRatio returns the value served as a fraction of the value of all requests.
 func (r *comparedRun) valueRatio() float64 { return r.requests.ValueServed / r.requests.Value }
 
-// comparison runs the same load and script, seed by seed, with opts.features off and on.
+// comparison runs the same load and script, for each seed, with opts.features off and on.
 type comparison struct {
 	opts       *options
 	out        io.Writer
-	dir        string    // of the runs' folders
-	gains      []float64 // in value served, by seed
+	dir        string    // parent of the runs' directories
+	gains      []float64 // difference of valueRatio between on and off, by seed
 	violations int
 }
 
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// printTable makes all runs and prints a row for each.
+// printTable performs all runs and prints a row for each.
 func (c *comparison) printTable(ctx context.Context) error {
 	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	columns := append([]string{"seed", strings.Join(c.opts.features, "+")}, comparisonColumns...)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// runSeed makes the two runs with a seed.
+// runSeed performs the two runs with a seed.
 func (c *comparison) runSeed(ctx context.Context, seed uint64, table io.Writer) error {
 	without, err := c.run(ctx, seed, false)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// printGains prints the distribution of the gains. There must be one.
+// printGains prints the distribution of the gains, of which there must be at least one.
 func (c *comparison) printGains() {
 	slices.Sort(c.gains)
 	count := len(c.gains)
@@ -117,6 +117,7 @@
 		c.gains[0], c.gains[count/2], c.gains[count-1], count)
 }
 
+// checkFeatures returns an error if a name is not in overloadFeatures.
 func checkFeatures(features []string) error {
 	for _, name := range features {
 		if !slices.Contains(overloadFeatures, name) {
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// run runs a fleet with a seed, in a folder of its own below dir, and prints violations of the rules.
+// run runs a fleet with a seed, in its own subdirectory of dir, and prints violations of the rules.
 func (c *comparison) run(ctx context.Context, seed uint64, enabled bool) (*comparedRun, error) {
 	opts := *c.opts
 	opts.lab.Seed = seed
@@ -150,7 +151,7 @@
 	}, nil
 }
 
-// enableFeatures turns the features on that are to be compared.
+// enableFeatures turns on the features that are compared.
 func (o *options) enableFeatures() {
 	lab := &o.lab
 	lab.QuotaLeasing = lab.QuotaLeasing || slices.Contains(o.features, featureQuotaLeasing)
@@ -158,7 +159,8 @@
 	lab.Shedding = lab.Shedding || slices.Contains(o.features, featureShedding)
 }
 
-// runScript runs a fleet under load and the script, if one is named, and returns what happened.
+// runScript runs a fleet under load and the script, if one is given. It returns the events and the work that all
+// agents together do per second, in seconds.
 func runScript(ctx context.Context, opts *options) (events []history.Event, cores float64, err error) {
 	lab, err := openLab(ctx, opts)
 	if err != nil {
@@ -192,7 +194,8 @@
 		history.RejectionFairness(r.events), faultRate, faultMax, recoveryTime(r.events), r.violations)
 }
 
-// recoveryTime returns how long after the first fault service was back, "never", or "-" for a run without a fault.
+// recoveryTime returns the time from the first fault until service had recovered, "never", or "-" if there was no
+// fault.
 func recoveryTime(events []history.Event) string {
 	from, to, found := history.FirstFault(events)
 	if !found {
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -18,21 +18,23 @@
 )
 
 const (
-	// idleTime is for how long the cost of idle processes is measured.
+	// idleTime is how long the cost of idle processes is measured.
 	idleTime = 20 * time.Second
 
+	// falseRemovalPollInterval is the time between two counts of false removals.
 	falseRemovalPollInterval = 250 * time.Millisecond
-	waitTimeout              = 3 * time.Minute
+	// waitTimeout bounds each wait for a condition.
+	waitTimeout = 3 * time.Minute
 
-	victimStream = 5 // of the random numbers that choose whom to kill
+	victimStream = 5 // selects the random sequence that the members to kill are drawn from
 )
 
-// removedConditions are those in which a member gets no requests.
+// removedConditions are the conditions in which a member gets no requests.
 var removedConditions = []history.Condition{
 	history.ConditionUnreachable, history.ConditionFailed, history.ConditionStalled,
 }
 
-// errWaitTimeout reports a condition that did not hold within waitTimeout.
+// errWaitTimeout reports a condition that was not met within waitTimeout.
 var errWaitTimeout = errors.New("condition not reached within 3 minutes")
 
 // detection measures the failure detection of a fleet without load.
@@ -42,8 +44,9 @@
 	out  io.Writer
 }
 
-// detect times the failure detection: it kills members and times how long all others take to see it. Before that it
-// counts members that are reported as failed while none is, under the loss of --share, and what membership costs.
+// detect measures failure detection. It first counts live members that are reported as removed, under the packet loss
+// of --share, and measures the cost of membership. Then it kills members and measures how long the others take to
+// detect it.
 func detect(ctx context.Context, opts *options, out io.Writer) error {
 	lab, err := openLab(ctx, opts)
 	if err != nil {
@@ -70,7 +73,7 @@
 	return measured.timeKills(ctx)
 }
 
-// addLoss has the fleet's network lose a ratio of all datagrams.
+// addLoss makes the network between all members lose a fraction of the datagrams.
 func addLoss(lab *fleetlab.Lab, ratio float64) error {
 	if ratio <= 0 {
 		return nil
@@ -80,18 +83,18 @@
 	})
 }
 
-// startScript runs the script of faults until the function is called that it returns.
+// startScript runs the fault script until stop is called.
 func (d *detection) startScript(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var script sync.WaitGroup
-	script.Go(func() { _ = d.lab.RunScript(ctx) }) // it ends early where the loss can't be caused
+	script.Go(func() { _ = d.lab.RunScript(ctx) }) // ends early if the loss cannot be injected
 	return func() {
 		cancel()
 		script.Wait()
 	}
 }
 
-// waitForJoin waits until every member sees all as serving.
+// waitForJoin waits until every member reports all members as serving.
 func (d *detection) waitForJoin(ctx context.Context) error {
 	members := len(d.lab.Members)
 	joined, err := waitUntil(func() bool { return d.countViews(ctx, history.ConditionServing) == members*members })
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// countFalseRemovals prints the maximum number of members that were wrongly reported as failed at one time.
+// countFalseRemovals prints the maximum number of views, at one time, in which a live member was removed.
 func (d *detection) countFalseRemovals(ctx context.Context) {
 	start := d.lab.Log.Now()
 	removed := 0
@@ -116,7 +119,8 @@
 		d.opts.duration, removed, members*(members-1))
 }
 
-// measureIdleCost prints what membership costs each process while no report is asked for, which would cost more.
+// measureIdleCost prints the cost of membership per process. It requests no fleet report during the measurement,
+// because that would add to the cost.
 func (d *detection) measureIdleCost(ctx context.Context) {
 	before := measureUsage(ctx, d.lab.Members)
 	start := d.lab.Log.Now()
@@ -131,7 +135,8 @@
 		perSecond(before.bytes, after.bytes), after.memoryMB/members)
 }
 
-// timeKills kills members, one at a time, and prints after how long one other and all others have seen it.
+// timeKills kills members one at a time, and prints how long the first and the last of the other members take to
+// detect it.
 func (d *detection) timeKills(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(d.opts.lab.Seed, victimStream))
 	var byOne, byAll []time.Duration
@@ -149,8 +154,8 @@
 	return nil
 }
 
-// timeKill kills a member and starts it again. It returns when all others have seen both, with the times after which
-// one other and all others had seen the kill.
+// timeKill kills a member and restarts it. It returns when all others have detected both, with the times from the
+// kill until the first and until all others had detected it.
 func (d *detection) timeKill(ctx context.Context, victim *fleetlab.Member) (byOne, byAll time.Duration, err error) {
 	others := len(d.lab.Members) - 1
 	victim.Kill()
@@ -174,7 +179,8 @@
 	return byOne, byAll, err
 }
 
-// countViews counts the views, of all members by all members that answer, in which one is in one of the conditions.
+// countViews returns the number of views, over all pairs of an observer that answers and a member, in which the
+// member is in one of the conditions.
 func (d *detection) countViews(ctx context.Context, conditions ...history.Condition) int {
 	count := 0
 	for _, observer := range d.lab.Members {
@@ -185,7 +191,7 @@
 	return count
 }
 
-// countViewsOf counts the other running members that see a member in one of the conditions.
+// countViewsOf returns the number of other running members that report a member in one of the conditions.
 func (d *detection) countViewsOf(ctx context.Context, member *fleetlab.Member, conditions ...history.Condition) int {
 	count := 0
 	for _, observer := range d.lab.Members {
@@ -199,7 +205,8 @@
 	return count
 }
 
-// countReported counts the members that an observer reports and that match. One that does not answer reports none.
+// countReported returns the number of members in an observer's report that match. It is 0 if the observer does not
+// answer.
 func countReported(ctx context.Context, observer *fleetlab.Member, match func(observed *fleet.MemberReport) bool) int {
 	report, err := observer.FleetReport(ctx)
 	if err != nil {
@@ -214,7 +221,7 @@
 	return count
 }
 
-// waitUntil polls a condition until it holds, and returns how long that took.
+// waitUntil polls a condition until it is met and returns how long that took.
 func waitUntil(condition func() bool) (time.Duration, error) {
 	start := time.Now()
 	for !condition() {
@@ -226,7 +233,7 @@
 	return time.Since(start), nil
 }
 
-// formatQuantiles formats the distribution of durations, which it sorts. There must be one.
+// formatQuantiles formats the distribution of durations. It sorts the slice, which must not be empty.
 func formatQuantiles(durations []time.Duration) string {
 	slices.Sort(durations)
 	quantile := func(q float64) float64 { return durations[int(q*float64(len(durations)-1))].Seconds() }
--- a/cmd/falldeal-lab/fault.go
+++ b/cmd/falldeal-lab/fault.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	maxFaultBytes  = 4096 // of a fault, JSON, or of the error that answers it
-	controlTimeout = 5 * time.Second
+	maxFaultBytes  = 4096            // of the JSON of a fault, and of an error response
+	controlTimeout = 5 * time.Second // bounds the read of a request
 )
 
-// serveControl accepts faults over HTTP until ctx ends, and returns its address.
+// serveControl serves an HTTP endpoint that accepts faults until ctx ends. It returns the address of the endpoint.
 func serveControl(ctx context.Context, lab *fleetlab.Lab) (addr string, err error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,14 +33,15 @@
 		}
 	}
 	server := &http.Server{ReadTimeout: controlTimeout, Handler: http.HandlerFunc(handler)}
-	go func() { _ = server.Serve(listener) }() // always an error, that of the end
+	go func() { _ = server.Serve(listener) }() // always returns an error, after Close ErrServerClosed
 	context.AfterFunc(ctx, func() {
 		_ = server.Close() // the program ends
 	})
 	return listener.Addr().String(), nil
 }
 
-// injectFault has a fault, JSON, start now. A fault of a link without a peer is one of all links of its target.
+// injectFault decodes a fault from JSON and starts it now. A link fault without a peer affects all links of its
+// target.
 func injectFault(lab *fleetlab.Lab, body io.Reader) error {
 	var fault faults.Fault
 	if err := json.NewDecoder(io.LimitReader(body, maxFaultBytes)).Decode(&fault); err != nil {
@@ -53,7 +54,7 @@
 	return addFault(lab, fault)
 }
 
-// sendFault sends the fault of opts to a fleet that runs.
+// sendFault sends the fault of opts to the control address of a running fleet.
 func sendFault(ctx context.Context, opts *options) error {
 	if opts.controlAddr == "" {
 		return errors.New("flag --lab: missing")
@@ -75,8 +76,8 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxFaultBytes)) // what has come, if it is cut short
-		return fmt.Errorf("fault: %s", strings.TrimSpace(string(reason)))
+		reason, _ := io.ReadAll(io.LimitReader(response.Body, maxFaultBytes)) // on a read error, the part that was read
+		return fmt.Errorf("fault rejected: %s", strings.TrimSpace(string(reason)))
 	}
 	return nil
 }
--- a/cmd/falldeal-lab/fleet.go
+++ b/cmd/falldeal-lab/fleet.go
@@ -22,13 +22,13 @@
 	historyFile = "history.jsonl"
 	plotFile    = "requests.png"
 
-	// listTimeout bounds the wait for all members to be in the front ends' lists before the load starts.
+	// listTimeout bounds how long the load waits for all members to appear in the server lists.
 	listTimeout      = 10 * time.Second
-	pollInterval     = 50 * time.Millisecond
-	viewPollInterval = 500 * time.Millisecond
+	pollInterval     = 50 * time.Millisecond  // of conditions that a command waits for
+	viewPollInterval = 500 * time.Millisecond // of the members' views of the fleet
 )
 
-// exampleScript is run where no script is named.
+// exampleScript is used if no script is given.
 const exampleScript = `
 [[fault]]
 kind = "cut"
@@ -43,7 +43,7 @@
 for = "6s"
 `
 
-// runFleet runs a fleet under load and faults, writes its history to a file and a plot, and reports.
+// runFleet runs a fleet under load and faults, writes its history and a plot, and prints a report.
 func runFleet(ctx context.Context, opts *options, out io.Writer) error {
 	lab, err := openLab(ctx, opts)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return report(out, events)
 }
 
-// writeHistory writes the events, and a plot of the requests, to the fleet's folder.
+// writeHistory writes the events and a plot of the requests to the fleet's directory.
 func writeHistory(lab *fleetlab.Options, events []history.Event) error {
 	if err := history.Write(filepath.Join(lab.Dir, historyFile), events); err != nil {
 		return fmt.Errorf("write history: %w", err)
@@ -88,14 +88,14 @@
 	return nil
 }
 
-// openLab prepares a fleet, in a new folder if none is named, which it sets in opts.
+// openLab creates a fleet in the directory of opts. If none is given, it creates one and sets it in opts.
 func openLab(ctx context.Context, opts *options) (*fleetlab.Lab, error) {
 	if opts.lab.Members < 1 || opts.lab.Members > maxMembers {
 		return nil, fmt.Errorf("flag --members: %d is not between 1 and %d", opts.lab.Members, maxMembers)
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return nil, fmt.Errorf("find falldeal: %w", err)
+		return nil, fmt.Errorf("find path of falldeal: %w", err)
 	}
 	opts.lab.Binary = filepath.Join(filepath.Dir(self), "falldeal")
 	if opts.lab.Dir, err = dirOrNew(opts.lab.Dir); err != nil {
@@ -108,7 +108,7 @@
 	return lab, nil
 }
 
-// dirOrNew returns dir, or a new temporary folder if that is empty.
+// dirOrNew returns dir, or a new temporary directory if dir is empty.
 func dirOrNew(dir string) (string, error) {
 	if dir != "" {
 		return dir, nil
@@ -120,7 +120,7 @@
 	return created, nil
 }
 
-// addScript adds the faults of a file, or those of text if no file is named.
+// addScript adds the faults of a script file to the fleet, or those of text if path is empty.
 func addScript(lab *fleetlab.Lab, path, text string) error {
 	if path != "" {
 		content, err := os.ReadFile(path) //nolint:gosec // the user names the file
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// runLoad has front ends send for opts.duration, while the script of faults runs. Beside it watch runs, until its
-// context ends; nil: nothing does.
+// runLoad sends requests for opts.duration while the fault script runs. It also runs watch, if not nil, until the
+// load has ended.
 func runLoad(ctx context.Context, lab *fleetlab.Lab, opts *options, watch func(context.Context)) error {
 	workload := opts.workload
 	workload.Classes = opts.lab.Classes
@@ -166,7 +166,7 @@
 	if watch != nil {
 		wait.Go(func() { watch(running) })
 	}
-	// After listTimeout some members are not going to be listed.
+	// A member that is not listed after listTimeout will not be listed at all.
 	for lab.Log.Now() < listTimeout && len(lab.Servers(0)()) < len(lab.Members) && ctx.Err() == nil {
 		time.Sleep(pollInterval)
 	}
--- a/cmd/falldeal-lab/golden_test.go
+++ b/cmd/falldeal-lab/golden_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
-// sampleHistory has one request served and one rejected, and a fault that begins and ends.
+// sampleHistory returns a history with a served and a rejected request and a fault that starts and ends.
 func sampleHistory() []history.Event {
 	const served = 1300 * time.Millisecond
 	return []history.Event{
@@ -42,8 +42,8 @@
 	}
 }
 
-// violatingEvents violate every rule: an answer too many, one too late, one lost, an order that runs twice, and a
-// member that is seen dead and is not.
+// violatingEvents returns events that violate every rule: a second answer, a late answer, a lost answer, an order
+// that runs twice, and a live member that is reported as failed.
 func violatingEvents() []history.Event {
 	const sent, deadline = 8 * time.Second, 9 * time.Second
 	order := func(attempt string) history.Event {
@@ -63,7 +63,8 @@
 	}
 }
 
-// Help, flags, exit codes and messages of every command that starts no fleet.
+// Compares help, flags, exit codes and messages of every command that starts no fleet with a golden file, so that
+// none changes unnoticed.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, history.Write(filepath.Join(dir, "day.jsonl"), sampleHistory()))
@@ -121,7 +122,7 @@
 	golden.RequireText(t, "commands", varying.Replace(got.String()))
 }
 
-// What a fault command sends to a fleet that runs.
+// Compares the request that the command fault sends to a running fleet with a golden file.
 func TestGoldenFaultRequest(t *testing.T) {
 	var got bytes.Buffer
 	fleet := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/cmd/falldeal-lab/main.go
+++ b/cmd/falldeal-lab/main.go
@@ -1,5 +1,5 @@
-// Command falldeal-lab starts fleets of falldeal and causes faults between their members. falldeal execs it for `lab`;
-// nothing that serves links it.
+// Command falldeal-lab runs fleets of falldeal and injects faults into them. The command falldeal execs it for `lab`;
+// no program that serves links it.
 package main
 
 import (
@@ -35,14 +35,14 @@
 	}
 }
 
-// run carries out a command line.
+// run runs a command line.
 func run(ctx context.Context, args []string, out io.Writer) error {
 	opts := newOptions()
 	flags := opts.flagSet(out)
 	if err := flags.Parse(args); err != nil {
 		return fmt.Errorf("command line: %w", err)
 	}
-	if err := opts.finish(); err != nil {
+	if err := opts.resolve(); err != nil {
 		return err
 	}
 	switch command := flags.Arg(0); {
@@ -56,11 +56,11 @@
 		return check(flags.Arg(1), out)
 	default:
 		flags.Usage()
-		return fmt.Errorf("unknown command %q", command)
+		return fmt.Errorf("unknown command or wrong number of arguments: %q", flags.Args())
 	}
 }
 
-// runFleets runs one or more fleets, which a signal to stop ends in order.
+// runFleets runs one or more fleets. SIGINT and SIGTERM cancel the run, which then cleans up.
 func runFleets(ctx context.Context, opts *options, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/falldeal-lab/model.go
+++ b/cmd/falldeal-lab/model.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	maxModelServers   = 10000
-	minModelFrontEnds = 24
-	modelFaultTime    = 8 * time.Second
+	maxModelServers   = 10000           // bound of --members
+	minModelFrontEnds = 24              // small fleets have this many front ends, others one per two servers
+	modelFaultTime    = 8 * time.Second // duration of a fault
 )
 
-// noModelFault as the kind of a fault stands for a simulation without one.
+// noModelFault is the fault kind of a simulation without a fault.
 const noModelFault model.FaultKind = ""
 
-// modelFaultFactors are the kinds of faults with the factor by which each multiplies arrivals or the duration of calls.
+// modelFaultFactors maps each kind of fault to the factor that multiplies arrivals (burst) or the duration of calls
+// (slow stores).
 var modelFaultFactors = map[model.FaultKind]float64{
 	model.FaultBurst:              1.6,
 	model.FaultZoneLost:           1,
@@ -26,10 +27,11 @@
 	noModelFault:                  1,
 }
 
-// lostZone is the zone of a model.FaultZoneLost. The other faults are of all zones.
+// lostZone is the zone that a model.FaultZoneLost affects. Other faults affect all zones.
 const lostZone = 1
 
-// runModel simulates fleets with the shipped decision code, under each overload strategy, and prints a comparison.
+// runModel simulates fleets with the server's own decision code, under each overload strategy, and prints a
+// comparison.
 func runModel(opts *options, out io.Writer) error {
 	simulated, err := modelOptions(opts)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return simulated, nil
 }
 
-// modelFault returns a fault that starts after three tenths of the simulation.
+// modelFault returns a fault that starts after three tenths of the simulated time.
 func modelFault(kind model.FaultKind, factor float64, simulated time.Duration) model.Fault {
 	zone := model.AllZones
 	if kind == model.FaultZoneLost {
--- a/cmd/falldeal-lab/options.go
+++ b/cmd/falldeal-lab/options.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/pflag"
 )
 
-// overloadFeatures are the parts of a fleet's overload handling that --with may name.
+// overloadFeatures are the features of overload handling that --with accepts.
 var overloadFeatures = []string{featureQuotaLeasing, featureShedding, featureCoordinatedProbes}
 
 const (
@@ -22,41 +22,41 @@
 	featureCoordinatedProbes = "probes"
 )
 
-// honorRatios are the parts of the front ends that honor Retry-After, by the values of --heed.
+// honorRatios maps the values of --heed to the fraction of the front ends that honor Retry-After.
 var honorRatios = map[string]float64{honorNone: 0, honorHalf: 0.5, honorAll: 1}
 
 const (
 	honorNone = "none"
-	honorHalf = "half" // in a fleet: those that route by key
+	honorHalf = "half" // in a fleet: the front ends that route by key
 	honorAll  = "all"
 )
 
-// options is the command line. Each command uses the fields that it needs.
+// options is the command line. Each command uses only some of the fields.
 type options struct {
 	lab        fleetlab.Options
 	workload   clients.Workload
-	scriptPath string        // "": the command's own script
-	loadRatio  float64       // of the agents' capacity
-	listLag    time.Duration // by which the front ends' lists of servers lag
+	scriptPath string        // "" = default script of the command
+	loadRatio  float64       // offered load as a fraction of the capacity of the agents
+	listLag    time.Duration // delay of the front ends' server lists
 	duration   time.Duration // of the load, or of a fault
-	features   []string      // of overloadFeatures, which compare turns on in one of two runs
+	features   []string      // elements of overloadFeatures that compare turns off and on
 
-	detect  int // how many members are killed to time the failure detection; 0: none
-	compare int // how many seeds are compared; 0: no comparison
+	detect  int // number of members to kill to measure failure detection; 0 = off
+	compare int // number of seeds to compare; 0 = off
 
 	fault       faults.Fault
-	controlAddr string // of the fleet that a fault is sent to
+	controlAddr string // control address of the fleet that a fault is sent to
 
-	maxAttempts          int
-	routeByKey           bool    // all front ends do
-	honorRetryAfter      string  // a key of honorRatios
+	maxAttempts          int     // per request; 0 = unlimited
+	routeByKey           bool    // all front ends route by key
+	honorRetryAfter      string  // key of honorRatios
 	honorRetryAfterRatio float64 // set by finish
 }
 
-// newOptions returns the defaults of what has no flag with one.
+// newOptions returns options with the defaults of the fleet.
 func newOptions() *options { return &options{lab: fleetlab.Defaults()} }
 
-// flagSet returns the flags, which set o. Its usage is printed on out.
+// flagSet returns the flags that set o. Its usage is printed to out.
 func (o *options) flagSet(out io.Writer) *pflag.FlagSet {
 	flags := pflag.NewFlagSet("falldeal lab", pflag.ContinueOnError)
 	flags.Usage = func() { fmt.Fprint(out, usage, flags.FlagUsages()) }
@@ -120,14 +120,15 @@
 	flags.StringVar(&fault.Target, "who", "", "fault: target: NAME, zone:NAME, region:NAME or *")
 	flags.StringVar(&fault.Peer, "to", "", "fault: other end of a link (default: all members)")
 	flags.BoolVar(&fault.OneWay, "one-way", false, "fault: only from --who to --to")
-	flags.Float64Var(&fault.Ratio, "share", 0, "fault: fraction lost or duplicated; slowdown factor of an agent; fleet: packet loss with --detect")
+	flags.Float64Var(&fault.Ratio, "share", 0,
+		"fault: fraction lost or duplicated; slowdown factor of an agent; fleet: packet loss with --detect")
 	flags.DurationVar(&fault.Delay, "delay", 0, "fault: delay of datagrams; clock skew")
 	flags.DurationVar(&fault.Jitter, "jitter", 0, "fault: maximum additional delay, drawn at random")
 	flags.IntVar(&fault.BytesPerSecond, "rate", 0, "fault: bytes per second of a throttled stream")
 }
 
-// finish sets the options that depend on several flags or have names for numbers.
-func (o *options) finish() error {
+// resolve sets the options that depend on more than one flag or whose flag value is a name.
+func (o *options) resolve() error {
 	ratio, known := honorRatios[o.honorRetryAfter]
 	if !known {
 		return fmt.Errorf("flag --heed: %q is not one of none, half, all", o.honorRetryAfter)
--- a/cmd/falldeal-lab/report.go
+++ b/cmd/falldeal-lab/report.go
@@ -10,15 +10,17 @@
 	"falldeal/lab/history"
 )
 
+// maxPrintedViolations is the maximum number of violations that report prints.
 const maxPrintedViolations = 20
 
-// viewChangeGap is the time between two changes of members' views from which on they belong to two series.
+// viewChangeGap is the time without a further change after which the next change of views starts a new series.
 const viewChangeGap = 10 * time.Second
 
-// rules are those that every history is checked against.
+// rules are the rules that every history is checked against.
 var rules = history.Rules{Slack: 200 * time.Millisecond, IdempotencyWindow: fleetlab.IdempotencyWindow}
 
-// report prints faults, views and requests of a history. Violations of the rules are an error.
+// report prints the faults, the view changes and the requests of a history. It returns an error if rules are
+// violated.
 func report(out io.Writer, events []history.Event) error {
 	fmt.Fprintln(out)
 	printFaults(out, events)
@@ -35,12 +37,12 @@
 	return nil
 }
 
-// violationsError reports how many times rules were violated.
+// violationsError reports the number of rule violations.
 type violationsError int
 
 func (n violationsError) Error() string { return fmt.Sprintf("rule violations: %d", int(n)) }
 
-// printViolations checks the rules, prints the first violations and returns how many there are.
+// printViolations checks the rules, prints the first violations and returns the number of all.
 func printViolations(out io.Writer, events []history.Event, maxPrinted int) int {
 	violations := history.Check(events, rules)
 	for _, violation := range violations[:min(len(violations), maxPrinted)] {
@@ -49,7 +51,7 @@
 	return len(violations)
 }
 
-// printFaults prints when faults began and ended, and processes that failed.
+// printFaults prints when faults started and ended, and which processes exited with an error.
 func printFaults(out io.Writer, events []history.Event) {
 	for i := range events {
 		event := &events[i]
@@ -64,12 +66,12 @@
 	}
 }
 
-// viewChange is a series of members that come to see one member in the same condition.
+// viewChange is a series of changes in which members come to report the same condition for one member.
 type viewChange struct {
 	member      string
 	condition   history.Condition
-	first, last time.Duration
-	observers   int
+	first, last time.Duration // times of the first and the last change
+	observers   int           // number of changes
 }
 
 // viewKey identifies the changes that may belong to one series.
@@ -78,7 +80,8 @@
 	condition history.Condition
 }
 
-// viewChanges returns the changes to conditions that are not part of a start, by their beginnings. Events must be in order.
+// viewChanges returns the series of changes, except changes to conditions of a normal start, in the order of their
+// first change. Events must be in the order of time.
 func viewChanges(events []history.Event) []*viewChange {
 	latest := map[viewKey]*viewChange{}
 	var all []*viewChange
@@ -101,7 +104,7 @@
 	return all
 }
 
-// isUsualCondition reports whether a member is in that condition as it starts and serves.
+// isUsualCondition reports whether the condition is part of a normal start or of serving.
 func isUsualCondition(condition history.Condition) bool {
 	switch condition {
 	case history.ConditionStarting, history.ConditionWarming, history.ConditionServing:
@@ -111,7 +114,7 @@
 	}
 }
 
-// printViewChanges prints when members first and last saw each change of another.
+// printViewChanges prints the first and the last time of each series of view changes.
 func printViewChanges(out io.Writer, events []history.Event) {
 	for _, series := range viewChanges(events) {
 		fmt.Fprintf(out, "%7.1fs  member %s reported %s by %s, the last at %.1fs\n",
--- a/cmd/falldeal-lab/usage.go
+++ b/cmd/falldeal-lab/resource_usage.go
@@ -10,26 +10,27 @@
 	"falldeal/lab/fleetlab"
 )
 
-// Fields of /proc/PID/stat, from 0; see proc(5). The name of the program, field 1, must not contain spaces.
+// Indices of fields in /proc/PID/stat, starting at 0; see proc(5). Field 1, the program name, must not contain spaces.
 const (
 	statUserTicks     = 13
 	statSystemTicks   = 14
 	statResidentPages = 23
 
-	tickMs = 10
+	tickMs = 10 // length of a clock tick, the unit of the CPU times
 )
 
-// Counters in a member's report of its fleet.
+// Names of counters in a member's fleet report.
 const (
 	counterPacketsOut = "packets_out"
 	counterBytesOut   = "bytes_out"
 )
 
-// resourceUsage is what processes have used since their starts, and the memory that they use now, in all.
+// resourceUsage is the CPU time and the network traffic of processes since their starts, and their current memory, in
+// total.
 type resourceUsage struct{ cpuMs, packets, bytes, memoryMB float64 }
 
-// measureUsage adds up the usage of members, by the system's figures and their own counters. One that does not run or
-// answer counts as 0.
+// measureUsage adds up the usage of members, from /proc and from the counters that the members report. A member that
+// is not running or does not answer counts as 0.
 func measureUsage(ctx context.Context, members []*fleetlab.Member) resourceUsage {
 	var total resourceUsage
 	for _, member := range members {
@@ -42,6 +43,7 @@
 	return total
 }
 
+// addProcess adds the CPU time and the memory of a process. It adds nothing if the process does not exist.
 func (u *resourceUsage) addProcess(pid int) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/cmd/falldeal/check.go
+++ b/cmd/falldeal/check.go
@@ -7,11 +7,11 @@
 	"falldeal/internal/config"
 )
 
-// check reads the configuration and returns what is wrong with it.
+// check validates the configuration and prints a summary. The error names the file and the invalid key.
 func check(opts *options, out io.Writer) error {
 	conf, err := config.Load(opts.configPath)
 	if err != nil {
-		return err //nolint:wrapcheck // it names the file and the key
+		return err //nolint:wrapcheck // the error names the file and the key
 	}
 	fmt.Fprintf(out, "configuration of %s is valid: %d classes, listening on %s\n",
 		conf.Name, len(conf.Classes), conf.Listen)
--- a/cmd/falldeal/config_test.go
+++ b/cmd/falldeal/config_test.go
@@ -11,7 +11,8 @@
 
 const sampleConfig = "../../internal/config/testdata/config.json"
 
-// configWithAgent returns the sample configuration with another agent, any port for front ends, and a short drain.
+// configWithAgent returns the sample configuration with the given agent, any free port for front ends, and a drain of
+// 100 ms.
 func configWithAgent(t *testing.T, agentAddr string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(sampleConfig)
@@ -20,7 +21,7 @@
 	return []byte(replacer.Replace(string(text)))
 }
 
-// listenAsAgent opens a socket for a server to connect to, closed when the test is over.
+// listenAsAgent listens for a server that connects to its agent. The listener is closed at the end of the test.
 func listenAsAgent(t *testing.T) *net.TCPListener {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -31,7 +32,7 @@
 	return tcpListener
 }
 
-// acceptServer waits for a server's connection, which is closed when the test is over.
+// acceptServer waits until a server connects. The connection is closed at the end of the test.
 func acceptServer(t *testing.T, agent *net.TCPListener) {
 	t.Helper()
 	conn, err := agent.Accept()
--- a/cmd/falldeal/deploy_test.go
+++ b/cmd/falldeal/deploy_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// deployCommand returns the command that deploy/balancer.toml gives under a key.
+// deployCommand returns the command under a key of deploy/balancer.toml.
 func deployCommand(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -22,9 +22,9 @@
 	return string(found[1])
 }
 
-// The fleet's bench intercepts a server's sockets and clocks in the C library: a program that is linked statically, as
-// Go does where nothing needs C, would run past it. It also refuses to start further processes, so `run` must exec the
-// program.
+// The fleet's bench intercepts the sockets and clocks of a server in the C library. It cannot intercept a statically
+// linked program, which Go builds if nothing needs C. The bench also refuses to start further processes, so `run`
+// must exec the program.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "bin")
 	build := exec.CommandContext(t.Context(), "/bin/sh", "-c", strings.ReplaceAll(deployCommand(t, "build"), "bin", bin))
--- a/cmd/falldeal/golden_test.go
+++ b/cmd/falldeal/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Help, flags, exit codes and messages of every command.
+// Compares help, flags, exit codes and messages of every command with a golden file, so that none changes unnoticed.
 func TestGoldenCommands(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile(sampleConfig)
@@ -64,7 +64,7 @@
 		{"check --config good.json", "GW_LISTEN=here"},
 		{"check --config good.json", "GW_CONSOLE=here"},
 		{"check --config good.json", "GW_INHERITED_FD=stdin"},
-		{"serve --config good.json --operators operators.toml", ""}, // falldeal-fleet is not there
+		{"serve --config good.json --operators operators.toml", ""}, // falldeal-fleet does not exist
 		{"check --config good.json --operators operators.toml", ""},
 		{"version --operators operators.toml", ""},
 		{"fleet members", ""},
--- a/cmd/falldeal/main.go
+++ b/cmd/falldeal/main.go
@@ -32,12 +32,12 @@
 
 // options are the flags of serve and check.
 type options struct {
-	configPath    string // "": that of the variable GW_CONFIG
-	operatorsPath string // "": none
-	logLevel      string
+	configPath    string // "" = value of the environment variable GW_CONFIG
+	operatorsPath string // "" = no operators' file
+	logLevel      string // minimum level of log lines
 }
 
-// flagSet returns the flags, which set o. Its usage is printed on out.
+// flagSet returns the flags that set o. Its usage is printed to out.
 func (o *options) flagSet(out io.Writer) *pflag.FlagSet {
 	flags := pflag.NewFlagSet("falldeal", pflag.ContinueOnError)
 	flags.StringVar(&o.configPath, "config", "", "configuration file (default: the variable GW_CONFIG)")
@@ -57,7 +57,7 @@
 	commandLab     = "lab"
 )
 
-// run carries out a command line. It does not return if another program carries it out, which replaces this process.
+// run runs a command line. It does not return if another program takes over the process.
 func run(args []string, out io.Writer) error {
 	if len(args) > 0 {
 		switch args[0] {
@@ -74,11 +74,11 @@
 		return nil
 	}
 	if err != nil {
-		return err //nolint:wrapcheck // it names the flag
+		return err //nolint:wrapcheck // the error names the flag
 	}
 	if flags.NArg() != 1 {
 		flags.Usage()
-		return fmt.Errorf("want one command, got %d", flags.NArg())
+		return fmt.Errorf("want one command, got %d arguments", flags.NArg())
 	}
 	if opts.needsFleetProgram(flags.Arg(0)) {
 		return execProgram(fleetProgram, args)
@@ -86,12 +86,12 @@
 	return opts.runCommand(flags, out)
 }
 
-// needsFleetProgram reports whether a command is carried out by the program that has the membership of a fleet.
+// needsFleetProgram reports whether falldeal-fleet runs the command, because it may have to join a fleet.
 func (o *options) needsFleetProgram(command string) bool {
 	return o.operatorsPath != "" && (command == commandServe || command == commandCheck)
 }
 
-// runCommand carries out the command among the arguments of flags.
+// runCommand runs the command in the first argument of flags.
 func (o *options) runCommand(flags *pflag.FlagSet, out io.Writer) error {
 	switch command := flags.Arg(0); command {
 	case commandVersion:
--- a/cmd/falldeal/main_test.go
+++ b/cmd/falldeal/main_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCommands(t *testing.T) {
+// Each command that only prints must succeed and print its text.
+func TestPrintingCommands(t *testing.T) {
 	for want, args := range map[string][]string{
 		"falldeal dev":                 {"version"},
 		"configuration of n3 is valid": {"check", "--config", sampleConfig},
@@ -23,8 +24,8 @@
 	}
 }
 
-// A start that can't succeed ends with a message that names the key or the argument at fault.
-func TestStartErrors(t *testing.T) {
+// A command that cannot run must fail with a message that names the invalid key or argument.
+func TestStartErrorNamesKeyOrArgument(t *testing.T) {
 	text, err := os.ReadFile(sampleConfig)
 	require.NoError(t, err)
 	bad := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/falldeal/serve.go
+++ b/cmd/falldeal/serve.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// serve runs an image server that is in no fleet, until a signal ends it.
+// serve runs an image server without a fleet until a signal stops it.
 func serve(opts *options) error {
 	level, err := logrus.ParseLevel(opts.logLevel)
 	if err != nil {
@@ -21,10 +21,10 @@
 		return nil
 	}
 	if err != nil {
-		return err //nolint:wrapcheck // it names the file and the key
+		return err //nolint:wrapcheck // the error names the file and the key
 	}
 	log := logrus.New()
 	log.SetLevel(level)
-	//nolint:wrapcheck // it says what of the server failed
+	//nolint:wrapcheck // the error names the part of the server that failed
 	return process.Serve(signals, conf, opts.configPath, log, process.Extension{})
 }
--- a/cmd/falldeal/signals_test.go
+++ b/cmd/falldeal/signals_test.go
@@ -20,7 +20,7 @@
 
 const testTimeout = 30 * time.Second // after which a test that hangs fails
 
-// errorHook receives the errors that are logged.
+// errorHook receives the error of each logged line of level error.
 type errorHook chan string
 
 func (errorHook) Levels() []logrus.Level { return []logrus.Level{logrus.ErrorLevel} }
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// startServer serves in the test's own process, with a configuration file that names that agent, and returns when the
-// server has connected to it.
+// startServer runs a server in the test process with a configuration file that names the agent. It returns when the
+// server has connected to the agent.
 func startServer(t *testing.T, log *logrus.Logger, agent *net.TCPListener) (configPath string, served <-chan error) {
 	t.Helper()
 	configPath = filepath.Join(t.TempDir(), "config.json")
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	done := make(chan error, 1)
 	go func() { done <- process.Serve(process.Catch(), conf, "", log, process.Extension{}) }()
-	acceptServer(t, agent) // signals are caught by then
+	acceptServer(t, agent) // the server catches signals before it connects
 	return configPath, done
 }
 
@@ -52,7 +52,7 @@
 	require.NoError(t, syscall.Kill(os.Getpid(), sig))
 }
 
-// requireServed waits for the end of a server, which must be without an error.
+// requireServed waits until a server has ended, which must be without an error.
 func requireServed(t *testing.T, served <-chan error) {
 	t.Helper()
 	select {
@@ -63,9 +63,9 @@
 	}
 }
 
-// On SIGHUP the file is read again: the server connects to the agent's new address. A bad file is logged with the key
-// at fault and changes nothing. Neither ends the server; SIGTERM does.
-func TestReload(t *testing.T) {
+// SIGHUP must apply a changed configuration: the server connects to the new agent. An invalid file must be logged
+// with the invalid key and change nothing. Neither may end the server.
+func TestReloadAppliesOnlyValidConfiguration(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	failed := make(chan string, 1)
 	log.AddHook(errorHook(failed))
@@ -88,9 +88,10 @@
 	requireServed(t, served)
 }
 
-// SIGTERM is carried out behind other signals, here while the server reads a configuration that nobody finishes
-// writing. It used to be dropped where others had filled the channel, and the process was killed in the end.
-func TestTermBehindOtherSignals(t *testing.T) {
+// Guards against a SIGTERM that is dropped because earlier signals have filled the channel; the server was then
+// killed instead of drained. Here the signals arrive while the server reads a configuration from a pipe that nobody
+// writes to.
+func TestTerminationAfterManyOtherSignals(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	configPath, served := startServer(t, log, listenAsAgent(t))
 	require.NoError(t, os.Remove(configPath))
@@ -103,7 +104,7 @@
 		require.Equal(t, sig, <-delivered)
 	}
 	send(syscall.SIGHUP)
-	writer, err := os.OpenFile(configPath, os.O_WRONLY, 0) // returns once the file is being read
+	writer, err := os.OpenFile(configPath, os.O_WRONLY, 0) // blocks until the server opens the file
 	require.NoError(t, err)
 	for range 10 {
 		send(syscall.SIGUSR1)
--- a/cmd/falldeal/start_test.go
+++ b/cmd/falldeal/start_test.go
@@ -16,16 +16,16 @@
 
 func TestMain(m *testing.M) { commandtest.Main(m, main) }
 
-// startingProcess is a server in a process of its own, and two agents that its configuration may name.
+// startingProcess is a server in its own process, and two agents that its configuration may name.
 type startingProcess struct {
 	*testing.T
 	cmd        *exec.Cmd
 	configPath string
-	config     *os.File // pipe that the process reads its configuration from, after startBlocked
+	config     *os.File // after startBlocked: write end of the pipe that the process reads its configuration from
 	agents     [2]*net.TCPListener
 }
 
-// newStartingProcess prepares a process, which is killed if it is still there when the test is over.
+// newStartingProcess prepares a process. If it still runs at the end of the test, it is killed.
 func newStartingProcess(t *testing.T) *startingProcess {
 	t.Helper()
 	starting := &startingProcess{T: t, configPath: filepath.Join(t.TempDir(), "config.json")}
@@ -43,20 +43,20 @@
 	return starting
 }
 
-// startBlocked starts a process and returns when it reads its configuration, of which nothing comes until unblock.
+// startBlocked starts a process that blocks while it reads its configuration, until unblock.
 func startBlocked(t *testing.T) *startingProcess {
 	t.Helper()
 	starting := newStartingProcess(t)
 	require.NoError(t, syscall.Mkfifo(starting.configPath, 0o600))
 	require.NoError(t, starting.cmd.Start())
-	config, err := os.OpenFile(starting.configPath, os.O_WRONLY, 0) // returns once the process reads
+	config, err := os.OpenFile(starting.configPath, os.O_WRONLY, 0) // blocks until the process opens the file
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = config.Close() }) // again after unblock
+	t.Cleanup(func() { _ = config.Close() }) // fails if unblock has already closed it
 	starting.config = config
 	return starting
 }
 
-// unblock writes the configuration that the process has been waiting for, with the first agent.
+// unblock writes the configuration that the process waits for. It names the first agent.
 func (s *startingProcess) unblock() {
 	s.Helper()
 	_, err := s.config.Write(s.configFor(0))
@@ -64,7 +64,7 @@
 	require.NoError(s, s.config.Close())
 }
 
-// writeConfig writes a configuration with one of the agents to a file.
+// writeConfig writes a configuration file that names the agent with the given index.
 func (s *startingProcess) writeConfig(agent int) {
 	s.Helper()
 	require.NoError(s, os.WriteFile(s.configPath, s.configFor(agent), 0o600))
@@ -75,7 +75,7 @@
 	return configWithAgent(s.T, s.agents[agent].Addr().String())
 }
 
-// waitForAgent waits until the process has connected to one of the agents.
+// waitForAgent waits until the process has connected to the agent with the given index.
 func (s *startingProcess) waitForAgent(agent int) {
 	s.Helper()
 	require.NoError(s, s.agents[agent].SetDeadline(time.Now().Add(testTimeout)))
@@ -87,22 +87,22 @@
 	require.NoError(s, s.cmd.Process.Signal(sig))
 }
 
-// requireTerminates sends SIGTERM, after which the process must end with status 0.
+// requireTerminates sends SIGTERM. The process must then exit with status 0.
 func (s *startingProcess) requireTerminates() {
 	s.Helper()
 	s.signal(syscall.SIGTERM)
 	require.NoError(s, s.cmd.Wait())
 }
 
-// Signals for a new configuration and for the counters that come while the process reads its configuration don't end
-// it: once it has started it reads the new one. Each of them used to end the process.
+// Guards against a SIGHUP or SIGUSR1 that ends a process while it reads its configuration. The process must start,
+// and then load the changed configuration.
 func TestReloadDuringStart(t *testing.T) {
 	for _, order := range [][]syscall.Signal{{syscall.SIGHUP, syscall.SIGUSR1}, {syscall.SIGUSR1, syscall.SIGHUP}} {
 		starting := startBlocked(t)
 		for _, sig := range order {
 			starting.signal(sig)
 		}
-		require.NoError(t, os.Remove(starting.configPath)) // the pipe
+		require.NoError(t, os.Remove(starting.configPath)) // removes the pipe
 		starting.writeConfig(1)
 		starting.unblock()
 		starting.waitForAgent(1)
@@ -110,9 +110,9 @@
 	}
 }
 
-// SIGTERM before the configuration is read and after: the process ends by itself with status 0. Before, it used to be
-// killed by the signal; one whose configuration never comes must end as well.
-func TestTermDuringStart(t *testing.T) {
+// Guards against a process that SIGTERM kills while it reads its configuration. It must exit with status 0, before as
+// well as after it has read the configuration.
+func TestTerminationDuringStart(t *testing.T) {
 	for _, read := range []bool{false, true} {
 		starting := startBlocked(t)
 		if read {
@@ -123,8 +123,8 @@
 	}
 }
 
-// A log whose reader is gone used to end the process at the next line.
-func TestLogWithoutReader(t *testing.T) {
+// Guards against a process that ends when it logs to a pipe whose reader has closed it.
+func TestClosedLogPipeDoesNotEndProcess(t *testing.T) {
 	starting := newStartingProcess(t)
 	starting.writeConfig(0)
 	read, write, err := os.Pipe()
@@ -133,6 +133,6 @@
 	starting.cmd.Stderr = write
 	require.NoError(t, starting.cmd.Start())
 	require.NoError(t, write.Close())
-	starting.waitForAgent(0) // it has logged by then where it listens
+	starting.waitForAgent(0) // by then it has logged its listen address
 	starting.requireTerminates()
 }
--- a/cmd/falldeal/version.go
+++ b/cmd/falldeal/version.go
@@ -6,7 +6,7 @@
 	"runtime"
 )
 
-// version is set by the linker when a release is built.
+// version is set by the linker in a release build.
 var version = "dev"
 
 func printVersion(out io.Writer) {
