--- a/cmd/falldeal-lab/fault.go
+++ b/cmd/falldeal-lab/fault.go
@@ -35,7 +35,7 @@
 	server := &http.Server{ReadTimeout: controlTimeout, Handler: http.HandlerFunc(handler)}
 	go func() { _ = server.Serve(listener) }() // always returns an error, after Close ErrServerClosed
 	context.AfterFunc(ctx, func() {
-		_ = server.Close() // the program ends
+		_ = server.Close() // the laboratory is closing
 	})
 	return listener.Addr().String(), nil
 }
--- a/cmd/falldeal-lab/options.go
+++ b/cmd/falldeal-lab/options.go
@@ -50,7 +50,7 @@
 	maxAttempts          int     // per request; 0 = unlimited
 	routeByKey           bool    // all front ends route by key
 	honorRetryAfter      string  // key of honorRatios
-	honorRetryAfterRatio float64 // set by finish
+	honorRetryAfterRatio float64 // value of honorRatios for honorRetryAfter; set by resolve
 }
 
 // newOptions returns options with the defaults of the fleet.
--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -36,7 +36,7 @@
 
 	// mu guards the fields below and Cores.
 	mu      sync.Mutex
-	conn    net.Conn        // the newest connection; nil before the first
+	conn    net.Conn        // newest connection; nil before the first
 	encoder *json.Encoder   // writes to conn
 	offset  int             // number of the last numbered notification
 	backlog []notification  // most recent numbered notifications, oldest first
--- a/lab/faults/fault.go
+++ b/lab/faults/fault.go
@@ -20,7 +20,8 @@
 	KindReset     Kind = "reset"  // streams are reset
 )
 
-// Kinds of process faults. They are applied once, at Fault.Start; some are reverted after Fault.Duration.
+// Kinds of process faults. They are applied once, at Fault.Start. Some of them are reverted at the end: after
+// Fault.Duration, if that is not 0.
 const (
 	KindKill              Kind = "kill"    // SIGKILL; the process is restarted at the end, if the fault has one
 	KindPause             Kind = "stop"    // SIGSTOP, and SIGCONT at the end
--- a/lab/frontrpc/frontrpc.go
+++ b/lab/frontrpc/frontrpc.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Types of messages, and how many elements they have.
+// Types of messages and their numbers of elements.
 const (
 	// Types of messages.
 	RequestType  = 0
