--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -17,10 +17,10 @@
 	BaseDelay time.Duration
 	// MaxDelay is the upper bound of the delay, before jitter.
 	MaxDelay time.Duration
-	// Seed is the random seed of the server. The jitter depends on Seed and Stream alone, so that a simulation can be
-	// repeated.
+	// Seed is the random seed of the jitter, which depends on Seed and Stream alone, so that a simulation can be repeated.
+	// It must differ between servers: with the same Seed, servers that failed together would retry together.
 	Seed uint64
-	// Stream distinguishes the jitter from that of other Backoffs with the same Seed.
+	// Stream makes the jitter differ from that of other Backoffs with the same Seed.
 	Stream uint64
 }
 
@@ -44,5 +44,5 @@
 	return b.lastDelay - time.Duration(b.rng.Int64N(maxJitter+1))
 }
 
-// Reset returns to BaseDelay. It is called after a success.
+// Reset makes the next delay start from BaseDelay again. The owner calls it after a success.
 func (b *Backoff) Reset() { b.lastDelay = 0 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -36,8 +36,9 @@
 	require.False(t, same)
 }
 
-// When a zone is partitioned, 300 servers lose their store at the same instant. Without jitter, all of them would
-// reconnect at the same time on every attempt. With it, no interval of 20 ms may see a fifth of the reconnects.
+// When a zone is partitioned for 400 ms, 300 servers lose their store at the same instant. Without jitter, all of them would
+// dial it at the same time, again and again. With jitter, the first dials after the partition must be spread: fewer than a
+// fifth of them in any 20 ms.
 func TestJitterSpreadsReconnects(t *testing.T) {
 	const servers = 300
 	slots := map[time.Duration]int{}
--- a/internal/deadline/queue_test.go
+++ b/internal/deadline/queue_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Callbacks must run in order of deadline, and in order of insertion for equal deadlines; cancelled ones must not run.
+// Callbacks must run in order of deadline, and in order of their Add calls for equal deadlines; cancelled ones must not run.
 func TestSweepInOrder(t *testing.T) {
 	queue := New()
 	var got []string
@@ -41,8 +41,8 @@
 	var renew func()
 	renew = func() { calls++; queue.Add(1, renew) }
 	queue.Add(1, renew)
-	victim := queue.Add(3, func() { t.Error("called though cancelled") })
-	queue.Add(2, func() { queue.Cancel(victim) })
+	cancelled := queue.Add(3, func() { t.Error("called though cancelled") })
+	queue.Add(2, func() { queue.Cancel(cancelled) })
 	queue.Sweep(10)
 	require.Equal(t, 1, calls)
 	queue.Sweep(10)
--- a/internal/reconnect/dial.go
+++ b/internal/reconnect/dial.go
@@ -10,7 +10,8 @@
 // DialTimeout is the maximum duration of a TCP dial to a peer.
 const DialTimeout = 2 * time.Second
 
-// DrainTimeout is the maximum time for which a connection stays open after its address was replaced.
+// DrainTimeout is how long a connection is still read after its address was replaced. After that, queued messages are
+// written, and the connection is closed.
 const DrainTimeout = 1500 * time.Millisecond
 
 // UnreachableError reports that no connection to Address could be opened, so that nothing was sent to the peer.
--- a/internal/reconnect/link.go
+++ b/internal/reconnect/link.go
@@ -14,15 +14,16 @@
 
 // Config configures a Link. Every field must be set; there are no defaults.
 type Config struct {
-	// Backoff configures the delays between attempts to connect. An attempt that lasts longer than Backoff.MaxDelay,
-	// from its dial to the end of its connection, counts as a success and resets the delay.
+	// Backoff configures the delays between attempts to connect. An attempt that takes longer than Backoff.MaxDelay, from
+	// its dial to the end of its connection, resets the delay, even if it was a dial that failed after a long wait.
 	Backoff backoff.Config
 	// WriteQueueSize is the maximum number of messages that wait to be written on a connection.
 	WriteQueueSize int
 }
 
 // Handler handles the connections of a Link. Its methods are called on goroutines of Run. For one connection they are
-// called in the order below; the calls for connections to an old and a new address may overlap.
+// called in the order below; after a failed dial, only Failed is called. The calls for connections to an old and a new
+// address may overlap.
 type Handler interface {
 	// Opened is called with the write queue of a new connection to address.
 	Opened(address string, queue *writequeue.Queue)
@@ -30,7 +31,8 @@
 	Read(conn net.Conn, queue *writequeue.Queue) error
 	// Closed is called after a connection has ended.
 	Closed(queue *writequeue.Queue)
-	// Failed is called with the error of a dial to address or of a connection to it, unless the address was replaced.
+	// Failed is called with the error of a dial to address or of a connection to it, unless the address was replaced or the
+	// context of Run has ended.
 	Failed(address string, err error)
 }
 
@@ -52,8 +54,8 @@
 // Address returns the current address.
 func (l *Link) Address() string { return l.address }
 
-// SetAddress replaces the address, and does nothing if address is the current one. The connection to the old address
-// stays open for DrainTimeout at most; the Handler should close it as soon as the new one is open.
+// SetAddress replaces the address, and does nothing if address is the current one. The connection to the old address is
+// read for DrainTimeout at most; the Handler should close it as soon as the new one is open.
 func (l *Link) SetAddress(address string) {
 	if address == l.address {
 		return
@@ -110,8 +112,8 @@
 	}
 }
 
-// connect dials the peer and serves the connection until it ends. When addressCtx ends, the connection stays open for
-// DrainTimeout at most; when ctx ends, it is closed at once.
+// connect dials the peer and serves the connection until it ends. After addressCtx has ended, the connection is read for
+// DrainTimeout at most. When ctx ends, the connection is closed as soon as the queued messages are written.
 func (p *peer) connect(ctx, addressCtx context.Context) error {
 	conn, err := Dial(addressCtx, "tcp", p.address, DialTimeout)
 	if err != nil {
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -159,8 +159,8 @@
 	require.Empty(t, handler.failed)
 }
 
-// An address that was replaced before a connection to it was open must be abandoned, even if its dial hangs or fails.
-func TestAddressChangeBeforeOpen(t *testing.T) {
+// An address that was replaced before Run starts must not be dialed.
+func TestAddressReplacedBeforeRun(t *testing.T) {
 	listener := loopback.Listen(t)
 	link := New(loopback.ClosedAddress(t), testConfig)
 	link.SetAddress(listener.Addr().String())
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -1,7 +1,7 @@
 // Package writequeue writes messages to a connection in the background, so that the sender never blocks.
 //
-// The owner of a connection runs Run on a goroutine; the other methods may be called from any goroutine. A peer that does
-// not read is disconnected when the queue is full or a write takes longer than 20 s.
+// The owner of a connection runs Run on a goroutine. The other methods, except for CloseNow, may be called from any
+// goroutine. A peer that does not read is disconnected when the queue is full or a write takes longer than 20 s.
 package writequeue
 
 import (
@@ -13,22 +13,23 @@
 )
 
 const (
-	writeTimeout  = 20 * time.Second // bridges a pause of the peer's machine
+	writeTimeout  = 20 * time.Second // long enough for a pause of the peer's machine
 	maxBatchBytes = 8 << 10          // a batch of this size takes no further message
 )
 
 // Queue is the write side of a connection. After Close, Run writes the messages that are still queued and closes the
-// connection. A failed write, a full queue or Abort closes the connection at once.
+// connection. A failed write, a full queue or Abort closes the connection at once. For a Queue of NewHalf, "closes the
+// connection" means only its write side in the comments of this file, except for Abort.
 type Queue struct {
 	conn           net.Conn
-	closeWriteOnly bool         // Run closes only the write side of conn
+	closeWriteOnly bool         // closeConn closes only the write side of conn
 	pending        chan []byte  // messages that Run has yet to take
 	unwritten      atomic.Int64 // number of messages that are queued or being written
 
 	closeOnce sync.Once
 	closing   chan struct{} // closed by Close
 
-	closeConnOnce sync.Once // guards the close by closeConn
+	closeConnOnce sync.Once // makes further calls of closeConn do nothing
 }
 
 // New returns a Queue for conn that holds up to capacity messages.
@@ -36,8 +37,8 @@
 	return &Queue{conn: conn, pending: make(chan []byte, capacity), closing: make(chan struct{})}
 }
 
-// NewHalf returns a Queue that closes only the write side of conn at the end. The owner closes the connection after it
-// has read everything that the peer has sent: closing a connection with unread input resets it, and the messages
+// NewHalf returns a Queue that closes only the write side of conn, except in Abort. The owner closes the connection after
+// it has read everything that the peer has sent: closing a connection with unread input resets it, and the messages
 // written last are lost.
 func NewHalf(conn net.Conn, capacity int) *Queue {
 	queue := New(conn, capacity)
@@ -59,8 +60,8 @@
 // Close makes Run write the messages that are still queued, and then close the connection. It may be called repeatedly.
 func (q *Queue) Close() { q.closeOnce.Do(func() { close(q.closing) }) }
 
-// CloseNow is like Close, but if all messages are written, it closes the connection before it returns. It must be called
-// on the goroutine that calls Send.
+// CloseNow is like Close, but if all messages have been written, it closes the connection before it returns. It must be
+// called on the goroutine that calls Send: the message of a concurrent Send would be lost.
 func (q *Queue) CloseNow() {
 	if q.unwritten.Load() == 0 {
 		q.closeConn()
