--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -70,7 +70,7 @@
 	return nil, fmt.Errorf("unknown command %.40q", string(l.command))
 }
 
-// appendMessage appends message as a line of JSON. Keys and commands need no escaping.
+// appendMessage appends message as a line of JSON. Keys (hex digits) and commands need no escaping.
 func appendMessage(b []byte, message Message) []byte {
 	fields := message.line()
 	b = append(b, `{"cmd":"`...)
@@ -95,7 +95,7 @@
 	if _, err := fields.message(); err != nil {
 		return nil, err // unknown command: the meaning of its other fields is not known
 	}
-	if fields.command != commandSynced {
+	if fields.command != commandSynced { // the only command whose fields, such as the key, are all zero
 		if err := fields.decode(object); err != nil {
 			return nil, err
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -37,7 +37,8 @@
 }
 
 // Run connects to the predecessor that listens at path, if there is one, and accepts successors at path: at once if there
-// is no predecessor, and otherwise after serving is closed. It returns after ctx has ended and all messages are written.
+// is no predecessor, and otherwise once the channel serving is closed, when this process itself serves front ends. It
+// returns after ctx has ended and all messages are written.
 func Run(ctx context.Context, path string, serving <-chan struct{}, loop Loop, log *logging.Limiter) error {
 	group, ctx := errgroup.WithContext(ctx)
 	found := join(path) //nolint:contextcheck // join says why its dial must not end with ctx
@@ -65,10 +66,10 @@
 		}
 		return nil
 	})
-	return group.Wait() //nolint:wrapcheck // of functions of this package
+	return group.Wait() //nolint:wrapcheck // its functions return no error
 }
 
-// listenOnceServing listens at path after serving is closed. It returns nil if ctx ends first or if listening fails.
+// listenOnceServing listens at path once the channel serving is closed. It returns nil if ctx ends first or if listening fails.
 func listenOnceServing(ctx context.Context, path string, serving <-chan struct{}, log *logging.Limiter) net.Listener {
 	select {
 	case <-serving:
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -21,8 +21,8 @@
 // Link is the connection to the other process. It is safe for concurrent use.
 type Link struct{ *writequeue.Queue }
 
-// Publish sends messages, several at a time. It starts a new buffer for every batchSize bytes: a single buffer for
-// thousands of results would be copied each time it grows.
+// Publish sends messages in batches of about batchSize bytes, each in a buffer of its own: a single buffer for the results
+// of thousands of runs would be copied each time it grows.
 func (l *Link) Publish(messages ...Message) {
 	var batch []byte
 	for _, message := range messages {
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -23,7 +23,8 @@
 	Result         []byte
 }
 
-// KeyReleased announces that the sender has run no attempt with the key, and will run none.
+// KeyReleased announces that the sender has run no attempt with the key, and gives the key up. Before it runs a later
+// attempt, it announces (predecessor) or claims (successor) the key again.
 type KeyReleased struct {
 	IdempotencyKey string
 }
@@ -36,11 +37,11 @@
 	ArrivedAt      time.Duration // arrival of the attempt; Unix time
 }
 
-// KeyGranted tells the successor that it may run the attempt. The predecessor does not know the key, and will run no
-// attempt with it.
+// KeyGranted tells the successor that it may run the attempt. The predecessor does not know the key, or the key's window has
+// ended there. The predecessor runs no attempt with it until the new window ends or the successor releases the key.
 type KeyGranted struct {
 	IdempotencyKey string
 }
 
-// KeysSynced tells the successor that it has been sent all keys known when it connected.
+// KeysSynced tells the successor that the predecessor has sent all keys that it knew when the successor connected.
 type KeysSynced struct{}
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -40,25 +40,26 @@
 		return joined{predecessor: predecessor}
 	}
 	if errors.Is(dialErr, fs.ErrNotExist) {
-		dialErr = nil // no process has listened at path before: one that has ended leaves its socket, which is logged
+		dialErr = nil // no process has listened at path before; one that has ended would have left its socket there
 	}
 	listener, listenErr := listen(path)
 	return joined{listener: listener, dialErr: dialErr, listenErr: listenErr}
 }
 
-// acquireLock waits until no other process holds the lock, but returns without the lock after lockTimeout: a stopped
-// process that holds it must not prevent this one from serving. The kernel releases the lock when its holder exits.
+// acquireLock waits until no other process holds the lock, but returns without the lock after lockTimeout: a process that
+// is suspended (SIGSTOP) while it holds the lock must not prevent this one from serving. The kernel releases the lock when
+// its holder exits.
 func acquireLock(path string) (unlock func()) {
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600) //nolint:gosec // next to the socket of the configuration
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600) //nolint:gosec // the path comes from the configuration
 	if err != nil {
-		return func() {} // opening a listener at this path fails as well, and is reported
+		return func() {} // most likely no listener can be opened in this directory either, which Run logs
 	}
 	deadline := time.Now().Add(lockTimeout)
 	for syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil && !time.Now().After(deadline) {
 		time.Sleep(lockRetryDelay)
 	}
 	return func() {
-		_ = file.Close() // nothing was written to the file
+		_ = file.Close() // releases the lock; the error does not matter, because nothing was written to the file
 	}
 }
 
--- a/internal/process/harness_test.go
+++ b/internal/process/harness_test.go
@@ -83,12 +83,13 @@
 	configPath string
 	log        *logrus.Logger
 	entries    logEntries
-	agents     [2]net.Listener // whose addresses the configuration may contain
+	agents     [2]net.Listener // listeners in place of agents; the configuration contains the address of one of them
 	process    *process
 	done       chan error // receives the result of run
 }
 
-// newFixture returns a process whose configuration has the first agent and a short drain, with changes by change.
+// newFixture returns a process that does not run yet. Its configuration has the address of the first agent and a short
+// drain; change, if not nil, modifies it further.
 func newFixture(t *testing.T, extension Extension, change func(*config.Config)) *fixture {
 	t.Helper()
 	created := &fixture{
@@ -123,7 +124,8 @@
 	return listener
 }
 
-// writeConfig writes the configuration file with one of the agents and with the replacements (old, new, ...).
+// writeConfig writes the configuration file with the address of the agent that has the given index, and with the given
+// replacements of its text (old, new, ...).
 func (f *fixture) writeConfig(agent int, replacements ...string) {
 	f.Helper()
 	text, err := os.ReadFile("../config/testdata/config.json")
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -85,8 +85,8 @@
 	close(front.released)
 }
 
-// The extension must run until the server has ended. If it does not end then, it must not delay the end of the process for
-// longer than open connections may.
+// The context of the extension must end when the server has ended. An extension that does not end then must not keep the
+// process from ending.
 func TestExtensionEndsWithServer(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		started, stopped, release := make(chan struct{}), make(chan struct{}), make(chan struct{})
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -19,14 +19,14 @@
 }
 
 // Catch starts to receive signals. It must be the first call of a program that serves: before it, even SIGUSR1 and SIGHUP
-// end the process. Signals that arrive during the start are handled after it.
+// end the process. Signals that arrive before the server runs wait in their channels; a termination signal also ends Load.
 func Catch() *Signals {
 	// A signal is dropped if its channel is full. Terminations have their own channel, so that control signals that wait
 	// cannot cause one to be dropped.
 	signals := &Signals{terminate: make(chan os.Signal, 1), control: make(chan os.Signal, controlSignalCapacity)}
 	signal.Notify(signals.control, syscall.SIGUSR1, syscall.SIGHUP)
 	signal.Notify(signals.terminate, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGPIPE) // sent when the reader of the log has gone
+	signal.Ignore(syscall.SIGPIPE) // a log line would otherwise end the process once the reader of the log has gone
 	return signals
 }
 
--- a/internal/process/signals_test.go
+++ b/internal/process/signals_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each signal must arrive on the channel on which it is handled, and wait there during the start. A termination must not be
-// lost because control signals have filled their channel.
+// Each signal must arrive on the channel on which it is handled, and wait there until then. A termination must not be lost
+// because control signals have filled their channel.
 func TestSignalsArriveOnTheirChannels(t *testing.T) {
 	signals := Catch()
 	t.Cleanup(func() {
