--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -9,7 +9,8 @@
 
 // Stage 2, admit: valid requests are submitted to the controller.
 
-// Reasons for which a request is invalid because of its fields. The texts are sent to front ends and must not change.
+// Reasons for which a request is invalid because of its own fields, or because its key belongs to another request. The texts
+// are sent to front ends and must not change.
 var (
 	errArrivalTime           = errors.New("field at: longer ago than any deadline, or ahead of the clock")
 	errTimeout               = errors.New("field wait: longer than any deadline")
@@ -38,7 +39,7 @@
 		return
 	}
 	if !s.admission.started() {
-		// Nothing can be run before the agent is up. Front ends send no requests here before that.
+		// Nothing can be run before the agent is up. The listeners normally open only after that.
 		s.countAnswer(class, Rejected)
 		trace := requestTrace{reason: reasonAgentNotReady}
 		s.logTrace(&activeRequest{attempt: *attempt, class: class, trace: trace}, Rejected.String())
--- a/internal/server/admit_test.go
+++ b/internal/server/admit_test.go
@@ -23,8 +23,9 @@
 	require.Equal(t, []any{Rejected, Unhealthy, "closing"}, conn.recorded)
 }
 
-// Requests with implausible times must be invalid. The controller would take an old arrival for hours spent unread and fail
-// health checks, and an arrival ahead of the clock would extend the window of an idempotency key.
+// Requests with implausible times must be invalid. The controller would take an old arrival time for hours in which the
+// request was not read, and fail health checks. An arrival time ahead of the clock would extend the window of an
+// idempotency key.
 func TestImplausibleTimesAreInvalid(t *testing.T) {
 	server, handleInbox := newServerWithoutLoop(t)
 	startAgent(server)
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -21,8 +21,8 @@
 	s.admission.enqueue(admission.CallNeeded(request.id))
 }
 
-// callStore makes the call that the run of a request waits for. timeout counts from now; 0 stands for the deadline of the
-// request's class.
+// callStore makes the call that the run of a request waits for, with a timeout that counts from now. A timeout of 0 stands
+// for the deadline of the request's class, which is a duration.
 func (s *Server) callStore(request *activeRequest, timeout time.Duration) {
 	if timeout <= 0 {
 		timeout = s.config.Settings.Classes[request.class].Deadline
@@ -53,8 +53,8 @@
 	store.Expired:           admission.OutcomeTimedOut,
 }
 
-// handleCallEnded handles the end of a call. If the reply is good, the run gets its body. Otherwise the controller decides
-// what happens to the run.
+// handleCallEnded handles the end of a call. If the call has succeeded, the run gets the body of the reply. Otherwise the
+// controller decides what happens to the run.
 func (s *Server) handleCallEnded(id string, reply store.Result, body []byte) {
 	s.recordCallResult(reply)
 	request := s.requests.byAttemptID[id]
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// connectionKind orders connections without an open request by how little is lost if they are closed, least first.
+// connectionKind is the kind of a connection. When connections without an open request must be closed, those of the first
+// kind are closed first, because least is lost with them.
 type connectionKind uint8
 
 const (
@@ -53,7 +54,7 @@
 type connectionTable struct {
 	states       map[Connection]*connectionState // all connections, including closing ones
 	idle         [connectionKinds]list.List      // by kind, longest idle first
-	openRequests int                             // number on all connections
+	openRequests int                             // number of open requests on all connections
 	closing      []*connectionState              // connections that are closing
 	idleTimer    idleTimer
 }
@@ -150,7 +151,8 @@
 	}
 	state.idleList = &t.idle[state.kind]
 	before := state.idleList.Back()
-	for before != nil && stateOf(before).lastUsed > state.lastUsed { // the last request on this connection may have taken long
+	// closeRequest leaves lastUsed as it is: the arrival of a request, which may have taken long.
+	for before != nil && stateOf(before).lastUsed > state.lastUsed {
 		before = before.Prev()
 	}
 	if before == nil {
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -27,8 +27,8 @@
 	case admission.ActionLog:
 		s.logCondition(action.Condition)
 	default:
-		// All other actions concern one request, except for ActionAdvertise. Its ID is 0, which no request has, so it is
-		// dropped here without a warning, like an action on a request that has ended.
+		// All other actions concern one request, except for ActionAdvertise. The ID of ActionAdvertise is 0, which no request
+		// has, so that action is dropped here without a warning, like one on a request that has ended.
 		if request := s.requests.byID[action.ID]; request != nil {
 			s.dispatchRequest(request, action)
 		}
@@ -90,7 +90,7 @@
 	case admission.ActionReuse:
 		s.reuseResult(request)
 	default:
-		// ActionStop: only with settings that the configuration does not allow.
+		// ActionStop is issued only with settings that the configuration does not allow.
 		s.warnings.WarnFields("controller", "unsupported action of the admission controller", nil,
 			logrus.Fields{"action": int(action.Kind)})
 	}
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -8,14 +8,16 @@
 
 // Drain: after SIGTERM, everything that was read is answered, and the process ends in time. In order:
 //
-//   - At the signal, front ends are notified on each connection, health checks fail and the announcements say so, unless a
-//     successor takes over. New connections are still accepted, and requests run.
-//   - At closeListenersAt, after the grace period, the listeners close. The controller decides on requests that still
-//     arrive on open connections.
+//   - At the signal, front ends are notified on each connection. Health checks fail, and the announcements say that no
+//     requests are accepted. If a successor takes over, health checks are answered as before, and the announcements stop
+//     instead. New connections are still accepted, and requests run.
+//   - At closeListenersAt, the listeners close: after the grace period, or at once if a successor takes over. The controller
+//     runs no request that arrives on an open connection after the grace period.
 //   - The loop ends when all connections have ended, and at stopAt in any case. Requests without an answer are then
 //     answered.
-//   - The process waits until all connections are written and closed, for FinalWriteTimeout at most. If they are not, it
-//     ends there. If they are, it waits for the program's extension, again for FinalWriteTimeout at most (package process).
+//   - The process waits until all answers are written and all connections closed, for FinalWriteTimeout at most. If they are
+//     not, it ends there. If they are, it waits for the program's extension, again for FinalWriteTimeout at most (package
+//     process).
 //   - shutdownMargin after stopAt, the platform kills the process.
 
 const (
@@ -26,7 +28,8 @@
 	// were written in time, the process waits as long once more for its extension.
 	FinalWriteTimeout = 90 * time.Millisecond
 	// listenerCloseMargin is the minimum time between the close of the listeners and the end of the loop, so that requests
-	// that arrive at the last moment are read and answered. Front ends are promised 50 ms for the way between machines.
+	// that arrive at the last moment are read and answered. Front ends are promised that a message may take 50 ms between
+	// machines.
 	listenerCloseMargin = 100 * time.Millisecond
 )
 
@@ -56,7 +59,7 @@
 	phase            drainPhase
 	replaced         bool          // a successor takes over
 	requestedAt      time.Duration // when SIGTERM was received
-	closeListenersAt time.Duration // when the listeners close; the controller decides on requests that arrive later
+	closeListenersAt time.Duration // when the listeners close; at the end of the grace period or before it
 	stopAt           time.Duration // when the loop ends at the latest
 }
 
@@ -75,9 +78,9 @@
 	}
 }
 
-// Drain makes the process end when its work is done, or its time is up. If a successor has joined, that one takes over: no
-// front end is sent elsewhere, and this process only waits for its own connections to end. Drain may be called repeatedly
-// and from any goroutine.
+// Drain makes the process end when its work is done, or its time is up. If a successor has joined, it takes over: front ends
+// are not sent to other image servers, and this process only waits for its connections and its runs with idempotency keys
+// to end. Drain may be called repeatedly and from any goroutine.
 func (s *Server) Drain() { s.post(s.startDrain) }
 
 func (s *Server) startDrain() {
@@ -114,7 +117,7 @@
 // closeListeners closes the listeners, so that new connections are refused.
 func (s *Server) closeListeners() {
 	s.drain.phase = drainListenersClosed
-	s.listeners.open() // ends fronts that do not accept connections yet, too
+	s.listeners.open() // so that serveFront also ends for fronts that do not accept connections yet
 	for _, front := range s.listeners.fronts {
 		if err := front.Close(); err != nil {
 			s.warnings.Warn("listener", "closing a front end listener failed", err)
@@ -141,7 +144,7 @@
 
 // shutDown ends the loop. Requests that were read by then are answered, and all answers are still written.
 func (s *Server) shutDown() {
-	// Readers that are blocked on a full inbox refill it while it is emptied, so the number of events is bounded.
+	// Readers that are blocked on a full inbox refill it while it is emptied. The limit keeps this from going on forever.
 	for n := 2 * inboxCapacity; n > 0 && s.inbox.waiting() > 0; n-- {
 		s.handlePending(1)
 	}
@@ -158,7 +161,8 @@
 	}
 }
 
-// finalAnswer returns the answer to a request that has none when the loop ends: Rejected only if it can't have been run.
+// finalAnswer returns the kind of answer for a request that has none when the loop ends: Rejected if neither it nor another
+// attempt with its key can have been run, and otherwise Failed.
 func (s *Server) finalAnswer(request *activeRequest) AnswerKind {
 	if request.state != requestQueued {
 		return Failed
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// checkAgentUntilUp checks the agent link periodically until the agent is up. A link that leads nowhere is thus replaced
-// even though nothing is sent on it yet.
+// checkAgentUntilUp checks the agent link periodically until the agent is up. Otherwise a connection to an agent that has
+// vanished would not be replaced, because nothing is sent on it yet.
 func (s *Server) checkAgentUntilUp() {
 	if !s.admission.started() {
 		s.agent.CheckLiveness()
@@ -73,7 +73,7 @@
 }
 
 // handleHandshake creates the controller when the agent is up. The agent's state and age tell whether it is warm. A
-// handshake on a later link changes nothing, because agent and image server start and stop together.
+// handshake on a later connection changes nothing, because agent and image server start and stop together.
 func (s *Server) handleHandshake(handshake agent.Handshake) {
 	if s.admission.started() {
 		return
@@ -106,7 +106,8 @@
 	}
 }
 
-// handleRunsLost fails all runs, because the agent will not report their outcomes. They may have had their effect.
+// handleRunsLost fails all runs, because the agent will not report their outcomes. The requests are not answered as
+// Rejected, because their runs may have had their effect.
 func (s *Server) handleRunsLost() {
 	for _, request := range s.requests.inOrder() {
 		if s.requests.contains(request) && request.running() {
--- a/internal/server/execute_test.go
+++ b/internal/server/execute_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The body of a request must not be retained for the window of its idempotency key, or bodies fill the memory over a day.
+// The body of a request must not be retained until the window of its idempotency key ends: bodies would fill the memory
+// within a day. The entry of the key must be dropped after its window.
 func TestBodiesAreNotRetained(t *testing.T) {
 	server, handleInbox := newServerWithoutLoop(t)
 	startAgent(server)
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -8,8 +8,11 @@
 
 // Connection is a connection of a front end, in any protocol. The loop calls its methods, which must not block. The server
 // uses a Connection from ConnectionOpened until it calls Close, or until ReadEnded with Disconnected.
+//
+// A call number is chosen by the front end, and identifies a request or a health check on its connection until the answer.
+// It has nothing to do with the calls to the store.
 type Connection interface {
-	// Answer sends the answer to the request or health check with that call number.
+	// Answer sends the answer to the request or health check with the given call number.
 	Answer(callNumber uint32, a Answer)
 	// NotifyClosing asks the front end to send no new request on this connection.
 	NotifyClosing()
@@ -22,7 +25,7 @@
 	TryClose() bool
 	// Close closes the connection when all answers passed to Answer are written.
 	Close()
-	// MaxOpenCalls returns the maximum number of requests that may be open at once.
+	// MaxOpenCalls returns the maximum number of requests that may be open on this connection at once.
 	MaxOpenCalls() int
 }
 
@@ -56,7 +59,7 @@
 
 // Front accepts connections of one protocol, and passes what it reads from them to a Server.
 type Front interface {
-	// Serve accepts connections until the listener is closed or ctx ends. Connections run in g.
+	// Serve accepts connections until the listener is closed or ctx ends. The goroutines of the connections run in g.
 	Serve(ctx context.Context, g *errgroup.Group, s *Server) error
 	// Close closes the listener; connections stay open.
 	Close() error
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -19,7 +19,7 @@
 type handoverState struct {
 	predecessor *handover.Link              // nil if there is none
 	successor   *handover.Link              // nil if there is none
-	synced      bool                        // all keys of the predecessor are known here
+	synced      bool                        // all keys of the predecessor are known here, or there is no predecessor
 	claims      map[string][]*activeRequest // requests that wait for the answer to the claim on their key, by key
 }
 
@@ -78,7 +78,7 @@
 	s.log.Info("successor process connected")
 	s.handover.successor = link
 	if s.drain.started() {
-		s.announcer.Stop() // the successor must be listed, and not as draining
+		s.announcer.Stop() // the successor reports under the same name, and must not be listed as draining
 	}
 	s.publishStatus()
 	var messages []handover.Message
@@ -93,7 +93,7 @@
 	}
 }
 
-// markSynced records that all keys of the predecessor are known here.
+// markSynced records that there are no further keys of a predecessor to wait for.
 func (s *Server) markSynced() {
 	s.handover.synced = true
 	s.openFrontsWhenReady()
@@ -141,9 +141,9 @@
 	s.resumeClaimed(known.IdempotencyKey)
 }
 
-// handleKeyClaim grants the successor a key that is unknown here. From then on, nothing is run with that key here. A claim
-// does not contain the class of the request, so the entry gets the longest window of all classes: a shorter one could end
-// while the key must not be run again.
+// handleKeyClaim grants the successor a key that is unknown here or whose window has ended. From then on, nothing is run
+// with that key here, unless the successor releases it. A claim does not contain the class of the request, so the entry
+// gets the longest window of all classes: a shorter one could end while the key must not be run again.
 func (s *Server) handleKeyClaim(link *handover.Link, claim handover.KeyClaim) {
 	entry := s.idempotency.entries[claim.IdempotencyKey]
 	if entry != nil && !entry.expired(claim.ArrivedAt) {
@@ -158,7 +158,7 @@
 	link.Publish(handover.KeyGranted{IdempotencyKey: claim.IdempotencyKey})
 }
 
-// handleKeyGranted resumes the requests that wait for a key. If none of them is left, it releases the key.
+// handleKeyGranted resumes the requests that wait for a key. If none of them is active any more, it releases the key.
 func (s *Server) handleKeyGranted(link *handover.Link, key string) {
 	s.resumeClaimed(key)
 	if s.idempotency.entries[key] == nil {
--- a/internal/server/helpers_test.go
+++ b/internal/server/helpers_test.go
@@ -14,8 +14,9 @@
 
 // recordingConnection records the kinds of its answers, and the names of the other methods that are called.
 type recordingConnection struct {
-	recorded                    []any
-	closeAttempts, failedCloses int // calls of TryClose, and how many of the first ones fail
+	recorded      []any
+	closeAttempts int // number of calls of TryClose so far
+	failedCloses  int // TryClose returns false in this many calls, from the first one on
 }
 
 func (c *recordingConnection) Answer(call uint32, a Answer) {
@@ -50,7 +51,7 @@
 // countingConnection only counts its answers, so that it uses no further memory during a measurement.
 type countingConnection struct {
 	answers int
-	server  *Server // told that reading has paused; nil if no server is to be told
+	server  *Server // PauseReading reports to it that reading has paused; nil: PauseReading does nothing
 }
 
 func (c *countingConnection) Answer(uint32, Answer) { c.answers++ }
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// windowSlack extends each window for an attempt that was sent a little after the arrival time that it carries.
+	// windowSlack extends each window, because an attempt may be sent a little after the arrival time that it carries.
 	windowSlack = 50 * time.Millisecond
 	// resultMemoryDivisor is the divisor of the memory limit that yields the memory for retained results.
 	resultMemoryDivisor = 8
@@ -26,7 +26,8 @@
 	peers          *handoverState                       // the other processes of this image server
 }
 
-// newIdempotencyTable returns a table for a process with the given memory limit and without other processes.
+// newIdempotencyTable returns an empty table for a process with the given memory limit. Its changes are not sent to other
+// processes until peers is replaced.
 func newIdempotencyTable(memoryMB int) idempotencyTable {
 	return idempotencyTable{
 		entries:        map[string]*idempotencyEntry{},
--- a/internal/server/idempotency_entry.go
+++ b/internal/server/idempotency_entry.go
@@ -52,7 +52,7 @@
 	reusable  bool                // the run succeeded, and its result is retained
 	result    []byte              // of the run, if it is retained
 	waiters   []*activeRequest    // attempts that wait for the end of the run
-	windowEnd time.Duration       // Unix time
+	windowEnd time.Duration       // end of the window; Unix time
 }
 
 // reusableResult returns the result for further attempts. It is not ok if the run failed or its result was not retained.
@@ -60,7 +60,7 @@
 	return runResult{ok: e.reusable, body: e.result}
 }
 
-// hasRun reports whether an attempt was run.
+// hasRun reports whether an attempt was run, or may have been run by another process.
 func (e *idempotencyEntry) hasRun() bool { return e.state != entryPending }
 
 // runningLocally reports whether the entry has a run of this process that has not ended.
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -21,8 +21,8 @@
 		server.scheduleIdleCheck()
 	}
 	server.scheduleIdleCheck()
-	_, ticks := server.deadlines.Next()
-	require.False(t, ticks)
+	_, scheduled := server.deadlines.Next()
+	require.False(t, scheduled)
 	server.ConnectionOpened(conn)
 	handleInbox()
 	server.scheduleIdleCheck()
@@ -41,8 +41,8 @@
 	require.Equal(t, []any{"closing", "pause"}, conn.recorded)
 	require.Zero(t, server.connections.size())
 	advance(0)
-	_, ticks = server.deadlines.Next()
-	require.False(t, ticks)
+	_, scheduled = server.deadlines.Next()
+	require.False(t, scheduled)
 }
 
 // A shorter idle timeout must take effect even if the next check was scheduled for much later.
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -8,8 +8,8 @@
 	handle(s *Server)
 }
 
-// task is an event that consists of a function. Tasks come from the links to other processes, which do not depend on this
-// package, and from goroutines that wait for a result (query).
+// task is an event that consists of a function. Tasks come from packages that do not depend on this one, such as those of the
+// links to the agent and the store, and from functions of this package, such as Drain and query.
 type task func()
 
 func (t task) handle(*Server) { t() }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -8,10 +8,11 @@
 )
 
 // maxEventsPerTurn is the maximum number of events handled in one turn, so that a burst delays neither deadlines nor
-// decisions. At 10 µs per event, a turn takes a fraction of the 20 ms by which answers are given before their deadline.
+// decisions. At 10 µs per event, they take little of the 20 ms that the controller leaves between answer and deadline.
 const maxEventsPerTurn = 128
 
-// admissionState is the admission controller with its input and output. The loop owns it.
+// admissionState is the admission controller with its input and output. A step is one call of Controller.Step. The loop owns
+// the state.
 type admissionState struct {
 	controller *admission.Controller // nil until the agent is up
 	events     []admission.Event     // input of the next step
--- a/internal/server/member.go
+++ b/internal/server/member.go
@@ -32,7 +32,7 @@
 	fleet             Fleet
 	warmAt            time.Duration // when the agent will have warmed up
 	publishedAnswers  uint64        // number of requests answered as of the last status
-	publishedUnserved uint64        // number of those that were not served
+	publishedUnserved uint64        // number of requests answered, but not served, as of the last status
 	quota             *quotaLeasing // nil if off
 	shedding          *loadShedding // nil if off
 	probes            *storeProbes  // nil if off
--- a/internal/server/operate.go
+++ b/internal/server/operate.go
@@ -9,9 +9,9 @@
 	"falldeal/internal/stats"
 )
 
-// Requests by operators to a running server. The exported methods may be called from any goroutine.
+// What operators can ask of a running server. The exported methods may be called from any goroutine.
 
-// errDraining is returned to operators after a drain has started.
+// errDraining is returned to operators after the loop has ended, and for a change of the registration during a drain.
 var errDraining = errors.New("the server is draining")
 
 // query makes the loop call f, and returns its result. It fails if the loop has ended, or if ctx ends first.
@@ -34,7 +34,7 @@
 	}
 }
 
-// Ready reports whether this process serves requests and is not about to stop.
+// Ready reports whether this process serves requests, and is neither draining nor deregistered.
 func (s *Server) Ready(ctx context.Context) (bool, error) {
 	return query(ctx, s, func() bool {
 		return s.admission.started() && s.listeners.opened && !s.drain.started() && !s.health.deregistered
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -139,8 +139,8 @@
 	return strconv.FormatFloat(limit.Calls(), 'g', 4, 64)
 }
 
-// callLimit returns the limit on calls in flight: that of the leases if there are any, and otherwise that of the settings.
-// While this member probes an unresponsive store for the fleet, the limit is 1 at most.
+// callLimit returns the limit on calls in flight: that of quota leasing if it is on and has computed one, and otherwise that
+// of the settings. While this member probes an unresponsive store for the fleet, the limit is 1 at most.
 func (s *Server) callLimit() float64 {
 	limit := s.config.Settings.MaxCallsInFlight
 	if quota := s.quota(); quota != nil && quota.known() {
@@ -180,7 +180,7 @@
 	s.applyQuota(s.member.fleet.Now())
 }
 
-// recordMissedCall tells the quota leasing that a call was skipped, or a request rejected because of the store.
+// recordMissedCall tells the quota leasing that a call was skipped, or that a request was rejected because of the store.
 func (s *Server) recordMissedCall() {
 	if quota := s.quota(); quota != nil {
 		quota.RecordMissedCall()
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Tests of events that cross in one turn of the loop, in both orders. docs/races.md lists them.
+// Tests of events that occur at almost the same time, so that the loop may handle them in either order. docs/races.md lists
+// them.
 
 // A second attempt of a request waits for the first, which is cancelled in the turn in which a third arrives. The third
 // must not be taken for a first attempt: the second and the third would both run.
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -8,7 +8,8 @@
 
 // Stage 1, receive: connections put what they read into the inbox.
 
-// Reasons for which a request is invalid, whatever its fields are. The texts are sent to front ends and must not change.
+// Reasons for which a request is invalid because of other requests: those on its connection, or attempts with the same ID.
+// The texts are sent to front ends and must not change.
 var (
 	errTooManyOpenRequests = errors.New("too many open requests on this connection")
 	// An attempt with this ID is active.
@@ -31,7 +32,7 @@
 	s.inbox.put(&requestReceived{connection: conn, callNumber: callNumber, attempt: attempt})
 }
 
-// RejectInvalid answers a request that could not be read as Invalid, with the text of err as the reason.
+// RejectInvalid answers Invalid to a request that could not be read. The text of err is the reason.
 func (s *Server) RejectInvalid(conn Connection, callNumber uint32, err error) {
 	s.inbox.put(&invalidRequestReceived{conn, callNumber, err})
 }
@@ -131,8 +132,9 @@
 	server.admit(e.connection, e.callNumber, &e.attempt)
 }
 
-// reusesCallNumber reports whether the request has the call number of an open request on the connection, or repeats an
-// attempt that was answered or run with a call number that is not higher than all earlier ones.
+// reusesCallNumber reports whether the request has the call number of an open request on the connection. Once the first
+// request is answered, its number is not known any more: then a request counts as reusing a number if that is not higher
+// than all earlier ones, and an attempt with the request's ID was answered or run before.
 func (e *requestReceived) reusesCallNumber(state *connectionState, server *Server) bool {
 	if state.openRequests[e.callNumber] != nil {
 		return true
@@ -140,7 +142,7 @@
 	return e.callNumber <= state.lastCallNumber && server.completed.contains(e.attempt.ID)
 }
 
-// check returns the reason for which a request is invalid whatever its fields are, or nil.
+// check returns the reason for which a request is invalid because of other requests, or nil.
 func (e *requestReceived) check(state *connectionState, server *Server) error {
 	switch {
 	case len(state.openRequests) >= e.connection.MaxOpenCalls():
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Reload applies the peers' addresses and the settings of a new configuration without interrupting runs. It may be called
-// from any goroutine.
+// Reload applies the settings of a new configuration, and its addresses of the agent, the store and the announce service,
+// without interrupting runs. It may be called from any goroutine.
 func (s *Server) Reload(cfg *config.Config) { s.inbox.put(&configurationLoaded{cfg}) }
 
 // ReloadFailed reports why a new configuration could not be read. The current one stays. It may be called from any
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// updateClasses accepts requests of new classes at once, and rejects requests of removed ones only after maxArrivalAge:
+// updateClasses accepts requests of new classes at once. Requests of removed classes become invalid only after maxArrivalAge:
 // front ends learn of the change late, and may retry requests that they have begun.
 func (s *Server) updateClasses() {
 	for i, class := range s.config.Settings.Classes {
@@ -95,9 +95,9 @@
 	}
 }
 
-// mergeClasses assigns each class of a new configuration the index that it has, or a new one after all others. Active
-// requests refer to classes by index, so classes that are gone keep theirs, marked as removed. A class whose idempotency has
-// changed counts as another class.
+// mergeClasses gives each class of a new configuration the index that it has in the current one, or else a new index after
+// all others. Active requests refer to classes by index, so classes that are gone keep theirs, marked as removed. A class
+// whose idempotency has changed counts as another class.
 func mergeClasses(current, loaded []admission.Class, currentNames, loadedNames []string) ([]admission.Class, []string) {
 	classes := slices.Clone(current)
 	names := slices.Clone(currentNames)
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -12,7 +12,7 @@
 type Attempt struct {
 	ID             string        // hex digits only, because it is passed on to other systems
 	IdempotencyKey string        // shared by all attempts of one request; "" = none
-	Subject        string        // key of what a read request reads; "" = none
+	Subject        string        // identifies the object that the request reads; "" = none
 	Class          string        // name of the request class
 	Tenant         string        // name of the tenant; "" = none
 	Retry          bool          // the sender has marked the attempt as a retry
@@ -21,7 +21,7 @@
 	Client         int           // number that identifies the client
 	CostHint       time.Duration // expected processing time; 0 = not given
 	MemoryKB       float64       // expected memory use
-	Rank           float64       // orders requests of equal value: the higher one is shed last
+	Rank           float64       // from 0 to 1; of requests with equal value per work, the one with the highest Rank is shed last
 	Body           []byte
 }
 
@@ -70,7 +70,7 @@
 type requestState uint8
 
 const (
-	requestQueued   requestState = iota // waits for the decision of the controller
+	requestQueued   requestState = iota // waits for the controller's decision, or for the result of another attempt
 	requestClaiming                     // waits for the predecessor's answer to the claim on its key
 	requestRunning                      // was sent to the agent to be run
 )
@@ -95,10 +95,10 @@
 	tenant            int // index among the tenants of the configuration
 	connection        Connection
 	callNumber        uint32        // identifies the request on its connection
-	idempotencyWindow time.Duration // from its arrival on, in which its key must not run again
+	idempotencyWindow time.Duration // time from its arrival on in which no other attempt with its key may be run
 
 	state     requestState
-	answered  bool          // it has its answer, or nobody waits for one; its run may continue
+	answered  bool          // the request has its answer, or nobody waits for one; its run may continue
 	startedAt time.Duration // start of its run, or of its wait for the run of another attempt
 
 	callBody      []byte        // body of the call that its run waits for
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Stage 6, respond: each request gets one answer, and is removed when it has ended.
+// Stage 6, respond: each request gets one answer. It is removed when it has been answered and has no run any more.
 
 // answer answers a request, unless it has its answer already or its connection has ended.
 func (s *Server) answer(request *activeRequest, answer Answer) {
@@ -170,8 +170,9 @@
 	}
 }
 
-// expireAfterWindow drops an entry that has a run when attempts that arrived within its window are no longer accepted. The
-// controller's key table is not involved, because it only accounts for memory.
+// expireAfterWindow schedules the removal of an entry that has a run: at the time from which an attempt that arrived within
+// the entry's window would be invalid because of its age. The controller's key table is not involved, because it only
+// accounts for memory.
 func (s *Server) expireAfterWindow(entry *idempotencyEntry) {
 	windowEnd := entry.windowEnd
 	s.deadlines.Add(s.clock.fromUnix(windowEnd)+s.config.maxArrivalAge()+windowSlack, func() {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -72,12 +72,12 @@
 	}
 	server.idempotency.peers = &server.handover
 	server.clock.advance()
-	server.connectPeers(cfg)
+	server.createLinks(cfg)
 	return server
 }
 
-// connectPeers creates the links to the other processes. They send nothing before Run.
-func (s *Server) connectPeers(cfg *config.Config) {
+// createLinks creates the links to the agent, the store and the announce service. They send nothing before Run.
+func (s *Server) createLinks(cfg *config.Config) {
 	now := func() time.Duration { return s.clock.now }
 	s.agent = agent.New(
 		agent.Config{Address: cfg.Agent, Gauges: cfg.Gauges, Seed: cfg.Seed},
@@ -119,7 +119,7 @@
 		s.loop(ctx)
 		return nil
 	})
-	return g.Wait() //nolint:wrapcheck // each part says what failed
+	return g.Wait() //nolint:wrapcheck // each function says what failed
 }
 
 // serveFront serves a front once connections may be accepted.
@@ -133,8 +133,8 @@
 	return front.Serve(ctx, g, s) //nolint:wrapcheck // the front says what failed
 }
 
-// Ended returns a channel that is closed when the event loop has ended: all requests are answered, or the time of a drain
-// is up. The last answers may still have to be written, for which the process waits FinalWriteTimeout at most.
+// Ended returns a channel that is closed when the event loop has ended. By then all requests that were read are answered.
+// The last answers may still have to be written, for which the process waits FinalWriteTimeout at most.
 func (s *Server) Ended() <-chan struct{} { return s.inbox.closed }
 
 // LogCounters logs the counters. It may be called from any goroutine.
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -45,7 +45,7 @@
 }
 
 // classifyForShedding adds to an arrival its rank against the fleet's threshold, the time since its first attempt if it
-// is a retry, and the jitter of its Retry-After. It uses only what was received before, and sends no message.
+// is a retry, and the jitter of its Retry-After. It uses only what is known here already, and sends no message.
 func (s *Server) classifyForShedding(request *activeRequest, arrival *admission.Arrival) {
 	shedding := s.shedding()
 	if shedding == nil {
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -33,9 +33,10 @@
 	reasonAgentNotReady traceReason = "agent_not_ready"
 	// reasonAbandoned: failed by the controller (admission.ActionFail), in one of these cases:
 	//
-	//   - A request that runs, or waits for the result of another attempt, reaches its deadline, which a drain may have
-	//     moved forward.
-	//   - A request needs a call that its class can't do without, and the circuit breaker drops it or it would be too late.
+	//   - A request that runs, or waits for the result of another attempt, reaches its deadline, which may be earlier because
+	//     of a drain.
+	//   - A request needs a call that its class can't do without, and the circuit breaker drops the call or it would end too
+	//     late.
 	//   - While memory is short, a request retries an attempt that may have run.
 	//
 	// A request whose own run fails has no reason.
