--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -131,7 +131,7 @@
 
 // notifyClosing notifies the front end that a connection closes, unless it was notified before.
 func (s *Server) notifyClosing(state *connectionState) {
-	if state.kind != closingConnection {
+	if state.kind != notifiedConnection {
 		s.connections.markNotified(state, s.clock.now)
 		state.connection.NotifyClosing()
 	}
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -11,18 +11,18 @@
 type connectionKind uint8
 
 const (
-	silentConnection  connectionKind = iota // no valid message was received on it
-	closingConnection                       // its front end was notified that it closes
-	activeConnection                        // a request or a health check was received on it
-	connectionKinds                         // number of kinds
+	silentConnection   connectionKind = iota // no valid message was received on it
+	notifiedConnection                       // its front end was notified that it closes
+	activeConnection                         // a request or a health check was received on it
+	connectionKinds                          // number of kinds
 )
 
 func (k connectionKind) String() string {
 	switch k {
 	case silentConnection:
 		return "silent"
-	case closingConnection:
-		return "closing"
+	case notifiedConnection:
+		return "notified"
 	case activeConnection:
 		return "active"
 	case connectionKinds:
@@ -115,7 +115,7 @@
 
 // markNotified records that the front end was notified that the connection closes.
 func (t *connectionTable) markNotified(state *connectionState, now time.Duration) {
-	state.kind = closingConnection
+	state.kind = notifiedConnection
 	t.touch(state, now)
 }
 
@@ -151,7 +151,7 @@
 	}
 	state.idleList = &t.idle[state.kind]
 	before := state.idleList.Back()
-	// closeRequest leaves lastUsed as it is: the arrival of a request, which may have taken long.
+	// closeRequest leaves lastUsed at the arrival of the request, which may be long ago.
 	for before != nil && stateOf(before).lastUsed > state.lastUsed {
 		before = before.Prev()
 	}
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -38,7 +38,7 @@
 // forever.
 func (s *Server) idleLimit(kind connectionKind) (time.Duration, func(*connectionState)) {
 	switch {
-	case kind != closingConnection:
+	case kind != notifiedConnection:
 		return s.connections.idleTimer.timeout, s.notifyClosing
 	case s.drain.started():
 		return 0, nil // the end of the process will close them soon
--- a/internal/server/respond.go
+++ b/internal/server/respond.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// fail answers a request as Failed. Its run, if there is one, continues to its end or next call.
+// fail answers a request as Failed. Its run, if there is one, continues, but no further call is made for it.
 func (s *Server) fail(request *activeRequest) {
 	request.trace.reason = reasonAbandoned
 	s.answer(request, Answer{Kind: Failed})
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -70,7 +70,7 @@
 		attempt.Rank, attempt.CostHint.Seconds())
 }
 
-// recordRejection records a rejected request that may be retried, here or elsewhere.
+// recordRejection records a rejected request, unless the rejection advises against a retry elsewhere.
 func (s *Server) recordRejection(request *activeRequest, rejection admission.Rejection) {
 	if shedding := s.shedding(); shedding != nil && !rejection.NoRetryElsewhere {
 		shedding.retries.RecordRejection(s.clock.now, fingerprint(&request.attempt))
--- a/internal/server/states_test.go
+++ b/internal/server/states_test.go
@@ -16,7 +16,7 @@
 		{[]fmt.Stringer{requestQueued, requestClaiming, requestRunning}, requestRunning + 1},
 		{[]fmt.Stringer{entryPending, entryRunning, entryCompleted}, entryCompleted + 1},
 		{[]fmt.Stringer{drainNotStarted, drainAccepting, drainListenersClosed}, drainListenersClosed + 1},
-		{[]fmt.Stringer{silentConnection, closingConnection, activeConnection}, connectionKinds},
+		{[]fmt.Stringer{silentConnection, notifiedConnection, activeConnection}, connectionKinds},
 		{[]fmt.Stringer{Served, Rejected, Failed, Invalid, Healthy, Unhealthy}, Unhealthy + 1},
 		{[]fmt.Stringer{Disconnected, ReadTimeout, MalformedInput, ReadPaused}, ReadPaused + 1},
 		{[]fmt.Stringer{closeStateOpen, closeStateDraining, closeStatePaused, closeStateResumed, closeStateUnreadable},
