--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -61,7 +61,7 @@
 func (q *Queue) Close() { q.closeOnce.Do(func() { close(q.closing) }) }
 
 // CloseNow is like Close, but if all messages have been written, it closes the connection before it returns. It must be
-// called on the goroutine that calls Send: the message of a concurrent Send would be lost.
+// called on the goroutine that calls Send: the message of a concurrent Send could be lost.
 func (q *Queue) CloseNow() {
 	if q.unwritten.Load() == 0 {
 		q.closeConn()
