--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// connectionKind orders connections without an open request by how little is lost if they are closed, least first.
+// connectionKind is the kind of a connection. When connections without an open request must be closed, those of the first
+// kind are closed first, because least is lost with them.
 type connectionKind uint8
 
 const (
-	silentConnection  connectionKind = iota // no valid message was received on it
-	closingConnection                       // its front end was notified that it closes
-	activeConnection                        // a request or a health check was received on it
-	connectionKinds                         // number of kinds
+	silentConnection   connectionKind = iota // no valid message was received on it
+	notifiedConnection                       // its front end was notified that it closes
+	activeConnection                         // a request or a health check was received on it
+	connectionKinds                          // number of kinds
 )
 
 func (k connectionKind) String() string {
 	switch k {
 	case silentConnection:
 		return "silent"
-	case closingConnection:
-		return "closing"
+	case notifiedConnection:
+		return "notified"
 	case activeConnection:
 		return "active"
 	case connectionKinds:
@@ -53,7 +54,7 @@
 type connectionTable struct {
 	states       map[Connection]*connectionState // all connections, including closing ones
 	idle         [connectionKinds]list.List      // by kind, longest idle first
-	openRequests int                             // number on all connections
+	openRequests int                             // number of open requests on all connections
 	closing      []*connectionState              // connections that are closing
 	idleTimer    idleTimer
 }
@@ -114,7 +115,7 @@
 
 // markNotified records that the front end was notified that the connection closes.
 func (t *connectionTable) markNotified(state *connectionState, now time.Duration) {
-	state.kind = closingConnection
+	state.kind = notifiedConnection
 	t.touch(state, now)
 }
 
@@ -150,7 +151,8 @@
 	}
 	state.idleList = &t.idle[state.kind]
 	before := state.idleList.Back()
-	for before != nil && stateOf(before).lastUsed > state.lastUsed { // the last request on this connection may have taken long
+	// closeRequest leaves lastUsed at the arrival of the request, which may be long ago.
+	for before != nil && stateOf(before).lastUsed > state.lastUsed {
 		before = before.Prev()
 	}
 	if before == nil {
--- a/internal/server/shedding.go
+++ b/internal/server/shedding.go
@@ -45,7 +45,7 @@
 }
 
 // classifyForShedding adds to an arrival its rank against the fleet's threshold, the time since its first attempt if it
-// is a retry, and the jitter of its Retry-After. It uses only what was received before, and sends no message.
+// is a retry, and the jitter of its Retry-After. It uses only what is known here already, and sends no message.
 func (s *Server) classifyForShedding(request *activeRequest, arrival *admission.Arrival) {
 	shedding := s.shedding()
 	if shedding == nil {
@@ -70,7 +70,7 @@
 		attempt.Rank, attempt.CostHint.Seconds())
 }
 
-// recordRejection records a rejected request that may be retried, here or elsewhere.
+// recordRejection records a rejected request, unless the rejection advises against a retry elsewhere.
 func (s *Server) recordRejection(request *activeRequest, rejection admission.Rejection) {
 	if shedding := s.shedding(); shedding != nil && !rejection.NoRetryElsewhere {
 		shedding.retries.RecordRejection(s.clock.now, fingerprint(&request.attempt))
