--- a/admission/admission.go
+++ b/admission/admission.go
@@ -49,11 +49,11 @@
 	c.queue.push(request)
 }
 
-// decide decides whether a request is admitted. The limits that protect the server come first. While all
-// cores are busy, the fleet's rank and the admit probability are next. A request that must call the
-// dependency is then rejected if only other servers probe it. Last is whether the request can be answered
-// within its objective; queued requests of less value may be rejected to make that possible. The key of a
-// request that is idempotent by key is reserved once the limits allow it.
+// decide decides whether a request is admitted. The limits that protect the server come first. Once they
+// allow a request that is idempotent by key, its key is reserved. While all cores are busy, the rank of the
+// request in the fleet and the admit probability are next. A request that must call the dependency is then
+// rejected if only other servers probe the dependency. Last is whether the request can be answered within its
+// objective; queued requests of less value may be rejected to make that possible.
 func (c *Controller) decide(request *request) decision {
 	if decision := c.checkLimits(request); decision.rejected {
 		return decision
@@ -73,8 +73,8 @@
 	return c.admitByObjective(request)
 }
 
-// checkLimits rejects a request that a drain leaves no time for, or that arrives while the memory limit is
-// exceeded.
+// checkLimits rejects a request that may not run any more in a drain, and any request while the memory limit
+// is exceeded.
 func (c *Controller) checkLimits(request *request) decision {
 	switch {
 	case c.drain.started && !c.drain.acceptsRun(request.arrivedAt, c.estimator.finishTime(c.now, request)):
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -93,7 +93,8 @@
 	return false
 }
 
-// retryAfter returns how long the client should avoid this server: until half of the queue has run.
+// retryAfter returns how long the client should avoid this server: for maxRetryAfter if it drains, and
+// otherwise until about half of the queue has run.
 func (a *clientAdvisor) retryAfter(reason Reason, queueTime float64) time.Duration {
 	if !a.sendsRetryAfter && a.maxRetryAfter <= 0 {
 		return 0
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -105,7 +105,7 @@
 // timeout. SetProtectedCalls must be called between two steps.
 func (c *Controller) SetProtectedCalls(calls float64) { c.calls.setProtectedCalls(calls) }
 
-// advanceTime brings the sums that grow with time up to date at now.
+// advanceTime brings the quantities that change with time up to date at now.
 func (c *Controller) advanceTime(now time.Duration) {
 	elapsed := now - c.now
 	if elapsed <= 0 {
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -10,21 +10,23 @@
 //
 // Controller.Step (controller.go) processes a batch of events that share one time, in this order:
 //
-//  1. Sums that grow with time are brought up to date: the core time used (estimator.go), the call-seconds in
-//     flight and the remaining call credit (call_limiter.go).
+//  1. Quantities that change with time are brought up to date: the core time used (estimator.go), the
+//     call-seconds in flight and the remaining call credit (call_limiter.go).
 //  2. Periodic decisions that were skipped while the server was idle are made up for (timers.go).
 //  3. Each event is handled. A request that was read is admitted or rejected, see below. The end of a run
-//     updates the estimates and frees the resources of the run (runs.go). A call that is needed is queued. A
-//     call that has ended is retried or skipped, or its run continues or fails (calls.go).
-//  4. Expired deadlines are handled (periodic.go). Requests that still wait are rejected, and runs are
-//     answered with an error, before their clients give up. Calls are retried and keys expire.
+//     frees the resources of the run and, if the run succeeded, updates the estimates (runs.go). A call that
+//     is needed is queued. After a successful call its run continues. A call that did not succeed is retried,
+//     or its run continues without it or fails (calls.go).
+//  4. Expired deadlines are handled (periodic.go). Requests whose run has not started are rejected, and
+//     the others are answered with an error, before their clients give up. Failed calls whose backoff has
+//     passed are queued again, and keys expire.
 //  5. Every 100 ms the periodic decisions are made (periodic.go). Requests that are too late are rejected.
 //     The value factors of tenants, the admit probability, the run limit, the call limit, the idle timeout
 //     and the health state are adjusted to the latest measurements. Changes of conditions are logged.
 //  6. Waiting calls are made, as far as the call limiter allows and the circuit breaker does not drop them.
-//     The call whose request ceases to be useful first goes first.
+//     Calls are made in the order of the times until which their requests are useful (request.go).
 //  7. Queued requests are started, as far as the concurrency limiter and the memory limit allow. The request
-//     with the earliest latest start goes first (runs.go, scheduler.go).
+//     that must start first to meet its objective goes first (runs.go, scheduler.go).
 //  8. The owner is asked to step again at the next deadline or periodic decision at the latest.
 //
 // # Whether a request is admitted
@@ -33,21 +35,23 @@
 // this fixed order, and the first that applies decides:
 //
 //  1. The class of the request is unknown.
-//  2. The server drains, and the request arrived too late or cannot end in time (drain.go).
+//  2. The server drains, and the request arrived after the grace period or cannot be answered before the
+//     process ends (drain.go).
 //  3. The memory limit is exceeded, or there is no memory for the request's idempotency key (memory.go,
 //     key_table.go).
 //  4. All cores are busy and the request ranks below the fleet's shedding threshold.
 //  5. All cores are busy and the random draw with the admit probability fails (admit_probability.go).
-//  6. The request must call the dependency, and other servers of the fleet probe whether the dependency has
-//     recovered (breaker.go).
+//  6. The request must call the dependency, and only other servers of the fleet probe whether the dependency
+//     has recovered (breaker.go).
 //  7. The request would be answered after its latency objective for lack of CPU time or of calls, and no
 //     queued request has clearly less value per unit of the scarce resource (estimator.go, value.go,
-//     tenants.go). If there is such a request, it is rejected instead. If too few trial runs are under way to
-//     notice a recovery, the request is admitted anyway.
+//     tenants.go). Queued requests of clearly less value are rejected first, one by one, until the new one can
+//     be answered in time. If so little is under way that a recovery would go unnoticed, the request is
+//     admitted anyway, as a trial.
 //
-// If results of its class are reused, an attempt that retries a known request shares the run of that request
-// instead; only rule 1 is checked before. If the memory limit is exceeded, the attempt is rejected, or failed
-// if the run may have started (idempotency.go).
+// An attempt that retries a known request (Arrival.RetryOf) is not admitted by these rules if results of its
+// class are reused. It shares the run of that request; only rule 1 is checked before. If the memory limit is
+// exceeded, the attempt is rejected, or failed if the run may have started (idempotency.go).
 //
 // A request that was admitted and has not run is still rejected in these cases:
 //
@@ -57,8 +61,8 @@
 //     scheduler.go).
 //   - It is next to start, and there is no memory to run it although nothing else runs, or a drain leaves no
 //     time for it (runs.go).
-//   - The attempt that it retries ended without a run, and rules 2 to 7, checked again, reject it
-//     (idempotency.go).
+//   - The attempt that it retries ended without a run, and rules 2 to 7, which are checked only then, reject
+//     it (idempotency.go).
 //
 // The advice that a client gets with a rejection depends on the reason, the state of the fleet and the rate
 // of retries (advice.go).
@@ -75,7 +79,7 @@
 //	scheduler.go           which queued request runs next, and which is too late
 //	request.go             until when a request is useful
 //	request_queue.go       queued requests in order, with their counts and sums of work
-//	value.go               the value of a request, and which queued request it displaces
+//	value.go               the value of a request, and which queued request is displaced by a new one
 //	tenants.go             how far the quota of a tenant reduces the value of its requests
 //	estimator.go           estimates of waiting and run times
 //	concurrency.go         how many requests run
@@ -86,15 +90,15 @@
 //	breaker.go             the circuit breaker for calls
 //	memory.go              the memory limit
 //	key_table.go           requests that are remembered for their retries
-//	drain.go               what a server still does before it stops
+//	drain.go               which requests still run before a process ends, and when the last are answered
 //	health.go              the answer to health checks
 //	advice.go              the advice to clients with a rejection
 //	arrivals.go            the rates of requests and retries, and the read delay
-//	advertiser.go          the value that is sent along with answers
+//	advertiser.go          the value sent along with answers, which limits what clients send
 //	idle_timeout.go        when idle connections are closed
 //	timers.go              when the next decision is due
 //	reporting.go           which changes of conditions are logged
 //
-// The other files hold the types that are exchanged with the owner, the settings and helpers. The statistics
-// and the queue ordered by time are packages below internal.
+// The other files hold the types that are exchanged with the owner, the settings and helpers. Statistics over
+// the recent past are in internal/rolling, and the queue of deadlines and calls in internal/timedqueue.
 package admission
--- a/admission/event.go
+++ b/admission/event.go
@@ -58,7 +58,7 @@
 	OutcomeOK          Outcome = iota // it succeeded
 	OutcomeFailed                     // it failed and may have had its effect
 	OutcomeRejected                   // a call was rejected and never ran
-	OutcomeTimedOut                   // a call was abandoned and may have had its effect
+	OutcomeTimedOut                   // a call exceeded its timeout and may have had its effect
 	OutcomeUnreachable                // the dependency was not reached, so the call never ran
 	OutcomeAborted                    // a call was interrupted and may have had its effect
 	OutcomeCancelled                  // a run was stopped, or ended because no answer was needed
@@ -109,14 +109,14 @@
 	FleetRank         FleetRank     // rank among the requests offered to the fleet
 	Deadline          time.Duration // when the client gives up, on the owner's clock; 0: unknown
 	ReadDelay         time.Duration // time between reaching the machine and being read
-	SinceFirstAttempt time.Duration // time from the client's first attempt to this one; 0: none, or unknown
+	SinceFirstAttempt time.Duration // time since the client's first attempt; 0: this is the first, or unknown
 	RetryJitter       time.Duration // added to RetryAfter, so that clients do not return simultaneously
 }
 
 // Completion describes the end of a run, of the reuse of a result, or of a call.
 type Completion struct {
 	Outcome  Outcome
-	Duration time.Duration // time since the start
+	Duration time.Duration // how long it took; for a run, including its calls
 }
 
 // DrainSignal asks a process to stop.
--- a/admission/health.go
+++ b/admission/health.go
@@ -11,8 +11,8 @@
 
 // health decides how health checks are answered. A server is reported unhealthy while operators have
 // deregistered it, and temporarily when the mean read delay is over its limit. In that case rejecting
-// requests is not enough: a rejection costs work as well, and clients that seldom send a request return only
-// after the advised time has passed anyway.
+// requests is not enough: a rejection costs CPU time as well, and RetryAfter does not reduce the load from
+// clients whose next request would come later anyway.
 //
 // The state flips back after minHealthDuration even if the read delay is still over its limit. A server is
 // therefore unhealthy for its read delay at most half of the time, and a fleet whose servers are all late
--- a/admission/idempotency.go
+++ b/admission/idempotency.go
@@ -26,8 +26,8 @@
 	return true
 }
 
-// reuseResult answers a request with the result of the run that it retries. A request that has ended is
-// ignored.
+// reuseResult has a request answered with the result of the attempt that it retries. A request that has ended
+// is ignored.
 func (c *Controller) reuseResult(request *request) {
 	if request.state != released {
 		request.state = awaitingResult
--- a/admission/key_table.go
+++ b/admission/key_table.go
@@ -8,7 +8,7 @@
 // step.
 type keyTable struct {
 	classes   []Class
-	cacheTTL  time.Duration               // for which the result of a read may answer others; 0: never
+	cacheTTL  time.Duration               // for which results of reads may answer other attempts; 0: never
 	tick      time.Duration               // shortest time for which a request is remembered
 	expiresAt map[RequestID]time.Duration // by ID of the remembered request
 	memory    *memoryBudget
@@ -90,7 +90,7 @@
 	}
 }
 
-// runEnded drops the entry of a read whose run ended without a result that could answer others.
+// runEnded drops the entry of a read whose run ended without a result that could answer other attempts.
 func (k *keyTable) runEnded(now time.Duration, request *request, outcome Outcome) {
 	noResult := outcome == OutcomeCancelled || outcome == OutcomeFailed
 	isRead := k.classes[request.class].Idempotency == Safe
--- a/admission/periodic.go
+++ b/admission/periodic.go
@@ -22,8 +22,8 @@
 	c.reportConditions()
 }
 
-// isIdle reports whether nothing is in flight and no limit is recovering, so that the periodic decisions
-// would change nothing.
+// isIdle reports whether nothing is in flight and no limit is recovering, so that the periodic decisions can
+// wait until the next event (see timers).
 func (c *Controller) isIdle() bool {
 	recovered := c.calls.limiter.recovered() && c.admitProbability.recovered() && !c.health.unhealthy
 	inFlight := len(c.requests) > 0 || c.calls.limiter.abandoned > 0
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -25,8 +25,8 @@
 }
 
 // expireQueued rejects the requests at the fronts of the class queues that are too late, and reports whether
-// there were any. After a rejection the caller must check again, since the fronts of other classes may have
-// changed.
+// there were any. A rejection may change the fronts of classes that were checked before it. dispatch
+// therefore calls expireQueued again until nothing is rejected.
 func (c *Controller) expireQueued() (rejected bool) {
 	for class := range c.queue.classes {
 		for late := c.scheduler.tooLate(c.now, class); late != nil; late = c.scheduler.tooLate(c.now, class) {
@@ -111,7 +111,7 @@
 		c.calls.stopWaiting()
 	case calling:
 		c.calls.abandon(c.now, request)
-	case received, following, awaitingResult, released: // hold only the memory of a queued request
+	case received, following, awaitingResult, released: // hold nothing but memory
 	}
 	c.memory.release(request.memoryKB)
 	if request.state >= running {
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -22,16 +22,16 @@
 }
 
 // tooLate returns the first queued request of a class if it is too late to start, or nil. Normally that is a
-// request that would miss its objective. While fewer than trialRuns requests run, it must also be past the
-// time at which an answer has any value, so that trial runs can show a recovery.
+// request that would miss its objective. While fewer than trialRuns requests run, such a request is kept for
+// a trial run, which can show a recovery, until an answer has no value any more.
 func (s *runScheduler) tooLate(now time.Duration, class int) *request {
 	front := s.queue.front(class)
 	if front == nil {
 		return nil
 	}
 	missesObjective := now+s.estimator.serviceTime(now, front) > front.objective
-	useless := s.runs.enoughTrials() || now >= front.usefulUntil
-	if missesObjective && useless {
+	uselessAsTrial := s.runs.enoughTrials() || now >= front.usefulUntil
+	if missesObjective && uselessAsTrial {
 		return front
 	}
 	return nil
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -56,14 +56,14 @@
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective   time.Duration // time from the arrival of the first attempt; later answers lose value
-	Deadline           time.Duration // how long clients wait, over all attempts
+	LatencyObjective   time.Duration // from the first attempt to the answer; later answers lose value
+	Deadline           time.Duration // how long clients wait from the arrival, if Arrival.Deadline is unset
 	Idempotency        Idempotency
 	IdempotencyWindow  time.Duration // IdempotentByKey: a retry may arrive this long after the first attempt
 	PriorityWeight     float64       // value of one request, or of one unit of its work (WeightPerWork)
-	LateValueRatio     float64       // fraction of its value that a later answer keeps until the deadline
+	LateValueRatio     float64       // fraction of the value left to an answer between objective and deadline
 	CallsDependency    bool          // requests of the class may call the dependency
-	DegradedValueRatio float64       // fraction of its value without the call; 0: never skip the call
+	DegradedValueRatio float64       // fraction of its value without the call; 0: calls are never skipped
 	Removed            bool          // no longer configured; requests in flight are still served
 }
 
@@ -82,19 +82,19 @@
 // text of the simulator's protocol.
 type Settings struct {
 	Cores     int
-	FleetSize int      // servers of this tier at the start
-	Clients   int      // clients of this tier at the start
+	FleetSize int      // configured number of servers of this tier
+	Clients   int      // configured number of clients of this tier
 	Classes   []Class  // at least one
 	Tenants   []Tenant // may be empty
 
 	MemoryKB            float64 // memory of the server, in kB
-	RunningMemoryFactor float64 // memory of a running request, in that of a queued one; below 1 counts as 1
+	RunningMemoryFactor float64 // ratio of running to queued memory of a request; below 1 counts as 1
 	KeyMemoryKB         float64 // memory of one remembered key, in kB
 
 	Halt                  Halt          // what stopping a run does
 	Advert                Advert        // meaning of the advertised value
 	Dependency            Dependency    // affects no decision, see above; MaxCallsInFlight does
-	MaxCallsInFlight      float64       // DependencyShared: mean calls in flight of this server; 0: unlimited
+	MaxCallsInFlight      float64       // limit on this server's mean number of calls in flight; 0: unlimited
 	CallsWindow           time.Duration // over which the mean of MaxCallsInFlight is taken
 	AbandonedCallTime     time.Duration // longest time that an abandoned call occupies the dependency
 	WarmingUp             bool          // the server has just started and is slow at first
@@ -103,15 +103,15 @@
 	MaxConcurrencyPerCore float64       // runs per core that a warm server can handle; below 1 counts as 1
 	ConcurrencyWindow     time.Duration // averaging time of MaxConcurrencyPerCore; affects no decision
 	AnswerGrace           time.Duration // for which a late answer still counts; affects no decision
-	DrainGrace            time.Duration // requests up to this long after the drain signal still run
-	CacheTTL              time.Duration // for which the result of a read may answer others; 0: never
+	DrainGrace            time.Duration // after the drain signal; requests that arrive during it still run
+	CacheTTL              time.Duration // for which the result of a read may answer other attempts; 0: never
 	IdleTimeout           time.Duration // after which clients close idle connections; 0: unknown
 	MaxRetryAfter         time.Duration // longest RetryAfter that clients heed
 	SendsRetryAfter       bool          // RetryAfter is passed on to clients
 	MarksRetries          bool          // clients mark retries
 	Tick                  time.Duration // minimum time between two batches
 	WeightPerWork         bool          // PriorityWeight is the value per unit of work, not per request
-	ExcessValueRatio      float64       // least fraction of its value that a request over a quota keeps
+	ExcessValueRatio      float64       // least value factor of requests whose tenant exceeds its quota
 }
 
 // shortestObjective returns the shortest latency objective of all classes that are not removed.
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -8,7 +8,7 @@
 
 const (
 	periodicInterval    = 100 * time.Millisecond // between two periodic decisions
-	maxSkippedIntervals = 10                     // while idle; gauges stay valid for that long
+	maxSkippedIntervals = 10                     // while idle; the server treats older gauges as unknown
 )
 
 // deadlineKind is what is due when a deadline passes.
@@ -45,12 +45,12 @@
 }
 
 // timers decides when the controller has something to do: at deadlines and at the periodic decisions. While
-// the server is idle, a periodic decision would change nothing, so some are skipped. They are made up for at
-// the next event, and at the latest after maxSkippedIntervals.
+// the server is idle, no request depends on the periodic decisions, so some are skipped. They are made up for
+// in the next step, which is taken at the next event and at the latest after maxSkippedIntervals.
 type timers struct {
 	deadlines      timedqueue.Queue[deadline]
 	started        bool          // the first step was taken
-	wakeAt         time.Duration // time of the last ActionWake
+	wakeAt         time.Duration // At of the last ActionWake
 	nextPeriodicAt time.Duration // time of the next periodic decisions
 	idle           bool          // periodic decisions are skipped
 }
@@ -85,7 +85,7 @@
 }
 
 // catchUp makes the periodic decisions that were skipped. It runs before the events at now are handled, so
-// that each decision is based on the state at its own time.
+// that the decisions are based on the state of the idle server.
 func (t *timers) catchUp(now time.Duration, runPeriodic func()) {
 	// Limits the number of decisions after the machine was suspended.
 	t.nextPeriodicAt = max(t.nextPeriodicAt, now-maxSkippedIntervals*periodicInterval)
--- a/admission/value.go
+++ b/admission/value.go
@@ -5,7 +5,7 @@
 	victimScanDepth = 16
 	// A queued request is displaced only if its value density is below this fraction of the newcomer's.
 	victimMargin = 0.8
-	// Seconds of work. A request with less is valued as if it had this much.
+	// Lower bound of the work, in seconds of a standard core, that a value is divided by.
 	minWorkForValueDensity = 1e-3
 	// Lower bound of the calls per run that a value is divided by.
 	minCallsPerRun = 0.1
@@ -62,8 +62,8 @@
 }
 
 // findVictim returns the queued request with the lowest value density of those that use the scarce resource,
-// or nil if none is clearly below the density of newcomer (see victimMargin). Of equally valued requests of a
-// class it is the newest.
+// or nil if none is clearly below the density of newcomer (see victimMargin). Only the victimScanDepth newest
+// entries of each class are examined. Of equally valued requests of a class it returns the newest.
 func (v *requestValues) findVictim(queue *requestQueue, newcomer *request, scarce resource) *request {
 	density := func(candidate *request) float64 { return v.density(candidate, scarce) }
 	var victim *request
