--- a/admission/call_limiter.go
+++ b/admission/call_limiter.go
@@ -28,9 +28,9 @@
 	safeCallRatio = 0.9
 	// Minimum timeout of a call beyond safeCallRatio, in mean call times.
 	minCallTimeFactor = 4.0
-	// Number of waiting calls, per call of the limit, from which calls are backlogged.
+	// Calls are backlogged once this many wait for each call that the limit allows.
 	waitersPerCall = 1.0
-	// Window that bounds the credit that is saved up.
+	// Time over which saved-up credit may let the mean number of calls reach the limit (see addCredit).
 	callCreditWindow = 300 * time.Millisecond
 	// Number of buckets and minimum span of the window of callSeconds.
 	callSecondsBuckets = 50
@@ -128,10 +128,10 @@
 	l.callSeconds.Add(now, elapsed.Seconds()*inFlight)
 }
 
-// addCredit adds the unused call-seconds under the limit, or subtracts those beyond it. The upper bound of
-// the credit is what the next whole number of calls above the limit uses up in a part of callCreditWindow,
-// chosen so that the mean over that window is the limit. The lower bound is minus the call-seconds of the
-// limit over callsWindow.
+// addCredit adds the unused call-seconds under the limit, or subtracts those beyond it. Let next be the
+// smallest whole number above the limit. The upper bound of the credit is what next calls use up in the
+// fraction limit/next of callCreditWindow: followed by no calls for the rest of the window, their mean is the
+// limit. The lower bound is minus the call-seconds of the limit over callsWindow.
 func (l *callLimiter) addCredit(elapsed time.Duration, inFlight float64) {
 	limit := l.limit()
 	l.credit += elapsed.Seconds() * (limit - inFlight)
@@ -140,8 +140,8 @@
 	l.credit = max(min(l.credit, most), -limit*l.callsWindow.Seconds())
 }
 
-// timeout returns how long the next call may take, or 0 if no call may be made now. The request of the call
-// is useful for the given time left.
+// timeout returns how long the next call may take, or 0 if no call may be made now. left is the time for
+// which an answer to the request of the call still has value.
 func (l *callLimiter) timeout(now, left time.Duration) time.Duration {
 	safe := safeCallRatio * l.maxInFlight
 	if safe <= 0 {
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -8,9 +8,10 @@
 )
 
 const (
-	maxCallAttempts           = 2                      // per call
-	callBackoff               = 100 * time.Millisecond // before a call is retried
-	abandonedCallFailedFactor = 2.0                    // mean call times; an abandoned call failed after that
+	maxCallAttempts = 2                      // of a request, over all its calls; from then on none is retried
+	callBackoff     = 100 * time.Millisecond // before a call is retried
+	// An abandoned call that took longer than this many mean call times counts as timed out.
+	abandonedCallFailedFactor = 2.0
 )
 
 // callScheduler schedules the calls of running requests. A call waits for its turn, is made, and then ends,
@@ -43,7 +44,7 @@
 // skipped, or its run ends. An answered request still counts until its run ends.
 func (s *callScheduler) wait(now time.Duration, request *request) {
 	request.state = awaitingCall
-	request.callNeededAt = now
+	request.callStateSince = now
 	s.limiter.waitingCount++
 	s.waiting.Push(request.usefulUntil, request)
 }
@@ -51,7 +52,7 @@
 // requeue adds a request to the queue again after its call has failed and the backoff has passed.
 func (s *callScheduler) requeue(now time.Duration, request *request) {
 	s.limiter.waitingCount--
-	request.callTime += now - request.callNeededAt
+	request.callTime += now - request.callStateSince
 	s.wait(now, request)
 }
 
@@ -99,9 +100,9 @@
 func (s *callScheduler) start(now time.Duration, request *request, timeout time.Duration) {
 	s.limiter.waitingCount--
 	s.limiter.inFlight++
-	request.callTime += now - request.callNeededAt
+	request.callTime += now - request.callStateSince
 	request.state = calling
-	request.callNeededAt = now
+	request.callStateSince = now
 	request.callAttempts++
 	s.actions.emit(Action{Kind: ActionCall, ID: request.id, Timeout: timeout})
 }
@@ -127,7 +128,7 @@
 
 // resume counts a run as on the CPU again, after its call or without it.
 func (s *callScheduler) resume(now time.Duration, request *request) {
-	request.callTime += now - request.callNeededAt
+	request.callTime += now - request.callStateSince
 	request.state = running
 	s.runs.reacquireCPU()
 }
@@ -149,9 +150,9 @@
 		s.resume(now, request)
 		return
 	}
-	request.callTime += now - request.callNeededAt
+	request.callTime += now - request.callStateSince
 	request.state = awaitingCall
-	request.callNeededAt = now
+	request.callStateSince = now
 	s.limiter.waitingCount++
 	switch {
 	case request.answered:
@@ -162,8 +163,9 @@
 	}
 }
 
-// mayRetry reports whether a call that ended with outcome is retried. The call must not have had an effect,
-// and there must be time for a retry.
+// mayRetry reports whether a call that ended with outcome is retried. The call must never have run, or must
+// be a read that did not time out, since one that did may still be running. Time must be left for a retry,
+// and the request must have made fewer than maxCallAttempts calls.
 func (s *callScheduler) mayRetry(now time.Duration, request *request, outcome Outcome) bool {
 	if request.callAttempts >= maxCallAttempts || now+callBackoff >= request.usefulUntil {
 		return false
@@ -179,7 +181,7 @@
 // timed out if it took longer than abandonedCallFailedFactor times the mean.
 func (s *callScheduler) abandon(now time.Duration, request *request) {
 	s.limiter.inFlight--
-	if now-request.callNeededAt > seconds(abandonedCallFailedFactor*s.limiter.callTime.ValueOr(0)) {
+	if now-request.callStateSince > seconds(abandonedCallFailedFactor*s.limiter.callTime.ValueOr(0)) {
 		s.breaker.record(now, OutcomeTimedOut)
 	}
 	s.trackAbandoned(now)
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -7,7 +7,7 @@
 	maxRunsPerCore       = 2.2  // upper bound of the run limit, per core
 	targetDemandPerCore  = 1.5  // CPU demand per core; the run limit rises below it and falls above it
 	runLimitStep         = 0.25 // change of the run limit per periodic decision (100 ms)
-	safeConcurrencyRatio = 0.8  // fraction of the concurrency that a server can handle, with runs in calls
+	safeConcurrencyRatio = 0.8  // fraction of the concurrency that a server can handle; limits all runs
 	coresPerTrialRun     = 3    // while all requests are late, one trial run is kept per this number of cores
 )
 
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -14,15 +14,15 @@
 	defaultWorkRatio = 0.1
 	// Seconds that a call is assumed to take until one was measured.
 	defaultCallTime = 0.05
-	// Time over which the speed is averaged, as busy time of all cores.
+	// Time constant of the mean speed. It counts busy time per core, so idle time does not change the mean.
 	speedTimeConstant = 2 * time.Second
 	// Lower bound of the speed of a core, relative to a standard core.
 	minCoreSpeed = 0.01
-	// Core-seconds. Lower bound of the sum that work is divided by.
+	// Lower bound of the core-seconds that the completed work is divided by.
 	minSpeedSample = 1e-3
 	// Mean fraction of the running work that is still to be done.
 	runningWorkAhead = 0.5
-	// Longest expected wait for a call that may be skipped, as a fraction of the time left.
+	// Longest expected wait for a call that may be skipped, as a fraction of the time until the objective.
 	skipWaitRatio = 0.3
 )
 
@@ -33,7 +33,7 @@
 	cores     int
 	estimates []classEstimates     // indexed by class
 	speed     rolling.DecayingPair // First: work completed; Second: core-seconds used
-	busyTime  time.Duration        // time that all cores together were in use; the clock of speed
+	busyTime  time.Duration        // core time used, divided by the number of cores; the clock of speed
 
 	queue *requestQueue
 	runs  *concurrencyLimiter
@@ -51,9 +51,9 @@
 func newEstimator(
 	settings *Settings, queue *requestQueue, runs *concurrencyLimiter, calls *callLimiter,
 ) *estimator {
-	half := float64(settings.Cores) / 2
+	initialSample := float64(settings.Cores) / 2 // the assumed speed has the weight of 0.5 s of all cores
 	estimator := &estimator{queue: queue, runs: runs, calls: calls}
-	estimator.speed = rolling.NewDecayingPair(speedTimeConstant, half, half)
+	estimator.speed = rolling.NewDecayingPair(speedTimeConstant, initialSample, initialSample)
 	estimator.speed.First *= runs.slowStart.assumedInitialRatio()
 	return estimator
 }
@@ -145,9 +145,9 @@
 	return now + wait + e.serviceTime(now, request)
 }
 
-// cpuWait estimates how long a request waits for a core: the time to complete a fraction of the running work
-// and the queued work ahead of it. The queue of a class with a longer objective counts in proportion to the
-// objectives, as only some of it is started before the request.
+// cpuWait estimates how long a request waits for a core: the time to complete the rest of the running work
+// (see runningWorkAhead) and the queued work ahead of the request. The queue of a class with a longer
+// objective counts in proportion to the objectives, as only some of it is started before the request.
 func (e *estimator) cpuWait(request *request) time.Duration {
 	if e.runs.underRunLimit() && e.queue.count == 0 {
 		return 0
@@ -180,8 +180,8 @@
 	return e.classes[request.class].CallsDependency && !e.skipsCall(now, request)
 }
 
-// skipsCall reports whether a request may skip its call and the expected wait exceeds skipWaitRatio of its
-// time left. The call is then left to requests that must not skip theirs.
+// skipsCall reports whether a request may skip its call and the expected wait exceeds skipWaitRatio of the
+// time left until its objective. The call is then left to requests that must not skip theirs.
 func (e *estimator) skipsCall(now time.Duration, request *request) bool {
 	mayDegrade := e.classes[request.class].DegradedValueRatio > 0
 	return mayDegrade && e.callWait() > scale(request.objective-now, skipWaitRatio)
--- a/admission/internal/rolling/linear_fit.go
+++ b/admission/internal/rolling/linear_fit.go
@@ -13,7 +13,8 @@
 	xx, xy Average // means of x*x and x*y
 }
 
-// Add adds a point. gain, from 0 to 1, is its weight relative to all earlier points.
+// Add adds a point. gain, from 0 to 1, is the weight of the point in the new means; that of all earlier
+// points together is 1-gain. The first point has weight 1.
 func (f *LinearFit) Add(x, y, gain float64) {
 	f.x.Add(x, gain)
 	f.y.Add(y, gain)
--- a/admission/request.go
+++ b/admission/request.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// requestState is the state of a request. The order of the values matters: from running on, a request holds
-// the memory of a run.
+// requestState is the state of a request. The order of the values matters, since states are compared: up to
+// following, a request can still be rejected, and from running to calling it holds the memory of a run.
 //
 // An attempt that retries a known attempt, its leader, does not run. It is a follower: it waits for the
 // leader to start (following) and then for the result of the leader's run (awaitingResult). If the leader
@@ -36,7 +36,7 @@
 	retry        bool          // marked as a retry
 	answered     bool          // answered or cancelled: needs no answer any more
 	ran          bool          // was started
-	remembered   bool          // has an entry in the keyTable
+	remembered   bool          // was added to the keyTable; the entry may have expired
 	memoryKB     float64       // memory while queued, in kB
 	work         float64       // in seconds of a standard core
 	retryJitter  time.Duration // added to the RetryAfter of a rejection
@@ -47,7 +47,7 @@
 
 	firstAttemptAt time.Duration // when the client sent the first attempt; arrivedAt if unknown
 	arrivedAt      time.Duration // when the request reached the machine
-	callNeededAt   time.Duration // since when the request has been in its state awaitingCall or calling
+	callStateSince time.Duration // since when the request has been awaitingCall or calling
 	objective      time.Duration // latest time of an answer that has the full value
 	deadline       time.Duration // when the client gives up
 
