--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A client may try another server if only this one is overloaded, but not in a retry storm or if its
-// objective is nearly over: such retries only add load.
+// A client may try another server if only this one is overloaded, but not in a retry storm or if the
+// objective of the request is nearly over: such retries only add load.
 func TestRejectionsAdviseOnRetryElsewhere(t *testing.T) {
 	rejection := func(prepare func(*Controller, *Event)) *Action {
 		controller := startController(t, testSettings())
@@ -73,7 +73,7 @@
 }
 
 // A server with a free core runs a request of any rank. While the cores are busy, the rank decides the reason
-// and the advice: a request that another server would run must not be kept from it.
+// and the advice: a client must not be asked to stay away from a server that would run its request.
 func TestFleetRankCountsOnlyWhileCoresAreBusy(t *testing.T) {
 	for _, test := range []struct {
 		rank           FleetRank
@@ -140,7 +140,7 @@
 }
 
 // If nearly all arrivals are rejected, further retries elsewhere only add load. Where clients do not mark
-// retries, the rejections stand for them.
+// retries, each rejection for lack of CPU time counts as the retry that it causes.
 func TestRetryStormIsDetected(t *testing.T) {
 	for _, marks := range []bool{true, false} {
 		settings := testSettings()
--- a/admission/admit_probability_test.go
+++ b/admission/admit_probability_test.go
@@ -11,25 +11,25 @@
 // show a recovery.
 func TestAdmitProbabilityStaysWithinBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	rate := newAdmitProbability(rng)
-	require.True(t, rate.recovered())
-	require.False(t, rate.reduced())
+	admit := newAdmitProbability(rng)
+	require.True(t, admit.recovered())
+	require.False(t, admit.reduced())
 	for range 100 {
-		rate.adjust(true)
+		admit.adjust(true)
 	}
-	require.InDelta(t, minAdmitProbability, rate.probability, 0)
-	require.True(t, rate.reduced())
+	require.InDelta(t, minAdmitProbability, admit.probability, 0)
+	require.True(t, admit.reduced())
 	admittedCount := 0
 	for range 10000 {
-		if rate.admits() {
+		if admit.admits() {
 			admittedCount++
 		}
 	}
 	require.InDelta(t, 10000*minAdmitProbability, admittedCount, 100)
 	for range 100 {
-		rate.adjust(false)
+		admit.adjust(false)
 	}
-	require.True(t, rate.recovered())
+	require.True(t, admit.recovered())
 }
 
 // Either gauge alone indicates pressure. Unknown gauges must not, or a server without them would reject
@@ -41,9 +41,9 @@
 		want   bool
 	}{
 		{"idle", Gauges{CPUUtilization: 0.1, CPUDemand: 0}, false},
-		{"full", Gauges{CPUUtilization: 0.95, CPUDemand: 4}, true},
-		{"crowded", Gauges{CPUUtilization: -1, CPUDemand: 9}, true},
-		{"at its limits", Gauges{CPUUtilization: 0.9, CPUDemand: 8}, false},
+		{"high utilization", Gauges{CPUUtilization: 0.95, CPUDemand: 4}, true},
+		{"high demand, unknown utilization", Gauges{CPUUtilization: -1, CPUDemand: 9}, true},
+		{"at the thresholds", Gauges{CPUUtilization: 0.9, CPUDemand: 8}, false},
 		{"unknown", UnknownGauges(), false},
 	} {
 		require.Equal(t, test.want, underCPUPressure(test.gauges, 4), test.name)
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -76,7 +76,7 @@
 	controller, _ := New(settings, 1, 0)
 	action := requireAction(t, controller.Step(0, nil, nil), ActionAdvertise, 0)
 	if action.Value <= 0 || action.Value*1000 > maxRunsPerCore*2*float64(settings.Cores) {
-		t.Errorf("credit %v", action.Value)
+		t.Errorf("credit %v for each of 1000 clients of a server with %d cores", action.Value, settings.Cores)
 	}
 }
 
--- a/admission/call_limiter_test.go
+++ b/admission/call_limiter_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The timeout of the next call at the limit, with and without credit, and beyond safeCallRatio of
-// maxInFlight.
+// The timeout of the next call must be the time left while the limit allows the call, and 0 otherwise. Credit
+// must allow less than one call beyond the limit. Beyond safeCallRatio of maxInFlight the timeout must be
+// capped.
 func TestCallTimeout(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -24,10 +25,10 @@
 	}{
 		{"unlimited calls", 0, 50, 0, 0, 0.1, 0, time.Second},
 		{"below the limit of 3", 6, 2, 0, 0, 0.1, 0, time.Second},
-		{"above the limit of 3.5, with credit", 7, 3, 0, 0.1, 0.1, 0, time.Second},
-		{"above the limit of 3.5, without credit", 7, 3, 0, 0, 0.1, 0, 0},
-		{"one more than the limit of 3.5", 7, 4, 0, 0.1, 0.1, 0, 0},
-		{"at a whole limit, with credit", 6, 3, 0, 0.1, 0.1, 0, 0},
+		{"less than one beyond the limit of 3.5, with credit", 7, 3, 0, 0.1, 0.1, 0, time.Second},
+		{"less than one beyond the limit of 3.5, without credit", 7, 3, 0, 0, 0.1, 0, 0},
+		{"more than one beyond the limit of 3.5, with credit", 7, 4, 0, 0.1, 0.1, 0, 0},
+		{"one beyond a whole limit, with credit", 6, 3, 0, 0.1, 0.1, 0, 0},
 		{"abandoned calls count", 6, 1, 2, 0, 0.1, 0, 0},
 		{"beyond the safe ratio, little used", 1, 0, 0, 0.1, 0.1, 0, time.Second},
 		{"beyond the safe ratio, some used", 1, 0, 0, 0.1, 0.1, 3.6, 700 * ms},
@@ -60,8 +61,8 @@
 	require.InDelta(t, 5*9, limiter.callSeconds.Sum(20*time.Second), 9*0.2)
 }
 
-// The limit must stay within its bounds, do nothing before a call was measured, and determine from when calls
-// are backlogged.
+// The limit must stay within its bounds, and must not change before a call was measured. Calls are backlogged
+// once as many wait as the limit allows in flight.
 func TestCallLimitBounds(t *testing.T) {
 	limiter := newCallLimiter(0, &Settings{MaxCallsInFlight: 10})
 	limiter.adjust()
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -118,9 +118,10 @@
 	}
 }
 
-// In a fleet of 300, each server may have 0.1 calls in flight. While the dependency is slow, one call takes
-// far more, and the overdrawn credit must be restored before the next. Credit that was forgotten after 1.5 s
-// once let the fleet have three times its calls in flight.
+// In a fleet of 300, each server may have 0.1 calls in flight on average. While the dependency is slow, one
+// call uses up far more credit than a server can save up, and the overdrawn credit must be restored before
+// the next call. When overdrawn credit was forgotten after 1.5 s, the fleet had three times as many calls in
+// flight as allowed.
 func TestFractionalCallLimitHoldsForLongCalls(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -34,7 +34,7 @@
 			t.Errorf("advert %d: value %v, want %v", advert, action.Value, value)
 		}
 		if action := requireAction(t, actions, ActionHealth, 0); action.Health.Healthy || !action.Health.Cached {
-			t.Errorf("health %+v", *action)
+			t.Errorf("health answer %+v in a drain, want unhealthy and cached", action.Health)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	drain.start(10*time.Second, DrainSignal{Age: 2 * time.Second, StopAt: 14 * time.Second})
 	require.Equal(t, 14*time.Second-stopMargin, drain.answerDeadline(request))
 	require.True(t, drain.acceptsRun(9*time.Second, 13*time.Second))
-	require.False(t, drain.acceptsRun(9*time.Second+1, 13*time.Second), "after the grace, which began with the signal")
+	require.False(t, drain.acceptsRun(9*time.Second+1, 13*time.Second), "after the grace period, which began when the signal was given")
 	require.False(t, drain.acceptsRun(9*time.Second, 14*time.Second))
 	require.False(t, drain.acceptsEnd(14*time.Second))
 	request.deadline = 12 * time.Second
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -31,7 +31,7 @@
 // The service rate is the work done per core time used. Idle cores must not make a server look slow.
 func TestServiceRateFollowsRuns(t *testing.T) {
 	estimator, controller := testEstimator(t)
-	require.InDelta(t, 4, estimator.serviceRate(), 1e-9, "a standard core each")
+	require.InDelta(t, 4, estimator.serviceRate(), 1e-9, "4 cores, each assumed to be as fast as a standard core")
 	controller.runs.onCPU = 2
 	for now := 100 * ms; now < 20*time.Second; now += 100 * ms {
 		estimator.advance(100 * ms)
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// The health state must stay for minHealthDuration, flip back after it, and follow operators first. A drain
-// freezes it.
+// The health state must stay for minHealthDuration and flip back after it. Deregistration by an operator must
+// take precedence over the read delay, and a drain must keep the answer unchanged.
 func TestHealthStateTransitions(t *testing.T) {
 	var health health
 	require.Equal(t, HealthAnswer{Healthy: true, Cached: true}, health.answer())
@@ -74,11 +74,11 @@
 	require.True(t, health.adjust(time.Second, true, false))
 	require.Equal(t, HealthAnswer{Healthy: false, Cached: true}, health.answer())
 	require.False(t, health.adjust(time.Second+minHealthDuration-1, false, false), "too soon")
-	require.True(t, health.adjust(time.Second+minHealthDuration, true, false), "half of the time at most")
+	require.True(t, health.adjust(time.Second+minHealthDuration, true, false), "flips back although the read delay is over its limit")
 	require.True(t, health.answer().Healthy)
 	require.True(t, health.setDeregistered(2*time.Second, true, false))
 	require.False(t, health.answer().Healthy)
-	require.False(t, health.adjust(time.Hour, true, false), "operators decide")
+	require.False(t, health.adjust(time.Hour, true, false), "deregistered by an operator")
 	require.False(t, health.setDeregistered(time.Hour, false, true), "a drain")
 	require.True(t, health.setDeregistered(time.Hour, false, false))
 	require.True(t, health.answer().Healthy)
--- a/admission/memory_test.go
+++ b/admission/memory_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The limit, the cache limit and the memory of running requests are computed from the settings, and recounted
-// after a change of them.
+// The limit, the cache limit and the memory of running requests must follow from the settings. recount must
+// compute the memory in use from the requests and keys.
 func TestMemoryBudgetLimits(t *testing.T) {
 	var memory memoryBudget
 	memory.configure(&Settings{MemoryKB: 1000, RunningMemoryFactor: 4, KeyMemoryKB: 10})
--- a/admission/recorded_run_test.go
+++ b/admission/recorded_run_test.go
@@ -38,7 +38,8 @@
 	At         int64
 }
 
-// recordAction returns an action in its layout for the digest, which excludes texts for operators.
+// recordAction returns an action in its layout for the digest, which excludes the texts for operators and the
+// cause of a rejection.
 func recordAction(action *Action) recordedAction {
 	return recordedAction{
 		Kind:       uint8(action.Kind),
@@ -99,8 +100,8 @@
 	}
 }
 
-// A change of the code that is meant to keep all decisions must not change the digest of the actions, for
-// random events of every kind under random settings of every kind.
+// Guards changes that are not meant to change any decision, such as refactorings: the digest of all actions
+// must stay the same for random events of every kind, under random settings.
 func TestRecordedRun(t *testing.T) {
 	digest := sha256.New()
 	coverage := newRecordedCoverage()
--- a/admission/recorded_server_test.go
+++ b/admission/recorded_server_test.go
@@ -66,7 +66,7 @@
 	return server
 }
 
-// drawRecordedSettings draws the settings that switch rules.
+// drawRecordedSettings draws settings that enable, disable and bound the rules of the controller.
 func drawRecordedSettings(rng *rand.Rand, seed uint64) Settings {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	settings := testSettings()
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -51,7 +51,8 @@
 	sendsDeadlines bool // requests carry the deadlines of their clients
 }
 
-// settingsVariants returns variants of the settings that switch rules, and of small servers in large fleets.
+// settingsVariants returns settings that enable and disable rules of the controller, and settings of small
+// servers in large fleets.
 func settingsVariants() []settingsVariant {
 	var variants []settingsVariant
 	for i := range 12 {
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -8,8 +8,8 @@
 	"falldeal/admission/internal/rolling"
 )
 
-// Cost hints that do not correlate with run times must not make large hints look slow. Hints that do must be
-// used.
+// Cost hints that do not correlate with run times must not make large hints look slow. Hints that do
+// correlate must be used.
 func TestImpreciseHintsDoNotSkewEstimates(t *testing.T) {
 	var fit rolling.LinearFit
 	for i := range 400 { // hints from 0.1 to 0.9, all runs take 0.3
--- a/admission/timers_test.go
+++ b/admission/timers_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An idle server must not wake up ten times per second, as each wake also costs two wake-ups for the gauges.
+// An idle server must not wake up ten times per second. Each wake costs two more in the server: to
+// request the gauges from the agent and to receive them.
 // While it recovers or a request is in flight, it must not skip any decision.
 func TestIdleServerSkipsPeriodicDecisions(t *testing.T) {
 	controller := startController(t, testSettings())
