--- a/cmd/simhost/serve_test.go
+++ b/cmd/simhost/serve_test.go
@@ -24,8 +24,8 @@
 	return "CREATE " + node + " 7 " + strings.ReplaceAll(settings, "\n", "") + "\n"
 }
 
-// A node that is retired and created again in one batch starts anew: a late event of its predecessor must not affect
-// it.
+// A node that is retired and created again in one batch starts anew: a late event for the retired node must not affect
+// the new one.
 func TestRecreatedNodeIgnoresEventsOfPredecessor(t *testing.T) {
 	out, err := converse("SYNC 5\nOVER_TO_YOU\n" +
 		"SYNC 10\n" + createLine("3", sampleSettings) + "OVER_TO_YOU\n" +
--- a/wire/append.go
+++ b/wire/append.go
@@ -100,7 +100,8 @@
 	return append(b, " 0"...)
 }
 
-// AppendBroken appends the line that reports that the controller of a node has failed and takes no further part.
+// AppendBroken appends the line that reports that the controller of a node could not be created or has failed. The node
+// takes no action until it is created again.
 func AppendBroken(b []byte, node int, err error) []byte {
 	return append(fmt.Appendf(b, "%s %d %s", verbBroken, node, oneLine(err.Error())), '\n')
 }
--- a/wire/fields.go
+++ b/wire/fields.go
@@ -76,7 +76,8 @@
 	return f.err
 }
 
-// integer reads a whole number. The simulator writes some numbers as signed and some as unsigned 64-bit integers.
+// integer reads a whole number. The simulator writes some numbers as signed and some as unsigned 64-bit integers; both
+// are read into the same 64 bits.
 func (f *fieldReader) integer(name string) int64 {
 	text := f.next()
 	if text == unset {
--- a/wire/parse.go
+++ b/wire/parse.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// parseRequest parses the fields of a request. Fields that affect no decision are validated as well.
+// parseRequest parses the fields of a request. Numbers and flags that affect no decision are validated as well.
 func parseRequest(line *fieldReader) admission.Event {
 	var arrival admission.Arrival
 	id := line.id("Xid")
--- a/wire/reader_test.go
+++ b/wire/reader_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Each event that is encoded as the simulator does must be decoded to the same event.
+// An event that is encoded as the simulator encodes it must be decoded to the same event.
 func TestReadEvents(t *testing.T) {
 	events := []admission.Event{
 		admission.RequestArrived(3233622311735748, admission.Arrival{MemoryKB: 24.5, Tenant: 1,
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -6,7 +6,7 @@
 )
 
 // ParseSettings decodes the settings of a node from JSON. Unknown keys are ignored. The error for an invalid value is
-// a *config.KeyError.
+// a wrapped *configcheck.KeyError.
 func ParseSettings(text []byte) (admission.Settings, error) {
 	return config.Settings(text) //nolint:wrapcheck // the text of the error is part of the protocol
 }
--- a/wire/settings_test.go
+++ b/wire/settings_test.go
@@ -36,7 +36,8 @@
 	require.Equal(t, settings, renamed, "names of classes and tenants change the settings")
 }
 
-// Wrong enum values, lists of the wrong length and values of the wrong type must be rejected.
+// Wrong enum values, lists of the wrong length and values of the wrong type must be rejected. The type is checked even for
+// keys without an effect, such as TellsGone.
 func TestParseSettingsErrors(t *testing.T) {
 	for _, test := range []struct{ good, bad string }{
 		{`"drop"`, `"maybe"`},
