--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -1,32 +1,32 @@
-// Package modelcheck checks an invariant in every reachable state of a small protocol. It searches breadth first, so
-// that the counterexample that it finds has the fewest steps. It is for protocols small enough to be searched
-// completely: a handful of members, amounts and steps.
+// Package modelcheck is an explicit-state model checker: it checks an invariant in every reachable state of a protocol. The
+// search is breadth-first, so a counterexample has the smallest possible number of steps. The protocol must be small enough
+// for an exhaustive search: a handful of members, amounts and steps.
 package modelcheck
 
 import "slices"
 
-// Step is a transition: something that may happen in a state, and the state that it leads to.
+// Step is a transition from one state to another.
 type Step[S any] struct {
-	Name string
-	To   S
+	Name string // describes the transition in counterexamples
+	To   S      // state after the transition
 }
 
-// Result is what a search found.
+// Result is the result of a search.
 type Result struct {
-	Why    string   // the violation of the invariant; empty if there is none
-	Steps  []string // the fewest steps from the start to the violation
-	States int      // different states reached
-	Whole  bool     // all reachable states were checked: the bound on steps left none out
+	Why      string   // description of the violation; empty if none was found
+	Steps    []string // names of the steps of a shortest path from the start to the violation
+	States   int      // distinct states reached
+	Complete bool     // all reachable states were checked: no state was reached at the bound on steps
 }
 
-// node is a state on the search's frontier, with the path that led to it.
+// node is a state that the search has reached, with the path to it.
 type node[S any] struct {
 	state S
-	from  *node[S] // nil at the start
-	step  string   // that led here from there
+	from  *node[S] // node before the last step; nil at the start
+	step  string   // name of the last step
 }
 
-// path returns the names of the steps from the start.
+// path returns the names of the steps from the start to n.
 func (n *node[S]) path() (steps []string) {
 	for ; n.from != nil; n = n.from {
 		steps = append(steps, n.step)
@@ -35,33 +35,35 @@
 	return steps
 }
 
-// Visit searches the states that are reachable from start within depth steps, and ends at the first violation. Next
-// returns the steps that are possible in a state; it must not change the state. Key returns equal strings for states
-// that are the same. Violation says how a state violates the invariant; empty if it does not.
+// Visit checks the states that are reachable from start within depth steps, and returns at the first violation.
+//
+//   - Next returns the steps that are possible in a state. It must not modify the state.
+//   - Key returns a string that is the same for two states if and only if they count as equal.
+//   - Violation returns how a state violates the invariant, or "" if it does not.
 func Visit[S any](
 	start S, depth int, next func(S) []Step[S], key func(S) string, violation func(S) string,
 ) Result {
-	seen := map[string]bool{key(start): true}
+	visited := map[string]bool{key(start): true}
 	frontier := []*node[S]{{state: start}}
 	for steps := 0; len(frontier) > 0; steps++ {
 		var reached []*node[S]
 		for _, current := range frontier {
 			if why := violation(current.state); why != "" {
-				return Result{Why: why, Steps: current.path(), States: len(seen)}
+				return Result{Why: why, Steps: current.path(), States: len(visited)}
 			}
 			if steps < depth {
-				reached = append(reached, current.expand(seen, next, key)...)
+				reached = append(reached, current.expand(visited, next, key)...)
 			}
 		}
 		if steps == depth {
-			return Result{States: len(seen)}
+			return Result{States: len(visited)}
 		}
 		frontier = reached
 	}
-	return Result{States: len(seen), Whole: true}
+	return Result{States: len(visited), Complete: true}
 }
 
-// expand returns the states one step away that were not seen before, and marks them as seen.
+// expand returns the states one step after n that were not visited before, and marks them as visited.
 func (n *node[S]) expand(visited map[string]bool, next func(S) []Step[S], key func(S) string) (reached []*node[S]) {
 	for _, step := range next(n.state) {
 		id := key(step.To)
--- a/lab/recorded/recorded.go
+++ b/lab/recorded/recorded.go
@@ -1,5 +1,6 @@
-// Package recorded pins what code decides over long runs of drawn inputs: the outputs are hashed, and the digest is
-// compared with one that was taken before the code changed its shape.
+// Package recorded supports regression tests of decision code. A test feeds a long sequence of pseudorandom inputs to the code
+// and hashes its outputs. The digest must equal one that was recorded before, so that a refactoring cannot change a decision
+// unnoticed.
 package recorded
 
 import (
@@ -14,24 +15,25 @@
 )
 
 const (
-	digestBytes = 8 // of a hash that a digest shows
+	digestBytes = 8 // leading bytes of the SHA-256 hash that make up a digest
 
-	// Seed of all runs. Another one would change every digest.
+	// Seed of the inputs of all runs. Another seed would change every digest.
 	seedHigh = 32
 	seedLow  = 5
 )
 
-// Run is a source of inputs that are the same each time, and takes the outputs.
+// Run provides inputs that are the same in each run, and hashes the outputs.
 type Run struct {
-	Random *rand.Rand
-	Now    time.Duration // of the run's own clock
+	Random *rand.Rand    // source of the inputs, with a fixed seed
+	Now    time.Duration // time on the run's own clock, which the test advances
 	hash   hash.Hash
 }
 
-// Write hashes outputs by their texts. A type whose String method may change is written as a number.
+// Write adds outputs to the hash, as fmt.Fprintln formats them. Convert a value whose String method may change to a number, so
+// that the digest does not depend on its text.
 func (r *Run) Write(outputs ...any) { fmt.Fprintln(r.hash, outputs...) }
 
-// Require plays a run and compares the digest of its outputs.
+// Require calls play with a new run, and requires that the digest of its outputs, in hexadecimal, equals digest.
 func Require(t *testing.T, digest string, play func(*Run)) {
 	t.Helper()
 	run := &Run{Random: rand.New(rand.NewPCG(seedHigh, seedLow)), hash: sha256.New()}
--- a/lab/recorded/recorded_test.go
+++ b/lab/recorded/recorded_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A run that draws and writes the same has the same digest each time.
-func TestRequire(t *testing.T) {
+// Guards against digests that depend on anything but the fixed seed and the outputs, such as state left by an earlier run: the
+// digests recorded by other tests would no longer match.
+func TestSameRunGivesSameDigest(t *testing.T) {
 	const digest = "a5501a4773b69ac3"
 	for range 2 {
 		Require(t, digest, func(run *Run) {
--- a/lab/workerpool/crash.go
+++ b/lab/workerpool/crash.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// CrashModel decides when a store crashes: with more calls in flight than it survives, for longer than it tolerates.
-// It is then down for a while. It is not safe for concurrent use.
+// CrashModel models the crash of an overloaded store: the store crashes after it has had more than MaxInFlight calls in
+// flight for Tolerance, and is then down for Downtime. A CrashModel is not safe for concurrent use.
 type CrashModel struct {
-	MaxInFlight int           // calls that the store survives for any time; 0 = any number
-	Tolerance   time.Duration // for which it survives more
-	Downtime    time.Duration
+	MaxInFlight int           // calls in flight that the store survives for any time; 0: the store never crashes
+	Tolerance   time.Duration // for which the store survives more than MaxInFlight
+	Downtime    time.Duration // from a crash until the store accepts calls again
 
-	exceeded   bool // more than MaxInFlight at the last observation
-	exceededAt time.Duration
-	downUntil  time.Duration
+	exceeded   bool          // there were more than MaxInFlight at the last observation
+	exceededAt time.Duration // first observation of the present excess; valid if exceeded
+	downUntil  time.Duration // end of the downtime of the last crash
 }
 
-// Observe records the number of calls in flight, and reports whether the store crashes now.
+// Observe takes the present number of calls in flight, and reports whether the store crashes now. It must be called whenever
+// that number grows.
 func (c *CrashModel) Observe(now time.Duration, inFlight int) bool {
 	if c.MaxInFlight == 0 || inFlight <= c.MaxInFlight {
 		c.exceeded = false
@@ -32,5 +33,5 @@
 	return true
 }
 
-// IsDown reports whether the store is down after a crash.
+// IsDown reports whether the store is down because of a crash.
 func (c *CrashModel) IsDown(now time.Duration) bool { return now < c.downUntil }
--- a/lab/workerpool/machines.go
+++ b/lab/workerpool/machines.go
@@ -1,13 +1,12 @@
 package workerpool
 
-// Speeds of the cores of the two kinds of machines in a fleet.
+// Speeds of the cores of the two kinds of machines in a fleet, in seconds of work per second.
 const (
 	fastCoreSpeed = 1
 	slowCoreSpeed = 0.7
 )
 
-// CoreSpeed returns the speed of the cores of a server, by its number in the fleet: every second server has slower
-// ones.
+// CoreSpeed returns the speed of the cores of a server. Servers with an odd number in the fleet have slower cores.
 func CoreSpeed(server int) float64 {
 	if server%2 == 0 {
 		return fastCoreSpeed
@@ -15,7 +14,7 @@
 	return slowCoreSpeed
 }
 
-// TotalCores returns the work that a number of servers can do in a second, in seconds on a core of speed 1.
+// TotalCores returns the processing capacity of a number of servers, as a number of cores of speed 1.
 func TotalCores(servers, coresPerServer int) (cores float64) {
 	for i := range servers {
 		cores += float64(coresPerServer) * CoreSpeed(i)
@@ -23,7 +22,8 @@
 	return cores
 }
 
-// AgentCurve returns the curve of the cores of a render farm agent, without a warm-up time.
+// AgentCurve returns the throughput curve of the cores of a render farm agent. It has no warm-up unless the caller sets
+// WarmupTime.
 func AgentCurve(cores int, speed float64) Curve {
 	return Curve{
 		Workers:           cores,
@@ -35,7 +35,7 @@
 	}
 }
 
-// StoreCurve returns the curve of the slots of a store, without a warm-up.
+// StoreCurve returns the throughput curve of the slots of a store, without a warm-up.
 func StoreCurve(slots int) Curve {
 	return Curve{
 		Workers:           slots,
--- a/lab/workerpool/pool.go
+++ b/lab/workerpool/pool.go
@@ -1,8 +1,14 @@
-// Package workerpool models what serves requests behind an image server: the cores of a render farm agent, and the
-// slots of a store. It reads no clock: callers pass in the time and get back what has completed.
+// Package workerpool models the resources behind an image server: the cores of a render farm agent, and the slots of a
+// store. It does not read a clock: callers pass the time and get back the items that have completed.
 //
-// Work in flight shares the pool evenly. The model leaves out memory, disks and unequal sharing between runs; a real
-// agent's throughput past its knee does not fall along a straight line.
+// All items in flight get an equal share of the pool (processor sharing). The throughput depends on:
+//
+//   - the number of items in flight for each worker: past a knee, each further item costs speed;
+//   - the age of the pool: after a start, the speed rises during a warm-up;
+//   - a slowdown that callers set.
+//
+// The model leaves out memory, disks and unequal sharing between items. The throughput of a real agent does not fall
+// linearly past its knee.
 package workerpool
 
 import (
@@ -12,32 +18,32 @@
 )
 
 const (
-	// maxStep bounds the time for which a changing speed is taken as constant.
+	// maxStep is the longest time over which the speed is taken as constant, although it changes during a warm-up.
 	maxStep = 50 * time.Millisecond
-	// minWork is the least work of an item, in seconds, so that every item completes at a time of its own.
+	// minWork is the minimum work of an item, in seconds. With less, an item could complete in a step of any length.
 	minWork = 1e-6
-	// completedBelow is the remaining work, in seconds, below which an item is complete.
+	// completedBelow is the remaining work, in seconds, at or below which an item is complete. It absorbs rounding errors.
 	completedBelow = 1e-9
-	// minSlowdown bounds SetSlowdown, so that the speed stays finite.
+	// minSlowdown is the minimum slowdown factor, so that the speed stays finite.
 	minSlowdown = 1e-3
-	// maxWait bounds the time until a completion, in seconds, so that it fits a time.Duration.
+	// maxWait is the maximum computed time until a completion, in seconds, so that it fits in a time.Duration.
 	maxWait = 1e6
 )
 
-// Curve says how much work a pool gets done, by its load and its age.
+// Curve describes the throughput of a pool by its load and its age. Ratios are fractions of 1.
 type Curve struct {
-	Workers int     // cores or slots
-	Speed   float64 // seconds of work that a worker does in a second; kinds of machines differ by it
-	Knee    float64 // items in flight for each worker up to which the pool loses no speed
+	Workers int     // number of cores or slots
+	Speed   float64 // seconds of work that a worker does per second; slower machines have a lower speed
+	Knee    float64 // items in flight per worker up to which the pool has full speed
 
-	SlowdownPerExcess float64 // ratio of the speed lost for each item per worker above Knee
-	MinSpeedRatio     float64 // of Speed, however many are in flight
+	SlowdownPerExcess float64 // ratio of Speed that is lost for each item per worker above Knee
+	MinSpeedRatio     float64 // minimum ratio of Speed, for any number of items in flight
 
-	WarmupStartRatio float64       // of Speed, right after the start
-	WarmupTime       time.Duration // over which the speed rises from WarmupStartRatio to full
+	WarmupStartRatio float64       // ratio of Speed right after a start; used if WarmupTime is not 0
+	WarmupTime       time.Duration // during which the speed rises linearly from WarmupStartRatio to full; 0: no warm-up
 }
 
-// speedRatio returns the ratio of Speed that is left with n items in flight, at an age of the pool.
+// speedRatio returns the ratio of Speed at which the workers work with n items in flight, at an age of the pool.
 func (c *Curve) speedRatio(n int, age time.Duration) float64 {
 	ratio := 1.0
 	if excess := float64(n)/float64(c.Workers) - c.Knee; excess > 0 {
@@ -49,50 +55,52 @@
 	return ratio
 }
 
-// Pool does work along a Curve. It is not safe for concurrent use: it belongs to one goroutine, or to the holder of a
-// lock. Times are durations on the caller's clock and must not decrease.
+// Pool is a pool of workers whose throughput follows a Curve. Times are durations on the caller's clock and must not decrease
+// from call to call. A Pool is not safe for concurrent use.
 type Pool struct {
 	curve       Curve
-	startedAt   time.Duration
-	slowdown    float64
-	now         time.Duration
-	remaining   map[string]float64 // seconds of work, by item
-	workDone    float64            // seconds
-	maxInFlight int
+	startedAt   time.Duration      // last start or restart, from which the warm-up counts
+	slowdown    float64            // factor by which the speed is divided
+	now         time.Duration      // time up to which the work is accounted for
+	remaining   map[string]float64 // remaining work of the items in flight, in seconds, by item ID
+	workDone    float64            // work done since the creation, in seconds
+	maxInFlight int                // largest number of items in flight so far
 }
 
-// NewPool returns an empty pool that starts at now, cold if its curve has a warm-up.
+// NewPool returns an empty pool that starts at now. If its curve has a warm-up, that begins at now.
 func NewPool(curve Curve, now time.Duration) *Pool {
 	return &Pool{curve: curve, startedAt: now, now: now, slowdown: 1, remaining: map[string]float64{}}
 }
 
-// SetSlowdown divides the speed by factor from now on; 1 is the speed of the curve.
+// SetSlowdown sets the factor by which the speed of the curve is divided from now on. Factors below 0.001 count as 0.001. It
+// advances the pool and discards the items that complete, so that callers must call Advance with the same time before.
 func (p *Pool) SetSlowdown(now time.Duration, factor float64) {
 	p.Advance(now)
 	p.slowdown = max(factor, minSlowdown)
 }
 
-// Restart makes the pool as cold as it was at its start. Work in flight stays.
+// Restart begins the warm-up again. Items in flight stay. It advances the pool and discards the items that complete, so that
+// callers must call Advance with the same time before.
 func (p *Pool) Restart(now time.Duration) {
 	p.Advance(now)
 	p.startedAt = now
 }
 
-// InFlight returns the number of items that are worked at.
+// InFlight returns the number of items in flight.
 func (p *Pool) InFlight() int { return len(p.remaining) }
 
-// MaxInFlight returns the largest number of items that were ever worked at together.
+// MaxInFlight returns the largest number of items in flight so far.
 func (p *Pool) MaxInFlight() int { return p.maxInFlight }
 
-// WorkDone returns the work that was done since the start, in time on a worker of speed 1.
+// WorkDone returns the work done since the creation of the pool, as time on a worker of speed 1.
 func (p *Pool) WorkDone() time.Duration { return seconds(p.workDone) }
 
-// Utilization returns the ratio of the workers that are in use, from 0 to 1.
+// Utilization returns the ratio of the workers in use, from 0 to 1.
 func (p *Pool) Utilization() float64 {
 	return min(float64(len(p.remaining))/float64(p.curve.Workers), 1)
 }
 
-// Rate returns how many seconds of work the pool does in a second with n items in flight.
+// Rate returns the throughput of the pool at now with n items in flight, in seconds of work per second.
 func (p *Pool) Rate(now time.Duration, n int) float64 {
 	if n == 0 {
 		return 0
@@ -101,17 +109,17 @@
 	return float64(min(n, p.curve.Workers)) * p.curve.Speed * ratio / p.slowdown
 }
 
-// Add starts an item of work. Its id must not be in flight, and Advance must have been called with the present time.
+// Add starts an item of work. The id must not be in flight. Advance must have been called with the present time before.
 func (p *Pool) Add(id string, work time.Duration) {
 	p.remaining[id] = max(work.Seconds(), minWork)
 	p.maxInFlight = max(p.maxInFlight, len(p.remaining))
 }
 
-// Cancel removes an item without completing it.
+// Cancel removes an item that has not completed.
 func (p *Pool) Cancel(id string) { delete(p.remaining, id) }
 
-// Advance brings the pool to now. It returns the items that have completed, in the order of their completion and by
-// id within one step.
+// Advance accounts for the work until now. It returns the IDs of the items that have completed, in order of completion. Items
+// that complete in the same step are sorted by ID.
 func (p *Pool) Advance(now time.Duration) (completed []string) {
 	for p.now < now {
 		n := len(p.remaining)
@@ -134,6 +142,7 @@
 	return completed
 }
 
+// removeCompleted removes the completed items and returns their IDs in ascending order.
 func (p *Pool) removeCompleted() (completed []string) {
 	for id, left := range p.remaining {
 		if left <= completedBelow {
@@ -145,7 +154,7 @@
 	return completed
 }
 
-// untilNextCompletion returns how long the next completion is away while each item gets perItem seconds of work a second.
+// untilNextCompletion returns the time until the next completion if each item gets perItem seconds of work per second.
 func (p *Pool) untilNextCompletion(perItem float64) time.Duration {
 	if perItem <= 0 {
 		return math.MaxInt64
@@ -157,8 +166,8 @@
 	return seconds(min(shortest/perItem, maxWait))
 }
 
-// NextCompletion returns when Advance should be called again; ok is false with nothing in flight. It may be earlier than a
-// completion, where the speed changes meanwhile.
+// NextCompletion returns the time at which Advance should be called next. No item completes before; at that time one may or may
+// not, because the speed may change. Ok is false if no item is in flight.
 func (p *Pool) NextCompletion() (at time.Duration, ok bool) {
 	n := len(p.remaining)
 	if n == 0 {
