--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// Rules are the bounds that a history is checked against.
+// Rules are the bounds of the rules that Check applies.
 type Rules struct {
-	Slack             time.Duration // by which a final answer may be late
-	IdempotencyWindow time.Duration // within which a request with an idempotency key must not run again
-	MaxStoreCalls     int           // in flight at all stores together; 0 = any number
+	Slack             time.Duration // by which a final answer may come after its deadline
+	IdempotencyWindow time.Duration // from the start of a run, time within which no request with the same key may run
+	MaxStoreCalls     int           // limit of calls in flight, over all stores; 0: no limit
 }
 
-// Names of the rules.
+// Names of the rules, as they appear in violations.
 const (
-	// RuleSingleAnswer: each attempt has one final answer at most.
+	// RuleSingleAnswer requires that each attempt has at most one final answer.
 	RuleSingleAnswer = "single answer"
-	// RuleDeadline: an attempt has its final answer by its deadline, while its server lives and its client waits.
+	// RuleDeadline requires that an attempt has its final answer by its deadline plus Rules.Slack, and that a live server
+	// does not close its connection. Attempts that are open when the state of their server's process changes, and attempts
+	// sent while it is paused, are exempt.
 	RuleDeadline = "deadline"
-	// RuleIdempotency: a request with an idempotency key runs once within the window.
+	// RuleIdempotency requires that requests with the same idempotency key run once within Rules.IdempotencyWindow.
 	RuleIdempotency = "idempotency"
-	// RuleStoreCalls: the stores never have more calls in flight than they survive.
+	// RuleStoreCalls requires that the stores never have more than Rules.MaxStoreCalls calls in flight.
 	RuleStoreCalls = "store calls"
-	// RuleNoFalseFailure: no member is reported as failed whose process has run for longer than viewLag.
+	// RuleNoFalseFailure requires that no member reports another as failed whose process has run for longer than viewLag.
 	RuleNoFalseFailure = "no false failure"
 )
 
-// viewLag is how long a report of an earlier process may still come after the next one has started: the connection
-// that was refused was made before, and a view is published, polled and recorded after.
+// viewLag is how long after the start of a process its predecessor may still be reported as failed. The member that reports
+// it may have been refused a connection just before the start, and its view is published, polled and recorded later.
 const viewLag = 2 * time.Second
 
 // Violation is one violation of a rule.
 type Violation struct {
-	Rule   string
-	Event  Event
-	Reason string
+	Rule   string // name of the rule
+	Event  Event  // event that shows the violation, or the AttemptSent of the attempt concerned
+	Reason string // what violates the rule, for people
 }
 
 func (v Violation) String() string {
@@ -46,8 +48,8 @@
 	return text + ")"
 }
 
-// Check returns the violations of a history, in the order of their discovery. It relies only on what clients and
-// fakes saw, except for views, which it checks.
+// Check returns the violations of rules in a history, in the order in which events show them. It relies on what clients, fakes
+// and the laboratory recorded. The only records of the programs under test that it uses are the views, which it checks.
 func Check(events []Event, rules Rules) []Violation {
 	check := &checker{
 		rules:     rules,
@@ -62,31 +64,32 @@
 	return check.violations
 }
 
-// checker holds the state of a check between events.
+// checker is the state of Check between two events.
 type checker struct {
 	rules         Rules
 	violations    []Violation
-	attempts      map[string]*attempt
-	open          map[string]map[string]*attempt // by server: those without an answer
-	runs          map[string]time.Duration       // by idempotency key: when it ran last
-	processes     map[string]*process
-	callsInFlight int
+	attempts      map[string]*attempt            // by attempt ID
+	open          map[string]map[string]*attempt // by server and attempt ID: attempts that have not ended
+	runs          map[string]time.Duration       // by idempotency key: start of the last run
+	processes     map[string]*process            // by server
+	callsInFlight int                            // at all stores
 }
 
-// attempt is what is known of one attempt.
+// attempt is what the events so far tell about one attempt.
 type attempt struct {
-	sent     Event
-	answered bool
-	excused  bool // its answer may be late or lost, as its server's process was interfered with
+	sent   Event // AttemptSent
+	ended  bool  // it was answered, or abandoned by its client
+	exempt bool  // from RuleDeadline, because the state of its server's process changed, or it was paused at the start
 }
 
-// process is what is known of the processes of one server.
+// process is what the events so far tell about the processes of one server.
 type process struct {
-	alive     bool
+	alive     bool // a process was started, and has not been killed or ended since
 	paused    bool
-	startedAt time.Duration
+	startedAt time.Duration // of the newest process
 }
 
+// apply checks one event and updates the state.
 func (c *checker) apply(event *Event) {
 	switch event.Kind {
 	case AttemptSent:
@@ -103,15 +106,16 @@
 		c.processChanged(event)
 	case ViewChanged:
 		c.viewChanged(event)
-	default: // no rule is about it
+	default: // no rule uses it
 	}
 }
 
+// fail adds a violation. Its reason is a format with args.
 func (c *checker) fail(rule string, event *Event, reason string, args ...any) {
 	c.violations = append(c.violations, Violation{Rule: rule, Event: *event, Reason: fmt.Sprintf(reason, args...)})
 }
 
-// process returns the state of a server's processes.
+// process returns the state of a server's processes. It adds the server if it is new.
 func (c *checker) process(server string) *process {
 	known := c.processes[server]
 	if known == nil {
@@ -122,7 +126,7 @@
 }
 
 func (c *checker) attemptSent(event *Event) {
-	sent := &attempt{sent: *event, excused: c.process(event.Server).paused}
+	sent := &attempt{sent: *event, exempt: c.process(event.Server).paused}
 	c.attempts[event.AttemptID] = sent
 	if c.open[event.Server] == nil {
 		c.open[event.Server] = map[string]*attempt{}
@@ -131,27 +135,27 @@
 }
 
 func (c *checker) attemptEnded(event *Event) {
-	ended := c.attempts[event.AttemptID]
-	if ended == nil {
+	known := c.attempts[event.AttemptID]
+	if known == nil {
 		return
 	}
-	if event.Kind == AttemptAnswered && ended.answered {
+	if event.Kind == AttemptAnswered && known.ended {
 		c.fail(RuleSingleAnswer, event, "second final answer")
 		return
 	}
-	ended.answered = true
-	delete(c.open[ended.sent.Server], event.AttemptID)
-	if ended.excused {
+	known.ended = true
+	delete(c.open[known.sent.Server], event.AttemptID)
+	if known.exempt {
 		return
 	}
 	if event.Kind == AttemptAnswered && event.Outcome() == OutcomeLost {
-		if c.process(ended.sent.Server).alive {
-			c.fail(RuleDeadline, &ended.sent, "connection closed by a live server")
+		if c.process(known.sent.Server).alive {
+			c.fail(RuleDeadline, &known.sent, "connection closed by a live server")
 		}
 		return
 	}
-	if late := event.At - ended.sent.Deadline; late > c.rules.Slack {
-		c.fail(RuleDeadline, &ended.sent, "final answer %v after the deadline", late.Round(time.Millisecond))
+	if late := event.At - known.sent.Deadline; late > c.rules.Slack {
+		c.fail(RuleDeadline, &known.sent, "final answer %v after the deadline", late.Round(time.Millisecond))
 	}
 }
 
@@ -170,7 +174,7 @@
 func (c *checker) callStarted(event *Event) {
 	c.callsInFlight++
 	if c.rules.MaxStoreCalls > 0 && c.callsInFlight > c.rules.MaxStoreCalls {
-		c.fail(RuleStoreCalls, event, "%d calls in flight", c.callsInFlight)
+		c.fail(RuleStoreCalls, event, "%d calls in flight, at most %d allowed", c.callsInFlight, c.rules.MaxStoreCalls)
 	}
 }
 
@@ -188,10 +192,10 @@
 		changed.paused = true
 	case ProcessResumed:
 		changed.paused = false
-	default: // changes nothing by itself; its end follows as an event of its own
+	default: // the process still runs, or ended with an error, after which it still counts as alive
 	}
 	for _, open := range c.open[event.Server] {
-		open.excused = true
+		open.exempt = true
 	}
 }
 
--- a/lab/history/check_test.go
+++ b/lab/history/check_test.go
@@ -11,16 +11,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withKey is the sending of an attempt with the idempotency key o1.
+// withKey returns the AttemptSent event of an attempt with the idempotency key o1.
 func withKey(at time.Duration, id, server string, deadline time.Duration) Event {
 	return Event{
 		At: at, Kind: AttemptSent, AttemptID: id, IdempotencyKey: "o1", Server: server, Deadline: deadline,
 	}
 }
 
-// A violation that is added to a good history must be found, by its rule and no other; the good history must pass.
+// Guards against a checker that misses violations, or reports valid behavior: a valid history passes, and a violation that is
+// added to it is found by its rule and by no other.
 func TestCheckFindsAddedViolations(t *testing.T) {
-	good := []Event{
+	valid := []Event{
 		{At: 0, Kind: ProcessChanged, Server: "n1", Detail: "started"},
 		{At: 0, Kind: ProcessChanged, Server: "n2", Detail: "started"},
 		withKey(1*time.Second, "a", "n1", 4*time.Second),
@@ -33,17 +34,17 @@
 		{At: 5 * time.Second, Kind: AttemptSent, AttemptID: "c", Server: "n1", Deadline: 6 * time.Second},
 		{At: 5 * time.Second, Kind: ProcessChanged, Server: "n1", Detail: "stopped"},
 		{At: 8 * time.Second, Kind: ProcessChanged, Server: "n1", Detail: "continued"},
-		{At: 8 * time.Second, Kind: AttemptAnswered, AttemptID: "c", Server: "n1", Detail: "failed"}, // late: paused
+		{At: 8 * time.Second, Kind: AttemptAnswered, AttemptID: "c", Server: "n1", Detail: "failed"}, // late, but its server was paused
 		{At: 9 * time.Second, Kind: ProcessChanged, Server: "n2", Detail: "killed"},
 		{At: 10 * time.Second, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"},
 		withKey(30*time.Second, "d", "n1", 33*time.Second),
 		{At: 30 * time.Second, Kind: RunStarted, AttemptID: "d", Server: "n1"}, // after the idempotency window
 		{At: 31 * time.Second, Kind: AttemptAnswered, AttemptID: "d", Server: "n1", Detail: "served"},
 		{At: 32 * time.Second, Kind: ProcessChanged, Server: "n2", Detail: "started"},
-		{At: 33 * time.Second, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"}, // was true within viewLag
+		{At: 33 * time.Second, Kind: ViewChanged, Server: "n1", Member: "n2", Detail: "dead"}, // the restart was less than viewLag ago
 	}
 	rules := Rules{Slack: time.Second / 5, IdempotencyWindow: 17 * time.Second, MaxStoreCalls: 1}
-	require.Empty(t, Check(good, rules))
+	require.Empty(t, Check(valid, rules))
 	for rule, added := range map[string][]Event{
 		RuleSingleAnswer: {{At: 3 * time.Second, Kind: AttemptAnswered, AttemptID: "a", Server: "n1", Detail: "failed"}},
 		RuleDeadline: {
@@ -60,7 +61,7 @@
 		},
 		RuleNoFalseFailure: {{At: 12 * time.Second, Kind: ViewChanged, Server: "n2", Member: "n1", Detail: "dead"}},
 	} {
-		events := slices.Concat(good, added)
+		events := slices.Concat(valid, added)
 		slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
 		violations := Check(events, rules)
 		require.Len(t, violations, 1, rule)
@@ -68,8 +69,9 @@
 	}
 }
 
-// A history that a crash has truncated must be readable up to there.
-func TestReadTruncatedHistory(t *testing.T) {
+// Guards against losing a whole history because a crash of the laboratory left its last event incomplete: all events before
+// that one must be read.
+func TestReadIgnoresTruncatedLastEvent(t *testing.T) {
 	var file bytes.Buffer
 	require.NoError(t, json.NewEncoder(&file).Encode(Event{At: time.Second, Kind: AttemptSent}))
 	events, err := Read(strings.NewReader(file.String() + `{"at":2000,"ki`))
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -1,45 +1,51 @@
-// Package history records what happens in a laboratory, on one clock: requests and answers as clients saw them, runs
-// and calls as the fakes saw them, processes and faults as the laboratory made them, and what members reported of one
-// another. It checks a history against rules and sums it up. It shares no code with the programs that it judges.
+// Package history records the events of a laboratory run, with times on one clock, and evaluates them. A history has
+//
+//   - attempts and requests, as clients saw them;
+//   - runs and calls to stores, as the fake agents and stores saw them;
+//   - changes of processes and faults, as the laboratory made them;
+//   - views, as members reported them of one another.
+//
+// The package checks a history against rules (Check), summarizes it and plots it. It shares no code with the programs under
+// test, so that a fault in them cannot hide itself.
 package history
 
 import "time"
 
-// Kind says what an event is, as it stands in history files.
+// Kind is the kind of an event. Its text is stored in history files.
 type Kind string
 
-// Kinds of events, with the fields that they have beside At.
+// Kinds of events, with the fields that are set in addition to At.
 const (
 	AttemptSent      Kind = "ask"      // AttemptID, IdempotencyKey, Class, Server, Client, Deadline
 	AttemptAnswered  Kind = "answer"   // AttemptID, Server; Detail is the Outcome
-	AttemptAbandoned Kind = "gave up"  // AttemptID, Server; the client waits no longer
-	RunStarted       Kind = "run"      // AttemptID, Class, Server; at an agent
-	RunEnded         Kind = "run end"  // AttemptID, Class, Server; Detail is how it ended
-	CallStarted      Kind = "call"     // AttemptID, Server; Count is the number in flight at the store
-	CallEnded        Kind = "call end" // the same
+	AttemptAbandoned Kind = "gave up"  // AttemptID, Server; Detail may be DetailUnread; the client no longer waits for an answer
+	RunStarted       Kind = "run"      // AttemptID, Class, Server; the agent of Server starts the run
+	RunEnded         Kind = "run end"  // AttemptID, Class, Server; Detail is how the run ended
+	CallStarted      Kind = "call"     // AttemptID, Server (zone of the store); Count is the number of calls in flight at the store
+	CallEnded        Kind = "call end" // as CallStarted
 	ProcessChanged   Kind = "process"  // Server; Detail is the ProcessState
 	FaultChanged     Kind = "fault"    // Detail names the fault; Count is 1 at its start and 0 at its end
-	ViewChanged      Kind = "view"     // Server reports the Condition in Detail of Member
-	// RequestCompleted has Class, Client, Latency, Value, ValueServed and Work. Detail is the Outcome, Count the
+	ViewChanged      Kind = "view"     // Server reports Member in the Condition that is the Detail
+	// RequestCompleted has Class, Client, Latency, Value, ValueServed and Work. Detail is the Outcome, and Count is the
 	// number of attempts.
 	RequestCompleted Kind = "request"
 )
 
-// Outcome is how an attempt or a request ended. It stands in Event.Detail.
+// Outcome is how an attempt or a request ended. It is stored in Event.Detail.
 type Outcome string
 
 // Outcomes of attempts and requests.
 const (
 	OutcomeServed      Outcome = "served"
 	OutcomeLate        Outcome = "late"      // served after its latency objective; of requests only
-	OutcomeRejected    Outcome = "refused"   // by admission control
-	OutcomeFailed      Outcome = "failed"    // with another error
-	OutcomeLost        Outcome = "lost"      // with its connection
-	OutcomeAbandoned   Outcome = "gave up"   // without an answer in time
-	OutcomeUnreachable Outcome = "unreached" // no connection to the server
+	OutcomeRejected    Outcome = "refused"   // rejected by admission control
+	OutcomeFailed      Outcome = "failed"    // the server answered with another error
+	OutcomeLost        Outcome = "lost"      // the connection was lost before an answer
+	OutcomeAbandoned   Outcome = "gave up"   // the client stopped waiting for an answer
+	OutcomeUnreachable Outcome = "unreached" // the client could not connect to the server
 )
 
-// Description returns the outcome in the terms of printed reports.
+// Description returns the name of the outcome in printed reports, which differs from the stored text of some.
 func (o Outcome) Description() string {
 	switch o {
 	case OutcomeRejected:
@@ -53,13 +59,13 @@
 	}
 }
 
-// DetailUnread is the Detail of an AttemptAbandoned whose request was not read by its deadline.
+// DetailUnread is the Detail of an AttemptAbandoned whose request the server had not read by its deadline.
 const DetailUnread = "unread"
 
-// ProcessState is the state of a process, or the signal that it was sent. It stands in Event.Detail.
+// ProcessState is the state of a process, or the signal that was sent to it. It is stored in Event.Detail.
 type ProcessState string
 
-// States of processes.
+// States of processes, and signals.
 const (
 	ProcessStarted     ProcessState = "started"
 	ProcessKilled      ProcessState = "killed"      // SIGKILL
@@ -68,10 +74,11 @@
 	ProcessTerminating ProcessState = "told to end" // SIGTERM
 	ProcessReloading   ProcessState = "reloads"     // SIGHUP
 	ProcessEnded       ProcessState = "ended"
-	ProcessFailed      ProcessState = "failed" // ended by itself, with an exit code
+	ProcessFailed      ProcessState = "failed" // ended by itself, with a positive exit code
 )
 
-// Condition is what one member reports of another, as it stands in the reports of members and in Event.Detail.
+// Condition is the condition in which one member reports another. It is part of the reports of members and is stored in
+// Event.Detail.
 type Condition string
 
 // Conditions of members.
@@ -80,37 +87,38 @@
 	ConditionWarming     Condition = "warming"
 	ConditionServing     Condition = "serving"
 	ConditionDraining    Condition = "draining"
-	ConditionSuspect     Condition = "suspect" // reached, but its record is overdue
-	ConditionStalled     Condition = "wedged"  // its process is there and does no work
+	ConditionSuspect     Condition = "suspect" // it is reached, but its record is overdue
+	ConditionStalled     Condition = "wedged"  // its process exists but does no work
 	ConditionUnreachable Condition = "cut off" // partitioned from the observer
-	ConditionFailed      Condition = "dead"    // its process is known to be gone
+	ConditionFailed      Condition = "dead"    // its process is known to have ended
 	ConditionLeft        Condition = "left"
 )
 
-// Event is one thing that happened. Which fields it has depends on its kind. All times are on the laboratory's clock.
+// Event is one event of a history. Its kind determines which fields are set. Times are on the laboratory's clock. The JSON
+// names are those of history files.
 type Event struct {
 	At             time.Duration `json:"at"`
 	Kind           Kind          `json:"kind"`
-	Server         string        `json:"server,omitempty"`
-	Member         string        `json:"member,omitempty"`
+	Server         string        `json:"server,omitempty"` // name of the server; zone of the store for CallStarted and CallEnded
+	Member         string        `json:"member,omitempty"` // name of the member that Server reports on
 	AttemptID      string        `json:"try,omitempty"`
-	IdempotencyKey string        `json:"once,omitempty"`
+	IdempotencyKey string        `json:"once,omitempty"` // equal for all attempts of a request; empty if it may run more than once
 	Class          string        `json:"class,omitempty"`
-	Client         int           `json:"caller,omitempty"`
-	Detail         string        `json:"word,omitempty"`
-	Count          int           `json:"n,omitempty"`
-	Deadline       time.Duration `json:"due,omitempty"`
-	Latency        time.Duration `json:"took,omitempty"`
-	Value          float64       `json:"worth,omitempty"` // of the request, if it is served in full and in time
-	ValueServed    float64       `json:"got,omitempty"`
-	Work           time.Duration `json:"work,omitempty"` // processor time on one core
+	Client         int           `json:"caller,omitempty"` // number of the front end
+	Detail         string        `json:"word,omitempty"`   // depends on the kind
+	Count          int           `json:"n,omitempty"`      // depends on the kind
+	Deadline       time.Duration `json:"due,omitempty"`    // of the attempt
+	Latency        time.Duration `json:"took,omitempty"`   // from the arrival of the request to its completion
+	Value          float64       `json:"worth,omitempty"`  // value of the request if it is served in full and in time
+	ValueServed    float64       `json:"got,omitempty"`    // value that the client received
+	Work           time.Duration `json:"work,omitempty"`   // processor time on a core of speed 1
 }
 
-// Outcome returns the outcome of an AttemptAnswered or a RequestCompleted.
+// Outcome returns the outcome of an AttemptAnswered or RequestCompleted event.
 func (e *Event) Outcome() Outcome { return Outcome(e.Detail) }
 
-// ProcessState returns the state of a ProcessChanged.
+// ProcessState returns the state of a ProcessChanged event.
 func (e *Event) ProcessState() ProcessState { return ProcessState(e.Detail) }
 
-// Condition returns the condition of a ViewChanged.
+// Condition returns the condition of a ViewChanged event.
 func (e *Event) Condition() Condition { return Condition(e.Detail) }
--- a/lab/history/file.go
+++ b/lab/history/file.go
@@ -9,11 +9,11 @@
 	"os"
 )
 
-// Write writes events to a file, one JSON object a line. It replaces a file that is there.
+// Write writes events to a file, one JSON object per line. It overwrites an existing file.
 func Write(path string, events []Event) error {
 	file, err := os.Create(path) //nolint:gosec // the caller names the file
 	if err != nil {
-		return fmt.Errorf("create history: %w", err)
+		return fmt.Errorf("create history file: %w", err)
 	}
 	return errors.Join(writeEvents(file, events), file.Close())
 }
@@ -23,16 +23,16 @@
 	encoder := json.NewEncoder(buffered)
 	for i := range events {
 		if err := encoder.Encode(&events[i]); err != nil {
-			return fmt.Errorf("encode event %d: %w", i, err)
+			return fmt.Errorf("encode event %d of %d: %w", i, len(events), err)
 		}
 	}
 	if err := buffered.Flush(); err != nil {
-		return fmt.Errorf("write events: %w", err)
+		return fmt.Errorf("write %d events: %w", len(events), err)
 	}
 	return nil
 }
 
-// Read reads events as Write has written them. An event that is cut off at the end, as by a crash, is left out.
+// Read reads events that Write has written. It ignores a truncated event at the end, which a crash of the writer may leave.
 func Read(r io.Reader) (events []Event, err error) {
 	decoder := json.NewDecoder(bufio.NewReader(r))
 	for {
--- a/lab/history/log.go
+++ b/lab/history/log.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Log collects events. Its methods may be called from any goroutine.
+// Log collects the events of a laboratory. Its methods are safe for concurrent use.
 type Log struct {
-	startedAt time.Time
+	startedAt time.Time // time 0 of the laboratory's clock
 
 	mu     sync.Mutex
 	events []Event
 }
 
-// NewLog returns an empty log, whose clock starts now.
+// NewLog returns an empty log. Its clock starts at 0 now.
 func NewLog() *Log { return &Log{startedAt: time.Now()} }
 
 // Now returns the time on the laboratory's clock.
 func (l *Log) Now() time.Duration { return time.Since(l.startedAt) }
 
-// Add adds an event that happens now: it sets the event's time.
+// Add appends an event and sets its time to the present.
 func (l *Log) Add(event Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	event.At = l.Now() // under the lock, so that events are in order
+	event.At = l.Now() // under the lock, so that times do not decrease
 	l.events = append(l.events, event)
 }
 
-// Events returns the events so far, in order. The caller must not change them.
+// Events returns the events so far, in order of time. The caller must not modify them.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/history/plot.go
+++ b/lab/history/plot.go
@@ -17,12 +17,12 @@
 	plotHeight      = 11 * vg.Centimeter
 	seriesWidth     = 1.5 // points
 	faultWidth      = 4   // points
-	legendHeight    = 1.3 // factor on the height of the Y axis
-	faultColorStart = 4   // index of the first fault's color
+	legendHeight    = 1.3 // factor on the height of the Y axis, to leave room for the legend
+	faultColorStart = 4   // index of the first fault's color in the palette
 )
 
-// Plot draws the requests that ended in each second, by outcome, with bars for faults below. The extension of path
-// chooses the format: PNG, SVG or PDF.
+// Plot draws the number of requests that completed in each second, with a line for each outcome, and a bar below the X axis for
+// each fault. The extension of path selects the format: PNG, SVG or PDF.
 func Plot(path, title string, events []Event) error {
 	figure := plot.New()
 	figure.Title.Text = title
@@ -38,13 +38,15 @@
 	figure.Legend.Top = true
 	figure.Y.Max *= legendHeight
 	if err := figure.Save(plotWidth, plotHeight, path); err != nil {
-		return fmt.Errorf("save plot: %w", err)
+		return fmt.Errorf("save plot to %s: %w", path, err)
 	}
 	return nil
 }
 
+// second returns the second in which an event happened, counted from 0.
 func second(event *Event) int { return int(event.At / time.Second) }
 
+// lastSecond returns the second of the last event.
 func lastSecond(events []Event) (last int) {
 	for i := range events {
 		last = max(last, second(&events[i]))
@@ -52,7 +54,7 @@
 	return last
 }
 
-// addRequests adds a line for each outcome.
+// addRequests adds a line for each outcome, with completed requests per second up to the last second.
 func addRequests(figure *plot.Plot, events []Event, last int) error {
 	counts := map[Outcome][]int{} // by outcome and second
 	for i := range events {
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// addFaults adds a bar below the X axis for each fault. One that did not end lasts until the last second.
+// addFaults adds a bar below the X axis for each fault. The bar of a fault that did not end extends to the last second.
 func addFaults(figure *plot.Plot, events []Event, last int) error {
 	type span struct {
 		from, to float64
@@ -105,10 +107,11 @@
 	return nil
 }
 
+// addLine adds a line and its entry in the legend.
 func addLine(figure *plot.Plot, name string, points plotter.XYs, lineColor color.Color, width vg.Length) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
-		return fmt.Errorf("plot %s: %w", name, err)
+		return fmt.Errorf("add line %q to plot: %w", name, err)
 	}
 	line.Color = lineColor
 	line.Width = width
@@ -117,10 +120,11 @@
 	return nil
 }
 
-// palette is that of Okabe and Ito, whose colors are told apart also with color blindness, and a grey.
+// palette is the palette of Okabe and Ito, which people with color blindness can distinguish, and a gray.
 var palette = []color.RGBA{
 	{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
 	{230, 159, 0, 255}, {86, 180, 233, 255}, {80, 80, 80, 255},
 }
 
+// lineColor returns the color of line i. Colors repeat after the end of the palette.
 func lineColor(i int) color.Color { return palette[i%len(palette)] }
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// A recovery is judged by the ratio of value served, by the arrival of requests, against that before the fault.
+// RecoveryTime compares the ratio of value served after a fault with the ratio before it. Requests are assigned to the time of
+// their arrival, not of their completion.
 const (
-	recoveryWindow  = 2 * time.Second // over which the ratio is taken
-	recoveryMinimum = 4 * time.Second // for which the ratio has to stay up
-	recoveryRatio   = 0.95            // of the ratio before the fault
-	recoveryStep    = 250 * time.Millisecond
-	baselineWindow  = 6 * time.Second // before the fault
+	recoveryWindow  = 2 * time.Second        // length of the window over which the ratio is computed
+	recoveryMinimum = 4 * time.Second        // for which the ratio must stay at or above the limit
+	recoveryRatio   = 0.95                   // limit, as a ratio of the value served before the fault
+	recoveryStep    = 250 * time.Millisecond // by which the window advances
+	baselineWindow  = 6 * time.Second        // length of the window before the fault
 )
 
-// RecoveryTime returns how long after the end of a fault, which lasted from from to to, the service was back at 95% of the
-// value that it served before, and stayed there. Ok is false if it was not back by the end of the history.
+// RecoveryTime returns how long after the end of a fault the service was back at 95% of the ratio of value that it served
+// before, and stayed there for recoveryMinimum. The fault lasted from from until to. Ok is false if the history ends before
+// such a recovery.
 func RecoveryTime(events []Event, from, to time.Duration) (after time.Duration, ok bool) {
 	values := valuesByArrival(events)
 	baseline := recoveryRatio * values.servedRatio(from-baselineWindow, from)
@@ -30,9 +32,11 @@
 	return 0, false
 }
 
-// valueSeries is the value of requests and what of it was served, by the recoveryStep in which they arrived.
+// valueSeries is the sum of the values of requests, and of the values served. Index i is for the requests that arrived in the
+// recoveryStep that begins at i*recoveryStep.
 type valueSeries struct{ offered, served []float64 }
 
+// valuesByArrival returns the series for the completed requests of a history.
 func valuesByArrival(events []Event) (values valueSeries) {
 	for i := range events {
 		event := &events[i]
@@ -50,9 +54,11 @@
 	return values
 }
 
+// end returns the end of the last step.
 func (v *valueSeries) end() time.Duration { return time.Duration(len(v.offered)) * recoveryStep }
 
-// servedRatio returns the ratio of the value that was served, of requests that arrived in an interval; 0 without any.
+// servedRatio returns the value served as a ratio of the value offered, for requests that arrived from from until to; 0 if none
+// arrived.
 func (v *valueSeries) servedRatio(from, to time.Duration) float64 {
 	var offered, served float64
 	for step := int(max(from, 0) / recoveryStep); step < int(to/recoveryStep) && step < len(v.offered); step++ {
@@ -65,7 +71,8 @@
 	return served / offered
 }
 
-// FirstFault returns when the first fault of a history started and ended. Ok is false if it did not do both.
+// FirstFault returns when the first fault of a history started and ended. Ok is false if there is no fault, or if the first one
+// did not end.
 func FirstFault(events []Event) (from, to time.Duration, ok bool) {
 	name := ""
 	for i := range events {
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -12,28 +12,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the latencies in a RequestSummary, in ms; all are recorded to three significant figures.
+// Range of the latencies in a RequestSummary, in ms, and the precision to which they are recorded.
 const (
 	minLatencyMillis   = 1
 	maxLatencyMillis   = int64(time.Minute / time.Millisecond)
 	significantFigures = 3
 )
 
-// RequestSummary sums up the requests of a class.
+// RequestSummary summarizes the requests of one class, or of all classes.
 type RequestSummary struct {
-	Requests, Served, Late, Rejected, Failed int
+	Requests, Served, Late, Rejected, Failed int // all requests, and those with each outcome
 
-	Attempts     int
-	ServedInFull int     // served without degradation
-	Value        float64 // of all requests
-	ValueServed  float64
-	Latency      *hdrhistogram.Histogram // of served requests, in ms, up to a minute
+	Attempts     int                     // attempts of all requests
+	ServedInFull int                     // requests served without degradation
+	Value        float64                 // sum of the values of all requests
+	ValueServed  float64                 // sum of the values served
+	Latency      *hdrhistogram.Histogram // latencies of served requests, in ms, up to a minute
 }
 
 func newRequestSummary() *RequestSummary {
 	return &RequestSummary{Latency: hdrhistogram.New(minLatencyMillis, maxLatencyMillis, significantFigures)}
 }
 
+// add adds a RequestCompleted event.
 func (s *RequestSummary) add(event *Event) {
 	s.Requests++
 	s.Attempts += event.Count
@@ -45,7 +46,7 @@
 		if event.ValueServed == event.Value {
 			s.ServedInFull++
 		}
-		// An error means a latency of more than a minute, after which no client waits.
+		// RecordValue fails for latencies of more than a minute only. No client waits that long.
 		_ = s.Latency.RecordValue(max(event.Latency.Milliseconds(), minLatencyMillis))
 	case OutcomeLate:
 		s.Late++
@@ -56,8 +57,8 @@
 	}
 }
 
-// SummarizeRequests sums up the requests of a history by class; the class "" holds all of them, and is missing if
-// there are none.
+// SummarizeRequests summarizes the completed requests of a history by class. The key "" is for all classes together. The
+// result is empty if no request completed.
 func SummarizeRequests(events []Event) map[string]*RequestSummary {
 	summaries := map[string]*RequestSummary{}
 	for i := range events {
@@ -75,7 +76,7 @@
 	return summaries
 }
 
-// PrintSummary prints the summary of a history's requests as a table.
+// PrintSummary prints a table with one line for each class of requests in a history, and one for all of them.
 func PrintSummary(w io.Writer, events []Event) error {
 	summaries := SummarizeRequests(events)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -97,12 +98,13 @@
 	return nil
 }
 
-// ReadCostRatio is the work of reading a request in the laboratory, as a ratio of the mean work of requests.
+// ReadCostRatio is the work of reading a request in the laboratory, as a ratio of the mean work of running one.
 const ReadCostRatio = 0.25
 
-// OptimalValue returns an upper bound on the value that can be served with coreSeconds of work on all cores together.
-// It is that of a policy which knows all requests in advance: it reads each once, and runs those of the highest value
-// for their work. The bound ignores timeouts, calls, and runs that slow each other down.
+// OptimalValue returns an upper bound on the value that can be served with coreSeconds of work on all cores together. It is
+// the value served by a policy that knows all requests in advance: it reads each of them once, and runs them in descending
+// order of value per work until the cores have no time left. The bound ignores timeouts, calls to stores, and the slowdown
+// of concurrent runs.
 func OptimalValue(events []Event, coreSeconds float64) (value float64) {
 	var requests []*Event
 	var work time.Duration
@@ -125,10 +127,10 @@
 	return value
 }
 
-// RejectionFairness returns Jain's fairness index of the ratios of attempts that the servers rejected: 1 where all
-// ratios are equal, and 1/n where one of n servers rejected alone.
+// RejectionFairness returns Jain's fairness index over the servers' ratios of rejected attempts: 1 if all servers rejected the
+// same ratio of their attempts, or none did, and 1/n if only one of n servers rejected any.
 func RejectionFairness(events []Event) float64 {
-	sent := map[string]float64{} // by server
+	sent := map[string]float64{} // attempts by server
 	rejected := map[string]float64{}
 	for i := range events {
 		switch event := &events[i]; {
--- a/lab/history/stores.go
+++ b/lab/history/stores.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// StoreSummary is the load on all stores together.
+// StoreSummary summarizes the load on all stores together.
 type StoreSummary struct {
-	Calls               int
-	MaxInFlight         int     // calls at one instant
-	MeanInFlight        float64 // calls, averaged over the time
-	OverloadedTimeRatio float64 // of the time, with more calls in flight than a bound
+	Calls               int     // calls started
+	MaxInFlight         int     // largest number of calls in flight
+	MeanInFlight        float64 // mean number of calls in flight over time
+	OverloadedTimeRatio float64 // part of the time with more calls in flight than the bound, from 0 to 1
 }
 
-// SummarizeStores sums up the calls of a history, from the first to the last of them.
+// SummarizeStores summarizes the calls of a history, over the time from the start of the first call to the last start or end of
+// a call. The stores count as overloaded with more than bound calls in flight.
 func SummarizeStores(events []Event, bound int) (summary StoreSummary) {
 	inFlight := 0
 	last := time.Duration(0)
@@ -45,9 +46,9 @@
 	return summary
 }
 
-// StoreLoadDuringFault returns how many calls a second came to the stores, and how many were in flight at most, while the
-// first fault of a kind was in force for longer than settled. It counts the calls of all stores, so the fault should
-// affect all of them. Both are 0 if the fault did not last that long.
+// StoreLoadDuringFault returns the calls per second that reached the stores, and the largest number of calls in flight, during
+// the first fault of a kind. The measurement begins at the time settled after the start of the fault. It covers the calls of
+// all stores, so the fault should affect all of them. Both results are 0 if the fault did not last longer than settled.
 func StoreLoadDuringFault(events []Event, kind string, settled time.Duration) (rate float64, maxInFlight int) {
 	load := faultLoad{prefix: kind + " ", settled: settled}
 	for i := range events {
@@ -58,16 +59,17 @@
 
 // faultLoad measures the load on the stores during one fault.
 type faultLoad struct {
-	prefix  string // of the names of faults of the kind
-	settled time.Duration
+	prefix  string        // prefix of the names of faults of the kind
+	settled time.Duration // from the start of the fault to that of the measurement
 
-	from, to    time.Duration // of the measurement; 0 = not yet
+	from, to    time.Duration // start and end of the measurement; 0: not known yet
 	last        time.Duration // time of the last event
-	inFlight    int
-	calls       int
-	maxInFlight int
+	inFlight    int           // calls in flight
+	calls       int           // calls started during the measurement
+	maxInFlight int           // largest number of calls in flight during the measurement
 }
 
+// apply takes the next event into account.
 func (l *faultLoad) apply(event *Event) {
 	l.last = event.At
 	switch event.Kind {
@@ -77,7 +79,7 @@
 		l.inFlight++
 	case CallEnded:
 		l.inFlight--
-	default: // of no call
+	default: // does not change the load
 	}
 	if l.from == 0 || event.At < l.from || l.to != 0 {
 		return
@@ -88,6 +90,7 @@
 	}
 }
 
+// faultChanged sets the start and the end of the measurement.
 func (l *faultLoad) faultChanged(event *Event) {
 	if !strings.HasPrefix(event.Detail, l.prefix) {
 		return
@@ -100,12 +103,12 @@
 	}
 }
 
-// result returns the calls a second and the most calls in flight during the measurement; both are 0 if there was
-// none.
+// result returns the calls per second and the largest number of calls in flight during the measurement. Both are 0 if there
+// was none.
 func (l *faultLoad) result() (rate float64, maxInFlight int) {
 	to := l.to
 	if to == 0 {
-		to = l.last // the fault outlasts the history
+		to = l.last // the fault was still active at the end of the history
 	}
 	if l.from == 0 || to <= l.from {
 		return 0, 0
--- a/lab/history/summary_test.go
+++ b/lab/history/summary_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requests are requests of value 1 that arrive every 100 ms up to end and are answered at once; they are served, except
-// those that arrive between from and to.
+// requests returns the events of requests of value 1 that arrive every 100 ms until end and complete at once. They are served,
+// except those that arrive from from until to, which are rejected.
 func requests(end, from, to time.Duration) (events []Event) {
 	for at := time.Duration(0); at < end; at += 100 * time.Millisecond {
 		event := Event{At: at, Kind: RequestCompleted, Class: "preview", Detail: string(OutcomeServed), Count: 1, Value: 1}
@@ -24,8 +24,9 @@
 	return events
 }
 
-// The service must count as recovered when it serves again what it served before, and not if it fails again soon.
-func TestRecoveryTime(t *testing.T) {
+// Guards against wrong recovery times: 0 if service is back when the fault ends, the length of the outage after it, and none if
+// service does not come back.
+func TestRecoveryTimeIsFromEndOfFaultToRestoredService(t *testing.T) {
 	const from, to, end = 10 * time.Second, 12 * time.Second, 30 * time.Second
 	after, ok := RecoveryTime(requests(end, from, to), from, to)
 	require.True(t, ok)
@@ -39,7 +40,8 @@
 	require.False(t, ok)
 }
 
-func TestFirstFault(t *testing.T) {
+// Guards against taking the end of another, overlapping fault for the end of the first one.
+func TestFirstFaultIgnoresEndOfOtherFaults(t *testing.T) {
 	events := []Event{
 		{At: 1 * time.Second, Kind: FaultChanged, Detail: "cut zone:a", Count: 1},
 		{At: 2 * time.Second, Kind: FaultChanged, Detail: "kill n1", Count: 1},
@@ -54,8 +56,9 @@
 	require.False(t, ok)
 }
 
-// Calls in flight must be counted over the time from the first call to the last event, and during a fault.
-func TestStoreSummaries(t *testing.T) {
+// Guards against wrong weights in the load on stores: means are over the time between the first and the last event of a call,
+// and the load during a fault counts from the end of the settling time, for faults of the given kind only.
+func TestStoreLoadIsAveragedOverTime(t *testing.T) {
 	events := []Event{
 		{At: 0, Kind: CallStarted},
 		{At: 1 * time.Second, Kind: CallStarted},
@@ -77,7 +80,8 @@
 	require.Zero(t, maxInFlight)
 }
 
-func TestSummarizeRequests(t *testing.T) {
+// Guards against requests that are counted under a wrong outcome or class, or missing from the line for all classes.
+func TestRequestsAreSummarizedByClassAndOutcome(t *testing.T) {
 	events := requests(10*time.Second, 0, time.Second)
 	events = append(events, Event{Kind: RequestCompleted, Class: "order", Detail: string(OutcomeLate), Count: 3, Value: 2})
 	summaries := SummarizeRequests(events)
@@ -97,8 +101,9 @@
 	require.Regexp(t, `all +101 +90 +1 +10 +0 +1\.02`, table.String())
 }
 
-// The fairness index must be 1 for servers that reject alike, and 1/n for one that rejects alone.
-func TestRejectionFairness(t *testing.T) {
+// Guards against an index that hides uneven rejections: it is 1 if all servers reject the same ratio, and 1/n if one of n rejects
+// alone.
+func TestRejectionFairnessOfEvenAndUnevenRejections(t *testing.T) {
 	attempt := func(server string, outcome Outcome) []Event {
 		return []Event{{Kind: AttemptSent, Server: server}, {Kind: AttemptAnswered, Server: server, Detail: string(outcome)}}
 	}
@@ -109,8 +114,9 @@
 	require.InDelta(t, 1, RejectionFairness(nil), 1e-9)
 }
 
-// With the cores for one of two requests after both are read, the optimal policy runs that of the higher value.
-func TestOptimalValue(t *testing.T) {
+// Guards against an upper bound that is too low or too high: with cores for one run after both requests are read, it is the
+// higher of the two values.
+func TestOptimalValueServesHighestValueFirst(t *testing.T) {
 	events := []Event{
 		{Kind: RequestCompleted, Work: time.Second, Value: 1},
 		{Kind: RequestCompleted, Work: time.Second, Value: 3},
@@ -118,7 +124,8 @@
 	require.InDelta(t, 3, OptimalValue(events, 1+2*ReadCostRatio+0.1), 1e-9)
 }
 
-func TestPlot(t *testing.T) {
+// Guards against a plot without its title, its outcomes in the terms of reports, or its faults.
+func TestPlotLabelsOutcomesAndFaults(t *testing.T) {
 	events := requests(10*time.Second, 2*time.Second, 4*time.Second)
 	events = append(events, Event{At: 2 * time.Second, Kind: FaultChanged, Detail: "cut zone:a", Count: 1})
 	path := filepath.Join(t.TempDir(), "requests.svg")
