--- a/lab/model/actions.go
+++ b/lab/model/actions.go
@@ -5,27 +5,27 @@
 	"falldeal/lab/history"
 )
 
-// Gauges of a server that the model does not vary.
+// Gauges that every server reports unchanged, because the model simulates neither memory nor connections.
 const (
 	modelMemoryUtilization = 0.1
 	modelConnections       = 10
 )
 
-// perform carries out an action of the controller.
+// perform executes one action that the controller has decided on.
 func (s *server) perform(action *admission.Action) {
 	switch action.Kind {
 	case admission.ActionHealth:
 		s.healthy = action.Health.Healthy
 	case admission.ActionWake:
 		s.schedule(action.At, s.wake)
-	default: // of an attempt, or without a meaning in the model
+	default: // an action on one attempt, or one that the model does not simulate
 		if attempt := s.attempts[action.ID]; attempt != nil {
-			s.performOn(attempt, action)
+			s.performForAttempt(attempt, action)
 		}
 	}
 }
 
-// wake passes the controller its timer event with the gauges of now.
+// wake sends the controller a timer event with the current gauges.
 func (s *server) wake() {
 	s.collectCompleted()
 	s.enqueue(admission.TimerFired(admission.Gauges{
@@ -35,7 +35,8 @@
 	s.cores.scheduleCompletion()
 }
 
-func (s *server) performOn(attempt *attempt, action *admission.Action) {
+// performForAttempt executes an action on one attempt.
+func (s *server) performForAttempt(attempt *attempt, action *admission.Action) {
 	switch action.Kind {
 	case admission.ActionRun:
 		s.admit(attempt)
@@ -49,10 +50,12 @@
 		s.reject(attempt, action.Rejection)
 	case admission.ActionFail:
 		s.fail(attempt)
-	default: // the model runs to their end what the agent could stop, and has no keys, registry or log
+	default: // not simulated: the model completes every run, and has no idempotency keys, registry or log
 	}
 }
 
+// reject answers an attempt with a rejection. Unless the rejection forbids a retry at other servers, it counts as a cause of
+// retries.
 func (s *server) reject(attempt *attempt, rejection admission.Rejection) {
 	if s.shedding != nil && !rejection.NoRetryElsewhere {
 		s.shedding.retries.RecordRejection(s.sim.now, attempt.fingerprint)
@@ -63,15 +66,15 @@
 	})
 }
 
-// fail answers an attempt with an error. A run on the cores goes on.
+// fail answers an attempt with an error. A run that already uses the cores continues to its end.
 func (s *server) fail(attempt *attempt) {
 	attempt.respond(response{outcome: history.OutcomeFailed})
-	attempt.dropCall()
+	attempt.abandonCall()
 	switch attempt.state {
 	case attemptReading, attemptQueued:
 		delete(s.attempts, attempt.id)
 	case attemptWaitingForCall:
-		s.finish(attempt, admission.OutcomeCancelled) // the agent ends a run whose call nobody needs
+		s.finish(attempt, admission.OutcomeCancelled) // the agent ends a run that waits for a call whose result is no longer needed
 	case attemptRunning:
 	}
 }
--- a/lab/model/attempt.go
+++ b/lab/model/attempt.go
@@ -7,41 +7,41 @@
 	"falldeal/lab/history"
 )
 
-// attemptState is how far a server has got with an attempt.
+// attemptState is the stage that an attempt has reached at its server.
 type attemptState uint8
 
 const (
-	attemptReading        attemptState = iota // waiting to be read, or being read
-	attemptQueued                             // at the controller
-	attemptWaitingForCall                     // admitted; its run waits for a call to the store
-	attemptRunning                            // on the cores
+	attemptReading        attemptState = iota // waits for a core that reads it, or is being read
+	attemptQueued                             // handed to the controller, not admitted yet
+	attemptWaitingForCall                     // admitted; its run waits for the call to the store
+	attemptRunning                            // its work is on the cores
 )
 
-// attempt is one attempt of a request, at a server.
+// attempt is one attempt of a request, at one server.
 type attempt struct {
 	id          admission.RequestID
 	request     *request
 	arrivedAt   time.Duration
 	deadline    time.Duration
-	fingerprint uint64 // with shedding only
+	fingerprint uint64 // identifies the request over its attempts; 0 without shedding
 	state       attemptState
-	answered    bool // its run may go on
-	degraded    bool // it runs without its call
-	admittedAt  time.Duration
-	call        *call // in flight; nil: none
-	calledAt    time.Duration
-	answer      func(response)
+	answered    bool           // a response was sent; a run may still continue
+	degraded    bool           // its run does without its call to the store
+	admittedAt  time.Duration  // when its run was admitted
+	call        *call          // its call in flight; nil if there is none
+	calledAt    time.Duration  // start of the last call
+	answer      func(response) // delivers the response to the front end
 }
 
-// response is what a server answers to an attempt.
+// response is the answer of a server to an attempt.
 type response struct {
 	outcome          history.Outcome
-	retryAfter       time.Duration // rejections only; 0: no advice
-	noRetryElsewhere bool          // rejections only
-	degraded         bool
+	retryAfter       time.Duration // how long the front end should avoid the server; 0: no advice; rejections only
+	noRetryElsewhere bool          // asks the front end not to retry at other servers; rejections only
+	degraded         bool          // served without the call to the store
 }
 
-// respond answers the attempt, once.
+// respond sends the response to the front end. Only the first response of an attempt is sent.
 func (a *attempt) respond(response response) {
 	if a.answered {
 		return
@@ -50,10 +50,10 @@
 	a.answer(response)
 }
 
-// dropCall abandons the call in flight, if there is one: its end is not reported.
-func (a *attempt) dropCall() {
+// abandonCall abandons the call in flight, if there is one. The end of an abandoned call is not reported to the server.
+func (a *attempt) abandonCall() {
 	if a.call != nil {
-		a.call.dropped = true
+		a.call.abandoned = true
 		a.call = nil
 	}
 }
--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -11,13 +11,13 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Strategy is one way in which a fleet handles overload.
+// Strategy is a named configuration of how a fleet handles overload.
 type Strategy struct {
-	Name string
-	Set  func(opts *Options)
+	Name      string
+	Configure func(opts *Options) // sets the options of the strategy
 }
 
-// Strategies are the ones to compare. The first is the baseline.
+// Strategies are the strategies that can be compared. The first one is the baseline.
 var Strategies = []Strategy{
 	{StrategyOff, func(*Options) {}},
 	{"shedding by records", func(opts *Options) {
@@ -35,19 +35,22 @@
 	}},
 }
 
-// Names of strategies.
+// Names of the strategies that code refers to.
 const (
 	StrategyOff               = "off"
 	StrategySheddingAndProbes = "shedding and coordinated probes"
 )
 
-// comparisonHeader names the columns of Compare.
+// comparisonHeader has the column headings of the table that Compare prints.
 const comparisonHeader = "strategy\tvalue served\tgain: min\tmedian\tmax\tratio to optimum\tattempts per request\tlate\t" +
 	"recovery time: median\tmax\tnever\tstore calls/s during fault\tmax in flight\t"
 
-// Compare simulates a fleet with each strategy and with consecutive seeds from that of opts on, on all cores. It prints a
-// line for each strategy: means over the seeds, and the least, median and most of the value that is gained over the first
-// strategy, seed by seed. The results are in the order of the strategies, and in that of the seeds within each.
+// Compare simulates a fleet with each strategy and each seed, on all cores of this machine. The seeds are consecutive and
+// start with opts.Seed. The first strategy is the baseline.
+//
+// Compare prints one line for each strategy: means over the seeds; the minimum, median and maximum of the gain in
+// ValueRatio over the baseline with the same seed; and recovery times. It returns the results ordered by strategy and,
+// within a strategy, by seed.
 func Compare(out io.Writer, opts Options, seeds int, strategies []Strategy) ([]Result, error) {
 	results := runAll(opts, seeds, strategies)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -63,7 +66,7 @@
 	return results, nil
 }
 
-// runAll simulates and evaluates each strategy with each seed, on all cores.
+// runAll simulates and evaluates each strategy with each seed, in parallel. Its results have the order of those of Compare.
 func runAll(opts Options, seeds int, strategies []Strategy) []Result {
 	results := make([]Result, len(strategies)*seeds)
 	var group errgroup.Group
@@ -76,30 +79,30 @@
 			})
 		}
 	}
-	_ = group.Wait() // no simulation fails
+	_ = group.Wait() // the functions return no error
 	return results
 }
 
-// run simulates and evaluates the strategy with a seed.
+// run simulates a fleet with the strategy and a seed, and evaluates the history.
 func (s *Strategy) run(opts Options, seed uint64) Result {
 	opts.Seed = seed
-	s.Set(&opts)
+	s.Configure(&opts)
 	result := Evaluate(opts, Run(opts))
 	result.Strategy = s.Name
 	return result
 }
 
-// strategySummary sums up the results of one strategy.
+// strategySummary sums up the results of one strategy over all seeds.
 type strategySummary struct {
-	count         int
-	total         Result    // of the fields that are printed as means
-	gains         []float64 // of ValueRatio over the baseline, sorted
-	recoveryTimes []time.Duration
-	neverBack     int
-	maxStoreCalls int
+	count          int             // number of results
+	total          Result          // sums over the results, of the fields that are printed as means
+	gains          []float64       // in ValueRatio over the baseline with the same seed, in ascending order
+	recoveryTimes  []time.Duration // of the simulations that recovered, in ascending order
+	neverRecovered int             // simulations that did not recover by their end
+	maxStoreCalls  int             // largest MaxStoreCalls of a result
 }
 
-// summarize sums up results. Those of the baseline have the same seeds in the same order.
+// summarize sums up the results of one strategy. The results of the baseline must have the same seeds in the same order.
 func summarize(results, baseline []Result) *strategySummary {
 	summary := &strategySummary{count: len(results)}
 	for i := range results {
@@ -114,7 +117,7 @@
 		if result.HasRecovered {
 			summary.recoveryTimes = append(summary.recoveryTimes, result.RecoveryTime)
 		} else {
-			summary.neverBack++
+			summary.neverRecovered++
 		}
 	}
 	slices.Sort(summary.gains)
@@ -127,11 +130,11 @@
 	median, longest := s.recovery()
 	fmt.Fprintf(out, "%s\t%.4f\t%+.4f\t%+.4f\t%+.4f\t%.3f\t%.2f\t%.3f\t%s\t%s\t%d\t%.1f\t%d\t\n",
 		name, s.total.ValueRatio/n, s.gains[0], s.gains[len(s.gains)/2], s.gains[len(s.gains)-1],
-		s.total.OptimalRatio/n, s.total.AttemptsPerRequest/n, s.total.LateRatio/n, median, longest, s.neverBack,
+		s.total.OptimalRatio/n, s.total.AttemptsPerRequest/n, s.total.LateRatio/n, median, longest, s.neverRecovered,
 		s.total.StoreCallRate/n, s.maxStoreCalls)
 }
 
-// recovery returns the median and the longest recovery time as they are printed.
+// recovery returns the median and the longest recovery time as text, or "-" if no simulation recovered.
 func (s *strategySummary) recovery() (median, longest string) {
 	times := s.recoveryTimes
 	if len(times) == 0 {
--- a/lab/model/cores.go
+++ b/lab/model/cores.go
@@ -8,20 +8,21 @@
 	"falldeal/lab/workerpool"
 )
 
-// readTaskPrefix begins the names of tasks that read attempts. Runs are named by the identifier of their attempt alone.
+// readTaskPrefix is the prefix of the names of tasks that read an attempt. A task that runs an attempt has the attempt's ID
+// as its name.
 const readTaskPrefix = "r"
 
-// agentCores are the cores of a server's agent, which read attempts and run them. They belong to one process.
+// agentCores are the cores on which one process of a server reads attempts and its agent runs them.
 type agentCores struct {
 	*scheduledPool
-	tasks    map[string]*attempt // by their names in the pool
-	unread   []*attempt          // not begun to be read
-	reading  int                 // attempts that are being read
-	maxReads int                 // at a time
-	readWork time.Duration       // of one attempt
+	tasks    map[string]*attempt // attempts with a task in the pool, by task name
+	unread   []*attempt          // attempts that wait to be read, oldest first
+	reading  int                 // number of attempts that are being read
+	maxReads int                 // limit of reading
+	readWork time.Duration       // work of reading one attempt, on a core of speed 1
 }
 
-// newCores returns the cores of a new process.
+// newCores returns idle cores for a new process. With warmingUp their speed starts low and rises over WarmupTime.
 func (s *server) newCores(warmingUp bool) *agentCores {
 	curve := workerpool.AgentCurve(s.sim.opts.Cores, workerpool.CoreSpeed(s.number))
 	if warmingUp {
@@ -37,10 +38,10 @@
 	}
 }
 
-// enqueueRead queues an attempt to be read; startReads begins.
+// enqueueRead queues an attempt to be read. The caller starts the read with startReads.
 func (c *agentCores) enqueueRead(attempt *attempt) { c.unread = append(c.unread, attempt) }
 
-// startReads begins to read as many attempts at a time as maxReads allows.
+// startReads starts reading queued attempts, oldest first, until maxReads of them are being read.
 func (c *agentCores) startReads() {
 	for len(c.unread) > 0 && c.reading < c.maxReads {
 		attempt := c.unread[0]
@@ -50,7 +51,7 @@
 	}
 }
 
-// run begins to work on an attempt.
+// run adds the work of an attempt to the pool.
 func (c *agentCores) run(attempt *attempt) {
 	c.addTask(taskName(attempt.id), attempt, attempt.request.work)
 }
@@ -60,14 +61,14 @@
 	c.Add(name, work)
 }
 
-// take removes a completed task and returns its attempt.
+// take forgets the name of a completed task and returns the attempt of the task.
 func (c *agentCores) take(name string) *attempt {
 	completed := c.tasks[name]
 	delete(c.tasks, name)
 	return completed
 }
 
-// readCompleted makes room for the next read.
+// readCompleted is called when an attempt has been read. It starts the next read.
 func (c *agentCores) readCompleted() {
 	c.reading--
 	c.startReads()
--- a/lab/model/digest_test.go
+++ b/lab/model/digest_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// digestOf returns a digest of a history in its stored form, without the names of faults, which are texts for readers.
+// digestOf returns the SHA-256 digest of a history in its stored form. It leaves out the names of faults, which are
+// descriptions only.
 func digestOf(t *testing.T, events []history.Event) string {
 	t.Helper()
 	hash := sha256.New()
@@ -26,9 +27,9 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// The histories of these simulations are pinned: a change of the model or of the decision code that is meant to leave
-// behavior as it is must leave them as they are. A change that is meant to alter behavior records them anew.
-func TestSeededHistoriesArePinned(t *testing.T) {
+// Guards against unintended changes of behavior, for instance by a refactoring of the model or of the decision code: any
+// difference in an event changes a digest. A change that is meant to alter behavior records the digests anew.
+func TestSeededHistoriesMatchRecordedDigests(t *testing.T) {
 	burst := Fault{Kind: FaultBurst, Zone: AllZones, Factor: 1.6}
 	lost := Fault{Kind: FaultZoneLost, Zone: 1}
 	unresponsive := Fault{Kind: FaultStoresUnresponsive, Zone: AllZones}
@@ -92,7 +93,7 @@
 			t.Parallel()
 			opts := testCase.opts
 			opts.Seed = testCase.seed
-			Strategies[testCase.strategy].Set(&opts)
+			Strategies[testCase.strategy].Configure(&opts)
 			require.Equal(t, testCase.want, digestOf(t, Run(opts)))
 		})
 	}
--- a/lab/model/doc.go
+++ b/lab/model/doc.go
@@ -1,7 +1,14 @@
-// Package model simulates fleets of up to thousands of servers in one goroutine, faster than real time. It runs the shipped
-// decision code (admission, internal/overload, the records of internal/fleet) in models of the servers, stores, front ends
-// and network around it. Simulations with the same options, seed included, give the same history, event for event.
+// Package model is a discrete-event simulation of a fleet of image servers, for fleets of up to thousands of servers. It runs
+// in one goroutine, faster than real time. The decision code is the one that ships: admission, internal/overload and the
+// records of internal/fleet. The servers, agents, stores, front ends and the network around that code are models.
 //
-// It leaves out sockets, the processor time of the servers themselves, memory, and the paths of single gossip messages: an
-// update reaches all servers at once, after a time that depends on the size of the fleet, and no message is lost.
+// The simulation is deterministic: the same options, including the seed, give the same history, event for event.
+//
+// The model leaves out:
+//
+//   - sockets, and the processor time of the image servers themselves;
+//   - the memory of servers and agents;
+//   - the paths of single gossip messages: an update reaches all servers at the same time, after a delay that depends on
+//     the size of the fleet;
+//   - loss of messages between servers.
 package model
--- a/lab/model/evaluate.go
+++ b/lab/model/evaluate.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	faultSettlingTime = 4 * time.Second // from the start of a fault until the load at stores is counted
-	minOptimalValue   = 1e-9            // so that no ratio divides by 0
+	faultSettlingTime = 4 * time.Second // calls at stores are counted only after this part of a fault has passed
+	minOptimalValue   = 1e-9            // lower bound of a divisor, which must not be 0
 )
 
-// Result is the evaluation of one simulation.
+// Result is the evaluation of one simulation. Ratios are fractions of 1.
 type Result struct {
-	Strategy           string
+	Strategy           string // name of the strategy; empty if it was not set by Compare
 	Seed               uint64
-	ValueRatio         float64 // served, of the value of all requests
-	OptimalRatio       float64 // served, of what a central policy with full knowledge would serve
-	AttemptsPerRequest float64
-	RecoveryTime       time.Duration
-	HasRecovered       bool // service was back at 95% of that before the fault, after RecoveryTime
-	LateRatio          float64
-	StoreCallRate      float64 // calls a second at unresponsive stores
-	MaxStoreCalls      int     // in flight at a time at unresponsive stores
-	Requests           int
+	ValueRatio         float64       // value served, of the value of all requests
+	OptimalRatio       float64       // value served, of the upper bound that history.OptimalValue computes
+	AttemptsPerRequest float64       // mean
+	RecoveryTime       time.Duration // from the end of the first fault; valid if HasRecovered
+	HasRecovered       bool          // the ratio of value served was back at 95% of that before the first fault
+	LateRatio          float64       // requests served after their latency objective, of all requests
+	StoreCallRate      float64       // calls per second at all stores during the first fault, after faultSettlingTime
+	MaxStoreCalls      int           // largest number of calls in flight at all stores during the same time
+	Requests           int           // requests that completed
 }
 
-// Evaluate sums up the history of a simulation. The first of its faults is the one to recover from.
+// Evaluate computes the result of a simulation with opts from its history. Recovery is that from the first fault in
+// opts.Faults.
 func Evaluate(opts Options, events []history.Event) Result {
 	result := Result{Seed: opts.Seed}
 	summary := history.SummarizeRequests(events)[""]
@@ -46,6 +47,7 @@
 	return result
 }
 
+// addRecovery sets the fields that describe a fault and the recovery from it.
 func (r *Result) addRecovery(fault *Fault, events []history.Event) {
 	r.RecoveryTime, r.HasRecovered = history.RecoveryTime(events, fault.Start, fault.Start+fault.Duration)
 	r.StoreCallRate, r.MaxStoreCalls = history.StoreLoadDuringFault(events, string(fault.Kind), faultSettlingTime)
--- a/lab/model/event_queue.go
+++ b/lab/model/event_queue.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// scheduledEvent is something that the simulation does at a time.
+// scheduledEvent is an event of the simulation that is still to come.
 type scheduledEvent struct {
-	at       time.Duration
-	sequence int // events at the same time happen in the order in which they were scheduled
-	do       func()
+	at       time.Duration // time of the event in the simulation
+	sequence int           // number in order of scheduling; events with the same time happen in this order
+	do       func()        // what the event does
 }
 
-// before reports whether the event happens before another one.
+// before reports whether e happens before other.
 func (e *scheduledEvent) before(other *scheduledEvent) bool {
 	if e.at != other.at {
 		return e.at < other.at
@@ -17,23 +17,23 @@
 	return e.sequence < other.sequence
 }
 
-// eventQueue holds the events to come, as a binary heap: an event is not after its children, which stand at twice its
-// index plus one and plus two.
+// eventQueue is a priority queue of events, ordered by time and then by the order of scheduling. It is a binary heap: the
+// children of index i are at 2i+1 and 2i+2, and no event is after its children.
 type eventQueue struct {
 	heap     []scheduledEvent
-	sequence int
+	sequence int // number of the event that was pushed last
 }
 
 func (q *eventQueue) empty() bool { return len(q.heap) == 0 }
 
-// push adds an event.
+// push adds an event that calls do at a time.
 func (q *eventQueue) push(at time.Duration, do func()) {
 	q.sequence++
 	q.heap = append(q.heap, scheduledEvent{at: at, sequence: q.sequence, do: do})
 	q.siftUp(len(q.heap) - 1)
 }
 
-// pop removes and returns the next event. There must be one.
+// pop removes and returns the earliest event. The queue must not be empty.
 func (q *eventQueue) pop() scheduledEvent {
 	next := q.heap[0]
 	last := len(q.heap) - 1
@@ -44,7 +44,7 @@
 	return next
 }
 
-// siftUp moves an event towards the root until its parent is not after it.
+// siftUp moves the event at index child towards the root until its parent is not after it.
 func (q *eventQueue) siftUp(child int) {
 	for child > 0 {
 		parent := (child - 1) / 2
@@ -56,10 +56,10 @@
 	}
 }
 
-// siftDown moves an event away from the root until its children are not before it.
+// siftDown moves the event at index parent away from the root until none of its children is before it.
 func (q *eventQueue) siftDown(parent int) {
 	for {
-		next := q.firstOf(parent, 2*parent+1, 2*parent+2)
+		next := q.earliest(parent, 2*parent+1, 2*parent+2)
 		if next == parent {
 			return
 		}
@@ -68,8 +68,8 @@
 	}
 }
 
-// firstOf returns the index of the first event among a parent and those of its children that exist.
-func (q *eventQueue) firstOf(parent, left, right int) int {
+// earliest returns the index of the earliest event among a parent and those of its children that exist.
+func (q *eventQueue) earliest(parent, left, right int) int {
 	first := parent
 	if left < len(q.heap) && q.heap[left].before(&q.heap[first]) {
 		first = left
--- a/lab/model/event_queue_test.go
+++ b/lab/model/event_queue_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Events must be popped by time, and in the order in which they were pushed within an instant, also where pushes and pops
-// alternate.
-func TestEventQueueOrder(t *testing.T) {
+// Guards against events that are popped out of order when pushes and pops alternate: events must come by time, and events
+// with the same time in the order in which they were pushed, or simulations are not reproducible.
+func TestEventQueuePopsByTimeThenPushOrder(t *testing.T) {
 	type event struct {
 		at     time.Duration
 		number int
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	var queue eventQueue
-	var pending []event // in the order in which they must be popped
+	var pending []event // sorted into the order in which they must be popped
 	for number := range 5000 {
 		pushed := event{at: time.Duration(random.IntN(100)), number: number}
 		queue.push(pushed.at, nil)
--- a/lab/model/faults.go
+++ b/lab/model/faults.go
@@ -6,6 +6,7 @@
 	"falldeal/lab/history"
 )
 
+// scheduleFaults schedules the start and the end of each fault of the options.
 func (s *Simulation) scheduleFaults() {
 	for i := range s.opts.Faults {
 		fault := &s.opts.Faults[i]
@@ -14,7 +15,7 @@
 	}
 }
 
-// setFault starts or ends a fault.
+// setFault starts a fault if active, and ends it otherwise.
 func (s *Simulation) setFault(fault *Fault, active bool) {
 	s.recordFault(fault, active)
 	for _, store := range s.affectedStores(fault) {
@@ -25,11 +26,12 @@
 			store.setSlow(active, fault.Factor)
 		case FaultZoneLost:
 			s.setZoneLost(store.zone, active)
-		case FaultBurst: // arrivalRate looks at it
+		case FaultBurst: // arrivalRate applies it
 		}
 	}
 }
 
+// recordFault records the start or the end of a fault.
 func (s *Simulation) recordFault(fault *Fault, active bool) {
 	event := history.Event{
 		Kind: history.FaultChanged, Detail: string(fault.Kind) + " zone " + strconv.Itoa(fault.Zone),
@@ -40,7 +42,7 @@
 	s.record(event)
 }
 
-// affectedStores returns the stores of the zones of a fault.
+// affectedStores returns the stores of the zones that a fault affects.
 func (s *Simulation) affectedStores(fault *Fault) (affected []*store) {
 	for zone, store := range s.stores {
 		if fault.affects(zone) {
@@ -50,7 +52,7 @@
 	return affected
 }
 
-// setZoneLost kills the servers of a zone, or starts them again.
+// setZoneLost kills the servers of a zone if lost, and otherwise restarts them.
 func (s *Simulation) setZoneLost(zone int, lost bool) {
 	for _, server := range s.servers {
 		switch {
--- a/lab/model/frontend.go
+++ b/lab/model/frontend.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	retryPause  = 20 * time.Millisecond // of a front end that found no server
-	registryLag = time.Second           // until the front ends' lists of servers show a start or an end
+	retryPause  = 20 * time.Millisecond // before a retry if no server could be tried
+	registryLag = time.Second           // until front ends see in the registry that a server has started or ended
 )
 
-// request is what a client asks for, over all its attempts.
+// request is a request of a client, over all its attempts.
 type request struct {
 	class      *clients.Class
-	classIndex int
-	work       time.Duration
-	rank       float64
+	classIndex int           // index of class in the options
+	work       time.Duration // processor time on a core of speed 1
+	rank       float64       // random number in [0, 1) that orders requests of equal value per second of work
 	createdAt  time.Duration
-	client     int // number of its front end
-	attempts   int
+	client     int // number of the front end
+	attempts   int // attempts sent so far
 }
 
 func (r *request) deadline() time.Duration { return r.createdAt + r.class.Timeout }
 
-// frontEnd sends requests to servers round robin, and retries until the request's deadline.
+// frontEnd sends requests to the servers in round-robin order, and retries a request until its deadline.
 type frontEnd struct {
 	sim             *Simulation
 	number          int
 	honorRetryAfter bool
 	rand            *rand.Rand
-	servers         []int                 // by number, in the order in which they are tried
-	next            int                   // counts the entries of servers that were looked at
-	avoidUntil      map[int]time.Duration // by number of the server, as its Retry-After asked
+	servers         []int                 // numbers of all servers, in the order in which they are tried
+	nextIndex       int                   // index in servers, modulo their number, at which the next search starts
+	avoidUntil      map[int]time.Duration // by server number: until when Retry-After asks not to use it
 }
 
 func newFrontEnd(sim *Simulation, number int) *frontEnd {
@@ -47,7 +47,8 @@
 	}
 }
 
-// scheduleArrival schedules the first arrival after from. Each arrival schedules the next one.
+// scheduleArrival schedules the first arrival after from, unless that is past the end of the load. Arrivals are a Poisson
+// process at the rate that holds when an arrival is scheduled. Each arrival schedules the next one.
 func (f *frontEnd) scheduleArrival(from time.Duration) {
 	mean := float64(f.sim.opts.FrontEnds) / f.sim.arrivalRate()
 	at := from + time.Duration(f.rand.ExpFloat64()*mean*float64(time.Second))
@@ -60,6 +61,7 @@
 	})
 }
 
+// newRequest draws a request.
 func (f *frontEnd) newRequest() *request {
 	classIndex := clients.DrawClass(f.sim.opts.Classes, f.rand)
 	class := &f.sim.opts.Classes[classIndex]
@@ -70,31 +72,33 @@
 	}
 }
 
-// registered reports whether this front end's list has a server as healthy.
-func (f *frontEnd) registered(server *server) bool {
+// isListed reports whether the registry, as this front end sees it, lists a server as healthy.
+func (f *frontEnd) isListed(server *server) bool {
 	if f.sim.now-server.upChangedAt < registryLag {
-		return !server.up // as before the change
+		return !server.up // still listed as before the change
 	}
 	return server.up && server.healthy
 }
 
-// nextServer returns the next server that may be tried, or nil.
+// nextServer returns the next server in round-robin order that is listed and not avoided, or nil if there is none.
 func (f *frontEnd) nextServer() *server {
 	for range f.servers {
-		server := f.sim.servers[f.servers[f.next%len(f.servers)]]
-		f.next++
-		if f.registered(server) && !f.avoids(server) {
+		server := f.sim.servers[f.servers[f.nextIndex%len(f.servers)]]
+		f.nextIndex++
+		if f.isListed(server) && !f.avoids(server) {
 			return server
 		}
 	}
 	return nil
 }
 
+// avoids reports whether the front end honors a Retry-After of the server that has not expired.
 func (f *frontEnd) avoids(server *server) bool {
 	return f.honorRetryAfter && f.avoidUntil[server.number] > f.sim.now
 }
 
-// send sends an attempt of a request to the next server.
+// send sends an attempt of a request to the next server. It retries after retryPause if there is no server to try, or if
+// the server is down.
 func (f *frontEnd) send(request *request) {
 	server := f.nextServer()
 	if server == nil {
@@ -111,7 +115,8 @@
 	})
 }
 
-// submit has a server receive an attempt, and waits for the response until shortly after the deadline.
+// submit has a server receive an attempt, and waits for the response until answerGrace after the deadline. Then the
+// request is recorded as abandoned.
 func (f *frontEnd) submit(request *request, server *server) {
 	waiting := true
 	f.sim.schedule(request.deadline()+answerGrace, func() {
@@ -130,13 +135,14 @@
 	})
 }
 
+// handleResponse completes or retries a request after the response to its last attempt.
 func (f *frontEnd) handleResponse(request *request, server *server, response response) {
 	switch {
 	case response.outcome == history.OutcomeServed && f.sim.now-request.createdAt <= request.class.LatencyObjective:
 		f.complete(request, history.OutcomeServed, request.class.ValueServed(response.degraded))
 	case response.outcome == history.OutcomeServed:
 		f.complete(request, history.OutcomeLate, 0)
-	case f.final(request, response):
+	case f.isFinal(request, response):
 		f.complete(request, response.outcome, 0)
 	default:
 		if response.retryAfter > 0 && f.honorRetryAfter {
@@ -146,8 +152,9 @@
 	}
 }
 
-// final reports whether a request that was not served is not tried again.
-func (f *frontEnd) final(request *request, response response) bool {
+// isFinal reports whether a request that was not served must not be retried: because a server has asked for that, because it
+// must run once at most and may have run, or because its deadline has passed.
+func (f *frontEnd) isFinal(request *request, response response) bool {
 	mayHaveRun := response.outcome != history.OutcomeRejected
 	switch {
 	case response.noRetryElsewhere && f.honorRetryAfter:
@@ -159,7 +166,7 @@
 	}
 }
 
-// retry sends a request again after a pause, unless its deadline has passed by then.
+// retry sends a request again after a pause. If its deadline has passed by then, the request is recorded as rejected.
 func (f *frontEnd) retry(request *request, pause time.Duration) {
 	f.sim.schedule(f.sim.now+pause, func() {
 		if f.sim.now < request.deadline() {
@@ -170,7 +177,7 @@
 	})
 }
 
-// complete records the end of a request.
+// complete records the outcome of a request and the value served.
 func (f *frontEnd) complete(request *request, outcome history.Outcome, valueServed float64) {
 	f.sim.record(history.Event{
 		Kind: history.RequestCompleted, Class: request.class.Name, Client: f.number,
--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -7,30 +7,31 @@
 	"falldeal/internal/fleet"
 )
 
-// The membership is modelled as updates that reach all servers at once, some time after they were published.
+// Membership is modelled without single gossip messages: an update reaches all servers at the same time, gossipDelay after it
+// was published.
 const (
-	gossipHopTime        = 200 * time.Millisecond // between two gossip messages
-	gossipReach          = 4                      // after a hop, servers that know an update for each one that did before
-	failureDetectionTime = 4 * time.Second        // until the others see that a server is down
-	aggregateInterval    = time.Second            // between the updates of a server that publishes an aggregate
-	publishTolerance     = time.Millisecond       // by which an interval may be short, as ticks are
-	processNumberBits    = 32                     // of a process's run that hold the number of its server
+	gossipHopTime        = 200 * time.Millisecond // interval of gossip messages, and so the time of one hop
+	gossipReach          = 4                      // factor by which a hop multiplies the servers that know an update
+	failureDetectionTime = 4 * time.Second        // from the end of a process until other servers see it as failed
+	aggregateInterval    = time.Second            // interval of updates of a server that publishes the aggregate of its zone
+	publishTolerance     = time.Millisecond       // by which the interval between two updates may be shorter than required
+	processNumberBits    = 32                     // low bits of a run ID that hold the number of the server plus one
 )
 
 // update is a record that a server has published.
 type update struct {
-	at     time.Duration
+	at     time.Duration // when it was published
 	record fleet.Record
 }
 
-// publisher publishes the records of one server.
+// publisher holds the records that one server has published. Other servers read them from here.
 type publisher struct {
-	updates     []update // the newest that has reached the others, and those after it
-	publishedAt time.Duration
-	sequence    uint64 // of the last record
+	updates     []update      // in order of time: the newest that has reached other servers, and those after it
+	publishedAt time.Duration // time of the last update
+	sequence    uint64        // sequence number of the last record
 }
 
-// publish adds a record to the updates.
+// publish publishes a record under the next sequence number, which it sets in the record.
 func (p *publisher) publish(now time.Duration, record *fleet.Record) {
 	p.sequence++
 	record.Seq = p.sequence
@@ -38,7 +39,7 @@
 	p.updates = append(p.updates, update{at: now, record: *record})
 }
 
-// last returns the newest record, or nil where there is none.
+// last returns the newest record, or nil if there is none.
 func (p *publisher) last() *fleet.Record {
 	if len(p.updates) == 0 {
 		return nil
@@ -46,8 +47,8 @@
 	return &p.updates[len(p.updates)-1].record
 }
 
-// newestAsOf returns the newest update that was published by a time, or nil. It drops older ones, so that times must
-// not decrease.
+// newestAsOf returns the newest update published at or before a time, or nil if there is none. It drops older updates;
+// therefore the times of successive calls must not decrease.
 func (p *publisher) newestAsOf(published time.Duration) *update {
 	for len(p.updates) > 1 && p.updates[1].at <= published {
 		p.updates = p.updates[1:]
@@ -58,12 +59,13 @@
 	return &p.updates[0]
 }
 
-// gossipDelay returns how long an update takes to reach n servers.
+// gossipDelay returns how long an update takes to reach n servers: a number of hops that is logarithmic in n.
 func gossipDelay(n int) time.Duration {
 	return gossipHopTime * time.Duration(1+math.Ceil(math.Log(float64(n))/math.Log(gossipReach)))
 }
 
-// refreshSnapshot builds the snapshot that all servers share, from the updates old enough to have reached them.
+// refreshSnapshot rebuilds the snapshot that all servers share, from the updates that are old enough to have reached them. It
+// schedules the next refresh after snapshotInterval.
 func (s *Simulation) refreshSnapshot() {
 	n := len(s.servers)
 	published := s.now - gossipDelay(n)
@@ -77,12 +79,13 @@
 	s.schedule(s.now+snapshotInterval, s.refreshSnapshot)
 }
 
-// serverOf returns the server of a process.
+// serverOf returns the server of the process with a run ID.
 func (s *Simulation) serverOf(run uint64) *server {
 	return s.servers[int(run&(1<<processNumberBits-1))-1]
 }
 
-// send has a server handle a message from another, unless its process has ended by then.
+// send delivers a message to the process with a run ID after networkDelay, by calling handle. The message is lost if the
+// process has ended by then.
 func (s *Simulation) send(run uint64, handle func(to *server)) {
 	to := s.serverOf(run)
 	s.schedule(s.now+networkDelay, func() {
@@ -92,10 +95,11 @@
 	})
 }
 
-// processRun identifies the process of a server in the fleet.
+// processRun returns the run ID of the server's present process, which is unique in the fleet.
 func (s *server) processRun() uint64 { return s.starts<<processNumberBits | uint64(s.number+1) }
 
-// memberAsOf returns what the others know of the server from updates published by a time. Older ones are dropped.
+// memberAsOf returns the server as other servers see it by the updates published at or before a time. Older updates are
+// dropped.
 func (s *server) memberAsOf(published time.Duration) fleet.Member {
 	member := fleet.Member{
 		Record:   &fleet.Record{Name: s.name, Zone: zoneName(s.zone), Run: s.starts + 1},
@@ -112,7 +116,8 @@
 	return member
 }
 
-// withSnapshot calls use with the shared snapshot, in which this server is marked as the observer meanwhile.
+// withSnapshot calls use with the shared snapshot as this server sees it: marked as the observer and, unless the snapshot has
+// the present process as alive, with its current record. The shared snapshot is restored afterwards.
 func (s *server) withSnapshot(use func(snapshot *fleet.Snapshot)) {
 	snapshot := s.sim.snapshot
 	self := &snapshot.Members[s.number]
@@ -127,12 +132,14 @@
 	*self = shared
 }
 
+// currentRecord returns the record that describes the present process, without a sequence number.
 func (s *server) currentRecord() *fleet.Record {
 	record := &fleet.Record{Name: s.name, Run: s.processRun(), Zone: zoneName(s.zone), State: fleet.Serving}
 	s.addToLoad(&record.Load)
 	return record
 }
 
+// addToLoad adds the load of the present process to what it publishes.
 func (s *server) addToLoad(load *fleet.Load) {
 	load.Capacity = float64(s.sim.opts.Cores)
 	load.Utilization = s.cores.Utilization()
@@ -147,7 +154,7 @@
 	}
 }
 
-// publish publishes the server's record, at once where it is urgent and else as often as the size of the fleet allows.
+// publish publishes the current record if shouldPublish allows it.
 func (s *server) publish() {
 	record := s.currentRecord()
 	if s.shouldPublish(record) {
@@ -155,7 +162,8 @@
 	}
 }
 
-// shouldPublish reports whether a record may be published now: the interval is over, or it is urgent.
+// shouldPublish reports whether a record may be published now: it is the first one, the interval for the size of the fleet has
+// passed since the last one, or it has an urgent change.
 func (s *server) shouldPublish(record *fleet.Record) bool {
 	last := s.publisher.last()
 	if last == nil {
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// optionsWithFault returns options with one fault of 6 s.
+// optionsWithFault returns options for a simulation of 36 s with one fault, from 8 s to 14 s.
 func optionsWithFault(servers int, loadRatio, honorRetryAfterRatio float64, fault Fault) Options {
 	opts := Defaults()
 	fault.Start, fault.Duration = 8*time.Second, 6*time.Second
@@ -18,10 +18,11 @@
 	return opts
 }
 
-// The same seed must give the same history, event for event: otherwise no finding could be reproduced.
+// Guards against sources of randomness other than the seed, such as the order of a map: without equal histories for equal
+// seeds, no result can be reproduced.
 func TestSameSeedGivesSameHistory(t *testing.T) {
 	opts := optionsWithFault(60, 0.9, 0.5, Fault{Kind: FaultZoneLost, Zone: 1})
-	Strategies[3].Set(&opts)
+	Strategies[3].Configure(&opts)
 	first := Run(opts)
 	require.Greater(t, len(first), 10000)
 	require.Equal(t, first, Run(opts))
@@ -29,8 +30,9 @@
 	require.NotEqual(t, first, Run(opts))
 }
 
-// After a fault a fleet must recover by itself, whatever clients do: retries that cost more to read than the work they ask
-// for must not keep it down. And with no seed may it serve clearly less than servers that know nothing of each other.
+// Guards against metastable overload: after a fault, the cost of reading retries alone can keep a fleet overloaded. With
+// every strategy but the baseline the fleet must recover by itself, whether or not clients honor Retry-After. For no seed
+// may it serve clearly less value than the baseline, whose servers know nothing of each other.
 func TestServiceRecoversAfterFault(t *testing.T) {
 	const seeds = 3
 	for name, opts := range map[string]Options{
@@ -51,7 +53,8 @@
 	}
 }
 
-// requireRecovery checks the result of a strategy against that of the baseline with the same seed.
+// requireRecovery requires that a simulation recovered and, within a tolerance, served at least as much value as the baseline
+// with the same seed.
 func requireRecovery(t *testing.T, name string, result, baseline *Result) {
 	t.Helper()
 	if result.Strategy == StrategyOff {
@@ -60,7 +63,7 @@
 	require.True(t, result.HasRecovered, "%s: %+v", name, result)
 	tolerance := 0.02
 	if result.Strategy == StrategySheddingAndProbes {
-		tolerance = 0.04 // fewer calls at an unresponsive store cost some value in so small a fleet: docs/probes.md
+		tolerance = 0.04 // with so few servers, fewer calls at an unresponsive store cost some value: docs/probes.md
 	}
 	require.Greater(t, result.ValueRatio, baseline.ValueRatio-tolerance, "%s: %+v", name, result)
 }
--- a/lab/model/options.go
+++ b/lab/model/options.go
@@ -7,54 +7,54 @@
 	"falldeal/lab/workerpool"
 )
 
-// Options describe the fleet, its load and its faults.
+// Options describe a simulation: the fleet, its load, its faults and its strategy. Ratios are fractions of 1.
 type Options struct {
-	Servers, Zones, FrontEnds   int
-	Seed                        uint64
-	LoadRatio                   float64 // of Capacity
-	Duration                    time.Duration
-	Cores                       int     // of each server; every second server has slower ones
-	SlotsPerServer              float64 // of the store of its zone
-	CallTime                    time.Duration
-	WarmupTime                  time.Duration // of a server or a store after a restart
+	Servers, Zones, FrontEnds   int           // numbers of them; servers are assigned to zones round robin
+	Seed                        uint64        // of all random draws
+	LoadRatio                   float64       // arrival rate after the ramp, as a ratio of Capacity
+	Duration                    time.Duration // time during which requests arrive
+	Cores                       int           // cores of each server; every second server has slower ones
+	SlotsPerServer              float64       // slots of a zone's store for each server of the zone
+	CallTime                    time.Duration // work of a call, on one slot of a store at full speed
+	WarmupTime                  time.Duration // until a server or a store is at full speed after a restart
 	StoreCrashMultiple          float64       // a warm store crashes under more calls in flight than this multiple of its slots
-	HonorRetryAfterRatio        float64       // ratio of the front ends that honor Retry-After
+	HonorRetryAfterRatio        float64       // probability that a front end honors Retry-After
 	Classes                     []clients.Class
-	Shedding, CoordinatedProbes bool
+	Shedding, CoordinatedProbes bool // whether the fleet sheds load together, and coordinates probes of unresponsive stores
 	Aggregates                  bool // a large fleet exchanges aggregates of zones; otherwise servers use each other's records
 	Faults                      []Fault
 }
 
-// FaultKind names what a Fault does. The names stand in histories and on the command line.
+// FaultKind is the kind of a Fault. Its text is used in histories and on the command line.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	FaultStoresUnresponsive FaultKind = "mute"  // stores answer nothing, and are restarted at the end
-	FaultZoneLost           FaultKind = "lost"  // the servers of a zone are killed, and restarted at the end
-	FaultStoresSlow         FaultKind = "slow"  // calls take Factor times as long
-	FaultBurst              FaultKind = "burst" // Factor times the load
+	FaultStoresUnresponsive FaultKind = "mute"  // stores accept calls without answering them, and restart when the fault ends
+	FaultZoneLost           FaultKind = "lost"  // the servers of a zone are killed, and restart when the fault ends
+	FaultStoresSlow         FaultKind = "slow"  // calls to stores take Factor times as long
+	FaultBurst              FaultKind = "burst" // requests arrive at Factor times the rate, in all zones
 )
 
-// AllZones as the Zone of a Fault stands for every zone.
+// AllZones is the Zone of a Fault that affects every zone.
 const AllZones = -1
 
-// Fault is something that goes wrong from Start on, for Duration.
+// Fault is a fault that is injected at Start and ends after Duration.
 type Fault struct {
 	Kind            FaultKind
-	Zone            int // or AllZones
-	Start, Duration time.Duration
-	Factor          float64 // FaultStoresSlow, FaultBurst
+	Zone            int           // number of the affected zone, or AllZones
+	Start, Duration time.Duration // Start is on the clock of the simulation
+	Factor          float64       // of the call time for FaultStoresSlow, of the arrival rate for FaultBurst; unused by other kinds
 }
 
-// active reports whether the fault is in force at a time.
+// active reports whether the fault is active at a time.
 func (f *Fault) active(now time.Duration) bool { return now >= f.Start && now < f.Start+f.Duration }
 
-// affects reports whether the fault is one of the stores or servers of zone.
+// affects reports whether the fault affects a zone.
 func (f *Fault) affects(zone int) bool { return f.Zone == AllZones || f.Zone == zone }
 
-// Classes are the request classes of the laboratory with four times the work, so that a server with four cores gets about
-// twelve requests a second.
+// Classes are the default request classes: those of the laboratory with four times the work, so that a server with four
+// cores receives about twelve requests per second.
 var Classes = []clients.Class{
 	{
 		Name: "preview", ArrivalRatio: 0.6, MeanWork: 160 * time.Millisecond,
@@ -76,7 +76,7 @@
 // classWithoutCalls is the class whose requests need no call to the store.
 const classWithoutCalls = "hires-crop"
 
-// Defaults returns the options of a small fleet without faults.
+// Defaults returns options for a small fleet without faults. Its strategy is the baseline.
 func Defaults() Options {
 	return Options{
 		Servers: 12, Zones: 3, FrontEnds: 24, Seed: 1, LoadRatio: 0.8, Duration: 40 * time.Second,
@@ -85,8 +85,8 @@
 	}
 }
 
-// Capacity returns how many requests a second the fleet can read and run.
+// Capacity returns how many requests per second the fleet can read and run.
 func Capacity(opts Options) float64 { return clients.Capacity(TotalCores(opts), opts.Classes) }
 
-// TotalCores returns the work that the fleet can do in a second, in seconds on a fast core.
+// TotalCores returns the processing capacity of the fleet, as a number of cores of speed 1.
 func TotalCores(opts Options) float64 { return workerpool.TotalCores(opts.Servers, opts.Cores) }
--- a/lab/model/probing.go
+++ b/lab/model/probing.go
@@ -5,9 +5,12 @@
 	"falldeal/internal/overload"
 )
 
-// modelStoreID stands for the store in the coordination of probes: all zones use the same one.
+// modelStoreID is the store ID that all servers pass to the probe coordinator. Coordination groups servers by zone as well, so
+// that each zone still has a store of its own.
 const modelStoreID = 7
 
+// startProbes starts the coordination of probes for a new process, if the options ask for it. Until the coordinator limits
+// them, calls are unlimited.
 func (s *server) startProbes() {
 	s.callAllowance = overload.AllowUnlimited
 	if !s.sim.opts.CoordinatedProbes {
@@ -17,7 +20,7 @@
 	s.every(coordinationInterval, s.updateProbes)
 }
 
-// updateProbes applies the allowance of the probe coordinator, and publishes a change of the store's state.
+// updateProbes applies the call allowance that the probe coordinator decides on, and publishes a change of the store's state.
 func (s *server) updateProbes() {
 	stateBefore := s.probes.State()
 	var allowance overload.CallAllowance
@@ -30,6 +33,7 @@
 	}
 }
 
+// setCallAllowance configures the controller for a call allowance, if that has changed.
 func (s *server) setCallAllowance(allowance overload.CallAllowance) {
 	if allowance == s.callAllowance {
 		return
@@ -41,6 +45,6 @@
 		settings.MaxCallsInFlight = min(settings.MaxCallsInFlight, 1)
 	}
 	if err := s.controller.Reconfigure(settings); err != nil {
-		panic(err) // the settings are this package's own
+		panic(err) // unreachable: admissionSettings returns valid settings
 	}
 }
--- a/lab/model/processing.go
+++ b/lab/model/processing.go
@@ -7,10 +7,11 @@
 	"falldeal/lab/history"
 )
 
-// requestMemoryKB is the memory of a request before it runs.
+// requestMemoryKB is the memory that a request occupies before it runs, in KB.
 const requestMemoryKB = 24
 
-// receive accepts an attempt of a request. The cores read it before the controller decides on it.
+// receive accepts an attempt of a request. The controller decides on it once the cores have read it. The response is passed
+// to answer.
 func (s *server) receive(request *request, deadline time.Duration, answer func(response)) {
 	s.lastAttempt++
 	attempt := &attempt{
@@ -23,7 +24,7 @@
 	s.cores.scheduleCompletion()
 }
 
-// collectCompleted takes what was read and what has run from the cores.
+// collectCompleted advances the cores to the present. It submits attempts that were read, and finishes those that have run.
 func (s *server) collectCompleted() {
 	for _, name := range s.cores.Advance(s.sim.now) {
 		attempt := s.cores.take(name)
@@ -36,7 +37,7 @@
 	}
 }
 
-// submit passes an attempt that was read to the controller.
+// submit passes an attempt that was read to the controller. It fails an attempt whose deadline has passed.
 func (s *server) submit(attempt *attempt) {
 	attempt.state = attemptQueued
 	if s.sim.now >= attempt.deadline {
@@ -55,7 +56,7 @@
 	s.enqueue(admission.RequestArrived(attempt.id, arrival))
 }
 
-// admit begins the run of an attempt, with its call to the store if it needs one.
+// admit starts the run of an attempt, which begins with the call to the store if its class needs one.
 func (s *server) admit(attempt *attempt) {
 	attempt.admittedAt = s.sim.now
 	if !s.sim.settings.Classes[attempt.request.classIndex].CallsDependency {
@@ -66,16 +67,16 @@
 	s.enqueue(admission.CallNeeded(attempt.id))
 }
 
-// run has the cores work on an attempt.
+// run starts the work of an attempt on the cores.
 func (s *server) run(attempt *attempt) {
 	attempt.state = attemptRunning
 	s.cores.run(attempt)
 }
 
-// finish ends the run of an attempt.
+// finish ends the run of an attempt with an outcome, and answers it.
 func (s *server) finish(attempt *attempt, outcome admission.Outcome) {
 	delete(s.attempts, attempt.id)
-	attempt.dropCall()
+	attempt.abandonCall()
 	s.enqueue(admission.RunCompleted(attempt.id, admission.Completion{
 		Outcome: outcome, Duration: s.sim.now - attempt.admittedAt,
 	}))
@@ -86,7 +87,7 @@
 	}
 }
 
-// callEnded handles the end of an attempt's call.
+// callEnded handles the end of an attempt's call. After a success the run continues on the cores.
 func (s *server) callEnded(attempt *attempt, outcome admission.Outcome) {
 	if !s.up || s.attempts[attempt.id] != attempt {
 		return
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -16,34 +16,34 @@
 	sim          *Simulation
 	number, zone int
 	name         string
-	starts       uint64 // of its process so far
-	up           bool
-	upChangedAt  time.Duration
-	publisher    publisher           // of its records, also of those of earlier processes
-	lastAttempt  admission.RequestID // of all processes
+	starts       uint64              // number of processes started so far
+	up           bool                // whether a process runs
+	upChangedAt  time.Duration       // time of the last start or kill
+	publisher    publisher           // records that its processes have published
+	lastAttempt  admission.RequestID // ID of the newest attempt, over all processes
 
-	process // the one that runs now, or the last one
+	process // the process that runs, or else the last one
 }
 
-// process is one process of a server, with its agent.
+// process is the state of one process of a server, and of its agent.
 type process struct {
 	controller    *admission.Controller
-	healthy       bool // as the controller reports it
-	pendingEvents []admission.Event
-	stepScheduled bool
-	actions       []admission.Action // reused from step to step
-	attempts      map[admission.RequestID]*attempt
+	healthy       bool                             // answer to health checks, as the controller decides it
+	pendingEvents []admission.Event                // events for the next step of the controller
+	stepScheduled bool                             // a step is scheduled for the end of this instant
+	actions       []admission.Action               // buffer reused by all steps
+	attempts      map[admission.RequestID]*attempt // received attempts that are not finished
 	cores         *agentCores
-	shedding      *shedding                  // nil where it is off
-	probes        *overload.ProbeCoordinator // nil where they are not coordinated
-	callAllowance overload.CallAllowance     // in force at the controller
+	shedding      *shedding                  // nil if load is not shed by the fleet
+	probes        *overload.ProbeCoordinator // nil if probes are not coordinated
+	callAllowance overload.CallAllowance     // allowance that the controller is configured for
 }
 
 func newServer(sim *Simulation, number int) *server {
 	return &server{sim: sim, number: number, zone: number % sim.opts.Zones, name: fmt.Sprintf("n%05d", number)}
 }
 
-// start starts a process.
+// start starts a new process. With warmingUp its agent starts slow.
 func (s *server) start(warmingUp bool) {
 	s.starts++
 	s.up = true
@@ -52,7 +52,7 @@
 	settings.WarmingUp = warmingUp
 	controller, err := admission.New(settings, s.sim.opts.Seed+uint64(s.number), s.sim.now)
 	if err != nil {
-		panic(err) // the settings are this package's own
+		panic(err) // unreachable: admissionSettings returns valid settings
 	}
 	s.process = process{
 		controller: controller,
@@ -66,20 +66,20 @@
 	s.step()
 }
 
-// kill ends the process: calls are dropped and connections lost.
+// kill ends the process without notice: its calls are abandoned, and its attempts are lost with their connections.
 func (s *server) kill() {
 	s.up = false
 	s.upChangedAt = s.sim.now
 	for _, attempt := range s.attempts {
-		attempt.dropCall()
+		attempt.abandonCall()
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.attempts)) { // the order of a map would differ from run to run
+	for _, id := range slices.Sorted(maps.Keys(s.attempts)) { // sorted: the order of a map is not reproducible
 		s.attempts[id].respond(response{outcome: history.OutcomeLost})
 	}
 	s.attempts = nil
 }
 
-// schedule calls do at a time if the present process still runs then.
+// schedule calls do at a time, if the present process still runs then.
 func (s *server) schedule(at time.Duration, do func()) {
 	starts := s.starts
 	s.sim.schedule(at, func() {
@@ -89,7 +89,7 @@
 	})
 }
 
-// every calls do at an interval while the process runs, first at a random time within one interval.
+// every calls do periodically while the present process runs, first at a random time within one interval.
 func (s *server) every(interval time.Duration, do func()) {
 	var next func()
 	next = func() {
@@ -99,7 +99,7 @@
 	s.schedule(s.sim.now+s.sim.randomDelay(interval), next)
 }
 
-// enqueue passes an event to the controller at the end of this instant.
+// enqueue queues an event for the controller, which gets all events of an instant in one step at its end.
 func (s *server) enqueue(event admission.Event) {
 	s.pendingEvents = append(s.pendingEvents, event)
 	if !s.stepScheduled {
@@ -108,7 +108,7 @@
 	}
 }
 
-// step has the controller decide on the pending events.
+// step passes the pending events to the controller and performs the actions that it returns.
 func (s *server) step() {
 	s.stepScheduled = false
 	events := s.pendingEvents
--- a/lab/model/settings.go
+++ b/lab/model/settings.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	answerGrace              = 100 * time.Millisecond // after a deadline, for an answer under way
+	answerGrace              = 100 * time.Millisecond // after a deadline, for an answer that is in transit
 	defaultIdempotencyWindow = 5 * time.Second
 	idempotencyWindowByKey   = 17457 * time.Millisecond
 )
 
-// admissionSettings are those of the controller of every server.
+// admissionSettings returns the settings of the controllers, which are the same for all servers.
 func admissionSettings(opts *Options) admission.Settings {
 	settings := admission.Settings{
 		Cores: opts.Cores, FleetSize: opts.Servers, Clients: opts.FrontEnds,
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -8,14 +8,15 @@
 	"falldeal/internal/overload"
 )
 
-// shedding is the part of a server that sheds load together with the fleet.
+// shedding holds what a process needs to shed load by the threshold of the whole fleet.
 type shedding struct {
 	shedder   overload.Shedder
 	ages      *overload.AgeEstimator
 	retries   *overload.RetryCounter
-	collector *overload.Collector // of the aggregates of zones
+	collector *overload.Collector // collects the aggregate of the zone if this process is a collector
 }
 
+// startShedding starts shedding for a new process, if the options ask for it.
 func (s *server) startShedding() {
 	if !s.sim.opts.Shedding {
 		return
@@ -32,7 +33,8 @@
 	return overload.ProcessID{Name: s.name, Run: s.processRun()}
 }
 
-// classify adds the fleet's view of an attempt to its arrival at the controller.
+// classify sets the fields of an arrival that depend on the rest of the fleet: its rank, the time since the first attempt, and
+// the jitter of Retry-After. It also counts the attempt.
 func (s *shedding) classify(now time.Duration, attempt *attempt, arrival *admission.Arrival) {
 	request := attempt.request
 	name := request.class.Name
@@ -44,14 +46,14 @@
 	arrival.RetryJitter = s.shedder.RetryJitter(attempt.fingerprint)
 }
 
-// addToLoad adds what other servers need to find the threshold.
+// addToLoad adds what other servers need to compute the threshold to the published load.
 func (s *shedding) addToLoad(load *fleet.Load) {
 	s.shedder.AddToLoad(load)
 	s.retries.AddToLoad(load)
 	s.collector.AddToLoad(load)
 }
 
-// updateShedding updates the threshold and exchanges retries and aggregates with the other servers.
+// updateShedding recomputes the threshold, and sends reports of attempts and the aggregate of this server to other servers.
 func (s *server) updateShedding() {
 	s.collectCompleted()
 	retries := s.shedding.retries
@@ -73,6 +75,7 @@
 	s.cores.scheduleCompletion()
 }
 
+// sendAggregate sends the load of this server to the collectors of its zone.
 func (s *server) sendAggregate(snapshot *fleet.Snapshot) {
 	var load fleet.Load
 	s.addToLoad(&load)
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -11,38 +11,42 @@
 	"falldeal/lab/history"
 )
 
-// Times and random streams of the model.
+// Times of the model.
 const (
-	networkDelay         = time.Millisecond // from a front end to a server, between servers, and back
-	loadRampTime         = 5 * time.Second  // until the load is at its full rate, so that the controllers can learn before
-	initialLoadRatio     = 0.2
+	networkDelay         = time.Millisecond       // one way between any two of front ends, servers and stores
+	loadRampTime         = 5 * time.Second        // until the load is at its full rate; gives the controllers time to learn
+	initialLoadRatio     = 0.2                    // load at time 0, as a ratio of the full rate
 	startSpread          = 100 * time.Millisecond // within which the servers start
-	firstArrivalsAt      = 500 * time.Millisecond
-	completionGrace      = 10 * time.Second // after the last arrival
-	sheddingInterval     = 500 * time.Millisecond
-	snapshotInterval     = sheddingInterval / 2
-	coordinationInterval = 250 * time.Millisecond
-	publishInterval      = time.Second
+	firstArrivalsAt      = 500 * time.Millisecond // no request arrives earlier
+	completionGrace      = 10 * time.Second       // simulated after Options.Duration, for requests to complete
+	sheddingInterval     = 500 * time.Millisecond // of updates of the shedding threshold
+	snapshotInterval     = sheddingInterval / 2   // of updates of the shared snapshot
+	coordinationInterval = 250 * time.Millisecond // of updates of the probe coordinators
+	publishInterval      = time.Second            // of a server's checks whether to publish its record
+)
+
+// Random streams, which give each user of randomness a sequence of its own for the same seed.
+const (
 	simulationRandStream = 11
-	frontEndRandStream   = 100 // of the first front end
+	frontEndRandStream   = 100 // stream of the first front end; the following ones have the numbers after it
 )
 
-// Simulation is one run of the model. It belongs to one goroutine.
+// Simulation is one run of the model. It must be used by one goroutine only.
 type Simulation struct {
 	opts      Options
-	settings  admission.Settings // of every controller
-	readWork  time.Duration      // of one attempt
-	now       time.Duration
+	settings  admission.Settings // settings of every controller
+	readWork  time.Duration      // work of reading one attempt, on a core of speed 1
+	now       time.Duration      // time of the event that is being processed
 	queue     eventQueue
 	rand      *rand.Rand
 	servers   []*server
 	stores    []*store // by zone
 	frontEnds []*frontEnd
-	snapshot  *fleet.Snapshot // the records that have reached all servers
-	events    []history.Event
+	snapshot  *fleet.Snapshot // membership as all servers see it
+	events    []history.Event // history so far
 }
 
-// Run simulates a fleet and returns the history.
+// Run simulates a fleet until opts.Duration and completionGrace have passed, and returns the history.
 func Run(opts Options) []history.Event {
 	sim := &Simulation{
 		opts: opts, settings: admissionSettings(&opts),
@@ -85,21 +89,21 @@
 	}
 }
 
-// schedule calls do at a time, or at once if that has passed.
+// schedule schedules a call of do at a time, or at the present time if that has passed.
 func (s *Simulation) schedule(at time.Duration, do func()) { s.queue.push(max(at, s.now), do) }
 
-// randomDelay draws a time below limit.
+// randomDelay draws a duration that is at least 0 and less than limit.
 func (s *Simulation) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(s.rand.Int64N(int64(limit)))
 }
 
-// record appends an event to the history.
+// record appends an event to the history, with the present time.
 func (s *Simulation) record(event history.Event) {
 	event.At = s.now
 	s.events = append(s.events, event)
 }
 
-// arrivalRate returns how many requests a second arrive now.
+// arrivalRate returns the present arrival rate of the fleet, in requests per second.
 func (s *Simulation) arrivalRate() float64 {
 	ramp := min(initialLoadRatio+(1-initialLoadRatio)*float64(s.now)/float64(loadRampTime), 1)
 	rate := s.opts.LoadRatio * Capacity(s.opts) * ramp
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -9,11 +9,11 @@
 	"falldeal/lab/workerpool"
 )
 
-// A store crashes when it has had too many calls in flight for some time, is down for a while, and warms up after that.
+// A store crashes after it has had too many calls in flight for crashTolerance. It is down for crashDowntime and then warms up.
 const (
 	crashTolerance        = time.Second
 	crashDowntime         = 3 * time.Second
-	storeWarmupStartRatio = 0.1
+	storeWarmupStartRatio = 0.1 // speed and crash limit right after a restart, as a ratio of those of a warm store
 )
 
 // store is the store of one zone.
@@ -21,29 +21,30 @@
 	sim          *Simulation
 	zone         int
 	slotCount    int
-	slots        *scheduledPool
+	slots        *scheduledPool // process the calls
 	crash        workerpool.CrashModel
-	startedAt    time.Duration
-	unresponsive bool
-	calls        map[string]*call // in slots, by ID
-	unanswered   int              // calls in flight since the store was unresponsive
-	lastCall     int
+	startedAt    time.Duration    // start of the last warm-up
+	unresponsive bool             // accepts calls without answering them
+	calls        map[string]*call // calls in slots, by ID
+	unanswered   int              // calls in flight that began while the store was unresponsive
+	lastCall     int              // number of the newest call; its decimal form is the ID
 }
 
 // call is one call of a server to a store.
 type call struct {
-	store   *store
-	id      string
-	server  *server
-	attempt *attempt
-	ended   bool // its outcome is on its way to the server
-	dropped bool // the server has abandoned it
+	store     *store
+	id        string
+	server    *server
+	attempt   *attempt
+	ended     bool // its outcome was sent to the server
+	abandoned bool // the server no longer waits for the outcome
 }
 
+// newStore returns the store of a zone, which is warm at the start of the simulation.
 func newStore(sim *Simulation, zone int) *store {
 	serversOfZone := (sim.opts.Servers + sim.opts.Zones - 1 - zone) / sim.opts.Zones
 	slotCount := max(int(sim.opts.SlotsPerServer*float64(serversOfZone)), 1)
-	startedAt := -sim.opts.WarmupTime // it is warm at the start of the simulation
+	startedAt := -sim.opts.WarmupTime // its warm-up ends at time 0
 	curve := workerpool.StoreCurve(slotCount)
 	curve.WarmupStartRatio = storeWarmupStartRatio
 	curve.WarmupTime = sim.opts.WarmupTime
@@ -57,12 +58,13 @@
 	return store
 }
 
-// recordCalls records the start or the end of a call.
+// recordCalls records the start or the end of a call, with the number of calls in flight after it.
 func (s *store) recordCalls(kind history.Kind) {
 	s.sim.record(history.Event{Kind: kind, Server: zoneName(s.zone), Count: s.slots.InFlight() + s.unanswered})
 }
 
-// begin starts a call that times out after timeout.
+// begin starts a call. It times out after timeout, fails at once if the store is down, and is not answered if the store is
+// unresponsive.
 func (s *store) begin(server *server, attempt *attempt, timeout time.Duration) *call {
 	s.lastCall++
 	call := &call{store: s, id: strconv.Itoa(s.lastCall), server: server, attempt: attempt}
@@ -73,12 +75,12 @@
 	case s.crash.IsDown(s.sim.now):
 		s.sim.schedule(s.sim.now+2*networkDelay, func() { call.end(admission.OutcomeFailed) })
 	default:
-		s.process(call)
+		s.startAnswered(call)
 	}
 	return call
 }
 
-// startUnanswered starts a call that stays in flight without an answer until its timeout.
+// startUnanswered counts a call that stays in flight, without an answer, until its timeout.
 func (s *store) startUnanswered(timeout time.Duration) {
 	s.unanswered++
 	s.recordCalls(history.CallStarted)
@@ -88,8 +90,8 @@
 	})
 }
 
-// process adds a call to the slots, and crashes the store if it is overloaded.
-func (s *store) process(call *call) {
+// startAnswered adds a call to the slots. The store crashes if that overloads it.
+func (s *store) startAnswered(call *call) {
 	s.collectCompleted()
 	s.calls[call.id] = call
 	s.slots.Add(call.id, s.sim.opts.CallTime)
@@ -101,14 +103,14 @@
 	s.slots.scheduleCompletion()
 }
 
-// maxInFlight returns how many calls in flight the store survives: fewer while it warms up.
+// maxInFlight returns how many calls in flight the store survives for any time. It is lower while the store warms up.
 func (s *store) maxInFlight() int {
 	warmth := min(float64(s.sim.now-s.startedAt)/float64(max(s.sim.opts.WarmupTime, 1)), 1)
 	speedRatio := storeWarmupStartRatio + (1-storeWarmupStartRatio)*warmth
 	return int(s.sim.opts.StoreCrashMultiple * float64(s.slotCount) * speedRatio)
 }
 
-// crashNow fails the calls in flight, in the order in which they began, and schedules the restart.
+// crashNow fails the calls in slots, in the order in which they began, and schedules the restart.
 func (s *store) crashNow() {
 	s.restart(s.sim.now + crashDowntime)
 	for number := range s.lastCall + 1 {
@@ -126,6 +128,7 @@
 	})
 }
 
+// collectCompleted advances the slots to the present and ends the calls that have completed.
 func (s *store) collectCompleted() {
 	for _, id := range s.slots.Advance(s.sim.now) {
 		call := s.calls[id]
@@ -135,7 +138,7 @@
 	}
 }
 
-// restart has the store warm up from a time on.
+// restart schedules a restart of the store: it warms up from a time on.
 func (s *store) restart(at time.Duration) {
 	s.sim.schedule(at, func() {
 		s.collectCompleted()
@@ -145,7 +148,7 @@
 	})
 }
 
-// setUnresponsive has the store accept calls without answering them, or restarts it.
+// setUnresponsive sets whether the store leaves new calls unanswered. When it ends, the store restarts.
 func (s *store) setUnresponsive(unresponsive bool) {
 	s.unresponsive = unresponsive
 	if !unresponsive {
@@ -153,7 +156,7 @@
 	}
 }
 
-// setSlow has calls take factor times as long from now on, or as long as they should.
+// setSlow makes calls take factor times as long if slow, and restores their normal time otherwise.
 func (s *store) setSlow(slow bool, factor float64) {
 	if !slow {
 		factor = 1
@@ -163,14 +166,15 @@
 	s.slots.scheduleCompletion()
 }
 
-// end reports the outcome to the server, once. A call in a slot stays there until it completes.
+// end reports the outcome to the server, unless an outcome was reported before or the server has abandoned the call. A call
+// that times out stays in its slot until it completes.
 func (c *call) end(outcome admission.Outcome) {
-	if c.ended || c.dropped {
+	if c.ended || c.abandoned {
 		return
 	}
 	c.ended = true
 	c.store.sim.schedule(c.store.sim.now+networkDelay, func() {
-		if !c.dropped {
+		if !c.abandoned {
 			c.server.callEnded(c.attempt, outcome)
 		}
 	})
