--- a/lab/schedule/cluster.go
+++ b/lab/schedule/cluster.go
@@ -1,7 +1,10 @@
-// Package schedule runs fleets on an in-memory network: the shipped membership code, up to hundreds of members, and faults
-// drawn from a seed, in a testing/synctest bubble whose clock runs as fast as the machine can. A seed fixes the faults,
-// their times and what the network loses. Which of two goroutines due at the same instant runs first is up to Go, so that
-// tests rest on invariants and on the state after recovery.
+// Package schedule tests the membership code of fleets of up to hundreds of members, under schedules of faults. The members
+// run the code that ships. They are connected by an in-memory network (package memnet), in a testing/synctest bubble whose
+// clock advances as fast as the machine can compute.
+//
+// A seed determines the faults, their times and which packets the network loses. It does not determine the order of two
+// goroutines that are due at the same instant; that is up to the Go scheduler. Therefore tests check invariants and the state
+// after recovery, not an exact sequence of events.
 package schedule
 
 import (
@@ -18,33 +21,34 @@
 )
 
 const (
-	maxSeeds           = 3
-	probeInterval      = 500 * time.Millisecond // of the failure detection
-	maxMembers         = 4096                   // that a member keeps records of
-	forgetAfter        = time.Hour
-	configDigest       = 7  // the same for all: they agree on the configuration
-	runSequenceBits    = 20 // of a process's run, below its start in milliseconds
-	clusterRandStream  = 2
-	backgroundEndsWith = time.Minute // limit of the probes and calls under way when a member ends
+	maxSeeds          = 3                      // seed members of a fleet
+	probeInterval     = 500 * time.Millisecond // of the failure detection
+	maxMembers        = 4096                   // members of which a member keeps records
+	forgetAfter       = time.Hour              // after which a member that is not reached is removed from a view
+	configDigest      = 7                      // the same for all members: their configurations are equal
+	runSequenceBits   = 20                     // low bits of a run ID that hold the number of the process; the start in ms is above
+	clusterRandStream = 2                      // random stream, which differs from those of other users of the same seed
+	backgroundTimeout = time.Minute            // until the probes and calls of a killed member have ended
 )
 
-// Cluster is a fleet on an in-memory network. It belongs to one goroutine of a bubble.
+// Cluster is a fleet on an in-memory network. It must be used by one goroutine of a synctest bubble only.
 type Cluster struct {
 	Network   *memnet.Network
 	Members   []*Member
-	Rand      *rand.Rand
-	Keys      func(member int) [][]byte      // gossip keys; nil: none
-	ClockSkew func(member int) time.Duration // nil: none
+	Rand      *rand.Rand                     // source of the faults and of the members' seeds
+	Keys      func(member int) [][]byte      // gossip keys of a member; nil: gossip is not encrypted
+	ClockSkew func(member int) time.Duration // offset of a member's clock at its start; nil: 0
 
-	seeds     []string // addresses
-	processes uint64   // started so far
-	log       *logrus.Logger
+	seeds     []string       // addresses of the seed members
+	processes uint64         // number of processes started so far
+	log       *logrus.Logger // of all members; discards its output
 }
 
-// Zones are the data centres over which members are spread round robin.
+// Zones are the names of the zones (data centres), to which members are assigned round robin.
 var Zones = []string{"brussel-noord", "zaventem", "mechelen"}
 
-// New returns a fleet of n members that do not run yet. The first three are the seeds.
+// New returns a fleet of n members that do not run yet. The first three members are the seed members. The number seed determines
+// the faults and losses.
 func New(n int, seed uint64) *Cluster {
 	cluster := &Cluster{
 		Network: memnet.New(seed), Rand: rand.New(rand.NewPCG(seed, clusterRandStream)), log: logrus.New(),
@@ -59,7 +63,7 @@
 	return cluster
 }
 
-// Start starts a process of member i that publishes state.
+// Start starts a new process of member i, which publishes state.
 func (c *Cluster) Start(i int, state fleet.State) *Member {
 	member := c.Members[i]
 	c.processes++
@@ -75,13 +79,13 @@
 	}
 	process, err := gossip.New(config, c.log)
 	if err != nil {
-		panic(err) // the configuration is this package's own
+		panic(err) // unreachable: gossipConfig returns a valid configuration
 	}
 	member.run(process, state)
 	return member
 }
 
-// gossipConfig returns the configuration of a process. It draws the process's seed.
+// gossipConfig returns the configuration of a process. It draws a random seed for the process.
 func (c *Cluster) gossipConfig(member *Member, incarnation uint64) gossip.Config {
 	return gossip.Config{
 		Process: fleet.ProcessInfo{
@@ -93,16 +97,16 @@
 	}
 }
 
-// Stop kills all members and waits for their background goroutines, as a bubble requires: probes and calls that are under
-// way end by their own limits.
+// Stop kills all members and waits until their background goroutines have ended, as a synctest bubble requires. Probes and
+// calls in progress are not cancelled; they end by their own timeouts, within backgroundTimeout.
 func (c *Cluster) Stop() {
 	for _, member := range c.Members {
 		member.Kill()
 	}
-	time.Sleep(backgroundEndsWith)
+	time.Sleep(backgroundTimeout)
 }
 
-// LiveMembers returns the members whose process runs.
+// LiveMembers returns the members that have a running process.
 func (c *Cluster) LiveMembers() (live []*Member) {
 	for _, member := range c.Members {
 		if member.Fleet != nil {
@@ -112,8 +116,8 @@
 	return live
 }
 
-// zoneOf returns the number of a member's zone, which its address begins with.
+// zoneOf returns the number of a member's zone, which is the second number of its IP address.
 func zoneOf(addr string) (zone int) {
-	_, _ = fmt.Sscanf(addr, "10.%d.", &zone) // the addresses are this package's own
+	_, _ = fmt.Sscanf(addr, "10.%d.", &zone) // newMember makes addresses that match
 	return zone
 }
--- a/lab/schedule/faults.go
+++ b/lab/schedule/faults.go
@@ -7,51 +7,51 @@
 	"falldeal/lab/memnet"
 )
 
-// FaultKind names what a Fault does.
+// FaultKind is the kind of a Fault.
 type FaultKind string
 
-// Kinds of faults. A link is one direction between two members.
+// Kinds of faults. A link carries traffic from one member to another, in one direction.
 const (
-	FaultPartition       FaultKind = "cut"     // both links between Target and Peer
-	FaultOneWayPartition FaultKind = "oneway"  // the link from Target to Peer, or all links from Target
-	FaultZonePartition   FaultKind = "zone"    // the zone of Target from the others, or only its outgoing links
-	FaultLoss            FaultKind = "loss"    // of datagrams, on all links
-	FaultDelay           FaultKind = "delay"   // of datagrams, on all links
-	FaultDuplication     FaultKind = "double"  // of datagrams, on all links
-	FaultKill            FaultKind = "kill"    // Target, until the end of the fault
-	FaultIsolation       FaultKind = "stop"    // all links of Target, as if its process were stopped
-	FaultStall           FaultKind = "wedge"   // Target's main loop, which is killed at the end of the fault
-	FaultRestart         FaultKind = "restart" // Target, at once
+	FaultPartition       FaultKind = "cut"     // interrupts both links between Target and Peer
+	FaultOneWayPartition FaultKind = "oneway"  // interrupts the link from Target to Peer, or all links from Target
+	FaultZonePartition   FaultKind = "zone"    // interrupts the links between a zone and the others, or only the outgoing ones
+	FaultLoss            FaultKind = "loss"    // loses datagrams on all links
+	FaultDelay           FaultKind = "delay"   // delays datagrams on all links
+	FaultDuplication     FaultKind = "double"  // duplicates datagrams on all links
+	FaultKill            FaultKind = "kill"    // kills Target, which stays down until the end of the fault
+	FaultIsolation       FaultKind = "stop"    // interrupts all links of Target, as if its process were stopped by a signal
+	FaultStall           FaultKind = "wedge"   // stalls the main loop of Target, and kills Target at the end of the fault
+	FaultRestart         FaultKind = "restart" // kills Target and starts it again at once
 )
 
-// faultKinds are those that are drawn. A seed depends on their order.
+// faultKinds are the kinds that DrawFaults draws from. Their order determines what a seed means.
 var faultKinds = []FaultKind{
 	FaultPartition, FaultOneWayPartition, FaultZonePartition, FaultLoss, FaultDelay, FaultDuplication, FaultKill,
 	FaultIsolation, FaultStall, FaultRestart,
 }
 
 const (
-	maxFaults          = 4
-	maxStartMs         = 20_000
-	minDurationMs      = 500
-	durationRangeMs    = 20_000
-	faultCheckInterval = 100 * time.Millisecond
+	maxFaults          = 4                      // drawn for one schedule
+	maxStartMs         = 20_000                 // exclusive bound of the start of a fault, in ms
+	minDurationMs      = 500                    // shortest fault, in ms
+	durationRangeMs    = 20_000                 // width of the range of durations, in ms
+	faultCheckInterval = 100 * time.Millisecond // interval at which InjectFaults starts and ends faults
 )
 
-// Fault is something that goes wrong from Start on, for Duration.
+// Fault is a fault that is injected at Start and ends after Duration.
 type Fault struct {
 	Kind            FaultKind
-	Target, Peer    int // members; of FaultZonePartition, Target modulo the number of zones is a zone
-	Start, Duration time.Duration
-	Intensity       float64 // from 0 to 1; its meaning depends on the kind
+	Target, Peer    int           // indices of members; FaultZonePartition affects the zone of Target
+	Start, Duration time.Duration // Start is relative to the call of InjectFaults
+	Intensity       float64       // in [0, 1): strength of faults of datagrams; selects the links of one-way and zone partitions
 }
 
 func (f *Fault) end() time.Duration { return f.Start + f.Duration }
 
-// active reports whether the fault is in force at a time.
+// active reports whether the fault is active at a time.
 func (f *Fault) active(now time.Duration) bool { return now >= f.Start && now < f.end() }
 
-// DrawFaults draws one to four faults within about 40 s, which may overlap.
+// DrawFaults draws one to four faults, which may overlap. All of them end within about 40 s.
 func (c *Cluster) DrawFaults() (faults []Fault) {
 	for range 1 + c.Rand.IntN(maxFaults) {
 		faults = append(faults, Fault{
@@ -66,8 +66,9 @@
 	return faults
 }
 
-// InjectFaults injects faults, and returns once all of them have ended and all members run. It calls watch ten times a second.
-func (c *Cluster) InjectFaults(faults []Fault, watch func()) {
+// InjectFaults injects faults. It returns when all of them have ended and it has started the members that do not run. It calls
+// observe about ten times per second meanwhile.
+func (c *Cluster) InjectFaults(faults []Fault, observe func()) {
 	start := time.Now()
 	done := make([]bool, len(faults))
 	for ended := false; !ended; {
@@ -75,15 +76,15 @@
 		c.Network.SetRule(func(from, to string) memnet.Fault {
 			return c.linkFault(faults, time.Since(start), from, to)
 		})
-		watch()
+		observe()
 		time.Sleep(faultCheckInterval)
 	}
 	c.Network.SetRule(func(string, string) memnet.Fault { return memnet.Fault{Delay: linkDelay} })
 	c.startStoppedMembers()
 }
 
-// advanceFaults applies the faults of members that are in force, marks those that need no more attention as done, and
-// reports whether all faults had ended before.
+// advanceFaults applies the faults that have begun to their targets. It marks faults that need no further call as done, and
+// reports whether all of them had ended before the call.
 func (c *Cluster) advanceFaults(faults []Fault, done []bool, now time.Duration) (ended bool) {
 	ended = true
 	for i := range faults {
@@ -103,13 +104,14 @@
 	return ended
 }
 
-// applyToMember applies a fault that has begun to its target, and reports whether that was the last time needed.
+// applyToMember applies a fault that has begun to its target, and reports whether the fault needs no further call. Faults of
+// links are left to linkFault. For a FaultStall it blocks for the duration; faults of other members are applied late meanwhile.
 func (c *Cluster) applyToMember(fault *Fault, now time.Duration) (done bool) {
 	target := c.Members[fault.Target]
 	switch fault.Kind {
 	case FaultKill:
 		if fault.active(now) {
-			target.Kill() // again and again: another fault may restart it
+			target.Kill() // at each call, as another fault may have restarted it
 		}
 		return false
 	case FaultRestart:
@@ -123,11 +125,12 @@
 			target.Kill()
 		}
 		return true
-	default: // of links
+	default: // a fault of links
 		return false
 	}
 }
 
+// startStoppedMembers starts the members that do not run.
 func (c *Cluster) startStoppedMembers() {
 	for i, member := range c.Members {
 		if member.Fleet == nil {
--- a/lab/schedule/heartbeat.go
+++ b/lab/schedule/heartbeat.go
@@ -8,29 +8,29 @@
 	"falldeal/lab/memnet"
 )
 
-// Heartbeats is the plain failure detection to compare with: at each interval every member sends every other one a
-// datagram with its state, and holds a member lost from which it has received none for MissedLimit intervals. It runs on
-// the same in-memory network.
+// Heartbeats configures all-to-all heartbeats, the failure detection that membership is compared with. In each interval every
+// member sends a datagram to every other one. A member that has received none from another for more than MissedLimit
+// intervals considers that one lost. Heartbeats run on the same in-memory network.
 type Heartbeats struct {
 	Interval     time.Duration
-	MissedLimit  int // heartbeats
-	PayloadBytes int // of a heartbeat
+	MissedLimit  int // missed heartbeats after which a member is considered lost
+	PayloadBytes int // size of a heartbeat
 }
 
-// HeartbeatMember is one member of a fleet with heartbeats. Its goroutine owns its fields until Stop returns.
+// HeartbeatMember is a member of a fleet with all-to-all heartbeats. Its goroutine owns its fields until Stop returns.
 type HeartbeatMember struct {
-	FalseRemovals int // times that it held a member lost
+	FalseRemovals int // how often it considered another member lost; false removals while all members run
 
 	settings     Heartbeats
 	host         *memnet.Host
-	peers        []string // addresses
-	lastReceived map[string]time.Time
-	lost         map[string]bool
-	cancel       context.CancelFunc
-	ended        chan struct{}
+	peers        []string             // addresses of the other members
+	lastReceived map[string]time.Time // time of the last heartbeat, by address; at first the start of this member
+	lost         map[string]bool      // peers considered lost, by address
+	cancel       context.CancelFunc   // ends the goroutine
+	ended        chan struct{}        // closed when the goroutine has ended
 }
 
-// Start starts a member among addrs. Its own address is addrs[i].
+// Start starts a member with the address addrs[i]. The other addresses are its peers.
 func (h Heartbeats) Start(network *memnet.Network, addrs []string, i int) *HeartbeatMember {
 	ctx, cancel := context.WithCancel(context.Background())
 	member := &HeartbeatMember{
@@ -43,6 +43,7 @@
 	return member
 }
 
+// run receives and sends heartbeats until ctx ends.
 func (m *HeartbeatMember) run(ctx context.Context) {
 	defer close(m.ended)
 	ticker := time.NewTicker(m.settings.Interval)
@@ -63,16 +64,17 @@
 	}
 }
 
+// received records a heartbeat from a peer.
 func (m *HeartbeatMember) received(peer string) {
 	m.lastReceived[peer] = time.Now()
 	delete(m.lost, peer)
 }
 
-// sendAndCheck sends a heartbeat to every peer, and marks the silent ones as lost.
+// sendAndCheck sends a heartbeat to every peer, and marks the peers that have missed too many heartbeats as lost.
 func (m *HeartbeatMember) sendAndCheck(payload []byte) {
 	limit := time.Duration(m.settings.MissedLimit) * m.settings.Interval
 	for _, peer := range m.peers {
-		_, _ = m.host.WriteTo(payload, peer) // a datagram may be lost anyway
+		_, _ = m.host.WriteTo(payload, peer) // heartbeats may be lost
 		if time.Since(m.lastReceived[peer]) > limit && !m.lost[peer] {
 			m.lost[peer] = true
 			m.FalseRemovals++
@@ -87,9 +89,9 @@
 	<-m.ended
 }
 
-// MinMissedHeartbeats returns the least number of heartbeats that have to be missed for fewer than one false removal an
-// hour in a fleet of n with a heartbeat a second, where lossRatio of them are lost: what plain heartbeats pay for loss in
-// time to detect a failure.
+// MinMissedHeartbeats returns the smallest MissedLimit with which a fleet of n members has fewer than one false removal per
+// hour, at one heartbeat per second of which lossRatio are lost. It shows how much slower heartbeats must detect failures
+// the more datagrams are lost.
 func MinMissedHeartbeats(n int, lossRatio float64) int {
 	if lossRatio <= 0 {
 		return 1
--- a/lab/schedule/links.go
+++ b/lab/schedule/links.go
@@ -6,7 +6,7 @@
 	"falldeal/lab/memnet"
 )
 
-// Links without a fault, and what faults of the greatest intensity do to them.
+// Delays of links without a fault, and the effects of faults of intensity 1.
 const (
 	linkDelay      = time.Millisecond
 	linkJitter     = time.Millisecond
@@ -15,13 +15,13 @@
 	maxAddedJitter = 200 * time.Millisecond
 )
 
-// Intensities below which a fault is of the wider kind.
+// Intensities below which a fault interrupts more links.
 const (
-	allLinksIntensity = 0.5 // FaultOneWayPartition: to all others, not only to the peer
-	bothWaysIntensity = 0.7 // FaultZonePartition: both ways, not only outgoing
+	allLinksIntensity = 0.5 // FaultOneWayPartition: all links from Target, not only that to Peer
+	bothWaysIntensity = 0.7 // FaultZonePartition: incoming and outgoing links, not only outgoing ones
 )
 
-// linkFault sums up what the faults in force do to the link between two addresses.
+// linkFault returns the combined effect of the active faults on the link between two addresses.
 func (c *Cluster) linkFault(faults []Fault, now time.Duration, from, to string) memnet.Fault {
 	link := memnet.Fault{Delay: linkDelay, Jitter: linkJitter}
 	for i := range faults {
@@ -32,6 +32,7 @@
 	return link
 }
 
+// addToLink adds the effect of one fault to a link.
 func (c *Cluster) addToLink(link *memnet.Fault, fault *Fault, from, to string) {
 	switch fault.Kind {
 	case FaultLoss:
@@ -41,7 +42,7 @@
 		link.Jitter += time.Duration(fault.Intensity * float64(maxAddedJitter))
 	case FaultDuplication:
 		link.DuplicateRatio = max(link.DuplicateRatio, fault.Intensity)
-	default: // partitions, and faults of members
+	default: // partitions, and faults of members, which have no effect here
 		link.Partition = link.Partition || c.partitions(fault, from, to)
 	}
 }
@@ -59,14 +60,15 @@
 		return partitionsZone(fault, from, to)
 	case FaultIsolation:
 		return from == target || to == target
-	default: // no partition
+	default: // not a partition
 		return false
 	}
 }
 
-// connects reports whether the link from sender to receiver is the one between two addresses.
+// connects reports whether the link from one address to another is the one from sender to receiver.
 func connects(sender, receiver, from, to string) bool { return from == sender && to == receiver }
 
+// partitionsZone reports whether a FaultZonePartition interrupts the link between two addresses.
 func partitionsZone(fault *Fault, from, to string) bool {
 	zone := fault.Target % len(Zones)
 	outgoing, incoming := zoneOf(from) == zone, zoneOf(to) == zone
--- a/lab/schedule/measure_test.go
+++ b/lab/schedule/measure_test.go
@@ -15,31 +15,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Measurements, taken on request only; docs/membership.md has the results.
+// Flags of the measurements, which run on request only. docs/membership.md has their results.
 //
 //	go test ./lab/schedule -run Measure -measure -v -timeout 1h
 var (
-	measure = flag.Bool("measure", false, "take the measurements")
-	sizes   = flag.String("sizes", "10,100,300", "members of the fleets that are measured")
-	staged  = flag.Int("staged", 0, "members started a second in the measurement of cost; 0: all at one instant")
+	measure = flag.Bool("measure", false, "run the measurements")
+	sizes   = flag.String("sizes", "10,100,300", "numbers of members of the measured fleets, separated by commas")
+	staged  = flag.Int("staged", 0, "members started per second in the measurement of cost; 0: all at the same instant")
 )
 
 const (
-	joinLimit   = 10 * time.Minute
-	detectLimit = 10 * time.Minute
+	joinLimit   = 10 * time.Minute // until all members agree after their start
+	detectLimit = 10 * time.Minute // until all members see that one was killed
 )
 
-// plainHeartbeats are the ones to compare with.
+// plainHeartbeats are the heartbeats that membership is compared with.
 var plainHeartbeats = Heartbeats{Interval: time.Second, MissedLimit: 4, PayloadBytes: 120}
 
-// measuredLossRatios are the losses of datagrams that are measured.
+// measuredLossRatios are the ratios of lost datagrams for which detection is measured.
 var measuredLossRatios = []float64{0, 0.05, 0.2, 0.4}
 
-// forEachSize takes a measurement with fleets of each size, if measurements are asked for.
+// forEachSize runs a measurement with a fleet of each size in -sizes. It skips the test without -measure.
 func forEachSize(t *testing.T, take func(t *testing.T, n int)) {
 	t.Helper()
 	if !*measure {
-		t.Skip("taken on request: -measure")
+		t.Skip("measurements run only with -measure")
 	}
 	var n int
 	for rest := *sizes; rest != ""; {
@@ -54,20 +54,21 @@
 	}
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the processor time that this process has used so far.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // it fails only for a bad argument
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // fails only for an invalid argument
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestMeasureCost measures the cost of membership at rest: packets, bytes and processor time of this machine a second, for
-// each member, beside plain heartbeats to all; and the cost of a start of all members at the same instant.
+// TestMeasureCost measures the cost of membership for each member of a fleet without changes, in packets, bytes and processor
+// time of this machine per second, and the same for plain heartbeats. It also measures the cost of starting all members.
 func TestMeasureCost(t *testing.T) {
 	forEachSize(t, measureMembershipCost)
 	forEachSize(t, measureHeartbeatCost)
 }
 
+// measureMembershipCost measures the cost of membership in a fleet of n members.
 func measureMembershipCost(t *testing.T, n int) {
 	const interval = 30 * time.Second
 	cluster := New(n, 1)
@@ -79,14 +80,14 @@
 	after := cluster.traffic()
 	perSecond := func(total int64) float64 { return float64(total) / float64(n) / interval.Seconds() }
 	mean, oldest := cluster.recordAges()
-	t.Logf("%4d members, SWIM: %.1f packets, %.0f bytes, %.0f bytes by stream, %.0f us a second each; "+
-		"records are %v old in the mean, %v at most",
+	t.Logf("%4d members, SWIM: %.1f packets/s, %.0f bytes/s, %.0f stream bytes/s, %.0f us/s of processor time per member; "+
+		"age of records: mean %v, max %v",
 		n, perSecond(after.packets-before.packets), perSecond(after.bytes-before.bytes),
 		perSecond(after.streamBytes-before.streamBytes), perSecond(int64(cpuTime()-cpuBefore))/1000,
 		mean.Round(time.Second/10), oldest.Round(time.Second/10))
 }
 
-// measureJoin starts all members and waits until they agree.
+// measureJoin starts all members and logs how long they take to agree.
 func measureJoin(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	n := len(cluster.Members)
@@ -99,14 +100,14 @@
 	}
 	took, err := WaitUntil(joinLimit, cluster.CheckAgreement)
 	require.NoError(t, err)
-	t.Logf("%4d members joined: agreed after %v; %v of processor time each",
+	t.Logf("%4d members joined: agreed after %v; %v of processor time per member",
 		n, took.Round(time.Second/10), ((cpuTime() - cpuBefore) / time.Duration(n)).Round(10*time.Microsecond))
 }
 
-// traffic is what members have sent.
+// traffic is the traffic that members have sent so far.
 type traffic struct{ packets, bytes, streamBytes int64 }
 
-// traffic adds up what the live members have sent.
+// traffic returns the traffic of all live members.
 func (c *Cluster) traffic() (total traffic) {
 	for _, member := range c.LiveMembers() {
 		counters := &member.Fleet.Counters
@@ -117,7 +118,7 @@
 	return total
 }
 
-// recordAges returns the mean and the greatest age of the records that the first member has.
+// recordAges returns the mean and the maximum age of the records that the first member holds.
 func (c *Cluster) recordAges() (mean, oldest time.Duration) {
 	observer := c.Members[0].Fleet
 	members := observer.Snapshot().Members
@@ -128,6 +129,7 @@
 	return mean, oldest
 }
 
+// measureHeartbeatCost measures the cost of plain heartbeats in a fleet of n members.
 func measureHeartbeatCost(t *testing.T, n int) {
 	const interval = 5 * time.Second
 	members := startHeartbeats(memnet.New(1), n)
@@ -135,12 +137,12 @@
 	cpuBefore := cpuTime()
 	time.Sleep(interval)
 	cpuUsed := cpuTime() - cpuBefore
-	t.Logf("%4d members, heartbeats to all: %d packets, %d bytes, %.0f us a second each",
+	t.Logf("%4d members, heartbeats to all: %d packets/s, %d bytes/s, %.0f us/s of processor time per member",
 		n, n-1, (n-1)*plainHeartbeats.PayloadBytes, float64(cpuUsed.Microseconds())/float64(n)/interval.Seconds())
 	stopHeartbeats(members)
 }
 
-// startHeartbeats starts n members with plain heartbeats.
+// startHeartbeats starts a fleet of n members with plain heartbeats.
 func startHeartbeats(network *memnet.Network, n int) (members []*HeartbeatMember) {
 	var addrs []string
 	for i := range n {
@@ -152,7 +154,7 @@
 	return members
 }
 
-// stopHeartbeats stops members, waits for the packets under way and returns the number of false removals.
+// stopHeartbeats stops members, waits for packets in transit and returns the number of false removals.
 func stopHeartbeats(members []*HeartbeatMember) (falseRemovals int) {
 	for _, member := range members {
 		member.Stop()
@@ -162,14 +164,15 @@
 	return falseRemovals
 }
 
-// TestMeasureDetection measures, for each loss, how long it takes until one and until all others see that a process was
-// killed, and how often a view wrongly loses a member that runs, for each member and hour.
+// TestMeasureDetection measures, for each ratio of lost datagrams, how long it takes until one and until all other members see
+// that a process was killed, and how many times per member and hour a view loses a member that runs.
 func TestMeasureDetection(t *testing.T) {
 	for _, lossRatio := range measuredLossRatios {
 		forEachSize(t, func(t *testing.T, n int) { measureDetection(t, n, lossRatio) })
 	}
 }
 
+// measureDetection measures failure detection in a fleet of n members.
 func measureDetection(t *testing.T, n int, lossRatio float64) {
 	t.Helper()
 	const quiet, kills = 2 * time.Minute, 5
@@ -188,24 +191,24 @@
 		byOne, byAll = append(byOne, one), append(byAll, all)
 	}
 	slices.Sort(byAll)
-	t.Logf("%4d members, %2.0f%% loss: false removals %d in %v (%.2f for each member and hour); "+
-		"a death seen by one: %v; by all: %v",
+	t.Logf("%4d members, %2.0f%% loss: %d false removals in %v (%.2f per member and hour); "+
+		"failure seen by one member: %v; by all: %v",
 		n, 100*lossRatio, falseRemovals, quiet, float64(falseRemovals)/float64(n)/quiet.Hours(),
 		quantiles(byOne), quantiles(byAll))
 }
 
-// lostIn reports whether a member is lost in a view.
+// lostIn reports whether a member is missing, unreachable or failed in a view.
 func lostIn(view *fleet.Snapshot, name string) bool {
 	member := view.Find(name)
 	return member == nil || member.Liveness == fleet.Unreachable || member.Liveness == fleet.Failed
 }
 
-// downIn reports whether a member is lost or stalled in a view.
+// downIn reports whether a member is lost in a view, or stalled.
 func downIn(view *fleet.Snapshot, name string) bool {
 	return lostIn(view, name) || view.Find(name).Liveness == fleet.Stalled
 }
 
-// countFalseRemovals counts how often a view loses a member within a time in which all run.
+// countFalseRemovals counts how often a view loses a member during a time in which all members run.
 func (c *Cluster) countFalseRemovals(duration time.Duration) (removals int) {
 	type pair struct{ observer, member int }
 	lostBefore := map[pair]bool{}
@@ -224,7 +227,7 @@
 	return removals
 }
 
-// measureKill kills a member, and returns how long it takes until one and until all others see it.
+// measureKill kills a member, and returns how long it takes until one and until all other members see it as down.
 func (c *Cluster) measureKill(t *testing.T, victim *Member) (byOne, byAll time.Duration) {
 	t.Helper()
 	victim.Kill()
@@ -240,7 +243,7 @@
 			byOne = time.Since(start)
 		}
 		if seen < len(live) {
-			return fmt.Errorf("%d of %d see it", seen, len(live))
+			return fmt.Errorf("%d of %d members see %s as down", seen, len(live), victim.Name)
 		}
 		return nil
 	})
@@ -248,12 +251,12 @@
 	return byOne, byAll
 }
 
-// TestMeasureHeartbeats measures the same for plain heartbeats, with as many missed ones as keep false removals below one
-// an hour in the whole fleet.
+// TestMeasureHeartbeats logs how many heartbeats must be missed so that plain heartbeats have fewer than one false removal per
+// hour in the whole fleet, and measures their false removals at 20% loss with a limit of 4.
 func TestMeasureHeartbeats(t *testing.T) {
 	for _, lossRatio := range measuredLossRatios {
 		forEachSize(t, func(t *testing.T, n int) {
-			t.Logf("%4d members, %2.0f%% loss: heartbeats need %d missed beats for fewer than one false removal an hour",
+			t.Logf("%4d members, %2.0f%% loss: fewer than one false removal per hour needs a limit of %d missed heartbeats",
 				n, 100*lossRatio, MinMissedHeartbeats(n, lossRatio))
 		})
 	}
@@ -265,7 +268,7 @@
 		members := startHeartbeats(network, n)
 		time.Sleep(30 * time.Second)
 		falseRemovals := stopHeartbeats(members)
-		t.Logf("%4d members, 20%% loss, 4 missed beats: %d false removals in 30 s (%.1f for each member and hour)",
+		t.Logf("%4d members, 20%% loss, limit of 4 missed heartbeats: %d false removals in 30 s (%.1f per member and hour)",
 			n, falseRemovals, float64(falseRemovals)/float64(n)*120)
 	})
 }
--- a/lab/schedule/member.go
+++ b/lab/schedule/member.go
@@ -10,21 +10,22 @@
 	"falldeal/lab/memnet"
 )
 
-// statusInterval is how often the main loop of a server publishes its status.
+// statusInterval is the interval at which the main loop of a server publishes its status.
 const statusInterval = time.Second
 
-// Member is one image server as far as the fleet sees it.
+// Member is one image server, reduced to its membership in the fleet.
 type Member struct {
 	Name, Addr, Zone string
-	Fleet            *gossip.Fleet // of the process that runs; nil: none
-	Run              uint64        // of the last process
+	Fleet            *gossip.Fleet // membership of the running process; nil if none runs
+	Run              uint64        // run ID of the last process
 
-	host    *memnet.Host
-	cancel  context.CancelFunc
-	ended   chan struct{} // closed when the process has ended
-	stalled chan struct{} // closed to stop the main loop
+	host    *memnet.Host       // of the last process
+	cancel  context.CancelFunc // ends the process
+	ended   chan struct{}      // closed when the process has ended
+	stalled chan struct{}      // closed to stop the main loop
 }
 
+// newMember returns member i, which does not run.
 func newMember(i int) *Member {
 	zone := i % len(Zones)
 	return &Member{
@@ -32,7 +33,7 @@
 	}
 }
 
-// run runs a process of the member until it is killed or leaves.
+// run starts a process, which runs until Kill or Leave.
 func (m *Member) run(process *gossip.Fleet, state fleet.State) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, stalled := make(chan struct{}), make(chan struct{})
@@ -43,11 +44,11 @@
 	go func() {
 		defer close(ended)
 		go publishStatus(ctx, process, stalled, state)
-		_ = process.Run(ctx) // it ends with the context
+		_ = process.Run(ctx) // returns when the context ends
 	}()
 }
 
-// Kill ends the process of a member without a message to the others.
+// Kill ends the process of a member without a message to other members. It does nothing if none runs.
 func (m *Member) Kill() {
 	if m.Fleet != nil {
 		m.host.Kill()
@@ -55,7 +56,7 @@
 	}
 }
 
-// Leave ends the process of a member, which tells the others.
+// Leave shuts the process of a member down, which announces that to other members. It does nothing if none runs.
 func (m *Member) Leave() {
 	if m.Fleet != nil {
 		m.cancel()
@@ -64,10 +65,11 @@
 	}
 }
 
-// Stall stops the main loop of a member, while the rest of its process goes on.
+// Stall stops the main loop of a member, while the rest of its process continues.
 func (m *Member) Stall() { close(m.stalled) }
 
-// publishStatus does what the main loop of a server does for the fleet, until that is stalled.
+// publishStatus publishes the status of a member once per statusInterval, as the main loop of a server does, until ctx ends or
+// stalled is closed.
 func publishStatus(ctx context.Context, process *gossip.Fleet, stalled <-chan struct{}, state fleet.State) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
--- a/lab/schedule/scenarios_test.go
+++ b/lab/schedule/scenarios_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each of these has broken somebody's fleet.
-func TestFaultScenarios(t *testing.T) {
+// Guards against faults that are known to break membership protocols: asymmetric and long partitions, name conflicts, seeds
+// that are down, heavy loss, restarts with skewed clocks, stalled processes, and clean leaves that look like failures.
+func TestMembershipSurvivesKnownFaults(t *testing.T) {
 	for name, scenario := range map[string]func(t *testing.T){
 		"a member whose messages arrive but that receives none is not declared failed":                testOneWayPartition,
 		"members in a ring of links learn of the others through their neighbors":                      testRingOfLinks,
@@ -34,6 +35,7 @@
 	}
 }
 
+// Nothing reaches n1 for 30 s, but what it sends arrives.
 func testOneWayPartition(t *testing.T) {
 	cluster := startCluster(t, 6)
 	cluster.partition(func(_, to int) bool { return to == 1 })
@@ -47,6 +49,7 @@
 	cluster.requireAgreement(t)
 }
 
+// Each member can reach only its two neighbors in a ring.
 func testRingOfLinks(t *testing.T) {
 	const n = 6
 	cluster := startCluster(t, n)
@@ -63,6 +66,7 @@
 	cluster.requireAgreement(t)
 }
 
+// Member 4 is partitioned from the others for 59 minutes, which is less than forgetAfter.
 func testLongPartition(t *testing.T) {
 	cluster := startCluster(t, 5)
 	cluster.partition(func(from, to int) bool { return (from == 4) != (to == 4) })
@@ -73,6 +77,7 @@
 	cluster.requireAgreement(t)
 }
 
+// A second process starts with the name n1 and another address.
 func testNameConflict(t *testing.T) {
 	cluster := startCluster(t, 5)
 	others, firstRun := cluster.Members, cluster.Members[1].Run
@@ -82,17 +87,19 @@
 	_, err := WaitUntil(recoveryLimit, func() error {
 		for _, observer := range others {
 			if member := observer.Fleet.Snapshot().Find("n1"); member.Run != firstRun || member.Liveness != fleet.Alive {
-				return fmt.Errorf("%s sees process %x", observer.Name, member.Run)
+				return fmt.Errorf("%s sees process %x of n1 as %v, want %x alive",
+					observer.Name, member.Run, member.Liveness, firstRun)
 			}
 		}
 		if duplicate.Fleet.Snapshot().Find("n1").Liveness != fleet.Left {
-			return fmt.Errorf("the duplicate has not left")
+			return fmt.Errorf("the later process named n1 has not left")
 		}
 		return nil
 	})
 	require.NoError(t, err)
 }
 
+// Only members that are not seeds run for 5 minutes; then one seed starts.
 func testSeedsDownAtStart(t *testing.T) {
 	cluster := New(6, 7)
 	defer cluster.Stop()
@@ -105,7 +112,7 @@
 	cluster.requireAgreement(t)
 }
 
-// There is a seed in each part.
+// Members with even and odd numbers start in two partitions, each of which has a seed.
 func testPartsStartedApart(t *testing.T) {
 	cluster := New(8, 7)
 	defer cluster.Stop()
@@ -117,6 +124,7 @@
 	cluster.requireAgreement(t)
 }
 
+// 40% of all packets are lost for 10 s.
 func testHeavyLoss(t *testing.T) {
 	cluster := startCluster(t, 10)
 	cluster.Network.SetRule(func(string, string) memnet.Fault {
@@ -127,6 +135,7 @@
 	cluster.requireAgreement(t)
 }
 
+// All members restart within 1 s, and the clock of every third one is an hour behind.
 func testRestartOfAll(t *testing.T) {
 	cluster := startCluster(t, 9)
 	cluster.ClockSkew = func(member int) time.Duration {
@@ -146,6 +155,7 @@
 	}
 }
 
+// Only the main loop of n2 stops; its process still answers gossip.
 func testStalledLoop(t *testing.T) {
 	cluster := startCluster(t, 5)
 	cluster.Members[2].Stall()
@@ -153,6 +163,7 @@
 	cluster.requireCondition(t, 2, "n2", "stalled")
 }
 
+// Members with even and odd numbers have different gossip keys.
 func testDifferentKeys(t *testing.T) {
 	cluster := New(6, 7)
 	defer cluster.Stop()
@@ -169,6 +180,7 @@
 	}
 }
 
+// n3 leaves.
 func testLeave(t *testing.T) {
 	cluster := startCluster(t, 5)
 	cluster.Members[3].Leave()
@@ -176,10 +188,9 @@
 	require.Equal(t, fleet.FullyConnected, cluster.Members[0].Fleet.Snapshot().Position)
 }
 
-// In a small fleet each update must reach every member, and not four in five of them: otherwise healthy members are
-// suspected now and then, and a member that misses the one update that reports a stalled loop goes on using that server. Two
-// updates in a row were missed at one observation in 30 at the old rate (5 members), and at one in 170 at most at the right
-// one.
+// Guards against updates that reach only four in five members of a small fleet. Then healthy members are suspected now and
+// then, and a member that misses the one update that reports a stalled loop continues to use that server. With too few
+// retransmissions, two consecutive updates were missed at one observation in 30 (5 members); with enough, at one in 170 at most.
 func TestUpdatesReachEveryMemberOfSmallFleet(t *testing.T) {
 	for _, n := range []int{3, 5, 8, 12} {
 		synctest.Test(t, func(t *testing.T) {
@@ -193,7 +204,7 @@
 				}
 			}
 			require.Lessf(t, missed, observed/100, "%d members", n)
-			t.Logf("%d members: two updates in a row missed at %d of %d observations", n, missed, observed)
+			t.Logf("%d members: two consecutive updates missed at %d of %d observations", n, missed, observed)
 		})
 	}
 }
--- a/lab/schedule/seeded_faults_test.go
+++ b/lab/schedule/seeded_faults_test.go
@@ -14,18 +14,19 @@
 )
 
 var (
-	scheduleCount = flag.Int("schedules", 1000, "schedules of faults to run")
+	scheduleCount = flag.Int("schedules", 1000, "number of fault schedules to run")
 	firstSeed     = flag.Uint64("first", 1, "seed of the first schedule")
-	memberCount   = flag.Int("members", 0, "members of each fleet; 0 = drawn, 5 to 12")
+	memberCount   = flag.Int("members", 0, "members of each fleet; 0: drawn from 5 to 12")
 )
 
-// After any faults between members all of them must see the same fleet. Meanwhile no member may be declared failed whose
-// process runs, and what is known of a name must never go back.
-func TestSchedules(t *testing.T) {
+// Guards against combinations of overlapping faults that no scenario covers: after the faults of any seed all members must agree
+// on the fleet. During the faults no member may be seen as failed whose process runs, and the record of a name in a view must
+// never be replaced by an older one.
+func TestMembersAgreeAfterSeededFaults(t *testing.T) {
 	var mu sync.Mutex
 	var recoveryTimes []time.Duration
 	t.Cleanup(func() {
-		t.Logf("%d schedules, agreed after: %v", len(recoveryTimes), quantiles(recoveryTimes))
+		t.Logf("%d schedules, time until members agreed: %v", len(recoveryTimes), quantiles(recoveryTimes))
 	})
 	for i := range *scheduleCount {
 		seed := *firstSeed + uint64(i)
@@ -41,14 +42,14 @@
 	}
 }
 
-// runSchedule injects the faults that a seed draws, and returns how long after them all members agreed.
+// runSchedule injects the faults drawn from a seed, and returns how long after their end all members agreed.
 func runSchedule(t *testing.T, seed uint64) time.Duration {
 	t.Helper()
 	cluster := New(clusterSize(seed), seed)
 	defer cluster.Stop()
 	cluster.startAll()
 	_, err := WaitUntil(recoveryLimit, cluster.CheckAgreement)
-	require.NoError(t, err, "at first")
+	require.NoError(t, err, "before the faults")
 	faults := cluster.DrawFaults()
 	known := knownRecords{}
 	cluster.InjectFaults(faults, func() { cluster.requireInvariants(t, known) })
@@ -57,7 +58,7 @@
 	return took
 }
 
-// clusterSize returns the number of members for a seed.
+// clusterSize returns the number of members of the fleet for a seed.
 func clusterSize(seed uint64) int {
 	if *memberCount != 0 {
 		return *memberCount
@@ -65,17 +66,18 @@
 	return 5 + New(5, seed).Rand.IntN(8)
 }
 
-// observation is what the process of an observer knows of a name.
+// observation identifies what one process of an observer knows about a member.
 type observation struct {
 	observer string
-	run      uint64
-	name     string
+	run      uint64 // run ID of the observer's process
+	name     string // of the member
 }
 
-// knownRecords are the last records that each process was seen to have.
+// knownRecords are the records in the last checked view of each process.
 type knownRecords map[observation]fleet.Record
 
-// requireInvariants checks what must hold at any time, and updates known.
+// requireInvariants requires what must hold at any time: records do not go back, and no running process is seen as failed. It
+// updates known.
 func (c *Cluster) requireInvariants(t *testing.T, known knownRecords) {
 	t.Helper()
 	for _, observer := range c.LiveMembers() {
@@ -84,7 +86,7 @@
 			member := &snapshot.Members[i]
 			key := observation{observer: observer.Name, run: observer.Run, name: member.Name}
 			before := known[key]
-			require.Falsef(t, member.Less(&before), "%s knows less of %s than before", observer.Name, member.Name)
+			require.Falsef(t, member.Less(&before), "%s replaced its record of %s by an older one", observer.Name, member.Name)
 			known[key] = *member.Record
 			if member.Liveness == fleet.Failed {
 				c.requireNotRunning(t, observer, member)
@@ -93,11 +95,11 @@
 	}
 }
 
-// requireNotRunning requires that no live process is the one that the observer sees as failed.
+// requireNotRunning requires that the process that the observer sees as failed does not run.
 func (c *Cluster) requireNotRunning(t *testing.T, observer *Member, failed *fleet.Member) {
 	t.Helper()
 	for _, live := range c.LiveMembers() {
 		require.Falsef(t, live.Name == failed.Name && live.Run == failed.Run,
-			"%s declares %s failed, which runs", observer.Name, failed.Name)
+			"%s sees %s as failed, whose process runs", observer.Name, failed.Name)
 	}
 }
