--- a/lab/model/compare.go
+++ b/lab/model/compare.go
@@ -92,7 +92,7 @@
 	return result
 }
 
-// strategySummary sums up the results of one strategy over all seeds.
+// strategySummary summarizes the results of one strategy over all seeds.
 type strategySummary struct {
 	count          int             // number of results
 	total          Result          // sums over the results, of the fields that are printed as means
@@ -102,7 +102,7 @@
 	maxStoreCalls  int             // largest MaxStoreCalls of a result
 }
 
-// summarize sums up the results of one strategy. The results of the baseline must have the same seeds in the same order.
+// summarize summarizes the results of one strategy. The results of the baseline must have the same seeds in the same order.
 func summarize(results, baseline []Result) *strategySummary {
 	summary := &strategySummary{count: len(results)}
 	for i := range results {
--- a/lab/model/evaluate.go
+++ b/lab/model/evaluate.go
@@ -11,7 +11,7 @@
 	minOptimalValue   = 1e-9            // lower bound of a divisor, which must not be 0
 )
 
-// Result is the evaluation of one simulation. Ratios are fractions of 1.
+// Result is the evaluation of one simulation. Ratios are plain numbers: 1 is 100%.
 type Result struct {
 	Strategy           string // name of the strategy; empty if it was not set by Compare
 	Seed               uint64
--- a/lab/model/options.go
+++ b/lab/model/options.go
@@ -7,7 +7,7 @@
 	"falldeal/lab/workerpool"
 )
 
-// Options describe a simulation: the fleet, its load, its faults and its strategy. Ratios are fractions of 1.
+// Options describe a simulation: the fleet, its load, its faults and its strategy. Ratios are plain numbers: 1 is 100%.
 type Options struct {
 	Servers, Zones, FrontEnds   int           // numbers of them; servers are assigned to zones round robin
 	Seed                        uint64        // of all random draws
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -148,7 +148,8 @@
 	})
 }
 
-// setUnresponsive sets whether the store leaves new calls unanswered. When it ends, the store restarts.
+// setUnresponsive sets whether the store leaves new calls unanswered. Calls in slots are still answered. The store restarts
+// when unresponsive is set to false.
 func (s *store) setUnresponsive(unresponsive bool) {
 	s.unresponsive = unresponsive
 	if !unresponsive {
--- a/lab/workerpool/pool.go
+++ b/lab/workerpool/pool.go
@@ -30,14 +30,14 @@
 	maxWait = 1e6
 )
 
-// Curve describes the throughput of a pool by its load and its age. Ratios are fractions of 1.
+// Curve describes the throughput of a pool by its load and its age. Ratios are plain numbers: 1 is 100%.
 type Curve struct {
 	Workers int     // number of cores or slots
 	Speed   float64 // seconds of work that a worker does per second; slower machines have a lower speed
 	Knee    float64 // items in flight per worker up to which the pool has full speed
 
 	SlowdownPerExcess float64 // ratio of Speed that is lost for each item per worker above Knee
-	MinSpeedRatio     float64 // minimum ratio of Speed, for any number of items in flight
+	MinSpeedRatio     float64 // minimum ratio of Speed under load; a warm-up reduces the speed further
 
 	WarmupStartRatio float64       // ratio of Speed right after a start; used if WarmupTime is not 0
 	WarmupTime       time.Duration // during which the speed rises linearly from WarmupStartRatio to full; 0: no warm-up
