--- a/internal/release/criteria.go
+++ b/internal/release/criteria.go
@@ -7,7 +7,7 @@
 	FalseHaltRate float64 // largest probability to reject a canary that is no worse, at any time in the whole rollout
 	FalsePassRate float64 // largest probability to pass a group in which the canary is worse by MinEffect
 	MinEffect     float64 // smallest increase of the error ratio that matters: 0.02 is two requests in a hundred
-	MinRequests   int     // requests of the canary in each group before it can pass; at least 1
+	MinRequests   int     // requests that the canary must have served in each group before it can pass; at least 1
 }
 
 // check returns an error if a field is out of its range.
--- a/internal/release/evidence.go
+++ b/internal/release/evidence.go
@@ -10,7 +10,7 @@
 	bisectionSteps = 50  // halvings of the interval in bisect
 
 	// Error ratios are kept this far from 0 and 1, where a divergence or a logarithm is infinite.
-	minProjectedRatio  = 1e-9  // in the search for the nearest hypothesis
+	minProjectedRatio  = 1e-9  // in the search for the nearest point of the null hypothesis
 	minLikelihoodRatio = 1e-12 // in a likelihood
 )
 
@@ -34,7 +34,7 @@
 type evidence struct {
 	logWorse         float64 // evidence that the canary is worse than the baseline
 	logNotWorse      float64 // evidence that the canary is not worse than the baseline by Criteria.MinEffect
-	baseline, canary tally   // requests of earlier blocks
+	baseline, canary tally   // requests of the blocks added so far
 }
 
 // add adds a block. minEffect is Criteria.MinEffect.
@@ -50,12 +50,13 @@
 // only: an e-variable must not depend on the block that it is evaluated on.
 func (e *evidence) compare(block Block, minEffect float64) {
 	baselineRatio, canaryRatio := e.baseline.errorRatio(), e.canary.errorRatio()
-	// Against "not worse": in the alternative, the canary has its error ratio observed so far, but one that is higher than
-	// the baseline's by at least half of minEffect.
+	// Against "not worse": the null hypothesis is that both versions have the same error ratio. In the alternative, they have
+	// the ratios observed so far, but the canary's is raised to the baseline's plus minEffect/2 if it is lower.
 	if worse := max(canaryRatio, baselineRatio+minEffect/2); worse < 1 {
 		e.logWorse += logEValue(block, baselineRatio, worse, 0)
 	}
-	// Against "worse by minEffect": in the alternative, both versions have the same error ratio.
+	// Against "worse by minEffect": the null hypothesis is that the canary's error ratio is the baseline's plus minEffect. In
+	// the alternative, both have the same ratio: the mean of the two observed so far, weighted by the requests of the block.
 	requests := float64(block.Baseline + block.Canary)
 	same := (baselineRatio*float64(block.Baseline) + canaryRatio*float64(block.Canary)) / requests
 	if same > 0 && same < 1 {
@@ -75,7 +76,7 @@
 // likelihood ratio of the alternative to the nearest point of the null hypothesis, its reverse information projection.
 func logEValue(block Block, baselineRatio, canaryRatio, effect float64) float64 {
 	baselineCount, canaryCount := float64(block.Baseline), float64(block.Canary)
-	slope := func(ratio float64) float64 { // slope of the divergence along the null hypothesis
+	slope := func(ratio float64) float64 { // slope of the Kullback-Leibler divergence along the null hypothesis
 		shifted := ratio + effect
 		return baselineCount*(ratio-baselineRatio)/(ratio*(1-ratio)) +
 			canaryCount*(shifted-canaryRatio)/(shifted*(1-ratio-effect))
--- a/internal/release/judge_test.go
+++ b/internal/release/judge_test.go
@@ -81,7 +81,7 @@
 }
 
 // A worse version must be rejected within a bounded number of rounds, and the verdict must name the class in which it is
-// worse. Evidence of no difference from many early rounds, or from other classes, must not hide it.
+// worse. Many early rounds without a difference, or other classes without one, must not hide it.
 func TestWorseVersionIsRejected(t *testing.T) {
 	for name, test := range map[string]struct {
 		ratios    errorRatios
@@ -101,7 +101,7 @@
 			}
 			return 0.01
 		}, 110, ""},
-		"leaks slowly": {func(_ string, canary bool, round int) float64 {
+		"error ratio grows slowly": {func(_ string, canary bool, round int) float64 {
 			if canary {
 				return 0.01 + 0.002*float64(round)
 			}
