--- a/internal/permit/acquire_test.go
+++ b/internal/permit/acquire_test.go
@@ -74,12 +74,12 @@
 		"another out in the zone":  {onePerZone, []Command{acquire("n2")}, acquire("n0"), "limits[0]: 2 of 3"},
 		"another out elsewhere":    {onePerZone, []Command{acquire("n2")}, acquire("n1"), ""},
 		"another lost in the zone": {onePerZone, nil, acquireCommand(lost, "n0"), "limits[0]: 2 of 3"},
-		"it is lost itself":        {onePerZone, nil, acquireCommand(lost, "n2"), ""}, // its departure changes no count
+		"lost itself":              {onePerZone, nil, acquireCommand(lost, "n2"), ""}, // its departure changes no count
 		"two limits":               {onePerZoneAndOne, []Command{acquire("n1")}, acquire("n0"), "limits[1]: 2 of 6 instances in all"},
 		"ratio":                    {third, []Command{acquire("n1")}, acquire("n0"), ""},
 		"ratio exceeded": {third, []Command{acquire("n1", "n2")}, acquire("n0"),
 			"limits[0]: 3 of 6 instances in all would be unavailable, allowed: 2"},
-		"limit that can never be met": {tenth, nil, acquire("n0"), "limits[0]: no instance of 6 in all may be unavailable"},
+		"ratio that rounds down to 0": {tenth, nil, acquire("n0"), "limits[0]: no instance of 6 in all may be unavailable"},
 		"load would not fit":          {six, nil, acquireCommand(busy, "n0"), "load: 4.6"},
 		"load fits":                   {six, nil, acquireCommand(half, "n0", "n1", "n2"), ""},
 		"same again":                  {six, []Command{acquire("n0")}, acquire("n0"), "n0: already has a permit, held by op"},
@@ -87,8 +87,8 @@
 		"halted":                      {onePerZone, []Command{halt}, acquire("n0"), "halted"},
 		"halted and resumed since": {onePerZone, []Command{halt, resume}, acquire("n0"),
 			"grants were halted since the request was prepared"},
-		"no rules":                   {nil, nil, acquire("n0"), "no limits are set"},
-		"proposer forgot who is out": {one, []Command{acquire("n5")}, acquireCommand(three, "n0"), "limits[0]: 2 of 4"},
+		"no rules":                  {nil, nil, acquire("n0"), "no limits are set"},
+		"permitted one not in view": {one, []Command{acquire("n5")}, acquireCommand(three, "n0"), "limits[0]: 2 of 4"},
 	} {
 		state := NewState()
 		if test.limits != nil {
@@ -150,7 +150,7 @@
 	})
 }
 
-// drawCommand draws a command of any kind about one or two instances of the view.
+// drawCommand draws a command of any kind that names one or two instances of the view.
 func drawCommand(t *rapid.T, view FleetView, knownHalts uint64) Command {
 	drawName := func(label string) string {
 		return view.Instances[rapid.IntRange(0, len(view.Instances)-1).Draw(t, label)].Name
@@ -158,7 +158,7 @@
 	command := Command{
 		Kind:       CommandKind(rapid.IntRange(1, 8).Draw(t, "kind")),
 		Owner:      "op",
-		Names:      []string{drawName("who")},
+		Names:      []string{drawName("name")},
 		Seq:        rapid.Uint64Range(0, 3).Draw(t, "seq"),
 		Reason:     rapid.SampledFrom([]string{"", "x"}).Draw(t, "reason"),
 		KnownHalts: knownHalts,
@@ -168,10 +168,10 @@
 	for range rapid.IntRange(0, 2).Draw(t, "lost") {
 		command.View.Lost = append(command.View.Lost, drawName("lost"))
 	}
-	if rapid.Bool().Draw(t, "two") {
-		command.Names = append(command.Names, drawName("too"))
+	if rapid.Bool().Draw(t, "two names") {
+		command.Names = append(command.Names, drawName("second name"))
 	}
-	command.Incarnations = map[string]uint64{command.Names[0]: rapid.Uint64Range(0, 3).Draw(t, "run")}
+	command.Incarnations = map[string]uint64{command.Names[0]: rapid.Uint64Range(0, 3).Draw(t, "incarnation")}
 	return command
 }
 
--- a/internal/permit/errors.go
+++ b/internal/permit/errors.go
@@ -30,7 +30,7 @@
 // InstanceError is a denial because of one instance.
 type InstanceError struct {
 	Name string // name of the instance
-	Err  error  // why, one of the errors above
+	Err  error  // why; one of the errors above, alone or wrapped
 }
 
 func (e *InstanceError) Error() string { return e.Name + ": " + e.Err.Error() }
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -21,9 +21,9 @@
 	Incarnation uint64   // of the process that may depart; a Recovered report of a later process releases the permit
 	Owner       string   // who requested the permit
 	Reason      string   // the owner's reason
-	Epoch       uint64   // epoch of the command that granted the permit; later permits have higher epochs
+	Epoch       uint64   // Decision.Epoch of the grant; a permit that is granted later has a higher one
 	Departed    bool     // the instance has reported that it leaves service
-	departedSeq uint64   // sequence number of that report
+	departedSeq uint64   // sequence number of the report of departure
 	instance    Instance // as listed in the Acquire command; used if the view of a later command does not list it
 }
 
--- a/internal/permit/rules.go
+++ b/internal/permit/rules.go
@@ -6,23 +6,23 @@
 	"falldeal/internal/configcheck"
 )
 
-// Domain is the kind of part of the fleet in which a Limit counts instances separately.
+// Domain is the kind of domain in which a Limit counts instances separately: a zone, a region or the whole fleet.
 type Domain string
 
-// The domains of a Limit.
+// The kinds of domain.
 const (
-	WholeFleet Domain = ""       // one count for all instances that the limit selects
-	PerZone    Domain = "zone"   // one count for each zone
-	PerRegion  Domain = "region" // one count for each region
+	WholeFleet Domain = ""       // one domain, for all instances that the limit selects
+	PerZone    Domain = "zone"   // one domain for each zone
+	PerRegion  Domain = "region" // one domain for each region
 )
 
 // Limit bounds how many instances may be unavailable at once, because they have a permit or are lost. If several limits
 // select an instance, it has to satisfy all of them.
 type Limit struct {
 	Region, Zone        string  // the limit selects the instances in this region and zone; empty = any
-	Per                 Domain  // the limit counts instances separately in each of these
-	MaxUnavailable      int     // number of instances; 0 = MaxUnavailableRatio applies
-	MaxUnavailableRatio float64 // ratio of the selected instances in the domain, 0 to 1
+	Per                 Domain  // kind of domain in which the limit counts instances separately
+	MaxUnavailable      int     // number of instances in each domain; 0 = MaxUnavailableRatio applies
+	MaxUnavailableRatio float64 // ratio of the selected instances in each domain, 0 to 1; 0 = MaxUnavailable applies
 }
 
 // Rules are the limits that operators set. New rules replace those in force only if their version is higher.
--- a/internal/permit/state_test.go
+++ b/internal/permit/state_test.go
@@ -24,21 +24,21 @@
 		commands []Command
 		released bool
 	}{
-		"nothing":                          {nil, false},
-		"serves on and has not departed":   {[]Command{report(Recovered, 1, 9)}, false},
-		"earlier process recovered":        {[]Command{report(Recovered, 0, 9)}, false},
-		"departed":                         {[]Command{report(Departed, 1, 5)}, false},
-		"departed, then a late report":     {[]Command{report(Departed, 1, 5), report(Recovered, 1, 5)}, false},
-		"departed and recovered (undrain)": {[]Command{report(Departed, 1, 5), report(Recovered, 1, 6)}, true},
-		"next process recovered":           {[]Command{report(Recovered, 2, 1)}, true},
-		"given back":                       {[]Command{release("n0", 2)}, true},
-		"given back by another":            {[]Command{release("n1", 2)}, false},
-		"another permit given back":        {[]Command{release("n0", 1)}, false},
-		"given back after departing":       {[]Command{report(Departed, 1, 5), release("n0", 2)}, false},
-		"written off for no reason":        {[]Command{writeOff("")}, false},
-		"written off":                      {[]Command{writeOff("scrapped")}, true},
-		"halted and resumed":               {[]Command{{Kind: Halt}, {Kind: Resume}}, false},
-		"unknown command":                  {[]Command{{Kind: 99, Names: names}}, false},
+		"nothing":                                {nil, false},
+		"recovered report without departure":     {[]Command{report(Recovered, 1, 9)}, false},
+		"earlier process recovered":              {[]Command{report(Recovered, 0, 9)}, false},
+		"departed":                               {[]Command{report(Departed, 1, 5)}, false},
+		"recovered report from before departure": {[]Command{report(Departed, 1, 5), report(Recovered, 1, 5)}, false},
+		"departed and recovered (undrain)":       {[]Command{report(Departed, 1, 5), report(Recovered, 1, 6)}, true},
+		"next process recovered":                 {[]Command{report(Recovered, 2, 1)}, true},
+		"returned":                               {[]Command{release("n0", 2)}, true},
+		"returned by another instance":           {[]Command{release("n1", 2)}, false},
+		"returned with another epoch":            {[]Command{release("n0", 1)}, false},
+		"returned after departure":               {[]Command{report(Departed, 1, 5), release("n0", 2)}, false},
+		"written off without a reason":           {[]Command{writeOff("")}, false},
+		"written off":                            {[]Command{writeOff("scrapped")}, true},
+		"halted and resumed":                     {[]Command{{Kind: Halt}, {Kind: Resume}}, false},
+		"unknown command":                        {[]Command{{Kind: 99, Names: names}}, false},
 	} {
 		state := newStateWithLimits(Limit{MaxUnavailable: 1})
 		decision := state.Apply(acquireCommand(view, "n0"))
