--- a/internal/overload/aggregation.go
+++ b/internal/overload/aggregation.go
@@ -9,25 +9,29 @@
 // Bounds on the published load of a member or a zone. Loads that exceed them are reduced or ignored, so that a member that
 // misreports its load does not decide for the whole fleet.
 const (
-	maxServiceRatePerCore = 4.0             // seconds of work per second, on one core
-	maxDemandFactor       = 4.0             // ratio of demand to service rate: a rejection costs 1/4 of running a request
-	loadMaxAge            = 8 * time.Second // age of the load of a single member, at any fleet size
+	maxServiceRatePerCore = 4.0 // seconds of work that one core completes per second
+
+	// Ratio of demand to service rate. A rejection costs 1/4 of running a request, so a server cannot handle more demand.
+	maxDemandFactor = 4.0
+
+	// An older load of a single member is ignored, even if fleet.MaxFreshAge allows its age in a fleet of this size.
+	loadMaxAge = 8 * time.Second
 )
 
 // Aggregate is the sum of the load of several members.
 type Aggregate struct {
 	Members     int           // number of members whose load is counted
-	Stale       int           // number of members that are reached but whose load is too old or not known
+	Stale       int           // number of members that are alive but whose load is too old or not known
 	Demand      Demand        // requested work
 	ServiceRate float64       // completed work, in seconds of work per second
-	Cores       float64       // cores of the members that publish how many are in use
-	CoresInUse  float64       // cores of these members that are in use
+	Cores       float64       // cores of the members whose utilization is known
+	CoresInUse  float64       // how many of Cores are in use
 	Attempts    float64       // attempts per second, retries included
 	Retries     float64       // attempts per second that are retries
-	OldestAge   time.Duration // age of the oldest load that is counted; of a collector's own aggregate, the mean age
+	OldestAge   time.Duration // age of the oldest load that is counted; for a zone, the mean age of the loads
 }
 
-// Utilization returns the ratio of the cores that are in use, 0 to 1. It returns -1 if no member publishes how many are.
+// Utilization returns the ratio of Cores that are in use, 0 to 1. It returns -1 if the utilization of no member is known.
 func (a *Aggregate) Utilization() float64 {
 	if a.Cores <= 0 {
 		return -1
@@ -35,13 +39,14 @@
 	return a.CoresInUse / a.Cores
 }
 
-// AggregateView sums up the load in a view at a time on the view's clock.
+// AggregateView sums up the published loads in a view. The time at is on the clock of the view.
 //
 //   - In a small fleet it sums up the loads of all other members. The caller adds its own load, which it knows better.
-//   - In a fleet of 50 members or more it sums up the aggregates of the zones. These include this member.
+//   - In a fleet of 50 members or more it sums up the published aggregates of the zones. These include the load of this
+//     member.
 //
-// It reduces the load of a member or a zone to what its cores allow, so that one that misreports does not decide for the
-// whole fleet.
+// It limits the service rate of a member or a zone by the number of its cores, and the demand by that service rate. A
+// member or a zone that misreports its load therefore does not decide for the whole fleet.
 func AggregateView(view *fleet.Snapshot, at time.Duration) (total Aggregate, includesSelf bool) {
 	if len(view.Members) >= minMembersForCollectors {
 		return aggregateZones(view, at), true
@@ -67,7 +72,8 @@
 	return total
 }
 
-// AggregateOf returns the published load of one member as an aggregate, reduced to what its cores allow.
+// AggregateOf returns the published load of one member as an aggregate. It limits the service rate by the number of the
+// member's cores, and the demand by that service rate.
 func AggregateOf(load *fleet.Load) (aggregate Aggregate) {
 	aggregate.Members = 1
 	aggregate.ServiceRate = boundedServiceRate(load.ServiceRate, load.Capacity)
@@ -85,8 +91,8 @@
 	return aggregate
 }
 
-// boundedServiceRate returns the service rate of a server, limited to what its cores allow. A server that publishes none
-// is assumed to complete one second of work per second on each core.
+// boundedServiceRate returns the service rate of a server, limited to maxServiceRatePerCore for each core. If the rate is 0,
+// it is not known; the server is then assumed to complete one second of work per second on each core.
 func boundedServiceRate(serviceRate, cores float64) float64 {
 	if serviceRate <= 0 {
 		return cores
@@ -112,7 +118,8 @@
 	}
 }
 
-// clamp reduces the aggregate of a zone to what its members, with the given number of cores in total, allow.
+// clamp limits the published aggregate of a zone by what the view shows of the zone: the number of its members, and the
+// number of cores that they have in total.
 func (a *Aggregate) clamp(members int, cores float64) {
 	a.Members = min(a.Members, members)
 	a.ServiceRate = min(a.ServiceRate, maxServiceRatePerCore*cores)
--- a/internal/overload/aggregation_test.go
+++ b/internal/overload/aggregation_test.go
@@ -124,7 +124,7 @@
 	return members
 }
 
-// requireAggregate requires that an aggregate is about the load of this number of members, and recent.
+// requireAggregate requires that an aggregate is recent, and within a few percent of the load of this number of members.
 func (f *zonedFleet) requireAggregate(t *testing.T, aggregate Aggregate, members int, when string) {
 	t.Helper()
 	require.InEpsilon(t, float64(members), float64(aggregate.Members), 0.03, when)
--- a/internal/overload/attempt_age.go
+++ b/internal/overload/attempt_age.go
@@ -15,7 +15,7 @@
 //     be that of a first attempt.
 //   - An attempt with another timeout is taken for a retry. Its request is at least as old as the difference to the next
 //     longer common timeout.
-//   - Nothing is learned if the timeouts of a class are all the same or all different.
+//   - If the timeouts of a class are all the same or all different, no attempt is taken for a retry.
 //
 // It belongs to one goroutine.
 type AgeEstimator struct{ classes map[string]*timeoutHistogram }
@@ -23,8 +23,8 @@
 // NewAgeEstimator returns an estimator that has not learned any timeouts.
 func NewAgeEstimator() *AgeEstimator { return &AgeEstimator{map[string]*timeoutHistogram{}} }
 
-// RecordAttempt counts an attempt with the given remaining timeout. It returns the least time since the first attempt of its
-// request was sent, or 0 for a first attempt and if the age is not known.
+// RecordAttempt counts an attempt with the given remaining timeout. If the attempt is taken for a retry, it returns a lower
+// bound on the age of the request, which is the time since its first attempt was sent. Otherwise it returns 0.
 func (e *AgeEstimator) RecordAttempt(now time.Duration, class string, timeout time.Duration) (age time.Duration) {
 	histogram := e.histogram(now, class)
 	if histogram == nil {
@@ -37,7 +37,7 @@
 	return histogram.age(timeout)
 }
 
-// histogram returns the histogram of a class. It returns nil for a new class if maxEstimatedClasses have one.
+// histogram returns the histogram of a class. It returns nil for a new class if maxEstimatedClasses classes have one.
 func (e *AgeEstimator) histogram(now time.Duration, class string) *timeoutHistogram {
 	if histogram := e.classes[class]; histogram != nil {
 		return histogram
--- a/internal/overload/collector.go
+++ b/internal/overload/collector.go
@@ -13,7 +13,7 @@
 	collectorsPerZone       = 2
 	collectInterval         = time.Second     // interval of sending partial aggregates and of publishing aggregates
 	partialMaxAge           = 3 * time.Second // tolerates two lost partial aggregates in a row
-	maxPartials             = 4096            // senders that a collector stores, and the largest Members that is decoded
+	maxPartials             = 4096            // senders that a collector stores, and upper bound of Members in ParseAggregate
 )
 
 // PartialAggregate is the load of one member, as that member sends it to the collectors of its zone.
@@ -22,7 +22,8 @@
 	Aggregate Aggregate // the load of the sender alone
 }
 
-// Collector does the part of one member in summing up the load of its zone.
+// Collector runs in every member of the fleet. It returns the collectors of the zone, to which the member sends its load.
+// If the member is itself one of them, it also sums up the load of the zone.
 //
 // In a large fleet, gossip spreads the load of single members too slowly for load shedding: its age grows with the number
 // of members, up to minutes. Therefore each member sends its load directly to the collectors of its zone once a second.
@@ -37,7 +38,7 @@
 type Collector struct {
 	self      ProcessID
 	partials  map[ProcessID]receivedPartial // latest partial aggregate of each sender
-	nextTick  time.Duration                 // earliest time of the next collection
+	nextTick  time.Duration                 // earliest time at which Tick returns recipients again
 	published string                        // encoded aggregate of the zone; empty if this member is not a collector
 }
 
@@ -47,22 +48,22 @@
 	receivedAt time.Duration
 }
 
-// NewCollector returns a collector that runs in the process self.
+// NewCollector returns a Collector that runs in the process self.
 func NewCollector(self ProcessID) *Collector {
 	return &Collector{self: self, partials: map[ProcessID]receivedPartial{}}
 }
 
-// Self returns the process that this collector runs in.
+// Self returns the process that this Collector runs in.
 func (c *Collector) Self() ProcessID { return c.self }
 
-// Published returns the encoded aggregate of the zone. It is empty if this member is not a collector or the fleet has
-// fewer than 50 members.
+// Published returns the encoded aggregate of the zone. It is empty if this member is not a collector of its zone or the
+// fleet has fewer than 50 members.
 func (c *Collector) Published() string { return c.published }
 
 // AddToLoad adds the aggregate of the zone to the load that this member publishes.
 func (c *Collector) AddToLoad(load *fleet.Load) { load.Aggregate = c.published }
 
-// Receive stores a partial aggregate. It drops one of a new sender if maxPartials are stored.
+// Receive stores a partial aggregate. If those of maxPartials senders are stored, it ignores one of a new sender.
 func (c *Collector) Receive(now time.Duration, partial PartialAggregate) {
 	if _, known := c.partials[partial.From]; !known && len(c.partials) >= maxPartials {
 		return
@@ -70,8 +71,9 @@
 	c.partials[partial.From] = receivedPartial{partial.Aggregate, now}
 }
 
-// Tick updates the published aggregate of the zone if this member is one of its collectors. It returns the other
-// collectors, to which this member is to send its partial aggregate now. It is to be called at least once a second.
+// Tick updates the published aggregate of the zone if this member is one of its collectors. own is the load of this member.
+// Tick returns the collectors of the zone other than this member. The caller is to send own to them now, as a partial
+// aggregate. Tick is to be called at least once a second.
 func (c *Collector) Tick(now time.Duration, own Aggregate, view *fleet.Snapshot) (recipients []ProcessID) {
 	if len(view.Members) < minMembersForCollectors {
 		c.reset()
@@ -104,8 +106,8 @@
 	clear(c.partials)
 }
 
-// collect returns the sum of the recent partial aggregates and this member's own. It drops partial aggregates that are
-// older than partialMaxAge.
+// collect returns the sum of own, the load of this member, and the recent partial aggregates of other members. It drops
+// partial aggregates that are older than partialMaxAge.
 func (c *Collector) collect(now time.Duration, own Aggregate) Aggregate {
 	total := own
 	ages := time.Duration(0)
@@ -124,8 +126,8 @@
 	return total
 }
 
-// zoneCollectors returns the collectors of this member's zone: those of its members that accept requests and have the
-// highest hashes of process and zone.
+// zoneCollectors returns the collectors of this member's zone. Of the members in the zone that accept requests, these are
+// the ones with the highest hashes of zone and run.
 func (c *Collector) zoneCollectors(view *fleet.Snapshot) []ProcessID {
 	self := view.Find(c.self.Name)
 	if self == nil {
--- a/internal/overload/demand_encoding.go
+++ b/internal/overload/demand_encoding.go
@@ -4,8 +4,8 @@
 
 // Each bin of a demand is encoded in one byte, as a step on a logarithmic scale. The scale is part of the wire format.
 const (
-	minPublishedDemand     = 0.01 // seconds of work per second, of step 1; a bin with less is encoded as empty
-	demandStepsPerDoubling = 8    // two steps differ by 9%
+	minPublishedDemand     = 0.01 // demand of step 1 in seconds of work per second; a bin with less is encoded as empty
+	demandStepsPerDoubling = 8    // adjacent steps differ by 9%
 )
 
 // Append appends the encoded demand to b. The encoding is the index of the first bin that is not empty, followed by one
@@ -55,8 +55,8 @@
 	}
 }
 
-// encodedDemandTotal returns the sum of encoded demand in seconds of work per second. Unlike addEncoded it counts the
-// steps beyond the last bin, of which a malformed encoding may have some.
+// encodedDemandTotal returns the sum of encoded demand in seconds of work per second. A malformed encoding may have steps
+// beyond the last bin. Unlike addEncoded, it counts these as well, but at most demandBins steps in total.
 func encodedDemandTotal(encoded string) (total float64) {
 	if encoded == "" {
 		return 0
--- a/internal/overload/golden_shedding_test.go
+++ b/internal/overload/golden_shedding_test.go
@@ -24,14 +24,14 @@
 
 // The member that counts the attempts may run another version. A changed encoding would lose them.
 func TestGoldenReportsEncoded(t *testing.T) {
-	requireFrames(t, goldenReports, goldenReportCases(), func(b []byte, attempts []uint64) []byte {
+	requireEncoded(t, goldenReports, goldenReportCases(), func(b []byte, attempts []uint64) []byte {
 		return AppendAttemptReport(b, AttemptReport{To: goldenLender, Attempts: attempts})
 	})
 }
 
 // Reports of other versions must be decoded, and not be taken for partial aggregates.
 func TestGoldenReportsDecoded(t *testing.T) {
-	requireRead(t, goldenReports, goldenReportCases(), func(b []byte) []uint64 {
+	requireDecoded(t, goldenReports, goldenReportCases(), func(b []byte) []uint64 {
 		require.True(t, IsSheddingMessage(b))
 		_, isPartial := ParsePartial(b)
 		require.False(t, isPartial)
@@ -64,22 +64,22 @@
 		{name: "last bin", value: demandOf(demandBins-1, 60)},
 		{name: "two bins and an empty one between", value: demandOf(10, 60, 0, 70)},
 		{name: "all bins", value: all},
-		{name: "too little to be told", value: tooSmall, read: &none},
-		{name: "more than can be told", value: tooLarge, read: &largest},
+		{name: "too little to be told", value: tooSmall, decoded: &none},
+		{name: "more than can be told", value: tooLarge, decoded: &largest},
 	}
 }
 
 // Demand is part of the loads and zone aggregates that members of other versions read. A changed encoding would give them
 // another threshold.
 func TestGoldenDemandsEncoded(t *testing.T) {
-	requireFrames(t, goldenDemands, goldenDemandCases(), func(b []byte, demand Demand) []byte {
+	requireEncoded(t, goldenDemands, goldenDemandCases(), func(b []byte, demand Demand) []byte {
 		return demand.Append(b)
 	})
 }
 
 // Demand published by other versions must be decoded.
 func TestGoldenDemandsDecoded(t *testing.T) {
-	requireRead(t, goldenDemands, goldenDemandCases(), func(b []byte) (demand Demand) {
+	requireDecoded(t, goldenDemands, goldenDemandCases(), func(b []byte) (demand Demand) {
 		demand.addEncoded(string(b), 1)
 		return demand
 	})
@@ -92,11 +92,11 @@
 		return aggregate
 	}
 	fraction := one(func(aggregate *Aggregate) { aggregate.OldestAge, aggregate.ServiceRate = 1999*time.Microsecond, 0.1 })
-	fractionRead := one(func(aggregate *Aggregate) {
+	fractionDecoded := one(func(aggregate *Aggregate) {
 		aggregate.OldestAge, aggregate.ServiceRate = time.Millisecond, float64(float32(0.1))
 	})
 	stale := one(func(aggregate *Aggregate) { aggregate.Stale, aggregate.OldestAge = 9, -1 })
-	staleRead := one(func(*Aggregate) {})
+	staleDecoded := one(func(*Aggregate) {})
 	return []frameCase[Aggregate]{
 		{name: "empty", value: Aggregate{}},
 		{name: "members", value: Aggregate{Members: 300}},
@@ -111,21 +111,21 @@
 			Members: maxPartials, OldestAge: time.Hour, Demand: demandOf(0, 1, 2, 3), ServiceRate: 1024,
 			Cores: 2048, CoresInUse: 512, Attempts: 4096.5, Retries: 256.25,
 		}},
-		{name: "fraction of a millisecond and of a float", value: fraction, read: &fractionRead},
-		{name: "stale members and a negative age are not told", value: stale, read: &staleRead},
+		{name: "fraction of a millisecond and of a float", value: fraction, decoded: &fractionDecoded},
+		{name: "stale members and a negative age are not told", value: stale, decoded: &staleDecoded},
 	}
 }
 
 // Zone aggregates spread through a fleet of several versions. A changed encoding would make their zones stale.
 func TestGoldenAggregatesEncoded(t *testing.T) {
-	requireFrames(t, goldenAggregates, goldenAggregateCases(), func(b []byte, aggregate Aggregate) []byte {
+	requireEncoded(t, goldenAggregates, goldenAggregateCases(), func(b []byte, aggregate Aggregate) []byte {
 		return AppendAggregate(b, &aggregate)
 	})
 }
 
 // Aggregates published by other versions must be decoded.
 func TestGoldenAggregatesDecoded(t *testing.T) {
-	requireRead(t, goldenAggregates, goldenAggregateCases(), func(b []byte) Aggregate {
+	requireDecoded(t, goldenAggregates, goldenAggregateCases(), func(b []byte) Aggregate {
 		aggregate, err := ParseAggregate(b)
 		require.NoError(t, err)
 		return aggregate
@@ -145,12 +145,12 @@
 
 // The collector may run another version. A changed encoding would leave the sender out of its zone's aggregate.
 func TestGoldenPartialsEncoded(t *testing.T) {
-	requireFrames(t, goldenPartials, goldenPartialCases(), AppendPartial)
+	requireEncoded(t, goldenPartials, goldenPartialCases(), AppendPartial)
 }
 
 // Partial aggregates of other versions must be decoded, and not be taken for reports.
 func TestGoldenPartialsDecoded(t *testing.T) {
-	requireRead(t, goldenPartials, goldenPartialCases(), func(b []byte) PartialAggregate {
+	requireDecoded(t, goldenPartials, goldenPartialCases(), func(b []byte) PartialAggregate {
 		require.True(t, IsSheddingMessage(b))
 		_, isReport := ParseAttemptReport(b)
 		require.False(t, isReport)
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -23,13 +23,13 @@
 
 // frameCase is a value with the name of its frame in a golden file.
 type frameCase[T any] struct {
-	name  string
-	value T
-	read  *T // value that the frame is decoded to; nil = the same
+	name    string
+	value   T
+	decoded *T // value that the frame is decoded to; nil = the same
 }
 
-// requireFrames requires that the values of the cases are encoded as the frames of a golden file.
-func requireFrames[T any](t *testing.T, file string, cases []frameCase[T], appendTo func(b []byte, v T) []byte) {
+// requireEncoded requires that the values of the cases are encoded as the frames of a golden file.
+func requireEncoded[T any](t *testing.T, file string, cases []frameCase[T], appendTo func(b []byte, v T) []byte) {
 	t.Helper()
 	var frames []golden.Frame
 	for _, test := range cases {
@@ -38,15 +38,15 @@
 	golden.RequireFrames(t, file, frames)
 }
 
-// requireRead requires that each frame of a golden file is decoded to the value of its case.
-func requireRead[T any](t *testing.T, file string, cases []frameCase[T], parse func(b []byte) T) {
+// requireDecoded requires that each frame of a golden file is decoded to the value of its case.
+func requireDecoded[T any](t *testing.T, file string, cases []frameCase[T], parse func(b []byte) T) {
 	t.Helper()
 	frames := golden.ReadFrames(t, file, len(cases))
 	for _, test := range cases {
 		require.Contains(t, frames, test.name)
 		want := test.value
-		if test.read != nil {
-			want = *test.read
+		if test.decoded != nil {
+			want = *test.decoded
 		}
 		require.Equal(t, want, parse(frames[test.name]), test.name)
 	}
@@ -72,12 +72,12 @@
 			Kind: LeaseGrant, From: goldenLender, To: goldenBorrower, Number: 300, Amount: 1000,
 		}},
 		{name: "lend nothing", value: withoutAmount},
-		{name: "lend a negative amount", value: negative, read: &withoutAmount},
+		{name: "lend a negative amount", value: negative, decoded: &withoutAmount},
 		{name: "back", value: LeaseMessage{
 			Kind: LeaseReturn, From: goldenBorrower, To: goldenLender, Number: 300, Amount: 1000,
 		}},
 		{name: "ask for the most", value: largestAmount},
-		{name: "ask for more than the most", value: tooLarge, read: &largestAmount},
+		{name: "ask for more than the most", value: tooLarge, decoded: &largestAmount},
 		{name: "zero runs and number", value: LeaseMessage{
 			Kind: LeaseRequest, From: ProcessID{Name: "n1"}, To: ProcessID{Name: "n2"}, Amount: 1,
 		}},
@@ -89,7 +89,7 @@
 
 // Members of different versions lease quota from each other. A changed encoding would break that.
 func TestGoldenLeasesEncoded(t *testing.T) {
-	requireFrames(t, goldenLeases, goldenLeaseCases(), AppendLeaseMessage)
+	requireEncoded(t, goldenLeases, goldenLeaseCases(), AppendLeaseMessage)
 }
 
 // Messages of other versions must be decoded, even with a field that a newer version has added.
@@ -100,7 +100,7 @@
 		require.NoError(t, err)
 		return message
 	}
-	requireRead(t, goldenLeases, goldenLeaseCases(), parse)
+	requireDecoded(t, goldenLeases, goldenLeaseCases(), parse)
 	request := golden.ReadFrames(t, goldenLeases, len(goldenLeaseCases()))["ask"]
 	added := protowire.AppendString(protowire.AppendTag(request, 99, protowire.BytesType), "added")
 	require.Equal(t, goldenLeaseCases()[0].value, parse(added))
--- a/internal/overload/lease.go
+++ b/internal/overload/lease.go
@@ -17,7 +17,7 @@
 	expires time.Duration
 }
 
-// answers reports whether the lease was granted for the request with this number, which was sent by or to this peer.
+// answers reports whether the lease was granted for the request with this number that was exchanged with this peer.
 func (l *lease) answers(peer ProcessID, number uint64) bool {
 	return l.peer == peer && l.number == number
 }
--- a/internal/overload/leasing.go
+++ b/internal/overload/leasing.go
@@ -21,7 +21,7 @@
 	Reserved          Quota         // part of Base that is never leased out, and the limit of a process after its start
 	Lease             time.Duration // length of a lease; the borrower counts it from when it sent the request
 	CallTime          time.Duration // longest time that the store works on a call
-	AbandonedCallTime time.Duration // longest time that the store goes on with a call after its process has died
+	AbandonedCallTime time.Duration // longest time that the store goes on with a call after the calling process has died
 }
 
 // QuotaLedger accounts for the quota of one member at a store: its own quota, what it has leased out to other members and
@@ -39,7 +39,8 @@
 //
 // The rules do not cover two cases:
 //
-//   - A process is suspended after it has read its limit and before it sends a call. That call comes on top.
+//   - A process is suspended after it has read its limit and before it sends a call. Once it resumes, it sends the call
+//     even if the limit has fallen in the meantime.
 //   - The store works on a call for longer than CallTime.
 type QuotaLedger struct {
 	terms                LeaseTerms
@@ -86,9 +87,10 @@
 	return max(limit-l.LeasedOut(now)+l.Leased(now), 0)
 }
 
-// LimitUntil returns the lower of the limits at now and at then. It is for a caller that applies the limit until then.
-func (l *QuotaLedger) LimitUntil(now, then time.Duration) Quota {
-	return min(l.Limit(now), l.Limit(then))
+// LimitUntil returns the lower of the limits at now and at end, for a caller that applies one limit from now to end. It
+// does not check the time in between: the limit is lower there if a received lease expires before a granted one does.
+func (l *QuotaLedger) LimitUntil(now, end time.Duration) Quota {
+	return min(l.Limit(now), l.Limit(end))
 }
 
 // Leased returns the quota that this member has leased from others and may use for calls that it begins now.
@@ -138,9 +140,9 @@
 	return LeaseMessage{}, false
 }
 
-// grant leases out quota that is not used, reserved or leased out already. If there is none, the answer grants 0, so that
-// the borrower can ask another member. ok is false if this request of the borrower, or a later one, was granted before:
-// then it is a duplicate, or a later request has overtaken it.
+// grant leases out quota that is not used, reserved or leased out already. The answer grants 0 if there is none, leases of
+// a predecessor may be in force, or maxLeases is reached; the borrower can then ask another member. ok is false if a lease
+// in force answers this request or a later one of the borrower: then this request is a duplicate, or was overtaken.
 func (l *QuotaLedger) grant(now time.Duration, request LeaseMessage, used Quota) (answer LeaseMessage, ok bool) {
 	answer = LeaseMessage{Kind: LeaseGrant, From: l.self, To: request.From, Number: request.Number}
 	if now < l.predecessorLeasesEnd || len(l.leasedOut) >= maxLeases {
@@ -157,8 +159,8 @@
 	return answer, true
 }
 
-// receiveGrant records the lease of a grant that answers a pending request. The lease counts from when the request was
-// sent. Other grants are ignored.
+// receiveGrant records the lease of a grant that answers a pending request. The length of the lease counts from when the
+// request was sent. A grant without a pending request is ignored.
 func (l *QuotaLedger) receiveGrant(grant LeaseMessage) {
 	request, ok := l.pending.take(grant.From, grant.Number)
 	if !ok || grant.Amount <= 0 {
@@ -191,8 +193,9 @@
 	return returns
 }
 
-// returnable reports whether a received lease can be returned. An expired lease can be once the calls in flight fit into
-// the limit, so that none of them depends on the lease. Another one can be if the limit without it suffices.
+// returnable reports whether a received lease can be returned. An expired lease can be returned once the calls in flight
+// fit into the limit, so that none of them depends on the lease. An unexpired lease can be returned if the limit without it
+// is at least inFlight and needed.
 func (l *QuotaLedger) returnable(now time.Duration, received *lease, inFlight, needed Quota) bool {
 	limit := l.Limit(now)
 	if now >= received.expires {
--- a/internal/overload/leasing_modelcheck_test.go
+++ b/internal/overload/leasing_modelcheck_test.go
@@ -145,8 +145,10 @@
 	s.ledgers[member] = NewQuotaLedger(s.now, ProcessID{s.ledgers[member].self.Name, 2}, testTerms)
 	for i, call := range s.calls {
 		if call.member == member {
-			abandoned := min(call.startedAt, s.now+testTerms.AbandonedCallTime-testTerms.CallTime)
-			s.calls[i] = modelCall{noMember, abandoned}
+			// With this start, wait ends the call CallTime after its true start or AbandonedCallTime from now, whichever is
+			// earlier.
+			startedAt := min(call.startedAt, s.now+testTerms.AbandonedCallTime-testTerms.CallTime)
+			s.calls[i] = modelCall{noMember, startedAt}
 		}
 	}
 }
--- a/internal/overload/leasing_wire.go
+++ b/internal/overload/leasing_wire.go
@@ -74,7 +74,7 @@
 }
 
 // setField sets a field to its encoded value. It returns false if the value is not of the field's type. It ignores a
-// field of an unknown number.
+// field with an unknown number.
 func (m *LeaseMessage) setField(field protowire.Number, fieldType protowire.Type, encoded []byte) bool {
 	switch field {
 	case fieldFrom, fieldTo:
@@ -103,8 +103,8 @@
 	}
 }
 
-// setNumber sets a varint field. It reduces a kind or an amount that is out of range to the largest number of its range;
-// for a kind, that is not a valid one.
+// setNumber sets a varint field. A kind above 255 becomes 255, which is not valid either. An amount above math.MaxInt32
+// becomes math.MaxInt32.
 func (m *LeaseMessage) setNumber(field protowire.Number, number uint64) {
 	switch field {
 	case fieldKind:
--- a/internal/overload/local_demand.go
+++ b/internal/overload/local_demand.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// demandTimeConstant is the time in which a counted request decays to 1/e.
+// demandTimeConstant is the time in which the weight of a counted attempt decays to 1/e.
 const demandTimeConstant = 2 * time.Second
 
 // localDemand measures the demand at this server by exponentially decaying sums over the attempts that arrive.
--- a/internal/overload/messages.go
+++ b/internal/overload/messages.go
@@ -8,7 +8,7 @@
 // ProcessID identifies a process of a member. Each restart of a member makes a new process.
 type ProcessID struct {
 	Name string // name of the member
-	Run  uint64 // number that grows with each process of the member
+	Run  uint64 // identifies the process in the fleet; grows with the time of its start
 }
 
 // compare orders processes by name, then by run. The result is as that of cmp.Compare.
@@ -38,7 +38,7 @@
 // The kinds of messages. Their numbers are part of the wire format.
 const (
 	LeaseRequest LeaseMessageKind = iota + 1 // requests at most Amount
-	LeaseGrant                               // grants Amount for one lease, counted from the time of the request; 0 = denied
+	LeaseGrant                               // grants Amount for LeaseTerms.Lease from when the request was sent; 0 = denied
 	LeaseReturn                              // returns the lease that was granted for request Number
 )
 
--- a/internal/overload/priority.go
+++ b/internal/overload/priority.go
@@ -14,8 +14,9 @@
 const maxPriority = demandBins - 1e-6
 
 // Priority returns the priority of a request, from 0 to maxPriority; its integer part is the priority bin. The priority
-// grows with the logarithm of value/work, where work is in seconds. A rank from 0 to 1 adds up to one bin to it. All
-// members compute the same priority for the same request, so that they shed the same requests.
+// grows with the logarithm of value/work, where work is in seconds. The rank, from 0 to 1, orders requests of the same
+// value/work: it adds up to one bin. All members compute the same priority for the same request, so that they shed the
+// same requests.
 func Priority(value, work, rank float64) float64 {
 	priority := binsPerOctave * (math.Log2(value/work) - lowestExponent)
 	if !(priority > 0) { // also if it is NaN
--- a/internal/overload/probe_round.go
+++ b/internal/overload/probe_round.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	roundTimeout = 5 * time.Second // a round without a successor for longer is followed by the next one
+	roundTimeout = 5 * time.Second // a member starts the next round if it learns of none for longer than this
 	maxRound     = 1 << 40         // update ignores published rounds from this one on
 )
 
@@ -46,7 +46,7 @@
 	r.since = now
 }
 
-// selects reports whether the round selects this process among the unhealthy members.
+// selects reports whether the round selects the process with this run rather than one of the other unhealthy members.
 func (r *probeRound) selects(run uint64, unhealthy []*fleet.Member) bool {
 	seed := mix(r.number)
 	ownHash := mix(run ^ seed)
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -8,13 +8,14 @@
 
 const (
 	failureThreshold       = 6                // consecutive failures after which a store counts as unresponsive
-	warnedFailureThreshold = 1                // the same while a quorum of other members finds the store unresponsive
+	warnedFailureThreshold = 1                // the threshold while a quorum of other members finds the store unresponsive
 	turnDuration           = 2 * time.Second  // time for which a member probes in a round
 	recoveringDuration     = 30 * time.Second // time for which a member publishes StoreRecovering
 )
 
 // ProbeCoordinator decides which members probe a store that does not respond. The members of one zone that use the same
-// store form a group. If a store is unresponsive from one zone only, that zone probes it and finds that it has recovered.
+// store form a group, as a store may be unresponsive from one zone only: then only members of that zone can find out when
+// it has recovered.
 //
 // The rules are:
 //
@@ -28,17 +29,17 @@
 //
 // It belongs to one goroutine.
 type ProbeCoordinator struct {
-	run              uint64 // run of this process, see ProcessID
+	run              uint64 // see ProcessID.Run
 	zone             string // zone of this member
 	storeID          uint32 // hash that identifies the store
 	state            StoreState
 	stateSince       time.Duration // when state was last set
-	calls            callResults   // calls since then
+	calls            callResults   // calls since state was last set
 	round            probeRound
 	unhealthyMembers int // as returned by UnhealthyMembers
 }
 
-// callResults counts the calls to the store since the state was last set.
+// callResults counts the calls to the store since ProbeCoordinator.state was last set.
 type callResults struct {
 	consecutiveFailures int
 	successes           int
--- a/internal/overload/probes_test.go
+++ b/internal/overload/probes_test.go
@@ -71,8 +71,8 @@
 	return maxInFlight, s.callCount - callsBefore
 }
 
-// receiveUpdates delivers the updates that have arrived. It drops one of an earlier round than the last, unless the state of
-// the store differs.
+// receiveUpdates delivers the updates that have arrived. It drops an update whose round is earlier than that of the last
+// update from the same member, unless the state of the store differs.
 func (s *coordinatorSimulation) receiveUpdates() {
 	for len(s.updates) > 0 && s.updates[0].arrivesAt <= s.now {
 		update := s.updates[0]
@@ -234,8 +234,8 @@
 	}
 }
 
-// One member that misreports must not decide for its group: it publishes that a dead store has recovered or that a healthy
-// one fails, that it probes all the time, or rounds that are out of range.
+// One member that misreports must not decide for its group. Each case is a false report: that a dead store has recovered, that a
+// healthy one fails, that the member probes all the time, or a round that is out of range.
 func TestMisreportingMemberIsContained(t *testing.T) {
 	const members, misreporting = 30, 3
 	for name, misreport := range map[string]func(load *fleet.Load){
@@ -257,7 +257,7 @@
 		}
 		simulation.run(15*time.Second, false)
 		maxInFlight, calls := simulation.run(30*time.Second, false)
-		require.LessOrEqual(t, maxInFlight, 4+verifiersPerRecoveredMember, name)
+		require.LessOrEqual(t, maxInFlight, 4+verifiersPerRecovery, name)
 		require.Positive(t, calls, name)
 		simulation.run(40*time.Second, true)
 		require.Zero(t, simulation.unhealthy(), name)
--- a/internal/overload/quota_manager.go
+++ b/internal/overload/quota_manager.go
@@ -17,11 +17,11 @@
 
 // QuotaManager decides when a member requests quota, from which member and how much, and when it returns quota.
 //
-//   - The needed quota is the mean usage of the member plus a reserve. If calls were missed within the last lease length,
-//     it is at least what missedQuota wants.
+//   - The needed quota is the mean usage of the member plus a reserve. If calls were missed within the last
+//     LeaseTerms.Lease, it is at least a step above the limit at which they were missed (see missedQuota).
 //   - The member returns leases that it does not need.
-//   - While calls were missed within the last lease length, it requests quota if its limit is below the needed quota, or
-//     will be within renewalMargin. It draws a few members and sends the request to the one with the most unused quota.
+//   - If calls were missed within the last LeaseTerms.Lease, it requests quota if its limit is below the needed quota, or
+//     will be after renewalMargin. It draws a few members and sends the request to the one with the most unused quota.
 //
 // It belongs to one goroutine.
 type QuotaManager struct {
@@ -72,7 +72,7 @@
 	return needed
 }
 
-// requestMissing returns a request for the quota that the limit falls short of the needed quota, now or within
+// requestMissing returns a request for the quota by which the limit falls short of the needed quota, now or after
 // renewalMargin. ok is false if none is missing, no calls were missed lately, the last request is too recent, no lender is
 // found, or RequestLease refuses.
 func (m *QuotaManager) requestMissing(
--- a/internal/overload/quota_manager_test.go
+++ b/internal/overload/quota_manager_test.go
@@ -29,11 +29,11 @@
 	return quotas
 }
 
-// run simulates the time from from to to, and returns the lowest limit of the first member in it.
-func (f *quotaFleet) run(from, to time.Duration, busy bool) Quota {
+// run simulates the time from start to end, and returns the lowest limit that the first member has in it.
+func (f *quotaFleet) run(start, end time.Duration, busy bool) Quota {
 	const interval = 250 * time.Millisecond
 	minLimit := Quota(1 << 40)
-	for now := from; now < to; now += interval {
+	for now := start; now < end; now += interval {
 		f.publishLoads(now)
 		f.transmit(now, f.tick(now, busy))
 		minLimit = min(minLimit, f.managers[0].Limit(now))
@@ -111,7 +111,7 @@
 		return map[int]fleet.Load{self: {CallQuota: 9}, full: {CallQuota: 4, MeanCalls: 4}, free: {CallQuota: 4}}[member]
 	})
 	for _, test := range []struct {
-		drawn int
+		drawn int // index of the member that is drawn each time
 		ok    bool
 	}{{self, false}, {full, false}, {free, true}} {
 		manager := NewQuotaManager(NewQuotaLedger(0, processOf(&view.Members[self]), testTerms), func(int) int { return test.drawn })
--- a/internal/overload/recorded_run_test.go
+++ b/internal/overload/recorded_run_test.go
@@ -97,6 +97,7 @@
 				aggregate.Demand[run.Random.IntN(demandBins)] = run.eighths(8)
 				collector.Receive(run.Now, PartialAggregate{ProcessID{fmt.Sprint("n", member), uint64(member + 1)}, aggregate})
 			}
+			// One view in 20 has too few members for collectors.
 			recipients := collector.Tick(run.Now, Aggregate{Members: 1, Cores: 4}, run.view(members-run.Random.IntN(20)/19*10))
 			run.Write(recipients, []byte(collector.Published()))
 		}
--- a/internal/overload/retries.go
+++ b/internal/overload/retries.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	rejectionRetention = 4 * time.Second // time after a rejection in which further attempts count as known retries
-	maxRejections      = 4096            // rejected requests that are kept
+	rejectionRetention = 4 * time.Second // time after a rejection in which further attempts of the request count as known retries
+	maxRejections      = 4096            // rejected requests that a member remembers
 	maxReportAttempts  = 32              // attempts in one report
 )
 
--- a/internal/overload/retry_sample.go
+++ b/internal/overload/retry_sample.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	targetReportRate = 16 // sampled attempts per second that a server aims to stay below
+	targetReportRate = 16 // sampled attempts per second that a server aims not to exceed
 	minSampleDivisor = 1
 	maxSampleDivisor = 1 << 12
-	maxPending       = 4 * targetReportRate // attempts that are reported at one tick
-	minTickSeconds   = 0.1                  // shortest time to compute a rate of arrivals over
+	maxPending       = 4 * targetReportRate // largest number of attempts that are reported at one tick
+	minTickSeconds   = 0.1                  // lower bound of the time that the rate of arrivals is computed over
 )
 
 // attemptSample chooses the requests whose attempts are reported: those whose fingerprint is divisible by divisor. The
--- a/internal/overload/retry_tally.go
+++ b/internal/overload/retry_tally.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	requestTrackingTime    = 8 * time.Second // time from its first attempt in which attempts count for the same request
+	requestTrackingTime    = 8 * time.Second // time after a request's first counted attempt in which more are assigned to it
 	maxTrackedRequests     = 4096
 	retryRatioTimeConstant = 5 * time.Second // time constant of the tally and of the attempt rate
 	minCountedRequests     = 4.0             // decayed count of requests below which the ratio is reported as 0
--- a/internal/overload/shedding.go
+++ b/internal/overload/shedding.go
@@ -14,7 +14,7 @@
 // Shedder computes the shedding threshold of the fleet and classifies requests by it.
 //
 //   - Each member sums up what all members have published: demand by priority bin, service rate, cores in use and retries.
-//   - The fleet is full while demand exceeds the service rate (see SheddingState for the hysteresis).
+//   - The fleet is full while demand exceeds the service rate (with hysteresis, see overloadEnterRatio).
 //   - While the fleet is full, the threshold is the priority down to which the demand fits into the capacity. Every member
 //     that is short of CPU time sheds the requests below the threshold.
 //
--- a/internal/overload/shedding_state.go
+++ b/internal/overload/shedding_state.go
@@ -22,7 +22,7 @@
 
 // SheddingState is the load of the fleet as this member knows it, and the shedding threshold that follows from it.
 type SheddingState struct {
-	Known               bool          // there are recent updates, and this member is not partitioned from most others
+	Known               bool          // recent loads of other members are known, and this member is not partitioned or alone
 	Full                bool          // demand exceeds the service rate, with hysteresis
 	Threshold           float64       // requests of a lower priority are to be shed; 0 = none
 	TotalDemand         float64       // demand of the fleet, corrected for retries, in seconds of work per second
@@ -30,9 +30,9 @@
 	RetryRatio          float64       // retries per first attempt in the fleet
 	RetryBudgetExceeded bool          // the fleet is full and RetryRatio exceeds RetryBudget
 	RetryWindow         time.Duration // time over which rejected clients are to spread their retries, 4 s at most
-	Members             int           // number of members whose updates count, this one included
-	Stale               int           // number of members whose updates are too old or missing
-	OldestAge           time.Duration // age of the oldest update that counts, see Aggregate.OldestAge
+	Members             int           // number of members whose loads are counted, this one included
+	Stale               int           // number of members whose loads are too old or not known
+	OldestAge           time.Duration // age of the oldest load that is counted, see Aggregate.OldestAge
 }
 
 // classify returns the verdict on a request of the given priority.
@@ -83,7 +83,8 @@
 	return overloadEnterRatio
 }
 
-// retryWindow returns how long the free capacity of the fleet needs for the work of the retries, at most maxRetryWindow.
+// retryWindow returns how long the free capacity of the fleet needs for the work of the retries that arrive within
+// demandTimeConstant, at most maxRetryWindow.
 func (s *SheddingState) retryWindow() time.Duration {
 	retryWork := s.TotalDemand * s.RetryRatio * demandTimeConstant.Seconds()
 	free := max(s.ServiceRate-s.TotalDemand, minFreeCapacityRatio*s.ServiceRate)
@@ -93,7 +94,8 @@
 
 // firstAttemptRatio returns the ratio of the counted demand that is due to first attempts. retryRatio is the ratio of all
 // attempts that are retries, and knownRatio the ratio of attempts that are known retries. Known retries are not counted as
-// demand; a retry that is not known, such as one that follows its rejection at once, is counted like a first attempt.
+// demand. A retry that is not known is counted like a first attempt, for example one that another server rejected only
+// milliseconds ago: AgeEstimator cannot tell so short an age from 0.
 func firstAttemptRatio(retryRatio, knownRatio float64) float64 {
 	ratio := (1 - retryRatio) / max(1-knownRatio, minDivisor)
 	return min(max(ratio, minFirstAttemptRatio), 1)
@@ -110,9 +112,9 @@
 	return a.Retries / a.firstAttempts()
 }
 
-// capacityFactor returns the ratio of the demand to admit to the service rate. It exceeds 1 while cores are idle although
-// the fleet is full: then demand includes retries that were counted like first attempts. It is 1 if no member publishes how
-// many cores are in use.
+// capacityFactor returns the demand to admit as a multiple of the service rate. It exceeds 1 while cores are idle although
+// the fleet is full: then demand includes retries that were counted like first attempts. It is 1 if the utilization of no
+// member is known.
 func (a *Aggregate) capacityFactor() float64 {
 	utilization := a.Utilization()
 	if utilization < 0 {
--- a/internal/overload/shedding_test.go
+++ b/internal/overload/shedding_test.go
@@ -152,7 +152,7 @@
 }
 
 // A server that knows only its own or old loads must not shed for the fleet. The verdict must be unknown if there are no
-// other members, their updates are old, or this server is partitioned from most. Invalid requests must not panic.
+// other members, their loads are old, or this server is partitioned from most. Invalid requests must not panic.
 func TestShedderUnknownWithoutPeers(t *testing.T) {
 	full := func(int) fleet.Load {
 		return fleet.Load{Capacity: serverCapacity, ServiceRate: serverCapacity, Demand: string([]byte{10, 120, 120, 120})}
@@ -164,7 +164,7 @@
 	}
 	view := viewOf(4, time.Second, full)
 	require.Equal(t, VerdictBelowThreshold, verdictOf(view, time.Second))
-	require.Equal(t, VerdictUnknown, verdictOf(view, time.Second+fleet.MaxFreshAge(4)+1), "updates are old")
+	require.Equal(t, VerdictUnknown, verdictOf(view, time.Second+fleet.MaxFreshAge(4)+1), "loads are old")
 	require.Equal(t, 3, shedder.State().Stale)
 	require.Equal(t, VerdictBelowThreshold, verdictOf(view, time.Second))
 	partitioned := *view
--- a/internal/overload/store_group.go
+++ b/internal/overload/store_group.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	minUnhealthyMembers         = 2  // smallest quorum: a single unhealthy member may itself be the cause
-	unhealthyQuorumDivisor      = 10 // one member in 10 is a quorum
-	verifiersPerRecoveredMember = 3  // members that verify the store, for each member that finds it recovered
+	minUnhealthyMembers    = 2  // smallest quorum: a single unhealthy member may itself be the cause
+	unhealthyQuorumDivisor = 10 // one member in 10 is a quorum
+	verifiersPerRecovery   = 3  // members that verify the store, for each other member that publishes StoreRecovering
 )
 
 // storeGroup describes the members that use the same store in the same zone. It counts only members that accept requests
 // and whose published load is recent.
 type storeGroup struct {
-	size      int             // number of members, this one included
-	unhealthy []*fleet.Member // other members whose calls to the store fail
-	recovered int             // number of other members that publish StoreRecovering
+	size       int             // number of members, this one included
+	unhealthy  []*fleet.Member // other members whose calls to the store fail
+	recovering int             // number of other members that publish StoreRecovering
 }
 
-// storeGroupOf returns the group of this member, which is in the given zone and uses the given store. The time at is on
-// the clock of the view.
+// storeGroupOf returns the group of this member, which is in the given zone and uses the given store. It compares zones by
+// name only, without their regions. The time at is on the clock of the view.
 func storeGroupOf(view *fleet.Snapshot, at time.Duration, zone string, storeID uint32) storeGroup {
 	maxAge := fleet.MaxFreshAge(len(view.Members))
 	group := storeGroup{size: 1}
@@ -36,7 +36,7 @@
 		case state.unhealthy():
 			group.unhealthy = append(group.unhealthy, member)
 		case state == StoreRecovering:
-			group.recovered++
+			group.recovering++
 		}
 	}
 	return group
@@ -49,8 +49,9 @@
 // hasQuorum reports whether this number of unhealthy members is a quorum.
 func (g *storeGroup) hasQuorum(unhealthy int) bool { return unhealthy >= g.quorum() }
 
-// verifies reports whether an unhealthy process of the group is one of those that verify a recovery. These are the ones
-// with the lowest hashes: verifiersPerRecoveredMember for each member that publishes StoreRecovering.
+// verifies reports whether this member, whose run is given and which is unhealthy, is one of those that verify a recovery.
+// These are the unhealthy members with the lowest hashes: verifiersPerRecovery for each member that publishes
+// StoreRecovering.
 func (g *storeGroup) verifies(run uint64) bool {
 	ownHash := mix(run)
 	rank := 0
@@ -59,5 +60,5 @@
 			rank++
 		}
 	}
-	return rank < verifiersPerRecoveredMember*g.recovered
+	return rank < verifiersPerRecovery*g.recovering
 }
--- a/internal/overload/store_state.go
+++ b/internal/overload/store_state.go
@@ -7,10 +7,10 @@
 
 // The states of a store. Their numbers are part of the wire format.
 const (
-	StoreHealthy      StoreState = iota // no failure is known
-	StoreUnresponsive                   // calls fail, and this member does not probe
+	StoreHealthy      StoreState = iota // calls succeed, or too few in a row have failed (see ProbeCoordinator)
+	StoreUnresponsive                   // calls fail, and it is not this member's turn to probe
 	StoreProbing                        // calls fail, and it is this member's turn to probe
-	StoreRecovering                     // calls succeed again
+	StoreRecovering                     // a call has succeeded after failures, less than recoveringDuration ago
 )
 
 var storeStateNames = [...]string{"healthy", "unresponsive", "probing", "recovering"}
@@ -27,7 +27,7 @@
 // The allowances.
 const (
 	AllowUnlimited CallAllowance = iota // only the circuit breaker of the member limits its calls
-	AllowCautious                       // the same, but the breaker protects no call: a quorum of other members warns
+	AllowCautious                       // while a quorum of others is unhealthy: the breaker may drop calls after one failure
 	AllowSingle                         // the member probes the store with one call at a time
 	AllowNone                           // the member makes no call: others probe the store
 )
--- a/internal/overload/timeout_histogram.go
+++ b/internal/overload/timeout_histogram.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	timeoutBucketWidth          = 10 * time.Millisecond // timeouts of first attempts may be off by one bucket
+	timeoutBucketWidth          = 10 * time.Millisecond // a timeout within one bucket of a common one counts as common
 	commonTimeoutRatio          = 0.04                  // a common timeout has at least 4% of the attempts of its class
-	minCommonTimeoutAttempts    = 6.0                   // and at least 6 attempts
+	minCommonTimeoutAttempts    = 6.0                   // a common timeout also has at least 6 attempts
 	minClassAttempts            = 25.0                  // a class with fewer attempts has no common timeout
 	attemptCountHalvingInterval = 10 * time.Second
 	minBucketCount              = 0.25 // a bucket with a lower count is dropped
--- a/internal/overload/zone_aggregate.go
+++ b/internal/overload/zone_aggregate.go
@@ -13,7 +13,7 @@
 type zoneAggregate struct {
 	region, zone string
 	serving      int           // number of members that accept requests, by the view
-	cores        float64       // cores of these members by their last load, however old: a machine does not change
+	cores        float64       // cores of these members by their last load, however old: the cores of a machine do not change
 	best         Aggregate     // of the aggregates that the collectors published, the one that counts the most members
 	found        bool          // best is set
 	age          time.Duration // age of the load that best was published in
