--- a/internal/overload/attempt_age.go
+++ b/internal/overload/attempt_age.go
@@ -23,8 +23,10 @@
 // NewAgeEstimator returns an estimator that has not learned any timeouts.
 func NewAgeEstimator() *AgeEstimator { return &AgeEstimator{map[string]*timeoutHistogram{}} }
 
-// RecordAttempt counts an attempt with the given remaining timeout. If the attempt is taken for a retry, it returns a lower
-// bound on the age of the request, which is the time since its first attempt was sent. Otherwise it returns 0.
+// RecordAttempt counts an attempt with the given remaining timeout. It returns 0 unless it takes the attempt for a retry;
+// then it returns the age of the request, the time since its first attempt was sent. It assumes that the first attempt had
+// the next longer common timeout: the request is older if that had a longer one. The age may be too high by
+// timeoutBucketWidth.
 func (e *AgeEstimator) RecordAttempt(now time.Duration, class string, timeout time.Duration) (age time.Duration) {
 	histogram := e.histogram(now, class)
 	if histogram == nil {
--- a/internal/overload/probe_round.go
+++ b/internal/overload/probe_round.go
@@ -8,7 +8,7 @@
 
 const (
 	roundTimeout = 5 * time.Second // a member starts the next round if it learns of none for longer than this
-	maxRound     = 1 << 40         // update ignores published rounds from this one on
+	maxRound     = 1 << 40         // update, but not join, ignores published rounds from this one on
 )
 
 // probeRound is the latest round of probing that a member knows of. A round selects one process of a group: the unhealthy
