--- a/internal/overload/probe_round.go
+++ b/internal/overload/probe_round.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	roundTimeout = 5 * time.Second // a round without a successor for longer is followed by the next one
-	maxRound     = 1 << 40         // update ignores published rounds from this one on
+	roundTimeout = 5 * time.Second // a member starts the next round if it learns of none for longer than this
+	maxRound     = 1 << 40         // update, but not join, ignores published rounds from this one on
 )
 
 // probeRound is the latest round of probing that a member knows of. A round selects one process of a group: the unhealthy
@@ -46,7 +46,7 @@
 	r.since = now
 }
 
-// selects reports whether the round selects this process among the unhealthy members.
+// selects reports whether the round selects the process with this run rather than one of the other unhealthy members.
 func (r *probeRound) selects(run uint64, unhealthy []*fleet.Member) bool {
 	seed := mix(r.number)
 	ownHash := mix(run ^ seed)
