--- a/internal/fleet/aggregate.go
+++ b/internal/fleet/aggregate.go
@@ -4,21 +4,22 @@
 
 // Aggregate is the sum over the members that serve according to a recent enough record.
 type Aggregate struct {
-	Members    int     // members in the sum
-	Stale      int     // members that are alive, but not in the sum because their records are too old
-	Capacity   float64 // cores
-	CoresInUse float64
+	Members    int           // members in the sum
+	Stale      int           // members that are alive, but whose records are too old for the sum
+	Capacity   float64       // cores
+	CoresInUse float64       // a member that does not know its utilization counts as using none
 	InFlight   int           // requests that are not answered yet
 	OldestAge  time.Duration // age of the oldest record in the sum
 
-	// Of the members that report a service rate.
+	// Over those of the members that report a service rate.
 	ServiceRate  float64 // seconds of work that they complete per second
 	Attempts     float64 // requests that they read per second
-	Retries      float64 // of these, the retries
+	Retries      float64 // retries among Attempts, per second
 	MinThreshold float64 // least of their shedding thresholds
 	MaxThreshold float64 // greatest of their shedding thresholds
 
-	CallQuota float64 // mean concurrent calls that they may have at stores
+	// Over all members in the sum.
+	CallQuota float64 // mean concurrent calls that they may have at stores; a member without limit counts as 0
 	MeanCalls float64 // mean concurrent calls that they have at stores
 }
 
--- a/internal/fleet/change.go
+++ b/internal/fleet/change.go
@@ -25,8 +25,8 @@
 	Member   string // name of the member; empty for ZoneChanged and PositionChanged
 	Zone     string // name of the zone; empty unless ZoneChanged
 	Kind     ChangeKind
-	From, To string        // the value before and after; empty: there was none
-	Age      time.Duration // age of the member's record in the later snapshot; 0 for MemberRemoved
+	From, To string        // the value before and after; empty: none
+	Age      time.Duration // age of the member's record in the later snapshot; 0 for MemberRemoved and if Member is empty
 }
 
 // Changes returns the differences from the previous snapshot to s: first those of members in the order of their names,
@@ -86,7 +86,8 @@
 	return Change{Member: m.Name, Kind: kind, From: from, To: to, Age: m.Age(now)}
 }
 
-// appendZoneChanges appends the zones that became, or are no longer, mostly unreachable.
+// appendZoneChanges appends the zones that became, or are no longer, mostly unreachable. It skips a zone that the previous
+// snapshot lacks.
 func (s *Snapshot) appendZoneChanges(changes []Change, previous *Snapshot) []Change {
 	for i := range s.Zones {
 		zone := &s.Zones[i]
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -5,7 +5,7 @@
 //   - A View keeps the greatest record of each name by Record.Less: by incarnation, then process, then sequence number.
 //     Merging is commutative and idempotent, so that all members end up with the same records in any order of receipt.
 //   - The observer adds what it found out itself: Reach, the result of its failure detection, and DialOutcome, the result
-//     of its dial to a lost process. Neither is sent to other members as a fact.
+//     of its dial to a lost process. Neither is part of the records that are passed on.
 //   - Liveness combines the two kinds of knowledge. It distinguishes a failed process, a stalled process, a partition
 //     and a member that left.
 //   - A Snapshot is an immutable copy of a View for other goroutines.
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxObservations is the maximum number of observations of one name. Each process with the name has its own.
+// maxObservations is the maximum number of observations of one name, one for each process with the name.
 const maxObservations = 4
 
 // observation is what this observer found out about one process by failure detection and dials.
@@ -63,9 +63,9 @@
 // startEstimate is an upper bound of the time at which a process started, on the observer's clock. It is the minimum,
 // over the records of the process, of publication time minus uptime.
 //
-// The age that an update carries does not include its time in transit, so that a delayed record looks younger than it is.
-// The estimate plus the uptime in the record is another upper bound of the time of publication. It is lower, and so closer,
-// if an earlier record of the process had less delay.
+// The age that an update carries does not include its time in transit, so that a delayed record looks younger than it is:
+// now minus age is only an upper bound of its time of publication. The estimate plus the uptime in the record is another
+// upper bound. It is the closer one if an earlier record of the process had less delay.
 type startEstimate struct {
 	latest    time.Duration // the upper bound
 	updatedAt time.Duration // when the estimate was last updated
@@ -77,8 +77,9 @@
 	s.updatedAt = now
 }
 
-// refine lowers the estimate by a further record of the process. It first raises the estimate by the most that the two
-// clocks can have drifted apart since the last record.
+// refine updates the estimate with a further record of the process. It first raises the estimate by the most that the
+// clocks of the observer and the process can have drifted apart since the last record, and then lowers it to the bound
+// that the record gives, if that is smaller.
 func (s *startEstimate) refine(now, age, up time.Duration) {
 	drift := max(now-s.updatedAt, 0) / clockDriftDivisor
 	s.latest = min(s.latest+drift, now-age-up)
--- a/internal/fleet/golden_update_test.go
+++ b/internal/fleet/golden_update_test.go
@@ -14,12 +14,12 @@
 
 const goldenUpdates = "words.hex"
 
-// updateCase is a record that is sent. If what is received differs, read changes the record into that.
+// updateCase is a record that is sent, and the one that is received.
 type updateCase struct {
 	name   string
 	record Record
 	age    time.Duration
-	read   func(r *Record)
+	read   func(r *Record) // changes record into the one that is received; nil: both are equal
 }
 
 // minimalRecord returns the smallest valid record after change was applied to it.
--- a/internal/fleet/liveness.go
+++ b/internal/fleet/liveness.go
@@ -8,7 +8,7 @@
 // The results of the failure detection.
 const (
 	NeverReached Reach = iota // not reached so far; known only from records that other members passed on
-	Reached                   // answers probes of this observer or on its behalf, or is suspected and may still refute that
+	Reached                   // answers direct or indirect probes, or is suspected and may still refute the suspicion
 	Lost                      // did not answer, and did not refute the suspicion in time
 )
 
@@ -18,7 +18,7 @@
 // The outcomes of a dial.
 const (
 	OutcomeUnknown     DialOutcome = iota // not dialed, not finished, or failed in another way
-	ConnectionRefused                     // the machine responds, but no process listens at the address
+	ConnectionRefused                     // refused by the machine, or lost before a response
 	ConnectionAccepted                    // the connection was accepted, but nothing was received on it in time
 	NoResponse                            // the machine did not respond in time
 )
@@ -26,14 +26,15 @@
 // Liveness is what an observer concludes about a member from its record, Reach and DialOutcome.
 type Liveness uint8
 
-// The conclusions about a member.
+// The conclusions about a member. Suspect is not the suspicion of the failure detection: a process under that suspicion
+// still counts as reached.
 const (
 	Unconfirmed Liveness = iota // known only from records that other members passed on
 	Alive                       // reached
-	Suspect                     // reached, but its record is overdue, or that of its new process has not arrived yet
+	Suspect                     // reached, but its record is overdue, or none of its new process has arrived yet
 	Stalled                     // its process exists but makes no progress: it is suspended, or its server loop stalls
 	Unreachable                 // lost, and no dial has shown why: it may be partitioned from this observer and still work
-	Failed                      // its machine responds, but its process has ended
+	Failed                      // lost with ConnectionRefused: its process is taken to have ended
 	Left                        // it published that it stops
 )
 
--- a/internal/fleet/nameconflict.go
+++ b/internal/fleet/nameconflict.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// conflictTimeout is how long a rival must keep proving that it runs before this process releases the name. A
-	// process that is being replaced publishes its replacement within this time and then no longer counts as a rival.
+	// conflictTimeout is how long an earlier rival must keep proving that it runs before this process releases the name.
+	// A predecessor that is being replaced publishes the state Stopped within this time, and then no longer counts as a
+	// rival.
 	conflictTimeout = 3 * time.Second
-	maxRivals       = 8
+	maxRivals       = 8 // rivals that a process keeps track of
 )
 
 // rival is another process with the same name that has proved that it runs: it raised its incarnation above this
 // process's, see provesRunning.
 type rival struct {
-	firstProof, lastProof time.Duration // receipt of the first and last proof of a series without gaps over conflictTimeout
+	firstProof, lastProof time.Duration // receipt of first and last proof in a series without a gap over conflictTimeout
 	lastSeq               uint64        // sequence number of the last record that was a proof
 }
 
@@ -37,11 +38,13 @@
 }
 
 // Receive handles a record of another process with this process's name. It returns true if this process must publish at
-// once, either a higher incarnation or the release of its name.
+// once, either a higher incarnation or the release of its name. A process that was replaced or has released its name ignores
+// the record.
 //
 // The record is that of a predecessor that has ended, or of a rival that runs at the same time:
 //
-//   - This process raises its incarnation above that of a greater record, so that its own records supersede it.
+//   - If the record is greater than this process's own by Record.Less, this process raises its incarnation above that of
+//     the record, so that its own records supersede it.
 //   - A predecessor that has ended cannot react to the raise. A rival raises its own incarnation in turn, which proves
 //     that it runs.
 //   - Of two processes that run, the one that started later releases the name, once the other has kept proving that it
--- a/internal/fleet/nameconflict_explore_test.go
+++ b/internal/fleet/nameconflict_explore_test.go
@@ -13,8 +13,8 @@
 )
 
 // The tests in this file explore the name conflict protocol exhaustively up to a number of steps: every order in which
-// processes publish, receive records (late, twice or never) and time passes. The last records of a predecessor exist from
-// the start.
+// processes publish, receive records (late, twice or never) and time passes. Records of a predecessor that has ended exist
+// from the first state on.
 
 // conflictState is a state of the protocol: one or two running processes, and all records ever published.
 type conflictState struct {
@@ -23,9 +23,9 @@
 	published []Record
 }
 
-func (w *conflictState) clone() *conflictState {
-	clone := &conflictState{now: w.now, published: slices.Clone(w.published)}
-	for _, self := range w.processes {
+func (state *conflictState) clone() *conflictState {
+	clone := &conflictState{now: state.now, published: slices.Clone(state.published)}
+	for _, self := range state.processes {
 		process := *self
 		process.rivals = maps.Clone(self.rivals)
 		clone.processes = append(clone.processes, &process)
@@ -33,23 +33,23 @@
 	return clone
 }
 
-func (w *conflictState) key() string {
-	key := fmt.Sprint(w.now, w.published)
-	for _, self := range w.processes {
+func (state *conflictState) key() string {
+	key := fmt.Sprint(state.now, state.published)
+	for _, self := range state.processes {
 		key += fmt.Sprint(self.record, self.ownership, self.rivals)
 	}
 	return key
 }
 
-// exchange makes each process that has not released its name publish a record. The other process receives it together
-// with the latest earlier ones.
-func (w *conflictState) exchange() {
-	for i, self := range w.processes {
+// exchange makes each process that has not released its name publish a record. The other process then receives the three
+// latest records.
+func (state *conflictState) exchange() {
+	for i, self := range state.processes {
 		if !self.NameReleased() {
-			w.published = append(w.published, self.NextRecord(w.now))
+			state.published = append(state.published, self.NextRecord(state.now))
 		}
-		for _, record := range w.published[max(len(w.published)-3, 0):] {
-			w.processes[1-i].Receive(w.now, &record)
+		for _, record := range state.published[max(len(state.published)-3, 0):] {
+			state.processes[1-i].Receive(state.now, &record)
 		}
 	}
 }
@@ -74,17 +74,17 @@
 			do(changed)
 			next = append(next, modelcheck.Step[*conflictState]{Name: name, To: changed})
 		}
-		add("wait", func(w *conflictState) { w.now += conflictTimeout })
+		add("wait", func(state *conflictState) { state.now += conflictTimeout })
 		for i := range from.processes {
 			if !from.processes[i].NameReleased() {
-				add(fmt.Sprintf("%d publishes", i), func(w *conflictState) {
-					w.published = append(w.published, w.processes[i].NextRecord(w.now))
+				add(fmt.Sprintf("%d publishes", i), func(state *conflictState) {
+					state.published = append(state.published, state.processes[i].NextRecord(state.now))
 				})
 			}
 			for j := range from.published {
-				add(fmt.Sprintf("%d receives %d", i, j), func(w *conflictState) {
-					record := mutate(w.processes[i], w.published[j])
-					w.processes[i].Receive(w.now, &record)
+				add(fmt.Sprintf("%d receives %d", i, j), func(state *conflictState) {
+					record := mutate(state.processes[i], state.published[j])
+					state.processes[i].Receive(state.now, &record)
 				})
 			}
 		}
@@ -114,11 +114,11 @@
 
 // releaseViolation returns a description of the invariant that a state violates, or "": no process releases its name to one
 // that has ended, and the earlier of two running processes does not release it.
-func releaseViolation(w *conflictState) string {
-	if len(w.processes) == 1 && w.processes[0].NameReleased() {
+func releaseViolation(state *conflictState) string {
+	if len(state.processes) == 1 && state.processes[0].NameReleased() {
 		return "a process released its name to one that has ended"
 	}
-	if len(w.processes) == 2 && w.processes[0].NameReleased() {
+	if len(state.processes) == 2 && state.processes[0].NameReleased() {
 		return "the earlier of two running processes released its name"
 	}
 	return ""
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -21,11 +21,11 @@
 
 // The states of a member. A newer version may add more: they are passed on unchanged and count as not serving.
 const (
-	Starting State = iota + 1 // its agent is not up yet
+	Starting State = iota + 1 // its agent is not up, or it does not accept connections yet
 	Warming                   // it accepts requests with a cold cache
 	Serving                   // it accepts requests
 	Draining                  // it asks front ends to use other servers
-	Stopped                   // it has ended, or a newer process replaces it
+	Stopped                   // it ends, a newer process replaces it, or it has released its name
 )
 
 var stateNames = [...]string{
@@ -48,10 +48,10 @@
 	Utilization   float64 // ratio of these cores in use, 0 to 1; below 0: unknown
 	InFlight      int     // requests that it has not answered yet
 	CallQuota     float64 // mean concurrent calls that it may have at the store; 0: unlimited
-	UnservedRatio float64 // ratio of the requests since its previous record that it rejected or failed, 0 to 1
+	UnservedRatio float64 // ratio of the requests answered since its previous Status that it rejected or failed, 0 to 1
 	MeanCalls     float64 // recent mean of its concurrent calls at the store
 
-	ServiceRate float64 // seconds of work that it completes per second; 0: neither this nor the next three are reported
+	ServiceRate float64 // seconds of work that it completes per second; 0: not reported, see Aggregate.ServiceRate
 	Demand      string  // work requested of it, as package overload encodes it
 	Attempts    float64 // requests that it reads per second
 	RetryRatio  float64 // ratio of the attempts counted at it that are retries, 0 to 1
@@ -75,12 +75,12 @@
 type Record struct {
 	Name        string // name of the image server, the same after a restart
 	Run         uint64 // identifies the process; grows with the time of its start
-	Incarnation uint64 // the process raises it above those of other processes with its name
-	Supersedes  uint64 // Run of the process above whose incarnation it was last raised; 0: none
+	Incarnation uint64 // raised by the process above the incarnations of other processes with its name
+	Supersedes  uint64 // Run of the process above whose incarnation this one was last raised; 0: none
 	Seq         uint64 // sequence number among the records of the process
 
 	Up      time.Duration // uptime of the process at the last report of its loop, on its own clock
-	Stalled time.Duration // time since the last report of its loop, if too long; 0: the loop reported in time
+	Stalled time.Duration // time since the last report of its loop, if over stallTimeout; 0: the loop does not stall
 
 	Addr    string // address at which other members reach it
 	Region  string
--- a/internal/fleet/recorded_run_test.go
+++ b/internal/fleet/recorded_run_test.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// recordRejoin has at most one lost member at a time, and so at most one new address to draw a delay for.
+// recordRejoin has at most one lost member at a time, and so at most one new address to draw a delay for: the digest does not
+// depend on the order in which delays for several addresses would be drawn.
 func recordRejoin(run *recordedRun) {
 	rejoin := NewRejoin(nil, run.Random)
 	view := newTestView(30)
--- a/internal/fleet/rejoin.go
+++ b/internal/fleet/rejoin.go
@@ -12,17 +12,17 @@
 	initialDialDelay     = time.Second      // between the first two dials of an address; doubled with each further dial
 	maxDialDelay         = 30 * time.Second // between two dials of an address in a fleet of up to 3 members
 	unconfirmedDialDelay = 3 * time.Second  // minimum delay before the first dial of a member that was never reached
-	maxDialsPerRound     = 2
+	maxDialsPerRound     = 2                // addresses that one call of NextDials returns
 )
 
-// Rejoin decides which addresses to dial: seeds that are not reached, and members that are lost. The failure detection
-// forgets members that have been lost for a while. Without these dials the parts of a partitioned fleet would not merge
-// again, nor would fleets that were started separately.
+// Rejoin decides which addresses to dial: those of seeds that are not reached, of members that are lost, and of members that
+// publish but are unconfirmed. The failure detection forgets members that have been lost for a while. Without these dials
+// the parts of a partitioned fleet would not merge again, nor would fleets that were started separately.
 //
 // Each address has its own schedule, which starts anew once the address was reached:
 //
-//   - The first dial is delayed at random over a time that grows with the number of reached members, as all of them may
-//     dial the address.
+//   - The first dial of a lost member or a seed is delayed by a random time whose range grows with the number of reached
+//     members, as all of them may dial the address. That of an unconfirmed member is delayed by a time in a fixed range.
 //   - After each dial the delay until the next one doubles, up to a maximum. Half of it is random, so that members do not
 //     dial at the same time.
 //
@@ -114,7 +114,8 @@
 	schedule.delay = min(2*schedule.delay, maxDelay)
 }
 
-// addressesToDial returns the addresses that have to be dialed, and the number of other members that are reached.
+// addressesToDial returns the addresses that have to be dialed, each with the cause, and the number of other members that are
+// reached.
 func (r *Rejoin) addressesToDial(now time.Duration, snapshot *Snapshot) (causes map[string]dialCause, reached int) {
 	causes = map[string]dialCause{}
 	r.seeds.reset()
@@ -140,7 +141,8 @@
 	return causes, reached
 }
 
-// dialCauseOf returns whether a member that is not reached has to be dialed, and why.
+// dialCauseOf returns whether a member that is not reached has to be dialed, and why. A record older than maxAge does not
+// show that an unconfirmed member still publishes.
 func dialCauseOf(member *Member, now, maxAge time.Duration) (cause dialCause, needed bool) {
 	switch {
 	case member.Addr == "":
@@ -188,8 +190,8 @@
 }
 
 // firstDelay returns the delay before the first dial of an address. All members notice a loss at about the same time, so
-// that the delay is drawn from a range that grows with their number. An unconfirmed member has more time, as it usually
-// joins by itself.
+// that the delay is drawn from a range that grows with the number of reached ones. An unconfirmed member is dialed later, as
+// it usually joins by itself.
 func (r *Rejoin) firstDelay(cause dialCause, reached int) time.Duration {
 	// Drawn for dialLost too, which does not use it: without this draw, the same random seed would give other delays.
 	unconfirmedDelay := unconfirmedDialDelay + r.drawBelow(unconfirmedDialDelay)
--- a/internal/fleet/rejoin_test.go
+++ b/internal/fleet/rejoin_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Simulated schedules are replayed by their seed. The same seed must give the same dials although several addresses become
-// new at once and maps have no order.
+// Simulated schedules are replayed by their random seed. The same random seed must give the same dials although several
+// addresses need their first dial at once and maps have no order.
 func TestRejoinIsReproducible(t *testing.T) {
 	view := newTestView(100)
 	for i := range 40 {
@@ -58,6 +58,6 @@
 	require.NotZero(t, dials["seed"])
 	require.Zero(t, dials["a3"])
 	for addr, n := range dials {
-		require.InDelta(t, 100, n, 60, addr)
+		require.InDelta(t, 100, n, 60, addr) // after the first few, delays of 30 to 60 s: 60 to 120 dials in an hour
 	}
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -7,7 +7,7 @@
 type Report struct {
 	Self              string           `json:"self"`
 	Position          string           `json:"position"`
-	LastReceivedMs    int64            `json:"heard_ms"`  // since the last record of another member was received; -1: never
+	LastReceivedMs    int64            `json:"heard_ms"`  // since a record of another member was last received; -1: alone
 	PublishIntervalMs int64            `json:"period_ms"` // PublishInterval of the fleet
 	FreshMs           int64            `json:"fresh_ms"`  // MaxFreshAge of the fleet; older records are overdue
 	Members           []MemberReport   `json:"members"`
@@ -27,27 +27,27 @@
 	Condition          string  `json:"condition"` // its reported state if it is alive, else its liveness
 	ReportedState      string  `json:"told"`      // the state in its last record
 	AgeMs              int64   `json:"age_ms"`    // of that record
-	SinceMs            int64   `json:"since_ms"`  // since its process was first reached, or not reached, without a change
+	SinceMs            int64   `json:"since_ms"`  // since the failure detection's result for its process last changed
 	Version            string  `json:"version"`
 	Config             string  `json:"config"`
 	Addr               string  `json:"addr"`
 	Cores              float64 `json:"cores"`
-	Utilization        float64 `json:"busy"` // ratio of the cores in use; -1: unknown
+	Utilization        float64 `json:"busy"` // ratio of the cores in use, 0 to 1; -1: unknown
 	InFlight           int     `json:"in_hand"`
 	CallQuota          float64 `json:"share"`
 	UnservedRatio      float64 `json:"shed"`
 	MeanCalls          float64 `json:"calls"`           // recent mean of concurrent calls at the store
 	ServiceRate        float64 `json:"pace,omitempty"`  // seconds of work completed per second
 	Attempts           float64 `json:"tries,omitempty"` // requests read per second
-	RetryRatio         float64 `json:"again,omitempty"` // ratio of the attempts counted there that are retries
-	Threshold          float64 `json:"cut,omitempty"`   // shedding threshold: rejects lower priorities while cores are short
+	RetryRatio         float64 `json:"again,omitempty"` // ratio of the attempts counted at it that are retries
+	Threshold          float64 `json:"cut,omitempty"`   // priority below which it rejects requests; 0: it sheds nothing
 	StoreState         uint8   `json:"store,omitempty"` // of its store: 0 healthy, 1 unresponsive, 2 probing, 3 recovering
 	ProbeRound         uint64  `json:"round,omitempty"` // latest round of probes that it knows of
 	PublishesAggregate bool    `json:"sums,omitempty"`  // it publishes the aggregate of its zone
 	Self               bool    `json:"self,omitempty"`
 }
 
-// ZoneReport counts the members of a zone, or of the fleet.
+// ZoneReport counts the members of a zone, or of the fleet. Known does not include those that left.
 type ZoneReport struct {
 	Region            string `json:"region,omitempty"`
 	Zone              string `json:"zone,omitempty"`
@@ -65,19 +65,20 @@
 // AggregateReport is an Aggregate in a report.
 type AggregateReport struct {
 	Members    int     `json:"members"`
-	Stale      int     `json:"stale"` // alive, but not in the sum because their records are too old
+	Stale      int     `json:"stale"` // members that are alive, but whose records are too old for the sum
 	Cores      float64 `json:"cores"`
 	CoresInUse float64 `json:"busy"`
 	InFlight   int     `json:"in_hand"`
 	OldestMs   int64   `json:"oldest_ms"`
 
-	// Of the members that report a service rate.
+	// Over those of the members that report a service rate.
 	ServiceRate  float64 `json:"pace,omitempty"`      // seconds of work that they complete per second
 	Attempts     float64 `json:"tries,omitempty"`     // requests that they read per second
-	RetryRatio   float64 `json:"again,omitempty"`     // retries per first attempt
-	MinThreshold float64 `json:"cut_least,omitempty"` // least of their shedding thresholds; 0: nothing is shed
+	RetryRatio   float64 `json:"again,omitempty"`     // retries per first attempt; MemberReport.RetryRatio is per attempt
+	MinThreshold float64 `json:"cut_least,omitempty"` // least of their shedding thresholds; 0: at least one sheds nothing
 	MaxThreshold float64 `json:"cut_most,omitempty"`  // greatest of their shedding thresholds
 
+	// Over all members in the sum.
 	CallQuota float64 `json:"share,omitempty"` // mean concurrent calls that they may have at stores
 	MeanCalls float64 `json:"calls,omitempty"` // mean concurrent calls that they have at stores
 }
--- a/internal/fleet/retention.go
+++ b/internal/fleet/retention.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Retention of members that are not expected to return. Limits.ForgetAfter applies instead where it is shorter.
+// How long members that left or are unconfirmed are retained after they were last reached. Limits.ForgetAfter applies
+// instead where it is shorter.
 const (
 	leftRetention        = 5 * time.Minute
 	unconfirmedRetention = 10 * time.Minute
@@ -44,21 +45,21 @@
 // evict removes, of the members that left or failed, the one that was last reached the longest ago. It returns false if
 // there is none.
 func (v *View) evict(now time.Duration) bool {
-	longestEnded := ""
+	evicted := ""
 	maxAge := v.maxRecordAge()
 	for _, name := range v.names {
 		entry := v.entries[name]
 		if name == v.self || !entry.liveness(now, maxAge).ended() {
 			continue
 		}
-		if longestEnded == "" || entry.lastReached < v.entries[longestEnded].lastReached {
-			longestEnded = name
+		if evicted == "" || entry.lastReached < v.entries[evicted].lastReached {
+			evicted = name
 		}
 	}
-	if longestEnded == "" {
+	if evicted == "" {
 		return false
 	}
-	v.remove(longestEnded)
+	v.remove(evicted)
 	return true
 }
 
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -18,7 +18,7 @@
 const (
 	nameOwned       nameOwnership = iota
 	nameTransferred               // a newer process replaces this one and publishes instead
-	nameReleased                  // an earlier process has the same name; this one never publishes again
+	nameReleased                  // an earlier process with the same name publishes instead, permanently
 )
 
 var ownershipNames = [...]string{nameOwned: "owned", nameTransferred: "handed over", nameReleased: "released"}
@@ -54,11 +54,12 @@
 // Record returns the current record. It includes changes that have not been published yet.
 func (s *Self) Record() Record { return s.record }
 
-// NameReleased reports whether this process has released its name to another one. It publishes nothing from then on.
+// NameReleased reports whether this process has released its name to another one. Apart
+// from the release itself, it publishes nothing from then on.
 func (s *Self) NameReleased() bool { return s.ownership == nameReleased }
 
 // SetStatus takes a report of the loop. It returns true if the next record must be published at once: the state or the
-// health of the store has changed, or a stall has ended.
+// health of the store has changed, or a published stall has ended.
 func (s *Self) SetStatus(now time.Duration, status Status) (urgent bool) {
 	s.lastStatus = now
 	s.setReplaced(status.Replaced)
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -13,8 +13,8 @@
 	*Record    // shared between snapshots, and never changed; without a received record it holds just the name and Run
 	Liveness   Liveness
 	Self       bool          // the observer itself
-	RecordedAt time.Duration // latest time at which the record can have been published
-	Since      time.Duration // since when its process has been reached, or has not been reached
+	RecordedAt time.Duration // latest time at which the record can have been published; entry.lastReached if none
+	Since      time.Duration // when the failure detection's result for its process last changed; entry.lastReached if none
 }
 
 // Age returns the age of the record, a lower bound.
@@ -85,12 +85,13 @@
 // Position says how well an observer is connected to its fleet.
 type Position uint8
 
-// The positions of an observer. Their numbers are published as a metric.
+// The positions of an observer, which itself counts as reached unless its loop stalls. A partitioned observer must not act for
+// the fleet. The numbers are published as a metric.
 const (
 	Alone              Position = iota // no record of another member was ever received
-	FullyConnected                     // no known member is lost or suspect
-	PartiallyConnected                 // some are, but fewer members are unreachable than are reached
-	Partitioned                        // at least as many are unreachable as are reached: it must not act for the fleet
+	FullyConnected                     // no member is unreachable, failed, stalled or suspect
+	PartiallyConnected                 // some members are, but fewer are unreachable than are reached
+	Partitioned                        // at least as many members are unreachable as are reached
 )
 
 var positionNames = [...]string{
@@ -196,14 +197,14 @@
 // nothing about the present. Failed members do not make the observer partitioned, as their machines respond to it.
 func (s *Snapshot) position(everReceived bool) Position {
 	total := &s.Total
-	lost := total.Count[Unreachable] + total.Count[Failed] + total.Count[Stalled]
+	unavailable := total.Count[Unreachable] + total.Count[Failed] + total.Count[Stalled]
 	unreachable := total.Count[Unreachable]
 	switch {
 	case unreachable > 0 && unreachable >= total.Reached():
 		return Partitioned
 	case !everReceived:
 		return Alone
-	case lost+total.Count[Suspect] > 0:
+	case unavailable+total.Count[Suspect] > 0:
 		return PartiallyConnected
 	}
 	return FullyConnected
--- a/internal/fleet/update_encode.go
+++ b/internal/fleet/update_encode.go
@@ -47,8 +47,8 @@
 	return appendText(b, fieldAggregate, load.Aggregate)
 }
 
-// Fields whose value is empty or zero are not sent. As that holds for most fields of most records, the check is in
-// functions of its own that are small enough to be inlined.
+// Fields whose value is empty or zero are not sent, and most fields of most records are empty or zero. The functions that
+// check for this are therefore kept small enough to be inlined, and call others for the encoding.
 
 func appendText(b []byte, number protowire.Number, text string) []byte {
 	if text == "" {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -12,7 +12,7 @@
 // Limits bound a view.
 type Limits struct {
 	Members     int           // maximum number of names
-	ForgetAfter time.Duration // a member that was not reached for longer is removed
+	ForgetAfter time.Duration // a lost member is removed if it was not reached for longer
 }
 
 // View is what one observer knows of its fleet. It is mutable and belongs to one goroutine; Snapshot copies it for others.
@@ -23,7 +23,7 @@
 	names         []string          // sorted
 	lastReceived  time.Duration     // when a record of another member was last received
 	everReceived  bool              // a record of another member was received
-	rejectedNames uint64            // attempts to add a name while the view was full
+	rejectedNames uint64            // attempts to add a name while the view was full and no member could be evicted
 }
 
 // NewView returns an empty view for the member called self.
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// SupersededBy returns the record of another process that supersedes the given one, and when it was published. It returns
-// nil if there is none. The caller must send the result to the sender of the given record: a process that started after
-// its clock was set back raises its incarnation when it receives it.
+// SupersededBy returns the record of another process that supersedes the given one, and the latest time at which that record
+// can have been published. It returns nil if there is none. The caller must send the result to the process that published
+// the given record: if that process started after its clock was set back, it then raises its incarnation.
 func (v *View) SupersededBy(record *Record) (by *Record, recordedAt time.Duration) {
 	entry := v.entries[record.Name]
 	if entry == nil || entry.record == nil {
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// A partition, a failed process, a stopped process and a stalled loop call for different actions and must be distinguished.
+// A partition, a failed process, a suspended process and a stalled loop call for different actions and must be distinguished.
 func TestLivenessDistinguishesCauses(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		reach   Reach
@@ -90,7 +90,7 @@
 		"serving":               {Reached, OutcomeUnknown, Record{State: Serving}, "serving"},
 		"warming up":            {Reached, OutcomeUnknown, Record{State: Warming}, "warming"},
 		"loop stalls":           {Reached, OutcomeUnknown, Record{State: Serving, Stalled: 4 * time.Second}, "stalled"},
-		"process stopped":       {Lost, ConnectionAccepted, Record{State: Serving}, "stalled"},
+		"process suspended":     {Lost, ConnectionAccepted, Record{State: Serving}, "stalled"},
 		"process killed":        {Lost, ConnectionRefused, Record{State: Serving}, "failed"},
 		"partitioned":           {Lost, NoResponse, Record{State: Serving}, "unreachable"},
 		"lost, not dialed":      {Lost, OutcomeUnknown, Record{State: Serving}, "unreachable"},
