--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -9,7 +9,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// memberlist transmits an update as often as the multiplier times the logarithm of the number of members.
+// memberlist transmits an update as often as the multiplier times the decimal logarithm, rounded up, of the number of members
+// plus one.
 const (
 	changeRetransmitMultiplier = 3 // of updates that change more than load
 	loadRetransmitMultiplier   = 2 // of updates that change load alone
@@ -22,7 +23,7 @@
 // update of the same name in the queue.
 type recordUpdate struct {
 	record     fleet.Record
-	recordedAt time.Duration        // when the record was published, on this process's clock
+	recordedAt time.Duration        // when the record was published, or its stalled loop last reported; on this process's clock
 	now        func() time.Duration // returns the time on the same clock
 }
 
@@ -74,12 +75,13 @@
 	}
 	now := o.Now()
 	record := o.self.NextRecord(now)
+	// While the loop stalls, its record is as old as the last report of the loop.
 	o.mergeUpdate(now, &recordUpdate{record, now - record.Stalled, o.Now})
 }
 
 // receiveUpdate handles an update from another process: it settles a conflict over this process's name, merges the update
-// and broadcasts it if it is new. If a record of another process supersedes it, it broadcasts that one, so that the sender
-// of the update learns of it.
+// and broadcasts it if it is new. If a record of another process supersedes the received one, receiveUpdate
+// broadcasts that record, so that the process that published the received one learns of it.
 func (o *viewOwner) receiveUpdate(update *recordUpdate) {
 	if o.left {
 		return
--- a/internal/gossip/counters.go
+++ b/internal/gossip/counters.go
@@ -6,7 +6,7 @@
 type Counters struct {
 	PacketsOut     atomic.Int64 // UDP packets sent
 	BytesOut       atomic.Int64 // bytes in these packets
-	Streams        atomic.Int64 // TCP connections opened
+	Streams        atomic.Int64 // TCP connections that this process opened
 	StreamBytes    atomic.Int64 // bytes written to these connections
 	Updates        atomic.Int64 // updates received
 	NewUpdates     atomic.Int64 // of these, the ones that were newer than the current record of their name
@@ -15,7 +15,7 @@
 	Overflow       atomic.Int64 // updates and direct messages dropped because a queue was full
 	Dials          atomic.Int64 // dials to members and seeds that were not reached
 	DialsFailed    atomic.Int64 // of these, the ones that failed
-	Direct         atomic.Int64 // messages to single members that were sent
+	Direct         atomic.Int64 // messages that this process tried to send to single members
 	Suspicions     atomic.Int64 // suspicions that this process raised
 	Refutations    atomic.Int64 // suspicions of this process that it refuted
 }
--- a/internal/gossip/delegate.go
+++ b/internal/gossip/delegate.go
@@ -10,7 +10,7 @@
 
 const (
 	maxJoinStateBytes = 512 << 10 // bytes of updates in a full exchange after which no further update is added
-	updatesPerSync    = 32        // updates in a full exchange with a member that has joined before
+	updatesPerSync    = 32        // maximum number of updates in a full exchange with a member that has joined before
 	lengthPrefixSize  = 2         // bytes of the length before each update in a full exchange
 )
 
@@ -52,8 +52,8 @@
 	return d.fleet.broadcasts.next(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate. A member that joins receives the records of all members; in later exchanges it
-// receives a random sample.
+// LocalState implements memberlist.Delegate. A member that joins receives the records of all confirmed members, up to
+// maxJoinStateBytes. In later exchanges it receives a random sample.
 func (d delegate) LocalState(join bool) []byte {
 	snapshot, now := d.fleet.Snapshot(), d.fleet.Now()
 	known := len(snapshot.Members)
--- a/internal/gossip/dialobserver.go
+++ b/internal/gossip/dialobserver.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// outcome returns the outcome of the failed dial. A connection that was lost before a response counts as refused: the
-// process had ended.
+// outcome returns the outcome of the failed dial. A connection that was lost before a response counts as refused, because
+// the process is then taken to have ended.
 func (o *dialObserver) outcome() fleet.DialOutcome {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/gossip/dialobserver_test.go
+++ b/internal/gossip/dialobserver_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that has ended, one that is stopped and one that is unreachable call for different actions. The way in which a
+// A process that has ended, one that is suspended and one that is unreachable call for different actions. The way in which a
 // dial fails must distinguish them.
 func TestDialOutcomeDistinguishesCauses(t *testing.T) {
 	for name, testCase := range map[string]struct {
--- a/internal/gossip/direct.go
+++ b/internal/gossip/direct.go
@@ -18,7 +18,7 @@
 }
 
 // Send sends b to a member once, without acknowledgement. It never blocks: it drops the message if directQueueLength others
-// wait. Any goroutine may call Send. The caller must not use b afterwards.
+// wait. It copies b. Any goroutine may call Send.
 func (f *Fleet) Send(to *fleet.Member, b []byte) {
 	message := directMessage{addressOf(to), append([]byte{fleet.KindDirect}, b...)}
 	select {
--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -25,7 +25,7 @@
 type Config struct {
 	Process       fleet.ProcessInfo // identity and location; Addr is the IP address and port at which other members reach it
 	Listen        string            // IP address and port at which it listens, TCP and UDP
-	Seeds         []string          // addresses that are dialed while they are not reached
+	Seeds         []string          // addresses that are dialed while no member at them is reached
 	Keys          [][]byte          // encryption keys: the first one encrypts, all decrypt; none: no encryption
 	Digest        uint64            // digest of the server's configuration
 	Size          int               // expected number of members; the interval of full exchanges grows with it
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// Now returns the time since the start of the membership. All times in snapshots are on this clock, which runs on while
-// the process is stopped. Any goroutine may call Now.
+// Now returns the time since the membership was made by New. All times in snapshots are on this clock, which runs on while
+// the process is suspended. Any goroutine may call Now.
 func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
 // Snapshot returns the last published snapshot of the view. It is never nil. Any goroutine may call Snapshot.
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -54,7 +54,7 @@
 	golden.RequireFile(t, "figures.txt", got)
 }
 
-// Values that depend on the time at which the test runs.
+// These match values that depend on the time at which the test runs.
 var (
 	changingMetric = regexp.MustCompile(`(oldest_ms):\d+`)
 	changingKey    = regexp.MustCompile(`"(age_ms|since_ms|oldest_ms)":\d+`)
--- a/internal/gossip/leave.go
+++ b/internal/gossip/leave.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	leaveTimeout       = 200 * time.Millisecond // for memberlist to tell other members that this process leaves
+	leaveTimeout       = 200 * time.Millisecond // for memberlist to broadcast that this process leaves
 	maxLeaveRecipients = 8                      // members to which the last record is sent directly
 )
 
@@ -24,7 +24,7 @@
 	}
 	o.left = true
 	if err := o.memberlist.Leave(leaveTimeout); err != nil {
-		o.log.WithError(err).Debug("departure from fleet not acknowledged by other members")
+		o.log.WithError(err).Debug("departure from fleet not broadcast in time")
 	}
 	if err := o.memberlist.Shutdown(); err != nil {
 		o.log.WithError(err).Warn("gossip sockets not closed")
--- a/internal/gossip/logwriter.go
+++ b/internal/gossip/logwriter.go
@@ -11,7 +11,7 @@
 	levelWarning = "WARN"
 )
 
-// logKeyLength is the number of bytes of a line that must be equal for lines to share one rate limit.
+// logKeyLength is the number of bytes at the start of a line's text by which lines share a rate limit.
 const logKeyLength = 20
 
 // logWriter receives memberlist's log lines and logs them at a limited rate. It also counts the events that memberlist
@@ -22,6 +22,7 @@
 // Write implements io.Writer for one line.
 func (w logWriter) Write(b []byte) (int, error) {
 	level, text := parseLogLine(string(b))
+	// memberlist writes "decrypt" and "Decrypt". A label is the name of a cluster.
 	if strings.Contains(text, "ecrypt") || strings.Contains(text, "label") {
 		w.fleet.Counters.ForeignPackets.Add(1)
 		w.fleet.warnings.Warn("foreign packet", "gossip packet of another cluster or key dropped", errors.New(text))
@@ -62,7 +63,8 @@
 	}
 }
 
-// isMalformedPacket reports whether memberlist logged the text for a packet or stream that it cannot decode.
+// isMalformedPacket reports whether memberlist logged the text for a packet or stream that it cannot decode. It writes both
+// "decode" and "Decode".
 func isMalformedPacket(text string) bool {
 	return strings.Contains(text, "ecode") || strings.Contains(text, "type") || strings.Contains(text, "too short")
 }
--- a/internal/gossip/memberlist.go
+++ b/internal/gossip/memberlist.go
@@ -15,13 +15,13 @@
 	gossipInterval        = 200 * time.Millisecond // between two rounds of gossip packets
 	streamTimeout         = 2 * time.Second        // of a TCP connection to another process
 	minSyncInterval       = 15 * time.Second       // between two full exchanges, each with one other member
-	syncIntervalPerMember = 100 * time.Millisecond // per expected member, as a full exchange lists all members
-	gossipToDeadTime      = 30 * time.Second       // a lost process still receives gossip, so that it can refute its loss
+	syncIntervalPerMember = 100 * time.Millisecond // per expected member, as a full exchange lists all nodes
+	gossipToDeadTime      = 30 * time.Second       // for which a lost process still receives gossip, so that it can refute its loss
 )
 
 // memberlistConfig returns the configuration of memberlist. Each process is a node of its own, named by fleet.Process.
 func (f *Fleet) memberlistConfig() *memberlist.Config {
-	host, port, _ := net.SplitHostPort(f.config.Process.Addr) // the operators' file was checked
+	host, port, _ := net.SplitHostPort(f.config.Process.Addr) // package operators has checked it
 	config := memberlist.DefaultLANConfig()
 	config.Name = fleet.Process(f.config.Process.Name, f.config.Process.Run)
 	config.Transport = f.transport
--- a/internal/gossip/rejoin.go
+++ b/internal/gossip/rejoin.go
@@ -9,7 +9,7 @@
 
 const (
 	dialInterval                = time.Second // between two rounds of dials
-	membersPerExtraDialInterval = 256         // one more dialInterval for each so many members
+	membersPerExtraDialInterval = 256         // members for which a round is delayed by one more dialInterval
 )
 
 // dialRoundInterval returns the time between two rounds of dials in a view with that many members.
@@ -17,7 +17,7 @@
 	return dialInterval * time.Duration(1+members/membersPerExtraDialInterval)
 }
 
-// dialTarget is an address to dial, and the process that is known at the address.
+// dialTarget is an address to dial, and the process of the member that is known at the address.
 type dialTarget struct {
 	addr string
 	name string // empty for a seed at whose address no member is known
--- a/internal/gossip/snapshot.go
+++ b/internal/gossip/snapshot.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	membersPerExtraTick = 64          // changes in load alone wait one tick longer for each so many members
-	maxAggregateDelay   = time.Second // maximum wait once the aggregate of a zone was received
+	membersPerExtraTick = 64          // members for which changes in load alone wait one more tick
+	maxAggregateDelay   = time.Second // maximum wait of changes in load alone once the aggregate of a zone was received
 	maxChangeLines      = 64          // log lines for the changes in one snapshot
 )
 
@@ -31,7 +31,7 @@
 	if u.aggregate {
 		wait = min(wait, maxAggregateDelay)
 	}
-	return now-u.publishedAt >= wait-tickInterval/2
+	return now-u.publishedAt >= wait-tickInterval/2 // ticks are not exactly tickInterval apart
 }
 
 // publishSnapshot publishes a snapshot of the view, and logs the changes since the previous one.
@@ -67,7 +67,7 @@
 	return fields
 }
 
-// changeLevel returns the level of a change's log line: a warning if this member is no longer fully connected.
+// changeLevel returns the level of a change's log line: a warning if this member takes a position other than fully connected.
 func changeLevel(change *fleet.Change) logrus.Level {
 	if change.Kind == fleet.PositionChanged && change.To != fleet.FullyConnected.String() {
 		return logrus.WarnLevel
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -13,7 +13,7 @@
 )
 
 // boundTransport is memberlist's transport over sockets. It dials from the IP address at which the process listens, so
-// that a relay between two members can tell which of them dials.
+// that a relay between members, such as the one in lab/faults, can tell by the source address which of them dials.
 type boundTransport struct {
 	*memberlist.NetTransport
 	localIP net.IP // unspecified: the system chooses the address
@@ -56,7 +56,7 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
 }
 
-// countingTransport counts what is sent, and records how the dials of the rejoin rounds end.
+// countingTransport counts what is sent, and observes the dials of the rejoin rounds.
 type countingTransport struct {
 	memberlist.NodeAwareTransport
 	counters *Counters
@@ -91,7 +91,7 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
 }
 
-// countingConn counts what is written, and records the errors of reads and writes.
+// countingConn counts what is written, and tells the dialObserver of errors and of received bytes.
 type countingConn struct {
 	net.Conn
 	transport *countingTransport
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -70,7 +70,7 @@
 		o.publishRecord()
 	}
 	if status.Replaced && !o.left {
-		o.log.Info("successor process connected, leaving fleet")
+		o.log.Info("replaced by successor process, leaving fleet")
 		o.leave()
 	}
 }
