--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// checkAddresses checks the name and the addresses. The store's is required only if requests call a store.
+// checkAddresses checks the name and the addresses. The store's address is required only if requests call a store.
 func (c *Config) checkAddresses(root object) {
 	if c.Name == "" {
 		root.fail("name", configcheck.ErrMissing)
@@ -82,10 +82,10 @@
 	}
 }
 
-// checkTimes checks that no duration in the settings is negative. checkClasses checks those of classes.
-func (c *Config) checkTimes(root object) {
-	family := root.object("FamilyInfo")
-	invariants := root.object("Invariants")
+// checkTimes checks that no duration in section, the object settings, is negative. checkClasses checks those of classes.
+func (c *Config) checkTimes(section object) {
+	family := section.object("FamilyInfo")
+	invariants := section.object("Invariants")
 	settings := &c.Settings
 	for _, duration := range []struct {
 		parent object
@@ -100,8 +100,8 @@
 		{invariants, "FallUs", settings.ConcurrencyWindow},
 		{invariants, "GraceToAnswerUs", settings.AnswerGrace},
 		{invariants, "StopSendingWithinUs", settings.DrainGrace},
-		{root.object("Limits"), "MaxRetryAfterUs", settings.MaxRetryAfter},
-		{root, "TickUs", settings.Tick},
+		{section.object("Limits"), "MaxRetryAfterUs", settings.MaxRetryAfter},
+		{section, "TickUs", settings.Tick},
 	} {
 		if duration.value < 0 {
 			duration.parent.failf(duration.key, "%v, want at least 0s", duration.value)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,7 +45,7 @@
 	HandoverPath        string        // of the socket for the handover between processes; "": no handover
 	Seed                uint64        // random seed
 	StopTimeout         time.Duration // maximum time from SIGTERM to the end of the process; default 3.2 s
-	ReplacedStopTimeout time.Duration // the same once a successor process serves
+	ReplacedStopTimeout time.Duration // maximum time to the end of the process once a successor process has replaced it
 	Limits              Limits
 	Settings            admission.Settings
 	Classes             []string // names, in the order of Settings.Classes
@@ -53,11 +53,12 @@
 	Gauges              []string // names, in the order in which the agent reports the gauges
 	UnsupportedKeys     []string // keys of settings that were switched off because the protocols do not support them
 
-	keys map[string]bool // paths of the keys in the file
+	keys map[string]bool // paths of the keys in the file, as object.visitKeys has them
 }
 
 // Load reads the file at path, or at GW_CONFIG if path is empty. GW_NAME, GW_LISTEN and GW_CONSOLE override keys of the file
-// if they are set. The error is a *configcheck.KeyError, possibly wrapped, if a value is missing or invalid.
+// if they are set. GW_INHERITED_FD sets InheritedFD and HandoverPath. The error is a *configcheck.KeyError, possibly wrapped,
+// if a value is missing or invalid.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		if path = os.Getenv(envPath); path == "" {
@@ -157,7 +158,7 @@
 
 // disableUnsupported switches off features of the settings that the protocols do not support: the agent has no command
 // that stops a run, responses have no field for an advertised value, and a read must not be answered with the result of
-// another one. No peer depends on these features, but a controller that relied on one would wait forever.
+// another read. No peer depends on these features, but a controller that relied on one would wait forever.
 func (c *Config) disableUnsupported() {
 	settings := &c.Settings
 	for _, feature := range []struct {
@@ -174,5 +175,5 @@
 	}
 	settings.Halt = admission.HaltOff
 	settings.Advert = admission.AdvertOff
-	settings.CacheTTL = min(settings.CacheTTL, 0)
+	settings.CacheTTL = min(settings.CacheTTL, 0) // check rejects a negative value
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 	return string(text)
 }
 
-// Every part of a valid file must arrive in the configuration, and the result must be one that a controller accepts.
+// The values in a valid file must appear in the configuration, and a controller must accept its settings.
 func TestParse(t *testing.T) {
 	cfg, err := Parse([]byte(readSample(t)), noEnvironment)
 	require.NoError(t, err)
@@ -199,29 +199,29 @@
 // "Halt": "drop", a server once did not start. The controller must not rely on such a feature, and UnsupportedKeys must name
 // its key for the log.
 func TestUnsupportedSettingsAreDisabled(t *testing.T) {
-	off := strings.NewReplacer(`"Below": "shared"`, `"Below": "off"`, `"store": "127.0.0.1:8900",`, ``)
+	withoutStore := strings.NewReplacer(`"Below": "shared"`, `"Below": "off"`, `"store": "127.0.0.1:8900",`, ``)
 	for _, test := range []struct {
 		name, old, new string
 		unsupported    []string
 		idempotency    admission.Idempotency
 	}{
-		{"as it is", "", "", nil, admission.IdempotentByKey},
+		{"unchanged sample", "", "", nil, admission.IdempotentByKey},
 		{"halt drop", `"Halt": "off"`, `"Halt": "drop"`, []string{"settings.FamilyInfo.Halt"}, admission.IdempotentByKey},
 		{"halt pause", `"Halt": "off"`, `"Halt": "pause"`, []string{"settings.FamilyInfo.Halt"}, admission.IdempotentByKey},
 		{"halt absent", `"Halt": "off",`, ``, nil, admission.IdempotentByKey},
-		{"level", `"Advert": "off"`, `"Advert": "level"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
-		{"credit", `"Advert": "off"`, `"Advert": "credit"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
-		{"weight", `"Advert": "off"`, `"Advert": "weight"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
-		{"shared reads", `"FreshForUs": 0`, `"FreshForUs": 500000`, []string{"settings.FamilyInfo.FreshForUs"},
+		{"advert level", `"Advert": "off"`, `"Advert": "level"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
+		{"advert credit", `"Advert": "off"`, `"Advert": "credit"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
+		{"advert weight", `"Advert": "off"`, `"Advert": "weight"`, []string{"settings.FamilyInfo.Advert"}, admission.IdempotentByKey},
+		{"results reused between reads", `"FreshForUs": 0`, `"FreshForUs": 500000`, []string{"settings.FamilyInfo.FreshForUs"},
 			admission.IdempotentByKey},
-		{"tier", `"Below": "shared"`, `"Below": "tier"`, nil, admission.IdempotentByKey},
-		{"no share", `"CallsOut": 5.9, `, ``, nil, admission.IdempotentByKey},
-		{"unsafe", `"Idempotency": "keyed"`, `"Idempotency": "unsafe"`, nil, admission.Unsafe},
-		{"window absent", `"KeyTtlUs": 17457000, `, ``, nil, admission.IdempotentByKey},
+		{"dependency tier", `"Below": "shared"`, `"Below": "tier"`, nil, admission.IdempotentByKey},
+		{"no limit of calls", `"CallsOut": 5.9, `, ``, nil, admission.IdempotentByKey},
+		{"unsafe class", `"Idempotency": "keyed"`, `"Idempotency": "unsafe"`, nil, admission.Unsafe},
+		{"idempotency window absent", `"KeyTtlUs": 17457000, `, ``, nil, admission.IdempotentByKey},
 		{"short deadline", `"DeadlineUs": 7000000`, `"DeadlineUs": 1`, nil, admission.IdempotentByKey},
 		{"deadline not sent", `"PassesDeadline": true,`, ``, nil, admission.IdempotentByKey},
-		{"no limits", `"Limits": {`, `"Old": {`, nil, admission.IdempotentByKey},
-		{"no rules", `"Invariants": {`, `"Old": {`, nil, admission.IdempotentByKey},
+		{"no Limits", `"Limits": {`, `"Old": {`, nil, admission.IdempotentByKey},
+		{"no Invariants", `"Invariants": {`, `"Old": {`, nil, admission.IdempotentByKey},
 		{"tenants", `"Tenants": []`, `"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 3.5}]`, nil,
 			admission.IdempotentByKey},
 		{"unknown keys", `"FleetSize"`, `"Later": [{"x": null}], "FleetSize"`, nil, admission.IdempotentByKey},
@@ -238,7 +238,7 @@
 		_, err = admission.New(cfg.Settings, cfg.Seed, 0)
 		require.NoError(t, err, test.name)
 	}
-	cfg, err := Parse([]byte(off.Replace(readSample(t))), noEnvironment) // without calls no store is required
+	cfg, err := Parse([]byte(withoutStore.Replace(readSample(t))), noEnvironment) // without calls no store is required
 	require.NoError(t, err)
 	require.False(t, cfg.Settings.Classes[0].CallsDependency)
 }
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -11,8 +11,9 @@
 )
 
 // Digest returns a hash of the settings in the file at path, or at GW_CONFIG if path is empty. Instances that must make the
-// same decisions have the same digest. It does not cover what may differ between them: addresses, and whether a server is
-// warming up.
+// same decisions have the same digest, provided that their settings are written in the same way: the hash is of the text
+// without white space, so that keys in another order change it. It does not cover what may differ between such instances:
+// what is outside the settings, such as addresses, and whether a server is warming up.
 func Digest(path string) (uint64, error) {
 	if path == "" {
 		path = os.Getenv(envPath)
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -212,7 +212,7 @@
 }
 
 // elements returns the member called name, a list of values that get reads. An item whose type is not one of types is
-// invalid; the message says that the item should be want.
+// invalid. want describes a valid item in the message, as in "a number".
 func elements[T any](o object, name, want string, get func(*fastjson.Value) T, types ...fastjson.Type) []T {
 	var list []T
 	for i, item := range o.list(name) {
@@ -224,7 +224,7 @@
 	return list
 }
 
-// enum returns the value that values has for the member called name, a string. A string that values lacks is invalid.
+// enum returns the entry of values for the member called name, a string. A string without an entry is invalid.
 func enum[T any](o object, name string, values map[string]T) T {
 	text := o.text(name)
 	value, ok := values[text]
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -37,8 +37,8 @@
 	}
 )
 
-// Settings parses the JSON object with the settings of a controller. The simulator and the configuration file contain it in
-// the same form. Unknown keys are ignored. The error is a wrapped *configcheck.KeyError if a value is invalid.
+// Settings parses the JSON object with the settings of a controller. The configuration file and the simulator's messages
+// contain it in the same form. Unknown keys are ignored. The error is a wrapped *configcheck.KeyError if a value is invalid.
 func Settings(text []byte) (admission.Settings, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return settings
 }
 
-// checkIgnored checks the types of keys that have no effect.
+// checkIgnored checks the types of keys that have no effect. A value of the wrong type is invalid for these too.
 func checkIgnored(family, mix object) {
 	for _, name := range []string{"TellsGone", "PassesDeadline", "ListFollows"} {
 		family.boolean(name)
@@ -105,8 +105,9 @@
 	}
 }
 
-// readClasses reads the list of classes, and the two lists in FamilyInfo that hold a value for each class. These may be
-// empty. It returns false if there is no class or the lengths of the lists do not match.
+// readClasses reads the list of classes, and the two lists in FamilyInfo that hold a value for each class: CallsByClass and
+// ClassSkipWorth. If CallsByClass is empty, all classes call the dependency. If ClassSkipWorth is empty, its values are 0. It
+// returns false if there is no class or the lengths of the lists do not match.
 func readClasses(root object, dependency admission.Dependency) (classes []admission.Class, ok bool) {
 	family := root.object("FamilyInfo")
 	list := root.objects("Lanes")
--- a/internal/operators/fleet.go
+++ b/internal/operators/fleet.go
@@ -25,18 +25,19 @@
 
 // Fleet is the table [fleet]: the membership of this instance in a fleet.
 type Fleet struct {
-	Listen        string        // IP address and port at which it listens for other members, TCP and UDP
+	Listen        string        // IP address and port at which this instance listens for other members, TCP and UDP
 	Advertise     string        // IP address and port at which other members reach it; default: Listen
-	Seeds         []string      // addresses of members to contact first; its own address is allowed among them
+	Seeds         []string      // addresses that are dialed while no member at them is reached; may include its own
 	Region        string        // location of this instance
 	Zone          string        // location within the region
 	Keys          [][]byte      // encryption keys, newest first; none: messages are not encrypted
-	Size          int           // expected number of members, by which traffic is paced
+	Size          int           // expected number of members; the interval of full exchanges grows with it
 	Limits        fleet.Limits  // bounds of the membership view
 	ProbeInterval time.Duration // between two probes of the failure detection
 }
 
-// table is the table [fleet] as it is decoded. The decoder's errors contain the names of the type and its fields.
+// table is the table [fleet] as it is decoded. The decoder's errors contain the names of the type and its fields, which
+// therefore must not change.
 type table struct {
 	Listen     string   `toml:"listen"`
 	Advertise  string   `toml:"advertise"`
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -18,7 +18,7 @@
 // maxFileBytes is the maximum size of the operators' file and of the key file.
 const maxFileBytes = 1 << 20
 
-// File is the operators' file. The other tables require table [fleet].
+// File is the operators' file. If table [fleet] is absent, the other tables must be absent too.
 type File struct {
 	Fleet          *Fleet          // table [fleet]; nil: absent
 	Overload       *Overload       // table [overload]; nil: absent
@@ -52,7 +52,7 @@
 	return os.ReadFile(path) //nolint:gosec,wrapcheck // the operator names the file; an error contains the path
 }
 
-// resolvePath returns path relative to dir, unless it is absolute.
+// resolvePath returns path if it is absolute, and otherwise dir joined with path.
 func resolvePath(dir, path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -63,7 +63,8 @@
 // Parse parses the text of an operators' file. Paths in it are relative to dir, unless they are absolute. The error is a
 // *configcheck.KeyError if a value is missing or invalid.
 func Parse(text []byte, dir string) (*File, error) {
-	// The decoder's errors contain this type and its fields, so that it stays anonymous and the names stay as they are.
+	// The decoder's errors contain this type and the names of its fields. The type must stay anonymous, and the names must
+	// not change.
 	var tables struct {
 		Fleet    *table    `toml:"fleet"`
 		Overload *overload `toml:"overload"`
--- a/internal/operators/overload.go
+++ b/internal/operators/overload.go
@@ -19,7 +19,8 @@
 	CoordinatedProbes bool          // members take turns in probing an unresponsive store
 }
 
-// overload is the table [overload] as it is decoded. The decoder's errors contain the names of the type and its fields.
+// overload is the table [overload] as it is decoded. The decoder's errors contain the names of the type and its fields, which
+// therefore must not change.
 type overload struct {
 	Shares bool     `toml:"shares"`
 	Lease  *string  `toml:"lease"`
--- a/internal/operators/trace.go
+++ b/internal/operators/trace.go
@@ -12,12 +12,13 @@
 
 // Trace is the table [trace]: the file to which spans of state changes of this instance are written.
 type Trace struct {
-	File     string  // path, absolute or relative to the working directory
-	Sample   float64 // ratio of the episodes that are written, 0 to 1
+	File     string  // path; a relative path in the table is resolved against the folder of the operators' file
+	Sample   float64 // ratio of the episodes (see package tracing) that are written, 0 to 1
 	MaxBytes int64   // of the file
 }
 
-// trace is the table [trace] as it is decoded. The decoder's errors contain the names of the type and its fields.
+// trace is the table [trace] as it is decoded. The decoder's errors contain the names of the type and its fields, which
+// therefore must not change.
 type trace struct {
 	File   string   `toml:"file"`
 	Sample *float64 `toml:"sample"`
