--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,5 +1,5 @@
-// Package console serves the HTTP interface of an image server for its operators: readiness, metrics, deregistration from
-// front ends and registration, and pages that other packages add.
+// Package console serves the HTTP interface of an image server for its operators: readiness, metrics, requests to deregister
+// the server from front ends and to register it again, and pages that other packages add.
 package console
 
 import (
@@ -18,14 +18,14 @@
 )
 
 const (
-	maxConnections = 32 // open connections: most file descriptors of the process are for front ends
+	maxConnections = 32 // open connections; few, as most file descriptors of the process are for front ends
 	maxHeaderBytes = 4 << 10
 )
 
 // timeouts bound the phases of a request.
 type timeouts struct {
 	request  time.Duration // for the client to send the request, which occupies one of maxConnections meanwhile
-	handle   time.Duration // for the server to handle it
+	handle   time.Duration // for the Instance to handle it
 	response time.Duration // for the client to read the response
 }
 
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -10,7 +10,7 @@
 
 const (
 	minInterval = 5 * time.Second // between two lines with the same key
-	maxKeys     = 256             // keys with state; when a further key is added, the state of all others is dropped
+	maxKeys     = 256             // keys whose state is kept; the next key makes the Limiter drop the state of all others
 )
 
 // Limiter logs at most one line per key in minInterval, and counts the lines that it suppresses. It is safe for concurrent
--- a/internal/stats/counters.go
+++ b/internal/stats/counters.go
@@ -33,18 +33,18 @@
 	ResultsReused uint64                     // requests served with the result of another attempt; logged as reused
 
 	// Reports of the agent.
-	RunsFailed       uint64
-	RunsInterrupted  uint64
-	RunsNotStarted   uint64 // logged as runs_moot
-	CommandsRejected uint64 // logged as commands_refused
+	RunsFailed       uint64 // runs that ended with a failure
+	RunsInterrupted  uint64 // runs that were interrupted, or whose outcome was lost with the connection to the agent
+	RunsNotStarted   uint64 // runs that the agent did not start; logged as runs_moot
+	CommandsRejected uint64 // commands that the agent rejected; logged as commands_refused
 
 	// Outcomes of calls to the store.
 	CallsOK          uint64
-	CallsRejected    uint64 // logged as calls_busy
-	CallsFailed      uint64
-	CallsTimedOut    uint64 // logged as calls_late
-	CallsUnreachable uint64
-	CallsAborted     uint64 // logged as calls_broken
+	CallsRejected    uint64 // rejected by the store; logged as calls_busy
+	CallsFailed      uint64 // failed, or not executed as no run waited for them any more
+	CallsTimedOut    uint64 // timed out at the store, or abandoned at their deadline; logged as calls_late
+	CallsUnreachable uint64 // not sent, as no connection could be opened
+	CallsAborted     uint64 // ended by the loss of their connection; logged as calls_broken
 
 	// Connections opened to the agent and the store.
 	AgentConnections uint64 // logged as agent_links
@@ -94,9 +94,9 @@
 
 // Gauges are the current values that are logged with the counters.
 type Gauges struct {
-	ActiveRequests  int // logged as now_open
-	RunningRequests int // logged as now_running
-	IdempotencyKeys int // logged as now_keys
+	ActiveRequests  int // requests that are not answered yet; logged as now_open
+	RunningRequests int // of these, the ones that the agent runs; logged as now_running
+	IdempotencyKeys int // keys that the server remembers; logged as now_keys
 	Connections     int // open connections of front ends; logged as now_connections
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// processFields returns the counters of this process and of its predecessor.
+// processFields returns the counters of claims at the predecessor process, of reloads and of the event loop.
 func (c *Counters) processFields() logrus.Fields {
 	return logrus.Fields{
 		"claims":         c.Claims,
--- a/internal/tracing/boundedfile.go
+++ b/internal/tracing/boundedfile.go
@@ -13,7 +13,7 @@
 // a truncated line. Only one goroutine at a time, the exporter's, may call Write.
 type boundedFile struct {
 	file      *os.File
-	remaining int64        // bytes that may still be written
+	remaining int64        // bytes that may still be written; negative if the file was too large when it was opened
 	dropped   atomic.Int64 // writes that did not fit
 }
 
--- a/internal/tracing/spannames.go
+++ b/internal/tracing/spannames.go
@@ -2,11 +2,11 @@
 
 // Operators' tools read spans. The names and attribute keys in them therefore never change, although the server's log uses
 // other names for the same things. The functions in this file map the names of the server's state changes to those in
-// spans. They return a name that is the same in both unchanged.
+// spans. They return a name unchanged if spans contain the same one.
 
 // episodeName returns the name in spans of a subject whose state changes.
-func episodeName(name string) string {
-	switch name {
+func episodeName(subject string) string {
+	switch subject {
 	case "shedding threshold":
 		return "cutoff of the fleet"
 	case "store state":
@@ -14,7 +14,7 @@
 	case "store quota":
 		return "share of the store"
 	}
-	return name
+	return subject
 }
 
 // stateName returns the name in spans of a state.
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -31,7 +31,7 @@
 
 // Config configures a Tracer.
 type Config struct {
-	File     string  // path of the file
+	File     string  // path of the file, which is appended to
 	Sample   float64 // ratio of the episodes that are written, 0 to 1
 	MaxBytes int64   // of the file; spans that do not fit are dropped
 }
@@ -104,7 +104,7 @@
 	return errors.Join(t.provider.Shutdown(ctx), t.file.Close())
 }
 
-// DroppedWrites returns the number of writes that did not fit in the file. Each writes a batch of spans. It is safe for
+// DroppedWrites returns the number of writes that did not fit in the file. Each of them was to write one span. It is safe for
 // concurrent use.
 func (t *Tracer) DroppedWrites() int64 { return t.file.dropped.Load() }
 
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -102,7 +102,7 @@
 }
 
 func BenchmarkChange(b *testing.B) {
-	for name, sample := range map[string]float64{"sampled": 1, "not": 0} {
+	for name, sample := range map[string]float64{"sampled": 1, "not sampled": 0} {
 		b.Run(name, func(b *testing.B) {
 			tracer, err := New(Config{File: filepath.Join(b.TempDir(), "spans"), Sample: sample, MaxBytes: 1 << 20}, "n1", "1")
 			require.NoError(b, err)
