--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	random := rand.New(rand.NewPCG(config.Seed, config.Process.Run))
-	member := &Fleet{
+	membership := &Fleet{
 		config:         config,
 		log:            logger,
 		warnings:       logging.NewLimiter(logger),
@@ -87,9 +87,9 @@
 		dialRounds:     make(chan []dialTarget, 1),
 		directMessages: make(chan directMessage, directQueueLength),
 	}
-	member.broadcasts.init(func() int { return len(member.Snapshot().Members) })
-	member.owner = newViewOwner(member, fleet.NewRejoin(config.Seeds, random))
-	return member, nil
+	membership.broadcasts.init(func() int { return len(membership.Snapshot().Members) })
+	membership.owner = newViewOwner(membership, fleet.NewRejoin(config.Seeds, random))
+	return membership, nil
 }
 
 // Listen opens the sockets. Run calls it if the caller has not.
--- a/internal/gossip/golden_console_test.go
+++ b/internal/gossip/golden_console_test.go
@@ -20,8 +20,8 @@
 // records are in the future, so that their ages are 0 and do not depend on the time at which the test runs.
 func newGoldenPublishedFleet(t *testing.T) *Fleet {
 	t.Helper()
-	member, records := newGoldenFleet(t), goldenRecords()
-	setCounters(&member.Counters)
+	membership, records := newGoldenFleet(t), goldenRecords()
+	setCounters(&membership.Counters)
 	snapshot := snapshotOf(records, fleet.Alive)
 	for i := range snapshot.Members {
 		snapshot.Members[i].RecordedAt, snapshot.Members[i].Since = time.Hour, time.Hour
@@ -33,8 +33,8 @@
 	for liveness := fleet.Unconfirmed; liveness <= fleet.Left; liveness++ {
 		snapshot.Total.Count[liveness] = int(liveness) + 1
 	}
-	member.snapshot.Store(snapshot)
-	return member
+	membership.snapshot.Store(snapshot)
+	return membership
 }
 
 // Scripts and other versions of falldeal-fleet read the page, so that its keys and values must not change.
@@ -47,10 +47,10 @@
 
 // Operators collect the metrics by name, so that the names must not change.
 func TestGoldenMetrics(t *testing.T) {
-	member := newGoldenPublishedFleet(t)
-	got := string(member.AppendMetrics([]byte("before:1|g\n")))
-	member.snapshot.Store(snapshotOf(goldenRecords()[:1], fleet.Alive))
-	got += "---\n" + string(member.AppendMetrics(nil))
+	membership := newGoldenPublishedFleet(t)
+	got := string(membership.AppendMetrics([]byte("before:1|g\n")))
+	membership.snapshot.Store(snapshotOf(goldenRecords()[:1], fleet.Alive))
+	got += "---\n" + string(membership.AppendMetrics(nil))
 	golden.RequireFile(t, "figures.txt", got)
 }
 
@@ -60,13 +60,13 @@
 	changingKey    = regexp.MustCompile(`"(age_ms|since_ms|oldest_ms)":\d+`)
 )
 
-// A member without a fleet must publish all metrics too, in the same order.
+// A member that knows no other member must publish all metrics too, in the same order.
 func TestGoldenMetricsOfAloneMember(t *testing.T) {
 	metrics := string(newAloneFleet(t).AppendMetrics(nil))
 	golden.RequireFile(t, "figures.golden", changingMetric.ReplaceAllString(metrics, "$1:(time)"))
 }
 
-// A member without a fleet must serve a valid page that reports itself alone.
+// A member that knows no other member must serve a valid page that reports itself alone.
 func TestGoldenPageOfAloneMember(t *testing.T) {
 	page := newAloneFleet(t).Page()
 	body := page.Body()
@@ -79,27 +79,27 @@
 
 // Operators search the log for these lines. The test makes another member join, become reached, drain and restart.
 func TestGoldenChanges(t *testing.T) {
-	member := newAloneFleet(t)
+	membership := newAloneFleet(t)
 	var lines bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&lines)
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, DisableTimestamp: true})
-	member.log = log
+	membership.log = log
 	other := fleet.Record{
 		Name: "n4", Run: 5, Seq: 1, Zone: "mechelen", Region: "belgium", Version: "1.2.3", Config: 0xabc,
 		State: fleet.Serving,
 	}
 	merge := func(at time.Duration, record fleet.Record) {
-		member.owner.view.Merge(at, at, record)
-		member.owner.publishSnapshot(at)
+		membership.owner.view.Merge(at, at, record)
+		membership.owner.publishSnapshot(at)
 	}
 	merge(time.Second, other)
-	member.owner.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
-	member.owner.publishSnapshot(2 * time.Second)
+	membership.owner.view.ObserveReach(2*time.Second, "n4", 5, fleet.Reached)
+	membership.owner.publishSnapshot(2 * time.Second)
 	other.Seq, other.State, other.Version, other.Config = 2, fleet.Draining, "1.2.4", 0xdef
 	merge(3*time.Second, other)
 	other.Run, other.Seq = 6, 1
 	merge(4*time.Second, other)
-	member.owner.publishSnapshot(5 * time.Minute)
+	membership.owner.publishSnapshot(5 * time.Minute)
 	golden.RequireFile(t, "changes.golden", lines.String())
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -18,23 +18,23 @@
 // sentFrames returns the frames that a process passes to memberlist, by name.
 func sentFrames(t *testing.T) map[string][]byte {
 	t.Helper()
-	member, records := newGoldenFleet(t), goldenRecords()
+	membership, records := newGoldenFleet(t), goldenRecords()
 	frames := map[string][]byte{}
 	now := func() time.Duration { return 1500 * time.Millisecond }
 	frames["broadcast"] = (&recordUpdate{records[0], 0, now}).Message()
 
-	member.Send(&fleet.Member{Record: &records[0]}, []byte("payload"))
-	direct := <-member.directMessages
+	membership.Send(&fleet.Member{Record: &records[0]}, []byte("payload"))
+	direct := <-membership.directMessages
 	require.Equal(t, memberlist.Address{Addr: "10.0.0.2:7946", Name: "n2/0000000000000008"}, direct.to)
 	frames["message to one member"] = direct.payload
 
-	member.snapshot.Store(snapshotOf(records, fleet.Alive))
-	frames["state for a newcomer"] = delegate{member}.LocalState(true)
-	member.snapshot.Store(snapshotOf(records[:1], fleet.Alive))
-	frames["state in a later exchange"] = delegate{member}.LocalState(false)
-	member.snapshot.Store(snapshotOf(records, fleet.Unconfirmed))
-	frames["state without members that were met"] = delegate{member}.LocalState(true)
-	frames["metadata of a node"] = delegate{member}.NodeMeta(memberlist.MetaMaxSize)
+	membership.snapshot.Store(snapshotOf(records, fleet.Alive))
+	frames["state for a newcomer"] = delegate{membership}.LocalState(true)
+	membership.snapshot.Store(snapshotOf(records[:1], fleet.Alive))
+	frames["state in a later exchange"] = delegate{membership}.LocalState(false)
+	membership.snapshot.Store(snapshotOf(records, fleet.Unconfirmed))
+	frames["state without members that were met"] = delegate{membership}.LocalState(true)
+	frames["metadata of a node"] = delegate{membership}.NodeMeta(memberlist.MetaMaxSize)
 	return frames
 }
 
@@ -57,31 +57,31 @@
 
 // Frames that earlier versions sent must still be decoded.
 func TestGoldenFramesRead(t *testing.T) {
-	frames, records, member := golden.ReadFrames(t, goldenFrames, len(frameNames)), goldenRecords(), newGoldenFleet(t)
+	frames, records, membership := golden.ReadFrames(t, goldenFrames, len(frameNames)), goldenRecords(), newGoldenFleet(t)
 
-	delegate{member}.NotifyMsg(frames["broadcast"])
-	requireQueuedUpdates(t, member, records[:1])
-	delegate{member}.MergeRemoteState(frames["state for a newcomer"], true)
-	requireQueuedUpdates(t, member, records)
-	delegate{member}.MergeRemoteState(frames["state in a later exchange"], false)
-	requireQueuedUpdates(t, member, records[:1])
-	delegate{member}.MergeRemoteState(frames["state without members that were met"], true)
-	requireQueuedUpdates(t, member, nil)
+	delegate{membership}.NotifyMsg(frames["broadcast"])
+	requireQueuedUpdates(t, membership, records[:1])
+	delegate{membership}.MergeRemoteState(frames["state for a newcomer"], true)
+	requireQueuedUpdates(t, membership, records)
+	delegate{membership}.MergeRemoteState(frames["state in a later exchange"], false)
+	requireQueuedUpdates(t, membership, records[:1])
+	delegate{membership}.MergeRemoteState(frames["state without members that were met"], true)
+	requireQueuedUpdates(t, membership, nil)
 
 	var received []string
-	member.OnMessage(func(b []byte) { received = append(received, string(b)) })
-	delegate{member}.NotifyMsg(frames["message to one member"])
+	membership.OnMessage(func(b []byte) { received = append(received, string(b)) })
+	delegate{membership}.NotifyMsg(frames["message to one member"])
 	require.Equal(t, []string{"payload"}, received)
-	requireQueuedUpdates(t, member, nil)
-	require.Zero(t, member.Counters.Malformed.Load())
+	requireQueuedUpdates(t, membership, nil)
+	require.Zero(t, membership.Counters.Malformed.Load())
 }
 
 // requireQueuedUpdates takes the updates that wait for the owner of the view, and requires that they hold these records.
-func requireQueuedUpdates(t *testing.T, member *Fleet, want []fleet.Record) {
+func requireQueuedUpdates(t *testing.T, membership *Fleet, want []fleet.Record) {
 	t.Helper()
 	var got []fleet.Record
-	for len(member.updates) > 0 {
-		got = append(got, (<-member.updates).record)
+	for len(membership.updates) > 0 {
+		got = append(got, (<-membership.updates).record)
 	}
 	require.Equal(t, want, got)
 }
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -15,9 +15,9 @@
 func newTestFleet(t *testing.T, config Config) *Fleet {
 	t.Helper()
 	log, _ := test.NewNullLogger()
-	member, err := New(config, log)
+	membership, err := New(config, log)
 	require.NoError(t, err)
-	return member
+	return membership
 }
 
 // setCounters sets each counter to a value of its own.
@@ -74,7 +74,7 @@
 // newAloneFleet returns a membership that knows no other member. Each of its counters has a value of its own.
 func newAloneFleet(t *testing.T) *Fleet {
 	t.Helper()
-	member := newTestFleet(t, Config{
+	membership := newTestFleet(t, Config{
 		Process: fleet.ProcessInfo{
 			Name: "n3", Addr: "10.0.0.1:7946", Region: "belgium", Zone: "mechelen", Version: "1.2.3", Run: 7,
 		},
@@ -82,6 +82,6 @@
 		Limits:      fleet.Limits{Members: 4},
 		Incarnation: 9,
 	})
-	setCounters(&member.Counters)
-	return member
+	setCounters(&membership.Counters)
+	return membership
 }
--- a/internal/gossip/logwriter_test.go
+++ b/internal/gossip/logwriter_test.go
@@ -19,11 +19,11 @@
 		"of another form": "",
 	} {
 		t.Run(line, func(t *testing.T) {
-			member := newGoldenFleet(t)
-			n, err := logWriter{member}.Write([]byte(line + "\n"))
+			membership := newGoldenFleet(t)
+			n, err := logWriter{membership}.Write([]byte(line + "\n"))
 			require.NoError(t, err)
 			require.Equal(t, len(line)+1, n)
-			for name, value := range member.Counters.values() {
+			for name, value := range membership.Counters.values() {
 				require.Equal(t, name == want, value == 1, name)
 			}
 		})
--- a/internal/gossip/reload_test.go
+++ b/internal/gossip/reload_test.go
@@ -11,10 +11,10 @@
 
 // After a reload the first key must encrypt, all new keys must decrypt, and a key that was withdrawn must not.
 func TestReplaceKeys(t *testing.T) {
-	member := newTestFleet(t, Config{Keys: [][]byte{testKey(1), testKey(2)}})
-	require.NoError(t, member.replaceKeys([][]byte{testKey(3), testKey(1)}))
-	require.Equal(t, testKey(3), member.keyring.GetPrimaryKey())
-	require.ElementsMatch(t, [][]byte{testKey(1), testKey(3)}, member.keyring.GetKeys())
+	membership := newTestFleet(t, Config{Keys: [][]byte{testKey(1), testKey(2)}})
+	require.NoError(t, membership.replaceKeys([][]byte{testKey(3), testKey(1)}))
+	require.Equal(t, testKey(3), membership.keyring.GetPrimaryKey())
+	require.ElementsMatch(t, [][]byte{testKey(1), testKey(3)}, membership.keyring.GetKeys())
 }
 
 // A reload must not enable or disable encryption: members could not communicate until all of them have reloaded.
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -27,16 +27,16 @@
 }
 
 // newViewOwner returns the owner of a view that holds this process's record alone, and publishes its first snapshot.
-func newViewOwner(member *Fleet, rejoin *fleet.Rejoin) *viewOwner {
-	config := &member.config
+func newViewOwner(membership *Fleet, rejoin *fleet.Rejoin) *viewOwner {
+	config := &membership.config
 	owner := &viewOwner{
-		Fleet:  member,
+		Fleet:  membership,
 		view:   fleet.NewView(config.Process.Name, config.Limits),
 		self:   fleet.NewSelf(0, config.Process, config.Digest, config.Incarnation),
 		rejoin: rejoin,
 	}
 	owner.view.Merge(0, 0, owner.self.Record())
-	member.snapshot.Store(owner.view.Snapshot(0))
+	membership.snapshot.Store(owner.view.Snapshot(0))
 	return owner
 }
 
