--- a/internal/gossip/fleet.go
+++ b/internal/gossip/fleet.go
@@ -25,7 +25,7 @@
 type Config struct {
 	Process       fleet.ProcessInfo // identity and location; Addr is the IP address and port at which other members reach it
 	Listen        string            // IP address and port at which it listens, TCP and UDP
-	Seeds         []string          // addresses that are dialed while they are not reached
+	Seeds         []string          // addresses that are dialed while no member at them is reached
 	Keys          [][]byte          // encryption keys: the first one encrypts, all decrypt; none: no encryption
 	Digest        uint64            // digest of the server's configuration
 	Size          int               // expected number of members; the interval of full exchanges grows with it
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	random := rand.New(rand.NewPCG(config.Seed, config.Process.Run))
-	member := &Fleet{
+	membership := &Fleet{
 		config:         config,
 		log:            logger,
 		warnings:       logging.NewLimiter(logger),
@@ -87,9 +87,9 @@
 		dialRounds:     make(chan []dialTarget, 1),
 		directMessages: make(chan directMessage, directQueueLength),
 	}
-	member.broadcasts.init(func() int { return len(member.Snapshot().Members) })
-	member.owner = newViewOwner(member, fleet.NewRejoin(config.Seeds, random))
-	return member, nil
+	membership.broadcasts.init(func() int { return len(membership.Snapshot().Members) })
+	membership.owner = newViewOwner(membership, fleet.NewRejoin(config.Seeds, random))
+	return membership, nil
 }
 
 // Listen opens the sockets. Run calls it if the caller has not.
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// Now returns the time since the start of the membership. All times in snapshots are on this clock, which runs on while
-// the process is stopped. Any goroutine may call Now.
+// Now returns the time since the membership was made by New. All times in snapshots are on this clock, which runs on while
+// the process is suspended. Any goroutine may call Now.
 func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
 // Snapshot returns the last published snapshot of the view. It is never nil. Any goroutine may call Snapshot.
