--- a/internal/msgpackrpc/conn.go
+++ b/internal/msgpackrpc/conn.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxOpenCalls       = 32               // requests open at a time on one connection
-	writeQueueCapacity = 4 * maxOpenCalls // messages waiting to be written on one connection
+	maxOpenCalls       = 32               // requests of one connection that may be unanswered at a time
+	writeQueueCapacity = 4 * maxOpenCalls // messages of one connection that may wait to be written
 )
 
 // conn is one connection of a client. It implements server.Connection, whose methods the server's loop calls. Writing
@@ -40,11 +40,12 @@
 	return connection
 }
 
-// writeUntilClosed writes queued messages until the connection is closed or ctx ends. It then gives the client up to
-// closeReadTimeout to read them and releases the socket.
+// writeUntilClosed writes queued messages until the connection is closed or ctx ends. It then waits up to closeReadTimeout for
+// the client to close its side, so that the client can read the messages, and closes the socket. After a failed write it
+// closes the socket at once, and the reader reports Disconnected unless reading has paused or ended before.
 func (c *conn) writeUntilClosed(ctx context.Context) {
 	defer context.AfterFunc(ctx, c.Close)()
-	if c.queue.Run() == nil { // the reader reports a write error
+	if c.queue.Run() == nil { // all messages are written
 		select {
 		case <-c.input.done:
 		case <-time.After(closeReadTimeout):
@@ -54,8 +55,9 @@
 	_ = c.netConn.Close() // may be closed already
 }
 
-// serve reads until the connection ends or must not be read any more. It reports each end of reading to srv and to
-// onReadEnd, after it has handed over all input that had arrived. Later input is discarded.
+// serve reads messages and hands them to srv. When reading pauses or ends, it reports the error to onReadEnd and the reason
+// to srv. After a pause it continues if the server resumes reading. It returns when reading has ended for good or the
+// connection is closed, and before that discards further input.
 func (c *conn) serve(srv *server.Server, onReadEnd func(error)) {
 	defer c.input.discard()
 	err := c.input.applyDeadline()
@@ -116,8 +118,8 @@
 	return server.MalformedInput
 }
 
-// readMessages hands messages to srv until reading pauses or ends. A malformed frame ends reading, and so does a message
-// that does not arrive in time: a silent connection would take the place of another client.
+// readMessages hands messages to srv until reading pauses or ends. A malformed frame ends reading. A message that does not
+// arrive in time stops it too, because a silent connection would keep other clients out once all slots are taken.
 func (c *conn) readMessages(srv *server.Server) error {
 	for {
 		frame, err := c.input.frames.next()
@@ -179,8 +181,9 @@
 // ResumeReading implements server.Connection.
 func (c *conn) ResumeReading() { c.input.resume() }
 
-// TryClose implements server.Connection. If all answers are written, only two system calls lie between the check for
-// unread input and the end of the connection.
+// TryClose implements server.Connection. Input that arrives between the check for unread input and the close is discarded. To
+// keep this interval short, CloseNow closes the write side before it returns, if all answers are written: the check and the
+// close are then two system calls in a row.
 func (c *conn) TryClose() bool {
 	if c.input.hasUnread() {
 		c.input.drainMore()
--- a/internal/msgpackrpc/conn_test.go
+++ b/internal/msgpackrpc/conn_test.go
@@ -67,7 +67,7 @@
 			if name != "half frame" { // these bytes would complete the half frame
 				client.write(encodeHealthCheck(7, nil))
 			}
-			peers.expectNoCommand() // the server has read it
+			peers.expectNoCommand() // by now the server has read the broken input
 			peers.agentSends("outcome", runID, "success", []byte("x"))
 			client.expectAnswer(1, "x")
 			client.expectConnectionEnd()
--- a/internal/msgpackrpc/doc.go
+++ b/internal/msgpackrpc/doc.go
@@ -7,7 +7,7 @@
 //   - notification [2, method, params]; only "cancelRequest" has an effect
 //
 // Messages to a client:
-//   - response [1, call, error, result]
+//   - response [1, call, error, result]; the error is nil or [code, details], the result is nil or [value, {}]
 //   - notification [2, "closing", []]: the client should send no new request on this connection
 //
 // Fields are a map of strings to strings. The client chooses the call number, which pairs a response with its request.
@@ -19,5 +19,5 @@
 // connection stays open.
 //
 // Each connection has two goroutines: one reads messages and hands them to the server, the other writes queued messages.
-// The server's loop calls the methods of server.Connection, none of which blocks.
+// The event loop of the server calls the methods of server.Connection, none of which blocks.
 package msgpackrpc
--- a/internal/msgpackrpc/drain_test.go
+++ b/internal/msgpackrpc/drain_test.go
@@ -34,6 +34,7 @@
 	idle.expectClosing()
 	idle.netConn.Close()
 	peers.expectNoCommand() // the loop iteration in which the drain began is over; requests read in it are in time
+	// The arrival time is in the future, and thus certainly after the start of the drain.
 	client.sendRequest("preview", "too late", "at", fmt.Sprint(time.Now().Add(500*time.Millisecond).UnixMilli()))
 	client.expectAnswer(2, codeOverloaded)
 	peers.agentSends("outcome", runID, "success", []byte("done"))
@@ -239,8 +240,9 @@
 	}
 }
 
-// A successor process replaces this one. No connection may be rejected or left unread, and each process must answer what it
-// has read. A request with an idempotency key must run in only one of them, and its result answers attempts at both.
+// A successor process replaces this one. No connection may be rejected or left unread, and each process must answer the
+// requests that it has read. A request with an idempotency key must run in only one of the processes, and its result must
+// answer the attempts at both.
 func TestReplacementAnswersEveryRequest(t *testing.T) {
 	ln := loopback.Listen(t)
 	path := filepath.Join(t.TempDir(), "s")
@@ -265,11 +267,11 @@
 	client.expectAnswer(1, "done")
 	other.expectAnswer(2, "done")
 
-	crossingID := other.sendRequest("licence-order", "b", "once", "bb")
-	successor.expectCommand("launch", crossingID)
+	successorRunID := other.sendRequest("licence-order", "b", "once", "bb")
+	successor.expectCommand("launch", successorRunID)
 	client.sendRequest("licence-order", "b", "once", "bb")
 	predecessor.expectNoCommand()
-	successor.agentSends("outcome", crossingID, "success", []byte("other"))
+	successor.agentSends("outcome", successorRunID, "success", []byte("other"))
 	other.expectAnswer(3, "other")
 	client.expectAnswer(2, "other")
 	client.netConn.Close()
--- a/internal/msgpackrpc/errors.go
+++ b/internal/msgpackrpc/errors.go
@@ -14,7 +14,7 @@
 	errNotRPCMessage = errors.New("not a MessagePack-RPC message")
 )
 
-// errReadPaused ends reading from a connection after PauseReading, once all input that had arrived was read.
+// errReadPaused reports that a draining connection has read the input that had arrived, or its drain budget is used up.
 var errReadPaused = errors.New("reading paused")
 
 // frameError reports input that is not a valid message. The rest of the input on its connection cannot be read.
@@ -63,7 +63,7 @@
 type fieldError struct {
 	part    requestPart
 	field   string // name of the field; set only for partField
-	problem string // the expected value and, for a field, the received one
+	problem string // what was expected; for an invalid string in a field, also what was received
 }
 
 // Error implements error. It truncates the name of the field to 40 bytes.
--- a/internal/msgpackrpc/fields.go
+++ b/internal/msgpackrpc/fields.go
@@ -9,6 +9,7 @@
 // field is a request field that this server evaluates.
 type field int
 
+// The fields. fieldDeep belongs to a health check. The others belong to a request and are described at server.Attempt.
 const (
 	fieldID field = iota
 	fieldArrivedAt
@@ -22,7 +23,7 @@
 	fieldDeep
 	fieldTenant
 	fieldRetry
-	fieldCount
+	fieldCount // number of fields
 )
 
 // fieldNames are the names of the fields on the wire.
@@ -45,8 +46,8 @@
 func (f field) String() string { return fieldNames[f] }
 
 // fields holds the values of a request's fields, which are slices of the frame, and the first error found in them. If a
-// name occurs twice, the last value counts. Unknown names are ignored. A method that reads a field records an invalid
-// value in err; what it returns must not be used if err is set.
+// name occurs twice, the last value counts. Unknown names are ignored. A method that reads a field sets err if the value is
+// invalid and err is nil. The values returned by these methods must not be used if err is set.
 type fields struct {
 	values [fieldCount][]byte // nil: field absent
 	err    error
@@ -92,7 +93,7 @@
 	}
 }
 
-// integer reads a decimal integer from minValue to maxValue.
+// integer reads a decimal integer from minValue to maxValue. An absent field is invalid.
 func (f *fields) integer(id field, minValue, maxValue int64) int64 {
 	value, err := strconv.ParseInt(string(f.values[id]), 10, 64)
 	if err != nil || value < minValue || value > maxValue {
@@ -102,7 +103,7 @@
 	return value
 }
 
-// milliseconds reads a whole number of milliseconds from 0 to limit.
+// milliseconds reads a whole number of milliseconds from 0 to limit. An absent field is invalid.
 func (f *fields) milliseconds(id field, limit time.Duration) time.Duration {
 	return time.Duration(f.integer(id, 0, limit.Milliseconds())) * time.Millisecond
 }
@@ -121,7 +122,8 @@
 	return value
 }
 
-// hex reads hex digits. They are forwarded to other peers unchanged, so any other character is rejected.
+// hex reads hex digits. They are passed on unchanged in messages of other protocols, in which other characters might have to
+// be escaped, so these are rejected.
 func (f *fields) hex(id field, minDigits, maxDigits int) string {
 	digits := f.values[id]
 	ok := len(digits) >= minDigits && len(digits) <= maxDigits
--- a/internal/msgpackrpc/format.go
+++ b/internal/msgpackrpc/format.go
@@ -1,7 +1,8 @@
 package msgpackrpc
 
-// The first byte of a value, named as in the MessagePack specification. A "fix" format is a range of bytes, from formatX to
-// formatMaxX, whose low bits encode the value or its length.
+// The first byte of a value, named as in the MessagePack specification. The formats fixint, fixmap, fixarray and fixstr are
+// ranges of bytes, from formatX to formatMaxX, whose low bits encode the value or its length. The fixext formats are single
+// bytes, each of which stands for one length.
 const (
 	formatMaxPositiveFixint = 0x7f // the range starts at 0
 	formatFixmap            = 0x80
--- a/internal/msgpackrpc/frame_reader.go
+++ b/internal/msgpackrpc/frame_reader.go
@@ -17,7 +17,7 @@
 
 	buffer     []byte
 	start, end int  // buffer[start:end] is read but not returned yet
-	partial    bool // last argument of onPartial
+	partial    bool // last argument of onPartial, unless the owner has set another value since
 }
 
 // next returns the next complete frame, which is valid until the next call. After an error the stream cannot be read any
--- a/internal/msgpackrpc/input.go
+++ b/internal/msgpackrpc/input.go
@@ -13,7 +13,7 @@
 const (
 	messageTimeout = 2 * time.Second // for the first message of a connection, and for the rest of a message that has begun
 
-	maxDrainBytes = maxOpenCalls * maxFrame // read while draining; the size of all calls that a connection may have open
+	maxDrainBytes = maxOpenCalls * maxFrame // read in one drain at most; enough for as many calls as may be open
 
 	// After the last answer the server discards input until the client closes the connection, within these limits.
 	// Closing a connection with unread input would reset it, and the client would lose the answers.
@@ -21,8 +21,8 @@
 	maxCloseReadBytes = 1 << 20
 )
 
-// input is the read side of a connection. The server's loop calls pause, resume, drainMore and hasUnread. All other methods
-// run on the reading goroutine.
+// input is the read side of a connection. The server's loop calls pause, resume, drainMore and hasUnread. init runs
+// before the reading goroutine is started, and all other methods run on it.
 type input struct {
 	netConn net.Conn
 	state   readStateMachine
@@ -33,7 +33,7 @@
 	drainBudget int // bytes that may still be read while draining
 }
 
-// init prepares the read side of netConn. The time limit for the first message starts with the first read.
+// init prepares the read side of netConn. The time limit for the first message starts with the first applyDeadline.
 func (in *input) init(netConn net.Conn) {
 	in.netConn = netConn
 	in.resumed = make(chan struct{}, 1)
@@ -52,8 +52,8 @@
 	return in.applyDeadline()
 }
 
-// applyDeadline sets the read deadline of the current state. It repeats this if the state changes meanwhile, so that the
-// deadline of pause is not overwritten.
+// applyDeadline sets the read deadline of the current state. It repeats this if the state changes meanwhile, because it may
+// have overwritten the expired deadline that pause sets.
 func (in *input) applyDeadline() error {
 	for {
 		state := in.state.current()
@@ -72,7 +72,8 @@
 	in.drainBudget = maxDrainBytes
 }
 
-// restart prepares to read again after a pause. A message that has begun gets the full time limit again.
+// restart prepares to read again after a pause. It resets frames.partial, so that the frame reader reports a message that has
+// begun once more, which then gets the full time limit again.
 func (in *input) restart() error {
 	in.frames.partial = false
 	return in.applyDeadline()
@@ -110,7 +111,8 @@
 }
 
 // Read implements io.Reader for the frame reader. An expired deadline counts only if no input has arrived: while the
-// machine was paused or this process was slow, input that came in time may still be unread.
+// machine was paused or this process was slow, input that came in time may still be unread. While draining, the deadline is
+// expired, so Read returns what has arrived and then errReadPaused.
 func (in *input) Read(b []byte) (int, error) {
 	n, err := in.netConn.Read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/msgpackrpc/lifecycle_test.go
+++ b/internal/msgpackrpc/lifecycle_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each request must get exactly one answer, although a run is slow or the link to the agent breaks. Bodies and store replies
+// Each request must get exactly one answer, even if its run is slow or the link to the agent breaks. Bodies and store replies
 // must pass through unchanged.
 func TestEveryRequestIsAnsweredOnce(t *testing.T) {
 	peers := startServer(t)
--- a/internal/msgpackrpc/limits_test.go
+++ b/internal/msgpackrpc/limits_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// blockingConnection is a connection that blocks the server's loop in Answer for blockingCall until release.
+// blockingConnection is a connection that blocks the server's loop in Answer for blockingCall until the test sends to
+// release.
 type blockingConnection struct {
 	blocked, release chan struct{}
 }
--- a/internal/msgpackrpc/message.go
+++ b/internal/msgpackrpc/message.go
@@ -31,12 +31,12 @@
 
 // The number of elements of the array that a message consists of.
 const (
-	requestElements      = 4 // type, call, method, parameters
+	requestElements      = 4 // type, call, method, parameters; also in a response: type, call, error, result
 	notificationElements = 3 // type, method, parameters
 )
 
-// noParams is the paramCount of a message whose parameters are not an array.
-const noParams = -1
+// paramsNotArray is the paramCount of a message whose parameters are not an array.
+const paramsNotArray = -1
 
 // message is one message from a client. Its fields refer to the bytes of the frame.
 type message struct {
@@ -44,13 +44,13 @@
 	call       uint32 // call number chosen by the client; requests only
 	method     []byte // nil: not a string
 	params     cursor // at the first parameter
-	paramCount int    // noParams: not an array
+	paramCount int    // number of parameters, or paramsNotArray
 }
 
 // parseMessage parses the envelope of a message. Its errors are frameErrors. Faults in the method and the parameters of a
-// request are left to later checks, so that they can be answered.
+// request are left to parseRequest and parseHealthCheck, whose errors are sent to the client.
 func parseMessage(frame []byte) (message, error) {
-	msg := message{paramCount: noParams}
+	msg := message{paramCount: paramsNotArray}
 	parts := cursor{frame}
 	list := parts.header()
 	if list.kind != valueArray || list.length < notificationElements {
--- a/internal/msgpackrpc/read_state.go
+++ b/internal/msgpackrpc/read_state.go
@@ -9,8 +9,8 @@
 // readState is the state of the reading goroutine of a connection.
 //
 //	receivingMessage <-> awaitingMessage    reader: a message begins or is complete
-//	either           ->  draining           loop: PauseReading
-//	any of these     ->  paused or ended    reader: reports the end of reading to the server
+//	either of these  ->  draining           loop: PauseReading
+//	any of the above ->  paused or ended    reader: reading pauses or ends, which it then reports to the server
 //	paused           ->  awaitingMessage    loop: ResumeReading
 //	paused           ->  draining           loop: TryClose, if input has arrived since the pause
 //
@@ -19,7 +19,7 @@
 type readState int32
 
 const (
-	receivingMessage readState = iota // waiting for the first message or the rest of one; limited by messageTimeout
+	receivingMessage readState = iota // waiting for the first message, or for the rest of a message; limited by messageTimeout
 	awaitingMessage                   // between messages; no time limit
 	draining                          // reading the input that has arrived, then reading pauses
 	paused                            // not reading until the server resumes reading or closes the connection
--- a/internal/msgpackrpc/reference_parser_test.go
+++ b/internal/msgpackrpc/reference_parser_test.go
@@ -100,7 +100,7 @@
 	return value
 }
 
-// hex reads hex digits. They are forwarded to other peers unchanged, so any other character is rejected.
+// hex reads hex digits and rejects any other character, as fields.hex does.
 func (f *referenceFields) hex(name string, minDigits, maxDigits int) string {
 	digits := f.values[name]
 	ok := len(digits) >= minDigits && len(digits) <= maxDigits
--- a/internal/msgpackrpc/request.go
+++ b/internal/msgpackrpc/request.go
@@ -21,7 +21,7 @@
 	maxKeyLength            = 128 // bytes of a subject, a tenant or a cached method
 )
 
-// maxCachedMethods is how many method names a connection caches. A site has only a few classes.
+// maxCachedMethods is how many method names a connection caches. A configuration has only a few classes.
 const maxCachedMethods = 16
 
 // methodCache holds the method names received on a connection, so that a known name needs no new allocation.
--- a/internal/msgpackrpc/request_test.go
+++ b/internal/msgpackrpc/request_test.go
@@ -69,9 +69,8 @@
 	require.Empty(t, attempt.Body)
 }
 
-// Clients of some sites send neither a timeout nor a cost hint, and the settings of those sites name features that this
-// protocol has no message for. Their requests used to be answered as invalid. They must run with the deadline of their
-// class.
+// Some clients send no timeout, no cost hint and no rank, and their servers have settings for features that this protocol has
+// no message for. Their requests used to be answered as invalid. They must run with the deadline of their class.
 func TestOptionalFieldsMayBeAbsent(t *testing.T) {
 	peers := startServer(t, `"PassesDeadline": true`, `"PassesDeadline": false`, `"Halt": "off"`, `"Halt": "drop"`,
 		`"DeadlineUs": 7000000`, `"DeadlineUs": 150000`)
@@ -89,8 +88,8 @@
 	client.expectAnswer(3, codeInvalid)
 }
 
-// At a site with tenants, a request names its tenant and marks retries; an unknown tenant makes the request invalid. At a
-// site without tenants both fields are ignored.
+// If the configuration has tenants, a request names its tenant and marks retries; an unknown tenant makes the request
+// invalid. Without tenants in the configuration, an unknown tenant is ignored.
 func TestTenantAndRetryFields(t *testing.T) {
 	peers := startServer(t, `"Tenants": []`,
 		`"Tenants": [{"Name": "a", "Portion": 0.5, "QuotaPerS": 9}, {"Name": "b", "Portion": 0.5, "QuotaPerS": 9}]`)
