--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -14,11 +14,11 @@
 
 // The commands.
 const (
-	CommandUnknown   Command = iota // reported by the agent under an unknown name
+	CommandUnknown   Command = iota // the agent rejected a command under a name that is not known here
 	CommandSubscribe                // send the numbered notifications after an offset
 	CommandLaunch                   // run a request
-	CommandReply                    // hand a run the reply to its call
-	CommandSkipCall                 // let a run continue without its call
+	CommandReply                    // pass a run the reply to the store call that it waits for
+	CommandSkipCall                 // let a run continue without the store call that it waits for
 	CommandSample                   // report the gauges
 	CommandDeepCheck                // do the work of a deep health check
 )
@@ -79,8 +79,8 @@
 const (
 	endOfObject = "}\n"
 
-	requestCommandSize = 80 // bytes reserved for a command about a request, without its class and payload
-	tokenCommandSize   = 48 // bytes reserved for a command with a numeric token
+	requestCommandSize = 80 // bytes reserved for a command about a request, excluding its class and payload
+	tokenCommandSize   = 48 // bytes reserved for a command with a numeric token, or with an offset but no request
 )
 
 // encodeSubscribe requests all numbered notifications after offset.
@@ -123,8 +123,8 @@
 	return endToken(b)
 }
 
-// beginCommand returns the start of a command, up to its name. The closing quote of the name is left to the caller. capacity
-// is in bytes.
+// beginCommand returns the start of a command, up to its name. The next append function adds the closing quote of the name.
+// capacity is in bytes.
 func beginCommand(name string, capacity int) []byte {
 	b := make([]byte, 0, capacity)
 	b = append(b, `{"`+fieldKind+`":"`...)
--- a/internal/agent/command_log.go
+++ b/internal/agent/command_log.go
@@ -4,7 +4,7 @@
 
 // command is a command that is sent again after a disconnection, unless the agent is known to have read it.
 type command struct {
-	sequence      int64  // order of sending, shared with samples
+	sequence      int64  // in the order of sending; samples are numbered in the same sequence
 	requestID     string // a notification about this request proves that the command was read
 	line          []byte // encoded command
 	nonIdempotent bool   // may cause harm if the agent reads it twice
@@ -42,7 +42,7 @@
 	return slices.ContainsFunc(c.unacknowledged, func(sent command) bool { return sent.nonIdempotent })
 }
 
-// lines returns all kept commands as they are sent, or nil if there are none.
+// lines returns the encoded unacknowledged commands in the order of sending, or nil if there are none.
 func (c *commandLog) lines() []byte {
 	var lines []byte
 	for _, sent := range c.unacknowledged {
--- a/internal/agent/command_test.go
+++ b/internal/agent/command_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Commands that an answered sample acknowledges, and commands about a request that was heard of, must not be sent again. The
-// others must be sent again in order.
+// Commands that an answered sample acknowledges, and commands about a request for which a notification has arrived, must not
+// be sent again. The others must be sent again in order.
 func TestCommandLogKeepsUnacknowledgedCommands(t *testing.T) {
 	var log commandLog
 	require.Nil(t, log.lines())
--- a/internal/agent/connection.go
+++ b/internal/agent/connection.go
@@ -9,13 +9,13 @@
 
 const (
 	// A ready connection counts as broken after maxSilence without input, if at least minUnansweredSamples samples have
-	// also remained unanswered. The agent answers a sample at once. The count covers a process that was stopped: time has
-	// passed, but the answers may be waiting unread.
+	// also remained unanswered. The agent answers a sample at once. Time alone is not enough: after this process was stopped
+	// for a while, answers that arrived in time may still be unread.
 	maxSilence           = 2 * time.Second
 	minUnansweredSamples = 3
 
-	// handshakeTimeout limits the silence of a connection that is not ready yet. A booting agent sends its handshake once
-	// it has started, and it can do so on a new connection as well.
+	// handshakeTimeout limits the silence of a connection that is not ready yet. A booting agent sends its handshake only
+	// once it has started. If that takes longer, no harm is done: the agent sends the handshake on the next connection.
 	handshakeTimeout = 10 * time.Second
 )
 
@@ -23,7 +23,7 @@
 //
 //	disconnected  -> synchronizing  a connection is opened and subscribes to the missed notifications
 //	synchronizing -> ready          the sample after the handshake is answered: all missed notifications have arrived
-//	any           -> disconnected   the connection ends or is aborted
+//	any           -> disconnected   the connection ends, or the Link aborts it
 type connectionState uint8
 
 const (
@@ -53,7 +53,7 @@
 const (
 	replayPending    replayState = iota // no numbered notification yet
 	replayContiguous                    // the first one follows the last one read before
-	replayGap                           // notifications before the first one are lost
+	replayGap                           // notifications between the last one read before and the first one are lost
 )
 
 // String returns the name of the state.
@@ -85,7 +85,8 @@
 	c.lastReceived = now
 }
 
-// recordOffset records the offset of a new numbered notification. last is the offset of the one before.
+// recordOffset records the offset of a new numbered notification. last is the offset of the last one read before it, which
+// may be that of an earlier connection.
 func (c *connection) recordOffset(offset, last int64) {
 	if c.replay != replayPending {
 		return
--- a/internal/agent/decode.go
+++ b/internal/agent/decode.go
@@ -65,6 +65,7 @@
 	}
 }
 
+// decodeElapsed decodes a time that any notification may carry. Only that of a handshake is used: it is the agent's age.
 func decodeElapsed(object *fastjson.Value) (time.Duration, error) {
 	milliseconds := object.GetFloat64(fieldElapsed)
 	if math.IsNaN(milliseconds) || milliseconds < 0 || milliseconds > maxElapsedMilliseconds {
--- a/internal/agent/incarnation.go
+++ b/internal/agent/incarnation.go
@@ -3,13 +3,12 @@
 import "time"
 
 const (
-	// ageTolerance is how much lower than expected the reported age of the same agent may be, in addition to
-	// minAgeDivisor.
-	ageTolerance = time.Second
-	// minAgeDivisor sets the lowest age of the same agent: the expected age divided by minAgeDivisor. One half allows for
-	// an agent's clock that runs much slower than this one or stops for a while. A restarted agent reports an age close to
-	// zero.
+	// An agent counts as the same if it reports an age of at least expected age / minAgeDivisor - ageTolerance. A restarted
+	// agent reports an age close to zero.
+	//
+	// One half of the expected age allows for an agent's clock that runs much slower than this one or stops for a while.
 	minAgeDivisor = 2
+	ageTolerance  = time.Second
 )
 
 // incarnation identifies one start of the agent by its age at a known time. The zero value is unknown.
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -101,10 +101,10 @@
 	l.sendCommand(command{requestID: requestID, line: encodeLaunch(requestID, class, payload)})
 }
 
-// Reply hands a run the reply to the call that it waits for. The protocol does not number replies: a reply that is sent
+// Reply passes a run the reply to the store call that it waits for. The protocol does not number replies: a reply that is sent
 // again after a disconnection would answer the run's next call, if the agent had read it the first time. Reply therefore
-// sends a sample at once if none is unanswered, instead of waiting for the next sweep. A disconnection then leaves only the
-// replies of about the last round trip in doubt.
+// sends a sample at once if none is unanswered, instead of waiting for SampleGauges. The agent can then read a
+// reply twice only if it was sent within about the last round trip before a disconnection.
 func (l *Link) Reply(requestID string, payload []byte) {
 	l.sendCommand(command{requestID: requestID, line: encodeReply(requestID, payload), nonIdempotent: true})
 	if l.state() == ready && l.current.unansweredSamples == 0 {
@@ -112,17 +112,17 @@
 	}
 }
 
-// SkipCall lets a run continue without the call that the notification with this offset requested.
+// SkipCall lets a run continue without the store call that the CallRequest with this offset requested.
 func (l *Link) SkipCall(requestID string, offset int64) {
 	l.sendCommand(command{requestID: requestID, line: encodeSkipCall(requestID, offset)})
 }
 
-// DiscardCommands prevents the commands about a request from being sent again: a notification about the request proves that
-// they were read, or they are obsolete.
+// DiscardCommands prevents the commands about a request from being sent again. It is called when a notification about the
+// request proves that the agent has read them, or when they are obsolete.
 func (l *Link) DiscardCommands(requestID string) { l.commands.removeRequest(requestID) }
 
 // SampleGauges requests the gauges; the Handler receives them as a GaugeSample. It also checks the connection as
-// CheckLiveness does. It must be called periodically, at each sweep.
+// CheckLiveness does. It must be called periodically once the first handshake has arrived.
 func (l *Link) SampleGauges() {
 	if l.state() == ready {
 		l.sendSample()
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// CheckLiveness aborts a silent connection, so that another one is opened. SampleGauges does the same, but is not called
-// before the first handshake.
+// CheckLiveness aborts a silent connection, so that another one is opened. It must be called periodically until the first
+// handshake has arrived; after that SampleGauges calls it.
 func (l *Link) CheckLiveness() {
 	now := l.loop.Now()
 	if l.current == nil || !l.current.isSilent(now) {
--- a/internal/agent/notification.go
+++ b/internal/agent/notification.go
@@ -65,7 +65,7 @@
 	values   []float64 // in the order in which the agent reports the gauges
 }
 
-// unknownSample is the sequence of an answer whose token was not sent by a Link.
+// unknownSample is the sequence of an answer whose token is not a number, so that it was not sent by a Link.
 const unknownSample = -1
 
 // offsetOf returns the offset of a numbered notification. Offsets are consecutive. ok is false if the notification is not
--- a/internal/agent/races_test.go
+++ b/internal/agent/races_test.go
@@ -114,7 +114,7 @@
 	for name, test := range map[string]struct {
 		offsets []int
 		lost    int
-	}{"all": {[]int{3, 4}, 0}, "replayed": {[]int{1, 2, 3, 3, 4}, 0}, "over 4,000 late": {[]int{4, 5}, 1}, "none": {nil, 0}} {
+	}{"all": {[]int{3, 4}, 0}, "replayed": {[]int{1, 2, 3, 3, 4}, 0}, "gap": {[]int{4, 5}, 1}, "none": {nil, 0}} {
 		t.Run(name, func(t *testing.T) {
 			remote := newRemoteAgent(t)
 			remote.accept(0)
--- a/internal/agent/receive.go
+++ b/internal/agent/receive.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if l.current != nil {
-		l.current.queue.Close() // after writing what is queued
+		l.current.queue.Close() // the queued commands are still written
 	}
 	l.connectionsOpened++
 	l.current = &connection{queue: queue, state: synchronizing}
@@ -97,7 +97,8 @@
 	return true
 }
 
-// handleHandshake starts to synchronize. It returns false if the agent was restarted since the last handshake.
+// handleHandshake sends the sample whose answer makes the connection ready. If the agent was restarted since the last
+// handshake, it instead aborts the connection and returns false.
 func (l *Link) handleHandshake(age time.Duration) (sameAgent bool) {
 	if l.incarnation.isKnown() && !l.incarnation.matches(age) {
 		l.handleRestart(age)
@@ -127,7 +128,7 @@
 // handleSample processes the answer to a sample.
 func (l *Link) handleSample(sequence int64) {
 	switch {
-	case sequence == unknownSample:
+	case sequence == unknownSample: // answers no sample of this Link
 	case l.current.state == ready:
 		l.acknowledge(sequence)
 	default:
@@ -144,7 +145,7 @@
 	}
 }
 
-// becomeReady lets the current connection accept commands and sends the unacknowledged ones again. If notifications were
+// becomeReady lets the current connection accept commands and sends the unacknowledged commands again. If notifications were
 // lost, it first calls OnLost.
 func (l *Link) becomeReady() {
 	l.current.state = ready
