--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -67,8 +67,8 @@
 
 // The methods below run on the loop.
 
-// handleDialFailed ends the call that has waited longest as refused. A dial that was cancelled says nothing about the store
-// and ends no call.
+// handleDialFailed ends the call that has waited longest with ConnectionRefused. A dial that was cancelled says nothing about
+// the store and ends no call.
 func (l *Link) handleDialFailed(failed *dial, err error) {
 	if l.dialer.finish(failed) {
 		l.dialer.increaseDelay()
@@ -119,8 +119,8 @@
 	l.onResult(frame.requestID, frame.result, frame.body)
 }
 
-// handleUnsolicitedReply retires a connection, so that no further call is sent on it. The call that it carries may still be
-// answered.
+// handleUnsolicitedReply handles a reply that does not belong to the call that its connection carries: no further call is sent
+// on the connection, but the call that it carries may still be answered.
 func (l *Link) handleUnsolicitedReply(conn *connection) {
 	conn.retired = true
 	if conn.call == nil {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -35,8 +35,8 @@
 	body      []byte // only with OK
 }
 
-// appendCall appends the command to make a call. The store may take timeout for it, which is sent in milliseconds and is at
-// least 1 ms.
+// appendCall appends the command to make a call. The timeout limits the time that the store may take. It is sent in whole
+// milliseconds, as 1 if it is shorter than that.
 func appendCall(b []byte, requestID string, timeout time.Duration, body []byte) []byte {
 	b = append(b, "CALL "...)
 	b = append(b, requestID...)
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -35,8 +35,8 @@
 type ResultHandler func(requestID string, result Result, body []byte)
 
 // Link makes calls. A connection carries one call at a time, so that an unreadable or missing reply affects only that call.
-// The Link opens connections when calls need them, reuses a connection that has been idle for less than idleTimeout, and
-// closes the others. All methods except Run are called on the loop and do not block.
+// The Link opens connections when calls need them, and closes a connection that has been idle for idleTimeout. All methods
+// except Run are called on the loop and do not block.
 type Link struct {
 	address        string // for new calls
 	maxConnections int    // limit on open connections and dials together
@@ -169,9 +169,9 @@
 	l.onResult(ended.requestID, result, nil)
 }
 
-// adjustDials starts a dial for each waiting call, up to the connection limit, and cancels the oldest dials that no call
-// needs any more. If the store does not respond, these would hang until reconnect.DialTimeout and take the places of dials
-// for later calls.
+// adjustDials makes the number of wanted dials equal to the number of waiting calls, as far as the connection limit allows.
+// Surplus dials are cancelled, the oldest first: if the store does not respond, they would hang until reconnect.DialTimeout
+// and take the places of dials for later calls.
 func (l *Link) adjustDials() {
 	for len(l.dialer.wanted) > len(l.waiting) {
 		l.dialer.cancelOldest()
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -198,8 +198,8 @@
 	require.Equal(t, []string{outcome("ab", OK, "x"), outcome("ab", OK, "z")}, fake.outcomes)
 }
 
-// If the store closes a connection or sends a second reply after an answer, the Link detects it soon. Calls must therefore
-// use the connection that has been idle longest first.
+// The store may close a connection, or send a duplicate reply on it, shortly after it has answered a call. On the connection
+// that has been idle longest, the Link has most likely detected this already. Calls must therefore use that one first.
 func TestLongestIdleConnectionFirst(t *testing.T) {
 	ln := loopback.Listen(t)
 	fake := newFakeLoop(t, ln.Addr().String())
--- a/internal/store/races_test.go
+++ b/internal/store/races_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A call is abandoned, or the store moves, before or after the reply is handled. The reply must count for that call or for
-// none.
+// A call is abandoned, or the store moves, before or after the reply is handled. The reply must be reported as the result of
+// that call, or not at all if the call was abandoned before.
 func TestAbandonRacesReply(t *testing.T) {
 	for name, test := range map[string]struct {
 		act   func(fake *fakeLoop)
