--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// reportInterval is short compared with the 3 s after which an entry expires. An entry survives the loss of one report
-	// in four, because it expires only if 14 reports in a row are lost.
+	// reportInterval is short compared with the 3 s after which an entry expires: the entry expires only if 14 reports in a
+	// row are lost, which is very unlikely even if one report in four is lost.
 	reportInterval = 200 * time.Millisecond
 
-	// maxAttempts allows for one send that fails with the error of an earlier report.
+	// maxAttempts is the number of attempts to send one report. The first may fail with the error of an earlier report.
 	maxAttempts = 2
 )
 
@@ -34,7 +34,7 @@
 const (
 	idle      state = iota // nothing to report yet
 	reporting              // the current report is sent repeatedly
-	stopped                // another process sends the reports
+	stopped                // sends no more reports, because another process does
 )
 
 // String returns the name of the state.
@@ -72,7 +72,7 @@
 	return &Announcer{name: name, log: log, current: report{address: address}, reports: latest.New[report]()}
 }
 
-// SetAccepting reports at once whether the server accepts requests.
+// SetAccepting sets whether the server accepts requests, and reports that at once unless Stop was called.
 func (a *Announcer) SetAccepting(accepting bool) {
 	a.current.accepting = accepting
 	if a.state == idle {
@@ -81,7 +81,7 @@
 	a.publish()
 }
 
-// SetAddress sets the address of the service.
+// SetAddress sets the address of the service. The current report, if any, is sent there at once.
 func (a *Announcer) SetAddress(address string) {
 	a.current.address = address
 	a.publish()
@@ -93,7 +93,7 @@
 		return
 	}
 	a.state = stopped
-	a.reports.Set(report{accepting: a.current.accepting})
+	a.reports.Set(report{accepting: a.current.accepting}) // without an address, so Run sends nothing more
 }
 
 // Stopped reports whether Stop was called.
@@ -139,8 +139,9 @@
 	}
 }
 
-// send sends a report. The first attempt may fail with the error of an earlier report that no service received. It is
-// repeated at once; otherwise the last report of a draining server would be delayed by reportInterval.
+// send sends a report. If no service received an earlier report, the kernel returns that error for the next send, although
+// the service may be up again. A failed send is therefore repeated at once; otherwise the last report of a draining server
+// would be delayed by reportInterval.
 func (a *Announcer) send(conn net.Conn, newest report) (err error) {
 	for range maxAttempts {
 		if _, err = fmt.Fprintf(conn, "announce %s %t", a.name, newest.accepting); err == nil {
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -76,8 +76,8 @@
 	require.Empty(t, announcer.reports.C())
 }
 
-// The service was down when a report was sent, and the error of that report fails the next send. The last report of a
-// draining server used to be 200 ms late because of this.
+// The service was down when a report was sent, and the next send returns the error of that report. The last report of a
+// draining server used to be 200 ms late because of this. The next report must be sent at once.
 func TestReportAfterServiceWasDown(t *testing.T) {
 	service := listen(t, "127.0.0.1:0")
 	address := service.LocalAddr().String()
