--- a/internal/agent/connection.go
+++ b/internal/agent/connection.go
@@ -76,7 +76,7 @@
 	state             connectionState
 	replay            replayState
 	lastReceived      time.Duration // time of the last input, or of the opening
-	unansweredSamples int           // samples sent since lastReceived
+	unansweredSamples int           // samples sent since lastReceived; reset by any input, not only by an answer
 }
 
 // recordReceived records that input arrived at now.
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -103,7 +103,7 @@
 
 // Reply passes a run the reply to the store call that it waits for. The protocol does not number replies: a reply that is sent
 // again after a disconnection would answer the run's next call, if the agent had read it the first time. Reply therefore
-// sends a sample at once if none is unanswered, instead of waiting for SampleGauges. The agent can then read a
+// sends a sample at once if none was sent since the last input, instead of waiting for SampleGauges. The agent can then read a
 // reply twice only if it was sent within about the last round trip before a disconnection.
 func (l *Link) Reply(requestID string, payload []byte) {
 	l.sendCommand(command{requestID: requestID, line: encodeReply(requestID, payload), nonIdempotent: true})
--- a/internal/msgpackrpc/limits_test.go
+++ b/internal/msgpackrpc/limits_test.go
@@ -30,7 +30,7 @@
 func TestConcurrencyStaysWithinLimits(t *testing.T) {
 	for name, replacements := range map[string][]string{
 		"concurrency": {`"Cpus": 6`, `"Cpus": 1`, `"FallMultiple": 5.0`, `"FallMultiple": 1.0`},
-		"memory":      {`"MemoryKb": 43152.0`, `"MemoryKb": 700`}, // one run takes 392
+		"memory":      {`"MemoryKb": 43152.0`, `"MemoryKb": 700`}, // one run takes 392 KB
 	} {
 		t.Run(name, func(t *testing.T) {
 			peers := startServer(t, replacements...)
