--- a/lab/faults/fault.go
+++ b/lab/faults/fault.go
@@ -16,7 +16,7 @@
 	KindLoss      Kind = "loss"   // a fraction Ratio of the datagrams is lost
 	KindDuplicate Kind = "double" // a fraction Ratio of the datagrams arrives twice
 	KindDelay     Kind = "delay"  // all traffic is delayed by Delay, datagrams by up to Jitter more
-	KindThrottle  Kind = "slow"   // each stream carries at most BytesPerSecond
+	KindThrottle  Kind = "slow"   // each direction of a stream carries at most BytesPerSecond
 	KindReset     Kind = "reset"  // streams are reset
 )
 
@@ -29,8 +29,8 @@
 	KindRestart           Kind = "restart" // SIGKILL, and an immediate restart under the same name
 	KindDelayedStart      Kind = "late"    // the process is not started before the end
 	KindSlowAgent         Kind = "slowrun" // the agent is slowed down by the factor Ratio until the end
-	KindUnresponsiveStore Kind = "mute"    // the store of the zone accepts calls but answers none of them until the end
-	KindStall             Kind = "wedge"   // the server blocks its event loop for a while; the rest of the process keeps running
+	KindUnresponsiveStore Kind = "mute"    // until the end, the store of the zone holds each new call until its timeout
+	KindStall             Kind = "wedge"   // the server blocks only its event loop, for the time set in its operators' file
 	KindClockSkew         Kind = "clock"   // restart with the clock offset by Delay (may be negative), and without it at the end
 )
 
@@ -49,15 +49,15 @@
 // for all members.
 type Fault struct {
 	Kind           Kind          `json:"Kind"`
-	Target         string        `json:"Who"`    // process faults: the members affected; link faults: the sender
-	Peer           string        `json:"To"`     // link faults: the receiver
-	OneWay         bool          `json:"OneWay"` // link faults: affects only the direction from Target to Peer
+	Target         string        `json:"Who"`    // process faults: the members affected; link faults: one end of the links
+	Peer           string        `json:"To"`     // link faults: the other end of the links
+	OneWay         bool          `json:"OneWay"` // link faults: affects traffic from Target to Peer, but not from Peer to Target
 	Start          time.Duration `json:"At"`     // on the laboratory's clock
 	Duration       time.Duration `json:"For"`    // 0 = until the laboratory ends
 	Ratio          float64       `json:"Share"`  // lost or duplicated fraction, or slowdown factor; see Kind
 	Delay          time.Duration `json:"Delay"`  // delay, or clock offset; see Kind
 	Jitter         time.Duration `json:"Jitter"` // maximum additional delay of a datagram
-	BytesPerSecond int           `json:"Rate"`   // maximum rate of each stream
+	BytesPerSecond int           `json:"Rate"`   // maximum rate of each direction of a stream
 }
 
 // AffectsLink reports whether the fault is a link fault.
@@ -167,7 +167,7 @@
 		}
 	case KindClockSkew:
 		if f.Delay == 0 {
-			return fieldError("delay", "missing: the clock skew")
+			return fieldError("delay", "missing, want the clock skew")
 		}
 	case KindPause:
 		if f.Duration == 0 {
--- a/lab/faults/relay.go
+++ b/lab/faults/relay.go
@@ -6,11 +6,9 @@
 // The relay identifies the sender of a packet by its source address. Each process must therefore send from the
 // address that it listens on.
 //
-// Differences from faults between machines:
-//   - A TCP connection through a partition is never established, as on a real network: a socket filter (Linux) on the
-//     relay's listening socket drops the SYN packets of partitioned senders.
-//   - The kernel of a real machine refuses connections to a process that was killed. The relay accepts and then
-//     resets them.
+// A TCP connection through a partition is never established, as on a real network: a socket filter (Linux) on the
+// relay's listening socket drops the SYN packets of partitioned senders. Unlike on a real network, a connection to a
+// process that was killed is not refused: the relay accepts it and then resets it.
 package faults
 
 import (
--- a/lab/faults/script.go
+++ b/lab/faults/script.go
@@ -143,8 +143,8 @@
 	DuplicateRatio float64       // fraction of datagrams that arrive twice, from 0 to 1
 	Delay          time.Duration // of each datagram, and of each chunk of a stream
 	Jitter         time.Duration // maximum additional delay of a datagram; datagrams may overtake one another
-	BytesPerSecond int           // maximum rate of each stream; 0 = unlimited
-	Reset          bool          // streams are reset, both open and new ones
+	BytesPerSecond int           // maximum rate of each direction of a stream; 0 = unlimited
+	Reset          bool          // streams are reset: new ones at once, open ones when they next carry data
 }
 
 // add adds the effect of a link fault to the rule. Losses and duplications are independent of each other, delays add
--- a/lab/faults/script_test.go
+++ b/lab/faults/script_test.go
@@ -11,8 +11,8 @@
 
 var testLocations = []Location{{"n0", "a", "r"}, {"n1", "b", "r"}, {"n2", "a", "r"}}
 
-// An invalid script must be rejected with an error that names the fault and the key. Only an error about a value is a
-// FieldError; one about an unknown key is not.
+// An invalid script must be rejected. An error about a value must be a FieldError and name the fault and the key. An
+// error about an unknown key must show the key and is not a FieldError.
 func TestParseRejectsInvalidScripts(t *testing.T) {
 	for want, text := range map[string]string{
 		"fault[0].kind: \"flood\"":               `kind = "flood"`,
