--- a/lab/fakes/agent.go
+++ b/lab/fakes/agent.go
@@ -1,7 +1,7 @@
 // Package fakes implements fakes of the services that an image server depends on: the render farm agent, the store
 // and the announce service. They listen on loopback and speak the protocol of the real services. The laboratory and
-// tests use them; no server imports them. A fake without a worker pool (package workerpool) takes exactly the
-// configured time.
+// tests use them; no server imports them. Without a worker pool (package workerpool), a run takes exactly the time in
+// its plan, and a store answers calls at once.
 package fakes
 
 import (
@@ -24,7 +24,9 @@
 type Agent struct {
 	State string        // in the handshake: "booting" or "steady"
 	Age   time.Duration // age of the agent in the handshake
-	Load  [4]float64    // gauges in the answer to a sample command; computed if Cores is set
+	// Load holds the gauges in the answer to a sample command: utilization of the cores, runs and reads on the cores,
+	// memory utilization and connections. It is computed if Cores is set.
+	Load [4]float64
 	// PlanRun returns the plan of a run. If nil, every run succeeds at once, without a call.
 	PlanRun func(l Launch) RunPlan
 
@@ -36,7 +38,7 @@
 
 	// mu guards the fields below and Cores.
 	mu      sync.Mutex
-	conn    net.Conn        // newest connection; nil before the first
+	conn    net.Conn        // connection that has subscribed last; nil before the first
 	encoder *json.Encoder   // writes to conn
 	offset  int             // number of the last numbered notification
 	backlog []notification  // most recent numbered notifications, oldest first
@@ -75,13 +77,13 @@
 	}
 }
 
-// Disconnect closes the current connection to simulate a fault. The next connection receives the notifications after
-// the offset that it subscribes with.
+// Disconnect closes the current connection, if there is one. The next connection receives the notifications after the
+// offset that it subscribes with.
 func (a *Agent) Disconnect() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		_ = a.conn.Close() // the fault that the caller injects
+		_ = a.conn.Close() // fails if it is already closed
 	}
 }
 
@@ -93,7 +95,7 @@
 		return
 	}
 	if conn != a.conn {
-		return // a newer connection has replaced this one
+		return // this connection has not subscribed, or a newer one has replaced it
 	}
 	switch cmd.Name {
 	case commandSample:
--- a/lab/fakes/agent_run.go
+++ b/lab/fakes/agent_run.go
@@ -76,8 +76,8 @@
 	})
 }
 
-// CompleteRequest tells the agent that a request was answered or abandoned by its client. A run of the request that
-// waits for its call ends as interrupted.
+// CompleteRequest tells the agent that a request was answered, or that its client abandoned it. If the run of the
+// request waits for its call, it ends as interrupted; otherwise it continues.
 func (a *Agent) CompleteRequest(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/lab/fakes/store.go
+++ b/lab/fakes/store.go
@@ -179,8 +179,8 @@
 	return &storeCall{id: id, timeout: time.Duration(timeoutMillis) * time.Millisecond, body: body}, nil
 }
 
-// writeReply writes the reply to a call. The result of a call is its body. Write errors are ignored: they also end
-// the goroutine that reads the connection.
+// writeReply writes the reply to a call. The result of a call is its body. Write errors are ignored: once the connection
+// is broken, the goroutine that reads it ends.
 func (c *storeCall) writeReply(w io.Writer, status callStatus) {
 	if status == callOK {
 		fmt.Fprintf(w, "%s OK %d\r\n%s", c.id, len(c.body)-len("\r\n"), c.body)
