--- a/lab/clients/attempt.go
+++ b/lab/clients/attempt.go
@@ -9,8 +9,8 @@
 	"falldeal/lab/history"
 )
 
-// answerGrace is how long after the deadline a client still waits, so that a late answer is recorded as late instead
-// of abandoned.
+// answerGrace is how long a client still waits after the deadline of a request, so that an answer after the deadline is
+// recorded as late and its attempt not as abandoned.
 const answerGrace = time.Second
 
 // answer is the result of one attempt.
@@ -102,9 +102,9 @@
 	}
 }
 
-// redial returns a connection that is still open after a read. A server closes a connection on which it has received
-// nothing for 2 s, and a server that is warming up may take longer than that to read. If the dial fails, redial
-// returns previous.
+// redial returns a connection that is still open after a server has read a request. A server closes a new connection on
+// which no message arrives within 2 s, and a server that is warming up may take longer than that to read. If the dial
+// fails, redial returns previous.
 func (f *frontEnd) redial(target Server, previous *serverConn) *serverConn {
 	if conn := f.dial(target); conn != nil {
 		return conn
--- a/lab/clients/clients.go
+++ b/lab/clients/clients.go
@@ -34,7 +34,8 @@
 	// ReadRequest makes a server spend the work of reading the request of an attempt. The attempt waits until the
 	// returned channel is closed; it does not wait for a nil channel. If ReadRequest is nil, reading costs nothing.
 	ReadRequest func(server string) <-chan struct{}
-	// AttemptCompleted is called when an attempt at a server was answered or abandoned. It may be nil.
+	// AttemptCompleted is called when an attempt whose request was sent to a server has been answered, lost or
+	// abandoned. It may be nil.
 	AttemptCompleted func(server, attemptID string)
 }
 
--- a/lab/clients/conn.go
+++ b/lab/clients/conn.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxPending  = 32          // maximum requests in flight on one connection; the protocol defines it
-	dialTimeout = time.Second // bounds a dial and the write of a request
+	maxPending     = 32          // maximum requests in flight on one connection; the protocol defines it
+	networkTimeout = time.Second // bounds a dial and the write of a request
 )
 
 // serverConn is a connection to a server, shared by the requests of one front end. Its own goroutine reads the
@@ -42,7 +42,7 @@
 	if existing != nil && existing.hasCapacity() {
 		return existing
 	}
-	dialed, err := (&net.Dialer{Timeout: dialTimeout}).Dial("tcp", target.Addr)
+	dialed, err := (&net.Dialer{Timeout: networkTimeout}).Dial("tcp", target.Addr)
 	if err != nil {
 		return nil
 	}
@@ -106,7 +106,7 @@
 
 // write writes the request with the call number lastCall.
 func (c *serverConn) write(request *frontrpc.Request) error {
-	if err := c.conn.SetWriteDeadline(time.Now().Add(dialTimeout)); err != nil {
+	if err := c.conn.SetWriteDeadline(time.Now().Add(networkTimeout)); err != nil {
 		return fmt.Errorf("set write deadline: %w", err)
 	}
 	if err := request.Encode(c.encoder, c.lastCall); err != nil {
--- a/lab/clients/frontend.go
+++ b/lab/clients/frontend.go
@@ -34,7 +34,7 @@
 type request struct {
 	class          *Class
 	work           time.Duration // of its run
-	rank           float64       // orders requests of equal value: the server sheds the higher one last
+	rank           float64       // of requests with equal value per work, the server sheds the one with the highest rank last
 	key            int           // for routing; also the subject in the message, unless the class is idempotent by key
 	idempotencyKey string        // sent if the class is idempotent by key
 	arrival        time.Duration // on the clock of the log
@@ -131,8 +131,8 @@
 	}
 }
 
-// resultOf returns the result of a request that was answered. The result is late if it took longer than the latency
-// objective.
+// resultOf returns the result of a request that was served. The outcome is late if the request took longer than the
+// latency objective.
 func (f *frontEnd) resultOf(served *request, reply answer) requestResult {
 	if f.log.Now()-served.arrival > served.class.LatencyObjective {
 		return requestResult{outcome: history.OutcomeLate}
@@ -141,7 +141,7 @@
 }
 
 // mayRetry reports whether another attempt is allowed before the deadline. A request that is idempotent by key is
-// retried only if the server rejected it or was unreachable, because it may have run otherwise.
+// retried only if the server rejected it or was unreachable; after any other outcome it may already have run.
 func (f *frontEnd) mayRetry(pending *request, reply answer) bool {
 	notRun := reply.outcome == history.OutcomeRejected || reply.outcome == history.OutcomeUnreachable
 	switch {
--- a/lab/frontrpc/frontrpc.go
+++ b/lab/frontrpc/frontrpc.go
@@ -43,12 +43,12 @@
 	ID             string
 	Client         int     // number of the front end
 	MemoryKB       float64 // declared memory demand
-	Rank           float64
+	Rank           float64 // from 0 to 1; orders requests with equal value per work
 	SentAt         time.Time
 	Timeout        time.Duration
 	CostHint       time.Duration // declared processor time
 	IdempotencyKey string        // "" = none; Subject is sent instead
-	Subject        string
+	Subject        string        // identifies the object that the request reads
 	Body           []byte
 }
 
--- a/lab/load/bench_test.go
+++ b/lab/load/bench_test.go
@@ -32,7 +32,7 @@
 	b.ReportMetric(float64(now.switches-before.switches)/float64(b.N), "waits/op")
 }
 
-// BenchmarkRequest measures the cost of a request to the server's process, including the kernel and the Go runtime.
+// BenchmarkRequest measures what a request costs the server's process, including the kernel and the Go runtime.
 // Requests of the class preview make a call to the store.
 func BenchmarkRequest(b *testing.B) {
 	for _, class := range []string{"hires-crop", "preview"} {
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkIdle measures the cost of one second without requests to the server's process, with idle connections.
+// BenchmarkIdle measures what one second without requests costs the server's process, with idle connections.
 func BenchmarkIdle(b *testing.B) {
 	for _, connections := range []int{0, 150} {
 		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -53,8 +53,8 @@
 	return Report{Served: c.served.Load(), Rejected: c.rejected.Load(), Failed: c.failed.Load()}
 }
 
-// Run runs a plan. It returns an error if an answer is late or malformed, or if ctx ends. The report then counts the
-// answers received before.
+// Run runs a plan. It returns an error if a connection fails, if an answer is malformed or does not arrive in time, or
+// if ctx ends. The report then counts the answers received until then.
 func Run(ctx context.Context, plan Plan) (Report, error) {
 	var counts counters
 	var remaining atomic.Int64
--- a/lab/load/rpc.go
+++ b/lab/load/rpc.go
@@ -15,7 +15,7 @@
 const (
 	subjectKeys     = 1000 // distinct subjects of requests without an idempotency key
 	requestMemoryKB = 4    // memory demand that each request declares
-	requestRank     = 0.5  // of all requests; a rank orders requests of equal value
+	requestRank     = 0.5  // of all requests; a rank orders requests with equal value per work
 )
 
 // attemptIDs is the ID of the last request of this process. It starts at the time of the process start, so that two
@@ -69,10 +69,10 @@
 	}
 	failure, err := decoder.DecodeInterface()
 	if err != nil {
-		return outcomeFailed, fmt.Errorf("decode error: %w", err)
+		return outcomeFailed, fmt.Errorf("decode the response's error: %w", err)
 	}
 	if _, err := decoder.DecodeInterface(); err != nil {
-		return outcomeFailed, fmt.Errorf("decode result: %w", err)
+		return outcomeFailed, fmt.Errorf("decode the response's result: %w", err)
 	}
 	if failure == nil {
 		return outcomeServed, nil
@@ -103,7 +103,7 @@
 		return fmt.Errorf("decode call number: %w", err)
 	}
 	if parts != frontrpc.ResponseParts || kind != frontrpc.ResponseType || id != call {
-		return fmt.Errorf("%w: %d parts, kind %d, id %d", errUnexpectedAnswer, parts, kind, id)
+		return fmt.Errorf("%w: %d elements, type %d, call number %d", errUnexpectedAnswer, parts, kind, id)
 	}
 	return nil
 }
--- a/lab/load/server_test.go
+++ b/lab/load/server_test.go
@@ -72,8 +72,8 @@
 	return started, addrs
 }
 
-// testConfig returns the example configuration with the addresses of the fakes. Its deadlines are 10 minutes, so that
-// requests do not become late while the machine is busy.
+// testConfig returns the example configuration with the addresses of the fakes. Its latency objectives and deadlines are
+// 10 minutes, so that requests do not become late while the machine is busy.
 func testConfig(tb testing.TB, addrs addresses) *config.Config {
 	tb.Helper()
 	text, err := os.ReadFile("../../internal/config/testdata/config.json")
