--- a/lab/commandtest/commandtest.go
+++ b/lab/commandtest/commandtest.go
@@ -24,8 +24,9 @@
 	os.Exit(m.Run())
 }
 
-// Run runs the command with args in the directory dir. It returns the exit code and the output as one text. Variables
-// that configure a server are unset except those in env.
+// Run runs the command with args in the directory dir, with input as its standard input. It returns the exit code,
+// standard output and standard error as one text. Environment variables that configure a server are empty unless env
+// sets them.
 func Run(t *testing.T, dir string, env []string, input string, args ...string) string {
 	t.Helper()
 	self, err := os.Executable()
--- a/lab/costs/parts.go
+++ b/lab/costs/parts.go
@@ -19,7 +19,7 @@
 // root, and each frame is matched with the parts in this order. The first match decides. Work of the Go runtime for a
 // part, such as allocation, is therefore attributed to that part.
 //
-// The prefixes are names of functions of the server and must be updated when those are renamed.
+// Prefixes that start with falldeal/ must be updated when the functions that they match are renamed.
 var parts = []part{
 	{name: "garbage collection", prefixes: []string{
 		"runtime.gcBgMarkWorker", "runtime.bgsweep", "runtime.bgscavenge", "runtime.gcAssistAlloc",
--- a/lab/memnet/conn.go
+++ b/lab/memnet/conn.go
@@ -15,8 +15,8 @@
 	remoteAddr    string // address of the remote host
 }
 
-// Write discards the data if the network has a partition in this direction, as the kernel accepts data that then does
-// not arrive.
+// Write discards the data and reports success if the network has a partition in this direction. On a real network, too,
+// the kernel accepts data that then does not arrive.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.local.network.fault(c.local.addr, c.remote.addr).Partition {
 		return len(b), nil
@@ -24,7 +24,8 @@
 	return c.Conn.Write(b) //nolint:wrapcheck // callers of a net.Conn compare errors as they are
 }
 
-// Read reports a closed pipe as a connection reset, the error of a socket whose peer was killed.
+// Read returns ECONNRESET if this end is closed, for example because Kill has taken its host down. If the other end is
+// closed, it returns io.EOF.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if errors.Is(err, io.ErrClosedPipe) {
@@ -33,7 +34,7 @@
 	return n, err
 }
 
-// Close closes both ends of the stream.
+// Close closes this end of the stream. Reads from the other end then return io.EOF.
 func (c *conn) Close() error {
 	c.local.network.mu.Lock()
 	delete(c.local.conns, c)
--- a/lab/memnet/host.go
+++ b/lab/memnet/host.go
@@ -82,7 +82,7 @@
 }
 
 // DialTimeout opens a stream. It times out if there is a partition in either direction or no host has ever had the
-// address. It is refused if the host is down or has too many streams that it has not accepted.
+// address. It is refused if either host is down or the other one has too many streams that it has not accepted.
 func (h *Host) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	network := h.network
 	network.mu.Lock()
--- a/lab/memnet/memnet_test.go
+++ b/lab/memnet/memnet_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A stream must carry data, be reset when the host at its other end is killed, and time out when it is opened through
-// a partition.
+// A stream must carry data, and reads from it at a host that is killed must fail with a connection reset. A dial must
+// time out through a partition, and be refused if the host is down.
 func TestStreamsEndWithHostAndTimeOutInPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(1)
--- a/lab/memnet/network.go
+++ b/lab/memnet/network.go
@@ -37,7 +37,8 @@
 	hosts map[string]*Host // by address
 	rule  func(from, to string) Fault
 
-	// Packets and Bytes count what all hosts have sent. They may be read without the lock once all hosts are down.
+	// Packets and Bytes count the packets that all hosts have sent, and their payload. Streams are not counted. Both may
+	// be read without the lock once all hosts are down.
 	Packets, Bytes int64
 }
 
