--- a/cmd/falldeal-fleet/member.go
+++ b/cmd/falldeal-fleet/member.go
@@ -55,7 +55,7 @@
 	if file.Fleet == nil {
 		return created, nil
 	}
-	if err := created.joinFleet(); err != nil {
+	if err := created.setUpFleet(); err != nil {
 		return nil, created.fileError(err)
 	}
 	return created, nil
@@ -66,8 +66,8 @@
 	return fmt.Errorf("operators' file %s: %w", m.opts.operatorsPath, err)
 }
 
-// joinFleet sets fleet, tracer and extension. It does not contact other members.
-func (m *member) joinFleet() error {
+// setUpFleet sets fleet, tracer and extension. It does not contact other members.
+func (m *member) setUpFleet() error {
 	var faults operators.FaultInjection
 	if m.operators.FaultInjection != nil {
 		faults = *m.operators.FaultInjection
@@ -174,8 +174,8 @@
 	}
 }
 
-// runFleet takes part in the fleet until ctx ends. It first waits until the predecessor process has released the
-// gossip address.
+// runFleet takes part in the fleet until ctx ends. If retryBind is set, it first waits until the predecessor process has
+// released the gossip address.
 func (m *member) runFleet(ctx context.Context) error {
 	for m.retryBind {
 		err := m.fleet.Listen()
--- a/cmd/falldeal-lab/detect.go
+++ b/cmd/falldeal-lab/detect.go
@@ -29,7 +29,7 @@
 	victimStream = 5 // selects the random sequence that the members to kill are drawn from
 )
 
-// removedConditions are the conditions in which a member gets no requests.
+// removedConditions are the reported conditions that detect counts as a removal of the member from the fleet.
 var removedConditions = []history.Condition{
 	history.ConditionUnreachable, history.ConditionFailed, history.ConditionStalled,
 }
@@ -53,6 +53,7 @@
 		return err
 	}
 	defer lab.Close()
+	// The measurements below do not end when ctx ends, so the process exits.
 	defer context.AfterFunc(ctx, func() {
 		lab.Close()
 		os.Exit(1)
--- a/cmd/falldeal-lab/fleet.go
+++ b/cmd/falldeal-lab/fleet.go
@@ -22,7 +22,8 @@
 	historyFile = "history.jsonl"
 	plotFile    = "requests.png"
 
-	// listTimeout bounds how long the load waits for all members to appear in the server lists.
+	// listTimeout is the time on the laboratory's clock at which the load starts even if not all members are in the
+	// server lists.
 	listTimeout      = 10 * time.Second
 	pollInterval     = 50 * time.Millisecond  // of conditions that a command waits for
 	viewPollInterval = 500 * time.Millisecond // of the members' views of the fleet
@@ -88,7 +89,8 @@
 	return nil
 }
 
-// openLab creates a fleet in the directory of opts. If none is given, it creates one and sets it in opts.
+// openLab creates a fleet in the directory of opts. If opts names no directory, it creates a temporary one and sets it in
+// opts.
 func openLab(ctx context.Context, opts *options) (*fleetlab.Lab, error) {
 	if opts.lab.Members < 1 || opts.lab.Members > maxMembers {
 		return nil, fmt.Errorf("flag --members: %d is not between 1 and %d", opts.lab.Members, maxMembers)
@@ -166,7 +168,7 @@
 	if watch != nil {
 		wait.Go(func() { watch(running) })
 	}
-	// A member that is not listed after listTimeout will not be listed at all.
+	// Wait until all members are listed. One that is not listed at listTimeout may have failed or have a delayed start.
 	for lab.Log.Now() < listTimeout && len(lab.Servers(0)()) < len(lab.Members) && ctx.Err() == nil {
 		time.Sleep(pollInterval)
 	}
--- a/cmd/falldeal-lab/main.go
+++ b/cmd/falldeal-lab/main.go
@@ -1,5 +1,5 @@
 // Command falldeal-lab runs fleets of falldeal and injects faults into them. The command falldeal execs it for `lab`;
-// no program that serves links it.
+// it is not linked into any server.
 package main
 
 import (
--- a/cmd/falldeal-lab/report.go
+++ b/cmd/falldeal-lab/report.go
@@ -71,7 +71,7 @@
 	member      string
 	condition   history.Condition
 	first, last time.Duration // times of the first and the last change
-	observers   int           // number of changes
+	observers   int           // number of changes; an observer that reports the condition again counts again
 }
 
 // viewKey identifies the changes that may belong to one series.
--- a/cmd/falldeal-lab/resource_usage.go
+++ b/cmd/falldeal-lab/resource_usage.go
@@ -25,8 +25,8 @@
 	counterBytesOut   = "bytes_out"
 )
 
-// resourceUsage is the CPU time and the network traffic of processes since their starts, and their current memory, in
-// total.
+// resourceUsage is the total CPU time and network traffic of a number of processes since their starts, and the total of
+// their current memory.
 type resourceUsage struct{ cpuMs, packets, bytes, memoryMB float64 }
 
 // measureUsage adds up the usage of members, from /proc and from the counters that the members report. A member that
--- a/cmd/falldeal/deploy_test.go
+++ b/cmd/falldeal/deploy_test.go
@@ -22,9 +22,9 @@
 	return string(found[1])
 }
 
-// The fleet's bench intercepts the sockets and clocks of a server in the C library. It cannot intercept a statically
-// linked program, which Go builds if nothing needs C. The bench also refuses to start further processes, so `run`
-// must exec the program.
+// The test bench that runs the programs of deploy/balancer.toml intercepts their calls of the C library for sockets and
+// clocks. It cannot intercept a statically linked program, which Go builds if nothing needs C. The bench also refuses
+// to start further processes, so `run` must exec the program.
 func TestDeployedProgramIsLinkedDynamically(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "bin")
 	build := exec.CommandContext(t.Context(), "/bin/sh", "-c", strings.ReplaceAll(deployCommand(t, "build"), "bin", bin))
--- a/cmd/falldeal/main.go
+++ b/cmd/falldeal/main.go
@@ -86,7 +86,7 @@
 	return opts.runCommand(flags, out)
 }
 
-// needsFleetProgram reports whether falldeal-fleet runs the command, because it may have to join a fleet.
+// needsFleetProgram reports whether falldeal-fleet must run the command, because only it reads operators' files.
 func (o *options) needsFleetProgram(command string) bool {
 	return o.operatorsPath != "" && (command == commandServe || command == commandCheck)
 }
--- a/cmd/falldeal/signals_test.go
+++ b/cmd/falldeal/signals_test.go
@@ -88,9 +88,9 @@
 	requireServed(t, served)
 }
 
-// Guards against a SIGTERM that is dropped because earlier signals have filled the channel; the server was then
-// killed instead of drained. Here the signals arrive while the server reads a configuration from a pipe that nobody
-// writes to.
+// Guards against a SIGTERM that is dropped because earlier signals have filled the channel of the signal handler; the
+// server was then killed instead of drained. Here the signals arrive while the server reads a configuration from a
+// pipe that nobody writes to.
 func TestTerminationAfterManyOtherSignals(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	configPath, served := startServer(t, log, listenAsAgent(t))
