--- a/lab/fleetlab/files.go
+++ b/lab/fleetlab/files.go
@@ -41,7 +41,7 @@
 
 	Seed                 uint64
 	Members, Cores       int
-	CallQuota            float64 // maximum calls in flight to the store
+	CallQuota            float64 // maximum number of calls that the member has in flight to the store
 	WarmupMicros         int64   // warm-up time of the agent in µs
 	CallsByClass         string  // JSON list elements: whether requests of the class call the store
 	DegradedValueByClass string  // JSON list elements: value of the class without the call, as a ratio of its full value
--- a/lab/fleetlab/harness_test.go
+++ b/lab/fleetlab/harness_test.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// waitTimeout bounds each wait for a condition. It only limits how long a failing test runs: no test passes or
-	// fails because of how long a condition took.
+	// waitTimeout bounds each wait for a condition. It is long so that a busy machine does not make a test fail; a
+	// passing test does not wait longer than the condition takes.
 	waitTimeout = 90 * time.Second
 	// answerSlack is how late an answer may be because the machine is busy.
 	answerSlack = 200 * time.Millisecond
@@ -84,7 +84,8 @@
 	}
 }
 
-// endInjected sets the duration of an injected fault so that it ends now.
+// endInjected sets the duration of an injected fault so that it ends now. The duration is at least 1 ns, because 0 means
+// that the fault does not end.
 func (l *Lab) endInjected(fault faults.Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/fleetlab/lab.go
+++ b/lab/fleetlab/lab.go
@@ -5,7 +5,8 @@
 // The laboratory differs from a real fleet as follows:
 //   - All processes share one machine, so a large fleet is slower than one with a machine per process.
 //   - Network bandwidth is not modelled.
-//   - The server process itself stalls its event loop and skews its clock, as enabled in its operators' file.
+//   - A stalled event loop and a skewed clock are simulated within the server process, which its operators' file
+//     enables.
 package fleetlab
 
 import (
@@ -35,7 +36,7 @@
 
 	options Options
 	subnet  int         // second octet of all addresses
-	closers []io.Closer // sockets of the fakes, and the listener that reserves the subnet
+	closers []io.Closer // sockets of the announce service and the stores, and the listener that reserves the subnet
 	key     string      // gossip encryption key in hexadecimal; empty if the gossip is not encrypted
 
 	// mu guards the fields below.
@@ -44,8 +45,8 @@
 	snapshots []registrySnapshot // registered servers over time, oldest first
 }
 
-// New creates the members of a fleet and starts the fakes, which run until Close even if ctx ends earlier.
-// StartMembers starts the server processes. The caller must call Close.
+// New creates the members of a fleet. It starts the fake announce service and the fake stores, which run until Close
+// even if ctx ends earlier. StartMembers starts the server processes and their fake agents. The caller must call Close.
 func New(ctx context.Context, options Options) (*Lab, error) {
 	if err := os.MkdirAll(options.Dir, dirMode); err != nil {
 		return nil, fmt.Errorf("create directory: %w", err)
@@ -97,7 +98,7 @@
 	}
 	l.Relay.Close()
 	for _, c := range l.closers {
-		_ = c.Close() // nothing uses the sockets any more
+		_ = c.Close() // no server process is left that uses the socket
 	}
 }
 
--- a/lab/fleetlab/membership_test.go
+++ b/lab/fleetlab/membership_test.go
@@ -155,7 +155,7 @@
 	require.Contains(t, output, "fleet as seen by n0: fully connected")
 	output = lab.runProgram(t, "fleet", "members", "--console", lab.Members[0].ConsoleAddr)
 	require.Regexp(t, `n1 +z0 +left`, output)
-	lab.requireInvalidOperatorsFiles(t, leaving)
+	lab.requireInvalidFilesRejected(t, leaving)
 	require.Greater(t, fleet.MaxFreshAge(3), fleet.PublishInterval(3))
 }
 
@@ -167,9 +167,9 @@
 	return string(output)
 }
 
-// requireInvalidOperatorsFiles starts a stopped member with invalid values in its operators' file. Each start must
-// fail with an error that names the key.
-func (l *Lab) requireInvalidOperatorsFiles(t *testing.T, stopped *Member) {
+// requireInvalidFilesRejected starts a stopped member with an invalid value or an unknown key in its operators' file.
+// Each start must fail with an error that names the key.
+func (l *Lab) requireInvalidFilesRejected(t *testing.T, stopped *Member) {
 	t.Helper()
 	path := filepath.Join(stopped.dir, operatorsFile)
 	valid, err := os.ReadFile(path)
--- a/lab/fleetlab/options.go
+++ b/lab/fleetlab/options.go
@@ -6,7 +6,8 @@
 	"falldeal/lab/clients"
 )
 
-// IdempotencyWindow is how long the servers remember the idempotency key of a request.
+// IdempotencyWindow is how long the servers remember the idempotency key of a request. It has the value of the example
+// configuration, internal/config/testdata/config.json.
 const IdempotencyWindow = 17457 * time.Millisecond
 
 // defaultIdempotencyWindow is written for classes without idempotency keys, because the configuration requires a
@@ -19,8 +20,8 @@
 	Dir     string // directory for the files of the processes; created if missing
 	Members int
 	Zones   []string // members are assigned to the zones round robin
-	Region  string
-	Seed    uint64
+	Region  string   // of all members
+	Seed    uint64   // of the relay, the servers and the gossip encryption key
 	// ProbeInterval is the time between two probes of the failure detector of the fleet's membership.
 	ProbeInterval time.Duration
 	Encrypted     bool   // encrypt the gossip, with a key derived from Seed
@@ -32,7 +33,7 @@
 
 	Cores      int           // cores of each agent; the agent of every other member has slower cores
 	WarmupTime time.Duration // how long an agent warms up after a restart
-	Slots      int           // calls that the store of each zone works at concurrently
+	Slots      int           // calls that the store of each zone works on concurrently
 	CallTime   time.Duration // work of a call in a slot of a store
 	Classes    []clients.Class
 }
--- a/lab/fleetlab/overload_test.go
+++ b/lab/fleetlab/overload_test.go
@@ -44,8 +44,8 @@
 	lab.requireNoViolations(t)
 }
 
-// requireThresholds waits until the lowest and the highest shedding threshold, of all members in the views of all
-// members, meet the condition.
+// requireThresholds waits until the condition holds for the lowest and the highest shedding threshold that any of the
+// members reports for any of them.
 func (l *Lab) requireThresholds(t *testing.T, members []string, condition func(lowest, highest float64) bool) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -112,7 +112,7 @@
 	return started, maxInFlight
 }
 
-// allUseStores reports whether each of the members reports the stores of all of them as answering.
+// allUseStores reports whether none of the members reports that the store of any of them is unresponsive or is probed.
 func (l *Lab) allUseStores(ctx context.Context, members []string) bool {
 	notInUse := func(m fleet.MemberReport) bool {
 		state := overload.StoreState(m.StoreState)
--- a/lab/fleetlab/script.go
+++ b/lab/fleetlab/script.go
@@ -29,8 +29,8 @@
 	state faultState
 }
 
-// advance sets the state that the fault must have at now. It reports whether the fault starts and whether it ends;
-// both are true for a fault that is shorter than scriptInterval.
+// advance sets the state that the fault must have at now. It reports whether the fault starts and whether it ends. Both
+// are true if the whole fault lies between the previous call and this one.
 func (f *scriptedFault) advance(now time.Duration) (starts, ends bool) {
 	if f.state == faultPending && now >= f.Start {
 		f.state = faultActive
@@ -105,7 +105,7 @@
 }
 
 // RunScript starts and ends the faults of the script when they are due, until ctx ends. It returns an error if a
-// process cannot be restarted at the end of its fault or the rules of the relay cannot be set.
+// process cannot be started at the end of its fault or the rules of the relay cannot be set.
 func (l *Lab) RunScript(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := l.applyFaults(ctx); err != nil {
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// logStartError records a failure to start the process in the history. It does not return the error because the start
-// is part of the fault: RunScript continues with the other faults.
+// logStartError records a failed start in the history. It is for restarts at the start of a fault: unlike a restart at
+// the end of a fault, such a failure does not end RunScript.
 func (m *Member) logStartError(err error) {
 	if err != nil {
 		m.logState(history.ProcessState("not started: "+err.Error()), 0)
--- a/lab/fleetlab/views.go
+++ b/lab/fleetlab/views.go
@@ -75,7 +75,7 @@
 	}
 	report, err := observer.FleetReport(ctx)
 	if err != nil {
-		return // the process is paused or is exiting
+		return // the process is starting, paused or exiting
 	}
 	for i := range report.Members {
 		member := &report.Members[i]
@@ -93,7 +93,7 @@
 // snapshotInterval is the minimum time between two snapshots of the registered servers.
 const snapshotInterval = 100 * time.Millisecond
 
-// registrySnapshot holds the servers that were registered as accepting work at a time.
+// registrySnapshot holds the servers that were registered as accepting work at one point in time.
 type registrySnapshot struct {
 	at    time.Duration // on the laboratory's clock
 	names []string
@@ -112,8 +112,8 @@
 	}
 }
 
-// registered returns the names of the members that were registered lag ago, or in the first snapshot if that is more
-// recent. It drops snapshots that are older than the one it returns, so all callers must use the same lag.
+// registered returns the names of the members that were registered lag ago. If no snapshot is that old, it returns those
+// in the oldest one. It drops snapshots that are older than the one it returns, so all callers must use the same lag.
 func (l *Lab) registered(lag time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
