--- a/lab/model/actions.go
+++ b/lab/model/actions.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// reject answers an attempt with a rejection. Unless the rejection forbids a retry at other servers, it counts as a cause of
-// retries.
+// reject answers an attempt with a rejection. Unless the rejection forbids a retry at other servers, it is recorded,
+// so that the next attempts of the request at this server are known to be retries.
 func (s *server) reject(attempt *attempt, rejection admission.Rejection) {
 	if s.shedding != nil && !rejection.NoRetryElsewhere {
 		s.shedding.retries.RecordRejection(s.sim.now, attempt.fingerprint)
--- a/lab/model/cores.go
+++ b/lab/model/cores.go
@@ -18,7 +18,7 @@
 	tasks    map[string]*attempt // attempts with a task in the pool, by task name
 	unread   []*attempt          // attempts that wait to be read, oldest first
 	reading  int                 // number of attempts that are being read
-	maxReads int                 // limit of reading
+	maxReads int                 // largest number of attempts that are read at the same time
 	readWork time.Duration       // work of reading one attempt, on a core of speed 1
 }
 
--- a/lab/model/digest_test.go
+++ b/lab/model/digest_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// digestOf returns the SHA-256 digest of a history in its stored form. It leaves out the names of faults, which are
-// descriptions only.
+// digestOf returns the SHA-256 digest of a history in its stored form. It leaves out the names of faults, which do not affect
+// the simulation.
 func digestOf(t *testing.T, events []history.Event) string {
 	t.Helper()
 	hash := sha256.New()
@@ -36,7 +36,7 @@
 	slow := Fault{Kind: FaultStoresSlow, Zone: AllZones, Factor: 8}
 	for name, testCase := range map[string]struct {
 		opts     Options
-		strategy int
+		strategy int // index in Strategies
 		seed     uint64
 		want     string
 	}{
--- a/lab/model/frontend.go
+++ b/lab/model/frontend.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	retryPause  = 20 * time.Millisecond // before a retry if no server could be tried
+	retryPause  = 20 * time.Millisecond // before a retry if no server is available or the chosen one is down
 	registryLag = time.Second           // until front ends see in the registry that a server has started or ended
 )
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// scheduleArrival schedules the first arrival after from, unless that is past the end of the load. Arrivals are a Poisson
-// process at the rate that holds when an arrival is scheduled. Each arrival schedules the next one.
+// scheduleArrival schedules the first arrival after from, if that comes before Options.Duration. Arrivals are a Poisson process
+// at the rate that holds when an arrival is scheduled. Each arrival schedules the next one.
 func (f *frontEnd) scheduleArrival(from time.Duration) {
 	mean := float64(f.sim.opts.FrontEnds) / f.sim.arrivalRate()
 	at := from + time.Duration(f.rand.ExpFloat64()*mean*float64(time.Second))
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// avoids reports whether the front end honors a Retry-After of the server that has not expired.
+// avoids reports whether the front end avoids a server, because it honors a Retry-After of that server which has not expired.
 func (f *frontEnd) avoids(server *server) bool {
 	return f.honorRetryAfter && f.avoidUntil[server.number] > f.sim.now
 }
@@ -115,8 +115,8 @@
 	})
 }
 
-// submit has a server receive an attempt, and waits for the response until answerGrace after the deadline. Then the
-// request is recorded as abandoned.
+// submit has a server receive an attempt. If no response arrives by answerGrace after the deadline, the request is recorded as
+// abandoned.
 func (f *frontEnd) submit(request *request, server *server) {
 	waiting := true
 	f.sim.schedule(request.deadline()+answerGrace, func() {
@@ -152,8 +152,8 @@
 	}
 }
 
-// isFinal reports whether a request that was not served must not be retried: because a server has asked for that, because it
-// must run once at most and may have run, or because its deadline has passed.
+// isFinal reports whether a request that was not served must not be retried: because the server forbids it and the front end
+// honors that, because the request must run at most once and may have run, or because its deadline has passed.
 func (f *frontEnd) isFinal(request *request, response response) bool {
 	mayHaveRun := response.outcome != history.OutcomeRejected
 	switch {
--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -15,7 +15,7 @@
 	failureDetectionTime = 4 * time.Second        // from the end of a process until other servers see it as failed
 	aggregateInterval    = time.Second            // interval of updates of a server that publishes the aggregate of its zone
 	publishTolerance     = time.Millisecond       // by which the interval between two updates may be shorter than required
-	processNumberBits    = 32                     // low bits of a run ID that hold the number of the server plus one
+	serverNumberBits     = 32                     // low bits of a run ID that hold the number of the server plus one
 )
 
 // update is a record that a server has published.
@@ -47,13 +47,13 @@
 	return &p.updates[len(p.updates)-1].record
 }
 
-// newestAsOf returns the newest update published at or before a time, or nil if there is none. It drops older updates;
+// newestAsOf returns the newest update that was published by a time, or nil if there is none. It drops older updates;
 // therefore the times of successive calls must not decrease.
-func (p *publisher) newestAsOf(published time.Duration) *update {
-	for len(p.updates) > 1 && p.updates[1].at <= published {
+func (p *publisher) newestAsOf(publishedBy time.Duration) *update {
+	for len(p.updates) > 1 && p.updates[1].at <= publishedBy {
 		p.updates = p.updates[1:]
 	}
-	if len(p.updates) == 0 || p.updates[0].at > published {
+	if len(p.updates) == 0 || p.updates[0].at > publishedBy {
 		return nil
 	}
 	return &p.updates[0]
@@ -68,12 +68,12 @@
 // schedules the next refresh after snapshotInterval.
 func (s *Simulation) refreshSnapshot() {
 	n := len(s.servers)
-	published := s.now - gossipDelay(n)
+	publishedBy := s.now - gossipDelay(n)
 	snapshot := &fleet.Snapshot{
 		At: s.now, LastReceived: s.now, Position: fleet.FullyConnected, Members: make([]fleet.Member, 0, n),
 	}
 	for _, server := range s.servers {
-		snapshot.Members = append(snapshot.Members, server.memberAsOf(published))
+		snapshot.Members = append(snapshot.Members, server.memberAsOf(publishedBy))
 	}
 	s.snapshot = snapshot
 	s.schedule(s.now+snapshotInterval, s.refreshSnapshot)
@@ -81,7 +81,7 @@
 
 // serverOf returns the server of the process with a run ID.
 func (s *Simulation) serverOf(run uint64) *server {
-	return s.servers[int(run&(1<<processNumberBits-1))-1]
+	return s.servers[int(run&(1<<serverNumberBits-1))-1]
 }
 
 // send delivers a message to the process with a run ID after networkDelay, by calling handle. The message is lost if the
@@ -96,16 +96,16 @@
 }
 
 // processRun returns the run ID of the server's present process, which is unique in the fleet.
-func (s *server) processRun() uint64 { return s.starts<<processNumberBits | uint64(s.number+1) }
+func (s *server) processRun() uint64 { return s.starts<<serverNumberBits | uint64(s.number+1) }
 
-// memberAsOf returns the server as other servers see it by the updates published at or before a time. Older updates are
-// dropped.
-func (s *server) memberAsOf(published time.Duration) fleet.Member {
+// memberAsOf returns the server as other servers see it if they know its updates that were published by a time. It drops older
+// updates, as newestAsOf does.
+func (s *server) memberAsOf(publishedBy time.Duration) fleet.Member {
 	member := fleet.Member{
 		Record:   &fleet.Record{Name: s.name, Zone: zoneName(s.zone), Run: s.starts + 1},
 		Liveness: fleet.Unconfirmed,
 	}
-	if newest := s.publisher.newestAsOf(published); newest != nil {
+	if newest := s.publisher.newestAsOf(publishedBy); newest != nil {
 		member.Record = &newest.record
 		member.RecordedAt = newest.at
 		member.Liveness = fleet.Alive
@@ -116,8 +116,9 @@
 	return member
 }
 
-// withSnapshot calls use with the shared snapshot as this server sees it: marked as the observer and, unless the snapshot has
-// the present process as alive, with its current record. The shared snapshot is restored afterwards.
+// withSnapshot calls use with the shared snapshot as this server sees it: the server's own member is marked as the observer.
+// It also has the current record, unless it already shows the present process as alive. The shared snapshot is restored
+// afterwards.
 func (s *server) withSnapshot(use func(snapshot *fleet.Snapshot)) {
 	snapshot := s.sim.snapshot
 	self := &snapshot.Members[s.number]
@@ -139,7 +140,7 @@
 	return record
 }
 
-// addToLoad adds the load of the present process to what it publishes.
+// addToLoad sets the fields of the published load that describe the present process.
 func (s *server) addToLoad(load *fleet.Load) {
 	load.Capacity = float64(s.sim.opts.Cores)
 	load.Utilization = s.cores.Utilization()
@@ -162,8 +163,9 @@
 	}
 }
 
-// shouldPublish reports whether a record may be published now: it is the first one, the interval for the size of the fleet has
-// passed since the last one, or it has an urgent change.
+// shouldPublish reports whether a record is to be published now: it is the first one of the server or of a process, it has an
+// urgent change, or the publish interval has passed since the last one. That interval depends on the size of the fleet, and is
+// aggregateInterval for a record with an aggregate.
 func (s *server) shouldPublish(record *fleet.Record) bool {
 	last := s.publisher.last()
 	if last == nil {
--- a/lab/model/options.go
+++ b/lab/model/options.go
@@ -11,7 +11,7 @@
 type Options struct {
 	Servers, Zones, FrontEnds   int           // numbers of them; servers are assigned to zones round robin
 	Seed                        uint64        // of all random draws
-	LoadRatio                   float64       // arrival rate after the ramp, as a ratio of Capacity
+	LoadRatio                   float64       // arrival rate once it has risen for loadRampTime, as a ratio of Capacity(opts)
 	Duration                    time.Duration // time during which requests arrive
 	Cores                       int           // cores of each server; every second server has slower ones
 	SlotsPerServer              float64       // slots of a zone's store for each server of the zone
@@ -21,7 +21,7 @@
 	HonorRetryAfterRatio        float64       // probability that a front end honors Retry-After
 	Classes                     []clients.Class
 	Shedding, CoordinatedProbes bool // whether the fleet sheds load together, and coordinates probes of unresponsive stores
-	Aggregates                  bool // a large fleet exchanges aggregates of zones; otherwise servers use each other's records
+	Aggregates                  bool // a large fleet shares its load as aggregates of zones, not as records of servers
 	Faults                      []Fault
 }
 
@@ -53,8 +53,8 @@
 // affects reports whether the fault affects a zone.
 func (f *Fault) affects(zone int) bool { return f.Zone == AllZones || f.Zone == zone }
 
-// Classes are the default request classes: those of the laboratory with four times the work, so that a server with four
-// cores receives about twelve requests per second.
+// Classes are the default request classes: those of package fleetlab with four times the work, so that a server with four
+// cores has the capacity for about twelve requests per second, as the mean of fast and slow machines.
 var Classes = []clients.Class{
 	{
 		Name: "preview", ArrivalRatio: 0.6, MeanWork: 160 * time.Millisecond,
@@ -85,7 +85,7 @@
 	}
 }
 
-// Capacity returns how many requests per second the fleet can read and run.
+// Capacity returns how many requests per second the fleet can read and run, if calls to stores take no time.
 func Capacity(opts Options) float64 { return clients.Capacity(TotalCores(opts), opts.Classes) }
 
 // TotalCores returns the processing capacity of the fleet, as a number of cores of speed 1.
--- a/lab/model/processing.go
+++ b/lab/model/processing.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// submit passes an attempt that was read to the controller. It fails an attempt whose deadline has passed.
+// submit passes an attempt that was read to the controller. If the deadline of the attempt has passed, it fails it instead.
 func (s *server) submit(attempt *attempt) {
 	attempt.state = attemptQueued
 	if s.sim.now >= attempt.deadline {
@@ -87,7 +87,8 @@
 	}
 }
 
-// callEnded handles the end of an attempt's call. After a success the run continues on the cores.
+// callEnded handles the end of an attempt's call. After a success the run continues on the cores; otherwise the controller
+// decides what happens to the attempt.
 func (s *server) callEnded(attempt *attempt, outcome admission.Outcome) {
 	if !s.up || s.attempts[attempt.id] != attempt {
 		return
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -30,7 +30,7 @@
 	controller    *admission.Controller
 	healthy       bool                             // answer to health checks, as the controller decides it
 	pendingEvents []admission.Event                // events for the next step of the controller
-	stepScheduled bool                             // a step is scheduled for the end of this instant
+	stepScheduled bool                             // a step is scheduled for the present time
 	actions       []admission.Action               // buffer reused by all steps
 	attempts      map[admission.RequestID]*attempt // received attempts that are not finished
 	cores         *agentCores
@@ -99,7 +99,8 @@
 	s.schedule(s.sim.now+s.sim.randomDelay(interval), next)
 }
 
-// enqueue queues an event for the controller, which gets all events of an instant in one step at its end.
+// enqueue queues an event for the controller. The next step passes it on, together with all other events queued until then. The
+// step runs at the present time, after the simulation events that were already scheduled for that time.
 func (s *server) enqueue(event admission.Event) {
 	s.pendingEvents = append(s.pendingEvents, event)
 	if !s.stepScheduled {
--- a/lab/model/settings.go
+++ b/lab/model/settings.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	answerGrace              = 100 * time.Millisecond // after a deadline, for an answer that is in transit
-	defaultIdempotencyWindow = 5 * time.Second
-	idempotencyWindowByKey   = 17457 * time.Millisecond
+	answerGrace              = 100 * time.Millisecond   // after a deadline, for an answer that is in transit
+	defaultIdempotencyWindow = 5 * time.Second          // of classes without idempotency keys; the settings require one
+	idempotencyWindowByKey   = 17457 * time.Millisecond // as package fleetlab configures for real servers
 )
 
 // admissionSettings returns the settings of the controllers, which are the same for all servers.
--- a/lab/model/shedding.go
+++ b/lab/model/shedding.go
@@ -46,14 +46,15 @@
 	arrival.RetryJitter = s.shedder.RetryJitter(attempt.fingerprint)
 }
 
-// addToLoad adds what other servers need to compute the threshold to the published load.
+// addToLoad sets the fields of the published load from which other servers compute the threshold.
 func (s *shedding) addToLoad(load *fleet.Load) {
 	s.shedder.AddToLoad(load)
 	s.retries.AddToLoad(load)
 	s.collector.AddToLoad(load)
 }
 
-// updateShedding recomputes the threshold, and sends reports of attempts and the aggregate of this server to other servers.
+// updateShedding recomputes the threshold. It sends other servers the attempts that they are to count (see
+// overload.RetryCounter) and, with Options.Aggregates, sends the load of this server to the collectors of its zone.
 func (s *server) updateShedding() {
 	s.collectCompleted()
 	retries := s.shedding.retries
--- a/lab/model/simulation.go
+++ b/lab/model/simulation.go
@@ -14,13 +14,13 @@
 // Times of the model.
 const (
 	networkDelay         = time.Millisecond       // one way between any two of front ends, servers and stores
-	loadRampTime         = 5 * time.Second        // until the load is at its full rate; gives the controllers time to learn
+	loadRampTime         = 5 * time.Second        // from time 0 until the load is at its full rate; lets the controllers adapt
 	initialLoadRatio     = 0.2                    // load at time 0, as a ratio of the full rate
 	startSpread          = 100 * time.Millisecond // within which the servers start
 	firstArrivalsAt      = 500 * time.Millisecond // no request arrives earlier
 	completionGrace      = 10 * time.Second       // simulated after Options.Duration, for requests to complete
 	sheddingInterval     = 500 * time.Millisecond // of updates of the shedding threshold
-	snapshotInterval     = sheddingInterval / 2   // of updates of the shared snapshot
+	snapshotInterval     = sheddingInterval / 2   // of updates of Simulation.snapshot
 	coordinationInterval = 250 * time.Millisecond // of updates of the probe coordinators
 	publishInterval      = time.Second            // of a server's checks whether to publish its record
 )
@@ -89,7 +89,7 @@
 	}
 }
 
-// schedule schedules a call of do at a time, or at the present time if that has passed.
+// schedule schedules a call of do at a time. A time in the past is replaced by the present time.
 func (s *Simulation) schedule(at time.Duration, do func()) { s.queue.push(max(at, s.now), do) }
 
 // randomDelay draws a duration that is at least 0 and less than limit.
--- a/lab/model/store.go
+++ b/lab/model/store.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// startAnswered adds a call to the slots. The store crashes if that overloads it.
+// startAnswered adds a call to the slots. The store crashes if it has been overloaded for crashTolerance by then.
 func (s *store) startAnswered(call *call) {
 	s.collectCompleted()
 	s.calls[call.id] = call
@@ -105,8 +105,8 @@
 
 // maxInFlight returns how many calls in flight the store survives for any time. It is lower while the store warms up.
 func (s *store) maxInFlight() int {
-	warmth := min(float64(s.sim.now-s.startedAt)/float64(max(s.sim.opts.WarmupTime, 1)), 1)
-	speedRatio := storeWarmupStartRatio + (1-storeWarmupStartRatio)*warmth
+	warmupProgress := min(float64(s.sim.now-s.startedAt)/float64(max(s.sim.opts.WarmupTime, 1)), 1)
+	speedRatio := storeWarmupStartRatio + (1-storeWarmupStartRatio)*warmupProgress
 	return int(s.sim.opts.StoreCrashMultiple * float64(s.slotCount) * speedRatio)
 }
 
@@ -138,7 +138,7 @@
 	}
 }
 
-// restart schedules a restart of the store: it warms up from a time on.
+// restart schedules a restart of the store at a time, at which its warm-up begins. Calls in slots continue.
 func (s *store) restart(at time.Duration) {
 	s.sim.schedule(at, func() {
 		s.collectCompleted()
