--- a/lab/schedule/cluster.go
+++ b/lab/schedule/cluster.go
@@ -26,7 +26,7 @@
 	maxMembers        = 4096                   // members of which a member keeps records
 	forgetAfter       = time.Hour              // after which a member that is not reached is removed from a view
 	configDigest      = 7                      // the same for all members: their configurations are equal
-	runSequenceBits   = 20                     // low bits of a run ID that hold the number of the process; the start in ms is above
+	runSequenceBits   = 20                     // low bits of a run ID, for the number of the process; above: its start in Unix ms
 	clusterRandStream = 2                      // random stream, which differs from those of other users of the same seed
 	backgroundTimeout = time.Minute            // until the probes and calls of a killed member have ended
 )
@@ -35,9 +35,9 @@
 type Cluster struct {
 	Network   *memnet.Network
 	Members   []*Member
-	Rand      *rand.Rand                     // source of the faults and of the members' seeds
+	Rand      *rand.Rand                     // source of the faults and of the random seed of each process
 	Keys      func(member int) [][]byte      // gossip keys of a member; nil: gossip is not encrypted
-	ClockSkew func(member int) time.Duration // offset of a member's clock at its start; nil: 0
+	ClockSkew func(member int) time.Duration // clock offset in a member's run ID and incarnation; nil: 0
 
 	seeds     []string       // addresses of the seed members
 	processes uint64         // number of processes started so far
@@ -47,8 +47,8 @@
 // Zones are the names of the zones (data centres), to which members are assigned round robin.
 var Zones = []string{"brussel-noord", "zaventem", "mechelen"}
 
-// New returns a fleet of n members that do not run yet. The first three members are the seed members. The number seed determines
-// the faults and losses.
+// New returns a fleet of n members that do not run yet. The first three members are the seed members: others join through them.
+// The argument seed determines the faults and losses.
 func New(n int, seed uint64) *Cluster {
 	cluster := &Cluster{
 		Network: memnet.New(seed), Rand: rand.New(rand.NewPCG(seed, clusterRandStream)), log: logrus.New(),
--- a/lab/schedule/faults.go
+++ b/lab/schedule/faults.go
@@ -10,7 +10,8 @@
 // FaultKind is the kind of a Fault.
 type FaultKind string
 
-// Kinds of faults. A link carries traffic from one member to another, in one direction.
+// Kinds of faults. A link carries traffic from one member to another, in one direction. A member that a fault has killed starts
+// again when all faults have ended, or by a FaultRestart.
 const (
 	FaultPartition       FaultKind = "cut"     // interrupts both links between Target and Peer
 	FaultOneWayPartition FaultKind = "oneway"  // interrupts the link from Target to Peer, or all links from Target
@@ -18,13 +19,13 @@
 	FaultLoss            FaultKind = "loss"    // loses datagrams on all links
 	FaultDelay           FaultKind = "delay"   // delays datagrams on all links
 	FaultDuplication     FaultKind = "double"  // duplicates datagrams on all links
-	FaultKill            FaultKind = "kill"    // kills Target, which stays down until the end of the fault
+	FaultKill            FaultKind = "kill"    // kills Target and keeps it down until the end of the fault
 	FaultIsolation       FaultKind = "stop"    // interrupts all links of Target, as if its process were stopped by a signal
 	FaultStall           FaultKind = "wedge"   // stalls the main loop of Target, and kills Target at the end of the fault
 	FaultRestart         FaultKind = "restart" // kills Target and starts it again at once
 )
 
-// faultKinds are the kinds that DrawFaults draws from. Their order determines what a seed means.
+// faultKinds are the kinds that DrawFaults draws from. Another order would change the faults of a seed.
 var faultKinds = []FaultKind{
 	FaultPartition, FaultOneWayPartition, FaultZonePartition, FaultLoss, FaultDelay, FaultDuplication, FaultKill,
 	FaultIsolation, FaultStall, FaultRestart,
@@ -66,8 +67,8 @@
 	return faults
 }
 
-// InjectFaults injects faults. It returns when all of them have ended and it has started the members that do not run. It calls
-// observe about ten times per second meanwhile.
+// InjectFaults injects faults. When all of them have ended, it starts the members that do not run and returns. Meanwhile it
+// calls observe about ten times per second, except during a FaultStall, which blocks it.
 func (c *Cluster) InjectFaults(faults []Fault, observe func()) {
 	start := time.Now()
 	done := make([]bool, len(faults))
@@ -84,7 +85,7 @@
 }
 
 // advanceFaults applies the faults that have begun to their targets. It marks faults that need no further call as done, and
-// reports whether all of them had ended before the call.
+// reports whether each fault had ended, or was marked as done, before the call.
 func (c *Cluster) advanceFaults(faults []Fault, done []bool, now time.Duration) (ended bool) {
 	ended = true
 	for i := range faults {
--- a/lab/schedule/heartbeat.go
+++ b/lab/schedule/heartbeat.go
@@ -19,7 +19,7 @@
 
 // HeartbeatMember is a member of a fleet with all-to-all heartbeats. Its goroutine owns its fields until Stop returns.
 type HeartbeatMember struct {
-	FalseRemovals int // how often it considered another member lost; false removals while all members run
+	FalseRemovals int // times that a peer became lost to it; false while that peer runs
 
 	settings     Heartbeats
 	host         *memnet.Host
@@ -89,14 +89,14 @@
 	<-m.ended
 }
 
-// MinMissedHeartbeats returns the smallest MissedLimit with which a fleet of n members has fewer than one false removal per
-// hour, at one heartbeat per second of which lossRatio are lost. It shows how much slower heartbeats must detect failures
-// the more datagrams are lost.
+// MinMissedHeartbeats returns the smallest MissedLimit with which a fleet of n members has at most one expected false removal
+// per hour. Heartbeats are sent once per second, and each is lost with the probability lossRatio, independently of the others.
+// The more datagrams are lost, the higher the limit must be, and the later heartbeats detect failures.
 func MinMissedHeartbeats(n int, lossRatio float64) int {
 	if lossRatio <= 0 {
 		return 1
 	}
 	const heartbeatsPerHour = 3600
-	received := float64(n) * float64(n-1) * heartbeatsPerHour
-	return int(math.Ceil(math.Log(1/received) / math.Log(lossRatio)))
+	fleetHeartbeats := float64(n) * float64(n-1) * heartbeatsPerHour
+	return int(math.Ceil(math.Log(1/fleetHeartbeats) / math.Log(lossRatio)))
 }
--- a/lab/schedule/helpers_test.go
+++ b/lab/schedule/helpers_test.go
@@ -20,7 +20,7 @@
 // observeInterval is the interval at which tests check the views of members.
 const observeInterval = time.Second / 4
 
-// startAll starts all members of a cluster, none of which may run.
+// startAll starts all members of a cluster. It must be called before any of them runs.
 func (c *Cluster) startAll() {
 	for i := range c.Members {
 		c.Start(i, fleet.Serving)
--- a/lab/schedule/measure_test.go
+++ b/lab/schedule/measure_test.go
@@ -175,7 +175,7 @@
 // measureDetection measures failure detection in a fleet of n members.
 func measureDetection(t *testing.T, n int, lossRatio float64) {
 	t.Helper()
-	const quiet, kills = 2 * time.Minute, 5
+	const timeBeforeKills, kills = 2 * time.Minute, 5
 	cluster := New(n, 3)
 	defer cluster.Stop()
 	cluster.startAll()
@@ -184,7 +184,7 @@
 	cluster.Network.SetRule(func(string, string) memnet.Fault {
 		return memnet.Fault{LossRatio: lossRatio, Delay: time.Millisecond, Jitter: time.Millisecond}
 	})
-	falseRemovals := cluster.countFalseRemovals(quiet)
+	falseRemovals := cluster.countFalseRemovals(timeBeforeKills)
 	var byOne, byAll []time.Duration
 	for i := range kills {
 		one, all := cluster.measureKill(t, cluster.Members[maxSeeds+i])
@@ -193,7 +193,7 @@
 	slices.Sort(byAll)
 	t.Logf("%4d members, %2.0f%% loss: %d false removals in %v (%.2f per member and hour); "+
 		"failure seen by one member: %v; by all: %v",
-		n, 100*lossRatio, falseRemovals, quiet, float64(falseRemovals)/float64(n)/quiet.Hours(),
+		n, 100*lossRatio, falseRemovals, timeBeforeKills, float64(falseRemovals)/float64(n)/timeBeforeKills.Hours(),
 		quantiles(byOne), quantiles(byAll))
 }
 
@@ -251,12 +251,12 @@
 	return byOne, byAll
 }
 
-// TestMeasureHeartbeats logs how many heartbeats must be missed so that plain heartbeats have fewer than one false removal per
-// hour in the whole fleet, and measures their false removals at 20% loss with a limit of 4.
+// TestMeasureHeartbeats logs the limit of missed heartbeats with which the whole fleet has at most one expected false removal
+// per hour. It also measures the false removals of plain heartbeats at 20% loss with a limit of 4.
 func TestMeasureHeartbeats(t *testing.T) {
 	for _, lossRatio := range measuredLossRatios {
 		forEachSize(t, func(t *testing.T, n int) {
-			t.Logf("%4d members, %2.0f%% loss: fewer than one false removal per hour needs a limit of %d missed heartbeats",
+			t.Logf("%4d members, %2.0f%% loss: at most one expected false removal per hour needs a limit of %d missed heartbeats",
 				n, 100*lossRatio, MinMissedHeartbeats(n, lossRatio))
 		})
 	}
--- a/lab/schedule/member.go
+++ b/lab/schedule/member.go
@@ -52,7 +52,7 @@
 func (m *Member) Kill() {
 	if m.Fleet != nil {
 		m.host.Kill()
-		m.Leave()
+		m.Leave() // its messages are lost, because the host is down
 	}
 }
 
--- a/lab/schedule/scenarios_test.go
+++ b/lab/schedule/scenarios_test.go
@@ -18,7 +18,7 @@
 	for name, scenario := range map[string]func(t *testing.T){
 		"a member whose messages arrive but that receives none is not declared failed":                testOneWayPartition,
 		"members in a ring of links learn of the others through their neighbors":                      testRingOfLinks,
-		"a member with an old incarnation rejoins after a partition of an hour":                       testLongPartition,
+		"a member with an old incarnation rejoins after a partition of 59 minutes":                    testLongPartition,
 		"of two processes with the same name the later one leaves":                                    testNameConflict,
 		"members without a reachable seed wait until one is up":                                       testSeedsDownAtStart,
 		"two partitions that started apart merge, though neither ever received a record of the other": testPartsStartedApart,
--- a/lab/schedule/seeded_faults_test.go
+++ b/lab/schedule/seeded_faults_test.go
@@ -73,11 +73,11 @@
 	name     string // of the member
 }
 
-// knownRecords are the records in the last checked view of each process.
+// knownRecords has the records that each process had in its view at the last check.
 type knownRecords map[observation]fleet.Record
 
-// requireInvariants requires what must hold at any time: records do not go back, and no running process is seen as failed. It
-// updates known.
+// requireInvariants requires what must hold at any time: no record is replaced by an older one, and no running process is seen
+// as failed. It updates known.
 func (c *Cluster) requireInvariants(t *testing.T, known knownRecords) {
 	t.Helper()
 	for _, observer := range c.LiveMembers() {
