--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -8,19 +8,20 @@
 // Rules are the bounds of the rules that Check applies.
 type Rules struct {
 	Slack             time.Duration // by which a final answer may come after its deadline
-	IdempotencyWindow time.Duration // from the start of a run, time within which no request with the same key may run
+	IdempotencyWindow time.Duration // from the start of a run; no other run with its idempotency key may start within it
 	MaxStoreCalls     int           // limit of calls in flight, over all stores; 0: no limit
 }
 
 // Names of the rules, as they appear in violations.
 const (
-	// RuleSingleAnswer requires that each attempt has at most one final answer.
+	// RuleSingleAnswer requires that each attempt has at most one final answer, and none after its client has abandoned it.
 	RuleSingleAnswer = "single answer"
-	// RuleDeadline requires that an attempt has its final answer by its deadline plus Rules.Slack, and that a live server
-	// does not close its connection. Attempts that are open when the state of their server's process changes, and attempts
-	// sent while it is paused, are exempt.
+	// RuleDeadline requires that an attempt that ends has its final answer, or is abandoned by its client, by its deadline plus
+	// Rules.Slack, and that a live server does not close the connection of an attempt. Exempt are attempts that are open when
+	// the state of their server's process changes in another way than by a start, and attempts sent while it is paused.
 	RuleDeadline = "deadline"
-	// RuleIdempotency requires that requests with the same idempotency key run once within Rules.IdempotencyWindow.
+	// RuleIdempotency requires that no two runs with the same idempotency key start within Rules.IdempotencyWindow of each
+	// other.
 	RuleIdempotency = "idempotency"
 	// RuleStoreCalls requires that the stores never have more than Rules.MaxStoreCalls calls in flight.
 	RuleStoreCalls = "store calls"
@@ -79,12 +80,12 @@
 type attempt struct {
 	sent   Event // AttemptSent
 	ended  bool  // it was answered, or abandoned by its client
-	exempt bool  // from RuleDeadline, because the state of its server's process changed, or it was paused at the start
+	exempt bool  // from RuleDeadline: its server's process was paused when it was sent, or changed its state since
 }
 
 // process is what the events so far tell about the processes of one server.
 type process struct {
-	alive     bool // a process was started, and has not been killed or ended since
+	alive     bool // a process was started, without a ProcessKilled or ProcessEnded since; a ProcessFailed leaves it set
 	paused    bool
 	startedAt time.Duration // of the newest process
 }
@@ -140,7 +141,7 @@
 		return
 	}
 	if event.Kind == AttemptAnswered && known.ended {
-		c.fail(RuleSingleAnswer, event, "second final answer")
+		c.fail(RuleSingleAnswer, event, "final answer to an attempt that was already answered or abandoned")
 		return
 	}
 	known.ended = true
@@ -155,7 +156,7 @@
 		return
 	}
 	if late := event.At - known.sent.Deadline; late > c.rules.Slack {
-		c.fail(RuleDeadline, &known.sent, "final answer %v after the deadline", late.Round(time.Millisecond))
+		c.fail(RuleDeadline, &known.sent, "answered or abandoned %v after the deadline", late.Round(time.Millisecond))
 	}
 }
 
@@ -192,7 +193,7 @@
 		changed.paused = true
 	case ProcessResumed:
 		changed.paused = false
-	default: // the process still runs, or ended with an error, after which it still counts as alive
+	default: // the process still runs, or has failed by itself, after which it still counts as alive
 	}
 	for _, open := range c.open[event.Server] {
 		open.exempt = true
--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -21,11 +21,11 @@
 	AttemptAbandoned Kind = "gave up"  // AttemptID, Server; Detail may be DetailUnread; the client no longer waits for an answer
 	RunStarted       Kind = "run"      // AttemptID, Class, Server; the agent of Server starts the run
 	RunEnded         Kind = "run end"  // AttemptID, Class, Server; Detail is how the run ended
-	CallStarted      Kind = "call"     // AttemptID, Server (zone of the store); Count is the number of calls in flight at the store
+	CallStarted      Kind = "call"     // AttemptID (except in lab/model), Server (zone of the store); Count: calls in flight there
 	CallEnded        Kind = "call end" // as CallStarted
 	ProcessChanged   Kind = "process"  // Server; Detail is the ProcessState
-	FaultChanged     Kind = "fault"    // Detail names the fault; Count is 1 at its start and 0 at its end
-	ViewChanged      Kind = "view"     // Server reports Member in the Condition that is the Detail
+	FaultChanged     Kind = "fault"    // Detail names the fault; Count is 1 at its start and 0 at its end; a store crash has no end
+	ViewChanged      Kind = "view"     // Server reports on Member; Detail is the Condition
 	// RequestCompleted has Class, Client, Latency, Value, ValueServed and Work. Detail is the Outcome, and Count is the
 	// number of attempts.
 	RequestCompleted Kind = "request"
@@ -108,7 +108,7 @@
 	Detail         string        `json:"word,omitempty"`   // depends on the kind
 	Count          int           `json:"n,omitempty"`      // depends on the kind
 	Deadline       time.Duration `json:"due,omitempty"`    // of the attempt
-	Latency        time.Duration `json:"took,omitempty"`   // from the arrival of the request to its completion
+	Latency        time.Duration `json:"took,omitempty"`   // from the arrival of the request at the front end to its completion
 	Value          float64       `json:"worth,omitempty"`  // value of the request if it is served in full and in time
 	ValueServed    float64       `json:"got,omitempty"`    // value that the client received
 	Work           time.Duration `json:"work,omitempty"`   // processor time on a core of speed 1
--- a/lab/history/recovery.go
+++ b/lab/history/recovery.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// RecoveryTime compares the ratio of value served after a fault with the ratio before it. Requests are assigned to the time of
-// their arrival, not of their completion.
+// RecoveryTime compares the ratio of value served in a sliding window after a fault with the ratio before the fault. Requests
+// are assigned to the time of their arrival, not of their completion.
 const (
-	recoveryWindow  = 2 * time.Second        // length of the window over which the ratio is computed
-	recoveryMinimum = 4 * time.Second        // for which the ratio must stay at or above the limit
-	recoveryRatio   = 0.95                   // limit, as a ratio of the value served before the fault
-	recoveryStep    = 250 * time.Millisecond // by which the window advances
-	baselineWindow  = 6 * time.Second        // length of the window before the fault
+	recoveryWindow  = 2 * time.Second        // length of the sliding window
+	recoveryMinimum = 4 * time.Second        // for which the ratio in the sliding window must stay at or above the limit
+	recoveryRatio   = 0.95                   // the limit, relative to the ratio before the fault
+	recoveryStep    = 250 * time.Millisecond // by which the sliding window advances
+	baselineWindow  = 6 * time.Second        // over which the ratio before the fault is computed
 )
 
 // RecoveryTime returns how long after the end of a fault the service was back at 95% of the ratio of value that it served
-// before, and stayed there for recoveryMinimum. The fault lasted from from until to. Ok is false if the history ends before
-// such a recovery.
+// before, and stayed there for recoveryMinimum. The fault started at from and ended at to. Ok is false if the history ends
+// before such a recovery.
 func RecoveryTime(events []Event, from, to time.Duration) (after time.Duration, ok bool) {
 	values := valuesByArrival(events)
-	baseline := recoveryRatio * values.servedRatio(from-baselineWindow, from)
+	limit := recoveryRatio * values.servedRatio(from-baselineWindow, from)
 	sustained := time.Duration(0)
 	for at := to; at+recoveryWindow <= values.end(); at += recoveryStep {
-		if values.servedRatio(at, at+recoveryWindow) < baseline {
+		if values.servedRatio(at, at+recoveryWindow) < limit {
 			sustained = 0
 			continue
 		}
@@ -57,8 +57,8 @@
 // end returns the end of the last step.
 func (v *valueSeries) end() time.Duration { return time.Duration(len(v.offered)) * recoveryStep }
 
-// servedRatio returns the value served as a ratio of the value offered, for requests that arrived from from until to; 0 if none
-// arrived.
+// servedRatio returns the value served as a ratio of the value offered, for requests that arrived in [from, to); 0 if none
+// arrived. Both times are rounded down to a multiple of recoveryStep.
 func (v *valueSeries) servedRatio(from, to time.Duration) float64 {
 	var offered, served float64
 	for step := int(max(from, 0) / recoveryStep); step < int(to/recoveryStep) && step < len(v.offered); step++ {
--- a/lab/history/requests.go
+++ b/lab/history/requests.go
@@ -21,7 +21,7 @@
 
 // RequestSummary summarizes the requests of one class, or of all classes.
 type RequestSummary struct {
-	Requests, Served, Late, Rejected, Failed int // all requests, and those with each outcome
+	Requests, Served, Late, Rejected, Failed int // all requests, and those by outcome; Failed has the outcomes without a field
 
 	Attempts     int                     // attempts of all requests
 	ServedInFull int                     // requests served without degradation
@@ -101,10 +101,10 @@
 // ReadCostRatio is the work of reading a request in the laboratory, as a ratio of the mean work of running one.
 const ReadCostRatio = 0.25
 
-// OptimalValue returns an upper bound on the value that can be served with coreSeconds of work on all cores together. It is
-// the value served by a policy that knows all requests in advance: it reads each of them once, and runs them in descending
-// order of value per work until the cores have no time left. The bound ignores timeouts, calls to stores, and the slowdown
-// of concurrent runs.
+// OptimalValue returns an upper bound on the value that can be served with coreSeconds of work on all cores together; it may be
+// too low by less than the value of one request. It is the value served by a policy that knows all requests in advance: it
+// reads each of them once, and runs them in descending order of value per work, until the first one that does not fit into the
+// remaining time. The bound ignores timeouts, calls to stores, and the slowdown of concurrent runs.
 func OptimalValue(events []Event, coreSeconds float64) (value float64) {
 	var requests []*Event
 	var work time.Duration
--- a/lab/history/stores.go
+++ b/lab/history/stores.go
@@ -47,8 +47,9 @@
 }
 
 // StoreLoadDuringFault returns the calls per second that reached the stores, and the largest number of calls in flight, during
-// the first fault of a kind. The measurement begins at the time settled after the start of the fault. It covers the calls of
-// all stores, so the fault should affect all of them. Both results are 0 if the fault did not last longer than settled.
+// the first fault of a kind. It leaves out the first part of the fault, of the length settled. It covers the calls of all
+// stores, so the fault should affect all of them. Both results are 0 if there was no such fault, or if it did not last longer
+// than settled.
 func StoreLoadDuringFault(events []Event, kind string, settled time.Duration) (rate float64, maxInFlight int) {
 	load := faultLoad{prefix: kind + " ", settled: settled}
 	for i := range events {
@@ -60,7 +61,7 @@
 // faultLoad measures the load on the stores during one fault.
 type faultLoad struct {
 	prefix  string        // prefix of the names of faults of the kind
-	settled time.Duration // from the start of the fault to that of the measurement
+	settled time.Duration // from the start of the fault to the start of the measurement
 
 	from, to    time.Duration // start and end of the measurement; 0: not known yet
 	last        time.Duration // time of the last event
--- a/lab/history/summary_test.go
+++ b/lab/history/summary_test.go
@@ -11,7 +11,7 @@
 )
 
 // requests returns the events of requests of value 1 that arrive every 100 ms until end and complete at once. They are served,
-// except those that arrive from from until to, which are rejected.
+// except those that arrive in [from, to), which are rejected.
 func requests(end, from, to time.Duration) (events []Event) {
 	for at := time.Duration(0); at < end; at += 100 * time.Millisecond {
 		event := Event{At: at, Kind: RequestCompleted, Class: "preview", Detail: string(OutcomeServed), Count: 1, Value: 1}
@@ -24,8 +24,8 @@
 	return events
 }
 
-// Guards against wrong recovery times: 0 if service is back when the fault ends, the length of the outage after it, and none if
-// service does not come back.
+// Guards against wrong recovery times: the time is 0 if service is back when the fault ends, and otherwise the time for which the
+// outage outlasts the fault. There is none if service does not come back.
 func TestRecoveryTimeIsFromEndOfFaultToRestoredService(t *testing.T) {
 	const from, to, end = 10 * time.Second, 12 * time.Second, 30 * time.Second
 	after, ok := RecoveryTime(requests(end, from, to), from, to)
@@ -56,8 +56,8 @@
 	require.False(t, ok)
 }
 
-// Guards against wrong weights in the load on stores: means are over the time between the first and the last event of a call,
-// and the load during a fault counts from the end of the settling time, for faults of the given kind only.
+// Guards against wrong weights in the load on stores: means are over the time from the first event of a call to the last one of
+// any call, and the load during a fault counts from the end of the settling time, for faults of the given kind only.
 func TestStoreLoadIsAveragedOverTime(t *testing.T) {
 	events := []Event{
 		{At: 0, Kind: CallStarted},
