--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -1,6 +1,6 @@
-// Package modelcheck is an explicit-state model checker: it checks an invariant in every reachable state of a protocol. The
-// search is breadth-first, so a counterexample has the smallest possible number of steps. The protocol must be small enough
-// for an exhaustive search: a handful of members, amounts and steps.
+// Package modelcheck is an explicit-state model checker: it checks an invariant in every state of a protocol that is reachable
+// within a number of steps. The search is breadth-first, so a counterexample has the smallest possible number of steps. The
+// protocol must be small enough for an exhaustive search: few processes, few values of each variable and few steps.
 package modelcheck
 
 import "slices"
@@ -16,7 +16,7 @@
 	Why      string   // description of the violation; empty if none was found
 	Steps    []string // names of the steps of a shortest path from the start to the violation
 	States   int      // distinct states reached
-	Complete bool     // all reachable states were checked: no state was reached at the bound on steps
+	Complete bool     // all reachable states were checked; false if the last allowed step still reached new states
 }
 
 // node is a state that the search has reached, with the path to it.
--- a/lab/workerpool/crash.go
+++ b/lab/workerpool/crash.go
@@ -6,7 +6,7 @@
 // flight for Tolerance, and is then down for Downtime. A CrashModel is not safe for concurrent use.
 type CrashModel struct {
 	MaxInFlight int           // calls in flight that the store survives for any time; 0: the store never crashes
-	Tolerance   time.Duration // for which the store survives more than MaxInFlight
+	Tolerance   time.Duration // for which the store survives more than MaxInFlight calls in flight
 	Downtime    time.Duration // from a crash until the store accepts calls again
 
 	exceeded   bool          // there were more than MaxInFlight at the last observation
@@ -14,8 +14,8 @@
 	downUntil  time.Duration // end of the downtime of the last crash
 }
 
-// Observe takes the present number of calls in flight, and reports whether the store crashes now. It must be called whenever
-// that number grows.
+// Observe takes the present number of calls in flight, and reports whether the store crashes now. It must be called after the
+// start of each call to the store. A crash therefore happens at the first such start after Tolerance has passed.
 func (c *CrashModel) Observe(now time.Duration, inFlight int) bool {
 	if c.MaxInFlight == 0 || inFlight <= c.MaxInFlight {
 		c.exceeded = false
--- a/lab/workerpool/pool.go
+++ b/lab/workerpool/pool.go
@@ -20,7 +20,8 @@
 const (
 	// maxStep is the longest time over which the speed is taken as constant, although it changes during a warm-up.
 	maxStep = 50 * time.Millisecond
-	// minWork is the minimum work of an item, in seconds. With less, an item could complete in a step of any length.
+	// minWork is the minimum work of an item, in seconds. It is above completedBelow, so that no item counts as complete before
+	// work on it has been done.
 	minWork = 1e-6
 	// completedBelow is the remaining work, in seconds, at or below which an item is complete. It absorbs rounding errors.
 	completedBelow = 1e-9
@@ -72,15 +73,15 @@
 	return &Pool{curve: curve, startedAt: now, now: now, slowdown: 1, remaining: map[string]float64{}}
 }
 
-// SetSlowdown sets the factor by which the speed of the curve is divided from now on. Factors below 0.001 count as 0.001. It
-// advances the pool and discards the items that complete, so that callers must call Advance with the same time before.
+// SetSlowdown sets the factor by which the speed of the curve is divided from now on. Factors below 0.001 count as 0.001.
+// Callers must call Advance with the same time first: SetSlowdown advances the pool too, but discards the items that complete.
 func (p *Pool) SetSlowdown(now time.Duration, factor float64) {
 	p.Advance(now)
 	p.slowdown = max(factor, minSlowdown)
 }
 
-// Restart begins the warm-up again. Items in flight stay. It advances the pool and discards the items that complete, so that
-// callers must call Advance with the same time before.
+// Restart begins the warm-up again. Items in flight stay. Callers must call Advance with the same time first: Restart advances
+// the pool too, but discards the items that complete.
 func (p *Pool) Restart(now time.Duration) {
 	p.Advance(now)
 	p.startedAt = now
@@ -109,7 +110,8 @@
 	return float64(min(n, p.curve.Workers)) * p.curve.Speed * ratio / p.slowdown
 }
 
-// Add starts an item of work. The id must not be in flight. Advance must have been called with the present time before.
+// Add starts an item of work. The id must not be in flight. Callers must call Advance with the present time first; otherwise
+// the item gets a share of the work since the last call.
 func (p *Pool) Add(id string, work time.Duration) {
 	p.remaining[id] = max(work.Seconds(), minWork)
 	p.maxInFlight = max(p.maxInFlight, len(p.remaining))
@@ -166,8 +168,9 @@
 	return seconds(min(shortest/perItem, maxWait))
 }
 
-// NextCompletion returns the time at which Advance should be called next. No item completes before; at that time one may or may
-// not, because the speed may change. Ok is false if no item is in flight.
+// NextCompletion returns the time at which Advance should be called next, at most maxStep after its last call. No item completes
+// earlier, and possibly none at that time. The time holds until the next call that changes the pool. Ok is false if no item is
+// in flight.
 func (p *Pool) NextCompletion() (at time.Duration, ok bool) {
 	n := len(p.remaining)
 	if n == 0 {
--- a/lab/workerpool/pool_test.go
+++ b/lab/workerpool/pool_test.go
@@ -14,7 +14,7 @@
 	for name, testCase := range map[string]struct {
 		curve Curve
 		n     int
-		want  time.Duration // until n items of 100 ms have completed
+		want  time.Duration // until n items of 100 ms each, all added at time 0, have completed
 	}{
 		"one worker per item":  {Curve{Workers: 4, Speed: 1, Knee: 1}, 4, 100 * time.Millisecond},
 		"two items per worker": {Curve{Workers: 4, Speed: 1, Knee: 9}, 8, 200 * time.Millisecond},
