--- a/lab/history/event.go
+++ b/lab/history/event.go
@@ -20,7 +20,7 @@
 	AttemptAnswered  Kind = "answer"   // AttemptID, Server; Detail is the Outcome
 	AttemptAbandoned Kind = "gave up"  // AttemptID, Server; Detail may be DetailUnread; the client no longer waits for an answer
 	RunStarted       Kind = "run"      // AttemptID, Class, Server; the agent of Server starts the run
-	RunEnded         Kind = "run end"  // AttemptID, Class, Server; Detail is how the run ended
+	RunEnded         Kind = "run end"  // AttemptID, Class, Server; Detail is the fakes.RunResult
 	CallStarted      Kind = "call"     // AttemptID (except in lab/model), Server (zone of the store); Count: calls in flight there
 	CallEnded        Kind = "call end" // as CallStarted
 	ProcessChanged   Kind = "process"  // Server; Detail is the ProcessState
--- a/lab/model/frontend.go
+++ b/lab/model/frontend.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// isListed reports whether the registry, as this front end sees it, lists a server as healthy.
+// isListed reports whether the registry lists a server as healthy. The start and the end of a process appear there after
+// registryLag, a change of health at once.
 func (f *frontEnd) isListed(server *server) bool {
 	if f.sim.now-server.upChangedAt < registryLag {
 		return !server.up // still listed as before the change
--- a/lab/model/membership.go
+++ b/lab/model/membership.go
@@ -98,8 +98,8 @@
 // processRun returns the run ID of the server's present process, which is unique in the fleet.
 func (s *server) processRun() uint64 { return s.starts<<serverNumberBits | uint64(s.number+1) }
 
-// memberAsOf returns the server as other servers see it if they know its updates that were published by a time. It drops older
-// updates, as newestAsOf does.
+// memberAsOf returns the server as other servers see it if they know its updates that were published by a time. Without
+// any, the member has a placeholder record, whose run ID belongs to no process. Older updates are dropped, as by newestAsOf.
 func (s *server) memberAsOf(publishedBy time.Duration) fleet.Member {
 	member := fleet.Member{
 		Record:   &fleet.Record{Name: s.name, Zone: zoneName(s.zone), Run: s.starts + 1},
