--- a/admission/action.go
+++ b/admission/action.go
@@ -42,7 +42,7 @@
 	ReasonDependency
 	// ReasonTooLate: the latency objective has passed or cannot be met any more; or too little time is left
 	// for an attempt elsewhere; or the request has not started by the time at which it must be answered,
-	// because its client gives up or the process ends.
+	// because its client stops waiting or the process ends.
 	ReasonTooLate
 	// ReasonMemory: no memory. The memory limit was exceeded when the request was read; or its idempotency
 	// key would have exceeded the limit; or the limit was exceeded when the request was to wait for the
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// A full queue of requests of little value must not keep out a request of more value.
+// A request of more value must be admitted even if the queue is full of requests of little value.
 func TestMoreValuableArrivalDisplacesQueuedRequest(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0
@@ -161,8 +161,8 @@
 	}
 }
 
-// A retry whose age is known has only the rest of its latency objective, so that it does not run in vain. The
-// jitter of a request is added to its RetryAfter, up to MaxRetryAfter.
+// A retry whose age is known has only the rest of its latency objective, so that it is not run if its answer
+// would be late. The jitter of a request is added to its RetryAfter, up to MaxRetryAfter.
 func TestAttemptAgeShortensObjectiveAndJitterExtendsRetryAfter(t *testing.T) {
 	offer := func(age, jitter time.Duration) (accepted bool, rejection *Action) {
 		controller := startController(t, testSettings())
--- a/admission/advice.go
+++ b/admission/advice.go
@@ -13,8 +13,8 @@
 	queuedAheadRatio = 0.5
 )
 
-// clientAdvisor decides what clients are advised: with a rejection, when to come back and whether to try
-// another server; with all answers, how much to send. It also decides how long idle connections are kept.
+// clientAdvisor decides what clients are advised: with a rejection, when to retry and whether to try another
+// server; with all answers, how much to send. It also decides how long idle connections are kept.
 //
 // It owns readDelay, which both advice and health depend on, and idleTimeout, which follows from the same
 // arrival rates as the advice. They are fields of clientAdvisor so that Controller has fewer fields.
@@ -107,7 +107,7 @@
 
 // extendToClientInterval extends retryAfter to the mean interval between two requests of a client while the
 // mean read delay is above lateReadDelayRatio: reading requests then takes CPU time from all other work. In a
-// large fleet each client seldom sends a request to this server, so advice that ends before its next request
+// large fleet each client rarely sends a request to this server, so advice that ends before its next request
 // would have no effect.
 func (a *clientAdvisor) extendToClientInterval(retryAfter time.Duration) time.Duration {
 	interval := a.arrivals.meanClientInterval(a.clients)
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -40,7 +40,7 @@
 	if action := rejection(10, 900*ms, time.Second); action.Rejection.RetryAfter < 400*ms || action.Rejection.RetryAfter > 600*ms {
 		t.Errorf("%+v", *action)
 	}
-	// A single client sends all requests: RetryAfter is not extended, since the server would be idle meanwhile.
+	// A single client sends all requests: RetryAfter is not extended, so that the server is not idle until then.
 	if action := rejection(1, 900*ms, time.Second); action.Rejection.RetryAfter != 0 {
 		t.Errorf("%+v", *action)
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-// Connections of many clients that seldom return would fill the connection table, so they must be closed
+// Connections of many clients that rarely return would fill the connection table, so they must be closed
 // early.
 func TestIdleTimeoutIsShortForInfrequentClients(t *testing.T) {
 	for clients, closed := range map[int]bool{5: false, 1000: true} {
--- a/admission/call_limiter.go
+++ b/admission/call_limiter.go
@@ -43,7 +43,7 @@
 //  1. The limit is limitRatio times maxInFlight. At each periodic decision the ratio decreases by a factor
 //     while calls take much longer than the best mean, since more concurrent calls slow an overloaded
 //     dependency further. Otherwise it increases by a constant (AIMD).
-//  2. The limit is seldom a whole number, so one call beyond it may be made while there is credit. Credit is
+//  2. The limit is rarely a whole number, so one call beyond it may be made while there is credit. Credit is
 //     the unused call-seconds under the limit. Only little is saved up, since many servers may spend their
 //     credit at the same time. Calls beyond the limit make the credit negative (overdrawn). No further call
 //     beyond the limit is made until unused call-seconds have raised the credit above 0 again.
@@ -129,9 +129,10 @@
 }
 
 // addCredit adds the unused call-seconds under the limit, or subtracts those beyond it. Let next be the
-// smallest whole number above the limit. The upper bound of the credit is what next calls use up in the
-// fraction limit/next of callCreditWindow: followed by no calls for the rest of the window, their mean is the
-// limit. The lower bound is minus the call-seconds of the limit over callsWindow.
+// smallest whole number above the limit. At its upper bound, the credit is used up when as many calls as next
+// are in flight for the fraction limit/next of callCreditWindow: if no call is in flight for the rest of the
+// window, the mean over the window is the limit. The lower bound is minus the call-seconds of the limit over
+// callsWindow.
 func (l *callLimiter) addCredit(elapsed time.Duration, inFlight float64) {
 	limit := l.limit()
 	l.credit += elapsed.Seconds() * (limit - inFlight)
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -16,7 +16,7 @@
 
 // callScheduler schedules the calls of running requests. A call waits for its turn, is made, and then ends,
 // is retried, or is abandoned with its request. Calls are made in the order of the usefulUntil times of their
-// requests, as far as the limiter allows and the circuit breaker does not drop them.
+// requests. The limiter bounds the calls in flight, and the circuit breaker may drop a call instead.
 type callScheduler struct {
 	classes   []Class
 	waiting   timedqueue.Queue[*request] // ordered by usefulUntil; may contain requests that no longer wait
@@ -56,7 +56,7 @@
 	s.wait(now, request)
 }
 
-// startWaiting makes waiting calls as far as the limits allow.
+// startWaiting makes waiting calls until the limiter allows no more.
 func (s *callScheduler) startWaiting(now time.Duration) {
 	s.skipLate(now)
 	for s.waiting.Len() > 0 {
@@ -177,8 +177,8 @@
 // stopWaiting removes a request that has ended while it waited for its call from waitingCount.
 func (s *callScheduler) stopWaiting() { s.limiter.waitingCount-- }
 
-// abandon gives up the call in flight of a request that has ended. The circuit breaker counts the call as
-// timed out if it took longer than abandonedCallFailedFactor times the mean.
+// abandon removes the call of a request that has ended from the calls in flight. The circuit breaker counts
+// the call as timed out if it took longer than abandonedCallFailedFactor times the mean.
 func (s *callScheduler) abandon(now time.Duration, request *request) {
 	s.limiter.inFlight--
 	if now-request.callStateSince > seconds(abandonedCallFailedFactor*s.limiter.callTime.ValueOr(0)) {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -14,8 +14,8 @@
 // concurrencyLimiter counts the requests that run and applies two limits:
 //
 //   - The run limit bounds the runs on the CPU. It follows the measured CPU demand.
-//   - The concurrency limit bounds all runs, including those that wait for a call, to what the server can
-//     handle when all of them return to the CPU at once. It is lower during a slow start.
+//   - The concurrency limit bounds all runs, including those that wait for a call. It is the number of runs
+//     that the server can handle when all of them return to the CPU at once. It is lower during a slow start.
 type concurrencyLimiter struct {
 	cores      int
 	maxPerCore float64 // runs on the CPU per core that a server can handle after its slow start
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -18,15 +18,15 @@
 //     is needed is queued. After a successful call its run continues. A call that did not succeed is retried,
 //     or its run continues without it or fails (calls.go).
 //  4. Expired deadlines are handled (periodic.go). Requests whose run has not started are rejected, and
-//     the others are answered with an error, before their clients give up. Failed calls whose backoff has
-//     passed are queued again, and keys expire.
+//     the others are answered with an error, before their clients stop waiting. Failed calls whose backoff
+//     has passed are queued again, and keys expire.
 //  5. Every 100 ms the periodic decisions are made (periodic.go). Requests that are too late are rejected.
 //     The value factors of tenants, the admit probability, the run limit, the call limit, the idle timeout
 //     and the health state are adjusted to the latest measurements. Changes of conditions are logged.
-//  6. Waiting calls are made, as far as the call limiter allows and the circuit breaker does not drop them.
-//     Calls are made in the order of the times until which their requests are useful (request.go).
-//  7. Queued requests are started, as far as the concurrency limiter and the memory limit allow. The request
-//     that must start first to meet its objective goes first (runs.go, scheduler.go).
+//  6. Waiting calls are made until the call limiter allows no more; the circuit breaker may drop a call
+//     instead. Calls are made in the order of the times until which their requests are useful (request.go).
+//  7. Queued requests are started until the concurrency limiter or the memory limit allows no more. The
+//     request that must start first to meet its objective goes first (runs.go, scheduler.go).
 //  8. The owner is asked to step again at the next deadline or periodic decision at the latest.
 //
 // # Whether a request is admitted
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -181,7 +181,7 @@
 }
 
 // skipsCall reports whether a request may skip its call and the expected wait exceeds skipWaitRatio of the
-// time left until its objective. The call is then left to requests that must not skip theirs.
+// time left until its objective. The call is then left to requests that must not skip their calls.
 func (e *estimator) skipsCall(now time.Duration, request *request) bool {
 	mayDegrade := e.classes[request.class].DegradedValueRatio > 0
 	return mayDegrade && e.callWait() > scale(request.objective-now, skipWaitRatio)
--- a/admission/event.go
+++ b/admission/event.go
@@ -107,7 +107,7 @@
 	Retry             bool          // marked as a retry
 	RetryOf           RequestID     // known request that this one retries; 0: none
 	FleetRank         FleetRank     // rank among the requests offered to the fleet
-	Deadline          time.Duration // when the client gives up, on the owner's clock; 0: unknown
+	Deadline          time.Duration // when the client stops waiting, on the owner's clock; 0: unknown
 	ReadDelay         time.Duration // time between reaching the machine and being read
 	SinceFirstAttempt time.Duration // time since the client's first attempt; 0: this is the first, or unknown
 	RetryJitter       time.Duration // added to RetryAfter, so that clients do not return simultaneously
@@ -123,7 +123,7 @@
 type DrainSignal struct {
 	Age      time.Duration // time since the signal was given
 	StopAt   time.Duration // when the process ends, on the owner's clock
-	Replaced bool          // another process takes over this server, so its health state does not change
+	Replaced bool          // a successor replaces this process, so the health state does not change
 }
 
 // RequestArrived returns an EventRequestArrived.
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// If all servers of a fleet were unhealthy for as long as they are late, no server would be left. The state
-// must flip back after minHealthDuration, recover without load, and not change during a drain.
+// If all servers of an overloaded fleet stayed unhealthy until their read delay fell, none would be left. The
+// state must flip back after minHealthDuration, recover without load, and not change during a drain.
 func TestServerWithLongReadDelayIsUnhealthyHalfOfTheTime(t *testing.T) {
 	controller := startController(t, testSettings())
 	unhealthyFor, changes := time.Duration(0), 0
@@ -43,7 +43,7 @@
 }
 
 // A server that an operator has deregistered must stay unhealthy until it is registered again, whatever its
-// load, and run requests meanwhile. A draining server must not become healthy again.
+// load, but must still run requests. A draining server must not become healthy again.
 func TestDeregisteredUntilReregistered(t *testing.T) {
 	controller := startController(t, testSettings())
 	if requireAction(t, controller.Step(time.Second, []Event{ServerDeregistered()}, nil), ActionHealth, 0).Health.Healthy {
--- a/admission/key_table.go
+++ b/admission/key_table.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// expire drops an entry whose time has passed. It emits no action, since the owner drops its own entry by
-// itself.
+// expire drops an entry whose time has passed. It emits no action, since the owner of the controller drops
+// its entry for the request without one.
 func (k *keyTable) expire(id RequestID) {
 	if _, known := k.expiresAt[id]; known {
 		k.memory.release(k.memory.keyKB)
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -40,7 +40,7 @@
 func (m *memoryBudget) reserve(kB float64) { m.usedKB += kB }
 func (m *memoryBudget) release(kB float64) { m.usedKB -= kB }
 
-// recount computes the memory in use anew after the sizes in the settings have changed. keys is the number of
+// recount recomputes the memory in use after the sizes in the settings have changed. keys is the number of
 // remembered keys.
 func (m *memoryBudget) recount(requests map[RequestID]*request, keys int) {
 	m.usedKB = float64(keys) * m.keyKB
--- a/admission/reconfigure.go
+++ b/admission/reconfigure.go
@@ -1,8 +1,8 @@
 package admission
 
 // Reconfigure replaces the settings while requests are in flight. Classes are identified by their index:
-// existing classes keep theirs, and new ones are appended. WarmingUp keeps its value, as a server warms up
-// only once, at its start. Reconfigure must be called between two steps. If the settings are invalid, it
+// existing classes keep their index, and new ones are appended. WarmingUp keeps its value, as a server warms
+// up only once, at its start. Reconfigure must be called between two steps. If the settings are invalid, it
 // returns a *SettingsError and the old settings stay in effect.
 func (c *Controller) Reconfigure(settings Settings) error {
 	if err := settings.check(); err != nil {
--- a/admission/recorded_events_test.go
+++ b/admission/recorded_events_test.go
@@ -24,8 +24,8 @@
 	return s.unusualEvents(events, step)
 }
 
-// advanceClock advances the time to the next step: mostly by milliseconds, seldom by nothing, or by seconds
-// as if the machine had been suspended.
+// advanceClock advances the time to the next step: mostly by milliseconds, rarely by nothing, and even more
+// rarely by seconds, as if the machine had been suspended.
 func (s *recordedServer) advanceClock() {
 	switch s.rng.IntN(500) {
 	case 0:
--- a/admission/request.go
+++ b/admission/request.go
@@ -49,7 +49,7 @@
 	arrivedAt      time.Duration // when the request reached the machine
 	callStateSince time.Duration // since when the request has been awaitingCall or calling
 	objective      time.Duration // latest time of an answer that has the full value
-	deadline       time.Duration // when the client gives up
+	deadline       time.Duration // when the client stops waiting
 
 	// usefulUntil is the latest time at which an answer has any value: the deadline if the class has a
 	// LateValueRatio above 0, else the objective.
@@ -57,7 +57,7 @@
 }
 
 // newRequest returns a request that was read at now. The latency objective counts from the first attempt. The
-// time since then is seldom known, so retryObjectiveRatio approximates what is left for attempts marked as
+// time since then is rarely known, so retryObjectiveRatio approximates what is left for attempts marked as
 // retries.
 func newRequest(now time.Duration, id RequestID, arrival *Arrival, class *Class) *request {
 	request := &request{
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -1,6 +1,6 @@
 package admission
 
-// dispatch makes waiting calls and then starts queued requests, as far as all limits allow.
+// dispatch makes waiting calls and then starts queued requests, within all limits.
 func (c *Controller) dispatch() {
 	c.calls.startWaiting(c.now)
 	for c.runs.mayStart(c.now) {
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -25,7 +25,8 @@
 }
 
 // New settings must not affect running requests, and memory must be recounted with the new sizes: otherwise
-// what is released differs from what was reserved. Invalid settings must change nothing.
+// the memory released for a request differs from the memory reserved for it. Invalid settings must change
+// nothing.
 func TestReconfigureKeepsRunsAndRecountsMemory(t *testing.T) {
 	controller := startController(t, testSettings())
 	requireAction(t, controller.Step(0, []Event{arrived(1, 1)}, nil), ActionRun, 1)
@@ -108,8 +109,8 @@
 	checkActions(t, name, actions)
 }
 
-// endRuns returns the ends of the runs that have taken over 100 ms at now, in order of ID, so that failures
-// can be reproduced.
+// endRuns returns the ends of the runs that have lasted more than 100 ms at now, in order of ID, so that
+// failures can be reproduced.
 func endRuns(now time.Duration, startedAt map[RequestID]time.Duration) (events []Event) {
 	for _, id := range slices.Sorted(maps.Keys(startedAt)) {
 		if at := startedAt[id]; now > at+100*ms {
--- a/admission/tenants.go
+++ b/admission/tenants.go
@@ -12,8 +12,8 @@
 )
 
 // tenantQuotas reduces the value of requests whose tenant exceeds its quota. If a tenant sends more than its
-// quota, the value factor of its requests falls to quota divided by rate, so that its requests count together
-// as much as its quota.
+// quota, the value factor of its requests falls to quota divided by rate, so that all its requests together
+// count as much as those of a tenant at its quota.
 type tenantQuotas struct {
 	tenants          []Tenant      // as configured
 	fleetSize        int           // number of servers that share the quotas
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -11,7 +11,7 @@
 	maxSkippedIntervals = 10                     // while idle; the server treats older gauges as unknown
 )
 
-// deadlineKind is what is due when a deadline passes.
+// deadlineKind says what happens when a deadline passes.
 type deadlineKind uint8
 
 const (
--- a/cmd/simhost/serve_test.go
+++ b/cmd/simhost/serve_test.go
@@ -24,7 +24,7 @@
 	return "CREATE " + node + " 7 " + strings.ReplaceAll(settings, "\n", "") + "\n"
 }
 
-// A node that is retired and created again in one batch starts anew: a late event for the retired node must not affect
+// A node that is retired and created again in one batch keeps no state: a late event for the retired node must not affect
 // the new one.
 func TestRecreatedNodeIgnoresEventsOfPredecessor(t *testing.T) {
 	out, err := converse("SYNC 5\nOVER_TO_YOU\n" +
--- a/internal/agent/partition_test.go
+++ b/internal/agent/partition_test.go
@@ -11,7 +11,7 @@
 )
 
 // The agent moves during a partition while a dial to the old address hangs. The Link must not wait for that dial. Commands
-// issued meanwhile must be sent once to the new address. Notifications that arrive in one burst, one of them twice, must
+// issued before the move must be sent once to the new address. Notifications that arrive in one burst, one of them twice, must
 // each be handled once.
 func TestAddressChangeDuringPartition(t *testing.T) {
 	unresponsive, err := fakes.NewUnresponsiveListener()
--- a/internal/agent/receive.go
+++ b/internal/agent/receive.go
@@ -39,7 +39,7 @@
 // The methods below run on the loop.
 
 // handleOpened makes a new connection the current one and subscribes to the missed notifications. If the address has been
-// replaced meanwhile, it closes the connection.
+// replaced since the dial started, it closes the connection.
 func (l *Link) handleOpened(address string, queue *writequeue.Queue) {
 	if address != l.connections.Address() {
 		queue.Close()
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// command is the value of the field "cmd", which tells the messages of the protocol apart.
+// command is the value of the field "cmd", which identifies the kind of a message.
 type command string
 
 const (
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -16,7 +16,7 @@
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Topics of log lines. Each message has its own, so that the limiter does not suppress one message because of another.
+// Topics of log lines. Each message has its own topic, so that the limiter does not suppress one message because of another.
 const (
 	topicJoin       = "handover join"
 	topicListen     = "handover listen"
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -199,7 +199,7 @@
 	third.stop()
 }
 
-// The last messages of the predecessor must not be lost if writes of the successor to it fail meanwhile.
+// The last messages of the predecessor must not be lost if the successor fails to write to it before it has read them.
 func TestLastMessagesSurviveWriteFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	first := startProcess(t, path)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// listen replaces the listener at path atomically: a process that dials meanwhile reaches either the old or the new one.
+// listen replaces the listener at path atomically: a process that dials at the same time reaches either the old or the new one.
 // The socket is not removed when this process ends, because by then the next process may have replaced it.
 func listen(path string) (net.Listener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
--- a/internal/jsonlines/jsonlines_test.go
+++ b/internal/jsonlines/jsonlines_test.go
@@ -16,7 +16,7 @@
 	data []byte
 }
 
-var errNameless = errors.New("no name")
+var errNameless = errors.New(`no field "name" in message`)
 
 func decodeMessage(object *fastjson.Value) (message, error) {
 	name := Text(object, "name")
@@ -53,7 +53,7 @@
 		require.Equal(t, errors.Is(want, errNameless), errors.As(err, &invalid), "%.40q", input)
 	}
 	_, err := parser.Parse([]byte("{}"))
-	require.EqualError(t, err, "no name")
+	require.EqualError(t, err, `no field "name" in message`)
 	_, err = parser.Parse([]byte(`{"name":"a","data":"%"}`))
 	require.EqualError(t, err, "data: illegal base64 data at input byte 0")
 }
--- a/internal/msgpackrpc/errors.go
+++ b/internal/msgpackrpc/errors.go
@@ -15,7 +15,7 @@
 )
 
 // errReadPaused reports that a draining connection has read the input that had arrived, or its drain budget is used up.
-var errReadPaused = errors.New("reading paused")
+var errReadPaused = errors.New("reading paused: the input that had arrived is read, or the drain budget is used up")
 
 // frameError reports input that is not a valid message. The rest of the input on its connection cannot be read.
 type frameError struct {
--- a/internal/msgpackrpc/frame_reader.go
+++ b/internal/msgpackrpc/frame_reader.go
@@ -75,7 +75,7 @@
 	return err //nolint:wrapcheck // the error of the source; io.EOF is the normal end of a connection
 }
 
-// growBuffer makes room for at least one byte at the end of the buffer. maxBufferSize suffices because scan rejects a
+// growBuffer makes room for at least one byte at the end of the buffer. maxBufferSize is enough because scan rejects a
 // frame longer than maxFrame.
 func (f *frameReader) growBuffer() {
 	if f.start > 0 {
--- a/internal/msgpackrpc/input.go
+++ b/internal/msgpackrpc/input.go
@@ -52,7 +52,7 @@
 	return in.applyDeadline()
 }
 
-// applyDeadline sets the read deadline of the current state. It repeats this if the state changes meanwhile, because it may
+// applyDeadline sets the read deadline of the current state. It repeats this if the state has changed since, because it may
 // have overwritten the expired deadline that pause sets.
 func (in *input) applyDeadline() error {
 	for {
@@ -134,7 +134,7 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// isDrained reports whether a draining connection has read as much as its drain budget allows.
+// isDrained reports whether a draining connection has used up its drain budget.
 func (in *input) isDrained() bool { return in.drainBudget <= 0 && in.state.current() == draining }
 
 // readAvailable reads what has arrived without waiting. It returns 0 and no error if nothing has.
--- a/internal/msgpackrpc/lifecycle_test.go
+++ b/internal/msgpackrpc/lifecycle_test.go
@@ -32,7 +32,7 @@
 	client.expectAnswer(2, codeInternal)
 	peers.agentSends("outcome", slowID, "success", []byte("late"))
 
-	// The link breaks during a run: neither its outcome nor a request sent meanwhile is lost.
+	// The link breaks during a run: neither its outcome nor a request sent before the link is restored is lost.
 	runID := client.sendRequest("hires-crop", "x")
 	peers.expectCommand("launch", runID)
 	peers.agentSends("request", runID, "", nil) // proves that the launch was read
--- a/internal/msgpackrpc/message_test.go
+++ b/internal/msgpackrpc/message_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// The in-place parser and the reference decoder, which builds each value as a tree, must accept the same input and find the
-// same meaning.
+// The in-place parser and the reference decoder, which builds each value as a tree, must accept the same input and
+// decode it to the same values.
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeRequest(7, "preview", sampleFields(), []byte("body")), 3)
 	optional := sampleFields()
@@ -99,7 +99,7 @@
 }
 
 // requireSameMessage parses a message as a request, a health check and a cancellation with both parsers. Each time, both
-// must find it invalid, or both must find the same meaning.
+// must reject it, or both must return the same values.
 func requireSameMessage(t *testing.T, want referenceMessage, msg message, methods *methodCache) {
 	t.Helper()
 	require.Equal(t, want.method, string(msg.method))
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -104,7 +104,7 @@
 	debug.SetMemoryLimit(int64(heapLimitRatio * float64(limits.MemoryMB<<20)))
 }
 
-// listen opens the listener for front ends, or takes over a listening socket that this process has inherited.
+// listen opens the listener for front ends, or uses a listening socket that this process has inherited.
 func listen(conf *config.Config, log *logging.Limiter) (*msgpackrpc.Listener, error) {
 	maxConnections := conf.Limits.MaxFrontConnections()
 	if conf.InheritedFD != 0 {
--- a/internal/server/admit.go
+++ b/internal/server/admit.go
@@ -9,7 +9,7 @@
 
 // Stage 2, admit: valid requests are submitted to the controller.
 
-// Reasons for which a request is invalid because of its own fields, or because its key belongs to another request. The texts
+// Reasons for which a request is invalid because of one of its fields, or because its key belongs to another request. The texts
 // are sent to front ends and must not change.
 var (
 	errArrivalTime           = errors.New("field at: longer ago than any deadline, or ahead of the clock")
@@ -90,7 +90,7 @@
 	return s.clock.fromUnix(attempt.ArrivedAt) > s.clock.now+maxClockAhead && attempt.ArrivedAt <= s.clock.now
 }
 
-// clientDeadline returns when the client of a request gives up, on the clock of the loop.
+// clientDeadline returns when the client of a request stops waiting, on the clock of the loop.
 func (s *Server) clientDeadline(request *activeRequest) time.Duration {
 	return s.clock.fromUnix(request.attempt.ArrivedAt) + request.attempt.Timeout
 }
@@ -124,7 +124,7 @@
 	s.admission.enqueue(admission.RequestArrived(request.id, arrival))
 }
 
-// cancel ends a request that nobody waits for any more. If it is running, its run continues; otherwise it is removed.
+// cancel ends a request that no client waits for any more. If it is running, its run continues; otherwise it is removed.
 func (s *Server) cancel(request *activeRequest) {
 	if request.answered {
 		return
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -34,7 +34,7 @@
 	s.store.Call(request.attempt.ID, s.clock.now+timeout, request.callBody)
 }
 
-// abandonCall abandons the call of a request, if one is in flight, because nobody waits for its reply.
+// abandonCall abandons the call of a request, if one is in flight, because its reply is no longer needed.
 func (s *Server) abandonCall(request *activeRequest) {
 	if s.store.Abandon(request.attempt.ID) {
 		s.stats.CallsAbandoned++
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -10,9 +10,9 @@
 	reservedConnections = 8
 )
 
-// closeState is the state of closing a connection. Requests that arrive meanwhile are answered, because they may have been
-// sent before the front end knew. The connection closes when no request on it waits for its answer, and everything that
-// has arrived was read.
+// closeState is the state of closing a connection. Requests that arrive while it is being closed are answered, because the
+// front end may have sent them before it was notified. The connection closes when no request on it waits for its answer,
+// and everything that has arrived was read.
 type closeState uint8
 
 const (
--- a/internal/server/configuration.go
+++ b/internal/server/configuration.go
@@ -8,7 +8,7 @@
 	"falldeal/internal/config"
 )
 
-// configuration is the current configuration, with indices for what requests look up in it. The loop owns it.
+// configuration is the current configuration, with indices of the classes and tenants that requests name. The loop owns it.
 type configuration struct {
 	*config.Config                // replaced as a whole by a reload, never modified
 	classes        map[string]int // index of each accepted class, by name
--- a/internal/server/dispatch.go
+++ b/internal/server/dispatch.go
@@ -28,7 +28,7 @@
 		s.logCondition(action.Condition)
 	default:
 		// All other actions concern one request, except for ActionAdvertise. The ID of ActionAdvertise is 0, which no request
-		// has, so that action is dropped here without a warning, like one on a request that has ended.
+		// has, so it is dropped here without a warning, as is an action on a request that has ended.
 		if request := s.requests.byID[action.ID]; request != nil {
 			s.dispatchRequest(request, action)
 		}
--- a/internal/server/execute.go
+++ b/internal/server/execute.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Stage 4, execute: runs are sent to the agent, and its notifications come back.
+// Stage 4, execute: runs are sent to the agent, and its notifications are handled.
 
 // agentCheckInterval is the interval between checks of the agent link until the agent has sent its handshake.
 const agentCheckInterval = time.Second
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -21,7 +21,7 @@
 // server, and before the agent is up.
 //
 // A deep check that the controller leaves open is answered after the agent has completed some work. At present none is
-// left open: the controller always has deep checks answered from its own state (HealthAnswer.Cached).
+// left open: the controller always has them answered with its last decision (HealthAnswer.Cached).
 
 // healthState is the state from which health checks are answered. The loop owns it.
 type healthState struct {
--- a/internal/server/idempotency.go
+++ b/internal/server/idempotency.go
@@ -221,7 +221,7 @@
 		return entry
 	case len(entry.attempts) > 0:
 		// The entry must have a holder even before the controller names the next one. Otherwise an attempt that arrives
-		// meanwhile would be taken for a first one, and both would run.
+		// before that would be treated as a first one, and both would run.
 		t.setHolder(entry, entry.attempts[0])
 		return nil
 	}
--- a/internal/server/idempotency_entry.go
+++ b/internal/server/idempotency_entry.go
@@ -14,7 +14,7 @@
 
 const (
 	entryPending   entryState = iota // no attempt was run
-	entryRunning                     // the holder was run, and its run has not ended as far as is known here
+	entryRunning                     // the holder was run, and this process does not know that its run has ended
 	entryCompleted                   // the run of the holder has ended
 )
 
--- a/internal/server/quota.go
+++ b/internal/server/quota.go
@@ -16,7 +16,7 @@
 const (
 	// quotaInterval is the interval between updates of the leases. A limit is computed to hold for two intervals.
 	quotaInterval = 250 * time.Millisecond
-	// minCallLimit replaces a limit of 0, which the controller would take for no limit.
+	// minCallLimit replaces a limit of 0, which the controller would treat as no limit.
 	minCallLimit = 0.001
 	// unknownQuota is the limit before the first update.
 	unknownQuota overload.Quota = -1
--- a/internal/server/races_test.go
+++ b/internal/server/races_test.go
@@ -14,7 +14,7 @@
 // them.
 
 // A second attempt of a request waits for the first, which is cancelled in the turn in which a third arrives. The third
-// must not be taken for a first attempt: the second and the third would both run.
+// must not be treated as a first attempt: the second and the third would both run.
 func TestFirstAttemptCancelledAgainstThird(t *testing.T) {
 	for _, order := range []string{"before the third", "after the third"} {
 		t.Run(order, func(t *testing.T) {
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -60,7 +60,7 @@
 	if server.drain.started() {
 		server.notifyClosing(state)
 	}
-	if full { // closed step by step like any other: a request on it may already wait to be read
+	if full { // closed in the same steps as any other connection: a request on it may already wait to be read
 		server.beginClose(state)
 	}
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -96,7 +96,7 @@
 }
 
 // mergeClasses gives each class of a new configuration the index that it has in the current one, or else a new index after
-// all others. Active requests refer to classes by index, so classes that are gone keep theirs, marked as removed. A class
+// all others. Active requests refer to classes by index, so classes that are gone keep their index, marked as removed. A class
 // whose idempotency has changed counts as another class.
 func mergeClasses(current, loaded []admission.Class, currentNames, loadedNames []string) ([]admission.Class, []string) {
 	classes := slices.Clone(current)
--- a/internal/server/request.go
+++ b/internal/server/request.go
@@ -98,7 +98,7 @@
 	idempotencyWindow time.Duration // time from its arrival on in which no other attempt with its key may be run
 
 	state     requestState
-	answered  bool          // the request has its answer, or nobody waits for one; its run may continue
+	answered  bool          // the request has its answer, or no client waits for one; its run may continue
 	startedAt time.Duration // start of its run, or of its wait for the run of another attempt
 
 	callBody      []byte        // body of the call that its run waits for
--- a/internal/store/connection.go
+++ b/internal/store/connection.go
@@ -83,7 +83,8 @@
 	l.adjustDials()
 }
 
-// handleOpened takes over a new connection. If the address has been replaced meanwhile, it closes the connection.
+// handleOpened makes a new connection available to calls. If the address has been replaced since the dial started, it
+// closes the connection.
 func (l *Link) handleOpened(ended *dial, queue *writequeue.Queue) {
 	l.dialer.finish(ended)
 	if ended.address != l.address {
--- a/internal/store/idle.go
+++ b/internal/store/idle.go
@@ -9,7 +9,7 @@
 func (p *idlePool) add(conn *connection) { *p = append(*p, conn) }
 
 // longestIdle returns the connection that has been idle longest, or nil if there is none. It skips a connection whose last
-// call was for the same request: a duplicate of that reply would be taken for the reply to the next call.
+// call was for the same request: a duplicate of that reply would be mistaken for the reply to the next call.
 func (p *idlePool) longestIdle(requestID string) *connection {
 	for _, conn := range *p {
 		if conn.lastRequestID != requestID {
--- a/internal/store/link.go
+++ b/internal/store/link.go
@@ -118,7 +118,7 @@
 	l.removeCall(abandoned)
 	if conn := abandoned.connection; conn != nil {
 		conn.queue.Send(appendDrop(nil, requestID))
-		l.closeConnection(conn) // the reply may still arrive, and must not be taken for that of another call
+		l.closeConnection(conn) // the reply may still arrive, and must not be mistaken for that of another call
 	}
 	return true
 }
@@ -169,7 +169,7 @@
 	l.onResult(ended.requestID, result, nil)
 }
 
-// adjustDials makes the number of wanted dials equal to the number of waiting calls, as far as the connection limit allows.
+// adjustDials makes the number of wanted dials equal to the number of waiting calls, within the connection limit.
 // Surplus dials are cancelled, the oldest first: if the store does not respond, they would hang until reconnect.DialTimeout
 // and take the places of dials for later calls.
 func (l *Link) adjustDials() {
--- a/internal/store/link_test.go
+++ b/internal/store/link_test.go
@@ -133,7 +133,7 @@
 	require.EqualValues(t, 1, fake.link.ConnectionsOpened())
 }
 
-// At its deadline a call must be abandoned together with its connection: the reply may never arrive, or might be taken for
+// At its deadline a call must be abandoned together with its connection: the reply may never arrive, or might be mistaken for
 // the reply to a later call.
 func TestCallExpiry(t *testing.T) {
 	ln := loopback.Listen(t)
@@ -176,7 +176,7 @@
 	require.Empty(t, fake.link.connections)
 }
 
-// An unsolicited reply must end no call, and its connection must get no further call. A duplicate reply might be taken for
+// An unsolicited reply must end no call, and its connection must get no further call. A duplicate reply might be mistaken for
 // the reply to the next call of the same request, so that call must go to another connection.
 func TestUnsolicitedReplyRetiresConnection(t *testing.T) {
 	ln := loopback.Listen(t)
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -99,7 +99,7 @@
 }
 
 // write writes a message together with further queued ones. A batch is assembled in newly allocated memory: most
-// connections write seldom, and a buffer kept for each of them would waste memory.
+// connections write rarely, and a buffer kept for each of them would waste memory.
 func (q *Queue) write(first []byte) error {
 	batch := first
 	messages := int64(1)
--- a/wire/append_test.go
+++ b/wire/append_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each kind of action has its own line, and a text with line breaks must not break the line protocol.
+// Each kind of action must be written in its line format, and a text with line breaks must not break the line protocol.
 func TestAppendAction(t *testing.T) {
 	for want, action := range map[string]admission.Action{
 		"SERVE 3 9": {Kind: admission.ActionRun, ID: 9},
--- a/wire/reader_test.go
+++ b/wire/reader_test.go
@@ -95,7 +95,8 @@
 	require.ErrorIs(t, NewReader(strings.NewReader("")).Read(&batch), io.EOF, "end of input between batches")
 }
 
-// Callers find the line and the field of an error with errors.As, and truncated input with errors.Is.
+// Callers must be able to get the line and the field of an error with errors.As, and to detect truncated input with
+// errors.Is.
 func TestReadErrorsAreTyped(t *testing.T) {
 	var batch Batch
 	err := NewReader(strings.NewReader("SYNC 1\nDONE 3 4 FINE 5\nOVER_TO_YOU\n")).Read(&batch)
