--- a/internal/fleet/nameconflict_explore_test.go
+++ b/internal/fleet/nameconflict_explore_test.go
@@ -135,8 +135,8 @@
 		"two running processes":           {rivalState(), 6},
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := modelcheck.Visit(testCase.start, testCase.depth, nextSteps(unchanged), (*conflictState).key, releaseViolation)
-			require.Empty(t, found.Why, "%v", found.Steps)
+			found := modelcheck.Search(testCase.start, testCase.depth, nextSteps(unchanged), (*conflictState).key, releaseViolation)
+			require.Empty(t, found.Violation, "%v", found.Steps)
 			t.Logf("%d states within %d steps", found.States, testCase.depth)
 		})
 	}
@@ -145,15 +145,15 @@
 // Without the proof that a rival runs, a process would release its name to a predecessor that has ended. The exploration
 // must find this fault, or it does not test what it claims.
 func TestExplorationFindsMissingLivenessProof(t *testing.T) {
-	found := modelcheck.Visit(restartState(), 9, nextSteps(withoutLivenessProof), (*conflictState).key, releaseViolation)
-	require.NotEmpty(t, found.Why)
-	t.Logf("fault found: %s, by %v", found.Why, found.Steps)
+	found := modelcheck.Search(restartState(), 9, nextSteps(withoutLivenessProof), (*conflictState).key, releaseViolation)
+	require.NotEmpty(t, found.Violation)
+	t.Logf("fault found: %s, by %v", found.Violation, found.Steps)
 }
 
 // From every state that two running processes can reach, once they receive each other's records the earlier process must
 // keep the name, and its record must be the greatest.
 func TestNameConflictsConverge(t *testing.T) {
-	modelcheck.Visit(rivalState(), 4, nextSteps(unchanged), (*conflictState).key, func(state *conflictState) string {
+	modelcheck.Search(rivalState(), 4, nextSteps(unchanged), (*conflictState).key, func(state *conflictState) string {
 		final := state.clone()
 		for range 8 {
 			final.exchange()
--- a/internal/overload/leasing_modelcheck_test.go
+++ b/internal/overload/leasing_modelcheck_test.go
@@ -220,8 +220,8 @@
 // The model checker must find each injected fault: a rule of QuotaLedger that is left out.
 func TestLeasingModelCheck(t *testing.T) {
 	steps := nextSteps(func(*leasingState, int) {})
-	found := modelcheck.Visit(newLeasingState(), *modelCheckDepth, steps, stateKey, overcommitted)
-	require.Empty(t, found.Why, "%v", found.Steps)
+	found := modelcheck.Search(newLeasingState(), *modelCheckDepth, steps, stateKey, overcommitted)
+	require.Empty(t, found.Violation, "%v", found.Steps)
 	t.Logf("%d states within %d steps, no violation", found.States, *modelCheckDepth)
 	for name, fault := range map[string]leasingFault{
 		"the lender uses quota that it has leased out": func(state *leasingState, member int) {
@@ -241,8 +241,8 @@
 			state.ledgers[member].predecessorCallsEnd = 0
 		},
 	} {
-		found := modelcheck.Visit(newLeasingState(), faultDepth, nextSteps(fault), stateKey, overcommitted)
-		require.NotEmpty(t, found.Why, name)
+		found := modelcheck.Search(newLeasingState(), faultDepth, nextSteps(fault), stateKey, overcommitted)
+		require.NotEmpty(t, found.Violation, name)
 		t.Logf("injected fault: %s: found after %d states: %v", name, found.States, found.Steps)
 	}
 }
--- a/internal/permit/modelcheck_test.go
+++ b/internal/permit/modelcheck_test.go
@@ -205,15 +205,15 @@
 // nor to a grant of a request that was prepared before a halt. The model checker must find the injected faults.
 func TestModelCheckPermits(t *testing.T) {
 	start := modelState{serving: [2]bool{true, true}, incarnation: [2]uint64{1, 1}}
-	visit := func(injected fault) modelcheck.Result {
-		return modelcheck.Visit(start, modelDepth, nextSteps(injected), stateKey(injected), violation(injected))
+	search := func(injected fault) modelcheck.Result {
+		return modelcheck.Search(start, modelDepth, nextSteps(injected), stateKey(injected), violation(injected))
 	}
-	found := visit(noFault)
-	require.Empty(t, found.Why, "%v", found.Steps)
+	found := search(noFault)
+	require.Empty(t, found.Violation, "%v", found.Steps)
 	t.Logf("%d states, no violation", found.States)
 	for _, injected := range []fault{expiringPermits, grantDespiteHalt} {
-		found := visit(injected)
-		require.NotEmpty(t, found.Why, injected)
+		found := search(injected)
+		require.NotEmpty(t, found.Violation, injected)
 		t.Logf("injected fault: %s: found after %d states: %v", injected, found.States, found.Steps)
 	}
 }
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -13,10 +13,10 @@
 
 // Result is the result of a search.
 type Result struct {
-	Why      string   // description of the violation; empty if none was found
-	Steps    []string // names of the steps of a shortest path from the start to the violation
-	States   int      // distinct states reached
-	Complete bool     // all reachable states were checked; false if the last allowed step still reached new states
+	Violation string   // description; empty if none was found
+	Steps     []string // names of the steps of a shortest path from the start to the violation
+	States    int      // distinct states reached
+	Complete  bool     // all reachable states were checked; false if the last allowed step still reached new states
 }
 
 // node is a state that the search has reached, with the path to it.
@@ -35,12 +35,12 @@
 	return steps
 }
 
-// Visit checks the states that are reachable from start within depth steps, and returns at the first violation.
+// Search checks the states that are reachable from start within depth steps, and returns at the first violation.
 //
 //   - Next returns the steps that are possible in a state. It must not modify the state.
 //   - Key returns a string that is the same for two states if and only if they count as equal.
 //   - Violation returns how a state violates the invariant, or "" if it does not.
-func Visit[S any](
+func Search[S any](
 	start S, depth int, next func(S) []Step[S], key func(S) string, violation func(S) string,
 ) Result {
 	visited := map[string]bool{key(start): true}
@@ -48,8 +48,8 @@
 	for steps := 0; len(frontier) > 0; steps++ {
 		var reached []*node[S]
 		for _, current := range frontier {
-			if why := violation(current.state); why != "" {
-				return Result{Why: why, Steps: current.path(), States: len(visited)}
+			if description := violation(current.state); description != "" {
+				return Result{Violation: description, Steps: current.path(), States: len(visited)}
 			}
 			if steps < depth {
 				reached = append(reached, current.expand(visited, next, key)...)
