--- a/internal/fleet/recorded_run_test.go
+++ b/internal/fleet/recorded_run_test.go
@@ -54,23 +54,23 @@
 	return record
 }
 
-// writeRecord hashes the encoded form of a record.
-func (r *recordedRun) writeRecord(record Record) { r.Write(AppendUpdate(nil, &record, 0)) }
+// hashRecord hashes the encoded form of a record.
+func (r *recordedRun) hashRecord(record Record) { r.HashOutputs(AppendUpdate(nil, &record, 0)) }
 
-// writeSnapshot hashes the contents of a snapshot and its changes since the previous one.
-func (r *recordedRun) writeSnapshot(snapshot, previous *Snapshot) {
+// hashSnapshot hashes the contents of a snapshot and its changes since the previous one.
+func (r *recordedRun) hashSnapshot(snapshot, previous *Snapshot) {
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
-		r.Write(AppendUpdate(nil, member.Record, 0), uint8(member.Liveness), member.Self, member.RecordedAt, member.Since,
+		r.HashOutputs(AppendUpdate(nil, member.Record, 0), uint8(member.Liveness), member.Self, member.RecordedAt, member.Since,
 			member.Serves(r.Now, MaxFreshAge(10)))
 	}
 	for i := range snapshot.Zones {
-		r.Write(snapshot.Zones[i], snapshot.Zones[i].MostlyUnreachable(), snapshot.Zones[i].Reached())
+		r.HashOutputs(snapshot.Zones[i], snapshot.Zones[i].MostlyUnreachable(), snapshot.Zones[i].Reached())
 	}
-	r.Write(snapshot.At, snapshot.LastReceived, uint8(snapshot.Position), snapshot.Total, snapshot.AgreementDigest(),
+	r.HashOutputs(snapshot.At, snapshot.LastReceived, uint8(snapshot.Position), snapshot.Total, snapshot.AgreementDigest(),
 		snapshot.Aggregate(r.Now, MaxFreshAge(10)))
 	for _, change := range snapshot.Changes(previous) {
-		r.Write(slices.Index(changeKinds, change.Kind), cmp.Or(change.Member, change.Zone), change.Age)
+		r.HashOutputs(slices.Index(changeKinds, change.Kind), cmp.Or(change.Member, change.Zone), change.Age)
 	}
 }
 
@@ -83,11 +83,11 @@
 		var known uint64
 		if current := view.CurrentRecord(record.Name); current != nil {
 			known = current.Seq
-			run.Write(record.Urgent(current))
+			run.HashOutputs(record.Urgent(current))
 		}
-		run.Write(known, view.Merge(run.Now, time.Duration(run.Random.IntN(9000))*time.Millisecond, record))
+		run.HashOutputs(known, view.Merge(run.Now, time.Duration(run.Random.IntN(9000))*time.Millisecond, record))
 		if by, at := view.SupersededBy(&record); by != nil {
-			run.Write(by.Run, by.Seq, at)
+			run.HashOutputs(by.Run, by.Seq, at)
 		}
 		other := run.record(30)
 		view.ObserveReach(run.Now, other.Name, other.Run, Reach(run.Random.IntN(3)))
@@ -95,11 +95,11 @@
 		if step%20 == 0 {
 			view.RemoveExpired(run.Now)
 			snapshot := view.Snapshot(run.Now)
-			run.writeSnapshot(snapshot, previous)
+			run.hashSnapshot(snapshot, previous)
 			previous = snapshot
 		}
 	}
-	run.Write(view.RejectedNames(), view.Size())
+	run.HashOutputs(view.RejectedNames(), view.Size())
 }
 
 func recordSelf(run *recordedRun) {
@@ -111,16 +111,17 @@
 			if run.Random.IntN(3) == 0 {
 				status := Status{State: State(2 + run.Random.IntN(3)), Replaced: run.Random.IntN(30) == 0}
 				status.Load.StoreState = uint8(run.Random.IntN(20) / 19)
-				run.Write(self.SetStatus(run.Now, status))
+				run.HashOutputs(self.SetStatus(run.Now, status))
 			}
 			record := run.record(2)
-			run.Write(self.Receive(run.Now, &record), self.NameReleased(), self.Stalled(run.Now), self.ShouldPublish(run.Now, 40))
+			run.HashOutputs(self.Receive(run.Now, &record), self.NameReleased(), self.Stalled(run.Now),
+				self.ShouldPublish(run.Now, 40))
 			if self.ShouldPublish(run.Now, 40) {
-				run.writeRecord(self.NextRecord(run.Now))
+				run.hashRecord(self.NextRecord(run.Now))
 			}
 		}
-		run.Write(self.SetConfig(process))
-		run.writeRecord(self.LeaveRecord(run.Now))
+		run.HashOutputs(self.SetConfig(process))
+		run.hashRecord(self.LeaveRecord(run.Now))
 	}
 }
 
@@ -143,7 +144,7 @@
 			lost = run.Random.IntN(12)
 			view.ObserveReach(run.Now, fmt.Sprint("n", lost), 1, Lost)
 		}
-		run.Write(rejoin.NextDials(run.Now, view.Snapshot(run.Now)))
+		run.HashOutputs(rejoin.NextDials(run.Now, view.Snapshot(run.Now)))
 	}
 }
 
@@ -160,7 +161,7 @@
 		{"rejoin", recordRejoin, "b639d1108ecc167b"},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			recorded.Require(t, run.digest, func(r *recorded.Run) { run.play(&recordedRun{r}) })
+			recorded.RequireDigest(t, run.digest, func(r *recorded.Run) { run.play(&recordedRun{r}) })
 		})
 	}
 }
--- a/internal/overload/recorded_run_test.go
+++ b/internal/overload/recorded_run_test.go
@@ -73,14 +73,14 @@
 		run.advance()
 		for range run.Random.IntN(40) {
 			verdict := shedder.Classify(run.eighths(20), run.eighths(2), run.Random.Float64(), run.Random.IntN(4) == 0)
-			run.Write(uint8(verdict))
+			run.HashOutputs(uint8(verdict))
 		}
 		own := LocalLoad{
 			ServiceRate: run.eighths(8), Cores: 4, Utilization: run.eighths(1),
 			AttemptRate: run.eighths(40), RetryRatio: run.eighths(1),
 		}
 		state := shedder.Tick(run.Now, own, run.view(members), run.Now)
-		run.Write(state, shedder.RetryJitter(run.Random.Uint64()), shedder.Demand())
+		run.HashOutputs(state, shedder.RetryJitter(run.Random.Uint64()), shedder.Demand())
 	}
 }
 
@@ -99,7 +99,7 @@
 			}
 			// One view in 20 has too few members for collectors.
 			recipients := collector.Tick(run.Now, Aggregate{Members: 1, Cores: 4}, run.view(members-run.Random.IntN(20)/19*10))
-			run.Write(recipients, []byte(collector.Published()))
+			run.HashOutputs(recipients, []byte(collector.Published()))
 		}
 	}
 }
@@ -115,10 +115,10 @@
 			if run.Random.IntN(3) == 0 {
 				counter.RecordRejection(run.Now, fingerprint)
 			}
-			run.Write(known)
+			run.HashOutputs(known)
 		}
 		counter.HandleReport(run.Now, []uint64{mix(run.Random.Uint64N(50)), mix(run.Random.Uint64N(50))})
-		run.Write(counter.Tick(run.Now, run.view(10)), counter.RetryRatio(), counter.AttemptRate())
+		run.HashOutputs(counter.Tick(run.Now, run.view(10)), counter.RetryRatio(), counter.AttemptRate())
 	}
 }
 
@@ -131,7 +131,7 @@
 		if run.Random.IntN(2) == 0 {
 			timeout -= time.Duration(run.Random.IntN(1900)) * time.Millisecond
 		}
-		run.Write(estimator.RecordAttempt(run.Now, fmt.Sprint("class", run.Random.IntN(80)*run.Random.IntN(2)), timeout))
+		run.HashOutputs(estimator.RecordAttempt(run.Now, fmt.Sprint("class", run.Random.IntN(80)*run.Random.IntN(2)), timeout))
 	}
 }
 
@@ -150,7 +150,7 @@
 		allowance := coordinator.Tick(run.Now, storeID, run.view(2+run.Random.IntN(30)), run.Now)
 		var load fleet.Load
 		coordinator.AddToLoad(&load)
-		run.Write(uint8(allowance), allowance.ProtectedCalls(), uint8(coordinator.State()), coordinator.UnhealthyMembers(),
+		run.HashOutputs(uint8(allowance), allowance.ProtectedCalls(), uint8(coordinator.State()), coordinator.UnhealthyMembers(),
 			load.StoreState, load.StoreID, load.ProbeRound)
 	}
 }
@@ -193,7 +193,7 @@
 	if l.Random.IntN(2000) == 0 {
 		manager.SetBase(Quota(1000*(1+l.Random.IntN(3))), 400)
 	}
-	l.Write(int64(manager.Limit(l.Now)), int64(manager.Leased(l.Now)), int64(manager.LeasedOut(l.Now)),
+	l.HashOutputs(int64(manager.Limit(l.Now)), int64(manager.Leased(l.Now)), int64(manager.LeasedOut(l.Now)),
 		manager.MeanInFlight())
 }
 
@@ -208,7 +208,7 @@
 	if answer, ok := receiver.Receive(l.Now, message, inFlight); ok {
 		l.inTransit = append(l.inTransit, answer)
 	}
-	l.Write(AppendLeaseMessage(nil, message))
+	l.HashOutputs(AppendLeaseMessage(nil, message))
 }
 
 // A refactoring that changes a decision would make members of different versions disagree. The decisions over long runs of
@@ -228,7 +228,7 @@
 		{"leasing", recordLeasing, "5406e8bed0e0a04b"},
 	} {
 		t.Run(run.name, func(t *testing.T) {
-			recorded.Require(t, run.digest, func(r *recorded.Run) { run.play(&recordedRun{r}) })
+			recorded.RequireDigest(t, run.digest, func(r *recorded.Run) { run.play(&recordedRun{r}) })
 		})
 	}
 }
--- a/lab/recorded/recorded.go
+++ b/lab/recorded/recorded.go
@@ -29,12 +29,12 @@
 	hash   hash.Hash
 }
 
-// Write adds outputs to the hash, as fmt.Fprintln formats them. Convert a value whose String method may change to a number, so
-// that the digest does not depend on its text.
-func (r *Run) Write(outputs ...any) { fmt.Fprintln(r.hash, outputs...) }
+// HashOutputs adds outputs to the hash, as fmt.Fprintln formats them. Convert a value whose String method may change to a
+// number, so that the digest does not depend on its text.
+func (r *Run) HashOutputs(outputs ...any) { fmt.Fprintln(r.hash, outputs...) }
 
-// Require calls play with a new run, and requires that the digest of its outputs, in hexadecimal, equals digest.
-func Require(t *testing.T, digest string, play func(*Run)) {
+// RequireDigest calls play with a new run, and requires that the digest of its outputs, in hexadecimal, equals digest.
+func RequireDigest(t *testing.T, digest string, play func(*Run)) {
 	t.Helper()
 	run := &Run{Random: rand.New(rand.NewPCG(seedHigh, seedLow)), hash: sha256.New()}
 	play(run)
--- a/lab/recorded/recorded_test.go
+++ b/lab/recorded/recorded_test.go
@@ -7,9 +7,9 @@
 func TestSameRunGivesSameDigest(t *testing.T) {
 	const digest = "a5501a4773b69ac3"
 	for range 2 {
-		Require(t, digest, func(run *Run) {
+		RequireDigest(t, digest, func(run *Run) {
 			for range 100 {
-				run.Write(run.Random.IntN(1000), run.Now)
+				run.HashOutputs(run.Random.IntN(1000), run.Now)
 			}
 		})
 	}
