--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -51,7 +51,7 @@
 	require.Len(t, lines, len(names), "%q", lines)
 	var cases []golden.Case
 	for i, name := range names {
-		cases = append(cases, golden.Case{Name: name, Form: lines[i]})
+		cases = append(cases, golden.Case{Name: name, Text: lines[i]})
 	}
 	return cases
 }
@@ -130,7 +130,7 @@
 		lineParser := newParser()
 		_, err := lineParser.Parse([]byte(test.line))
 		require.Error(t, err, test.name)
-		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Text: err.Error()})
 	}
 	golden.Require(t, "errors.golden", cases)
 }
--- a/internal/announce/golden_test.go
+++ b/internal/announce/golden_test.go
@@ -29,7 +29,7 @@
 		n, err := remote.Read(text)
 		require.NoError(t, err)
 		require.NoError(t, <-sent)
-		cases = append(cases, golden.Case{Name: test.name, Form: string(text[:n])})
+		cases = append(cases, golden.Case{Name: test.name, Text: string(text[:n])})
 	}
 	golden.Require(t, "reports.golden", cases)
 }
--- a/internal/msgpackrpc/golden_reasons_test.go
+++ b/internal/msgpackrpc/golden_reasons_test.go
@@ -35,7 +35,7 @@
 	expectReason := func(name, class, body string, change ...string) {
 		t.Helper()
 		client.sendRequest(class, body, change...)
-		cases = append(cases, golden.Case{Name: name, Form: client.expectInvalid()})
+		cases = append(cases, golden.Case{Name: name, Text: client.expectInvalid()})
 	}
 	expectReason("unknown class", "poster", "x")
 	expectReason("unknown class of a long name", strings.Repeat("poster", 10), "x")
--- a/internal/msgpackrpc/golden_test.go
+++ b/internal/msgpackrpc/golden_test.go
@@ -55,12 +55,12 @@
 		{"invalid, 255 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(255)}},
 		{"invalid, 256 bytes", 5, server.Answer{Kind: server.Invalid, Reason: reason(256)}},
 	} {
-		cases = append(cases, golden.Case{Name: test.name, Form: hex.EncodeToString(encodeAnswer(test.call, test.answer))})
+		cases = append(cases, golden.Case{Name: test.name, Text: hex.EncodeToString(encodeAnswer(test.call, test.answer))})
 	}
 	const head = 10 // bytes of a frame before its body
 	long := encodeAnswer(1, server.Answer{Kind: server.Served, Body: body(65536)})
-	cases = append(cases, golden.Case{Name: "served, 65536 bytes, what comes before them", Form: hex.EncodeToString(long[:head])},
-		golden.Case{Name: "closing", Form: hex.EncodeToString(encodeClosing())})
+	cases = append(cases, golden.Case{Name: "served, 65536 bytes, what comes before them", Text: hex.EncodeToString(long[:head])},
+		golden.Case{Name: "closing", Text: hex.EncodeToString(encodeClosing())})
 	golden.Require(t, "answers.golden", cases)
 }
 
@@ -91,7 +91,7 @@
 		written, err := io.ReadAll(remote)
 		require.NoError(t, err, test.name)
 		require.NoError(t, <-done, test.name)
-		cases = append(cases, golden.Case{Name: test.name, Form: strconv.Quote(hex.EncodeToString(written))})
+		cases = append(cases, golden.Case{Name: test.name, Text: strconv.Quote(hex.EncodeToString(written))})
 	}
 	golden.Require(t, "close.golden", cases)
 }
@@ -203,7 +203,7 @@
 			_, err = parseMessage(frame)
 		}
 		require.Error(t, err, test.name)
-		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Text: err.Error()})
 	}
 	golden.Require(t, "broken.golden", cases)
 }
@@ -247,7 +247,7 @@
 	for _, test := range requests {
 		_, err := parseClientMessage(mustParse(t, []byte(test.frame)))
 		require.Error(t, err, test.name)
-		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Text: err.Error()})
 	}
 	golden.Require(t, "fields.golden", cases)
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -36,7 +36,7 @@
 		text := make([]byte, 1<<10)
 		n, err := remote.Read(text)
 		require.NoError(t, err)
-		cases = append(cases, golden.Case{Name: name, Form: strconv.Quote(string(text[:n]))})
+		cases = append(cases, golden.Case{Name: name, Text: strconv.Quote(string(text[:n]))})
 	}
 	writerDone := make(chan error, 1)
 	go func() { writerDone <- queue.Run() }()
@@ -106,7 +106,7 @@
 	} {
 		_, err := readReply(bufio.NewReader(strings.NewReader(test.text)))
 		require.ErrorIs(t, err, ErrMalformedReply, test.name)
-		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Text: err.Error()})
 	}
 	golden.Require(t, "errors.golden", cases)
 }
--- a/lab/golden/golden.go
+++ b/lab/golden/golden.go
@@ -43,14 +43,14 @@
 }
 
 // Case is one line of a golden file: a name, and a text without a line break.
-type Case struct{ Name, Form string }
+type Case struct{ Name, Text string }
 
 // Require compares cases with a file in testdata. The file must hold exactly these cases in this order.
 func Require(t *testing.T, file string, cases []Case) {
 	t.Helper()
 	var got strings.Builder
 	for _, golden := range cases {
-		got.WriteString(golden.Name + separator + golden.Form + "\n")
+		got.WriteString(golden.Name + separator + golden.Text + "\n")
 	}
 	RequireFile(t, file, got.String())
 }
@@ -58,17 +58,17 @@
 // Read returns the texts of a file in testdata by name. The file must hold count cases.
 func Read(t *testing.T, file string, count int) map[string]string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(folder, file)) //nolint:gosec // the calling test names the file
+	content, err := os.ReadFile(filepath.Join(folder, file)) //nolint:gosec // the calling test names the file
 	require.NoError(t, err)
-	forms := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, found := strings.Cut(strings.TrimSuffix(line, "\n"), separator)
+	texts := map[string]string{}
+	for line := range strings.Lines(string(content)) {
+		name, text, found := strings.Cut(strings.TrimSuffix(line, "\n"), separator)
 		require.True(t, found, line)
-		require.NotContains(t, forms, name)
-		forms[name] = form
+		require.NotContains(t, texts, name)
+		texts[name] = text
 	}
-	require.Len(t, forms, count)
-	return forms
+	require.Len(t, texts, count)
+	return texts
 }
 
 // Frame is one line of a golden file of byte strings: a name, and bytes that the file holds as 0x and hexadecimal
@@ -83,7 +83,7 @@
 	t.Helper()
 	var cases []Case
 	for _, frame := range frames {
-		cases = append(cases, Case{Name: frame.Name, Form: hexPrefix + hex.EncodeToString(frame.Bytes)})
+		cases = append(cases, Case{Name: frame.Name, Text: hexPrefix + hex.EncodeToString(frame.Bytes)})
 	}
 	Require(t, file, cases)
 }
@@ -92,8 +92,8 @@
 func ReadFrames(t *testing.T, file string, count int) map[string][]byte {
 	t.Helper()
 	frames := map[string][]byte{}
-	for name, form := range Read(t, file, count) {
-		digits, found := strings.CutPrefix(form, hexPrefix)
+	for name, text := range Read(t, file, count) {
+		digits, found := strings.CutPrefix(text, hexPrefix)
 		require.True(t, found, name)
 		frame, err := hex.DecodeString(digits)
 		require.NoError(t, err, name)
--- a/lab/golden/golden_test.go
+++ b/lab/golden/golden_test.go
@@ -19,9 +19,9 @@
 // Guards against a text that changes between writing and reading: text after the first separator must be kept as it
 // is.
 func TestReadReturnsRequiredCases(t *testing.T) {
-	writeGolden(t, "forms.golden", "a: 1\nb: x: y \n")
-	Require(t, "forms.golden", []Case{{"a", "1"}, {"b", "x: y "}})
-	require.Equal(t, map[string]string{"a": "1", "b": "x: y "}, Read(t, "forms.golden", 2))
+	writeGolden(t, "texts.golden", "a: 1\nb: x: y \n")
+	Require(t, "texts.golden", []Case{{"a", "1"}, {"b", "x: y "}})
+	require.Equal(t, map[string]string{"a": "1", "b": "x: y "}, Read(t, "texts.golden", 2))
 }
 
 // Guards against bytes that change between writing and reading: an empty byte string is a frame too.
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -43,10 +43,10 @@
 		{"wake at a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567 * time.Microsecond}},
 		{"wake within a microsecond", admission.Action{Kind: admission.ActionWake, At: 1234567*time.Microsecond + 1}},
 	} {
-		cases = append(cases, golden.Case{Name: test.name, Form: trimNewline(t, AppendAction(nil, 12, test.action))})
+		cases = append(cases, golden.Case{Name: test.name, Text: trimNewline(t, AppendAction(nil, 12, test.action))})
 	}
-	cases = append(cases, golden.Case{Name: "log", Form: trimNewline(t, appendRemark(nil, 12, "one\r\ntwo\nthree"))})
-	cases = append(cases, golden.Case{Name: "broken", Form: trimNewline(t, AppendBroken(nil, 12, errors.New("one\r\ntwo")))})
+	cases = append(cases, golden.Case{Name: "log", Text: trimNewline(t, appendRemark(nil, 12, "one\r\ntwo\nthree"))})
+	cases = append(cases, golden.Case{Name: "broken", Text: trimNewline(t, AppendBroken(nil, 12, errors.New("one\r\ntwo")))})
 	golden.Require(t, "actions.golden", cases)
 }
 
@@ -158,7 +158,7 @@
 		var batch Batch
 		err := NewReader(strings.NewReader(test.input)).Read(&batch)
 		require.Error(t, err, test.name)
-		cases = append(cases, golden.Case{Name: test.name, Form: err.Error()})
+		cases = append(cases, golden.Case{Name: test.name, Text: err.Error()})
 	}
 	golden.Require(t, "errors.golden", cases)
 }
