--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -11,6 +11,7 @@
 // A call that the circuit breaker drops must end the wait of its run: the run continues if its class may skip
 // the call, and fails otherwise. A request that has run must not be rejected.
 func TestDroppedCallIsSkippedOrFails(t *testing.T) {
+	// Of the classes of testSettings, class 3 may skip its call and class 1 may not.
 	for class, kind := range map[int]ActionKind{1: ActionFail, 3: ActionSkipCall} {
 		settings := testSettings()
 		controller := startController(t, settings)
@@ -24,8 +25,9 @@
 	}
 }
 
-// A call that may have had an effect must not be made again, as the effect would happen twice. A failed read
-// may.
+// A call that may have had an effect must not be made again, as the effect would happen twice. The failed
+// call of a read may be made again. In testSettings, class 0 is a read, 1 is idempotent by key and 2 is
+// unsafe.
 func TestCallIsRetriedOnlyIfItHadNoEffect(t *testing.T) {
 	for _, test := range []struct {
 		class     int
@@ -46,28 +48,28 @@
 	}
 }
 
-// Calls that are needed at the same time must not exceed safeCallRatio of MaxCallsInFlight.
+// Calls that are needed at the same time must not exceed safeCallRatio times MaxCallsInFlight.
 func TestCallsInFlightStayBelowLimit(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 3
 	controller := startController(t, settings)
-	out := 0
+	callsInFlight := 0
 	for id := RequestID(1); id <= 6; id++ {
 		controller.Step(0, []Event{arrived(id, 0)}, nil)
 		actions := controller.Step(0, []Event{CallNeeded(id)}, nil)
 		for _, action := range actions {
 			if action.Kind == ActionCall {
-				out++
+				callsInFlight++
 			}
 		}
 	}
-	if out == 0 || float64(out) > safeCallRatio*settings.MaxCallsInFlight {
-		t.Fatalf("%d calls in flight, with MaxCallsInFlight %v", out, settings.MaxCallsInFlight)
+	if callsInFlight == 0 || float64(callsInFlight) > safeCallRatio*settings.MaxCallsInFlight {
+		t.Fatalf("%d calls in flight, with MaxCallsInFlight %v", callsInFlight, settings.MaxCallsInFlight)
 	}
 }
 
-// The limit must fall while calls are much slower than at best, stay above its minimum, and rise again
-// afterwards.
+// The limit must fall while calls are much slower than the best mean call time, must not fall below its
+// minimum, and must rise again afterwards.
 func TestCallLimitFallsWhileCallsAreSlowAndRecovers(t *testing.T) {
 	controller := startController(t, testSettings())
 	limiter := controller.calls.limiter
@@ -90,7 +92,8 @@
 	}
 }
 
-// With a fractional limit, one call more than the limit is made only while the mean is below it.
+// If the limit is not a whole number, the call that exceeds it must be made only while the mean number of
+// calls in flight is below the limit. With a limit below one, this holds for every call.
 func TestFractionalCallLimitHoldsOnAverage(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 1.95
@@ -114,14 +117,14 @@
 	}
 	limiter.maxInFlight = 0.3
 	if got := limiter.timeout(controller.now, 3*time.Second); got > 0 {
-		t.Errorf("a call with timeout %v although the limit is used up", got)
+		t.Errorf("a call with timeout %v although the credit is overdrawn", got)
 	}
 }
 
-// In a fleet of 300, each server may have 0.1 calls in flight on average. While the dependency is slow, one
-// call uses up far more credit than a server can save up, and the overdrawn credit must be restored before
-// the next call. When overdrawn credit was forgotten after 1.5 s, the fleet had three times as many calls in
-// flight as allowed.
+// In a large fleet, the limit of a server is far below one call, such as 0.1 in a fleet of 300. While the
+// dependency is slow, one call then uses up far more credit than a server can save up, and the overdrawn
+// credit must be restored before the next call. An earlier limiter forgot overdrawn credit after 1.5 s, and
+// the fleet had three times as many calls in flight as allowed.
 func TestFractionalCallLimitHoldsForLongCalls(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
@@ -149,8 +152,9 @@
 	}
 }
 
-// A request that would wait for overdrawn credit must be rejected before it runs: an idempotent request that
-// fails at its call has run, so none of its retries may run.
+// A request whose call would wait for overdrawn credit must be rejected before it runs. If it ran and its
+// call was not made in time, it would fail, and a request that is idempotent by key has then used its only
+// run: no retry of it may run.
 func TestOverdrawnCreditCountsAsCallWait(t *testing.T) {
 	settings := testSettings()
 	settings.MaxCallsInFlight = 0.2
@@ -172,7 +176,7 @@
 	if action := requireAction(t, actions, ActionReject, 2); action.Rejection.Reason != ReasonDependency {
 		t.Errorf("rejected with reason %v, want ReasonDependency", action.Rejection.Reason)
 	}
-	settings.MaxCallsInFlight = 20 // the limit itself allows the next call
+	settings.MaxCallsInFlight = 20 // a limit of one call or more never waits for overdrawn credit
 	controller = startController(t, settings)
 	controller.calls.limiter.callTime = rolling.AverageOf(0.3)
 	controller.calls.limiter.credit = -1
@@ -181,7 +185,8 @@
 	}
 }
 
-// If limitRatio were far too high, uncapped calls beyond maxInFlight would overload the dependency.
+// Even if limitRatio is far too high, a call beyond maxInFlight must have a capped timeout or not be made.
+// Otherwise the calls could overload the dependency.
 func TestCallsBeyondSafeRatioHaveCappedTimeouts(t *testing.T) {
 	controller := startController(t, testSettings())
 	controller.calls.limiter.limitRatio = 5
@@ -212,7 +217,7 @@
 	}
 	controller.advanceTime(23 * time.Second)
 	if got := limiter.timeout(controller.now, time.Second); got > 0 {
-		t.Errorf("a call with timeout %v 2 s after one of 1 s, which uses up 4 s of a limit of %v", got, limiter.limit())
+		t.Errorf("a call with timeout %v 2 s after a call of 1 s ended; with a limit of %v, the wait is 3 s", got, limiter.limit())
 	}
 	controller.advanceTime(24*time.Second + 100*ms)
 	if limiter.timeout(controller.now, time.Second) <= 0 {
@@ -221,26 +226,26 @@
 }
 
 // While the dependency is slow, requests that may skip their calls must do so at once. Otherwise they would
-// be rejected, or would delay requests that must call until both are late.
+// be rejected, or would wait together with the requests that must call, and both would be late.
 func TestCallsThatWouldWaitTooLongAreSkipped(t *testing.T) {
 	settings := testSettings()
 	settings.MemoryKB = 1e6
 	settings.Cores = 12
 	for _, test := range []struct {
-		took  float64 // recent mean call time in seconds
-		skips bool
+		meanCallTime float64 // in seconds
+		skips        bool
 	}{{0.01, false}, {1, true}} {
 		controller := startController(t, settings)
-		for id := RequestID(1); id <= 5; id++ { // more than may call at the same time
+		for id := RequestID(1); id <= 5; id++ { // more calls than the limit allows
 			startAndNeedCall(t, controller, id, 1)
 		}
 		if controller.calls.limiter.waitingCount == 0 {
 			t.Fatal("no call waits")
 		}
-		controller.calls.limiter.callTime = rolling.AverageOf(test.took)
+		controller.calls.limiter.callTime = rolling.AverageOf(test.meanCallTime)
 		actions := startAndNeedCall(t, controller, 7, 3)
 		if got := findAction(actions, ActionSkipCall, 7) != nil; got != test.skips {
-			t.Errorf("calls take %v s: skipped is %v", test.took, got)
+			t.Errorf("calls take %v s: skipped is %v", test.meanCallTime, got)
 		}
 		for id := RequestID(1); id <= 5; id++ {
 			requireNoAction(t, actions, ActionSkipCall, id)
--- a/admission/internal/rolling/window.go
+++ b/admission/internal/rolling/window.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Window is a sum over the recent past, kept in buckets of equal width. Values older than the span are
-// dropped one bucket at a time.
+// Window is a sum over the recent past, kept in buckets of equal width. When a new bucket begins, the oldest
+// one is dropped with all its values. A value therefore counts for the span of the window or up to one bucket
+// width less.
 type Window struct {
 	width      time.Duration // of a bucket
-	buckets    []float64     // sum of each bucket; bucket number n is at n modulo their count
+	buckets    []float64     // ring buffer of bucket sums: bucket number n is at index n % len(buckets)
 	sum        float64       // of all buckets
 	lastBucket int64         // number of the newest bucket, counted from time 0
 }
--- a/admission/key_table.go
+++ b/admission/key_table.go
@@ -4,11 +4,11 @@
 
 // keyTable remembers requests so that their retries share one run and its result. It remembers requests of
 // classes that are idempotent by key for the window of the class, and reads whose results are cached. It
-// accounts for the memory of its entries and emits the actions that keep the owner's copy of the table in
-// step.
+// accounts for the memory of its entries, and tells the owner of the controller by ActionRemember and
+// ActionForget which requests it remembers. The owner has its own table, with the results.
 type keyTable struct {
 	classes   []Class
-	cacheTTL  time.Duration               // for which results of reads may answer other attempts; 0: never
+	cacheTTL  time.Duration               // how long the result of a read may answer other attempts; 0: never
 	tick      time.Duration               // shortest time for which a request is remembered
 	expiresAt map[RequestID]time.Duration // by ID of the remembered request
 	memory    *memoryBudget
@@ -34,8 +34,8 @@
 // len returns the number of entries.
 func (k *keyTable) len() int { return len(k.expiresAt) }
 
-// reusesResults reports whether the result of one attempt may answer other attempts of the same request, for
-// a class.
+// reusesResults reports whether, in a class, the result of one attempt may answer other attempts of the same
+// request.
 func (k *keyTable) reusesResults(class int) bool {
 	switch k.classes[class].Idempotency {
 	case IdempotentByKey:
@@ -61,9 +61,9 @@
 	return true
 }
 
-// cacheResult remembers a read that has just started for cacheTTL, if memory allows, so that its result
-// answers retries. Only the simulator caches results: the settings of the real server (internal/config) have
-// a CacheTTL of 0.
+// cacheResult remembers a read whose run has just started, if memory allows, so that its result answers
+// retries. The entry expires after cacheTTL. Only the simulator caches results: the settings of the real
+// server (internal/config) have a CacheTTL of 0.
 func (k *keyTable) cacheResult(now time.Duration, request *request) {
 	isRead := k.classes[request.class].Idempotency == Safe
 	if k.cacheTTL > 0 && isRead && k.memory.allowsCaching() {
@@ -99,8 +99,8 @@
 	}
 }
 
-// expire drops an entry whose time has passed. It emits no action, since the owner of the controller drops
-// its entry for the request without one.
+// expire drops an entry whose time has passed. It emits no action, since the owner of the controller decides
+// itself when the entry in its own table expires.
 func (k *keyTable) expire(id RequestID) {
 	if _, known := k.expiresAt[id]; known {
 		k.memory.release(k.memory.keyKB)
--- a/admission/random_server_test.go
+++ b/admission/random_server_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// attemptPhase is the phase of an attempt, as its server knows it.
+// attemptPhase is the state of an attempt on the simulated server.
 type attemptPhase uint8
 
 const (
 	attemptWaiting        attemptPhase = iota
 	attemptAwaitingResult              // waits for the result of another attempt
 	attemptRunning
-	attemptAwaitingCall
+	attemptAwaitingCall // its run needs a call, and the controller has not allowed it yet
 	attemptCalling
 	attemptCompleted
 )
@@ -32,28 +32,33 @@
 	memoryKB     float64 // memory while queued
 }
 
-// hasStarted reports whether the attempt is running, including its calls.
-func (a *attempt) hasStarted() bool {
+// isRunning reports whether the attempt is running, including its calls.
+func (a *attempt) isRunning() bool {
 	return a.phase == attemptRunning || a.phase == attemptAwaitingCall || a.phase == attemptCalling
 }
 
-// randomServer answers the actions of a controller in unusual but legal ways and checks these invariants:
-// each request is answered once and in time, nothing with an effect runs twice, no late arrival runs in a
-// drain, and memory and calls stay within their limits.
+// randomServer generates random events for a controller, including rare ones that the controller must accept,
+// and carries out its actions. It checks these invariants:
+//
+//   - each request is answered once and in time;
+//   - no attempt runs twice, and no request with an effect runs or makes its call twice;
+//   - no request with an effect is rejected after a run;
+//   - no request runs that arrived after the grace period of a drain;
+//   - memory and calls in flight stay within their limits.
 type randomServer struct {
-	t              *testing.T
-	settings       Settings
-	rng            *rand.Rand
-	now            time.Duration
-	attempts       map[RequestID]*attempt
-	live           []RequestID                 // attempts that have not completed
-	keys           map[RequestID]time.Duration // time until which each attempt is remembered
-	runs           map[int]int                 // number of runs, by origin
-	drainStartedAt time.Duration               // 0: no drain
-	log            []Action                    // all actions so far
-	lastID         RequestID
-	lastIdempotent map[int]RequestID // last first attempt that is idempotent by key, by class
-	sendsDeadlines bool              // requests carry the deadlines of their clients
+	t               *testing.T
+	settings        Settings
+	rng             *rand.Rand
+	now             time.Duration
+	attempts        map[RequestID]*attempt
+	live            []RequestID                 // attempts that have not completed
+	rememberedUntil map[RequestID]time.Duration // time until which an attempt is remembered, by its ID
+	runs            map[int]int                 // number of runs, by origin
+	drainStartedAt  time.Duration               // 0: no drain
+	log             []Action                    // all actions so far
+	lastID          RequestID
+	lastIdempotent  map[int]RequestID // by class: newest request that is idempotent by key and not a retry
+	sendsDeadlines  bool              // requests carry the deadlines of their clients
 }
 
 // drawRequest draws a new request, or a retry of one that is remembered.
@@ -64,9 +69,9 @@
 		CostHint: time.Duration(s.rng.IntN(300)) * ms, Retry: s.rng.IntN(4) == 0, ReadDelay: time.Duration(s.rng.IntN(50)) * ms})
 	origin := int(s.lastID)
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && s.rng.IntN(2) == 0 {
-		if leader, ok := s.lastIdempotent[class]; ok && s.keys[leader] > s.now {
-			event.Arrival.RetryOf = leader
-			origin = s.attempts[leader].origin
+		if first, ok := s.lastIdempotent[class]; ok && s.rememberedUntil[first] > s.now {
+			event.Arrival.RetryOf = first
+			origin = s.attempts[first].origin
 		}
 	}
 	if s.settings.Classes[class].Idempotency == IdempotentByKey && event.Arrival.RetryOf == 0 {
@@ -170,7 +175,7 @@
 		case ActionReuse:
 			a := s.attempts[action.ID]
 			if a.answered || a.ran {
-				s.t.Fatalf("unexpected ActionReuse for request %d", action.ID)
+				s.t.Fatalf("ActionReuse for request %d, which has run or was answered", action.ID)
 			}
 			a.phase = attemptAwaitingResult
 		case ActionStop:
@@ -196,8 +201,8 @@
 	}
 	s.runs[current.origin]++
 	keyed := s.settings.Classes[current.class].Idempotency == IdempotentByKey
-	if keyed && (s.runs[current.origin] > 1 || s.keys[id] <= s.now && s.keys[id] == 0) {
-		s.t.Fatalf("idempotent request %d: run number %d, remembered until %v, now %v", id, s.runs[current.origin], s.keys[id], s.now)
+	if keyed && (s.runs[current.origin] > 1 || s.rememberedUntil[id] <= s.now && s.rememberedUntil[id] == 0) {
+		s.t.Fatalf("idempotent request %d: run number %d, remembered until %v, now %v", id, s.runs[current.origin], s.rememberedUntil[id], s.now)
 	}
 	current.ran = true
 	current.phase = attemptRunning
@@ -205,7 +210,8 @@
 
 func (s *randomServer) answer(action *Action) {
 	current := s.attempts[action.ID]
-	if current.cancelled { // the cancellation may come later in the batch that caused this action
+	// The controller may answer a request before it reaches the cancellation in the same batch of events.
+	if current.cancelled {
 		return
 	}
 	if current.answered {
@@ -219,7 +225,7 @@
 		s.t.Fatalf("request %d answered %v late", action.ID, s.now-current.deadline)
 	}
 	current.answered = true
-	if !current.hasStarted() {
+	if !current.isRunning() {
 		current.phase = attemptCompleted
 	}
 }
@@ -229,13 +235,13 @@
 	class := &s.settings.Classes[current.class]
 	if action.Kind == ActionSkipCall {
 		if class.DegradedValueRatio == 0 || current.phase != attemptAwaitingCall {
-			s.t.Fatalf("unexpected ActionSkipCall for request %d", action.ID)
+			s.t.Fatalf("ActionSkipCall for request %d, which waits for no call or may not skip it", action.ID)
 		}
 		current.phase = attemptRunning
 		return
 	}
 	if current.phase != attemptAwaitingCall || class.Idempotency != Safe && current.callsThatRan > 0 {
-		s.t.Fatalf("unexpected or repeated ActionCall for request %d", action.ID)
+		s.t.Fatalf("ActionCall for request %d, which waits for no call or whose call may have had an effect already", action.ID)
 	}
 	current.phase = attemptCalling
 }
@@ -248,12 +254,12 @@
 		if current.ran && keyed {
 			s.t.Fatalf("request %d forgotten after its run", action.ID)
 		}
-		delete(s.keys, action.ID)
+		delete(s.rememberedUntil, action.ID)
 		return
 	}
-	s.keys[action.ID] = s.now + action.Duration
-	if keyed && s.keys[action.ID] < current.arrivedAt+class.IdempotencyWindow {
-		s.t.Fatalf("request %d remembered for less than its window", action.ID)
+	s.rememberedUntil[action.ID] = s.now + action.Duration
+	if keyed && s.rememberedUntil[action.ID] < current.arrivedAt+class.IdempotencyWindow {
+		s.t.Fatalf("request %d remembered for less than the IdempotencyWindow of its class", action.ID)
 	}
 }
 
@@ -286,11 +292,11 @@
 		if current.phase == attemptCompleted {
 			continue
 		}
-		if memoryKB += current.memoryKB; current.hasStarted() {
+		if memoryKB += current.memoryKB; current.isRunning() {
 			memoryKB += current.memoryKB * (s.settings.RunningMemoryFactor - 1)
 		}
 	}
-	for _, until := range s.keys {
+	for _, until := range s.rememberedUntil {
 		if until > s.now {
 			memoryKB += s.settings.KeyMemoryKB
 		}
--- a/admission/recorded_run_test.go
+++ b/admission/recorded_run_test.go
@@ -18,7 +18,8 @@
 	recordedSeeds        = 96
 	recordedStepsPerSeed = 2500
 
-	// recordedDigest is the digest of all actions of the recorded runs. It changes only if decisions change.
+	// recordedDigest is the digest of all actions and service rates of the recorded runs. It changes if the
+	// controller decides differently, or if the generator of the events changes.
 	recordedDigest = "cc4e9efe391454f1889593192d24a55fe731184594758bf367f8e2721993781b"
 )
 
@@ -38,8 +39,8 @@
 	At         int64
 }
 
-// recordAction returns an action in its layout for the digest, which excludes the texts for operators and the
-// cause of a rejection.
+// recordAction converts an action to the layout of the digest. The digest excludes Condition, which is only
+// logged for operators, and the Cause of a rejection.
 func recordAction(action *Action) recordedAction {
 	return recordedAction{
 		Kind:       uint8(action.Kind),
@@ -100,8 +101,8 @@
 	}
 }
 
-// Guards changes that are not meant to change any decision, such as refactorings: the digest of all actions
-// must stay the same for random events of every kind, under random settings.
+// Fails if a change that should not affect decisions, such as a refactoring, does affect one. The digest of
+// all actions must stay the same for random events of every kind, under random settings.
 func TestRecordedRun(t *testing.T) {
 	digest := sha256.New()
 	coverage := newRecordedCoverage()
@@ -112,7 +113,8 @@
 	require.Equal(t, recordedDigest, hex.EncodeToString(digest.Sum(nil)))
 }
 
-// playRecorded passes the events that follow from seed to a controller.
+// playRecorded runs a controller with random settings and events, which seed determines, and adds its actions
+// to the digest.
 func playRecorded(t *testing.T, seed uint64, digest hash.Hash, coverage *recordedCoverage) {
 	t.Helper()
 	const stream = 17
@@ -138,7 +140,8 @@
 	}
 }
 
-// requireCoverage checks that every kind of event and action occurred in the recorded runs.
+// requireCoverage checks that the recorded runs are long enough, and that each kind of event, action, reason,
+// outcome, rank and reconfiguration occurred often enough in them.
 func requireCoverage(t *testing.T, coverage *recordedCoverage) {
 	t.Helper()
 	const minimum = 20 // of each kind
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	server := &randomServer{t: t, settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), attempts: map[RequestID]*attempt{},
-		keys: map[RequestID]time.Duration{}, runs: map[int]int{}, lastIdempotent: map[int]RequestID{}, sendsDeadlines: variant.sendsDeadlines}
+		rememberedUntil: map[RequestID]time.Duration{}, runs: map[int]int{}, lastIdempotent: map[int]RequestID{}, sendsDeadlines: variant.sendsDeadlines}
 	stopAt := time.Duration(0)
 	for i := 0; i < 1500 && (stopAt == 0 || server.now < stopAt); i++ {
 		server.now += time.Duration(1+server.rng.IntN(15)) * ms // timers fire late and batches vary in size
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -32,8 +32,8 @@
 	return string(datagram[:n])
 }
 
-// A change must be reported at once, and a report must be repeated so that the entry does not expire. The same must hold
-// after the service has moved to another address.
+// A change must be reported at once. Reports must be repeated, as the announce service drops the entry of a server that
+// stops reporting. Both must hold after the service has moved to another address.
 func TestReportsAreImmediateAndRepeated(t *testing.T) {
 	service := listen(t, "127.0.0.1:0")
 	log, _ := test.NewNullLogger()
@@ -72,7 +72,7 @@
 	require.Equal(t, "stopped", announcer.state.String())
 	announcer.SetAccepting(false)
 	announcer.SetAddress("127.0.0.1:10")
-	require.Empty(t, (<-announcer.reports.C()).address)
+	require.Empty(t, (<-announcer.reports.C()).address) // with an empty address, Run sends nothing
 	require.Empty(t, announcer.reports.C())
 }
 
--- a/internal/overload/expiryset.go
+++ b/internal/overload/expiryset.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// expirySet is a set of fingerprints that expire. Entries are dropped in the order in which they were added. An entry
-// whose expiry was extended keeps its place, and later entries stay until it is dropped.
+// expirySet is a set of request fingerprints (see Fingerprint) that expire. Entries are dropped in the order in which they
+// were added. An entry whose expiry was extended keeps its place in that order, so entries that were added after it are kept
+// until it is dropped, even if they expire earlier.
 type expirySet struct {
 	expires map[uint64]time.Duration // time of expiry by fingerprint
-	order   []uint64                 // keys of expires, first added first
+	order   []uint64                 // the fingerprints, in the order in which they were added
 }
 
 func newExpirySet() expirySet { return expirySet{expires: map[uint64]time.Duration{}} }
@@ -40,7 +41,7 @@
 	s.order = s.order[1:]
 }
 
-// dropExpired drops entries, first added first, up to the first one that has not expired.
+// dropExpired drops entries in the order in which they were added, and stops at one that has not expired.
 func (s *expirySet) dropExpired(now time.Duration) {
 	for len(s.order) > 0 && s.expires[s.order[0]] <= now {
 		s.dropOldest()
--- a/internal/overload/store_state_test.go
+++ b/internal/overload/store_state_test.go
@@ -20,10 +20,11 @@
 	}
 }
 
-// A wrong number of protected calls would make members that may not probe flood a dead store, or stop those that may.
+// The circuit breaker drops no call while its window holds at most the number of protected calls. If the number is too
+// high, members that may not probe flood a store that is down; if it is too low, members that may probe cannot.
 func TestProtectedCallsOfAllowances(t *testing.T) {
 	require.InDelta(t, admission.BreakerProtectedCalls, AllowUnlimited.ProtectedCalls(), 0)
-	require.InDelta(t, 0, AllowCautious.ProtectedCalls(), 0, "the first failure counts")
+	require.InDelta(t, 0, AllowCautious.ProtectedCalls(), 0, "calls may be dropped from the first failure on")
 	require.InDelta(t, 1, AllowSingle.ProtectedCalls(), 0)
-	require.Negative(t, AllowNone.ProtectedCalls(), "no call is made")
+	require.Negative(t, AllowNone.ProtectedCalls(), "the member may not probe")
 }
--- a/lab/fakes/completion_timer.go
+++ b/lab/fakes/completion_timer.go
@@ -7,14 +7,15 @@
 	"falldeal/lab/workerpool"
 )
 
-// completionTimer calls back when items of a worker pool complete, by the wall clock. The lock that guards the pool
-// also guards the timer.
+// completionTimer is a real-time timer that calls a function when items of a worker pool complete. The lock that guards
+// the pool also guards the timer.
 type completionTimer struct {
 	timer *time.Timer // nil before the first use
 }
 
-// schedule sets the timer to the pool's next completion, if there is one, and replaces an earlier setting. The timer
-// calls collect with the lock held, and then sets itself to the next completion. The caller must hold the lock.
+// schedule sets the timer to the pool's next completion, or stops it if there is none. The timer calls collect with the
+// lock held, and then sets itself to the next completion. collect must remove the completed items from the pool. The
+// caller must hold the lock.
 func (c *completionTimer) schedule(lock *sync.Mutex, pool *workerpool.Pool, now func() time.Duration, collect func()) {
 	if c.timer != nil {
 		c.timer.Stop()
